--- /dev/null
+++ b/crates/wingshore-gateway/tests/bytes/site.rs
@@ -0,0 +1,307 @@
+//! A real gateway on loopback, with a coordinator and servers that the test plays.
+
+use std::collections::BTreeSet;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+use slog::{Drain, Logger, Never, OwnedKVList, Record, o};
+use wingshore_coordination::{
+    CoordinatorMessage, GatewayMessage, IncomingFrame, ViewUpdate, WallTime,
+};
+use wingshore_diagnostics::LogCounts;
+use wingshore_gateway::{Gateway, GatewayPolicy, GatewaySettings};
+use wingshore_net::{Signals, frame};
+use wingshore_types::{Epoch, LogIndex};
+
+use crate::protocol::StubProtocol;
+
+/// Longest wait for anything of the gateway's.
+const WAIT: Duration = Duration::from_secs(5);
+const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+pub(crate) const ZONE: &str = "zone-a";
+
+/// The keys of each log line, joined; lines of equal keys count once.
+#[derive(Clone, Default)]
+struct LogKeys(Arc<Mutex<BTreeSet<String>>>);
+
+/// Collects the keys of one line.
+#[derive(Default)]
+struct KeysOfLine(Vec<String>);
+
+impl slog::Serializer for KeysOfLine {
+    fn emit_arguments(&mut self, key: slog::Key, _value: &std::fmt::Arguments<'_>) -> slog::Result {
+        self.0.push(key.to_string());
+        Ok(())
+    }
+}
+
+impl Drain for LogKeys {
+    type Ok = ();
+    type Err = Never;
+
+    fn log(&self, record: &Record<'_>, _values: &OwnedKVList) -> Result<(), Never> {
+        let mut keys = KeysOfLine::default();
+        let serialized = slog::KV::serialize(&record.kv(), record, &mut keys);
+        assert!(serialized.is_ok());
+        keys.0.sort_unstable();
+        self.0.lock().unwrap().insert(keys.0.join(" "));
+        Ok(())
+    }
+}
+
+/// The gateway and its coordinator.
+pub(crate) struct Site {
+    pub(crate) front: SocketAddr,
+    pub(crate) ready: SocketAddr,
+    coordinator: Arc<Mutex<TcpStream>>,
+    received: Receiver<IncomingFrame>,
+    log: LogKeys,
+    stop: Arc<AtomicBool>,
+    alive: Arc<AtomicBool>,
+}
+
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind((LOOPBACK, 0)).unwrap();
+    listener.local_addr().unwrap()
+}
+
+impl Site {
+    /// Starts the gateway and takes its link; it has no view yet.
+    pub(crate) fn start() -> Self {
+        let listener = TcpListener::bind((LOOPBACK, 0)).unwrap();
+        let (front, ready) = (free_address(), free_address());
+        let log = LogKeys::default();
+        let stop = start_gateway(front, ready, listener.local_addr().unwrap().port(), &log);
+        let (stream, _) = listener.accept().unwrap();
+        let (sender, received) = channel();
+        let mut reading = stream.try_clone().unwrap();
+        thread::spawn(move || {
+            let mut input = bytes::BytesMut::new();
+            let mut buffer = [0; 4096];
+            while let Ok(length @ 1..) = reading.read(&mut buffer) {
+                input.extend_from_slice(&buffer[..length]);
+                while let Some(message) = frame::decode(&mut input).unwrap() {
+                    if sender.send(message).is_err() {
+                        return;
+                    }
+                }
+            }
+        });
+        let site = Self {
+            front,
+            ready,
+            coordinator: Arc::new(Mutex::new(stream)),
+            received,
+            log,
+            stop,
+            alive: Arc::new(AtomicBool::new(true)),
+        };
+        site.send_heartbeats();
+        site
+    }
+
+    /// Coordinators that are silent are disconnected.
+    fn send_heartbeats(&self) {
+        let (coordinator, alive) = (Arc::clone(&self.coordinator), Arc::clone(&self.alive));
+        thread::spawn(move || {
+            while alive.load(Ordering::Relaxed) {
+                let message = CoordinatorMessage::Alive {
+                    coordinators: Some(Vec::new()),
+                    zone: ZONE.to_owned(),
+                    copy: Some(LogIndex(1)),
+                    wall: WallTime(0),
+                };
+                let bytes = frame::encode(&message).unwrap();
+                let _ = coordinator.lock().unwrap().write_all(&bytes);
+                thread::sleep(Duration::from_millis(100));
+            }
+        });
+    }
+
+    /// Starts a gateway whose coordinator leads and has sent it `view`.
+    pub(crate) fn with_view(view: ViewUpdate) -> Self {
+        let site = Self::start();
+        site.expect(|message| matches!(message, IncomingFrame::Gateway(_)));
+        site.expect(|message| {
+            matches!(
+                message,
+                IncomingFrame::FromGateway(GatewayMessage::FollowView { since: None })
+            )
+        });
+        site.send(&CoordinatorMessage::Leading { epoch: Epoch(1) });
+        site.expect(|message| {
+            matches!(
+                message,
+                IncomingFrame::FromGateway(GatewayMessage::Running { .. })
+            )
+        });
+        site.send(&CoordinatorMessage::View(view));
+        let is_configured = |message: &IncomingFrame| match message {
+            IncomingFrame::FromGateway(GatewayMessage::Status(status)) => status.configuration > 0,
+            _ => false,
+        };
+        site.expect(is_configured);
+        site
+    }
+
+    pub(crate) fn send(&self, message: &CoordinatorMessage) {
+        let bytes = frame::encode(message).unwrap();
+        self.coordinator.lock().unwrap().write_all(&bytes).unwrap();
+    }
+
+    /// The next frame of this kind; those before it are passed over.
+    pub(crate) fn expect(&self, is_expected: impl Fn(&IncomingFrame) -> bool) -> IncomingFrame {
+        let end = std::time::Instant::now() + WAIT;
+        loop {
+            let left = end.saturating_duration_since(std::time::Instant::now());
+            match self.received.recv_timeout(left) {
+                Ok(message) if is_expected(&message) => return message,
+                Ok(_) => {}
+                Err(RecvTimeoutError::Timeout) => panic!("a frame did not come"),
+                Err(RecvTimeoutError::Disconnected) => panic!("the link has ended"),
+            }
+        }
+    }
+
+    /// The next frame besides status reports and progress, as its bytes behind their length.
+    pub(crate) fn next_message(&self) -> String {
+        let is_report = |message: &IncomingFrame| {
+            matches!(
+                message,
+                IncomingFrame::FromGateway(GatewayMessage::Status(_) | GatewayMessage::Progress(_))
+            )
+        };
+        let bytes = frame::encode(&self.expect(|message| !is_report(message))).unwrap();
+        bytes[4..].escape_ascii().to_string()
+    }
+
+    /// Keys of the log lines so far.
+    pub(crate) fn log_keys(&self) -> Vec<String> {
+        self.log.0.lock().unwrap().iter().cloned().collect()
+    }
+
+    /// A connection of a client.
+    pub(crate) fn client(&self) -> TcpStream {
+        connect(self.front)
+    }
+
+    /// The answer to one request on a connection of its own.
+    pub(crate) fn ask(&self, request: &str) -> String {
+        let mut client = self.client();
+        client.write_all(request.as_bytes()).unwrap();
+        read_message(&mut client)
+    }
+}
+
+impl Drop for Site {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        self.alive.store(false, Ordering::Relaxed);
+    }
+}
+
+fn start_gateway(
+    front: SocketAddr,
+    ready: SocketAddr,
+    internal_port: u16,
+    log: &LogKeys,
+) -> Arc<AtomicBool> {
+    let signals = Signals::default();
+    let stop = Arc::clone(&signals.stop);
+    let logger = Logger::root(log.clone(), o!());
+    let settings = GatewaySettings {
+        node: "node-1".to_owned(),
+        zone: ZONE.to_owned(),
+        region: "region".to_owned(),
+        front,
+        ready: Some(ready),
+        metrics: None,
+        internal_port,
+        seeds: vec![LOOPBACK],
+        most_connections: 64,
+        directory_ttl: Duration::from_millis(10),
+        stop_limit: Duration::from_secs(1),
+        usage_window: Some(Duration::from_secs(60)),
+        policy: GatewayPolicy::default(),
+    };
+    thread::spawn(move || {
+        let seeds = Box::new(|| Ok(vec![LOOPBACK]));
+        let protocol = Box::new(StubProtocol);
+        let counts = LogCounts::default();
+        let gateway = Gateway::start(settings, protocol, signals, seeds, logger, counts).unwrap();
+        gateway.run().unwrap();
+    });
+    stop
+}
+
+pub(crate) fn connect(address: SocketAddr) -> TcpStream {
+    let end = std::time::Instant::now() + WAIT;
+    loop {
+        match TcpStream::connect(address) {
+            Ok(stream) => {
+                stream.set_read_timeout(Some(WAIT)).unwrap();
+                return stream;
+            }
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+                assert!(std::time::Instant::now() < end, "nobody listens");
+                thread::sleep(Duration::from_millis(5));
+            }
+            Err(error) => panic!("{error}"),
+        }
+    }
+}
+
+/// A server that the test plays.
+pub(crate) struct Server(TcpListener);
+
+impl Server {
+    pub(crate) fn start() -> Self {
+        Self(TcpListener::bind((LOOPBACK, 0)).unwrap())
+    }
+
+    pub(crate) fn address(&self) -> SocketAddr {
+        self.0.local_addr().unwrap()
+    }
+
+    /// The next connection of the gateway, and the request on it.
+    pub(crate) fn accept(&self) -> (TcpStream, String) {
+        let (mut stream, _) = self.0.accept().unwrap();
+        stream.set_read_timeout(Some(WAIT)).unwrap();
+        let request = read_message(&mut stream);
+        (stream, request)
+    }
+}
+
+/// One message with a head; the body is as long as the head says, or ends with the last chunk or
+/// the connection.
+pub(crate) fn read_message(stream: &mut TcpStream) -> String {
+    let mut bytes = Vec::new();
+    let mut buffer = [0; 4096];
+    while !is_whole(&bytes) {
+        match stream.read(&mut buffer).unwrap() {
+            0 => break,
+            length => bytes.extend_from_slice(&buffer[..length]),
+        }
+    }
+    String::from_utf8(bytes).unwrap()
+}
+
+fn is_whole(bytes: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(bytes);
+    let Some((head, body)) = text.split_once("\r\n\r\n") else {
+        return false;
+    };
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Content-Length: "));
+    match length {
+        Some(length) => body.len() >= length.parse().unwrap(),
+        None if head.contains("Transfer-Encoding: chunked") => body.ends_with("0\r\n\r\n"),
+        None => true,
+    }
+}
