--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -32,7 +32,7 @@
 pub use error::CoordinatorError;
 pub use heartbeats::{HeartbeatRelay, HeartbeatVerdict};
 pub use lost::LostMachines;
-pub use membership::{Joiner, MembershipPlanner, MembershipView};
+pub use membership::{Joiner, MembershipPlanner, MembershipView, Shortage};
 pub use outgoing_calls::CallProtocols;
 pub use process::Coordinator;
 pub use protocol::{
--- a/crates/wingshore-coordinator/src/membership.rs
+++ b/crates/wingshore-coordinator/src/membership.rs
@@ -17,6 +17,24 @@
 /// Members besides those that the losses and zones ask for: one that can vote at once in the place
 /// of a lost one. Each further one holds the whole state in memory and is sent the whole log.
 const SPARE_MEMBERS: usize = 1;
+/// After this much of a leadership all coordinators that run have introduced themselves: they dial
+/// each 250 ms and introduce themselves each 300 ms. Not measured; long beside both, and beside the
+/// start of a machine.
+const ALL_HEARD_AFTER: Duration = Duration::from_secs(5);
+
+/// Members whose loss at one time so many voters bear: a majority is left.
+pub(crate) fn losses_borne_by(voters: usize) -> usize {
+    voters.saturating_sub(1) / 2
+}
+
+/// Fewer coordinators than bear the losses that the settings ask for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Shortage {
+    /// Coordinators that are members, or can become members.
+    pub coordinators: usize,
+    /// The fewest that bear the losses.
+    pub needed: usize,
+}
 
 /// A coordinator that has introduced itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,6 +92,22 @@
         })
     }
 
+    /// Whether there are too few coordinators. Members count while they are away: a shortage is one
+    /// of the site's layout, not of a moment.
+    pub fn shortage(&self, now: Instant) -> Option<Shortage> {
+        let standby = self.fresh(now).map(|joiner| joiner.id);
+        let mut coordinators: BTreeSet<ReplicaId> = members(self.membership)
+            .map(|member| member.id)
+            .filter(|id| !self.retired.contains(id))
+            .collect();
+        coordinators.extend(standby);
+        let shortage = Shortage {
+            coordinators: coordinators.len(),
+            needed: self.fewest_voters(),
+        };
+        (shortage.coordinators < shortage.needed).then_some(shortage)
+    }
+
     /// Members that are there: the leader, and those that are heard of and are not to leave.
     fn members_there(&self, now: Instant) -> impl Iterator<Item = &Member> {
         let fresh: BTreeSet<ReplicaId> = self.fresh(now).map(|joiner| joiner.id).collect();
@@ -129,6 +163,12 @@
         self.since = Some(now);
     }
 
+    /// Whether the leadership is old enough to have heard of all coordinators that run.
+    pub fn has_heard_all(&self, now: Instant) -> bool {
+        self.since
+            .is_some_and(|since| now.since(since) >= ALL_HEARD_AFTER)
+    }
+
     /// The change that is needed next, if any.
     pub fn plan(&self, now: Instant, view: &MembershipView<'_>) -> Option<MembershipRequest> {
         self.replaced_member(now, view)
--- a/crates/wingshore-coordinator/src/metrics.rs
+++ b/crates/wingshore-coordinator/src/metrics.rs
@@ -51,6 +51,8 @@
     pub(crate) applied_index: u64,
     pub(crate) voters: usize,
     pub(crate) learners: usize,
+    pub(crate) losses_borne: usize,
+    pub(crate) losses_to_bear: usize,
     pub(crate) gateways: usize,
     pub(crate) view_followers: usize,
     pub(crate) servers: usize,
@@ -86,7 +88,7 @@
 }
 
 /// Gauges: name and help.
-const GAUGES: [(&str, &str); 24] = [
+const GAUGES: [(&str, &str); 26] = [
     ("leading", "1 where this coordinator leads the group"),
     ("leader_known", "1 where it knows a leader"),
     ("term", "Term of the group; the fence of orders"),
@@ -100,6 +102,14 @@
     ),
     ("voters", "Members that vote"),
     ("learners", "Members that only receive"),
+    (
+        "losses_borne",
+        "Members whose loss at one time the voters bear",
+    ),
+    (
+        "losses_to_bear",
+        "Members whose loss at one time the settings ask to bear",
+    ),
     ("gateways", "Gateways in touch"),
     ("view_followers", "Gateways that follow the view here"),
     ("servers", "Servers in the registry"),
@@ -286,6 +296,8 @@
             readings.applied_index,
             count(readings.voters),
             count(readings.learners),
+            count(readings.losses_borne),
+            count(readings.losses_to_bear),
             count(readings.gateways),
             count(readings.view_followers),
             count(readings.servers),
--- a/crates/wingshore-coordinator/src/process/callers.rs
+++ b/crates/wingshore-coordinator/src/process/callers.rs
@@ -2,6 +2,7 @@
 
 use super::{CALLER_IDLE, Coordinator, GATEWAY_FRESH, Role, Waiting};
 use crate::control;
+use crate::membership::losses_borne_by;
 use crate::metrics::Readings;
 use crate::protocol::{ControlAnswer, ControlCall, LocalQuestion};
 use slog::warn;
@@ -86,6 +87,8 @@
             applied_index: self.host.applied_index().0,
             voters: membership.voters.len(),
             learners: membership.learners.len(),
+            losses_borne: losses_borne_by(membership.voters.len()),
+            losses_to_bear: self.settings.losses_borne,
             gateways: self.directory.iter().count(),
             view_followers: self.view_feed.followers(),
             servers: state.servers().len(),
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -1,9 +1,9 @@
 //! Members of the group: whom the leader takes in, lets go and empties.
 
 use super::{Coordinator, Waiting};
-use crate::membership::MembershipView;
+use crate::membership::{MembershipView, Shortage, losses_borne_by};
 use crate::protocol::ControlAnswer;
-use slog::info;
+use slog::{info, warn};
 use std::collections::BTreeSet;
 use wingshore_coordination::{CoordinationLeader, Request};
 use wingshore_group::{Host, HostInput};
@@ -28,6 +28,36 @@
         }
     }
 
+    /// Says so where there are too few coordinators for the losses that the settings ask for; once
+    /// until it changes.
+    pub(super) fn report_shortage(&mut self, now: Instant) {
+        if !self.host.is_leader() || !self.planner.has_heard_all(now) {
+            return;
+        }
+        let retired = self.retired_members();
+        let shortage = self.membership_view(&retired).shortage(now);
+        if shortage == self.reported_shortage {
+            return;
+        }
+        self.reported_shortage = shortage;
+        let losses_to_bear = self.settings.losses_borne;
+        match shortage {
+            Some(Shortage {
+                coordinators,
+                needed,
+            }) => {
+                warn!(self.logger, "too few coordinators for the losses to bear";
+                    "coordinators" => coordinators, "needed" => needed,
+                    "losses_borne" => losses_borne_by(coordinators),
+                    "losses_to_bear" => losses_to_bear);
+            }
+            None => {
+                info!(self.logger, "enough coordinators for the losses to bear";
+                    "losses_to_bear" => losses_to_bear);
+            }
+        }
+    }
+
     pub(super) fn membership_view<'a>(
         &'a self,
         retired: &'a BTreeSet<ReplicaId>,
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -18,7 +18,7 @@
 use crate::lost::LostMachines;
 use wingshore_clock::Clock;
 
-use crate::membership::{Joiner, MembershipPlanner};
+use crate::membership::{Joiner, MembershipPlanner, Shortage};
 use crate::metrics::CoordinatorMetrics;
 use crate::outgoing_calls::{CallProtocols, OutgoingCalls};
 use crate::protocol::ControlProtocol;
@@ -153,6 +153,8 @@
     next_tag: u64,
     planner: MembershipPlanner,
     change_under_way: bool,
+    /// The shortage of coordinators that was logged last.
+    reported_shortage: Option<Shortage>,
     silence_judge: SilenceJudge,
     next_housekeeping: Instant,
     next_hello: Instant,
@@ -246,6 +248,7 @@
             next_tag: 0,
             planner: MembershipPlanner::default(),
             change_under_way: false,
+            reported_shortage: None,
             silence_judge: SilenceJudge::default(),
             next_housekeeping: Instant::ZERO,
             next_hello: Instant::ZERO,
@@ -448,6 +451,7 @@
         self.close_idle_callers(now);
         self.give_up_passed_on(now);
         self.plan_members(now);
+        self.report_shortage(now);
         self.reload();
         self.begin_stop(now);
     }
--- a/crates/wingshore-coordinator/tests/membership.rs
+++ b/crates/wingshore-coordinator/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordinator::{Joiner, MembershipPlanner, MembershipView};
+use wingshore_coordinator::{Joiner, MembershipPlanner, MembershipView, Shortage};
 use wingshore_types::protocol::membership::{Member, Membership, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
@@ -354,3 +354,35 @@
         some(eq(&MembershipRequest::AddLearner(member(5, 107))))
     );
 }
+
+#[gtest]
+fn too_few_coordinators_for_the_losses_to_bear_are_noticed() {
+    let mut site = Site::new();
+    expect_that!(site.view().shortage(site.now), none());
+    site.losses_borne = 2;
+    let shortage = |coordinators| Shortage {
+        coordinators,
+        needed: 5,
+    };
+    expect_that!(site.view().shortage(site.now), some(eq(shortage(3))));
+    // A member that is away still counts, one that stands by only while it is heard of.
+    site.hear(3, 3, 20_000);
+    site.hear(4, 4, 0);
+    site.hear(5, 5, 20_000);
+    expect_that!(site.view().shortage(site.now), some(eq(shortage(4))));
+    site.hear(5, 5, 0);
+    expect_that!(site.view().shortage(site.now), none());
+    site.retired.insert(ReplicaId(3));
+    expect_that!(site.view().shortage(site.now), some(eq(shortage(4))));
+}
+
+#[gtest]
+fn a_young_leadership_has_not_heard_of_all_coordinators() {
+    let mut planner = MembershipPlanner::default();
+    let begin = Instant::from_millis(1_000);
+    expect_that!(planner.has_heard_all(begin), eq(false));
+    planner.begin(begin);
+    let after = |millis| begin + Duration::from_millis(millis);
+    expect_that!(planner.has_heard_all(after(4_999)), eq(false));
+    expect_that!(planner.has_heard_all(after(5_000)), eq(true));
+}
