--- a/crates/wingshore-gateway/src/calls.rs
+++ b/crates/wingshore-gateway/src/calls.rs
@@ -92,7 +92,7 @@
         request: &WholeRequest,
         caller: Option<&Caller>,
     ) {
-        match self.protocol.read_submission(request) {
+        match self.site.protocol.read_submission(request) {
             Ok(mut submission) => {
                 submission.id = submission.id.of_tenant(tenant_of(caller));
                 let request = Request::SubmitJob(Arc::new(submission));
@@ -137,7 +137,7 @@
 
     /// Reads results from a copy of the state near by, if there is one.
     fn send_to_copy(&mut self, now: Instant, id: u64) -> bool {
-        let copy = self.coordinators.near_copy(now, &self.settings.zone);
+        let copy = self.site.coordinators.near_copy(now, &self.site.zone);
         let Some(call) = self.calls.waiting.get_mut(&id) else {
             return false;
         };
@@ -158,13 +158,13 @@
         call.sent_to = Some(Receiver::Copy(copy));
         let until = call.until;
         self.send_frame(copy, &IncomingFrame::FromGateway(message));
-        self.timers.arm(until, TimerKey::Call(id));
+        self.runtime.timers.arm(until, TimerKey::Call(id));
         true
     }
 
     /// Sends a call to the leader, if one is known.
     fn send_to_leader(&mut self, now: Instant, id: u64) {
-        let leader = self.coordinators.leader();
+        let leader = self.site.coordinators.leader();
         let Some(call) = self.calls.waiting.get_mut(&id) else {
             return;
         };
@@ -180,7 +180,7 @@
             let frame = IncomingFrame::FromGateway(GatewayMessage::Call { id, request });
             self.send_frame(leader, &frame);
         }
-        self.timers.arm(look_at, TimerKey::Call(id));
+        self.runtime.timers.arm(look_at, TimerKey::Call(id));
     }
 
     /// Calls that were sent on a connection that is gone wait for another leader.
@@ -200,7 +200,7 @@
 
     /// There is a leader: sends what waits for one.
     pub(crate) fn resend_calls(&mut self, now: Instant) {
-        let leader = self.coordinators.leader();
+        let leader = self.site.coordinators.leader();
         let leader = leader.map(Receiver::Leader);
         let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Receiver::Copy(_)));
         let unsent: Vec<u64> = self
@@ -224,7 +224,7 @@
                 self.send_call(now, id);
             } else {
                 let until = call.until;
-                self.timers.arm(until, TimerKey::Call(id));
+                self.runtime.timers.arm(until, TimerKey::Call(id));
             }
             return;
         }
@@ -241,10 +241,10 @@
         } else {
             BatchAnswer::Uncertain
         };
-        warn!(self.logger, "call given up"; "call" => kind, "subject" => call.request.subject(),
-            "leader_known" => self.coordinators.leader().is_some(), "answer" => answer.name(),
-            "epoch" => self.view.epoch().0);
-        self.metrics.call_ended(kind, answer.name());
+        warn!(self.runtime.logger, "call given up"; "call" => kind, "subject" => call.request.subject(),
+            "leader_known" => self.site.coordinators.leader().is_some(), "answer" => answer.name(),
+            "epoch" => self.site.view.epoch().0);
+        self.runtime.metrics.call_ended(kind, answer.name());
         self.answer_batch(now, call.client, &answer);
     }
 
@@ -284,11 +284,11 @@
             (_, _) => BatchAnswer::Unknown,
         };
         let kind = call.request.kind();
-        self.metrics.call_ended(kind, answer.name());
+        self.runtime.metrics.call_ended(kind, answer.name());
         if !matches!(call.request, Request::ReadJob { .. }) {
-            info!(self.logger, "call answered"; "call" => kind,
+            info!(self.runtime.logger, "call answered"; "call" => kind,
                 "subject" => call.request.subject(), "answer" => answer.name(),
-                "epoch" => self.view.epoch().0);
+                "epoch" => self.site.view.epoch().0);
         }
         self.answer_batch(now, call.client, &answer);
     }
@@ -309,14 +309,14 @@
         match ReadPage::unpack(page) {
             Ok(page) => BatchAnswer::Page(page),
             Err(error) => {
-                warn!(self.logger, "results not read"; "error" => %error);
+                warn!(self.runtime.logger, "results not read"; "error" => %error);
                 BatchAnswer::Unavailable(COME_BACK)
             }
         }
     }
 
     fn answer_batch(&mut self, now: Instant, client: ConnectionId, answer: &BatchAnswer) {
-        let answer = self.protocol.write_batch(answer);
+        let answer = self.site.protocol.write_batch(answer);
         self.answer_client(now, client, &answer);
     }
 
--- a/crates/wingshore-gateway/src/clients.rs
+++ b/crates/wingshore-gateway/src/clients.rs
@@ -69,7 +69,7 @@
 impl Gateway {
     /// Bytes of a client have arrived, or its last answer has gone out.
     pub(crate) fn on_client_input(&mut self, now: Instant, connection: ConnectionId) {
-        let limits = self.view.limits();
+        let limits = self.site.view.limits();
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
@@ -77,7 +77,7 @@
         let ClientState::Reading { begun } = &mut client.state else {
             return;
         };
-        let Some(input) = self.reactor.input(connection) else {
+        let Some(input) = self.runtime.reactor.input(connection) else {
             return;
         };
         let next = client
@@ -89,7 +89,7 @@
                 if has_begun && begun.is_none() {
                     *begun = Some(now);
                     let key = TimerKey::Client(connection);
-                    self.timers.arm(now + limits.head_timeout, key);
+                    self.runtime.timers.arm(now + limits.head_timeout, key);
                 }
                 self.refuse_early(now, connection);
             }
@@ -109,7 +109,7 @@
         match purpose {
             Some(Purpose::Ready) => {
                 let ready = self.status().ready;
-                let answer = self.protocol.write_ready(&request.head, ready);
+                let answer = self.site.protocol.write_ready(&request.head, ready);
                 return self.answer_client(now, connection, &answer);
             }
             Some(Purpose::Metrics) => {
@@ -118,18 +118,24 @@
             }
             Some(Purpose::Front) | None => {}
         }
-        if !self.view.is_configured() {
+        if !self.site.view.is_configured() {
             let reason = "no configuration is known yet";
             return self.refuse_not_run(now, connection, &request.head, reason);
         }
-        if let Some(call) = self.protocol.read_batch_call(&request.head) {
+        if let Some(call) = self.site.protocol.read_batch_call(&request.head) {
             return match self.admit_batch_call(&request.head) {
                 Ok(caller) => self.begin_batch_call(now, connection, call, caller.as_ref()),
                 Err(answer) => self.refuse_caller(now, connection, &request.head, &answer),
             };
         }
         let host = request.head.headers.text("host").unwrap_or_default();
-        let Some(route) = self.view.routes().find(host, request.head.path()).cloned() else {
+        let Some(route) = self
+            .site
+            .view
+            .routes()
+            .find(host, request.head.path())
+            .cloned()
+        else {
             return self.refuse_without_route(now, connection, &request.head);
         };
         let caller = match self.admit(&request.head, &route) {
@@ -149,7 +155,7 @@
         connection: ConnectionId,
         answer: &OwnAnswer,
     ) {
-        let answer = self.protocol.write_own(answer);
+        let answer = self.site.protocol.write_own(answer);
         self.answer_client(now, connection, &answer);
     }
 
@@ -179,7 +185,7 @@
         if client.close_after {
             writer = writer.header("Connection", "close");
         }
-        self.reactor.send(connection, &writer.body(body));
+        self.runtime.reactor.send(connection, &writer.body(body));
         self.end_exchange(now, connection);
     }
 
@@ -194,7 +200,7 @@
         client.close_after |= stopping;
         if client.close_after {
             self.clients.remove(&connection);
-            self.reactor.close_when_flushed(connection);
+            self.runtime.reactor.close_when_flushed(connection);
             return;
         }
         // Requests that came in one piece are answered in turn, without recursion.
@@ -202,6 +208,7 @@
             return;
         }
         let has_input = self
+            .runtime
             .reactor
             .input(connection)
             .is_some_and(|input| !input.is_empty());
@@ -211,8 +218,10 @@
         if let Some(client) = self.clients.get_mut(&connection) {
             client.is_answering = false;
         }
-        let idle = self.view.limits().idle_timeout;
-        self.timers.arm(now + idle, TimerKey::Client(connection));
+        let idle = self.site.view.limits().idle_timeout;
+        self.runtime
+            .timers
+            .arm(now + idle, TimerKey::Client(connection));
     }
 
     /// Notes that a client waits for the group.
@@ -224,7 +233,7 @@
 
     /// A client's time may be over.
     pub(crate) fn on_client_timer(&mut self, now: Instant, connection: ConnectionId) {
-        let limits = self.view.limits();
+        let limits = self.site.view.limits();
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
@@ -236,7 +245,7 @@
             if now >= until {
                 self.close_client(connection);
             } else {
-                self.timers.arm(until, TimerKey::Client(connection));
+                self.runtime.timers.arm(until, TimerKey::Client(connection));
             }
             return;
         };
@@ -247,14 +256,14 @@
         };
         let until = begun + limits.head_timeout * factor;
         if now < until {
-            return self.timers.arm(until, TimerKey::Client(connection));
+            return self.runtime.timers.arm(until, TimerKey::Client(connection));
         }
         self.refuse_too_slow(now, connection);
     }
 
     /// Closes a client's connection and drops what it waits for.
     pub(crate) fn close_client(&mut self, connection: ConnectionId) {
-        self.reactor.close(connection);
+        self.runtime.reactor.close(connection);
         let Some(client) = self.clients.remove(&connection) else {
             return;
         };
--- a/crates/wingshore-gateway/src/coordinators.rs
+++ b/crates/wingshore-gateway/src/coordinators.rs
@@ -143,12 +143,13 @@
     /// Connects to all known coordinators there is no connection to.
     pub(crate) fn dial_coordinators(&mut self, now: Instant) {
         let mut wanted = self.settings.seed_addresses();
-        for link in self.coordinators.links.values() {
+        for link in self.site.coordinators.links.values() {
             wanted.extend(&link.knows);
         }
         wanted.sort_unstable();
         wanted.dedup();
-        self.coordinators
+        self.site
+            .coordinators
             .links
             .retain(|address, link| link.connection.is_some() || wanted.contains(address));
         for address in wanted {
@@ -157,7 +158,7 @@
     }
 
     fn dial(&mut self, now: Instant, address: SocketAddr) {
-        if let Some(link) = self.coordinators.links.get(&address) {
+        if let Some(link) = self.site.coordinators.links.get(&address) {
             let is_late = !link.up && now.since(link.since) >= CONNECT_TIMEOUT;
             let is_silent = link.up && now.since(link.heard) >= SILENCE;
             match link.connection {
@@ -172,11 +173,12 @@
         let options = ConnectOptions {
             unacknowledged_limit: UNACKNOWLEDGED_LIMIT,
         };
-        let connection = self.reactor.connect(address, options);
+        let connection = self.runtime.reactor.connect(address, options);
         if let Some(connection) = connection {
             self.links.insert(connection, LinkRole { address });
         }
         let knows = self
+            .site
             .coordinators
             .links
             .remove(&address)
@@ -190,7 +192,7 @@
             knows,
             copy: None,
         };
-        self.coordinators.links.insert(address, link);
+        self.site.coordinators.links.insert(address, link);
     }
 
     pub(crate) fn on_link_up(
@@ -199,17 +201,17 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        let Some(link) = self.coordinators.links.get_mut(&address) else {
+        let Some(link) = self.site.coordinators.links.get_mut(&address) else {
             return;
         };
         link.up = true;
         link.heard = now;
-        info!(self.logger, "coordinator reached"; "address" => %address);
+        info!(self.runtime.logger, "coordinator reached"; "address" => %address);
         let hello = GatewayHello {
             gateway: self.id,
             node: self.settings.node.clone(),
             front: self.settings.front,
-            zone: self.settings.zone.clone(),
+            zone: self.site.zone.clone(),
             region: self.settings.region.clone(),
             status: self.status(),
         };
@@ -222,11 +224,11 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        self.reactor.close(connection);
+        self.runtime.reactor.close(connection);
         self.links.remove(&connection);
-        if let Some(link) = self.coordinators.links.get_mut(&address) {
+        if let Some(link) = self.site.coordinators.links.get_mut(&address) {
             if link.up {
-                info!(self.logger, "coordinator lost"; "address" => %address);
+                info!(self.runtime.logger, "coordinator lost"; "address" => %address);
             }
             // A link that broke after a while is tried again at once: the leader keeps the items of
             // this gateway for a moment only.
@@ -239,10 +241,10 @@
                 now
             };
         }
-        if self.coordinators.leader == Some(address) {
-            self.coordinators.leader = None;
+        if self.site.coordinators.leader == Some(address) {
+            self.site.coordinators.leader = None;
         }
-        self.coordinators.view_source.link_ended(address);
+        self.site.coordinators.view_source.link_ended(address);
         self.follow_view(now);
         self.calls_lost(now, connection);
     }
@@ -254,14 +256,14 @@
         address: SocketAddr,
     ) {
         loop {
-            let Some(input) = self.reactor.input(connection) else {
+            let Some(input) = self.runtime.reactor.input(connection) else {
                 return;
             };
             match frame::decode::<CoordinatorMessage>(input) {
                 Ok(Some(message)) => self.on_coordinator(now, connection, address, message),
                 Ok(None) => return,
                 Err(error) => {
-                    warn!(self.logger, "link closed"; "error" => %error);
+                    warn!(self.runtime.logger, "link closed"; "error" => %error);
                     return self.on_link_ended(now, connection, address);
                 }
             }
@@ -275,15 +277,15 @@
         address: SocketAddr,
         message: CoordinatorMessage,
     ) {
-        if let Some(link) = self.coordinators.links.get_mut(&address) {
+        if let Some(link) = self.site.coordinators.links.get_mut(&address) {
             link.heard = now;
         }
         match message {
             CoordinatorMessage::Leading { epoch } => {
-                if self.view.led(epoch) {
-                    info!(self.logger, "leader"; "address" => %address, "epoch" => epoch.0,
-                        "configuration" => self.view.version());
-                    self.coordinators.leader = Some(address);
+                if self.site.view.led(epoch) {
+                    info!(self.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
+                        "configuration" => self.site.view.version());
+                    self.site.coordinators.leader = Some(address);
                     self.tell_running(connection);
                     self.tell_untold_evidence(now);
                     self.resend_calls(now);
@@ -311,7 +313,7 @@
                 wall,
             } => {
                 self.site_clock.heard(now, address, wall);
-                if let Some(link) = self.coordinators.links.get_mut(&address) {
+                if let Some(link) = self.site.coordinators.links.get_mut(&address) {
                     if let Some(coordinators) = coordinators {
                         link.knows = coordinators;
                     }
@@ -335,14 +337,14 @@
     /// Tells all coordinators how this gateway stands.
     pub(crate) fn tell_status(&mut self) {
         let message = IncomingFrame::FromGateway(GatewayMessage::Status(self.status()));
-        for connection in self.coordinators.connected() {
+        for connection in self.site.coordinators.connected() {
             self.send_frame(connection, &message);
         }
     }
 
     /// Tells the leader how far the items are that run here.
     pub(crate) fn tell_progress(&mut self) {
-        let Some(leader) = self.coordinators.leader() else {
+        let Some(leader) = self.site.coordinators.leader() else {
             return;
         };
         let progress = self.items.progress();
@@ -359,8 +361,8 @@
 
     pub(crate) fn send_frame(&mut self, connection: ConnectionId, frame: &IncomingFrame) {
         match frame::encode(frame) {
-            Ok(bytes) => self.reactor.send(connection, &bytes),
-            Err(error) => warn!(self.logger, "frame not encoded"; "error" => %error),
+            Ok(bytes) => self.runtime.reactor.send(connection, &bytes),
+            Err(error) => warn!(self.runtime.logger, "frame not encoded"; "error" => %error),
         }
     }
 }
--- a/crates/wingshore-gateway/src/encode.rs
+++ b/crates/wingshore-gateway/src/encode.rs
@@ -15,7 +15,7 @@
         exchange: &Exchange,
         server: &ServerRecord,
     ) -> Vec<u8> {
-        let names = self.protocol.header_names();
+        let names = self.site.protocol.header_names();
         let head = &exchange.request.head;
         let mut writer = HeadWriter::request(&head.method, &head.target);
         let resumed_after = exchange
@@ -52,7 +52,7 @@
 
     /// An item as it goes to an engine.
     pub(crate) fn encode_item(&self, assignment: &ItemAssignment) -> Vec<u8> {
-        let names = self.protocol.header_names();
+        let names = self.site.protocol.header_names();
         let mut writer = HeadWriter::request("POST", &assignment.path)
             .header("Host", &assignment.host)
             .header(names.request_id, &assignment.request);
@@ -80,7 +80,7 @@
         &self,
         assignment: &'a ItemAssignment,
     ) -> impl Iterator<Item = (&'a str, &'a str)> {
-        let names = self.protocol.header_names();
+        let names = self.site.protocol.header_names();
         let has_tenant = assignment.item.job.tenant().is_some();
         let set_here = [
             "host",
@@ -107,8 +107,9 @@
         &self,
         headers: &'a Headers,
     ) -> impl Iterator<Item = (&'a [u8], &'a [u8])> {
-        let names = self.protocol.header_names();
-        let has_key = self.view.has_tenants() && self.protocol.read_key(headers).is_some();
+        let names = self.site.protocol.header_names();
+        let has_key =
+            self.site.view.has_tenants() && self.site.protocol.read_key(headers).is_some();
         let is_own = move |name: &[u8]| {
             name.eq_ignore_ascii_case(names.tenant.as_bytes())
                 || (has_key && name.eq_ignore_ascii_case(names.authorization.as_bytes()))
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -49,7 +49,7 @@
         let deadline = request
             .head
             .headers
-            .number(self.protocol.header_names().deadline);
+            .number(self.site.protocol.header_names().deadline);
         let limit = deadline
             .map(Duration::from_millis)
             .map_or(route.timeout, |deadline| {
@@ -79,7 +79,7 @@
         let id = request
             .head
             .headers
-            .get(self.protocol.header_names().request_id);
+            .get(self.site.protocol.header_names().request_id);
         let id = id.unwrap_or_default().to_vec();
         Exchange {
             origin,
@@ -113,7 +113,9 @@
     ) {
         exchange.until = now + limit;
         exchange.attempt_until = exchange.until;
-        self.timers.arm(exchange.until, TimerKey::Exchange(id));
+        self.runtime
+            .timers
+            .arm(exchange.until, TimerKey::Exchange(id));
         if let Some(client) = exchange.client()
             && let Some(known) = self.clients.get_mut(&client)
         {
@@ -129,9 +131,10 @@
             exchange.rejected = true;
             return self.give_up(now, &exchange);
         }
-        let candidates = self.view.servers_of(&exchange.service);
-        let zone = &self.settings.zone;
+        let candidates = self.site.view.servers_of(&exchange.service);
+        let zone = &self.site.zone;
         let chosen = self
+            .servers
             .balancer
             .choose(now, zone, candidates, &exchange.tried)
             .cloned();
@@ -140,9 +143,9 @@
         };
         let bytes = self.encode_request(now, &exchange, &server);
         exchange.tried.push(server.instance.clone());
-        let sent = self.upstreams.send(
+        let sent = self.servers.upstreams.send(
             now,
-            &mut self.reactor,
+            &mut self.runtime.reactor,
             &server.instance,
             server.address,
             Task::Exchange(id),
@@ -152,13 +155,14 @@
             exchange.refusals += 1;
             return self.next_try(now, id, exchange);
         };
-        self.balancer.started(&server.instance);
+        self.servers.balancer.started(&server.instance);
         if matches!(exchange.origin, Origin::Client(_)) {
             self.usage_sent(now, &mut exchange);
         }
         exchange.upstream = Some(upstream);
         exchange.attempt_until = self.attempt_limit(now, &exchange, upstream);
-        self.timers
+        self.runtime
+            .timers
             .arm(exchange.attempt_until, TimerKey::Exchange(id));
         self.exchanges.put(id, exchange);
     }
@@ -166,6 +170,7 @@
     /// Until when a try may take before another server is tried.
     fn attempt_limit(&self, now: Instant, exchange: &Exchange, upstream: ConnectionId) -> Instant {
         let is_up = self
+            .servers
             .upstreams
             .get(upstream)
             .is_some_and(|upstream| upstream.up);
@@ -181,7 +186,8 @@
             return;
         };
         exchange.attempt_until = answer_limit(now, exchange);
-        self.timers
+        self.runtime
+            .timers
             .arm(exchange.attempt_until, TimerKey::Exchange(id));
     }
 
@@ -193,8 +199,8 @@
         instance: &InstanceId,
         answer: WholeAnswer,
     ) {
-        self.balancer.ended(instance);
-        let names = self.protocol.header_names().clone();
+        self.servers.balancer.ended(instance);
+        let names = self.site.protocol.header_names().clone();
         self.note_load(now, instance, &answer.head);
         let Some(exchange) = self.exchanges.get_mut(id) else {
             return;
@@ -221,8 +227,8 @@
             failure.answer = Some(answer);
             return self.attempt_failed(now, id, instance, failure);
         }
-        self.balancer.answered(now, instance, latency);
-        self.metrics.attempt_ended("answered");
+        self.servers.balancer.answered(now, instance, latency);
+        self.runtime.metrics.attempt_ended("answered");
         let Some(exchange) = self.exchanges.take(id) else {
             return;
         };
@@ -247,26 +253,28 @@
         status: u16,
     ) {
         let time = now.since(exchange.begun);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(&exchange.route.name, "served", time);
         let id = exchange.id_text();
-        let steady = Duration::from_millis(now.as_millis());
-        if self.sampler.takes(steady, &id) {
-            info!(self.logger, "served"; "request" => id, "route" => &exchange.route.name,
+        if self.runtime.samples(now, &id) {
+            info!(self.runtime.logger, "served"; "request" => id, "route" => &exchange.route.name,
                 "service" => %exchange.service, "server" => %instance, "status" => status,
                 "attempts" => exchange.attempts + 1, "refusals" => exchange.refusals,
-                "after_ms" => time.as_millis() as u64, "configuration" => self.view.version(),
-                "epoch" => self.view.epoch().0);
+                "after_ms" => time.as_millis() as u64, "configuration" => self.site.view.version(),
+                "epoch" => self.site.view.epoch().0);
         }
     }
 
     pub(crate) fn note_load(&mut self, now: Instant, instance: &InstanceId, head: &AnswerHead) {
-        let Some(load) = head.headers.text(self.protocol.header_names().load) else {
+        let Some(load) = head.headers.text(self.site.protocol.header_names().load) else {
             return;
         };
         let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
         if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
-            self.balancer.reported(now, instance, running + waiting);
+            self.servers
+                .balancer
+                .reported(now, instance, running + waiting);
         }
     }
 
@@ -281,7 +289,7 @@
     /// The connection of a try ended without a whole answer, or its bytes are no answer.
     pub(crate) fn exchange_broken(&mut self, now: Instant, id: ExchangeId, lost: &LostSend) {
         let LostSend { instance, end, .. } = lost;
-        self.balancer.ended(instance);
+        self.servers.balancer.ended(instance);
         let verdict = match end {
             ConnectionEnd::BrokeOff | ConnectionEnd::Silent => Verdict::MayHaveRun,
             ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
@@ -301,16 +309,16 @@
         failure: Failure,
     ) {
         if failure.suspect {
-            self.balancer.failed(now, instance);
+            self.servers.balancer.failed(now, instance);
         }
         let Some(mut exchange) = self.exchanges.take(id) else {
             return;
         };
-        warn!(self.logger, "attempt failed"; "request" => exchange.id_text(),
+        warn!(self.runtime.logger, "attempt failed"; "request" => exchange.id_text(),
             "fingerprint" => self.fingerprint_of(&exchange).map(|known| known.to_string()),
             "server" => %instance, "reason" => failure.reason, "verdict" => ?failure.verdict,
             "after_ms" => now.since(exchange.begun).as_millis() as u64);
-        self.metrics.attempt_ended(failure.reason);
+        self.runtime.metrics.attempt_ended(failure.reason);
         exchange.upstream = None;
         if failure.verdict == Verdict::NotRun {
             self.usage_not_run(&mut exchange);
@@ -329,7 +337,9 @@
             (Some(answer), Origin::Client(client)) if exchange.stream.is_none() => {
                 let time = now.since(exchange.begun);
                 let route = &exchange.route.name;
-                self.metrics.request_ended(route, "server_error", time);
+                self.runtime
+                    .metrics
+                    .request_ended(route, "server_error", time);
                 self.pass_on(now, client, &answer);
             }
             _ => self.give_up(now, &exchange),
@@ -337,7 +347,8 @@
     }
 
     fn has_another(&self, exchange: &Exchange) -> bool {
-        self.view
+        self.site
+            .view
             .servers_of(&exchange.service)
             .any(|server| !exchange.tried.contains(&server.instance))
     }
@@ -372,16 +383,17 @@
             OwnAnswer::Broken
         };
         let time = now.since(exchange.begun);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(&exchange.route.name, answer.name(), time);
-        let known = self.view.servers_of(&exchange.service).count();
-        warn!(self.logger, "given up"; "service" => %exchange.service, "servers" => known,
-            "epoch" => self.view.epoch().0, "request" => exchange.id_text(),
+        let known = self.site.view.servers_of(&exchange.service).count();
+        warn!(self.runtime.logger, "given up"; "service" => %exchange.service, "servers" => known,
+            "epoch" => self.site.view.epoch().0, "request" => exchange.id_text(),
             "fingerprint" => self.fingerprint_of(exchange).map(|known| known.to_string()),
             "route" => &exchange.route.name, "answer" => answer.name(),
             "attempts" => exchange.attempts, "refusals" => exchange.refusals,
             "after_ms" => now.since(exchange.begun).as_millis() as u64,
-            "configuration" => self.view.version());
+            "configuration" => self.site.view.version());
         self.answer_own(now, client, &answer);
     }
 
@@ -396,16 +408,24 @@
         };
         let until = exchange.until;
         if now < until && now < attempt_until {
-            return self.timers.arm(attempt_until, TimerKey::Exchange(id));
+            return self
+                .runtime
+                .timers
+                .arm(attempt_until, TimerKey::Exchange(id));
         }
         let Some(upstream) = exchange.upstream.take() else {
             return;
         };
-        let Some(closed) = self.upstreams.close(&mut self.reactor, upstream) else {
+        let Some(closed) = self
+            .servers
+            .upstreams
+            .close(&mut self.runtime.reactor, upstream)
+        else {
             return;
         };
-        self.balancer.ended(&closed.instance);
-        self.balancer
+        self.servers.balancer.ended(&closed.instance);
+        self.servers
+            .balancer
             .too_slow(now, &closed.instance, now.since(closed.since));
         let verdict = if closed.up {
             Verdict::MayHaveRun
@@ -420,9 +440,12 @@
     pub(crate) fn drop_exchange(&mut self, id: ExchangeId) {
         let upstream = self.exchanges.take(id).and_then(|known| known.upstream);
         if let Some(upstream) = upstream
-            && let Some(closed) = self.upstreams.close(&mut self.reactor, upstream)
+            && let Some(closed) = self
+                .servers
+                .upstreams
+                .close(&mut self.runtime.reactor, upstream)
         {
-            self.balancer.ended(&closed.instance);
+            self.servers.balancer.ended(&closed.instance);
         }
     }
 }
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -132,9 +132,9 @@
         if !self.status().takes_items {
             return self.end_item(id, ItemOutcome::NotRun(NotRunReason::Stopping));
         }
-        let sent = self.upstreams.send(
+        let sent = self.servers.upstreams.send(
             now,
-            &mut self.reactor,
+            &mut self.runtime.reactor,
             &instance,
             address,
             Task::Item(id),
@@ -146,17 +146,19 @@
         if let Some(run) = self.items.runs.get_mut(&id) {
             run.upstream = Some(upstream);
         }
-        self.timers.arm(now + CONNECT_LIMIT, TimerKey::Item(id));
+        self.runtime
+            .timers
+            .arm(now + CONNECT_LIMIT, TimerKey::Item(id));
     }
 
     /// Bytes of an engine's answer have arrived and are in its reader.
     pub(crate) fn on_item_input(&mut self, now: Instant, id: AssignmentId, upstream: ConnectionId) {
-        let names = self.protocol.header_names().clone();
+        let names = self.site.protocol.header_names().clone();
         let Some(run) = self.items.runs.get_mut(&id) else {
             return;
         };
         run.heard = now;
-        let Some(connection) = self.upstreams.get_mut(upstream) else {
+        let Some(connection) = self.servers.upstreams.get_mut(upstream) else {
             return;
         };
         let Some(head) = connection.reader.head() else {
@@ -194,7 +196,7 @@
 
     /// Hands in the events of long items that were not handed in yet.
     pub(crate) fn hand_in_texts(&mut self) {
-        let Some(leader) = self.coordinators.leader() else {
+        let Some(leader) = self.site.coordinators.leader() else {
             return;
         };
         let mut frames = Vec::new();
@@ -226,7 +228,7 @@
     ) {
         let not_run = head
             .headers
-            .get(self.protocol.header_names().not_run)
+            .get(self.site.protocol.header_names().not_run)
             .is_some();
         let Some(run) = self.items.runs.get_mut(&id) else {
             return;
@@ -284,7 +286,9 @@
         };
         let outcome = run.interrupted(BreakCause::Gateway);
         if let Some(upstream) = run.upstream.take() {
-            self.upstreams.close(&mut self.reactor, upstream);
+            self.servers
+                .upstreams
+                .close(&mut self.runtime.reactor, upstream);
         }
         self.end_item(id, outcome);
     }
@@ -298,12 +302,16 @@
             return;
         };
         let up = self
+            .servers
             .upstreams
             .get(upstream)
             .is_some_and(|upstream| upstream.up);
         let limit = if up { STALL_LIMIT } else { CONNECT_LIMIT };
         if now < run.heard + limit {
-            return self.timers.arm(run.heard + limit, TimerKey::Item(id));
+            return self
+                .runtime
+                .timers
+                .arm(run.heard + limit, TimerKey::Item(id));
         }
         let lost = LostSend {
             instance: run.assignment.instance.clone(),
@@ -314,7 +322,9 @@
                 ConnectionEnd::NeverUp
             },
         };
-        self.upstreams.close(&mut self.reactor, upstream);
+        self.servers
+            .upstreams
+            .close(&mut self.runtime.reactor, upstream);
         self.item_connection_ended(now, id, &lost);
     }
 
@@ -323,23 +333,24 @@
         if let Some(run) = self.items.runs.remove(&id)
             && let Some(upstream) = run.upstream
         {
-            self.upstreams.close(&mut self.reactor, upstream);
+            self.servers
+                .upstreams
+                .close(&mut self.runtime.reactor, upstream);
         }
     }
 
     fn end_item(&mut self, id: AssignmentId, outcome: ItemOutcome) {
         let now = self.clock.now();
-        let leader = self.coordinators.leader();
+        let leader = self.site.coordinators.leader();
         let Some(run) = self.items.runs.get_mut(&id) else {
             return;
         };
         run.upstream = None;
         let time = now.since(run.begun);
-        self.metrics.item_ended(outcome.name(), time);
+        self.runtime.metrics.item_ended(outcome.name(), time);
         let failed = !matches!(outcome, ItemOutcome::Finished(_));
-        let steady = Duration::from_millis(now.as_millis());
-        if failed || self.sampler.takes(steady, run.assignment.request.as_str()) {
-            info!(self.logger, "item ended"; "item" => %run.assignment.request,
+        if failed || self.runtime.samples(now, run.assignment.request.as_str()) {
+            info!(self.runtime.logger, "item ended"; "item" => %run.assignment.request,
                 "job" => %run.assignment.item.job, "engine" => %run.assignment.instance,
                 "outcome" => outcome.name(), "epoch" => id.epoch.0, "try" => id.number,
                 "after_ms" => time.as_millis() as u64, "events" => run.text.events);
@@ -393,7 +404,9 @@
         }
         let outcome = run.interrupted(BreakCause::Gateway);
         if let Some(upstream) = run.upstream.take() {
-            self.upstreams.close(&mut self.reactor, upstream);
+            self.servers
+                .upstreams
+                .close(&mut self.runtime.reactor, upstream);
         }
         self.end_item(id, outcome);
     }
--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -10,6 +10,7 @@
 mod balance;
 mod calls;
 mod clients;
+mod context;
 mod coordinators;
 mod crashes;
 mod encode;
--- a/crates/wingshore-gateway/src/process.rs
+++ b/crates/wingshore-gateway/src/process.rs
@@ -1,10 +1,9 @@
 //! One gateway process from start to end: the loop that owns all sockets.
 
-use crate::balance::Balancer;
 use crate::calls::Calls;
 use crate::clients::{Client, Purpose};
+use crate::context::{Runtime, Servers, Site};
 use crate::coordinators::Coordinators;
-use crate::crashes::CrashWatch;
 use crate::error::{GatewayError, NetSnafu};
 use crate::exchange::Exchanges;
 use crate::items::Items;
@@ -13,7 +12,7 @@
 use crate::scoring::Scorings;
 use crate::settings::GatewaySettings;
 use crate::timers::{TimerKey, Timers};
-use crate::upstream::{ConnectionEnd, LostSend, Task, Upstreams};
+use crate::upstream::{ConnectionEnd, LostSend, Task};
 use crate::view::View;
 use slog::{Logger, info, warn};
 use snafu::ResultExt;
@@ -52,26 +51,18 @@
 /// A running gateway.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
-    pub(crate) logger: Logger,
     pub(crate) id: GatewayId,
-    pub(crate) reactor: Reactor,
-    pub(crate) protocol: Box<dyn IngressProtocol>,
-    pub(crate) view: View,
+    pub(crate) runtime: Runtime,
+    pub(crate) site: Site,
+    pub(crate) servers: Servers,
     pub(crate) clients: HashMap<ConnectionId, Client>,
     pub(crate) links: HashMap<ConnectionId, LinkRole>,
-    pub(crate) upstreams: Upstreams,
-    pub(crate) balancer: Balancer,
-    pub(crate) crashes: CrashWatch,
-    pub(crate) coordinators: Coordinators,
     pub(crate) calls: Calls,
     pub(crate) items: Items,
     pub(crate) exchanges: Exchanges,
     pub(crate) scorings: Scorings,
-    pub(crate) timers: Timers,
     pub(crate) usage: UsageMeter,
     pub(crate) site_clock: SiteClock<SocketAddr>,
-    pub(crate) metrics: GatewayMetrics,
-    pub(crate) sampler: RequestSampler,
     pub(crate) split_counter: u64,
     pub(crate) stopping_since: Option<Instant>,
     pub(crate) clock: Clock,
@@ -113,24 +104,31 @@
             .transpose()
             .context(NetSnafu)?;
         info!(logger, "started"; "node" => &settings.node, "front" => %settings.front);
-        Ok(Self {
-            settings,
-            logger,
-            id: GatewayId(rand::random()),
+        let runtime = Runtime {
             reactor,
+            timers: Timers::default(),
+            logger,
+            metrics: GatewayMetrics::new(),
+            sampler: RequestSampler::new(LogBudget::default()),
+        };
+        let site = Site {
             protocol,
+            zone: settings.zone.clone(),
             view: View::default(),
+            coordinators: Coordinators::default(),
+        };
+        Ok(Self {
+            settings,
+            id: GatewayId(rand::random()),
+            runtime,
+            site,
+            servers: Servers::default(),
             clients: HashMap::new(),
             links: HashMap::new(),
-            upstreams: Upstreams::default(),
-            balancer: Balancer::default(),
-            crashes: CrashWatch::default(),
-            coordinators: Coordinators::default(),
             calls: Calls::default(),
             items: Items::default(),
             exchanges: Exchanges::default(),
             scorings: Scorings::default(),
-            timers: Timers::default(),
             usage: UsageMeter::default(),
             site_clock: SiteClock::default(),
             split_counter: rand::random(),
@@ -139,8 +137,6 @@
             ready_listener,
             metrics_listener,
             log_counts,
-            metrics: GatewayMetrics::new(),
-            sampler: RequestSampler::new(LogBudget::default()),
             signals,
             seed_source,
             next_status: Instant::ZERO,
@@ -156,7 +152,10 @@
         let mut events = Vec::new();
         loop {
             let wait = self.time_to_wait();
-            self.reactor.poll(wait, &mut events).context(NetSnafu)?;
+            self.runtime
+                .reactor
+                .poll(wait, &mut events)
+                .context(NetSnafu)?;
             let now = self.clock.now();
             for event in events.drain(..) {
                 self.on_net_event(now, event);
@@ -164,9 +163,10 @@
             self.fire_timers(now);
             self.keep_house(now);
             if self.has_stopped(now) {
-                info!(self.logger, "stopped"; "node" => &self.settings.node);
+                info!(self.runtime.logger, "stopped"; "node" => &self.settings.node);
                 // What is queued leaves with the last turn.
-                self.reactor
+                self.runtime
+                    .reactor
                     .poll(Duration::ZERO, &mut events)
                     .context(NetSnafu)?;
                 return Ok(());
@@ -177,7 +177,7 @@
     fn time_to_wait(&self) -> Duration {
         let now = self.clock.now();
         let mut due = self.next_status.min(self.next_housekeeping);
-        if let Some(timer) = self.timers.next() {
+        if let Some(timer) = self.runtime.timers.next() {
             due = due.min(timer);
         }
         due.since(now).min(LONGEST_WAIT)
@@ -187,9 +187,9 @@
     pub(crate) fn status(&self) -> GatewayStatus {
         let stopping = self.stopping_since.is_some();
         GatewayStatus {
-            ready: self.view.is_configured() && !stopping,
-            takes_items: self.view.is_configured() && !stopping,
-            configuration: self.view.version(),
+            ready: self.site.view.is_configured() && !stopping,
+            takes_items: self.site.view.is_configured() && !stopping,
+            configuration: self.site.view.version(),
         }
     }
 
@@ -198,14 +198,14 @@
         let status = self.status();
         let readings = Readings {
             clients: self.clients.len(),
-            connections: self.reactor.connection_count(),
+            connections: self.runtime.reactor.connection_count(),
             items: self.items.count(),
             scorings: self.scorings.count(),
             scorings_queued: self.scorings.queued(),
-            suspects: self.view.suspect_count(),
-            evidence: self.crashes.untold().count(),
-            coordinators: self.coordinators.connected().len(),
-            leader_known: self.coordinators.leader().is_some(),
+            suspects: self.site.view.suspect_count(),
+            evidence: self.servers.crashes.untold().count(),
+            coordinators: self.site.coordinators.connected().len(),
+            leader_known: self.site.coordinators.leader().is_some(),
             ready: status.ready,
             configuration: status.configuration,
             log_lines_left_out: self.log_counts.left_out(),
@@ -213,7 +213,7 @@
         HttpAnswer {
             status: 200,
             headers: vec![("Content-Type".to_owned(), METRICS_TYPE.to_owned())],
-            body: self.metrics.text(readings).into_bytes(),
+            body: self.runtime.metrics.text(readings).into_bytes(),
         }
     }
 
@@ -231,8 +231,10 @@
                     Purpose::Front
                 };
                 self.clients.insert(connection, Client::new(now, purpose));
-                let idle = self.view.limits().idle_timeout;
-                self.timers.arm(now + idle, TimerKey::Client(connection));
+                let idle = self.site.view.limits().idle_timeout;
+                self.runtime
+                    .timers
+                    .arm(now + idle, TimerKey::Client(connection));
             }
             NetEvent::Connected(connection) => self.on_connected(now, connection),
             NetEvent::Received(connection) => self.on_received(now, connection),
@@ -247,14 +249,14 @@
             let address = link.address;
             return self.on_link_up(now, connection, address);
         }
-        let Some(upstream) = self.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
             return;
         };
         upstream.up = true;
         match upstream.task {
             Some(Task::Exchange(id)) => self.exchange_sent(now, id),
             Some(Task::Item(_)) => {}
-            None => self.upstreams.keep_opened(now, connection),
+            None => self.servers.upstreams.keep_opened(now, connection),
         }
     }
 
@@ -263,22 +265,24 @@
             let address = link.address;
             return self.on_link_input(now, connection, address);
         }
-        if self.upstreams.owns(connection) {
+        if self.servers.upstreams.owns(connection) {
             return self.on_upstream_input(now, connection);
         }
         self.on_client_input(now, connection);
     }
 
     fn on_upstream_input(&mut self, now: Instant, connection: ConnectionId) {
-        let Some(upstream) = self.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
             return;
         };
         let Some(task) = upstream.task else {
             // Bytes that nobody asked for: whatever comes next cannot be trusted.
-            self.upstreams.close(&mut self.reactor, connection);
+            self.servers
+                .upstreams
+                .close(&mut self.runtime.reactor, connection);
             return;
         };
-        let Some(input) = self.reactor.input(connection) else {
+        let Some(input) = self.runtime.reactor.input(connection) else {
             return;
         };
         let status = upstream.reader.read(input);
@@ -302,7 +306,7 @@
         task: Task,
         clean: bool,
     ) {
-        let Some(upstream) = self.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
             return;
         };
         let instance = upstream.instance.clone();
@@ -318,9 +322,13 @@
             return;
         };
         if answer.reusable {
-            self.upstreams.release(now, connection, &answer.head);
+            self.servers
+                .upstreams
+                .release(now, connection, &answer.head);
         } else {
-            self.upstreams.close(&mut self.reactor, connection);
+            self.servers
+                .upstreams
+                .close(&mut self.runtime.reactor, connection);
         }
         match task {
             Task::Exchange(id) => self.exchange_answered(now, id, &instance, answer),
@@ -332,7 +340,7 @@
         if self.links.contains_key(&connection) {
             return self.on_broken(now, connection);
         }
-        if let Some(upstream) = self.upstreams.get_mut(connection) {
+        if let Some(upstream) = self.servers.upstreams.get_mut(connection) {
             let whole = upstream.task.is_some() && upstream.reader.is_whole_at_close();
             match upstream.task {
                 Some(task) if whole => {
@@ -350,7 +358,7 @@
             let address = link.address;
             return self.on_link_ended(now, connection, address);
         }
-        if let Some(upstream) = self.upstreams.get(connection) {
+        if let Some(upstream) = self.servers.upstreams.get(connection) {
             let end = if upstream.up {
                 ConnectionEnd::BrokeOff
             } else {
@@ -363,7 +371,7 @@
 
     /// Nobody listens where a connection was to lead.
     fn on_refused(&mut self, now: Instant, connection: ConnectionId) {
-        if self.upstreams.owns(connection) {
+        if self.servers.upstreams.owns(connection) {
             return self.upstream_ended(now, connection, ConnectionEnd::Refused);
         }
         self.on_broken(now, connection);
@@ -371,7 +379,11 @@
 
     /// A connection to a server ended without a whole answer.
     fn upstream_ended(&mut self, now: Instant, connection: ConnectionId, end: ConnectionEnd) {
-        let Some(closed) = self.upstreams.close(&mut self.reactor, connection) else {
+        let Some(closed) = self
+            .servers
+            .upstreams
+            .close(&mut self.runtime.reactor, connection)
+        else {
             return;
         };
         if end == ConnectionEnd::Refused {
@@ -390,7 +402,7 @@
     }
 
     fn fire_timers(&mut self, now: Instant) {
-        while let Some(key) = self.timers.take_due(now) {
+        while let Some(key) = self.runtime.timers.take_due(now) {
             match key {
                 TimerKey::Client(connection) => self.on_client_timer(now, connection),
                 TimerKey::Exchange(id) => self.on_exchange_timer(now, id),
@@ -414,11 +426,16 @@
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
         self.dial_coordinators(now);
         self.follow_view(now);
-        let view = &self.view;
-        self.upstreams
-            .close_idle(now, &mut self.reactor, |instance| view.knows(instance));
-        self.balancer.retain(|instance| view.knows(instance));
-        self.crashes.expire(now);
+        let view = &self.site.view;
+        self.servers
+            .upstreams
+            .close_idle(now, &mut self.runtime.reactor, |instance| {
+                view.knows(instance)
+            });
+        self.servers
+            .balancer
+            .retain(|instance| view.knows(instance));
+        self.servers.crashes.expire(now);
         self.start_scorings(now);
         self.reload();
         self.begin_stop(now);
@@ -432,10 +449,10 @@
         }
         match (self.seed_source)() {
             Ok(seeds) => {
-                info!(self.logger, "reloaded"; "seeds" => ?seeds);
+                info!(self.runtime.logger, "reloaded"; "seeds" => ?seeds);
                 self.settings.seeds = seeds;
             }
-            Err(reason) => warn!(self.logger, "not reloaded"; "reason" => reason),
+            Err(reason) => warn!(self.runtime.logger, "not reloaded"; "reason" => reason),
         }
     }
 
@@ -443,7 +460,7 @@
         if self.stopping_since.is_some() || !self.signals.is_stopping() {
             return;
         }
-        info!(self.logger, "planned stop"; "node" => &self.settings.node);
+        info!(self.runtime.logger, "planned stop"; "node" => &self.settings.node);
         self.stopping_since = Some(now);
         self.tell_status();
         self.hand_items_back();
--- a/crates/wingshore-gateway/src/refusals.rs
+++ b/crates/wingshore-gateway/src/refusals.rs
@@ -25,7 +25,8 @@
     ) {
         let answer = OwnAnswer::NotRun(COME_BACK);
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, &answer);
     }
@@ -40,7 +41,8 @@
         let answer = OwnAnswer::NoRoute;
         let reason = "no route of the configuration in force has this host and path";
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, &answer);
     }
@@ -53,14 +55,15 @@
         head: &RequestHead,
         answer: &OwnAnswer,
     ) {
-        let has_key = self.protocol.read_key(&head.headers).is_some();
+        let has_key = self.site.protocol.read_key(&head.headers).is_some();
         let reason = if has_key {
             "the key that it shows is not in force"
         } else {
             "its route asks for a key, and it shows none"
         };
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, answer);
     }
@@ -123,13 +126,13 @@
         answer: &'static str,
         reason: impl Display,
     ) {
-        let name = self.protocol.header_names().request_id;
+        let name = self.site.protocol.header_names().request_id;
         let text = |name| head.and_then(|head| head.headers.text(name));
-        warn!(self.logger, "refused"; "request" => text(name), "host" => text("host"),
+        warn!(self.runtime.logger, "refused"; "request" => text(name), "host" => text("host"),
             "path" => head.map(RequestHead::path), "answer" => answer, "reason" => %reason,
-            "configuration" => self.view.version(), "epoch" => self.view.epoch().0,
-            "leader_known" => self.coordinators.leader().is_some(),
-            "leader_heard_ms" => self.coordinators.leader_silence(now).map(|time| time.as_millis() as u64),
+            "configuration" => self.site.view.version(), "epoch" => self.site.view.epoch().0,
+            "leader_known" => self.site.coordinators.leader().is_some(),
+            "leader_heard_ms" => self.site.coordinators.leader_silence(now).map(|time| time.as_millis() as u64),
             "stopping" => self.stopping_since.is_some());
     }
 }
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -10,7 +10,6 @@
 use slog::info;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
-use std::time::Duration;
 use wingshore_coordination::{
     AssignmentId, GatewayMessage, IncomingFrame, NotScoredReason, Route, RunningScoring,
     ScoringAssignment, ScoringOutcome, ServiceName,
@@ -105,7 +104,7 @@
     ///
     /// Without a leader nothing is begun: it could not say that a job has ended meanwhile.
     pub(crate) fn start_scorings(&mut self, now: Instant) {
-        if self.coordinators.leader().is_none() {
+        if self.site.coordinators.leader().is_none() {
             return;
         }
         for id in std::mem::take(&mut self.scorings.queue) {
@@ -121,14 +120,23 @@
             return true;
         };
         let scorer = &run.assignment.scorer;
-        let route = self.view.routes().find(&scorer.host, &scorer.path).cloned();
+        let route = self
+            .site
+            .view
+            .routes()
+            .find(&scorer.host, &scorer.path)
+            .cloned();
         let target = route.and_then(|route| Some((self.next_target(&route)?, route)));
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
             self.end_scoring(now, id, outcome);
             return true;
         };
-        let slots = self.view.servers_of(&service).map(|server| server.slots);
+        let slots = self
+            .site
+            .view
+            .servers_of(&service)
+            .map(|server| server.slots);
         let most = slots.sum::<u32>() as usize / SLOTS_PART;
         let limit = self.scorings.limits.entry(service.clone()).or_default();
         if self.settings.policy.scoring_limit && !limit.allows(most) {
@@ -146,7 +154,7 @@
         service: ServiceName,
         route: Arc<Route>,
     ) {
-        let names = self.protocol.header_names();
+        let names = self.site.protocol.header_names();
         let Some(run) = self.scorings.runs.get(&id) else {
             return;
         };
@@ -191,7 +199,7 @@
             Sign::Overload
         };
         self.scorings.exchange_over(now, id, sign);
-        let signature = self.protocol.header_names().signature;
+        let signature = self.site.protocol.header_names().signature;
         let score = answer.head.headers.text(signature).map(str::to_owned);
         let outcome = match score {
             Some(score) if answer.head.is_success() => ScoringOutcome::Scored(score),
@@ -220,19 +228,18 @@
             return;
         };
         let time = now.since(run.since);
-        self.metrics.scoring_ended(outcome.name(), time);
+        self.runtime.metrics.scoring_ended(outcome.name(), time);
         let scored = matches!(outcome, ScoringOutcome::Scored(_));
-        let steady = Duration::from_millis(now.as_millis());
         let assignment = &run.assignment;
-        if !scored || self.sampler.takes(steady, assignment.id.as_str()) {
-            info!(self.logger, "scoring ended"; "item" => %assignment.id,
+        if !scored || self.runtime.samples(now, assignment.id.as_str()) {
+            info!(self.runtime.logger, "scoring ended"; "item" => %assignment.id,
                 "job" => %assignment.item.job, "request" => %assignment.scorer.request,
                 "outcome" => outcome.name(), "epoch" => id.epoch.0, "scoring" => id.number,
                 "after_ms" => time.as_millis() as u64, "queued" => self.scorings.queue.len(),
-                "configuration" => self.view.version());
+                "configuration" => self.site.view.version());
         }
         run.outcome = Some(outcome);
-        if let Some(leader) = self.coordinators.leader() {
+        if let Some(leader) = self.site.coordinators.leader() {
             self.tell_ended_scorings(leader);
         }
         self.start_scorings(now);
--- a/crates/wingshore-gateway/src/streams.rs
+++ b/crates/wingshore-gateway/src/streams.rs
@@ -39,7 +39,7 @@
         exchange_id: ExchangeId,
         upstream: ConnectionId,
     ) {
-        let names = self.protocol.header_names().clone();
+        let names = self.site.protocol.header_names().clone();
         let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
             return;
         };
@@ -51,7 +51,7 @@
         }
         let id = exchange.id.clone();
         let has_begun = exchange.stream.is_some();
-        let Some(connection) = self.upstreams.get_mut(upstream) else {
+        let Some(connection) = self.servers.upstreams.get_mut(upstream) else {
             return;
         };
         let Some(head) = connection.reader.head().filter(|head| head.is_success()) else {
@@ -69,7 +69,7 @@
             for (name, value) in end_to_end(&head.headers) {
                 writer = writer.line(name, value);
             }
-            self.reactor.send(client, &writer.chunked());
+            self.runtime.reactor.send(client, &writer.chunked());
         }
         let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
             return;
@@ -85,10 +85,10 @@
         let whole = stream.take(now, upstream, &body);
         let mut chunk = Vec::new();
         write_chunk(&mut chunk, &whole);
-        self.reactor.send(client, &chunk);
+        self.runtime.reactor.send(client, &chunk);
         self.clear_long_stream(now, exchange_id);
-        if self.reactor.queued(client) > MOST_QUEUED {
-            info!(self.logger, "client does not read"; "request" => String::from_utf8_lossy(&id).into_owned(),
+        if self.runtime.reactor.queued(client) > MOST_QUEUED {
+            info!(self.runtime.logger, "client does not read"; "request" => String::from_utf8_lossy(&id).into_owned(),
                 "at_ms" => now.as_millis());
             self.close_client(client);
         }
@@ -108,28 +108,30 @@
             .is_some_and(|stream| !stream.partial.is_empty());
         if within_event {
             self.clients.remove(&client);
-            return self.reactor.close_when_flushed(client);
+            return self.runtime.reactor.close_when_flushed(client);
         }
         let time = now.since(exchange.begun);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(&exchange.route.name, "served", time);
         self.exchange_ran_well(&exchange);
         let mut last = Vec::new();
         write_last_chunk(&mut last);
-        self.reactor.send(client, &last);
+        self.runtime.reactor.send(client, &last);
         self.end_exchange(now, client);
     }
 
     /// The stream cannot be gone on with: the answer must not look complete.
     pub(crate) fn break_stream(&mut self, now: Instant, client: ConnectionId, exchange: &Exchange) {
         let time = now.since(exchange.begun);
-        self.metrics
+        self.runtime
+            .metrics
             .request_ended(&exchange.route.name, "stream_broken", time);
-        info!(self.logger, "stream broken off"; "request" => String::from_utf8_lossy(&exchange.id).into_owned(),
+        info!(self.runtime.logger, "stream broken off"; "request" => String::from_utf8_lossy(&exchange.id).into_owned(),
             "route" => &exchange.route.name,
             "last_event" => exchange.stream.as_ref().and_then(|stream| stream.last_event));
         self.clients.remove(&client);
-        self.reactor.close_when_flushed(client);
+        self.runtime.reactor.close_when_flushed(client);
     }
 }
 
--- a/crates/wingshore-gateway/src/suspects.rs
+++ b/crates/wingshore-gateway/src/suspects.rs
@@ -24,10 +24,12 @@
 impl Gateway {
     /// What a request asks, whatever its identity; `None` before the site's key is known.
     pub(crate) fn fingerprint_of(&self, exchange: &Exchange) -> Option<RequestFingerprint> {
-        let key = self.view.fingerprint_key()?;
+        let key = self.site.view.fingerprint_key()?;
         let request = &exchange.request;
         let head = &request.head;
-        let shown = head.headers.get(self.protocol.header_names().authorization);
+        let shown = head
+            .headers
+            .get(self.site.protocol.header_names().authorization);
         let tenant = exchange.tenant.as_ref();
         let caller = tenant.map_or(shown, |tenant| Some(tenant.as_str().as_bytes()));
         let content = RequestContent {
@@ -42,8 +44,8 @@
 
     /// As [`Gateway::fingerprint_of`], for an item.
     pub(crate) fn fingerprint_of_item(&self, item: &ItemAssignment) -> Option<RequestFingerprint> {
-        let key = self.view.fingerprint_key()?;
-        let name = self.protocol.header_names().authorization;
+        let key = self.site.view.fingerprint_key()?;
+        let name = self.site.protocol.header_names().authorization;
         let mut headers = item.headers.iter();
         let shown = headers.find(|(known, _)| known.eq_ignore_ascii_case(name));
         let shown = shown.map(|(_, value)| value.as_str());
@@ -61,9 +63,9 @@
 
     /// Runs of servers that ended under a request, by the leader's word and by what was seen here.
     fn ended_under(&self, request: RequestFingerprint) -> Vec<InstanceId> {
-        let told = self.view.suspect(request);
+        let told = self.site.view.suspect(request);
         let mut ended = told.map_or_else(Vec::new, |suspect| suspect.ended.clone());
-        let untold = self.crashes.untold();
+        let untold = self.servers.crashes.untold();
         let untold = untold.filter(|evidence| evidence.fingerprint == request);
         for evidence in untold {
             if !ended.contains(&evidence.instance) {
@@ -76,15 +78,15 @@
     /// Whether no other server is to run a request. The leader decides that, who knows more; where
     /// there is none now, what was told and what was seen here must do.
     fn is_known_rejected(&self, request: RequestFingerprint) -> bool {
-        let told = self.view.suspect(request);
+        let told = self.site.view.suspect(request);
         told.is_some_and(|suspect| suspect.rejected)
-            || (self.coordinators.leader().is_none()
+            || (self.site.coordinators.leader().is_none()
                 && self.ended_under(request).len() >= REJECTED_FROM)
     }
 
     /// Whether any request is known under which servers have ended; usually there is none.
     fn knows_suspects(&self) -> bool {
-        self.view.has_suspects() || self.crashes.untold().next().is_some()
+        self.site.view.has_suspects() || self.servers.crashes.untold().next().is_some()
     }
 
     /// Whether so many servers have ended under this request that no other one is to run it.
@@ -102,7 +104,7 @@
         self.knows_suspects()
             && self
                 .fingerprint_of(exchange)
-                .is_some_and(|known| self.view.suspect(known).is_some())
+                .is_some_and(|known| self.site.view.suspect(known).is_some())
     }
 
     /// As [`Gateway::is_rejected`], for an item.
@@ -118,7 +120,7 @@
         let known = self.fingerprint_of(exchange);
         let ended = known.map(|known| self.ended_under(known));
         let ended: Vec<String> = ended.iter().flatten().map(ToString::to_string).collect();
-        warn!(self.logger, "request rejected"; "request" => exchange.id_text(),
+        warn!(self.runtime.logger, "request rejected"; "request" => exchange.id_text(),
             "fingerprint" => known.map(|known| known.to_string()), "ended" => ended.join(","),
             "route" => &exchange.route.name, "service" => %exchange.service);
     }
@@ -158,12 +160,19 @@
         if now.since(lost.sent_at) < GUILTY_FROM {
             return;
         }
-        let server = self.view.server(instance).filter(|server| !server.draining);
+        let server = self
+            .site
+            .view
+            .server(instance)
+            .filter(|server| !server.draining);
         let (Some(request), Some(server)) = (request, server) else {
             return;
         };
         let address = server.address;
-        let evidence = self.crashes.broke_off(now, instance, address, request);
+        let evidence = self
+            .servers
+            .crashes
+            .broke_off(now, instance, address, request);
         self.take_evidence(evidence.into_iter().collect());
         self.look_at(now, instance);
     }
@@ -171,26 +180,27 @@
     /// Opens a connection to a server whose connections were lost, unless it is known to have
     /// ended: it is refused if the server has, and kept for the next request otherwise.
     pub(crate) fn look_at(&mut self, now: Instant, instance: &InstanceId) {
-        if let Some(address) = self.crashes.look(instance) {
-            self.upstreams
-                .open(now, &mut self.reactor, instance, address);
+        if let Some(address) = self.servers.crashes.look(instance) {
+            self.servers
+                .upstreams
+                .open(now, &mut self.runtime.reactor, instance, address);
         }
     }
 
     /// A run of a server is seen to have ended.
     pub(crate) fn server_has_ended(&mut self, now: Instant, instance: &InstanceId) {
-        let evidence = self.crashes.server_ended(now, instance);
+        let evidence = self.servers.crashes.server_ended(now, instance);
         self.take_evidence(evidence);
     }
 
     /// What the leader has told may explain lost connections.
     pub(crate) fn servers_registered(&mut self, now: Instant) {
-        let servers = self.view.servers();
+        let servers = self.site.view.servers();
         let servers: Vec<_> = servers
             .map(|server| (server.instance.clone(), server.address))
             .collect();
         for (instance, address) in servers {
-            let evidence = self.crashes.registered(now, &instance, address);
+            let evidence = self.servers.crashes.registered(now, &instance, address);
             self.take_evidence(evidence);
         }
     }
@@ -199,15 +209,18 @@
     pub(crate) fn note_change(&mut self, now: Instant, change: &ViewChange) {
         match change {
             ViewChange::Server(server) => {
-                let evidence = self
-                    .crashes
-                    .registered(now, &server.instance, server.address);
+                let evidence =
+                    self.servers
+                        .crashes
+                        .registered(now, &server.instance, server.address);
                 self.take_evidence(evidence);
             }
             ViewChange::Suspect(suspect) => {
-                self.crashes.told(suspect.fingerprint, &suspect.ended);
+                self.servers
+                    .crashes
+                    .told(suspect.fingerprint, &suspect.ended);
             }
-            ViewChange::Cleared(request) => self.crashes.cleared(*request),
+            ViewChange::Cleared(request) => self.servers.crashes.cleared(*request),
             ViewChange::Configuration(_) | ViewChange::Gone(_) | ViewChange::FingerprintKey(_) => {}
         }
     }
@@ -217,7 +230,7 @@
             return;
         }
         for SeenCrash { evidence, ago } in &seen {
-            warn!(self.logger, "server ended under request";
+            warn!(self.runtime.logger, "server ended under request";
                 "fingerprint" => %evidence.fingerprint, "server" => %evidence.instance,
                 "ago_ms" => ago.as_millis() as u64);
         }
@@ -226,14 +239,14 @@
 
     /// Tells a new leader what was found here.
     pub(crate) fn tell_untold_evidence(&mut self, now: Instant) {
-        let untold = self.crashes.to_tell(now);
+        let untold = self.servers.crashes.to_tell(now);
         if !untold.is_empty() {
             self.tell_evidence(untold);
         }
     }
 
     fn tell_evidence(&mut self, seen: Vec<SeenCrash>) {
-        if let Some(leader) = self.coordinators.leader() {
+        if let Some(leader) = self.site.coordinators.leader() {
             let message = GatewayMessage::RequestsCrashed(seen);
             self.send_frame(leader, &IncomingFrame::FromGateway(message));
         }
@@ -245,8 +258,8 @@
         let Some(request) = request.filter(is_suspect) else {
             return;
         };
-        self.crashes.cleared(request);
-        if let Some(leader) = self.coordinators.leader() {
+        self.servers.crashes.cleared(request);
+        if let Some(leader) = self.site.coordinators.leader() {
             let message = GatewayMessage::RequestsRan(vec![request]);
             self.send_frame(leader, &IncomingFrame::FromGateway(message));
         }
--- a/crates/wingshore-gateway/src/usage.rs
+++ b/crates/wingshore-gateway/src/usage.rs
@@ -40,7 +40,7 @@
 
     /// Tells the leader the totals that have changed.
     pub(crate) fn tell_usage(&mut self) {
-        let Some(leader) = self.coordinators.leader() else {
+        let Some(leader) = self.site.coordinators.leader() else {
             return;
         };
         let usage = self.usage.take_changes();
--- a/crates/wingshore-gateway/src/view_following.rs
+++ b/crates/wingshore-gateway/src/view_following.rs
@@ -19,13 +19,13 @@
 impl Gateway {
     /// Follows the view where it is best told.
     pub(crate) fn follow_view(&mut self, now: Instant) {
-        let place = (self.settings.zone.as_str(), self.id.0);
-        let since = self.view.revision();
-        let change = self.coordinators.choose_view_source(now, place, since);
+        let place = (self.site.zone.as_str(), self.id.0);
+        let since = self.site.view.revision();
+        let change = self.site.coordinators.choose_view_source(now, place, since);
         let Some(change) = change else {
             return;
         };
-        info!(self.logger, "view followed"; "address" => %change.address,
+        info!(self.runtime.logger, "view followed"; "address" => %change.address,
             "revision" => since.map(|since| since.0));
         if let Some(before) = change.before {
             let message = GatewayMessage::LeaveView;
@@ -35,19 +35,19 @@
     }
 
     fn ask_for_view(&mut self, connection: ConnectionId) {
-        let since = self.view.revision();
+        let since = self.site.view.revision();
         let message = GatewayMessage::FollowView { since };
         self.send_frame(connection, &IncomingFrame::FromGateway(message));
     }
 
     /// A coordinator has told the view, or changes of it.
     pub(crate) fn on_view(&mut self, now: Instant, connection: ConnectionId, update: ViewUpdate) {
-        let version = self.view.version();
+        let version = self.site.view.version();
         let changes = match &update.content {
             ViewContent::Whole(_) => None,
             ViewContent::Changes { changes, .. } => Some(changes.clone()),
         };
-        match self.view.update(update) {
+        match self.site.view.update(update) {
             UpdateVerdict::Taken => {}
             UpdateVerdict::Old => return,
             UpdateVerdict::Gap => return self.ask_for_view(connection),
@@ -68,8 +68,8 @@
 
     /// Something in the view is new.
     fn view_changed(&mut self, version_before: u64) {
-        if self.view.version() != version_before {
-            info!(self.logger, "configuration"; "version" => self.view.version(),
+        if self.site.view.version() != version_before {
+            info!(self.runtime.logger, "configuration"; "version" => self.site.view.version(),
                 "before" => version_before);
             self.tell_status();
         }
