--- a/crates/wingshore-gateway/src/calls.rs
+++ b/crates/wingshore-gateway/src/calls.rs
@@ -1,6 +1,7 @@
 //! Calls about batch jobs, passed on to the group's leader.
 
 use crate::access::tenant_of;
+use crate::coordinators::send;
 use crate::process::Gateway;
 use crate::protocol::{BatchAnswer, BatchCall, ReadPage};
 use crate::timers::TimerKey;
@@ -8,9 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use wingshore_coordination::{
-    CallReply, Caller, GatewayMessage, IncomingFrame, JobId, JobPage, Reply, Request,
-};
+use wingshore_coordination::{CallReply, Caller, GatewayMessage, JobId, JobPage, Reply, Request};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::WholeRequest;
 use wingshore_types::Instant;
@@ -157,7 +156,7 @@
         call.may_read_copy = false;
         call.sent_to = Some(Receiver::Copy(copy));
         let until = call.until;
-        self.send_frame(copy, &IncomingFrame::FromGateway(message));
+        send(&mut self.runtime, copy, message);
         self.runtime.timers.arm(until, TimerKey::Call(id));
         true
     }
@@ -177,8 +176,8 @@
             if !matches!(request, Request::ReadJob { .. }) {
                 look_at = look_at.min(now + RESEND_AFTER);
             }
-            let frame = IncomingFrame::FromGateway(GatewayMessage::Call { id, request });
-            self.send_frame(leader, &frame);
+            let message = GatewayMessage::Call { id, request };
+            send(&mut self.runtime, leader, message);
         }
         self.runtime.timers.arm(look_at, TimerKey::Call(id));
     }
--- a/crates/wingshore-gateway/src/clients.rs
+++ b/crates/wingshore-gateway/src/clients.rs
@@ -1,6 +1,6 @@
 //! Connections of clients: reading requests, writing answers, time limits.
 
-use crate::exchange::ExchangeId;
+use crate::ids::ExchangeId;
 use crate::process::Gateway;
 use crate::protocol::OwnAnswer;
 use crate::timers::TimerKey;
--- a/crates/wingshore-gateway/src/exchange.rs
+++ b/crates/wingshore-gateway/src/exchange.rs
@@ -1,5 +1,6 @@
 //! One request on its way to servers: who it is made for, and what has come of it so far.
 
+use crate::ids::ExchangeId;
 use crate::streams::PassedStream;
 use crate::suspects::INNOCENT_AFTER;
 use std::collections::HashMap;
@@ -15,10 +16,6 @@
 /// Refusals of servers that one request may meet besides its attempts.
 const MOST_REFUSALS: u32 = 3;
 
-/// Names one exchange within a process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct ExchangeId(u64);
-
 /// Who a request is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -4,7 +4,8 @@
 use crate::access::tenant_of;
 use crate::clients::ClientState;
 use crate::encode::end_to_end;
-use crate::exchange::{Exchange, ExchangeId, Failure, Origin, is_repeatable};
+use crate::exchange::{Exchange, Failure, Origin, is_repeatable};
+use crate::ids::ExchangeId;
 use crate::process::Gateway;
 use crate::protocol::OwnAnswer;
 use crate::timers::TimerKey;
@@ -157,7 +158,7 @@
         };
         self.servers.balancer.started(&server.instance);
         if matches!(exchange.origin, Origin::Client(_)) {
-            self.usage_sent(now, &mut exchange);
+            exchange.counted_in = self.usage.request_sent(now, exchange.tenant.as_ref());
         }
         exchange.upstream = Some(upstream);
         exchange.attempt_until = self.attempt_limit(now, &exchange, upstream);
@@ -321,7 +322,9 @@
         self.runtime.metrics.attempt_ended(failure.reason);
         exchange.upstream = None;
         if failure.verdict == Verdict::NotRun {
-            self.usage_not_run(&mut exchange);
+            if let (Some(window), Some(tenant)) = (exchange.counted_in.take(), &exchange.tenant) {
+                self.usage.not_run(window, tenant);
+            }
             exchange.refusals += 1;
         } else {
             exchange.attempts += 1;
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -1,5 +1,6 @@
 //! Running items of batch jobs on engines.
 
+use crate::coordinators::send;
 use crate::event_stream::{EventReader, StreamEvent};
 use crate::process::Gateway;
 use crate::timers::TimerKey;
@@ -8,9 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, HeldPrefix, IncomingFrame,
-    ItemAssignment, ItemOutcome, ItemProgress, ItemText, NotRunReason, RunningItem,
-    ScoringAssignment,
+    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, HeldPrefix, ItemAssignment,
+    ItemOutcome, ItemProgress, ItemText, NotRunReason, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::AnswerHead;
@@ -199,22 +199,22 @@
         let Some(leader) = self.site.coordinators.leader() else {
             return;
         };
-        let mut frames = Vec::new();
+        let mut messages = Vec::new();
         for (id, run) in &mut self.items.runs {
             let new = run.text.events.saturating_sub(run.handed_in.events);
             let is_due = run.may_hand_in && new >= run.handed_in_together();
             if run.outcome.is_some() || !is_due {
                 continue;
             }
-            frames.push(IncomingFrame::FromGateway(GatewayMessage::Keep {
+            messages.push(GatewayMessage::Keep {
                 assignment: *id,
                 after_events: run.handed_in.events,
                 text: run.text.after(run.handed_in),
-            }));
+            });
             run.handed_in = run.text.extent();
         }
-        for frame in frames {
-            self.send_frame(leader, &frame);
+        for message in messages {
+            send(&mut self.runtime, leader, message);
         }
     }
 
@@ -363,20 +363,20 @@
 
     /// Tells the leader the ends that it was not told.
     pub(crate) fn tell_ended_items(&mut self, leader: ConnectionId) {
-        let mut frames = Vec::new();
+        let mut messages = Vec::new();
         for (id, run) in &mut self.items.runs {
             let Some(outcome) = run.outcome.as_ref().filter(|_| run.told != Some(leader)) else {
                 continue;
             };
-            frames.push(IncomingFrame::FromGateway(GatewayMessage::ItemEnded {
+            messages.push(GatewayMessage::ItemEnded {
                 assignment: *id,
                 item: run.assignment.item.clone(),
                 outcome: outcome.clone(),
-            }));
+            });
             run.told = Some(leader);
         }
-        for frame in frames {
-            self.send_frame(leader, &frame);
+        for message in messages {
+            send(&mut self.runtime, leader, message);
         }
     }
 
--- /dev/null
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -0,0 +1,218 @@
+//! Wiring of the links to the coordination group: what its messages do, and what it is sent.
+
+use super::Gateway;
+use crate::coordinators::{StateCopy, send, send_frame};
+use crate::view_following::{self, ViewNews};
+use slog::{info, warn};
+use std::net::SocketAddr;
+use wingshore_coordination::{
+    CoordinatorMessage, GatewayHello, GatewayMessage, IncomingFrame, RunningItem, ViewUpdate,
+};
+use wingshore_net::{ConnectionId, frame};
+use wingshore_types::{Epoch, Instant};
+
+impl Gateway {
+    /// Connects to all known coordinators there is no connection to.
+    pub(super) fn dial_coordinators(&mut self, now: Instant) {
+        let seeds = self.settings.seed_addresses();
+        for address in self.site.coordinators.wanted(seeds) {
+            let lost = self.site.coordinators.dial(now, &mut self.runtime, address);
+            if let Some(connection) = lost {
+                self.on_link_ended(now, connection, address);
+            }
+        }
+    }
+
+    pub(super) fn on_link_up(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        address: SocketAddr,
+    ) {
+        self.site.coordinators.link_up(now, &self.runtime, address);
+        let hello = GatewayHello {
+            gateway: self.id,
+            node: self.settings.node.clone(),
+            front: self.settings.front,
+            zone: self.settings.zone.clone(),
+            region: self.settings.region.clone(),
+            status: self.status(),
+        };
+        let frame = IncomingFrame::Gateway(hello);
+        send_frame(&mut self.runtime, connection, &frame);
+    }
+
+    pub(super) fn on_link_ended(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        address: SocketAddr,
+    ) {
+        let coordinators = &mut self.site.coordinators;
+        coordinators.link_ended(now, &mut self.runtime, connection, address);
+        self.following.link_ended(address);
+        self.follow_view(now);
+        self.calls_lost(now, connection);
+    }
+
+    pub(super) fn on_link_input(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        address: SocketAddr,
+    ) {
+        loop {
+            let Some(input) = self.runtime.reactor.input(connection) else {
+                return;
+            };
+            match frame::decode::<CoordinatorMessage>(input) {
+                Ok(Some(message)) => self.on_coordinator(now, connection, address, message),
+                Ok(None) => return,
+                Err(error) => {
+                    warn!(self.runtime.logger, "link closed"; "error" => %error);
+                    return self.on_link_ended(now, connection, address);
+                }
+            }
+        }
+    }
+
+    fn on_coordinator(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        address: SocketAddr,
+        message: CoordinatorMessage,
+    ) {
+        self.site.coordinators.heard(now, address);
+        match message {
+            CoordinatorMessage::Leading { epoch } => {
+                self.on_leading(now, connection, address, epoch);
+            }
+            CoordinatorMessage::View(update) => self.on_view(now, connection, update),
+            CoordinatorMessage::Reply { id, reply } => {
+                self.on_call_reply(now, connection, id, reply);
+            }
+            CoordinatorMessage::Assign(assignment) => self.begin_item(now, *assignment),
+            CoordinatorMessage::Interrupt { assignment } => self.interrupt_item(assignment),
+            CoordinatorMessage::HandInFrom { assignment, held } => {
+                self.items.hand_in_from(assignment, held);
+            }
+            CoordinatorMessage::Release { assignment } => self.release_item(assignment),
+            CoordinatorMessage::Score(assignment) => self.begin_scoring(now, assignment),
+            CoordinatorMessage::ReleaseScoring { scoring } => self.release_scoring(now, scoring),
+            CoordinatorMessage::Alive {
+                coordinators,
+                zone,
+                copy,
+                wall,
+            } => {
+                self.usage.time_heard(now, address, wall);
+                let copy = copy.map(|revision| StateCopy { zone, revision });
+                let links = &mut self.site.coordinators;
+                links.heartbeat(address, coordinators, copy);
+                self.follow_view(now);
+            }
+        }
+    }
+
+    /// A coordinator says that it leads.
+    fn on_leading(
+        &mut self,
+        now: Instant,
+        connection: ConnectionId,
+        address: SocketAddr,
+        epoch: Epoch,
+    ) {
+        if !self.site.view.led(epoch) {
+            return;
+        }
+        info!(self.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
+            "configuration" => self.site.view.version());
+        self.site.coordinators.set_leader(address);
+        self.report_running(connection);
+        self.tell_untold_evidence(now);
+        self.resend_calls(now);
+        self.start_scorings(now);
+        self.usage.report_all();
+        self.report_usage();
+    }
+
+    /// Tells a new leader which items run here; the ends that were not reported follow.
+    fn report_running(&mut self, connection: ConnectionId) {
+        let items: Vec<RunningItem> = self.items.running().collect();
+        let scorings = self.scorings.running().collect();
+        let message = GatewayMessage::Running { items, scorings };
+        send(&mut self.runtime, connection, message);
+        self.tell_ended_items(connection);
+        self.tell_ended_scorings(connection);
+    }
+
+    /// Sends the status of this gateway to all coordinators.
+    pub(super) fn report_status(&mut self) {
+        let status = self.status();
+        for connection in self.site.coordinators.connected() {
+            let message = GatewayMessage::Status(status);
+            send(&mut self.runtime, connection, message);
+        }
+    }
+
+    /// Reports how far the items are that run here.
+    pub(super) fn report_progress(&mut self) {
+        let coordinators = &self.site.coordinators;
+        let progress = self.items.progress();
+        if !progress.is_empty() {
+            coordinators.report(&mut self.runtime, GatewayMessage::Progress(progress));
+        }
+        let scorings = self.scorings.in_hand();
+        if !scorings.is_empty() {
+            coordinators.report(&mut self.runtime, GatewayMessage::Scoring(scorings));
+        }
+    }
+
+    /// Reports the counts of usage that have changed.
+    pub(super) fn report_usage(&mut self) {
+        if self.site.coordinators.leader().is_none() {
+            return;
+        }
+        if let Some(message) = self.usage.take_report() {
+            self.site.coordinators.report(&mut self.runtime, message);
+        }
+    }
+
+    /// Follows the view where that is best.
+    pub(super) fn follow_view(&mut self, now: Instant) {
+        let site = &self.site;
+        self.following.follow(
+            now,
+            &mut self.runtime,
+            &site.coordinators,
+            &site.view,
+            &site.zone,
+        );
+    }
+
+    /// A coordinator has sent the view, or changes of it.
+    fn on_view(&mut self, now: Instant, connection: ConnectionId, update: ViewUpdate) {
+        let version_before = self.site.view.version();
+        let view = &mut self.site.view;
+        let news = view_following::take_update(&mut self.runtime, view, connection, update);
+        match news {
+            None => return,
+            Some(ViewNews::Changes(changes)) => {
+                for change in &changes {
+                    self.note_change(now, change);
+                }
+            }
+            Some(ViewNews::Whole) => {
+                self.servers_registered(now);
+                self.start_scorings(now);
+            }
+        }
+        let version = self.site.view.version();
+        if version != version_before {
+            info!(self.runtime.logger, "configuration"; "version" => version,
+                "before" => version_before);
+            self.report_status();
+        }
+    }
+}
--- a/crates/wingshore-gateway/src/process.rs
+++ b/crates/wingshore-gateway/src/process/mod.rs
@@ -1,26 +1,31 @@
 //! One gateway process from start to end: the loop that owns all sockets.
 
+mod group;
+
 use crate::calls::Calls;
 use crate::clients::{Client, Purpose};
-use crate::context::{Runtime, Servers, Site};
 use crate::coordinators::Coordinators;
 use crate::error::{GatewayError, NetSnafu};
 use crate::exchange::Exchanges;
 use crate::items::Items;
 use crate::metrics::{GatewayMetrics, Readings};
 use crate::protocol::IngressProtocol;
+use crate::runtime::Runtime;
 use crate::scoring::Scorings;
+use crate::servers::Servers;
 use crate::settings::GatewaySettings;
+use crate::site::Site;
 use crate::timers::{TimerKey, Timers};
 use crate::upstream::{ConnectionEnd, LostSend, Task};
+use crate::usage::UsageCounter;
 use crate::view::View;
+use crate::view_following::ViewFollowing;
 use slog::{Logger, info, warn};
 use snafu::ResultExt;
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_clock::Clock;
-use wingshore_coordination::{GatewayId, GatewayStatus, SiteClock, UsageMeter};
+use wingshore_coordination::{GatewayId, GatewayStatus};
 use wingshore_diagnostics::{LogBudget, LogCounts, RequestSampler};
 use wingshore_net::http::{BodyStatus, HttpAnswer};
 use wingshore_net::{ConnectionId, ListenerId, NetEvent, Reactor, SeedSource, Signals};
@@ -42,12 +47,6 @@
 /// Type of the text that monitoring reads.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a connection to a coordinator is.
-#[derive(Clone, Copy)]
-pub(crate) struct LinkRole {
-    pub(crate) address: SocketAddr,
-}
-
 /// A running gateway.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
@@ -56,13 +55,12 @@
     pub(crate) site: Site,
     pub(crate) servers: Servers,
     pub(crate) clients: HashMap<ConnectionId, Client>,
-    pub(crate) links: HashMap<ConnectionId, LinkRole>,
     pub(crate) calls: Calls,
     pub(crate) items: Items,
     pub(crate) exchanges: Exchanges,
     pub(crate) scorings: Scorings,
-    pub(crate) usage: UsageMeter,
-    pub(crate) site_clock: SiteClock<SocketAddr>,
+    pub(crate) usage: UsageCounter,
+    following: ViewFollowing,
     pub(crate) split_counter: u64,
     pub(crate) stopping_since: Option<Instant>,
     pub(crate) clock: Clock,
@@ -117,20 +115,21 @@
             view: View::default(),
             coordinators: Coordinators::default(),
         };
+        let id = GatewayId(rand::random());
+        let usage = UsageCounter::new(settings.usage_window);
         Ok(Self {
             settings,
-            id: GatewayId(rand::random()),
+            id,
             runtime,
             site,
             servers: Servers::default(),
             clients: HashMap::new(),
-            links: HashMap::new(),
             calls: Calls::default(),
             items: Items::default(),
             exchanges: Exchanges::default(),
             scorings: Scorings::default(),
-            usage: UsageMeter::default(),
-            site_clock: SiteClock::default(),
+            usage,
+            following: ViewFollowing::new(id.0),
             split_counter: rand::random(),
             stopping_since: None,
             clock: Clock::start(),
@@ -245,8 +244,7 @@
     }
 
     fn on_connected(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(link) = self.links.get(&connection) {
-            let address = link.address;
+        if let Some(address) = self.site.coordinators.address(connection) {
             return self.on_link_up(now, connection, address);
         }
         let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
@@ -261,8 +259,7 @@
     }
 
     fn on_received(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(link) = self.links.get(&connection) {
-            let address = link.address;
+        if let Some(address) = self.site.coordinators.address(connection) {
             return self.on_link_input(now, connection, address);
         }
         if self.servers.upstreams.owns(connection) {
@@ -337,7 +334,7 @@
     }
 
     fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
-        if self.links.contains_key(&connection) {
+        if self.site.coordinators.address(connection).is_some() {
             return self.on_broken(now, connection);
         }
         if let Some(upstream) = self.servers.upstreams.get_mut(connection) {
@@ -354,8 +351,7 @@
     }
 
     fn on_broken(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(link) = self.links.get(&connection) {
-            let address = link.address;
+        if let Some(address) = self.site.coordinators.address(connection) {
             return self.on_link_ended(now, connection, address);
         }
         if let Some(upstream) = self.servers.upstreams.get(connection) {
@@ -415,10 +411,10 @@
     fn keep_house(&mut self, now: Instant) {
         if now >= self.next_status {
             self.next_status = now + STATUS_INTERVAL;
-            self.tell_status();
-            self.tell_progress();
+            self.report_status();
+            self.report_progress();
             self.hand_in_texts();
-            self.tell_usage();
+            self.report_usage();
         }
         if now < self.next_housekeeping {
             return;
@@ -462,7 +458,7 @@
         }
         info!(self.runtime.logger, "planned stop"; "node" => &self.settings.node);
         self.stopping_since = Some(now);
-        self.tell_status();
+        self.report_status();
         self.hand_items_back();
         self.hand_scorings_back(now);
     }
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -4,15 +4,17 @@
 //! where that gateway is gone. It goes the way of a live request, within the routes, attempts and
 //! time limits in force. Its end is kept until a leader has made it durable.
 
-use crate::exchange::{Exchange, ExchangeId, Origin};
+use crate::coordinators::send;
+use crate::exchange::{Exchange, Origin};
+use crate::ids::ExchangeId;
 use crate::limit::{ConcurrencyLimit, Sign};
 use crate::process::Gateway;
 use slog::info;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use wingshore_coordination::{
-    AssignmentId, GatewayMessage, IncomingFrame, NotScoredReason, Route, RunningScoring,
-    ScoringAssignment, ScoringOutcome, ServiceName,
+    AssignmentId, GatewayMessage, NotScoredReason, Route, RunningScoring, ScoringAssignment,
+    ScoringOutcome, ServiceName,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{Headers, RequestHead, WholeAnswer, WholeRequest};
@@ -247,19 +249,19 @@
 
     /// Tells the leader the ends that it was not told.
     pub(crate) fn tell_ended_scorings(&mut self, leader: ConnectionId) {
-        let mut frames = Vec::new();
+        let mut messages = Vec::new();
         for (id, run) in &mut self.scorings.runs {
             let Some(outcome) = run.outcome.as_ref().filter(|_| run.told != Some(leader)) else {
                 continue;
             };
-            frames.push(IncomingFrame::FromGateway(GatewayMessage::ScoringEnded {
+            messages.push(GatewayMessage::ScoringEnded {
                 scoring: *id,
                 outcome: outcome.clone(),
-            }));
+            });
             run.told = Some(leader);
         }
-        for frame in frames {
-            self.send_frame(leader, &frame);
+        for message in messages {
+            send(&mut self.runtime, leader, message);
         }
     }
 
--- a/crates/wingshore-gateway/src/streams.rs
+++ b/crates/wingshore-gateway/src/streams.rs
@@ -5,7 +5,8 @@
 
 use crate::encode::end_to_end;
 use crate::event_stream::{EventReader, take_whole_events};
-use crate::exchange::{Exchange, ExchangeId};
+use crate::exchange::Exchange;
+use crate::ids::ExchangeId;
 use crate::process::Gateway;
 use slog::info;
 use wingshore_coordination::RouteKind;
--- a/crates/wingshore-gateway/src/suspects.rs
+++ b/crates/wingshore-gateway/src/suspects.rs
@@ -1,14 +1,16 @@
 //! Requests that end the servers that run them: what is learned of them here, told to the leader,
 //! and done about it.
 
-use crate::exchange::{Exchange, ExchangeId};
+use crate::coordinators::send;
+use crate::exchange::Exchange;
+use crate::ids::ExchangeId;
 use crate::process::Gateway;
 use crate::upstream::LostSend;
 use slog::warn;
 use std::time::Duration;
 use wingshore_coordination::{
-    AssignmentId, GatewayMessage, IncomingFrame, InstanceId, ItemAssignment, REJECTED_FROM,
-    RequestContent, RequestFingerprint, SeenCrash, TenantName, ViewChange,
+    AssignmentId, GatewayMessage, InstanceId, ItemAssignment, REJECTED_FROM, RequestContent,
+    RequestFingerprint, SeenCrash, TenantName, ViewChange,
 };
 use wingshore_types::Instant;
 
@@ -248,7 +250,7 @@
     fn tell_evidence(&mut self, seen: Vec<SeenCrash>) {
         if let Some(leader) = self.site.coordinators.leader() {
             let message = GatewayMessage::RequestsCrashed(seen);
-            self.send_frame(leader, &IncomingFrame::FromGateway(message));
+            send(&mut self.runtime, leader, message);
         }
     }
 
@@ -261,7 +263,7 @@
         self.servers.crashes.cleared(request);
         if let Some(leader) = self.site.coordinators.leader() {
             let message = GatewayMessage::RequestsRan(vec![request]);
-            self.send_frame(leader, &IncomingFrame::FromGateway(message));
+            send(&mut self.runtime, leader, message);
         }
     }
 
--- a/crates/wingshore-gateway/src/timers.rs
+++ b/crates/wingshore-gateway/src/timers.rs
@@ -1,6 +1,6 @@
 //! What is to be looked at by time.
 
-use crate::exchange::ExchangeId;
+use crate::ids::ExchangeId;
 use std::collections::BTreeSet;
 use wingshore_coordination::AssignmentId;
 use wingshore_net::ConnectionId;
--- a/crates/wingshore-gateway/src/upstream.rs
+++ b/crates/wingshore-gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: one request at a time on each, kept for the next one.
 
 use crate::event_stream::EventReader;
-use crate::exchange::ExchangeId;
+use crate::ids::ExchangeId;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-gateway/src/usage.rs
+++ b/crates/wingshore-gateway/src/usage.rs
@@ -1,52 +1,71 @@
-//! Counting the requests that began to run at servers, and telling the leader.
+//! Counting the requests that began to run at servers, for the leader's reports to the provider.
 //!
-//! A window is told by the time of day that the coordinators agree on, as heard from them: this
-//! machine's own may be wrong.
+//! Owns the counts of this gateway and the time of day that the coordinators agree on, as heard from
+//! them: by that a window is named, since this machine's own may be wrong. Without a time of day, or
+//! where the settings ask for no counts, nothing is counted.
 
-use crate::exchange::Exchange;
-use crate::process::Gateway;
-use wingshore_coordination::{GatewayMessage, IncomingFrame, UsageWindow};
+use std::net::SocketAddr;
+use std::time::Duration;
+use wingshore_coordination::{
+    GatewayMessage, SiteClock, TenantName, UsageMeter, UsageWindow, WallTime,
+};
 use wingshore_types::Instant;
 
-impl Gateway {
-    /// The window of usage that is open; `None` where usage is not counted, or before the time of
-    /// day is known.
-    fn open_window(&mut self, now: Instant) -> Option<UsageWindow> {
-        let length = self.settings.usage_window?;
-        let time = self.site_clock.now(now)?;
-        Some(UsageWindow::at(time, length))
-    }
+/// The counts of one gateway.
+pub(crate) struct UsageCounter {
+    /// Length of a window; `None` where usage is not counted.
+    window: Option<Duration>,
+    clock: SiteClock<SocketAddr>,
+    meter: UsageMeter,
+}
 
-    /// A request leaves for a server, which begins to run it within a millisecond or two.
-    pub(crate) fn usage_sent(&mut self, now: Instant, exchange: &mut Exchange) {
-        exchange.counted_in = None;
-        let Some(tenant) = exchange.tenant.clone() else {
-            return;
-        };
-        if let Some(window) = self.open_window(now) {
-            self.usage.sent(window, tenant);
-            exchange.counted_in = Some(window);
+impl UsageCounter {
+    /// Counts in windows of this length.
+    pub(crate) fn new(window: Option<Duration>) -> Self {
+        Self {
+            window,
+            clock: SiteClock::default(),
+            meter: UsageMeter::default(),
         }
     }
 
-    /// The server has not run it.
-    pub(crate) fn usage_not_run(&mut self, exchange: &mut Exchange) {
-        if let Some(window) = exchange.counted_in.take()
-            && let Some(tenant) = &exchange.tenant
-        {
-            self.usage.not_run(window, tenant);
-        }
+    /// A coordinator has sent its time of day.
+    pub(crate) fn time_heard(&mut self, now: Instant, coordinator: SocketAddr, wall: WallTime) {
+        self.clock.heard(now, coordinator, wall);
     }
 
-    /// Tells the leader the totals that have changed.
-    pub(crate) fn tell_usage(&mut self) {
-        let Some(leader) = self.site.coordinators.leader() else {
-            return;
-        };
-        let usage = self.usage.take_changes();
-        if !usage.is_empty() {
-            let message = GatewayMessage::Usage(usage);
-            self.send_frame(leader, &IncomingFrame::FromGateway(message));
-        }
+    /// A request leaves for a server, which begins to run it within a millisecond or two. Gives the
+    /// window that it is counted in.
+    pub(crate) fn request_sent(
+        &mut self,
+        now: Instant,
+        tenant: Option<&TenantName>,
+    ) -> Option<UsageWindow> {
+        let tenant = tenant?;
+        let window = self.open_window(now)?;
+        self.meter.sent(window, tenant.clone());
+        Some(window)
+    }
+
+    /// The server has not run a request that was counted in `window`.
+    pub(crate) fn not_run(&mut self, window: UsageWindow, tenant: &TenantName) {
+        self.meter.not_run(window, tenant);
+    }
+
+    /// All totals are due again: there is a leader that knows none.
+    pub(crate) fn report_all(&mut self) {
+        self.meter.tell_all();
+    }
+
+    /// The totals that have changed since the last call, for the leader; `None` without any.
+    pub(crate) fn take_report(&mut self) -> Option<GatewayMessage> {
+        let usage = self.meter.take_changes();
+        (!usage.is_empty()).then_some(GatewayMessage::Usage(usage))
+    }
+
+    fn open_window(&mut self, now: Instant) -> Option<UsageWindow> {
+        let length = self.window?;
+        let time = self.clock.now(now)?;
+        Some(UsageWindow::at(time, length))
     }
 }
--- a/crates/wingshore-gateway/src/view_following.rs
+++ b/crates/wingshore-gateway/src/view_following.rs
@@ -1,77 +1,102 @@
-//! The view of the site: where it is followed, and what follows from its changes.
+//! The view of the site: where it is followed, and what its updates bring.
+//!
+//! Owns the choice of the coordinator that is followed; relies on the links for candidates and on
+//! [`View`] for which updates are taken.
 
-use crate::process::Gateway;
-use crate::view::UpdateVerdict;
+use crate::coordinators::{Coordinators, send};
+use crate::runtime::Runtime;
+use crate::view::{UpdateVerdict, View};
+use crate::view_source::{Choice, ViewSource};
 use slog::info;
 use std::net::SocketAddr;
-use wingshore_coordination::{GatewayMessage, IncomingFrame, ViewContent, ViewUpdate};
+use wingshore_coordination::{GatewayMessage, ViewChange, ViewContent, ViewUpdate};
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// The view is followed at another coordinator from now on.
-pub(crate) struct ViewSourceChange {
-    /// The link to the one before, if it is still up.
-    pub(crate) before: Option<ConnectionId>,
-    pub(crate) address: SocketAddr,
-    pub(crate) connection: ConnectionId,
+/// What an update of the view has brought.
+pub(crate) enum ViewNews {
+    /// The whole view.
+    Whole,
+    /// These changes.
+    Changes(Vec<ViewChange>),
 }
 
-impl Gateway {
-    /// Follows the view where it is best told.
-    pub(crate) fn follow_view(&mut self, now: Instant) {
-        let place = (self.site.zone.as_str(), self.id.0);
-        let since = self.site.view.revision();
-        let change = self.site.coordinators.choose_view_source(now, place, since);
-        let Some(change) = change else {
-            return;
-        };
-        info!(self.runtime.logger, "view followed"; "address" => %change.address,
-            "revision" => since.map(|since| since.0));
-        if let Some(before) = change.before {
-            let message = GatewayMessage::LeaveView;
-            self.send_frame(before, &IncomingFrame::FromGateway(message));
+/// Following the view.
+pub(crate) struct ViewFollowing {
+    source: ViewSource,
+    /// Spreads the gateways of a site over coordinators that are alike.
+    salt: u64,
+}
+
+impl ViewFollowing {
+    /// Nothing is followed yet.
+    pub(crate) fn new(salt: u64) -> Self {
+        Self {
+            source: ViewSource::default(),
+            salt,
         }
-        self.ask_for_view(change.connection);
     }
 
-    fn ask_for_view(&mut self, connection: ConnectionId) {
-        let since = self.site.view.revision();
-        let message = GatewayMessage::FollowView { since };
-        self.send_frame(connection, &IncomingFrame::FromGateway(message));
+    /// The link to a coordinator has ended.
+    pub(crate) fn link_ended(&mut self, address: SocketAddr) {
+        self.source.link_ended(address);
     }
 
-    /// A coordinator has told the view, or changes of it.
-    pub(crate) fn on_view(&mut self, now: Instant, connection: ConnectionId, update: ViewUpdate) {
-        let version = self.site.view.version();
-        let changes = match &update.content {
-            ViewContent::Whole(_) => None,
-            ViewContent::Changes { changes, .. } => Some(changes.clone()),
+    /// Follows the view where that is best, seen from `zone`.
+    pub(crate) fn follow(
+        &mut self,
+        now: Instant,
+        runtime: &mut Runtime,
+        coordinators: &Coordinators,
+        view: &View,
+        zone: &str,
+    ) {
+        let candidates = coordinators.view_candidates(now, zone);
+        let choice = Choice {
+            candidates: &candidates,
+            known: view.revision(),
+            salt: self.salt,
         };
-        match self.site.view.update(update) {
-            UpdateVerdict::Taken => {}
-            UpdateVerdict::Old => return,
-            UpdateVerdict::Gap => return self.ask_for_view(connection),
-        }
-        match changes {
-            Some(changes) => {
-                for change in &changes {
-                    self.note_change(now, change);
-                }
-            }
-            None => {
-                self.servers_registered(now);
-                self.start_scorings(now);
-            }
+        let before = self.source.current();
+        let Some(address) = self.source.choose(now, &choice) else {
+            return;
+        };
+        let Some(connection) = coordinators.connection(address) else {
+            return;
+        };
+        info!(runtime.logger, "view followed"; "address" => %address,
+            "revision" => view.revision().map(|since| since.0));
+        let before = before.and_then(|before| coordinators.connection(before));
+        if let Some(before) = before {
+            send(runtime, before, GatewayMessage::LeaveView);
         }
-        self.view_changed(version);
+        ask_for_view(runtime, connection, view);
     }
+}
+
+/// Asks a coordinator for the view, behind what `view` accounts for.
+fn ask_for_view(runtime: &mut Runtime, connection: ConnectionId, view: &View) {
+    let since = view.revision();
+    send(runtime, connection, GatewayMessage::FollowView { since });
+}
 
-    /// Something in the view is new.
-    fn view_changed(&mut self, version_before: u64) {
-        if self.site.view.version() != version_before {
-            info!(self.runtime.logger, "configuration"; "version" => self.site.view.version(),
-                "before" => version_before);
-            self.tell_status();
+/// Takes an update of the view that came on `connection`; `None` if it brings nothing.
+pub(crate) fn take_update(
+    runtime: &mut Runtime,
+    view: &mut View,
+    connection: ConnectionId,
+    update: ViewUpdate,
+) -> Option<ViewNews> {
+    let news = match &update.content {
+        ViewContent::Whole(_) => ViewNews::Whole,
+        ViewContent::Changes { changes, .. } => ViewNews::Changes(changes.clone()),
+    };
+    match view.update(update) {
+        UpdateVerdict::Taken => Some(news),
+        UpdateVerdict::Old => None,
+        UpdateVerdict::Gap => {
+            ask_for_view(runtime, connection, view);
+            None
         }
     }
 }
