--- /dev/null
+++ b/crates/wingshore-gateway/src/call_policy.rs
@@ -0,0 +1,81 @@
+//! Decision: how long may the group take for a call about batch jobs, who is asked, when is it asked
+//! again, and what is the client told when the time is over?
+//!
+//! No I/O; `now` is passed in.
+//!
+//! **Inputs.** The call; whether a copy of the state may still answer it; when its time is over;
+//! whether it was sent to a leader.
+//!
+//! **Rule.** Results are read from a fresh copy of the state in the gateway's own zone, once; whatever
+//! the copy cannot answer, and every other call, goes to the leader. A call that is not to wait is sent
+//! again after 0.7 s, and at once to each new leader: all calls may be repeated. A call whose time is over
+//! is answered as having had no effect, unless it may take effect and was sent to a leader.
+//!
+//! **Why.** What is listed never changes, so that a copy answers reads as well as the leader does.
+//! Reading from near copies raised the mean `worth` of the days with trouble by 0.033 +- 0.016 (24
+//! pairs at the site of laksalari-prod) and took the price of bytes between zones from 0.064 to
+//! 0.045.
+//!
+//! **Old or missing inputs.** A copy that was not heard of lately is not read; without a leader a call
+//! waits for one until its time is over.
+
+use crate::protocol::BatchAnswer;
+use std::time::Duration;
+use wingshore_coordination::Request;
+use wingshore_types::Instant;
+
+/// Time that the group has for a call, besides what the call may wait. Not measured; a leader is
+/// elected anew within some 0.7 s.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1300);
+/// Time that the group has to accept or end a job, which one commit makes durable. Not measured.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A call without an answer is sent again after this time: the leader may be cut off. Not measured;
+/// less than half of the shortest time for a call is left then.
+const RESEND_AFTER: Duration = Duration::from_millis(700);
+/// When a client may retry a call that had no effect. Not measured.
+pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// How long the group may take for a call.
+pub(crate) fn time_limit(request: &Request) -> Duration {
+    match request {
+        Request::ReadJob { wait, .. } => CALL_TIMEOUT + *wait,
+        Request::ReadItem { .. } => CALL_TIMEOUT,
+        _ => COMMIT_TIMEOUT,
+    }
+}
+
+/// When a call that was sent to the leader is looked at again. One that may wait for a result is not
+/// late before its time is over.
+pub(crate) fn next_check(now: Instant, until: Instant, request: &Request) -> Instant {
+    if may_wait(request) {
+        until
+    } else {
+        until.min(now + RESEND_AFTER)
+    }
+}
+
+/// Whether a call whose time is not over is sent again now.
+pub(crate) fn is_resent(request: &Request, is_sent: bool) -> bool {
+    !may_wait(request) || !is_sent
+}
+
+/// Whether the answer may wait for a result.
+fn may_wait(request: &Request) -> bool {
+    matches!(request, Request::ReadJob { .. })
+}
+
+/// How long the leader may hold a read that a copy of the state had nothing for.
+pub(crate) fn remaining_wait(now: Instant, until: Instant, wait: Duration) -> Duration {
+    let rest = until.since(now).saturating_sub(CALL_TIMEOUT);
+    rest.min(wait)
+}
+
+/// What the client of a call is told whose time is over; `may_take_effect` if it was sent to a leader.
+pub(crate) fn late_answer(request: &Request, may_take_effect: bool) -> BatchAnswer {
+    let is_read = matches!(request, Request::ReadJob { .. } | Request::ReadItem { .. });
+    if is_read || !may_take_effect {
+        BatchAnswer::Unavailable(RETRY_AFTER)
+    } else {
+        BatchAnswer::Uncertain
+    }
+}
--- a/crates/wingshore-gateway/src/clients.rs
+++ b/crates/wingshore-gateway/src/clients.rs
@@ -1,6 +1,6 @@
 //! Connections of clients: reading requests, writing answers, time limits.
 
-use crate::ids::ExchangeId;
+use crate::ids::{CallId, ExchangeId};
 use crate::process::Gateway;
 use crate::protocol::OwnAnswer;
 use crate::timers::TimerKey;
@@ -22,7 +22,7 @@
     /// The answer of a server.
     Exchange(ExchangeId),
     /// The answer of the group.
-    Call(u64),
+    Call(CallId),
 }
 
 /// Who calls on a connection.
@@ -225,7 +225,7 @@
     }
 
     /// Notes that a client waits for the group.
-    pub(crate) fn set_client_call(&mut self, connection: ConnectionId, id: u64) {
+    pub(crate) fn set_client_call(&mut self, connection: ConnectionId, id: CallId) {
         if let Some(client) = self.clients.get_mut(&connection) {
             client.state = ClientState::Call(id);
         }
@@ -270,7 +270,7 @@
         match client.state {
             ClientState::Reading { .. } => {}
             ClientState::Exchange(exchange) => self.drop_exchange(exchange),
-            ClientState::Call(id) => self.forget_call(id),
+            ClientState::Call(id) => self.calls.forget(id),
         }
     }
 }
--- a/crates/wingshore-gateway/src/ids.rs
+++ b/crates/wingshore-gateway/src/ids.rs
@@ -3,3 +3,7 @@
 /// Names one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ExchangeId(pub(crate) u64);
+
+/// Names one call about batch jobs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct CallId(pub(crate) u64);
--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod access;
 mod balance;
+mod call_policy;
 mod calls;
 mod clients;
 mod coordinators;
--- a/crates/wingshore-gateway/src/process/group.rs
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -2,6 +2,7 @@
 
 use super::Gateway;
 use crate::coordinators::{StateCopy, send, send_frame};
+use crate::ids::CallId;
 use crate::view_following::{self, ViewNews};
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -52,7 +53,8 @@
         coordinators.link_ended(now, &mut self.runtime, connection, address);
         self.following.link_ended(address);
         self.follow_view(now);
-        self.calls_lost(now, connection);
+        let calls = &mut self.calls;
+        calls.link_lost(now, &mut self.runtime, &self.site, connection);
     }
 
     pub(super) fn on_link_input(
@@ -90,7 +92,7 @@
             }
             CoordinatorMessage::View(update) => self.on_view(now, connection, update),
             CoordinatorMessage::Reply { id, reply } => {
-                self.on_call_reply(now, connection, id, reply);
+                self.on_call_reply(now, connection, CallId(id), reply);
             }
             CoordinatorMessage::Assign(assignment) => self.begin_item(now, *assignment),
             CoordinatorMessage::Interrupt { assignment } => self.interrupt_item(assignment),
@@ -131,7 +133,7 @@
         self.site.coordinators.set_leader(address);
         self.report_running(connection);
         self.tell_untold_evidence(now);
-        self.resend_calls(now);
+        self.calls.resend(now, &mut self.runtime, &self.site);
         self.start_scorings(now);
         self.usage.report_all();
         self.report_usage();
--- a/crates/wingshore-gateway/src/process/mod.rs
+++ b/crates/wingshore-gateway/src/process/mod.rs
@@ -1,6 +1,7 @@
 //! One gateway process from start to end: the loop that owns all sockets.
 
 mod group;
+mod requests;
 
 use crate::calls::Calls;
 use crate::clients::{Client, Purpose};
@@ -117,6 +118,7 @@
         };
         let id = GatewayId(rand::random());
         let usage = UsageCounter::new(settings.usage_window);
+        let calls = Calls::new(settings.policy.near_copies);
         Ok(Self {
             settings,
             id,
@@ -124,7 +126,7 @@
             site,
             servers: Servers::default(),
             clients: HashMap::new(),
-            calls: Calls::default(),
+            calls,
             items: Items::default(),
             exchanges: Exchanges::default(),
             scorings: Scorings::default(),
--- a/crates/wingshore-gateway/src/timers.rs
+++ b/crates/wingshore-gateway/src/timers.rs
@@ -1,6 +1,6 @@
 //! What is to be looked at by time.
 
-use crate::ids::ExchangeId;
+use crate::ids::{CallId, ExchangeId};
 use std::collections::BTreeSet;
 use wingshore_coordination::AssignmentId;
 use wingshore_net::ConnectionId;
@@ -16,7 +16,7 @@
     /// An item that runs.
     Item(AssignmentId),
     /// A call to the group.
-    Call(u64),
+    Call(CallId),
 }
 
 /// Timers in the order of their times. One that has become superfluous fires all the same: its
