--- a/crates/wingshore-gateway/src/access.rs
+++ b/crates/wingshore-gateway/src/access.rs
@@ -14,14 +14,14 @@
 impl Gateway {
     /// The caller whose key a request shows, if that is in force.
     fn caller_of(&self, headers: &Headers) -> Option<Caller> {
-        let key = self.site.protocol.read_key(headers)?;
-        self.site.view.caller(&key).cloned()
+        let key = self.environment.site.protocol.read_key(headers)?;
+        self.environment.site.view.caller(&key).cloned()
     }
 
     /// Whether a request may go the way of this route, and for whom.
     pub(crate) fn admit(&self, head: &RequestHead, route: &Route) -> Admitted {
         let caller = self.caller_of(&head.headers);
-        if caller.is_none() && self.site.view.asks_for_key(route) {
+        if caller.is_none() && self.environment.site.view.asks_for_key(route) {
             return Err(OwnAnswer::Unauthorized);
         }
         Ok(caller)
@@ -31,7 +31,7 @@
     pub(crate) fn admit_batch_call(&self, head: &RequestHead) -> Admitted {
         let caller = self.caller_of(&head.headers);
         let host = head.headers.text("host").unwrap_or_default();
-        if caller.is_none() && self.site.view.asks_for_key_of_jobs(host) {
+        if caller.is_none() && self.environment.site.view.asks_for_key_of_jobs(host) {
             return Err(OwnAnswer::Unauthorized);
         }
         Ok(caller)
@@ -39,11 +39,23 @@
 
     /// The answer to a request whose head alone says that it cannot be let in.
     pub(crate) fn early_refusal(&self, head: &RequestHead) -> Option<OwnAnswer> {
-        if !self.site.view.has_tenants() || self.site.protocol.read_batch_call(head).is_some() {
+        if !self.environment.site.view.has_tenants()
+            || self
+                .environment
+                .site
+                .protocol
+                .read_batch_call(head)
+                .is_some()
+        {
             return None;
         }
         let host = head.headers.text("host").unwrap_or_default();
-        let route = self.site.view.routes().find(host, head.path())?;
+        let route = self
+            .environment
+            .site
+            .view
+            .routes()
+            .find(host, head.path())?;
         self.admit(head, route).err()
     }
 }
--- a/crates/wingshore-gateway/src/clients.rs
+++ b/crates/wingshore-gateway/src/clients.rs
@@ -69,7 +69,7 @@
 impl Gateway {
     /// Bytes of a client have arrived, or its last answer has gone out.
     pub(crate) fn on_client_input(&mut self, now: Instant, connection: ConnectionId) {
-        let limits = self.site.view.limits();
+        let limits = self.environment.site.view.limits();
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
@@ -77,7 +77,7 @@
         let ClientState::Reading { begun } = &mut client.state else {
             return;
         };
-        let Some(input) = self.runtime.reactor.input(connection) else {
+        let Some(input) = self.environment.runtime.reactor.input(connection) else {
             return;
         };
         let next = client
@@ -89,7 +89,10 @@
                 if has_begun && begun.is_none() {
                     *begun = Some(now);
                     let key = TimerKey::Client(connection);
-                    self.runtime.timers.arm(now + limits.head_timeout, key);
+                    self.environment
+                        .runtime
+                        .timers
+                        .arm(now + limits.head_timeout, key);
                 }
                 self.refuse_early(now, connection);
             }
@@ -109,7 +112,11 @@
         match purpose {
             Some(Purpose::Ready) => {
                 let ready = self.status().ready;
-                let answer = self.site.protocol.write_ready(&request.head, ready);
+                let answer = self
+                    .environment
+                    .site
+                    .protocol
+                    .write_ready(&request.head, ready);
                 return self.answer_client(now, connection, &answer);
             }
             Some(Purpose::Metrics) => {
@@ -118,11 +125,16 @@
             }
             Some(Purpose::Front) | None => {}
         }
-        if !self.site.view.is_configured() {
+        if !self.environment.site.view.is_configured() {
             let reason = "no configuration is known yet";
             return self.refuse_not_run(now, connection, &request.head, reason);
         }
-        if let Some(call) = self.site.protocol.read_batch_call(&request.head) {
+        if let Some(call) = self
+            .environment
+            .site
+            .protocol
+            .read_batch_call(&request.head)
+        {
             return match self.admit_batch_call(&request.head) {
                 Ok(caller) => self.begin_batch_call(now, connection, call, caller.as_ref()),
                 Err(answer) => self.refuse_caller(now, connection, &request.head, &answer),
@@ -130,6 +142,7 @@
         }
         let host = request.head.headers.text("host").unwrap_or_default();
         let Some(route) = self
+            .environment
             .site
             .view
             .routes()
@@ -155,7 +168,7 @@
         connection: ConnectionId,
         answer: &OwnAnswer,
     ) {
-        let answer = self.site.protocol.write_own(answer);
+        let answer = self.environment.site.protocol.write_own(answer);
         self.answer_client(now, connection, &answer);
     }
 
@@ -185,7 +198,10 @@
         if client.close_after {
             writer = writer.header("Connection", "close");
         }
-        self.runtime.reactor.send(connection, &writer.body(body));
+        self.environment
+            .runtime
+            .reactor
+            .send(connection, &writer.body(body));
         self.end_exchange(now, connection);
     }
 
@@ -200,7 +216,10 @@
         client.close_after |= stopping;
         if client.close_after {
             self.clients.remove(&connection);
-            self.runtime.reactor.close_when_flushed(connection);
+            self.environment
+                .runtime
+                .reactor
+                .close_when_flushed(connection);
             return;
         }
         // Requests that came in one piece are answered in turn, without recursion.
@@ -208,6 +227,7 @@
             return;
         }
         let has_input = self
+            .environment
             .runtime
             .reactor
             .input(connection)
@@ -218,8 +238,9 @@
         if let Some(client) = self.clients.get_mut(&connection) {
             client.is_answering = false;
         }
-        let idle = self.site.view.limits().idle_timeout;
-        self.runtime
+        let idle = self.environment.site.view.limits().idle_timeout;
+        self.environment
+            .runtime
             .timers
             .arm(now + idle, TimerKey::Client(connection));
     }
@@ -233,7 +254,7 @@
 
     /// A client's time may be over.
     pub(crate) fn on_client_timer(&mut self, now: Instant, connection: ConnectionId) {
-        let limits = self.site.view.limits();
+        let limits = self.environment.site.view.limits();
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
@@ -245,7 +266,10 @@
             if now >= until {
                 self.close_client(connection);
             } else {
-                self.runtime.timers.arm(until, TimerKey::Client(connection));
+                self.environment
+                    .runtime
+                    .timers
+                    .arm(until, TimerKey::Client(connection));
             }
             return;
         };
@@ -256,14 +280,18 @@
         };
         let until = begun + limits.head_timeout * factor;
         if now < until {
-            return self.runtime.timers.arm(until, TimerKey::Client(connection));
+            return self
+                .environment
+                .runtime
+                .timers
+                .arm(until, TimerKey::Client(connection));
         }
         self.refuse_too_slow(now, connection);
     }
 
     /// Closes a client's connection and drops what it waits for.
     pub(crate) fn close_client(&mut self, connection: ConnectionId) {
-        self.runtime.reactor.close(connection);
+        self.environment.runtime.reactor.close(connection);
         let Some(client) = self.clients.remove(&connection) else {
             return;
         };
--- a/crates/wingshore-gateway/src/crashes.rs
+++ b/crates/wingshore-gateway/src/crashes.rs
@@ -1,9 +1,21 @@
-//! Under which requests servers have ended, as far as this gateway has seen it.
+//! Decision: has a server ended, and under which requests, as far as this gateway has seen it?
 //!
-//! A lost connection says little: it may have been reset, cut, or its answer lost. It counts
+//! No I/O; `now` is passed in.
+//!
+//! **Inputs.** Connections that were lost while a server ran a request; connections that were refused;
+//! incarnations that are registered; what the leader has announced.
+//!
+//! **Rule.** A lost connection says little: it may have been reset, cut, or its answer lost. It counts
 //! against the requests on it only once the server itself is seen to have ended: nobody listens at
-//! its address any more, or another run of a server is there. Many requests may stand on a server
-//! that ends; which of them is the cause shows only when more servers end under it.
+//! its address any more, or another incarnation is there. So a few connections are opened to find
+//! out.
+//!
+//! **Why.** Many requests may stand on a server that ends; which of them is the cause shows only when
+//! more servers end under it, and a request that is not the cause must not be rejected for resets and
+//! cuts.
+//!
+//! **Old or missing inputs.** A connection whose loss is not explained within 8 s is forgotten. What
+//! the leader may not know is reported to each new one for a minute.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,26 +26,27 @@
 /// A server that is not seen to have ended within this time after a connection was lost had not:
 /// a server that crashed is back, or missed by its heartbeats, within 6 s.
 const EXPLAINED_WITHIN: Duration = Duration::from_secs(8);
-/// Evidence is told to each new leader for this long: a site without one for longer has lost more.
-const TOLD_FOR: Duration = Duration::from_secs(60);
-/// Most pieces of evidence that are kept to be told again; a piece has 60 bytes.
-const MOST_FOUND: usize = 512;
+/// Evidence is reported to each new leader for this long: a site without one for longer has lost
+/// more. Not measured.
+const REPORTED_FOR: Duration = Duration::from_secs(60);
+/// Most pieces of evidence that are kept to be reported again; a piece has 60 bytes.
+const MAX_FOUND: usize = 512;
 /// Connections that are opened to find out whether one server has ended: the first one may still
 /// find its port open, and break with it.
-const MOST_LOOKS: u32 = 3;
+const MAX_PROBES: u32 = 3;
 /// Most requests that are remembered for one server whose connections were lost: more than it runs
 /// at once.
-const MOST_BROKEN_OF_A_SERVER: usize = 64;
+const MAX_REQUESTS_OF_A_SERVER: usize = 64;
 
 /// Requests whose connections to one server were lost.
 #[derive(Debug)]
-struct BrokenRuns {
+struct LostConnections {
     address: SocketAddr,
     requests: Vec<RequestFingerprint>,
     /// When the first connection was lost: the server ended then, if it did.
     since: Instant,
     /// Connections that were opened to find out.
-    looks: u32,
+    probes: u32,
 }
 
 #[derive(Debug)]
@@ -49,18 +62,18 @@
 /// have ended.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
-    /// Lost connections that are not explained yet, by the run of the server.
-    broken: BTreeMap<InstanceId, BrokenRuns>,
-    /// Runs of servers that were seen to have ended, and when they did.
+    /// Lost connections that are not explained yet, by the incarnation of the server.
+    lost: BTreeMap<InstanceId, LostConnections>,
+    /// Incarnations that were seen to have ended, and when they did.
     ended: BTreeMap<InstanceId, Instant>,
-    /// Evidence that the leader has not told all gateways, the oldest first.
+    /// Evidence that the leader has not announced to all gateways, the oldest first.
     found: Vec<Found>,
 }
 
 impl CrashWatch {
     /// A connection was lost while a server ran a request. Gives the evidence, if the server is
     /// known to have ended.
-    pub fn broke_off(
+    pub fn connection_lost(
         &mut self,
         now: Instant,
         instance: &InstanceId,
@@ -70,50 +83,50 @@
         if let Some(at) = self.ended.get(instance).copied() {
             return self.find(now, at, request, instance);
         }
-        let broken = self.broken.entry(instance.clone());
-        let broken = broken.or_insert_with(|| BrokenRuns {
+        let lost = self.lost.entry(instance.clone());
+        let lost = lost.or_insert_with(|| LostConnections {
             address,
             requests: Vec::new(),
             since: now,
-            looks: 0,
+            probes: 0,
         });
-        let has_room = broken.requests.len() < MOST_BROKEN_OF_A_SERVER;
-        if has_room && !broken.requests.contains(&request) {
-            broken.requests.push(request);
+        let has_room = lost.requests.len() < MAX_REQUESTS_OF_A_SERVER;
+        if has_room && !lost.requests.contains(&request) {
+            lost.requests.push(request);
         }
         None
     }
 
     /// Where to open a connection to find out whether a server has ended, if one is to be opened.
-    pub fn look(&mut self, instance: &InstanceId) -> Option<SocketAddr> {
-        let broken = self.broken.get_mut(instance)?;
-        broken.looks += 1;
-        (broken.looks <= MOST_LOOKS).then_some(broken.address)
+    pub fn probe(&mut self, instance: &InstanceId) -> Option<SocketAddr> {
+        let lost = self.lost.get_mut(instance)?;
+        lost.probes += 1;
+        (lost.probes <= MAX_PROBES).then_some(lost.address)
     }
 
-    /// A run of a server is seen to have ended. Gives the evidence that follows.
+    /// An incarnation of a server is seen to have ended. Gives the evidence that follows.
     pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<SeenCrash> {
-        let broken = self.broken.remove(instance);
-        let at = broken.as_ref().map_or(now, |broken| broken.since);
+        let lost = self.lost.remove(instance);
+        let at = lost.as_ref().map_or(now, |lost| lost.since);
         self.ended.entry(instance.clone()).or_insert(at);
-        let requests = broken.map(|broken| broken.requests);
+        let requests = lost.map(|lost| lost.requests);
         let requests = requests.unwrap_or_default().into_iter();
         requests
             .filter_map(|request| self.find(now, at, request, instance))
             .collect()
     }
 
-    /// A run of a server is registered at an address: the one before it has ended.
+    /// An incarnation is registered at an address: the one before it has ended.
     pub fn registered(
         &mut self,
         now: Instant,
         instance: &InstanceId,
         address: SocketAddr,
     ) -> Vec<SeenCrash> {
-        let is_before = |(other, broken): &(&InstanceId, &BrokenRuns)| {
-            broken.address == address && *other != instance
+        let is_before = |(other, lost): &(&InstanceId, &LostConnections)| {
+            lost.address == address && *other != instance
         };
-        let before = self.broken.iter().filter(is_before);
+        let before = self.lost.iter().filter(is_before);
         let before: Vec<InstanceId> = before.map(|(other, _)| other.clone()).collect();
         let ended = before.iter();
         ended
@@ -121,9 +134,9 @@
             .collect()
     }
 
-    /// The leader has told all gateways under which servers a request ended: what is among them
-    /// need not be told again.
-    pub fn told(&mut self, request: RequestFingerprint, ended: &[InstanceId]) {
+    /// The leader has announced which servers ended under a request: what is among them need not be
+    /// reported again.
+    pub fn announced(&mut self, request: RequestFingerprint, ended: &[InstanceId]) {
         self.found.retain(|found| {
             let evidence = &found.evidence;
             evidence.fingerprint != request || !ended.contains(&evidence.instance)
@@ -137,22 +150,23 @@
     }
 
     /// Evidence that the leader may not know.
-    pub fn untold(&self) -> impl Iterator<Item = &CrashEvidence> {
+    pub fn unreported(&self) -> impl Iterator<Item = &CrashEvidence> {
         self.found.iter().map(|found| &found.evidence)
     }
 
-    /// The same, as it is told to a leader.
-    pub fn to_tell(&self, now: Instant) -> Vec<SeenCrash> {
+    /// The same, as it is reported to a leader.
+    pub fn to_report(&self, now: Instant) -> Vec<SeenCrash> {
         let found = self.found.iter();
         found.map(|found| found.seen(now)).collect()
     }
 
     /// Forgets what is too old to count.
     pub fn expire(&mut self, now: Instant) {
-        self.broken
-            .retain(|_, broken| now.since(broken.since) < EXPLAINED_WITHIN);
+        self.lost
+            .retain(|_, lost| now.since(lost.since) < EXPLAINED_WITHIN);
         self.ended.retain(|_, at| now.since(*at) < EXPLAINED_WITHIN);
-        self.found.retain(|found| now.since(found.at) < TOLD_FOR);
+        self.found
+            .retain(|found| now.since(found.at) < REPORTED_FOR);
     }
 
     fn find(
@@ -169,7 +183,7 @@
         if self.found.iter().any(|found| found.evidence == evidence) {
             return None;
         }
-        if self.found.len() >= MOST_FOUND {
+        if self.found.len() >= MAX_FOUND {
             self.found.remove(0);
         }
         let found = Found { evidence, at };
--- a/crates/wingshore-gateway/src/exchange.rs
+++ b/crates/wingshore-gateway/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::ExchangeId;
 use crate::streams::PassedStream;
-use crate::suspects::INNOCENT_AFTER;
+use crate::suspects;
 use std::collections::HashMap;
 use std::sync::Arc;
 use wingshore_coordination::{
@@ -71,7 +71,7 @@
     /// what ends the server.
     pub(crate) fn has_streamed_long(&self, now: Instant) -> bool {
         let stream = self.stream.as_ref();
-        stream.is_some_and(|stream| now.since(stream.since) >= INNOCENT_AFTER)
+        stream.is_some_and(|stream| suspects::is_cleared(now, stream.since))
     }
 
     /// Its identity as text.
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -3,11 +3,13 @@
 
 use crate::access::tenant_of;
 use crate::clients::ClientState;
-use crate::encode::end_to_end;
+use crate::crash_reports;
+use crate::encode::{encode_request, end_to_end};
 use crate::exchange::{Exchange, Failure, Origin, is_repeatable};
 use crate::ids::ExchangeId;
 use crate::process::Gateway;
 use crate::protocol::OwnAnswer;
+use crate::request_suspicion;
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostSend, Task};
 use slog::{info, warn};
@@ -50,7 +52,7 @@
         let deadline = request
             .head
             .headers
-            .number(self.site.protocol.header_names().deadline);
+            .number(self.environment.site.protocol.header_names().deadline);
         let limit = deadline
             .map(Duration::from_millis)
             .map_or(route.timeout, |deadline| {
@@ -80,7 +82,7 @@
         let id = request
             .head
             .headers
-            .get(self.site.protocol.header_names().request_id);
+            .get(self.environment.site.protocol.header_names().request_id);
         let id = id.unwrap_or_default().to_vec();
         Exchange {
             origin,
@@ -114,7 +116,8 @@
     ) {
         exchange.until = now + limit;
         exchange.attempt_until = exchange.until;
-        self.runtime
+        self.environment
+            .runtime
             .timers
             .arm(exchange.until, TimerKey::Exchange(id));
         if let Some(client) = exchange.client()
@@ -127,14 +130,15 @@
 
     /// Sends the request to the next server, or answers that there is none.
     fn try_server(&mut self, now: Instant, id: ExchangeId, mut exchange: Exchange) {
-        if self.is_rejected(&exchange) {
-            self.log_rejected(&exchange);
+        if request_suspicion::is_rejected(&self.environment, &exchange) {
+            request_suspicion::log_rejected(&self.environment, &exchange);
             exchange.rejected = true;
             return self.give_up(now, &exchange);
         }
-        let candidates = self.site.view.servers_of(&exchange.service);
-        let zone = &self.site.zone;
+        let candidates = self.environment.site.view.servers_of(&exchange.service);
+        let zone = &self.environment.site.zone;
         let chosen = self
+            .environment
             .servers
             .balancer
             .choose(now, zone, candidates, &exchange.tried)
@@ -142,11 +146,11 @@
         let Some(server) = chosen else {
             return self.give_up(now, &exchange);
         };
-        let bytes = self.encode_request(now, &exchange, &server);
+        let bytes = encode_request(now, &self.environment.site, &exchange, &server);
         exchange.tried.push(server.instance.clone());
-        let sent = self.servers.upstreams.send(
+        let sent = self.environment.servers.upstreams.send(
             now,
-            &mut self.runtime.reactor,
+            &mut self.environment.runtime.reactor,
             &server.instance,
             server.address,
             Task::Exchange(id),
@@ -156,13 +160,14 @@
             exchange.refusals += 1;
             return self.next_try(now, id, exchange);
         };
-        self.servers.balancer.started(&server.instance);
+        self.environment.servers.balancer.started(&server.instance);
         if matches!(exchange.origin, Origin::Client(_)) {
             exchange.counted_in = self.usage.request_sent(now, exchange.tenant.as_ref());
         }
         exchange.upstream = Some(upstream);
         exchange.attempt_until = self.attempt_limit(now, &exchange, upstream);
-        self.runtime
+        self.environment
+            .runtime
             .timers
             .arm(exchange.attempt_until, TimerKey::Exchange(id));
         self.exchanges.put(id, exchange);
@@ -171,6 +176,7 @@
     /// Until when a try may take before another server is tried.
     fn attempt_limit(&self, now: Instant, exchange: &Exchange, upstream: ConnectionId) -> Instant {
         let is_up = self
+            .environment
             .servers
             .upstreams
             .get(upstream)
@@ -187,7 +193,8 @@
             return;
         };
         exchange.attempt_until = answer_limit(now, exchange);
-        self.runtime
+        self.environment
+            .runtime
             .timers
             .arm(exchange.attempt_until, TimerKey::Exchange(id));
     }
@@ -200,8 +207,8 @@
         instance: &InstanceId,
         answer: WholeAnswer,
     ) {
-        self.servers.balancer.ended(instance);
-        let names = self.site.protocol.header_names().clone();
+        self.environment.servers.balancer.ended(instance);
+        let names = self.environment.site.protocol.header_names().clone();
         self.note_load(now, instance, &answer.head);
         let Some(exchange) = self.exchanges.get_mut(id) else {
             return;
@@ -213,7 +220,7 @@
         let is_own = answer.head.headers.get(names.request_id) == Some(exchange.id.as_slice());
         let is_signed = answer.head.headers.get(names.signature).is_some();
         if answer.head.status == MISDIRECTED {
-            self.server_has_ended(now, instance);
+            crash_reports::server_ended(now, &mut self.environment, instance);
         }
         if answer.head.headers.get(names.not_run).is_some() || answer.head.status == MISDIRECTED {
             let failure = Failure::new(Verdict::NotRun, false, "refused by the server");
@@ -228,13 +235,16 @@
             failure.answer = Some(answer);
             return self.attempt_failed(now, id, instance, failure);
         }
-        self.servers.balancer.answered(now, instance, latency);
-        self.runtime.metrics.attempt_ended("answered");
+        self.environment
+            .servers
+            .balancer
+            .answered(now, instance, latency);
+        self.environment.runtime.metrics.attempt_ended("answered");
         let Some(exchange) = self.exchanges.take(id) else {
             return;
         };
         if answer.head.is_success() {
-            self.exchange_ran_well(&exchange);
+            request_suspicion::ran_well(&mut self.environment, &exchange);
         }
         match exchange.origin {
             Origin::Client(client) => {
@@ -254,26 +264,31 @@
         status: u16,
     ) {
         let time = now.since(exchange.begun);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(&exchange.route.name, "served", time);
         let id = exchange.id_text();
-        if self.runtime.samples(now, &id) {
-            info!(self.runtime.logger, "served"; "request" => id, "route" => &exchange.route.name,
+        if self.environment.runtime.samples(now, &id) {
+            info!(self.environment.runtime.logger, "served"; "request" => id, "route" => &exchange.route.name,
                 "service" => %exchange.service, "server" => %instance, "status" => status,
                 "attempts" => exchange.attempts + 1, "refusals" => exchange.refusals,
-                "after_ms" => time.as_millis() as u64, "configuration" => self.site.view.version(),
-                "epoch" => self.site.view.epoch().0);
+                "after_ms" => time.as_millis() as u64, "configuration" => self.environment.site.view.version(),
+                "epoch" => self.environment.site.view.epoch().0);
         }
     }
 
     pub(crate) fn note_load(&mut self, now: Instant, instance: &InstanceId, head: &AnswerHead) {
-        let Some(load) = head.headers.text(self.site.protocol.header_names().load) else {
+        let Some(load) = head
+            .headers
+            .text(self.environment.site.protocol.header_names().load)
+        else {
             return;
         };
         let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
         if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
-            self.servers
+            self.environment
+                .servers
                 .balancer
                 .reported(now, instance, running + waiting);
         }
@@ -290,13 +305,14 @@
     /// The connection of a try ended without a whole answer, or its bytes are no answer.
     pub(crate) fn exchange_broken(&mut self, now: Instant, id: ExchangeId, lost: &LostSend) {
         let LostSend { instance, end, .. } = lost;
-        self.servers.balancer.ended(instance);
+        self.environment.servers.balancer.ended(instance);
         let verdict = match end {
             ConnectionEnd::BrokeOff | ConnectionEnd::Silent => Verdict::MayHaveRun,
             ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
         };
         if *end == ConnectionEnd::BrokeOff {
-            self.exchange_broke_off(now, id, lost);
+            let exchange = self.exchanges.get(id);
+            request_suspicion::connection_lost(now, &mut self.environment, exchange, lost);
         }
         let failure = Failure::new(verdict, true, end.reason());
         self.attempt_failed(now, id, instance, failure);
@@ -310,16 +326,19 @@
         failure: Failure,
     ) {
         if failure.suspect {
-            self.servers.balancer.failed(now, instance);
+            self.environment.servers.balancer.failed(now, instance);
         }
         let Some(mut exchange) = self.exchanges.take(id) else {
             return;
         };
-        warn!(self.runtime.logger, "attempt failed"; "request" => exchange.id_text(),
-            "fingerprint" => self.fingerprint_of(&exchange).map(|known| known.to_string()),
+        warn!(self.environment.runtime.logger, "attempt failed"; "request" => exchange.id_text(),
+            "fingerprint" => request_suspicion::fingerprint_text(&self.environment.site, &exchange),
             "server" => %instance, "reason" => failure.reason, "verdict" => ?failure.verdict,
             "after_ms" => now.since(exchange.begun).as_millis() as u64);
-        self.runtime.metrics.attempt_ended(failure.reason);
+        self.environment
+            .runtime
+            .metrics
+            .attempt_ended(failure.reason);
         exchange.upstream = None;
         if failure.verdict == Verdict::NotRun {
             if let (Some(window), Some(tenant)) = (exchange.counted_in.take(), &exchange.tenant) {
@@ -331,8 +350,9 @@
             exchange.may_have_run = true;
         }
         exchange.server_failures += u32::from(is_server_failure(&failure));
-        let may_try_again =
-            exchange.may_try_again() && !(exchange.may_have_run && self.is_suspect(&exchange));
+        let may_try_again = exchange.may_try_again()
+            && !(exchange.may_have_run
+                && request_suspicion::is_suspect(&self.environment, &exchange));
         if may_try_again && self.has_another(&exchange) {
             return self.next_try(now, id, exchange);
         }
@@ -340,7 +360,8 @@
             (Some(answer), Origin::Client(client)) if exchange.stream.is_none() => {
                 let time = now.since(exchange.begun);
                 let route = &exchange.route.name;
-                self.runtime
+                self.environment
+                    .runtime
                     .metrics
                     .request_ended(route, "server_error", time);
                 self.pass_on(now, client, &answer);
@@ -350,7 +371,8 @@
     }
 
     fn has_another(&self, exchange: &Exchange) -> bool {
-        self.site
+        self.environment
+            .site
             .view
             .servers_of(&exchange.service)
             .any(|server| !exchange.tried.contains(&server.instance))
@@ -386,17 +408,23 @@
             OwnAnswer::Broken
         };
         let time = now.since(exchange.begun);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(&exchange.route.name, answer.name(), time);
-        let known = self.site.view.servers_of(&exchange.service).count();
-        warn!(self.runtime.logger, "given up"; "service" => %exchange.service, "servers" => known,
-            "epoch" => self.site.view.epoch().0, "request" => exchange.id_text(),
-            "fingerprint" => self.fingerprint_of(exchange).map(|known| known.to_string()),
+        let known = self
+            .environment
+            .site
+            .view
+            .servers_of(&exchange.service)
+            .count();
+        warn!(self.environment.runtime.logger, "given up"; "service" => %exchange.service, "servers" => known,
+            "epoch" => self.environment.site.view.epoch().0, "request" => exchange.id_text(),
+            "fingerprint" => request_suspicion::fingerprint_text(&self.environment.site, exchange),
             "route" => &exchange.route.name, "answer" => answer.name(),
             "attempts" => exchange.attempts, "refusals" => exchange.refusals,
             "after_ms" => now.since(exchange.begun).as_millis() as u64,
-            "configuration" => self.site.view.version());
+            "configuration" => self.environment.site.view.version());
         self.answer_own(now, client, &answer);
     }
 
@@ -412,6 +440,7 @@
         let until = exchange.until;
         if now < until && now < attempt_until {
             return self
+                .environment
                 .runtime
                 .timers
                 .arm(attempt_until, TimerKey::Exchange(id));
@@ -420,14 +449,16 @@
             return;
         };
         let Some(closed) = self
+            .environment
             .servers
             .upstreams
-            .close(&mut self.runtime.reactor, upstream)
+            .close(&mut self.environment.runtime.reactor, upstream)
         else {
             return;
         };
-        self.servers.balancer.ended(&closed.instance);
-        self.servers
+        self.environment.servers.balancer.ended(&closed.instance);
+        self.environment
+            .servers
             .balancer
             .too_slow(now, &closed.instance, now.since(closed.since));
         let verdict = if closed.up {
@@ -444,11 +475,12 @@
         let upstream = self.exchanges.take(id).and_then(|known| known.upstream);
         if let Some(upstream) = upstream
             && let Some(closed) = self
+                .environment
                 .servers
                 .upstreams
-                .close(&mut self.runtime.reactor, upstream)
+                .close(&mut self.environment.runtime.reactor, upstream)
         {
-            self.servers.balancer.ended(&closed.instance);
+            self.environment.servers.balancer.ended(&closed.instance);
         }
     }
 }
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -1,465 +1,400 @@
-//! Running items of batch jobs on engines.
+//! Attempts at items of batch jobs on engines, as the leader assigns them.
+//!
+//! Owns the attempts and their texts; relies on the connections to engines and on the link to the
+//! leader. The end of an attempt is kept until a leader has made it durable and releases it.
 
 use crate::coordinators::send;
-use crate::event_stream::{EventReader, StreamEvent};
-use crate::process::Gateway;
+use crate::crash_reports;
+use crate::encode::encode_item;
+use crate::environment::Environment;
+use crate::event_stream::EventReader;
+use crate::fingerprints;
+use crate::item_attempt::ItemAttempt;
+use crate::item_policy::{CONNECT_TIMEOUT, ItemAnswer, STALL_TIMEOUT, classify_item_answer};
+use crate::protocol::HeaderNames;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, LostSend, Task};
+use crate::upstream::{ConnectionEnd, LostSend, Task, Upstream};
 use slog::info;
 use std::collections::BTreeMap;
-use std::time::Duration;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, HeldPrefix, ItemAssignment,
-    ItemOutcome, ItemProgress, ItemText, NotRunReason, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, HeldPrefix, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason,
+    RequestFingerprint, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::AnswerHead;
 use wingshore_types::Instant;
 
-/// A connection to an engine must be up within this time.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// An engine must begin to answer, and go on, within this time.
-const STALL_LIMIT: Duration = Duration::from_millis(2500);
-
-/// So many events of an item are handed in together, to outlast this process. An item that has
-/// fewer is begun again at little cost: 2 s at 78 ms an event.
-const HANDED_IN_EVENTS: u64 = 24;
-/// So many events of a long item are handed in together: those that an engine makes between two
-/// looks (400 ms at 78 ms an event). Its job waits for it, so that each lost event is lost time.
-const HANDED_IN_EVENTS_OF_LONG: u64 = 5;
-
-/// One try that is under way, or whose end was not told.
-pub(crate) struct ItemRun {
-    pub(crate) assignment: ItemAssignment,
-    upstream: Option<ConnectionId>,
-    /// All events so far, also those of earlier tries.
-    text: ItemText,
-    /// How much of that was handed in to outlast this process.
-    handed_in: DurablePrefix,
-    /// Whether its events follow those that the log holds.
-    may_hand_in: bool,
-    /// The version that makes the next event.
-    version: Option<u64>,
-    begun: Instant,
-    /// When its first event came.
-    pub(crate) first_event: Option<Instant>,
-    /// Whether it has run for so long that it is not what ends servers, and that was said.
-    pub(crate) cleared: bool,
-    /// When the engine was last heard of.
-    heard: Instant,
-    /// What came of it, until a leader has made it durable.
-    outcome: Option<ItemOutcome>,
-    /// The connection on which that was told.
-    told: Option<ConnectionId>,
-}
-
-/// All tries of this gateway.
+/// All attempts of this gateway.
 #[derive(Default)]
 pub(crate) struct Items {
-    runs: BTreeMap<AssignmentId, ItemRun>,
+    attempts: BTreeMap<AssignmentId, ItemAttempt>,
 }
 
 impl Items {
-    /// What runs, and what has ended without a leader being told.
+    /// What runs, and what has ended without a leader having made that durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningItem> + '_ {
-        self.runs.values().map(|run| RunningItem {
-            assignment: run.assignment.assignment,
-            item: run.assignment.item.clone(),
-            instance: run.assignment.instance.clone(),
-        })
-    }
-
-    /// An attempt.
-    pub(crate) fn run(&self, id: AssignmentId) -> Option<&ItemRun> {
-        self.runs.get(&id)
-    }
-
-    /// An attempt.
-    pub(crate) fn run_mut(&mut self, id: AssignmentId) -> Option<&mut ItemRun> {
-        self.runs.get_mut(&id)
+        self.attempts.values().map(ItemAttempt::as_running)
     }
 
     /// How far those are that run.
     pub(crate) fn progress(&self) -> Vec<ItemProgress> {
-        let running = self.runs.values().filter(|run| run.outcome.is_none());
-        running
-            .map(|run| ItemProgress {
-                assignment: run.assignment.assignment,
-                events: run.text.events,
-            })
-            .collect()
-    }
-
-    /// The log holds this much of an item's text: what follows is handed in again, unless the log
-    /// has its events from another attempt.
-    pub(crate) fn hand_in_from(&mut self, id: AssignmentId, held: HeldPrefix) {
-        if let Some(run) = self.runs.get_mut(&id) {
-            run.may_hand_in = held.begins(&run.text);
-            run.handed_in = held.extent;
-        }
+        let attempts = self.attempts.values();
+        let running = attempts.filter(|attempt| attempt.is_running());
+        running.map(ItemAttempt::progress).collect()
     }
 
-    /// How many run.
+    /// How many there are.
     pub(crate) fn count(&self) -> usize {
-        self.runs.len()
+        self.attempts.len()
     }
-}
 
-impl Gateway {
-    pub(crate) fn begin_item(&mut self, now: Instant, assignment: ItemAssignment) {
+    /// Begins an attempt; it ends at once if this gateway takes none.
+    pub(crate) fn begin(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        assignment: ItemAssignment,
+        takes_items: bool,
+    ) {
         let id = assignment.assignment;
-        let bytes = self.encode_item(&assignment);
-        let run = ItemRun {
-            upstream: None,
-            text: assignment.kept.clone(),
-            handed_in: assignment.durable,
-            may_hand_in: assignment.durable.events <= assignment.kept.events,
-            version: None,
-            begun: now,
-            first_event: None,
-            cleared: false,
-            heard: now,
-            outcome: None,
-            told: None,
-            assignment,
-        };
-        let (instance, address) = (run.assignment.instance.clone(), run.assignment.address);
-        let is_rejected = self.is_item_rejected(&run.assignment);
-        self.items.runs.insert(id, run);
+        let names = environment.site.protocol.header_names();
+        let bytes = encode_item(names, &assignment);
+        let (instance, address) = (assignment.instance.clone(), assignment.address);
+        let is_rejected = is_rejected(environment, &assignment);
+        self.attempts.insert(id, ItemAttempt::new(now, assignment));
         if is_rejected {
-            return self.end_item(id, ItemOutcome::NotRun(NotRunReason::Rejected));
+            return self.end_not_run(now, environment, id, NotRunReason::Rejected);
         }
-        if !self.status().takes_items {
-            return self.end_item(id, ItemOutcome::NotRun(NotRunReason::Stopping));
+        if !takes_items {
+            return self.end_not_run(now, environment, id, NotRunReason::Stopping);
         }
-        let sent = self.servers.upstreams.send(
+        let sent = environment.servers.upstreams.send(
             now,
-            &mut self.runtime.reactor,
+            &mut environment.runtime.reactor,
             &instance,
             address,
             Task::Item(id),
             &bytes,
         );
         let Some(upstream) = sent else {
-            return self.end_item(id, ItemOutcome::NotRun(NotRunReason::Unreachable));
+            return self.end_not_run(now, environment, id, NotRunReason::Unreachable);
         };
-        if let Some(run) = self.items.runs.get_mut(&id) {
-            run.upstream = Some(upstream);
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.upstream = Some(upstream);
         }
-        self.runtime
-            .timers
-            .arm(now + CONNECT_LIMIT, TimerKey::Item(id));
+        let timers = &mut environment.runtime.timers;
+        timers.arm(now + CONNECT_TIMEOUT, TimerKey::Item(id));
     }
 
     /// Bytes of an engine's answer have arrived and are in its reader.
-    pub(crate) fn on_item_input(&mut self, now: Instant, id: AssignmentId, upstream: ConnectionId) {
-        let names = self.site.protocol.header_names().clone();
-        let Some(run) = self.items.runs.get_mut(&id) else {
-            return;
-        };
-        run.heard = now;
-        let Some(connection) = self.servers.upstreams.get_mut(upstream) else {
-            return;
-        };
-        let Some(head) = connection.reader.head() else {
+    pub(crate) fn on_input(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        id: AssignmentId,
+        connection: ConnectionId,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        if !head.is_success() {
-            return;
-        }
-        if connection.events.is_none() {
-            let is_own = head.headers.get(names.request_id)
-                == Some(run.assignment.request.as_str().as_bytes());
-            let is_signed = head.headers.get(names.signature).is_some();
-            if !is_own || !is_signed {
-                return self.item_broken(now, id);
-            }
-            run.version = head.headers.number(names.version);
-            connection.events = Some(EventReader::new(names.version));
-        }
-        let body = connection.reader.take_body();
-        let events = connection
-            .events
-            .as_mut()
-            .and_then(|events| events.read(&body));
-        match events {
-            Some(events) => {
-                if !events.is_empty() {
-                    run.first_event.get_or_insert(now);
-                }
-                events.into_iter().for_each(|event| run.take(event));
-                self.clear_long_item(now, id);
-            }
-            None => self.item_broken(now, id),
-        }
-    }
-
-    /// Hands in the events of long items that were not handed in yet.
-    pub(crate) fn hand_in_texts(&mut self) {
-        let Some(leader) = self.site.coordinators.leader() else {
+        attempt.heard = now;
+        let names = environment.site.protocol.header_names();
+        let Some(upstream) = environment.servers.upstreams.get_mut(connection) else {
             return;
         };
-        let mut messages = Vec::new();
-        for (id, run) in &mut self.items.runs {
-            let new = run.text.events.saturating_sub(run.handed_in.events);
-            let is_due = run.may_hand_in && new >= run.handed_in_together();
-            if run.outcome.is_some() || !is_due {
-                continue;
-            }
-            messages.push(GatewayMessage::Keep {
-                assignment: *id,
-                after_events: run.handed_in.events,
-                text: run.text.after(run.handed_in),
-            });
-            run.handed_in = run.text.extent();
-        }
-        for message in messages {
-            send(&mut self.runtime, leader, message);
+        match read_events(now, names, attempt, upstream) {
+            Ok(true) => self.clear_if_long(now, environment, id),
+            Ok(false) => {}
+            Err(NotItsStream) => self.break_off(now, environment, id),
         }
     }
 
-    /// An engine's answer is whole.
-    pub(crate) fn item_answered(
+    /// An engine's answer is whole; `ends_whole` if no part of an event is left over. Gives the scoring
+    /// that is to follow.
+    #[must_use]
+    pub(crate) fn on_answer(
         &mut self,
         now: Instant,
+        environment: &mut Environment,
         id: AssignmentId,
         head: &AnswerHead,
-        clean: bool,
-    ) {
-        let not_run = head
-            .headers
-            .get(self.site.protocol.header_names().not_run)
-            .is_some();
-        let Some(run) = self.items.runs.get_mut(&id) else {
-            return;
-        };
+        ends_whole: bool,
+    ) -> Option<ScoringAssignment> {
+        let names = environment.site.protocol.header_names();
+        let says_not_run = head.headers.get(names.not_run).is_some();
+        let attempt = self.attempts.get_mut(&id)?;
         let mut scoring = None;
-        let outcome = match head.status {
-            421 => ItemOutcome::NotRun(NotRunReason::Mismatch),
-            _ if not_run => ItemOutcome::NotRun(NotRunReason::Full),
-            200..=299 if clean => {
-                let text = std::mem::take(&mut run.text);
-                scoring = run.scoring();
-                ItemOutcome::Finished(text.into())
+        let outcome = match classify_item_answer(head.status, says_not_run, ends_whole) {
+            ItemAnswer::Finished => {
+                scoring = attempt.scoring();
+                let outcome = attempt.finish();
+                report_ran_well(environment, &attempt.assignment);
+                outcome
             }
-            200..=299 => run.interrupted(BreakCause::Gateway),
-            422 => ItemOutcome::Impossible,
-            _ => ItemOutcome::Failed,
+            ItemAnswer::CutShort => attempt.interrupt(BreakCause::Gateway),
+            ItemAnswer::Mismatch => ItemOutcome::NotRun(NotRunReason::Mismatch),
+            ItemAnswer::NotRun => ItemOutcome::NotRun(NotRunReason::Full),
+            ItemAnswer::Impossible => ItemOutcome::Impossible,
+            ItemAnswer::Failed => ItemOutcome::Failed,
         };
-        if matches!(outcome, ItemOutcome::Finished(_)) {
-            self.item_ran_well(id);
-        }
-        self.end_item(id, outcome);
-        if let Some(scoring) = scoring {
-            self.begin_scoring(now, scoring);
-        }
+        self.end(now, environment, id, outcome);
+        scoring
     }
 
-    /// The connection of a try ended without a whole answer.
-    pub(crate) fn item_connection_ended(
+    /// The connection of an attempt ended without a whole answer.
+    pub(crate) fn on_connection_ended(
         &mut self,
         now: Instant,
+        environment: &mut Environment,
         id: AssignmentId,
         lost: &LostSend,
     ) {
-        let request = self.possible_cause(now, id);
+        let request = self.possible_cause(now, environment, id);
         if lost.end == ConnectionEnd::BrokeOff {
-            self.run_broke_off(now, lost, request);
+            crash_reports::connection_lost(now, environment, lost, request);
         }
-        let cause = BreakCause::Engine(request);
-        let Some(run) = self.items.runs.get_mut(&id) else {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        run.upstream = None;
         let outcome = match lost.end {
-            ConnectionEnd::BrokeOff | ConnectionEnd::Silent => run.interrupted(cause),
+            ConnectionEnd::BrokeOff | ConnectionEnd::Silent => {
+                attempt.interrupt(BreakCause::Engine(request))
+            }
             ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
             ConnectionEnd::Refused => ItemOutcome::NotRun(NotRunReason::Ended),
         };
-        self.end_item(id, outcome);
-    }
-
-    /// What an engine sends is no stream: the connection is closed.
-    fn item_broken(&mut self, _now: Instant, id: AssignmentId) {
-        let Some(run) = self.items.runs.get_mut(&id) else {
-            return;
-        };
-        let outcome = run.interrupted(BreakCause::Gateway);
-        if let Some(upstream) = run.upstream.take() {
-            self.servers
-                .upstreams
-                .close(&mut self.runtime.reactor, upstream);
-        }
-        self.end_item(id, outcome);
+        self.end(now, environment, id, outcome);
     }
 
     /// An engine may have been silent for too long.
-    pub(crate) fn on_item_timer(&mut self, now: Instant, id: AssignmentId) {
-        let Some(run) = self.items.runs.get_mut(&id) else {
+    pub(crate) fn on_timer(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        id: AssignmentId,
+    ) {
+        let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let Some(upstream) = run.upstream else {
+        let Some(connection) = attempt.upstream else {
             return;
         };
-        let up = self
-            .servers
-            .upstreams
-            .get(upstream)
+        let upstreams = &mut environment.servers.upstreams;
+        let is_up = upstreams
+            .get(connection)
             .is_some_and(|upstream| upstream.up);
-        let limit = if up { STALL_LIMIT } else { CONNECT_LIMIT };
-        if now < run.heard + limit {
-            return self
-                .runtime
-                .timers
-                .arm(run.heard + limit, TimerKey::Item(id));
+        let (limit, end) = if is_up {
+            (STALL_TIMEOUT, ConnectionEnd::Silent)
+        } else {
+            (CONNECT_TIMEOUT, ConnectionEnd::NeverUp)
+        };
+        let deadline = attempt.heard + limit;
+        if now < deadline {
+            let timers = &mut environment.runtime.timers;
+            return timers.arm(deadline, TimerKey::Item(id));
         }
         let lost = LostSend {
-            instance: run.assignment.instance.clone(),
-            sent_at: run.begun,
-            end: if up {
-                ConnectionEnd::Silent
-            } else {
-                ConnectionEnd::NeverUp
-            },
+            instance: attempt.assignment.instance.clone(),
+            sent_at: attempt.begun,
+            end,
         };
-        self.servers
-            .upstreams
-            .close(&mut self.runtime.reactor, upstream);
-        self.item_connection_ended(now, id, &lost);
+        upstreams.close(&mut environment.runtime.reactor, connection);
+        self.on_connection_ended(now, environment, id, &lost);
     }
 
-    /// A leader has no more use for a try.
-    pub(crate) fn release_item(&mut self, id: AssignmentId) {
-        if let Some(run) = self.items.runs.remove(&id)
-            && let Some(upstream) = run.upstream
-        {
-            self.servers
-                .upstreams
-                .close(&mut self.runtime.reactor, upstream);
+    /// The log holds this much of an item's text.
+    pub(crate) fn upload_from(&mut self, id: AssignmentId, held: HeldPrefix) {
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.upload_from(held);
         }
     }
 
-    fn end_item(&mut self, id: AssignmentId, outcome: ItemOutcome) {
-        let now = self.clock.now();
-        let leader = self.site.coordinators.leader();
-        let Some(run) = self.items.runs.get_mut(&id) else {
+    /// Uploads the events of growing texts that are to survive this process.
+    pub(crate) fn upload_texts(&mut self, environment: &mut Environment) {
+        let Some(leader) = environment.site.coordinators.leader() else {
             return;
         };
-        run.upstream = None;
-        let time = now.since(run.begun);
-        self.runtime.metrics.item_ended(outcome.name(), time);
-        let failed = !matches!(outcome, ItemOutcome::Finished(_));
-        if failed || self.runtime.samples(now, run.assignment.request.as_str()) {
-            info!(self.runtime.logger, "item ended"; "item" => %run.assignment.request,
-                "job" => %run.assignment.item.job, "engine" => %run.assignment.instance,
-                "outcome" => outcome.name(), "epoch" => id.epoch.0, "try" => id.number,
-                "after_ms" => time.as_millis() as u64, "events" => run.text.events);
-        }
-        run.outcome = Some(outcome);
-        if let Some(leader) = leader {
-            self.tell_ended_items(leader);
+        for (id, attempt) in &mut self.attempts {
+            if let Some(message) = attempt.take_upload(*id) {
+                send(&mut environment.runtime, leader, message);
+            }
         }
     }
 
-    /// Tells the leader the ends that it was not told.
-    pub(crate) fn tell_ended_items(&mut self, leader: ConnectionId) {
-        let mut messages = Vec::new();
-        for (id, run) in &mut self.items.runs {
-            let Some(outcome) = run.outcome.as_ref().filter(|_| run.told != Some(leader)) else {
-                continue;
-            };
-            messages.push(GatewayMessage::ItemEnded {
-                assignment: *id,
-                item: run.assignment.item.clone(),
-                outcome: outcome.clone(),
-            });
-            run.told = Some(leader);
+    /// Reports to the leader the ends that it was not sent.
+    pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
+        for (id, attempt) in &mut self.attempts {
+            if let Some(message) = attempt.take_report(*id, leader) {
+                send(&mut environment.runtime, leader, message);
+            }
         }
-        for message in messages {
-            send(&mut self.runtime, leader, message);
+    }
+
+    /// A leader has no more use for an attempt.
+    pub(crate) fn release(&mut self, environment: &mut Environment, id: AssignmentId) {
+        let attempt = self.attempts.remove(&id);
+        if let Some(connection) = attempt.and_then(|attempt| attempt.upstream) {
+            let reactor = &mut environment.runtime.reactor;
+            environment.servers.upstreams.close(reactor, connection);
         }
     }
 
-    /// Hands back all items: another gateway goes on with them.
-    pub(crate) fn hand_items_back(&mut self) {
-        let running: Vec<AssignmentId> = self
-            .items
-            .runs
-            .iter()
-            .filter(|(_, run)| run.outcome.is_none())
-            .map(|(id, _)| *id)
-            .collect();
+    /// Breaks all attempts off: another gateway goes on with their items.
+    pub(crate) fn return_all(&mut self, now: Instant, environment: &mut Environment) {
+        let running: Vec<AssignmentId> = self.attempts.keys().copied().collect();
         for id in running {
-            self.interrupt_item(id);
+            self.interrupt(now, environment, id);
+        }
+    }
+
+    /// Breaks an attempt off, if it is under way: its item goes on elsewhere.
+    pub(crate) fn interrupt(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        id: AssignmentId,
+    ) {
+        let attempt = self.attempts.get(&id);
+        if attempt.is_some_and(ItemAttempt::is_running) {
+            self.break_off(now, environment, id);
         }
     }
 
-    /// Breaks a try off: its item goes on elsewhere.
-    pub(crate) fn interrupt_item(&mut self, id: AssignmentId) {
-        let Some(run) = self.items.runs.get_mut(&id) else {
+    /// Closes the connection of an attempt, which ends with the text so far.
+    fn break_off(&mut self, now: Instant, environment: &mut Environment, id: AssignmentId) {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        if run.outcome.is_some() {
-            return;
-        }
-        let outcome = run.interrupted(BreakCause::Gateway);
-        if let Some(upstream) = run.upstream.take() {
-            self.servers
-                .upstreams
-                .close(&mut self.runtime.reactor, upstream);
+        let outcome = attempt.interrupt(BreakCause::Gateway);
+        if let Some(connection) = attempt.upstream.take() {
+            let reactor = &mut environment.runtime.reactor;
+            environment.servers.upstreams.close(reactor, connection);
         }
-        self.end_item(id, outcome);
+        self.end(now, environment, id, outcome);
     }
-}
 
-impl ItemRun {
-    /// Events that are handed in together.
-    fn handed_in_together(&self) -> u64 {
-        let has_proved_long = self.handed_in.events >= HANDED_IN_EVENTS;
-        if self.assignment.is_long || has_proved_long {
-            HANDED_IN_EVENTS_OF_LONG
-        } else {
-            HANDED_IN_EVENTS
-        }
+    fn end_not_run(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        id: AssignmentId,
+        reason: NotRunReason,
+    ) {
+        self.end(now, environment, id, ItemOutcome::NotRun(reason));
     }
 
-    /// The scoring of its text, if there is to be one. It bears the name of the try.
-    fn scoring(&self) -> Option<ScoringAssignment> {
-        let assignment = &self.assignment;
-        Some(ScoringAssignment {
-            scoring: assignment.assignment,
-            item: assignment.item.clone(),
-            id: assignment.request.clone(),
-            made_by: assignment.assignment,
-            scorer: assignment.scorer.clone()?,
-        })
+    fn end(
+        &mut self,
+        now: Instant,
+        environment: &mut Environment,
+        id: AssignmentId,
+        outcome: ItemOutcome,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
+        log_ended(now, environment, attempt, &outcome);
+        attempt.end(outcome);
+        if let Some(leader) = environment.site.coordinators.leader() {
+            self.report_ended(environment, leader);
+        }
     }
 
-    fn take(&mut self, event: StreamEvent) {
-        if let Some(version) = event.version {
-            self.version = Some(version);
+    /// What an item asks whose connection was lost; `None` if it ran for so long that it is not what
+    /// ends engines.
+    fn possible_cause(
+        &self,
+        now: Instant,
+        environment: &Environment,
+        id: AssignmentId,
+    ) -> Option<RequestFingerprint> {
+        let attempt = self.attempts.get(&id)?;
+        if attempt.is_long_running(now) {
+            return None;
         }
-        if !event.has_data {
+        fingerprints::of_item(&environment.site, &attempt.assignment)
+    }
+
+    /// An item that has brought events for long enough is not what ends servers.
+    fn clear_if_long(&mut self, now: Instant, environment: &mut Environment, id: AssignmentId) {
+        if !environment.suspicions().are_any() {
             return;
         }
-        let text = &mut self.text;
-        if text.events > 0 {
-            text.text.push('\n');
-        }
-        text.text.push_str(&event.data);
-        text.events += 1;
-        text.last_event = event.id.or(text.last_event);
-        if let Some(version) = self.version
-            && !text.versions.contains(&version)
-        {
-            text.versions.push(version);
+        let attempt = self.attempts.get_mut(&id);
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_long_running(now)) else {
+            return;
+        };
+        if attempt.clear() {
+            let request = fingerprints::of_item(&environment.site, &attempt.assignment);
+            crash_reports::ran_well(environment, request);
         }
     }
+}
 
-    fn interrupted(&mut self, cause: BreakCause) -> ItemOutcome {
-        ItemOutcome::Interrupted {
-            text: std::mem::take(&mut self.text),
-            cause,
+/// What an engine sends is not the stream of the item.
+struct NotItsStream;
+
+/// Reads what has arrived of an engine's answer; says whether events could be read from it.
+fn read_events(
+    now: Instant,
+    names: &HeaderNames,
+    attempt: &mut ItemAttempt,
+    upstream: &mut Upstream,
+) -> Result<bool, NotItsStream> {
+    let Some(head) = upstream.reader.head().filter(|head| head.is_success()) else {
+        return Ok(false);
+    };
+    if upstream.events.is_none() {
+        let request = attempt.assignment.request.as_str().as_bytes();
+        let is_own = head.headers.get(names.request_id) == Some(request);
+        let is_signed = head.headers.get(names.signature).is_some();
+        if !is_own || !is_signed {
+            return Err(NotItsStream);
         }
+        attempt.version = head.headers.number(names.version);
+        upstream.events = Some(EventReader::new(names.version));
+    }
+    let body = upstream.reader.take_body();
+    let events = upstream
+        .events
+        .as_mut()
+        .and_then(|events| events.read(&body));
+    attempt.take(now, events.ok_or(NotItsStream)?);
+    Ok(true)
+}
+
+/// Whether no engine is to run an item.
+fn is_rejected(environment: &Environment, item: &ItemAssignment) -> bool {
+    let suspicions = environment.suspicions();
+    suspicions.are_any()
+        && fingerprints::of_item(&environment.site, item)
+            .is_some_and(|request| suspicions.is_rejected(request))
+}
+
+/// An item went well.
+fn report_ran_well(environment: &mut Environment, item: &ItemAssignment) {
+    if environment.suspicions().are_any() {
+        let request = fingerprints::of_item(&environment.site, item);
+        crash_reports::ran_well(environment, request);
+    }
+}
+
+fn log_ended(
+    now: Instant,
+    environment: &mut Environment,
+    attempt: &ItemAttempt,
+    outcome: &ItemOutcome,
+) {
+    let assignment = &attempt.assignment;
+    let id = assignment.assignment;
+    let time = now.since(attempt.begun);
+    let runtime = &mut environment.runtime;
+    runtime.metrics.item_ended(outcome.name(), time);
+    let failed = !matches!(outcome, ItemOutcome::Finished(_));
+    if failed || runtime.samples(now, assignment.request.as_str()) {
+        info!(runtime.logger, "item ended"; "item" => %assignment.request,
+            "job" => %assignment.item.job, "engine" => %assignment.instance,
+            "outcome" => outcome.name(), "epoch" => id.epoch.0, "try" => id.number,
+            "after_ms" => time.as_millis() as u64, "events" => attempt.events());
     }
 }
--- a/crates/wingshore-gateway/src/process/group.rs
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -2,6 +2,7 @@
 
 use super::Gateway;
 use crate::coordinators::{StateCopy, send, send_frame};
+use crate::crash_reports;
 use crate::ids::CallId;
 use crate::view_following::{self, ViewNews};
 use slog::{info, warn};
@@ -16,8 +17,12 @@
     /// Connects to all known coordinators there is no connection to.
     pub(super) fn dial_coordinators(&mut self, now: Instant) {
         let seeds = self.settings.seed_addresses();
-        for address in self.site.coordinators.wanted(seeds) {
-            let lost = self.site.coordinators.dial(now, &mut self.runtime, address);
+        for address in self.environment.site.coordinators.wanted(seeds) {
+            let lost = self.environment.site.coordinators.dial(
+                now,
+                &mut self.environment.runtime,
+                address,
+            );
             if let Some(connection) = lost {
                 self.on_link_ended(now, connection, address);
             }
@@ -30,7 +35,10 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        self.site.coordinators.link_up(now, &self.runtime, address);
+        self.environment
+            .site
+            .coordinators
+            .link_up(now, &self.environment.runtime, address);
         let hello = GatewayHello {
             gateway: self.id,
             node: self.settings.node.clone(),
@@ -40,7 +48,7 @@
             status: self.status(),
         };
         let frame = IncomingFrame::Gateway(hello);
-        send_frame(&mut self.runtime, connection, &frame);
+        send_frame(&mut self.environment.runtime, connection, &frame);
     }
 
     pub(super) fn on_link_ended(
@@ -49,12 +57,17 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        let coordinators = &mut self.site.coordinators;
-        coordinators.link_ended(now, &mut self.runtime, connection, address);
+        let coordinators = &mut self.environment.site.coordinators;
+        coordinators.link_ended(now, &mut self.environment.runtime, connection, address);
         self.following.link_ended(address);
         self.follow_view(now);
         let calls = &mut self.calls;
-        calls.link_lost(now, &mut self.runtime, &self.site, connection);
+        calls.link_lost(
+            now,
+            &mut self.environment.runtime,
+            &self.environment.site,
+            connection,
+        );
     }
 
     pub(super) fn on_link_input(
@@ -64,14 +77,14 @@
         address: SocketAddr,
     ) {
         loop {
-            let Some(input) = self.runtime.reactor.input(connection) else {
+            let Some(input) = self.environment.runtime.reactor.input(connection) else {
                 return;
             };
             match frame::decode::<CoordinatorMessage>(input) {
                 Ok(Some(message)) => self.on_coordinator(now, connection, address, message),
                 Ok(None) => return,
                 Err(error) => {
-                    warn!(self.runtime.logger, "link closed"; "error" => %error);
+                    warn!(self.environment.runtime.logger, "link closed"; "error" => %error);
                     return self.on_link_ended(now, connection, address);
                 }
             }
@@ -85,7 +98,7 @@
         address: SocketAddr,
         message: CoordinatorMessage,
     ) {
-        self.site.coordinators.heard(now, address);
+        self.environment.site.coordinators.heard(now, address);
         match message {
             CoordinatorMessage::Leading { epoch } => {
                 self.on_leading(now, connection, address, epoch);
@@ -94,12 +107,21 @@
             CoordinatorMessage::Reply { id, reply } => {
                 self.on_call_reply(now, connection, CallId(id), reply);
             }
-            CoordinatorMessage::Assign(assignment) => self.begin_item(now, *assignment),
-            CoordinatorMessage::Interrupt { assignment } => self.interrupt_item(assignment),
+            CoordinatorMessage::Assign(assignment) => {
+                let takes_items = self.status().takes_items;
+                let environment = &mut self.environment;
+                self.items.begin(now, environment, *assignment, takes_items);
+            }
+            CoordinatorMessage::Interrupt { assignment } => {
+                let environment = &mut self.environment;
+                self.items.interrupt(now, environment, assignment);
+            }
             CoordinatorMessage::HandInFrom { assignment, held } => {
-                self.items.hand_in_from(assignment, held);
+                self.items.upload_from(assignment, held);
+            }
+            CoordinatorMessage::Release { assignment } => {
+                self.items.release(&mut self.environment, assignment);
             }
-            CoordinatorMessage::Release { assignment } => self.release_item(assignment),
             CoordinatorMessage::Score(assignment) => self.begin_scoring(now, assignment),
             CoordinatorMessage::ReleaseScoring { scoring } => self.release_scoring(now, scoring),
             CoordinatorMessage::Alive {
@@ -110,7 +132,7 @@
             } => {
                 self.usage.time_heard(now, address, wall);
                 let copy = copy.map(|revision| StateCopy { zone, revision });
-                let links = &mut self.site.coordinators;
+                let links = &mut self.environment.site.coordinators;
                 links.heartbeat(address, coordinators, copy);
                 self.follow_view(now);
             }
@@ -125,15 +147,16 @@
         address: SocketAddr,
         epoch: Epoch,
     ) {
-        if !self.site.view.led(epoch) {
+        if !self.environment.site.view.led(epoch) {
             return;
         }
-        info!(self.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
-            "configuration" => self.site.view.version());
-        self.site.coordinators.set_leader(address);
+        info!(self.environment.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
+            "configuration" => self.environment.site.view.version());
+        self.environment.site.coordinators.set_leader(address);
         self.report_running(connection);
-        self.tell_untold_evidence(now);
-        self.calls.resend(now, &mut self.runtime, &self.site);
+        crash_reports::report_all(now, &mut self.environment);
+        self.calls
+            .resend(now, &mut self.environment.runtime, &self.environment.site);
         self.start_scorings(now);
         self.usage.report_all();
         self.report_usage();
@@ -144,49 +167,58 @@
         let items: Vec<RunningItem> = self.items.running().collect();
         let scorings = self.scorings.running().collect();
         let message = GatewayMessage::Running { items, scorings };
-        send(&mut self.runtime, connection, message);
-        self.tell_ended_items(connection);
+        send(&mut self.environment.runtime, connection, message);
+        self.items.report_ended(&mut self.environment, connection);
         self.tell_ended_scorings(connection);
     }
 
     /// Sends the status of this gateway to all coordinators.
     pub(super) fn report_status(&mut self) {
         let status = self.status();
-        for connection in self.site.coordinators.connected() {
+        for connection in self.environment.site.coordinators.connected() {
             let message = GatewayMessage::Status(status);
-            send(&mut self.runtime, connection, message);
+            send(&mut self.environment.runtime, connection, message);
         }
     }
 
     /// Reports how far the items are that run here.
     pub(super) fn report_progress(&mut self) {
-        let coordinators = &self.site.coordinators;
+        let coordinators = &self.environment.site.coordinators;
         let progress = self.items.progress();
         if !progress.is_empty() {
-            coordinators.report(&mut self.runtime, GatewayMessage::Progress(progress));
+            coordinators.report(
+                &mut self.environment.runtime,
+                GatewayMessage::Progress(progress),
+            );
         }
         let scorings = self.scorings.in_hand();
         if !scorings.is_empty() {
-            coordinators.report(&mut self.runtime, GatewayMessage::Scoring(scorings));
+            coordinators.report(
+                &mut self.environment.runtime,
+                GatewayMessage::Scoring(scorings),
+            );
         }
     }
 
     /// Reports the counts of usage that have changed.
     pub(super) fn report_usage(&mut self) {
-        if self.site.coordinators.leader().is_none() {
+        if self.environment.site.coordinators.leader().is_none() {
             return;
         }
         if let Some(message) = self.usage.take_report() {
-            self.site.coordinators.report(&mut self.runtime, message);
+            self.environment
+                .site
+                .coordinators
+                .report(&mut self.environment.runtime, message);
         }
     }
 
     /// Follows the view where that is best.
     pub(super) fn follow_view(&mut self, now: Instant) {
-        let site = &self.site;
+        let site = &self.environment.site;
         self.following.follow(
             now,
-            &mut self.runtime,
+            &mut self.environment.runtime,
             &site.coordinators,
             &site.view,
             &site.zone,
@@ -195,24 +227,25 @@
 
     /// A coordinator has sent the view, or changes of it.
     fn on_view(&mut self, now: Instant, connection: ConnectionId, update: ViewUpdate) {
-        let version_before = self.site.view.version();
-        let view = &mut self.site.view;
-        let news = view_following::take_update(&mut self.runtime, view, connection, update);
+        let version_before = self.environment.site.view.version();
+        let view = &mut self.environment.site.view;
+        let news =
+            view_following::take_update(&mut self.environment.runtime, view, connection, update);
         match news {
             None => return,
             Some(ViewNews::Changes(changes)) => {
                 for change in &changes {
-                    self.note_change(now, change);
+                    crash_reports::view_changed(now, &mut self.environment, change);
                 }
             }
             Some(ViewNews::Whole) => {
-                self.servers_registered(now);
+                crash_reports::view_replaced(now, &mut self.environment);
                 self.start_scorings(now);
             }
         }
-        let version = self.site.view.version();
+        let version = self.environment.site.view.version();
         if version != version_before {
-            info!(self.runtime.logger, "configuration"; "version" => version,
+            info!(self.environment.runtime.logger, "configuration"; "version" => version,
                 "before" => version_before);
             self.report_status();
         }
--- a/crates/wingshore-gateway/src/process/mod.rs
+++ b/crates/wingshore-gateway/src/process/mod.rs
@@ -6,6 +6,8 @@
 use crate::calls::Calls;
 use crate::clients::{Client, Purpose};
 use crate::coordinators::Coordinators;
+use crate::crash_reports;
+use crate::environment::Environment;
 use crate::error::{GatewayError, NetSnafu};
 use crate::exchange::Exchanges;
 use crate::items::Items;
@@ -52,9 +54,7 @@
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) id: GatewayId,
-    pub(crate) runtime: Runtime,
-    pub(crate) site: Site,
-    pub(crate) servers: Servers,
+    pub(crate) environment: Environment,
     pub(crate) clients: HashMap<ConnectionId, Client>,
     pub(crate) calls: Calls,
     pub(crate) items: Items,
@@ -122,9 +122,11 @@
         Ok(Self {
             settings,
             id,
-            runtime,
-            site,
-            servers: Servers::default(),
+            environment: Environment {
+                runtime,
+                site,
+                servers: Servers::default(),
+            },
             clients: HashMap::new(),
             calls,
             items: Items::default(),
@@ -153,7 +155,8 @@
         let mut events = Vec::new();
         loop {
             let wait = self.time_to_wait();
-            self.runtime
+            self.environment
+                .runtime
                 .reactor
                 .poll(wait, &mut events)
                 .context(NetSnafu)?;
@@ -164,9 +167,10 @@
             self.fire_timers(now);
             self.keep_house(now);
             if self.has_stopped(now) {
-                info!(self.runtime.logger, "stopped"; "node" => &self.settings.node);
+                info!(self.environment.runtime.logger, "stopped"; "node" => &self.settings.node);
                 // What is queued leaves with the last turn.
-                self.runtime
+                self.environment
+                    .runtime
                     .reactor
                     .poll(Duration::ZERO, &mut events)
                     .context(NetSnafu)?;
@@ -178,7 +182,7 @@
     fn time_to_wait(&self) -> Duration {
         let now = self.clock.now();
         let mut due = self.next_status.min(self.next_housekeeping);
-        if let Some(timer) = self.runtime.timers.next() {
+        if let Some(timer) = self.environment.runtime.timers.next() {
             due = due.min(timer);
         }
         due.since(now).min(LONGEST_WAIT)
@@ -188,9 +192,9 @@
     pub(crate) fn status(&self) -> GatewayStatus {
         let stopping = self.stopping_since.is_some();
         GatewayStatus {
-            ready: self.site.view.is_configured() && !stopping,
-            takes_items: self.site.view.is_configured() && !stopping,
-            configuration: self.site.view.version(),
+            ready: self.environment.site.view.is_configured() && !stopping,
+            takes_items: self.environment.site.view.is_configured() && !stopping,
+            configuration: self.environment.site.view.version(),
         }
     }
 
@@ -199,14 +203,14 @@
         let status = self.status();
         let readings = Readings {
             clients: self.clients.len(),
-            connections: self.runtime.reactor.connection_count(),
+            connections: self.environment.runtime.reactor.connection_count(),
             items: self.items.count(),
             scorings: self.scorings.count(),
             scorings_queued: self.scorings.queued(),
-            suspects: self.site.view.suspect_count(),
-            evidence: self.servers.crashes.untold().count(),
-            coordinators: self.site.coordinators.connected().len(),
-            leader_known: self.site.coordinators.leader().is_some(),
+            suspects: self.environment.site.view.suspect_count(),
+            evidence: self.environment.servers.crashes.unreported().count(),
+            coordinators: self.environment.site.coordinators.connected().len(),
+            leader_known: self.environment.site.coordinators.leader().is_some(),
             ready: status.ready,
             configuration: status.configuration,
             log_lines_left_out: self.log_counts.left_out(),
@@ -214,7 +218,7 @@
         HttpAnswer {
             status: 200,
             headers: vec![("Content-Type".to_owned(), METRICS_TYPE.to_owned())],
-            body: self.runtime.metrics.text(readings).into_bytes(),
+            body: self.environment.runtime.metrics.text(readings).into_bytes(),
         }
     }
 
@@ -232,8 +236,9 @@
                     Purpose::Front
                 };
                 self.clients.insert(connection, Client::new(now, purpose));
-                let idle = self.site.view.limits().idle_timeout;
-                self.runtime
+                let idle = self.environment.site.view.limits().idle_timeout;
+                self.environment
+                    .runtime
                     .timers
                     .arm(now + idle, TimerKey::Client(connection));
             }
@@ -246,48 +251,56 @@
     }
 
     fn on_connected(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(address) = self.site.coordinators.address(connection) {
+        if let Some(address) = self.environment.site.coordinators.address(connection) {
             return self.on_link_up(now, connection, address);
         }
-        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.environment.servers.upstreams.get_mut(connection) else {
             return;
         };
         upstream.up = true;
         match upstream.task {
             Some(Task::Exchange(id)) => self.exchange_sent(now, id),
             Some(Task::Item(_)) => {}
-            None => self.servers.upstreams.keep_opened(now, connection),
+            None => self
+                .environment
+                .servers
+                .upstreams
+                .keep_opened(now, connection),
         }
     }
 
     fn on_received(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(address) = self.site.coordinators.address(connection) {
+        if let Some(address) = self.environment.site.coordinators.address(connection) {
             return self.on_link_input(now, connection, address);
         }
-        if self.servers.upstreams.owns(connection) {
+        if self.environment.servers.upstreams.owns(connection) {
             return self.on_upstream_input(now, connection);
         }
         self.on_client_input(now, connection);
     }
 
     fn on_upstream_input(&mut self, now: Instant, connection: ConnectionId) {
-        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.environment.servers.upstreams.get_mut(connection) else {
             return;
         };
         let Some(task) = upstream.task else {
             // Bytes that nobody asked for: whatever comes next cannot be trusted.
-            self.servers
+            self.environment
+                .servers
                 .upstreams
-                .close(&mut self.runtime.reactor, connection);
+                .close(&mut self.environment.runtime.reactor, connection);
             return;
         };
-        let Some(input) = self.runtime.reactor.input(connection) else {
+        let Some(input) = self.environment.runtime.reactor.input(connection) else {
             return;
         };
         let status = upstream.reader.read(input);
         let clean = input.is_empty();
         match task {
-            Task::Item(id) => self.on_item_input(now, id, connection),
+            Task::Item(id) => {
+                let environment = &mut self.environment;
+                self.items.on_input(now, environment, id, connection);
+            }
             Task::Exchange(id) => self.on_exchange_input(now, id, connection),
         }
         match status {
@@ -305,7 +318,7 @@
         task: Task,
         clean: bool,
     ) {
-        let Some(upstream) = self.servers.upstreams.get_mut(connection) else {
+        let Some(upstream) = self.environment.servers.upstreams.get_mut(connection) else {
             return;
         };
         let instance = upstream.instance.clone();
@@ -321,25 +334,40 @@
             return;
         };
         if answer.reusable {
-            self.servers
+            self.environment
+                .servers
                 .upstreams
                 .release(now, connection, &answer.head);
         } else {
-            self.servers
+            self.environment
+                .servers
                 .upstreams
-                .close(&mut self.runtime.reactor, connection);
+                .close(&mut self.environment.runtime.reactor, connection);
         }
         match task {
             Task::Exchange(id) => self.exchange_answered(now, id, &instance, answer),
-            Task::Item(id) => self.item_answered(now, id, &answer.head, !within_event),
+            Task::Item(id) => {
+                let environment = &mut self.environment;
+                let items = &mut self.items;
+                let scoring = items.on_answer(now, environment, id, &answer.head, !within_event);
+                if let Some(scoring) = scoring {
+                    self.begin_scoring(now, scoring);
+                }
+            }
         }
     }
 
     fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
-        if self.site.coordinators.address(connection).is_some() {
+        if self
+            .environment
+            .site
+            .coordinators
+            .address(connection)
+            .is_some()
+        {
             return self.on_broken(now, connection);
         }
-        if let Some(upstream) = self.servers.upstreams.get_mut(connection) {
+        if let Some(upstream) = self.environment.servers.upstreams.get_mut(connection) {
             let whole = upstream.task.is_some() && upstream.reader.is_whole_at_close();
             match upstream.task {
                 Some(task) if whole => {
@@ -353,10 +381,10 @@
     }
 
     fn on_broken(&mut self, now: Instant, connection: ConnectionId) {
-        if let Some(address) = self.site.coordinators.address(connection) {
+        if let Some(address) = self.environment.site.coordinators.address(connection) {
             return self.on_link_ended(now, connection, address);
         }
-        if let Some(upstream) = self.servers.upstreams.get(connection) {
+        if let Some(upstream) = self.environment.servers.upstreams.get(connection) {
             let end = if upstream.up {
                 ConnectionEnd::BrokeOff
             } else {
@@ -369,7 +397,7 @@
 
     /// Nobody listens where a connection was to lead.
     fn on_refused(&mut self, now: Instant, connection: ConnectionId) {
-        if self.servers.upstreams.owns(connection) {
+        if self.environment.servers.upstreams.owns(connection) {
             return self.upstream_ended(now, connection, ConnectionEnd::Refused);
         }
         self.on_broken(now, connection);
@@ -378,14 +406,15 @@
     /// A connection to a server ended without a whole answer.
     fn upstream_ended(&mut self, now: Instant, connection: ConnectionId, end: ConnectionEnd) {
         let Some(closed) = self
+            .environment
             .servers
             .upstreams
-            .close(&mut self.runtime.reactor, connection)
+            .close(&mut self.environment.runtime.reactor, connection)
         else {
             return;
         };
         if end == ConnectionEnd::Refused {
-            self.server_has_ended(now, &closed.instance);
+            crash_reports::server_ended(now, &mut self.environment, &closed.instance);
         }
         let lost = LostSend {
             instance: closed.instance,
@@ -394,17 +423,20 @@
         };
         match closed.task {
             Some(Task::Exchange(id)) => self.exchange_broken(now, id, &lost),
-            Some(Task::Item(id)) => self.item_connection_ended(now, id, &lost),
-            None => self.look_at(now, &lost.instance),
+            Some(Task::Item(id)) => {
+                let environment = &mut self.environment;
+                self.items.on_connection_ended(now, environment, id, &lost);
+            }
+            None => crash_reports::probe(now, &mut self.environment, &lost.instance),
         }
     }
 
     fn fire_timers(&mut self, now: Instant) {
-        while let Some(key) = self.runtime.timers.take_due(now) {
+        while let Some(key) = self.environment.runtime.timers.take_due(now) {
             match key {
                 TimerKey::Client(connection) => self.on_client_timer(now, connection),
                 TimerKey::Exchange(id) => self.on_exchange_timer(now, id),
-                TimerKey::Item(id) => self.on_item_timer(now, id),
+                TimerKey::Item(id) => self.items.on_timer(now, &mut self.environment, id),
                 TimerKey::Call(id) => self.on_call_timer(now, id),
             }
         }
@@ -415,7 +447,7 @@
             self.next_status = now + STATUS_INTERVAL;
             self.report_status();
             self.report_progress();
-            self.hand_in_texts();
+            self.items.upload_texts(&mut self.environment);
             self.report_usage();
         }
         if now < self.next_housekeeping {
@@ -424,16 +456,17 @@
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
         self.dial_coordinators(now);
         self.follow_view(now);
-        let view = &self.site.view;
-        self.servers
-            .upstreams
-            .close_idle(now, &mut self.runtime.reactor, |instance| {
-                view.knows(instance)
-            });
-        self.servers
+        let view = &self.environment.site.view;
+        self.environment.servers.upstreams.close_idle(
+            now,
+            &mut self.environment.runtime.reactor,
+            |instance| view.knows(instance),
+        );
+        self.environment
+            .servers
             .balancer
             .retain(|instance| view.knows(instance));
-        self.servers.crashes.expire(now);
+        self.environment.servers.crashes.expire(now);
         self.start_scorings(now);
         self.reload();
         self.begin_stop(now);
@@ -447,10 +480,12 @@
         }
         match (self.seed_source)() {
             Ok(seeds) => {
-                info!(self.runtime.logger, "reloaded"; "seeds" => ?seeds);
+                info!(self.environment.runtime.logger, "reloaded"; "seeds" => ?seeds);
                 self.settings.seeds = seeds;
             }
-            Err(reason) => warn!(self.runtime.logger, "not reloaded"; "reason" => reason),
+            Err(reason) => {
+                warn!(self.environment.runtime.logger, "not reloaded"; "reason" => reason)
+            }
         }
     }
 
@@ -458,10 +493,10 @@
         if self.stopping_since.is_some() || !self.signals.is_stopping() {
             return;
         }
-        info!(self.runtime.logger, "planned stop"; "node" => &self.settings.node);
+        info!(self.environment.runtime.logger, "planned stop"; "node" => &self.settings.node);
         self.stopping_since = Some(now);
         self.report_status();
-        self.hand_items_back();
+        self.items.return_all(now, &mut self.environment);
         self.hand_scorings_back(now);
     }
 
--- a/crates/wingshore-gateway/src/process/requests.rs
+++ b/crates/wingshore-gateway/src/process/requests.rs
@@ -31,7 +31,7 @@
         request: &WholeRequest,
         caller: Option<&Caller>,
     ) {
-        match self.site.protocol.read_submission(request) {
+        match self.environment.site.protocol.read_submission(request) {
             Ok(mut submission) => {
                 submission.id = submission.id.of_tenant(tenant_of(caller));
                 let request = Request::SubmitJob(Arc::new(submission));
@@ -47,14 +47,25 @@
 
     fn begin_call(&mut self, now: Instant, client: ConnectionId, request: Request) {
         let calls = &mut self.calls;
-        let id = calls.begin(now, &mut self.runtime, &self.site, client, request);
+        let id = calls.begin(
+            now,
+            &mut self.environment.runtime,
+            &self.environment.site,
+            client,
+            request,
+        );
         self.set_client_call(client, id);
     }
 
     /// A call may be late, or its time over.
     pub(super) fn on_call_timer(&mut self, now: Instant, id: CallId) {
         let calls = &mut self.calls;
-        let end = calls.on_timer(now, &mut self.runtime, &self.site, id);
+        let end = calls.on_timer(
+            now,
+            &mut self.environment.runtime,
+            &self.environment.site,
+            id,
+        );
         self.end_call(now, end);
     }
 
@@ -67,7 +78,7 @@
         reply: CallReply,
     ) {
         let calls = &mut self.calls;
-        let (runtime, site) = (&mut self.runtime, &self.site);
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         let end = calls.on_reply(now, runtime, site, connection, (id, reply));
         self.end_call(now, end);
     }
@@ -79,7 +90,7 @@
     }
 
     fn answer_batch(&mut self, now: Instant, client: ConnectionId, answer: &BatchAnswer) {
-        let answer = self.site.protocol.write_batch(answer);
+        let answer = self.environment.site.protocol.write_batch(answer);
         self.answer_client(now, client, &answer);
     }
 }
--- a/crates/wingshore-gateway/src/refusals.rs
+++ b/crates/wingshore-gateway/src/refusals.rs
@@ -25,7 +25,8 @@
     ) {
         let answer = OwnAnswer::NotRun(COME_BACK);
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, &answer);
@@ -41,7 +42,8 @@
         let answer = OwnAnswer::NoRoute;
         let reason = "no route of the configuration in force has this host and path";
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, &answer);
@@ -55,14 +57,20 @@
         head: &RequestHead,
         answer: &OwnAnswer,
     ) {
-        let has_key = self.site.protocol.read_key(&head.headers).is_some();
+        let has_key = self
+            .environment
+            .site
+            .protocol
+            .read_key(&head.headers)
+            .is_some();
         let reason = if has_key {
             "the key that it shows is not in force"
         } else {
             "its route asks for a key, and it shows none"
         };
         self.log_refused(now, Some(head), answer.name(), reason);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
         self.answer_own(now, client, answer);
@@ -126,13 +134,13 @@
         answer: &'static str,
         reason: impl Display,
     ) {
-        let name = self.site.protocol.header_names().request_id;
+        let name = self.environment.site.protocol.header_names().request_id;
         let text = |name| head.and_then(|head| head.headers.text(name));
-        warn!(self.runtime.logger, "refused"; "request" => text(name), "host" => text("host"),
+        warn!(self.environment.runtime.logger, "refused"; "request" => text(name), "host" => text("host"),
             "path" => head.map(RequestHead::path), "answer" => answer, "reason" => %reason,
-            "configuration" => self.site.view.version(), "epoch" => self.site.view.epoch().0,
-            "leader_known" => self.site.coordinators.leader().is_some(),
-            "leader_heard_ms" => self.site.coordinators.leader_silence(now).map(|time| time.as_millis() as u64),
+            "configuration" => self.environment.site.view.version(), "epoch" => self.environment.site.view.epoch().0,
+            "leader_known" => self.environment.site.coordinators.leader().is_some(),
+            "leader_heard_ms" => self.environment.site.coordinators.leader_silence(now).map(|time| time.as_millis() as u64),
             "stopping" => self.stopping_since.is_some());
     }
 }
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -106,7 +106,7 @@
     ///
     /// Without a leader nothing is begun: it could not say that a job has ended meanwhile.
     pub(crate) fn start_scorings(&mut self, now: Instant) {
-        if self.site.coordinators.leader().is_none() {
+        if self.environment.site.coordinators.leader().is_none() {
             return;
         }
         for id in std::mem::take(&mut self.scorings.queue) {
@@ -123,6 +123,7 @@
         };
         let scorer = &run.assignment.scorer;
         let route = self
+            .environment
             .site
             .view
             .routes()
@@ -135,6 +136,7 @@
             return true;
         };
         let slots = self
+            .environment
             .site
             .view
             .servers_of(&service)
@@ -156,7 +158,7 @@
         service: ServiceName,
         route: Arc<Route>,
     ) {
-        let names = self.site.protocol.header_names();
+        let names = self.environment.site.protocol.header_names();
         let Some(run) = self.scorings.runs.get(&id) else {
             return;
         };
@@ -201,7 +203,7 @@
             Sign::Overload
         };
         self.scorings.exchange_over(now, id, sign);
-        let signature = self.site.protocol.header_names().signature;
+        let signature = self.environment.site.protocol.header_names().signature;
         let score = answer.head.headers.text(signature).map(str::to_owned);
         let outcome = match score {
             Some(score) if answer.head.is_success() => ScoringOutcome::Scored(score),
@@ -230,18 +232,26 @@
             return;
         };
         let time = now.since(run.since);
-        self.runtime.metrics.scoring_ended(outcome.name(), time);
+        self.environment
+            .runtime
+            .metrics
+            .scoring_ended(outcome.name(), time);
         let scored = matches!(outcome, ScoringOutcome::Scored(_));
         let assignment = &run.assignment;
-        if !scored || self.runtime.samples(now, assignment.id.as_str()) {
-            info!(self.runtime.logger, "scoring ended"; "item" => %assignment.id,
+        if !scored
+            || self
+                .environment
+                .runtime
+                .samples(now, assignment.id.as_str())
+        {
+            info!(self.environment.runtime.logger, "scoring ended"; "item" => %assignment.id,
                 "job" => %assignment.item.job, "request" => %assignment.scorer.request,
                 "outcome" => outcome.name(), "epoch" => id.epoch.0, "scoring" => id.number,
                 "after_ms" => time.as_millis() as u64, "queued" => self.scorings.queue.len(),
-                "configuration" => self.site.view.version());
+                "configuration" => self.environment.site.view.version());
         }
         run.outcome = Some(outcome);
-        if let Some(leader) = self.site.coordinators.leader() {
+        if let Some(leader) = self.environment.site.coordinators.leader() {
             self.tell_ended_scorings(leader);
         }
         self.start_scorings(now);
@@ -261,7 +271,7 @@
             run.told = Some(leader);
         }
         for message in messages {
-            send(&mut self.runtime, leader, message);
+            send(&mut self.environment.runtime, leader, message);
         }
     }
 
--- a/crates/wingshore-gateway/src/streams.rs
+++ b/crates/wingshore-gateway/src/streams.rs
@@ -8,6 +8,7 @@
 use crate::exchange::Exchange;
 use crate::ids::ExchangeId;
 use crate::process::Gateway;
+use crate::request_suspicion;
 use slog::info;
 use wingshore_coordination::RouteKind;
 use wingshore_net::ConnectionId;
@@ -29,7 +30,7 @@
     /// When that part began.
     pub(crate) since: Instant,
     /// Whether it has run for so long that it is not what ends servers, and that was said.
-    pub(crate) cleared: bool,
+    pub(crate) is_cleared: bool,
 }
 
 impl Gateway {
@@ -40,7 +41,7 @@
         exchange_id: ExchangeId,
         upstream: ConnectionId,
     ) {
-        let names = self.site.protocol.header_names().clone();
+        let names = self.environment.site.protocol.header_names().clone();
         let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
             return;
         };
@@ -52,7 +53,7 @@
         }
         let id = exchange.id.clone();
         let has_begun = exchange.stream.is_some();
-        let Some(connection) = self.servers.upstreams.get_mut(upstream) else {
+        let Some(connection) = self.environment.servers.upstreams.get_mut(upstream) else {
             return;
         };
         let Some(head) = connection.reader.head().filter(|head| head.is_success()) else {
@@ -70,7 +71,10 @@
             for (name, value) in end_to_end(&head.headers) {
                 writer = writer.line(name, value);
             }
-            self.runtime.reactor.send(client, &writer.chunked());
+            self.environment
+                .runtime
+                .reactor
+                .send(client, &writer.chunked());
         }
         let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
             return;
@@ -81,15 +85,15 @@
             last_event: None,
             from: upstream,
             since: now,
-            cleared: false,
+            is_cleared: false,
         });
         let whole = stream.take(now, upstream, &body);
         let mut chunk = Vec::new();
         write_chunk(&mut chunk, &whole);
-        self.runtime.reactor.send(client, &chunk);
-        self.clear_long_stream(now, exchange_id);
-        if self.runtime.reactor.queued(client) > MOST_QUEUED {
-            info!(self.runtime.logger, "client does not read"; "request" => String::from_utf8_lossy(&id).into_owned(),
+        self.environment.runtime.reactor.send(client, &chunk);
+        request_suspicion::clear_if_long(now, &mut self.environment, exchange);
+        if self.environment.runtime.reactor.queued(client) > MOST_QUEUED {
+            info!(self.environment.runtime.logger, "client does not read"; "request" => String::from_utf8_lossy(&id).into_owned(),
                 "at_ms" => now.as_millis());
             self.close_client(client);
         }
@@ -109,30 +113,32 @@
             .is_some_and(|stream| !stream.partial.is_empty());
         if within_event {
             self.clients.remove(&client);
-            return self.runtime.reactor.close_when_flushed(client);
+            return self.environment.runtime.reactor.close_when_flushed(client);
         }
         let time = now.since(exchange.begun);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(&exchange.route.name, "served", time);
-        self.exchange_ran_well(&exchange);
+        request_suspicion::ran_well(&mut self.environment, &exchange);
         let mut last = Vec::new();
         write_last_chunk(&mut last);
-        self.runtime.reactor.send(client, &last);
+        self.environment.runtime.reactor.send(client, &last);
         self.end_exchange(now, client);
     }
 
     /// The stream cannot be gone on with: the answer must not look complete.
     pub(crate) fn break_stream(&mut self, now: Instant, client: ConnectionId, exchange: &Exchange) {
         let time = now.since(exchange.begun);
-        self.runtime
+        self.environment
+            .runtime
             .metrics
             .request_ended(&exchange.route.name, "stream_broken", time);
-        info!(self.runtime.logger, "stream broken off"; "request" => String::from_utf8_lossy(&exchange.id).into_owned(),
+        info!(self.environment.runtime.logger, "stream broken off"; "request" => String::from_utf8_lossy(&exchange.id).into_owned(),
             "route" => &exchange.route.name,
             "last_event" => exchange.stream.as_ref().and_then(|stream| stream.last_event));
         self.clients.remove(&client);
-        self.runtime.reactor.close_when_flushed(client);
+        self.environment.runtime.reactor.close_when_flushed(client);
     }
 }
 
@@ -144,7 +150,7 @@
             self.partial.clear();
             self.from = from;
             self.since = now;
-            self.cleared = false;
+            self.is_cleared = false;
         }
         self.partial.extend_from_slice(body);
         let whole = take_whole_events(&mut self.partial);
--- a/crates/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/wingshore-gateway/tests/crash_simulation/world.rs
@@ -239,7 +239,7 @@
                 self.tell_leader(index, seen);
             }
             ViewChange::Suspect(suspect) => {
-                gateway.watch.told(suspect.fingerprint, &suspect.ended);
+                gateway.watch.announced(suspect.fingerprint, &suspect.ended);
                 gateway.told.insert(suspect.fingerprint, suspect.clone());
             }
             ViewChange::Cleared(request) => {
@@ -363,7 +363,7 @@
         let known = &mut self.gateways[gateway];
         let is_untold = known
             .watch
-            .untold()
+            .unreported()
             .any(|found| found.fingerprint == request);
         if is_untold || known.told.contains_key(&request) {
             known.watch.cleared(request);
@@ -398,7 +398,7 @@
             let is_suspect = (GUILTY_FROM..INNOCENT_AFTER).contains(&ran_for) && !was_draining;
             let watch = &mut self.gateways[run.gateway].watch;
             if is_suspect {
-                let seen = watch.broke_off(now, &instance, address, run.request);
+                let seen = watch.connection_lost(now, &instance, address, run.request);
                 self.tell_leader(run.gateway, seen.into_iter().collect());
             }
         }
@@ -449,7 +449,7 @@
             _ => {
                 self.group.change_leader(self.now);
                 for index in 0..self.gateways.len() {
-                    let seen = self.gateways[index].watch.to_tell(self.now);
+                    let seen = self.gateways[index].watch.to_report(self.now);
                     self.tell_leader(index, seen);
                 }
             }
--- a/crates/wingshore-gateway/tests/crashes.rs
+++ b/crates/wingshore-gateway/tests/crashes.rs
@@ -31,7 +31,7 @@
 /// A connection to the server was lost under request 1.
 fn with_a_lost_connection() -> CrashWatch {
     let mut watch = CrashWatch::default();
-    let seen = watch.broke_off(NOW, &server(), address(1), request(1));
+    let seen = watch.connection_lost(NOW, &server(), address(1), request(1));
     assert!(seen.is_none(), "a lost connection alone is no evidence");
     watch
 }
@@ -46,7 +46,7 @@
     expect_that!(seen[0].ago, eq(Duration::from_millis(40)));
     // It is told once, and again to each new leader.
     expect_that!(watch.server_ended(later, &server()), is_empty());
-    expect_that!(watch.to_tell(later), len(eq(1)));
+    expect_that!(watch.to_report(later), len(eq(1)));
 }
 
 #[gtest]
@@ -70,31 +70,31 @@
 fn connections_that_are_lost_after_the_end_was_seen_count_at_once() {
     let mut watch = with_a_lost_connection();
     watch.server_ended(NOW, &server());
-    let seen = watch.broke_off(NOW, &server(), address(1), request(2));
+    let seen = watch.connection_lost(NOW, &server(), address(1), request(2));
     expect_that!(seen, some(anything()));
 }
 
 #[gtest]
 fn a_few_connections_are_opened_to_find_out() {
     let mut watch = with_a_lost_connection();
-    let looks = (0..10).filter_map(|_| watch.look(&server()));
+    let looks = (0..10).filter_map(|_| watch.probe(&server()));
     expect_that!(looks.count(), eq(3));
-    expect_that!(watch.look(&InstanceId::from("another")), none());
+    expect_that!(watch.probe(&InstanceId::from("another")), none());
 }
 
 #[gtest]
 fn what_the_leader_has_told_or_cleared_is_not_told_again() {
     let mut watch = with_a_lost_connection();
     watch.server_ended(NOW, &server());
-    watch.told(request(1), &[InstanceId::from("another")]);
-    expect_that!(watch.to_tell(NOW), len(eq(1)));
-    watch.told(request(1), &[server()]);
-    expect_that!(watch.to_tell(NOW), is_empty());
+    watch.announced(request(1), &[InstanceId::from("another")]);
+    expect_that!(watch.to_report(NOW), len(eq(1)));
+    watch.announced(request(1), &[server()]);
+    expect_that!(watch.to_report(NOW), is_empty());
 
     let mut watch = with_a_lost_connection();
     watch.server_ended(NOW, &server());
     watch.cleared(request(1));
-    expect_that!(watch.to_tell(NOW), is_empty());
+    expect_that!(watch.to_report(NOW), is_empty());
 }
 
 #[gtest]
@@ -102,12 +102,12 @@
     let mut watch = CrashWatch::default();
     for number in 0..2000_u32 {
         let instance = InstanceId::from(format!("run-{number}"));
-        watch.broke_off(NOW, &instance, address(1), request(number as u8));
+        watch.connection_lost(NOW, &instance, address(1), request(number as u8));
         watch.server_ended(NOW, &instance);
     }
-    expect_that!(watch.to_tell(NOW), len(eq(512)));
+    expect_that!(watch.to_report(NOW), len(eq(512)));
     for number in 0..=255 {
-        watch.broke_off(NOW, &server(), address(1), request(number));
+        watch.connection_lost(NOW, &server(), address(1), request(number));
     }
     expect_that!(watch.server_ended(NOW, &server()), len(le(64)));
 }
