--- /dev/null
+++ b/crates/wingshore-gateway/src/attempt_timeouts.rs
@@ -0,0 +1,58 @@
+//! Decision: how long may a live request take, and how long one attempt at it?
+//!
+//! No I/O; `now` is passed in.
+//!
+//! **Inputs.** The route's timeout and target latency, the milliseconds that the caller will wait,
+//! and which attempt it is of how many.
+//!
+//! **Rule.** A request has the shorter of its route's timeout and its caller's deadline, less a
+//! margin for the way back. A connection has a short time of its own to come up. A server that has the
+//! request keeps it to the end, unless the request may run twice and an attempt is left: then another
+//! server is asked after twice the target latency.
+//!
+//! **Why.** A machine that is cut off or stands still answers nothing at all: a repeatable request that
+//! waits for it would miss its target, and another server can still answer in time.
+//!
+//! **Missing inputs.** Without a deadline of the caller the route's timeout counts.
+
+use crate::attempts::RetryLimits;
+use std::time::Duration;
+use wingshore_types::Instant;
+
+/// A connection to a server must be up within this time. Not measured; round trips within a region
+/// take a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A repeatable request goes to another server after this many times its target latency. Not
+/// measured.
+const ATTEMPT_TIMEOUT_FACTOR: u32 = 2;
+/// An answer must have left this long before the caller's deadline. Not measured.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
+
+/// How long a request may be held.
+pub fn request_timeout(route_timeout: Duration, deadline: Option<Duration>) -> Duration {
+    match deadline {
+        Some(deadline) => route_timeout.min(deadline.saturating_sub(DEADLINE_MARGIN)),
+        None => route_timeout,
+    }
+}
+
+/// Until when a connection to a server may take to come up, with a request that ends at `until`.
+pub fn connect_deadline(now: Instant, until: Instant) -> Instant {
+    until.min(now + CONNECT_TIMEOUT)
+}
+
+/// Until when a server that has a request may take, before another one is asked; `attempts` is the
+/// number of those before that may have run.
+pub fn answer_deadline(
+    now: Instant,
+    until: Instant,
+    limits: RetryLimits,
+    attempts: u32,
+    target_latency: Duration,
+) -> Instant {
+    if limits.is_repeatable && attempts + 1 < limits.max_attempts {
+        until.min(now + target_latency * ATTEMPT_TIMEOUT_FACTOR)
+    } else {
+        until
+    }
+}
--- a/crates/wingshore-gateway/src/exchange.rs
+++ b/crates/wingshore-gateway/src/exchange.rs
@@ -1,21 +1,20 @@
 //! One request on its way to servers: who it is made for, and what has come of it so far.
 
+use crate::attempt_timeouts;
+use crate::attempts::{AttemptHistory, RetryLimits};
 use crate::ids::ExchangeId;
 use crate::streams::PassedStream;
 use crate::suspects;
 use std::collections::HashMap;
 use std::sync::Arc;
 use wingshore_coordination::{
-    AssignmentId, InstanceId, Route, RouteKind, ServiceName, TenantName, UsageWindow,
+    AssignmentId, InstanceId, Route, ServiceName, TenantName, UsageWindow,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{WholeAnswer, WholeRequest};
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
-/// Refusals of servers that one request may meet besides its attempts.
-const MOST_REFUSALS: u32 = 3;
-
 /// Who a request is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
@@ -40,31 +39,29 @@
     pub(crate) begun: Instant,
     /// By then it is answered, whatever has come.
     pub(crate) until: Instant,
-    /// Tries that may have run.
-    pub(crate) attempts: u32,
-    /// Tries that a server refused or that found none.
-    pub(crate) refusals: u32,
-    /// Tries that a server ran and failed, by its own word.
-    pub(crate) server_failures: u32,
-    /// Whether any try may have run.
-    pub(crate) may_have_run: bool,
+    /// How the attempts so far have ended.
+    pub(crate) history: AttemptHistory,
+    /// The servers that it was sent to.
     pub(crate) tried: Vec<InstanceId>,
     pub(crate) upstream: Option<ConnectionId>,
-    /// The present try is given up at this time, if another server can be tried.
+    /// The present attempt is given up at this time.
     pub(crate) attempt_until: Instant,
     /// Whether so many servers have ended under it that no other one is to run it.
-    pub(crate) rejected: bool,
+    pub(crate) is_rejected: bool,
     /// What has been passed on of a stream; set once its head has been.
     pub(crate) stream: Option<PassedStream>,
 }
 
 impl Exchange {
-    /// Whether the request may go to one more server.
-    pub(crate) fn may_try_again(&self) -> bool {
-        let may_repeat = is_repeatable(&self.route) || !self.may_have_run;
-        may_repeat
-            && self.attempts < self.route.max_attempts.max(1)
-            && self.refusals <= MOST_REFUSALS
+    /// What its route allows.
+    pub(crate) fn limits(&self) -> RetryLimits {
+        RetryLimits::of(&self.route)
+    }
+
+    /// Until when a server that has the request now may take before another one is asked.
+    pub(crate) fn answer_deadline(&self, now: Instant) -> Instant {
+        let (attempts, target) = (self.history.attempts, self.route.target_latency);
+        attempt_timeouts::answer_deadline(now, self.until, self.limits(), attempts, target)
     }
 
     /// Whether the present server has made events of a stream for so long that the request is not
@@ -88,30 +85,22 @@
     }
 }
 
-/// Whether a request of the route may run more than once.
-pub(crate) fn is_repeatable(route: &Route) -> bool {
-    match route.kind {
-        RouteKind::Safe => true,
-        RouteKind::Streaming => route.resumable,
-        RouteKind::Unsafe | RouteKind::Batch => false,
-    }
-}
-
-/// What became of a try that brought no usable answer.
+/// What became of an attempt that brought no usable answer.
 pub(crate) struct Failure {
     pub(crate) verdict: Verdict,
-    /// Whether the server seems to be at fault.
-    pub(crate) suspect: bool,
+    /// Whether the server is ejected: it gets nothing for a while.
+    pub(crate) ejects_server: bool,
+    /// In words, for logs and metrics.
     pub(crate) reason: &'static str,
     /// The server's own answer, where there is one.
     pub(crate) answer: Option<WholeAnswer>,
 }
 
 impl Failure {
-    pub(crate) fn new(verdict: Verdict, suspect: bool, reason: &'static str) -> Self {
+    pub(crate) fn new(verdict: Verdict, ejects_server: bool, reason: &'static str) -> Self {
         Self {
             verdict,
-            suspect,
+            ejects_server,
             reason,
             answer: None,
         }
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -2,35 +2,27 @@
 //! the same way; only what follows from the end differs.
 
 use crate::access::tenant_of;
+use crate::answers::{self, AnswerFacts, AnswerKind, MISDIRECTED};
+use crate::attempt_timeouts;
+use crate::attempts::{self, AttemptHistory, Circumstances, NextStep};
 use crate::clients::ClientState;
 use crate::crash_reports;
 use crate::encode::{encode_request, end_to_end};
-use crate::exchange::{Exchange, Failure, Origin, is_repeatable};
+use crate::exchange::{Exchange, Failure, Origin};
 use crate::ids::ExchangeId;
 use crate::process::Gateway;
-use crate::protocol::OwnAnswer;
 use crate::request_suspicion;
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostSend, Task};
 use slog::{info, warn};
 use std::sync::Arc;
 use std::time::Duration;
-use wingshore_coordination::{Caller, EVIDENCE_LIFETIME, InstanceId, Route, ServiceName};
+use wingshore_coordination::{Caller, InstanceId, Route, ServiceName};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{AnswerHead, HeadWriter, WholeAnswer, WholeRequest};
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
-/// When a client may come back with a request that was not run.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(150);
-/// A connection to a server must be up within this time.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A repeatable request goes to another server after this many times its target latency.
-const PATIENCE_FACTOR: u32 = 2;
-/// An answer must have left this long before the client's deadline.
-const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Status by which a server says that a request was meant for another run of a server.
-const MISDIRECTED: u16 = 421;
 /// Spreads successive requests over the services of a split.
 const SPLIT_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The upper bits of the counter are spread best.
@@ -53,11 +45,8 @@
             .head
             .headers
             .number(self.environment.site.protocol.header_names().deadline);
-        let limit = deadline
-            .map(Duration::from_millis)
-            .map_or(route.timeout, |deadline| {
-                route.timeout.min(deadline.saturating_sub(DEADLINE_MARGIN))
-            });
+        let deadline = deadline.map(Duration::from_millis);
+        let limit = attempt_timeouts::request_timeout(route.timeout, deadline);
         let mut exchange = self.new_exchange(now, Origin::Client(client), request, route, service);
         exchange.tenant = tenant_of(caller);
         let id = self.exchanges.next_id();
@@ -94,14 +83,11 @@
             service,
             begun: now,
             until: now,
-            attempts: 0,
-            refusals: 0,
-            server_failures: 0,
-            may_have_run: false,
+            history: AttemptHistory::default(),
             tried: Vec::new(),
             upstream: None,
             attempt_until: now,
-            rejected: false,
+            is_rejected: false,
             stream: None,
         }
     }
@@ -132,7 +118,7 @@
     fn try_server(&mut self, now: Instant, id: ExchangeId, mut exchange: Exchange) {
         if request_suspicion::is_rejected(&self.environment, &exchange) {
             request_suspicion::log_rejected(&self.environment, &exchange);
-            exchange.rejected = true;
+            exchange.is_rejected = true;
             return self.give_up(now, &exchange);
         }
         let candidates = self.environment.site.view.servers_of(&exchange.service);
@@ -157,15 +143,15 @@
             &bytes,
         );
         let Some(upstream) = sent else {
-            exchange.refusals += 1;
-            return self.next_try(now, id, exchange);
+            exchange.history.note(Verdict::NotRun);
+            return self.next_attempt(now, id, exchange);
         };
         self.environment.servers.balancer.started(&server.instance);
         if matches!(exchange.origin, Origin::Client(_)) {
             exchange.counted_in = self.usage.request_sent(now, exchange.tenant.as_ref());
         }
         exchange.upstream = Some(upstream);
-        exchange.attempt_until = self.attempt_limit(now, &exchange, upstream);
+        exchange.attempt_until = self.attempt_deadline(now, &exchange, upstream);
         self.environment
             .runtime
             .timers
@@ -173,8 +159,13 @@
         self.exchanges.put(id, exchange);
     }
 
-    /// Until when a try may take before another server is tried.
-    fn attempt_limit(&self, now: Instant, exchange: &Exchange, upstream: ConnectionId) -> Instant {
+    /// Until when an attempt may take.
+    fn attempt_deadline(
+        &self,
+        now: Instant,
+        exchange: &Exchange,
+        upstream: ConnectionId,
+    ) -> Instant {
         let is_up = self
             .environment
             .servers
@@ -182,9 +173,9 @@
             .get(upstream)
             .is_some_and(|upstream| upstream.up);
         if !is_up {
-            return exchange.until.min(now + CONNECT_LIMIT);
+            return attempt_timeouts::connect_deadline(now, exchange.until);
         }
-        answer_limit(now, exchange)
+        exchange.answer_deadline(now)
     }
 
     /// A connection to a server has come up with a request on it.
@@ -192,7 +183,7 @@
         let Some(exchange) = self.exchanges.get_mut(id) else {
             return;
         };
-        exchange.attempt_until = answer_limit(now, exchange);
+        exchange.attempt_until = exchange.answer_deadline(now);
         self.environment
             .runtime
             .timers
@@ -217,22 +208,19 @@
             return self.finish_stream(now, id);
         }
         let latency = now.since(exchange.begun);
-        let is_own = answer.head.headers.get(names.request_id) == Some(exchange.id.as_slice());
-        let is_signed = answer.head.headers.get(names.signature).is_some();
+        let headers = &answer.head.headers;
+        let kind = answers::classify_answer(AnswerFacts {
+            status: answer.head.status,
+            says_not_run: headers.get(names.not_run).is_some(),
+            is_own: headers.get(names.request_id) == Some(exchange.id.as_slice()),
+            is_signed: headers.get(names.signature).is_some(),
+        });
         if answer.head.status == MISDIRECTED {
             crash_reports::server_ended(now, &mut self.environment, instance);
         }
-        if answer.head.headers.get(names.not_run).is_some() || answer.head.status == MISDIRECTED {
-            let failure = Failure::new(Verdict::NotRun, false, "refused by the server");
-            return self.attempt_failed(now, id, instance, failure);
-        }
-        if !is_own || (answer.head.is_success() && !is_signed) {
-            let failure = Failure::new(Verdict::MayHaveRun, false, "not the answer");
-            return self.attempt_failed(now, id, instance, failure);
-        }
-        if answer.head.status >= 500 {
-            let mut failure = Failure::new(Verdict::Ran, false, "the server failed");
-            failure.answer = Some(answer);
+        if let Some(verdict) = kind.verdict() {
+            let mut failure = Failure::new(verdict, false, kind.name());
+            failure.answer = (kind == AnswerKind::ServerFailed).then_some(answer);
             return self.attempt_failed(now, id, instance, failure);
         }
         self.environment
@@ -272,7 +260,8 @@
         if self.environment.runtime.samples(now, &id) {
             info!(self.environment.runtime.logger, "served"; "request" => id, "route" => &exchange.route.name,
                 "service" => %exchange.service, "server" => %instance, "status" => status,
-                "attempts" => exchange.attempts + 1, "refusals" => exchange.refusals,
+                "attempts" => exchange.history.attempts + 1,
+                "refusals" => exchange.history.refusals,
                 "after_ms" => time.as_millis() as u64, "configuration" => self.environment.site.view.version(),
                 "epoch" => self.environment.site.view.epoch().0);
         }
@@ -325,7 +314,7 @@
         instance: &InstanceId,
         failure: Failure,
     ) {
-        if failure.suspect {
+        if failure.ejects_server {
             self.environment.servers.balancer.failed(now, instance);
         }
         let Some(mut exchange) = self.exchanges.take(id) else {
@@ -340,24 +329,29 @@
             .metrics
             .attempt_ended(failure.reason);
         exchange.upstream = None;
-        if failure.verdict == Verdict::NotRun {
-            if let (Some(window), Some(tenant)) = (exchange.counted_in.take(), &exchange.tenant) {
-                self.usage.not_run(window, tenant);
-            }
-            exchange.refusals += 1;
-        } else {
-            exchange.attempts += 1;
-            exchange.may_have_run = true;
+        if failure.verdict == Verdict::NotRun
+            && let Some(window) = exchange.counted_in.take()
+            && let Some(tenant) = &exchange.tenant
+        {
+            self.usage.not_run(window, tenant);
         }
-        exchange.server_failures += u32::from(is_server_failure(&failure));
-        let may_try_again = exchange.may_try_again()
-            && !(exchange.may_have_run
-                && request_suspicion::is_suspect(&self.environment, &exchange));
-        if may_try_again && self.has_another(&exchange) {
-            return self.next_try(now, id, exchange);
+        exchange.history.note(failure.verdict);
+        let status = failure.answer.as_ref().map(|answer| answer.head.status);
+        if status.is_some_and(answers::is_server_failure) {
+            exchange.history.server_failures += 1;
         }
-        match (failure.answer, exchange.origin) {
-            (Some(answer), Origin::Client(client)) if exchange.stream.is_none() => {
+        let client = exchange.client().filter(|_| exchange.stream.is_none());
+        let for_client = failure.answer.zip(client);
+        let circumstances = Circumstances {
+            is_suspect: request_suspicion::is_suspect(&self.environment, &exchange),
+            has_other_server: self.has_another(&exchange),
+            is_out_of_time: now >= exchange.until,
+            has_server_answer: for_client.is_some(),
+        };
+        let step = attempts::after_failure(exchange.limits(), exchange.history, circumstances);
+        match (step, for_client) {
+            (NextStep::Retry, _) => self.try_server(now, id, exchange),
+            (NextStep::PassOn, Some((answer, client))) => {
                 let time = now.since(exchange.begun);
                 let route = &exchange.route.name;
                 self.environment
@@ -366,7 +360,7 @@
                     .request_ended(route, "server_error", time);
                 self.pass_on(now, client, &answer);
             }
-            _ => self.give_up(now, &exchange),
+            (NextStep::PassOn | NextStep::GiveUp, _) => self.give_up(now, &exchange),
         }
     }
 
@@ -378,8 +372,10 @@
             .any(|server| !exchange.tried.contains(&server.instance))
     }
 
-    fn next_try(&mut self, now: Instant, id: ExchangeId, exchange: Exchange) {
-        if now >= exchange.until || !exchange.may_try_again() {
+    /// No connection could be opened: asks another server, if the request may go to one.
+    fn next_attempt(&mut self, now: Instant, id: ExchangeId, exchange: Exchange) {
+        let may_retry = exchange.limits().may_retry(exchange.history);
+        if now >= exchange.until || !may_retry {
             return self.give_up(now, &exchange);
         }
         self.try_server(now, id, exchange);
@@ -398,15 +394,9 @@
 
     /// Answers that there is no answer, and whether the request may have run.
     fn answer_given_up(&mut self, now: Instant, client: ConnectionId, exchange: &Exchange) {
-        let answer = if !exchange.may_have_run && exchange.rejected {
-            OwnAnswer::Rejected(EVIDENCE_LIFETIME)
-        } else if !exchange.may_have_run {
-            OwnAnswer::NotRun(COME_BACK)
-        } else if now >= exchange.until {
-            OwnAnswer::OutOfTime
-        } else {
-            OwnAnswer::Broken
-        };
+        let is_out_of_time = now >= exchange.until;
+        let answer =
+            attempts::given_up_answer(exchange.history, exchange.is_rejected, is_out_of_time);
         let time = now.since(exchange.begun);
         self.environment
             .runtime
@@ -422,7 +412,7 @@
             "epoch" => self.environment.site.view.epoch().0, "request" => exchange.id_text(),
             "fingerprint" => request_suspicion::fingerprint_text(&self.environment.site, exchange),
             "route" => &exchange.route.name, "answer" => answer.name(),
-            "attempts" => exchange.attempts, "refusals" => exchange.refusals,
+            "attempts" => exchange.history.attempts, "refusals" => exchange.history.refusals,
             "after_ms" => now.since(exchange.begun).as_millis() as u64,
             "configuration" => self.environment.site.view.version());
         self.answer_own(now, client, &answer);
@@ -484,19 +474,3 @@
         }
     }
 }
-
-/// Until when a server that has a request may take before another one is tried.
-fn answer_limit(now: Instant, exchange: &Exchange) -> Instant {
-    let repeatable = is_repeatable(&exchange.route);
-    if repeatable && exchange.attempts + 1 < exchange.route.max_attempts {
-        let patience = exchange.route.target_latency * PATIENCE_FACTOR;
-        return exchange.until.min(now + patience);
-    }
-    exchange.until
-}
-
-/// Whether a server said that it ran the request and failed.
-fn is_server_failure(failure: &Failure) -> bool {
-    let answer = failure.answer.as_ref();
-    answer.is_some_and(|answer| answer.head.status == 500)
-}
--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -7,6 +7,9 @@
 //! [`IngressProtocol`].
 
 mod access;
+mod answers;
+mod attempt_timeouts;
+mod attempts;
 mod balance;
 mod call_policy;
 mod calls;
@@ -45,10 +48,16 @@
 mod view_following;
 mod view_source;
 
+pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_server_failure};
+pub use attempt_timeouts::{answer_deadline, connect_deadline, request_timeout};
+pub use attempts::{
+    AttemptHistory, Circumstances, NextStep, RetryLimits, after_failure, given_up_answer,
+};
 pub use balance::Balancer;
 pub use crashes::CrashWatch;
 pub use error::GatewayError;
 pub use event_stream::{EventReader, StreamEvent, take_whole_events};
+pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
 pub use limit::{ConcurrencyLimit, Sign};
 pub use process::Gateway;
 pub use protocol::{
--- a/crates/wingshore-gateway/src/refusals.rs
+++ b/crates/wingshore-gateway/src/refusals.rs
@@ -1,7 +1,7 @@
 //! Answers of the gateway's own to requests that no server was offered, and why they were given.
 
+use crate::attempts::RETRY_AFTER;
 use crate::clients::Purpose;
-use crate::forward::COME_BACK;
 use crate::process::Gateway;
 use crate::protocol::OwnAnswer;
 use slog::warn;
@@ -23,7 +23,7 @@
         head: &RequestHead,
         reason: &str,
     ) {
-        let answer = OwnAnswer::NotRun(COME_BACK);
+        let answer = OwnAnswer::NotRun(RETRY_AFTER);
         self.log_refused(now, Some(head), answer.name(), reason);
         self.environment
             .runtime
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -197,7 +197,7 @@
         answer: &WholeAnswer,
     ) {
         let is_in_time = now.since(exchange.begun) <= exchange.route.target_latency;
-        let sign = if is_in_time && exchange.refusals == 0 {
+        let sign = if is_in_time && exchange.history.refusals == 0 {
             Sign::InTime
         } else {
             Sign::Overload
@@ -214,8 +214,10 @@
 
     /// No server has answered a scoring's request, or all failed.
     pub(crate) fn scoring_given_up(&mut self, now: Instant, id: AssignmentId, exchange: &Exchange) {
-        let outcome = match exchange.server_failures {
-            0 if exchange.may_have_run => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
+        let outcome = match exchange.history.server_failures {
+            0 if exchange.history.may_have_run => {
+                ScoringOutcome::NotScored(NotScoredReason::NoAnswer)
+            }
             0 => ScoringOutcome::NotScored(NotScoredReason::Refused),
             failures => ScoringOutcome::Failed(failures),
         };
--- /dev/null
+++ b/crates/wingshore-gateway/tests/attempts.rs
@@ -0,0 +1,281 @@
+//! What follows when an attempt at a live request brought no usable answer.
+
+use googletest::prelude::*;
+use std::time::Duration;
+use wingshore_gateway::{
+    AnswerFacts, AnswerKind, AttemptHistory, Circumstances, NextStep, OwnAnswer, RetryLimits,
+    after_failure, answer_deadline, classify_answer, connect_deadline, given_up_answer,
+    is_server_failure, request_timeout,
+};
+use wingshore_types::Instant;
+use wingshore_types::verdict::Verdict;
+
+const SAFE: RetryLimits = RetryLimits {
+    is_repeatable: true,
+    max_attempts: 3,
+};
+const UNSAFE: RetryLimits = RetryLimits {
+    is_repeatable: false,
+    max_attempts: 3,
+};
+/// Another server is left, there is time, and the server gave no answer.
+const FAVOURABLE: Circumstances = Circumstances {
+    is_suspect: false,
+    has_other_server: true,
+    is_out_of_time: false,
+    has_server_answer: false,
+};
+
+fn history(verdicts: &[Verdict]) -> AttemptHistory {
+    let mut history = AttemptHistory::default();
+    for verdict in verdicts {
+        history.note(*verdict);
+    }
+    history
+}
+
+#[gtest]
+fn the_next_step_by_route_history_and_circumstances() {
+    use Verdict::{MayHaveRun, NotRun, Ran};
+    let answered = Circumstances {
+        has_server_answer: true,
+        ..FAVOURABLE
+    };
+    let last_server = Circumstances {
+        has_other_server: false,
+        ..FAVOURABLE
+    };
+    let late = Circumstances {
+        is_out_of_time: true,
+        ..FAVOURABLE
+    };
+    let suspect = Circumstances {
+        is_suspect: true,
+        ..FAVOURABLE
+    };
+    let refused = [NotRun; 5];
+    let table: Vec<(&str, RetryLimits, &[Verdict], Circumstances, NextStep)> = vec![
+        ("a refusal", UNSAFE, &[NotRun], FAVOURABLE, NextStep::Retry),
+        (
+            "three refusals",
+            UNSAFE,
+            &refused[..3],
+            FAVOURABLE,
+            NextStep::Retry,
+        ),
+        (
+            "four refusals",
+            SAFE,
+            &refused[..4],
+            FAVOURABLE,
+            NextStep::GiveUp,
+        ),
+        (
+            "refused by the last server",
+            UNSAFE,
+            &[NotRun],
+            last_server,
+            NextStep::GiveUp,
+        ),
+        (
+            "refused, and out of time",
+            UNSAFE,
+            &[NotRun],
+            late,
+            NextStep::GiveUp,
+        ),
+        (
+            "may have run, repeatable",
+            SAFE,
+            &[MayHaveRun],
+            FAVOURABLE,
+            NextStep::Retry,
+        ),
+        (
+            "may have run, once only",
+            UNSAFE,
+            &[MayHaveRun],
+            FAVOURABLE,
+            NextStep::GiveUp,
+        ),
+        (
+            "failed, once only",
+            UNSAFE,
+            &[Ran],
+            answered,
+            NextStep::PassOn,
+        ),
+        (
+            "failed, repeatable",
+            SAFE,
+            &[Ran],
+            answered,
+            NextStep::Retry,
+        ),
+        (
+            "attempts used up",
+            SAFE,
+            &[Ran, Ran, Ran],
+            answered,
+            NextStep::PassOn,
+        ),
+        (
+            "attempts used up, no answer",
+            SAFE,
+            &[MayHaveRun; 3],
+            FAVOURABLE,
+            NextStep::GiveUp,
+        ),
+        (
+            "a suspect that may have run",
+            SAFE,
+            &[MayHaveRun],
+            suspect,
+            NextStep::GiveUp,
+        ),
+        (
+            "a suspect that was refused",
+            SAFE,
+            &[NotRun],
+            suspect,
+            NextStep::Retry,
+        ),
+        (
+            "failed by the last server",
+            SAFE,
+            &[Ran],
+            Circumstances {
+                has_server_answer: true,
+                ..last_server
+            },
+            NextStep::PassOn,
+        ),
+        (
+            "failed late, with a server left",
+            SAFE,
+            &[Ran],
+            Circumstances {
+                has_server_answer: true,
+                ..late
+            },
+            NextStep::GiveUp,
+        ),
+    ];
+    for (case, limits, verdicts, circumstances, expected) in table {
+        let step = after_failure(limits, history(verdicts), circumstances);
+        expect_that!(step, eq(expected), "{case}");
+    }
+}
+
+#[gtest]
+fn a_route_without_attempts_has_one() {
+    let limits = RetryLimits {
+        is_repeatable: true,
+        max_attempts: 0,
+    };
+    expect_that!(limits.may_retry(AttemptHistory::default()), eq(true));
+    expect_that!(limits.may_retry(history(&[Verdict::MayHaveRun])), eq(false));
+}
+
+#[gtest]
+fn a_client_is_told_whether_its_request_may_have_run() {
+    let (not_run, may_have_run) = (history(&[Verdict::NotRun]), history(&[Verdict::Ran]));
+    let retry_after = Duration::from_millis(150);
+    for is_late in [false, true] {
+        let answer = given_up_answer(not_run, false, is_late);
+        expect_that!(answer, eq(OwnAnswer::NotRun(retry_after)));
+        let answer = given_up_answer(not_run, true, is_late);
+        expect_that!(answer, eq(OwnAnswer::Rejected(Duration::from_secs(600))));
+    }
+    for is_rejected in [false, true] {
+        let answer = given_up_answer(may_have_run, is_rejected, true);
+        expect_that!(answer, eq(OwnAnswer::OutOfTime));
+        let answer = given_up_answer(may_have_run, is_rejected, false);
+        expect_that!(answer, eq(OwnAnswer::Broken));
+    }
+}
+
+#[gtest]
+fn an_answer_is_what_its_head_shows() {
+    let own = AnswerFacts {
+        status: 200,
+        says_not_run: false,
+        is_own: true,
+        is_signed: true,
+    };
+    let unsigned = AnswerFacts {
+        is_signed: false,
+        ..own
+    };
+    let foreign = AnswerFacts {
+        is_own: false,
+        ..own
+    };
+    let with_status = |status, facts: AnswerFacts| AnswerFacts { status, ..facts };
+    let refused = AnswerFacts {
+        says_not_run: true,
+        ..foreign
+    };
+    let table = [
+        (own, AnswerKind::Usable, None),
+        (with_status(404, unsigned), AnswerKind::Usable, None),
+        (unsigned, AnswerKind::Foreign, Some(Verdict::MayHaveRun)),
+        (foreign, AnswerKind::Foreign, Some(Verdict::MayHaveRun)),
+        (
+            with_status(503, foreign),
+            AnswerKind::Foreign,
+            Some(Verdict::MayHaveRun),
+        ),
+        (
+            with_status(500, unsigned),
+            AnswerKind::ServerFailed,
+            Some(Verdict::Ran),
+        ),
+        (
+            with_status(421, foreign),
+            AnswerKind::Refused,
+            Some(Verdict::NotRun),
+        ),
+        (refused, AnswerKind::Refused, Some(Verdict::NotRun)),
+        (
+            with_status(500, refused),
+            AnswerKind::Refused,
+            Some(Verdict::NotRun),
+        ),
+    ];
+    for (facts, kind, verdict) in table {
+        expect_that!(classify_answer(facts), eq(kind), "{facts:?}");
+        expect_that!(kind.verdict(), eq(verdict), "{facts:?}");
+    }
+    expect_that!(is_server_failure(500), eq(true));
+    expect_that!(is_server_failure(503), eq(false));
+}
+
+#[gtest]
+fn a_request_ends_before_its_callers_deadline() {
+    let route = Duration::from_secs(2);
+    expect_that!(request_timeout(route, None), eq(route));
+    let deadline = |millis| Some(Duration::from_millis(millis));
+    expect_that!(request_timeout(route, deadline(9000)), eq(route));
+    let expected = Duration::from_millis(980);
+    expect_that!(request_timeout(route, deadline(1000)), eq(expected));
+    expect_that!(request_timeout(route, deadline(5)), eq(Duration::ZERO));
+}
+
+#[gtest]
+fn only_a_request_that_may_go_elsewhere_is_taken_from_its_server() {
+    let now = Instant::from_millis(1000);
+    let until = Instant::from_millis(9000);
+    let target = Duration::from_millis(400);
+    let early = Instant::from_millis(1800);
+    let deadline = |limits, attempts| answer_deadline(now, until, limits, attempts, target);
+    expect_that!(deadline(SAFE, 0), eq(early));
+    expect_that!(deadline(SAFE, 1), eq(early));
+    expect_that!(deadline(SAFE, 2), eq(until));
+    expect_that!(deadline(UNSAFE, 0), eq(until));
+    let soon = Instant::from_millis(1100);
+    expect_that!(answer_deadline(now, soon, SAFE, 0, target), eq(soon));
+    let connected = Instant::from_millis(1300);
+    expect_that!(connect_deadline(now, until), eq(connected));
+    expect_that!(connect_deadline(now, soon), eq(soon));
+}
