--- a/crates/wingshore-gateway/src/limit.rs
+++ b/crates/wingshore-gateway/src/limit.rs
@@ -1,19 +1,29 @@
-//! How many scorings this gateway has at a service's servers at once.
+//! Decision: how many scorings may this gateway have at a service's servers at once?
 //!
-//! The limit adapts to what the servers take: it grows while all answers are in time, and falls
-//! when a server refuses or is slow (additive increase, multiplicative decrease). What is above it
-//! waits here, where live requests to the same servers do not stand behind it.
+//! No I/O; `now` is passed in.
+//!
+//! **Inputs.** What each end of a scoring says about the load of the servers, and an upper bound from
+//! their slots.
+//!
+//! **Rule.** The limit grows by one in so many answers in time as it allows, while it is used, and
+//! falls to 0.6 of itself when a server refuses or is slow (additive increase, multiplicative
+//! decrease). It never falls below one.
+//!
+//! **Why.** What is above the limit waits here, where live requests to the same servers do not stand
+//! behind it. What it buys in `worth` was not measurable (-0.014 +- 0.021 without it).
+//!
+//! **Old or missing inputs.** Without answers the limit stays as it is.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// The limit before anything is known.
-const FIRST_LIMIT: f64 = 6.0;
-/// The limit never falls below this.
-const LOWEST_LIMIT: f64 = 1.0;
-/// By what the limit falls.
-const DECREASE: f64 = 0.6;
-/// Signs of overload that come together count once.
+/// The limit before anything is known, in scorings. Not measured.
+const INITIAL_LIMIT: f64 = 6.0;
+/// The limit never falls below this, in scorings: each end of one says how the servers do.
+const MIN_LIMIT: f64 = 1.0;
+/// What is left of the limit when it falls. Not measured.
+const DECREASE_FACTOR: f64 = 0.6;
+/// Signs of overload within this time count once: they tell of the same moment. Not measured.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an answer says about its service.
@@ -38,7 +48,7 @@
 impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            limit: FIRST_LIMIT,
+            limit: INITIAL_LIMIT,
             in_flight: 0,
             decreased_at: None,
         }
@@ -46,9 +56,9 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more may begin; `most` bounds the limit from above.
-    pub fn allows(&self, most: usize) -> bool {
-        self.in_flight < (self.limit as usize).min(most).max(1)
+    /// Whether one more may begin; `max` bounds the limit from above.
+    pub fn allows(&self, max: usize) -> bool {
+        self.in_flight < (self.limit as usize).min(max).max(1)
     }
 
     /// One has begun.
@@ -73,6 +83,6 @@
             return;
         }
         self.decreased_at = Some(now);
-        self.limit = (self.limit * DECREASE).max(LOWEST_LIMIT);
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/crates/wingshore-gateway/src/view.rs
+++ b/crates/wingshore-gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of its site: the configuration and the servers, as the leader told it.
+//! What a gateway knows of its site: the configuration and the servers, as the group's log has them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
         true
     }
 
-    /// A coordinator has told the view, or changes of it; says what became of that.
+    /// A coordinator has sent the view, or changes of it; says what became of that.
     pub fn update(&mut self, update: ViewUpdate) -> UpdateVerdict {
         let ViewUpdate { revision, content } = update;
         if self.revision.is_some_and(|known| revision < known) {
@@ -131,7 +131,7 @@
         self.epoch
     }
 
-    /// Key of the site's fingerprints of requests; `None` before a leader has told it.
+    /// Key of the site's fingerprints of requests; `None` before it was received.
     pub fn fingerprint_key(&self) -> Option<FingerprintKey> {
         self.fingerprint_key
     }
@@ -146,7 +146,7 @@
         self.suspects.len()
     }
 
-    /// What the leader has told of a request under which servers have ended.
+    /// What the leader has announced of a request under which servers have ended.
     pub fn suspect(&self, request: RequestFingerprint) -> Option<&Suspect> {
         self.suspects.get(&request)
     }
--- a/crates/wingshore-gateway/src/view_source.rs
+++ b/crates/wingshore-gateway/src/view_source.rs
@@ -1,23 +1,33 @@
-//! Which coordinator tells this gateway the view. A decision without I/O.
+//! Decision: at which coordinator is the view followed?
 //!
-//! Any coordinator with a copy of the state can. One in the gateway's own zone is preferred, so
-//! that no machine tells all gateways of a site and little crosses between zones. What a copy tells
-//! is true, but it may be behind: it may be cut off from the leader while this gateway is not. All
-//! coordinators say how far their copies are, so that a gateway whose view stays behind what it has
-//! heard of asks another one.
+//! No I/O; `now` is passed in.
+//!
+//! **Inputs.** The coordinators with a copy of the state that were heard of lately, with their zone, how
+//! far the copy is (an index of the log) and which one leads; how far the gateway's own view is.
+//!
+//! **Rule.** One in the gateway's own zone is followed and kept; without one, after 0.2 s, any other,
+//! the leader last. A view that stays behind what any coordinator has announced for 0.7 s is followed at
+//! another coordinator, and the one before is avoided for 3 s.
+//!
+//! **Why.** Any copy is true, but it may be cut off from the leader while this gateway is not. A leader
+//! that sent the view to all gateways had 392 MB to send when 836 gateways lacked the view of 10,000
+//! servers; each of six members sends 66 MB, and little crosses between zones.
+//!
+//! **Old or missing inputs.** A coordinator that was not heard of lately is no candidate. While there is
+//! none, nothing changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_types::{Instant, LogIndex};
 
-/// The view may lag this long behind the newest entry that any coordinator has told of. Copies are
-/// told of commits each 50 ms and tell their followers each 300 ms, so that one that works is never
+/// The view may lag this long behind the newest entry that any coordinator has announced. Copies
+/// learn of commits each 50 ms and announce them to their followers each 300 ms, so that one that works is never
 /// so late; what is in force everywhere within 2 s has a second of it left for asking elsewhere.
 const LAG_LIMIT: Duration = Duration::from_millis(700);
 /// A gateway without any view waits this long for a copy in its own zone to show itself: links to
-/// all coordinators come up within some ms of each other.
+/// all coordinators come up within some milliseconds of each other. Not measured.
 const NEAR_COPY_WAIT: Duration = Duration::from_millis(200);
-/// A copy that was left because it lagged is not asked again for this long.
+/// A copy that was left because it lagged is not asked again for this long. Not measured.
 const AVOIDED_FOR: Duration = Duration::from_secs(3);
 
 /// A coordinator with a copy of the state that was heard of lately.
