--- a/crates/wingshore-gateway/src/calls.rs
+++ b/crates/wingshore-gateway/src/calls.rs
@@ -75,12 +75,12 @@
     /// Passes a call on.
     pub(crate) fn begin(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         site: &Site,
         client: ConnectionId,
         request: Request,
     ) -> CallId {
+        let now = runtime.now;
         let id = CallId(self.next);
         self.next += 1;
         let call = Call {
@@ -92,25 +92,20 @@
             may_read_copy: self.reads_copies,
         };
         self.waiting.insert(id, call);
-        self.send_call(now, runtime, site, id);
+        self.send_call(runtime, site, id);
         id
     }
 
     /// Sends a call to where it can be answered.
-    fn send_call(&mut self, now: Instant, runtime: &mut Runtime, site: &Site, id: CallId) {
-        if !self.send_to_copy(now, runtime, site, id) {
-            self.send_to_leader(now, runtime, site, id);
+    fn send_call(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
+        if !self.send_to_copy(runtime, site, id) {
+            self.send_to_leader(runtime, site, id);
         }
     }
 
     /// Reads results from a copy of the state near by, if there is one.
-    fn send_to_copy(
-        &mut self,
-        now: Instant,
-        runtime: &mut Runtime,
-        site: &Site,
-        id: CallId,
-    ) -> bool {
+    fn send_to_copy(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) -> bool {
+        let now = runtime.now;
         let Some(call) = self.waiting.get_mut(&id).filter(|call| call.may_read_copy) else {
             return false;
         };
@@ -134,7 +129,8 @@
     }
 
     /// Sends a call to the leader, if one is known.
-    fn send_to_leader(&mut self, now: Instant, runtime: &mut Runtime, site: &Site, id: CallId) {
+    fn send_to_leader(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
+        let now = runtime.now;
         let leader = site.coordinators.leader();
         let Some(call) = self.waiting.get_mut(&id) else {
             return;
@@ -155,7 +151,6 @@
     /// to the leader at once.
     pub(crate) fn link_lost(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         site: &Site,
         connection: ConnectionId,
@@ -169,12 +164,12 @@
             }
         }
         for id in from_copy {
-            self.send_to_leader(now, runtime, site, id);
+            self.send_to_leader(runtime, site, id);
         }
     }
 
     /// There is a leader: sends what waits for one.
-    pub(crate) fn resend(&mut self, now: Instant, runtime: &mut Runtime, site: &Site) {
+    pub(crate) fn resend(&mut self, runtime: &mut Runtime, site: &Site) {
         let leader = site.coordinators.leader().map(Receiver::Leader);
         let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Receiver::Copy(_)));
         let waiting = self.waiting.iter();
@@ -183,22 +178,22 @@
             .map(|(id, _)| *id)
             .collect();
         for id in unsent {
-            self.send_call(now, runtime, site, id);
+            self.send_call(runtime, site, id);
         }
     }
 
     /// A call may be late, or its time over.
     pub(crate) fn on_timer(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         site: &Site,
         id: CallId,
     ) -> Option<CallEnd> {
+        let now = runtime.now;
         let call = self.waiting.get(&id)?;
         if now < call.until {
             if call_policy::is_resent(&call.request, call.sent_to.is_some()) {
-                self.send_call(now, runtime, site, id);
+                self.send_call(runtime, site, id);
             } else {
                 runtime.timers.arm(call.until, TimerKey::Call(id));
             }
@@ -220,7 +215,6 @@
     /// A coordinator has answered a call.
     pub(crate) fn on_reply(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         site: &Site,
         connection: ConnectionId,
@@ -230,7 +224,7 @@
         let reply = match reply {
             CallReply::Reply(reply) => reply,
             CallReply::Nothing if call.sent_to == Some(Receiver::Copy(connection)) => {
-                self.ask_leader_instead(now, runtime, site, id);
+                self.ask_leader_instead(runtime, site, id);
                 return None;
             }
             CallReply::NotLeader | CallReply::Unknown | CallReply::Nothing => {
@@ -258,13 +252,14 @@
 
     /// A copy of the state had nothing: the leader says whether there is anything, by the rest of
     /// the time that the answer may wait.
-    fn ask_leader_instead(&mut self, now: Instant, runtime: &mut Runtime, site: &Site, id: CallId) {
+    fn ask_leader_instead(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
+        let now = runtime.now;
         if let Some(call) = self.waiting.get_mut(&id)
             && let Request::ReadJob { wait, .. } = &mut call.request
         {
             *wait = call_policy::remaining_wait(now, call.until, *wait);
         }
-        self.send_to_leader(now, runtime, site, id);
+        self.send_to_leader(runtime, site, id);
     }
 
     /// The client of a call is gone.
--- a/crates/wingshore-gateway/src/clients.rs
+++ b/crates/wingshore-gateway/src/clients.rs
@@ -94,12 +94,12 @@
     /// A new connection.
     pub(crate) fn accept(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         purpose: Purpose,
         idle_timeout: Duration,
     ) {
+        let now = runtime.now;
         let client = Client {
             reader: RequestReader::default(),
             state: ClientState::Reading { begun: None },
@@ -116,12 +116,12 @@
     /// Bytes of a client have arrived, or its last answer has gone out.
     pub(crate) fn read(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         limits: IngressLimits,
         is_stopping: bool,
     ) -> ClientInput {
+        let now = runtime.now;
         let Some(client) = self.all.get_mut(&connection) else {
             return ClientInput::Nothing;
         };
@@ -181,7 +181,6 @@
     #[must_use]
     pub(crate) fn answer(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         (mut writer, body): (HeadWriter, &[u8]),
@@ -195,18 +194,18 @@
             writer = writer.header("Connection", "close");
         }
         runtime.reactor.send(connection, &writer.body(body));
-        self.answered(now, runtime, connection, is_stopping)
+        self.answered(runtime, connection, is_stopping)
     }
 
     /// The answer to a client is out: goes on to its next request, or closes.
     #[must_use]
     pub(crate) fn answered(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         is_stopping: bool,
     ) -> AfterAnswer {
+        let now = runtime.now;
         let Some(client) = self.all.get_mut(&connection) else {
             return AfterAnswer::Nothing;
         };
@@ -227,11 +226,11 @@
     /// The next request of a client that was answered has been read, as far as it has arrived.
     pub(crate) fn next_read(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         idle_timeout: Duration,
     ) {
+        let now = runtime.now;
         if let Some(client) = self.all.get_mut(&connection) {
             client.is_answering = false;
         }
@@ -242,11 +241,11 @@
     /// A client's time may be over.
     pub(crate) fn on_timer(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         limits: IngressLimits,
     ) -> ClientTimeout {
+        let now = runtime.now;
         let Some(client) = self.all.get(&connection) else {
             return ClientTimeout::None;
         };
--- a/crates/wingshore-gateway/src/coordinators.rs
+++ b/crates/wingshore-gateway/src/coordinators.rs
@@ -164,10 +164,10 @@
     #[must_use]
     pub(crate) fn dial(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         address: SocketAddr,
     ) -> Option<ConnectionId> {
+        let now = runtime.now;
         if let Some(link) = self.links.get(&address) {
             match link.connection {
                 Some(connection) => return link.is_lost(now).then_some(connection),
@@ -196,7 +196,8 @@
     }
 
     /// A connection has come up.
-    pub(crate) fn link_up(&mut self, now: Instant, runtime: &Runtime, address: SocketAddr) {
+    pub(crate) fn link_up(&mut self, runtime: &Runtime, address: SocketAddr) {
+        let now = runtime.now;
         let Some(link) = self.links.get_mut(&address) else {
             return;
         };
@@ -208,11 +209,11 @@
     /// A connection has ended, or is to.
     pub(crate) fn link_ended(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         connection: ConnectionId,
         address: SocketAddr,
     ) {
+        let now = runtime.now;
         runtime.reactor.close(connection);
         self.addresses.remove(&connection);
         if let Some(link) = self.links.get_mut(&address) {
--- a/crates/wingshore-gateway/src/crash_reports.rs
+++ b/crates/wingshore-gateway/src/crash_reports.rs
@@ -10,16 +10,15 @@
 use wingshore_coordination::{
     GatewayMessage, InstanceId, RequestFingerprint, SeenCrash, ViewChange,
 };
-use wingshore_types::Instant;
 
 /// A connection was lost while a server ran a request: finds out whether the server has ended.
 /// Servers that are leaving end by themselves.
 pub(crate) fn connection_lost(
-    now: Instant,
     environment: &mut Environment,
     lost: &LostSend,
     request: Option<RequestFingerprint>,
 ) {
+    let now = environment.runtime.now;
     if !is_possible_cause(now, lost.sent_at) {
         return;
     }
@@ -32,27 +31,29 @@
     let crashes = &mut environment.servers.crashes;
     let evidence = crashes.connection_lost(now, instance, server.address, request);
     take_evidence(environment, evidence.into_iter().collect());
-    probe(now, environment, instance);
+    probe(environment, instance);
 }
 
 /// Opens a connection to a server whose connections were lost, unless it is known to have ended: it is
 /// refused if the server has, and kept for the next request otherwise.
-pub(crate) fn probe(now: Instant, environment: &mut Environment, instance: &InstanceId) {
+pub(crate) fn probe(environment: &mut Environment, instance: &InstanceId) {
     let servers = &mut environment.servers;
     if let Some(address) = servers.crashes.probe(instance) {
-        let reactor = &mut environment.runtime.reactor;
-        servers.upstreams.open(now, reactor, instance, address);
+        let runtime = &mut environment.runtime;
+        servers.upstreams.open(runtime, instance, address);
     }
 }
 
 /// An incarnation of a server is seen to have ended.
-pub(crate) fn server_ended(now: Instant, environment: &mut Environment, instance: &InstanceId) {
+pub(crate) fn server_ended(environment: &mut Environment, instance: &InstanceId) {
+    let now = environment.runtime.now;
     let evidence = environment.servers.crashes.server_ended(now, instance);
     take_evidence(environment, evidence);
 }
 
 /// The whole view has come: what is registered may explain lost connections.
-pub(crate) fn view_replaced(now: Instant, environment: &mut Environment) {
+pub(crate) fn view_replaced(environment: &mut Environment) {
+    let now = environment.runtime.now;
     let servers = environment.site.view.servers();
     let servers: Vec<_> = servers
         .map(|server| (server.instance.clone(), server.address))
@@ -65,7 +66,8 @@
 }
 
 /// The view has changed.
-pub(crate) fn view_changed(now: Instant, environment: &mut Environment, change: &ViewChange) {
+pub(crate) fn view_changed(environment: &mut Environment, change: &ViewChange) {
+    let now = environment.runtime.now;
     let crashes = &mut environment.servers.crashes;
     match change {
         ViewChange::Server(server) => {
@@ -79,7 +81,8 @@
 }
 
 /// Reports to a new leader what was found here.
-pub(crate) fn report_all(now: Instant, environment: &mut Environment) {
+pub(crate) fn report_all(environment: &mut Environment) {
+    let now = environment.runtime.now;
     let evidence = environment.servers.crashes.to_report(now);
     if !evidence.is_empty() {
         report(environment, evidence);
--- a/crates/wingshore-gateway/src/environment.rs
+++ b/crates/wingshore-gateway/src/environment.rs
@@ -5,7 +5,6 @@
 use crate::site::Site;
 use crate::suspects::Suspicions;
 use crate::usage::UsageCounter;
-use wingshore_types::Instant;
 
 /// Sockets and logs, the site as it is known, and the servers.
 pub(crate) struct Environment {
@@ -24,14 +23,12 @@
     }
 
     /// Forgets what is old of servers, and those that the view does not name any more.
-    pub(crate) fn forget_old_servers(&mut self, now: Instant) {
+    pub(crate) fn forget_old_servers(&mut self) {
         let (servers, view) = (&mut self.servers, &self.site.view);
         servers
             .upstreams
-            .close_idle(now, &mut self.runtime.reactor, |instance| {
-                view.knows(instance)
-            });
+            .close_idle(&mut self.runtime, |instance| view.knows(instance));
         servers.balancer.retain(|instance| view.knows(instance));
-        servers.crashes.expire(now);
+        servers.crashes.expire(self.runtime.now);
     }
 }
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -22,7 +22,6 @@
 use wingshore_coordination::{InstanceId, Route, ServerRecord, ServiceName};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{AnswerHead, WholeAnswer};
-use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
 /// Spreads successive requests over the services of a split: 2^64 divided by the golden ratio.
@@ -63,41 +62,40 @@
     #[must_use]
     pub(crate) fn begin(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         exchange: Exchange,
     ) -> Option<ExchangeEnd> {
         let timers = &mut environment.runtime.timers;
         timers.arm(exchange.until, TimerKey::Exchange(id));
-        self.send_to_server(now, environment, id, exchange)
+        self.send_to_server(environment, id, exchange)
     }
 
     /// Sends a request to the next server that takes it; gives it up if there is none.
     fn send_to_server(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         mut exchange: Exchange,
     ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
         loop {
             if request_suspicion::is_rejected(environment, &exchange) {
                 request_suspicion::log_rejected(environment, &exchange);
                 exchange.is_rejected = true;
-                return Some(give_up(now, environment, &exchange));
+                return Some(give_up(environment, &exchange));
             }
-            let Some(server) = choose_server(now, environment, &exchange) else {
-                return Some(give_up(now, environment, &exchange));
+            let Some(server) = choose_server(environment, &exchange) else {
+                return Some(give_up(environment, &exchange));
             };
             exchange.tried.push(server.instance.clone());
-            if let Some(connection) = send(now, environment, id, &exchange, &server) {
-                self.await_answer(now, environment, id, exchange, connection);
+            if let Some(connection) = send(environment, id, &exchange, &server) {
+                self.await_answer(environment, id, exchange, connection);
                 return None;
             }
             exchange.history.note(Verdict::NotRun);
             if now >= exchange.until || !exchange.limits().may_retry(exchange.history) {
-                return Some(give_up(now, environment, &exchange));
+                return Some(give_up(environment, &exchange));
             }
         }
     }
@@ -105,12 +103,12 @@
     /// A request was sent on a connection.
     fn await_answer(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         mut exchange: Exchange,
         connection: ConnectionId,
     ) {
+        let now = environment.runtime.now;
         if matches!(exchange.origin, Origin::Client(_)) {
             let usage = &mut environment.usage;
             exchange.counted_in = usage.request_sent(now, exchange.tenant.as_ref());
@@ -128,12 +126,8 @@
     }
 
     /// A connection to a server has come up with a request on it.
-    pub(crate) fn on_connected(
-        &mut self,
-        now: Instant,
-        environment: &mut Environment,
-        id: ExchangeId,
-    ) {
+    pub(crate) fn on_connected(&mut self, environment: &mut Environment, id: ExchangeId) {
+        let now = environment.runtime.now;
         if let Some(exchange) = self.all.get_mut(&id) {
             exchange.attempt_until = exchange.answer_deadline(now);
             let timers = &mut environment.runtime.timers;
@@ -145,14 +139,13 @@
     #[must_use]
     pub(crate) fn on_input(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         connection: ConnectionId,
     ) -> Option<ExchangeEnd> {
         let exchange = self.all.get_mut(&id)?;
         let client = exchange.client()?;
-        match streams::pass_on(now, environment, exchange, connection, client) {
+        match streams::pass_on(environment, exchange, connection, client) {
             StreamClient::Reads => None,
             StreamClient::DoesNotRead => Some(ExchangeEnd::ClientDoesNotRead(client)),
         }
@@ -162,26 +155,26 @@
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         instance: &InstanceId,
         answer: WholeAnswer,
     ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
         environment.servers.balancer.ended(instance);
-        note_load(now, environment, instance, &answer.head);
+        note_load(environment, instance, &answer.head);
         let exchange = self.all.get(&id)?;
         if exchange.stream.is_some() && answer.head.is_success() {
-            return self.finish_stream(now, environment, id);
+            return self.finish_stream(environment, id);
         }
         let kind = answers::classify_answer(facts_of(environment, exchange, &answer.head));
         if answer.head.status == MISDIRECTED {
-            crash_reports::server_ended(now, environment, instance);
+            crash_reports::server_ended(environment, instance);
         }
         if let Some(verdict) = kind.verdict() {
             let mut failure = Failure::new(verdict, false, kind.name());
             failure.answer = (kind == AnswerKind::ServerFailed).then_some(answer);
-            return self.attempt_failed(now, environment, id, instance, failure);
+            return self.attempt_failed(environment, id, instance, failure);
         }
         let exchange = self.all.remove(&id)?;
         let latency = now.since(exchange.begun);
@@ -195,7 +188,7 @@
         }
         Some(match exchange.origin {
             Origin::Client(client) => {
-                log::served(now, environment, &exchange, instance, answer.head.status);
+                log::served(environment, &exchange, instance, answer.head.status);
                 ExchangeEnd::ServerAnswer { client, answer }
             }
             Origin::Scoring(scoring) => ExchangeEnd::Scoring {
@@ -212,13 +205,12 @@
     /// The server has ended a stream.
     fn finish_stream(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
     ) -> Option<ExchangeEnd> {
         let exchange = self.all.remove(&id)?;
         let client = exchange.client()?;
-        if streams::finish(now, environment, &exchange, client) {
+        if streams::finish(environment, &exchange, client) {
             Some(ExchangeEnd::StreamEnded(client))
         } else {
             Some(ExchangeEnd::StreamBroken(client))
@@ -229,7 +221,6 @@
     #[must_use]
     pub(crate) fn on_connection_ended(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         lost: &LostSend,
@@ -242,20 +233,20 @@
         };
         if *end == ConnectionEnd::BrokeOff {
             let exchange = self.all.get(&id);
-            request_suspicion::connection_lost(now, environment, exchange, lost);
+            request_suspicion::connection_lost(environment, exchange, lost);
         }
         let failure = Failure::new(verdict, true, end.reason());
-        self.attempt_failed(now, environment, id, instance, failure)
+        self.attempt_failed(environment, id, instance, failure)
     }
 
     /// The time of an attempt, or of the whole request, may be over.
     #[must_use]
     pub(crate) fn on_timer(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
     ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
         let exchange = self.all.get_mut(&id)?;
         let deadline = exchange.deadline();
         if now < exchange.until && now < deadline {
@@ -265,8 +256,8 @@
         }
         let connection = exchange.upstream.take()?;
         let servers = &mut environment.servers;
-        let reactor = &mut environment.runtime.reactor;
-        let closed = servers.upstreams.close(reactor, connection)?;
+        let runtime = &mut environment.runtime;
+        let closed = servers.upstreams.close(runtime, connection)?;
         let time = now.since(closed.since);
         servers.balancer.ended(&closed.instance);
         servers.balancer.too_slow(now, &closed.instance, time);
@@ -276,23 +267,23 @@
             Verdict::NotRun
         };
         let failure = Failure::new(verdict, !closed.up, "too slow");
-        self.attempt_failed(now, environment, id, &closed.instance, failure)
+        self.attempt_failed(environment, id, &closed.instance, failure)
     }
 
     /// An attempt brought no usable answer: another one follows, or the end.
     fn attempt_failed(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: ExchangeId,
         instance: &InstanceId,
         failure: Failure,
     ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
         if failure.ejects_server {
             environment.servers.balancer.failed(now, instance);
         }
         let mut exchange = self.all.remove(&id)?;
-        log::attempt_failed(now, environment, &exchange, instance, &failure);
+        log::attempt_failed(environment, &exchange, instance, &failure);
         exchange.upstream = None;
         note_failure(environment, &mut exchange, &failure);
         let client = exchange.client().filter(|_| exchange.stream.is_none());
@@ -305,12 +296,12 @@
         };
         let step = attempts::after_failure(exchange.limits(), exchange.history, circumstances);
         match (step, for_client) {
-            (NextStep::Retry, _) => self.send_to_server(now, environment, id, exchange),
+            (NextStep::Retry, _) => self.send_to_server(environment, id, exchange),
             (NextStep::PassOn, Some((answer, client))) => {
-                log::server_failed(now, environment, &exchange);
+                log::server_failed(environment, &exchange);
                 Some(ExchangeEnd::ServerAnswer { client, answer })
             }
-            (NextStep::PassOn | NextStep::GiveUp, _) => Some(give_up(now, environment, &exchange)),
+            (NextStep::PassOn | NextStep::GiveUp, _) => Some(give_up(environment, &exchange)),
         }
     }
 
@@ -318,9 +309,9 @@
     pub(crate) fn abandon(&mut self, environment: &mut Environment, id: ExchangeId) {
         let connection = self.all.remove(&id).and_then(|known| known.upstream);
         let servers = &mut environment.servers;
-        let reactor = &mut environment.runtime.reactor;
+        let runtime = &mut environment.runtime;
         if let Some(connection) = connection
-            && let Some(closed) = servers.upstreams.close(reactor, connection)
+            && let Some(closed) = servers.upstreams.close(runtime, connection)
         {
             servers.balancer.ended(&closed.instance);
         }
@@ -328,11 +319,8 @@
 }
 
 /// The best server that the request was not sent to.
-fn choose_server(
-    now: Instant,
-    environment: &Environment,
-    exchange: &Exchange,
-) -> Option<ServerRecord> {
+fn choose_server(environment: &Environment, exchange: &Exchange) -> Option<ServerRecord> {
+    let now = environment.runtime.now;
     let site = &environment.site;
     let candidates = site.view.servers_of(&exchange.service);
     let balancer = &environment.servers.balancer;
@@ -352,17 +340,16 @@
 
 /// Sends a request to a server; `None` when the system refuses a connection.
 fn send(
-    now: Instant,
     environment: &mut Environment,
     id: ExchangeId,
     exchange: &Exchange,
     server: &ServerRecord,
 ) -> Option<ConnectionId> {
+    let now = environment.runtime.now;
     let bytes = encode_request(now, &environment.site, exchange, server);
     let servers = &mut environment.servers;
     let connection = servers.upstreams.send(
-        now,
-        &mut environment.runtime.reactor,
+        &mut environment.runtime,
         &server.instance,
         server.address,
         Task::Exchange(id),
@@ -384,12 +371,8 @@
 }
 
 /// Notes the load that a server's answer names.
-fn note_load(
-    now: Instant,
-    environment: &mut Environment,
-    instance: &InstanceId,
-    head: &AnswerHead,
-) {
+fn note_load(environment: &mut Environment, instance: &InstanceId, head: &AnswerHead) {
+    let now = environment.runtime.now;
     let name = environment.site.protocol.header_names().load;
     let Some(load) = head.headers.text(name) else {
         return;
@@ -417,17 +400,18 @@
 }
 
 /// No server has answered, and none is asked any more.
-fn give_up(now: Instant, environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
+fn give_up(environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
+    let now = environment.runtime.now;
     let is_out_of_time = now >= exchange.until;
     match exchange.origin {
         Origin::Client(client) if exchange.stream.is_some() => {
-            streams::log_broken(now, environment, exchange);
+            streams::log_broken(environment, exchange);
             ExchangeEnd::StreamBroken(client)
         }
         Origin::Client(client) => {
             let (history, is_rejected) = (exchange.history, exchange.is_rejected);
             let answer = attempts::given_up_answer(history, is_rejected, is_out_of_time);
-            log::given_up(now, environment, exchange, answer);
+            log::given_up(environment, exchange, answer);
             ExchangeEnd::OwnAnswer { client, answer }
         }
         Origin::Scoring(scoring) => ExchangeEnd::Scoring {
--- a/crates/wingshore-gateway/src/forward_log.rs
+++ b/crates/wingshore-gateway/src/forward_log.rs
@@ -6,23 +6,22 @@
 use crate::request_suspicion::fingerprint_text;
 use slog::{info, warn};
 use wingshore_coordination::InstanceId;
-use wingshore_types::Instant;
 
 /// A client's request was answered by a server.
 pub(crate) fn served(
-    now: Instant,
     environment: &mut Environment,
     exchange: &Exchange,
     instance: &InstanceId,
     status: u16,
 ) {
+    let now = environment.runtime.now;
     let runtime = &mut environment.runtime;
     let time = now.since(exchange.begun);
     runtime
         .metrics
         .request_ended(&exchange.route.name, "served", time);
     let id = exchange.id_text();
-    if runtime.samples(now, &id) {
+    if runtime.samples(&id) {
         let view = &environment.site.view;
         info!(runtime.logger, "served"; "request" => id, "route" => &exchange.route.name,
             "service" => %exchange.service, "server" => %instance, "status" => status,
@@ -34,7 +33,8 @@
 }
 
 /// A client gets the answer of a server that failed.
-pub(crate) fn server_failed(now: Instant, environment: &Environment, exchange: &Exchange) {
+pub(crate) fn server_failed(environment: &Environment, exchange: &Exchange) {
+    let now = environment.runtime.now;
     let time = now.since(exchange.begun);
     let metrics = &environment.runtime.metrics;
     metrics.request_ended(&exchange.route.name, "server_error", time);
@@ -42,12 +42,12 @@
 
 /// An attempt brought no usable answer.
 pub(crate) fn attempt_failed(
-    now: Instant,
     environment: &Environment,
     exchange: &Exchange,
     instance: &InstanceId,
     failure: &Failure,
 ) {
+    let now = environment.runtime.now;
     let runtime = &environment.runtime;
     warn!(runtime.logger, "attempt failed"; "request" => exchange.id_text(),
         "fingerprint" => fingerprint_text(&environment.site, exchange),
@@ -57,12 +57,8 @@
 }
 
 /// A client's request is given up.
-pub(crate) fn given_up(
-    now: Instant,
-    environment: &Environment,
-    exchange: &Exchange,
-    answer: OwnAnswer,
-) {
+pub(crate) fn given_up(environment: &Environment, exchange: &Exchange, answer: OwnAnswer) {
+    let now = environment.runtime.now;
     let (runtime, site) = (&environment.runtime, &environment.site);
     let time = now.since(exchange.begun);
     runtime
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -51,11 +51,11 @@
     /// Begins an attempt; it ends at once if this gateway takes none.
     pub(crate) fn begin(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         assignment: ItemAssignment,
         takes_items: bool,
     ) {
+        let now = environment.runtime.now;
         let id = assignment.assignment;
         let names = environment.site.protocol.header_names();
         let bytes = encode_item(names, &assignment);
@@ -63,21 +63,20 @@
         let is_rejected = is_rejected(environment, &assignment);
         self.attempts.insert(id, ItemAttempt::new(now, assignment));
         if is_rejected {
-            return self.end_not_run(now, environment, id, NotRunReason::Rejected);
+            return self.end_not_run(environment, id, NotRunReason::Rejected);
         }
         if !takes_items {
-            return self.end_not_run(now, environment, id, NotRunReason::Stopping);
+            return self.end_not_run(environment, id, NotRunReason::Stopping);
         }
         let sent = environment.servers.upstreams.send(
-            now,
-            &mut environment.runtime.reactor,
+            &mut environment.runtime,
             &instance,
             address,
             Task::Item(id),
             &bytes,
         );
         let Some(upstream) = sent else {
-            return self.end_not_run(now, environment, id, NotRunReason::Unreachable);
+            return self.end_not_run(environment, id, NotRunReason::Unreachable);
         };
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.upstream = Some(upstream);
@@ -89,11 +88,11 @@
     /// Bytes of an engine's answer have arrived and are in its reader.
     pub(crate) fn on_input(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: AssignmentId,
         connection: ConnectionId,
     ) {
+        let now = environment.runtime.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -103,9 +102,9 @@
             return;
         };
         match read_events(now, names, attempt, upstream) {
-            Ok(true) => self.clear_if_long(now, environment, id),
+            Ok(true) => self.clear_if_long(environment, id),
             Ok(false) => {}
-            Err(NotItsStream) => self.break_off(now, environment, id),
+            Err(NotItsStream) => self.break_off(environment, id),
         }
     }
 
@@ -114,7 +113,6 @@
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: AssignmentId,
         head: &AnswerHead,
@@ -137,21 +135,20 @@
             ItemAnswer::Impossible => ItemOutcome::Impossible,
             ItemAnswer::Failed => ItemOutcome::Failed,
         };
-        self.end(now, environment, id, outcome);
+        self.end(environment, id, outcome);
         scoring
     }
 
     /// The connection of an attempt ended without a whole answer.
     pub(crate) fn on_connection_ended(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: AssignmentId,
         lost: &LostSend,
     ) {
-        let request = self.possible_cause(now, environment, id);
+        let request = self.possible_cause(environment, id);
         if lost.end == ConnectionEnd::BrokeOff {
-            crash_reports::connection_lost(now, environment, lost, request);
+            crash_reports::connection_lost(environment, lost, request);
         }
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -163,16 +160,12 @@
             ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
             ConnectionEnd::Refused => ItemOutcome::NotRun(NotRunReason::Ended),
         };
-        self.end(now, environment, id, outcome);
+        self.end(environment, id, outcome);
     }
 
     /// An engine may have been silent for too long.
-    pub(crate) fn on_timer(
-        &mut self,
-        now: Instant,
-        environment: &mut Environment,
-        id: AssignmentId,
-    ) {
+    pub(crate) fn on_timer(&mut self, environment: &mut Environment, id: AssignmentId) {
+        let now = environment.runtime.now;
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
@@ -198,8 +191,8 @@
             sent_at: attempt.begun,
             end,
         };
-        upstreams.close(&mut environment.runtime.reactor, connection);
-        self.on_connection_ended(now, environment, id, &lost);
+        upstreams.close(&mut environment.runtime, connection);
+        self.on_connection_ended(environment, id, &lost);
     }
 
     /// The log holds this much of an item's text.
@@ -234,66 +227,54 @@
     pub(crate) fn release(&mut self, environment: &mut Environment, id: AssignmentId) {
         let attempt = self.attempts.remove(&id);
         if let Some(connection) = attempt.and_then(|attempt| attempt.upstream) {
-            let reactor = &mut environment.runtime.reactor;
-            environment.servers.upstreams.close(reactor, connection);
+            let runtime = &mut environment.runtime;
+            environment.servers.upstreams.close(runtime, connection);
         }
     }
 
     /// Breaks all attempts off: another gateway goes on with their items.
-    pub(crate) fn return_all(&mut self, now: Instant, environment: &mut Environment) {
+    pub(crate) fn return_all(&mut self, environment: &mut Environment) {
         let running: Vec<AssignmentId> = self.attempts.keys().copied().collect();
         for id in running {
-            self.interrupt(now, environment, id);
+            self.interrupt(environment, id);
         }
     }
 
     /// Breaks an attempt off, if it is under way: its item goes on elsewhere.
-    pub(crate) fn interrupt(
-        &mut self,
-        now: Instant,
-        environment: &mut Environment,
-        id: AssignmentId,
-    ) {
+    pub(crate) fn interrupt(&mut self, environment: &mut Environment, id: AssignmentId) {
         let attempt = self.attempts.get(&id);
         if attempt.is_some_and(ItemAttempt::is_running) {
-            self.break_off(now, environment, id);
+            self.break_off(environment, id);
         }
     }
 
     /// Closes the connection of an attempt, which ends with the text so far.
-    fn break_off(&mut self, now: Instant, environment: &mut Environment, id: AssignmentId) {
+    fn break_off(&mut self, environment: &mut Environment, id: AssignmentId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let outcome = attempt.interrupt(BreakCause::Gateway);
         if let Some(connection) = attempt.upstream.take() {
-            let reactor = &mut environment.runtime.reactor;
-            environment.servers.upstreams.close(reactor, connection);
+            let runtime = &mut environment.runtime;
+            environment.servers.upstreams.close(runtime, connection);
         }
-        self.end(now, environment, id, outcome);
+        self.end(environment, id, outcome);
     }
 
     fn end_not_run(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: AssignmentId,
         reason: NotRunReason,
     ) {
-        self.end(now, environment, id, ItemOutcome::NotRun(reason));
+        self.end(environment, id, ItemOutcome::NotRun(reason));
     }
 
-    fn end(
-        &mut self,
-        now: Instant,
-        environment: &mut Environment,
-        id: AssignmentId,
-        outcome: ItemOutcome,
-    ) {
+    fn end(&mut self, environment: &mut Environment, id: AssignmentId, outcome: ItemOutcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        log_ended(now, environment, attempt, &outcome);
+        log_ended(environment, attempt, &outcome);
         attempt.end(outcome);
         if let Some(leader) = environment.site.coordinators.leader() {
             self.report_ended(environment, leader);
@@ -304,10 +285,10 @@
     /// ends engines.
     fn possible_cause(
         &self,
-        now: Instant,
         environment: &Environment,
         id: AssignmentId,
     ) -> Option<RequestFingerprint> {
+        let now = environment.runtime.now;
         let attempt = self.attempts.get(&id)?;
         if attempt.is_long_running(now) {
             return None;
@@ -316,7 +297,8 @@
     }
 
     /// An item that has brought events for long enough is not what ends servers.
-    fn clear_if_long(&mut self, now: Instant, environment: &mut Environment, id: AssignmentId) {
+    fn clear_if_long(&mut self, environment: &mut Environment, id: AssignmentId) {
+        let now = environment.runtime.now;
         if !environment.suspicions().are_any() {
             return;
         }
@@ -379,19 +361,15 @@
     }
 }
 
-fn log_ended(
-    now: Instant,
-    environment: &mut Environment,
-    attempt: &ItemAttempt,
-    outcome: &ItemOutcome,
-) {
+fn log_ended(environment: &mut Environment, attempt: &ItemAttempt, outcome: &ItemOutcome) {
+    let now = environment.runtime.now;
     let assignment = &attempt.assignment;
     let id = assignment.assignment;
     let time = now.since(attempt.begun);
     let runtime = &mut environment.runtime;
     runtime.metrics.item_ended(outcome.name(), time);
     let failed = !matches!(outcome, ItemOutcome::Finished(_));
-    if failed || runtime.samples(now, assignment.request.as_str()) {
+    if failed || runtime.samples(assignment.request.as_str()) {
         info!(runtime.logger, "item ended"; "item" => %assignment.request,
             "job" => %assignment.item.job, "engine" => %assignment.instance,
             "outcome" => outcome.name(), "epoch" => id.epoch.0, "try" => id.number,
--- a/crates/wingshore-gateway/src/process/group.rs
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -11,34 +11,29 @@
     CoordinatorMessage, GatewayHello, GatewayMessage, IncomingFrame, RunningItem, ViewUpdate,
 };
 use wingshore_net::{ConnectionId, frame};
-use wingshore_types::{Epoch, Instant};
+use wingshore_types::Epoch;
 
 impl Gateway {
     /// Connects to all known coordinators there is no connection to.
-    pub(super) fn dial_coordinators(&mut self, now: Instant) {
+    pub(super) fn dial_coordinators(&mut self) {
         let seeds = self.settings.seed_addresses();
         for address in self.environment.site.coordinators.wanted(seeds) {
-            let lost = self.environment.site.coordinators.dial(
-                now,
-                &mut self.environment.runtime,
-                address,
-            );
+            let lost = self
+                .environment
+                .site
+                .coordinators
+                .dial(&mut self.environment.runtime, address);
             if let Some(connection) = lost {
-                self.on_link_ended(now, connection, address);
+                self.on_link_ended(connection, address);
             }
         }
     }
 
-    pub(super) fn on_link_up(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        address: SocketAddr,
-    ) {
+    pub(super) fn on_link_up(&mut self, connection: ConnectionId, address: SocketAddr) {
         self.environment
             .site
             .coordinators
-            .link_up(now, &self.environment.runtime, address);
+            .link_up(&self.environment.runtime, address);
         let hello = GatewayHello {
             gateway: self.id,
             node: self.settings.node.clone(),
@@ -51,41 +46,30 @@
         send_frame(&mut self.environment.runtime, connection, &frame);
     }
 
-    pub(super) fn on_link_ended(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        address: SocketAddr,
-    ) {
+    pub(super) fn on_link_ended(&mut self, connection: ConnectionId, address: SocketAddr) {
         let coordinators = &mut self.environment.site.coordinators;
-        coordinators.link_ended(now, &mut self.environment.runtime, connection, address);
+        coordinators.link_ended(&mut self.environment.runtime, connection, address);
         self.following.link_ended(address);
-        self.follow_view(now);
+        self.follow_view();
         let calls = &mut self.calls;
         calls.link_lost(
-            now,
             &mut self.environment.runtime,
             &self.environment.site,
             connection,
         );
     }
 
-    pub(super) fn on_link_input(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        address: SocketAddr,
-    ) {
+    pub(super) fn on_link_input(&mut self, connection: ConnectionId, address: SocketAddr) {
         loop {
             let Some(input) = self.environment.runtime.reactor.input(connection) else {
                 return;
             };
             match frame::decode::<CoordinatorMessage>(input) {
-                Ok(Some(message)) => self.on_coordinator(now, connection, address, message),
+                Ok(Some(message)) => self.on_coordinator(connection, address, message),
                 Ok(None) => return,
                 Err(error) => {
                     warn!(self.environment.runtime.logger, "link closed"; "error" => %error);
-                    return self.on_link_ended(now, connection, address);
+                    return self.on_link_ended(connection, address);
                 }
             }
         }
@@ -93,28 +77,28 @@
 
     fn on_coordinator(
         &mut self,
-        now: Instant,
         connection: ConnectionId,
         address: SocketAddr,
         message: CoordinatorMessage,
     ) {
+        let now = self.environment.runtime.now;
         self.environment.site.coordinators.heard(now, address);
         match message {
             CoordinatorMessage::Leading { epoch } => {
-                self.on_leading(now, connection, address, epoch);
+                self.on_leading(connection, address, epoch);
             }
-            CoordinatorMessage::View(update) => self.on_view(now, connection, update),
+            CoordinatorMessage::View(update) => self.on_view(connection, update),
             CoordinatorMessage::Reply { id, reply } => {
-                self.on_call_reply(now, connection, CallId(id), reply);
+                self.on_call_reply(connection, CallId(id), reply);
             }
             CoordinatorMessage::Assign(assignment) => {
                 let takes_items = self.status().takes_items;
                 let environment = &mut self.environment;
-                self.items.begin(now, environment, *assignment, takes_items);
+                self.items.begin(environment, *assignment, takes_items);
             }
             CoordinatorMessage::Interrupt { assignment } => {
                 let environment = &mut self.environment;
-                self.items.interrupt(now, environment, assignment);
+                self.items.interrupt(environment, assignment);
             }
             CoordinatorMessage::HandInFrom { assignment, held } => {
                 self.items.upload_from(assignment, held);
@@ -122,8 +106,8 @@
             CoordinatorMessage::Release { assignment } => {
                 self.items.release(&mut self.environment, assignment);
             }
-            CoordinatorMessage::Score(assignment) => self.begin_scoring(now, assignment),
-            CoordinatorMessage::ReleaseScoring { scoring } => self.release_scoring(now, scoring),
+            CoordinatorMessage::Score(assignment) => self.begin_scoring(assignment),
+            CoordinatorMessage::ReleaseScoring { scoring } => self.release_scoring(scoring),
             CoordinatorMessage::Alive {
                 coordinators,
                 zone,
@@ -134,19 +118,13 @@
                 let copy = copy.map(|revision| StateCopy { zone, revision });
                 let links = &mut self.environment.site.coordinators;
                 links.heartbeat(address, coordinators, copy);
-                self.follow_view(now);
+                self.follow_view();
             }
         }
     }
 
     /// A coordinator says that it leads.
-    fn on_leading(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        address: SocketAddr,
-        epoch: Epoch,
-    ) {
+    fn on_leading(&mut self, connection: ConnectionId, address: SocketAddr, epoch: Epoch) {
         if !self.environment.site.view.led(epoch) {
             return;
         }
@@ -154,10 +132,10 @@
             "configuration" => self.environment.site.view.version());
         self.environment.site.coordinators.set_leader(address);
         self.report_running(connection);
-        crash_reports::report_all(now, &mut self.environment);
+        crash_reports::report_all(&mut self.environment);
         self.calls
-            .resend(now, &mut self.environment.runtime, &self.environment.site);
-        self.start_scorings(now);
+            .resend(&mut self.environment.runtime, &self.environment.site);
+        self.start_scorings();
         self.environment.usage.report_all();
         self.report_usage();
     }
@@ -215,10 +193,9 @@
     }
 
     /// Follows the view where that is best.
-    pub(super) fn follow_view(&mut self, now: Instant) {
+    pub(super) fn follow_view(&mut self) {
         let site = &self.environment.site;
         self.following.follow(
-            now,
             &mut self.environment.runtime,
             &site.coordinators,
             &site.view,
@@ -227,7 +204,7 @@
     }
 
     /// A coordinator has sent the view, or changes of it.
-    fn on_view(&mut self, now: Instant, connection: ConnectionId, update: ViewUpdate) {
+    fn on_view(&mut self, connection: ConnectionId, update: ViewUpdate) {
         let version_before = self.environment.site.view.version();
         let view = &mut self.environment.site.view;
         let news =
@@ -236,12 +213,12 @@
             None => return,
             Some(ViewNews::Changes(changes)) => {
                 for change in &changes {
-                    crash_reports::view_changed(now, &mut self.environment, change);
+                    crash_reports::view_changed(&mut self.environment, change);
                 }
             }
             Some(ViewNews::Whole) => {
-                crash_reports::view_replaced(now, &mut self.environment);
-                self.start_scorings(now);
+                crash_reports::view_replaced(&mut self.environment);
+                self.start_scorings();
             }
         }
         let version = self.environment.site.view.version();
--- a/crates/wingshore-gateway/src/process/mod.rs
+++ b/crates/wingshore-gateway/src/process/mod.rs
@@ -121,13 +121,13 @@
             let wait = self.time_to_wait();
             let reactor = &mut self.environment.runtime.reactor;
             reactor.poll(wait, &mut events).context(NetSnafu)?;
-            let now = self.clock.now();
+            self.environment.runtime.now = self.clock.now();
             for event in events.drain(..) {
-                self.on_net_event(now, event);
+                self.on_net_event(event);
             }
-            self.fire_timers(now);
-            self.run_housekeeping(now);
-            if self.has_stopped(now) {
+            self.fire_timers();
+            self.run_housekeeping();
+            if self.has_stopped() {
                 let runtime = &mut self.environment.runtime;
                 info!(runtime.logger, "stopped"; "node" => &self.settings.node);
                 // What is queued leaves with the last turn.
@@ -185,7 +185,8 @@
         }
     }
 
-    fn run_housekeeping(&mut self, now: Instant) {
+    fn run_housekeeping(&mut self) {
+        let now = self.environment.runtime.now;
         if now >= self.next_status {
             self.next_status = now + STATUS_INTERVAL;
             self.report_status();
@@ -197,12 +198,12 @@
             return;
         }
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
-        self.dial_coordinators(now);
-        self.follow_view(now);
-        self.environment.forget_old_servers(now);
-        self.start_scorings(now);
+        self.dial_coordinators();
+        self.follow_view();
+        self.environment.forget_old_servers();
+        self.start_scorings();
         self.reload();
-        self.begin_stop(now);
+        self.begin_stop();
     }
 
     /// Reads the seeds again where the settings have changed. Seeds that cannot be read leave
@@ -225,7 +226,8 @@
         self.stopping_since.is_some()
     }
 
-    fn begin_stop(&mut self, now: Instant) {
+    fn begin_stop(&mut self) {
+        let now = self.environment.runtime.now;
         if self.is_stopping() || !self.signals.is_stopping() {
             return;
         }
@@ -233,13 +235,14 @@
         info!(logger, "planned stop"; "node" => &self.settings.node);
         self.stopping_since = Some(now);
         self.report_status();
-        self.items.return_all(now, &mut self.environment);
-        self.scorings.return_queued(now, &mut self.environment);
+        self.items.return_all(&mut self.environment);
+        self.scorings.return_queued(&mut self.environment);
     }
 
     /// Whether a planned stop is over: nobody waits for an answer, and no client can have an
     /// address of this gateway that it was given before.
-    fn has_stopped(&mut self, now: Instant) -> bool {
+    fn has_stopped(&mut self) -> bool {
+        let now = self.environment.runtime.now;
         let Some(since) = self.stopping_since else {
             return false;
         };
@@ -268,6 +271,7 @@
 ) -> Environment {
     Environment {
         runtime: Runtime {
+            now: Instant::ZERO,
             reactor,
             timers: Timers::default(),
             logger,
--- a/crates/wingshore-gateway/src/process/network.rs
+++ b/crates/wingshore-gateway/src/process/network.rs
@@ -6,68 +6,69 @@
 use crate::upstream::{ConnectionEnd, Finished, LostSend, Task};
 use wingshore_net::http::BodyStatus;
 use wingshore_net::{ConnectionId, ListenerId, NetEvent};
-use wingshore_types::Instant;
 
 impl Gateway {
-    pub(super) fn on_net_event(&mut self, now: Instant, event: NetEvent) {
+    pub(super) fn on_net_event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Accepted {
                 listener,
                 connection,
-            } => self.on_accepted(now, listener, connection),
-            NetEvent::Connected(connection) => self.on_connected(now, connection),
-            NetEvent::Received(connection) => self.on_received(now, connection),
-            NetEvent::EndOfInput(connection) => self.on_end_of_input(now, connection),
-            NetEvent::Broken(connection) => self.on_broken(now, connection),
-            NetEvent::Refused(connection) => self.on_refused(now, connection),
+            } => self.on_accepted(listener, connection),
+            NetEvent::Connected(connection) => self.on_connected(connection),
+            NetEvent::Received(connection) => self.on_received(connection),
+            NetEvent::EndOfInput(connection) => self.on_end_of_input(connection),
+            NetEvent::Broken(connection) => self.on_broken(connection),
+            NetEvent::Refused(connection) => self.on_refused(connection),
         }
     }
 
-    pub(super) fn fire_timers(&mut self, now: Instant) {
+    pub(super) fn fire_timers(&mut self) {
+        let now = self.environment.runtime.now;
         while let Some(key) = self.environment.runtime.timers.take_due(now) {
             match key {
-                TimerKey::Client(connection) => self.on_client_timer(now, connection),
+                TimerKey::Client(connection) => self.on_client_timer(connection),
                 TimerKey::Exchange(id) => {
-                    let end = self.exchanges.on_timer(now, &mut self.environment, id);
-                    self.on_exchange_end(now, end);
+                    let end = self.exchanges.on_timer(&mut self.environment, id);
+                    self.on_exchange_end(end);
                 }
-                TimerKey::Item(id) => self.items.on_timer(now, &mut self.environment, id),
-                TimerKey::Call(id) => self.on_call_timer(now, id),
+                TimerKey::Item(id) => self.items.on_timer(&mut self.environment, id),
+                TimerKey::Call(id) => self.on_call_timer(id),
             }
         }
     }
 
-    fn on_accepted(&mut self, now: Instant, listener: ListenerId, connection: ConnectionId) {
+    fn on_accepted(&mut self, listener: ListenerId, connection: ConnectionId) {
         let purpose = self.listeners.purpose(listener);
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
         self.clients
-            .accept(now, runtime, connection, purpose, idle_timeout);
+            .accept(runtime, connection, purpose, idle_timeout);
     }
 
-    fn on_connected(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_connected(&mut self, connection: ConnectionId) {
+        let now = self.environment.runtime.now;
         let environment = &mut self.environment;
         if let Some(address) = environment.site.coordinators.address(connection) {
-            return self.on_link_up(now, connection, address);
+            return self.on_link_up(connection, address);
         }
         let upstreams = &mut environment.servers.upstreams;
         if let Some(Task::Exchange(id)) = upstreams.on_connected(now, connection) {
-            self.exchanges.on_connected(now, environment, id);
+            self.exchanges.on_connected(environment, id);
         }
     }
 
-    fn on_received(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_received(&mut self, connection: ConnectionId) {
         let environment = &self.environment;
         if let Some(address) = environment.site.coordinators.address(connection) {
-            return self.on_link_input(now, connection, address);
+            return self.on_link_input(connection, address);
         }
         if environment.servers.upstreams.owns(connection) {
-            return self.on_upstream_input(now, connection);
+            return self.on_upstream_input(connection);
         }
-        self.on_client_input(now, connection);
+        self.on_client_input(connection);
     }
 
-    fn on_upstream_input(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_upstream_input(&mut self, connection: ConnectionId) {
         let environment = &mut self.environment;
         let upstreams = &mut environment.servers.upstreams;
         let Some(upstream) = upstreams.get_mut(connection) else {
@@ -75,7 +76,7 @@
         };
         let Some(task) = upstream.task else {
             // Bytes that nobody asked for: whatever comes next cannot be trusted.
-            upstreams.close(&mut environment.runtime.reactor, connection);
+            upstreams.close(&mut environment.runtime, connection);
             return;
         };
         let Some(input) = environment.runtime.reactor.input(connection) else {
@@ -84,31 +85,25 @@
         let status = upstream.reader.read(input);
         let is_all_read = input.is_empty();
         match task {
-            Task::Item(id) => self.items.on_input(now, environment, id, connection),
+            Task::Item(id) => self.items.on_input(environment, id, connection),
             Task::Exchange(id) => {
-                let end = self.exchanges.on_input(now, environment, id, connection);
-                self.on_exchange_end(now, end);
+                let end = self.exchanges.on_input(environment, id, connection);
+                self.on_exchange_end(end);
             }
         }
         match status {
             Ok(BodyStatus::Partial) => {}
-            Ok(BodyStatus::Whole) => self.upstream_answered(now, connection, task, is_all_read),
-            Err(_) => self.upstream_ended(now, connection, ConnectionEnd::BrokeOff),
+            Ok(BodyStatus::Whole) => self.upstream_answered(connection, task, is_all_read),
+            Err(_) => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
         }
     }
 
     /// The answer on a connection is whole; `is_all_read` when nothing came behind it.
-    fn upstream_answered(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        task: Task,
-        is_all_read: bool,
-    ) {
+    fn upstream_answered(&mut self, connection: ConnectionId, task: Task, is_all_read: bool) {
         let environment = &mut self.environment;
-        let reactor = &mut environment.runtime.reactor;
+        let runtime = &mut environment.runtime;
         let upstreams = &mut environment.servers.upstreams;
-        let finished = upstreams.finish(now, reactor, connection, is_all_read);
+        let finished = upstreams.finish(runtime, connection, is_all_read);
         let Some(finished) = finished else {
             return;
         };
@@ -120,67 +115,67 @@
         match task {
             Task::Exchange(id) => {
                 let exchanges = &mut self.exchanges;
-                let end = exchanges.on_answer(now, environment, id, &instance, answer);
-                self.on_exchange_end(now, end);
+                let end = exchanges.on_answer(environment, id, &instance, answer);
+                self.on_exchange_end(end);
             }
             Task::Item(id) => {
                 let items = &mut self.items;
-                let scoring = items.on_answer(now, environment, id, &answer.head, ends_whole);
+                let scoring = items.on_answer(environment, id, &answer.head, ends_whole);
                 if let Some(scoring) = scoring {
-                    self.begin_scoring(now, scoring);
+                    self.begin_scoring(scoring);
                 }
             }
         }
     }
 
-    fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_end_of_input(&mut self, connection: ConnectionId) {
         let environment = &self.environment;
         if environment.site.coordinators.address(connection).is_some() {
-            return self.on_broken(now, connection);
+            return self.on_broken(connection);
         }
         let Some(upstream) = environment.servers.upstreams.get(connection) else {
             return self.close_client(connection);
         };
         match upstream.task {
             Some(task) if upstream.reader.is_whole_at_close() => {
-                self.upstream_answered(now, connection, task, false);
+                self.upstream_answered(connection, task, false);
             }
-            _ => self.upstream_ended(now, connection, ConnectionEnd::BrokeOff),
+            _ => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
         }
     }
 
-    fn on_broken(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_broken(&mut self, connection: ConnectionId) {
         let environment = &self.environment;
         if let Some(address) = environment.site.coordinators.address(connection) {
-            return self.on_link_ended(now, connection, address);
+            return self.on_link_ended(connection, address);
         }
         match environment.servers.upstreams.get(connection) {
             Some(upstream) if upstream.up => {
-                self.upstream_ended(now, connection, ConnectionEnd::BrokeOff);
+                self.upstream_ended(connection, ConnectionEnd::BrokeOff);
             }
-            Some(_) => self.upstream_ended(now, connection, ConnectionEnd::NeverUp),
+            Some(_) => self.upstream_ended(connection, ConnectionEnd::NeverUp),
             None => self.close_client(connection),
         }
     }
 
     /// Nobody listens where a connection was to lead.
-    fn on_refused(&mut self, now: Instant, connection: ConnectionId) {
+    fn on_refused(&mut self, connection: ConnectionId) {
         if self.environment.servers.upstreams.owns(connection) {
-            return self.upstream_ended(now, connection, ConnectionEnd::Refused);
+            return self.upstream_ended(connection, ConnectionEnd::Refused);
         }
-        self.on_broken(now, connection);
+        self.on_broken(connection);
     }
 
     /// A connection to a server ended without a whole answer.
-    fn upstream_ended(&mut self, now: Instant, connection: ConnectionId, end: ConnectionEnd) {
+    fn upstream_ended(&mut self, connection: ConnectionId, end: ConnectionEnd) {
         let environment = &mut self.environment;
-        let reactor = &mut environment.runtime.reactor;
-        let closed = environment.servers.upstreams.close(reactor, connection);
+        let runtime = &mut environment.runtime;
+        let closed = environment.servers.upstreams.close(runtime, connection);
         let Some(closed) = closed else {
             return;
         };
         if end == ConnectionEnd::Refused {
-            crash_reports::server_ended(now, environment, &closed.instance);
+            crash_reports::server_ended(environment, &closed.instance);
         }
         let lost = LostSend {
             instance: closed.instance,
@@ -190,13 +185,13 @@
         match closed.task {
             Some(Task::Exchange(id)) => {
                 let exchanges = &mut self.exchanges;
-                let end = exchanges.on_connection_ended(now, environment, id, &lost);
-                self.on_exchange_end(now, end);
+                let end = exchanges.on_connection_ended(environment, id, &lost);
+                self.on_exchange_end(end);
             }
             Some(Task::Item(id)) => {
-                self.items.on_connection_ended(now, environment, id, &lost);
+                self.items.on_connection_ended(environment, id, &lost);
             }
-            None => crash_reports::probe(now, environment, &lost.instance),
+            None => crash_reports::probe(environment, &lost.instance),
         }
     }
 }
--- a/crates/wingshore-gateway/src/process/refusals.rs
+++ b/crates/wingshore-gateway/src/process/refusals.rs
@@ -7,7 +7,6 @@
 use std::time::Duration;
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HttpAnswer, RequestError, RequestHead};
-use wingshore_types::Instant;
 
 /// Stands for the route in metrics where there is none.
 const NO_ROUTE: &str = "none";
@@ -16,23 +15,17 @@
 
 impl Gateway {
     /// Refuses a request that is not let in.
-    pub(super) fn refuse(
-        &mut self,
-        now: Instant,
-        client: ConnectionId,
-        head: &RequestHead,
-        refusal: Refusal,
-    ) {
+    pub(super) fn refuse(&mut self, client: ConnectionId, head: &RequestHead, refusal: Refusal) {
         let Refusal { answer, reason } = refusal;
-        self.log_refused(now, Some(head), answer.name(), reason);
+        self.log_refused(Some(head), answer.name(), reason);
         let metrics = &self.environment.runtime.metrics;
         metrics.request_ended(NO_ROUTE, answer.name(), Duration::ZERO);
-        self.answer_own(now, client, &answer);
+        self.answer_own(client, &answer);
     }
 
     /// Refuses a request whose head alone says that it cannot be let in; the rest of it is not
     /// read.
-    pub(super) fn refuse_early(&mut self, now: Instant, client: ConnectionId) {
+    pub(super) fn refuse_early(&mut self, client: ConnectionId) {
         let (purpose, head) = (self.clients.purpose(client), self.clients.head(client));
         let Some((purpose, head)) = purpose.zip(head) else {
             return;
@@ -41,45 +34,40 @@
         if let Some(refusal) = refusal {
             let head = head.clone();
             self.clients.close_after_answer(client);
-            self.refuse(now, client, &head, refusal);
+            self.refuse(client, &head, refusal);
         }
     }
 
     /// Refuses a request that did not arrive whole in time; its connection is of no more use.
-    pub(super) fn refuse_too_slow(&mut self, now: Instant, client: ConnectionId) {
+    pub(super) fn refuse_too_slow(&mut self, client: ConnectionId) {
         if !self.clients.close_after_answer(client) {
             return;
         }
         let Refusal { answer, reason } = Refusal::TOO_SLOW;
         let head = self.clients.head(client);
-        self.log_refused(now, head, answer.name(), reason);
-        self.answer_own(now, client, &answer);
+        self.log_refused(head, answer.name(), reason);
+        self.answer_own(client, &answer);
     }
 
     /// Refuses bytes that are no request, or one over a limit; their connection is of no more use.
-    pub(super) fn refuse_unreadable(
-        &mut self,
-        now: Instant,
-        client: ConnectionId,
-        error: &RequestError,
-    ) {
+    pub(super) fn refuse_unreadable(&mut self, client: ConnectionId, error: &RequestError) {
         if !self.clients.close_after_answer(client) {
             return;
         }
         let head = self.clients.head(client);
-        self.log_refused(now, head, UNREADABLE, error);
+        self.log_refused(head, UNREADABLE, error);
         let answer = HttpAnswer::plain(error.status(), error.to_string());
-        self.answer_whole(now, client, &answer);
+        self.answer_whole(client, &answer);
     }
 
     /// One line for an answer that was given without offering the request to a server.
     pub(super) fn log_refused(
         &self,
-        now: Instant,
         head: Option<&RequestHead>,
         answer: &'static str,
         reason: impl Display,
     ) {
+        let now = self.environment.runtime.now;
         let site = &self.environment.site;
         let name = site.protocol.header_names().request_id;
         let text = |name| head.and_then(|head| head.headers.text(name));
--- a/crates/wingshore-gateway/src/process/requests.rs
+++ b/crates/wingshore-gateway/src/process/requests.rs
@@ -13,48 +13,47 @@
 use wingshore_coordination::{CallReply, Caller, Request, Route};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HeadWriter, HttpAnswer, WholeRequest};
-use wingshore_types::Instant;
 
 /// Type of the text that monitoring reads.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 impl Gateway {
     /// Bytes of a client have arrived, or its last answer has gone out.
-    pub(super) fn on_client_input(&mut self, now: Instant, client: ConnectionId) {
+    pub(super) fn on_client_input(&mut self, client: ConnectionId) {
         let limits = self.environment.site.view.limits();
         let is_stopping = self.is_stopping();
         let runtime = &mut self.environment.runtime;
-        match self.clients.read(now, runtime, client, limits, is_stopping) {
+        match self.clients.read(runtime, client, limits, is_stopping) {
             ClientInput::Nothing => {}
-            ClientInput::Partial => self.refuse_early(now, client),
-            ClientInput::Request(request) => self.on_request(now, client, request),
-            ClientInput::Unreadable(error) => self.refuse_unreadable(now, client, &error),
+            ClientInput::Partial => self.refuse_early(client),
+            ClientInput::Request(request) => self.on_request(client, request),
+            ClientInput::Unreadable(error) => self.refuse_unreadable(client, &error),
         }
     }
 
-    fn on_request(&mut self, now: Instant, client: ConnectionId, request: WholeRequest) {
+    fn on_request(&mut self, client: ConnectionId, request: WholeRequest) {
         let purpose = self.clients.purpose(client).unwrap_or(Purpose::Front);
         match admission::admit(&self.environment.site, purpose, &request.head) {
             Admission::Ready => {
                 let is_ready = self.status().ready;
                 let protocol = &self.environment.site.protocol;
                 let answer = protocol.write_ready(&request.head, is_ready);
-                self.answer_whole(now, client, &answer);
+                self.answer_whole(client, &answer);
             }
             Admission::Metrics => {
                 let answer = self.metrics_answer();
-                self.answer_whole(now, client, &answer);
+                self.answer_whole(client, &answer);
             }
-            Admission::Refused(refusal) => self.refuse(now, client, &request.head, refusal),
+            Admission::Refused(refusal) => self.refuse(client, &request.head, refusal),
             Admission::BatchCall(call, caller) => {
                 let request = request_of(call, tenant_of(caller.as_ref()));
-                self.begin_call(now, client, request);
+                self.begin_call(client, request);
             }
             Admission::Submission(caller) => {
-                self.submit_job(now, client, &request, caller.as_ref());
+                self.submit_job(client, &request, caller.as_ref());
             }
             Admission::Forward(route, caller) => {
-                self.forward(now, client, request, caller.as_ref(), route);
+                self.forward(client, request, caller.as_ref(), route);
             }
         }
     }
@@ -72,14 +71,14 @@
     /// Sends a client's request on its way to servers.
     fn forward(
         &mut self,
-        now: Instant,
         client: ConnectionId,
         request: WholeRequest,
         caller: Option<&Caller>,
         route: Arc<Route>,
     ) {
+        let now = self.environment.runtime.now;
         let Some(service) = self.exchanges.next_target(&route) else {
-            return self.refuse(now, client, &request.head, Refusal::NO_SERVICE);
+            return self.refuse(client, &request.head, Refusal::NO_SERVICE);
         };
         let names = self.environment.site.protocol.header_names();
         let headers = &request.head.headers;
@@ -99,14 +98,13 @@
         self.clients.set_waiting(client, Waiting::Exchange(id));
         let environment = &mut self.environment;
         let exchange = Exchange::new(now, new);
-        let end = self.exchanges.begin(now, environment, id, exchange);
-        self.on_exchange_end(now, end);
+        let end = self.exchanges.begin(environment, id, exchange);
+        self.on_exchange_end(end);
     }
 
     /// Reads a batch job and passes it on.
     fn submit_job(
         &mut self,
-        now: Instant,
         client: ConnectionId,
         request: &WholeRequest,
         caller: Option<&Caller>,
@@ -115,104 +113,90 @@
             Ok(mut submission) => {
                 submission.id = submission.id.of_tenant(tenant_of(caller));
                 let request = Request::SubmitJob(Arc::new(submission));
-                self.begin_call(now, client, request);
+                self.begin_call(client, request);
             }
             Err(reason) => {
                 let answer = BatchAnswer::Refused(reason);
-                self.log_refused(now, Some(&request.head), answer.name(), answer.reason());
-                self.answer_batch(now, client, &answer);
+                self.log_refused(Some(&request.head), answer.name(), answer.reason());
+                self.answer_batch(client, &answer);
             }
         }
     }
 
-    fn begin_call(&mut self, now: Instant, client: ConnectionId, request: Request) {
+    fn begin_call(&mut self, client: ConnectionId, request: Request) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
-        let id = self.calls.begin(now, runtime, site, client, request);
+        let id = self.calls.begin(runtime, site, client, request);
         self.clients.set_waiting(client, Waiting::Call(id));
     }
 
     /// A call may be late, or its time over.
-    pub(super) fn on_call_timer(&mut self, now: Instant, id: CallId) {
+    pub(super) fn on_call_timer(&mut self, id: CallId) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
-        let end = self.calls.on_timer(now, runtime, site, id);
-        self.end_call(now, end);
+        let end = self.calls.on_timer(runtime, site, id);
+        self.end_call(end);
     }
 
     /// A coordinator has answered a call.
-    pub(super) fn on_call_reply(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        id: CallId,
-        reply: CallReply,
-    ) {
+    pub(super) fn on_call_reply(&mut self, connection: ConnectionId, id: CallId, reply: CallReply) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         let calls = &mut self.calls;
-        let end = calls.on_reply(now, runtime, site, connection, (id, reply));
-        self.end_call(now, end);
+        let end = calls.on_reply(runtime, site, connection, (id, reply));
+        self.end_call(end);
     }
 
-    fn end_call(&mut self, now: Instant, end: Option<CallEnd>) {
+    fn end_call(&mut self, end: Option<CallEnd>) {
         if let Some(CallEnd { client, answer }) = end {
-            self.answer_batch(now, client, &answer);
+            self.answer_batch(client, &answer);
         }
     }
 
-    fn answer_batch(&mut self, now: Instant, client: ConnectionId, answer: &BatchAnswer) {
+    fn answer_batch(&mut self, client: ConnectionId, answer: &BatchAnswer) {
         let answer = self.environment.site.protocol.write_batch(answer);
-        self.answer_whole(now, client, &answer);
+        self.answer_whole(client, &answer);
     }
 
     /// Answers with an answer of the gateway's own.
-    pub(super) fn answer_own(&mut self, now: Instant, client: ConnectionId, answer: &OwnAnswer) {
+    pub(super) fn answer_own(&mut self, client: ConnectionId, answer: &OwnAnswer) {
         let answer = self.environment.site.protocol.write_own(answer);
-        self.answer_whole(now, client, &answer);
+        self.answer_whole(client, &answer);
     }
 
     /// Answers a client whole.
-    pub(super) fn answer_whole(&mut self, now: Instant, client: ConnectionId, answer: &HttpAnswer) {
-        self.answer(now, client, answer.head(), &answer.body);
+    pub(super) fn answer_whole(&mut self, client: ConnectionId, answer: &HttpAnswer) {
+        self.answer(client, answer.head(), &answer.body);
     }
 
     /// Sends an answer and goes on to the client's next request.
-    pub(super) fn answer(
-        &mut self,
-        now: Instant,
-        client: ConnectionId,
-        writer: HeadWriter,
-        body: &[u8],
-    ) {
+    pub(super) fn answer(&mut self, client: ConnectionId, writer: HeadWriter, body: &[u8]) {
         let is_stopping = self.is_stopping();
         let runtime = &mut self.environment.runtime;
         let answer = (writer, body);
-        let after = self
-            .clients
-            .answer(now, runtime, client, answer, is_stopping);
-        self.after_answer(now, client, after);
+        let after = self.clients.answer(runtime, client, answer, is_stopping);
+        self.after_answer(client, after);
     }
 
     /// The answer to a client is out.
-    pub(super) fn after_answer(&mut self, now: Instant, client: ConnectionId, after: AfterAnswer) {
+    pub(super) fn after_answer(&mut self, client: ConnectionId, after: AfterAnswer) {
         if after == AfterAnswer::Nothing {
             return;
         }
         let input = self.environment.runtime.reactor.input(client);
         if input.is_some_and(|input| !input.is_empty()) {
-            self.on_client_input(now, client);
+            self.on_client_input(client);
         }
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
-        self.clients.next_read(now, runtime, client, idle_timeout);
+        self.clients.next_read(runtime, client, idle_timeout);
     }
 
     /// A client's time may be over.
-    pub(super) fn on_client_timer(&mut self, now: Instant, client: ConnectionId) {
+    pub(super) fn on_client_timer(&mut self, client: ConnectionId) {
         let limits = self.environment.site.view.limits();
         let runtime = &mut self.environment.runtime;
-        match self.clients.on_timer(now, runtime, client, limits) {
+        match self.clients.on_timer(runtime, client, limits) {
             ClientTimeout::None => {}
             ClientTimeout::Idle => self.close_client(client),
-            ClientTimeout::TooSlow => self.refuse_too_slow(now, client),
+            ClientTimeout::TooSlow => self.refuse_too_slow(client),
         }
     }
 
--- a/crates/wingshore-gateway/src/process/work.rs
+++ b/crates/wingshore-gateway/src/process/work.rs
@@ -7,78 +7,78 @@
 use wingshore_coordination::{AssignmentId, ScoringAssignment};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HeadWriter, WholeAnswer};
-use wingshore_types::Instant;
 
 impl Gateway {
     /// An exchange may be over: whoever waits for it gets its end.
-    pub(super) fn on_exchange_end(&mut self, now: Instant, end: Option<ExchangeEnd>) {
+    pub(super) fn on_exchange_end(&mut self, end: Option<ExchangeEnd>) {
         match end {
             None => {}
             Some(ExchangeEnd::ServerAnswer { client, answer }) => {
-                self.pass_on(now, client, &answer);
+                self.pass_on(client, &answer);
             }
             Some(ExchangeEnd::OwnAnswer { client, answer }) => {
-                self.answer_own(now, client, &answer);
+                self.answer_own(client, &answer);
             }
-            Some(ExchangeEnd::StreamEnded(client)) => self.stream_ended(now, client),
+            Some(ExchangeEnd::StreamEnded(client)) => self.stream_ended(client),
             Some(ExchangeEnd::StreamBroken(client)) => {
                 self.clients.cut(&mut self.environment.runtime, client);
             }
             Some(ExchangeEnd::ClientDoesNotRead(client)) => self.close_client(client),
             Some(ExchangeEnd::Scoring { scoring, end }) => {
                 let scorings = &mut self.scorings;
-                scorings.on_request_end(now, &mut self.environment, scoring, end);
-                self.start_scorings(now);
+                scorings.on_request_end(&mut self.environment, scoring, end);
+                self.start_scorings();
             }
         }
     }
 
     /// Passes a server's answer on to a client.
-    fn pass_on(&mut self, now: Instant, client: ConnectionId, answer: &WholeAnswer) {
+    fn pass_on(&mut self, client: ConnectionId, answer: &WholeAnswer) {
         let mut writer = HeadWriter::answer(answer.head.status);
         for (name, value) in end_to_end(&answer.head.headers) {
             writer = writer.line(name, value);
         }
-        self.answer(now, client, writer, &answer.body);
+        self.answer(client, writer, &answer.body);
     }
 
-    fn stream_ended(&mut self, now: Instant, client: ConnectionId) {
+    fn stream_ended(&mut self, client: ConnectionId) {
         let is_stopping = self.is_stopping();
         let runtime = &mut self.environment.runtime;
-        let after = self.clients.answered(now, runtime, client, is_stopping);
-        self.after_answer(now, client, after);
+        let after = self.clients.answered(runtime, client, is_stopping);
+        self.after_answer(client, after);
     }
 
     /// A text is to be scored.
-    pub(super) fn begin_scoring(&mut self, now: Instant, assignment: ScoringAssignment) {
+    pub(super) fn begin_scoring(&mut self, assignment: ScoringAssignment) {
+        let now = self.environment.runtime.now;
         if self.scorings.add(now, assignment) {
-            self.start_scorings(now);
+            self.start_scorings();
         }
     }
 
     /// Sends the requests of those scorings that wait, as far as the limits of their services allow.
     ///
     /// Without a leader nothing is begun: it could not say that a job has ended meanwhile.
-    pub(super) fn start_scorings(&mut self, now: Instant) {
+    pub(super) fn start_scorings(&mut self) {
         if self.environment.site.coordinators.leader().is_none() {
             return;
         }
         for id in self.scorings.take_queue() {
             let environment = &mut self.environment;
             let exchanges = &mut self.exchanges;
-            match self.scorings.start(now, environment, exchanges, id) {
+            match self.scorings.start(environment, exchanges, id) {
                 Started::Waits => self.scorings.requeue(id),
                 Started::Gone => {}
-                Started::Ended => self.start_scorings(now),
-                Started::RequestOver(end) => self.on_exchange_end(now, Some(end)),
+                Started::Ended => self.start_scorings(),
+                Started::RequestOver(end) => self.on_exchange_end(Some(end)),
             }
         }
     }
 
     /// A leader has no more use for a scoring.
-    pub(super) fn release_scoring(&mut self, now: Instant, id: AssignmentId) {
+    pub(super) fn release_scoring(&mut self, id: AssignmentId) {
         let (environment, exchanges) = (&mut self.environment, &mut self.exchanges);
-        self.scorings.release(now, environment, exchanges, id);
-        self.start_scorings(now);
+        self.scorings.release(environment, exchanges, id);
+        self.start_scorings();
     }
 }
--- a/crates/wingshore-gateway/src/request_suspicion.rs
+++ b/crates/wingshore-gateway/src/request_suspicion.rs
@@ -8,7 +8,6 @@
 use crate::upstream::LostSend;
 use slog::warn;
 use wingshore_coordination::RequestFingerprint;
-use wingshore_types::Instant;
 
 /// What a request asks, whatever its identity; `None` before the site's key is known.
 pub(crate) fn fingerprint_of(site: &Site, exchange: &Exchange) -> Option<RequestFingerprint> {
@@ -49,14 +48,14 @@
 
 /// The connection of a request was lost while a server ran it.
 pub(crate) fn connection_lost(
-    now: Instant,
     environment: &mut Environment,
     exchange: Option<&Exchange>,
     lost: &LostSend,
 ) {
+    let now = environment.runtime.now;
     let possible_cause = exchange.filter(|exchange| !exchange.has_streamed_long(now));
     let request = possible_cause.and_then(|exchange| fingerprint_of(&environment.site, exchange));
-    crash_reports::connection_lost(now, environment, lost, request);
+    crash_reports::connection_lost(environment, lost, request);
 }
 
 /// A request went well.
@@ -68,7 +67,8 @@
 }
 
 /// A stream that has brought events for long enough is not what ends servers.
-pub(crate) fn clear_if_long(now: Instant, environment: &mut Environment, exchange: &mut Exchange) {
+pub(crate) fn clear_if_long(environment: &mut Environment, exchange: &mut Exchange) {
+    let now = environment.runtime.now;
     if !environment.suspicions().are_any() || !exchange.has_streamed_long(now) {
         return;
     }
--- a/crates/wingshore-gateway/src/runtime.rs
+++ b/crates/wingshore-gateway/src/runtime.rs
@@ -10,6 +10,8 @@
 
 /// Sockets, timers, logs and metrics.
 pub(crate) struct Runtime {
+    /// The time of the present turn of the loop: one reading of the clock for all that it does.
+    pub(crate) now: Instant,
     pub(crate) reactor: Reactor,
     pub(crate) timers: Timers,
     pub(crate) logger: Logger,
@@ -19,8 +21,8 @@
 
 impl Runtime {
     /// Whether a request that went well gets a line in the log.
-    pub(crate) fn samples(&mut self, now: Instant, request: &str) -> bool {
-        let steady = Duration::from_millis(now.as_millis());
+    pub(crate) fn samples(&mut self, request: &str) -> bool {
+        let steady = Duration::from_millis(self.now.as_millis());
         self.sampler.takes(steady, request)
     }
 }
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -126,11 +126,11 @@
     /// Sends the request of a scoring, if the limit of its service allows that.
     pub(crate) fn start(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         exchanges: &mut Exchanges,
         id: AssignmentId,
     ) -> Started {
+        let now = environment.runtime.now;
         let Some(run) = self.runs.get_mut(&id) else {
             return Started::Gone;
         };
@@ -140,7 +140,7 @@
         let target = route.and_then(|route| Some((exchanges.next_target(&route)?, route)));
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
-            self.end(now, environment, id, outcome);
+            self.end(environment, id, outcome);
             return Started::Ended;
         };
         let servers = environment.site.view.servers_of(&service);
@@ -163,7 +163,7 @@
         };
         let exchange = exchanges.next_id();
         run.exchange = Some((exchange, service));
-        match exchanges.begin(now, environment, exchange, Exchange::new(now, new)) {
+        match exchanges.begin(environment, exchange, Exchange::new(now, new)) {
             Some(end) => Started::RequestOver(end),
             None => Started::Gone,
         }
@@ -172,11 +172,11 @@
     /// The request of a scoring is over.
     pub(crate) fn on_request_end(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         id: AssignmentId,
         end: ScoringRequestEnd,
     ) {
+        let now = environment.runtime.now;
         let (outcome, sign) = match &end.answer {
             Some(answer) => (
                 scoring_policy::answered_outcome(score_of(environment, answer)),
@@ -188,7 +188,7 @@
             ),
         };
         self.free_place(now, id, sign);
-        self.end(now, environment, id, outcome);
+        self.end(environment, id, outcome);
     }
 
     /// Reports to the leader the ends that it was not sent.
@@ -210,11 +210,11 @@
     /// A leader has no more use for a scoring.
     pub(crate) fn release(
         &mut self,
-        now: Instant,
         environment: &mut Environment,
         exchanges: &mut Exchanges,
         id: AssignmentId,
     ) {
+        let now = environment.runtime.now;
         if let Some(exchange) = self.free_place(now, id, Sign::None) {
             exchanges.abandon(environment, exchange);
         }
@@ -223,10 +223,10 @@
     }
 
     /// A planned stop: scorings that have not begun go on elsewhere.
-    pub(crate) fn return_queued(&mut self, now: Instant, environment: &mut Environment) {
+    pub(crate) fn return_queued(&mut self, environment: &mut Environment) {
         for id in self.take_queue() {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::Stopping);
-            self.end(now, environment, id, outcome);
+            self.end(environment, id, outcome);
         }
     }
 
@@ -239,17 +239,11 @@
         Some(exchange)
     }
 
-    fn end(
-        &mut self,
-        now: Instant,
-        environment: &mut Environment,
-        id: AssignmentId,
-        outcome: ScoringOutcome,
-    ) {
+    fn end(&mut self, environment: &mut Environment, id: AssignmentId, outcome: ScoringOutcome) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        log_ended(now, environment, run, &outcome, self.queue.len());
+        log_ended(environment, run, &outcome, self.queue.len());
         run.outcome = Some(outcome);
         if let Some(leader) = environment.site.coordinators.leader() {
             self.report_ended(environment, leader);
@@ -284,19 +278,19 @@
 }
 
 fn log_ended(
-    now: Instant,
     environment: &mut Environment,
     run: &ScoringRun,
     outcome: &ScoringOutcome,
     queued: usize,
 ) {
+    let now = environment.runtime.now;
     let assignment = &run.assignment;
     let id = assignment.scoring;
     let time = now.since(run.since);
     let runtime = &mut environment.runtime;
     runtime.metrics.scoring_ended(outcome.name(), time);
     let is_scored = matches!(outcome, ScoringOutcome::Scored(_));
-    if !is_scored || runtime.samples(now, assignment.id.as_str()) {
+    if !is_scored || runtime.samples(assignment.id.as_str()) {
         info!(runtime.logger, "scoring ended"; "item" => %assignment.id,
             "job" => %assignment.item.job, "request" => %assignment.scorer.request,
             "outcome" => outcome.name(), "epoch" => id.epoch.0, "scoring" => id.number,
--- a/crates/wingshore-gateway/src/streams.rs
+++ b/crates/wingshore-gateway/src/streams.rs
@@ -14,7 +14,6 @@
 use wingshore_coordination::RouteKind;
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{AnswerHead, HeadWriter, write_chunk, write_last_chunk};
-use wingshore_types::Instant;
 
 /// A client that lets more bytes than this wait is cut off. Not measured; it bounds the memory that a
 /// client which does not read can take.
@@ -31,12 +30,12 @@
 
 /// Passes on what has arrived of a server's answer, if that is a stream for `client`.
 pub(crate) fn pass_on(
-    now: Instant,
     environment: &mut Environment,
     exchange: &mut Exchange,
     connection: ConnectionId,
     client: ConnectionId,
 ) -> StreamClient {
+    let now = environment.runtime.now;
     if exchange.route.kind != RouteKind::Streaming {
         return StreamClient::Reads;
     }
@@ -58,7 +57,7 @@
     let mut chunk = Vec::new();
     write_chunk(&mut chunk, &whole);
     reactor.send(client, &chunk);
-    request_suspicion::clear_if_long(now, environment, exchange);
+    request_suspicion::clear_if_long(environment, exchange);
     if environment.runtime.reactor.queued(client) <= MAX_QUEUED_BYTES {
         return StreamClient::Reads;
     }
@@ -94,11 +93,11 @@
 
 /// The server has ended the stream; says whether it is whole, which it is not inside an event.
 pub(crate) fn finish(
-    now: Instant,
     environment: &mut Environment,
     exchange: &Exchange,
     client: ConnectionId,
 ) -> bool {
+    let now = environment.runtime.now;
     let stream = exchange.stream.as_ref();
     if stream.is_some_and(PassedStream::is_within_event) {
         return false;
@@ -114,7 +113,8 @@
 }
 
 /// No server resumes the stream.
-pub(crate) fn log_broken(now: Instant, environment: &Environment, exchange: &Exchange) {
+pub(crate) fn log_broken(environment: &Environment, exchange: &Exchange) {
+    let now = environment.runtime.now;
     let time = now.since(exchange.begun);
     let runtime = &environment.runtime;
     runtime
--- a/crates/wingshore-gateway/src/upstream.rs
+++ b/crates/wingshore-gateway/src/upstream.rs
@@ -2,12 +2,13 @@
 
 use crate::event_stream::EventReader;
 use crate::ids::ExchangeId;
+use crate::runtime::Runtime;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{AssignmentId, InstanceId};
 use wingshore_net::http::{AnswerHead, AnswerReader, WholeAnswer};
-use wingshore_net::{ConnectOptions, ConnectionId, Reactor};
+use wingshore_net::{ConnectOptions, ConnectionId};
 use wingshore_types::Instant;
 
 /// Sent bytes may stay unacknowledged this long. Not measured.
@@ -98,35 +99,35 @@
     /// Sends a request on an idle connection, or a new one; `None` when the system refuses one.
     pub(crate) fn send(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
         task: Task,
         bytes: &[u8],
     ) -> Option<ConnectionId> {
-        let connection = match self.take_idle(now, reactor, instance) {
+        let now = runtime.now;
+        let connection = match self.take_idle(runtime, instance) {
             Some(connection) => connection,
-            None => self.connect(now, reactor, instance, address)?,
+            None => self.connect(runtime, instance, address)?,
         };
         let upstream = self.all.get_mut(&connection)?;
         upstream.task = Some(task);
         upstream.since = now;
         upstream.reader = AnswerReader::new(false);
         upstream.events = None;
-        reactor.send(connection, bytes);
+        runtime.reactor.send(connection, bytes);
         Some(connection)
     }
 
     /// Opens a connection for whatever comes next; it is kept once it is up.
     pub(crate) fn open(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
     ) {
-        let connection = self.connect(now, reactor, instance, address);
+        let now = runtime.now;
+        let connection = self.connect(runtime, instance, address);
         let upstream = connection.and_then(|connection| self.all.get_mut(&connection));
         if let Some(upstream) = upstream {
             upstream.idle_until = now + DEFAULT_KEEP;
@@ -158,11 +159,11 @@
     /// waits for its next use, or closes.
     pub(crate) fn finish(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         connection: ConnectionId,
         is_all_read: bool,
     ) -> Option<Finished> {
+        let now = runtime.now;
         let upstream = self.all.get_mut(&connection)?;
         let reader = std::mem::replace(&mut upstream.reader, AnswerReader::new(false));
         let is_within_event = upstream
@@ -176,7 +177,7 @@
             upstream.keep = keep_time(&answer.head).unwrap_or(upstream.keep);
             self.keep_idle(now, connection);
         } else {
-            self.close(reactor, connection);
+            self.close(runtime, connection);
         }
         Some(Finished {
             instance,
@@ -187,15 +188,15 @@
 
     fn connect(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
     ) -> Option<ConnectionId> {
+        let now = runtime.now;
         let options = ConnectOptions {
             unacknowledged_limit: UNACKNOWLEDGED_LIMIT,
         };
-        let connection = reactor.connect(address, options)?;
+        let connection = runtime.reactor.connect(address, options)?;
         let upstream = Upstream {
             instance: instance.clone(),
             up: false,
@@ -210,22 +211,18 @@
         Some(connection)
     }
 
-    fn take_idle(
-        &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
-        instance: &InstanceId,
-    ) -> Option<ConnectionId> {
+    fn take_idle(&mut self, runtime: &mut Runtime, instance: &InstanceId) -> Option<ConnectionId> {
+        let now = runtime.now;
         let idle = self.idle.get_mut(instance)?;
         while let Some(connection) = idle.pop() {
             let is_kept = self
                 .all
                 .get(&connection)
                 .is_some_and(|upstream| now < upstream.idle_until);
-            if is_kept && reactor.is_open(connection) {
+            if is_kept && runtime.reactor.is_open(connection) {
                 return Some(connection);
             }
-            reactor.close(connection);
+            runtime.reactor.close(connection);
             self.all.remove(&connection);
         }
         None
@@ -249,10 +246,10 @@
     /// The connection is of no more use.
     pub(crate) fn close(
         &mut self,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         connection: ConnectionId,
     ) -> Option<Upstream> {
-        reactor.close(connection);
+        runtime.reactor.close(connection);
         let upstream = self.all.remove(&connection)?;
         if let Some(idle) = self.idle.get_mut(&upstream.instance) {
             idle.retain(|other| *other != connection);
@@ -263,10 +260,10 @@
     /// Closes connections that have been idle for too long, or whose server is not known any more.
     pub(crate) fn close_idle(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         is_known: impl Fn(&InstanceId) -> bool,
     ) {
+        let now = runtime.now;
         let old: Vec<ConnectionId> = self
             .all
             .iter()
@@ -275,7 +272,7 @@
             .map(|(connection, _)| *connection)
             .collect();
         for connection in old {
-            self.close(reactor, connection);
+            self.close(runtime, connection);
         }
         self.idle.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/wingshore-gateway/src/view_following.rs
+++ b/crates/wingshore-gateway/src/view_following.rs
@@ -11,7 +11,6 @@
 use std::net::SocketAddr;
 use wingshore_coordination::{GatewayMessage, ViewChange, ViewContent, ViewUpdate};
 use wingshore_net::ConnectionId;
-use wingshore_types::Instant;
 
 /// What an update of the view has brought.
 pub(crate) enum ViewNews {
@@ -45,12 +44,12 @@
     /// Follows the view where that is best, seen from `zone`.
     pub(crate) fn follow(
         &mut self,
-        now: Instant,
         runtime: &mut Runtime,
         coordinators: &Coordinators,
         view: &View,
         zone: &str,
     ) {
+        let now = runtime.now;
         let candidates = coordinators.view_candidates(now, zone);
         let choice = Choice {
             candidates: &candidates,
