--- a/crates/wingshore-gateway/src/answers.rs
+++ b/crates/wingshore-gateway/src/answers.rs
@@ -15,6 +15,8 @@
 //!
 //! **Missing inputs.** A line that is not there counts as not shown: the cautious case.
 
+use crate::protocol::HeaderNames;
+use wingshore_net::http::AnswerHead;
 use wingshore_types::verdict::Verdict;
 
 /// Status by which a server says that a request was meant for another incarnation of a server.
@@ -37,6 +39,32 @@
     pub is_signed: bool,
 }
 
+impl AnswerFacts {
+    /// What the head of an answer shows to the request of this identity.
+    pub fn read(names: &HeaderNames, request: &[u8], head: &AnswerHead) -> Self {
+        Self {
+            status: head.status,
+            says_not_run: head.headers.get(names.not_run).is_some(),
+            is_own: head.headers.get(names.request_id) == Some(request),
+            is_signed: head.headers.get(names.signature).is_some(),
+        }
+    }
+
+    /// Whether a server made it for the request.
+    pub fn is_genuine(self) -> bool {
+        self.is_own && self.is_signed
+    }
+}
+
+/// The requests that run or wait at a server, by the head of its answer.
+pub(crate) fn read_load(names: &HeaderNames, head: &AnswerHead) -> Option<u32> {
+    let load = head.headers.text(names.load)?;
+    let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
+    let running = numbers.next()?.ok()?;
+    let waiting = numbers.next()?.ok()?;
+    Some(running + waiting)
+}
+
 /// What an answer is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
--- a/crates/wingshore-gateway/src/event_stream.rs
+++ b/crates/wingshore-gateway/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! Reading streams of events (`text/event-stream`) as their bytes arrive.
+//! Reading streams of events (`text/event-stream`) as their bytes arrive, in whatever pieces. No I/O.
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 }
 
 impl EventReader {
-    /// A reader of a stream in which the field `version_field` (in lower case) tells versions.
+    /// A reader of a stream in which the field `version_field` (in lower case) names versions.
     pub fn new(version_field: &str) -> Self {
         Self {
             buffer: Vec::new(),
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -21,7 +21,7 @@
 use std::collections::HashMap;
 use wingshore_coordination::{InstanceId, Route, ServerRecord, ServiceName};
 use wingshore_net::ConnectionId;
-use wingshore_net::http::{AnswerHead, WholeAnswer};
+use wingshore_net::http::WholeAnswer;
 use wingshore_types::verdict::Verdict;
 
 /// Spreads successive requests over the services of a split: 2^64 divided by the golden ratio.
@@ -161,13 +161,18 @@
         answer: WholeAnswer,
     ) -> Option<ExchangeEnd> {
         let now = environment.runtime.now;
-        environment.servers.balancer.ended(instance);
-        note_load(environment, instance, &answer.head);
+        let balancer = &mut environment.servers.balancer;
+        balancer.ended(instance);
+        let names = environment.site.protocol.header_names();
+        if let Some(load) = answers::read_load(names, &answer.head) {
+            balancer.reported(now, instance, load);
+        }
         let exchange = self.all.get(&id)?;
         if exchange.stream.is_some() && answer.head.is_success() {
             return self.finish_stream(environment, id);
         }
-        let kind = answers::classify_answer(facts_of(environment, exchange, &answer.head));
+        let facts = AnswerFacts::read(names, &exchange.id, &answer.head);
+        let kind = answers::classify_answer(facts);
         if answer.head.status == MISDIRECTED {
             crash_reports::server_ended(environment, instance);
         }
@@ -359,31 +364,6 @@
     Some(connection)
 }
 
-/// What a server's answer shows.
-fn facts_of(environment: &Environment, exchange: &Exchange, head: &AnswerHead) -> AnswerFacts {
-    let names = environment.site.protocol.header_names();
-    AnswerFacts {
-        status: head.status,
-        says_not_run: head.headers.get(names.not_run).is_some(),
-        is_own: head.headers.get(names.request_id) == Some(exchange.id.as_slice()),
-        is_signed: head.headers.get(names.signature).is_some(),
-    }
-}
-
-/// Notes the load that a server's answer names.
-fn note_load(environment: &mut Environment, instance: &InstanceId, head: &AnswerHead) {
-    let now = environment.runtime.now;
-    let name = environment.site.protocol.header_names().load;
-    let Some(load) = head.headers.text(name) else {
-        return;
-    };
-    let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
-    if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
-        let balancer = &mut environment.servers.balancer;
-        balancer.reported(now, instance, running + waiting);
-    }
-}
-
 /// Counts an attempt that brought no usable answer.
 fn note_failure(environment: &mut Environment, exchange: &mut Exchange, failure: &Failure) {
     if failure.verdict == Verdict::NotRun
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -3,6 +3,7 @@
 //! Owns the attempts and their texts; relies on the connections to engines and on the link to the
 //! leader. The end of an attempt is kept until a leader has made it durable and releases it.
 
+use crate::answers::AnswerFacts;
 use crate::coordinators::send;
 use crate::crash_reports;
 use crate::encode::encode_item;
@@ -328,9 +329,7 @@
     };
     if upstream.events.is_none() {
         let request = attempt.assignment.request.as_str().as_bytes();
-        let is_own = head.headers.get(names.request_id) == Some(request);
-        let is_signed = head.headers.get(names.signature).is_some();
-        if !is_own || !is_signed {
+        if !AnswerFacts::read(names, request, head).is_genuine() {
             return Err(NotItsStream);
         }
         attempt.version = head.headers.number(names.version);
--- a/crates/wingshore-gateway/src/limit.rs
+++ b/crates/wingshore-gateway/src/limit.rs
@@ -23,7 +23,7 @@
 const MIN_LIMIT: f64 = 1.0;
 /// What is left of the limit when it falls. Not measured.
 const DECREASE_FACTOR: f64 = 0.6;
-/// Signs of overload within this time count once: they tell of the same moment. Not measured.
+/// Signs of overload within this time count once: they are of the same moment. Not measured.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an answer says about its service.
--- a/crates/wingshore-gateway/src/metrics.rs
+++ b/crates/wingshore-gateway/src/metrics.rs
@@ -1,4 +1,6 @@
-//! What a gateway tells monitoring.
+//! What a gateway reports to monitoring.
+//!
+//! Counters are owned here; gauges are set from [`Readings`] when monitoring asks.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -232,7 +234,7 @@
         self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// A try at an item has ended.
+    /// An attempt at an item has ended.
     pub(crate) fn item_ended(&self, outcome: &'static str, time: Duration) {
         self.items.get_or_create(&OutcomeLabel { outcome }).inc();
         self.item_seconds.observe(time.as_secs_f64());
--- a/crates/wingshore-gateway/src/protocol.rs
+++ b/crates/wingshore-gateway/src/protocol.rs
@@ -1,4 +1,7 @@
-//! What a deployment's wire must translate.
+//! What callers and servers of a deployment speak, as the deployment translates it.
+//!
+//! A gateway knows requests, calls and answers; their bytes are known to the implementation of
+//! [`IngressProtocol`] alone.
 
 use std::time::Duration;
 use wingshore_coordination::{ApiKey, ItemId, ItemState, JobId, JobPage, JobSubmission, TextError};
@@ -15,7 +18,7 @@
     pub tenant: &'static str,
     /// Milliseconds that the sender will wait.
     pub deadline: &'static str,
-    /// The run of a server that a request is meant for.
+    /// The incarnation of a server that a request is meant for.
     pub expected_instance: &'static str,
     /// The weight version that a request is meant for.
     pub expected_version: &'static str,
@@ -72,7 +75,7 @@
     Ended,
     /// There is no such job or item.
     Unknown,
-    /// The call had no effect; come back after this time.
+    /// The call had no effect; the client may retry it after this time.
     Unavailable(Duration),
     /// The call may or may not take effect.
     Uncertain,
@@ -136,9 +139,10 @@
     NoRoute,
     /// The route asks for a key, and none that is in force was shown.
     Unauthorized,
-    /// Not run; come back after this time.
+    /// Not run; the client may retry it after this time.
     NotRun(Duration),
-    /// Not run: servers have ended under it. It is let off after this time at the earliest.
+    /// Not run: servers have ended under it. It is not rejected any more after this time at the
+    /// earliest.
     Rejected(Duration),
     /// Not run: it did not arrive whole in time.
     TooSlow,
--- a/crates/wingshore-gateway/src/settings.rs
+++ b/crates/wingshore-gateway/src/settings.rs
@@ -22,7 +22,7 @@
     pub internal_port: u16,
     /// Addresses of coordinators as far as known when the settings were written.
     pub seeds: Vec<IpAddr>,
-    /// Most connections of all kinds at a time.
+    /// Connections of all kinds at a time, at the most.
     pub most_connections: usize,
     /// How long clients may go on using an address that they were given.
     pub directory_ttl: Duration,
--- a/crates/wingshore-gateway/src/streams.rs
+++ b/crates/wingshore-gateway/src/streams.rs
@@ -3,6 +3,7 @@
 //! Only whole events are passed on, so that a stream that breaks off inside one can be resumed at
 //! another server behind the last whole event, within the same answer.
 
+use crate::answers::AnswerFacts;
 use crate::encode::end_to_end;
 use crate::environment::Environment;
 use crate::exchange::Exchange;
@@ -74,9 +75,7 @@
     upstream: &mut Upstream,
 ) -> Option<(AnswerHead, Vec<u8>)> {
     let head = upstream.reader.head().filter(|head| head.is_success())?;
-    let is_own = head.headers.get(names.request_id) == Some(request);
-    let is_signed = head.headers.get(names.signature).is_some();
-    if !is_own || !is_signed {
+    if !AnswerFacts::read(names, request, head).is_genuine() {
         return None;
     }
     let head = head.clone();
--- a/crates/wingshore-gateway/src/timers.rs
+++ b/crates/wingshore-gateway/src/timers.rs
@@ -1,4 +1,6 @@
-//! What is to be looked at by time.
+//! What becomes due at some time.
+//!
+//! Owns the times; whether anything is due is known to the part that set one.
 
 use crate::ids::{CallId, ExchangeId};
 use std::collections::BTreeSet;
@@ -20,7 +22,7 @@
 }
 
 /// Timers in the order of their times. One that has become superfluous fires all the same: its
-/// owner looks whether anything is due.
+/// owner checks whether anything is due.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: BTreeSet<(Instant, TimerKey)>,
--- /dev/null
+++ b/crates/wingshore-gateway/tests/policies.rs
@@ -0,0 +1,73 @@
+//! What engines' answers to items and the ends of scorings mean, and when texts are uploaded.
+
+use googletest::prelude::*;
+use wingshore_coordination::{NotScoredReason, ScoringOutcome};
+use wingshore_gateway::{
+    AttemptHistory, ItemAnswer, Sign, answered_outcome, answered_sign, classify_item_answer,
+    given_up_outcome, given_up_sign, is_upload_due, max_scorings,
+};
+
+#[gtest]
+fn an_engines_answer_is_what_its_status_and_end_say() {
+    let table = [
+        ((200, false, true), ItemAnswer::Finished),
+        ((200, false, false), ItemAnswer::CutShort),
+        ((200, true, true), ItemAnswer::NotRun),
+        ((421, false, true), ItemAnswer::Mismatch),
+        ((421, true, true), ItemAnswer::Mismatch),
+        ((422, false, true), ItemAnswer::Impossible),
+        ((503, true, true), ItemAnswer::NotRun),
+        ((503, false, true), ItemAnswer::Failed),
+        ((500, false, true), ItemAnswer::Failed),
+    ];
+    for ((status, says_not_run, ends_whole), expected) in table {
+        let answer = classify_item_answer(status, says_not_run, ends_whole);
+        expect_that!(answer, eq(expected), "{status} {says_not_run} {ends_whole}");
+    }
+}
+
+#[gtest]
+fn long_texts_are_uploaded_more_often() {
+    expect_that!(is_upload_due(23, 0, false), eq(false));
+    expect_that!(is_upload_due(24, 0, false), eq(true));
+    expect_that!(is_upload_due(28, 24, false), eq(false));
+    expect_that!(is_upload_due(29, 24, false), eq(true));
+    expect_that!(is_upload_due(4, 0, true), eq(false));
+    expect_that!(is_upload_due(5, 0, true), eq(true));
+    expect_that!(is_upload_due(3, 9, true), eq(false));
+}
+
+#[gtest]
+fn a_scoring_says_what_came_of_it_and_how_loaded_its_servers_are() {
+    let fresh = AttemptHistory::default();
+    let refused = AttemptHistory {
+        refusals: 1,
+        ..fresh
+    };
+    let silent = AttemptHistory {
+        attempts: 1,
+        may_have_run: true,
+        ..fresh
+    };
+    let failed = AttemptHistory {
+        attempts: 2,
+        server_failures: 2,
+        may_have_run: true,
+        ..fresh
+    };
+    let not_scored = ScoringOutcome::NotScored;
+    let scored = answered_outcome(Some("0.5".to_owned()));
+    expect_that!(scored, eq(&ScoringOutcome::Scored("0.5".to_owned())));
+    let no_answer = not_scored(NotScoredReason::NoAnswer);
+    expect_that!(answered_outcome(None), eq(&no_answer));
+    expect_that!(given_up_outcome(silent), eq(&no_answer));
+    let no_server = not_scored(NotScoredReason::Refused);
+    expect_that!(given_up_outcome(refused), eq(&no_server));
+    expect_that!(given_up_outcome(failed), eq(&ScoringOutcome::Failed(2)));
+    expect_that!(answered_sign(fresh, true), eq(Sign::InTime));
+    expect_that!(answered_sign(fresh, false), eq(Sign::Overload));
+    expect_that!(answered_sign(refused, true), eq(Sign::Overload));
+    expect_that!(given_up_sign(silent), eq(Sign::Overload));
+    expect_that!(given_up_sign(failed), eq(Sign::None));
+    expect_that!(max_scorings(7), eq(3));
+}
