--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -65,9 +65,7 @@
 pub use protocol::{
     BatchAnswer, BatchCall, HeaderNames, IngressProtocol, OwnAnswer, ReadPage, ReadResult,
 };
-pub use scoring_policy::{
-    answered_outcome, answered_sign, given_up_outcome, given_up_sign, max_scorings,
-};
+pub use scoring_policy::{ScoringEnd, answered, given_up, max_scorings};
 pub use settings::{GatewayPolicy, GatewaySettings};
 pub use view::{UpdateVerdict, View};
 pub use view_source::{Candidate, Choice, ViewSource};
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -14,7 +14,7 @@
 use crate::ids::ExchangeId;
 use crate::limit::{ConcurrencyLimit, Sign};
 use crate::protocol::HeaderNames;
-use crate::scoring_policy;
+use crate::scoring_policy::{self, ScoringEnd};
 use slog::info;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use wingshore_coordination::{
@@ -177,15 +177,12 @@
         end: ScoringRequestEnd,
     ) {
         let now = environment.runtime.now;
-        let (outcome, sign) = match &end.answer {
-            Some(answer) => (
-                scoring_policy::answered_outcome(score_of(environment, answer)),
-                scoring_policy::answered_sign(end.history, end.is_in_time),
-            ),
-            None => (
-                scoring_policy::given_up_outcome(end.history),
-                scoring_policy::given_up_sign(end.history),
-            ),
+        let ScoringEnd { outcome, sign } = match &end.answer {
+            Some(answer) => {
+                let score = score_of(environment, answer);
+                scoring_policy::answered(score, end.history, end.is_in_time)
+            }
+            None => scoring_policy::given_up(end.history),
         };
         self.free_place(now, id, sign);
         self.end(environment, id, outcome);
--- a/crates/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/wingshore-gateway/src/scoring_policy.rs
@@ -28,36 +28,41 @@
     slots as usize / SLOTS_PER_SCORING
 }
 
-/// What an answer that is no failure brings; `score` is the signature of a success.
-pub fn answered_outcome(score: Option<String>) -> ScoringOutcome {
-    match score {
-        Some(score) => ScoringOutcome::Scored(score),
-        None => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
-    }
+/// The end of a scoring.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ScoringEnd {
+    /// What came of it.
+    pub outcome: ScoringOutcome,
+    /// What it says about the load of the servers.
+    pub sign: Sign,
 }
 
-/// What an answer that is no failure says about the load.
-pub fn answered_sign(history: AttemptHistory, is_in_time: bool) -> Sign {
-    if is_in_time && history.refusals == 0 {
+/// The end of a scoring by an answer that is no failure; `score` is the signature of a success.
+pub fn answered(score: Option<String>, history: AttemptHistory, is_in_time: bool) -> ScoringEnd {
+    let outcome = match score {
+        Some(score) => ScoringOutcome::Scored(score),
+        None => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
+    };
+    let sign = if is_in_time && history.refusals == 0 {
         Sign::InTime
     } else {
         Sign::Overload
-    }
-}
-
-/// What came of a scoring that no server has answered, or that all failed.
-pub fn given_up_outcome(history: AttemptHistory) -> ScoringOutcome {
-    match history.server_failures {
-        0 if history.may_have_run => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
-        0 => ScoringOutcome::NotScored(NotScoredReason::Refused),
-        failures => ScoringOutcome::Failed(failures),
-    }
+    };
+    ScoringEnd { outcome, sign }
 }
 
-/// What a request that was given up says about the load.
-pub fn given_up_sign(history: AttemptHistory) -> Sign {
-    match history.server_failures {
-        0 => Sign::Overload,
-        _ => Sign::None,
-    }
+/// The end of a scoring that no server has answered, or that all failed.
+pub fn given_up(history: AttemptHistory) -> ScoringEnd {
+    let (outcome, sign) = match history.server_failures {
+        0 if history.may_have_run => (
+            ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
+            Sign::Overload,
+        ),
+        0 => (
+            ScoringOutcome::NotScored(NotScoredReason::Refused),
+            Sign::Overload,
+        ),
+        failures => (ScoringOutcome::Failed(failures), Sign::None),
+    };
+    ScoringEnd { outcome, sign }
 }
--- a/crates/wingshore-gateway/tests/policies.rs
+++ b/crates/wingshore-gateway/tests/policies.rs
@@ -3,8 +3,8 @@
 use googletest::prelude::*;
 use wingshore_coordination::{NotScoredReason, ScoringOutcome};
 use wingshore_gateway::{
-    AttemptHistory, ItemAnswer, Sign, answered_outcome, answered_sign, classify_item_answer,
-    given_up_outcome, given_up_sign, is_upload_due, max_scorings,
+    AttemptHistory, ItemAnswer, ScoringEnd, Sign, answered, classify_item_answer, given_up,
+    is_upload_due, max_scorings,
 };
 
 #[gtest]
@@ -55,19 +55,27 @@
         may_have_run: true,
         ..fresh
     };
-    let not_scored = ScoringOutcome::NotScored;
-    let scored = answered_outcome(Some("0.5".to_owned()));
-    expect_that!(scored, eq(&ScoringOutcome::Scored("0.5".to_owned())));
-    let no_answer = not_scored(NotScoredReason::NoAnswer);
-    expect_that!(answered_outcome(None), eq(&no_answer));
-    expect_that!(given_up_outcome(silent), eq(&no_answer));
-    let no_server = not_scored(NotScoredReason::Refused);
-    expect_that!(given_up_outcome(refused), eq(&no_server));
-    expect_that!(given_up_outcome(failed), eq(&ScoringOutcome::Failed(2)));
-    expect_that!(answered_sign(fresh, true), eq(Sign::InTime));
-    expect_that!(answered_sign(fresh, false), eq(Sign::Overload));
-    expect_that!(answered_sign(refused, true), eq(Sign::Overload));
-    expect_that!(given_up_sign(silent), eq(Sign::Overload));
-    expect_that!(given_up_sign(failed), eq(Sign::None));
+    let score = Some("0.5".to_owned());
+    let scored = ScoringOutcome::Scored("0.5".to_owned());
+    let no_answer = ScoringOutcome::NotScored(NotScoredReason::NoAnswer);
+    let no_server = ScoringOutcome::NotScored(NotScoredReason::Refused);
+    let failures = ScoringOutcome::Failed(2);
+    let table = [
+        (answered(score.clone(), fresh, true), &scored, Sign::InTime),
+        (
+            answered(score.clone(), fresh, false),
+            &scored,
+            Sign::Overload,
+        ),
+        (answered(score, refused, true), &scored, Sign::Overload),
+        (answered(None, fresh, true), &no_answer, Sign::InTime),
+        (given_up(silent), &no_answer, Sign::Overload),
+        (given_up(refused), &no_server, Sign::Overload),
+        (given_up(failed), &failures, Sign::None),
+    ];
+    for (ScoringEnd { outcome, sign }, expected, expected_sign) in table {
+        expect_that!(outcome, eq(expected));
+        expect_that!(sign, eq(expected_sign));
+    }
     expect_that!(max_scorings(7), eq(3));
 }
