--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -15,6 +15,7 @@
 use crate::forward_log as log;
 use crate::ids::ExchangeId;
 use crate::request_suspicion;
+use crate::split::TrafficSplit;
 use crate::streams::{self, StreamClient};
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostSend, Task};
@@ -24,16 +25,11 @@
 use wingshore_net::http::WholeAnswer;
 use wingshore_types::verdict::Verdict;
 
-/// Spreads successive requests over the services of a split: 2^64 divided by the golden ratio.
-const SPLIT_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The upper bits of the counter are spread best.
-const SPLIT_SHIFT: u32 = 33;
-
 /// All requests on their way.
 pub(crate) struct Exchanges {
     all: HashMap<ExchangeId, Exchange>,
     next: u64,
-    split_counter: u64,
+    split: TrafficSplit,
 }
 
 impl Exchanges {
@@ -42,7 +38,7 @@
         Self {
             all: HashMap::new(),
             next: 0,
-            split_counter: seed,
+            split: TrafficSplit::new(seed),
         }
     }
 
@@ -54,8 +50,7 @@
 
     /// The service that the next request of a route goes to.
     pub(crate) fn next_target(&mut self, route: &Route) -> Option<ServiceName> {
-        self.split_counter = self.split_counter.wrapping_add(SPLIT_STRIDE);
-        route.target_for(self.split_counter >> SPLIT_SHIFT).cloned()
+        self.split.next(route)
     }
 
     /// Sends a request on its way.
@@ -181,30 +176,9 @@
             failure.answer = (kind == AnswerKind::ServerFailed).then_some(answer);
             return self.attempt_failed(environment, id, instance, failure);
         }
-        let exchange = self.all.remove(&id)?;
-        let latency = now.since(exchange.begun);
-        environment
-            .servers
-            .balancer
-            .answered(now, instance, latency);
         environment.runtime.metrics.attempt_ended(kind.name());
-        if answer.head.is_success() {
-            request_suspicion::ran_well(environment, &exchange);
-        }
-        Some(match exchange.origin {
-            Origin::Client(client) => {
-                log::served(environment, &exchange, instance, answer.head.status);
-                ExchangeEnd::ServerAnswer { client, answer }
-            }
-            Origin::Scoring(scoring) => ExchangeEnd::Scoring {
-                scoring,
-                end: ScoringRequestEnd {
-                    history: exchange.history,
-                    is_in_time: latency <= exchange.route.target_latency,
-                    answer: Some(answer),
-                },
-            },
-        })
+        let exchange = self.all.remove(&id)?;
+        Some(answered(environment, exchange, instance, answer))
     }
 
     /// The server has ended a stream.
@@ -364,6 +338,36 @@
     Some(connection)
 }
 
+/// A server has answered, and not with a failure.
+fn answered(
+    environment: &mut Environment,
+    exchange: Exchange,
+    instance: &InstanceId,
+    answer: WholeAnswer,
+) -> ExchangeEnd {
+    let now = environment.runtime.now;
+    let latency = now.since(exchange.begun);
+    let balancer = &mut environment.servers.balancer;
+    balancer.answered(now, instance, latency);
+    if answer.head.is_success() {
+        request_suspicion::ran_well(environment, &exchange);
+    }
+    match exchange.origin {
+        Origin::Client(client) => {
+            log::served(environment, &exchange, instance, answer.head.status);
+            ExchangeEnd::ServerAnswer { client, answer }
+        }
+        Origin::Scoring(scoring) => ExchangeEnd::Scoring {
+            scoring,
+            end: ScoringRequestEnd {
+                history: exchange.history,
+                is_in_time: latency <= exchange.route.target_latency,
+                answer: Some(answer),
+            },
+        },
+    }
+}
+
 /// Counts an attempt that brought no usable answer.
 fn note_failure(environment: &mut Environment, exchange: &mut Exchange, failure: &Failure) {
     if failure.verdict == Verdict::NotRun
--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -41,6 +41,7 @@
 mod servers;
 mod settings;
 mod site;
+mod split;
 mod streams;
 mod suspects;
 mod timers;
