--- a/crates/wingshore-gateway/src/crash_reports.rs
+++ b/crates/wingshore-gateway/src/crash_reports.rs
@@ -85,7 +85,7 @@
     let now = environment.runtime.now;
     let evidence = environment.servers.crashes.to_report(now);
     if !evidence.is_empty() {
-        report(environment, evidence);
+        environment.report(GatewayMessage::RequestsCrashed(evidence));
     }
 }
 
@@ -97,9 +97,7 @@
         return;
     };
     environment.servers.crashes.cleared(request);
-    let message = GatewayMessage::RequestsRan(vec![request]);
-    let coordinators = &environment.site.coordinators;
-    coordinators.report(&mut environment.runtime, message);
+    environment.report(GatewayMessage::RequestsRan(vec![request]));
 }
 
 fn take_evidence(environment: &mut Environment, seen: Vec<SeenCrash>) {
@@ -111,11 +109,5 @@
             "fingerprint" => %evidence.fingerprint, "server" => %evidence.instance,
             "ago_ms" => ago.as_millis() as u64);
     }
-    report(environment, seen);
-}
-
-fn report(environment: &mut Environment, evidence: Vec<SeenCrash>) {
-    let message = GatewayMessage::RequestsCrashed(evidence);
-    let coordinators = &environment.site.coordinators;
-    coordinators.report(&mut environment.runtime, message);
+    environment.report(GatewayMessage::RequestsCrashed(seen));
 }
--- a/crates/wingshore-gateway/src/environment.rs
+++ b/crates/wingshore-gateway/src/environment.rs
@@ -5,6 +5,7 @@
 use crate::site::Site;
 use crate::suspects::Suspicions;
 use crate::usage::UsageCounter;
+use wingshore_coordination::GatewayMessage;
 
 /// Sockets and logs, the site as it is known, and the servers.
 pub(crate) struct Environment {
@@ -22,6 +23,11 @@
         Suspicions::new(&self.site.view, &self.servers.crashes, has_leader)
     }
 
+    /// Sends a message to the leader; without one it is dropped.
+    pub(crate) fn report(&mut self, message: GatewayMessage) {
+        self.site.coordinators.report(&mut self.runtime, message);
+    }
+
     /// Forgets what is old of servers, and those that the view does not name any more.
     pub(crate) fn forget_old_servers(&mut self) {
         let (servers, view) = (&mut self.servers, &self.site.view);
--- a/crates/wingshore-gateway/src/process/group.rs
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -51,12 +51,8 @@
         coordinators.link_ended(&mut self.environment.runtime, connection, address);
         self.following.link_ended(address);
         self.follow_view();
-        let calls = &mut self.calls;
-        calls.link_lost(
-            &mut self.environment.runtime,
-            &self.environment.site,
-            connection,
-        );
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
+        self.calls.link_lost(runtime, site, connection);
     }
 
     pub(super) fn on_link_input(&mut self, connection: ConnectionId, address: SocketAddr) {
@@ -97,8 +93,7 @@
                 self.items.begin(environment, *assignment, takes_items);
             }
             CoordinatorMessage::Interrupt { assignment } => {
-                let environment = &mut self.environment;
-                self.items.interrupt(environment, assignment);
+                self.items.interrupt(&mut self.environment, assignment);
             }
             CoordinatorMessage::HandInFrom { assignment, held } => {
                 self.items.upload_from(assignment, held);
@@ -140,7 +135,7 @@
         self.report_usage();
     }
 
-    /// Tells a new leader which items run here; the ends that were not reported follow.
+    /// Reports to a new leader which items run here; the ends that were not reported follow.
     fn report_running(&mut self, connection: ConnectionId) {
         let items: Vec<RunningItem> = self.items.running().collect();
         let scorings = self.scorings.running().collect();
@@ -162,20 +157,13 @@
 
     /// Reports how far the items are that run here.
     pub(super) fn report_progress(&mut self) {
-        let coordinators = &self.environment.site.coordinators;
         let progress = self.items.progress();
         if !progress.is_empty() {
-            coordinators.report(
-                &mut self.environment.runtime,
-                GatewayMessage::Progress(progress),
-            );
+            self.environment.report(GatewayMessage::Progress(progress));
         }
         let scorings = self.scorings.in_hand();
         if !scorings.is_empty() {
-            coordinators.report(
-                &mut self.environment.runtime,
-                GatewayMessage::Scoring(scorings),
-            );
+            self.environment.report(GatewayMessage::Scoring(scorings));
         }
     }
 
@@ -185,10 +173,7 @@
             return;
         }
         if let Some(message) = self.environment.usage.take_report() {
-            self.environment
-                .site
-                .coordinators
-                .report(&mut self.environment.runtime, message);
+            self.environment.report(message);
         }
     }
 
