--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -26,7 +26,7 @@
 use wingshore_types::Instant;
 
 /// One scoring in hand, or whose end the leader has not made durable.
-struct ScoringRun {
+struct Scoring {
     assignment: ScoringAssignment,
     /// When it came into hand.
     since: Instant,
@@ -51,7 +51,7 @@
 
 /// All scorings of this gateway.
 pub(crate) struct Scorings {
-    runs: BTreeMap<AssignmentId, ScoringRun>,
+    all: BTreeMap<AssignmentId, Scoring>,
     /// Those whose request has not been sent, in their order.
     queue: VecDeque<AssignmentId>,
     limits: HashMap<ServiceName, ConcurrencyLimit>,
@@ -63,7 +63,7 @@
     /// None yet; `is_limited` if they keep within what their servers take.
     pub(crate) fn new(is_limited: bool) -> Self {
         Self {
-            runs: BTreeMap::new(),
+            all: BTreeMap::new(),
             queue: VecDeque::new(),
             limits: HashMap::new(),
             is_limited,
@@ -72,22 +72,25 @@
 
     /// What is in hand, and what has ended without a leader having made that durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningScoring> + '_ {
-        self.runs.values().map(|run| RunningScoring {
-            scoring: run.assignment.scoring,
-            item: run.assignment.item.clone(),
-            made_by: run.assignment.made_by,
+        self.all.values().map(|scoring| RunningScoring {
+            scoring: scoring.assignment.scoring,
+            item: scoring.assignment.item.clone(),
+            made_by: scoring.assignment.made_by,
         })
     }
 
     /// Names of those in hand.
     pub(crate) fn in_hand(&self) -> Vec<AssignmentId> {
-        let in_hand = self.runs.iter().filter(|(_, run)| run.outcome.is_none());
+        let in_hand = self
+            .all
+            .iter()
+            .filter(|(_, scoring)| scoring.outcome.is_none());
         in_hand.map(|(id, _)| *id).collect()
     }
 
     /// How many there are.
     pub(crate) fn count(&self) -> usize {
-        self.runs.len()
+        self.all.len()
     }
 
     /// How many wait for their turn.
@@ -98,17 +101,17 @@
     /// A text is to be scored; says whether that is news.
     pub(crate) fn add(&mut self, now: Instant, assignment: ScoringAssignment) -> bool {
         let id = assignment.scoring;
-        if self.runs.contains_key(&id) {
+        if self.all.contains_key(&id) {
             return false;
         }
-        let run = ScoringRun {
+        let scoring = Scoring {
             assignment,
             since: now,
             exchange: None,
             outcome: None,
             reported_on: None,
         };
-        self.runs.insert(id, run);
+        self.all.insert(id, scoring);
         self.queue.push_back(id);
         true
     }
@@ -131,10 +134,10 @@
         id: AssignmentId,
     ) -> Started {
         let now = environment.runtime.now;
-        let Some(run) = self.runs.get_mut(&id) else {
+        let Some(scoring) = self.all.get_mut(&id) else {
             return Started::Gone;
         };
-        let scorer = &run.assignment.scorer;
+        let scorer = &scoring.assignment.scorer;
         let routes = environment.site.view.routes();
         let route = routes.find(&scorer.host, &scorer.path).cloned();
         let target = route.and_then(|route| Some((exchanges.next_target(&route)?, route)));
@@ -154,7 +157,7 @@
         let until = now + route.timeout;
         let new = NewExchange {
             origin: Origin::Scoring(id),
-            tenant: run.assignment.item.job.tenant().cloned(),
+            tenant: scoring.assignment.item.job.tenant().cloned(),
             request: request_of(names, scorer),
             id: scorer.request.as_str().as_bytes().to_vec(),
             route,
@@ -162,7 +165,7 @@
             until,
         };
         let exchange = exchanges.next_id();
-        run.exchange = Some((exchange, service));
+        scoring.exchange = Some((exchange, service));
         match exchanges.begin(environment, exchange, Exchange::new(now, new)) {
             Some(end) => Started::RequestOver(end),
             None => Started::Gone,
@@ -190,9 +193,9 @@
 
     /// Reports to the leader the ends that it was not sent.
     pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
-        for (id, run) in &mut self.runs {
-            let outcome = run.outcome.as_ref();
-            let Some(outcome) = outcome.filter(|_| run.reported_on != Some(leader)) else {
+        for (id, scoring) in &mut self.all {
+            let outcome = scoring.outcome.as_ref();
+            let Some(outcome) = outcome.filter(|_| scoring.reported_on != Some(leader)) else {
                 continue;
             };
             let message = GatewayMessage::ScoringEnded {
@@ -200,7 +203,7 @@
                 outcome: outcome.clone(),
             };
             send(&mut environment.runtime, leader, message);
-            run.reported_on = Some(leader);
+            scoring.reported_on = Some(leader);
         }
     }
 
@@ -215,7 +218,7 @@
         if let Some(exchange) = self.free_place(now, id, Sign::None) {
             exchanges.abandon(environment, exchange);
         }
-        self.runs.remove(&id);
+        self.all.remove(&id);
         self.queue.retain(|queued| *queued != id);
     }
 
@@ -229,7 +232,7 @@
 
     /// The request of a scoring is over: its service has a free place. Gives the exchange.
     fn free_place(&mut self, now: Instant, id: AssignmentId, sign: Sign) -> Option<ExchangeId> {
-        let (exchange, service) = self.runs.get_mut(&id)?.exchange.take()?;
+        let (exchange, service) = self.all.get_mut(&id)?.exchange.take()?;
         if let Some(limit) = self.limits.get_mut(&service) {
             limit.ended(now, sign);
         }
@@ -237,11 +240,11 @@
     }
 
     fn end(&mut self, environment: &mut Environment, id: AssignmentId, outcome: ScoringOutcome) {
-        let Some(run) = self.runs.get_mut(&id) else {
+        let Some(scoring) = self.all.get_mut(&id) else {
             return;
         };
-        log_ended(environment, run, &outcome, self.queue.len());
-        run.outcome = Some(outcome);
+        log_ended(environment, scoring, &outcome, self.queue.len());
+        scoring.outcome = Some(outcome);
         if let Some(leader) = environment.site.coordinators.leader() {
             self.report_ended(environment, leader);
         }
@@ -276,14 +279,14 @@
 
 fn log_ended(
     environment: &mut Environment,
-    run: &ScoringRun,
+    scoring: &Scoring,
     outcome: &ScoringOutcome,
     queued: usize,
 ) {
     let now = environment.runtime.now;
-    let assignment = &run.assignment;
+    let assignment = &scoring.assignment;
     let id = assignment.scoring;
-    let time = now.since(run.since);
+    let time = now.since(scoring.since);
     let runtime = &mut environment.runtime;
     runtime.metrics.scoring_ended(outcome.name(), time);
     let is_scored = matches!(outcome, ScoringOutcome::Scored(_));
