--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -11,7 +11,8 @@
 use crate::crash_reports;
 use crate::encode::encode_request;
 use crate::environment::Environment;
-use crate::exchange::{Exchange, ExchangeEnd, Failure, Origin, ScoringRequestEnd};
+use crate::exchange::{Exchange, ExchangeEnd, Failure, Origin};
+use crate::forward_ends::{answered, give_up};
 use crate::forward_log as log;
 use crate::ids::ExchangeId;
 use crate::request_suspicion;
@@ -338,36 +339,6 @@
     Some(connection)
 }
 
-/// A server has answered, and not with a failure.
-fn answered(
-    environment: &mut Environment,
-    exchange: Exchange,
-    instance: &InstanceId,
-    answer: WholeAnswer,
-) -> ExchangeEnd {
-    let now = environment.runtime.now;
-    let latency = now.since(exchange.begun);
-    let balancer = &mut environment.servers.balancer;
-    balancer.answered(now, instance, latency);
-    if answer.head.is_success() {
-        request_suspicion::ran_well(environment, &exchange);
-    }
-    match exchange.origin {
-        Origin::Client(client) => {
-            log::served(environment, &exchange, instance, answer.head.status);
-            ExchangeEnd::ServerAnswer { client, answer }
-        }
-        Origin::Scoring(scoring) => ExchangeEnd::Scoring {
-            scoring,
-            end: ScoringRequestEnd {
-                history: exchange.history,
-                is_in_time: latency <= exchange.route.target_latency,
-                answer: Some(answer),
-            },
-        },
-    }
-}
-
 /// Counts an attempt that brought no usable answer.
 fn note_failure(environment: &mut Environment, exchange: &mut Exchange, failure: &Failure) {
     if failure.verdict == Verdict::NotRun
@@ -382,29 +353,3 @@
         exchange.history.server_failures += 1;
     }
 }
-
-/// No server has answered, and none is asked any more.
-fn give_up(environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
-    let now = environment.runtime.now;
-    let is_out_of_time = now >= exchange.until;
-    match exchange.origin {
-        Origin::Client(client) if exchange.stream.is_some() => {
-            streams::log_broken(environment, exchange);
-            ExchangeEnd::StreamBroken(client)
-        }
-        Origin::Client(client) => {
-            let (history, is_rejected) = (exchange.history, exchange.is_rejected);
-            let answer = attempts::given_up_answer(history, is_rejected, is_out_of_time);
-            log::given_up(environment, exchange, answer);
-            ExchangeEnd::OwnAnswer { client, answer }
-        }
-        Origin::Scoring(scoring) => ExchangeEnd::Scoring {
-            scoring,
-            end: ScoringRequestEnd {
-                history: exchange.history,
-                is_in_time: false,
-                answer: None,
-            },
-        },
-    }
-}
--- /dev/null
+++ b/crates/wingshore-gateway/src/forward_ends.rs
@@ -0,0 +1,68 @@
+//! The ends of forwarded requests: by a server's answer, or by none.
+//!
+//! Says what whoever waits for a request gets, and logs and counts that.
+
+use crate::attempts;
+use crate::environment::Environment;
+use crate::exchange::{Exchange, ExchangeEnd, Origin, ScoringRequestEnd};
+use crate::forward_log as log;
+use crate::request_suspicion;
+use crate::streams;
+use wingshore_coordination::InstanceId;
+use wingshore_net::http::WholeAnswer;
+
+/// A server has answered, and not with a failure.
+pub(crate) fn answered(
+    environment: &mut Environment,
+    exchange: Exchange,
+    instance: &InstanceId,
+    answer: WholeAnswer,
+) -> ExchangeEnd {
+    let now = environment.runtime.now;
+    let latency = now.since(exchange.begun);
+    let balancer = &mut environment.servers.balancer;
+    balancer.answered(now, instance, latency);
+    if answer.head.is_success() {
+        request_suspicion::ran_well(environment, &exchange);
+    }
+    match exchange.origin {
+        Origin::Client(client) => {
+            log::served(environment, &exchange, instance, answer.head.status);
+            ExchangeEnd::ServerAnswer { client, answer }
+        }
+        Origin::Scoring(scoring) => ExchangeEnd::Scoring {
+            scoring,
+            end: ScoringRequestEnd {
+                history: exchange.history,
+                is_in_time: latency <= exchange.route.target_latency,
+                answer: Some(answer),
+            },
+        },
+    }
+}
+
+/// No server has answered, and none is asked any more.
+pub(crate) fn give_up(environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
+    let now = environment.runtime.now;
+    let is_out_of_time = now >= exchange.until;
+    match exchange.origin {
+        Origin::Client(client) if exchange.stream.is_some() => {
+            streams::log_broken(environment, exchange);
+            ExchangeEnd::StreamBroken(client)
+        }
+        Origin::Client(client) => {
+            let (history, is_rejected) = (exchange.history, exchange.is_rejected);
+            let answer = attempts::given_up_answer(history, is_rejected, is_out_of_time);
+            log::given_up(environment, exchange, answer);
+            ExchangeEnd::OwnAnswer { client, answer }
+        }
+        Origin::Scoring(scoring) => ExchangeEnd::Scoring {
+            scoring,
+            end: ScoringRequestEnd {
+                history: exchange.history,
+                is_in_time: false,
+                answer: None,
+            },
+        },
+    }
+}
--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -24,6 +24,7 @@
 mod exchange;
 mod fingerprints;
 mod forward;
+mod forward_ends;
 mod forward_log;
 mod ids;
 mod item_attempt;
