--- a/crates/wingshore-gateway/src/process/requests.rs
+++ b/crates/wingshore-gateway/src/process/requests.rs
@@ -180,15 +180,26 @@
         if after == AfterAnswer::Nothing {
             return;
         }
-        let input = self.environment.runtime.reactor.input(client);
-        if input.is_some_and(|input| !input.is_empty()) {
+        // Several requests that can be answered at once may have arrived in one piece.
+        let mut unread = self.unread_input(client);
+        while unread > 0 {
             self.on_client_input(client);
+            let before = std::mem::replace(&mut unread, self.unread_input(client));
+            if unread == before {
+                break;
+            }
         }
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
         self.clients.next_read(runtime, client, idle_timeout);
     }
 
+    /// Bytes of a client that were not read yet.
+    fn unread_input(&mut self, client: ConnectionId) -> usize {
+        let input = self.environment.runtime.reactor.input(client);
+        input.map_or(0, |input| input.len())
+    }
+
     /// A client's time may be over.
     pub(super) fn on_client_timer(&mut self, client: ConnectionId) {
         let limits = self.environment.site.view.limits();
