--- a/crates/wingshore-gateway/src/crash_reports.rs
+++ b/crates/wingshore-gateway/src/crash_reports.rs
@@ -91,11 +91,12 @@
 
 /// An attempt at a request went well: if servers had ended under it, it was not the cause.
 pub(crate) fn ran_well(environment: &mut Environment, request: Option<RequestFingerprint>) {
-    let suspicions = environment.suspicions();
-    let is_suspect = |request: &RequestFingerprint| !suspicions.ended_under(*request).is_empty();
-    let Some(request) = request.filter(is_suspect) else {
+    let Some((suspicions, request)) = environment.suspicions().zip(request) else {
         return;
     };
+    if suspicions.ended_under(request).is_empty() {
+        return;
+    }
     environment.servers.crashes.cleared(request);
     environment.report(GatewayMessage::RequestsRan(vec![request]));
 }
--- a/crates/wingshore-gateway/src/environment.rs
+++ b/crates/wingshore-gateway/src/environment.rs
@@ -17,10 +17,16 @@
 }
 
 impl Environment {
-    /// What is known of requests under which servers have ended.
-    pub(crate) fn suspicions(&self) -> Suspicions<'_> {
-        let has_leader = self.site.coordinators.leader().is_some();
-        Suspicions::new(&self.site.view, &self.servers.crashes, has_leader)
+    /// What is known of requests under which servers have ended; `None` where there are none, as
+    /// usual, so that no request need be named.
+    pub(crate) fn suspicions(&self) -> Option<Suspicions<'_>> {
+        let (view, crashes) = (&self.site.view, &self.servers.crashes);
+        let are_any = view.has_suspects() || crashes.unreported().next().is_some();
+        are_any.then(|| Suspicions {
+            view,
+            crashes,
+            has_leader: self.site.coordinators.leader().is_some(),
+        })
     }
 
     /// Sends a message to the leader; without one it is dropped.
--- a/crates/wingshore-gateway/src/items.rs
+++ b/crates/wingshore-gateway/src/items.rs
@@ -300,7 +300,7 @@
     /// An item that has brought events for long enough is not what ends servers.
     fn clear_if_long(&mut self, environment: &mut Environment, id: AssignmentId) {
         let now = environment.runtime.now;
-        if !environment.suspicions().are_any() {
+        if environment.suspicions().is_none() {
             return;
         }
         let attempt = self.attempts.get_mut(&id);
@@ -346,15 +346,16 @@
 
 /// Whether no engine is to run an item.
 fn is_rejected(environment: &Environment, item: &ItemAssignment) -> bool {
-    let suspicions = environment.suspicions();
-    suspicions.are_any()
-        && fingerprints::of_item(&environment.site, item)
-            .is_some_and(|request| suspicions.is_rejected(request))
+    let Some(suspicions) = environment.suspicions() else {
+        return false;
+    };
+    let request = fingerprints::of_item(&environment.site, item);
+    request.is_some_and(|request| suspicions.is_rejected(request))
 }
 
 /// An item went well.
 fn report_ran_well(environment: &mut Environment, item: &ItemAssignment) {
-    if environment.suspicions().are_any() {
+    if environment.suspicions().is_some() {
         let request = fingerprints::of_item(&environment.site, item);
         crash_reports::ran_well(environment, request);
     }
--- a/crates/wingshore-gateway/src/request_suspicion.rs
+++ b/crates/wingshore-gateway/src/request_suspicion.rs
@@ -21,25 +21,28 @@
 
 /// Whether so many servers have ended under a request that no other one is to run it.
 pub(crate) fn is_rejected(environment: &Environment, exchange: &Exchange) -> bool {
-    let suspicions = environment.suspicions();
-    suspicions.are_any()
-        && fingerprint_of(&environment.site, exchange)
-            .is_some_and(|request| suspicions.is_rejected(request))
+    let Some(suspicions) = environment.suspicions() else {
+        return false;
+    };
+    let request = fingerprint_of(&environment.site, exchange);
+    request.is_some_and(|request| suspicions.is_rejected(request))
 }
 
 /// Whether so many servers have ended under a request that one attempt sends it to one server only.
 pub(crate) fn is_suspect(environment: &Environment, exchange: &Exchange) -> bool {
-    let suspicions = environment.suspicions();
-    suspicions.are_any()
-        && fingerprint_of(&environment.site, exchange)
-            .is_some_and(|request| suspicions.is_suspect(request))
+    let Some(suspicions) = environment.suspicions() else {
+        return false;
+    };
+    let request = fingerprint_of(&environment.site, exchange);
+    request.is_some_and(|request| suspicions.is_suspect(request))
 }
 
 /// One line for a request that is not sent to any server.
 pub(crate) fn log_rejected(environment: &Environment, exchange: &Exchange) {
     let request = fingerprint_of(&environment.site, exchange);
     let suspicions = environment.suspicions();
-    let ended = request.map(|request| suspicions.ended_under(request));
+    let ended = suspicions.zip(request);
+    let ended = ended.map(|(suspicions, request)| suspicions.ended_under(request));
     let ended: Vec<String> = ended.iter().flatten().map(ToString::to_string).collect();
     warn!(environment.runtime.logger, "request rejected"; "request" => exchange.id_text(),
         "fingerprint" => request.map(|request| request.to_string()), "ended" => ended.join(","),
@@ -60,7 +63,7 @@
 
 /// A request went well.
 pub(crate) fn ran_well(environment: &mut Environment, exchange: &Exchange) {
-    if environment.suspicions().are_any() {
+    if environment.suspicions().is_some() {
         let request = fingerprint_of(&environment.site, exchange);
         crash_reports::ran_well(environment, request);
     }
@@ -69,7 +72,7 @@
 /// A stream that has brought events for long enough is not what ends servers.
 pub(crate) fn clear_if_long(environment: &mut Environment, exchange: &mut Exchange) {
     let now = environment.runtime.now;
-    if !environment.suspicions().are_any() || !exchange.has_streamed_long(now) {
+    if environment.suspicions().is_none() || !exchange.has_streamed_long(now) {
         return;
     }
     let Some(stream) = &mut exchange.stream else {
--- a/crates/wingshore-gateway/src/suspects.rs
+++ b/crates/wingshore-gateway/src/suspects.rs
@@ -46,26 +46,12 @@
 /// What a gateway knows of requests under which servers have ended.
 #[derive(Clone, Copy)]
 pub(crate) struct Suspicions<'a> {
-    view: &'a View,
-    crashes: &'a CrashWatch,
-    has_leader: bool,
+    pub(crate) view: &'a View,
+    pub(crate) crashes: &'a CrashWatch,
+    pub(crate) has_leader: bool,
 }
 
-impl<'a> Suspicions<'a> {
-    /// By the view, by what was seen here, and by whether there is a leader.
-    pub(crate) fn new(view: &'a View, crashes: &'a CrashWatch, has_leader: bool) -> Self {
-        Self {
-            view,
-            crashes,
-            has_leader,
-        }
-    }
-
-    /// Whether there are any; usually there are none, and no request need be named.
-    pub(crate) fn are_any(self) -> bool {
-        self.view.has_suspects() || self.crashes.unreported().next().is_some()
-    }
-
+impl Suspicions<'_> {
     /// Incarnations of servers that ended under a request, by the leader's word and by what was seen
     /// here.
     pub(crate) fn ended_under(self, request: RequestFingerprint) -> Vec<InstanceId> {
