--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -62,7 +62,7 @@
 pub use error::GatewayError;
 pub use event_stream::{EventReader, StreamEvent, take_whole_events};
 pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
-pub use limit::{ConcurrencyLimit, Sign};
+pub use limit::{ConcurrencyLimit, LoadSignal};
 pub use process::Gateway;
 pub use protocol::{
     BatchAnswer, BatchCall, HeaderNames, IngressProtocol, OwnAnswer, ReadPage, ReadResult,
--- a/crates/wingshore-gateway/src/limit.rs
+++ b/crates/wingshore-gateway/src/limit.rs
@@ -23,12 +23,12 @@
 const MIN_LIMIT: f64 = 1.0;
 /// What is left of the limit when it falls. Not measured.
 const DECREASE_FACTOR: f64 = 0.6;
-/// Signs of overload within this time count once: they are of the same moment. Not measured.
+/// Signals of overload within this time count once: they are of the same moment. Not measured.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an answer says about its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum LoadSignal {
     /// It came in time.
     InTime,
     /// It came late, or not at all, or the servers refused.
@@ -67,13 +67,13 @@
     }
 
     /// One is over.
-    pub fn ended(&mut self, now: Instant, sign: Sign) {
+    pub fn ended(&mut self, now: Instant, signal: LoadSignal) {
         let was_full = self.in_flight >= self.limit as usize;
         self.in_flight = self.in_flight.saturating_sub(1);
-        match sign {
-            Sign::InTime if was_full => self.limit += 1.0 / self.limit,
-            Sign::Overload => self.decrease(now),
-            Sign::InTime | Sign::None => {}
+        match signal {
+            LoadSignal::InTime if was_full => self.limit += 1.0 / self.limit,
+            LoadSignal::Overload => self.decrease(now),
+            LoadSignal::InTime | LoadSignal::None => {}
         }
     }
 
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -12,7 +12,7 @@
 use crate::exchange::{Exchange, ExchangeEnd, NewExchange, Origin, ScoringRequestEnd};
 use crate::forward::Exchanges;
 use crate::ids::ExchangeId;
-use crate::limit::{ConcurrencyLimit, Sign};
+use crate::limit::{ConcurrencyLimit, LoadSignal};
 use crate::protocol::HeaderNames;
 use crate::scoring_policy::{self, ScoringEnd};
 use slog::info;
@@ -180,14 +180,14 @@
         end: ScoringRequestEnd,
     ) {
         let now = environment.runtime.now;
-        let ScoringEnd { outcome, sign } = match &end.answer {
+        let ScoringEnd { outcome, signal } = match &end.answer {
             Some(answer) => {
                 let score = score_of(environment, answer);
                 scoring_policy::answered(score, end.history, end.is_in_time)
             }
             None => scoring_policy::given_up(end.history),
         };
-        self.free_place(now, id, sign);
+        self.free_place(now, id, signal);
         self.end(environment, id, outcome);
     }
 
@@ -215,7 +215,7 @@
         id: AssignmentId,
     ) {
         let now = environment.runtime.now;
-        if let Some(exchange) = self.free_place(now, id, Sign::None) {
+        if let Some(exchange) = self.free_place(now, id, LoadSignal::None) {
             exchanges.abandon(environment, exchange);
         }
         self.all.remove(&id);
@@ -231,10 +231,15 @@
     }
 
     /// The request of a scoring is over: its service has a free place. Gives the exchange.
-    fn free_place(&mut self, now: Instant, id: AssignmentId, sign: Sign) -> Option<ExchangeId> {
+    fn free_place(
+        &mut self,
+        now: Instant,
+        id: AssignmentId,
+        signal: LoadSignal,
+    ) -> Option<ExchangeId> {
         let (exchange, service) = self.all.get_mut(&id)?.exchange.take()?;
         if let Some(limit) = self.limits.get_mut(&service) {
-            limit.ended(now, sign);
+            limit.ended(now, signal);
         }
         Some(exchange)
     }
--- a/crates/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/wingshore-gateway/src/scoring_policy.rs
@@ -16,7 +16,7 @@
 //! **Old or missing inputs.** Without known servers one scoring at a time is tried.
 
 use crate::attempts::AttemptHistory;
-use crate::limit::Sign;
+use crate::limit::LoadSignal;
 use wingshore_coordination::{NotScoredReason, ScoringOutcome};
 
 /// One of so many slots of a service is for this gateway's scorings at the most: other gateways need
@@ -34,7 +34,7 @@
     /// What came of it.
     pub outcome: ScoringOutcome,
     /// What it says about the load of the servers.
-    pub sign: Sign,
+    pub signal: LoadSignal,
 }
 
 /// The end of a scoring by an answer that is no failure; `score` is the signature of a success.
@@ -43,26 +43,26 @@
         Some(score) => ScoringOutcome::Scored(score),
         None => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
     };
-    let sign = if is_in_time && history.refusals == 0 {
-        Sign::InTime
+    let signal = if is_in_time && history.refusals == 0 {
+        LoadSignal::InTime
     } else {
-        Sign::Overload
+        LoadSignal::Overload
     };
-    ScoringEnd { outcome, sign }
+    ScoringEnd { outcome, signal }
 }
 
 /// The end of a scoring that no server has answered, or that all failed.
 pub fn given_up(history: AttemptHistory) -> ScoringEnd {
-    let (outcome, sign) = match history.server_failures {
+    let (outcome, signal) = match history.server_failures {
         0 if history.may_have_run => (
             ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
-            Sign::Overload,
+            LoadSignal::Overload,
         ),
         0 => (
             ScoringOutcome::NotScored(NotScoredReason::Refused),
-            Sign::Overload,
+            LoadSignal::Overload,
         ),
-        failures => (ScoringOutcome::Failed(failures), Sign::None),
+        failures => (ScoringOutcome::Failed(failures), LoadSignal::None),
     };
-    ScoringEnd { outcome, sign }
+    ScoringEnd { outcome, signal }
 }
--- a/crates/wingshore-gateway/tests/limit.rs
+++ b/crates/wingshore-gateway/tests/limit.rs
@@ -1,7 +1,7 @@
 //! The adaptive limit of scorings.
 
 use googletest::prelude::*;
-use wingshore_gateway::{ConcurrencyLimit, Sign};
+use wingshore_gateway::{ConcurrencyLimit, LoadSignal};
 use wingshore_types::Instant;
 
 /// Slots that are never the bound.
@@ -19,14 +19,14 @@
 }
 
 /// Fills the limit and ends all of them at `now`.
-fn round(limit: &mut ConcurrencyLimit, now: Instant, sign: Sign) {
+fn round(limit: &mut ConcurrencyLimit, now: Instant, signal: LoadSignal) {
     let mut begun = 0;
     while limit.allows(PLENTY) {
         limit.begun();
         begun += 1;
     }
     for _ in 0..begun {
-        limit.ended(now, sign);
+        limit.ended(now, signal);
     }
 }
 
@@ -38,7 +38,7 @@
         round(
             &mut limit,
             Instant::from_millis(second * 1000),
-            Sign::InTime,
+            LoadSignal::InTime,
         );
     }
     expect_that!(admitted(&limit, PLENTY), gt(before));
@@ -50,7 +50,7 @@
     let before = admitted(&limit, PLENTY);
     for second in 0..1000 {
         limit.begun();
-        limit.ended(Instant::from_millis(second * 1000), Sign::InTime);
+        limit.ended(Instant::from_millis(second * 1000), LoadSignal::InTime);
     }
     expect_that!(admitted(&limit, PLENTY), eq(before));
 }
@@ -62,7 +62,7 @@
         round(
             &mut limit,
             Instant::from_millis(second * 1000),
-            Sign::Overload,
+            LoadSignal::Overload,
         );
     }
     expect_that!(admitted(&limit, PLENTY), eq(1));
@@ -71,7 +71,7 @@
 #[gtest]
 fn signs_that_come_together_count_once() {
     let mut limit = ConcurrencyLimit::default();
-    round(&mut limit, Instant::from_millis(1), Sign::Overload);
+    round(&mut limit, Instant::from_millis(1), LoadSignal::Overload);
     expect_that!(admitted(&limit, PLENTY), gt(1));
 }
 
@@ -86,7 +86,7 @@
 fn an_end_that_says_nothing_frees_a_place_and_leaves_the_limit() {
     let mut limit = ConcurrencyLimit::default();
     let before = admitted(&limit, PLENTY);
-    round(&mut limit, Instant::from_millis(1), Sign::None);
+    round(&mut limit, Instant::from_millis(1), LoadSignal::None);
     expect_that!(admitted(&limit, PLENTY), eq(before));
     expect_that!(limit.allows(1), is_true());
 }
--- a/crates/wingshore-gateway/tests/policies.rs
+++ b/crates/wingshore-gateway/tests/policies.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use wingshore_coordination::{NotScoredReason, ScoringOutcome};
 use wingshore_gateway::{
-    AttemptHistory, ItemAnswer, ScoringEnd, Sign, answered, classify_item_answer, given_up,
+    AttemptHistory, ItemAnswer, LoadSignal, ScoringEnd, answered, classify_item_answer, given_up,
     is_upload_due, max_scorings,
 };
 
@@ -61,21 +61,29 @@
     let no_server = ScoringOutcome::NotScored(NotScoredReason::Refused);
     let failures = ScoringOutcome::Failed(2);
     let table = [
-        (answered(score.clone(), fresh, true), &scored, Sign::InTime),
+        (
+            answered(score.clone(), fresh, true),
+            &scored,
+            LoadSignal::InTime,
+        ),
         (
             answered(score.clone(), fresh, false),
             &scored,
-            Sign::Overload,
+            LoadSignal::Overload,
+        ),
+        (
+            answered(score, refused, true),
+            &scored,
+            LoadSignal::Overload,
         ),
-        (answered(score, refused, true), &scored, Sign::Overload),
-        (answered(None, fresh, true), &no_answer, Sign::InTime),
-        (given_up(silent), &no_answer, Sign::Overload),
-        (given_up(refused), &no_server, Sign::Overload),
-        (given_up(failed), &failures, Sign::None),
+        (answered(None, fresh, true), &no_answer, LoadSignal::InTime),
+        (given_up(silent), &no_answer, LoadSignal::Overload),
+        (given_up(refused), &no_server, LoadSignal::Overload),
+        (given_up(failed), &failures, LoadSignal::None),
     ];
-    for (ScoringEnd { outcome, sign }, expected, expected_sign) in table {
+    for (ScoringEnd { outcome, signal }, expected, expected_signal) in table {
         expect_that!(outcome, eq(expected));
-        expect_that!(sign, eq(expected_sign));
+        expect_that!(signal, eq(expected_signal));
     }
     expect_that!(max_scorings(7), eq(3));
 }
