--- a/crates/wingshore-gateway/src/metrics.rs
+++ b/crates/wingshore-gateway/src/metrics.rs
@@ -66,6 +66,75 @@
     pub(crate) log_lines_left_out: u64,
 }
 
+/// One gauge.
+struct GaugeEntry {
+    name: &'static str,
+    help: &'static str,
+    /// Where its value is read.
+    read: fn(&Readings) -> i64,
+}
+
+const fn gauge(name: &'static str, help: &'static str, read: fn(&Readings) -> i64) -> GaugeEntry {
+    GaugeEntry { name, help, read }
+}
+
+/// All gauges, in the order in which they are served.
+const GAUGES: [GaugeEntry; 12] = [
+    gauge("clients", "Connections of clients", |readings| {
+        clamped(readings.clients)
+    }),
+    gauge("connections", "Connections of all kinds", |readings| {
+        clamped(readings.connections)
+    }),
+    gauge("items_running", "Tries under way", |readings| {
+        clamped(readings.items)
+    }),
+    gauge("scorings_running", "Scorings in hand", |readings| {
+        clamped(readings.scorings)
+    }),
+    gauge(
+        "scorings_queued",
+        "Scorings whose request has not been sent",
+        |readings| clamped(readings.scorings_queued),
+    ),
+    gauge(
+        "suspect_requests",
+        "Requests under which several servers have ended, as the leader has told",
+        |readings| clamped(readings.suspects),
+    ),
+    gauge(
+        "crash_evidence",
+        "Endings of servers under requests seen here lately; at most 512",
+        |readings| clamped(readings.evidence),
+    ),
+    gauge("coordinators", "Coordinators in touch", |readings| {
+        clamped(readings.coordinators)
+    }),
+    gauge(
+        "leader_known",
+        "1 where the group's leader is in touch",
+        |readings| i64::from(readings.leader_known),
+    ),
+    gauge("ready", "1 where clients may be sent here", |readings| {
+        i64::from(readings.ready)
+    }),
+    gauge(
+        "configuration_version",
+        "Version of the configuration acted by",
+        |readings| clamped(readings.configuration),
+    ),
+    gauge(
+        "log_lines_left_out",
+        "Log lines left out for want of budget",
+        |readings| clamped(readings.log_lines_left_out),
+    ),
+];
+
+/// A count as a gauge holds it.
+fn clamped(count: impl TryInto<i64>) -> i64 {
+    count.try_into().unwrap_or(i64::MAX)
+}
+
 /// All metrics of a gateway.
 pub(crate) struct GatewayMetrics {
     registry: Registry,
@@ -77,18 +146,8 @@
     scorings: Family<OutcomeLabel, Counter>,
     scoring_seconds: Histogram,
     calls: Family<CallLabels, Counter>,
-    clients: Gauge,
-    connections: Gauge,
-    items_running: Gauge,
-    scorings_running: Gauge,
-    scorings_queued: Gauge,
-    suspects: Gauge,
-    evidence: Gauge,
-    coordinators: Gauge,
-    leader_known: Gauge,
-    ready: Gauge,
-    configuration: Gauge,
-    log_lines_left_out: Gauge,
+    /// Those of [`GAUGES`].
+    gauges: Vec<Gauge>,
 }
 
 impl GatewayMetrics {
@@ -104,18 +163,7 @@
             scorings: Family::default(),
             scoring_seconds: Buckets.new_metric(),
             calls: Family::default(),
-            clients: Gauge::default(),
-            connections: Gauge::default(),
-            items_running: Gauge::default(),
-            scorings_running: Gauge::default(),
-            scorings_queued: Gauge::default(),
-            suspects: Gauge::default(),
-            evidence: Gauge::default(),
-            coordinators: Gauge::default(),
-            leader_known: Gauge::default(),
-            ready: Gauge::default(),
-            configuration: Gauge::default(),
-            log_lines_left_out: Gauge::default(),
+            gauges: Vec::new(),
         };
         metrics.register_counters();
         metrics.register_gauges();
@@ -170,50 +218,11 @@
     }
 
     fn register_gauges(&mut self) {
-        let gauges = [
-            ("clients", "Connections of clients", &self.clients),
-            ("connections", "Connections of all kinds", &self.connections),
-            ("items_running", "Tries under way", &self.items_running),
-            (
-                "scorings_running",
-                "Scorings in hand",
-                &self.scorings_running,
-            ),
-            (
-                "scorings_queued",
-                "Scorings whose request has not been sent",
-                &self.scorings_queued,
-            ),
-            (
-                "suspect_requests",
-                "Requests under which several servers have ended, as the leader has told",
-                &self.suspects,
-            ),
-            (
-                "crash_evidence",
-                "Endings of servers under requests seen here lately; at most 512",
-                &self.evidence,
-            ),
-            ("coordinators", "Coordinators in touch", &self.coordinators),
-            (
-                "leader_known",
-                "1 where the group's leader is in touch",
-                &self.leader_known,
-            ),
-            ("ready", "1 where clients may be sent here", &self.ready),
-            (
-                "configuration_version",
-                "Version of the configuration acted by",
-                &self.configuration,
-            ),
-            (
-                "log_lines_left_out",
-                "Log lines left out for want of budget",
-                &self.log_lines_left_out,
-            ),
-        ];
-        for (name, help, gauge) in gauges {
-            self.registry.register(name, help, gauge.clone());
+        for entry in GAUGES {
+            let gauge = Gauge::default();
+            self.registry
+                .register(entry.name, entry.help, gauge.clone());
+            self.gauges.push(gauge);
         }
     }
 
@@ -254,21 +263,9 @@
 
     /// All metrics as text.
     pub(crate) fn text(&self, readings: Readings) -> String {
-        let as_gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
-        self.clients.set(as_gauge(readings.clients));
-        self.connections.set(as_gauge(readings.connections));
-        self.items_running.set(as_gauge(readings.items));
-        self.scorings_running.set(as_gauge(readings.scorings));
-        self.scorings_queued.set(as_gauge(readings.scorings_queued));
-        self.suspects.set(as_gauge(readings.suspects));
-        self.evidence.set(as_gauge(readings.evidence));
-        self.coordinators.set(as_gauge(readings.coordinators));
-        self.leader_known.set(i64::from(readings.leader_known));
-        self.ready.set(i64::from(readings.ready));
-        let version = i64::try_from(readings.configuration).unwrap_or(i64::MAX);
-        self.configuration.set(version);
-        let left_out = i64::try_from(readings.log_lines_left_out).unwrap_or(i64::MAX);
-        self.log_lines_left_out.set(left_out);
+        for (gauge, entry) in self.gauges.iter().zip(GAUGES) {
+            gauge.set((entry.read)(&readings));
+        }
         let mut text = String::new();
         // Writing to a string does not fail.
         let _ = encode(&mut text, &self.registry);
