--- a/crates/wingshore-gateway/src/attempts.rs
+++ b/crates/wingshore-gateway/src/attempts.rs
@@ -16,7 +16,7 @@
 //! own, since each one costs a round trip while the caller waits. A request that may have ended a server
 //! is not given the next one until the leader has weighed the evidence.
 //!
-//! **Old or missing inputs.** A server that has left the registry unnoticed counts as left to try: its
+//! **Old or missing inputs.** A server that has left the registry unnoticed counts as left: its
 //! refusal of the connection is one more refusal. Without a view of suspects nothing is suspect.
 
 use crate::protocol::OwnAnswer;
--- a/crates/wingshore-gateway/src/exchange.rs
+++ b/crates/wingshore-gateway/src/exchange.rs
@@ -41,7 +41,7 @@
     /// How the attempts so far have ended.
     pub(crate) history: AttemptHistory,
     /// The servers that it was sent to.
-    pub(crate) tried: Vec<InstanceId>,
+    pub(crate) sent_to: Vec<InstanceId>,
     /// The connection of the present attempt.
     pub(crate) upstream: Option<ConnectionId>,
     /// The present attempt is given up at this time.
@@ -79,7 +79,7 @@
             begun: now,
             until: new.until,
             history: AttemptHistory::default(),
-            tried: Vec::new(),
+            sent_to: Vec::new(),
             upstream: None,
             attempt_until: new.until,
             is_rejected: false,
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -84,7 +84,7 @@
             let Some(server) = choose_server(environment, &exchange) else {
                 return Some(give_up(environment, &exchange));
             };
-            exchange.tried.push(server.instance.clone());
+            exchange.sent_to.push(server.instance.clone());
             if let Some(connection) = send(environment, id, &exchange, &server) {
                 self.await_answer(environment, id, exchange, connection);
                 return None;
@@ -305,7 +305,7 @@
     let candidates = site.view.servers_of(&exchange.service);
     let balancer = &environment.servers.balancer;
     balancer
-        .choose(now, &site.zone, candidates, &exchange.tried)
+        .choose(now, &site.zone, candidates, &exchange.sent_to)
         .cloned()
 }
 
@@ -315,7 +315,7 @@
         .site
         .view
         .servers_of(&exchange.service)
-        .any(|server| !exchange.tried.contains(&server.instance))
+        .any(|server| !exchange.sent_to.contains(&server.instance))
 }
 
 /// Sends a request to a server; `None` when the system refuses a connection.
--- a/crates/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/wingshore-gateway/src/scoring_policy.rs
@@ -14,7 +14,7 @@
 //! the same servers. What the limit buys in `worth` is no result: -0.014 +- 0.021 (15 pairs with and
 //! without it).
 //!
-//! **Old or missing inputs.** Without known servers one scoring at a time is tried.
+//! **Old or missing inputs.** Without known servers one scoring at a time is begun.
 
 use crate::attempts::AttemptHistory;
 use crate::limit::LoadSignal;
