--- a/crates/wingshore-gateway/src/exchange.rs
+++ b/crates/wingshore-gateway/src/exchange.rs
@@ -1,24 +1,19 @@
 //! One request on its way to servers: who it is made for, and what has come of it so far.
 
-use crate::streams::PassedStream;
-use crate::suspects::INNOCENT_AFTER;
-use std::collections::HashMap;
+use crate::attempt_timeouts;
+use crate::attempts::{AttemptHistory, RetryLimits};
+use crate::passed_stream::PassedStream;
+use crate::protocol::OwnAnswer;
+use crate::suspects;
 use std::sync::Arc;
 use wingshore_coordination::{
-    AssignmentId, InstanceId, Route, RouteKind, ServiceName, TenantName, UsageWindow,
+    AssignmentId, InstanceId, Route, ServiceName, TenantName, UsageWindow,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{WholeAnswer, WholeRequest};
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
-/// Refusals of servers that one request may meet besides its attempts.
-const MOST_REFUSALS: u32 = 3;
-
-/// Names one exchange within a process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct ExchangeId(u64);
-
 /// Who a request is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
@@ -43,38 +38,80 @@
     pub(crate) begun: Instant,
     /// By then it is answered, whatever has come.
     pub(crate) until: Instant,
-    /// Tries that may have run.
-    pub(crate) attempts: u32,
-    /// Tries that a server refused or that found none.
-    pub(crate) refusals: u32,
-    /// Tries that a server ran and failed, by its own word.
-    pub(crate) server_failures: u32,
-    /// Whether any try may have run.
-    pub(crate) may_have_run: bool,
-    pub(crate) tried: Vec<InstanceId>,
+    /// How the attempts so far have ended.
+    pub(crate) history: AttemptHistory,
+    /// The servers that it was sent to.
+    pub(crate) sent_to: Vec<InstanceId>,
+    /// The connection of the present attempt.
     pub(crate) upstream: Option<ConnectionId>,
-    /// The present try is given up at this time, if another server can be tried.
+    /// The present attempt is given up at this time.
     pub(crate) attempt_until: Instant,
     /// Whether so many servers have ended under it that no other one is to run it.
-    pub(crate) rejected: bool,
+    pub(crate) is_rejected: bool,
     /// What has been passed on of a stream; set once its head has been.
     pub(crate) stream: Option<PassedStream>,
 }
 
+/// A request that is to be sent to the servers of a service.
+pub(crate) struct NewExchange {
+    pub(crate) origin: Origin,
+    pub(crate) tenant: Option<TenantName>,
+    pub(crate) request: WholeRequest,
+    /// Identity of the request.
+    pub(crate) id: Vec<u8>,
+    pub(crate) route: Arc<Route>,
+    pub(crate) service: ServiceName,
+    /// By then it is answered.
+    pub(crate) until: Instant,
+}
+
 impl Exchange {
-    /// Whether the request may go to one more server.
-    pub(crate) fn may_try_again(&self) -> bool {
-        let may_repeat = is_repeatable(&self.route) || !self.may_have_run;
-        may_repeat
-            && self.attempts < self.route.max_attempts.max(1)
-            && self.refusals <= MOST_REFUSALS
+    /// A request that no server has got yet.
+    pub(crate) fn new(now: Instant, new: NewExchange) -> Self {
+        Self {
+            origin: new.origin,
+            tenant: new.tenant,
+            counted_in: None,
+            request: new.request,
+            id: new.id,
+            route: new.route,
+            service: new.service,
+            begun: now,
+            until: new.until,
+            history: AttemptHistory::default(),
+            sent_to: Vec::new(),
+            upstream: None,
+            attempt_until: new.until,
+            is_rejected: false,
+            stream: None,
+        }
+    }
+
+    /// What its route allows.
+    pub(crate) fn limits(&self) -> RetryLimits {
+        RetryLimits::of(&self.route)
+    }
+
+    /// Until when a server that has the request now may take before another one is asked.
+    pub(crate) fn answer_deadline(&self, now: Instant) -> Instant {
+        let (attempts, target) = (self.history.attempts, self.route.target_latency);
+        attempt_timeouts::answer_deadline(now, self.until, self.limits(), attempts, target)
+    }
+
+    /// When the present attempt is over. A stream that has begun is not cut before the whole request
+    /// is.
+    pub(crate) fn deadline(&self) -> Instant {
+        match &self.stream {
+            Some(_) => self.until,
+            None => self.attempt_until,
+        }
     }
 
     /// Whether the present server has made events of a stream for so long that the request is not
     /// what ends the server.
     pub(crate) fn has_streamed_long(&self, now: Instant) -> bool {
         let stream = self.stream.as_ref();
-        stream.is_some_and(|stream| now.since(stream.since) >= INNOCENT_AFTER)
+        stream.is_some_and(|stream| suspects::is_cleared(now, stream.since))
     }
 
     /// Its identity as text.
@@ -91,67 +128,66 @@
     }
 }
 
-/// Whether a request of the route may run more than once.
-pub(crate) fn is_repeatable(route: &Route) -> bool {
-    match route.kind {
-        RouteKind::Safe => true,
-        RouteKind::Streaming => route.resumable,
-        RouteKind::Unsafe | RouteKind::Batch => false,
-    }
-}
-
-/// What became of a try that brought no usable answer.
+/// What became of an attempt that brought no usable answer.
 pub(crate) struct Failure {
     pub(crate) verdict: Verdict,
-    /// Whether the server seems to be at fault.
-    pub(crate) suspect: bool,
+    /// Whether the server is ejected: it gets nothing for a while.
+    pub(crate) ejects_server: bool,
+    /// In words, for logs and metrics.
     pub(crate) reason: &'static str,
     /// The server's own answer, where there is one.
     pub(crate) answer: Option<WholeAnswer>,
 }
 
 impl Failure {
-    pub(crate) fn new(verdict: Verdict, suspect: bool, reason: &'static str) -> Self {
+    /// One without an answer.
+    pub(crate) fn new(verdict: Verdict, ejects_server: bool, reason: &'static str) -> Self {
         Self {
             verdict,
-            suspect,
+            ejects_server,
             reason,
             answer: None,
         }
     }
 }
 
-/// All requests on their way.
-#[derive(Default)]
-pub(crate) struct Exchanges {
-    all: HashMap<ExchangeId, Exchange>,
-    next: u64,
+/// The end of an exchange, for whoever waits for it.
+pub(crate) enum ExchangeEnd {
+    /// A client gets a server's answer.
+    ServerAnswer {
+        /// The client's connection.
+        client: ConnectionId,
+        /// The answer.
+        answer: WholeAnswer,
+    },
+    /// A client gets an answer of the gateway's own.
+    OwnAnswer {
+        /// The client's connection.
+        client: ConnectionId,
+        /// The answer.
+        answer: OwnAnswer,
+    },
+    /// A client has got a whole stream.
+    StreamEnded(ConnectionId),
+    /// A client's stream cannot be resumed: the answer must not look complete.
+    StreamBroken(ConnectionId),
+    /// A client does not read its stream.
+    ClientDoesNotRead(ConnectionId),
+    /// A scoring's request is over.
+    Scoring {
+        /// The scoring.
+        scoring: AssignmentId,
+        /// What came of its request.
+        end: ScoringRequestEnd,
+    },
 }
 
-impl Exchanges {
-    /// A name for a new exchange.
-    pub(crate) fn next_id(&mut self) -> ExchangeId {
-        self.next += 1;
-        ExchangeId(self.next)
-    }
-
-    /// Puts an exchange back, or in for the first time.
-    pub(crate) fn put(&mut self, id: ExchangeId, exchange: Exchange) {
-        self.all.insert(id, exchange);
-    }
-
-    /// Takes an exchange out.
-    pub(crate) fn take(&mut self, id: ExchangeId) -> Option<Exchange> {
-        self.all.remove(&id)
-    }
-
-    /// An exchange.
-    pub(crate) fn get(&self, id: ExchangeId) -> Option<&Exchange> {
-        self.all.get(&id)
-    }
-
-    /// An exchange.
-    pub(crate) fn get_mut(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
-        self.all.get_mut(&id)
-    }
+/// What came of the request of a scoring.
+pub(crate) struct ScoringRequestEnd {
+    /// How its attempts ended that brought no usable answer.
+    pub(crate) history: AttemptHistory,
+    /// Whether it took no longer than its route's target latency.
+    pub(crate) is_in_time: bool,
+    /// The usable answer.
+    pub(crate) answer: Option<WholeAnswer>,
 }
--- a/crates/wingshore-gateway/src/forward.rs
+++ b/crates/wingshore-gateway/src/forward.rs
@@ -1,444 +1,355 @@
-//! Forwarding requests to servers: attempts, verdicts, time limits. Live requests and scorings go
-//! the same way; only what follows from the end differs.
+//! Forwarding requests to servers, attempt by attempt. Live requests and scorings go the same way;
+//! only what follows from the end differs.
+//!
+//! Owns the requests on their way. Which server gets a request is decided in
+//! [`balance`](crate::balance), what an answer is in [`answers`], whether another attempt follows in
+//! [`attempts`], and how long each may take in [`attempt_timeouts`].
 
-use crate::access::tenant_of;
-use crate::clients::ClientState;
-use crate::encode::end_to_end;
-use crate::exchange::{Exchange, ExchangeId, Failure, Origin, is_repeatable};
-use crate::process::Gateway;
-use crate::protocol::OwnAnswer;
+use crate::answers::{self, AnswerFacts, AnswerKind, MISDIRECTED};
+use crate::attempt_timeouts;
+use crate::attempts::{self, Circumstances, NextStep};
+use crate::crash_reports;
+use crate::encode::encode_request;
+use crate::environment::Environment;
+use crate::exchange::{Exchange, ExchangeEnd, Failure, Origin};
+use crate::forward_ends::{answered, give_up};
+use crate::forward_log as log;
+use crate::ids::ExchangeId;
+use crate::request_suspicion;
+use crate::split::TrafficSplit;
+use crate::streams::{self, StreamClient};
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostSend, Task};
-use slog::{info, warn};
-use std::sync::Arc;
-use std::time::Duration;
-use wingshore_coordination::{Caller, EVIDENCE_LIFETIME, InstanceId, Route, ServiceName};
+use std::collections::HashMap;
+use wingshore_coordination::{InstanceId, Route, ServerRecord, ServiceName};
 use wingshore_net::ConnectionId;
-use wingshore_net::http::{AnswerHead, HeadWriter, WholeAnswer, WholeRequest};
-use wingshore_types::Instant;
+use wingshore_net::http::WholeAnswer;
 use wingshore_types::verdict::Verdict;
 
-/// When a client may come back with a request that was not run.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(150);
-/// A connection to a server must be up within this time.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A repeatable request goes to another server after this many times its target latency.
-const PATIENCE_FACTOR: u32 = 2;
-/// An answer must have left this long before the client's deadline.
-const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Status by which a server says that a request was meant for another run of a server.
-const MISDIRECTED: u16 = 421;
-/// Spreads successive requests over the services of a split.
-const SPLIT_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The upper bits of the counter are spread best.
-const SPLIT_SHIFT: u32 = 33;
+/// All requests on their way.
+pub(crate) struct Exchanges {
+    all: HashMap<ExchangeId, Exchange>,
+    next: u64,
+    split: TrafficSplit,
+}
 
-impl Gateway {
-    /// A client's request is to be forwarded.
-    pub(crate) fn begin_client_exchange(
-        &mut self,
-        now: Instant,
-        client: ConnectionId,
-        request: WholeRequest,
-        caller: Option<&Caller>,
-        route: Arc<Route>,
-    ) {
-        let Some(service) = self.next_target(&route) else {
-            return self.refuse_not_run(now, client, &request.head, "its route has no service");
-        };
-        let deadline = request
-            .head
-            .headers
-            .number(self.protocol.header_names().deadline);
-        let limit = deadline
-            .map(Duration::from_millis)
-            .map_or(route.timeout, |deadline| {
-                route.timeout.min(deadline.saturating_sub(DEADLINE_MARGIN))
-            });
-        let mut exchange = self.new_exchange(now, Origin::Client(client), request, route, service);
-        exchange.tenant = tenant_of(caller);
-        let id = self.exchanges.next_id();
-        self.begin_exchange(now, id, exchange, limit);
+impl Exchanges {
+    /// None yet; `seed` differs from gateway to gateway.
+    pub(crate) fn new(seed: u64) -> Self {
+        Self {
+            all: HashMap::new(),
+            next: 0,
+            split: TrafficSplit::new(seed),
+        }
+    }
+
+    /// A name for a new exchange.
+    pub(crate) fn next_id(&mut self) -> ExchangeId {
+        self.next += 1;
+        ExchangeId(self.next)
     }
 
     /// The service that the next request of a route goes to.
     pub(crate) fn next_target(&mut self, route: &Route) -> Option<ServiceName> {
-        self.split_counter = self.split_counter.wrapping_add(SPLIT_STRIDE);
-        route.target_for(self.split_counter >> SPLIT_SHIFT).cloned()
+        self.split.next(route)
     }
 
-    /// A request that no server has got yet.
-    pub(crate) fn new_exchange(
-        &self,
-        now: Instant,
-        origin: Origin,
-        request: WholeRequest,
-        route: Arc<Route>,
-        service: ServiceName,
-    ) -> Exchange {
-        let id = request
-            .head
-            .headers
-            .get(self.protocol.header_names().request_id);
-        let id = id.unwrap_or_default().to_vec();
-        Exchange {
-            origin,
-            tenant: None,
-            counted_in: None,
-            request,
-            id,
-            route,
-            service,
-            begun: now,
-            until: now,
-            attempts: 0,
-            refusals: 0,
-            server_failures: 0,
-            may_have_run: false,
-            tried: Vec::new(),
-            upstream: None,
-            attempt_until: now,
-            rejected: false,
-            stream: None,
-        }
+    /// Sends a request on its way.
+    #[must_use]
+    pub(crate) fn begin(
+        &mut self,
+        environment: &mut Environment,
+        id: ExchangeId,
+        exchange: Exchange,
+    ) -> Option<ExchangeEnd> {
+        let timers = &mut environment.runtime.timers;
+        timers.arm(exchange.until, TimerKey::Exchange(id));
+        self.send_to_server(environment, id, exchange)
     }
 
-    /// Sends a request on its way; it is over within `limit`.
-    pub(crate) fn begin_exchange(
+    /// Sends a request to the next server that takes it; gives it up if there is none.
+    fn send_to_server(
         &mut self,
-        now: Instant,
+        environment: &mut Environment,
         id: ExchangeId,
         mut exchange: Exchange,
-        limit: Duration,
-    ) {
-        exchange.until = now + limit;
-        exchange.attempt_until = exchange.until;
-        self.timers.arm(exchange.until, TimerKey::Exchange(id));
-        if let Some(client) = exchange.client()
-            && let Some(known) = self.clients.get_mut(&client)
-        {
-            known.state = ClientState::Exchange(id);
+    ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
+        loop {
+            if request_suspicion::is_rejected(environment, &exchange) {
+                request_suspicion::log_rejected(environment, &exchange);
+                exchange.is_rejected = true;
+                return Some(give_up(environment, &exchange));
+            }
+            let Some(server) = choose_server(environment, &exchange) else {
+                return Some(give_up(environment, &exchange));
+            };
+            exchange.sent_to.push(server.instance.clone());
+            if let Some(connection) = send(environment, id, &exchange, &server) {
+                self.await_answer(environment, id, exchange, connection);
+                return None;
+            }
+            exchange.history.note(Verdict::NotRun);
+            if now >= exchange.until || !exchange.limits().may_retry(exchange.history) {
+                return Some(give_up(environment, &exchange));
+            }
         }
-        self.try_server(now, id, exchange);
     }
 
-    /// Sends the request to the next server, or answers that there is none.
-    fn try_server(&mut self, now: Instant, id: ExchangeId, mut exchange: Exchange) {
-        if self.is_rejected(&exchange) {
-            self.log_rejected(&exchange);
-            exchange.rejected = true;
-            return self.give_up(now, &exchange);
-        }
-        let candidates = self.view.servers_of(&exchange.service);
-        let zone = &self.settings.zone;
-        let chosen = self
-            .balancer
-            .choose(now, zone, candidates, &exchange.tried)
-            .cloned();
-        let Some(server) = chosen else {
-            return self.give_up(now, &exchange);
-        };
-        let bytes = self.encode_request(now, &exchange, &server);
-        exchange.tried.push(server.instance.clone());
-        let sent = self.upstreams.send(
-            now,
-            &mut self.reactor,
-            &server.instance,
-            server.address,
-            Task::Exchange(id),
-            &bytes,
-        );
-        let Some(upstream) = sent else {
-            exchange.refusals += 1;
-            return self.next_try(now, id, exchange);
-        };
-        self.balancer.started(&server.instance);
+    /// A request was sent on a connection.
+    fn await_answer(
+        &mut self,
+        environment: &mut Environment,
+        id: ExchangeId,
+        mut exchange: Exchange,
+        connection: ConnectionId,
+    ) {
+        let now = environment.runtime.now;
         if matches!(exchange.origin, Origin::Client(_)) {
-            self.usage_sent(now, &mut exchange);
+            let usage = &mut environment.usage;
+            exchange.counted_in = usage.request_sent(now, exchange.tenant.as_ref());
         }
-        exchange.upstream = Some(upstream);
-        exchange.attempt_until = self.attempt_limit(now, &exchange, upstream);
-        self.timers
-            .arm(exchange.attempt_until, TimerKey::Exchange(id));
-        self.exchanges.put(id, exchange);
+        exchange.upstream = Some(connection);
+        let upstream = environment.servers.upstreams.get(connection);
+        exchange.attempt_until = if upstream.is_some_and(|upstream| upstream.up) {
+            exchange.answer_deadline(now)
+        } else {
+            attempt_timeouts::connect_deadline(now, exchange.until)
+        };
+        let timers = &mut environment.runtime.timers;
+        timers.arm(exchange.attempt_until, TimerKey::Exchange(id));
+        self.all.insert(id, exchange);
     }
 
-    /// Until when a try may take before another server is tried.
-    fn attempt_limit(&self, now: Instant, exchange: &Exchange, upstream: ConnectionId) -> Instant {
-        let is_up = self
-            .upstreams
-            .get(upstream)
-            .is_some_and(|upstream| upstream.up);
-        if !is_up {
-            return exchange.until.min(now + CONNECT_LIMIT);
+    /// A connection to a server has come up with a request on it.
+    pub(crate) fn on_connected(&mut self, environment: &mut Environment, id: ExchangeId) {
+        let now = environment.runtime.now;
+        if let Some(exchange) = self.all.get_mut(&id) {
+            exchange.attempt_until = exchange.answer_deadline(now);
+            let timers = &mut environment.runtime.timers;
+            timers.arm(exchange.attempt_until, TimerKey::Exchange(id));
         }
-        answer_limit(now, exchange)
     }
 
-    /// A connection to a server has come up with a request on it.
-    pub(crate) fn exchange_sent(&mut self, now: Instant, id: ExchangeId) {
-        let Some(exchange) = self.exchanges.get_mut(id) else {
-            return;
-        };
-        exchange.attempt_until = answer_limit(now, exchange);
-        self.timers
-            .arm(exchange.attempt_until, TimerKey::Exchange(id));
+    /// Bytes of a server's answer have arrived: passes whole events of a stream on.
+    #[must_use]
+    pub(crate) fn on_input(
+        &mut self,
+        environment: &mut Environment,
+        id: ExchangeId,
+        connection: ConnectionId,
+    ) -> Option<ExchangeEnd> {
+        let exchange = self.all.get_mut(&id)?;
+        let client = exchange.client()?;
+        match streams::pass_on(environment, exchange, connection, client) {
+            StreamClient::Reads => None,
+            StreamClient::DoesNotRead => Some(ExchangeEnd::ClientDoesNotRead(client)),
+        }
     }
 
     /// A server's answer is whole.
-    pub(crate) fn exchange_answered(
+    #[must_use]
+    pub(crate) fn on_answer(
         &mut self,
-        now: Instant,
+        environment: &mut Environment,
         id: ExchangeId,
         instance: &InstanceId,
         answer: WholeAnswer,
-    ) {
-        self.balancer.ended(instance);
-        let names = self.protocol.header_names().clone();
-        self.note_load(now, instance, &answer.head);
-        let Some(exchange) = self.exchanges.get_mut(id) else {
-            return;
-        };
+    ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
+        let balancer = &mut environment.servers.balancer;
+        balancer.ended(instance);
+        let names = environment.site.protocol.header_names();
+        if let Some(load) = answers::read_load(names, &answer.head) {
+            balancer.reported(now, instance, load);
+        }
+        let exchange = self.all.get(&id)?;
         if exchange.stream.is_some() && answer.head.is_success() {
-            return self.finish_stream(now, id);
+            return self.finish_stream(environment, id);
         }
-        let latency = now.since(exchange.begun);
-        let is_own = answer.head.headers.get(names.request_id) == Some(exchange.id.as_slice());
-        let is_signed = answer.head.headers.get(names.signature).is_some();
+        let facts = AnswerFacts::read(names, &exchange.id, &answer.head);
+        let kind = answers::classify_answer(facts);
         if answer.head.status == MISDIRECTED {
-            self.server_has_ended(now, instance);
+            crash_reports::server_ended(environment, instance);
         }
-        if answer.head.headers.get(names.not_run).is_some() || answer.head.status == MISDIRECTED {
-            let failure = Failure::new(Verdict::NotRun, false, "refused by the server");
-            return self.attempt_failed(now, id, instance, failure);
-        }
-        if !is_own || (answer.head.is_success() && !is_signed) {
-            let failure = Failure::new(Verdict::MayHaveRun, false, "not the answer");
-            return self.attempt_failed(now, id, instance, failure);
-        }
-        if answer.head.status >= 500 {
-            let mut failure = Failure::new(Verdict::Ran, false, "the server failed");
-            failure.answer = Some(answer);
-            return self.attempt_failed(now, id, instance, failure);
-        }
-        self.balancer.answered(now, instance, latency);
-        self.metrics.attempt_ended("answered");
-        let Some(exchange) = self.exchanges.take(id) else {
-            return;
-        };
-        if answer.head.is_success() {
-            self.exchange_ran_well(&exchange);
-        }
-        match exchange.origin {
-            Origin::Client(client) => {
-                self.log_served(now, &exchange, instance, answer.head.status);
-                self.pass_on(now, client, &answer);
-            }
-            Origin::Scoring(scoring) => self.scoring_answered(now, scoring, &exchange, &answer),
+        if let Some(verdict) = kind.verdict() {
+            let mut failure = Failure::new(verdict, false, kind.name());
+            failure.answer = (kind == AnswerKind::ServerFailed).then_some(answer);
+            return self.attempt_failed(environment, id, instance, failure);
         }
+        environment.runtime.metrics.attempt_ended(kind.name());
+        let exchange = self.all.remove(&id)?;
+        Some(answered(environment, exchange, instance, answer))
     }
 
-    /// A request was answered by a server.
-    fn log_served(
+    /// The server has ended a stream.
+    fn finish_stream(
         &mut self,
-        now: Instant,
-        exchange: &Exchange,
-        instance: &InstanceId,
-        status: u16,
-    ) {
-        let time = now.since(exchange.begun);
-        self.metrics
-            .request_ended(&exchange.route.name, "served", time);
-        let id = exchange.id_text();
-        let steady = Duration::from_millis(now.as_millis());
-        if self.sampler.takes(steady, &id) {
-            info!(self.logger, "served"; "request" => id, "route" => &exchange.route.name,
-                "service" => %exchange.service, "server" => %instance, "status" => status,
-                "attempts" => exchange.attempts + 1, "refusals" => exchange.refusals,
-                "after_ms" => time.as_millis() as u64, "configuration" => self.view.version(),
-                "epoch" => self.view.epoch().0);
-        }
-    }
-
-    pub(crate) fn note_load(&mut self, now: Instant, instance: &InstanceId, head: &AnswerHead) {
-        let Some(load) = head.headers.text(self.protocol.header_names().load) else {
-            return;
-        };
-        let mut numbers = load.split(',').map(|part| part.trim().parse::<u32>());
-        if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
-            self.balancer.reported(now, instance, running + waiting);
-        }
-    }
-
-    fn pass_on(&mut self, now: Instant, client: ConnectionId, answer: &WholeAnswer) {
-        let mut writer = HeadWriter::answer(answer.head.status);
-        for (name, value) in end_to_end(&answer.head.headers) {
-            writer = writer.line(name, value);
+        environment: &mut Environment,
+        id: ExchangeId,
+    ) -> Option<ExchangeEnd> {
+        let exchange = self.all.remove(&id)?;
+        let client = exchange.client()?;
+        if streams::finish(environment, &exchange, client) {
+            Some(ExchangeEnd::StreamEnded(client))
+        } else {
+            Some(ExchangeEnd::StreamBroken(client))
         }
-        self.finish_client(now, client, writer, &answer.body);
     }
 
-    /// The connection of a try ended without a whole answer, or its bytes are no answer.
-    pub(crate) fn exchange_broken(&mut self, now: Instant, id: ExchangeId, lost: &LostSend) {
+    /// The connection of an attempt ended without a whole answer, or its bytes are no answer.
+    #[must_use]
+    pub(crate) fn on_connection_ended(
+        &mut self,
+        environment: &mut Environment,
+        id: ExchangeId,
+        lost: &LostSend,
+    ) -> Option<ExchangeEnd> {
         let LostSend { instance, end, .. } = lost;
-        self.balancer.ended(instance);
+        environment.servers.balancer.ended(instance);
         let verdict = match end {
             ConnectionEnd::BrokeOff | ConnectionEnd::Silent => Verdict::MayHaveRun,
             ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
         };
         if *end == ConnectionEnd::BrokeOff {
-            self.exchange_broke_off(now, id, lost);
+            let exchange = self.all.get(&id);
+            request_suspicion::connection_lost(environment, exchange, lost);
         }
         let failure = Failure::new(verdict, true, end.reason());
-        self.attempt_failed(now, id, instance, failure);
+        self.attempt_failed(environment, id, instance, failure)
     }
 
-    fn attempt_failed(
+    /// The time of an attempt, or of the whole request, may be over.
+    #[must_use]
+    pub(crate) fn on_timer(
         &mut self,
-        now: Instant,
+        environment: &mut Environment,
         id: ExchangeId,
-        instance: &InstanceId,
-        failure: Failure,
-    ) {
-        if failure.suspect {
-            self.balancer.failed(now, instance);
-        }
-        let Some(mut exchange) = self.exchanges.take(id) else {
-            return;
-        };
-        warn!(self.logger, "attempt failed"; "request" => exchange.id_text(),
-            "fingerprint" => self.fingerprint_of(&exchange).map(|known| known.to_string()),
-            "server" => %instance, "reason" => failure.reason, "verdict" => ?failure.verdict,
-            "after_ms" => now.since(exchange.begun).as_millis() as u64);
-        self.metrics.attempt_ended(failure.reason);
-        exchange.upstream = None;
-        if failure.verdict == Verdict::NotRun {
-            self.usage_not_run(&mut exchange);
-            exchange.refusals += 1;
-        } else {
-            exchange.attempts += 1;
-            exchange.may_have_run = true;
-        }
-        exchange.server_failures += u32::from(is_server_failure(&failure));
-        let may_try_again =
-            exchange.may_try_again() && !(exchange.may_have_run && self.is_suspect(&exchange));
-        if may_try_again && self.has_another(&exchange) {
-            return self.next_try(now, id, exchange);
-        }
-        match (failure.answer, exchange.origin) {
-            (Some(answer), Origin::Client(client)) if exchange.stream.is_none() => {
-                let time = now.since(exchange.begun);
-                let route = &exchange.route.name;
-                self.metrics.request_ended(route, "server_error", time);
-                self.pass_on(now, client, &answer);
-            }
-            _ => self.give_up(now, &exchange),
-        }
-    }
-
-    fn has_another(&self, exchange: &Exchange) -> bool {
-        self.view
-            .servers_of(&exchange.service)
-            .any(|server| !exchange.tried.contains(&server.instance))
-    }
-
-    fn next_try(&mut self, now: Instant, id: ExchangeId, exchange: Exchange) {
-        if now >= exchange.until || !exchange.may_try_again() {
-            return self.give_up(now, &exchange);
+    ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
+        let exchange = self.all.get_mut(&id)?;
+        let deadline = exchange.deadline();
+        if now < exchange.until && now < deadline {
+            let timers = &mut environment.runtime.timers;
+            timers.arm(deadline, TimerKey::Exchange(id));
+            return None;
         }
-        self.try_server(now, id, exchange);
-    }
-
-    /// No server has answered, and none is asked any more.
-    fn give_up(&mut self, now: Instant, exchange: &Exchange) {
-        match exchange.origin {
-            Origin::Client(client) if exchange.stream.is_some() => {
-                self.break_stream(now, client, exchange);
-            }
-            Origin::Client(client) => self.answer_given_up(now, client, exchange),
-            Origin::Scoring(scoring) => self.scoring_given_up(now, scoring, exchange),
-        }
-    }
-
-    /// Answers that there is no answer, and whether the request may have run.
-    fn answer_given_up(&mut self, now: Instant, client: ConnectionId, exchange: &Exchange) {
-        let answer = if !exchange.may_have_run && exchange.rejected {
-            OwnAnswer::Rejected(EVIDENCE_LIFETIME)
-        } else if !exchange.may_have_run {
-            OwnAnswer::NotRun(COME_BACK)
-        } else if now >= exchange.until {
-            OwnAnswer::OutOfTime
-        } else {
-            OwnAnswer::Broken
-        };
-        let time = now.since(exchange.begun);
-        self.metrics
-            .request_ended(&exchange.route.name, answer.name(), time);
-        let known = self.view.servers_of(&exchange.service).count();
-        warn!(self.logger, "given up"; "service" => %exchange.service, "servers" => known,
-            "epoch" => self.view.epoch().0, "request" => exchange.id_text(),
-            "fingerprint" => self.fingerprint_of(exchange).map(|known| known.to_string()),
-            "route" => &exchange.route.name, "answer" => answer.name(),
-            "attempts" => exchange.attempts, "refusals" => exchange.refusals,
-            "after_ms" => now.since(exchange.begun).as_millis() as u64,
-            "configuration" => self.view.version());
-        self.answer_own(now, client, &answer);
-    }
-
-    /// The time of a try, or of the whole request, may be over.
-    pub(crate) fn on_exchange_timer(&mut self, now: Instant, id: ExchangeId) {
-        let Some(exchange) = self.exchanges.get_mut(id) else {
-            return;
-        };
-        let attempt_until = match &exchange.stream {
-            Some(_) => exchange.until,
-            None => exchange.attempt_until,
-        };
-        let until = exchange.until;
-        if now < until && now < attempt_until {
-            return self.timers.arm(attempt_until, TimerKey::Exchange(id));
-        }
-        let Some(upstream) = exchange.upstream.take() else {
-            return;
-        };
-        let Some(closed) = self.upstreams.close(&mut self.reactor, upstream) else {
-            return;
-        };
-        self.balancer.ended(&closed.instance);
-        self.balancer
-            .too_slow(now, &closed.instance, now.since(closed.since));
+        let connection = exchange.upstream.take()?;
+        let servers = &mut environment.servers;
+        let runtime = &mut environment.runtime;
+        let closed = servers.upstreams.close(runtime, connection)?;
+        let time = now.since(closed.since);
+        servers.balancer.ended(&closed.instance);
+        servers.balancer.too_slow(now, &closed.instance, time);
         let verdict = if closed.up {
             Verdict::MayHaveRun
         } else {
             Verdict::NotRun
         };
         let failure = Failure::new(verdict, !closed.up, "too slow");
-        self.attempt_failed(now, id, &closed.instance, failure);
+        self.attempt_failed(environment, id, &closed.instance, failure)
+    }
+
+    /// An attempt brought no usable answer: another one follows, or the end.
+    fn attempt_failed(
+        &mut self,
+        environment: &mut Environment,
+        id: ExchangeId,
+        instance: &InstanceId,
+        failure: Failure,
+    ) -> Option<ExchangeEnd> {
+        let now = environment.runtime.now;
+        if failure.ejects_server {
+            environment.servers.balancer.failed(now, instance);
+        }
+        let mut exchange = self.all.remove(&id)?;
+        log::attempt_failed(environment, &exchange, instance, &failure);
+        exchange.upstream = None;
+        note_failure(environment, &mut exchange, &failure);
+        let client = exchange.client().filter(|_| exchange.stream.is_none());
+        let for_client = failure.answer.zip(client);
+        let circumstances = Circumstances {
+            is_suspect: request_suspicion::is_suspect(environment, &exchange),
+            has_other_server: has_other_server(environment, &exchange),
+            is_out_of_time: now >= exchange.until,
+            has_server_answer: for_client.is_some(),
+        };
+        let step = attempts::after_failure(exchange.limits(), exchange.history, circumstances);
+        match (step, for_client) {
+            (NextStep::Retry, _) => self.send_to_server(environment, id, exchange),
+            (NextStep::PassOn, Some((answer, client))) => {
+                log::server_failed(environment, &exchange);
+                Some(ExchangeEnd::ServerAnswer { client, answer })
+            }
+            (NextStep::PassOn | NextStep::GiveUp, _) => Some(give_up(environment, &exchange)),
+        }
     }
 
     /// Nobody waits for the answer any more: its server need not go on.
-    pub(crate) fn drop_exchange(&mut self, id: ExchangeId) {
-        let upstream = self.exchanges.take(id).and_then(|known| known.upstream);
-        if let Some(upstream) = upstream
-            && let Some(closed) = self.upstreams.close(&mut self.reactor, upstream)
+    pub(crate) fn abandon(&mut self, environment: &mut Environment, id: ExchangeId) {
+        let connection = self.all.remove(&id).and_then(|known| known.upstream);
+        let servers = &mut environment.servers;
+        let runtime = &mut environment.runtime;
+        if let Some(connection) = connection
+            && let Some(closed) = servers.upstreams.close(runtime, connection)
         {
-            self.balancer.ended(&closed.instance);
+            servers.balancer.ended(&closed.instance);
         }
     }
 }
 
-/// Until when a server that has a request may take before another one is tried.
-fn answer_limit(now: Instant, exchange: &Exchange) -> Instant {
-    let repeatable = is_repeatable(&exchange.route);
-    if repeatable && exchange.attempts + 1 < exchange.route.max_attempts {
-        let patience = exchange.route.target_latency * PATIENCE_FACTOR;
-        return exchange.until.min(now + patience);
-    }
-    exchange.until
+/// The best server that the request was not sent to.
+fn choose_server(environment: &Environment, exchange: &Exchange) -> Option<ServerRecord> {
+    let now = environment.runtime.now;
+    let site = &environment.site;
+    let candidates = site.view.servers_of(&exchange.service);
+    let balancer = &environment.servers.balancer;
+    balancer
+        .choose(now, &site.zone, candidates, &exchange.sent_to)
+        .cloned()
 }
 
-/// Whether a server said that it ran the request and failed.
-fn is_server_failure(failure: &Failure) -> bool {
-    let answer = failure.answer.as_ref();
-    answer.is_some_and(|answer| answer.head.status == 500)
+/// Whether the service has a server that the request was not sent to.
+fn has_other_server(environment: &Environment, exchange: &Exchange) -> bool {
+    environment
+        .site
+        .view
+        .servers_of(&exchange.service)
+        .any(|server| !exchange.sent_to.contains(&server.instance))
+}
+
+/// Sends a request to a server; `None` when the system refuses a connection.
+fn send(
+    environment: &mut Environment,
+    id: ExchangeId,
+    exchange: &Exchange,
+    server: &ServerRecord,
+) -> Option<ConnectionId> {
+    let now = environment.runtime.now;
+    let bytes = encode_request(now, &environment.site, exchange, server);
+    let servers = &mut environment.servers;
+    let connection = servers.upstreams.send(
+        &mut environment.runtime,
+        &server.instance,
+        server.address,
+        Task::Exchange(id),
+        &bytes,
+    )?;
+    servers.balancer.started(&server.instance);
+    Some(connection)
+}
+
+/// Counts an attempt that brought no usable answer.
+fn note_failure(environment: &mut Environment, exchange: &mut Exchange, failure: &Failure) {
+    if failure.verdict == Verdict::NotRun
+        && let Some(window) = exchange.counted_in.take()
+        && let Some(tenant) = &exchange.tenant
+    {
+        environment.usage.not_run(window, tenant);
+    }
+    exchange.history.note(failure.verdict);
+    let status = failure.answer.as_ref().map(|answer| answer.head.status);
+    if status.is_some_and(answers::is_server_failure) {
+        exchange.history.server_failures += 1;
+    }
 }
--- /dev/null
+++ b/crates/wingshore-gateway/src/process/group.rs
@@ -0,0 +1,216 @@
+//! Wiring of the links to the coordination group: what its messages do, and what it is sent.
+
+use super::Gateway;
+use crate::coordinators::{StateCopy, send, send_frame};
+use crate::crash_reports;
+use crate::ids::CallId;
+use crate::view_following::{self, ViewNews};
+use slog::{info, warn};
+use std::net::SocketAddr;
+use wingshore_coordination::{
+    CoordinatorMessage, GatewayHello, GatewayMessage, IncomingFrame, RunningItem, ViewUpdate,
+};
+use wingshore_net::{ConnectionId, frame};
+use wingshore_types::Epoch;
+
+impl Gateway {
+    /// Connects to all known coordinators there is no connection to.
+    pub(super) fn dial_coordinators(&mut self) {
+        let seeds = self.settings.seed_addresses();
+        for address in self.environment.site.coordinators.wanted(seeds) {
+            let lost = self
+                .environment
+                .site
+                .coordinators
+                .dial(&mut self.environment.runtime, address);
+            if let Some(connection) = lost {
+                self.on_link_ended(connection, address);
+            }
+        }
+    }
+
+    pub(super) fn on_link_up(&mut self, connection: ConnectionId, address: SocketAddr) {
+        self.environment
+            .site
+            .coordinators
+            .link_up(&self.environment.runtime, address);
+        let hello = GatewayHello {
+            gateway: self.id,
+            node: self.settings.node.clone(),
+            front: self.settings.front,
+            zone: self.settings.zone.clone(),
+            region: self.settings.region.clone(),
+            status: self.status(),
+        };
+        let frame = IncomingFrame::Gateway(hello);
+        send_frame(&mut self.environment.runtime, connection, &frame);
+    }
+
+    pub(super) fn on_link_ended(&mut self, connection: ConnectionId, address: SocketAddr) {
+        let coordinators = &mut self.environment.site.coordinators;
+        coordinators.link_ended(&mut self.environment.runtime, connection, address);
+        self.following.link_ended(address);
+        self.follow_view();
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
+        self.calls.link_lost(runtime, site, connection);
+    }
+
+    pub(super) fn on_link_input(&mut self, connection: ConnectionId, address: SocketAddr) {
+        loop {
+            let Some(input) = self.environment.runtime.reactor.input(connection) else {
+                return;
+            };
+            match frame::decode::<CoordinatorMessage>(input) {
+                Ok(Some(message)) => self.on_coordinator(connection, address, message),
+                Ok(None) => return,
+                Err(error) => {
+                    warn!(self.environment.runtime.logger, "link closed"; "error" => %error);
+                    return self.on_link_ended(connection, address);
+                }
+            }
+        }
+    }
+
+    fn on_coordinator(
+        &mut self,
+        connection: ConnectionId,
+        address: SocketAddr,
+        message: CoordinatorMessage,
+    ) {
+        let now = self.environment.runtime.now;
+        self.environment.site.coordinators.heard(now, address);
+        match message {
+            CoordinatorMessage::Leading { epoch } => {
+                self.on_leading(connection, address, epoch);
+            }
+            CoordinatorMessage::View(update) => self.on_view(connection, update),
+            CoordinatorMessage::Reply { id, reply } => {
+                self.on_call_reply(connection, CallId(id), reply);
+            }
+            CoordinatorMessage::Assign(assignment) => {
+                let takes_items = self.status().takes_items;
+                let environment = &mut self.environment;
+                self.items.begin(environment, *assignment, takes_items);
+            }
+            CoordinatorMessage::Interrupt { assignment } => {
+                self.items.interrupt(&mut self.environment, assignment);
+            }
+            CoordinatorMessage::HandInFrom { assignment, held } => {
+                self.items.upload_from(assignment, held);
+            }
+            CoordinatorMessage::Release { assignment } => {
+                self.items.release(&mut self.environment, assignment);
+            }
+            CoordinatorMessage::Score(assignment) => self.begin_scoring(assignment),
+            CoordinatorMessage::ReleaseScoring { scoring } => self.release_scoring(scoring),
+            CoordinatorMessage::Alive {
+                coordinators,
+                zone,
+                copy,
+                wall,
+            } => {
+                self.environment.usage.time_heard(now, address, wall);
+                let copy = copy.map(|revision| StateCopy { zone, revision });
+                let links = &mut self.environment.site.coordinators;
+                links.heartbeat(address, coordinators, copy);
+                self.follow_view();
+            }
+        }
+    }
+
+    /// A coordinator says that it leads.
+    fn on_leading(&mut self, connection: ConnectionId, address: SocketAddr, epoch: Epoch) {
+        if !self.environment.site.view.led(epoch) {
+            return;
+        }
+        info!(self.environment.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
+            "configuration" => self.environment.site.view.version());
+        self.environment.site.coordinators.set_leader(address);
+        self.report_running(connection);
+        crash_reports::report_all(&mut self.environment);
+        self.calls
+            .resend(&mut self.environment.runtime, &self.environment.site);
+        self.start_scorings();
+        self.environment.usage.report_all();
+        self.report_usage();
+    }
+
+    /// Reports to a new leader which items run here; the ends that were not reported follow.
+    fn report_running(&mut self, connection: ConnectionId) {
+        let items: Vec<RunningItem> = self.items.running().collect();
+        let scorings = self.scorings.running().collect();
+        let message = GatewayMessage::Running { items, scorings };
+        send(&mut self.environment.runtime, connection, message);
+        self.items.report_ended(&mut self.environment, connection);
+        self.scorings
+            .report_ended(&mut self.environment, connection);
+    }
+
+    /// Sends the status of this gateway to all coordinators.
+    pub(super) fn report_status(&mut self) {
+        let status = self.status();
+        for connection in self.environment.site.coordinators.connected() {
+            let message = GatewayMessage::Status(status);
+            send(&mut self.environment.runtime, connection, message);
+        }
+    }
+
+    /// Reports how far the items are that run here.
+    pub(super) fn report_progress(&mut self) {
+        let progress = self.items.progress();
+        if !progress.is_empty() {
+            self.environment.report(GatewayMessage::Progress(progress));
+        }
+        let scorings = self.scorings.in_hand();
+        if !scorings.is_empty() {
+            self.environment.report(GatewayMessage::Scoring(scorings));
+        }
+    }
+
+    /// Reports the counts of usage that have changed.
+    pub(super) fn report_usage(&mut self) {
+        if self.environment.site.coordinators.leader().is_none() {
+            return;
+        }
+        if let Some(message) = self.environment.usage.take_report() {
+            self.environment.report(message);
+        }
+    }
+
+    /// Follows the view where that is best.
+    pub(super) fn follow_view(&mut self) {
+        let site = &self.environment.site;
+        self.following.follow(
+            &mut self.environment.runtime,
+            &site.coordinators,
+            &site.view,
+            &site.zone,
+        );
+    }
+
+    /// A coordinator has sent the view, or changes of it.
+    fn on_view(&mut self, connection: ConnectionId, update: ViewUpdate) {
+        let version_before = self.environment.site.view.version();
+        let view = &mut self.environment.site.view;
+        let news =
+            view_following::take_update(&mut self.environment.runtime, view, connection, update);
+        match news {
+            None => return,
+            Some(ViewNews::Changes(changes)) => {
+                for change in &changes {
+                    crash_reports::view_changed(&mut self.environment, change);
+                }
+            }
+            Some(ViewNews::Whole) => {
+                crash_reports::view_replaced(&mut self.environment);
+                self.start_scorings();
+            }
+        }
+        let version = self.environment.site.view.version();
+        if version != version_before {
+            info!(self.environment.runtime.logger, "configuration"; "version" => version,
+                "before" => version_before);
+            self.report_status();
+        }
+    }
+}
--- /dev/null
+++ b/crates/wingshore-gateway/src/process/requests.rs
@@ -0,0 +1,222 @@
+//! Wiring of clients' requests: what each one is for, and how its answer goes out.
+
+use super::Gateway;
+use crate::admission::{self, Admission, Purpose, Refusal, tenant_of};
+use crate::attempt_timeouts;
+use crate::calls::{CallEnd, request_of};
+use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, Waiting};
+use crate::exchange::{Exchange, NewExchange, Origin};
+use crate::ids::CallId;
+use crate::protocol::{BatchAnswer, OwnAnswer};
+use std::sync::Arc;
+use std::time::Duration;
+use wingshore_coordination::{CallReply, Caller, Request, Route};
+use wingshore_net::ConnectionId;
+use wingshore_net::http::{HeadWriter, HttpAnswer, WholeRequest};
+
+/// Type of the text that monitoring reads.
+const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+
+impl Gateway {
+    /// Bytes of a client have arrived, or its last answer has gone out.
+    pub(super) fn on_client_input(&mut self, client: ConnectionId) {
+        let limits = self.environment.site.view.limits();
+        let is_stopping = self.is_stopping();
+        let runtime = &mut self.environment.runtime;
+        match self.clients.read(runtime, client, limits, is_stopping) {
+            ClientInput::Nothing => {}
+            ClientInput::Partial => self.refuse_early(client),
+            ClientInput::Request(request) => self.on_request(client, request),
+            ClientInput::Unreadable(error) => self.refuse_unreadable(client, &error),
+        }
+    }
+
+    fn on_request(&mut self, client: ConnectionId, request: WholeRequest) {
+        let purpose = self.clients.purpose(client).unwrap_or(Purpose::Front);
+        match admission::admit(&self.environment.site, purpose, &request.head) {
+            Admission::Ready => {
+                let is_ready = self.status().ready;
+                let protocol = &self.environment.site.protocol;
+                let answer = protocol.write_ready(&request.head, is_ready);
+                self.answer_whole(client, &answer);
+            }
+            Admission::Metrics => {
+                let answer = self.metrics_answer();
+                self.answer_whole(client, &answer);
+            }
+            Admission::Refused(refusal) => self.refuse(client, &request.head, refusal),
+            Admission::BatchCall(call, caller) => {
+                let request = request_of(call, tenant_of(caller.as_ref()));
+                self.begin_call(client, request);
+            }
+            Admission::Submission(caller) => {
+                self.submit_job(client, &request, caller.as_ref());
+            }
+            Admission::Forward(route, caller) => {
+                self.forward(client, request, caller.as_ref(), route);
+            }
+        }
+    }
+
+    /// All metrics, for monitoring.
+    fn metrics_answer(&self) -> HttpAnswer {
+        let text = self.environment.runtime.metrics.text(self.readings());
+        HttpAnswer {
+            status: 200,
+            headers: vec![("Content-Type".to_owned(), METRICS_TYPE.to_owned())],
+            body: text.into_bytes(),
+        }
+    }
+
+    /// Sends a client's request on its way to servers.
+    fn forward(
+        &mut self,
+        client: ConnectionId,
+        request: WholeRequest,
+        caller: Option<&Caller>,
+        route: Arc<Route>,
+    ) {
+        let now = self.environment.runtime.now;
+        let Some(service) = self.exchanges.next_target(&route) else {
+            return self.refuse(client, &request.head, Refusal::NO_SERVICE);
+        };
+        let names = self.environment.site.protocol.header_names();
+        let headers = &request.head.headers;
+        let deadline = headers.number(names.deadline).map(Duration::from_millis);
+        let limit = attempt_timeouts::request_timeout(route.timeout, deadline);
+        let identity = headers.get(names.request_id).unwrap_or_default().to_vec();
+        let new = NewExchange {
+            origin: Origin::Client(client),
+            tenant: tenant_of(caller),
+            request,
+            id: identity,
+            route,
+            service,
+            until: now + limit,
+        };
+        let id = self.exchanges.next_id();
+        self.clients.set_waiting(client, Waiting::Exchange(id));
+        let environment = &mut self.environment;
+        let exchange = Exchange::new(now, new);
+        let end = self.exchanges.begin(environment, id, exchange);
+        self.on_exchange_end(end);
+    }
+
+    /// Reads a batch job and passes it on.
+    fn submit_job(
+        &mut self,
+        client: ConnectionId,
+        request: &WholeRequest,
+        caller: Option<&Caller>,
+    ) {
+        match self.environment.site.protocol.read_submission(request) {
+            Ok(mut submission) => {
+                submission.id = submission.id.of_tenant(tenant_of(caller));
+                let request = Request::SubmitJob(Arc::new(submission));
+                self.begin_call(client, request);
+            }
+            Err(reason) => {
+                let answer = BatchAnswer::Refused(reason);
+                self.log_refused(Some(&request.head), answer.name(), answer.reason());
+                self.answer_batch(client, &answer);
+            }
+        }
+    }
+
+    fn begin_call(&mut self, client: ConnectionId, request: Request) {
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
+        let id = self.calls.begin(runtime, site, client, request);
+        self.clients.set_waiting(client, Waiting::Call(id));
+    }
+
+    /// A call may be late, or its time over.
+    pub(super) fn on_call_timer(&mut self, id: CallId) {
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
+        let end = self.calls.on_timer(runtime, site, id);
+        self.end_call(end);
+    }
+
+    /// A coordinator has answered a call.
+    pub(super) fn on_call_reply(&mut self, connection: ConnectionId, id: CallId, reply: CallReply) {
+        let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
+        let calls = &mut self.calls;
+        let end = calls.on_reply(runtime, site, connection, (id, reply));
+        self.end_call(end);
+    }
+
+    fn end_call(&mut self, end: Option<CallEnd>) {
+        if let Some(CallEnd { client, answer }) = end {
+            self.answer_batch(client, &answer);
+        }
+    }
+
+    fn answer_batch(&mut self, client: ConnectionId, answer: &BatchAnswer) {
+        let answer = self.environment.site.protocol.write_batch(answer);
+        self.answer_whole(client, &answer);
+    }
+
+    /// Answers with an answer of the gateway's own.
+    pub(super) fn answer_own(&mut self, client: ConnectionId, answer: &OwnAnswer) {
+        let answer = self.environment.site.protocol.write_own(answer);
+        self.answer_whole(client, &answer);
+    }
+
+    /// Answers a client whole.
+    pub(super) fn answer_whole(&mut self, client: ConnectionId, answer: &HttpAnswer) {
+        self.answer(client, answer.head(), &answer.body);
+    }
+
+    /// Sends an answer and goes on to the client's next request.
+    pub(super) fn answer(&mut self, client: ConnectionId, writer: HeadWriter, body: &[u8]) {
+        let is_stopping = self.is_stopping();
+        let runtime = &mut self.environment.runtime;
+        let answer = (writer, body);
+        let after = self.clients.answer(runtime, client, answer, is_stopping);
+        self.after_answer(client, after);
+    }
+
+    /// The answer to a client is out.
+    pub(super) fn after_answer(&mut self, client: ConnectionId, after: AfterAnswer) {
+        if after == AfterAnswer::Nothing {
+            return;
+        }
+        // Several requests that can be answered at once may have arrived in one piece.
+        let mut unread = self.unread_input(client);
+        while unread > 0 {
+            self.on_client_input(client);
+            let before = std::mem::replace(&mut unread, self.unread_input(client));
+            if unread == before {
+                break;
+            }
+        }
+        let idle_timeout = self.environment.site.view.limits().idle_timeout;
+        let runtime = &mut self.environment.runtime;
+        self.clients.next_read(runtime, client, idle_timeout);
+    }
+
+    /// Bytes of a client that were not read yet.
+    fn unread_input(&mut self, client: ConnectionId) -> usize {
+        let input = self.environment.runtime.reactor.input(client);
+        input.map_or(0, |input| input.len())
+    }
+
+    /// A client's time may be over.
+    pub(super) fn on_client_timer(&mut self, client: ConnectionId) {
+        let limits = self.environment.site.view.limits();
+        let runtime = &mut self.environment.runtime;
+        match self.clients.on_timer(runtime, client, limits) {
+            ClientTimeout::None => {}
+            ClientTimeout::Idle => self.close_client(client),
+            ClientTimeout::TooSlow => self.refuse_too_slow(client),
+        }
+    }
+
+    /// Closes a client's connection and drops what it waits for.
+    pub(super) fn close_client(&mut self, client: ConnectionId) {
+        match self.clients.close(&mut self.environment.runtime, client) {
+            None => {}
+            Some(Waiting::Exchange(id)) => self.exchanges.abandon(&mut self.environment, id),
+            Some(Waiting::Call(id)) => self.calls.forget(id),
+        }
+    }
+}
--- a/crates/wingshore-gateway/src/scoring.rs
+++ b/crates/wingshore-gateway/src/scoring.rs
@@ -2,67 +2,95 @@
 //!
 //! A scoring begins where its text was made as soon as the text is whole, or by the leader's word
 //! where that gateway is gone. It goes the way of a live request, within the routes, attempts and
-//! time limits in force. Its end is kept until a leader has made it durable.
+//! time limits in force.
+//!
+//! Owns the scorings, those that wait and the limit of each service. The end of a scoring is kept until
+//! a leader has made it durable and releases it.
 
-use crate::exchange::{Exchange, ExchangeId, Origin};
-use crate::limit::{ConcurrencyLimit, Sign};
-use crate::process::Gateway;
+use crate::coordinators::send;
+use crate::environment::Environment;
+use crate::exchange::{Exchange, ExchangeEnd, NewExchange, Origin, ScoringRequestEnd};
+use crate::forward::Exchanges;
+use crate::ids::ExchangeId;
+use crate::limit::{ConcurrencyLimit, LoadSignal};
+use crate::protocol::HeaderNames;
+use crate::scoring_policy::{self, ScoringEnd};
 use slog::info;
 use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::sync::Arc;
-use std::time::Duration;
 use wingshore_coordination::{
-    AssignmentId, GatewayMessage, IncomingFrame, NotScoredReason, Route, RunningScoring,
-    ScoringAssignment, ScoringOutcome, ServiceName,
+    AssignmentId, GatewayMessage, NotScoredReason, RunningScoring, Scorer, ScoringAssignment,
+    ScoringOutcome, ServiceName,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{Headers, RequestHead, WholeAnswer, WholeRequest};
 use wingshore_types::Instant;
 
-/// Part of a service's slots that this gateway's scorings take at the most: others need some too.
-const SLOTS_PART: usize = 2;
-
-/// One scoring in hand, or whose end was not told.
-struct ScoringRun {
+/// One scoring in hand, or whose end the leader has not made durable.
+struct Scoring {
     assignment: ScoringAssignment,
     /// When it came into hand.
     since: Instant,
     /// Its request under way, and to which service.
     exchange: Option<(ExchangeId, ServiceName)>,
-    /// What came of it, until a leader has made it durable.
     outcome: Option<ScoringOutcome>,
-    /// The connection on which that was told.
-    told: Option<ConnectionId>,
+    /// The connection on which the outcome was reported.
+    reported_on: Option<ConnectionId>,
+}
+
+/// What became of a scoring that was to be started.
+pub(crate) enum Started {
+    /// It waits for its turn.
+    Waits,
+    /// It is gone, or its request is on its way.
+    Gone,
+    /// It has ended: others may have their turn.
+    Ended,
+    /// Its request is over already.
+    RequestOver(ExchangeEnd),
 }
 
 /// All scorings of this gateway.
-#[derive(Default)]
 pub(crate) struct Scorings {
-    runs: BTreeMap<AssignmentId, ScoringRun>,
+    all: BTreeMap<AssignmentId, Scoring>,
     /// Those whose request has not been sent, in their order.
     queue: VecDeque<AssignmentId>,
     limits: HashMap<ServiceName, ConcurrencyLimit>,
+    /// Whether the limits of the services are kept.
+    is_limited: bool,
 }
 
 impl Scorings {
-    /// What is in hand, and what has ended without a leader being told.
+    /// None yet; `is_limited` if they keep within what their servers take.
+    pub(crate) fn new(is_limited: bool) -> Self {
+        Self {
+            all: BTreeMap::new(),
+            queue: VecDeque::new(),
+            limits: HashMap::new(),
+            is_limited,
+        }
+    }
+
+    /// What is in hand, and what has ended without a leader having made that durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningScoring> + '_ {
-        self.runs.values().map(|run| RunningScoring {
-            scoring: run.assignment.scoring,
-            item: run.assignment.item.clone(),
-            made_by: run.assignment.made_by,
+        self.all.values().map(|scoring| RunningScoring {
+            scoring: scoring.assignment.scoring,
+            item: scoring.assignment.item.clone(),
+            made_by: scoring.assignment.made_by,
         })
     }
 
     /// Names of those in hand.
     pub(crate) fn in_hand(&self) -> Vec<AssignmentId> {
-        let in_hand = self.runs.iter().filter(|(_, run)| run.outcome.is_none());
+        let in_hand = self
+            .all
+            .iter()
+            .filter(|(_, scoring)| scoring.outcome.is_none());
         in_hand.map(|(id, _)| *id).collect()
     }
 
     /// How many there are.
     pub(crate) fn count(&self) -> usize {
-        self.runs.len()
+        self.all.len()
     }
 
     /// How many wait for their turn.
@@ -70,212 +98,208 @@
         self.queue.len()
     }
 
-    /// The request of a scoring is over.
-    fn exchange_over(&mut self, now: Instant, id: AssignmentId, sign: Sign) {
-        let run = self.runs.get_mut(&id);
-        let Some((_, service)) = run.and_then(|run| run.exchange.take()) else {
-            return;
-        };
-        if let Some(limit) = self.limits.get_mut(&service) {
-            limit.ended(now, sign);
-        }
-    }
-}
-
-impl Gateway {
-    /// A text is to be scored.
-    pub(crate) fn begin_scoring(&mut self, now: Instant, assignment: ScoringAssignment) {
+    /// A text is to be scored; says whether that is news.
+    pub(crate) fn add(&mut self, now: Instant, assignment: ScoringAssignment) -> bool {
         let id = assignment.scoring;
-        if self.scorings.runs.contains_key(&id) {
-            return;
+        if self.all.contains_key(&id) {
+            return false;
         }
-        let run = ScoringRun {
+        let scoring = Scoring {
             assignment,
             since: now,
             exchange: None,
             outcome: None,
-            told: None,
+            reported_on: None,
         };
-        self.scorings.runs.insert(id, run);
-        self.scorings.queue.push_back(id);
-        self.start_scorings(now);
+        self.all.insert(id, scoring);
+        self.queue.push_back(id);
+        true
     }
 
-    /// Sends the requests of those that wait, as far as the limits of their services allow.
-    ///
-    /// Without a leader nothing is begun: it could not say that a job has ended meanwhile.
-    pub(crate) fn start_scorings(&mut self, now: Instant) {
-        if self.coordinators.leader().is_none() {
-            return;
-        }
-        for id in std::mem::take(&mut self.scorings.queue) {
-            if !self.start_scoring(now, id) {
-                self.scorings.queue.push_back(id);
-            }
-        }
+    /// Takes all that wait for their turn.
+    pub(crate) fn take_queue(&mut self) -> VecDeque<AssignmentId> {
+        std::mem::take(&mut self.queue)
+    }
+
+    /// A scoring waits for its turn, behind the others.
+    pub(crate) fn requeue(&mut self, id: AssignmentId) {
+        self.queue.push_back(id);
     }
 
-    /// Sends the request of a scoring; says whether it need not wait any more.
-    fn start_scoring(&mut self, now: Instant, id: AssignmentId) -> bool {
-        let Some(run) = self.scorings.runs.get(&id) else {
-            return true;
+    /// Sends the request of a scoring, if the limit of its service allows that.
+    pub(crate) fn start(
+        &mut self,
+        environment: &mut Environment,
+        exchanges: &mut Exchanges,
+        id: AssignmentId,
+    ) -> Started {
+        let now = environment.runtime.now;
+        let Some(scoring) = self.all.get_mut(&id) else {
+            return Started::Gone;
         };
-        let scorer = &run.assignment.scorer;
-        let route = self.view.routes().find(&scorer.host, &scorer.path).cloned();
-        let target = route.and_then(|route| Some((self.next_target(&route)?, route)));
+        let scorer = &scoring.assignment.scorer;
+        let routes = environment.site.view.routes();
+        let route = routes.find(&scorer.host, &scorer.path).cloned();
+        let target = route.and_then(|route| Some((exchanges.next_target(&route)?, route)));
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
-            self.end_scoring(now, id, outcome);
-            return true;
+            self.end(environment, id, outcome);
+            return Started::Ended;
         };
-        let slots = self.view.servers_of(&service).map(|server| server.slots);
-        let most = slots.sum::<u32>() as usize / SLOTS_PART;
-        let limit = self.scorings.limits.entry(service.clone()).or_default();
-        if self.settings.policy.scoring_limit && !limit.allows(most) {
-            return false;
+        let servers = environment.site.view.servers_of(&service);
+        let slots = servers.map(|server| server.slots).sum();
+        let limit = self.limits.entry(service.clone()).or_default();
+        if self.is_limited && !limit.allows(scoring_policy::max_scorings(slots)) {
+            return Started::Waits;
         }
         limit.begun();
-        self.send_scoring(now, id, service, route);
-        true
-    }
-
-    fn send_scoring(
-        &mut self,
-        now: Instant,
-        id: AssignmentId,
-        service: ServiceName,
-        route: Arc<Route>,
-    ) {
-        let names = self.protocol.header_names();
-        let Some(run) = self.scorings.runs.get(&id) else {
-            return;
-        };
-        let scorer = &run.assignment.scorer;
-        let lines = [
-            ("Host", scorer.host.as_str()),
-            (names.request_id, scorer.request.as_str()),
-        ];
-        let request = WholeRequest {
-            head: RequestHead {
-                method: "POST".to_owned(),
-                target: scorer.path.clone(),
-                is_http11: true,
-                headers: Headers::from_lines(lines),
-            },
-            body: scorer.body.clone(),
+        let names = environment.site.protocol.header_names();
+        let until = now + route.timeout;
+        let new = NewExchange {
+            origin: Origin::Scoring(id),
+            tenant: scoring.assignment.item.job.tenant().cloned(),
+            request: request_of(names, scorer),
+            id: scorer.request.as_str().as_bytes().to_vec(),
+            route,
+            service: service.clone(),
+            until,
         };
-        let origin = Origin::Scoring(id);
-        let timeout = route.timeout;
-        let tenant = run.assignment.item.job.tenant().cloned();
-        let mut exchange = self.new_exchange(now, origin, request, route, service.clone());
-        exchange.tenant = tenant;
-        let name = self.exchanges.next_id();
-        if let Some(run) = self.scorings.runs.get_mut(&id) {
-            run.exchange = Some((name, service));
+        let exchange = exchanges.next_id();
+        scoring.exchange = Some((exchange, service));
+        match exchanges.begin(environment, exchange, Exchange::new(now, new)) {
+            Some(end) => Started::RequestOver(end),
+            None => Started::Gone,
         }
-        self.begin_exchange(now, name, exchange, timeout);
     }
 
-    /// A server has answered a scoring's request, and not with a failure.
-    pub(crate) fn scoring_answered(
+    /// The request of a scoring is over.
+    pub(crate) fn on_request_end(
         &mut self,
-        now: Instant,
+        environment: &mut Environment,
         id: AssignmentId,
-        exchange: &Exchange,
-        answer: &WholeAnswer,
+        end: ScoringRequestEnd,
     ) {
-        let is_in_time = now.since(exchange.begun) <= exchange.route.target_latency;
-        let sign = if is_in_time && exchange.refusals == 0 {
-            Sign::InTime
-        } else {
-            Sign::Overload
-        };
-        self.scorings.exchange_over(now, id, sign);
-        let signature = self.protocol.header_names().signature;
-        let score = answer.head.headers.text(signature).map(str::to_owned);
-        let outcome = match score {
-            Some(score) if answer.head.is_success() => ScoringOutcome::Scored(score),
-            _ => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
-        };
-        self.end_scoring(now, id, outcome);
-    }
-
-    /// No server has answered a scoring's request, or all failed.
-    pub(crate) fn scoring_given_up(&mut self, now: Instant, id: AssignmentId, exchange: &Exchange) {
-        let outcome = match exchange.server_failures {
-            0 if exchange.may_have_run => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
-            0 => ScoringOutcome::NotScored(NotScoredReason::Refused),
-            failures => ScoringOutcome::Failed(failures),
-        };
-        let sign = match outcome {
-            ScoringOutcome::Failed(_) => Sign::None,
-            _ => Sign::Overload,
+        let now = environment.runtime.now;
+        let ScoringEnd { outcome, signal } = match &end.answer {
+            Some(answer) => {
+                let score = score_of(environment, answer);
+                scoring_policy::answered(score, end.history, end.is_in_time)
+            }
+            None => scoring_policy::given_up(end.history),
         };
-        self.scorings.exchange_over(now, id, sign);
-        self.end_scoring(now, id, outcome);
+        self.free_place(now, id, signal);
+        self.end(environment, id, outcome);
     }
 
-    fn end_scoring(&mut self, now: Instant, id: AssignmentId, outcome: ScoringOutcome) {
-        let Some(run) = self.scorings.runs.get_mut(&id) else {
-            return;
-        };
-        let time = now.since(run.since);
-        self.metrics.scoring_ended(outcome.name(), time);
-        let scored = matches!(outcome, ScoringOutcome::Scored(_));
-        let steady = Duration::from_millis(now.as_millis());
-        let assignment = &run.assignment;
-        if !scored || self.sampler.takes(steady, assignment.id.as_str()) {
-            info!(self.logger, "scoring ended"; "item" => %assignment.id,
-                "job" => %assignment.item.job, "request" => %assignment.scorer.request,
-                "outcome" => outcome.name(), "epoch" => id.epoch.0, "scoring" => id.number,
-                "after_ms" => time.as_millis() as u64, "queued" => self.scorings.queue.len(),
-                "configuration" => self.view.version());
-        }
-        run.outcome = Some(outcome);
-        if let Some(leader) = self.coordinators.leader() {
-            self.tell_ended_scorings(leader);
-        }
-        self.start_scorings(now);
-    }
-
-    /// Tells the leader the ends that it was not told.
-    pub(crate) fn tell_ended_scorings(&mut self, leader: ConnectionId) {
-        let mut frames = Vec::new();
-        for (id, run) in &mut self.scorings.runs {
-            let Some(outcome) = run.outcome.as_ref().filter(|_| run.told != Some(leader)) else {
+    /// Reports to the leader the ends that it was not sent.
+    pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
+        for (id, scoring) in &mut self.all {
+            let outcome = scoring.outcome.as_ref();
+            let Some(outcome) = outcome.filter(|_| scoring.reported_on != Some(leader)) else {
                 continue;
             };
-            frames.push(IncomingFrame::FromGateway(GatewayMessage::ScoringEnded {
+            let message = GatewayMessage::ScoringEnded {
                 scoring: *id,
                 outcome: outcome.clone(),
-            }));
-            run.told = Some(leader);
-        }
-        for frame in frames {
-            self.send_frame(leader, &frame);
+            };
+            send(&mut environment.runtime, leader, message);
+            scoring.reported_on = Some(leader);
         }
     }
 
     /// A leader has no more use for a scoring.
-    pub(crate) fn release_scoring(&mut self, now: Instant, id: AssignmentId) {
-        let exchange = self.scorings.runs.get(&id).and_then(|run| {
-            let (exchange, _) = run.exchange.as_ref()?;
-            Some(*exchange)
-        });
-        self.scorings.exchange_over(now, id, Sign::None);
-        if let Some(exchange) = exchange {
-            self.drop_exchange(exchange);
+    pub(crate) fn release(
+        &mut self,
+        environment: &mut Environment,
+        exchanges: &mut Exchanges,
+        id: AssignmentId,
+    ) {
+        let now = environment.runtime.now;
+        if let Some(exchange) = self.free_place(now, id, LoadSignal::None) {
+            exchanges.abandon(environment, exchange);
         }
-        self.scorings.runs.remove(&id);
-        self.scorings.queue.retain(|queued| *queued != id);
-        self.start_scorings(now);
+        self.all.remove(&id);
+        self.queue.retain(|queued| *queued != id);
     }
 
     /// A planned stop: scorings that have not begun go on elsewhere.
-    pub(crate) fn hand_scorings_back(&mut self, now: Instant) {
-        for id in std::mem::take(&mut self.scorings.queue) {
+    pub(crate) fn return_queued(&mut self, environment: &mut Environment) {
+        for id in self.take_queue() {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::Stopping);
-            self.end_scoring(now, id, outcome);
+            self.end(environment, id, outcome);
         }
     }
+
+    /// The request of a scoring is over: its service has a free place. Gives the exchange.
+    fn free_place(
+        &mut self,
+        now: Instant,
+        id: AssignmentId,
+        signal: LoadSignal,
+    ) -> Option<ExchangeId> {
+        let (exchange, service) = self.all.get_mut(&id)?.exchange.take()?;
+        if let Some(limit) = self.limits.get_mut(&service) {
+            limit.ended(now, signal);
+        }
+        Some(exchange)
+    }
+
+    fn end(&mut self, environment: &mut Environment, id: AssignmentId, outcome: ScoringOutcome) {
+        let Some(scoring) = self.all.get_mut(&id) else {
+            return;
+        };
+        log_ended(environment, scoring, &outcome, self.queue.len());
+        scoring.outcome = Some(outcome);
+        if let Some(leader) = environment.site.coordinators.leader() {
+            self.report_ended(environment, leader);
+        }
+    }
+}
+
+/// The request that asks for a score.
+fn request_of(names: &HeaderNames, scorer: &Scorer) -> WholeRequest {
+    let lines = [
+        ("Host", scorer.host.as_str()),
+        (names.request_id, scorer.request.as_str()),
+    ];
+    WholeRequest {
+        head: RequestHead {
+            method: "POST".to_owned(),
+            target: scorer.path.clone(),
+            is_http11: true,
+            headers: Headers::from_lines(lines),
+        },
+        body: scorer.body.clone(),
+    }
+}
+
+/// The score that a success bears.
+fn score_of(environment: &Environment, answer: &WholeAnswer) -> Option<String> {
+    let name = environment.site.protocol.header_names().signature;
+    let score = answer.head.headers.text(name);
+    score
+        .filter(|_| answer.head.is_success())
+        .map(str::to_owned)
+}
+
+fn log_ended(
+    environment: &mut Environment,
+    scoring: &Scoring,
+    outcome: &ScoringOutcome,
+    queued: usize,
+) {
+    let now = environment.runtime.now;
+    let assignment = &scoring.assignment;
+    let id = assignment.scoring;
+    let time = now.since(scoring.since);
+    let runtime = &mut environment.runtime;
+    runtime.metrics.scoring_ended(outcome.name(), time);
+    let is_scored = matches!(outcome, ScoringOutcome::Scored(_));
+    if !is_scored || runtime.samples(assignment.id.as_str()) {
+        info!(runtime.logger, "scoring ended"; "item" => %assignment.id,
+            "job" => %assignment.item.job, "request" => %assignment.scorer.request,
+            "outcome" => outcome.name(), "epoch" => id.epoch.0, "scoring" => id.number,
+            "after_ms" => time.as_millis() as u64, "queued" => queued,
+            "configuration" => environment.site.view.version());
+    }
 }
--- a/crates/wingshore-gateway/src/upstream.rs
+++ b/crates/wingshore-gateway/src/upstream.rs
@@ -1,20 +1,22 @@
 //! Connections to servers: one request at a time on each, kept for the next one.
 
 use crate::event_stream::EventReader;
-use crate::exchange::ExchangeId;
+use crate::ids::ExchangeId;
+use crate::runtime::Runtime;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{AssignmentId, InstanceId};
-use wingshore_net::http::{AnswerHead, AnswerReader};
-use wingshore_net::{ConnectOptions, ConnectionId, Reactor};
+use wingshore_net::http::{AnswerHead, AnswerReader, WholeAnswer};
+use wingshore_net::{ConnectOptions, ConnectionId};
 use wingshore_types::Instant;
 
-/// Sent bytes may stay unacknowledged this long.
+/// Sent bytes may stay unacknowledged this long. Not measured.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
-/// Idle connections are kept this long where the server does not say.
+/// Idle connections are kept this long where the server does not say. Not measured.
 const DEFAULT_KEEP: Duration = Duration::from_secs(4);
-/// A connection is not used in the last part of the time that the server keeps it.
+/// A connection is not used in the last part of the time that the server keeps it: a request must
+/// not meet its close. Not measured.
 const KEEP_MARGIN: Duration = Duration::from_millis(700);
 
 /// Who uses a connection.
@@ -22,7 +24,7 @@
 pub(crate) enum Task {
     /// A request of a client, or a scoring's.
     Exchange(ExchangeId),
-    /// A try at an item.
+    /// An attempt at an item.
     Item(AssignmentId),
 }
 
@@ -54,7 +56,7 @@
 /// A send whose connection ended without a whole answer.
 #[derive(Clone, Debug)]
 pub(crate) struct LostSend {
-    /// The run of the server.
+    /// The incarnation of the server.
     pub(crate) instance: InstanceId,
     /// When it was sent.
     pub(crate) sent_at: Instant,
@@ -62,6 +64,15 @@
     pub(crate) end: ConnectionEnd,
 }
 
+/// An answer that has come whole.
+pub(crate) struct Finished {
+    /// The incarnation of the server.
+    pub(crate) instance: InstanceId,
+    pub(crate) answer: WholeAnswer,
+    /// Whether no part of an event of a stream is left over.
+    pub(crate) ends_whole: bool,
+}
+
 /// One connection to a server.
 pub(crate) struct Upstream {
     pub(crate) instance: InstanceId,
@@ -88,43 +99,55 @@
     /// Sends a request on an idle connection, or a new one; `None` when the system refuses one.
     pub(crate) fn send(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
         task: Task,
         bytes: &[u8],
     ) -> Option<ConnectionId> {
-        let connection = match self.take_idle(now, reactor, instance) {
+        let now = runtime.now;
+        let connection = match self.take_idle(runtime, instance) {
             Some(connection) => connection,
-            None => self.connect(now, reactor, instance, address)?,
+            None => self.connect(runtime, instance, address)?,
         };
         let upstream = self.all.get_mut(&connection)?;
         upstream.task = Some(task);
         upstream.since = now;
         upstream.reader = AnswerReader::new(false);
         upstream.events = None;
-        reactor.send(connection, bytes);
+        runtime.reactor.send(connection, bytes);
         Some(connection)
     }
 
     /// Opens a connection for whatever comes next; it is kept once it is up.
     pub(crate) fn open(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
     ) {
-        let connection = self.connect(now, reactor, instance, address);
+        let now = runtime.now;
+        let connection = self.connect(runtime, instance, address);
         let upstream = connection.and_then(|connection| self.all.get_mut(&connection));
         if let Some(upstream) = upstream {
             upstream.idle_until = now + DEFAULT_KEEP;
         }
     }
 
-    /// A connection that was opened for whatever comes next is up.
-    pub(crate) fn keep_opened(&mut self, now: Instant, connection: ConnectionId) {
+    /// A connection has come up; gives what it is used for. One that was opened for whatever comes next
+    /// is kept for that.
+    pub(crate) fn on_connected(&mut self, now: Instant, connection: ConnectionId) -> Option<Task> {
+        let upstream = self.all.get_mut(&connection)?;
+        upstream.up = true;
+        if upstream.task.is_none() {
+            self.keep_idle(now, connection);
+            return None;
+        }
+        upstream.task
+    }
+
+    /// A connection waits for its next use.
+    fn keep_idle(&mut self, now: Instant, connection: ConnectionId) {
         if let Some(upstream) = self.all.get_mut(&connection) {
             upstream.idle_until = now + upstream.keep.saturating_sub(KEEP_MARGIN);
             let idle = self.idle.entry(upstream.instance.clone()).or_default();
@@ -132,17 +155,48 @@
         }
     }
 
+    /// The answer on a connection is whole; `is_all_read` when nothing came behind it. The connection
+    /// waits for its next use, or closes.
+    pub(crate) fn finish(
+        &mut self,
+        runtime: &mut Runtime,
+        connection: ConnectionId,
+        is_all_read: bool,
+    ) -> Option<Finished> {
+        let now = runtime.now;
+        let upstream = self.all.get_mut(&connection)?;
+        let reader = std::mem::replace(&mut upstream.reader, AnswerReader::new(false));
+        let is_within_event = upstream
+            .events
+            .as_ref()
+            .is_some_and(EventReader::is_within_event);
+        let answer = reader.into_answer(is_all_read)?;
+        let instance = upstream.instance.clone();
+        if answer.reusable {
+            upstream.task = None;
+            upstream.keep = keep_time(&answer.head).unwrap_or(upstream.keep);
+            self.keep_idle(now, connection);
+        } else {
+            self.close(runtime, connection);
+        }
+        Some(Finished {
+            instance,
+            answer,
+            ends_whole: !is_within_event,
+        })
+    }
+
     fn connect(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         instance: &InstanceId,
         address: SocketAddr,
     ) -> Option<ConnectionId> {
+        let now = runtime.now;
         let options = ConnectOptions {
             unacknowledged_limit: UNACKNOWLEDGED_LIMIT,
         };
-        let connection = reactor.connect(address, options)?;
+        let connection = runtime.reactor.connect(address, options)?;
         let upstream = Upstream {
             instance: instance.clone(),
             up: false,
@@ -157,22 +211,18 @@
         Some(connection)
     }
 
-    fn take_idle(
-        &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
-        instance: &InstanceId,
-    ) -> Option<ConnectionId> {
+    fn take_idle(&mut self, runtime: &mut Runtime, instance: &InstanceId) -> Option<ConnectionId> {
+        let now = runtime.now;
         let idle = self.idle.get_mut(instance)?;
         while let Some(connection) = idle.pop() {
             let is_kept = self
                 .all
                 .get(&connection)
                 .is_some_and(|upstream| now < upstream.idle_until);
-            if is_kept && reactor.is_open(connection) {
+            if is_kept && runtime.reactor.is_open(connection) {
                 return Some(connection);
             }
-            reactor.close(connection);
+            runtime.reactor.close(connection);
             self.all.remove(&connection);
         }
         None
@@ -193,25 +243,13 @@
         self.all.contains_key(&connection)
     }
 
-    /// The answer was whole and nothing came behind it: the connection waits for its next use.
-    pub(crate) fn release(&mut self, now: Instant, connection: ConnectionId, head: &AnswerHead) {
-        let Some(upstream) = self.all.get_mut(&connection) else {
-            return;
-        };
-        upstream.task = None;
-        upstream.keep = keep_time(head).unwrap_or(upstream.keep);
-        upstream.idle_until = now + upstream.keep.saturating_sub(KEEP_MARGIN);
-        let idle = self.idle.entry(upstream.instance.clone()).or_default();
-        idle.push(connection);
-    }
-
     /// The connection is of no more use.
     pub(crate) fn close(
         &mut self,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         connection: ConnectionId,
     ) -> Option<Upstream> {
-        reactor.close(connection);
+        runtime.reactor.close(connection);
         let upstream = self.all.remove(&connection)?;
         if let Some(idle) = self.idle.get_mut(&upstream.instance) {
             idle.retain(|other| *other != connection);
@@ -222,10 +260,10 @@
     /// Closes connections that have been idle for too long, or whose server is not known any more.
     pub(crate) fn close_idle(
         &mut self,
-        now: Instant,
-        reactor: &mut Reactor,
+        runtime: &mut Runtime,
         is_known: impl Fn(&InstanceId) -> bool,
     ) {
+        let now = runtime.now;
         let old: Vec<ConnectionId> = self
             .all
             .iter()
@@ -234,7 +272,7 @@
             .map(|(connection, _)| *connection)
             .collect();
         for connection in old {
-            self.close(reactor, connection);
+            self.close(runtime, connection);
         }
         self.idle.retain(|_, connections| !connections.is_empty());
     }
