--- a/crates/wingshore-gateway/src/lib.rs
+++ b/crates/wingshore-gateway/src/lib.rs
@@ -6,25 +6,43 @@
 //! soft: a gateway may be killed at any time. What callers and servers speak is translated by an
 //! [`IngressProtocol`].
 
-mod access;
+mod admission;
+mod answers;
+mod attempt_timeouts;
+mod attempts;
 mod balance;
+mod call_policy;
 mod calls;
 mod clients;
 mod coordinators;
+mod crash_reports;
 mod crashes;
 mod encode;
+mod environment;
 mod error;
 mod event_stream;
 mod exchange;
+mod fingerprints;
 mod forward;
+mod forward_ends;
+mod forward_log;
+mod ids;
+mod item_attempt;
+mod item_policy;
 mod items;
 mod limit;
 mod metrics;
+mod passed_stream;
 mod process;
 mod protocol;
-mod refusals;
+mod request_suspicion;
+mod runtime;
 mod scoring;
+mod scoring_policy;
+mod servers;
 mod settings;
+mod site;
+mod split;
 mod streams;
 mod suspects;
 mod timers;
@@ -34,15 +52,22 @@
 mod view_following;
 mod view_source;
 
+pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_server_failure};
+pub use attempt_timeouts::{answer_deadline, connect_deadline, request_timeout};
+pub use attempts::{
+    AttemptHistory, Circumstances, NextStep, RetryLimits, after_failure, given_up_answer,
+};
 pub use balance::Balancer;
 pub use crashes::CrashWatch;
 pub use error::GatewayError;
 pub use event_stream::{EventReader, StreamEvent, take_whole_events};
-pub use limit::{ConcurrencyLimit, Sign};
+pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
+pub use limit::{ConcurrencyLimit, LoadSignal};
 pub use process::Gateway;
 pub use protocol::{
     BatchAnswer, BatchCall, HeaderNames, IngressProtocol, OwnAnswer, ReadPage, ReadResult,
 };
+pub use scoring_policy::{ScoringEnd, answered, given_up, max_scorings};
 pub use settings::{GatewayPolicy, GatewaySettings};
 pub use view::{UpdateVerdict, View};
 pub use view_source::{Candidate, Choice, ViewSource};
--- /dev/null
+++ b/crates/wingshore-gateway/src/process/mod.rs
@@ -0,0 +1,290 @@
+//! One gateway process from start to end: the loop that owns all sockets, and the wiring of the parts.
+//!
+//! Each part owns its state and returns what follows from it; the modules in here hand that on to the
+//! next part: [`network`] by connections, [`group`] by messages of coordinators, [`requests`] by what
+//! clients ask, [`work`] by what servers bring.
+
+mod group;
+mod listeners;
+mod network;
+mod refusals;
+mod requests;
+mod work;
+
+use crate::calls::Calls;
+use crate::clients::Clients;
+use crate::coordinators::Coordinators;
+use crate::environment::Environment;
+use crate::error::{GatewayError, NetSnafu};
+use crate::forward::Exchanges;
+use crate::items::Items;
+use crate::metrics::{GatewayMetrics, Readings};
+use crate::protocol::IngressProtocol;
+use crate::runtime::Runtime;
+use crate::scoring::Scorings;
+use crate::servers::Servers;
+use crate::settings::GatewaySettings;
+use crate::site::Site;
+use crate::timers::Timers;
+use crate::usage::UsageCounter;
+use crate::view::View;
+use crate::view_following::ViewFollowing;
+use listeners::Listeners;
+use slog::{Logger, info, warn};
+use snafu::ResultExt;
+use std::time::Duration;
+use wingshore_clock::Clock;
+use wingshore_coordination::{GatewayId, GatewayStatus};
+use wingshore_diagnostics::{LogBudget, LogCounts, RequestSampler};
+use wingshore_net::{Reactor, SeedSource, Signals};
+use wingshore_types::Instant;
+
+/// Between status reports to coordinators. Not measured; a leader keeps the items of a gateway for at
+/// least 0.9 s since it was last heard of.
+const STATUS_INTERVAL: Duration = Duration::from_millis(400);
+/// Between checks of what has become due. Not measured.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest wait for sockets. Not measured; longer than housekeeping needs.
+const MAX_WAIT: Duration = Duration::from_millis(250);
+/// After this many times the directory's time to live no client uses this gateway any more. Not
+/// measured.
+const DIRECTORY_TTLS_UNTIL_UNUSED: u32 = 3;
+/// Left before the end of a planned stop for the last answers to arrive. Not measured.
+const STOP_MARGIN: Duration = Duration::from_millis(700);
+
+/// A running gateway.
+pub struct Gateway {
+    settings: GatewaySettings,
+    id: GatewayId,
+    environment: Environment,
+    following: ViewFollowing,
+    clients: Clients,
+    calls: Calls,
+    exchanges: Exchanges,
+    items: Items,
+    scorings: Scorings,
+    listeners: Listeners,
+    clock: Clock,
+    log_counts: LogCounts,
+    signals: Signals,
+    seed_source: SeedSource,
+    stopping_since: Option<Instant>,
+    next_status: Instant,
+    next_housekeeping: Instant,
+}
+
+impl Gateway {
+    /// Listens.
+    ///
+    /// # Errors
+    /// When an address cannot be used.
+    pub fn start(
+        settings: GatewaySettings,
+        protocol: Box<dyn IngressProtocol>,
+        signals: Signals,
+        seed_source: SeedSource,
+        logger: Logger,
+        log_counts: LogCounts,
+    ) -> Result<Self, GatewayError> {
+        let mut reactor = Reactor::new().context(NetSnafu)?;
+        let listeners = Listeners::open(&mut reactor, &settings)?;
+        info!(logger, "started"; "node" => &settings.node, "front" => %settings.front);
+        let id = GatewayId(rand::random());
+        Ok(Self {
+            environment: environment(&settings, reactor, protocol, logger),
+            following: ViewFollowing::new(id.0),
+            clients: Clients::default(),
+            calls: Calls::new(settings.policy.near_copies),
+            exchanges: Exchanges::new(rand::random()),
+            items: Items::default(),
+            scorings: Scorings::new(settings.policy.scoring_limit),
+            id,
+            settings,
+            listeners,
+            clock: Clock::start(),
+            log_counts,
+            signals,
+            seed_source,
+            stopping_since: None,
+            next_status: Instant::ZERO,
+            next_housekeeping: Instant::ZERO,
+        })
+    }
+
+    /// Serves until a planned stop.
+    ///
+    /// # Errors
+    /// When sockets cannot be waited for.
+    pub fn run(mut self) -> Result<(), GatewayError> {
+        let mut events = Vec::new();
+        loop {
+            let wait = self.time_to_wait();
+            let reactor = &mut self.environment.runtime.reactor;
+            reactor.poll(wait, &mut events).context(NetSnafu)?;
+            self.environment.runtime.now = self.clock.now();
+            for event in events.drain(..) {
+                self.on_net_event(event);
+            }
+            self.fire_timers();
+            self.run_housekeeping();
+            if self.has_stopped() {
+                let runtime = &mut self.environment.runtime;
+                info!(runtime.logger, "stopped"; "node" => &self.settings.node);
+                // What is queued leaves with the last turn.
+                let reactor = &mut runtime.reactor;
+                reactor
+                    .poll(Duration::ZERO, &mut events)
+                    .context(NetSnafu)?;
+                return Ok(());
+            }
+        }
+    }
+
+    fn time_to_wait(&self) -> Duration {
+        let now = self.clock.now();
+        let mut due = self.next_status.min(self.next_housekeeping);
+        if let Some(timer) = self.environment.runtime.timers.next() {
+            due = due.min(timer);
+        }
+        due.since(now).min(MAX_WAIT)
+    }
+
+    /// The status of this gateway.
+    fn status(&self) -> GatewayStatus {
+        let view = &self.environment.site.view;
+        let is_serving = view.is_configured() && !self.is_stopping();
+        GatewayStatus {
+            ready: is_serving,
+            takes_items: is_serving,
+            configuration: view.version(),
+        }
+    }
+
+    /// What metrics are read from when monitoring asks.
+    fn readings(&self) -> Readings {
+        let status = self.status();
+        let Environment {
+            runtime,
+            site,
+            servers,
+            ..
+        } = &self.environment;
+        Readings {
+            clients: self.clients.count(),
+            connections: runtime.reactor.connection_count(),
+            items: self.items.count(),
+            scorings: self.scorings.count(),
+            scorings_queued: self.scorings.queued(),
+            suspects: site.view.suspect_count(),
+            evidence: servers.crashes.unreported().count(),
+            coordinators: site.coordinators.connected().len(),
+            leader_known: site.coordinators.leader().is_some(),
+            ready: status.ready,
+            configuration: status.configuration,
+            log_lines_left_out: self.log_counts.left_out(),
+        }
+    }
+
+    fn run_housekeeping(&mut self) {
+        let now = self.environment.runtime.now;
+        if now >= self.next_status {
+            self.next_status = now + STATUS_INTERVAL;
+            self.report_status();
+            self.report_progress();
+            self.items.upload_texts(&mut self.environment);
+            self.report_usage();
+        }
+        if now < self.next_housekeeping {
+            return;
+        }
+        self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
+        self.dial_coordinators();
+        self.follow_view();
+        self.environment.forget_old_servers();
+        self.start_scorings();
+        self.reload();
+        self.begin_stop();
+    }
+
+    /// Reads the seeds again where the settings have changed. Seeds that cannot be read leave
+    /// those before in force.
+    fn reload(&mut self) {
+        if !self.signals.take_reload() {
+            return;
+        }
+        let logger = &self.environment.runtime.logger;
+        match (self.seed_source)() {
+            Ok(seeds) => {
+                info!(logger, "reloaded"; "seeds" => ?seeds);
+                self.settings.seeds = seeds;
+            }
+            Err(reason) => warn!(logger, "not reloaded"; "reason" => reason),
+        }
+    }
+
+    fn is_stopping(&self) -> bool {
+        self.stopping_since.is_some()
+    }
+
+    fn begin_stop(&mut self) {
+        let now = self.environment.runtime.now;
+        if self.is_stopping() || !self.signals.is_stopping() {
+            return;
+        }
+        let logger = &self.environment.runtime.logger;
+        info!(logger, "planned stop"; "node" => &self.settings.node);
+        self.stopping_since = Some(now);
+        self.report_status();
+        self.items.return_all(&mut self.environment);
+        self.scorings.return_queued(&mut self.environment);
+    }
+
+    /// Whether a planned stop is over: nobody waits for an answer, and no client can have an
+    /// address of this gateway that it was given before.
+    fn has_stopped(&mut self) -> bool {
+        let now = self.environment.runtime.now;
+        let Some(since) = self.stopping_since else {
+            return false;
+        };
+        let stopped_for = now.since(since);
+        if stopped_for >= self.settings.stop_limit {
+            return true;
+        }
+        let unused_after = self.settings.directory_ttl * DIRECTORY_TTLS_UNTIL_UNUSED;
+        let is_late = stopped_for + STOP_MARGIN >= self.settings.stop_limit;
+        if stopped_for < unused_after && !is_late {
+            return false;
+        }
+        for connection in self.clients.idle() {
+            self.close_client(connection);
+        }
+        self.clients.count() == 0 && self.items.count() == 0 && self.scorings.count() == 0
+    }
+}
+
+/// What the parts of a gateway act on.
+fn environment(
+    settings: &GatewaySettings,
+    reactor: Reactor,
+    protocol: Box<dyn IngressProtocol>,
+    logger: Logger,
+) -> Environment {
+    Environment {
+        runtime: Runtime {
+            now: Instant::ZERO,
+            reactor,
+            timers: Timers::default(),
+            logger,
+            metrics: GatewayMetrics::new(),
+            sampler: RequestSampler::new(LogBudget::default()),
+        },
+        site: Site {
+            protocol,
+            zone: settings.zone.clone(),
+            view: View::default(),
+            coordinators: Coordinators::default(),
+        },
+        servers: Servers::default(),
+        usage: UsageCounter::new(settings.usage_window),
+    }
+}
--- a/crates/wingshore-gateway/src/timers.rs
+++ b/crates/wingshore-gateway/src/timers.rs
@@ -1,6 +1,8 @@
-//! What is to be looked at by time.
+//! What becomes due at some time.
+//!
+//! Owns the times; whether anything is due is known to the part that set one.
 
-use crate::exchange::ExchangeId;
+use crate::ids::{CallId, ExchangeId};
 use std::collections::BTreeSet;
 use wingshore_coordination::AssignmentId;
 use wingshore_net::ConnectionId;
@@ -16,11 +18,11 @@
     /// An item that runs.
     Item(AssignmentId),
     /// A call to the group.
-    Call(u64),
+    Call(CallId),
 }
 
 /// Timers in the order of their times. One that has become superfluous fires all the same: its
-/// owner looks whether anything is due.
+/// owner checks whether anything is due.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: BTreeSet<(Instant, TimerKey)>,
