--- a/crates/wingshore-gateway/src/item_attempt.rs
+++ b/crates/wingshore-gateway/src/item_attempt.rs
@@ -17,8 +17,10 @@
     pub(crate) assignment: ItemAssignment,
     /// The connection to the engine, while the attempt is under way.
     pub(crate) upstream: Option<ConnectionId>,
-    /// All events so far, also those of earlier attempts.
+    /// All events so far, also those of earlier attempts; empty once the outcome has taken it.
     text: ItemText,
+    /// Events of the text, also after it was taken.
+    events: u64,
     /// How much of the text was uploaded to survive this process.
     uploaded: DurablePrefix,
     /// Whether its events follow those that the log holds.
@@ -42,6 +44,7 @@
         Self {
             upstream: None,
             text: assignment.kept.clone(),
+            events: assignment.kept.events,
             uploaded: assignment.durable,
             may_upload: assignment.durable.events <= assignment.kept.events,
             version: None,
@@ -62,7 +65,7 @@
 
     /// Events of the item so far.
     pub(crate) fn events(&self) -> u64 {
-        self.text.events
+        self.events
     }
 
     /// Names it, its item and its engine.
@@ -78,7 +81,7 @@
     pub(crate) fn progress(&self) -> ItemProgress {
         ItemProgress {
             assignment: self.assignment.assignment,
-            events: self.text.events,
+            events: self.events,
         }
     }
 
@@ -105,6 +108,7 @@
         }
         text.text.push_str(&event.data);
         text.events += 1;
+        self.events = text.events;
         text.last_event = event.id.or(text.last_event);
         if let Some(version) = self.version
             && !text.versions.contains(&version)
