--- a/crates/wingshore-lab/src/lib.rs
+++ b/crates/wingshore-lab/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! Nothing here is ever deployed.
 
-pub mod bench;
 pub mod checks;
 pub mod durations;
 pub mod event_log;
--- a/crates/wingshore-lab/src/main.rs
+++ b/crates/wingshore-lab/src/main.rs
@@ -1,17 +1,14 @@
 //! Entry point of the `wingshore-lab` program: parses the command line and wires subcommands.
 
-mod counting_allocator;
-
 use argh::FromArgs;
 use std::error::Error;
 use std::process::ExitCode;
-use wingshore_lab::bench::BenchCommand;
 use wingshore_lab::fleet::FleetCommand;
 use wingshore_lab::measure::MeasureCommand;
 use wingshore_lab::sim::command::SimCommand;
 use wingshore_lab::stand_ins::StandInCommand;
 
-/// Proof harness of wingshore: stand-ins, fleets, simulations, checks, benchmarks.
+/// Proof harness of wingshore: stand-ins, fleets, simulations, checks.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -24,7 +21,6 @@
     StandIn(StandInCommand),
     Fleet(FleetCommand),
     Measure(MeasureCommand),
-    Bench(BenchCommand),
     Sim(SimCommand),
 }
 
@@ -49,10 +45,6 @@
         }
         Command::Fleet(command) => Ok(command.run()?),
         Command::Measure(command) => command.run(),
-        Command::Bench(command) => {
-            command.run(counting_allocator::allocations)?;
-            Ok(true)
-        }
         Command::Sim(command) => Ok(command.run()?),
     }
 }
