--- a/crates/wingshore-lab/src/lib.rs
+++ b/crates/wingshore-lab/src/lib.rs
@@ -11,6 +11,5 @@
 pub mod hashing;
 pub mod http_client;
 pub mod http_server;
-pub mod measure;
 pub mod sim;
 pub mod stand_ins;
--- a/crates/wingshore-lab/src/main.rs
+++ b/crates/wingshore-lab/src/main.rs
@@ -4,7 +4,6 @@
 use std::error::Error;
 use std::process::ExitCode;
 use wingshore_lab::fleet::FleetCommand;
-use wingshore_lab::measure::MeasureCommand;
 use wingshore_lab::sim::command::SimCommand;
 use wingshore_lab::stand_ins::StandInCommand;
 
@@ -20,7 +19,6 @@
 enum Command {
     StandIn(StandInCommand),
     Fleet(FleetCommand),
-    Measure(MeasureCommand),
     Sim(SimCommand),
 }
 
@@ -44,7 +42,6 @@
             Ok(true)
         }
         Command::Fleet(command) => Ok(command.run()?),
-        Command::Measure(command) => command.run(),
         Command::Sim(command) => Ok(command.run()?),
     }
 }
