--- a/crates/wingshore-lab/src/stand_ins/engine/core.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/core.rs
@@ -9,11 +9,10 @@
 use super::settings::EngineSettings;
 use super::weights::{WeightChange, Weights};
 use std::collections::BTreeSet;
-use std::time::Duration;
 use wingshore_types::platform::{
     CacheEvents, EngineCompletionRequest, EngineOrder, EngineState, LoadReport, OrderBody,
 };
-use wingshore_types::{Instant, Token, WeightVersion};
+use wingshore_types::{Instant, WeightVersion};
 
 /// Role of an engine that no order has given one.
 const INITIAL_ROLE: &str = "mixed";
@@ -75,7 +74,6 @@
             EngineInput::WeightsFetched { version, succeeded } => {
                 self.weights.fetched(now, version, succeeded);
             }
-            EngineInput::KvImported { tokens } => self.scheduler.import(&tokens),
             EngineInput::Fault(fault) => self.inject(now, fault),
         }
         self.begin_step(now);
@@ -144,20 +142,6 @@
         }
     }
 
-    /// How long taking over the cache of so many tokens takes.
-    pub fn copy_time(&self, tokens: usize) -> Duration {
-        let settings = &self.settings;
-        settings.kv_copy_base
-            + settings
-                .kv_copy_per_thousand
-                .mul_f64(tokens as f64 / 1000.0)
-    }
-
-    /// Prompt and generated tokens of an attempt whose cache is to be exported.
-    pub fn export(&self, request_id: &str) -> Option<Vec<Token>> {
-        self.scheduler.tokens_of(request_id)
-    }
-
     fn advance(&mut self, now: Instant, out: &mut Vec<EngineOutput>) {
         if self.is_frozen(now) {
             return;
--- a/crates/wingshore-lab/src/stand_ins/engine/driver.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/driver.rs
@@ -8,7 +8,7 @@
 use crate::events::Event;
 use crate::http_client::HttpClient;
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
@@ -16,20 +16,16 @@
 use wingshore_types::platform::{
     EngineCompletionRequest, EngineOrder, EngineStreamEvent, FencedReply,
 };
-use wingshore_types::{Instant, Token, WeightVersion};
+use wingshore_types::{Instant, WeightVersion};
 
 /// Longest sleep of the stepping thread while there is nothing to do.
 const IDLE_SLEEP: Duration = Duration::from_millis(100);
-/// How often a request looks whether a freeze is over.
-const FREEZE_POLL: Duration = Duration::from_millis(5);
 /// How often a fetch is tried again.
 const FETCH_ATTEMPTS: u32 = 40;
 /// Pause before a fetch is tried again when the store names none.
 const FETCH_RETRY: Duration = Duration::from_millis(250);
 /// Longest fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
-/// How many exported caches are kept.
-const EXPORTS_KEPT: usize = 256;
 
 /// What a stream receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +51,6 @@
     core: Mutex<EngineCore>,
     wake: Condvar,
     streams: Mutex<BTreeMap<String, Sender<StreamItem>>>,
-    exports: Mutex<VecDeque<(String, Vec<Token>)>>,
     weight_bytes: Mutex<usize>,
     started: std::time::Instant,
     model: String,
@@ -69,7 +64,6 @@
             core: Mutex::new(core),
             wake: Condvar::new(),
             streams: Mutex::new(BTreeMap::new()),
-            exports: Mutex::new(VecDeque::new()),
             weight_bytes: Mutex::new(0),
             started: std::time::Instant::now(),
             model: model.to_owned(),
@@ -115,33 +109,6 @@
         answer
     }
 
-    /// Returns once the engine is not frozen.
-    pub fn wait_while_frozen(&self) {
-        while self.read(|core, now| core.is_frozen(now)) {
-            thread::sleep(FREEZE_POLL);
-        }
-    }
-
-    /// Keeps an attempt's tokens under a handle for another engine.
-    pub fn export(&self, request_id: &str) -> Option<String> {
-        let tokens = self.read(|core, _| core.export(request_id))?;
-        let handle = format!("{request_id}-{}", tokens.len());
-        let mut exports = lock(&self.exports);
-        exports.push_back((handle.clone(), tokens));
-        if exports.len() > EXPORTS_KEPT {
-            exports.pop_front();
-        }
-        Some(handle)
-    }
-
-    /// What was exported under a handle.
-    pub fn exported(&self, handle: &str) -> Option<Vec<Token>> {
-        lock(&self.exports)
-            .iter()
-            .find(|(name, _)| name == handle)
-            .map(|(_, tokens)| tokens.clone())
-    }
-
     /// The weights, for another engine: `None` when this one does not hold the version whole.
     pub fn weights(&self, version: WeightVersion) -> Option<Vec<u8>> {
         let holds = self.read(|core, _| core.holds_version(version));
@@ -172,7 +139,7 @@
         let mut outputs = Vec::new();
         let mut fetches = Vec::new();
         {
-            let mut core = self.lock_for(&input);
+            let mut core = lock(&self.core);
             core.step(self.now(), input, &mut outputs);
             for output in outputs {
                 observe(&output);
@@ -186,19 +153,6 @@
         }
     }
 
-    /// Locks the core once it takes `input`: a frozen one takes nothing from outside.
-    fn lock_for(&self, input: &EngineInput) -> MutexGuard<'_, EngineCore> {
-        let passes_always = matches!(input, EngineInput::Tick | EngineInput::Fault(_));
-        loop {
-            let core = lock(&self.core);
-            if passes_always || !core.is_frozen(self.now()) {
-                return core;
-            }
-            drop(core);
-            thread::sleep(FREEZE_POLL);
-        }
-    }
-
     /// Passes one output on, in the order of the core.
     fn dispatch(&self, output: EngineOutput) -> Option<Fetch> {
         match output {
@@ -267,7 +221,6 @@
         if let Some(bytes) = bytes {
             *lock(&self.weight_bytes) = bytes;
         }
-        self.wait_while_frozen();
         self.input(EngineInput::WeightsFetched {
             version: fetch.version,
             succeeded: bytes.is_some(),
--- a/crates/wingshore-lab/src/stand_ins/engine/messages.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/messages.rs
@@ -26,11 +26,6 @@
         /// Whether it is whole.
         succeeded: bool,
     },
-    /// Cache computed elsewhere for exactly these tokens has arrived.
-    KvImported {
-        /// Prompt and generated tokens.
-        tokens: Vec<Token>,
-    },
     /// A fault is switched on.
     Fault(EngineFault),
 }
--- a/crates/wingshore-lab/src/stand_ins/engine/routes.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/routes.rs
@@ -5,44 +5,14 @@
 use super::messages::EngineInput;
 use crate::event_log::EventLog;
 use crate::events::Event;
-use crate::http_client::HttpClient;
 use crate::http_server::Incoming;
 use crossbeam_channel::Receiver;
-use serde::{Deserialize, Serialize};
 use std::sync::Arc;
-use std::thread;
-use std::time::Duration;
+use wingshore_types::WeightVersion;
 use wingshore_types::generator::hash_tokens;
 use wingshore_types::platform::{
-    CancelRequest, EngineCompletionRequest, EngineOrder, EngineStreamEvent, FinishReason,
-    KvExportRequest, KvHandle, KvImportRequest, NOT_RUN_HEADER, Usage,
+    CancelRequest, EngineCompletionRequest, EngineOrder, NOT_RUN_HEADER,
 };
-use wingshore_types::{Token, WeightVersion};
-
-/// Longest transfer of exported cache.
-const KV_TIMEOUT: Duration = Duration::from_secs(5);
-/// Status of a process that was told to crash.
-const CRASH_STATUS: i32 = 101;
-
-/// Answer to a completion without a stream.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct WholeCompletion {
-    /// Runs of tokens, each made by one version.
-    pub chunks: Vec<CompletionChunk>,
-    /// Why it ended.
-    pub finish_reason: FinishReason,
-    /// Token counts.
-    pub usage: Usage,
-}
-
-/// A run of tokens made by one version.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct CompletionChunk {
-    /// The tokens.
-    pub tokens: Vec<Token>,
-    /// The version.
-    pub weight_version: WeightVersion,
-}
 
 /// Serves one request.
 pub fn handle(driver: &Arc<EngineDriver>, log: &EventLog, incoming: Incoming) {
@@ -50,13 +20,10 @@
         inject(driver, log, incoming);
         return;
     }
-    driver.wait_while_frozen();
     match (incoming.method.as_str(), incoming.path.as_str()) {
         ("POST", "/v1/completions") => complete(driver, log, incoming),
         ("POST", "/v1/cancel") => cancel(driver, incoming),
         ("POST", "/orders") => order(driver, incoming),
-        ("POST", "/kv/export") => export(driver, incoming),
-        ("POST", "/kv/import") => import(driver, incoming),
         ("GET", "/state") => {
             let state = driver.read(|core, _| core.state());
             incoming.respond_json(200, &state);
@@ -66,7 +33,6 @@
             incoming.respond_json(200, &load);
         }
         ("GET", "/cache_events") => cache_events(driver, incoming),
-        ("GET", path) if path.starts_with("/kv/") => exported(driver, incoming),
         ("GET", path) if path.starts_with("/weights/") => weights(driver, incoming),
         _ => incoming.respond_error(404, "no_such_path"),
     }
@@ -84,7 +50,6 @@
         resumed_tokens: request.resume.len() as u32,
     };
     let request_id = request.request_id.clone();
-    let stream = request.stream;
     let items = driver.submit(request);
     match items.recv() {
         Ok(StreamItem::Started) => {}
@@ -92,12 +57,8 @@
         _ => return incoming.respond_error(500, "engine_stopped"),
     }
     log.write(started);
-    if stream {
-        if stream_events(&items, incoming).is_err() {
-            driver.input(EngineInput::Cancel { request_id });
-        }
-    } else {
-        answer_whole(&items, incoming);
+    if stream_events(&items, incoming).is_err() {
+        driver.input(EngineInput::Cancel { request_id });
     }
 }
 
@@ -126,35 +87,6 @@
     stream.finish()
 }
 
-fn answer_whole(items: &Receiver<StreamItem>, incoming: Incoming) {
-    let mut chunks = Vec::new();
-    for item in items {
-        match item {
-            StreamItem::Event(EngineStreamEvent::Chunk {
-                tokens,
-                weight_version,
-            }) => chunks.push(CompletionChunk {
-                tokens,
-                weight_version,
-            }),
-            StreamItem::Event(EngineStreamEvent::Finished {
-                finish_reason,
-                usage,
-            }) => {
-                let body = WholeCompletion {
-                    chunks,
-                    finish_reason,
-                    usage,
-                };
-                return incoming.respond_json(200, &body);
-            }
-            StreamItem::Dropped(reason) => return incoming.respond_error(500, reason.as_str()),
-            StreamItem::Started | StreamItem::RefusedNotRun(_) => {}
-        }
-    }
-    incoming.respond_error(500, "engine_stopped");
-}
-
 fn cancel(driver: &Arc<EngineDriver>, incoming: Incoming) {
     match incoming.json::<CancelRequest>() {
         Ok(request) => {
@@ -178,45 +110,6 @@
     }
 }
 
-fn export(driver: &Arc<EngineDriver>, incoming: Incoming) {
-    match incoming.json::<KvExportRequest>() {
-        Ok(request) => match driver.export(&request.request_id) {
-            Some(handle) => incoming.respond_json(200, &KvHandle { handle }),
-            None => incoming.respond_error(404, "no_such_request"),
-        },
-        Err(error) => incoming.respond_bad_request(&error),
-    }
-}
-
-fn import(driver: &Arc<EngineDriver>, incoming: Incoming) {
-    let request: KvImportRequest = match incoming.json() {
-        Ok(request) => request,
-        Err(error) => return incoming.respond_bad_request(&error),
-    };
-    let url = format!("http://{}/kv/{}", request.from, request.handle);
-    let tokens = HttpClient::new(KV_TIMEOUT)
-        .get(&url, &[])
-        .ok()
-        .filter(crate::http_client::Answer::is_success)
-        .and_then(|answer| serde_json::from_slice::<Vec<Token>>(&answer.body).ok());
-    match tokens {
-        Some(tokens) => {
-            thread::sleep(driver.read(|core, _| core.copy_time(tokens.len())));
-            driver.input(EngineInput::KvImported { tokens });
-            incoming.respond_json(200, &serde_json::json!({}));
-        }
-        None => incoming.respond_error(502, "exporter_failed"),
-    }
-}
-
-fn exported(driver: &EngineDriver, incoming: Incoming) {
-    let handle = incoming.path.trim_start_matches("/kv/").to_owned();
-    match driver.exported(&handle) {
-        Some(tokens) => incoming.respond_json(200, &tokens),
-        None => incoming.respond_error(404, "no_such_handle"),
-    }
-}
-
 fn weights(driver: &EngineDriver, incoming: Incoming) {
     let version = incoming
         .path
@@ -246,9 +139,6 @@
     log.write(Event::FaultInjected {
         fault: request.name().to_owned(),
     });
-    let Some(fault) = request.core_fault() else {
-        std::process::exit(CRASH_STATUS);
-    };
-    driver.input(EngineInput::Fault(fault));
+    driver.input(EngineInput::Fault(request.core_fault()));
     incoming.respond_json(200, &serde_json::json!({}));
 }
--- a/crates/wingshore-lab/src/stand_ins/engine/scheduler.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/scheduler.rs
@@ -8,13 +8,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::platform::{CacheEvent, EngineCompletionRequest, EngineStreamEvent};
-use wingshore_types::{Instant, Token, WeightVersion};
-
-/// How many imported caches are kept.
-const IMPORTS_KEPT: usize = 256;
+use wingshore_types::{Instant, WeightVersion};
 
 /// Place in the queue: priority first, then arrival.
 type QueuePlace = (Reverse<i32>, u64);
@@ -25,7 +22,6 @@
     lengths: LengthDistribution,
     generator: ChaCha8Rng,
     cache: PrefixCache,
-    imported: VecDeque<Vec<Token>>,
     waiting: BTreeMap<QueuePlace, Sequence>,
     running: Vec<Sequence>,
     arrivals: u64,
@@ -48,7 +44,6 @@
             lengths,
             generator: ChaCha8Rng::seed_from_u64(seed),
             cache,
-            imported: VecDeque::new(),
             waiting: BTreeMap::new(),
             running: Vec::new(),
             arrivals: 0,
@@ -76,15 +71,6 @@
         self.cache.events_after(now, after)
     }
 
-    /// Prompt and generated tokens of an attempt.
-    pub fn tokens_of(&self, request_id: &str) -> Option<Vec<Token>> {
-        self.running
-            .iter()
-            .chain(self.waiting.values())
-            .find(|sequence| sequence.request.request_id == request_id)
-            .map(Sequence::prefill_tokens)
-    }
-
     /// Queues a request.
     pub fn submit(&mut self, now: Instant, request: EngineCompletionRequest) {
         let deadline = now + Duration::from_millis(request.deadline_ms);
@@ -94,31 +80,6 @@
         self.waiting.insert(place, sequence);
     }
 
-    /// Takes cache computed elsewhere for these tokens; it is good for any request that begins
-    /// with some of them.
-    pub fn import(&mut self, tokens: &[Token]) {
-        self.imported.push_back(tokens.to_vec());
-        if self.imported.len() > IMPORTS_KEPT {
-            self.imported.pop_front();
-        }
-    }
-
-    /// Uses up the imported cache that covers most of `tokens`; answers how many.
-    fn take_imported(&mut self, tokens: &[Token]) -> u32 {
-        let common = |cache: &Vec<Token>| {
-            let pairs = cache.iter().zip(tokens);
-            pairs.take_while(|(one, other)| one == other).count()
-        };
-        let lengths = self.imported.iter().map(common).enumerate();
-        let Some((index, length)) = lengths.max_by_key(|(_, length)| *length) else {
-            return 0;
-        };
-        if length > 0 {
-            self.imported.remove(index);
-        }
-        length as u32
-    }
-
     /// Forgets an attempt.
     pub fn cancel(&mut self, request_id: &str, out: &mut Vec<EngineOutput>) {
         let before = self.running.len() + self.waiting.len();
@@ -231,8 +192,7 @@
 
     fn prefill(&mut self, now: Instant, mut sequence: Sequence) -> u64 {
         let tokens = sequence.prefill_tokens();
-        let imported = self.take_imported(&tokens);
-        let cached = self.cache.longest_prefix(&tokens).max(imported);
+        let cached = self.cache.longest_prefix(&tokens);
         sequence.cached_tokens = cached.min(sequence.request.prompt.len() as u32);
         self.cache
             .store(now, &sequence.request.prompt, &mut self.generator);
--- a/crates/wingshore-lab/src/stand_ins/engine/settings.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/settings.rs
@@ -33,12 +33,6 @@
     /// Assumed: time to prefill a thousand tokens that are not in the cache.
     #[serde(with = "durations")]
     pub prefill_per_thousand: Duration,
-    /// Assumed: time to take over any exported cache.
-    #[serde(with = "durations")]
-    pub kv_copy_base: Duration,
-    /// Assumed: further time for each thousand tokens of it.
-    #[serde(with = "durations")]
-    pub kv_copy_per_thousand: Duration,
     /// How many tokens a stream event carries at most.
     pub tokens_per_event: usize,
     /// Assumed: how long generation stands still while fetched weights take force.
@@ -71,8 +65,6 @@
             step_per_sequence: Duration::from_micros(100),
             step_per_thousand_context: Duration::from_micros(200),
             prefill_per_thousand: Duration::from_millis(30),
-            kv_copy_base: Duration::from_millis(20),
-            kv_copy_per_thousand: Duration::from_millis(5),
             tokens_per_event: 8,
             swap_pause: Duration::from_millis(100),
             cache_event_delay: Duration::from_millis(300),
--- a/crates/wingshore-lab/src/stand_ins/live_server.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server.rs
@@ -22,10 +22,6 @@
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header with the caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// Status of a process that was told to crash.
-const CRASH_STATUS: i32 = 101;
-/// How often a request looks whether a freeze is over.
-const FREEZE_POLL: Duration = Duration::from_millis(5);
 
 /// How a live server behaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -57,25 +53,10 @@
     }
 }
 
-/// Body of `POST /lab/faults`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
-pub enum LiveFault {
-    /// The process dies at once.
-    Crash,
-    /// Nothing is answered for a while.
-    Freeze {
-        /// How long, in milliseconds.
-        milliseconds: u64,
-    },
-}
-
 /// The server.
 struct LiveServer {
-    name: String,
     core: Mutex<LiveServerCore>,
     started: Instant,
-    frozen_until: Mutex<Option<Instant>>,
     log: EventLog,
 }
 
@@ -88,12 +69,13 @@
     let log = EventLog::open(&settings.process.log, &settings.process.name)?;
     let boot_id: u64 = rand::random();
     log.write(Event::Started { boot_id });
-    let name = settings.process.name.clone();
     let server = Arc::new(LiveServer {
-        core: Mutex::new(LiveServerCore::new(&name, settings.behaviour, boot_id)),
-        name,
+        core: Mutex::new(LiveServerCore::new(
+            &settings.process.name,
+            settings.behaviour,
+            boot_id,
+        )),
         started: Instant::now(),
-        frozen_until: Mutex::new(None),
         log,
     });
     let handler = Arc::new(move |incoming| server.handle(incoming));
@@ -107,23 +89,12 @@
 
 impl LiveServer {
     fn handle(&self, incoming: Incoming) {
-        if incoming.path == "/lab/faults" {
-            self.inject(incoming);
-            return;
-        }
-        self.wait_while_frozen();
         match (incoming.method.as_str(), incoming.path.as_str()) {
             ("GET", "/load") => {
                 let report = lock(&self.core).load_report(self.started.elapsed());
                 incoming.respond_json(200, &report);
             }
-            ("POST", "/lab/leaving") => {
-                lock(&self.core).set_leaving(true);
-                self.log.write(Event::Leaving {
-                    server: self.name.clone(),
-                });
-                incoming.respond_json(200, &serde_json::json!({}));
-            }
+            (_, "/lab/faults") => incoming.respond_error(404, "no_such_path"),
             _ => self.admit(incoming),
         }
     }
@@ -166,24 +137,6 @@
         });
         incoming.respond(200, &[("content-type", "application/json")], answer);
     }
-
-    fn inject(&self, incoming: Incoming) {
-        match incoming.json::<LiveFault>() {
-            Ok(LiveFault::Crash) => std::process::exit(CRASH_STATUS),
-            Ok(LiveFault::Freeze { milliseconds }) => {
-                let until = Instant::now() + Duration::from_millis(milliseconds);
-                *lock(&self.frozen_until) = Some(until);
-                incoming.respond_json(200, &serde_json::json!({}));
-            }
-            Err(error) => incoming.respond_bad_request(&error),
-        }
-    }
-
-    fn wait_while_frozen(&self) {
-        while lock(&self.frozen_until).is_some_and(|until| Instant::now() < until) {
-            thread::sleep(FREEZE_POLL);
-        }
-    }
 }
 
 fn request_id(incoming: &Incoming) -> String {
