--- a/crates/wingshore-lab/src/lib.rs
+++ b/crates/wingshore-lab/src/lib.rs
@@ -11,5 +11,7 @@
 pub mod hashing;
 pub mod http_client;
 pub mod http_server;
+pub mod process;
 pub mod sim;
 pub mod stand_ins;
+pub mod wiring;
--- a/crates/wingshore-lab/src/sim/administrator.rs
+++ b/crates/wingshore-lab/src/sim/administrator.rs
@@ -2,8 +2,8 @@
 
 use super::client::GroupCalls;
 use super::observer::ObserverHandle;
-use super::process::{Process, ProcessInput, ProcessOutput};
 use super::slot::Maker;
+use crate::process::{Process, ProcessInput, ProcessOutput};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/wingshore-lab/src/sim/client.rs
+++ b/crates/wingshore-lab/src/sim/client.rs
@@ -1,7 +1,7 @@
 //! Calls to groups from a simulated process: finds the leader and sends again, with the routes,
 //! attempt times and pauses of [`wingshore_client`].
 
-use super::process::{ProcessOutput, SimMessage};
+use crate::process::{ProcessOutput, SimMessage};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/wingshore-lab/src/sim/data_layout.rs
@@ -1,16 +1,16 @@
 //! Plain parameters of a [`super::data_site::DataSite`], and the settings that its processes get.
 
+use super::node::SimNodeSettings;
 use super::observer::ObserverHandle;
-use super::processes::live_caller::SimLiveCallerSettings;
-use super::processes::node::SimNodeSettings;
-use super::processes::trainer::SimTrainerSettings;
 use super::replica::{ReplicaFaults, ReplicaSettings};
 use crate::stand_ins::engine::EngineSettings;
 use crate::stand_ins::engine::length::LengthDistribution;
+use crate::stand_ins::live_caller::process::SimLiveCallerSettings;
 use crate::stand_ins::live_caller::settings::LoadSettings;
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::machine_list::MachineListSettings;
 use crate::stand_ins::scorer::ScorerSettings;
+use crate::stand_ins::trainer::process::SimTrainerSettings;
 use crate::stand_ins::trainer::settings::TrainingSettings;
 use crate::stand_ins::weight_store::WeightStoreSettings;
 use rand::RngExt;
--- a/crates/wingshore-lab/src/sim/history.rs
+++ b/crates/wingshore-lab/src/sim/history.rs
@@ -1,6 +1,6 @@
 //! The running hash of a simulation's history: the same seed must give the same one.
 
-use super::process::SimMessage;
+use crate::process::SimMessage;
 use fnv::FnvHasher;
 use std::fmt::{self, Write};
 use std::hash::Hasher;
--- a/crates/wingshore-lab/src/sim/mod.rs
+++ b/crates/wingshore-lab/src/sim/mod.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulation of a whole site: the state machines of production on a simulated
 //! network, simulated disks and simulated clocks.
 //!
-//! Every process is a [`process::Process`]: inputs and the local time in, outputs out. The same
+//! Every process is a [`crate::process::Process`]: inputs and the local time in, outputs out. The same
 //! seed gives the same history, event for event. What happens is recorded with
 //! [`crate::events::Event`] and judged by [`crate::checks`], the checkers that also judge a fleet
 //! of real processes. Beside them the [`observer`] judges what only a simulator can see.
@@ -15,11 +15,10 @@
 pub mod desk;
 pub mod history;
 pub mod network;
+pub mod node;
 pub mod observed;
 pub mod observer;
 pub mod operator;
-pub mod process;
-pub mod processes;
 pub mod replica;
 pub mod runs;
 pub mod scenarios;
--- a/crates/wingshore-lab/src/sim/network.rs
+++ b/crates/wingshore-lab/src/sim/network.rs
@@ -4,7 +4,7 @@
 //! connections: in order between two processes, and whole or not at all. Each request is an
 //! [`Exchange`]; what belongs to one whose caller is gone goes nowhere.
 
-use super::process::{Answer, CallId, SimMessage};
+use crate::process::{Answer, CallId, SimMessage};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/wingshore-lab/src/sim/processes/node/completion.rs
+++ b/crates/wingshore-lab/src/sim/node/completion.rs
@@ -3,8 +3,8 @@
 use super::core::NodeContext;
 use super::requests::{Attempts, Progress, refused};
 use super::upstream::{News, failure_of};
-use crate::sim::process::{Answer, Call, CompletionCall};
-use crate::sim::processes::wiring::{InboundCall, NotTaken, failed};
+use crate::process::{Answer, Call, CompletionCall};
+use crate::wiring::{InboundCall, NotTaken, failed};
 use std::time::Duration;
 use wingshore_request::{AnswerBody, AttemptEnd, FinalAnswer, RequestSpecification};
 use wingshore_routing::{Class, RouteRequest};
--- a/crates/wingshore-lab/src/sim/processes/node/core.rs
+++ b/crates/wingshore-lab/src/sim/node/core.rs
@@ -3,9 +3,9 @@
 use super::settings::SimNodeSettings;
 use super::upstream::Upstream;
 use crate::events::Event;
+use crate::process::{CallId, ProcessOutput};
 use crate::sim::client::GroupCalls;
-use crate::sim::process::{CallId, ProcessOutput};
-use crate::sim::processes::wiring::{InboundCall, NotTaken, record};
+use crate::wiring::{InboundCall, NotTaken, record};
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_request::{ConfigurationView, NotAdmitted};
--- a/crates/wingshore-lab/src/sim/processes/node/desk.rs
+++ b/crates/wingshore-lab/src/sim/node/desk.rs
@@ -1,9 +1,9 @@
 //! Trainers' requests: submit, pull, acknowledge, publish.
 
 use super::core::{GroupPurpose, NodeContext};
+use crate::process::{Answer, Call};
 use crate::sim::client::CallResult;
-use crate::sim::process::{Answer, Call};
-use crate::sim::processes::wiring::{InboundCall, failed, not_run};
+use crate::wiring::{InboundCall, failed, not_run};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::api::{BatchBody, SampleBody, SubmitReply};
--- a/crates/wingshore-lab/src/sim/processes/node/forward.rs
+++ b/crates/wingshore-lab/src/sim/node/forward.rs
@@ -4,8 +4,8 @@
 use super::requests::{Attempts, Progress, refused};
 use super::upstream::{News, failure_of};
 use crate::hashing::hash_bytes;
-use crate::sim::process::{Answer, Call, LiveCall};
-use crate::sim::processes::wiring::{InboundCall, NotTaken, failed};
+use crate::process::{Answer, Call, LiveCall};
+use crate::wiring::{InboundCall, NotTaken, failed};
 use std::time::Duration;
 use wingshore_request::{
     AnswerBody, AttemptEnd, ClaimIntent, FinalAnswer, RequestSpecification, claims_group,
--- a/crates/wingshore-lab/src/sim/processes/node/mod.rs
+++ b/crates/wingshore-lab/src/sim/node/mod.rs
@@ -23,10 +23,10 @@
 pub use settings::{NodeFaults, SimNodeSettings};
 
 use self::core::{GroupPurpose, NodeContext, NodeCore, UpstreamPurpose};
-use super::wiring::{InboundCall, not_run, record};
 use crate::events::Event;
+use crate::process::{Call, Process, ProcessInput, ProcessOutput, SimMessage};
 use crate::sim::client::{CallResult, GroupCalls};
-use crate::sim::process::{Call, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::wiring::{InboundCall, not_run, record};
 use desk::Desk;
 use probes::{Probes, on_probe};
 use requests::Requests;
--- a/crates/wingshore-lab/src/sim/processes/node/probes.rs
+++ b/crates/wingshore-lab/src/sim/node/probes.rs
@@ -2,7 +2,7 @@
 
 use super::core::{NodeContext, UpstreamPurpose};
 use super::upstream::News;
-use crate::sim::process::{Answer, Call};
+use crate::process::{Answer, Call};
 use std::time::Duration;
 use wingshore_routing::{ProbeKind, ProbeTarget};
 use wingshore_types::{Instant, ServerId};
--- a/crates/wingshore-lab/src/sim/processes/node/upstream.rs
+++ b/crates/wingshore-lab/src/sim/node/upstream.rs
@@ -1,8 +1,8 @@
 //! A node's open calls to back ends and to the platform, with their time limits.
 
 use super::core::UpstreamPurpose;
-use crate::sim::process::{Answer, Call, CallId, ProcessOutput};
-use crate::sim::processes::wiring::{CallNumbers, Timers, hang_up, send_call};
+use crate::process::{Answer, Call, CallId, ProcessOutput};
+use crate::wiring::{CallNumbers, Timers, hang_up, send_call};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-lab/src/sim/replica/group.rs
+++ b/crates/wingshore-lab/src/sim/replica/group.rs
@@ -1,8 +1,8 @@
 //! One group on a simulated replica: its host, its store, and the write that is under way.
 
 use super::kind::{EffectCall, EffectOrigin, SimLeader};
+use crate::process::Answer;
 use crate::sim::observed::ObservedLeader;
-use crate::sim::process::Answer;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/wingshore-lab/src/sim/replica/kind.rs
+++ b/crates/wingshore-lab/src/sim/replica/kind.rs
@@ -1,7 +1,7 @@
 //! The kinds of groups, and what each wants done outside.
 
+use crate::process::{Answer, Call};
 use crate::sim::observed::ObservableState;
-use crate::sim::process::{Answer, Call};
 use std::net::SocketAddr;
 use wingshore_control::{ControlEffect, ControlEvent, ControlLeader, LeaderSettings, OrderAnswer};
 use wingshore_ledger::claims::ClaimsLeader;
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -9,8 +9,8 @@
 pub use start::SITE;
 
 use super::observer::{ObserverHandle, SimPromise};
-use super::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
 use super::slot::{Boot, Maker};
+use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
 use group::{GroupOutput, Origin, Outputs};
 use kind::{EffectCall, EffectOrigin};
 use rand::SeedableRng;
--- a/crates/wingshore-lab/src/sim/scenarios/data_path.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/data_path.rs
@@ -3,10 +3,10 @@
 use super::Outcome;
 use super::ledger_leader::ledger_leader_lost;
 use crate::events::Event;
+use crate::process::{Call, ProcessFault, ProcessOutput, SimMessage};
 use crate::sim::data_layout::{DataSettings, Place, address};
 use crate::sim::data_site::{DataSite, SimFaults};
 use crate::sim::network::{CutKind, NetworkSettings};
-use crate::sim::process::{Call, ProcessFault, ProcessOutput, SimMessage};
 use crate::sim::slot::{Trap, TrapAction};
 use crate::stand_ins::engine::EngineFault;
 use rand::RngExt;
--- a/crates/wingshore-lab/src/sim/scenarios/faults.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/faults.rs
@@ -1,7 +1,7 @@
 //! Faults that scenarios draw from.
 
+use crate::process::{ProcessOutput, SimMessage};
 use crate::sim::network::{CutKind, NetworkSettings};
-use crate::sim::process::{ProcessOutput, SimMessage};
 use crate::sim::site::Site;
 use rand::RngExt;
 use std::net::SocketAddr;
--- a/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
@@ -1,8 +1,8 @@
 //! The leader of a ledger group in trouble.
 
 use super::data_path::{ROUNDS, pause};
+use crate::process::{ProcessOutput, SimMessage};
 use crate::sim::data_site::DataSite;
-use crate::sim::process::{ProcessOutput, SimMessage};
 use crate::sim::slot::{Trap, TrapAction};
 use std::time::Duration;
 use wingshore_types::GroupId;
--- a/crates/wingshore-lab/src/sim/slot.rs
+++ b/crates/wingshore-lab/src/sim/slot.rs
@@ -2,7 +2,7 @@
 //! stands still.
 
 use super::clock::LocalClock;
-use super::process::{Process, ProcessInput, ProcessOutput};
+use crate::process::{Process, ProcessInput, ProcessOutput};
 use std::time::Duration;
 use wingshore_types::Instant;
 
--- a/crates/wingshore-lab/src/sim/trace.rs
+++ b/crates/wingshore-lab/src/sim/trace.rs
@@ -1,7 +1,7 @@
 //! What a traced run prints of messages.
 
-use super::process::SimMessage;
 use super::replica;
+use crate::process::SimMessage;
 use wingshore_types::Instant;
 
 /// Most characters of a message.
--- a/crates/wingshore-lab/src/sim/watcher.rs
+++ b/crates/wingshore-lab/src/sim/watcher.rs
@@ -2,9 +2,9 @@
 
 use super::client::GroupCalls;
 use super::observer::ObserverHandle;
-use super::process::{Process, ProcessInput, ProcessOutput};
 use super::slot::Maker;
 use crate::events::Event;
+use crate::process::{Process, ProcessInput, ProcessOutput};
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_request::{ConfigurationView, WithoutLease};
--- a/crates/wingshore-lab/src/sim/world_faults.rs
+++ b/crates/wingshore-lab/src/sim/world_faults.rs
@@ -2,10 +2,10 @@
 
 use super::network::{CutKind, Departure};
 use super::observer::SimPromise;
-use super::process::{ProcessFault, ProcessInput};
 use super::slot::{Boot, Frozen, Trap};
 use super::world::{Happening, World};
 use crate::events::Event;
+use crate::process::{ProcessFault, ProcessInput};
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-lab/src/stand_ins/engine/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/mod.rs
@@ -7,6 +7,7 @@
 pub mod fence;
 pub mod length;
 pub mod messages;
+pub mod process;
 pub mod routes;
 pub mod scheduler;
 pub mod sequence;
--- a/crates/wingshore-lab/src/sim/processes/engine.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -1,16 +1,16 @@
 //! A simulated model engine: [`EngineCore`] behind calls, and fetches of weights.
 
-use super::wiring::{
-    CallNumbers, InboundCall, Timers, failed, hang_up, not_run, record, send_call,
-};
 use crate::events::Event;
-use crate::sim::process::{
+use crate::process::{
     Answer, Call, CallId, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
 use crate::stand_ins::engine::fence::OrderAnswer;
 use crate::stand_ins::engine::{
     EngineCore, EngineFault, EngineInput, EngineOutput, EngineSettings,
 };
+use crate::wiring::{
+    CallNumbers, InboundCall, Timers, failed, hang_up, not_run, record, send_call,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
@@ -3,6 +3,7 @@
 pub mod calls;
 pub mod completion;
 pub mod plan;
+pub mod process;
 pub mod settings;
 
 use super::StandInError;
--- a/crates/wingshore-lab/src/sim/processes/live_caller.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -1,16 +1,16 @@
 //! Simulated live callers: charges, look-ups and streamed completions at a seeded rate, each on
 //! its way to a final answer; keyed charges are sent again until they have one.
 
-use super::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use crate::events::{CallKind, Event, ReceivedCompletion};
 use crate::hashing::hash_bytes;
-use crate::sim::process::{
+use crate::process::{
     Answer, Call, CallId, CompletionCall, LiveCall, Process, ProcessInput, ProcessOutput,
     SimMessage,
 };
 use crate::stand_ins::live_caller::calls::CallResult;
 use crate::stand_ins::live_caller::plan::{CallPlan, PlannedCall};
 use crate::stand_ins::live_caller::settings::LoadSettings;
+use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-lab/src/stand_ins/live_server.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
@@ -2,6 +2,7 @@
 //! own word when it is full or leaving.
 
 pub mod core;
+pub mod process;
 
 use self::core::LiveServerCore;
 use super::StandInError;
--- a/crates/wingshore-lab/src/sim/processes/live_server.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -1,14 +1,14 @@
 //! A simulated live server: runs charges and look-ups, records each execution, and refuses by its
 //! own word when it is full or leaving.
 
-use super::wiring::{InboundCall, Timers, not_run, record};
 use crate::events::Event;
 use crate::hashing::hash_bytes;
-use crate::sim::process::{
+use crate::process::{
     Answer, Call, LiveCall, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::live_server::core::LiveServerCore;
+use crate::wiring::{InboundCall, Timers, not_run, record};
 use std::time::Duration;
 use wingshore_types::Instant;
 
--- a/crates/wingshore-lab/src/stand_ins/machine_list.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-in for the platform's machine list, which lags behind the truth.
 
 pub mod core;
+pub mod process;
 
 use self::core::MachineListCore;
 use super::StandInError;
--- a/crates/wingshore-lab/src/sim/processes/machine_list.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
@@ -1,12 +1,12 @@
 //! The simulated machine list of the platform, which lags behind the truth.
 
-use super::wiring::{InboundCall, not_run, record};
 use crate::events::Event;
-use crate::sim::process::{
+use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
 use crate::stand_ins::machine_list::MachineListSettings;
 use crate::stand_ins::machine_list::core::MachineListCore;
+use crate::wiring::{InboundCall, not_run, record};
 use wingshore_types::Instant;
 use wingshore_types::platform::MachineState;
 
--- a/crates/wingshore-lab/src/stand_ins/scorer.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-in for a scoring service: slow at times, failing at times, and asked twice at times.
 
 pub mod core;
+pub mod process;
 
 use self::core::ScorerCore;
 use super::StandInError;
--- a/crates/wingshore-lab/src/sim/processes/scorer.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/process.rs
@@ -1,12 +1,12 @@
 //! A simulated scoring service: slow at times, failing at times.
 
-use super::wiring::{InboundCall, Timers, failed, not_run, record};
 use crate::events::Event;
-use crate::sim::process::{
+use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
 use crate::stand_ins::scorer::core::{ScorerCore, Scoring};
 use crate::stand_ins::scorer::{ScorerSettings, score_of};
+use crate::wiring::{InboundCall, Timers, failed, not_run, record};
 use wingshore_types::Instant;
 use wingshore_types::generator::hash_tokens;
 use wingshore_types::platform::{ScoreReply, ScoreRequest};
--- a/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-in for a trainer: submits prompts ahead, pulls steps, trains for a while, publishes
 //! versions and acknowledges. It checks nothing itself; it logs what it received.
 
+pub mod process;
 pub mod progress;
 pub mod prompts;
 pub mod service;
--- a/crates/wingshore-lab/src/sim/processes/trainer.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -1,13 +1,13 @@
 //! A simulated trainer: submits prompts ahead, pulls steps, trains for a while, publishes versions
 //! and acknowledges. What it has noted outlives it, as the log of the stand-in does.
 
-use super::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use crate::events::Event;
 use crate::hashing::hash_bytes;
-use crate::sim::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
 use crate::stand_ins::trainer::progress::Progress;
 use crate::stand_ins::trainer::prompts::{delivered, numbers_of, prompt_of};
 use crate::stand_ins::trainer::settings::TrainingSettings;
+use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/wingshore-lab/src/stand_ins/weight_store.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/mod.rs
@@ -1,5 +1,7 @@
 //! Stand-in for the weight store: keeps published versions and hands them out at a limited rate.
 
+pub mod process;
+
 use super::StandInError;
 use super::settings::{ServerSettings, load};
 use crate::event_log::EventLog;
--- a/crates/wingshore-lab/src/sim/processes/weight_store.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
@@ -1,9 +1,9 @@
 //! The simulated weight store: keeps published versions and hands them out at a limited rate.
 
-use super::wiring::{InboundCall, Timers, not_run, record};
 use crate::events::Event;
-use crate::sim::process::{Answer, Call, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, Process, ProcessInput, ProcessOutput, SimMessage};
 use crate::stand_ins::weight_store::WeightStoreSettings;
+use crate::wiring::{InboundCall, Timers, not_run, record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::{Instant, WeightVersion};
--- a/crates/wingshore-lab/src/sim/processes/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -1,7 +1,7 @@
 //! What all simulated processes need: timers, numbers of calls, answers.
 
 use crate::events::Event;
-use crate::sim::process::{Answer, Call, CallId, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, ProcessOutput, SimMessage};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wingshore-lab/tests/sim_client.rs
+++ b/crates/wingshore-lab/tests/sim_client.rs
@@ -3,8 +3,8 @@
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
+use wingshore_lab::process::{ProcessOutput, SimMessage};
 use wingshore_lab::sim::client::GroupCalls;
-use wingshore_lab::sim::process::{ProcessOutput, SimMessage};
 use wingshore_types::protocol::control::{ControlReply, ControlRequest};
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, Instant, RequestId, Revision, Verdict};
--- a/crates/wingshore-lab/tests/sim_data_path.rs
+++ b/crates/wingshore-lab/tests/sim_data_path.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use wingshore_lab::sim::data_site::SimFaults;
-use wingshore_lab::sim::processes::node::NodeFaults;
+use wingshore_lab::sim::node::NodeFaults;
 use wingshore_lab::sim::replica::ReplicaFaults;
 use wingshore_lab::sim::scenarios::{self, Scenario};
 
--- a/crates/wingshore-lab/tests/sim_node.rs
+++ b/crates/wingshore-lab/tests/sim_node.rs
@@ -4,10 +4,10 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_lab::sim::process::{
+use wingshore_lab::process::{
     Answer, Call, CallId, LiveCall, Process, ProcessInput, ProcessOutput, SimMessage,
 };
-use wingshore_lab::sim::processes::node::{SimNode, SimNodeSettings};
+use wingshore_lab::sim::node::{SimNode, SimNodeSettings};
 use wingshore_types::configuration::{
     Admission, Configuration, Permille, Server, Service, ServiceKind,
 };
--- a/crates/wingshore-lab/tests/sim_platform.rs
+++ b/crates/wingshore-lab/tests/sim_platform.rs
@@ -4,19 +4,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_lab::events::Event;
-use wingshore_lab::sim::process::{
+use wingshore_lab::process::{
     Answer, Call, CallId, LiveCall, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use wingshore_lab::sim::processes::engine::SimEngine;
-use wingshore_lab::sim::processes::live_server::SimLiveServer;
-use wingshore_lab::sim::processes::machine_list::SimMachineList;
-use wingshore_lab::sim::processes::scorer::SimScorer;
-use wingshore_lab::sim::processes::weight_store::SimWeightStore;
+use wingshore_lab::stand_ins::engine::process::SimEngine;
 use wingshore_lab::stand_ins::engine::{EngineFault, EngineSettings};
 use wingshore_lab::stand_ins::live_server::LiveServerSettings;
+use wingshore_lab::stand_ins::live_server::process::SimLiveServer;
 use wingshore_lab::stand_ins::machine_list::MachineListSettings;
+use wingshore_lab::stand_ins::machine_list::process::SimMachineList;
 use wingshore_lab::stand_ins::scorer::ScorerSettings;
+use wingshore_lab::stand_ins::scorer::process::SimScorer;
 use wingshore_lab::stand_ins::weight_store::WeightStoreSettings;
+use wingshore_lab::stand_ins::weight_store::process::SimWeightStore;
 use wingshore_types::platform::{
     EngineCompletionRequest, EngineOrder, EngineStreamEvent, Machine, MachineState, OrderBody,
     OrderFence, ScoreRequest,
