--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -1,4 +1,4 @@
-//! What a simulated process is, and the messages between processes.
+//! What a process of the lab is, without sockets and clocks, and the messages between processes.
 
 use crate::events::Event;
 use std::net::SocketAddr;
@@ -300,7 +300,7 @@
     Exit,
 }
 
-/// A simulated process without disk.
+/// A process without disk.
 ///
 /// `now` is the process's own clock, which may drift and stand still. A killed process is dropped
 /// and made anew by its maker, with nothing but its settings. A process made at `now` wants its
--- a/crates/wingshore-lab/src/sim/data_site.rs
+++ b/crates/wingshore-lab/src/sim/data_site.rs
@@ -11,13 +11,13 @@
 use super::world::World;
 use crate::checks::{Limits, RunLog, check_all};
 use crate::process::{Process, ProcessFault};
-use crate::stand_ins::engine::process::SimEngine;
-use crate::stand_ins::live_caller::process::SimLiveCaller;
-use crate::stand_ins::live_server::process::SimLiveServer;
-use crate::stand_ins::machine_list::process::SimMachineList;
-use crate::stand_ins::scorer::process::SimScorer;
-use crate::stand_ins::trainer::process::{SimTrainer, TrainerDisk};
-use crate::stand_ins::weight_store::process::SimWeightStore;
+use crate::stand_ins::engine::process::EngineProcess;
+use crate::stand_ins::live_caller::process::LiveCallerProcess;
+use crate::stand_ins::live_server::process::LiveServerProcess;
+use crate::stand_ins::machine_list::process::MachineListProcess;
+use crate::stand_ins::scorer::process::ScorerProcess;
+use crate::stand_ins::trainer::process::{TrainerDisk, TrainerProcess};
+use crate::stand_ins::weight_store::process::WeightStoreProcess;
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -214,25 +214,26 @@
     fn add_platform(&mut self) {
         let layout = DataLayout::new(&self.settings);
         let list = layout.machine_list();
-        let maker = maker(move |boot| SimMachineList::new(boot.now, list.clone(), boot.seed));
+        let maker = maker(move |boot| MachineListProcess::new(boot.now, list.clone(), boot.seed));
         self.add(Place::MachineList, 0, maker);
         let store = layout.weight_store();
         let maker =
-            self::maker(move |boot| SimWeightStore::new(boot.now, store.clone(), boot.seed));
+            self::maker(move |boot| WeightStoreProcess::new(boot.now, store.clone(), boot.seed));
         self.add(Place::Store, 0, maker);
         let scorer = layout.scorer();
-        let maker = self::maker(move |boot| SimScorer::new(boot.now, scorer.clone(), boot.seed));
+        let maker =
+            self::maker(move |boot| ScorerProcess::new(boot.now, scorer.clone(), boot.seed));
         self.add(Place::Scorer, 0, maker);
         for number in 0..self.settings.count(Place::Engine) {
             let engine = layout.engine();
             let maker =
-                self::maker(move |boot| SimEngine::new(boot.now, engine.clone(), boot.seed));
+                self::maker(move |boot| EngineProcess::new(boot.now, engine.clone(), boot.seed));
             self.add(Place::Engine, number, maker);
         }
         for number in 0..self.settings.count(Place::LiveServer) {
             let (name, server) = (Place::LiveServer.name(number), layout.live_server(number));
             let maker = self::maker(move |boot| {
-                SimLiveServer::new(boot.now, &name, server.clone(), boot.seed)
+                LiveServerProcess::new(boot.now, &name, server.clone(), boot.seed)
             });
             self.add(Place::LiveServer, number, maker);
         }
@@ -260,12 +261,14 @@
         for number in 0..self.settings.count(Place::Caller) {
             let seed = self.world.random().random();
             let caller = layout.caller(number, seed);
-            let maker = maker(move |boot| SimLiveCaller::new(boot.now, caller.clone(), boot.seed));
+            let maker =
+                maker(move |boot| LiveCallerProcess::new(boot.now, caller.clone(), boot.seed));
             self.add(Place::Caller, number, maker);
         }
         let (trainer, disk) = (layout.trainer(), self.trainer.clone());
-        let maker =
-            maker(move |boot| SimTrainer::new(boot.now, trainer.clone(), disk.clone(), boot.seed));
+        let maker = maker(move |boot| {
+            TrainerProcess::new(boot.now, trainer.clone(), disk.clone(), boot.seed)
+        });
         self.add(Place::Trainer, 0, maker);
     }
 }
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -12,9 +12,9 @@
 use crate::checks::{Limits, RunLog, check_all};
 use crate::stand_ins::engine::EngineSettings;
 use crate::stand_ins::engine::length::LengthDistribution;
-use crate::stand_ins::engine::process::SimEngine;
+use crate::stand_ins::engine::process::EngineProcess;
 use crate::stand_ins::weight_store::WeightStoreSettings;
-use crate::stand_ins::weight_store::process::SimWeightStore;
+use crate::stand_ins::weight_store::process::WeightStoreProcess;
 use rand::RngExt;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -364,13 +364,13 @@
         }
         let store = Box::new(|boot: super::slot::Boot| {
             let settings = WeightStoreSettings::default();
-            let store = SimWeightStore::new(boot.now, settings, boot.seed);
+            let store = WeightStoreProcess::new(boot.now, settings, boot.seed);
             Ok(Box::new(store) as Box<dyn crate::process::Process>)
         });
         self.world.add("store", address(Kind::Store, 0), store);
         for number in 0..self.settings.engines {
             let maker = Box::new(|boot: super::slot::Boot| {
-                let engine = SimEngine::new(boot.now, EngineSettings::default(), boot.seed);
+                let engine = EngineProcess::new(boot.now, EngineSettings::default(), boot.seed);
                 Ok(Box::new(engine) as Box<dyn crate::process::Process>)
             });
             let name = format!("engine-{number}");
--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -1,4 +1,4 @@
-//! A simulated model engine: [`EngineCore`] behind calls, and fetches of weights.
+//! A model engine as a process: [`EngineCore`] behind calls, and fetches of weights.
 
 use crate::events::Event;
 use crate::process::{
@@ -45,7 +45,7 @@
 }
 
 /// The process.
-pub struct SimEngine {
+pub struct EngineProcess {
     core: EngineCore,
     model: String,
     boot_id: u64,
@@ -60,7 +60,7 @@
     answers_to_lose: u32,
 }
 
-impl SimEngine {
+impl EngineProcess {
     /// An engine that starts at `now`.
     pub fn new(now: Instant, settings: EngineSettings, boot_id: u64) -> Self {
         Self {
@@ -384,7 +384,7 @@
     }
 }
 
-impl Process for SimEngine {
+impl Process for EngineProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -1,4 +1,4 @@
-//! Simulated live callers: charges, look-ups and streamed completions at a seeded rate, each on
+//! Live callers as a process: charges, look-ups and streamed completions at a seeded rate, each on
 //! its way to a final answer; keyed charges are sent again until they have one.
 
 use crate::events::{CallKind, Event, ReceivedCompletion};
@@ -27,7 +27,7 @@
 /// Status that stands for an error answer of the node.
 const ERROR_STATUS: u16 = 503;
 
-/// Settings of a [`SimLiveCaller`].
+/// Settings of a [`LiveCallerProcess`].
 #[derive(Clone, Debug)]
 pub struct SimLiveCallerSettings {
     /// Its name in logs.
@@ -73,7 +73,7 @@
 }
 
 /// The process.
-pub struct SimLiveCaller {
+pub struct LiveCallerProcess {
     settings: SimLiveCallerSettings,
     boot_id: u64,
     started_at: Option<Instant>,
@@ -88,7 +88,7 @@
     is_stopping: bool,
 }
 
-impl SimLiveCaller {
+impl LiveCallerProcess {
     /// Callers that start at `now`.
     pub fn new(now: Instant, settings: SimLiveCallerSettings, boot_id: u64) -> Self {
         Self {
@@ -349,7 +349,7 @@
     }
 }
 
-impl Process for SimLiveCaller {
+impl Process for LiveCallerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             self.start(out);
--- a/crates/wingshore-lab/src/stand_ins/live_server/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -1,4 +1,4 @@
-//! A simulated live server: runs charges and look-ups, records each execution, and refuses by its
+//! A live server as a process: runs charges and look-ups, records each execution, and refuses by its
 //! own word when it is full or leaving.
 
 use crate::events::Event;
@@ -18,7 +18,7 @@
 const OK: u16 = 200;
 
 /// The process.
-pub struct SimLiveServer {
+pub struct LiveServerProcess {
     core: LiveServerCore,
     boot_id: u64,
     started_at: Option<Instant>,
@@ -27,7 +27,7 @@
     answers_to_cut: u32,
 }
 
-impl SimLiveServer {
+impl LiveServerProcess {
     /// A live server that starts at `now`.
     pub fn new(now: Instant, name: &str, settings: LiveServerSettings, boot_id: u64) -> Self {
         Self {
@@ -117,7 +117,7 @@
     }
 }
 
-impl Process for SimLiveServer {
+impl Process for LiveServerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
@@ -1,4 +1,4 @@
-//! The simulated machine list of the platform, which lags behind the truth.
+//! The machine list of the platform as a process, which lags behind the truth.
 
 use crate::events::Event;
 use crate::process::{
@@ -11,13 +11,13 @@
 use wingshore_types::platform::MachineState;
 
 /// The process.
-pub struct SimMachineList {
+pub struct MachineListProcess {
     core: MachineListCore,
     boot_id: u64,
     started_at: Option<Instant>,
 }
 
-impl SimMachineList {
+impl MachineListProcess {
     /// A machine list that starts at `now`.
     pub fn new(now: Instant, settings: MachineListSettings, boot_id: u64) -> Self {
         Self {
@@ -28,7 +28,7 @@
     }
 }
 
-impl Process for SimMachineList {
+impl Process for MachineListProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/stand_ins/scorer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/process.rs
@@ -1,4 +1,4 @@
-//! A simulated scoring service: slow at times, failing at times.
+//! A scoring service as a process: slow at times, failing at times.
 
 use crate::events::Event;
 use crate::process::{
@@ -19,7 +19,7 @@
 }
 
 /// The process.
-pub struct SimScorer {
+pub struct ScorerProcess {
     core: ScorerCore,
     boot_id: u64,
     started_at: Option<Instant>,
@@ -27,7 +27,7 @@
     answers_to_lose: u32,
 }
 
-impl SimScorer {
+impl ScorerProcess {
     /// A scorer that starts at `now`.
     pub fn new(now: Instant, settings: ScorerSettings, boot_id: u64) -> Self {
         Self {
@@ -57,7 +57,7 @@
     }
 }
 
-impl Process for SimScorer {
+impl Process for ScorerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -1,4 +1,4 @@
-//! A simulated trainer: submits prompts ahead, pulls steps, trains for a while, publishes versions
+//! A trainer as a process: submits prompts ahead, pulls steps, trains for a while, publishes versions
 //! and acknowledges. What it has noted outlives it, as the log of the stand-in does.
 
 use crate::events::Event;
@@ -27,7 +27,7 @@
 /// Where a trainer keeps what it has noted; handed to it at each start.
 pub type TrainerDisk = Rc<RefCell<Progress>>;
 
-/// Settings of a [`SimTrainer`].
+/// Settings of a [`TrainerProcess`].
 #[derive(Clone, Debug)]
 pub struct SimTrainerSettings {
     /// Its name towards the service.
@@ -75,7 +75,7 @@
 }
 
 /// The process.
-pub struct SimTrainer {
+pub struct TrainerProcess {
     settings: SimTrainerSettings,
     disk: TrainerDisk,
     boot_id: u64,
@@ -88,7 +88,7 @@
     is_stopping: bool,
 }
 
-impl SimTrainer {
+impl TrainerProcess {
     /// A trainer that starts at `now` with what it noted before.
     pub fn new(
         now: Instant,
@@ -310,7 +310,7 @@
     }
 }
 
-impl Process for SimTrainer {
+impl Process for TrainerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
@@ -1,4 +1,4 @@
-//! The simulated weight store: keeps published versions and hands them out at a limited rate.
+//! The weight store as a process: keeps published versions and hands them out at a limited rate.
 
 use crate::events::Event;
 use crate::process::{Answer, Call, Process, ProcessInput, ProcessOutput, SimMessage};
@@ -15,7 +15,7 @@
 type Key = (String, WeightVersion);
 
 /// The process. Every version has the size of the first one.
-pub struct SimWeightStore {
+pub struct WeightStoreProcess {
     settings: WeightStoreSettings,
     boot_id: u64,
     started_at: Option<Instant>,
@@ -24,7 +24,7 @@
     ends: Timers<InboundCall>,
 }
 
-impl SimWeightStore {
+impl WeightStoreProcess {
     /// A store that starts at `now`.
     pub fn new(now: Instant, settings: WeightStoreSettings, boot_id: u64) -> Self {
         Self {
@@ -73,7 +73,7 @@
     }
 }
 
-impl Process for SimWeightStore {
+impl Process for WeightStoreProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
         if self.started_at.take().is_some() {
             let boot_id = self.boot_id;
--- a/crates/wingshore-lab/src/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -1,4 +1,4 @@
-//! What all simulated processes need: timers, numbers of calls, answers.
+//! What all processes need: timers, numbers of calls, answers.
 
 use crate::events::Event;
 use crate::process::{Answer, Call, CallId, ProcessOutput, SimMessage};
--- a/crates/wingshore-lab/tests/sim_platform.rs
+++ b/crates/wingshore-lab/tests/sim_platform.rs
@@ -7,16 +7,16 @@
 use wingshore_lab::process::{
     Answer, Call, CallId, LiveCall, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use wingshore_lab::stand_ins::engine::process::SimEngine;
+use wingshore_lab::stand_ins::engine::process::EngineProcess;
 use wingshore_lab::stand_ins::engine::{EngineFault, EngineSettings};
 use wingshore_lab::stand_ins::live_server::LiveServerSettings;
-use wingshore_lab::stand_ins::live_server::process::SimLiveServer;
+use wingshore_lab::stand_ins::live_server::process::LiveServerProcess;
 use wingshore_lab::stand_ins::machine_list::MachineListSettings;
-use wingshore_lab::stand_ins::machine_list::process::SimMachineList;
+use wingshore_lab::stand_ins::machine_list::process::MachineListProcess;
 use wingshore_lab::stand_ins::scorer::ScorerSettings;
-use wingshore_lab::stand_ins::scorer::process::SimScorer;
+use wingshore_lab::stand_ins::scorer::process::ScorerProcess;
 use wingshore_lab::stand_ins::weight_store::WeightStoreSettings;
-use wingshore_lab::stand_ins::weight_store::process::SimWeightStore;
+use wingshore_lab::stand_ins::weight_store::process::WeightStoreProcess;
 use wingshore_types::platform::{
     EngineCompletionRequest, EngineOrder, EngineStreamEvent, Machine, MachineState, OrderBody,
     OrderFence, ScoreRequest,
@@ -98,8 +98,12 @@
     }
 }
 
-fn engine() -> Bench<SimEngine> {
-    Bench::new(SimEngine::new(Instant::ZERO, EngineSettings::default(), 7))
+fn engine() -> Bench<EngineProcess> {
+    Bench::new(EngineProcess::new(
+        Instant::ZERO,
+        EngineSettings::default(),
+        7,
+    ))
 }
 
 fn generate(request_id: &str) -> Call {
@@ -245,7 +249,7 @@
 #[gtest]
 fn a_live_server_runs_loses_answers_and_refuses() {
     let settings = LiveServerSettings::default();
-    let mut bench = Bench::new(SimLiveServer::new(Instant::ZERO, "live-1", settings, 7));
+    let mut bench = Bench::new(LiveServerProcess::new(Instant::ZERO, "live-1", settings, 7));
     let answered = bench.call(charge("a"));
     bench.pass(SECOND);
     bench.step(ProcessInput::Fault(ProcessFault::LoseAnswers { count: 1 }));
@@ -286,7 +290,7 @@
         most_fetches: 2,
         initial_bytes: 1000,
     };
-    let mut bench = Bench::new(SimWeightStore::new(Instant::ZERO, settings, 7));
+    let mut bench = Bench::new(WeightStoreProcess::new(Instant::ZERO, settings, 7));
     let fetch = |version| Call::FetchWeights {
         model: "base".to_owned(),
         version: WeightVersion(version),
@@ -318,7 +322,7 @@
         lag: SECOND,
         machines: vec![machine],
     };
-    let mut bench = Bench::new(SimMachineList::new(Instant::ZERO, settings, 7));
+    let mut bench = Bench::new(MachineListProcess::new(Instant::ZERO, settings, 7));
     let state = MachineState::Leaving;
     bench.step(ProcessInput::Fault(ProcessFault::Machine { server, state }));
     let mut told = Vec::new();
@@ -341,7 +345,7 @@
         failing_permille: 500,
         ..ScorerSettings::default()
     };
-    let mut bench = Bench::new(SimScorer::new(Instant::ZERO, settings, 7));
+    let mut bench = Bench::new(ScorerProcess::new(Instant::ZERO, settings, 7));
     for number in 0..20 {
         bench.call(Call::Score(ScoreRequest {
             sample_id: SampleNumber(number),
