--- a/crates/wingshore-lab/src/http_server.rs
+++ b/crates/wingshore-lab/src/http_server.rs
@@ -125,30 +125,6 @@
         writer.flush()?;
         Ok(EventStream { writer })
     }
-
-    /// Sends the body piece by piece, with a pause before each.
-    ///
-    /// # Errors
-    /// When the client is gone.
-    pub fn respond_paced(
-        self,
-        body: &[u8],
-        piece: usize,
-        mut pause: impl FnMut(usize),
-    ) -> std::io::Result<()> {
-        let mut writer = self.request.into_writer();
-        let head = format!(
-            "HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\n\r\n",
-            body.len()
-        );
-        writer.write_all(head.as_bytes())?;
-        for piece in body.chunks(piece.max(1)) {
-            pause(piece.len());
-            writer.write_all(piece)?;
-            writer.flush()?;
-        }
-        Ok(())
-    }
 }
 
 /// A stream of server-sent events, each flushed by itself.
--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -111,6 +111,10 @@
     pub charge: bool,
     /// How long the caller waits.
     pub deadline: Duration,
+    /// Path below the service.
+    pub path: String,
+    /// Stands for the body: a server's answer repeats it.
+    pub asked: u64,
 }
 
 /// A completion that a live caller asks a node for.
@@ -164,7 +168,12 @@
     /// The samples were taken in.
     Submitted(SubmitReply),
     /// A batch.
-    Batch(BatchBody),
+    Batch {
+        /// The batch.
+        body: BatchBody,
+        /// Hash of the bytes that it came as.
+        body_hash: u64,
+    },
     /// Done; nothing to say.
     Done,
     /// Not done.
--- a/crates/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/wingshore-lab/src/sim/data_layout.rs
@@ -5,17 +5,16 @@
 use super::replica::{ReplicaFaults, ReplicaSettings};
 use crate::stand_ins::engine::EngineSettings;
 use crate::stand_ins::engine::length::LengthDistribution;
-use crate::stand_ins::live_caller::process::SimLiveCallerSettings;
-use crate::stand_ins::live_caller::settings::LoadSettings;
+use crate::stand_ins::live_caller::settings::{LiveCallerSettings, LoadSettings};
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::machine_list::MachineListSettings;
 use crate::stand_ins::scorer::ScorerSettings;
-use crate::stand_ins::trainer::process::SimTrainerSettings;
-use crate::stand_ins::trainer::settings::TrainingSettings;
+use crate::stand_ins::trainer::settings::{TrainerSettings, TrainingSettings};
 use crate::stand_ins::weight_store::WeightStoreSettings;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::net::{Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
 use std::time::Duration;
 use wingshore_control::LeaderSettings;
 use wingshore_rollout::OverIssue;
@@ -274,13 +273,13 @@
         }
     }
 
-    /// Of a live caller.
-    pub fn caller(&self, number: usize, seed: u64) -> SimLiveCallerSettings {
-        SimLiveCallerSettings {
+    /// Of a live caller; the simulator takes its records, so that its log is not used.
+    pub fn caller(&self, number: usize, seed: u64) -> LiveCallerSettings {
+        LiveCallerSettings {
             name: Place::Caller.name(number),
-            node_name: Place::Node.name(number),
+            log: PathBuf::new(),
             node: address(Place::Node, number),
-            service: ServiceId::new(RIDES),
+            service: RIDES.to_owned(),
             model: Some(self.engine().model),
             load: LoadSettings {
                 requests_per_second: self.site.requests_per_second,
@@ -293,13 +292,14 @@
         }
     }
 
-    /// Of the trainer.
-    pub fn trainer(&self) -> SimTrainerSettings {
-        SimTrainerSettings {
-            trainer: self.trainer_id(),
+    /// Of the trainer; likewise.
+    pub fn trainer(&self) -> TrainerSettings {
+        TrainerSettings {
+            name: Place::Trainer.name(0),
+            log: PathBuf::new(),
             node: address(Place::Node, 0),
             weight_store: address(Place::Store, 0),
-            pool: PoolId::new(POOL),
+            pool: POOL.to_owned(),
             model: self.engine().model,
             staleness_bound: self.site.staleness_bound,
             training: TrainingSettings {
--- a/crates/wingshore-lab/src/sim/data_site.rs
+++ b/crates/wingshore-lab/src/sim/data_site.rs
@@ -10,6 +10,7 @@
 use super::slot::{Boot, Maker};
 use super::world::World;
 use crate::checks::{Limits, RunLog, check_all};
+use crate::events::Event;
 use crate::process::{Process, ProcessFault};
 use crate::stand_ins::engine::process::EngineProcess;
 use crate::stand_ins::live_caller::process::LiveCallerProcess;
@@ -158,7 +159,7 @@
         self.heal();
         let (before, trainer) = (self.steps(), self.trainer.clone());
         self.await_or_violate("the trainer's next step", |_| {
-            trainer.borrow().next_step.0 > before
+            trainer.progress().next_step.0 > before
         });
         let mut finishing = self.all(Place::Caller);
         finishing.push(address(Place::Trainer, 0));
@@ -187,7 +188,7 @@
 
     /// How far the trainer has come: steps acknowledged.
     pub fn steps(&self) -> u64 {
-        self.trainer.borrow().next_step.0
+        self.trainer.progress().next_step.0
     }
 
     fn add(&mut self, place: Place, number: usize, maker: Maker) {
@@ -261,6 +262,11 @@
         for number in 0..self.settings.count(Place::Caller) {
             let seed = self.world.random().random();
             let caller = layout.caller(number, seed);
+            let beside = Event::CallerNode {
+                caller: caller.name.clone(),
+                node: Place::Node.name(number),
+            };
+            self.world.record("site", beside);
             let maker =
                 maker(move |boot| LiveCallerProcess::new(boot.now, caller.clone(), boot.seed));
             self.add(Place::Caller, number, maker);
--- a/crates/wingshore-lab/src/sim/node/desk.rs
+++ b/crates/wingshore-lab/src/sim/node/desk.rs
@@ -1,6 +1,7 @@
 //! Trainers' requests: submit, pull, acknowledge, publish.
 
 use super::core::{GroupPurpose, NodeContext};
+use crate::hashing::hash_bytes;
 use crate::process::{Answer, Call};
 use crate::sim::client::CallResult;
 use crate::wiring::{InboundCall, failed, not_run};
@@ -236,11 +237,14 @@
         segments: sample.generation.segments,
         score: sample.score,
     });
-    Answer::Batch(BatchBody {
+    let body = BatchBody {
         step: batch.step,
         weight_version: batch.weight_version,
         samples: samples.collect(),
-    })
+    };
+    let bytes = serde_json::to_vec(&body).unwrap_or_default();
+    let body_hash = hash_bytes(&bytes);
+    Answer::Batch { body, body_hash }
 }
 
 fn ledger_refusal(refusal: &LedgerRefusal) -> Answer {
--- a/crates/wingshore-lab/src/stand_ins/engine/faults.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/faults.rs
@@ -1,6 +1,5 @@
 //! `POST /lab/faults` on an engine.
 
-use super::messages::EngineFault;
 use serde::{Deserialize, Serialize};
 
 /// Body of `POST /lab/faults`.
@@ -10,19 +9,3 @@
     /// The next swap fails partway; the version is then unknown.
     FailNextSwap,
 }
-
-impl FaultRequest {
-    /// The fault for the core.
-    pub fn core_fault(self) -> EngineFault {
-        match self {
-            Self::FailNextSwap => EngineFault::FailNextSwap,
-        }
-    }
-
-    /// Its name in the log.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::FailNextSwap => "fail_next_swap",
-        }
-    }
-}
--- a/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -1,18 +1,17 @@
 //! Live callers as a process: charges, look-ups and streamed completions at a seeded rate, each on
 //! its way to a final answer; keyed charges are sent again until they have one.
 
+use super::plan::{CallPlan, PlannedCall};
+use super::result::{CallResult, verdict_of};
+use super::settings::LiveCallerSettings;
 use crate::events::{CallKind, Event, ReceivedCompletion};
 use crate::hashing::hash_bytes;
 use crate::process::{
     Answer, Call, CallId, CompletionCall, LiveCall, Process, ProcessInput, ProcessOutput,
     SimMessage,
 };
-use crate::stand_ins::live_caller::calls::CallResult;
-use crate::stand_ins::live_caller::plan::{CallPlan, PlannedCall};
-use crate::stand_ins::live_caller::settings::LoadSettings;
 use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_types::generator::hash_tokens;
 use wingshore_types::platform::EngineStreamEvent;
@@ -27,23 +26,6 @@
 /// Status that stands for an error answer of the node.
 const ERROR_STATUS: u16 = 503;
 
-/// Settings of a [`LiveCallerProcess`].
-#[derive(Clone, Debug)]
-pub struct SimLiveCallerSettings {
-    /// Its name in logs.
-    pub name: String,
-    /// Name of the node beside it.
-    pub node_name: String,
-    /// Where that listens.
-    pub node: SocketAddr,
-    /// The live service it calls.
-    pub service: ServiceId,
-    /// The model it asks for completions; none asks for none.
-    pub model: Option<String>,
-    /// The load.
-    pub load: LoadSettings,
-}
-
 /// One planned call on its way to a final answer.
 #[derive(Clone, Debug)]
 struct Work {
@@ -59,6 +41,7 @@
 struct UnderWay {
     work: Work,
     request: String,
+    sent_at: Instant,
     generation: Generation,
     first_token: Option<Duration>,
 }
@@ -74,7 +57,7 @@
 
 /// The process.
 pub struct LiveCallerProcess {
-    settings: SimLiveCallerSettings,
+    settings: LiveCallerSettings,
     boot_id: u64,
     started_at: Option<Instant>,
     began: Instant,
@@ -90,7 +73,7 @@
 
 impl LiveCallerProcess {
     /// Callers that start at `now`.
-    pub fn new(now: Instant, settings: SimLiveCallerSettings, boot_id: u64) -> Self {
+    pub fn new(now: Instant, settings: LiveCallerSettings, boot_id: u64) -> Self {
         Self {
             plan: CallPlan::new(settings.load.clone()),
             settings,
@@ -110,11 +93,6 @@
     fn start(&mut self, out: &mut Vec<ProcessOutput>) {
         let boot_id = self.boot_id;
         record(Event::Started { boot_id }, out);
-        let event = Event::CallerNode {
-            caller: self.settings.name.clone(),
-            node: self.settings.node_name.clone(),
-        };
-        record(event, out);
         self.plan_next();
     }
 
@@ -175,6 +153,7 @@
         let under_way = UnderWay {
             work,
             request,
+            sent_at: now,
             generation: Generation::default(),
             first_token: None,
         };
@@ -195,12 +174,14 @@
         }
         let is_charge = work.call.kind == CallKind::Charge;
         Call::Live(LiveCall {
+            asked: hash_bytes(request.as_bytes()),
             request,
-            service: self.settings.service.clone(),
+            service: ServiceId::new(&self.settings.service),
             key: work.key.clone(),
             no_repeat: is_charge,
             charge: is_charge,
             deadline: load.deadline,
+            path: if is_charge { "/charge" } else { "/lookup" }.to_owned(),
         })
     }
 
@@ -220,8 +201,8 @@
         }) = &answer
         {
             under_way.generation.append(*weight_version, tokens);
-            let since = under_way.work.since;
-            under_way.first_token.get_or_insert(now.since(since));
+            let sent_at = under_way.sent_at;
+            under_way.first_token.get_or_insert(now.since(sent_at));
             self.under_way.insert(id, under_way);
             return;
         }
@@ -238,6 +219,7 @@
         match answer {
             Answer::Live { status, body, .. } => CallResult {
                 status: *status,
+                verdict: verdict_of(body),
                 answer_hash: hash_bytes(body),
                 whole: true,
                 ..CallResult::default()
@@ -310,10 +292,8 @@
 
     /// A keyed charge without a final answer, or one whose answer is taken as lost, goes again.
     fn resend(&mut self, now: Instant, mut work: Work, result: &CallResult) {
-        let is_final =
-            result.whole && (result.status == 200 || result.verdict == Some(Verdict::Ran));
         let taken_as_lost = work.call.resent && work.resends == 0;
-        if work.key.is_none() || work.resends >= RESENDS || (is_final && !taken_as_lost) {
+        if work.key.is_none() || work.resends >= RESENDS || (result.is_final() && !taken_as_lost) {
             return;
         }
         work.resends += 1;
--- a/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
@@ -4,25 +4,22 @@
 pub mod core;
 pub mod process;
 
-use self::core::LiveServerCore;
 use super::StandInError;
+use super::client::{CallClient, REQUEST_ID_HEADER};
+use super::runtime::{Clock, Runtime};
+use super::server::{NotServed, Request, serve_process};
 use super::settings::{ServerSettings, load};
 use crate::durations;
 use crate::event_log::EventLog;
-use crate::events::Event;
 use crate::hashing::hash_bytes;
-use crate::http_server::{Incoming, serve};
+use crate::http_server::Incoming;
+use crate::process::{Call, LiveCall};
+use process::LiveServerProcess;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
-use std::sync::{Arc, Mutex, PoisonError};
-use std::thread;
-use std::time::{Duration, Instant};
-use wingshore_types::platform::NOT_RUN_HEADER;
-
-/// Header by which callers name their requests.
-pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the caller's idempotency key.
-const KEY_HEADER: &str = "idempotency-key";
+use std::time::Duration;
+use wingshore_types::ServiceId;
+use wingshore_types::api::IDEMPOTENCY_HEADER;
 
 /// How a live server behaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -54,96 +51,36 @@
     }
 }
 
-/// The server.
-struct LiveServer {
-    core: Mutex<LiveServerCore>,
-    started: Instant,
-    log: EventLog,
-}
-
 /// Serves until the process ends.
 ///
 /// # Errors
 /// When its settings, log or port cannot be used.
 pub fn run(settings_file: &Path) -> Result<(), StandInError> {
     let settings: ServerSettings<LiveServerSettings> = load(settings_file)?;
-    let log = EventLog::open(&settings.process.log, &settings.process.name)?;
-    let boot_id: u64 = rand::random();
-    log.write(Event::Started { boot_id });
-    let server = Arc::new(LiveServer {
-        core: Mutex::new(LiveServerCore::new(
-            &settings.process.name,
-            settings.behaviour,
-            boot_id,
-        )),
-        started: Instant::now(),
-        log,
-    });
-    let handler = Arc::new(move |incoming| server.handle(incoming));
-    serve(
-        settings.process.listen,
-        settings.process.round_trip,
-        handler,
-    )?;
-    Ok(())
+    let ServerSettings { process, behaviour } = settings;
+    let log = EventLog::open(&process.log, &process.name)?;
+    let clock = Clock::start();
+    let server = LiveServerProcess::new(clock.now(), &process.name, behaviour, rand::random());
+    let runtime = Runtime::new(server, clock, CallClient::new(0), log);
+    serve_process(&process, runtime, request_of, 0)
 }
 
-impl LiveServer {
-    fn handle(&self, incoming: Incoming) {
-        match (incoming.method.as_str(), incoming.path.as_str()) {
-            ("GET", "/load") => {
-                let report = lock(&self.core).load_report(self.started.elapsed());
-                incoming.respond_json(200, &report);
-            }
-            (_, "/lab/faults") => incoming.respond_error(404, "no_such_path"),
-            _ => self.admit(incoming),
-        }
-    }
-
-    fn admit(&self, incoming: Incoming) {
-        let admitted = lock(&self.core).admit();
-        match admitted {
-            Err(code) => self.refuse(incoming, code),
-            Ok(()) => {
-                self.execute(incoming);
-                lock(&self.core).release();
-            }
-        }
-    }
-
-    fn refuse(&self, incoming: Incoming, code: &str) {
-        self.log.write(Event::RefusedNotRun {
-            request: request_id(&incoming),
-        });
-        let headers = [
-            (NOT_RUN_HEADER, "true"),
-            ("content-type", "application/json"),
-            ("retry-after", "1"),
-        ];
-        let body = serde_json::json!({ "error": { "code": code } });
-        incoming.respond(503, &headers, body.to_string().into_bytes());
+/// Every other path is a request of a caller, passed on by a node as it came.
+fn request_of(incoming: &Incoming) -> Result<Request, NotServed> {
+    if (incoming.method.as_str(), incoming.path.as_str()) == ("GET", "/load") {
+        return Ok(Request::Call(Call::Load));
     }
-
-    fn execute(&self, incoming: Incoming) {
-        let time = lock(&self.core).service_time();
-        thread::sleep(time);
-        let asked = hash_bytes(&incoming.body);
-        let answer = lock(&self.core).answer(&request_id(&incoming), &incoming.path, asked);
-        self.log.write(Event::Executed {
-            request: request_id(&incoming),
-            key: incoming.header(KEY_HEADER),
-            charge: incoming.method == "POST",
-            status: 200,
-            answer_hash: hash_bytes(&answer),
-        });
-        incoming.respond(200, &[("content-type", "application/json")], answer);
+    if incoming.path.starts_with("/lab/") {
+        return Err(NotServed::NoSuchPath);
     }
-}
-
-fn request_id(incoming: &Incoming) -> String {
-    incoming.header(REQUEST_ID_HEADER).unwrap_or_default()
-}
-
-fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+    Ok(Request::Call(Call::Live(LiveCall {
+        request: incoming.header(REQUEST_ID_HEADER).unwrap_or_default(),
+        service: ServiceId::new(""),
+        key: incoming.header(IDEMPOTENCY_HEADER),
+        no_repeat: false,
+        charge: incoming.method == "POST",
+        deadline: Duration::ZERO,
+        path: incoming.path.clone(),
+        asked: hash_bytes(&incoming.body),
+    })))
 }
--- a/crates/wingshore-lab/src/stand_ins/live_server/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -69,9 +69,7 @@
     }
 
     fn end(&mut self, caller: InboundCall, call: LiveCall, out: &mut Vec<ProcessOutput>) {
-        let kind = if call.charge { "/charge" } else { "/lookup" };
-        let asked = hash_bytes(call.request.as_bytes());
-        let mut body = self.core.answer(&call.request, kind, asked);
+        let mut body = self.core.answer(&call.request, &call.path, call.asked);
         self.core.release();
         let executed = Event::Executed {
             request: call.request,
--- a/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -3,19 +3,21 @@
 pub mod core;
 pub mod process;
 
-use self::core::MachineListCore;
 use super::StandInError;
+use super::client::CallClient;
+use super::runtime::{Clock, Runtime};
+use super::server::{NotServed, Request, body, serve_process};
 use super::settings::{ServerSettings, load};
 use crate::durations;
-use crate::event_log::{EventLog, now_us};
-use crate::events::Event;
-use crate::http_server::{Incoming, serve};
+use crate::event_log::EventLog;
+use crate::http_server::Incoming;
+use crate::process::{Call, ProcessFault};
+use process::MachineListProcess;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use wingshore_types::platform::{Machine, MachineList, MachineState};
-use wingshore_types::{Instant, ServerId};
+use wingshore_types::ServerId;
+use wingshore_types::platform::{Machine, MachineState};
 
 /// How the machine list behaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -38,71 +40,27 @@
     pub state: MachineState,
 }
 
-struct Machines {
-    core: Mutex<MachineListCore>,
-    started: std::time::Instant,
-    log: EventLog,
-}
-
 /// Serves until the process ends.
 ///
 /// # Errors
 /// When its settings, log or port cannot be used.
 pub fn run(settings_file: &Path) -> Result<(), StandInError> {
     let settings: ServerSettings<MachineListSettings> = load(settings_file)?;
-    let log = EventLog::open(&settings.process.log, &settings.process.name)?;
-    log.write(Event::Started {
-        boot_id: rand::random(),
-    });
-    let machines = Arc::new(Machines {
-        core: Mutex::new(MachineListCore::new(settings.behaviour)),
-        started: std::time::Instant::now(),
-        log,
-    });
-    let handler = Arc::new(move |incoming| machines.handle(incoming));
-    serve(
-        settings.process.listen,
-        settings.process.round_trip,
-        handler,
-    )?;
-    Ok(())
+    let ServerSettings { process, behaviour } = settings;
+    let log = EventLog::open(&process.log, &process.name)?;
+    let clock = Clock::start();
+    let list = MachineListProcess::new(clock.now(), behaviour, rand::random());
+    let runtime = Runtime::new(list, clock, CallClient::new(0), log);
+    serve_process(&process, runtime, request_of, 0)
 }
 
-impl Machines {
-    fn handle(&self, incoming: Incoming) {
-        match (incoming.method.as_str(), incoming.path.as_str()) {
-            ("GET", "/machines") => incoming.respond_json(200, &self.list()),
-            ("POST", "/lab/leaving") => match incoming.json() {
-                Ok(request) => {
-                    self.change(request);
-                    incoming.respond_json(200, &serde_json::json!({}));
-                }
-                Err(error) => incoming.respond_bad_request(&error),
-            },
-            _ => incoming.respond_error(404, "no_such_path"),
+fn request_of(incoming: &Incoming) -> Result<Request, NotServed> {
+    match (incoming.method.as_str(), incoming.path.as_str()) {
+        ("GET", "/machines") => Ok(Request::Call(Call::Machines)),
+        ("POST", "/lab/leaving") => {
+            let LeavingRequest { server, state } = body(incoming)?;
+            Ok(Request::Fault(ProcessFault::Machine { server, state }))
         }
-    }
-
-    fn change(&self, request: LeavingRequest) {
-        let server = request.server.to_string();
-        self.log.write(match request.state {
-            MachineState::Leaving => Event::Leaving { server },
-            MachineState::Live => Event::Staying { server },
-        });
-        let now = self.now();
-        self.core().change(now, request.server, request.state);
-    }
-
-    fn list(&self) -> MachineList {
-        let now = self.now();
-        self.core().list(now, now_us() / 1000)
-    }
-
-    fn core(&self) -> MutexGuard<'_, MachineListCore> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn now(&self) -> Instant {
-        Instant::ZERO + self.started.elapsed()
+        _ => Err(NotServed::NoSuchPath),
     }
 }
--- a/crates/wingshore-lab/src/stand_ins/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/mod.rs
@@ -1,10 +1,14 @@
 //! Stand-ins: small processes that play the platform's side and the callers.
 
+mod client;
+mod completion;
 pub mod engine;
 pub mod live_caller;
 pub mod live_server;
 pub mod machine_list;
+mod runtime;
 pub mod scorer;
+mod server;
 pub mod settings;
 pub mod trainer;
 pub mod weight_store;
@@ -39,12 +43,6 @@
         /// Why.
         source: ListenError,
     },
-    /// The service refuses a trainer for good.
-    #[snafu(context(false), display("{source}"))]
-    Service {
-        /// Why.
-        source: trainer::service::ServiceError,
-    },
     /// SIGTERM cannot be caught.
     #[snafu(context(false), display("cannot catch SIGTERM: {source}"))]
     Signal {
@@ -136,8 +134,8 @@
             StandInKind::WeightStore => weight_store::run(settings),
             StandInKind::MachineList => machine_list::run(settings),
             StandInKind::Scorer => scorer::run(settings),
-            StandInKind::Trainer => trainer::run(settings, stop_flag()?),
-            StandInKind::LiveCaller => live_caller::run(settings, &stop_flag()?),
+            StandInKind::Trainer => trainer::run(settings, stop_flag()?.as_ref()),
+            StandInKind::LiveCaller => live_caller::run(settings, stop_flag()?.as_ref()),
         }
     }
 }
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -1,16 +1,14 @@
 //! A trainer as a process: submits prompts ahead, pulls steps, trains for a while, publishes versions
 //! and acknowledges. What it has noted outlives it, as the log of the stand-in does.
 
+use super::progress::Progress;
+use super::prompts::{delivered, numbers_of, prompt_of};
+use super::settings::TrainerSettings;
 use crate::events::Event;
-use crate::hashing::hash_bytes;
 use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
-use crate::stand_ins::trainer::progress::Progress;
-use crate::stand_ins::trainer::prompts::{delivered, numbers_of, prompt_of};
-use crate::stand_ins::trainer::settings::TrainingSettings;
 use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
-use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::rc::Rc;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use wingshore_types::api::{
     AcknowledgeBody, BatchBody, PublishBody, PullBody, SubmitReply, SubmitRequest,
@@ -25,25 +23,19 @@
 const FINAL_CODES: [&str; 4] = ["wrong_step", "wrong_trainer", "invalid_request", "conflict"];
 
 /// Where a trainer keeps what it has noted; handed to it at each start.
-pub type TrainerDisk = Rc<RefCell<Progress>>;
+#[derive(Clone, Default)]
+pub struct TrainerDisk(Arc<Mutex<Progress>>);
 
-/// Settings of a [`TrainerProcess`].
-#[derive(Clone, Debug)]
-pub struct SimTrainerSettings {
-    /// Its name towards the service.
-    pub trainer: TrainerId,
-    /// The node beside it.
-    pub node: SocketAddr,
-    /// Where it puts its weights.
-    pub weight_store: SocketAddr,
-    /// Its pool.
-    pub pool: PoolId,
-    /// The model it trains.
-    pub model: String,
-    /// The pool's staleness bound, for the log.
-    pub staleness_bound: u64,
-    /// The training itself.
-    pub training: TrainingSettings,
+impl TrainerDisk {
+    /// A disk with what was noted before.
+    pub fn new(progress: Progress) -> Self {
+        Self(Arc::new(Mutex::new(progress)))
+    }
+
+    /// What is noted.
+    pub fn progress(&self) -> MutexGuard<'_, Progress> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
 /// What it is at.
@@ -76,7 +68,7 @@
 
 /// The process.
 pub struct TrainerProcess {
-    settings: SimTrainerSettings,
+    settings: TrainerSettings,
     disk: TrainerDisk,
     boot_id: u64,
     started_at: Option<Instant>,
@@ -90,13 +82,8 @@
 
 impl TrainerProcess {
     /// A trainer that starts at `now` with what it noted before.
-    pub fn new(
-        now: Instant,
-        settings: SimTrainerSettings,
-        disk: TrainerDisk,
-        boot_id: u64,
-    ) -> Self {
-        let next_step = disk.borrow().next_step;
+    pub fn new(now: Instant, settings: TrainerSettings, disk: TrainerDisk, boot_id: u64) -> Self {
+        let next_step = disk.progress().next_step;
         Self {
             settings,
             disk,
@@ -112,16 +99,16 @@
     }
 
     fn step_number(&self) -> StepId {
-        self.disk.borrow().next_step
+        self.disk.progress().next_step
     }
 
     fn submitted_ever(&self) -> StepId {
         let batch = self.settings.training.batch;
-        self.disk.borrow().submitted_through(batch)
+        self.disk.progress().submitted_through(batch)
     }
 
     fn note(&self, event: Event, out: &mut Vec<ProcessOutput>) {
-        self.disk.borrow_mut().follow(&event);
+        self.disk.progress().follow(&event);
         record(event, out);
     }
 
@@ -134,7 +121,7 @@
         } else if self.is_stopping && step >= self.submitted_ever() {
             out.push(ProcessOutput::Exit);
             Activity::Over
-        } else if self.disk.borrow().trained == Some(step) {
+        } else if self.disk.progress().trained == Some(step) {
             // It may have been acknowledged already, with the answer lost.
             return self.publish(now, out);
         } else {
@@ -156,7 +143,8 @@
 
     fn current_call(&self) -> Option<(SocketAddr, Call)> {
         let settings = &self.settings;
-        let (pool, trainer) = (settings.pool.clone(), settings.trainer.clone());
+        let pool = PoolId::new(&settings.pool);
+        let trainer = TrainerId::new(&settings.name);
         let step = self.step_number().0;
         let call = match self.activity {
             Activity::Submit(step) => {
@@ -169,7 +157,7 @@
             Activity::Pull { .. } => {
                 let body = PullBody {
                     trainer,
-                    weight_version: self.disk.borrow().version,
+                    weight_version: self.disk.progress().version,
                     count: settings.training.batch,
                     wait_ms: settings.training.pull_wait.as_millis() as u64,
                 };
@@ -209,8 +197,8 @@
                 self.on_submitted(step, reply, out);
                 self.next_step(now, out);
             }
-            (Activity::Pull { began }, Answer::Batch(batch)) => {
-                self.on_batch(now, began, &batch, out);
+            (Activity::Pull { began }, Answer::Batch { body, body_hash }) => {
+                self.on_batch(now, began, &body, body_hash, out);
             }
             (Activity::Store(version), Answer::Done) => {
                 self.activity = Activity::Publish(version);
@@ -249,18 +237,22 @@
         now: Instant,
         began: Instant,
         batch: &BatchBody,
+        body_hash: u64,
         out: &mut Vec<ProcessOutput>,
     ) {
         let step = self.step_number();
-        let bytes = serde_json::to_vec(batch).unwrap_or_default();
+        let (trainer_version, repeated) = {
+            let progress = self.disk.progress();
+            (progress.version, progress.open_batches.contains_key(&step))
+        };
         let event = Event::BatchDelivered {
-            pool: self.settings.pool.to_string(),
+            pool: self.settings.pool.clone(),
             step,
-            trainer_version: self.disk.borrow().version,
+            trainer_version,
             staleness_bound: self.settings.staleness_bound,
             asked: self.settings.training.batch,
-            body_hash: hash_bytes(&bytes),
-            repeated: self.disk.borrow().open_batches.contains_key(&step),
+            body_hash,
+            repeated,
             waited_us: now.since(began).as_micros() as u64,
             samples: batch
                 .samples
@@ -278,7 +270,7 @@
     fn publish(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
         let steps = self.settings.training.steps_per_version.max(1);
         let version = WeightVersion((self.step_number().0 + 1) / steps);
-        self.activity = if version > self.disk.borrow().version {
+        self.activity = if version > self.disk.progress().version {
             Activity::Store(version)
         } else {
             Activity::Acknowledge
--- a/crates/wingshore-lab/tests/sim_node.rs
+++ b/crates/wingshore-lab/tests/sim_node.rs
@@ -166,6 +166,8 @@
             no_repeat,
             charge: no_repeat,
             deadline: SECOND,
+            path: "/charge".to_owned(),
+            asked: 0,
         });
         let id = CallId(1);
         let message = SimMessage::Call { id, call };
--- a/crates/wingshore-lab/tests/sim_platform.rs
+++ b/crates/wingshore-lab/tests/sim_platform.rs
@@ -243,6 +243,8 @@
         no_repeat: true,
         charge: true,
         deadline: SECOND,
+        path: "/charge".to_owned(),
+        asked: 0,
     })
 }
 
