--- a/crates/wingshore-lab/src/fleet/faults.rs
+++ b/crates/wingshore-lab/src/fleet/faults.rs
@@ -18,7 +18,7 @@
 
 /// How long the control group may take to have another leader.
 const LEADER_LIMIT: Duration = Duration::from_secs(30);
-/// Pause between two looks for it.
+/// Between two polls for it.
 const LEADER_POLL: Duration = Duration::from_millis(10);
 
 /// A fault.
--- a/crates/wingshore-lab/src/fleet/lost_disk.rs
+++ b/crates/wingshore-lab/src/fleet/lost_disk.rs
@@ -16,8 +16,8 @@
 const IDENTITY_LIMIT: Duration = Duration::from_secs(10);
 /// How long the replacement may be tried.
 const REPLACE_LIMIT: Duration = Duration::from_secs(40);
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Between two polls.
+const POLL: Duration = Duration::from_millis(200);
 
 /// Loses the disk of a replica that does not lead, and repairs it.
 ///
@@ -73,7 +73,7 @@
             }
             .fail();
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL);
     }
 }
 
@@ -105,7 +105,7 @@
         match site.operator.control(&words) {
             Ok(_) => return Ok(()),
             Err(error) if Instant::now() >= end => return Err(error),
-            Err(_) => thread::sleep(PAUSE),
+            Err(_) => thread::sleep(POLL),
         }
     }
 }
--- a/crates/wingshore-lab/src/fleet/operator.rs
+++ b/crates/wingshore-lab/src/fleet/operator.rs
@@ -11,8 +11,8 @@
 use wingshore_types::IntentId;
 use wingshore_types::protocol::control::{Plan, Status};
 
-/// Pause before a command is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Backoff before a command is run again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 /// How long one command waits for an answer, in seconds.
 const COMMAND_TIMEOUT: &str = "5";
 /// Exit status of a command that was refused: nothing was changed.
@@ -85,7 +85,7 @@
             });
             match confirmed {
                 Err(FleetError::Refused { .. }) if Instant::now() < end => {
-                    thread::sleep(RETRY_PAUSE);
+                    thread::sleep(RETRY_BACKOFF);
                 }
                 confirmed => return confirmed,
             }
@@ -100,7 +100,7 @@
         loop {
             match self.ask(&words) {
                 Err(FleetError::Operator { .. }) if Instant::now() < end => {
-                    thread::sleep(RETRY_PAUSE);
+                    thread::sleep(RETRY_BACKOFF);
                 }
                 answer => return answer,
             }
--- a/crates/wingshore-lab/src/fleet/process.rs
+++ b/crates/wingshore-lab/src/fleet/process.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a condition is looked at.
+/// How often a condition is checked.
 const POLL: Duration = Duration::from_millis(20);
 /// Longest attempt to connect to a process.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/wingshore-lab/src/fleet/report.rs
+++ b/crates/wingshore-lab/src/fleet/report.rs
@@ -32,7 +32,7 @@
 }
 
 /// Steps that a run must exceed to count as a proof.
-pub const FEWEST_STEPS: u64 = 3;
+pub const MIN_STEPS: u64 = 3;
 
 impl Report {
     /// Takes the violations in.
@@ -45,7 +45,7 @@
     /// Whether every promise held and the run was worth the name.
     pub fn passed(&self) -> bool {
         self.violations.is_empty()
-            && self.summary.steps > FEWEST_STEPS
+            && self.summary.steps > MIN_STEPS
             && self.summary.failed_stops.is_empty()
             && self.ended_by_themselves.is_empty()
     }
--- a/crates/wingshore-lab/src/fleet/watch.rs
+++ b/crates/wingshore-lab/src/fleet/watch.rs
@@ -11,10 +11,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Between two looks.
+/// Between two polls.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// Longest look at one node.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest poll of one node.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The gauge of a node that tells the revision in force.
 const REVISION_METRIC: &str = "wingshore_configuration_revision";
 
@@ -39,12 +39,12 @@
         let stop = Arc::new(AtomicBool::new(false));
         let watch_nodes = {
             let (stop, log) = (Arc::clone(&stop), log.clone());
-            thread::spawn(move || repeat(&stop, || look_at_nodes(&nodes, &log)))
+            thread::spawn(move || repeat(&stop, || poll_nodes(&nodes, &log)))
         };
         let watch_control = {
             let (stop, log) = (Arc::clone(&stop), log.clone());
             let mut newest = Newest::default();
-            thread::spawn(move || repeat(&stop, || newest.look_at_control(&operator, &log)))
+            thread::spawn(move || repeat(&stop, || newest.poll_control(&operator, &log)))
         };
         Self {
             stop,
@@ -61,15 +61,15 @@
     }
 }
 
-fn repeat(stop: &AtomicBool, mut look: impl FnMut()) {
+fn repeat(stop: &AtomicBool, mut poll: impl FnMut()) {
     while !stop.load(Ordering::SeqCst) {
-        look();
+        poll();
         thread::sleep(INTERVAL);
     }
 }
 
-fn look_at_nodes(nodes: &[WatchedNode], log: &EventLog) {
-    let client = HttpClient::new(LOOK_TIMEOUT);
+fn poll_nodes(nodes: &[WatchedNode], log: &EventLog) {
+    let client = HttpClient::new(POLL_TIMEOUT);
     for node in nodes {
         let url = format!("http://{}/metrics", node.address);
         let answer = client.get(&url, &[]).ok();
@@ -101,7 +101,7 @@
 impl Newest {
     /// Logs each newly committed revision, and each that the control group newly holds to be in
     /// force everywhere.
-    fn look_at_control(&mut self, operator: &Operator, log: &EventLog) {
+    fn poll_control(&mut self, operator: &Operator, log: &EventLog) {
         let Ok(status) = operator.status() else {
             return;
         };
--- a/crates/wingshore-lab/src/http_client.rs
+++ b/crates/wingshore-lab/src/http_client.rs
@@ -4,8 +4,8 @@
 use std::io::Read;
 use std::time::Duration;
 
-/// Largest answer that is read, in bytes.
-const LARGEST_ANSWER: u64 = 256 * 1024 * 1024;
+/// Largest answer that is read.
+const MAX_ANSWER_BYTES: u64 = 256 * 1024 * 1024;
 
 /// Why there is no whole answer.
 #[derive(Debug, Snafu)]
@@ -158,7 +158,7 @@
     response
         .into_body()
         .into_with_config()
-        .limit(LARGEST_ANSWER)
+        .limit(MAX_ANSWER_BYTES)
         .reader()
         .read_to_end(&mut body)
         .context(BodySnafu { method, url })?;
--- a/crates/wingshore-lab/src/http_server.rs
+++ b/crates/wingshore-lab/src/http_server.rs
@@ -11,8 +11,8 @@
 use tiny_http::{Header, Request, Response, Server};
 use wingshore_http::Nudger;
 
-/// Largest body that is read, in bytes.
-const LARGEST_BODY: u64 = 256 * 1024 * 1024;
+/// Largest body that is read.
+const MAX_BODY_BYTES: u64 = 256 * 1024 * 1024;
 
 /// The port cannot be served.
 #[derive(Debug, Snafu)]
@@ -39,7 +39,7 @@
     fn read(mut request: Request) -> Option<Self> {
         let mut body = Vec::new();
         let declared = request.body_length();
-        let mut reader = request.as_reader().take(LARGEST_BODY);
+        let mut reader = request.as_reader().take(MAX_BODY_BYTES);
         reader.read_to_end(&mut body).ok()?;
         if declared.is_some_and(|length| length != body.len()) {
             return None;
--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -182,7 +182,7 @@
         verdict: Verdict,
         /// Stable code.
         code: String,
-        /// When to come back.
+        /// Retry-after.
         retry_after: Option<Duration>,
     },
     /// No connection could be made: nothing of the call was sent. Made by the simulated network,
--- a/crates/wingshore-lab/src/sim/administrator.rs
+++ b/crates/wingshore-lab/src/sim/administrator.rs
@@ -15,7 +15,7 @@
 /// Longest time of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two calls.
-const PAUSE: Duration = Duration::from_millis(100);
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is to be replaced; outlives the administrator's process.
 #[derive(Clone, Default)]
@@ -89,7 +89,7 @@
 impl Administrator {
     fn call(&mut self, now: Instant, request: MembershipRequest, out: &mut Vec<ProcessOutput>) {
         let Some((_, group)) = self.repairs.current() else {
-            self.next_call = Some(now + PAUSE);
+            self.next_call = Some(now + CALL_INTERVAL);
             return;
         };
         self.next_call = None;
@@ -98,7 +98,7 @@
             .call(now, group, body, CALL_TIMEOUT, request, out);
     }
 
-    /// The next step, from how the members stand.
+    /// The next step, from the status of the members.
     fn next_step(&self, reply: &MembershipReply) -> Option<MembershipRequest> {
         let MembershipReply::Members {
             membership,
@@ -145,7 +145,7 @@
             };
             match step {
                 Some(step) => self.call(now, step, out),
-                None => self.next_call = Some(now + PAUSE),
+                None => self.next_call = Some(now + CALL_INTERVAL),
             }
         }
         if self.next_call.is_some_and(|next| next <= now) {
--- a/crates/wingshore-lab/src/sim/client.rs
+++ b/crates/wingshore-lab/src/sim/client.rs
@@ -1,5 +1,5 @@
 //! Calls to groups from a simulated process: finds the leader and sends again, with the routes,
-//! attempt times and pauses of [`wingshore_client`].
+//! attempt timeouts and backoff of [`wingshore_client`].
 
 use crate::process::{ProcessOutput, SimMessage};
 use rand::SeedableRng;
@@ -32,11 +32,11 @@
     group: GroupId,
     body: GroupRequest,
     deadline: Instant,
-    patience: Duration,
+    attempt_timeout: Duration,
     phase: Phase,
     backoff: Backoff,
     attempts: u32,
-    tries_since_pause: usize,
+    attempts_since_backoff: usize,
 }
 
 /// What a call waits for.
@@ -47,19 +47,19 @@
         address: SocketAddr,
         until: Instant,
     },
-    /// The end of a pause.
-    Pause { until: Instant },
+    /// The end of a backoff.
+    Backoff { until: Instant },
 }
 
 /// What to do after an attempt.
 enum Next {
     Return(GroupReply),
-    TryAnother,
-    Pause,
+    AskAnother,
+    BackOff,
 }
 
 impl<T> GroupCalls<T> {
-    /// Calls of a process that knows `replicas`. `seed` draws the jitter of pauses and the replica
+    /// Calls of a process that knows `replicas`. `seed` draws the jitter of backoffs and the replica
     /// to begin with.
     pub fn new(replicas: Vec<SocketAddr>, seed: u64) -> Self {
         let start = (seed % replicas.len().max(1) as u64) as usize;
@@ -88,13 +88,13 @@
         let call = OpenCall {
             tag,
             group,
-            patience: attempt_timeout(&body, timeout),
+            attempt_timeout: attempt_timeout(&body, timeout),
             body,
             deadline: now + timeout,
-            phase: Phase::Pause { until: now },
+            phase: Phase::Backoff { until: now },
             backoff: Backoff::default(),
             attempts: 0,
-            tries_since_pause: 0,
+            attempts_since_backoff: 0,
         };
         let key = self.next_call;
         self.next_call += 1;
@@ -158,7 +158,7 @@
         if let Phase::Attempt { address, .. } = call.phase {
             let clock = wall(self.origin, now);
             self.route.on_failure(call.group, address, clock);
-            return self.go_on(now, key, Next::TryAnother, out);
+            return self.go_on(now, key, Next::AskAnother, out);
         }
         self.attempt(now, key, out);
     }
@@ -170,11 +170,11 @@
         };
         match next {
             Next::Return(reply) => self.end(key, Ok(reply)),
-            // One round over all replicas without a pause, and one more for a fresh hint.
-            Next::TryAnother if call.tries_since_pause <= candidates => {
+            // One round over all replicas without backoff, and one more for a fresh hint.
+            Next::AskAnother if call.attempts_since_backoff <= candidates => {
                 self.attempt(now, key, out);
             }
-            Next::TryAnother | Next::Pause => self.pause(now, key),
+            Next::AskAnother | Next::BackOff => self.back_off(now, key),
         }
     }
 
@@ -190,11 +190,11 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         call.attempts += 1;
-        call.tries_since_pause += 1;
+        call.attempts_since_backoff += 1;
         call.phase = Phase::Attempt {
             request: id,
             address: to,
-            until: call.deadline.min(now + call.patience),
+            until: call.deadline.min(now + call.attempt_timeout),
         };
         let message = SimMessage::GroupRequest {
             id,
@@ -204,12 +204,12 @@
         out.push(ProcessOutput::Send { to, message });
     }
 
-    fn pause(&mut self, now: Instant, key: u64) {
+    fn back_off(&mut self, now: Instant, key: u64) {
         if let Some(call) = self.calls.get_mut(&key) {
-            call.tries_since_pause = 0;
+            call.attempts_since_backoff = 0;
             let until = now + call.backoff.next_pause(&mut self.generator);
             let until = until.min(call.deadline);
-            call.phase = Phase::Pause { until };
+            call.phase = Phase::Backoff { until };
         }
     }
 
@@ -223,7 +223,7 @@
 impl<T> OpenCall<T> {
     fn due(&self) -> Instant {
         match self.phase {
-            Phase::Attempt { until, .. } | Phase::Pause { until } => until,
+            Phase::Attempt { until, .. } | Phase::Backoff { until } => until,
         }
     }
 
@@ -251,11 +251,11 @@
     match body {
         GroupReply::NotLeader { leader } => {
             route.on_not_leader(group, address, *leader, wall(origin, now));
-            Next::TryAnother
+            Next::AskAnother
         }
         GroupReply::Unknown => {
             route.on_unable(group, address);
-            Next::Pause
+            Next::BackOff
         }
         GroupReply::Rejected(_) => {
             route.on_unable(group, address);
--- a/crates/wingshore-lab/src/sim/data_site.rs
+++ b/crates/wingshore-lab/src/sim/data_site.rs
@@ -5,9 +5,10 @@
 use super::network::NetworkSettings;
 use super::node::{NodeFaults, SimNode};
 use super::observer::{ObserverHandle, SimPromise};
-use super::operator::{self, Desk};
+use super::operator;
 use super::replica::{self, ReplicaFaults};
 use super::slot::{Boot, Maker};
+use super::task_list::TaskList;
 use super::world::World;
 use crate::checks::{Limits, RunLog, check_all};
 use crate::events::Event;
@@ -65,7 +66,7 @@
     pub observer: ObserverHandle,
     /// What the site consists of.
     pub settings: DataSettings,
-    founder: Desk,
+    founder: TaskList,
     disks: Vec<MemoryFileSystem>,
     trainer: TrainerDisk,
 }
@@ -79,7 +80,7 @@
             settings: settings.varied(world.random()),
             world,
             observer,
-            founder: Desk::new(0, false),
+            founder: TaskList::new(0, false),
             disks: Vec::new(),
             trainer: TrainerDisk::default(),
         };
--- a/crates/wingshore-lab/src/sim/node/core.rs
+++ b/crates/wingshore-lab/src/sim/node/core.rs
@@ -15,9 +15,9 @@
 use wingshore_types::protocol::claims::Claimant;
 use wingshore_types::{Instant, Revision, ServerId};
 
-/// When to come back to a node that has no configuration or no lease.
+/// Retry-after of a node that has no configuration or no lease.
 const RETRY_WITHOUT_CONFIGURATION: Duration = Duration::from_millis(500);
-/// When to come back to a node that stops.
+/// Retry-after of a node that stops.
 const RETRY_AFTER_STOP: Duration = Duration::from_secs(2);
 /// Between two records of the same revision.
 const SEEN_INTERVAL: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
     /// A runner's request, of the pool with this number.
     Rollout(usize, wingshore_rollout::CallId),
     /// A trainer's request.
-    Desk(InboundCall),
+    Trainer(InboundCall),
 }
 
 /// What a call to another process was made for.
--- a/crates/wingshore-lab/src/sim/node/mod.rs
+++ b/crates/wingshore-lab/src/sim/node/mod.rs
@@ -7,16 +7,16 @@
 //! * `upstream`: open calls to back ends
 //! * `requests`, `forward`, `completion`: callers' requests
 //! * `rollouts`: samples of pools
-//! * `desk`: trainers' requests
+//! * `trainer_requests`: trainers' requests
 
 pub mod completion;
 pub mod core;
-pub mod desk;
 pub mod forward;
 pub mod probes;
 pub mod requests;
 pub mod rollouts;
 pub mod settings;
+pub mod trainer_requests;
 pub mod upstream;
 pub mod watch;
 
@@ -27,19 +27,19 @@
 use crate::process::{Call, Process, ProcessInput, ProcessOutput, SimMessage};
 use crate::sim::client::{CallResult, GroupCalls};
 use crate::wiring::{InboundCall, not_run, record};
-use desk::Desk;
 use probes::{Probes, on_probe};
 use requests::Requests;
 use rollouts::PoolRollouts;
 use std::net::SocketAddr;
 use std::time::Duration;
+use trainer_requests::TrainerRequests;
 use upstream::{News, Upstream};
 use watch::Watch;
 use wingshore_types::Instant;
 
 /// How long nothing may be in flight before a stop believes it.
 const STOP_QUIET: Duration = Duration::from_millis(100);
-/// Between two looks at whether a planned stop is over.
+/// Between two checks whether a planned stop is over.
 const STOP_POLL: Duration = Duration::from_millis(20);
 /// How long a planned stop waits for settlements beyond its grace.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
@@ -60,14 +60,14 @@
     probes: Probes,
     requests: Requests,
     rollouts: Vec<PoolRollouts>,
-    desk: Desk,
+    trainer_requests: TrainerRequests,
 }
 
 /// A planned stop under way.
 struct Stop {
     began: Instant,
     busy_at: Instant,
-    next_look: Instant,
+    next_check: Instant,
     is_over: bool,
 }
 
@@ -86,7 +86,7 @@
                 probes: Probes::new(now),
                 requests: Requests::default(),
                 rollouts,
-                desk: Desk::default(),
+                trainer_requests: TrainerRequests::default(),
             },
             started_at: Some(now),
             stop: None,
@@ -97,8 +97,8 @@
         let Some(stop) = self.stop.as_mut().filter(|stop| !stop.is_over) else {
             return;
         };
-        stop.next_look = now + STOP_POLL;
-        if !(self.parts.requests.is_idle() && self.parts.desk.is_idle()) {
+        stop.next_check = now + STOP_POLL;
+        if !(self.parts.requests.is_idle() && self.parts.trainer_requests.is_idle()) {
             stop.busy_at = now;
         }
         let grace = self.core.settings.stop_grace;
@@ -113,9 +113,9 @@
         }
     }
 
-    /// When the stop is looked at again.
+    /// When the stop is checked again.
     fn stop_wake(&self) -> Option<Instant> {
-        self.stop.as_ref().map(|stop| stop.next_look)
+        self.stop.as_ref().map(|stop| stop.next_check)
     }
 
     fn is_over(&self) -> bool {
@@ -134,7 +134,7 @@
             self.stop = Some(Stop {
                 began: now,
                 busy_at: now,
-                next_look: now,
+                next_check: now,
                 is_over: false,
             });
         }
@@ -215,7 +215,7 @@
             Call::Submit { .. }
             | Call::Pull { .. }
             | Call::Acknowledge { .. }
-            | Call::Publish { .. } => self.desk.on_call(context, caller, call),
+            | Call::Publish { .. } => self.trainer_requests.on_call(context, caller, call),
             _ => caller.answer(not_run("not_found", None), context.out),
         }
     }
@@ -267,7 +267,9 @@
             GroupPurpose::Rollout(pool, call) => {
                 self.rollouts[pool].on_ledger(context, call, result);
             }
-            GroupPurpose::Desk(caller) => self.desk.on_result(context, caller, result),
+            GroupPurpose::Trainer(caller) => {
+                self.trainer_requests.on_result(context, caller, result)
+            }
         }
     }
 }
--- a/crates/wingshore-lab/src/sim/node/probes.rs
+++ b/crates/wingshore-lab/src/sim/node/probes.rs
@@ -7,14 +7,14 @@
 use wingshore_routing::{ProbeKind, ProbeTarget};
 use wingshore_types::{Instant, ServerId};
 
-/// Between two looks at which probes are due.
+/// Between two checks which probes are due.
 const POLL: Duration = Duration::from_millis(50);
 /// One reading of the machine list is given up after this time.
 const MACHINES_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Probes and readings of the machine list.
 pub struct Probes {
-    next_look: Instant,
+    next_check: Instant,
     next_reading: Option<Instant>,
 }
 
@@ -22,21 +22,21 @@
     /// Probes that begin at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
-            next_look: now,
+            next_check: now,
             next_reading: Some(now),
         }
     }
 
     /// When [`Probes::on_wake`] is wanted.
     pub fn next_wake(&self) -> Option<Instant> {
-        let reading = self.next_reading.unwrap_or(self.next_look);
-        Some(self.next_look.min(reading))
+        let reading = self.next_reading.unwrap_or(self.next_check);
+        Some(self.next_check.min(reading))
     }
 
     /// Sends what is due.
     pub fn on_wake(&mut self, context: &mut NodeContext<'_>) {
-        if self.next_look <= context.now {
-            self.next_look = context.now + POLL;
+        if self.next_check <= context.now {
+            self.next_check = context.now + POLL;
             for target in context.core.router.probe_targets(context.now) {
                 probe(context, target);
             }
--- a/crates/wingshore-lab/src/sim/node/desk.rs
+++ b/crates/wingshore-lab/src/sim/node/trainer_requests.rs
@@ -28,14 +28,14 @@
 /// What a trainer's request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The ledger is being told of the pool.
+    /// The pool is being announced to the ledger.
     Announcing,
     /// The group is asked.
     Asking,
 }
 
 /// One request in flight.
-struct DeskRequest {
+struct TrainerRequest {
     pool: Pool,
     revision: Revision,
     group: GroupId,
@@ -45,14 +45,14 @@
     was_unknown: bool,
 }
 
-/// The requests in flight, and which pools their ledgers were told of.
+/// The requests in flight, and which pools were announced to their ledgers.
 #[derive(Default)]
-pub struct Desk {
-    open: BTreeMap<InboundCall, DeskRequest>,
+pub struct TrainerRequests {
+    open: BTreeMap<InboundCall, TrainerRequest>,
     announced: BTreeMap<PoolId, Pool>,
 }
 
-impl Desk {
+impl TrainerRequests {
     /// Whether no request is in flight.
     pub fn is_idle(&self) -> bool {
         self.open.is_empty()
@@ -72,7 +72,7 @@
         };
         context.record_revision();
         let is_to_ledger = matches!(body, GroupRequest::Ledger(_));
-        let request = DeskRequest {
+        let request = TrainerRequest {
             group: if is_to_ledger {
                 GroupId::Ledger(pool.ledger)
             } else {
@@ -127,7 +127,7 @@
         &mut self,
         context: &mut NodeContext<'_>,
         caller: InboundCall,
-        mut request: DeskRequest,
+        mut request: TrainerRequest,
     ) {
         let pool = &request.pool;
         let body = GroupRequest::Ledger(LedgerRequest::Configure {
@@ -139,7 +139,7 @@
             idle_weight: pool.idle_weight,
             trainer: pool.trainer.clone(),
         });
-        let (now, purpose) = (context.now, GroupPurpose::Desk(caller));
+        let (now, purpose) = (context.now, GroupPurpose::Trainer(caller));
         let group = request.group;
         context
             .groups
@@ -152,9 +152,9 @@
         &mut self,
         context: &mut NodeContext<'_>,
         caller: InboundCall,
-        mut request: DeskRequest,
+        mut request: TrainerRequest,
     ) {
-        let (now, purpose) = (context.now, GroupPurpose::Desk(caller));
+        let (now, purpose) = (context.now, GroupPurpose::Trainer(caller));
         let (group, body) = (request.group, request.body.clone());
         context
             .groups
--- a/crates/wingshore-lab/src/sim/operator.rs
+++ b/crates/wingshore-lab/src/sim/operator.rs
@@ -2,10 +2,9 @@
 //! again what was not answered.
 
 use super::client::{CallResult, GroupCalls};
-pub use super::desk::Desk;
-use super::desk::Job;
 use super::observer::{ObserverHandle, SimPromise};
 use super::slot::{Boot, Maker};
+use super::task_list::{Task, TaskList};
 use crate::process::{Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,10 +20,10 @@
 
 /// Longest time of one call; what is not answered then is sent again under the same identity.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before a call is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before a call is sent again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest time an operator thinks between two calls.
-const LONGEST_THINKING: Duration = Duration::from_millis(40);
+const MAX_THINKING: Duration = Duration::from_millis(40);
 /// Chance that an answered intent is sent once more.
 const RESEND_CHANCE: f64 = 0.5;
 /// The server that racing operators change.
@@ -62,28 +61,33 @@
 
 /// One call: kept until it is answered.
 #[derive(Clone, Debug)]
-struct Errand {
+struct OperatorCall {
     purpose: Purpose,
     request: ControlRequest,
 }
 
 struct Operator {
     number: u8,
-    desk: Desk,
-    calls: GroupCalls<Errand>,
+    tasks: TaskList,
+    calls: GroupCalls<OperatorCall>,
     observer: ObserverHandle,
     random: ChaCha8Rng,
-    waiting: VecDeque<(Instant, Errand)>,
+    waiting: VecDeque<(Instant, OperatorCall)>,
     /// What the current intent adds.
     server: Option<ServerId>,
 }
 
-/// Makes an operator who works from `desk`.
-pub fn maker(number: u8, replicas: Vec<SocketAddr>, desk: Desk, observer: ObserverHandle) -> Maker {
+/// Makes an operator who works from `tasks`.
+pub fn maker(
+    number: u8,
+    replicas: Vec<SocketAddr>,
+    tasks: TaskList,
+    observer: ObserverHandle,
+) -> Maker {
     Box::new(move |boot| {
         let mut operator = Operator {
             number,
-            desk: desk.clone(),
+            tasks: tasks.clone(),
             calls: GroupCalls::new(replicas.clone(), boot.seed),
             observer: observer.clone(),
             random: random_of(boot),
@@ -100,41 +104,41 @@
 }
 
 impl Operator {
-    /// Looks at the site first; everything else follows from the answer.
+    /// Asks for the site's status first; everything else follows from the answer.
     fn begin(&mut self, now: Instant) {
         let floor = self.observer.acknowledged_revision();
-        let errand = Errand {
+        let call = OperatorCall {
             purpose: Purpose::Status { floor },
             request: ControlRequest::Status,
         };
-        self.later(now, errand);
+        self.later(now, call);
     }
 
-    fn later(&mut self, now: Instant, errand: Errand) {
-        let thinking = self.random.random_range(Duration::ZERO..LONGEST_THINKING);
-        self.waiting.push_back((now + thinking, errand));
+    fn later(&mut self, now: Instant, call: OperatorCall) {
+        let thinking = self.random.random_range(Duration::ZERO..MAX_THINKING);
+        self.waiting.push_back((now + thinking, call));
     }
 
-    fn send(&mut self, now: Instant, mut errand: Errand, out: &mut Vec<ProcessOutput>) {
-        if let Purpose::Status { floor } = &mut errand.purpose {
+    fn send(&mut self, now: Instant, mut call: OperatorCall, out: &mut Vec<ProcessOutput>) {
+        if let Purpose::Status { floor } = &mut call.purpose {
             *floor = self.observer.acknowledged_revision();
         }
-        if let Purpose::Publish { .. } = errand.purpose {
+        if let Purpose::Publish { .. } = call.purpose {
             self.store_weights(out);
         }
-        let body = GroupRequest::Control(errand.request.clone());
+        let body = GroupRequest::Control(call.request.clone());
         self.calls
-            .call(now, GroupId::Control, body, CALL_TIMEOUT, errand, out);
+            .call(now, GroupId::Control, body, CALL_TIMEOUT, call, out);
     }
 
     fn store_weights(&mut self, out: &mut Vec<ProcessOutput>) {
-        let desk = self.desk.lock();
-        if let Some(Job::Publish {
+        let tasks = self.tasks.lock();
+        if let Some(Task::Publish {
             version,
             model,
             store,
             ..
-        }) = desk.jobs.front()
+        }) = tasks.tasks.front()
         {
             let call = Call::StoreWeights {
                 model: model.clone(),
@@ -151,21 +155,21 @@
         }
     }
 
-    fn on_result(&mut self, now: Instant, errand: Errand, result: CallResult) {
+    fn on_result(&mut self, now: Instant, call: OperatorCall, result: CallResult) {
         let Ok(GroupReply::Control(reply)) = result else {
-            self.waiting.push_back((now + RETRY_PAUSE, errand));
+            self.waiting.push_back((now + RETRY_BACKOFF, call));
             return;
         };
-        match errand.purpose {
+        match call.purpose {
             Purpose::Status { floor } => self.on_status(now, floor, &reply),
-            Purpose::Propose { intent } => self.on_proposed(now, intent, errand.request, reply),
+            Purpose::Propose { intent } => self.on_proposed(now, intent, call.request, reply),
             Purpose::Confirm { intent, plan } => {
-                self.on_confirmed(now, intent, &plan, errand.request, &reply);
+                self.on_confirmed(now, intent, &plan, call.request, &reply);
             }
             Purpose::Follow { plan } => self.on_followed(now, plan, &reply),
             Purpose::Publish { intent } => {
                 self.note_answer(intent, &reply);
-                self.maybe_again(now, intent, &errand.request);
+                self.maybe_again(now, intent, &call.request);
                 self.end_intent(now, None, false);
             }
             Purpose::Again { intent } => self.note_answer(intent, &reply),
@@ -180,8 +184,8 @@
         self.observer.revision_told(committed, floor);
         self.observer.in_force_told(status.in_force.everywhere);
         let intent_id = IntentId(self.random.random());
-        let errand = match self.next_job() {
-            Some(Job::Publish { pool, version, .. }) => Errand {
+        let call = match self.next_task() {
+            Some(Task::Publish { pool, version, .. }) => OperatorCall {
                 purpose: Purpose::Publish { intent: intent_id },
                 request: ControlRequest::Publish {
                     intent_id,
@@ -189,7 +193,7 @@
                     version,
                 },
             },
-            Some(Job::State(intent)) => Errand {
+            Some(Task::State(intent)) => OperatorCall {
                 purpose: Purpose::Propose { intent: intent_id },
                 request: ControlRequest::Propose {
                     intent_id,
@@ -197,30 +201,30 @@
                     intent,
                 },
             },
-            None => return self.begin(now + LONGEST_THINKING * 4),
+            None => return self.begin(now + MAX_THINKING * 4),
         };
-        self.later(now, errand);
+        self.later(now, call);
     }
 
     /// The next thing to do. Changes of the operator's own are stated against what they saw.
-    fn next_job(&mut self) -> Option<Job> {
-        let mut desk = self.desk.lock();
+    fn next_task(&mut self) -> Option<Task> {
+        let mut tasks = self.tasks.lock();
         self.server = None;
-        if let Some(job) = desk.jobs.front() {
-            return Some(job.clone());
+        if let Some(task) = tasks.tasks.front() {
+            return Some(task.clone());
         }
-        if desk.changes == 0 {
+        if tasks.changes == 0 {
             return None;
         }
-        desk.drawn += 1;
-        let zone = format!("operator-{}-{}", self.number, desk.drawn);
-        let server = match desk.races {
+        tasks.drawn += 1;
+        let zone = format!("operator-{}-{}", self.number, tasks.drawn);
+        let server = match tasks.races {
             true => new_server(CONTESTED, &zone, CONTESTED_ADDRESS),
-            false => new_server(&zone, &zone, own_address(self.number, desk.drawn)),
+            false => new_server(&zone, &zone, own_address(self.number, tasks.drawn)),
         };
         self.server = Some(server.id.clone());
         let change = ConfigurationChange::PutServer(server);
-        Some(Job::State(Intent::Apply(vec![change])))
+        Some(Task::State(Intent::Apply(vec![change])))
     }
 
     fn on_proposed(
@@ -244,7 +248,7 @@
             intent: confirm_id,
             plan,
         };
-        self.later(now, Errand { purpose, request });
+        self.later(now, OperatorCall { purpose, request });
     }
 
     fn on_confirmed(
@@ -270,12 +274,12 @@
     fn follow(&mut self, now: Instant, plan: &Plan) {
         match plan.state {
             PlanState::Proposed | PlanState::Running { .. } => {
-                self.desk.lock().plan = Some(plan.clone());
-                let errand = Errand {
+                self.tasks.lock().plan = Some(plan.clone());
+                let call = OperatorCall {
                     purpose: Purpose::Follow { plan: plan.id },
                     request: ControlRequest::ShowPlan(plan.id),
                 };
-                self.later(now + RETRY_PAUSE, errand);
+                self.later(now + RETRY_BACKOFF, call);
             }
             _ => self.end_intent(now, Some(plan), plan.state == PlanState::Done),
         }
@@ -300,16 +304,16 @@
             self.observer.server_answered(server, is_done);
         }
         {
-            let mut desk = self.desk.lock();
-            desk.plan = plan.cloned().or(desk.plan.take());
+            let mut tasks = self.tasks.lock();
+            tasks.plan = plan.cloned().or(tasks.plan.take());
             match server {
                 None => {
-                    desk.jobs.pop_front();
-                    desk.ended += 1;
+                    tasks.tasks.pop_front();
+                    tasks.ended += 1;
                 }
                 Some(_) if is_done => {
-                    desk.changes = desk.changes.saturating_sub(1);
-                    desk.ended += 1;
+                    tasks.changes = tasks.changes.saturating_sub(1);
+                    tasks.ended += 1;
                 }
                 Some(_) => {}
             }
@@ -328,11 +332,11 @@
 
     fn maybe_again(&mut self, now: Instant, intent: IntentId, request: &ControlRequest) {
         if self.random.random_bool(RESEND_CHANCE) {
-            let errand = Errand {
+            let call = OperatorCall {
                 purpose: Purpose::Again { intent },
                 request: request.clone(),
             };
-            self.later(now, errand);
+            self.later(now, call);
         }
     }
 }
@@ -347,12 +351,12 @@
             ProcessInput::Stop => out.push(ProcessOutput::Exit),
             ProcessInput::Fault(_) => {}
         }
-        for (errand, result) in self.calls.take_results() {
-            self.on_result(now, errand, result);
+        for (call, result) in self.calls.take_results() {
+            self.on_result(now, call, result);
         }
-        let due: Vec<Errand> = self.take_due(now);
-        for errand in due {
-            self.send(now, errand, out);
+        let due: Vec<OperatorCall> = self.take_due(now);
+        for call in due {
+            self.send(now, call, out);
         }
     }
 
@@ -366,13 +370,13 @@
 }
 
 impl Operator {
-    fn take_due(&mut self, now: Instant) -> Vec<Errand> {
+    fn take_due(&mut self, now: Instant) -> Vec<OperatorCall> {
         let (due, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|(at, _)| *at <= now);
         self.waiting = waiting;
-        let due: VecDeque<(Instant, Errand)> = due;
-        due.into_iter().map(|(_, errand)| errand).collect()
+        let due: VecDeque<(Instant, OperatorCall)> = due;
+        due.into_iter().map(|(_, call)| call).collect()
     }
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/clients.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/clients.rs
@@ -1,4 +1,4 @@
-//! Operators who race, and processes that come back after many changes.
+//! Operators who race, and processes that return after many changes.
 
 use super::ControlScenario;
 use super::faults::{Fault, any_cut, pause};
@@ -79,9 +79,9 @@
     site.world.kill(address(Kind::Watcher, 2), true);
     for batch in 0..MISSED_CHANGES / CHANGES_PER_INTENT {
         let changes = (0..CHANGES_PER_INTENT).map(|number| put_server(batch, number));
-        site.desks[0].add(Intent::Apply(changes.collect()));
+        site.task_lists[0].add(Intent::Apply(changes.collect()));
     }
-    let founder = site.desks[0].clone();
+    let founder = site.task_lists[0].clone();
     site.world.run_until(CHANGES_LIMIT, |_| founder.is_done());
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/data_path.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/data_path.rs
@@ -16,9 +16,9 @@
 
 /// How often a scenario does what it does.
 pub(super) const ROUNDS: usize = 4;
-/// Longest time a node stands still: shorter than its callers' patience, so that a cut answer can
+/// Longest time a node stands still: shorter than its callers wait, so that a cut answer can
 /// be told from a late one.
-const LONGEST_NODE_FREEZE_MS: u64 = 5_000;
+const MAX_NODE_FREEZE_MS: u64 = 5_000;
 
 /// What is done to a site.
 pub type Act = fn(&mut DataSite);
@@ -163,10 +163,7 @@
             2 => |output| is_call(output, |call| matches!(call, Call::Score(_))),
             _ => |output| is_group_request(output),
         };
-        let time = site
-            .world
-            .random()
-            .random_range(200..LONGEST_NODE_FREEZE_MS);
+        let time = site.world.random().random_range(200..MAX_NODE_FREEZE_MS);
         let trap = Trap {
             wanted: Box::new(wanted),
             skip: site.world.random().random_range(0..3),
@@ -362,7 +359,7 @@
 }
 
 fn freeze_node(site: &mut DataSite, node: SocketAddr, shortest_ms: u64) {
-    let times = shortest_ms..LONGEST_NODE_FREEZE_MS;
+    let times = shortest_ms..MAX_NODE_FREEZE_MS;
     let time = site.world.random().random_range(times);
     site.world.freeze(node, Duration::from_millis(time));
 }
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -2,11 +2,11 @@
 //! engines, around one [`World`].
 
 use super::administrator::{self, Repairs};
-use super::desk::Desk;
 use super::network::NetworkSettings;
 use super::observer::{ObserverHandle, SimPromise};
 use super::operator;
 use super::replica::{self, ReplicaFaults, ReplicaSettings};
+use super::task_list::TaskList;
 use super::watcher;
 use super::world::World;
 use crate::checks::{Limits, RunLog, check_all};
@@ -80,7 +80,7 @@
     /// What the simulator sees.
     pub observer: ObserverHandle,
     /// What operators do, the founder's first.
-    pub desks: Vec<Desk>,
+    pub task_lists: Vec<TaskList>,
     /// What the administrator does.
     pub repairs: Repairs,
     settings: SiteSettings,
@@ -97,7 +97,7 @@
                 .map(|number| address(Kind::Replica, number))
                 .collect(),
             observer,
-            desks: Vec::new(),
+            task_lists: Vec::new(),
             repairs: Repairs::default(),
             settings,
             disks: Vec::new(),
@@ -190,10 +190,10 @@
 
     /// Waits until the site is founded: the first configuration is committed.
     pub fn found(&mut self) {
-        let founder = self.desks[0].clone();
+        let founder = self.task_lists[0].clone();
         self.await_or_violate("the first configuration", |_| founder.is_done());
-        for desk in self.desks.iter().skip(1) {
-            desk.add_changes(self.settings.changes);
+        for tasks in self.task_lists.iter().skip(1) {
+            tasks.add_changes(self.settings.changes);
         }
     }
 
@@ -211,14 +211,14 @@
         self.heal();
         let repairs = self.repairs.clone();
         self.await_or_violate("the end of repairs", |_| repairs.are_done());
-        let desks = self.desks.clone();
-        let all_done = |_: &World| desks.iter().all(Desk::is_done);
+        let task_lists = self.task_lists.clone();
+        let all_done = |_: &World| task_lists.iter().all(TaskList::is_done);
         if !self.await_or_violate("the end of all intents", all_done) {
             return;
         }
         let last = self.last_change();
-        self.desks[0].add(Intent::Apply(vec![last]));
-        let founder = self.desks[0].clone();
+        self.task_lists[0].add(Intent::Apply(vec![last]));
+        let founder = self.task_lists[0].clone();
         self.await_or_violate("a last change", |_| founder.is_done());
         self.await_agreement();
     }
@@ -267,8 +267,8 @@
         let pool = PoolId::new(POOL);
         let model = EngineSettings::default().model;
         let store = address(Kind::Store, 0);
-        self.desks[0].publish(pool, WeightVersion(version), &model, store);
-        self.desks[0].add(Intent::MovePool {
+        self.task_lists[0].publish(pool, WeightVersion(version), &model, store);
+        self.task_lists[0].add(Intent::MovePool {
             pool: PoolId::new(POOL),
             version: WeightVersion(version),
         });
@@ -329,16 +329,16 @@
     }
 
     fn add_operators(&mut self) {
-        let founder = Desk::new(0, false);
+        let founder = TaskList::new(0, false);
         founder.add(Intent::Apply(self.first_changes()));
-        self.desks.push(founder);
-        let own = (0..self.settings.operators).map(|_| Desk::new(0, false));
-        let racing = (0..self.settings.racers).map(|_| Desk::new(0, true));
-        self.desks.extend(own.chain(racing));
-        for (number, desk) in self.desks.clone().into_iter().enumerate() {
+        self.task_lists.push(founder);
+        let own = (0..self.settings.operators).map(|_| TaskList::new(0, false));
+        let racing = (0..self.settings.racers).map(|_| TaskList::new(0, true));
+        self.task_lists.extend(own.chain(racing));
+        for (number, tasks) in self.task_lists.clone().into_iter().enumerate() {
             let name = format!("operator-{number}");
             let (replicas, observer) = (self.replicas.clone(), self.observer.clone());
-            let maker = operator::maker(number as u8, replicas, desk, observer);
+            let maker = operator::maker(number as u8, replicas, tasks, observer);
             self.world
                 .add(&name, address(Kind::Operator, number), maker);
         }
--- a/crates/wingshore-lab/src/sim/desk.rs
+++ b/crates/wingshore-lab/src/sim/task_list.rs
@@ -8,11 +8,11 @@
 
 /// What an operator is to do, and how far they have come; outlives the operator's process.
 #[derive(Clone, Default)]
-pub struct Desk(Arc<Mutex<DeskState>>);
+pub struct TaskList(Arc<Mutex<Tasks>>);
 
 /// Something to be done as it is.
 #[derive(Clone, Debug)]
-pub(super) enum Job {
+pub(super) enum Task {
     State(Intent),
     Publish {
         pool: PoolId,
@@ -23,9 +23,9 @@
 }
 
 #[derive(Default)]
-pub(super) struct DeskState {
+pub(super) struct Tasks {
     /// What is to be done first, in order.
-    pub(super) jobs: VecDeque<Job>,
+    pub(super) tasks: VecDeque<Task>,
     /// Changes of their own still to be made.
     pub(super) changes: u32,
     /// Whether those go to the contested server.
@@ -36,24 +36,24 @@
     pub(super) plan: Option<Plan>,
 }
 
-impl Desk {
+impl TaskList {
     /// An operator with `changes` of their own to make, with `races` to the contested server.
     pub fn new(changes: u32, races: bool) -> Self {
-        let desk = Self::default();
-        desk.lock().changes = changes;
-        desk.lock().races = races;
-        desk
+        let list = Self::default();
+        list.lock().changes = changes;
+        list.lock().races = races;
+        list
     }
 
-    /// Puts an intent on the desk.
+    /// Adds an intent.
     pub fn add(&self, intent: Intent) {
-        self.lock().jobs.push_back(Job::State(intent));
+        self.lock().tasks.push_back(Task::State(intent));
     }
 
-    /// Puts a publication on the desk: the weights are stored, then the version is told.
+    /// Adds a publication: the weights are stored, then the version is announced.
     pub fn publish(&self, pool: PoolId, version: WeightVersion, model: &str, store: SocketAddr) {
         let model = model.to_owned();
-        self.lock().jobs.push_back(Job::Publish {
+        self.lock().tasks.push_back(Task::Publish {
             pool,
             version,
             model,
@@ -69,7 +69,7 @@
     /// Whether all is done.
     pub fn is_done(&self) -> bool {
         let state = self.lock();
-        state.jobs.is_empty() && state.changes == 0
+        state.tasks.is_empty() && state.changes == 0
     }
 
     /// How many intents came to an end.
@@ -82,7 +82,7 @@
         self.lock().plan.clone()
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, DeskState> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, Tasks> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/wingshore-lab/src/sim/trace.rs
+++ b/crates/wingshore-lab/src/sim/trace.rs
@@ -5,7 +5,7 @@
 use wingshore_types::Instant;
 
 /// Most characters of a message.
-const MOST_TRACED: usize = 300;
+const MAX_TRACED: usize = 300;
 
 /// Prints a message that has arrived.
 pub fn print(now: Instant, from: &str, to: &str, message: &SimMessage) {
@@ -13,6 +13,6 @@
         SimMessage::Consensus { message, .. } => replica::describe(message),
         other => format!("{other:?}"),
     };
-    let text: String = text.chars().take(MOST_TRACED).collect();
+    let text: String = text.chars().take(MAX_TRACED).collect();
     println!("{:>14} {from} -> {to}: {text}", now.0 / 1000);
 }
--- a/crates/wingshore-lab/src/sim/watcher.rs
+++ b/crates/wingshore-lab/src/sim/watcher.rs
@@ -18,8 +18,8 @@
 const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Longest time for a whole call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time between two looks at what is in force.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two checks what is in force.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
@@ -31,7 +31,7 @@
     view: ConfigurationView,
     observer: ObserverHandle,
     next_watch: Option<Instant>,
-    next_look: Instant,
+    next_check: Instant,
     is_new: bool,
 }
 
@@ -46,7 +46,7 @@
             view: ConfigurationView::new(WithoutLease::Refuse),
             observer: observer.clone(),
             next_watch: Some(boot.now),
-            next_look: boot.now,
+            next_check: boot.now,
             is_new: true,
         }))
     })
@@ -83,8 +83,8 @@
         }
     }
 
-    fn look(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
-        self.next_look = now + LOOK_INTERVAL;
+    fn check(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
+        self.next_check = now + CHECK_INTERVAL;
         if self.view.may_admit(now).is_err() {
             return;
         }
@@ -117,14 +117,14 @@
         if self.next_watch.is_some_and(|next| next <= now) {
             self.watch(now, out);
         }
-        if self.next_look <= now {
-            self.look(now, out);
+        if self.next_check <= now {
+            self.check(now, out);
         }
     }
 
     fn next_wake(&self) -> Option<Instant> {
         let calls = self.calls.next_wake();
-        [calls, self.next_watch, Some(self.next_look)]
+        [calls, self.next_watch, Some(self.next_check)]
             .into_iter()
             .flatten()
             .min()
--- a/crates/wingshore-lab/src/sim/world.rs
+++ b/crates/wingshore-lab/src/sim/world.rs
@@ -17,13 +17,13 @@
 use wingshore_types::{Epoch, Instant, OrderSequence};
 
 /// Shortest time between two wakes of a process.
-const SHORTEST_SLEEP: Duration = Duration::from_micros(20);
+const MIN_SLEEP: Duration = Duration::from_micros(20);
 
 /// Events after which a world stands still: something goes round in circles.
-const MOST_EVENTS: u64 = 3_000_000;
+const MAX_EVENTS: u64 = 3_000_000;
 
 /// How fast a machine's clock may run, in millionths.
-const MOST_DRIFT_PPM: i64 = 15_000;
+const MAX_DRIFT_PPM: i64 = 15_000;
 
 /// What is to happen.
 pub(super) enum Happening {
@@ -105,7 +105,7 @@
     /// Adds a machine and starts its process.
     pub fn add(&mut self, name: &str, address: SocketAddr, maker: Maker) {
         let offset = Instant(self.random.random_range(0..1_000_000_000_000));
-        let drift = self.random.random_range(-MOST_DRIFT_PPM..=MOST_DRIFT_PPM);
+        let drift = self.random.random_range(-MAX_DRIFT_PPM..=MAX_DRIFT_PPM);
         let clock = LocalClock::new(offset, drift);
         self.slots.insert(address, Slot::new(name, clock, maker));
         self.start(address);
@@ -177,7 +177,7 @@
     }
 
     fn step_before(&mut self, until: Instant) -> bool {
-        if self.handled >= MOST_EVENTS {
+        if self.handled >= MAX_EVENTS {
             return false;
         }
         let Some(entry) = self.queue.first_entry() else {
@@ -354,7 +354,7 @@
             slot.wake_at = None;
             return;
         };
-        let at = slot.clock.global(wanted).max(now + SHORTEST_SLEEP);
+        let at = slot.clock.global(wanted).max(now + MIN_SLEEP);
         if slot.wake_at != Some(at) {
             slot.wake_at = Some(at);
             self.schedule(at, Happening::Wake { process: address });
--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -18,13 +18,13 @@
 use wingshore_types::platform::{EngineCompletionRequest, EngineOrder, EngineState};
 use wingshore_types::{Instant, Verdict, WeightVersion};
 
-/// How often a fetch is tried again.
+/// Attempts of a fetch.
 const FETCH_ATTEMPTS: u32 = 40;
-/// Pause before a fetch is tried again when the store names none.
-const FETCH_RETRY: Duration = Duration::from_millis(250);
-/// Longest fetch.
+/// Backoff of a fetch when the store names none.
+const FETCH_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest attempt of a fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
-/// When to come back after a refusal.
+/// Retry-after of a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Something to do later.
@@ -351,7 +351,7 @@
                 verdict: Verdict::NotRun,
                 ..
             } => *pause,
-            Answer::Broken | Answer::Unreachable => FETCH_RETRY,
+            Answer::Broken | Answer::Unreachable => FETCH_BACKOFF,
             _ => return self.end_fetch(now, fetch.version, false, out),
         };
         self.timers.set(now + again, Later::Fetch(fetch, None));
--- a/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
@@ -8,7 +8,7 @@
 use wingshore_types::Token;
 
 /// Largest token of a prompt.
-const LARGEST_TOKEN: Token = 50_000;
+const MAX_TOKEN: Token = 50_000;
 
 /// One request to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
         let prompt_tokens = self.settings.prompt_tokens;
         let prompt = match kind {
             CallKind::Completion => (0..prompt_tokens)
-                .map(|_| self.generator.random_range(0..LARGEST_TOKEN))
+                .map(|_| self.generator.random_range(0..MAX_TOKEN))
                 .collect(),
             CallKind::Charge | CallKind::Lookup => Vec::new(),
         };
--- a/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -18,11 +18,11 @@
 use wingshore_types::{Generation, Instant, ServiceId, Verdict};
 
 /// How much longer than the stated deadline a caller waits.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_MARGIN: Duration = Duration::from_secs(5);
 /// How often a keyed charge without a final answer is sent again.
 const RESENDS: u32 = 3;
-/// Pause before that.
-const RESEND_PAUSE: Duration = Duration::from_millis(200);
+/// Backoff before that.
+const RESEND_BACKOFF: Duration = Duration::from_millis(200);
 /// Status that stands for an error answer of the node.
 const ERROR_STATUS: u16 = 503;
 
@@ -148,7 +148,7 @@
         let call = self.call_of(&work, &request);
         let id = self.numbers.draw();
         send_call(self.settings.node, id, call, out);
-        let limit = now + self.settings.load.deadline + PATIENCE;
+        let limit = now + self.settings.load.deadline + ANSWER_MARGIN;
         self.timers.set(limit, Later::GiveUp(id));
         let under_way = UnderWay {
             work,
@@ -297,10 +297,10 @@
             return;
         }
         work.resends += 1;
-        work.since = now + RESEND_PAUSE;
+        work.since = now + RESEND_BACKOFF;
         self.resending += 1;
         self.timers
-            .set(now + RESEND_PAUSE, Later::Resend(Box::new(work)));
+            .set(now + RESEND_BACKOFF, Later::Resend(Box::new(work)));
     }
 
     fn run_timers(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
--- a/crates/wingshore-lab/src/stand_ins/live_server/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// When to come back after a refusal.
+/// Retry-after of a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Status of an answer.
 const OK: u16 = 200;
--- a/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::atomic::AtomicBool;
 
 /// Trains until it is told to stop by SIGTERM; it then pulls all that it has submitted, so that
-/// the log shows whether a sample was lost. What its log holds of an earlier run is gone on with.
+/// the log shows whether a sample was lost. It resumes from what its log holds.
 ///
 /// # Errors
 /// When its settings or log cannot be used.
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -15,8 +15,8 @@
 };
 use wingshore_types::{Instant, PoolId, SampleNumber, StepId, TrainerId, WeightVersion};
 
-/// Pause before a call is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before a call is sent again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 /// How much longer than the pull itself a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// Codes after which asking again cannot help.
@@ -217,7 +217,7 @@
             (_, Answer::Refused { code, .. }) if FINAL_CODES.contains(&code.as_str()) => {
                 self.activity = Activity::Over;
             }
-            _ => self.timers.set(now + RETRY_PAUSE, Later::Send),
+            _ => self.timers.set(now + RETRY_BACKOFF, Later::Send),
         }
     }
 
@@ -286,7 +286,7 @@
                     self.waiting = None;
                     let to = self.current_call().map(|(to, _)| to);
                     hang_up(to.unwrap_or(self.settings.node), id, out);
-                    self.timers.set(now + RETRY_PAUSE, Later::Send);
+                    self.timers.set(now + RETRY_BACKOFF, Later::Send);
                 }
                 Later::GiveUp(_) => {}
                 Later::Trained => {
--- a/crates/wingshore-lab/src/stand_ins/trainer/prompts.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/prompts.rs
@@ -10,7 +10,7 @@
 use wingshore_types::{Prompt, SampleNumber, StepId, Token};
 
 /// Largest token of a prompt.
-const LARGEST_TOKEN: Token = 50_000;
+const MAX_TOKEN: Token = 50_000;
 
 /// Numbers of a step's samples.
 pub fn numbers_of(settings: &TrainingSettings, step: StepId) -> std::ops::Range<u64> {
@@ -39,7 +39,7 @@
 fn tokens(seed: u64, count: usize) -> Vec<Token> {
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
     (0..count)
-        .map(|_| generator.random_range(0..LARGEST_TOKEN))
+        .map(|_| generator.random_range(0..MAX_TOKEN))
         .collect()
 }
 
--- a/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wingshore_types::{Instant, WeightVersion};
 
-/// When to come back to a store that is full.
+/// Retry-after of a store that is full.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A version of a model.
--- a/crates/wingshore-lab/src/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -114,7 +114,7 @@
 pub struct NotTaken {
     /// Stable code.
     pub code: &'static str,
-    /// When to come back.
+    /// Retry-after.
     pub retry_after: Option<Duration>,
 }
 
