--- a/crates/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/wingshore-lab/src/sim/data_layout.rs
@@ -1,29 +1,25 @@
-//! Plain parameters of a [`super::data_site::DataSite`], and the settings that its processes get.
+//! What a [`super::data_site::DataSite`] consists of, and the settings that its processes get.
 
 use super::node::SimNodeSettings;
 use super::observer::ObserverHandle;
-use super::replica::{ReplicaFaults, ReplicaSettings};
+use super::replica::{ReplicaFaults, ReplicaSettings, founders};
 use crate::stand_ins::engine::EngineSettings;
 use crate::stand_ins::engine::length::LengthDistribution;
 use crate::stand_ins::live_caller::settings::{LiveCallerSettings, LoadSettings};
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::machine_list::MachineListSettings;
-use crate::stand_ins::scorer::ScorerSettings;
 use crate::stand_ins::trainer::settings::{TrainerSettings, TrainingSettings};
-use crate::stand_ins::weight_store::WeightStoreSettings;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
-use wingshore_control::LeaderSettings;
 use wingshore_rollout::OverIssue;
 use wingshore_types::configuration::{
     Admission, ConfigurationChange, Permille, Pool, Server, Service, ServiceKind, SwapPolicy,
 };
 use wingshore_types::platform::{Machine, MachineState};
-use wingshore_types::protocol::membership::{Member, Membership};
-use wingshore_types::{PoolId, ReplicaId, ServerId, ServiceId, TrainerId, WeightVersion, ZoneId};
+use wingshore_types::{PoolId, ServerId, ServiceId, TrainerId, WeightVersion, ZoneId};
 
 /// Port of all processes.
 const PORT: u16 = 1000;
@@ -38,6 +34,11 @@
 /// Ledger and claims groups.
 const GROUPS: u16 = 1;
 
+/// Samples of a step.
+const BATCH: u32 = 8;
+/// Requests a second of each live caller.
+const REQUESTS_PER_SECOND: f64 = 8.0;
+
 /// When a straggler gets a second attempt, where any does.
 const OVER_ISSUE: OverIssue = OverIssue {
     after: Duration::from_millis(500),
@@ -86,6 +87,21 @@
         };
         format!("{kind}-{number}")
     }
+
+    /// How many machines of the kind a site has.
+    pub fn count(self) -> usize {
+        match self {
+            Self::Replica | Self::Engine | Self::LiveServer => 3,
+            Self::Node | Self::Caller => 4,
+            _ => 1,
+        }
+    }
+
+    /// Where all machines of the kind are.
+    pub fn addresses(self) -> Vec<SocketAddr> {
+        let numbers = 0..self.count();
+        numbers.map(|number| address(self, number)).collect()
+    }
 }
 
 /// Where the machine `number` of a kind is.
@@ -94,77 +110,73 @@
     SocketAddr::from((Ipv4Addr::new(127, 1, place as u8, number), PORT))
 }
 
-/// What a site consists of, and how its data path behaves.
+/// What a seed draws of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DataSettings {
-    /// Replicas.
-    pub replicas: usize,
-    /// Nodes.
-    pub nodes: usize,
-    /// Engines.
-    pub engines: usize,
-    /// Live servers.
-    pub live_servers: usize,
     /// Most versions a delivered sample may lie behind.
     pub staleness_bound: u64,
     /// How long a node may hold a sample without renewing its lease.
     pub sample_lease: Duration,
-    /// Samples of a step.
-    pub batch: u32,
-    /// Requests a second of each live caller.
-    pub requests_per_second: f64,
     /// How far the machine list lags.
     pub machine_lag: Duration,
     /// Whether stragglers get a second attempt.
     pub over_issue: bool,
 }
 
-impl Default for DataSettings {
-    fn default() -> Self {
-        Self {
-            replicas: 3,
-            nodes: 4,
-            engines: 3,
-            live_servers: 3,
-            staleness_bound: 1,
-            sample_lease: Duration::from_secs(2),
-            batch: 8,
-            requests_per_second: 8.0,
-            machine_lag: Duration::from_secs(1),
-            over_issue: false,
-        }
+/// Lengths of generations.
+pub fn lengths() -> LengthDistribution {
+    let engine = engine();
+    LengthDistribution {
+        median: engine.length_median,
+        sigma: engine.length_sigma,
+    }
+}
+
+/// Settings of an engine: generations of some hundred milliseconds.
+pub fn engine() -> EngineSettings {
+    EngineSettings {
+        length_median: 24.0,
+        ..EngineSettings::default()
+    }
+}
+
+/// Settings of a live server.
+pub fn live_server(number: usize) -> LiveServerSettings {
+    LiveServerSettings {
+        answer_bytes: 32,
+        mean_further_service: Duration::from_millis(20),
+        seed: number as u64,
+        ..LiveServerSettings::default()
+    }
+}
+
+/// Settings of a live caller; the simulator takes its records, so that its log is not used.
+pub fn caller(number: usize, seed: u64) -> LiveCallerSettings {
+    LiveCallerSettings {
+        name: Place::Caller.name(number),
+        log: PathBuf::new(),
+        node: address(Place::Node, number),
+        service: RIDES.to_owned(),
+        model: Some(engine().model),
+        load: LoadSettings {
+            requests_per_second: REQUESTS_PER_SECOND,
+            completion_permille: 100,
+            resend_permille: 300,
+            deadline: Duration::from_secs(2),
+            seed,
+            ..LoadSettings::default()
+        },
     }
 }
 
 impl DataSettings {
-    /// The same site with bounds and times as they may be, too.
-    pub fn varied(self, random: &mut ChaCha8Rng) -> Self {
+    /// Draws bounds and times.
+    pub fn draw(random: &mut ChaCha8Rng) -> Self {
         Self {
             staleness_bound: random.random_range(0..=2),
             sample_lease: Duration::from_millis(random.random_range(1_000..4_000)),
             machine_lag: Duration::from_millis(random.random_range(200..2_000)),
             over_issue: random.random_bool(0.5),
-            ..self
-        }
-    }
-
-    /// How many machines of a kind there are.
-    pub fn count(&self, place: Place) -> usize {
-        match place {
-            Place::Replica => self.replicas,
-            Place::Node | Place::Caller => self.nodes,
-            Place::Engine => self.engines,
-            Place::LiveServer => self.live_servers,
-            _ => 1,
-        }
-    }
-
-    /// Lengths of generations.
-    pub fn lengths(&self) -> LengthDistribution {
-        let engine = DataLayout::new(self).engine();
-        LengthDistribution {
-            median: engine.length_median,
-            sigma: engine.length_sigma,
         }
     }
 
@@ -175,77 +187,22 @@
         faults: ReplicaFaults,
         observer: ObserverHandle,
     ) -> ReplicaSettings {
-        let voters = (0..self.replicas).map(|number| Member {
-            id: ReplicaId(number as u64 + 1),
-            address: address(Place::Replica, number),
-        });
-        let leader = LeaderSettings {
-            swap_timeout: Duration::from_secs(10),
-            ..LeaderSettings::default()
-        };
         ReplicaSettings {
-            founding: Membership {
-                voters: voters.collect(),
-                learners: Vec::new(),
-            },
-            ledger_groups: GROUPS,
-            claims_groups: GROUPS,
-            timing: wingshore_group::Timing::default(),
+            founding: founders(&Place::Replica.addresses()),
+            groups: GROUPS,
             limits: wingshore_group::Limits::default(),
             snapshot_every_bytes: random.random_range(20_000..200_000),
             segment_bytes: random.random_range(10_000..100_000),
-            call_timeout: leader.order_timeout,
-            leader,
             faults,
             observer,
         }
     }
-}
-
-/// Settings of the processes of a site.
-pub struct DataLayout {
-    site: DataSettings,
-}
-
-impl DataLayout {
-    /// The settings that follow from `site`.
-    pub fn new(site: &DataSettings) -> Self {
-        Self { site: *site }
-    }
-
-    /// Of an engine: generations of some hundred milliseconds.
-    pub fn engine(&self) -> EngineSettings {
-        EngineSettings {
-            length_median: 24.0,
-            ..EngineSettings::default()
-        }
-    }
-
-    /// Of a live server.
-    pub fn live_server(&self, number: usize) -> LiveServerSettings {
-        LiveServerSettings {
-            answer_bytes: 32,
-            mean_further_service: Duration::from_millis(20),
-            seed: number as u64,
-            ..LiveServerSettings::default()
-        }
-    }
-
-    /// Of the weight store.
-    pub fn weight_store(&self) -> WeightStoreSettings {
-        WeightStoreSettings::default()
-    }
 
-    /// Of the scorer.
-    pub fn scorer(&self) -> ScorerSettings {
-        ScorerSettings::default()
-    }
-
-    /// Of the machine list.
+    /// Settings of the machine list.
     pub fn machine_list(&self) -> MachineListSettings {
         let servers = self.servers().into_iter();
         MachineListSettings {
-            lag: self.site.machine_lag,
+            lag: self.machine_lag,
             machines: servers
                 .map(|server| Machine {
                     id: server.id,
@@ -258,41 +215,18 @@
         }
     }
 
-    /// Of a node.
+    /// Settings of a node.
     pub fn node(&self, number: usize) -> SimNodeSettings {
-        let replicas = (0..self.site.replicas).map(|number| address(Place::Replica, number));
         let name = Place::Node.name(number);
         SimNodeSettings {
             machine_list: Some(address(Place::MachineList, 0)),
-            claims_groups: GROUPS,
             pools: vec![PoolId::new(POOL)],
-            max_streams: 16,
-            over_issue: self.site.over_issue.then_some(OVER_ISSUE),
-            rollout_tick: Duration::from_millis(50),
-            ..SimNodeSettings::new(&name, ZONE, replicas.collect())
+            over_issue: self.over_issue.then_some(OVER_ISSUE),
+            ..SimNodeSettings::new(&name, ZONE, Place::Replica.addresses())
         }
     }
 
-    /// Of a live caller; the simulator takes its records, so that its log is not used.
-    pub fn caller(&self, number: usize, seed: u64) -> LiveCallerSettings {
-        LiveCallerSettings {
-            name: Place::Caller.name(number),
-            log: PathBuf::new(),
-            node: address(Place::Node, number),
-            service: RIDES.to_owned(),
-            model: Some(self.engine().model),
-            load: LoadSettings {
-                requests_per_second: self.site.requests_per_second,
-                completion_permille: 100,
-                resend_permille: 300,
-                deadline: Duration::from_secs(2),
-                seed,
-                ..LoadSettings::default()
-            },
-        }
-    }
-
-    /// Of the trainer; likewise.
+    /// Settings of the trainer; its log is not used either.
     pub fn trainer(&self) -> TrainerSettings {
         TrainerSettings {
             name: Place::Trainer.name(0),
@@ -300,10 +234,10 @@
             node: address(Place::Node, 0),
             weight_store: address(Place::Store, 0),
             pool: POOL.to_owned(),
-            model: self.engine().model,
-            staleness_bound: self.site.staleness_bound,
+            model: engine().model,
+            staleness_bound: self.staleness_bound,
             training: TrainingSettings {
-                batch: self.site.batch,
+                batch: BATCH,
                 steps_ahead: 2,
                 max_tokens: 96,
                 step_time: Duration::from_millis(300),
@@ -323,7 +257,7 @@
                 default_deadline_ms: 10_000,
             })
         };
-        let model = self.engine().model;
+        let model = engine().model;
         let mut changes = vec![
             service(RIDES, ServiceKind::Live),
             service(ENGINES, ServiceKind::Engines { model }),
@@ -333,27 +267,23 @@
         changes.push(ConfigurationChange::PutPool(Pool {
             id: PoolId::new(POOL),
             service: ServiceId::new(ENGINES),
-            trainer: self.trainer_id(),
-            staleness_bound: self.site.staleness_bound,
+            trainer: TrainerId::new(&Place::Trainer.name(0)),
+            staleness_bound: self.staleness_bound,
             idle_weight: Permille(500),
             ledger: 1,
             scorer: address(Place::Scorer, 0),
             weight_store: address(Place::Store, 0),
             swap: SwapPolicy::Automatic,
             max_open_samples: 1000,
-            sample_lease_ms: self.site.sample_lease.as_millis() as u64,
+            sample_lease_ms: self.sample_lease.as_millis() as u64,
             target_version: WeightVersion(0),
         }));
         changes
     }
 
-    fn trainer_id(&self) -> TrainerId {
-        TrainerId::new(&Place::Trainer.name(0))
-    }
-
     fn servers(&self) -> Vec<Server> {
         let of = |place: Place, service: &str| -> Vec<Server> {
-            let servers = (0..self.site.count(place)).map(|number| Server {
+            let servers = (0..place.count()).map(|number| Server {
                 id: ServerId::new(&place.name(number)),
                 service: ServiceId::new(service),
                 address: address(place, number),
--- a/crates/wingshore-lab/src/sim/data_site.rs
+++ b/crates/wingshore-lab/src/sim/data_site.rs
@@ -1,24 +1,25 @@
 //! A simulated site with its whole data path: replicas of all groups, nodes, engines, live servers,
 //! a trainer with its scorer and weight store, live callers and the machine list.
 
-use super::data_layout::{DataLayout, DataSettings, Place, address};
+use super::data_layout::{self, DataSettings, Place, address};
 use super::network::NetworkSettings;
 use super::node::{NodeFaults, SimNode};
-use super::observer::{ObserverHandle, SimPromise};
+use super::observer::ObserverHandle;
 use super::operator;
 use super::replica::{self, ReplicaFaults};
-use super::slot::{Boot, Maker};
+use super::slot::{self, Maker};
 use super::task_list::TaskList;
 use super::world::World;
-use crate::checks::{Limits, RunLog, check_all};
 use crate::events::Event;
-use crate::process::{Process, ProcessFault};
+use crate::process::ProcessFault;
 use crate::stand_ins::engine::process::EngineProcess;
 use crate::stand_ins::live_caller::process::LiveCallerProcess;
 use crate::stand_ins::live_server::process::LiveServerProcess;
 use crate::stand_ins::machine_list::process::MachineListProcess;
+use crate::stand_ins::scorer::ScorerSettings;
 use crate::stand_ins::scorer::process::ScorerProcess;
 use crate::stand_ins::trainer::process::{TrainerDisk, TrainerProcess};
+use crate::stand_ins::weight_store::WeightStoreSettings;
 use crate::stand_ins::weight_store::process::WeightStoreProcess;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -64,20 +65,19 @@
     pub world: World,
     /// What the simulator sees.
     pub observer: ObserverHandle,
-    /// What the site consists of.
-    pub settings: DataSettings,
+    settings: DataSettings,
     founder: TaskList,
     disks: Vec<MemoryFileSystem>,
     trainer: TrainerDisk,
 }
 
 impl DataSite {
-    /// A site whose processes have all been started; the seed also varies `settings`.
-    pub fn new(settings: DataSettings, faults: SimFaults, seed: u64, trace: bool) -> Self {
+    /// A site whose processes have all been started.
+    pub fn new(faults: SimFaults, seed: u64, trace: bool) -> Self {
         let observer = ObserverHandle::default();
         let mut world = World::new(seed, observer.clone(), trace);
         let mut site = Self {
-            settings: settings.varied(world.random()),
+            settings: DataSettings::draw(world.random()),
             world,
             observer,
             founder: TaskList::new(0, false),
@@ -98,16 +98,9 @@
         self.add_callers();
     }
 
-    /// All machines of a kind.
-    pub fn all(&self, place: Place) -> Vec<SocketAddr> {
-        let count = self.settings.count(place);
-        (0..count).map(|number| address(place, number)).collect()
-    }
-
     /// Any machine of a kind.
     pub fn any(&mut self, place: Place) -> SocketAddr {
-        let count = self.settings.count(place).max(1);
-        address(place, self.world.random().random_range(0..count))
+        address(place, self.world.random().random_range(0..place.count()))
     }
 
     /// The leader of a group, or any replica where none is known.
@@ -135,12 +128,7 @@
 
     /// Waits until `condition` holds on a site that has no reason not to get there.
     pub fn await_or_violate(&mut self, what: &str, condition: impl Fn(&World) -> bool) -> bool {
-        let holds = self.world.run_until(SETTLE_LIMIT, condition);
-        if !holds {
-            let detail = format!("{what} has not come within {SETTLE_LIMIT:?}");
-            self.observer.violate(SimPromise::Liveness, detail);
-        }
-        holds
+        self.world.await_or_violate(SETTLE_LIMIT, what, condition)
     }
 
     /// Heals disks and links, lets all go on that stood still and starts what is down.
@@ -162,7 +150,7 @@
         self.await_or_violate("the trainer's next step", |_| {
             trainer.progress().next_step.0 > before
         });
-        let mut finishing = self.all(Place::Caller);
+        let mut finishing = Place::Caller.addresses();
         finishing.push(address(Place::Trainer, 0));
         for address in finishing.clone() {
             self.world.stop(address);
@@ -174,17 +162,7 @@
 
     /// Judges the whole run.
     pub fn judge(&self) -> Vec<(String, String)> {
-        let mut records = self.world.records().to_vec();
-        records.extend(self.observer.records());
-        let limits = Limits::stated(self.settings.lengths());
-        let checked = check_all(&RunLog::new(records), &limits).into_iter();
-        let checked = checked.map(|found| (found.promise.as_str().to_owned(), found.detail));
-        let seen = self.observer.violations().into_iter();
-        let seen = seen.map(|found| {
-            let detail = format!("{} us: {}", found.at.0 / 1000, found.detail);
-            (found.promise.as_str().to_owned(), detail)
-        });
-        checked.chain(seen).collect()
+        self.world.judge(data_layout::lengths())
     }
 
     /// How far the trainer has come: steps acknowledged.
@@ -202,7 +180,7 @@
         let settings = self
             .settings
             .replicas(self.world.random(), faults, observer);
-        for number in 0..self.settings.count(Place::Replica) {
+        for number in 0..Place::Replica.count() {
             let disk = MemoryFileSystem::new();
             self.disks.push(disk.clone());
             self.add(
@@ -214,27 +192,27 @@
     }
 
     fn add_platform(&mut self) {
-        let layout = DataLayout::new(&self.settings);
-        let list = layout.machine_list();
-        let maker = maker(move |boot| MachineListProcess::new(boot.now, list.clone(), boot.seed));
-        self.add(Place::MachineList, 0, maker);
-        let store = layout.weight_store();
+        let list = self.settings.machine_list();
         let maker =
-            self::maker(move |boot| WeightStoreProcess::new(boot.now, store.clone(), boot.seed));
+            slot::maker(move |boot| MachineListProcess::new(boot.now, list.clone(), boot.seed));
+        self.add(Place::MachineList, 0, maker);
+        let maker = slot::maker(|boot| {
+            WeightStoreProcess::new(boot.now, WeightStoreSettings::default(), boot.seed)
+        });
         self.add(Place::Store, 0, maker);
-        let scorer = layout.scorer();
         let maker =
-            self::maker(move |boot| ScorerProcess::new(boot.now, scorer.clone(), boot.seed));
+            slot::maker(|boot| ScorerProcess::new(boot.now, ScorerSettings::default(), boot.seed));
         self.add(Place::Scorer, 0, maker);
-        for number in 0..self.settings.count(Place::Engine) {
-            let engine = layout.engine();
+        for number in 0..Place::Engine.count() {
+            let engine = data_layout::engine();
             let maker =
-                self::maker(move |boot| EngineProcess::new(boot.now, engine.clone(), boot.seed));
+                slot::maker(move |boot| EngineProcess::new(boot.now, engine.clone(), boot.seed));
             self.add(Place::Engine, number, maker);
         }
-        for number in 0..self.settings.count(Place::LiveServer) {
-            let (name, server) = (Place::LiveServer.name(number), layout.live_server(number));
-            let maker = self::maker(move |boot| {
+        for number in 0..Place::LiveServer.count() {
+            let name = Place::LiveServer.name(number);
+            let server = data_layout::live_server(number);
+            let maker = slot::maker(move |boot| {
                 LiveServerProcess::new(boot.now, &name, server.clone(), boot.seed)
             });
             self.add(Place::LiveServer, number, maker);
@@ -242,45 +220,40 @@
     }
 
     fn add_founder(&mut self) {
-        let changes = DataLayout::new(&self.settings).first_changes();
+        let changes = self.settings.first_changes();
         self.founder.add(Intent::Apply(changes));
-        let (replicas, observer) = (self.all(Place::Replica), self.observer.clone());
+        let (replicas, observer) = (Place::Replica.addresses(), self.observer.clone());
         let maker = operator::maker(0, replicas, self.founder.clone(), observer);
         self.add(Place::Operator, 0, maker);
     }
 
     fn add_nodes(&mut self, faults: NodeFaults) {
-        for number in 0..self.settings.count(Place::Node) {
-            let mut node = DataLayout::new(&self.settings).node(number);
+        for number in 0..Place::Node.count() {
+            let mut node = self.settings.node(number);
             node.faults = faults;
-            let maker = maker(move |boot| SimNode::new(boot.now, node.clone(), boot.seed));
+            let maker = slot::maker(move |boot| SimNode::new(boot.now, node.clone(), boot.seed));
             self.add(Place::Node, number, maker);
         }
     }
 
     fn add_callers(&mut self) {
-        let layout = DataLayout::new(&self.settings);
-        for number in 0..self.settings.count(Place::Caller) {
+        for number in 0..Place::Caller.count() {
             let seed = self.world.random().random();
-            let caller = layout.caller(number, seed);
+            let caller = data_layout::caller(number, seed);
             let beside = Event::CallerNode {
                 caller: caller.name.clone(),
                 node: Place::Node.name(number),
             };
             self.world.record("site", beside);
-            let maker =
-                maker(move |boot| LiveCallerProcess::new(boot.now, caller.clone(), boot.seed));
+            let maker = slot::maker(move |boot| {
+                LiveCallerProcess::new(boot.now, caller.clone(), boot.seed)
+            });
             self.add(Place::Caller, number, maker);
         }
-        let (trainer, disk) = (layout.trainer(), self.trainer.clone());
-        let maker = maker(move |boot| {
+        let (trainer, disk) = (self.settings.trainer(), self.trainer.clone());
+        let maker = slot::maker(move |boot| {
             TrainerProcess::new(boot.now, trainer.clone(), disk.clone(), boot.seed)
         });
         self.add(Place::Trainer, 0, maker);
     }
 }
-
-/// A maker of a process that always starts.
-fn maker<P: Process + 'static>(make: impl Fn(Boot) -> P + 'static) -> Maker {
-    Box::new(move |boot| Ok(Box::new(make(boot))))
-}
--- a/crates/wingshore-lab/src/sim/node/core.rs
+++ b/crates/wingshore-lab/src/sim/node/core.rs
@@ -8,9 +8,9 @@
 use crate::wiring::{InboundCall, NotTaken, record};
 use std::sync::Arc;
 use std::time::Duration;
-use wingshore_request::{ConfigurationView, NotAdmitted};
+use wingshore_request::{ConfigurationView, NotAdmitted, WithoutLease};
 use wingshore_rollout::{AttemptId, ScoreCallId};
-use wingshore_routing::{ProbeKind, Router};
+use wingshore_routing::{ProbeKind, Router, RouterSettings};
 use wingshore_types::configuration::Configuration;
 use wingshore_types::protocol::claims::Claimant;
 use wingshore_types::{Instant, Revision, ServerId};
@@ -75,11 +75,11 @@
 impl NodeCore {
     /// The state of a node that has heard nothing yet.
     pub fn new(settings: SimNodeSettings, boot_id: u64) -> Self {
-        let router = Router::new(settings.router.clone(), settings.zone.clone(), boot_id)
+        let router = Router::new(RouterSettings::default(), settings.zone.clone(), boot_id)
             .with_faults(settings.faults.routing);
         Self {
             router,
-            view: ConfigurationView::new(settings.without_lease),
+            view: ConfigurationView::new(WithoutLease::Refuse),
             settings,
             boot_id,
             is_stopping: false,
--- a/crates/wingshore-lab/src/sim/node/forward.rs
+++ b/crates/wingshore-lab/src/sim/node/forward.rs
@@ -14,6 +14,8 @@
 use wingshore_types::configuration::ServiceKind;
 use wingshore_types::protocol::claims::{ClaimKey, StoredAnswer};
 
+/// Claims groups of a simulated site.
+const CLAIMS_GROUPS: u16 = 1;
 /// Largest answer that is kept for repeats of an idempotency key.
 const MAX_KEPT_ANSWER: usize = 64 * 1024;
 
@@ -135,7 +137,7 @@
         key: call.key.clone()?,
     };
     Some(ClaimIntent {
-        group: claims_group(&key, context.core.settings.claims_groups),
+        group: claims_group(&key, CLAIMS_GROUPS),
         fingerprint: hash_bytes(key.key.as_bytes()),
         key,
         claimant: context.core.next_claimant(),
--- a/crates/wingshore-lab/src/sim/node/mod.rs
+++ b/crates/wingshore-lab/src/sim/node/mod.rs
@@ -37,6 +37,8 @@
 use watch::Watch;
 use wingshore_types::Instant;
 
+/// How long a planned stop waits for requests in flight.
+const STOP_GRACE: Duration = Duration::from_secs(10);
 /// How long nothing may be in flight before a stop believes it.
 const STOP_QUIET: Duration = Duration::from_millis(100);
 /// Between two checks whether a planned stop is over.
@@ -101,7 +103,7 @@
         if !(self.parts.requests.is_idle() && self.parts.trainer_requests.is_idle()) {
             stop.busy_at = now;
         }
-        let grace = self.core.settings.stop_grace;
+        let grace = STOP_GRACE;
         let is_quiet = now.since(stop.busy_at) >= STOP_QUIET || now.since(stop.began) >= grace;
         let rollouts_done = self.parts.rollouts.iter().all(PoolRollouts::has_stopped);
         let settled =
--- a/crates/wingshore-lab/src/sim/node/probes.rs
+++ b/crates/wingshore-lab/src/sim/node/probes.rs
@@ -9,6 +9,10 @@
 
 /// Between two checks which probes are due.
 const POLL: Duration = Duration::from_millis(50);
+/// One probe is given up after this time.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Between two readings of the machine list.
+const MACHINES_INTERVAL: Duration = Duration::from_secs(1);
 /// One reading of the machine list is given up after this time.
 const MACHINES_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -49,7 +53,7 @@
 
     /// Takes what came of a reading of the machine list.
     pub fn on_machines(&mut self, context: &mut NodeContext<'_>, news: News) {
-        self.next_reading = Some(context.now + context.core.settings.machine_list_poll);
+        self.next_reading = Some(context.now + MACHINES_INTERVAL);
         if let News::Answer(Answer::Machines(list)) = news {
             context.core.router.on_machine_list(context.now, &list);
         }
@@ -79,12 +83,11 @@
         ProbeKind::Load => Call::Load,
         ProbeKind::CacheEvents { after } => Call::CacheEvents { after },
     };
-    let timeout = context.core.settings.probe_timeout;
     let purpose = UpstreamPurpose::Probe(target.server, target.kind);
     let (now, out) = (context.now, &mut *context.out);
     context
         .upstream
-        .call(now, target.address, call, timeout, purpose, out);
+        .call(now, target.address, call, PROBE_TIMEOUT, purpose, out);
 }
 
 fn read_machines(context: &mut NodeContext<'_>) {
--- a/crates/wingshore-lab/src/sim/node/requests.rs
+++ b/crates/wingshore-lab/src/sim/node/requests.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_request::{
-    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionOutput, FailureKind, FinalAnswer,
-    RequestError, RequestExecution, RequestSpecification, SendAttempt,
+    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionLimits, ExecutionOutput, FailureKind,
+    FinalAnswer, RequestError, RequestExecution, RequestSpecification, SendAttempt,
 };
 use wingshore_types::protocol::claims::ClaimsRequest;
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
@@ -180,13 +180,12 @@
         specification: RequestSpecification,
     ) {
         context.record_revision();
-        let settings = &context.core.settings;
         let request = OpenRequest {
             deadline: specification.route.deadline,
             execution: RequestExecution::new(
                 specification,
-                settings.limits,
-                settings.faults.request,
+                ExecutionLimits::default(),
+                context.core.settings.faults.request,
             ),
             attempts,
             running: None,
--- a/crates/wingshore-lab/src/sim/node/rollouts.rs
+++ b/crates/wingshore-lab/src/sim/node/rollouts.rs
@@ -18,6 +18,12 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, Instant, PoolId, Revision, Verdict};
 
+/// Most rollout streams of a pool.
+const MAX_STREAMS: u32 = 16;
+/// Most samples of a pool at the scorer.
+const MAX_SCORINGS: u32 = 16;
+/// Between two ticks of a pool's rollouts.
+const TICK: Duration = Duration::from_millis(50);
 /// One call to a ledger is given up after this time; the runner sends again what matters.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -37,13 +43,11 @@
     /// The rollouts of the settings' pool number `index`, from `now` on.
     pub fn new(now: Instant, settings: &SimNodeSettings, boot_id: u64, index: usize) -> Self {
         let pool = settings.pools[index].clone();
-        let usual = RolloutSettings::new(settings.node.clone(), boot_id);
         let runner_settings = RolloutSettings {
-            window_most: settings.max_streams,
-            score_concurrency: settings.max_scorings,
+            window_most: MAX_STREAMS,
+            score_concurrency: MAX_SCORINGS,
             over_issue: settings.over_issue,
-            stop_limit: settings.stop_grace.min(usual.stop_limit),
-            ..usual
+            ..RolloutSettings::new(settings.node.clone(), boot_id)
         };
         Self {
             index,
@@ -73,7 +77,7 @@
         if self.has_stopped || self.next_tick > context.now {
             return;
         }
-        self.next_tick = context.now + context.core.settings.rollout_tick;
+        self.next_tick = context.now + TICK;
         self.step(context, RolloutInput::Tick);
     }
 
--- a/crates/wingshore-lab/src/sim/operator.rs
+++ b/crates/wingshore-lab/src/sim/operator.rs
@@ -138,7 +138,7 @@
             model,
             store,
             ..
-        }) = tasks.tasks.front()
+        }) = tasks.queue.front()
         {
             let call = Call::StoreWeights {
                 model: model.clone(),
@@ -170,7 +170,7 @@
             Purpose::Publish { intent } => {
                 self.note_answer(intent, &reply);
                 self.maybe_again(now, intent, &call.request);
-                self.end_intent(now, None, false);
+                self.end_intent(now, false);
             }
             Purpose::Again { intent } => self.note_answer(intent, &reply),
         }
@@ -210,7 +210,7 @@
     fn next_task(&mut self) -> Option<Task> {
         let mut tasks = self.tasks.lock();
         self.server = None;
-        if let Some(task) = tasks.tasks.front() {
+        if let Some(task) = tasks.queue.front() {
             return Some(task.clone());
         }
         if tasks.changes == 0 {
@@ -237,7 +237,7 @@
         self.note_answer(intent, &reply);
         self.maybe_again(now, intent, &request);
         let ControlReply::Plan(plan) = reply else {
-            return self.end_intent(now, None, false);
+            return self.end_intent(now, false);
         };
         let confirm_id = IntentId(self.random.random());
         let request = ControlRequest::Confirm {
@@ -262,7 +262,7 @@
         self.note_answer(intent, reply);
         self.maybe_again(now, intent, &request);
         let ControlReply::Plan(plan) = reply else {
-            return self.end_intent(now, None, false);
+            return self.end_intent(now, false);
         };
         if self.server.as_ref().map(ServerId::as_str) == Some(CONTESTED) {
             self.observer.contested_changed(proposed);
@@ -274,14 +274,13 @@
     fn follow(&mut self, now: Instant, plan: &Plan) {
         match plan.state {
             PlanState::Proposed | PlanState::Running { .. } => {
-                self.tasks.lock().plan = Some(plan.clone());
                 let call = OperatorCall {
                     purpose: Purpose::Follow { plan: plan.id },
                     request: ControlRequest::ShowPlan(plan.id),
                 };
                 self.later(now + RETRY_BACKOFF, call);
             }
-            _ => self.end_intent(now, Some(plan), plan.state == PlanState::Done),
+            _ => self.end_intent(now, plan.state == PlanState::Done),
         }
     }
 
@@ -291,30 +290,25 @@
             other => {
                 let detail = format!("plan {id} was confirmed, then answered {other:?}");
                 self.observer.violate(SimPromise::AcknowledgedKept, detail);
-                self.end_intent(now, None, false);
+                self.end_intent(now, false);
             }
         }
     }
 
     /// One intent has ended. A refused one of the operator's own is stated anew, against what is
     /// found then.
-    fn end_intent(&mut self, now: Instant, plan: Option<&Plan>, is_done: bool) {
+    fn end_intent(&mut self, now: Instant, is_done: bool) {
         let server = self.server.take();
         if let Some(server) = server.clone().filter(|id| id.as_str() != CONTESTED) {
             self.observer.server_answered(server, is_done);
         }
         {
             let mut tasks = self.tasks.lock();
-            tasks.plan = plan.cloned().or(tasks.plan.take());
             match server {
                 None => {
-                    tasks.tasks.pop_front();
-                    tasks.ended += 1;
-                }
-                Some(_) if is_done => {
-                    tasks.changes = tasks.changes.saturating_sub(1);
-                    tasks.ended += 1;
+                    tasks.queue.pop_front();
                 }
+                Some(_) if is_done => tasks.changes = tasks.changes.saturating_sub(1),
                 Some(_) => {}
             }
         }
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -5,7 +5,7 @@
 pub mod settings;
 mod start;
 
-pub use settings::{ReplicaFaults, ReplicaSettings, founding_address};
+pub use settings::{ReplicaFaults, ReplicaSettings, founders, founding_address};
 pub use start::SITE;
 
 use super::observer::{ObserverHandle, SimPromise};
@@ -99,7 +99,7 @@
             groups,
             founding: settings.founding.clone(),
             observer: settings.observer.clone(),
-            call_timeout: settings.call_timeout,
+            call_timeout: settings::leader_settings().order_timeout,
             incoming: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: 0,
--- a/crates/wingshore-lab/src/sim/replica/settings.rs
+++ b/crates/wingshore-lab/src/sim/replica/settings.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_control::LeaderSettings;
-use wingshore_group::{Limits, Timing};
-use wingshore_types::protocol::membership::Membership;
+use wingshore_group::Limits;
+use wingshore_types::ReplicaId;
+use wingshore_types::protocol::membership::{Member, Membership};
 
 /// Deliberate faults of replicas; all off outside tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,28 +28,40 @@
 pub struct ReplicaSettings {
     /// The founding members.
     pub founding: Membership,
-    /// Ledger groups.
-    pub ledger_groups: u16,
-    /// Claims groups.
-    pub claims_groups: u16,
-    /// Timing of elections and leases.
-    pub timing: Timing,
+    /// Ledger groups, and claims groups.
+    pub groups: u16,
     /// Limits of consensus messages.
     pub limits: Limits,
     /// Bytes of log between snapshots.
     pub snapshot_every_bytes: u64,
     /// Bytes of a log segment.
     pub segment_bytes: u64,
-    /// Times and limits of the control group's leader.
-    pub leader: LeaderSettings,
-    /// After this time without an answer a call to a back end is given up.
-    pub call_timeout: Duration,
     /// Deliberate faults.
     pub faults: ReplicaFaults,
     /// Where members report.
     pub observer: ObserverHandle,
 }
 
+/// Times and limits of the control group's leader.
+pub fn leader_settings() -> LeaderSettings {
+    LeaderSettings {
+        swap_timeout: Duration::from_secs(10),
+        ..LeaderSettings::default()
+    }
+}
+
+/// The founding members, who listen at these addresses.
+pub fn founders(addresses: &[SocketAddr]) -> Membership {
+    let members = addresses.iter().zip(1..).map(|(address, number)| Member {
+        id: ReplicaId(number),
+        address: *address,
+    });
+    Membership {
+        voters: members.collect(),
+        learners: Vec::new(),
+    }
+}
+
 /// Where the founding member `number`, from 0, listens.
 pub fn founding_address(founding: &Membership, number: usize) -> Option<SocketAddr> {
     founding.voters.get(number).map(|member| member.address)
--- a/crates/wingshore-lab/src/sim/replica/start.rs
+++ b/crates/wingshore-lab/src/sim/replica/start.rs
@@ -2,7 +2,7 @@
 
 use super::group::{HostedGroup, SimGroup};
 use super::kind::SimLeader;
-use super::settings::ReplicaSettings;
+use super::settings::{ReplicaSettings, leader_settings};
 use crate::sim::observed::{Observed, ObservedLeader, Probe};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -39,7 +39,7 @@
     pub fn open(mut self) -> Result<Groups, String> {
         let settings = self.settings;
         let mut groups = Groups::new();
-        for group in GroupId::all(settings.ledger_groups, settings.claims_groups) {
+        for group in GroupId::all(settings.groups, settings.groups) {
             let opened = match group {
                 GroupId::Control => self.control(group)?,
                 GroupId::Ledger(_) => self.ledger(group)?,
@@ -52,7 +52,7 @@
 
     fn control(&mut self, group: GroupId) -> Result<Box<dyn SimGroup>, String> {
         let faults = self.settings.faults.control;
-        let leader = self.settings.leader.clone();
+        let leader = leader_settings();
         let make = move || ControlLeader::new(leader.clone(), faults);
         self.group(group, make, move |state| state.set_faults(faults))
     }
@@ -89,8 +89,7 @@
         let host = Host::with_machines(self.now, config, recovered, machines)
             .map_err(|error| error.to_string())?;
         let random = ChaCha8Rng::seed_from_u64(self.random.random());
-        let leader = self.settings.leader.clone();
-        let hosted = HostedGroup::<L>::new(host, store, random, replica, leader);
+        let hosted = HostedGroup::<L>::new(host, store, random, replica, leader_settings());
         Ok(Box::new(hosted))
     }
 
@@ -122,7 +121,6 @@
     fn config(&mut self, replica: ReplicaId) -> HostConfig {
         let settings = self.settings;
         HostConfig {
-            timing: settings.timing,
             limits: settings.limits,
             snapshot_every_bytes: settings.snapshot_every_bytes,
             faults: settings.faults.consensus,
--- a/crates/wingshore-lab/src/sim/scenarios/clients.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/clients.rs
@@ -1,6 +1,6 @@
 //! Operators who race, and processes that return after many changes.
 
-use super::ControlScenario;
+use super::Scenario;
 use super::faults::{Fault, any_cut, pause};
 use crate::sim::site::{Kind, Site, SiteSettings, address};
 use rand::RngExt;
@@ -33,27 +33,19 @@
 };
 
 /// The scenarios of this file.
-pub fn scenarios() -> Vec<ControlScenario> {
+pub fn scenarios() -> Vec<Scenario> {
     vec![
-        ControlScenario {
-            name: "racing-operators",
-            settings: RACING,
-            run: racing_operators,
-        },
-        ControlScenario {
-            name: "back-after-500-changes",
-            settings: FOLLOWING,
-            run: back_after_many_changes,
-        },
-        ControlScenario {
-            name: "followers-in-trouble",
-            settings: SiteSettings {
+        Scenario::control("racing-operators", RACING, racing_operators),
+        Scenario::control("back-after-500-changes", FOLLOWING, back_after_many_changes),
+        Scenario::control(
+            "followers-in-trouble",
+            SiteSettings {
                 operators: 2,
                 changes: 20,
                 ..FOLLOWING
             },
-            run: followers_in_trouble,
-        },
+            followers_in_trouble,
+        ),
     ]
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/control.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/control.rs
@@ -1,6 +1,6 @@
 //! The control group's leader in trouble: cut off, frozen, killed, with work in flight.
 
-use super::ControlScenario;
+use super::Scenario;
 use super::faults::{Fault, any_cut, is_plan_answer, pause};
 use crate::sim::network::CutKind;
 use crate::sim::replica::is_order;
@@ -28,53 +28,17 @@
 };
 
 /// The scenarios of this file.
-pub fn scenarios() -> Vec<ControlScenario> {
+pub fn scenarios() -> Vec<Scenario> {
     vec![
-        ControlScenario {
-            name: "quiet",
-            settings: MOVING,
-            run: quiet,
-        },
-        ControlScenario {
-            name: "leader-cut-off",
-            settings: MOVING,
-            run: leader_cut_off,
-        },
-        ControlScenario {
-            name: "frozen-before-send",
-            settings: MOVING,
-            run: frozen_before_send,
-        },
-        ControlScenario {
-            name: "frozen-leader",
-            settings: WORKING,
-            run: frozen_leader,
-        },
-        ControlScenario {
-            name: "frozen-without-members",
-            settings: WORKING,
-            run: frozen_without_members,
-        },
-        ControlScenario {
-            name: "leader-without-members",
-            settings: WORKING,
-            run: leader_without_members,
-        },
-        ControlScenario {
-            name: "one-way-cuts",
-            settings: WORKING,
-            run: one_way_cuts,
-        },
-        ControlScenario {
-            name: "killed-before-answer",
-            settings: WORKING,
-            run: killed_before_answer,
-        },
-        ControlScenario {
-            name: "killed-while-moving",
-            settings: MOVING,
-            run: killed_while_moving,
-        },
+        Scenario::control("quiet", MOVING, quiet),
+        Scenario::control("leader-cut-off", MOVING, leader_cut_off),
+        Scenario::control("frozen-before-send", MOVING, frozen_before_send),
+        Scenario::control("frozen-leader", WORKING, frozen_leader),
+        Scenario::control("frozen-without-members", WORKING, frozen_without_members),
+        Scenario::control("leader-without-members", WORKING, leader_without_members),
+        Scenario::control("one-way-cuts", WORKING, one_way_cuts),
+        Scenario::control("killed-before-answer", WORKING, killed_before_answer),
+        Scenario::control("killed-while-moving", MOVING, killed_while_moving),
     ]
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/data_path.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/data_path.rs
@@ -1,11 +1,11 @@
 //! Scenarios of the data path: trainers, rollouts, engines, live requests.
 
-use super::Outcome;
+use super::Scenario;
 use super::ledger_leader::ledger_leader_lost;
 use crate::events::Event;
 use crate::process::{Call, ProcessFault, ProcessOutput, SimMessage};
-use crate::sim::data_layout::{DataSettings, Place, address};
-use crate::sim::data_site::{DataSite, SimFaults};
+use crate::sim::data_layout::{Place, address};
+use crate::sim::data_site::DataSite;
 use crate::sim::network::{CutKind, NetworkSettings};
 use crate::sim::slot::{Trap, TrapAction};
 use crate::stand_ins::engine::EngineFault;
@@ -20,60 +20,23 @@
 /// be told from a late one.
 const MAX_NODE_FREEZE_MS: u64 = 5_000;
 
-/// What is done to a site.
-pub type Act = fn(&mut DataSite);
-
-/// One scenario of the data path.
-#[derive(Clone, Copy)]
-pub struct DataScenario {
-    /// Its name on the command line.
-    pub name: &'static str,
-    /// What the site consists of.
-    pub settings: DataSettings,
-    /// What is done to it, once it is founded and before it is healed.
-    pub run: Act,
-}
-
 /// The scenarios of this file.
-pub fn scenarios() -> Vec<DataScenario> {
-    let named: [(&'static str, Act); 13] = [
-        ("data-calm", calm),
-        ("trainer-killed", trainer_killed),
-        ("ledger-leader-lost", ledger_leader_lost),
-        ("late-finishes", late_finishes),
-        ("node-killed", node_killed),
-        ("node-frozen-before-send", node_frozen_before_send),
-        ("engine-crash", engine_crash),
-        ("swap-fails", swap_fails),
-        ("platform-killed", platform_killed),
-        ("live-trouble", live_trouble),
-        ("server-leaving", server_leaving),
-        ("planned-stops", planned_stops),
-        ("data-mixed", mixed),
-    ];
-    let scenario = |(name, run)| DataScenario {
-        name,
-        settings: DataSettings::default(),
-        run,
-    };
-    named.into_iter().map(scenario).collect()
-}
-
-/// Runs one seed of a scenario, with deliberate faults where a test asks for them.
-pub fn run(scenario: &DataScenario, seed: u64, faults: SimFaults, trace: bool) -> Outcome {
-    let mut site = DataSite::new(scenario.settings, faults, seed, trace);
-    site.found();
-    pause(&mut site, 1_000, 3_000);
-    (scenario.run)(&mut site);
-    site.settle();
-    Outcome {
-        scenario: scenario.name,
-        seed,
-        events: site.world.handled(),
-        simulated_ms: site.world.now().as_millis(),
-        violations: site.judge(),
-        history: site.world.history_hash(),
-    }
+pub fn scenarios() -> Vec<Scenario> {
+    vec![
+        Scenario::data("data-calm", calm),
+        Scenario::data("trainer-killed", trainer_killed),
+        Scenario::data("ledger-leader-lost", ledger_leader_lost),
+        Scenario::data("late-finishes", late_finishes),
+        Scenario::data("node-killed", node_killed),
+        Scenario::data("node-frozen-before-send", node_frozen_before_send),
+        Scenario::data("engine-crash", engine_crash),
+        Scenario::data("swap-fails", swap_fails),
+        Scenario::data("platform-killed", platform_killed),
+        Scenario::data("live-trouble", live_trouble),
+        Scenario::data("server-leaving", server_leaving),
+        Scenario::data("planned-stops", planned_stops),
+        Scenario::data("data-mixed", mixed),
+    ]
 }
 
 fn calm(site: &mut DataSite) {
@@ -280,10 +243,7 @@
             true => Place::LiveServer,
             false => Place::Engine,
         };
-        let number = site
-            .world
-            .random()
-            .random_range(0..site.settings.count(place));
+        let number = site.world.random().random_range(0..place.count());
         site.set_leaving(place, number, true);
         pause(site, 4_000, 10_000);
         site.set_leaving(place, number, false);
@@ -365,7 +325,7 @@
 }
 
 fn cut_from_replicas(site: &mut DataSite, node: SocketAddr, kind: CutKind) {
-    for replica in site.all(Place::Replica) {
+    for replica in Place::Replica.addresses() {
         site.world.cut(node, replica, kind);
         site.world.cut(replica, node, kind);
     }
--- a/crates/wingshore-lab/src/sim/scenarios/disks.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/disks.rs
@@ -1,6 +1,6 @@
 //! Disks and storage calls that fail, and disks that are lost.
 
-use super::ControlScenario;
+use super::Scenario;
 use super::faults::{Fault, any_cut, is_done_answer, pause};
 use crate::sim::site::{Site, SiteSettings};
 use crate::sim::slot::{Trap, TrapAction};
@@ -21,36 +21,20 @@
 };
 
 /// The scenarios of this file.
-pub fn scenarios() -> Vec<ControlScenario> {
+pub fn scenarios() -> Vec<Scenario> {
     vec![
-        ControlScenario {
-            name: "storage-kills",
-            settings: WORKING,
-            run: storage_kills,
-        },
-        ControlScenario {
-            name: "sync-failures",
-            settings: WORKING,
-            run: sync_failures,
-        },
-        ControlScenario {
-            name: "disk-lost",
-            settings: WORKING,
-            run: disk_lost,
-        },
-        ControlScenario {
-            name: "second-machine-lost",
-            settings: WORKING,
-            run: second_machine_lost,
-        },
-        ControlScenario {
-            name: "power-lost",
-            settings: SiteSettings {
+        Scenario::control("storage-kills", WORKING, storage_kills),
+        Scenario::control("sync-failures", WORKING, sync_failures),
+        Scenario::control("disk-lost", WORKING, disk_lost),
+        Scenario::control("second-machine-lost", WORKING, second_machine_lost),
+        Scenario::control(
+            "power-lost",
+            SiteSettings {
                 changes: 60,
                 ..WORKING
             },
-            run: power_lost,
-        },
+            power_lost,
+        ),
     ]
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/mixed.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/mixed.rs
@@ -1,6 +1,6 @@
 //! Two faults at once, and the same fault twice.
 
-use super::ControlScenario;
+use super::Scenario;
 use super::faults::{Fault, pause};
 use crate::sim::site::{Site, SiteSettings};
 
@@ -14,26 +14,18 @@
 };
 
 /// The scenarios of this file.
-pub fn scenarios() -> Vec<ControlScenario> {
+pub fn scenarios() -> Vec<Scenario> {
     vec![
-        ControlScenario {
-            name: "two-at-once",
-            settings: WORKING,
-            run: two_at_once,
-        },
-        ControlScenario {
-            name: "same-twice",
-            settings: WORKING,
-            run: same_twice,
-        },
-        ControlScenario {
-            name: "five-replicas",
-            settings: SiteSettings {
+        Scenario::control("two-at-once", WORKING, two_at_once),
+        Scenario::control("same-twice", WORKING, same_twice),
+        Scenario::control(
+            "five-replicas",
+            SiteSettings {
                 replicas: 5,
                 ..WORKING
             },
-            run: two_at_once,
-        },
+            two_at_once,
+        ),
     ]
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/mod.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/mod.rs
@@ -8,12 +8,16 @@
 mod ledger_leader;
 mod mixed;
 
-use self::data_path::DataScenario;
-use super::data_site::SimFaults;
-use super::replica::ReplicaFaults;
+use super::data_site::{DataSite, SimFaults};
 use super::site::{Site, SiteSettings};
+use super::world::World;
 use serde::Serialize;
 
+/// What is done to a site of the control group, once it is founded and before it is healed.
+type ControlAct = fn(&mut Site);
+/// The same, of a site with its whole data path.
+type DataAct = fn(&mut DataSite);
+
 /// One scenario.
 #[derive(Clone, Copy)]
 pub struct Scenario {
@@ -25,48 +29,32 @@
 /// What kind of site it plays on.
 #[derive(Clone, Copy)]
 enum Play {
-    Control(ControlScenario),
-    Data(DataScenario),
+    Control(SiteSettings, ControlAct),
+    Data(DataAct),
 }
 
-/// A scenario of the control group.
-#[derive(Clone, Copy)]
-pub struct ControlScenario {
-    /// Its name on the command line.
-    pub name: &'static str,
-    /// What the site consists of.
-    pub settings: SiteSettings,
-    /// What is done to it, once it is founded and before it is healed.
-    pub run: fn(&mut Site),
-}
-
-impl From<ControlScenario> for Scenario {
-    fn from(scenario: ControlScenario) -> Self {
-        Self {
-            name: scenario.name,
-            play: Play::Control(scenario),
-        }
+impl Scenario {
+    const fn control(name: &'static str, settings: SiteSettings, act: ControlAct) -> Self {
+        let play = Play::Control(settings, act);
+        Self { name, play }
     }
-}
 
-impl From<DataScenario> for Scenario {
-    fn from(scenario: DataScenario) -> Self {
-        Self {
-            name: scenario.name,
-            play: Play::Data(scenario),
-        }
+    const fn data(name: &'static str, act: DataAct) -> Self {
+        let play = Play::Data(act);
+        Self { name, play }
     }
 }
 
 /// All scenarios.
 pub fn all() -> Vec<Scenario> {
-    let mut control = control::scenarios();
-    control.extend(disks::scenarios());
-    control.extend(clients::scenarios());
-    control.extend(mixed::scenarios());
-    let control = control.into_iter().map(Scenario::from);
-    let data = data_path::scenarios().into_iter().map(Scenario::from);
-    control.chain(data).collect()
+    [
+        control::scenarios(),
+        disks::scenarios(),
+        clients::scenarios(),
+        mixed::scenarios(),
+        data_path::scenarios(),
+    ]
+    .concat()
 }
 
 /// What came of one seed of one scenario.
@@ -89,28 +77,31 @@
 /// Runs one seed of a scenario, with deliberate faults where a test asks for them.
 pub fn run(scenario: &Scenario, seed: u64, faults: impl Into<SimFaults>, trace: bool) -> Outcome {
     let faults = faults.into();
-    match &scenario.play {
-        Play::Control(scenario) => run_control(scenario, seed, faults.replica, trace),
-        Play::Data(scenario) => data_path::run(scenario, seed, faults, trace),
-    }
-}
-
-fn run_control(
-    scenario: &ControlScenario,
-    seed: u64,
-    faults: ReplicaFaults,
-    trace: bool,
-) -> Outcome {
-    let mut site = Site::new(scenario.settings, faults, seed, trace);
-    site.found();
-    (scenario.run)(&mut site);
-    site.settle();
-    Outcome {
+    let outcome = |world: &World, violations| Outcome {
         scenario: scenario.name,
         seed,
-        events: site.world.handled(),
-        simulated_ms: site.world.now().as_millis(),
-        violations: site.judge(),
-        history: site.world.history_hash(),
+        events: world.handled(),
+        simulated_ms: world.now().as_millis(),
+        violations,
+        history: world.history_hash(),
+    };
+    match scenario.play {
+        Play::Control(settings, act) => {
+            let mut site = Site::new(settings, faults.replica, seed, trace);
+            site.found();
+            act(&mut site);
+            site.settle();
+            let violations = site.judge();
+            outcome(&site.world, violations)
+        }
+        Play::Data(act) => {
+            let mut site = DataSite::new(faults, seed, trace);
+            site.found();
+            data_path::pause(&mut site, 1_000, 3_000);
+            act(&mut site);
+            site.settle();
+            let violations = site.judge();
+            outcome(&site.world, violations)
+        }
     }
 }
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -5,11 +5,11 @@
 use super::network::NetworkSettings;
 use super::observer::{ObserverHandle, SimPromise};
 use super::operator;
-use super::replica::{self, ReplicaFaults, ReplicaSettings};
+use super::replica::{self, ReplicaFaults, ReplicaSettings, founders};
+use super::slot;
 use super::task_list::TaskList;
 use super::watcher;
 use super::world::World;
-use crate::checks::{Limits, RunLog, check_all};
 use crate::stand_ins::engine::EngineSettings;
 use crate::stand_ins::engine::length::LengthDistribution;
 use crate::stand_ins::engine::process::EngineProcess;
@@ -18,10 +18,8 @@
 use rand::RngExt;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use wingshore_control::LeaderSettings;
 use wingshore_storage::memory::{Faults as DiskFaults, MemoryFileSystem};
 use wingshore_types::protocol::control::Intent;
-use wingshore_types::protocol::membership::{Member, Membership};
 use wingshore_types::{GroupId, PoolId, ReplicaId, WeightVersion};
 
 /// Longest time until a healthy site has done what was asked of it.
@@ -180,12 +178,7 @@
 
     /// Waits until `condition` holds on a site that has no reason not to get there.
     pub fn await_or_violate(&mut self, what: &str, condition: impl Fn(&World) -> bool) -> bool {
-        let holds = self.world.run_until(SETTLE_LIMIT, condition);
-        if !holds {
-            let detail = format!("{what} has not come within {SETTLE_LIMIT:?}");
-            self.observer.violate(SimPromise::Liveness, detail);
-        }
-        holds
+        self.world.await_or_violate(SETTLE_LIMIT, what, condition)
     }
 
     /// Waits until the site is founded: the first configuration is committed.
@@ -244,22 +237,12 @@
     /// Judges the whole run.
     pub fn judge(&mut self) -> Vec<(String, String)> {
         self.observer.judge_configuration();
-        let mut records = self.world.records().to_vec();
-        records.extend(self.observer.records());
-        let log = RunLog::new(records);
         let engines = EngineSettings::default();
         let lengths = LengthDistribution {
             median: engines.length_median,
             sigma: engines.length_sigma,
         };
-        let checked = check_all(&log, &Limits::stated(lengths)).into_iter();
-        let checked = checked.map(|found| (found.promise.as_str().to_owned(), found.detail));
-        let seen = self.observer.violations().into_iter();
-        let seen = seen.map(|found| {
-            let detail = format!("{} us: {}", found.at.0 / 1000, found.detail);
-            (found.promise.as_str().to_owned(), detail)
-        });
-        checked.chain(seen).collect()
+        self.world.judge(lengths)
     }
 
     /// Publishes a version and states that the pool's engines move to a version.
@@ -286,24 +269,10 @@
     }
 
     fn add_replicas(&mut self, faults: ReplicaFaults) {
-        let founding = Membership {
-            voters: self
-                .replicas
-                .iter()
-                .enumerate()
-                .map(|(number, address)| Member {
-                    id: ReplicaId(number as u64 + 1),
-                    address: *address,
-                })
-                .collect(),
-            learners: Vec::new(),
-        };
         let random = self.world.random();
         let settings = ReplicaSettings {
-            founding,
-            ledger_groups: 0,
-            claims_groups: 0,
-            timing: wingshore_group::Timing::default(),
+            founding: founders(&self.replicas),
+            groups: 0,
             limits: wingshore_group::Limits {
                 snapshot_chunk_bytes: random.random_range(200..4096),
                 retained_log_bytes: random.random_range(0..8192),
@@ -311,11 +280,6 @@
             },
             snapshot_every_bytes: random.random_range(500..50_000),
             segment_bytes: random.random_range(1000..20_000),
-            leader: LeaderSettings {
-                swap_timeout: Duration::from_secs(10),
-                ..LeaderSettings::default()
-            },
-            call_timeout: LeaderSettings::default().order_timeout,
             faults,
             observer: self.observer.clone(),
         };
@@ -362,16 +326,13 @@
         if self.settings.engines == 0 {
             return;
         }
-        let store = Box::new(|boot: super::slot::Boot| {
-            let settings = WeightStoreSettings::default();
-            let store = WeightStoreProcess::new(boot.now, settings, boot.seed);
-            Ok(Box::new(store) as Box<dyn crate::process::Process>)
+        let store = slot::maker(|boot| {
+            WeightStoreProcess::new(boot.now, WeightStoreSettings::default(), boot.seed)
         });
         self.world.add("store", address(Kind::Store, 0), store);
         for number in 0..self.settings.engines {
-            let maker = Box::new(|boot: super::slot::Boot| {
-                let engine = EngineProcess::new(boot.now, EngineSettings::default(), boot.seed);
-                Ok(Box::new(engine) as Box<dyn crate::process::Process>)
+            let maker = slot::maker(|boot| {
+                EngineProcess::new(boot.now, EngineSettings::default(), boot.seed)
             });
             let name = format!("engine-{number}");
             self.world.add(&name, address(Kind::Engine, number), maker);
--- a/crates/wingshore-lab/src/sim/slot.rs
+++ b/crates/wingshore-lab/src/sim/slot.rs
@@ -20,6 +20,11 @@
 /// Makes a process; the error says why it does not start.
 pub type Maker = Box<dyn FnMut(Boot) -> Result<Box<dyn Process>, String>>;
 
+/// A maker of a process that always starts.
+pub fn maker<P: Process + 'static>(make: impl Fn(Boot) -> P + 'static) -> Maker {
+    Box::new(move |boot| Ok(Box::new(make(boot))))
+}
+
 /// What happens at an output that a [`Trap`] waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrapAction {
--- a/crates/wingshore-lab/src/sim/task_list.rs
+++ b/crates/wingshore-lab/src/sim/task_list.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use wingshore_types::protocol::control::{Intent, Plan};
+use wingshore_types::protocol::control::Intent;
 use wingshore_types::{PoolId, WeightVersion};
 
 /// What an operator is to do, and how far they have come; outlives the operator's process.
@@ -25,15 +25,12 @@
 #[derive(Default)]
 pub(super) struct Tasks {
     /// What is to be done first, in order.
-    pub(super) tasks: VecDeque<Task>,
+    pub(super) queue: VecDeque<Task>,
     /// Changes of their own still to be made.
     pub(super) changes: u32,
     /// Whether those go to the contested server.
     pub(super) races: bool,
     pub(super) drawn: u64,
-    pub(super) ended: u32,
-    /// The plan under way, as last answered.
-    pub(super) plan: Option<Plan>,
 }
 
 impl TaskList {
@@ -47,13 +44,13 @@
 
     /// Adds an intent.
     pub fn add(&self, intent: Intent) {
-        self.lock().tasks.push_back(Task::State(intent));
+        self.lock().queue.push_back(Task::State(intent));
     }
 
     /// Adds a publication: the weights are stored, then the version is announced.
     pub fn publish(&self, pool: PoolId, version: WeightVersion, model: &str, store: SocketAddr) {
         let model = model.to_owned();
-        self.lock().tasks.push_back(Task::Publish {
+        self.lock().queue.push_back(Task::Publish {
             pool,
             version,
             model,
@@ -69,17 +66,7 @@
     /// Whether all is done.
     pub fn is_done(&self) -> bool {
         let state = self.lock();
-        state.tasks.is_empty() && state.changes == 0
-    }
-
-    /// How many intents came to an end.
-    pub fn ended(&self) -> u32 {
-        self.lock().ended
-    }
-
-    /// The plan last answered.
-    pub fn plan(&self) -> Option<Plan> {
-        self.lock().plan.clone()
+        state.queue.is_empty() && state.changes == 0
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, Tasks> {
