--- a/crates/wingshore-lab/src/checks/mod.rs
+++ b/crates/wingshore-lab/src/checks/mod.rs
@@ -1,17 +1,17 @@
 //! Independent checkers: each judges one promise, from the logs of the stand-ins alone.
 
-pub mod configuration;
-pub mod exactly_once;
-pub mod leaving;
-pub mod no_repeat;
-pub mod not_run;
-pub mod orders;
-pub mod planned_stop;
-pub mod run_log;
-pub mod staleness;
+mod configuration;
+mod exactly_once;
+mod leaving;
+mod no_repeat;
+mod not_run;
+mod orders;
+mod planned_stop;
+mod run_log;
+mod staleness;
 pub mod summary;
-pub mod versions;
-pub mod whole_answers;
+mod versions;
+mod whole_answers;
 
 pub use run_log::RunLog;
 
--- a/crates/wingshore-lab/src/fleet/mod.rs
+++ b/crates/wingshore-lab/src/fleet/mod.rs
@@ -1,20 +1,20 @@
 //! `wingshore-lab fleet`: a whole site as separate processes on this machine, then every promise
 //! checked from the stand-ins' own logs.
 
-pub mod error;
-pub mod faults;
-pub mod lab_settings;
-pub mod layout;
+mod error;
+mod faults;
+mod lab_settings;
+mod layout;
 pub mod lost_disk;
 pub mod operator;
-pub mod process;
-pub mod program;
-pub mod progress;
-pub mod report;
-pub mod running;
-pub mod schedule;
-pub mod site;
-pub mod watch;
+mod process;
+mod program;
+mod progress;
+mod report;
+mod running;
+mod schedule;
+mod site;
+mod watch;
 
 use crate::checks::{Limits, RunLog, check_all, summary::summarize};
 use crate::stand_ins::engine::EngineSettings;
--- a/crates/wingshore-lab/src/lib.rs
+++ b/crates/wingshore-lab/src/lib.rs
@@ -4,14 +4,14 @@
 //! Nothing here is ever deployed.
 
 pub mod checks;
-pub mod durations;
-pub mod event_log;
+mod durations;
+mod event_log;
 pub mod events;
 pub mod fleet;
 pub mod hashing;
-pub mod http_client;
-pub mod http_server;
+mod http_client;
+mod http_server;
 pub mod process;
 pub mod sim;
 pub mod stand_ins;
-pub mod wiring;
+mod wiring;
--- a/crates/wingshore-lab/src/sim/mod.rs
+++ b/crates/wingshore-lab/src/sim/mod.rs
@@ -6,26 +6,27 @@
 //! [`crate::events::Event`] and judged by [`crate::checks`], the checkers that also judge a fleet
 //! of real processes. Beside them the [`observer`] judges what only a simulator can see.
 
-pub mod administrator;
+mod administrator;
 pub mod client;
-pub mod clock;
+mod clock;
 pub mod command;
-pub mod data_layout;
+mod data_layout;
 pub mod data_site;
 pub mod history;
-pub mod network;
+mod judgement;
+mod network;
 pub mod node;
-pub mod observed;
-pub mod observer;
-pub mod operator;
+mod observed;
+mod observer;
+mod operator;
 pub mod replica;
 pub mod runs;
 pub mod scenarios;
-pub mod site;
+mod site;
 mod site_layout;
-pub mod slot;
-pub mod task_list;
-pub mod trace;
-pub mod watcher;
-pub mod world;
+mod slot;
+mod task_list;
+mod trace;
+mod watcher;
+mod world;
 mod world_faults;
--- a/crates/wingshore-lab/src/sim/node/mod.rs
+++ b/crates/wingshore-lab/src/sim/node/mod.rs
@@ -9,16 +9,16 @@
 //! * `rollouts`: samples of pools
 //! * `trainer_requests`: trainers' requests
 
-pub mod completion;
-pub mod core;
-pub mod forward;
-pub mod probes;
-pub mod requests;
-pub mod rollouts;
-pub mod settings;
-pub mod trainer_requests;
-pub mod upstream;
-pub mod watch;
+mod completion;
+mod core;
+mod forward;
+mod probes;
+mod requests;
+mod rollouts;
+mod settings;
+mod trainer_requests;
+mod upstream;
+mod watch;
 
 pub use settings::{NodeFaults, SimNodeSettings};
 
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -2,7 +2,7 @@
 
 mod group;
 mod kind;
-pub mod settings;
+mod settings;
 mod start;
 
 pub use settings::{ReplicaFaults, ReplicaSettings, founders, founding_address};
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -112,11 +112,6 @@
         &self.settings
     }
 
-    /// The groups of the site.
-    pub fn groups(&self) -> Vec<GroupId> {
-        GroupId::all(0, 0)
-    }
-
     /// The leader of the control group, or any replica where none is known.
     pub fn leader(&self) -> SocketAddr {
         let leader = self.observer.leader(GroupId::Control);
@@ -173,7 +168,7 @@
 
     /// Has the administrator put whoever starts at `address` in the place of `old`.
     pub fn repair(&self, address: SocketAddr, old: ReplicaId) {
-        self.repairs.add(address, old, self.groups());
+        self.repairs.add(address, old, GroupId::all(0, 0));
     }
 
     /// Waits until `condition` holds on a site that has no reason not to get there.
@@ -257,12 +252,6 @@
         });
     }
 
-    /// Where an engine is.
-    pub fn any_engine(&mut self) -> SocketAddr {
-        let count = self.settings.engines.max(1);
-        address(Kind::Engine, self.world.random().random_range(0..count))
-    }
-
     fn disk(&self, address: SocketAddr) -> Option<&MemoryFileSystem> {
         let number = self.replicas.iter().position(|known| *known == address)?;
         self.disks.get(number)
--- a/crates/wingshore-lab/src/sim/world.rs
+++ b/crates/wingshore-lab/src/sim/world.rs
@@ -3,13 +3,11 @@
 use super::clock::LocalClock;
 use super::history::HistoryHash;
 use super::network::{Arrivals, CutKind, Departure, Network, NetworkSettings, Parcel};
-use super::observer::{ObserverHandle, SimPromise};
+use super::observer::ObserverHandle;
 use super::slot::{Maker, Slot, TrapAction};
 use super::trace;
-use crate::checks::{Limits, RunLog, check_all};
 use crate::events::{Event, Record};
 use crate::process::{ProcessInput, ProcessOutput};
-use crate::stand_ins::engine::length::LengthDistribution;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -42,10 +40,10 @@
     pub(super) random: ChaCha8Rng,
     pub(super) network: Network,
     pub(super) slots: BTreeMap<SocketAddr, Slot>,
-    records: Vec<Record>,
+    pub(super) records: Vec<Record>,
     history: HistoryHash,
     handled: u64,
-    observer: ObserverHandle,
+    pub(super) observer: ObserverHandle,
     trace: bool,
 }
 
@@ -142,37 +140,6 @@
         true
     }
 
-    /// Runs until `condition` holds on a site that has no reason not to get there; notes a breach of
-    /// liveness when it does not within `limit`.
-    pub fn await_or_violate(
-        &mut self,
-        limit: Duration,
-        what: &str,
-        condition: impl Fn(&Self) -> bool,
-    ) -> bool {
-        let holds = self.run_until(limit, condition);
-        if !holds {
-            let detail = format!("{what} has not come within {limit:?}");
-            self.observer.violate(SimPromise::Liveness, detail);
-        }
-        holds
-    }
-
-    /// Judges the whole run, of engines that generate these lengths: each broken promise, and what
-    /// was found.
-    pub fn judge(&self, lengths: LengthDistribution) -> Vec<(String, String)> {
-        let mut records = self.records.clone();
-        records.extend(self.observer.records());
-        let checked = check_all(&RunLog::new(records), &Limits::stated(lengths)).into_iter();
-        let checked = checked.map(|found| (found.promise.as_str().to_owned(), found.detail));
-        let seen = self.observer.violations().into_iter();
-        let seen = seen.map(|found| {
-            let detail = format!("{} us: {}", found.at.0 / 1000, found.detail);
-            (found.promise.as_str().to_owned(), detail)
-        });
-        checked.chain(seen).collect()
-    }
-
     /// Records what happened, for the checkers.
     pub fn record(&mut self, source: &str, event: Event) {
         self.note_with(source, &event);
--- a/crates/wingshore-lab/src/stand_ins/engine/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/mod.rs
@@ -1,18 +1,18 @@
 //! Stand-in for a model engine: a core without sockets, clocks and threads, the process around it,
 //! and its HTTP surface.
 
-pub mod cache;
-pub mod core;
-pub mod faults;
+mod cache;
+mod core;
+pub(crate) mod faults;
 pub mod fence;
 pub mod length;
-pub mod messages;
+pub(crate) mod messages;
 pub mod process;
 mod routes;
-pub mod scheduler;
-pub mod sequence;
-pub mod settings;
-pub mod weights;
+mod scheduler;
+mod sequence;
+mod settings;
+mod weights;
 
 pub use self::core::EngineCore;
 pub use messages::{DropReason, EngineFault, EngineInput, EngineOutput};
--- a/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a live server: runs charges and look-ups, logs each execution, and refuses by its
 //! own word when it is full or leaving.
 
-pub mod core;
+mod core;
 pub mod process;
 
 use super::StandInError;
--- a/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the platform's machine list, which lags behind the truth.
 
-pub mod core;
+mod core;
 pub mod process;
 
 use super::StandInError;
--- a/crates/wingshore-lab/src/stand_ins/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/mod.rs
@@ -3,14 +3,14 @@
 mod client;
 mod completion;
 pub mod engine;
-pub mod live_caller;
+pub(crate) mod live_caller;
 pub mod live_server;
 pub mod machine_list;
 mod runtime;
 pub mod scorer;
 mod server;
-pub mod settings;
-pub mod trainer;
+pub(crate) mod settings;
+pub(crate) mod trainer;
 pub mod weight_store;
 
 use crate::event_log::EventLogError;
--- a/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-in for a scoring service: slow at times, failing at times, and asked twice at times.
 
-pub mod core;
+mod core;
 pub mod process;
 
 use super::StandInError;
