--- a/crates/wingshore-lab/src/durations.rs
+++ b/crates/wingshore-lab/src/durations.rs
@@ -4,17 +4,11 @@
 use std::time::Duration;
 
 /// Writes a duration with its unit.
-///
-/// # Errors
-/// Those of the serializer.
 pub fn serialize<S: Serializer>(duration: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(&humantime::format_duration(*duration))
 }
 
 /// Reads a duration with its unit.
-///
-/// # Errors
-/// When the text is no duration with a unit.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     humantime::parse_duration(&text).map_err(|error| {
--- a/crates/wingshore-lab/src/event_log.rs
+++ b/crates/wingshore-lab/src/event_log.rs
@@ -16,7 +16,6 @@
     Open {
         /// The file.
         path: PathBuf,
-        /// Why.
         source: std::io::Error,
     },
     /// The file cannot be read.
@@ -24,7 +23,6 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
         source: std::io::Error,
     },
     /// A line is no record.
@@ -34,7 +32,6 @@
         path: PathBuf,
         /// The line, from 1.
         line: usize,
-        /// Why.
         source: serde_json::Error,
     },
 }
@@ -48,9 +45,6 @@
 
 impl EventLog {
     /// Opens `path` for appending; a process that starts again goes on in the same file.
-    ///
-    /// # Errors
-    /// When the file cannot be opened.
     pub fn open(path: &Path, source: &str) -> Result<Self, EventLogError> {
         let file = OpenOptions::new()
             .create(true)
@@ -95,9 +89,6 @@
 }
 
 /// Reads a whole log. A last line without its end is left out: its writer was killed.
-///
-/// # Errors
-/// When the file cannot be read, or a whole line is no record.
 pub fn read_log(path: &Path) -> Result<Vec<Record>, EventLogError> {
     let file = File::open(path).context(OpenSnafu { path })?;
     let mut reader = BufReader::new(file);
--- a/crates/wingshore-lab/src/fleet/faults.rs
+++ b/crates/wingshore-lab/src/fleet/faults.rs
@@ -21,7 +21,6 @@
 /// Between two polls for it.
 const LEADER_POLL: Duration = Duration::from_millis(10);
 
-/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The leader of the control group is killed and started again.
@@ -49,9 +48,6 @@
     ];
 
     /// Makes it happen; returns once the processes it touches run again.
-    ///
-    /// # Errors
-    /// When a process cannot be signalled or started.
     pub fn inject(self, site: &mut RunningSite, data: &Path) -> Result<(), FleetError> {
         match self {
             Self::KillLeader => kill_leader(site),
--- a/crates/wingshore-lab/src/fleet/lab_settings.rs
+++ b/crates/wingshore-lab/src/fleet/lab_settings.rs
@@ -20,19 +20,15 @@
     /// Engines; the model is that of their service.
     #[serde(default)]
     pub engine: EngineSettings,
-    /// Live servers.
     #[serde(default)]
     pub live_server: LiveServerSettings,
     /// Weight stores.
     #[serde(default)]
     pub weight_store: WeightStoreSettings,
-    /// Scorers.
     #[serde(default)]
     pub scorer: ScorerSettings,
-    /// Trainers.
     #[serde(default)]
     pub trainer: Vec<TrainerEntry>,
-    /// Live callers.
     #[serde(default)]
     pub live_caller: Vec<LiveCallerEntry>,
     /// What operators do meanwhile.
@@ -61,9 +57,7 @@
     pub name: String,
     /// Name of its node.
     pub node: String,
-    /// Its pool.
     pub pool: String,
-    /// How it trains.
     pub training: TrainingSettings,
 }
 
@@ -71,7 +65,6 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LiveCallerEntry {
-    /// Their name.
     pub name: String,
     /// Name of their node.
     pub node: String,
--- a/crates/wingshore-lab/src/fleet/layout.rs
+++ b/crates/wingshore-lab/src/fleet/layout.rs
@@ -27,9 +27,6 @@
 
 impl RunFolder {
     /// Makes the folders under `root`.
-    ///
-    /// # Errors
-    /// When they cannot be made.
     pub fn create(root: &Path) -> Result<Self, FleetError> {
         let folder = Self {
             root: root.to_owned(),
@@ -76,9 +73,7 @@
 pub struct FleetPlan {
     /// Engines, live servers and the platform's services.
     pub platform: Vec<ProcessPlan>,
-    /// Replicas.
     pub replicas: Vec<ProcessPlan>,
-    /// Nodes.
     pub nodes: Vec<ProcessPlan>,
     /// Trainers and live callers.
     pub callers: Vec<ProcessPlan>,
@@ -89,7 +84,6 @@
 /// The programs that are started.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `wingshore`.
     pub wingshore: PathBuf,
     /// `wingshore-lab`.
     pub lab: PathBuf,
@@ -104,7 +98,6 @@
 }
 
 impl<'a> Layout<'a> {
-    /// A layout of `site` in `folder`.
     pub fn new(site: &'a Site, folder: &'a RunFolder, programs: &'a Programs, seed: u64) -> Self {
         Self {
             site,
@@ -115,9 +108,6 @@
     }
 
     /// Writes all settings and answers how the processes are started.
-    ///
-    /// # Errors
-    /// When a file cannot be written or a name does not exist.
     pub fn write(&self) -> Result<FleetPlan, FleetError> {
         let site_file = self.folder.settings().join("site.toml");
         write(&site_file, &self.site.file_text)?;
--- a/crates/wingshore-lab/src/fleet/process.rs
+++ b/crates/wingshore-lab/src/fleet/process.rs
@@ -21,11 +21,8 @@
 /// How to start a process.
 #[derive(Clone, Debug)]
 pub struct ProcessPlan {
-    /// Its name.
     pub name: String,
-    /// The program.
     pub program: PathBuf,
-    /// Its arguments.
     pub arguments: Vec<String>,
     /// Where it listens, when it does.
     pub listen: Option<SocketAddr>,
@@ -59,10 +56,6 @@
 }
 
 impl ManagedProcess {
-    /// Starts it.
-    ///
-    /// # Errors
-    /// When the program cannot be started.
     pub fn start(plan: ProcessPlan, log: EventLog) -> Result<Self, FleetError> {
         let mut process = Self {
             plan,
@@ -74,9 +67,6 @@
     }
 
     /// Starts it once more, after it has ended.
-    ///
-    /// # Errors
-    /// When the program cannot be started.
     pub fn start_again(&mut self) -> Result<(), FleetError> {
         let plan = &self.plan;
         let path = &plan.output;
@@ -98,7 +88,6 @@
         Ok(())
     }
 
-    /// Its name.
     pub fn name(&self) -> &str {
         &self.plan.name
     }
@@ -108,15 +97,10 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Where it listens.
     pub fn listen(&self) -> Option<SocketAddr> {
         self.plan.listen
     }
 
-    /// Waits until it listens.
-    ///
-    /// # Errors
-    /// When it has not within `limit`, or has ended.
     pub fn wait_until_listening(&mut self, limit: Duration) -> Result<(), FleetError> {
         let Some(address) = self.plan.listen else {
             return Ok(());
@@ -152,9 +136,6 @@
 
     /// Planned stop: SIGTERM, then waits; kills it after `limit`. A stop that does not end by
     /// itself with success is noted as `stop_failed`, and the run fails.
-    ///
-    /// # Errors
-    /// When it cannot be signalled.
     pub fn stop(&mut self, limit: Duration) -> Result<(), FleetError> {
         if !self.end(limit)? {
             self.note("stop_failed");
@@ -163,9 +144,6 @@
     }
 
     /// SIGTERM, then waits; kills it after `limit`. Says whether it ended by itself with success.
-    ///
-    /// # Errors
-    /// When it cannot be signalled.
     pub fn end(&mut self, limit: Duration) -> Result<bool, FleetError> {
         if !self.is_running() {
             return Ok(false);
@@ -186,9 +164,6 @@
     }
 
     /// Kills it at once.
-    ///
-    /// # Errors
-    /// When it cannot be signalled.
     pub fn kill(&mut self) -> Result<(), FleetError> {
         let name = self.plan.name.clone();
         if let Some(mut child) = self.child.take() {
@@ -200,18 +175,12 @@
     }
 
     /// Stops its threads where they are.
-    ///
-    /// # Errors
-    /// When it cannot be signalled.
     pub fn freeze(&self) -> Result<(), FleetError> {
         self.note("freeze");
         self.signal(Signal::Freeze)
     }
 
     /// Lets its threads go on.
-    ///
-    /// # Errors
-    /// When it cannot be signalled.
     pub fn wake(&self) -> Result<(), FleetError> {
         self.note("wake");
         self.signal(Signal::Wake)
--- a/crates/wingshore-lab/src/fleet/program.rs
+++ b/crates/wingshore-lab/src/fleet/program.rs
@@ -8,9 +8,6 @@
 const PROGRAM: &str = "wingshore";
 
 /// The program, built when this process was started by cargo or when it is missing.
-///
-/// # Errors
-/// When it is missing and cannot be built.
 pub fn find_or_build() -> Result<PathBuf, FleetError> {
     let own = std::env::current_exe().map_err(|error| FleetError::Program {
         message: error.to_string(),
--- a/crates/wingshore-lab/src/fleet/progress.rs
+++ b/crates/wingshore-lab/src/fleet/progress.rs
@@ -18,9 +18,6 @@
 
 impl Progress {
     /// Reads it off the logs so far.
-    ///
-    /// # Errors
-    /// When a log cannot be read.
     pub fn read(logs: &Path) -> Result<Self, EventLogError> {
         let mut progress = Self::default();
         for record in RunLog::read(logs)?.records() {
--- a/crates/wingshore-lab/src/fleet/report.rs
+++ b/crates/wingshore-lab/src/fleet/report.rs
@@ -11,7 +11,6 @@
 /// What a run gave.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The site.
     pub site: String,
     /// Seed of the load.
     pub seed: u64,
--- a/crates/wingshore-lab/src/fleet/running.rs
+++ b/crates/wingshore-lab/src/fleet/running.rs
@@ -26,13 +26,10 @@
 pub struct RunningSite {
     /// Engines, live servers and the platform's services.
     pub platform: Vec<ManagedProcess>,
-    /// Replicas.
     pub replicas: Vec<ManagedProcess>,
-    /// Nodes.
     pub nodes: Vec<ManagedProcess>,
     /// Trainers and live callers.
     pub callers: Vec<ManagedProcess>,
-    /// Its operator.
     pub operator: Operator,
     /// The fleet's own log.
     pub log: EventLog,
@@ -42,9 +39,6 @@
 
 impl RunningSite {
     /// Starts everything and puts the site's configuration in force.
-    ///
-    /// # Errors
-    /// When a process does not start, or the configuration is not accepted.
     pub fn start(
         site: &mut Site,
         plan: FleetPlan,
@@ -78,9 +72,6 @@
     }
 
     /// Stops in order: callers, nodes, replicas, stand-ins.
-    ///
-    /// # Errors
-    /// When a process cannot be signalled.
     pub fn stop(mut self) -> Result<(), FleetError> {
         for caller in &mut self.callers {
             caller.stop(STOP_LIMIT)?;
@@ -103,26 +94,15 @@
         }
     }
 
-    /// A node by name.
-    ///
-    /// # Errors
-    /// When there is none.
     pub fn node(&mut self, name: &str) -> Result<&mut ManagedProcess, FleetError> {
         find(&mut self.nodes, "node", name)
     }
 
-    /// A replica by name.
-    ///
-    /// # Errors
-    /// When there is none.
     pub fn replica(&mut self, name: &str) -> Result<&mut ManagedProcess, FleetError> {
         find(&mut self.replicas, "replica", name)
     }
 
     /// Name of the replica that leads the control group.
-    ///
-    /// # Errors
-    /// When the control group does not answer, or the leader is none of these replicas.
     pub fn leader(&self) -> Result<String, FleetError> {
         let leader = self.operator.status()?.leader;
         let mut identities = self.identities.iter();
@@ -135,10 +115,6 @@
             })
     }
 
-    /// Identity of a replica.
-    ///
-    /// # Errors
-    /// When there is none of this name.
     pub fn identity_of(&self, name: &str) -> Result<ReplicaId, FleetError> {
         let identity = self.identities.get(name).copied();
         identity.context(UnknownNameSnafu {
@@ -153,9 +129,6 @@
     }
 
     /// A stand-in of the platform's side by name.
-    ///
-    /// # Errors
-    /// When there is none.
     pub fn back_end(&mut self, name: &str) -> Result<&mut ManagedProcess, FleetError> {
         find(&mut self.platform, "server", name)
     }
--- a/crates/wingshore-lab/src/fleet/schedule.rs
+++ b/crates/wingshore-lab/src/fleet/schedule.rs
@@ -40,9 +40,7 @@
 /// An action and when it is due, counted from the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueAction {
-    /// When.
     pub at: Duration,
-    /// What.
     pub action: Action,
 }
 
@@ -81,9 +79,6 @@
 
 impl Performer<'_> {
     /// Carries one action out.
-    ///
-    /// # Errors
-    /// When an operator's command fails or a process cannot be signalled.
     pub fn perform(&self, site: &mut RunningSite, action: Action) -> Result<(), FleetError> {
         let operations = &self.lab.operations;
         match action {
@@ -124,9 +119,6 @@
 }
 
 /// Posts JSON to a stand-in.
-///
-/// # Errors
-/// When it does not answer with success.
 pub fn post<T: serde::Serialize>(
     address: SocketAddr,
     path: &str,
--- a/crates/wingshore-lab/src/fleet/site.rs
+++ b/crates/wingshore-lab/src/fleet/site.rs
@@ -25,15 +25,11 @@
 
 /// A site on this machine.
 pub struct Site {
-    /// Its name.
     pub name: String,
-    /// Text of the site file.
     pub file_text: String,
     /// The same, parsed.
     pub file: SiteFile,
-    /// Its replicas.
     pub replicas: Vec<Role<ReplicaSettings>>,
-    /// Its nodes.
     pub nodes: Vec<Role<NodeSettings>>,
     /// How the stand-ins behave.
     pub lab: LabSettings,
@@ -67,9 +63,6 @@
 
 impl Site {
     /// Reads a site; data folders become folders under `data`.
-    ///
-    /// # Errors
-    /// When a file is missing or wrong, or no port is free.
     pub fn read(folder: &Path, name: &str, data: &Path) -> Result<Self, FleetError> {
         let mut ports = FreePorts::default();
         let mut read = |path: &Path| read_moved(path, data, &mut ports);
--- a/crates/wingshore-lab/src/fleet/watch.rs
+++ b/crates/wingshore-lab/src/fleet/watch.rs
@@ -18,10 +18,8 @@
 /// The gauge of a node that tells the revision in force.
 const REVISION_METRIC: &str = "wingshore_configuration_revision";
 
-/// A node to watch.
 #[derive(Clone, Debug)]
 pub struct WatchedNode {
-    /// Its name.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
--- a/crates/wingshore-lab/src/http_client.rs
+++ b/crates/wingshore-lab/src/http_client.rs
@@ -13,21 +13,17 @@
     /// The request failed.
     #[snafu(display("{method} {url}: {source}"))]
     Request {
-        /// Method.
         method: &'static str,
         /// Whole address.
         url: String,
-        /// Why.
         source: Box<ureq::Error>,
     },
     /// The body is cut.
     #[snafu(display("{method} {url}: the body is not whole: {source}"))]
     Body {
-        /// Method.
         method: &'static str,
         /// Whole address.
         url: String,
-        /// Why.
         source: std::io::Error,
     },
 }
@@ -53,11 +49,9 @@
 /// A whole answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status.
     pub status: u16,
     /// Seconds of `Retry-After`, when given.
     pub retry_after: Option<Duration>,
-    /// Body.
     pub body: Vec<u8>,
 }
 
@@ -68,7 +62,6 @@
     }
 }
 
-/// An HTTP client.
 #[derive(Clone)]
 pub struct HttpClient {
     agent: ureq::Agent,
@@ -91,10 +84,6 @@
         &self.agent
     }
 
-    /// `GET`.
-    ///
-    /// # Errors
-    /// When there is no whole answer.
     pub fn get(&self, url: &str, headers: &[(&str, &str)]) -> Result<Answer, HttpError> {
         let mut request = self.agent.get(url);
         for (name, value) in headers {
@@ -109,9 +98,6 @@
     }
 
     /// `POST` with a JSON body.
-    ///
-    /// # Errors
-    /// When there is no whole answer.
     pub fn post(
         &self,
         url: &str,
@@ -131,9 +117,6 @@
     }
 
     /// `PUT` of bytes.
-    ///
-    /// # Errors
-    /// When there is no whole answer.
     pub fn put(&self, url: &str, body: &[u8]) -> Result<Answer, HttpError> {
         let sent = self.agent.put(url).send(body).map_err(Box::new);
         let method = "PUT";
--- a/crates/wingshore-lab/src/http_server.rs
+++ b/crates/wingshore-lab/src/http_server.rs
@@ -30,7 +30,6 @@
     pub path: String,
     /// Query, without the question mark; empty when there is none.
     pub query: String,
-    /// Body.
     pub body: Vec<u8>,
     request: Request,
 }
@@ -75,9 +74,6 @@
     }
 
     /// The body as JSON.
-    ///
-    /// # Errors
-    /// When it is not of the wanted shape.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
@@ -113,9 +109,6 @@
     }
 
     /// Begins a stream of server-sent events.
-    ///
-    /// # Errors
-    /// When the client is gone.
     pub fn into_event_stream(self) -> std::io::Result<EventStream> {
         let mut writer = self.request.into_writer();
         writer.write_all(
@@ -134,9 +127,6 @@
 
 impl EventStream {
     /// Sends one event.
-    ///
-    /// # Errors
-    /// When the client is gone.
     pub fn send<T: Serialize>(&mut self, event: &T) -> std::io::Result<()> {
         let text = serde_json::to_string(event).map_err(std::io::Error::other)?;
         let line = format!("data: {text}\n\n");
@@ -145,9 +135,6 @@
     }
 
     /// Ends the stream.
-    ///
-    /// # Errors
-    /// When the client is gone.
     pub fn finish(mut self) -> std::io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
@@ -155,9 +142,6 @@
 }
 
 /// Serves `address` for ever; `round_trip` stands for the network between the machines.
-///
-/// # Errors
-/// When the address cannot be listened on.
 pub fn serve(
     address: SocketAddr,
     round_trip: Duration,
--- a/crates/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/wingshore-lab/src/sim/data_layout.rs
@@ -48,23 +48,19 @@
 /// Kinds of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// Replicas.
     Replica,
     /// Nodes.
     Node,
     /// Engines.
     Engine,
-    /// Live servers.
     LiveServer,
     /// Live callers, each beside the node of its number.
     Caller,
     /// The trainer, beside the first node.
     Trainer,
-    /// The scorer.
     Scorer,
     /// The weight store.
     Store,
-    /// The machine list.
     MachineList,
     /// Who sets the site up.
     Operator,
@@ -140,7 +136,6 @@
     }
 }
 
-/// Settings of a live server.
 pub fn live_server(number: usize) -> LiveServerSettings {
     LiveServerSettings {
         answer_bytes: 32,
@@ -198,7 +193,6 @@
         }
     }
 
-    /// Settings of the machine list.
     pub fn machine_list(&self) -> MachineListSettings {
         let servers = self.servers().into_iter();
         MachineListSettings {
@@ -215,7 +209,6 @@
         }
     }
 
-    /// Settings of a node.
     pub fn node(&self, number: usize) -> SimNodeSettings {
         let name = Place::Node.name(number);
         SimNodeSettings {
--- a/crates/wingshore-lab/src/sim/node/completion.rs
+++ b/crates/wingshore-lab/src/sim/node/completion.rs
@@ -29,9 +29,6 @@
 
 impl Completion {
     /// Admits a completion.
-    ///
-    /// # Errors
-    /// The refusal for the caller.
     pub fn take_in(
         context: &mut NodeContext<'_>,
         call: CompletionCall,
--- a/crates/wingshore-lab/src/sim/node/core.rs
+++ b/crates/wingshore-lab/src/sim/node/core.rs
@@ -46,7 +46,6 @@
     Stream(usize, AttemptId),
     /// A runner's question to the scorer, of the pool with this number.
     Score(usize, ScoreCallId),
-    /// A probe.
     Probe(ServerId, ProbeKind),
     /// A reading of the machine list.
     Machines,
@@ -56,11 +55,9 @@
 
 /// State that all parts use.
 pub struct NodeCore {
-    /// Settings.
     pub settings: SimNodeSettings,
     /// Drawn at this start.
     pub boot_id: u64,
-    /// The router.
     pub router: Router,
     /// The copy of the configuration.
     pub view: ConfigurationView,
@@ -116,9 +113,6 @@
     }
 
     /// Whether new work may be taken now.
-    ///
-    /// # Errors
-    /// The refusal for the caller.
     pub fn may_admit(&self, now: Instant) -> Result<(), NotTaken> {
         if self.is_stopping {
             return Err(NotTaken {
@@ -130,9 +124,6 @@
     }
 
     /// Whether the configuration may be acted on.
-    ///
-    /// # Errors
-    /// The refusal for the caller.
     pub fn holds_configuration(&self, now: Instant) -> Result<(), NotTaken> {
         let code = match self.view.may_admit(now) {
             Ok(()) => return Ok(()),
@@ -152,7 +143,6 @@
     pub now: Instant,
     /// Shared state.
     pub core: &'a mut NodeCore,
-    /// Calls to groups.
     pub groups: &'a mut GroupCalls<GroupPurpose>,
     /// Calls to back ends and to the platform.
     pub upstream: &'a mut Upstream,
--- a/crates/wingshore-lab/src/sim/node/forward.rs
+++ b/crates/wingshore-lab/src/sim/node/forward.rs
@@ -27,9 +27,6 @@
 
 impl Forward {
     /// Admits a request.
-    ///
-    /// # Errors
-    /// The refusal for the caller.
     pub fn take_in(
         context: &mut NodeContext<'_>,
         call: LiveCall,
--- a/crates/wingshore-lab/src/sim/node/requests.rs
+++ b/crates/wingshore-lab/src/sim/node/requests.rs
@@ -29,7 +29,6 @@
 pub enum Progress {
     /// The attempt goes on.
     GoesOn,
-    /// It has ended.
     Ended(AttemptEnd),
     /// The caller has gone meanwhile; the attempt is to be stopped.
     CallerGone,
@@ -48,7 +47,6 @@
     ) -> Progress;
     /// The engine's name of the attempt under way, where it is to be cancelled there.
     fn engine_attempt(&self) -> Option<&str>;
-    /// The caller has gone.
     fn on_caller_gone(&mut self);
     /// The last part of the answer to the caller.
     fn answer(&mut self, answer: FinalAnswer) -> Answer;
--- a/crates/wingshore-lab/src/sim/node/rollouts.rs
+++ b/crates/wingshore-lab/src/sim/node/rollouts.rs
@@ -27,7 +27,6 @@
 /// One call to a ledger is given up after this time; the runner sends again what matters.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The rollouts of one pool.
 pub struct PoolRollouts {
     index: usize,
     pool: PoolId,
--- a/crates/wingshore-lab/src/sim/observed.rs
+++ b/crates/wingshore-lab/src/sim/observed.rs
@@ -33,9 +33,7 @@
 pub struct Probe {
     /// Where to report.
     pub observer: ObserverHandle,
-    /// The group.
     pub group: GroupId,
-    /// The member.
     pub member: ReplicaId,
 }
 
--- a/crates/wingshore-lab/src/sim/observer.rs
+++ b/crates/wingshore-lab/src/sim/observer.rs
@@ -65,7 +65,6 @@
 /// One breach.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SimViolation {
-    /// Of which promise.
     pub promise: SimPromise,
     /// When it was seen.
     pub at: Instant,
@@ -222,7 +221,6 @@
         }
     }
 
-    /// A member has sent an order.
     pub fn order_sent(&self, server: &ServerId, fence: OrderFence, member: ReplicaId) {
         let mut observer = self.lock();
         let epoch = observer.epochs.get(&member).copied().unwrap_or_default();
--- a/crates/wingshore-lab/src/sim/replica/group.rs
+++ b/crates/wingshore-lab/src/sim/replica/group.rs
@@ -27,7 +27,6 @@
 /// Where a request came from.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
-    /// The process.
     pub from: SocketAddr,
     /// Its number on the connection.
     pub id: RequestId,
@@ -80,7 +79,6 @@
     done_at: Instant,
 }
 
-/// A group with its host.
 pub struct HostedGroup<L: SimLeader> {
     host: Host<ObservedLeader<L>>,
     store: GroupStore,
--- a/crates/wingshore-lab/src/sim/replica/kind.rs
+++ b/crates/wingshore-lab/src/sim/replica/kind.rs
@@ -14,7 +14,6 @@
 /// What a call to a back end was for.
 #[derive(Clone, Debug)]
 pub enum EffectOrigin {
-    /// An order.
     Order {
         /// The engine.
         server: ServerId,
@@ -30,7 +29,6 @@
     },
     /// A reading of a live server's load.
     Load {
-        /// The server.
         server: ServerId,
         /// When it was asked.
         asked_at: Instant,
@@ -39,11 +37,9 @@
 
 /// A call to a back end.
 pub struct EffectCall {
-    /// Where to.
     pub to: SocketAddr,
     /// What is asked.
     pub call: Call,
-    /// What for.
     pub origin: EffectOrigin,
 }
 
@@ -60,7 +56,6 @@
     fn first_event(_replica: ReplicaId, _settings: &LeaderSettings) -> Option<Self::Event> {
         None
     }
-    /// The call that an effect is.
     fn call_of(now: Instant, effect: Self::Effect) -> Option<EffectCall>;
     /// What an answer to it means; no answer is [`Answer::Broken`].
     fn event_of(origin: EffectOrigin, answer: Answer) -> Option<Self::Event>;
--- a/crates/wingshore-lab/src/sim/replica/start.rs
+++ b/crates/wingshore-lab/src/sim/replica/start.rs
@@ -19,7 +19,6 @@
 /// The name of the simulated site.
 pub const SITE: &str = "simulated";
 
-/// All groups of a replica.
 pub type Groups = BTreeMap<GroupId, Box<dyn SimGroup>>;
 
 /// Opens what a replica's groups start from.
@@ -32,10 +31,6 @@
 }
 
 impl Opener<'_> {
-    /// Opens all groups.
-    ///
-    /// # Errors
-    /// Says which store or host does not start.
     pub fn open(mut self) -> Result<Groups, String> {
         let settings = self.settings;
         let mut groups = Groups::new();
--- a/crates/wingshore-lab/src/sim/scenarios/faults.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/faults.rs
@@ -14,7 +14,6 @@
 pub enum Fault {
     /// A replica is cut off.
     CutOff,
-    /// The leader is cut off.
     CutOffLeader,
     /// One direction of one link is cut.
     OneWay,
@@ -85,7 +84,6 @@
     }
 }
 
-/// Any kind of cut.
 pub fn any_cut(site: &mut Site) -> CutKind {
     match site.world.random().random_bool(0.5) {
         true => CutKind::Silent,
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -34,7 +34,6 @@
 /// Kinds of machines, as a part of their addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Replicas.
     Replica = 1,
     /// Followers of the configuration.
     Watcher = 2,
@@ -65,15 +64,12 @@
     pub racers: usize,
     /// Changes each of them makes.
     pub changes: u32,
-    /// Engines.
     pub engines: usize,
 }
 
 /// A site in a world of its own.
 pub struct Site {
-    /// The world.
     pub world: World,
-    /// Where the replicas are.
     pub replicas: Vec<SocketAddr>,
     /// What the simulator sees.
     pub observer: ObserverHandle,
@@ -130,7 +126,6 @@
         others[self.world.random().random_range(0..others.len())]
     }
 
-    /// Any replica.
     pub fn any_replica(&mut self) -> SocketAddr {
         let count = self.replicas.len();
         self.replicas[self.world.random().random_range(0..count)]
--- a/crates/wingshore-lab/src/sim/slot.rs
+++ b/crates/wingshore-lab/src/sim/slot.rs
@@ -40,7 +40,6 @@
 
 /// Waits for an output of one process.
 pub struct Trap {
-    /// Which output.
     pub wanted: Box<dyn Fn(&ProcessOutput) -> bool>,
     /// How many of these are let through first.
     pub skip: u32,
--- a/crates/wingshore-lab/src/sim/task_list.rs
+++ b/crates/wingshore-lab/src/sim/task_list.rs
@@ -42,7 +42,6 @@
         list
     }
 
-    /// Adds an intent.
     pub fn add(&self, intent: Intent) {
         self.lock().queue.push_back(Task::State(intent));
     }
--- a/crates/wingshore-lab/src/sim/world.rs
+++ b/crates/wingshore-lab/src/sim/world.rs
@@ -25,7 +25,6 @@
 /// How fast a machine's clock may run, in millionths.
 const MAX_DRIFT_PPM: i64 = 15_000;
 
-/// What is to happen.
 pub(super) enum Happening {
     Arrive(Parcel),
     Wake { process: SocketAddr },
--- a/crates/wingshore-lab/src/stand_ins/completion.rs
+++ b/crates/wingshore-lab/src/stand_ins/completion.rs
@@ -22,7 +22,6 @@
     finish_reason: Option<String>,
 }
 
-/// How a stream ended.
 pub enum StreamEnd {
     /// With a reason to finish and its last event.
     Whole,
--- a/crates/wingshore-lab/src/stand_ins/engine/routes.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/routes.rs
@@ -7,10 +7,6 @@
 use crate::stand_ins::weight_store::weights_path;
 use wingshore_types::platform::CancelRequest;
 
-/// What a request is to the engine.
-///
-/// # Errors
-/// When there is no such path, or the body is not of the documented shape.
 pub fn request_of(incoming: &Incoming) -> Result<Request, NotServed> {
     let call = match (incoming.method.as_str(), incoming.path.as_str()) {
         ("POST", "/lab/faults") => {
--- a/crates/wingshore-lab/src/stand_ins/engine/sequence.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/sequence.rs
@@ -8,9 +8,7 @@
 /// A request that waits or runs.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// The request.
     pub request: EngineCompletionRequest,
-    /// Hash of its prompt.
     pub prompt_hash: u64,
     /// The engine gives up at this time.
     pub deadline: Instant,
--- a/crates/wingshore-lab/src/stand_ins/engine/weights.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/weights.rs
@@ -8,7 +8,6 @@
 pub enum WeightChange {
     /// The version is in force.
     InForce {
-        /// The version.
         version: WeightVersion,
         /// The one it took over from, when that was known.
         previous: Option<WeightVersion>,
--- a/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
@@ -16,9 +16,6 @@
 use std::sync::atomic::AtomicBool;
 
 /// Calls until it is told to stop by SIGTERM; what is under way is then finished.
-///
-/// # Errors
-/// When its settings or log cannot be used.
 pub fn run(settings_file: &Path, stop: &AtomicBool) -> Result<(), StandInError> {
     let settings: LiveCallerSettings = load(settings_file)?;
     let log = EventLog::open(&settings.log, &settings.name)?;
--- a/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
@@ -13,7 +13,6 @@
 /// One request to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// Its number.
     pub number: u64,
     /// When it is due, counted from the start.
     pub due: Duration,
--- a/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -55,7 +55,6 @@
     GiveUp(CallId),
 }
 
-/// The process.
 pub struct LiveCallerProcess {
     settings: LiveCallerSettings,
     boot_id: u64,
--- a/crates/wingshore-lab/src/stand_ins/live_caller/settings.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/settings.rs
@@ -12,7 +12,6 @@
 pub struct LiveCallerSettings {
     /// Their name in logs.
     pub name: String,
-    /// Where they log.
     pub log: PathBuf,
     /// The node beside them.
     pub node: SocketAddr,
@@ -20,7 +19,6 @@
     pub service: String,
     /// The model they ask for completions; none asks for none.
     pub model: Option<String>,
-    /// The load.
     pub load: LoadSettings,
 }
 
--- a/crates/wingshore-lab/src/stand_ins/server.rs
+++ b/crates/wingshore-lab/src/stand_ins/server.rs
@@ -26,7 +26,6 @@
 
 /// Why a request does not reach the process.
 pub enum NotServed {
-    /// The stand-in has no such path.
     NoSuchPath,
     /// The body is not of the documented shape.
     BadBody(serde_json::Error),
@@ -36,17 +35,11 @@
 pub type Decode = fn(&Incoming) -> Result<Request, NotServed>;
 
 /// The body of a request.
-///
-/// # Errors
-/// When it is not of the wanted shape.
 pub fn body<T: DeserializeOwned>(incoming: &Incoming) -> Result<T, NotServed> {
     incoming.json().map_err(NotServed::BadBody)
 }
 
 /// Serves until the process ends. An answer that is a model's weights has `weight_bytes` bytes.
-///
-/// # Errors
-/// When the address cannot be listened on.
 pub fn serve_process(
     settings: &ListenSettings,
     runtime: Arc<Runtime>,
--- a/crates/wingshore-lab/src/stand_ins/settings.rs
+++ b/crates/wingshore-lab/src/stand_ins/settings.rs
@@ -16,7 +16,6 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
         source: std::io::Error,
     },
     /// The file says something unknown or wrong.
@@ -24,7 +23,6 @@
     ParseFile {
         /// The file.
         path: PathBuf,
-        /// Why.
         source: Box<toml::de::Error>,
     },
 }
@@ -35,9 +33,7 @@
 pub struct ListenSettings {
     /// Its name in logs and in the machine list.
     pub name: String,
-    /// Where it listens.
     pub listen: SocketAddr,
-    /// Where it logs.
     pub log: PathBuf,
     /// Stands for the network: time from a client to it and back.
     #[serde(with = "durations", default)]
@@ -55,9 +51,6 @@
 }
 
 /// Reads a TOML file.
-///
-/// # Errors
-/// When the file cannot be read or does not fit.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     toml::from_str(&text)
--- a/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
@@ -19,9 +19,6 @@
 
 /// Trains until it is told to stop by SIGTERM; it then pulls all that it has submitted, so that
 /// the log shows whether a sample was lost. It resumes from what its log holds.
-///
-/// # Errors
-/// When its settings or log cannot be used.
 pub fn run(settings_file: &Path, stop: &AtomicBool) -> Result<(), StandInError> {
     let settings: TrainerSettings = load(settings_file)?;
     let log = EventLog::open(&settings.log, &settings.name)?;
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -38,7 +38,6 @@
     }
 }
 
-/// What it is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Activity {
     Submit(StepId),
@@ -66,7 +65,6 @@
     Trained,
 }
 
-/// The process.
 pub struct TrainerProcess {
     settings: TrainerSettings,
     disk: TrainerDisk,
--- a/crates/wingshore-lab/src/stand_ins/trainer/progress.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/progress.rs
@@ -4,7 +4,6 @@
 use std::collections::BTreeMap;
 use wingshore_types::{StepId, WeightVersion};
 
-/// Where a trainer is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// The step to pull next.
--- a/crates/wingshore-lab/src/stand_ins/trainer/prompts.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/prompts.rs
@@ -18,7 +18,6 @@
     step.0 * batch..(step.0 + 1) * batch
 }
 
-/// The prompt of a sample.
 pub fn prompt_of(settings: &TrainingSettings, number: SampleNumber) -> Prompt {
     let group = number.0 / settings.group.max(1);
     let shared = settings.shared_tokens.min(settings.prompt_tokens);
--- a/crates/wingshore-lab/src/stand_ins/trainer/settings.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/settings.rs
@@ -18,7 +18,6 @@
     pub node: SocketAddr,
     /// Where it puts its weights.
     pub weight_store: SocketAddr,
-    /// Its pool.
     pub pool: String,
     /// The model it trains.
     pub model: String,
@@ -38,7 +37,6 @@
     pub steps_ahead: u64,
     /// Samples that share a prompt.
     pub group: u64,
-    /// Tokens of a prompt.
     pub prompt_tokens: usize,
     /// Tokens at the beginning that all prompts share.
     pub shared_tokens: usize,
--- a/crates/wingshore-lab/src/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -27,7 +27,6 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets one.
     pub fn set(&mut self, at: Instant, what: T) {
         self.set += 1;
         self.waiting.insert((at, self.set), what);
@@ -114,7 +113,6 @@
 pub struct NotTaken {
     /// Stable code.
     pub code: &'static str,
-    /// Retry-after.
     pub retry_after: Option<Duration>,
 }
 
