--- a/crates/wingshore-lab/src/lib.rs
+++ b/crates/wingshore-lab/src/lib.rs
@@ -4,14 +4,14 @@
 //! Nothing here is ever deployed.
 
 pub mod checks;
-mod durations;
-mod event_log;
+pub(crate) mod durations;
+pub(crate) mod event_log;
 pub mod events;
 pub mod fleet;
 pub mod hashing;
-mod http_client;
-mod http_server;
+pub(crate) mod http_client;
+pub(crate) mod http_server;
 pub mod process;
 pub mod sim;
 pub mod stand_ins;
-mod wiring;
+pub(crate) mod wiring;
--- a/crates/wingshore-lab/src/stand_ins/engine/messages.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/messages.rs
@@ -41,6 +41,17 @@
     StepTime(u32),
 }
 
+impl EngineFault {
+    /// Its name in logs.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Freeze(_) => "freeze",
+            Self::FailNextSwap => "fail_next_swap",
+            Self::StepTime(_) => "slow",
+        }
+    }
+}
+
 /// Why an attempt ended without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
--- a/crates/wingshore-lab/src/stand_ins/engine/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/mod.rs
@@ -5,6 +5,7 @@
 mod core;
 pub(crate) mod faults;
 pub mod fence;
+mod fetches;
 pub mod length;
 pub(crate) mod messages;
 pub mod process;
--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -1,59 +1,32 @@
 //! A model engine as a process: [`EngineCore`] behind calls, and fetches of weights.
 
+use super::fence::OrderAnswer;
+use super::fetches::{Fetched, Fetches};
+use super::{EngineCore, EngineFault, EngineInput, EngineOutput, EngineSettings};
 use crate::events::Event;
 use crate::process::{
-    Answer, Call, CallId, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
-};
-use crate::stand_ins::engine::fence::OrderAnswer;
-use crate::stand_ins::engine::{
-    EngineCore, EngineFault, EngineInput, EngineOutput, EngineSettings,
-};
-use crate::wiring::{
-    CallNumbers, InboundCall, Timers, failed, hang_up, not_run, record, send_call,
+    Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
+use crate::wiring::{InboundCall, Timers, failed, not_run, record};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
+use wingshore_types::Instant;
 use wingshore_types::generator::hash_tokens;
 use wingshore_types::platform::{EngineCompletionRequest, EngineOrder, EngineState};
-use wingshore_types::{Instant, Verdict, WeightVersion};
 
-/// Attempts of a fetch.
-const FETCH_ATTEMPTS: u32 = 40;
-/// Backoff of a fetch when the store names none.
-const FETCH_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest attempt of a fetch.
-const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
 /// Retry-after of a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Something to do later.
-#[derive(Clone, Debug)]
-enum Later {
-    /// Send a fetch, or give it up when it was sent as this call.
-    Fetch(Fetch, Option<CallId>),
-    /// Send a state that was read earlier.
-    State(InboundCall, Box<EngineState>),
-}
-
-/// A fetch of weights.
-#[derive(Clone, Copy, Debug)]
-struct Fetch {
-    version: WeightVersion,
-    store: SocketAddr,
-    attempts_left: u32,
-}
-
 /// The process.
 pub struct EngineProcess {
     core: EngineCore,
-    model: String,
     boot_id: u64,
     started_at: Option<Instant>,
-    calls: CallNumbers,
     streams: BTreeMap<String, InboundCall>,
-    fetches: BTreeMap<CallId, Fetch>,
-    timers: Timers<Later>,
+    fetches: Fetches,
+    /// States that were read earlier and are sent late.
+    late_answers: Timers<(InboundCall, Box<EngineState>)>,
     frozen_until: Option<Instant>,
     held: VecDeque<ProcessInput>,
     late_states: (u32, Duration),
@@ -64,14 +37,12 @@
     /// An engine that starts at `now`.
     pub fn new(now: Instant, settings: EngineSettings, boot_id: u64) -> Self {
         Self {
-            model: settings.model.clone(),
+            fetches: Fetches::new(&settings.model, boot_id),
             core: EngineCore::new(now, settings, boot_id),
             boot_id,
             started_at: Some(now),
-            calls: CallNumbers::new(boot_id),
             streams: BTreeMap::new(),
-            fetches: BTreeMap::new(),
-            timers: Timers::default(),
+            late_answers: Timers::default(),
             frozen_until: None,
             held: VecDeque::new(),
             late_states: (0, Duration::ZERO),
@@ -101,7 +72,10 @@
     ) {
         match message {
             SimMessage::Call { id, call } => self.on_call(now, InboundCall { from, id }, call, out),
-            SimMessage::Answer { id, answer } => self.on_fetch_answer(now, id, &answer, out),
+            SimMessage::Answer { id, answer } => {
+                let ended = self.fetches.on_answer(now, id, &answer);
+                self.end_fetch(now, ended, out);
+            }
             SimMessage::HangUp { id } => self.on_hang_up(now, InboundCall { from, id }, out),
             SimMessage::Consensus { .. }
             | SimMessage::GroupRequest { .. }
@@ -199,8 +173,7 @@
         let (late, by) = self.late_states;
         if late > 0 {
             self.late_states.0 -= 1;
-            self.timers
-                .set(now + by, Later::State(caller, Box::new(state)));
+            self.late_answers.set(now + by, (caller, Box::new(state)));
         } else {
             self.answer(caller, Answer::State(state), out);
         }
@@ -228,8 +201,8 @@
                 if let EngineFault::Freeze(duration) = fault {
                     self.frozen_until = Some(now + duration);
                 }
-                let fault_name = name_of(fault).to_owned();
-                record(Event::FaultInjected { fault: fault_name }, out);
+                let name = fault.as_str().to_owned();
+                record(Event::FaultInjected { fault: name }, out);
                 self.drive(now, EngineInput::Fault(fault), out);
             }
             ProcessFault::LateStates { count, by } => self.late_states = (count, by),
@@ -293,93 +266,25 @@
             ),
             EngineOutput::VersionInForce(version) => record(Event::VersionInForce { version }, out),
             EngineOutput::FetchWeights { version, source } => {
-                self.begin_fetch(now, version, &source, out);
+                let ended = self.fetches.begin(now, version, &source, out);
+                self.end_fetch(now, ended, out);
             }
         }
     }
 
-    fn begin_fetch(
-        &mut self,
-        now: Instant,
-        version: WeightVersion,
-        source: &str,
-        out: &mut Vec<ProcessOutput>,
-    ) {
-        match address_of(source) {
-            Some(store) => {
-                let fetch = Fetch {
-                    version,
-                    store,
-                    attempts_left: FETCH_ATTEMPTS,
-                };
-                self.fetch(now, fetch, out);
-            }
-            None => self.end_fetch(now, version, false, out),
+    fn end_fetch(&mut self, now: Instant, ended: Option<Fetched>, out: &mut Vec<ProcessOutput>) {
+        if let Some(Fetched { version, succeeded }) = ended {
+            let fetched = EngineInput::WeightsFetched { version, succeeded };
+            self.drive(now, fetched, out);
         }
     }
 
-    fn fetch(&mut self, now: Instant, fetch: Fetch, out: &mut Vec<ProcessOutput>) {
-        let Some(attempts_left) = fetch.attempts_left.checked_sub(1) else {
-            return self.end_fetch(now, fetch.version, false, out);
-        };
-        let fetch = Fetch {
-            attempts_left,
-            ..fetch
-        };
-        let id = self.calls.draw();
-        let (model, version) = (self.model.clone(), fetch.version);
-        send_call(fetch.store, id, Call::FetchWeights { model, version }, out);
-        self.fetches.insert(id, fetch);
-        self.timers
-            .set(now + FETCH_TIMEOUT, Later::Fetch(fetch, Some(id)));
-    }
-
-    fn on_fetch_answer(
-        &mut self,
-        now: Instant,
-        id: CallId,
-        answer: &Answer,
-        out: &mut Vec<ProcessOutput>,
-    ) {
-        let Some(fetch) = self.fetches.remove(&id) else {
-            return;
-        };
-        let again = match answer {
-            Answer::Done => return self.end_fetch(now, fetch.version, true, out),
-            Answer::Refused {
-                retry_after: Some(pause),
-                verdict: Verdict::NotRun,
-                ..
-            } => *pause,
-            Answer::Broken | Answer::Unreachable => FETCH_BACKOFF,
-            _ => return self.end_fetch(now, fetch.version, false, out),
-        };
-        self.timers.set(now + again, Later::Fetch(fetch, None));
-    }
-
-    fn end_fetch(
-        &mut self,
-        now: Instant,
-        version: WeightVersion,
-        succeeded: bool,
-        out: &mut Vec<ProcessOutput>,
-    ) {
-        let fetched = EngineInput::WeightsFetched { version, succeeded };
-        self.drive(now, fetched, out);
-    }
-
     fn run_timers(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
-        while let Some(later) = self.timers.take_due(now) {
-            match later {
-                Later::Fetch(fetch, None) => self.fetch(now, fetch, out),
-                Later::Fetch(fetch, Some(id)) => {
-                    if self.fetches.remove(&id).is_some() {
-                        hang_up(fetch.store, id, out);
-                        self.fetch(now, fetch, out);
-                    }
-                }
-                Later::State(caller, state) => caller.answer(Answer::State(*state), out),
-            }
+        for ended in self.fetches.on_wake(now, out) {
+            self.end_fetch(now, Some(ended), out);
+        }
+        while let Some((caller, state)) = self.late_answers.take_due(now) {
+            caller.answer(Answer::State(*state), out);
         }
     }
 }
@@ -408,23 +313,13 @@
         if self.started_at.is_some() || self.frozen_until.is_some() {
             return self.started_at.or(self.frozen_until);
         }
-        [self.core.next_wake(), self.timers.next()]
-            .into_iter()
-            .flatten()
-            .min()
-    }
-}
-
-/// The source of an order names a store by its URL.
-fn address_of(source: &str) -> Option<SocketAddr> {
-    let address = source.trim_start_matches("http://");
-    address.split('/').next()?.parse().ok()
-}
-
-fn name_of(fault: EngineFault) -> &'static str {
-    match fault {
-        EngineFault::Freeze(_) => "freeze",
-        EngineFault::FailNextSwap => "fail_next_swap",
-        EngineFault::StepTime(_) => "slow",
+        [
+            self.core.next_wake(),
+            self.fetches.next_wake(),
+            self.late_answers.next(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 }
