--- a/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -1,6 +1,5 @@
 //! Stand-in for the platform's machine list, which lags behind the truth.
 
-mod core;
 pub mod process;
 
 use super::StandInError;
--- a/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
@@ -1,18 +1,19 @@
 //! The machine list of the platform as a process, which lags behind the truth.
 
+use super::MachineListSettings;
 use crate::events::Event;
 use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use crate::stand_ins::machine_list::MachineListSettings;
-use crate::stand_ins::machine_list::core::MachineListCore;
 use crate::wiring::{InboundCall, not_run, record};
-use wingshore_types::Instant;
-use wingshore_types::platform::MachineState;
+use wingshore_types::platform::{MachineList, MachineState};
+use wingshore_types::{Instant, ServerId};
 
 /// The process.
 pub struct MachineListProcess {
-    core: MachineListCore,
+    settings: MachineListSettings,
+    /// Each machine's states, and since when.
+    changes: Vec<(Instant, ServerId, MachineState)>,
     boot_id: u64,
     started_at: Option<Instant>,
 }
@@ -21,11 +22,31 @@
     /// A machine list that starts at `now`.
     pub fn new(now: Instant, settings: MachineListSettings, boot_id: u64) -> Self {
         Self {
-            core: MachineListCore::new(settings),
+            settings,
+            changes: Vec::new(),
             boot_id,
             started_at: Some(now),
         }
     }
+
+    /// The list as it was one lag ago.
+    fn list(&self, now: Instant) -> MachineList {
+        let lag = self.settings.lag;
+        let mut machines = self.settings.machines.clone();
+        for (at, server, state) in &self.changes {
+            if now.since(*at) < lag {
+                continue;
+            }
+            for machine in machines.iter_mut().filter(|machine| machine.id == *server) {
+                machine.state = *state;
+            }
+        }
+        let lag_ms = lag.as_millis() as u64;
+        MachineList {
+            as_of: now.as_millis().saturating_sub(lag_ms),
+            machines,
+        }
+    }
 }
 
 impl Process for MachineListProcess {
@@ -41,7 +62,7 @@
             } => {
                 let caller = InboundCall { from, id };
                 let answer = match call {
-                    Call::Machines => Answer::Machines(self.core.list(now, now.as_millis())),
+                    Call::Machines => Answer::Machines(self.list(now)),
                     _ => not_run("no_such_path", None),
                 };
                 caller.answer(answer, out);
@@ -53,7 +74,7 @@
                     MachineState::Live => Event::Staying { server: name },
                 };
                 record(event, out);
-                self.core.change(now, server, state);
+                self.changes.push((now, server, state));
             }
             ProcessInput::Stop => out.push(ProcessOutput::Exit),
             ProcessInput::Message { .. } | ProcessInput::Fault(_) | ProcessInput::Wake => {}
--- a/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
@@ -1,6 +1,5 @@
 //! Stand-in for a scoring service: slow at times, failing at times, and asked twice at times.
 
-mod core;
 pub mod process;
 
 use super::StandInError;
@@ -67,9 +66,3 @@
         _ => Err(NotServed::NoSuchPath),
     }
 }
-
-/// The score of generated tokens: any fixed function will do, as long as a checker knows it.
-pub fn score_of(tokens_hash: u64) -> f64 {
-    const STEPS: u64 = 1000;
-    (tokens_hash % STEPS) as f64 / STEPS as f64
-}
--- a/crates/wingshore-lab/src/stand_ins/scorer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/process.rs
@@ -1,12 +1,14 @@
 //! A scoring service as a process: slow at times, failing at times.
 
+use super::ScorerSettings;
 use crate::events::Event;
 use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use crate::stand_ins::scorer::core::{ScorerCore, Scoring};
-use crate::stand_ins::scorer::{ScorerSettings, score_of};
 use crate::wiring::{InboundCall, Timers, failed, not_run, record};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::time::Duration;
 use wingshore_types::Instant;
 use wingshore_types::generator::hash_tokens;
 use wingshore_types::platform::{ScoreReply, ScoreRequest};
@@ -20,7 +22,8 @@
 
 /// The process.
 pub struct ScorerProcess {
-    core: ScorerCore,
+    settings: ScorerSettings,
+    random: ChaCha8Rng,
     boot_id: u64,
     started_at: Option<Instant>,
     under_way: Timers<UnderWay>,
@@ -31,7 +34,8 @@
     /// A scorer that starts at `now`.
     pub fn new(now: Instant, settings: ScorerSettings, boot_id: u64) -> Self {
         Self {
-            core: ScorerCore::new(settings),
+            random: ChaCha8Rng::seed_from_u64(settings.seed),
+            settings,
             boot_id,
             started_at: Some(now),
             under_way: Timers::default(),
@@ -39,6 +43,18 @@
         }
     }
 
+    /// How long the next scoring takes, and whether it ends with a score.
+    fn draw(&mut self) -> (Duration, bool) {
+        let settings = &self.settings;
+        let slow = self.random.random_range(0..1000) < settings.slow_permille;
+        let failing = self.random.random_range(0..1000) < settings.failing_permille;
+        let time = match slow {
+            true => settings.slow_time,
+            false => settings.usual_time,
+        };
+        (time, !failing)
+    }
+
     fn end(&mut self, scoring: &UnderWay, out: &mut Vec<ProcessOutput>) {
         let event = Event::Scored {
             sample: scoring.request.sample_id,
@@ -75,7 +91,7 @@
                 let Call::Score(request) = call else {
                     return caller.answer(not_run("no_such_path", None), out);
                 };
-                let Scoring { time, succeeds } = self.core.draw();
+                let (time, succeeds) = self.draw();
                 let scoring = UnderWay {
                     caller,
                     request,
@@ -95,3 +111,9 @@
         self.started_at.or(self.under_way.next())
     }
 }
+
+/// The score of generated tokens: any fixed function will do, as long as a checker knows it.
+fn score_of(tokens_hash: u64) -> f64 {
+    const STEPS: u64 = 1000;
+    (tokens_hash % STEPS) as f64 / STEPS as f64
+}
