--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -7,7 +7,7 @@
 use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use crate::wiring::{InboundCall, Timers, failed, not_run, record};
+use crate::wiring::{InboundCall, Start, Timers, failed, not_run, record};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,8 +21,7 @@
 /// The process.
 pub struct EngineProcess {
     core: EngineCore,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
     streams: BTreeMap<String, InboundCall>,
     fetches: Fetches,
     /// States that were read earlier and are sent late.
@@ -39,8 +38,7 @@
         Self {
             fetches: Fetches::new(&settings.model, boot_id),
             core: EngineCore::new(now, settings, boot_id),
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
             streams: BTreeMap::new(),
             late_answers: Timers::default(),
             frozen_until: None,
@@ -291,10 +289,7 @@
 
 impl Process for EngineProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
-        }
+        self.start.record_once(out);
         if self.is_frozen(now) && !matches!(input, ProcessInput::Fault(_)) {
             if input != ProcessInput::Wake {
                 self.held.push_back(input);
@@ -310,8 +305,9 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        if self.started_at.is_some() || self.frozen_until.is_some() {
-            return self.started_at.or(self.frozen_until);
+        let first = self.start.next_wake().or(self.frozen_until);
+        if first.is_some() {
+            return first;
         }
         [
             self.core.next_wake(),
--- a/crates/wingshore-lab/src/stand_ins/live_server/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -8,7 +8,7 @@
 };
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::live_server::core::LiveServerCore;
-use crate::wiring::{InboundCall, Timers, not_run, record};
+use crate::wiring::{InboundCall, Start, Timers, not_run, record};
 use std::time::Duration;
 use wingshore_types::Instant;
 
@@ -20,8 +20,7 @@
 /// The process.
 pub struct LiveServerProcess {
     core: LiveServerCore,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
     running: Timers<(InboundCall, LiveCall)>,
     answers_to_lose: u32,
     answers_to_cut: u32,
@@ -32,8 +31,7 @@
     pub fn new(now: Instant, name: &str, settings: LiveServerSettings, boot_id: u64) -> Self {
         Self {
             core: LiveServerCore::new(name, settings, boot_id),
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
             running: Timers::default(),
             answers_to_lose: 0,
             answers_to_cut: 0,
@@ -117,10 +115,7 @@
 
 impl Process for LiveServerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
-        }
+        self.start.record_once(out);
         while let Some((caller, call)) = self.running.take_due(now) {
             self.end(caller, call, out);
         }
@@ -136,6 +131,6 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.started_at.or(self.running.next())
+        self.start.next_wake().or(self.running.next())
     }
 }
--- a/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
@@ -5,7 +5,7 @@
 use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use crate::wiring::{InboundCall, not_run, record};
+use crate::wiring::{InboundCall, Start, not_run, record};
 use wingshore_types::platform::{MachineList, MachineState};
 use wingshore_types::{Instant, ServerId};
 
@@ -14,8 +14,7 @@
     settings: MachineListSettings,
     /// Each machine's states, and since when.
     changes: Vec<(Instant, ServerId, MachineState)>,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
 }
 
 impl MachineListProcess {
@@ -24,8 +23,7 @@
         Self {
             settings,
             changes: Vec::new(),
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
         }
     }
 
@@ -51,10 +49,7 @@
 
 impl Process for MachineListProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
-        }
+        self.start.record_once(out);
         match input {
             ProcessInput::Message {
                 from,
@@ -82,6 +77,6 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.started_at
+        self.start.next_wake()
     }
 }
--- a/crates/wingshore-lab/src/stand_ins/scorer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/process.rs
@@ -5,7 +5,7 @@
 use crate::process::{
     Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
 };
-use crate::wiring::{InboundCall, Timers, failed, not_run, record};
+use crate::wiring::{InboundCall, Start, Timers, failed, not_run, record};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -24,8 +24,7 @@
 pub struct ScorerProcess {
     settings: ScorerSettings,
     random: ChaCha8Rng,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
     under_way: Timers<UnderWay>,
     answers_to_lose: u32,
 }
@@ -36,8 +35,7 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             settings,
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
             under_way: Timers::default(),
             answers_to_lose: 0,
         }
@@ -75,10 +73,7 @@
 
 impl Process for ScorerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
-        }
+        self.start.record_once(out);
         while let Some(scoring) = self.under_way.take_due(now) {
             self.end(&scoring, out);
         }
@@ -108,7 +103,7 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.started_at.or(self.under_way.next())
+        self.start.next_wake().or(self.under_way.next())
     }
 }
 
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -6,7 +6,7 @@
 use super::settings::TrainerSettings;
 use crate::events::Event;
 use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
-use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
+use crate::wiring::{CallNumbers, Start, Timers, hang_up, record, send_call};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -68,8 +68,7 @@
 pub struct TrainerProcess {
     settings: TrainerSettings,
     disk: TrainerDisk,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
     numbers: CallNumbers,
     activity: Activity,
     submitted_through: StepId,
@@ -85,8 +84,7 @@
         Self {
             settings,
             disk,
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
             numbers: CallNumbers::new(boot_id),
             activity: Activity::Submit(next_step),
             submitted_through: next_step,
@@ -302,9 +300,7 @@
 
 impl Process for TrainerProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
+        if self.start.record_once(out) {
             self.send(now, out);
         }
         self.run_timers(now, out);
@@ -319,6 +315,6 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.started_at.or(self.timers.next())
+        self.start.next_wake().or(self.timers.next())
     }
 }
--- a/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
@@ -3,7 +3,7 @@
 use crate::events::Event;
 use crate::process::{Answer, Call, Process, ProcessInput, ProcessOutput, SimMessage};
 use crate::stand_ins::weight_store::WeightStoreSettings;
-use crate::wiring::{InboundCall, Timers, not_run, record};
+use crate::wiring::{InboundCall, Start, Timers, not_run, record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::{Instant, WeightVersion};
@@ -17,8 +17,7 @@
 /// The process. Every version has the size of the first one.
 pub struct WeightStoreProcess {
     settings: WeightStoreSettings,
-    boot_id: u64,
-    started_at: Option<Instant>,
+    start: Start,
     versions: BTreeSet<Key>,
     fetches: BTreeMap<InboundCall, Key>,
     ends: Timers<InboundCall>,
@@ -29,8 +28,7 @@
     pub fn new(now: Instant, settings: WeightStoreSettings, boot_id: u64) -> Self {
         Self {
             settings,
-            boot_id,
-            started_at: Some(now),
+            start: Start::new(now, boot_id),
             versions: BTreeSet::new(),
             fetches: BTreeMap::new(),
             ends: Timers::default(),
@@ -75,10 +73,7 @@
 
 impl Process for WeightStoreProcess {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        if self.started_at.take().is_some() {
-            let boot_id = self.boot_id;
-            record(Event::Started { boot_id }, out);
-        }
+        self.start.record_once(out);
         while let Some(caller) = self.ends.take_due(now) {
             if let Some((model, version)) = self.fetches.remove(&caller) {
                 record(Event::WeightsSent { model, version }, out);
@@ -101,6 +96,6 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.started_at.or(self.ends.next())
+        self.start.next_wake().or(self.ends.next())
     }
 }
--- a/crates/wingshore-lab/src/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -68,6 +68,36 @@
     }
 }
 
+/// The start of a process, to be recorded at its first step.
+#[derive(Clone, Copy, Debug)]
+pub struct Start {
+    boot_id: u64,
+    at: Option<Instant>,
+}
+
+impl Start {
+    /// A process that starts at `now`; `boot_id` is drawn at each start.
+    pub fn new(now: Instant, boot_id: u64) -> Self {
+        let at = Some(now);
+        Self { boot_id, at }
+    }
+
+    /// Records the start, the first time; says whether it was that.
+    pub fn record_once(&mut self, out: &mut Vec<ProcessOutput>) -> bool {
+        let is_first = self.at.take().is_some();
+        if is_first {
+            let boot_id = self.boot_id;
+            record(Event::Started { boot_id }, out);
+        }
+        is_first
+    }
+
+    /// When the first step is wanted, until it has come.
+    pub fn next_wake(&self) -> Option<Instant> {
+        self.at
+    }
+}
+
 /// A call that another process made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InboundCall {
