--- a/crates/wingshore-lab/src/sim/node/core.rs
+++ b/crates/wingshore-lab/src/sim/node/core.rs
@@ -3,9 +3,10 @@
 use super::settings::SimNodeSettings;
 use super::upstream::Upstream;
 use crate::events::Event;
-use crate::process::{CallId, ProcessOutput};
+use crate::process::{Call, CallId, ProcessOutput};
 use crate::sim::client::GroupCalls;
 use crate::wiring::{InboundCall, NotTaken, record};
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_request::{ConfigurationView, NotAdmitted, WithoutLease};
@@ -13,7 +14,8 @@
 use wingshore_routing::{ProbeKind, Router, RouterSettings};
 use wingshore_types::configuration::Configuration;
 use wingshore_types::protocol::claims::Claimant;
-use wingshore_types::{Instant, Revision, ServerId};
+use wingshore_types::protocol::wire::GroupRequest;
+use wingshore_types::{GroupId, Instant, Revision, ServerId};
 
 /// Retry-after of a node that has no configuration or no lease.
 const RETRY_WITHOUT_CONFIGURATION: Duration = Duration::from_millis(500);
@@ -169,6 +171,30 @@
         record(seen, self.out);
     }
 
+    /// Asks a group; its answer comes under `purpose`.
+    pub fn ask(
+        &mut self,
+        group: GroupId,
+        body: GroupRequest,
+        timeout: Duration,
+        purpose: GroupPurpose,
+    ) {
+        self.groups
+            .call(self.now, group, body, timeout, purpose, self.out);
+    }
+
+    /// Calls another process; what comes of it is given under `purpose`.
+    pub fn call(
+        &mut self,
+        to: SocketAddr,
+        call: Call,
+        timeout: Duration,
+        purpose: UpstreamPurpose,
+    ) -> CallId {
+        self.upstream
+            .call(self.now, to, call, timeout, purpose, self.out)
+    }
+
     /// Gives a call up; its answer is not wanted any more.
     pub fn close(&mut self, call: CallId) {
         self.upstream.close(call, self.out);
--- a/crates/wingshore-lab/src/sim/node/probes.rs
+++ b/crates/wingshore-lab/src/sim/node/probes.rs
@@ -84,19 +84,12 @@
         ProbeKind::CacheEvents { after } => Call::CacheEvents { after },
     };
     let purpose = UpstreamPurpose::Probe(target.server, target.kind);
-    let (now, out) = (context.now, &mut *context.out);
-    context
-        .upstream
-        .call(now, target.address, call, PROBE_TIMEOUT, purpose, out);
+    context.call(target.address, call, PROBE_TIMEOUT, purpose);
 }
 
 fn read_machines(context: &mut NodeContext<'_>) {
-    let Some(address) = context.core.settings.machine_list else {
-        return;
-    };
-    let (now, purpose) = (context.now, UpstreamPurpose::Machines);
-    let (call, timeout) = (Call::Machines, MACHINES_TIMEOUT);
-    context
-        .upstream
-        .call(now, address, call, timeout, purpose, context.out);
+    if let Some(address) = context.core.settings.machine_list {
+        let purpose = UpstreamPurpose::Machines;
+        context.call(address, Call::Machines, MACHINES_TIMEOUT, purpose);
+    }
 }
--- a/crates/wingshore-lab/src/sim/node/requests.rs
+++ b/crates/wingshore-lab/src/sim/node/requests.rs
@@ -14,9 +14,8 @@
     AttemptEnd, AttemptFailure, ExecutionInput, ExecutionLimits, ExecutionOutput, FailureKind,
     FinalAnswer, RequestError, RequestExecution, RequestSpecification, SendAttempt,
 };
-use wingshore_types::protocol::claims::ClaimsRequest;
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
-use wingshore_types::{GroupId, Instant, Verdict};
+use wingshore_types::{Instant, Verdict};
 
 /// Longest wait for a claims group.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
@@ -228,18 +227,13 @@
             ExecutionOutput::Claim { group, request } => {
                 let timeout = self.deadline.since(context.now).min(CLAIM_TIMEOUT);
                 let purpose = GroupPurpose::Claim(caller);
-                ask_claims(context, group, request, timeout, purpose);
+                context.ask(group, GroupRequest::Claims(request), timeout, purpose);
             }
             ExecutionOutput::Send(send) => return self.make(context, caller, &send),
             ExecutionOutput::Settle { group, request } => {
                 context.core.open_settlements += 1;
-                ask_claims(
-                    context,
-                    group,
-                    request,
-                    SETTLE_TIMEOUT,
-                    GroupPurpose::Settle,
-                );
+                let body = GroupRequest::Claims(request);
+                context.ask(group, body, SETTLE_TIMEOUT, GroupPurpose::Settle);
             }
             ExecutionOutput::Cancel { .. } => self.close(context),
             ExecutionOutput::Answer(answer) => {
@@ -273,10 +267,7 @@
         let timeout = send.deadline.since(context.now);
         let call = self.attempts.call(context, timeout);
         let purpose = UpstreamPurpose::Attempt(caller, number);
-        let (now, out) = (context.now, &mut *context.out);
-        let call = context
-            .upstream
-            .call(now, send.address, call, timeout, purpose, out);
+        let call = context.call(send.address, call, timeout, purpose);
         self.running = Some(RunningAttempt {
             call,
             address: send.address,
@@ -299,11 +290,8 @@
 
 /// Tells an engine that nobody wants an attempt any more.
 pub fn cancel_at_engine(context: &mut NodeContext<'_>, address: SocketAddr, request_id: String) {
-    let (now, out) = (context.now, &mut *context.out);
     let (call, purpose) = (Call::Cancel { request_id }, UpstreamPurpose::Cancel);
-    context
-        .upstream
-        .call(now, address, call, CANCEL_TIMEOUT, purpose, out);
+    context.call(address, call, CANCEL_TIMEOUT, purpose);
 }
 
 /// An error as the caller gets it.
@@ -314,16 +302,3 @@
         retry_after: error.retry_after,
     }
 }
-
-fn ask_claims(
-    context: &mut NodeContext<'_>,
-    group: GroupId,
-    request: ClaimsRequest,
-    timeout: Duration,
-    purpose: GroupPurpose,
-) {
-    let (now, body) = (context.now, GroupRequest::Claims(request));
-    context
-        .groups
-        .call(now, group, body, timeout, purpose, context.out);
-}
--- a/crates/wingshore-lab/src/sim/node/rollouts.rs
+++ b/crates/wingshore-lab/src/sim/node/rollouts.rs
@@ -180,10 +180,8 @@
             RolloutOutput::Ledger { call, request } => {
                 let group = self.ledger?;
                 let purpose = GroupPurpose::Rollout(self.index, call);
-                let (now, body) = (context.now, GroupRequest::Ledger(request));
-                context
-                    .groups
-                    .call(now, group, body, LEDGER_TIMEOUT, purpose, context.out);
+                let body = GroupRequest::Ledger(request);
+                context.ask(group, body, LEDGER_TIMEOUT, purpose);
             }
             RolloutOutput::StartStream {
                 attempt,
@@ -209,10 +207,7 @@
                 timeout,
             } => {
                 let purpose = UpstreamPurpose::Score(self.index, call);
-                let (now, score) = (context.now, Call::Score(*request));
-                context
-                    .upstream
-                    .call(now, address, score, timeout, purpose, context.out);
+                context.call(address, Call::Score(*request), timeout, purpose);
             }
             // Simulated engines do not exchange cache: attempts are resumed without it.
             RolloutOutput::CopyCache { attempt, .. } => {
@@ -239,10 +234,7 @@
         context.record_revision();
         let timeout = Duration::from_millis(request.deadline_ms);
         let purpose = UpstreamPurpose::Stream(self.index, attempt);
-        let (now, call) = (context.now, Call::Generate(request));
-        let call = context
-            .upstream
-            .call(now, address, call, timeout, purpose, context.out);
+        let call = context.call(address, Call::Generate(request), timeout, purpose);
         self.streams.insert(attempt, call);
         None
     }
--- a/crates/wingshore-lab/src/sim/node/trainer_requests.rs
+++ b/crates/wingshore-lab/src/sim/node/trainer_requests.rs
@@ -139,11 +139,8 @@
             idle_weight: pool.idle_weight,
             trainer: pool.trainer.clone(),
         });
-        let (now, purpose) = (context.now, GroupPurpose::Trainer(caller));
-        let group = request.group;
-        context
-            .groups
-            .call(now, group, body, ANNOUNCE_TIMEOUT, purpose, context.out);
+        let purpose = GroupPurpose::Trainer(caller);
+        context.ask(request.group, body, ANNOUNCE_TIMEOUT, purpose);
         request.stage = Stage::Announcing;
         self.open.insert(caller, request);
     }
@@ -154,11 +151,8 @@
         caller: InboundCall,
         mut request: TrainerRequest,
     ) {
-        let (now, purpose) = (context.now, GroupPurpose::Trainer(caller));
-        let (group, body) = (request.group, request.body.clone());
-        context
-            .groups
-            .call(now, group, body, request.timeout, purpose, context.out);
+        let (body, purpose) = (request.body.clone(), GroupPurpose::Trainer(caller));
+        context.ask(request.group, body, request.timeout, purpose);
         request.stage = Stage::Asking;
         self.open.insert(caller, request);
     }
--- a/crates/wingshore-lab/src/sim/node/watch.rs
+++ b/crates/wingshore-lab/src/sim/node/watch.rs
@@ -55,14 +55,9 @@
             }],
             wait_ms: self.wait.as_millis() as u64,
         };
-        context.groups.call(
-            context.now,
-            GroupId::Control,
-            GroupRequest::Control(ControlRequest::Watch(request)),
-            self.wait + CALL_MARGIN,
-            GroupPurpose::Watch(context.now),
-            context.out,
-        );
+        let body = GroupRequest::Control(ControlRequest::Watch(request));
+        let purpose = GroupPurpose::Watch(context.now);
+        context.ask(GroupId::Control, body, self.wait + CALL_MARGIN, purpose);
     }
 
     /// Takes the answer to the watch that was sent at `sent_at`.
