--- a/crates/wingshore-lab/src/http_client.rs
+++ b/crates/wingshore-lab/src/http_client.rs
@@ -1,7 +1,6 @@
 //! HTTP client of the lab: one agent with a time limit, errors told apart from answers.
 
 use snafu::{ResultExt, Snafu};
-use std::io::Read;
 use std::time::Duration;
 
 /// Largest answer that is read.
@@ -9,32 +8,17 @@
 
 /// Why there is no whole answer.
 #[derive(Debug, Snafu)]
-pub enum HttpError {
-    /// The request failed.
-    #[snafu(display("{method} {url}: {source}"))]
-    Request {
-        method: &'static str,
-        /// Whole address.
-        url: String,
-        source: Box<ureq::Error>,
-    },
-    /// The body is cut.
-    #[snafu(display("{method} {url}: the body is not whole: {source}"))]
-    Body {
-        method: &'static str,
-        /// Whole address.
-        url: String,
-        source: std::io::Error,
-    },
+#[snafu(display("{method} {url}: {source}"))]
+pub struct HttpError {
+    method: &'static str,
+    url: String,
+    source: Box<ureq::Error>,
 }
 
 impl HttpError {
     /// Whether nobody listened: then the request has certainly not run.
     pub fn is_connection_refused(&self) -> bool {
-        match self {
-            Self::Request { source, .. } => is_connection_refused(source),
-            Self::Body { .. } => false,
-        }
+        is_connection_refused(&self.source)
     }
 }
 
@@ -89,12 +73,7 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let sent = request.call().map_err(Box::new);
-        read(
-            "GET",
-            url,
-            sent.context(RequestSnafu { method: "GET", url })?,
-        )
+        whole("GET", url, request.call())
     }
 
     /// `POST` with a JSON body.
@@ -104,31 +83,32 @@
         headers: &[(&str, &str)],
         body: &[u8],
     ) -> Result<Answer, HttpError> {
-        let mut request = self
-            .agent
-            .post(url)
-            .header("content-type", "application/json");
+        let request = self.agent.post(url);
+        let mut request = request.header("content-type", "application/json");
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let sent = request.send(body).map_err(Box::new);
-        let method = "POST";
-        read(method, url, sent.context(RequestSnafu { method, url })?)
+        whole("POST", url, request.send(body))
     }
 
     /// `PUT` of bytes.
     pub fn put(&self, url: &str, body: &[u8]) -> Result<Answer, HttpError> {
-        let sent = self.agent.put(url).send(body).map_err(Box::new);
-        let method = "PUT";
-        read(method, url, sent.context(RequestSnafu { method, url })?)
+        whole("PUT", url, self.agent.put(url).send(body))
     }
 }
 
-fn read(
+/// Reads an answer to its end.
+fn whole(
     method: &'static str,
     url: &str,
-    response: ureq::http::Response<ureq::Body>,
+    sent: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> Result<Answer, HttpError> {
+    sent.and_then(read)
+        .map_err(Box::new)
+        .context(HttpSnafu { method, url })
+}
+
+fn read(response: ureq::http::Response<ureq::Body>) -> Result<Answer, ureq::Error> {
     let status = response.status().as_u16();
     let retry_after = response
         .headers()
@@ -137,17 +117,11 @@
         .and_then(|text| text.trim().parse::<f64>().ok())
         .filter(|seconds| seconds.is_finite() && *seconds >= 0.0)
         .map(Duration::from_secs_f64);
-    let mut body = Vec::new();
-    response
-        .into_body()
-        .into_with_config()
-        .limit(MAX_ANSWER_BYTES)
-        .reader()
-        .read_to_end(&mut body)
-        .context(BodySnafu { method, url })?;
+    let body = response.into_body();
+    let body = body.into_with_config().limit(MAX_ANSWER_BYTES);
     Ok(Answer {
         status,
         retry_after,
-        body,
+        body: body.read_to_vec()?,
     })
 }
