--- a/crates/wingshore-lab/src/hashing.rs
+++ b/crates/wingshore-lab/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hash by which answers are compared across logs.
+//! Hash by which answers are compared across logs, from the library that the product uses too.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
