--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -196,7 +196,7 @@
 
 /// What travels between processes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SimMessage {
+pub enum Message {
     /// Consensus, between members of a group; may be lost.
     Consensus {
         /// The group.
@@ -252,7 +252,7 @@
         /// The sender.
         from: SocketAddr,
         /// What it says.
-        message: SimMessage,
+        message: Message,
     },
     /// A planned stop begins (SIGTERM).
     Stop,
@@ -301,7 +301,7 @@
         /// The receiver.
         to: SocketAddr,
         /// What it says.
-        message: SimMessage,
+        message: Message,
     },
     /// Record what happened, for the checkers.
     Record(Event),
--- a/crates/wingshore-lab/src/sim/client.rs
+++ b/crates/wingshore-lab/src/sim/client.rs
@@ -1,7 +1,7 @@
 //! Calls to groups from a simulated process: finds the leader and sends again, with the routes,
 //! attempt timeouts and backoff of [`wingshore_client`].
 
-use crate::process::{ProcessOutput, SimMessage};
+use crate::process::{Message, ProcessOutput};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -107,10 +107,10 @@
         &mut self,
         now: Instant,
         from: SocketAddr,
-        message: &SimMessage,
+        message: &Message,
         out: &mut Vec<ProcessOutput>,
     ) -> bool {
-        let SimMessage::GroupReply { id, body } = message else {
+        let Message::GroupReply { id, body } = message else {
             return false;
         };
         let waiting = self.calls.iter().find(|(_, call)| call.waits_for(*id));
@@ -196,7 +196,7 @@
             address: to,
             until: call.deadline.min(now + call.attempt_timeout),
         };
-        let message = SimMessage::GroupRequest {
+        let message = Message::GroupRequest {
             id,
             group: call.group,
             body: call.body.clone(),
--- a/crates/wingshore-lab/src/sim/history.rs
+++ b/crates/wingshore-lab/src/sim/history.rs
@@ -1,6 +1,6 @@
 //! The running hash of a simulation's history: the same seed must give the same one.
 
-use crate::process::SimMessage;
+use crate::process::Message;
 use fnv::FnvHasher;
 use std::fmt::{self, Write};
 use std::hash::Hasher;
@@ -40,14 +40,14 @@
     }
 
     /// Adds a message.
-    pub fn message(&mut self, message: &SimMessage) {
+    pub fn message(&mut self, message: &Message) {
         match message {
-            SimMessage::Consensus { message, .. } => self.bytes(message),
-            SimMessage::GroupRequest { id, body, .. } => {
+            Message::Consensus { message, .. } => self.bytes(message),
+            Message::GroupRequest { id, body, .. } => {
                 self.number(id.0);
                 self.bytes(&postcard::to_stdvec(body).unwrap_or_default());
             }
-            SimMessage::GroupReply { id, body } => {
+            Message::GroupReply { id, body } => {
                 self.number(id.0);
                 self.bytes(&postcard::to_stdvec(body).unwrap_or_default());
             }
--- a/crates/wingshore-lab/src/sim/network.rs
+++ b/crates/wingshore-lab/src/sim/network.rs
@@ -4,7 +4,7 @@
 //! connections: in order between two processes, and whole or not at all. Each request is an
 //! [`Exchange`]; what belongs to one whose caller is gone goes nowhere.
 
-use crate::process::{Answer, CallId, SimMessage};
+use crate::process::{Answer, CallId, Message};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
     /// The receiver.
     pub to: SocketAddr,
     /// What it says.
-    pub message: SimMessage,
+    pub message: Message,
 }
 
 /// A request that waits for its answer.
@@ -153,32 +153,32 @@
         now: Instant,
         from: SocketAddr,
         to: SocketAddr,
-        message: SimMessage,
+        message: Message,
     ) -> Arrivals {
         let mut arrivals = Vec::new();
         match message {
-            SimMessage::Consensus { .. } => {
+            Message::Consensus { .. } => {
                 let parcel = Parcel { from, to, message };
                 self.send_datagram(now, parcel, &mut arrivals);
             }
-            SimMessage::GroupRequest { id, group, body } => {
+            Message::GroupRequest { id, group, body } => {
                 let id = RequestId(self.open(from, to, ExchangeKind::Group(id)));
-                let message = SimMessage::GroupRequest { id, group, body };
+                let message = Message::GroupRequest { id, group, body };
                 self.send_on_connection(now, Parcel { from, to, message }, &mut arrivals);
             }
-            SimMessage::Call { id, call } => {
+            Message::Call { id, call } => {
                 let id = CallId(self.open(from, to, ExchangeKind::Call(id)));
-                let message = SimMessage::Call { id, call };
+                let message = Message::Call { id, call };
                 self.send_on_connection(now, Parcel { from, to, message }, &mut arrivals);
             }
             // Answers find the way back by their exchange when they arrive.
-            SimMessage::Answer { id, .. } if self.has_gap(id.0) => {
+            Message::Answer { id, .. } if self.has_gap(id.0) => {
                 self.break_exchange(now, id.0, &mut arrivals);
             }
-            SimMessage::GroupReply { .. } | SimMessage::Answer { .. } => {
+            Message::GroupReply { .. } | Message::Answer { .. } => {
                 self.send_on_connection(now, Parcel { from, to, message }, &mut arrivals);
             }
-            SimMessage::HangUp { id } => self.hang_up(now, from, to, id, &mut arrivals),
+            Message::HangUp { id } => self.hang_up(now, from, to, id, &mut arrivals),
         }
         arrivals
     }
@@ -188,14 +188,14 @@
     pub fn arrive(&mut self, parcel: Parcel) -> Option<Parcel> {
         let Parcel { from, to, message } = parcel;
         let message = match message {
-            SimMessage::GroupReply { id, body } => match self.answered(id.0, from, to, true)? {
-                ExchangeKind::Group(id) => SimMessage::GroupReply { id, body },
+            Message::GroupReply { id, body } => match self.answered(id.0, from, to, true)? {
+                ExchangeKind::Group(id) => Message::GroupReply { id, body },
                 ExchangeKind::Call(_) => return None,
             },
-            SimMessage::Answer { id, answer } => {
+            Message::Answer { id, answer } => {
                 let is_last = !matches!(answer, Answer::Stream(EngineStreamEvent::Chunk { .. }));
                 match self.answered(id.0, from, to, is_last)? {
-                    ExchangeKind::Call(id) => SimMessage::Answer { id, answer },
+                    ExchangeKind::Call(id) => Message::Answer { id, answer },
                     ExchangeKind::Group(_) => return None,
                 }
             }
@@ -208,10 +208,10 @@
         Some(Parcel { from, to, message })
     }
 
-    fn note_arrival(&mut self, message: &SimMessage) {
+    fn note_arrival(&mut self, message: &Message) {
         let id = match message {
-            SimMessage::GroupRequest { id, .. } => id.0,
-            SimMessage::Call { id, .. } => id.0,
+            Message::GroupRequest { id, .. } => id.0,
+            Message::Call { id, .. } => id.0,
             _ => return,
         };
         if let Some(exchange) = self.exchanges.get_mut(&id) {
@@ -222,8 +222,8 @@
     /// A request has found nobody: its connection was refused.
     pub fn refuse(&mut self, now: Instant, parcel: &Parcel) -> Arrivals {
         let id = match &parcel.message {
-            SimMessage::GroupRequest { id, .. } => id.0,
-            SimMessage::Call { id, .. } => id.0,
+            Message::GroupRequest { id, .. } => id.0,
+            Message::Call { id, .. } => id.0,
             _ => return Vec::new(),
         };
         let mut arrivals = Vec::new();
@@ -246,7 +246,7 @@
                 continue;
             };
             if noticed && matches!(exchange.kind, ExchangeKind::Call(_)) {
-                let message = SimMessage::HangUp { id: CallId(id) };
+                let message = Message::HangUp { id: CallId(id) };
                 let (from, to) = (gone, exchange.callee);
                 self.send_on_connection(now, Parcel { from, to, message }, &mut arrivals);
             }
@@ -315,7 +315,7 @@
         });
         for id in open {
             self.exchanges.remove(&id);
-            let message = SimMessage::HangUp { id: CallId(id) };
+            let message = Message::HangUp { id: CallId(id) };
             self.send_on_connection(now, Parcel { from, to, message }, arrivals);
         }
     }
@@ -336,11 +336,11 @@
             return;
         };
         let message = match exchange.kind {
-            ExchangeKind::Call(_) => SimMessage::Answer {
+            ExchangeKind::Call(_) => Message::Answer {
                 id: CallId(id),
                 answer,
             },
-            ExchangeKind::Group(_) => SimMessage::GroupReply {
+            ExchangeKind::Group(_) => Message::GroupReply {
                 id: RequestId(id),
                 body: GroupReply::Unknown,
             },
@@ -374,8 +374,8 @@
         }
     }
 
-    fn lose(&mut self, message: &SimMessage) {
-        if let SimMessage::Answer { id, .. } = message
+    fn lose(&mut self, message: &Message) {
+        if let Message::Answer { id, .. } = message
             && let Some(exchange) = self.exchanges.get_mut(&id.0)
         {
             exchange.has_gap = true;
--- a/crates/wingshore-lab/src/sim/node/mod.rs
+++ b/crates/wingshore-lab/src/sim/node/mod.rs
@@ -24,7 +24,7 @@
 
 use self::core::{GroupPurpose, NodeContext, NodeCore, UpstreamPurpose};
 use crate::events::Event;
-use crate::process::{Call, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Call, Message, Process, ProcessInput, ProcessOutput};
 use crate::sim::client::{CallResult, GroupCalls};
 use crate::wiring::{InboundCall, not_run, record};
 use probes::{Probes, on_probe};
@@ -189,24 +189,24 @@
         }
     }
 
-    fn on_message(&mut self, context: &mut NodeContext<'_>, from: SocketAddr, message: SimMessage) {
+    fn on_message(&mut self, context: &mut NodeContext<'_>, from: SocketAddr, message: Message) {
         let groups = &mut context.groups;
         if groups.on_message(context.now, from, &message, context.out) {
             return;
         }
         match message {
-            SimMessage::Call { id, call } => {
+            Message::Call { id, call } => {
                 self.on_call(context, InboundCall { from, id }, call);
             }
-            SimMessage::Answer { id, answer } => {
+            Message::Answer { id, answer } => {
                 if let Some((purpose, news)) = context.upstream.on_answer(id, answer) {
                     self.on_news(context, purpose, news);
                 }
             }
-            SimMessage::HangUp { id } => self.requests.on_hang_up(InboundCall { from, id }),
-            SimMessage::Consensus { .. }
-            | SimMessage::GroupRequest { .. }
-            | SimMessage::GroupReply { .. } => {}
+            Message::HangUp { id } => self.requests.on_hang_up(InboundCall { from, id }),
+            Message::Consensus { .. }
+            | Message::GroupRequest { .. }
+            | Message::GroupReply { .. } => {}
         }
     }
 
--- a/crates/wingshore-lab/src/sim/operator.rs
+++ b/crates/wingshore-lab/src/sim/operator.rs
@@ -5,7 +5,7 @@
 use super::observer::{ObserverHandle, SimPromise};
 use super::slot::{Boot, Maker};
 use super::task_list::{Task, TaskList};
-use crate::process::{Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Call, CallId, Message, Process, ProcessInput, ProcessOutput};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -144,7 +144,7 @@
                 model: model.clone(),
                 version: *version,
             };
-            let message = SimMessage::Call {
+            let message = Message::Call {
                 id: CallId(version.0),
                 call,
             };
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -10,7 +10,7 @@
 
 use super::observer::{ObserverHandle, SimPromise};
 use super::slot::{Boot, Maker};
-use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Message, Process, ProcessInput, ProcessOutput};
 use group::{GroupOutput, Origin, Outputs};
 use kind::{EffectCall, EffectOrigin};
 use rand::SeedableRng;
@@ -127,12 +127,12 @@
         &mut self,
         now: Instant,
         from: SocketAddr,
-        message: SimMessage,
+        message: Message,
         out: &mut Vec<ProcessOutput>,
     ) {
         let mut outputs = Outputs::new();
         match message {
-            SimMessage::Consensus { group, message } => {
+            Message::Consensus { group, message } => {
                 let Some((sender, message)) = self.addressed(&message) else {
                     return;
                 };
@@ -142,7 +142,7 @@
                 }
                 self.carry_out(now, group, outputs, out);
             }
-            SimMessage::GroupRequest { id, group, body } => {
+            Message::GroupRequest { id, group, body } => {
                 let origin = Origin { from, id };
                 match self.groups.get_mut(&group) {
                     Some(hosted) => hosted.request(now, origin, body, &mut outputs),
@@ -153,9 +153,8 @@
                 }
                 self.carry_out(now, group, outputs, out);
             }
-            SimMessage::Answer { id, answer } => self.on_answer(now, id, answer, out),
-            SimMessage::GroupReply { .. } | SimMessage::Call { .. } | SimMessage::HangUp { .. } => {
-            }
+            Message::Answer { id, answer } => self.on_answer(now, id, answer, out),
+            Message::GroupReply { .. } | Message::Call { .. } | Message::HangUp { .. } => {}
         }
     }
 
@@ -193,7 +192,7 @@
             .collect();
         for id in late {
             if let Some(call) = self.calls.get(&id) {
-                let message = SimMessage::HangUp { id };
+                let message = Message::HangUp { id };
                 out.push(ProcessOutput::Send {
                     to: call.to,
                     message,
@@ -268,7 +267,7 @@
         addressed.extend(self.id.0.to_le_bytes());
         addressed.extend(to.0.to_le_bytes());
         addressed.extend(message);
-        let message = SimMessage::Consensus {
+        let message = Message::Consensus {
             group,
             message: addressed,
         };
@@ -296,7 +295,7 @@
         };
         self.show_order(&call, &open.origin);
         self.calls.insert(id, open);
-        let message = SimMessage::Call { id, call };
+        let message = Message::Call { id, call };
         out.push(ProcessOutput::Send { to, message });
     }
 }
@@ -344,7 +343,7 @@
     matches!(
         output,
         ProcessOutput::Send {
-            message: SimMessage::Call {
+            message: Message::Call {
                 call: Call::Order(_),
                 ..
             },
@@ -363,7 +362,7 @@
 }
 
 fn reply(origin: Origin, body: GroupReply, out: &mut Vec<ProcessOutput>) {
-    let message = SimMessage::GroupReply {
+    let message = Message::GroupReply {
         id: origin.id,
         body,
     };
--- a/crates/wingshore-lab/src/sim/scenarios/data_path.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/data_path.rs
@@ -3,7 +3,7 @@
 use super::Scenario;
 use super::ledger_leader::ledger_leader_lost;
 use crate::events::Event;
-use crate::process::{Call, ProcessFault, ProcessOutput, SimMessage};
+use crate::process::{Call, Message, ProcessFault, ProcessOutput};
 use crate::sim::data_layout::{Place, address};
 use crate::sim::data_site::DataSite;
 use crate::sim::network::{CutKind, NetworkSettings};
@@ -360,12 +360,12 @@
     let ProcessOutput::Send { message, .. } = output else {
         return false;
     };
-    matches!(message, SimMessage::GroupRequest { group, .. } if *group != GroupId::Control)
+    matches!(message, Message::GroupRequest { group, .. } if *group != GroupId::Control)
 }
 
 fn is_call(output: &ProcessOutput, wanted: impl Fn(&Call) -> bool) -> bool {
     matches!(
         output,
-        ProcessOutput::Send { message: SimMessage::Call { call, .. }, .. } if wanted(call)
+        ProcessOutput::Send { message: Message::Call { call, .. }, .. } if wanted(call)
     )
 }
--- a/crates/wingshore-lab/src/sim/scenarios/faults.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/faults.rs
@@ -1,6 +1,6 @@
 //! Faults that scenarios draw from.
 
-use crate::process::{ProcessOutput, SimMessage};
+use crate::process::{Message, ProcessOutput};
 use crate::sim::network::{CutKind, NetworkSettings};
 use crate::sim::site::Site;
 use rand::RngExt;
@@ -120,7 +120,7 @@
     matches!(
         output,
         ProcessOutput::Send {
-            message: SimMessage::GroupReply {
+            message: Message::GroupReply {
                 body: GroupReply::Control(ControlReply::Plan(_)),
                 ..
             },
@@ -132,7 +132,7 @@
 /// Whether an output tells an operator that a plan is done.
 pub fn is_done_answer(output: &ProcessOutput) -> bool {
     let ProcessOutput::Send {
-        message: SimMessage::GroupReply { body, .. },
+        message: Message::GroupReply { body, .. },
         ..
     } = output
     else {
--- a/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
@@ -1,7 +1,7 @@
 //! The leader of a ledger group in trouble.
 
 use super::data_path::{ROUNDS, pause};
-use crate::process::{ProcessOutput, SimMessage};
+use crate::process::{Message, ProcessOutput};
 use crate::sim::data_site::DataSite;
 use crate::sim::slot::{Trap, TrapAction};
 use std::time::Duration;
@@ -31,7 +31,7 @@
     matches!(
         output,
         ProcessOutput::Send {
-            message: SimMessage::GroupReply {
+            message: Message::GroupReply {
                 body: GroupReply::Ledger(LedgerReply::Batch(_)),
                 ..
             },
--- a/crates/wingshore-lab/src/sim/trace.rs
+++ b/crates/wingshore-lab/src/sim/trace.rs
@@ -1,16 +1,16 @@
 //! What a traced run prints of messages.
 
 use super::replica;
-use crate::process::SimMessage;
+use crate::process::Message;
 use wingshore_types::Instant;
 
 /// Most characters of a message.
 const MAX_TRACED: usize = 300;
 
 /// Prints a message that has arrived.
-pub fn print(now: Instant, from: &str, to: &str, message: &SimMessage) {
+pub fn print(now: Instant, from: &str, to: &str, message: &Message) {
     let text = match message {
-        SimMessage::Consensus { message, .. } => replica::describe(message),
+        Message::Consensus { message, .. } => replica::describe(message),
         other => format!("{other:?}"),
     };
     let text: String = text.chars().take(MAX_TRACED).collect();
--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -4,9 +4,7 @@
 use super::fetches::{Fetched, Fetches};
 use super::{EngineCore, EngineFault, EngineInput, EngineOutput, EngineSettings};
 use crate::events::Event;
-use crate::process::{
-    Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
-};
+use crate::process::{Answer, Call, Message, Process, ProcessFault, ProcessInput, ProcessOutput};
 use crate::wiring::{InboundCall, Start, Timers, failed, not_run, record};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -65,19 +63,19 @@
         &mut self,
         now: Instant,
         from: SocketAddr,
-        message: SimMessage,
+        message: Message,
         out: &mut Vec<ProcessOutput>,
     ) {
         match message {
-            SimMessage::Call { id, call } => self.on_call(now, InboundCall { from, id }, call, out),
-            SimMessage::Answer { id, answer } => {
+            Message::Call { id, call } => self.on_call(now, InboundCall { from, id }, call, out),
+            Message::Answer { id, answer } => {
                 let ended = self.fetches.on_answer(now, id, &answer);
                 self.end_fetch(now, ended, out);
             }
-            SimMessage::HangUp { id } => self.on_hang_up(now, InboundCall { from, id }, out),
-            SimMessage::Consensus { .. }
-            | SimMessage::GroupRequest { .. }
-            | SimMessage::GroupReply { .. } => {}
+            Message::HangUp { id } => self.on_hang_up(now, InboundCall { from, id }, out),
+            Message::Consensus { .. }
+            | Message::GroupRequest { .. }
+            | Message::GroupReply { .. } => {}
         }
     }
 
--- a/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/process.rs
@@ -7,8 +7,7 @@
 use crate::events::{CallKind, Event, ReceivedCompletion};
 use crate::hashing::hash_bytes;
 use crate::process::{
-    Answer, Call, CallId, CompletionCall, LiveCall, Process, ProcessInput, ProcessOutput,
-    SimMessage,
+    Answer, Call, CallId, CompletionCall, LiveCall, Message, Process, ProcessInput, ProcessOutput,
 };
 use crate::wiring::{CallNumbers, Timers, hang_up, record, send_call};
 use std::collections::{BTreeMap, VecDeque};
@@ -336,7 +335,7 @@
         self.run_timers(now, out);
         match input {
             ProcessInput::Message {
-                message: SimMessage::Answer { id, answer },
+                message: Message::Answer { id, answer },
                 ..
             } => self.on_answer(now, id, answer, out),
             ProcessInput::Stop => self.is_stopping = true,
--- a/crates/wingshore-lab/src/stand_ins/live_server/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/process.rs
@@ -4,7 +4,7 @@
 use crate::events::Event;
 use crate::hashing::hash_bytes;
 use crate::process::{
-    Answer, Call, LiveCall, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
+    Answer, Call, LiveCall, Message, Process, ProcessFault, ProcessInput, ProcessOutput,
 };
 use crate::stand_ins::live_server::LiveServerSettings;
 use crate::stand_ins::live_server::core::LiveServerCore;
@@ -122,7 +122,7 @@
         match input {
             ProcessInput::Message {
                 from,
-                message: SimMessage::Call { id, call },
+                message: Message::Call { id, call },
             } => self.on_call(now, InboundCall { from, id }, call, out),
             ProcessInput::Fault(fault) => self.on_fault(&fault, out),
             ProcessInput::Stop => out.push(ProcessOutput::Exit),
--- a/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/process.rs
@@ -2,9 +2,7 @@
 
 use super::MachineListSettings;
 use crate::events::Event;
-use crate::process::{
-    Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
-};
+use crate::process::{Answer, Call, Message, Process, ProcessFault, ProcessInput, ProcessOutput};
 use crate::wiring::{InboundCall, Start, not_run, record};
 use wingshore_types::platform::{MachineList, MachineState};
 use wingshore_types::{Instant, ServerId};
@@ -53,7 +51,7 @@
         match input {
             ProcessInput::Message {
                 from,
-                message: SimMessage::Call { id, call },
+                message: Message::Call { id, call },
             } => {
                 let caller = InboundCall { from, id };
                 let answer = match call {
--- a/crates/wingshore-lab/src/stand_ins/runtime.rs
+++ b/crates/wingshore-lab/src/stand_ins/runtime.rs
@@ -6,7 +6,7 @@
 
 use super::client::CallClient;
 use crate::event_log::{EventLog, now_us};
-use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Message, Process, ProcessInput, ProcessOutput};
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -103,14 +103,14 @@
         let id = CallId(self.calls_received.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = unbounded();
         lock(&self.callers).insert(id, sender);
-        self.give_message(CALLER, SimMessage::Call { id, call });
+        self.give_message(CALLER, Message::Call { id, call });
         (id, receiver)
     }
 
     /// Tells the process that the caller of a call has gone.
     pub fn hang_up(self: &Arc<Self>, id: CallId) {
         lock(&self.callers).remove(&id);
-        self.give_message(CALLER, SimMessage::HangUp { id });
+        self.give_message(CALLER, Message::HangUp { id });
     }
 
     /// Gives the process an input and does what it wants done.
@@ -125,7 +125,7 @@
         self.changed.notify_one();
     }
 
-    fn give_message(self: &Arc<Self>, from: SocketAddr, message: SimMessage) {
+    fn give_message(self: &Arc<Self>, from: SocketAddr, message: Message) {
         self.give(ProcessInput::Message { from, message });
     }
 
@@ -135,23 +135,23 @@
             ProcessOutput::Record(event) => self.log.write(event),
             ProcessOutput::Exit => self.has_exited.store(true, Ordering::SeqCst),
             ProcessOutput::Send { to, message } => match message {
-                SimMessage::Call { id, call } => {
+                Message::Call { id, call } => {
                     let runtime = Arc::clone(self);
                     thread::spawn(move || runtime.call(to, id, call));
                 }
-                SimMessage::Answer { id, answer } => self.answer(id, answer),
+                Message::Answer { id, answer } => self.answer(id, answer),
                 // The thread of a call that was given up ends by its own time limit.
-                SimMessage::HangUp { .. } => {}
-                SimMessage::Consensus { .. }
-                | SimMessage::GroupRequest { .. }
-                | SimMessage::GroupReply { .. } => {}
+                Message::HangUp { .. } => {}
+                Message::Consensus { .. }
+                | Message::GroupRequest { .. }
+                | Message::GroupReply { .. } => {}
             },
         }
     }
 
     fn call(self: &Arc<Self>, to: SocketAddr, id: CallId, call: Call) {
         self.client.perform(to, call, |answer| {
-            self.give_message(to, SimMessage::Answer { id, answer });
+            self.give_message(to, Message::Answer { id, answer });
         });
     }
 
--- a/crates/wingshore-lab/src/stand_ins/scorer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/process.rs
@@ -2,9 +2,7 @@
 
 use super::ScorerSettings;
 use crate::events::Event;
-use crate::process::{
-    Answer, Call, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
-};
+use crate::process::{Answer, Call, Message, Process, ProcessFault, ProcessInput, ProcessOutput};
 use crate::wiring::{InboundCall, Start, Timers, failed, not_run, record};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -80,7 +78,7 @@
         match input {
             ProcessInput::Message {
                 from,
-                message: SimMessage::Call { id, call },
+                message: Message::Call { id, call },
             } => {
                 let caller = InboundCall { from, id };
                 let Call::Score(request) = call else {
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -5,7 +5,7 @@
 use super::prompts::{delivered, numbers_of, prompt_of};
 use super::settings::TrainerSettings;
 use crate::events::Event;
-use crate::process::{Answer, Call, CallId, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Message, Process, ProcessInput, ProcessOutput};
 use crate::wiring::{CallNumbers, Start, Timers, hang_up, record, send_call};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -306,7 +306,7 @@
         self.run_timers(now, out);
         match input {
             ProcessInput::Message {
-                message: SimMessage::Answer { id, answer },
+                message: Message::Answer { id, answer },
                 ..
             } => self.on_answer(now, id, answer, out),
             ProcessInput::Stop => self.is_stopping = true,
--- a/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/process.rs
@@ -1,7 +1,7 @@
 //! The weight store as a process: keeps published versions and hands them out at a limited rate.
 
 use crate::events::Event;
-use crate::process::{Answer, Call, Process, ProcessInput, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, Message, Process, ProcessInput, ProcessOutput};
 use crate::stand_ins::weight_store::WeightStoreSettings;
 use crate::wiring::{InboundCall, Start, Timers, not_run, record};
 use std::collections::{BTreeMap, BTreeSet};
@@ -82,10 +82,10 @@
         }
         match input {
             ProcessInput::Message { from, message } => match message {
-                SimMessage::Call { id, call } => {
+                Message::Call { id, call } => {
                     self.on_call(now, InboundCall { from, id }, call, out);
                 }
-                SimMessage::HangUp { id } => {
+                Message::HangUp { id } => {
                     self.fetches.remove(&InboundCall { from, id });
                 }
                 _ => {}
--- a/crates/wingshore-lab/src/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -1,7 +1,7 @@
 //! What all processes need: timers, numbers of calls, answers.
 
 use crate::events::Event;
-use crate::process::{Answer, Call, CallId, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Message, ProcessOutput};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -110,7 +110,7 @@
 impl InboundCall {
     /// Sends a part or the whole of the answer.
     pub fn answer(self, answer: Answer, out: &mut Vec<ProcessOutput>) {
-        let message = SimMessage::Answer {
+        let message = Message::Answer {
             id: self.id,
             answer,
         };
@@ -123,13 +123,13 @@
 
 /// Makes a call.
 pub fn send_call(to: SocketAddr, id: CallId, call: Call, out: &mut Vec<ProcessOutput>) {
-    let message = SimMessage::Call { id, call };
+    let message = Message::Call { id, call };
     out.push(ProcessOutput::Send { to, message });
 }
 
 /// Gives a call up.
 pub fn hang_up(to: SocketAddr, id: CallId, out: &mut Vec<ProcessOutput>) {
-    let message = SimMessage::HangUp { id };
+    let message = Message::HangUp { id };
     out.push(ProcessOutput::Send { to, message });
 }
 
--- a/crates/wingshore-lab/tests/sim_client.rs
+++ b/crates/wingshore-lab/tests/sim_client.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use wingshore_lab::process::{ProcessOutput, SimMessage};
+use wingshore_lab::process::{Message, ProcessOutput};
 use wingshore_lab::sim::client::GroupCalls;
 use wingshore_types::protocol::control::{ControlReply, ControlRequest};
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
@@ -19,7 +19,7 @@
         .filter_map(|output| match output {
             ProcessOutput::Send {
                 to,
-                message: SimMessage::GroupRequest { id, .. },
+                message: Message::GroupRequest { id, .. },
             } => Some((to, id)),
             _ => None,
         })
@@ -50,11 +50,11 @@
     expect_that!(first, eq(replica(0)));
     let leader = Some(replica(2));
     let body = GroupReply::NotLeader { leader };
-    expect_true!(calls.on_message(now, first, &SimMessage::GroupReply { id, body }, &mut out));
+    expect_true!(calls.on_message(now, first, &Message::GroupReply { id, body }, &mut out));
     let (second, id) = sent(&mut out)[0];
     expect_that!(second, eq(replica(2)));
     let body = GroupReply::Control(ControlReply::Published(Revision(1)));
-    let message = SimMessage::GroupReply {
+    let message = Message::GroupReply {
         id,
         body: body.clone(),
     };
--- a/crates/wingshore-lab/tests/sim_node.rs
+++ b/crates/wingshore-lab/tests/sim_node.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_lab::process::{
-    Answer, Call, CallId, LiveCall, Process, ProcessInput, ProcessOutput, SimMessage,
+    Answer, Call, CallId, LiveCall, Message, Process, ProcessInput, ProcessOutput,
 };
 use wingshore_lab::sim::node::{SimNode, SimNodeSettings};
 use wingshore_types::configuration::{
@@ -58,7 +58,7 @@
     node: SimNode,
     now: Instant,
     control_answers: bool,
-    control: Option<(Instant, SocketAddr, SimMessage)>,
+    control: Option<(Instant, SocketAddr, Message)>,
     attempts: VecDeque<CallId>,
     attempts_made: usize,
     answers: Vec<Answer>,
@@ -99,19 +99,19 @@
         }
     }
 
-    fn on_message(&mut self, to: SocketAddr, message: SimMessage) -> Option<ProcessInput> {
+    fn on_message(&mut self, to: SocketAddr, message: Message) -> Option<ProcessInput> {
         let answer = match message {
-            SimMessage::GroupRequest { id, body, .. } if self.control_answers => {
+            Message::GroupRequest { id, body, .. } if self.control_answers => {
                 assert_that!(matches!(body, GroupRequest::Control(_)), eq(true));
                 let update = ConfigurationUpdate::Snapshot(Box::new(configuration()));
                 let lease_ms = LEASE.as_millis() as u64;
                 let body = GroupReply::Control(ControlReply::Update { update, lease_ms });
-                let message = SimMessage::GroupReply { id, body };
+                let message = Message::GroupReply { id, body };
                 self.control = Some((self.now + CONTROL_TIME, to, message));
                 return None;
             }
-            SimMessage::Call { id, call } => match call {
-                Call::Load => SimMessage::Answer {
+            Message::Call { id, call } => match call {
+                Call::Load => Message::Answer {
                     id,
                     answer: Answer::Load(LoadReport {
                         in_flight: 0,
@@ -125,7 +125,7 @@
                     return None;
                 }
             },
-            SimMessage::Answer { answer, .. } => {
+            Message::Answer { answer, .. } => {
                 self.answers.push(answer);
                 return None;
             }
@@ -170,7 +170,7 @@
             asked: 0,
         });
         let id = CallId(1);
-        let message = SimMessage::Call { id, call };
+        let message = Message::Call { id, call };
         let from = address(5);
         self.step(ProcessInput::Message { from, message });
     }
@@ -180,7 +180,7 @@
         for _ in 0..40 {
             if let (Some(id), Some(answer)) = (self.attempts.pop_front(), answer) {
                 let answer = answer.clone();
-                let message = SimMessage::Answer { id, answer };
+                let message = Message::Answer { id, answer };
                 let from = address(9);
                 self.step(ProcessInput::Message { from, message });
             }
--- a/crates/wingshore-lab/tests/sim_platform.rs
+++ b/crates/wingshore-lab/tests/sim_platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use wingshore_lab::events::Event;
 use wingshore_lab::process::{
-    Answer, Call, CallId, LiveCall, Process, ProcessFault, ProcessInput, ProcessOutput, SimMessage,
+    Answer, Call, CallId, LiveCall, Message, Process, ProcessFault, ProcessInput, ProcessOutput,
 };
 use wingshore_lab::stand_ins::engine::process::EngineProcess;
 use wingshore_lab::stand_ins::engine::{EngineFault, EngineSettings};
@@ -61,8 +61,8 @@
             match output {
                 ProcessOutput::Record(event) => self.events.push(event),
                 ProcessOutput::Send { message, .. } => match message {
-                    SimMessage::Answer { id, answer } => self.answers.push((self.now, id, answer)),
-                    SimMessage::Call { id, call } => self.sent.push((id, call)),
+                    Message::Answer { id, answer } => self.answers.push((self.now, id, answer)),
+                    Message::Call { id, call } => self.sent.push((id, call)),
                     _ => {}
                 },
                 ProcessOutput::Exit => {}
@@ -70,7 +70,7 @@
         }
     }
 
-    fn message(&mut self, message: SimMessage) {
+    fn message(&mut self, message: Message) {
         let from = caller();
         self.step(ProcessInput::Message { from, message });
     }
@@ -78,7 +78,7 @@
     fn call(&mut self, call: Call) -> CallId {
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.message(SimMessage::Call { id, call });
+        self.message(Message::Call { id, call });
         id
     }
 
@@ -165,7 +165,7 @@
 fn an_engine_whose_caller_hangs_up_drops_the_attempt() {
     let mut bench = engine();
     let id = bench.call(generate("a"));
-    bench.message(SimMessage::HangUp { id });
+    bench.message(Message::HangUp { id });
     bench.pass(SECOND * 5);
     let dropped = bench.events.iter().any(
         |event| matches!(event, Event::AttemptDropped { reason, .. } if reason == "cancelled"),
@@ -205,7 +205,7 @@
         Answer::Done,
     ] {
         let (id, _) = bench.sent.pop().expect("a fetch");
-        bench.message(SimMessage::Answer { id, answer });
+        bench.message(Message::Answer { id, answer });
         bench.pass(SECOND * 2);
     }
     let version = Some(WeightVersion(1));
