--- a/crates/wingshore-lab/src/sim/operator.rs
+++ b/crates/wingshore-lab/src/sim/operator.rs
@@ -5,7 +5,8 @@
 use super::observer::{ObserverHandle, SimPromise};
 use super::slot::{Boot, Maker};
 use super::task_list::{Task, TaskList};
-use crate::process::{Call, CallId, Message, Process, ProcessInput, ProcessOutput};
+use crate::process::{Call, CallId, Process, ProcessInput, ProcessOutput};
+use crate::wiring::send_call;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -144,14 +145,7 @@
                 model: model.clone(),
                 version: *version,
             };
-            let message = Message::Call {
-                id: CallId(version.0),
-                call,
-            };
-            out.push(ProcessOutput::Send {
-                to: *store,
-                message,
-            });
+            send_call(*store, CallId(version.0), call, out);
         }
     }
 
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -11,6 +11,7 @@
 use super::observer::{ObserverHandle, SimPromise};
 use super::slot::{Boot, Maker};
 use crate::process::{Answer, Call, CallId, Message, Process, ProcessInput, ProcessOutput};
+use crate::wiring::{hang_up, send_call};
 use group::{GroupOutput, Origin, Outputs};
 use kind::{EffectCall, EffectOrigin};
 use rand::SeedableRng;
@@ -192,11 +193,7 @@
             .collect();
         for id in late {
             if let Some(call) = self.calls.get(&id) {
-                let message = Message::HangUp { id };
-                out.push(ProcessOutput::Send {
-                    to: call.to,
-                    message,
-                });
+                hang_up(call.to, id, out);
             }
             self.on_answer(now, id, Answer::Broken, out);
         }
@@ -295,8 +292,7 @@
         };
         self.show_order(&call, &open.origin);
         self.calls.insert(id, open);
-        let message = Message::Call { id, call };
-        out.push(ProcessOutput::Send { to, message });
+        send_call(to, id, call, out);
     }
 }
 
--- a/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
@@ -5,12 +5,9 @@
 pub mod process;
 
 use super::StandInError;
-use super::client::{CallClient, REQUEST_ID_HEADER};
-use super::runtime::{Clock, Runtime};
-use super::server::{NotServed, Request, serve_process};
-use super::settings::{ServerSettings, load};
+use super::client::REQUEST_ID_HEADER;
+use super::server::{self, NotServed, Request};
 use crate::durations;
-use crate::event_log::EventLog;
 use crate::hashing::hash_bytes;
 use crate::http_server::Incoming;
 use crate::process::{Call, LiveCall};
@@ -56,13 +53,7 @@
 /// # Errors
 /// When its settings, log or port cannot be used.
 pub fn run(settings_file: &Path) -> Result<(), StandInError> {
-    let settings: ServerSettings<LiveServerSettings> = load(settings_file)?;
-    let ServerSettings { process, behaviour } = settings;
-    let log = EventLog::open(&process.log, &process.name)?;
-    let clock = Clock::start();
-    let server = LiveServerProcess::new(clock.now(), &process.name, behaviour, rand::random());
-    let runtime = Runtime::new(server, clock, CallClient::new(0), log);
-    serve_process(&process, runtime, request_of, 0)
+    server::run(settings_file, request_of, LiveServerProcess::new)
 }
 
 /// Every other path is a request of a caller, passed on by a node as it came.
--- a/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -3,12 +3,8 @@
 pub mod process;
 
 use super::StandInError;
-use super::client::CallClient;
-use super::runtime::{Clock, Runtime};
-use super::server::{NotServed, Request, body, serve_process};
-use super::settings::{ServerSettings, load};
+use super::server::{self, NotServed, Request, body};
 use crate::durations;
-use crate::event_log::EventLog;
 use crate::http_server::Incoming;
 use crate::process::{Call, ProcessFault};
 use process::MachineListProcess;
@@ -44,13 +40,9 @@
 /// # Errors
 /// When its settings, log or port cannot be used.
 pub fn run(settings_file: &Path) -> Result<(), StandInError> {
-    let settings: ServerSettings<MachineListSettings> = load(settings_file)?;
-    let ServerSettings { process, behaviour } = settings;
-    let log = EventLog::open(&process.log, &process.name)?;
-    let clock = Clock::start();
-    let list = MachineListProcess::new(clock.now(), behaviour, rand::random());
-    let runtime = Runtime::new(list, clock, CallClient::new(0), log);
-    serve_process(&process, runtime, request_of, 0)
+    server::run(settings_file, request_of, |now, _, settings, boot_id| {
+        MachineListProcess::new(now, settings, boot_id)
+    })
 }
 
 fn request_of(incoming: &Incoming) -> Result<Request, NotServed> {
--- a/crates/wingshore-lab/src/stand_ins/server.rs
+++ b/crates/wingshore-lab/src/stand_ins/server.rs
@@ -3,18 +3,21 @@
 //! Owns nothing; relies on [`super::runtime`] for the process and on [`crate::http_server`].
 
 use super::StandInError;
-use super::runtime::Runtime;
-use super::settings::ListenSettings;
+use super::client::CallClient;
+use super::runtime::{Clock, Runtime};
+use super::settings::{ServerSettings, load};
+use crate::event_log::EventLog;
 use crate::http_server::{Incoming, serve};
-use crate::process::{Answer, Call, ProcessFault, ProcessInput};
+use crate::process::{Answer, Call, Process, ProcessFault, ProcessInput};
 use crossbeam_channel::Receiver;
 use serde::de::DeserializeOwned;
+use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::thread;
 use std::time::Duration;
-use wingshore_types::Verdict;
 use wingshore_types::platform::{EngineStreamEvent, NOT_RUN_HEADER};
+use wingshore_types::{Instant, Verdict};
 
 /// What a request is to the process.
 pub enum Request {
@@ -39,17 +42,23 @@
     incoming.json().map_err(NotServed::BadBody)
 }
 
-/// Serves until the process ends. An answer that is a model's weights has `weight_bytes` bytes.
-pub fn serve_process(
-    settings: &ListenSettings,
-    runtime: Arc<Runtime>,
+/// Reads a stand-in's settings and serves the process that `make` makes of them until it ends.
+/// `make` gets the time, the name, the behaviour and the boot id.
+pub fn run<T: DeserializeOwned, P: Process + Send + 'static>(
+    settings_file: &Path,
     decode: Decode,
-    weight_bytes: usize,
+    make: impl FnOnce(Instant, &str, T, u64) -> P,
 ) -> Result<(), StandInError> {
+    let settings: ServerSettings<T> = load(settings_file)?;
+    let ServerSettings { process, behaviour } = settings;
+    let log = EventLog::open(&process.log, &process.name)?;
+    let clock = Clock::start();
+    let served = make(clock.now(), &process.name, behaviour, rand::random());
+    let runtime = Runtime::new(served, clock, CallClient::new(0), log);
     let waking = Arc::clone(&runtime);
     thread::spawn(move || waking.run(&AtomicBool::new(false)));
     let handler = Arc::new(move |incoming: Incoming| match decode(&incoming) {
-        Ok(Request::Call(call)) => answer(&runtime, call, weight_bytes, incoming),
+        Ok(Request::Call(call)) => answer(&runtime, call, incoming),
         Ok(Request::Fault(fault)) => {
             runtime.give(ProcessInput::Fault(fault));
             incoming.respond_json(200, &serde_json::json!({}));
@@ -57,13 +66,12 @@
         Err(NotServed::NoSuchPath) => incoming.respond_error(404, "no_such_path"),
         Err(NotServed::BadBody(error)) => incoming.respond_bad_request(&error),
     });
-    serve(settings.listen, settings.round_trip, handler)?;
+    serve(process.listen, process.round_trip, handler)?;
     Ok(())
 }
 
-fn answer(runtime: &Arc<Runtime>, call: Call, weight_bytes: usize, incoming: Incoming) {
+fn answer(runtime: &Arc<Runtime>, call: Call, incoming: Incoming) {
     let is_stream = matches!(call, Call::Generate(_));
-    let is_fetch = matches!(call, Call::FetchWeights { .. });
     let (id, answers) = runtime.receive(call);
     if is_stream {
         if stream(&answers, incoming).is_err() {
@@ -72,7 +80,6 @@
         return;
     }
     match answers.recv() {
-        Ok(Answer::Done) if is_fetch => incoming.respond(200, &[], vec![0; weight_bytes]),
         Ok(answer) => respond(answer, incoming),
         Err(_) => incoming.respond_error(500, "no_answer"),
     }
--- a/crates/wingshore-lab/src/stand_ins/weight_store/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/mod.rs
@@ -3,11 +3,7 @@
 pub mod process;
 
 use super::StandInError;
-use super::client::CallClient;
-use super::runtime::{Clock, Runtime};
-use super::server::{NotServed, Request, serve_process};
-use super::settings::{ServerSettings, load};
-use crate::event_log::EventLog;
+use super::server::{self, NotServed, Request};
 use crate::http_server::Incoming;
 use crate::process::Call;
 use process::WeightStoreProcess;
@@ -42,14 +38,9 @@
 /// # Errors
 /// When its settings, log or port cannot be used.
 pub fn run(settings_file: &Path) -> Result<(), StandInError> {
-    let settings: ServerSettings<WeightStoreSettings> = load(settings_file)?;
-    let ServerSettings { process, behaviour } = settings;
-    let weight_bytes = behaviour.initial_bytes;
-    let log = EventLog::open(&process.log, &process.name)?;
-    let clock = Clock::start();
-    let store = WeightStoreProcess::new(clock.now(), behaviour, rand::random());
-    let runtime = Runtime::new(store, clock, CallClient::new(0), log);
-    serve_process(&process, runtime, request_of, weight_bytes)
+    server::run(settings_file, request_of, |now, _, settings, boot_id| {
+        WeightStoreProcess::new(now, settings, boot_id)
+    })
 }
 
 fn request_of(incoming: &Incoming) -> Result<Request, NotServed> {
