--- a/crates/wingshore-lab/src/sim/replica/kind.rs
+++ b/crates/wingshore-lab/src/sim/replica/kind.rs
@@ -56,9 +56,13 @@
     fn first_event(_replica: ReplicaId, _settings: &LeaderSettings) -> Option<Self::Event> {
         None
     }
-    fn call_of(now: Instant, effect: Self::Effect) -> Option<EffectCall>;
+    fn call_of(_now: Instant, _effect: Self::Effect) -> Option<EffectCall> {
+        None
+    }
     /// What an answer to it means; no answer is [`Answer::Broken`].
-    fn event_of(origin: EffectOrigin, answer: Answer) -> Option<Self::Event>;
+    fn event_of(_origin: EffectOrigin, _answer: Answer) -> Option<Self::Event> {
+        None
+    }
 }
 
 impl SimLeader for ControlLeader {
@@ -139,22 +143,5 @@
     }
 }
 
-impl SimLeader for LedgerLeader {
-    fn call_of(_now: Instant, _effect: Self::Effect) -> Option<EffectCall> {
-        None
-    }
-
-    fn event_of(_origin: EffectOrigin, _answer: Answer) -> Option<Self::Event> {
-        None
-    }
-}
-
-impl SimLeader for ClaimsLeader {
-    fn call_of(_now: Instant, _effect: Self::Effect) -> Option<EffectCall> {
-        None
-    }
-
-    fn event_of(_origin: EffectOrigin, _answer: Answer) -> Option<Self::Event> {
-        None
-    }
-}
+impl SimLeader for LedgerLeader {}
+impl SimLeader for ClaimsLeader {}
