--- a/crates/wingshore-lab/src/checks/mod.rs
+++ b/crates/wingshore-lab/src/checks/mod.rs
@@ -1,4 +1,7 @@
 //! Independent checkers: each judges one promise, from the logs of the stand-ins alone.
+//!
+//! They own nothing and rely on [`crate::events`] only, so that a fleet and a simulation are judged
+//! by the same code.
 
 mod configuration;
 mod exactly_once;
--- a/crates/wingshore-lab/src/fleet/mod.rs
+++ b/crates/wingshore-lab/src/fleet/mod.rs
@@ -1,5 +1,10 @@
 //! `wingshore-lab fleet`: a whole site as separate processes on this machine, then every promise
 //! checked from the stand-ins' own logs.
+//!
+//! Owns the run's folder and every process of it (`running`, `process`): whatever way a run
+//! ends, none stays. `schedule` and `faults` say what happens when, `operator` and `watch` ask the
+//! site as people and monitoring would. Relies on the `wingshore` program, on [`crate::stand_ins`]
+//! for the rest of the platform and on [`crate::checks`] for the verdict.
 
 mod error;
 mod faults;
--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -1,4 +1,6 @@
 //! What a process of the lab is, without sockets and clocks, and the messages between processes.
+//!
+//! The simulator and, for stand-ins, [`crate::stand_ins`]'s runtime carry out what processes put out.
 
 use crate::events::Event;
 use std::net::SocketAddr;
--- a/crates/wingshore-lab/src/sim/client.rs
+++ b/crates/wingshore-lab/src/sim/client.rs
@@ -1,5 +1,7 @@
 //! Calls to groups from a simulated process: finds the leader and sends again, with the routes,
 //! attempt timeouts and backoff of [`wingshore_client`].
+//!
+//! Owns the calls without a result and the route; its process passes it messages and time.
 
 use crate::process::{Message, ProcessOutput};
 use rand::SeedableRng;
--- a/crates/wingshore-lab/src/sim/data_site.rs
+++ b/crates/wingshore-lab/src/sim/data_site.rs
@@ -1,5 +1,8 @@
 //! A simulated site with its whole data path: replicas of all groups, nodes, engines, live servers,
 //! a trainer with its scorer and weight store, live callers and the machine list.
+//!
+//! Owns the replicas' disks and the trainer's notes, which outlive their processes. Relies on
+//! `data_layout` for what it consists of and on [`crate::stand_ins`] for the platform's side.
 
 use super::data_layout::{self, DataSettings, Place, address};
 use super::network::NetworkSettings;
--- a/crates/wingshore-lab/src/sim/mod.rs
+++ b/crates/wingshore-lab/src/sim/mod.rs
@@ -4,7 +4,7 @@
 //! Every process is a [`crate::process::Process`]: inputs and the local time in, outputs out. The same
 //! seed gives the same history, event for event. What happens is recorded with
 //! [`crate::events::Event`] and judged by [`crate::checks`], the checkers that also judge a fleet
-//! of real processes. Beside them the [`observer`] judges what only a simulator can see.
+//! of real processes. Beside them the `observer` judges what only a simulator can see.
 
 mod administrator;
 pub mod client;
--- a/crates/wingshore-lab/src/sim/replica/mod.rs
+++ b/crates/wingshore-lab/src/sim/replica/mod.rs
@@ -1,4 +1,7 @@
 //! A simulated replica: the folder, stores and hosts of production on a simulated disk.
+//!
+//! Owns one host a group and the calls to back ends that wait for answers; the disk belongs to the
+//! site and outlives it. Relies on `wingshore-group` and `wingshore-storage` as the real replica does.
 
 mod group;
 mod kind;
--- a/crates/wingshore-lab/src/sim/site.rs
+++ b/crates/wingshore-lab/src/sim/site.rs
@@ -1,5 +1,7 @@
 //! A simulated site: replicas with their disks, operators, followers of the configuration and
-//! engines, around one [`World`].
+//! engines, around one [`World`], for scenarios of the control group.
+//!
+//! Owns the disks and what operators are to do; `site_layout` has its configuration.
 
 use super::administrator::{self, Repairs};
 use super::network::NetworkSettings;
--- a/crates/wingshore-lab/src/sim/world.rs
+++ b/crates/wingshore-lab/src/sim/world.rs
@@ -1,4 +1,7 @@
 //! The simulated world: one queue of events, ordered by time, and all processes.
+//!
+//! Owns the queue, the machines ([`super::slot`]), the network and every draw that scenarios make.
+//! Relies on processes for all that happens: it only moves messages and time.
 
 use super::clock::LocalClock;
 use super::history::HistoryHash;
--- a/crates/wingshore-lab/src/stand_ins/engine/core.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/core.rs
@@ -1,7 +1,6 @@
 //! The engine itself, without sockets, clocks or threads: batches, weights, orders, faults.
 //!
-//! [`EngineCore::step`] first lets all steps end that are due, then takes its input. The fleet's
-//! stand-in engine, the simulator and the benchmarks run this same code.
+//! [`EngineCore::step`] first lets all steps end that are due, then takes its input.
 
 use super::fence::{Fence, OrderAnswer};
 use super::messages::{DropReason, EngineFault, EngineInput, EngineOutput};
--- a/crates/wingshore-lab/src/stand_ins/engine/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/engine/process.rs
@@ -1,4 +1,7 @@
-//! A model engine as a process: [`EngineCore`] behind calls, and fetches of weights.
+//! A model engine as a process: [`EngineCore`] behind calls.
+//!
+//! Owns the core, the streams that are open and the switches of scenarios; `fetches` gets the weights
+//! that the core is ordered to take.
 
 use super::fence::OrderAnswer;
 use super::fetches::{Fetched, Fetches};
--- a/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for live callers: charges, look-ups and streamed completions at a seeded rate.
+//! Stand-in for live callers, as a program of its own.
 
 pub mod plan;
 pub mod process;
--- a/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_server/mod.rs
@@ -1,5 +1,4 @@
-//! Stand-in for a live server: runs charges and look-ups, logs each execution, and refuses by its
-//! own word when it is full or leaving.
+//! Stand-in for a live server: its settings and its HTTP surface.
 
 mod core;
 pub mod process;
--- a/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/machine_list/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's machine list, which lags behind the truth.
+//! Stand-in for the platform's machine list: its settings and its HTTP surface.
 
 pub mod process;
 
--- a/crates/wingshore-lab/src/stand_ins/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/mod.rs
@@ -1,4 +1,8 @@
-//! Stand-ins: small processes that play the platform's side and the callers.
+//! Stand-ins: what plays the platform's side and the callers.
+//!
+//! Each kind has a folder: its settings, its process ([`crate::process::Process`]) and what its HTTP
+//! requests mean. The simulator runs the processes in its own time; as programs of their own they
+//! are run by `runtime`, served by `server`, and make their calls by `client`.
 
 mod client;
 mod completion;
--- a/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/scorer/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a scoring service: slow at times, failing at times, and asked twice at times.
+//! Stand-in for a scoring service: its settings and its HTTP surface.
 
 pub mod process;
 
--- a/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
@@ -1,5 +1,4 @@
-//! Stand-in for a trainer: submits prompts ahead, pulls steps, trains for a while, publishes
-//! versions and acknowledges. It checks nothing itself; it logs what it received.
+//! Stand-in for a trainer, as a program of its own.
 
 pub mod process;
 pub mod progress;
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -1,5 +1,7 @@
 //! A trainer as a process: submits prompts ahead, pulls steps, trains for a while, publishes versions
-//! and acknowledges. What it has noted outlives it, as the log of the stand-in does.
+//! and acknowledges. It checks nothing itself; it records what it received.
+//!
+//! Owns the call under way; what it has noted is on its [`TrainerDisk`] and outlives it.
 
 use super::progress::Progress;
 use super::prompts::{delivered, numbers_of, prompt_of};
--- a/crates/wingshore-lab/src/stand_ins/weight_store/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/weight_store/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the weight store: keeps published versions and hands them out at a limited rate.
+//! Stand-in for the weight store: its settings and its HTTP surface.
 
 pub mod process;
 
