--- a/crates/wingshore-lab/src/sim/administrator.rs
+++ b/crates/wingshore-lab/src/sim/administrator.rs
@@ -130,14 +130,7 @@
 
 impl Process for Administrator {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        match input {
-            ProcessInput::Wake => self.calls.on_wake(now, out),
-            ProcessInput::Message { from, message } => {
-                self.calls.on_message(now, from, &message, out);
-            }
-            ProcessInput::Stop => out.push(ProcessOutput::Exit),
-            ProcessInput::Fault(_) => {}
-        }
+        self.calls.on_input(now, input, out);
         for (_, result) in self.calls.take_results() {
             let step = match &result {
                 Ok(GroupReply::Membership(reply)) => self.next_step(reply),
--- a/crates/wingshore-lab/src/sim/client.rs
+++ b/crates/wingshore-lab/src/sim/client.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns the calls without a result and the route; its process passes it messages and time.
 
-use crate::process::{Message, ProcessOutput};
+use crate::process::{Message, ProcessInput, ProcessOutput};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -124,6 +124,18 @@
         true
     }
 
+    /// Takes any input of a process that does nothing but call groups.
+    pub fn on_input(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
+        match input {
+            ProcessInput::Wake => self.on_wake(now, out),
+            ProcessInput::Message { from, message } => {
+                self.on_message(now, from, &message, out);
+            }
+            ProcessInput::Stop => out.push(ProcessOutput::Exit),
+            ProcessInput::Fault(_) => {}
+        }
+    }
+
     /// Goes on with what is due.
     pub fn on_wake(&mut self, now: Instant, out: &mut Vec<ProcessOutput>) {
         let due = |call: &OpenCall<T>| call.due() <= now;
--- a/crates/wingshore-lab/src/sim/operator.rs
+++ b/crates/wingshore-lab/src/sim/operator.rs
@@ -331,14 +331,7 @@
 
 impl Process for Operator {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        match input {
-            ProcessInput::Wake => self.calls.on_wake(now, out),
-            ProcessInput::Message { from, message } => {
-                self.calls.on_message(now, from, &message, out);
-            }
-            ProcessInput::Stop => out.push(ProcessOutput::Exit),
-            ProcessInput::Fault(_) => {}
-        }
+        self.calls.on_input(now, input, out);
         for (call, result) in self.calls.take_results() {
             self.on_result(now, call, result);
         }
--- a/crates/wingshore-lab/src/sim/scenarios/clients.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/clients.rs
@@ -1,7 +1,7 @@
 //! Operators who race, and processes that return after many changes.
 
 use super::Scenario;
-use super::faults::{Fault, any_cut, pause};
+use super::faults::Fault;
 use crate::sim::site::{Kind, Site, SiteSettings, address};
 use rand::RngExt;
 use std::time::Duration;
@@ -50,17 +50,17 @@
 }
 
 fn racing_operators(site: &mut Site) {
-    pause(site, 500, 2_000);
+    site.world.pause(500, 2_000);
     if site.world.random().random_bool(0.5) {
         Fault::LoseLeader.strike(site);
     }
-    pause(site, 500, 3_000);
+    site.world.pause(500, 3_000);
 }
 
 /// A follower and a replica are away while the configuration changes 500 times.
 fn back_after_many_changes(site: &mut Site) {
     let replica = site.follower();
-    let kind = any_cut(site);
+    let kind = site.world.any_cut();
     match site.world.random().random_range(0..3) {
         0 => site.world.kill(replica, true),
         1 => site.world.isolate(replica, kind),
@@ -82,7 +82,7 @@
     for _ in 0..5 {
         let number = site.world.random().random_range(0..4);
         let watcher = address(Kind::Watcher, number);
-        let kind = any_cut(site);
+        let kind = site.world.any_cut();
         match site.world.random().random_range(0..4) {
             0 => site.world.kill(watcher, true),
             1 => {
@@ -92,7 +92,7 @@
             2 => site.world.isolate(watcher, kind),
             _ => Fault::draw(site).strike(site),
         }
-        pause(site, 500, 8_000);
+        site.world.pause(500, 8_000);
         if site.world.random().random_bool(0.7) {
             site.heal();
         }
--- a/crates/wingshore-lab/src/sim/scenarios/control.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/control.rs
@@ -1,7 +1,7 @@
 //! The control group's leader in trouble: cut off, frozen, killed, with work in flight.
 
 use super::Scenario;
-use super::faults::{Fault, any_cut, is_plan_answer, pause};
+use super::faults::{Fault, is_plan_answer};
 use crate::sim::network::CutKind;
 use crate::sim::replica::is_order;
 use crate::sim::site::{Site, SiteSettings};
@@ -44,7 +44,7 @@
 
 fn quiet(site: &mut Site) {
     site.move_pool(1);
-    pause(site, 1_000, 4_000);
+    site.world.pause(1_000, 4_000);
 }
 
 /// The leader is cut off right after it has sent an order, and goes on believing.
@@ -55,9 +55,9 @@
         let skip = site.world.random().random_range(0..6);
         site.world
             .set_trap(leader, order_trap(skip, TrapAction::CutOffAfter));
-        pause(site, 500, 6_000);
+        site.world.pause(500, 6_000);
         site.heal();
-        pause(site, 100, 2_000);
+        site.world.pause(100, 2_000);
     }
 }
 
@@ -70,7 +70,7 @@
         let time = Duration::from_millis(site.world.random().random_range(300..20_000));
         let action = TrapAction::FreezeBefore(time);
         site.world.set_trap(leader, order_trap(skip, action));
-        pause(site, 2_000, 22_000);
+        site.world.pause(2_000, 22_000);
     }
 }
 
@@ -78,7 +78,7 @@
 fn frozen_leader(site: &mut Site) {
     for _ in 0..4 {
         Fault::FreezeLeader.strike(site);
-        pause(site, 300, 3_000);
+        site.world.pause(300, 3_000);
     }
 }
 
@@ -98,9 +98,9 @@
             site.world.kill(operator, true);
             site.world.start(operator);
         }
-        pause(site, 400, 1_500);
+        site.world.pause(400, 1_500);
         site.heal();
-        pause(site, 100, 1_000);
+        site.world.pause(100, 1_000);
     }
 }
 
@@ -108,14 +108,14 @@
 fn leader_without_members(site: &mut Site) {
     for _ in 0..4 {
         let leader = site.leader();
-        let kind = any_cut(site);
+        let kind = site.world.any_cut();
         for other in site.replicas.clone() {
             site.world.cut(leader, other, kind);
             site.world.cut(other, leader, kind);
         }
-        pause(site, 300, 4_000);
+        site.world.pause(300, 4_000);
         site.heal();
-        pause(site, 100, 1_000);
+        site.world.pause(100, 1_000);
     }
 }
 
@@ -125,16 +125,16 @@
         if site.world.random().random_bool(0.5) {
             cut_clients_one_way(site);
         }
-        pause(site, 300, 4_000);
+        site.world.pause(300, 4_000);
         site.heal();
-        pause(site, 0, 1_000);
+        site.world.pause(0, 1_000);
     }
 }
 
 /// Requests reach a replica, and its answers do not come back, or the other way.
 fn cut_clients_one_way(site: &mut Site) {
     let replica = site.any_replica();
-    let kind = any_cut(site);
+    let kind = site.world.any_cut();
     let is_outgoing = site.world.random().random_bool(0.7);
     for client in site.world.addresses("operator") {
         match is_outgoing {
@@ -152,13 +152,13 @@
             true => TrapAction::KillBefore,
             false => TrapAction::KillAfter,
         };
-        let trap = Trap {
-            wanted: Box::new(is_plan_answer),
-            skip: site.world.random().random_range(0..4),
+        let trap = Trap::new(
+            is_plan_answer,
+            site.world.random().random_range(0..4),
             action,
-        };
+        );
         site.world.set_trap(leader, trap);
-        pause(site, 300, 3_000);
+        site.world.pause(300, 3_000);
         site.heal();
     }
 }
@@ -168,21 +168,17 @@
     for version in 1..=2 {
         site.move_pool(version);
         for _ in 0..2 {
-            pause(site, 200, 3_000);
+            site.world.pause(200, 3_000);
             match site.world.random().random_bool(0.5) {
                 true => Fault::LoseLeader.strike(site),
                 false => Fault::Kill.strike(site),
             }
-            pause(site, 200, 3_000);
+            site.world.pause(200, 3_000);
             site.heal();
         }
     }
 }
 
 fn order_trap(skip: u32, action: TrapAction) -> Trap {
-    Trap {
-        wanted: Box::new(is_order),
-        skip,
-        action,
-    }
+    Trap::new(is_order, skip, action)
 }
--- a/crates/wingshore-lab/src/sim/scenarios/data_path.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/data_path.rs
@@ -40,7 +40,7 @@
 }
 
 fn calm(site: &mut DataSite) {
-    pause(site, 5_000, 8_000);
+    site.world.pause(5_000, 8_000);
 }
 
 /// The trainer dies right after it has received a batch, trained it, published a version or sent
@@ -58,17 +58,13 @@
             2 => |output| is_call(output, |call| matches!(call, Call::Pull { .. })),
             _ => |output| is_call(output, |call| matches!(call, Call::Acknowledge { .. })),
         };
-        let trap = Trap {
-            wanted: Box::new(wanted),
-            skip: 0,
-            action: TrapAction::KillAfter,
-        };
+        let trap = Trap::new(wanted, 0, TrapAction::KillAfter);
         site.world.set_trap(trainer, trap);
         let limit = Duration::from_secs(10);
         site.world.run_until(limit, |world| !world.is_up(trainer));
-        pause(site, 0, 2_000);
+        site.world.pause(0, 2_000);
         site.world.start(trainer);
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
     }
 }
 
@@ -87,9 +83,9 @@
         site.world
             .inject(scorer, ProcessFault::LoseAnswers { count });
         slow_engine(site);
-        pause(site, 2_500, 6_000);
+        site.world.pause(2_500, 6_000);
         site.heal();
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
     }
 }
 
@@ -100,18 +96,14 @@
         if site.world.random().random_bool(0.5) {
             let skip = site.world.random().random_range(0..200);
             let wanted = |output: &ProcessOutput| matches!(output, ProcessOutput::Send { .. });
-            let trap = Trap {
-                wanted: Box::new(wanted),
-                skip,
-                action: any_death(site),
-            };
+            let trap = Trap::new(wanted, skip, any_death(site));
             site.world.set_trap(node, trap);
         } else {
             site.world.kill(node, true);
         }
-        pause(site, 300, 4_000);
+        site.world.pause(300, 4_000);
         site.heal();
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
     }
 }
 
@@ -127,13 +119,13 @@
             _ => |output| is_group_request(output),
         };
         let time = site.world.random().random_range(200..MAX_NODE_FREEZE_MS);
-        let trap = Trap {
-            wanted: Box::new(wanted),
-            skip: site.world.random().random_range(0..3),
-            action: TrapAction::FreezeBefore(Duration::from_millis(time)),
-        };
+        let trap = Trap::new(
+            wanted,
+            site.world.random().random_range(0..3),
+            TrapAction::FreezeBefore(Duration::from_millis(time)),
+        );
         site.world.set_trap(node, trap);
-        pause(site, 500, 6_000);
+        site.world.pause(500, 6_000);
     }
 }
 
@@ -151,9 +143,9 @@
             }
             _ => site.world.isolate(engine, CutKind::Stalled),
         }
-        pause(site, 500, 4_000);
+        site.world.pause(500, 4_000);
         site.heal();
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
     }
 }
 
@@ -176,7 +168,7 @@
                 .world
                 .isolate(address(Place::Store, 0), CutKind::Silent),
         }
-        pause(site, 1_000, 5_000);
+        site.world.pause(1_000, 5_000);
         site.heal();
     }
 }
@@ -190,19 +182,19 @@
             _ => address(Place::MachineList, 0),
         };
         let wanted = |output: &ProcessOutput| matches!(output, ProcessOutput::Send { .. });
-        let trap = Trap {
-            wanted: Box::new(wanted),
-            skip: site.world.random().random_range(0..20),
-            action: any_death(site),
-        };
+        let trap = Trap::new(
+            wanted,
+            site.world.random().random_range(0..20),
+            any_death(site),
+        );
         site.world.set_trap(process, trap);
         if site.world.random().random_bool(0.3) {
             let store = address(Place::Store, 0);
             site.world.isolate(store, CutKind::Silent);
         }
-        pause(site, 500, 4_000);
+        site.world.pause(500, 4_000);
         site.heal();
-        pause(site, 200, 2_000);
+        site.world.pause(200, 2_000);
     }
 }
 
@@ -224,12 +216,12 @@
                 .inject(server, ProcessFault::CutAnswers { count }),
             4 => cut_from_replicas(site, node, CutKind::Silent),
             5 => {
-                let kind = any_cut(site);
+                let kind = site.world.any_cut();
                 site.world.cut(server, node, kind);
             }
             _ => freeze_node(site, node, 200),
         }
-        pause(site, 300, 2_500);
+        site.world.pause(300, 2_500);
         if site.world.random().random_bool(0.6) {
             site.heal();
         }
@@ -245,9 +237,9 @@
         };
         let number = site.world.random().random_range(0..place.count());
         site.set_leaving(place, number, true);
-        pause(site, 4_000, 10_000);
+        site.world.pause(4_000, 10_000);
         site.set_leaving(place, number, false);
-        pause(site, 1_000, 4_000);
+        site.world.pause(1_000, 4_000);
     }
 }
 
@@ -261,9 +253,9 @@
         let machine = site.any(place);
         site.world.stop(machine);
         site.await_or_violate("the end of a planned stop", |world| !world.is_up(machine));
-        pause(site, 0, 1_000);
+        site.world.pause(0, 1_000);
         site.world.start(machine);
-        pause(site, 500, 3_000);
+        site.world.pause(500, 3_000);
     }
 }
 
@@ -291,7 +283,7 @@
             }
             5 => {
                 let leader = site.leader(GroupId::Ledger(1));
-                let kind = any_cut(site);
+                let kind = site.world.any_cut();
                 site.world.isolate(leader, kind);
             }
             6 => {
@@ -306,18 +298,13 @@
                 ..NetworkSettings::default()
             }),
         }
-        pause(site, 300, 3_000);
+        site.world.pause(300, 3_000);
         if site.world.random().random_bool(0.6) {
             site.heal();
         }
     }
 }
 
-pub(super) fn pause(site: &mut DataSite, shortest_ms: u64, longest_ms: u64) {
-    let time = site.world.random().random_range(shortest_ms..=longest_ms);
-    site.world.run_for(Duration::from_millis(time));
-}
-
 fn freeze_node(site: &mut DataSite, node: SocketAddr, shortest_ms: u64) {
     let times = shortest_ms..MAX_NODE_FREEZE_MS;
     let time = site.world.random().random_range(times);
@@ -338,13 +325,6 @@
     site.world.inject(engine, fault);
 }
 
-fn any_cut(site: &mut DataSite) -> CutKind {
-    match site.world.random().random_bool(0.5) {
-        true => CutKind::Silent,
-        false => CutKind::Stalled,
-    }
-}
-
 fn any_death(site: &mut DataSite) -> TrapAction {
     match site.world.random().random_bool(0.5) {
         true => TrapAction::KillBefore,
--- a/crates/wingshore-lab/src/sim/scenarios/disks.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/disks.rs
@@ -1,7 +1,7 @@
 //! Disks and storage calls that fail, and disks that are lost.
 
 use super::Scenario;
-use super::faults::{Fault, any_cut, is_done_answer, pause};
+use super::faults::{Fault, is_done_answer};
 use crate::sim::site::{Site, SiteSettings};
 use crate::sim::slot::{Trap, TrapAction};
 use rand::RngExt;
@@ -45,7 +45,7 @@
         if site.world.random().random_bool(0.3) {
             Fault::StorageKill.strike(site);
         }
-        pause(site, 100, 1_500);
+        site.world.pause(100, 1_500);
         site.heal();
     }
 }
@@ -53,7 +53,7 @@
 fn sync_failures(site: &mut Site) {
     for _ in 0..4 {
         Fault::SyncFailure.strike(site);
-        pause(site, 100, 1_500);
+        site.world.pause(100, 1_500);
         site.heal();
     }
 }
@@ -62,31 +62,31 @@
 /// must not decide anything by themselves, for what was acknowledged is on neither.
 fn disk_lost(site: &mut Site) {
     let [behind, lost, whole] = shuffled(site);
-    let kind = any_cut(site);
+    let kind = site.world.any_cut();
     site.world.isolate(behind, kind);
-    pause(site, 300, 2_000);
+    site.world.pause(300, 2_000);
     let Some(old) = site.lose_disk(lost) else {
         return;
     };
-    let kind = any_cut(site);
+    let kind = site.world.any_cut();
     site.world.isolate(whole, kind);
     site.world.rejoin(behind);
     site.world.cut(behind, whole, kind);
     site.world.cut(whole, behind, kind);
     site.world.start(lost);
-    pause(site, 500, 4_000);
+    site.world.pause(500, 4_000);
     site.world.rejoin(whole);
     if site.world.random().random_bool(0.5) {
-        pause(site, 0, 2_000);
+        site.world.pause(0, 2_000);
     }
     site.repair(lost, old);
-    pause(site, 100, 3_000);
+    site.world.pause(100, 3_000);
 }
 
 /// A second machine is lost for good right after the repair of the first has finished.
 fn second_machine_lost(site: &mut Site) {
     let [first, second, _] = shuffled(site);
-    pause(site, 100, 1_500);
+    site.world.pause(100, 1_500);
     let Some(old) = site.lose_disk(first) else {
         return;
     };
@@ -99,16 +99,16 @@
     let Some(old) = site.lose_disk(second) else {
         return;
     };
-    pause(site, 100, 3_000);
+    site.world.pause(100, 3_000);
     site.world.start(second);
     site.repair(second, old);
-    pause(site, 100, 3_000);
+    site.world.pause(100, 3_000);
 }
 
 /// All machines lose power at once; two of three come back first, and decide by what they find.
 fn power_lost(site: &mut Site) {
     for _ in 0..6 {
-        pause(site, 50, 800);
+        site.world.pause(50, 800);
         let mut order = shuffled(site);
         if site.world.random().random_bool(0.7) {
             let leader = site.leader();
@@ -118,22 +118,18 @@
         for replica in site.replicas.clone() {
             site.world.kill(replica, false);
         }
-        pause(site, 10, 1_000);
+        site.world.pause(10, 1_000);
         let [first, second, _] = order;
         site.world.start(first);
         site.world.start(second);
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
         site.heal();
     }
 }
 
 /// The leader dies right after it has told an operator that a plan is done.
 fn lose_leader_after_answer(site: &mut Site, leader: SocketAddr) {
-    let trap = Trap {
-        wanted: Box::new(is_done_answer),
-        skip: 0,
-        action: TrapAction::KillAfter,
-    };
+    let trap = Trap::new(is_done_answer, 0, TrapAction::KillAfter);
     site.world.set_trap(leader, trap);
     let limit = Duration::from_secs(1);
     site.world.run_until(limit, |world| !world.has_trap(leader));
--- a/crates/wingshore-lab/src/sim/scenarios/faults.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/faults.rs
@@ -59,7 +59,7 @@
     pub fn strike(self, site: &mut Site) {
         let leader = site.leader();
         let any = site.any_replica();
-        let kind = any_cut(site);
+        let kind = site.world.any_cut();
         match self {
             Self::CutOff => site.world.isolate(any, kind),
             Self::CutOffLeader => site.world.isolate(leader, kind),
@@ -84,19 +84,6 @@
     }
 }
 
-pub fn any_cut(site: &mut Site) -> CutKind {
-    match site.world.random().random_bool(0.5) {
-        true => CutKind::Silent,
-        false => CutKind::Stalled,
-    }
-}
-
-/// Lets some time pass.
-pub fn pause(site: &mut Site, shortest_ms: u64, longest_ms: u64) {
-    let time = site.world.random().random_range(shortest_ms..=longest_ms);
-    site.world.run_for(Duration::from_millis(time));
-}
-
 fn freeze(site: &mut Site, address: SocketAddr) {
     let time = site.world.random().random_range(100..8_000);
     site.world.freeze(address, Duration::from_millis(time));
--- a/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/ledger_leader.rs
@@ -1,6 +1,6 @@
 //! The leader of a ledger group in trouble.
 
-use super::data_path::{ROUNDS, pause};
+use super::data_path::ROUNDS;
 use crate::process::{Message, ProcessOutput};
 use crate::sim::data_site::DataSite;
 use crate::sim::slot::{Trap, TrapAction};
@@ -13,17 +13,13 @@
 pub fn ledger_leader_lost(site: &mut DataSite) {
     for _ in 0..ROUNDS {
         let leader = site.leader(GroupId::Ledger(1));
-        let trap = Trap {
-            wanted: Box::new(is_batch_answer),
-            skip: 0,
-            action: TrapAction::KillAfter,
-        };
+        let trap = Trap::new(is_batch_answer, 0, TrapAction::KillAfter);
         site.world.set_trap(leader, trap);
         let limit = Duration::from_secs(10);
         site.world.run_until(limit, |world| !world.is_up(leader));
-        pause(site, 500, 3_000);
+        site.world.pause(500, 3_000);
         site.heal();
-        pause(site, 500, 2_000);
+        site.world.pause(500, 2_000);
     }
 }
 
--- a/crates/wingshore-lab/src/sim/scenarios/mixed.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/mixed.rs
@@ -1,7 +1,7 @@
 //! Two faults at once, and the same fault twice.
 
 use super::Scenario;
-use super::faults::{Fault, pause};
+use super::faults::Fault;
 use crate::sim::site::{Site, SiteSettings};
 
 const WORKING: SiteSettings = SiteSettings {
@@ -33,11 +33,11 @@
     for version in 1..=3 {
         site.move_pool(version);
         Fault::draw(site).strike(site);
-        pause(site, 0, 300);
+        site.world.pause(0, 300);
         Fault::draw(site).strike(site);
-        pause(site, 300, 5_000);
+        site.world.pause(300, 5_000);
         site.heal();
-        pause(site, 0, 1_500);
+        site.world.pause(0, 1_500);
     }
 }
 
@@ -46,10 +46,10 @@
         site.move_pool(version);
         let fault = Fault::draw(site);
         fault.strike(site);
-        pause(site, 100, 2_500);
+        site.world.pause(100, 2_500);
         fault.strike(site);
-        pause(site, 100, 2_500);
+        site.world.pause(100, 2_500);
         site.heal();
-        pause(site, 0, 1_500);
+        site.world.pause(0, 1_500);
     }
 }
--- a/crates/wingshore-lab/src/sim/scenarios/mod.rs
+++ b/crates/wingshore-lab/src/sim/scenarios/mod.rs
@@ -97,7 +97,7 @@
         Play::Data(act) => {
             let mut site = DataSite::new(faults, seed, trace);
             site.found();
-            data_path::pause(&mut site, 1_000, 3_000);
+            site.world.pause(1_000, 3_000);
             act(&mut site);
             site.settle();
             let violations = site.judge();
--- a/crates/wingshore-lab/src/sim/slot.rs
+++ b/crates/wingshore-lab/src/sim/slot.rs
@@ -47,6 +47,21 @@
     pub action: TrapAction,
 }
 
+impl Trap {
+    /// Lets `skip` of the wanted outputs through, then acts.
+    pub fn new(
+        wanted: impl Fn(&ProcessOutput) -> bool + 'static,
+        skip: u32,
+        action: TrapAction,
+    ) -> Self {
+        Self {
+            wanted: Box::new(wanted),
+            skip,
+            action,
+        }
+    }
+}
+
 /// What waits at a process that stands still.
 #[derive(Default)]
 pub(super) struct Frozen {
--- a/crates/wingshore-lab/src/sim/watcher.rs
+++ b/crates/wingshore-lab/src/sim/watcher.rs
@@ -99,20 +99,11 @@
 
 impl Process for Watcher {
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>) {
-        match input {
-            ProcessInput::Wake => {
-                if std::mem::take(&mut self.is_new) {
-                    let boot_id = self.boot_id;
-                    out.push(ProcessOutput::Record(Event::Started { boot_id }));
-                }
-                self.calls.on_wake(now, out);
-            }
-            ProcessInput::Message { from, message } => {
-                self.calls.on_message(now, from, &message, out);
-            }
-            ProcessInput::Stop => out.push(ProcessOutput::Exit),
-            ProcessInput::Fault(_) => {}
+        if input == ProcessInput::Wake && std::mem::take(&mut self.is_new) {
+            let boot_id = self.boot_id;
+            out.push(ProcessOutput::Record(Event::Started { boot_id }));
         }
+        self.calls.on_input(now, input, out);
         self.take_results(now);
         if self.next_watch.is_some_and(|next| next <= now) {
             self.watch(now, out);
--- a/crates/wingshore-lab/src/sim/world_faults.rs
+++ b/crates/wingshore-lab/src/sim/world_faults.rs
@@ -115,6 +115,20 @@
         self.give(address, ProcessInput::Fault(fault));
     }
 
+    /// Lets some time pass.
+    pub fn pause(&mut self, shortest_ms: u64, longest_ms: u64) {
+        let time = self.random.random_range(shortest_ms..=longest_ms);
+        self.run_for(Duration::from_millis(time));
+    }
+
+    /// Draws a kind of cut.
+    pub fn any_cut(&mut self) -> CutKind {
+        match self.random.random_bool(0.5) {
+            true => CutKind::Silent,
+            false => CutKind::Stalled,
+        }
+    }
+
     /// Cuts all links of a machine, to it and from it.
     pub fn isolate(&mut self, address: SocketAddr, kind: CutKind) {
         for other in self.slots.keys().copied().collect::<Vec<_>>() {
