--- a/crates/wingshore-lab/src/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -321,4 +321,8 @@
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>);
     /// When it next wants [`ProcessInput::Wake`], by its own clock.
     fn next_wake(&self) -> Option<Instant>;
+    /// Why it cannot go on. The simulator lets such a process stand still; a program ends with it.
+    fn failure(&self) -> Option<&str> {
+        None
+    }
 }
--- a/crates/wingshore-lab/src/stand_ins/client.rs
+++ b/crates/wingshore-lab/src/stand_ins/client.rs
@@ -177,7 +177,7 @@
     format!("http://{to}/weights/{model}/{version}")
 }
 
-/// An answer of a node to a trainer. What the node refuses for good is said on standard error.
+/// An answer of a node to a trainer.
 fn answered(
     answer: Result<HttpAnswer, HttpError>,
     read: impl FnOnce(&[u8]) -> Option<Answer>,
@@ -192,12 +192,6 @@
     let Ok(ErrorBody { error }) = serde_json::from_slice(&answer.body) else {
         return failed("unknown_shape");
     };
-    if matches!(answer.status, 400 | 403 | 405 | 409 | 410 | 413 | 422) {
-        eprintln!(
-            "status {}: {}: {}",
-            answer.status, error.code, error.message
-        );
-    }
     Answer::Refused {
         verdict: error.verdict,
         code: error.code,
--- a/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/mod.rs
@@ -21,6 +21,5 @@
     let log = EventLog::open(&settings.log, &settings.name)?;
     let clock = Clock::start();
     let callers = LiveCallerProcess::new(clock.now(), settings, rand::random());
-    Runtime::new(callers, clock, CallClient::new(0), log).run(stop);
-    Ok(())
+    Runtime::new(callers, clock, CallClient::new(0), log).run(stop)
 }
--- a/crates/wingshore-lab/src/stand_ins/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/mod.rs
@@ -47,6 +47,12 @@
         /// Why.
         source: ListenError,
     },
+    /// The service refuses a call for good.
+    #[snafu(display("a call was refused for good: {code}"))]
+    Refused {
+        /// The service's code.
+        code: String,
+    },
     /// SIGTERM cannot be caught.
     #[snafu(context(false), display("cannot catch SIGTERM: {source}"))]
     Signal {
--- a/crates/wingshore-lab/src/stand_ins/runtime.rs
+++ b/crates/wingshore-lab/src/stand_ins/runtime.rs
@@ -5,6 +5,7 @@
 //! calls [`Runtime::run`] to wake it.
 
 use super::client::CallClient;
+use super::{RefusedSnafu, StandInError};
 use crate::event_log::{EventLog, now_us};
 use crate::process::{Answer, Call, CallId, Message, Process, ProcessInput, ProcessOutput};
 use crossbeam_channel::{Receiver, Sender, unbounded};
@@ -78,7 +79,10 @@
 
     /// Wakes the process whenever it wants, until it exits. Its planned stop begins once `stop` is
     /// set.
-    pub fn run(self: &Arc<Self>, stop: &AtomicBool) {
+    ///
+    /// # Errors
+    /// When the process cannot go on.
+    pub fn run(self: &Arc<Self>, stop: &AtomicBool) -> Result<(), StandInError> {
         let mut is_stopping = false;
         while !self.has_exited.load(Ordering::SeqCst) {
             if !is_stopping && stop.load(Ordering::SeqCst) {
@@ -86,6 +90,9 @@
                 self.give(ProcessInput::Stop);
             }
             let process = lock(&self.process);
+            if let Some(code) = process.failure() {
+                return RefusedSnafu { code }.fail();
+            }
             let now = self.clock.now();
             let wake = process.next_wake();
             let sleep = wake.map_or(MAX_SLEEP, |at| at.since(now).min(MAX_SLEEP));
@@ -96,6 +103,7 @@
                 let _woken = self.changed.wait_timeout(process, sleep);
             }
         }
+        Ok(())
     }
 
     /// Gives the process a call. The receiver gets the answer, or its parts, as they come.
--- a/crates/wingshore-lab/src/stand_ins/server.rs
+++ b/crates/wingshore-lab/src/stand_ins/server.rs
@@ -56,6 +56,7 @@
     let served = make(clock.now(), &process.name, behaviour, rand::random());
     let runtime = Runtime::new(served, clock, CallClient::new(0), log);
     let waking = Arc::clone(&runtime);
+    // Only trainers fail, and they serve nobody.
     thread::spawn(move || waking.run(&AtomicBool::new(false)));
     let handler = Arc::new(move |incoming: Incoming| match decode(&incoming) {
         Ok(Request::Call(call)) => answer(&runtime, call, incoming),
--- a/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/mod.rs
@@ -25,6 +25,5 @@
     let client = CallClient::new(settings.training.weight_bytes);
     let clock = Clock::start();
     let trainer = TrainerProcess::new(clock.now(), settings, disk, rand::random());
-    Runtime::new(trainer, clock, client, log).run(stop);
-    Ok(())
+    Runtime::new(trainer, clock, client, log).run(stop)
 }
--- a/crates/wingshore-lab/src/stand_ins/trainer/process.rs
+++ b/crates/wingshore-lab/src/stand_ins/trainer/process.rs
@@ -22,7 +22,13 @@
 /// How much longer than the pull itself a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// Codes after which asking again cannot help.
-const FINAL_CODES: [&str; 4] = ["wrong_step", "wrong_trainer", "invalid_request", "conflict"];
+const FINAL_CODES: [&str; 5] = [
+    "wrong_step",
+    "wrong_trainer",
+    "invalid_request",
+    "conflict",
+    "refused",
+];
 
 /// Where a trainer keeps what it has noted; handed to it at each start.
 #[derive(Clone, Default)]
@@ -77,6 +83,8 @@
     waiting: Option<CallId>,
     timers: Timers<Later>,
     is_stopping: bool,
+    /// The code by which the node refused a call for good.
+    refused: Option<String>,
 }
 
 impl TrainerProcess {
@@ -93,6 +101,7 @@
             waiting: None,
             timers: Timers::default(),
             is_stopping: false,
+            refused: None,
         }
     }
 
@@ -214,6 +223,7 @@
             }
             (_, Answer::Refused { code, .. }) if FINAL_CODES.contains(&code.as_str()) => {
                 self.activity = Activity::Over;
+                self.refused = Some(code);
             }
             _ => self.timers.set(now + RETRY_BACKOFF, Later::Send),
         }
@@ -319,4 +329,8 @@
     fn next_wake(&self) -> Option<Instant> {
         self.start.next_wake().or(self.timers.next())
     }
+
+    fn failure(&self) -> Option<&str> {
+        self.refused.as_deref()
+    }
 }
