--- a/crates/wingshore-lab/src/fleet/mod.rs
+++ b/crates/wingshore-lab/src/fleet/mod.rs
@@ -1,20 +1,25 @@
 //! `wingshore-lab fleet`: a whole site as separate processes on this machine, then every promise
 //! checked from the stand-ins' own logs.
+//!
+//! Owns the run's folder and every process of it (`running`, `process`): whatever way a run
+//! ends, none stays. `schedule` and `faults` say what happens when, `operator` and `watch` ask the
+//! site as people and monitoring would. Relies on the `wingshore` program, on [`crate::stand_ins`]
+//! for the rest of the platform and on [`crate::checks`] for the verdict.
 
-pub mod error;
-pub mod faults;
-pub mod lab_settings;
-pub mod layout;
+mod error;
+mod faults;
+mod lab_settings;
+mod layout;
 pub mod lost_disk;
 pub mod operator;
-pub mod process;
-pub mod program;
-pub mod progress;
-pub mod report;
-pub mod running;
-pub mod schedule;
-pub mod site;
-pub mod watch;
+mod process;
+mod program;
+mod progress;
+mod report;
+mod running;
+mod schedule;
+mod site;
+mod watch;
 
 use crate::checks::{Limits, RunLog, check_all, summary::summarize};
 use crate::stand_ins::engine::EngineSettings;
--- a/crates/wingshore-lab/src/sim/process.rs
+++ b/crates/wingshore-lab/src/process.rs
@@ -1,4 +1,6 @@
-//! What a simulated process is, and the messages between processes.
+//! What a process of the lab is, without sockets and clocks, and the messages between processes.
+//!
+//! The simulator and, for stand-ins, [`crate::stand_ins`]'s runtime carry out what processes put out.
 
 use crate::events::Event;
 use std::net::SocketAddr;
@@ -111,6 +113,10 @@
     pub charge: bool,
     /// How long the caller waits.
     pub deadline: Duration,
+    /// Path below the service.
+    pub path: String,
+    /// Stands for the body: a server's answer repeats it.
+    pub asked: u64,
 }
 
 /// A completion that a live caller asks a node for.
@@ -164,7 +170,12 @@
     /// The samples were taken in.
     Submitted(SubmitReply),
     /// A batch.
-    Batch(BatchBody),
+    Batch {
+        /// The batch.
+        body: BatchBody,
+        /// Hash of the bytes that it came as.
+        body_hash: u64,
+    },
     /// Done; nothing to say.
     Done,
     /// Not done.
@@ -173,7 +184,7 @@
         verdict: Verdict,
         /// Stable code.
         code: String,
-        /// When to come back.
+        /// Retry-after.
         retry_after: Option<Duration>,
     },
     /// No connection could be made: nothing of the call was sent. Made by the simulated network,
@@ -187,7 +198,7 @@
 
 /// What travels between processes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SimMessage {
+pub enum Message {
     /// Consensus, between members of a group; may be lost.
     Consensus {
         /// The group.
@@ -243,7 +254,7 @@
         /// The sender.
         from: SocketAddr,
         /// What it says.
-        message: SimMessage,
+        message: Message,
     },
     /// A planned stop begins (SIGTERM).
     Stop,
@@ -292,7 +303,7 @@
         /// The receiver.
         to: SocketAddr,
         /// What it says.
-        message: SimMessage,
+        message: Message,
     },
     /// Record what happened, for the checkers.
     Record(Event),
@@ -300,7 +311,7 @@
     Exit,
 }
 
-/// A simulated process without disk.
+/// A process without disk.
 ///
 /// `now` is the process's own clock, which may drift and stand still. A killed process is dropped
 /// and made anew by its maker, with nothing but its settings. A process made at `now` wants its
@@ -310,4 +321,8 @@
     fn step(&mut self, now: Instant, input: ProcessInput, out: &mut Vec<ProcessOutput>);
     /// When it next wants [`ProcessInput::Wake`], by its own clock.
     fn next_wake(&self) -> Option<Instant>;
+    /// Why it cannot go on. The simulator lets such a process stand still; a program ends with it.
+    fn failure(&self) -> Option<&str> {
+        None
+    }
 }
--- a/crates/wingshore-lab/src/sim/mod.rs
+++ b/crates/wingshore-lab/src/sim/mod.rs
@@ -1,32 +1,32 @@
 //! Deterministic simulation of a whole site: the state machines of production on a simulated
 //! network, simulated disks and simulated clocks.
 //!
-//! Every process is a [`process::Process`]: inputs and the local time in, outputs out. The same
+//! Every process is a [`crate::process::Process`]: inputs and the local time in, outputs out. The same
 //! seed gives the same history, event for event. What happens is recorded with
 //! [`crate::events::Event`] and judged by [`crate::checks`], the checkers that also judge a fleet
-//! of real processes. Beside them the [`observer`] judges what only a simulator can see.
+//! of real processes. Beside them the `observer` judges what only a simulator can see.
 
-pub mod administrator;
+mod administrator;
 pub mod client;
-pub mod clock;
+mod clock;
 pub mod command;
-pub mod data_layout;
+mod data_layout;
 pub mod data_site;
-pub mod desk;
 pub mod history;
-pub mod network;
-pub mod observed;
-pub mod observer;
-pub mod operator;
-pub mod process;
-pub mod processes;
+mod judgement;
+mod network;
+pub mod node;
+mod observed;
+mod observer;
+mod operator;
 pub mod replica;
 pub mod runs;
 pub mod scenarios;
-pub mod site;
+mod site;
 mod site_layout;
-pub mod slot;
-pub mod trace;
-pub mod watcher;
-pub mod world;
+mod slot;
+mod task_list;
+mod trace;
+mod watcher;
+mod world;
 mod world_faults;
--- a/crates/wingshore-lab/src/sim/processes/node/forward.rs
+++ b/crates/wingshore-lab/src/sim/node/forward.rs
@@ -4,8 +4,8 @@
 use super::requests::{Attempts, Progress, refused};
 use super::upstream::{News, failure_of};
 use crate::hashing::hash_bytes;
-use crate::sim::process::{Answer, Call, LiveCall};
-use crate::sim::processes::wiring::{InboundCall, NotTaken, failed};
+use crate::process::{Answer, Call, LiveCall};
+use crate::wiring::{InboundCall, NotTaken, failed};
 use std::time::Duration;
 use wingshore_request::{
     AnswerBody, AttemptEnd, ClaimIntent, FinalAnswer, RequestSpecification, claims_group,
@@ -14,6 +14,8 @@
 use wingshore_types::configuration::ServiceKind;
 use wingshore_types::protocol::claims::{ClaimKey, StoredAnswer};
 
+/// Claims groups of a simulated site.
+const CLAIMS_GROUPS: u16 = 1;
 /// Largest answer that is kept for repeats of an idempotency key.
 const MAX_KEPT_ANSWER: usize = 64 * 1024;
 
@@ -25,9 +27,6 @@
 
 impl Forward {
     /// Admits a request.
-    ///
-    /// # Errors
-    /// The refusal for the caller.
     pub fn take_in(
         context: &mut NodeContext<'_>,
         call: LiveCall,
@@ -135,7 +134,7 @@
         key: call.key.clone()?,
     };
     Some(ClaimIntent {
-        group: claims_group(&key, context.core.settings.claims_groups),
+        group: claims_group(&key, CLAIMS_GROUPS),
         fingerprint: hash_bytes(key.key.as_bytes()),
         key,
         claimant: context.core.next_claimant(),
--- a/crates/wingshore-lab/src/sim/replica/group.rs
+++ b/crates/wingshore-lab/src/sim/replica/group.rs
@@ -1,8 +1,8 @@
 //! One group on a simulated replica: its host, its store, and the write that is under way.
 
 use super::kind::{EffectCall, EffectOrigin, SimLeader};
+use crate::process::Answer;
 use crate::sim::observed::ObservedLeader;
-use crate::sim::process::Answer;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -27,7 +27,6 @@
 /// Where a request came from.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
-    /// The process.
     pub from: SocketAddr,
     /// Its number on the connection.
     pub id: RequestId,
@@ -80,7 +79,6 @@
     done_at: Instant,
 }
 
-/// A group with its host.
 pub struct HostedGroup<L: SimLeader> {
     host: Host<ObservedLeader<L>>,
     store: GroupStore,
--- a/crates/wingshore-lab/src/sim/slot.rs
+++ b/crates/wingshore-lab/src/sim/slot.rs
@@ -2,7 +2,7 @@
 //! stands still.
 
 use super::clock::LocalClock;
-use super::process::{Process, ProcessInput, ProcessOutput};
+use crate::process::{Process, ProcessInput, ProcessOutput};
 use std::time::Duration;
 use wingshore_types::Instant;
 
@@ -20,6 +20,11 @@
 /// Makes a process; the error says why it does not start.
 pub type Maker = Box<dyn FnMut(Boot) -> Result<Box<dyn Process>, String>>;
 
+/// A maker of a process that always starts.
+pub fn maker<P: Process + 'static>(make: impl Fn(Boot) -> P + 'static) -> Maker {
+    Box::new(move |boot| Ok(Box::new(make(boot))))
+}
+
 /// What happens at an output that a [`Trap`] waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrapAction {
@@ -35,7 +40,6 @@
 
 /// Waits for an output of one process.
 pub struct Trap {
-    /// Which output.
     pub wanted: Box<dyn Fn(&ProcessOutput) -> bool>,
     /// How many of these are let through first.
     pub skip: u32,
@@ -43,6 +47,21 @@
     pub action: TrapAction,
 }
 
+impl Trap {
+    /// Lets `skip` of the wanted outputs through, then acts.
+    pub fn new(
+        wanted: impl Fn(&ProcessOutput) -> bool + 'static,
+        skip: u32,
+        action: TrapAction,
+    ) -> Self {
+        Self {
+            wanted: Box::new(wanted),
+            skip,
+            action,
+        }
+    }
+}
+
 /// What waits at a process that stands still.
 #[derive(Default)]
 pub(super) struct Frozen {
--- a/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
+++ b/crates/wingshore-lab/src/stand_ins/live_caller/plan.rs
@@ -8,12 +8,11 @@
 use wingshore_types::Token;
 
 /// Largest token of a prompt.
-const LARGEST_TOKEN: Token = 50_000;
+const MAX_TOKEN: Token = 50_000;
 
 /// One request to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// Its number.
     pub number: u64,
     /// When it is due, counted from the start.
     pub due: Duration,
@@ -79,7 +78,7 @@
         let prompt_tokens = self.settings.prompt_tokens;
         let prompt = match kind {
             CallKind::Completion => (0..prompt_tokens)
-                .map(|_| self.generator.random_range(0..LARGEST_TOKEN))
+                .map(|_| self.generator.random_range(0..MAX_TOKEN))
                 .collect(),
             CallKind::Charge | CallKind::Lookup => Vec::new(),
         };
--- a/crates/wingshore-lab/src/stand_ins/mod.rs
+++ b/crates/wingshore-lab/src/stand_ins/mod.rs
@@ -1,12 +1,20 @@
-//! Stand-ins: small processes that play the platform's side and the callers.
+//! Stand-ins: what plays the platform's side and the callers.
+//!
+//! Each kind has a folder: its settings, its process ([`crate::process::Process`]) and what its HTTP
+//! requests mean. The simulator runs the processes in its own time; as programs of their own they
+//! are run by `runtime`, served by `server`, and make their calls by `client`.
 
+mod client;
+mod completion;
 pub mod engine;
-pub mod live_caller;
+pub(crate) mod live_caller;
 pub mod live_server;
 pub mod machine_list;
+mod runtime;
 pub mod scorer;
-pub mod settings;
-pub mod trainer;
+mod server;
+pub(crate) mod settings;
+pub(crate) mod trainer;
 pub mod weight_store;
 
 use crate::event_log::EventLogError;
@@ -39,11 +47,11 @@
         /// Why.
         source: ListenError,
     },
-    /// The service refuses a trainer for good.
-    #[snafu(context(false), display("{source}"))]
-    Service {
-        /// Why.
-        source: trainer::service::ServiceError,
+    /// The service refuses a call for good.
+    #[snafu(display("a call was refused for good: {code}"))]
+    Refused {
+        /// The service's code.
+        code: String,
     },
     /// SIGTERM cannot be caught.
     #[snafu(context(false), display("cannot catch SIGTERM: {source}"))]
@@ -136,8 +144,8 @@
             StandInKind::WeightStore => weight_store::run(settings),
             StandInKind::MachineList => machine_list::run(settings),
             StandInKind::Scorer => scorer::run(settings),
-            StandInKind::Trainer => trainer::run(settings, stop_flag()?),
-            StandInKind::LiveCaller => live_caller::run(settings, &stop_flag()?),
+            StandInKind::Trainer => trainer::run(settings, stop_flag()?.as_ref()),
+            StandInKind::LiveCaller => live_caller::run(settings, stop_flag()?.as_ref()),
         }
     }
 }
--- a/crates/wingshore-lab/src/sim/processes/wiring.rs
+++ b/crates/wingshore-lab/src/wiring.rs
@@ -1,7 +1,7 @@
-//! What all simulated processes need: timers, numbers of calls, answers.
+//! What all processes need: timers, numbers of calls, answers.
 
 use crate::events::Event;
-use crate::sim::process::{Answer, Call, CallId, ProcessOutput, SimMessage};
+use crate::process::{Answer, Call, CallId, Message, ProcessOutput};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,7 +27,6 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets one.
     pub fn set(&mut self, at: Instant, what: T) {
         self.set += 1;
         self.waiting.insert((at, self.set), what);
@@ -69,6 +68,36 @@
     }
 }
 
+/// The start of a process, to be recorded at its first step.
+#[derive(Clone, Copy, Debug)]
+pub struct Start {
+    boot_id: u64,
+    at: Option<Instant>,
+}
+
+impl Start {
+    /// A process that starts at `now`; `boot_id` is drawn at each start.
+    pub fn new(now: Instant, boot_id: u64) -> Self {
+        let at = Some(now);
+        Self { boot_id, at }
+    }
+
+    /// Records the start, the first time; says whether it was that.
+    pub fn record_once(&mut self, out: &mut Vec<ProcessOutput>) -> bool {
+        let is_first = self.at.take().is_some();
+        if is_first {
+            let boot_id = self.boot_id;
+            record(Event::Started { boot_id }, out);
+        }
+        is_first
+    }
+
+    /// When the first step is wanted, until it has come.
+    pub fn next_wake(&self) -> Option<Instant> {
+        self.at
+    }
+}
+
 /// A call that another process made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InboundCall {
@@ -81,7 +110,7 @@
 impl InboundCall {
     /// Sends a part or the whole of the answer.
     pub fn answer(self, answer: Answer, out: &mut Vec<ProcessOutput>) {
-        let message = SimMessage::Answer {
+        let message = Message::Answer {
             id: self.id,
             answer,
         };
@@ -94,13 +123,13 @@
 
 /// Makes a call.
 pub fn send_call(to: SocketAddr, id: CallId, call: Call, out: &mut Vec<ProcessOutput>) {
-    let message = SimMessage::Call { id, call };
+    let message = Message::Call { id, call };
     out.push(ProcessOutput::Send { to, message });
 }
 
 /// Gives a call up.
 pub fn hang_up(to: SocketAddr, id: CallId, out: &mut Vec<ProcessOutput>) {
-    let message = SimMessage::HangUp { id };
+    let message = Message::HangUp { id };
     out.push(ProcessOutput::Send { to, message });
 }
 
@@ -114,7 +143,6 @@
 pub struct NotTaken {
     /// Stable code.
     pub code: &'static str,
-    /// When to come back.
     pub retry_after: Option<Duration>,
 }
 
