--- a/crates/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/wingshore-coordination/src/leader/capacity.rs
@@ -3,9 +3,9 @@
 //! A number is committed before it is ordered, so that a successor goes on with it rather than with
 //! one of its own. An order is given again until the provider acknowledges it, and later while the
 //! registry shows another number: an older order may have been carried out late, or servers may be
-//! lost. Which numbers are wanted is [`super::capacity_plan`]'s.
+//! lost. Which numbers are wanted is [`super::decisions::capacity_plan`]'s.
 
-use super::capacity_plan::{CapacityDemand, DEMAND_MEMORY, Peak, wanted};
+use super::decisions::capacity_plan::{CapacityDemand, DEMAND_MEMORY, Peak, wanted};
 use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
 use crate::configuration::Service;
 use crate::ids::ServiceName;
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -0,0 +1,4 @@
+//! Rules by which a leader decides. Each module answers one question over plain data: no sockets,
+//! no clock of its own, no changes of what others own.
+
+pub(crate) mod capacity_plan;
--- a/crates/wingshore-coordination/src/leader/load_choice.rs
+++ b/crates/wingshore-coordination/src/leader/load_choice.rs
@@ -5,7 +5,7 @@
 //! the newest version or the one before, so what counts is that each model has engines at its newest
 //! version when that job comes.
 
-use super::capacity_plan::DEMAND_MEMORY;
+use super::decisions::capacity_plan::DEMAND_MEMORY;
 use super::{CoordinationLeader, Outputs};
 use crate::ids::{InstanceId, ModelName};
 use crate::state::CoordinationState;
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -2,15 +2,12 @@
 
 mod admission;
 mod capacity;
-mod capacity_plan;
 mod configuring;
-mod decision;
-mod engines;
+mod decision_log;
+mod decisions;
 mod evidence;
-mod free_slots;
 mod gateways;
 mod interface;
-mod items;
 mod jobs;
 mod load_choice;
 mod moves;
@@ -19,13 +16,15 @@
 mod policy;
 mod rollout;
 mod scoring;
-mod scorings;
 mod servers;
 mod settings;
+mod tables;
 mod usage;
 
-pub use capacity_plan::{CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity};
-pub use decision::Decision;
+pub use decision_log::Decision;
+pub use decisions::capacity_plan::{
+    CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity,
+};
 pub use evidence::EVIDENCE_LIFETIME;
 pub use interface::{Effect, Event, LeaderFigures};
 pub use policy::LeaderPolicy;
@@ -42,15 +41,15 @@
 use crate::tenants::TenantRanks;
 use crate::usage::UsageWindow;
 use capacity::Capacity;
-use engines::Engines;
 use evidence::Evidence;
 use gateways::{AwayGateway, Gateway};
-use items::Items;
 use jobs::JobClock;
 use rollout::Rollout;
-use scorings::Scorings;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
+use tables::engines::Engines;
+use tables::items::Items;
+use tables::scorings::Scorings;
 use usage::UsageReporter;
 use wingshore_types::machine::{
     LeaderMachine, LeaderOutput, LeaderOutputs, ProposalTag, RequestTag,
--- a/crates/wingshore-coordination/src/leader/moves.rs
+++ b/crates/wingshore-coordination/src/leader/moves.rs
@@ -1,7 +1,7 @@
 //! Moving items away from engines that are slower than others.
 
-use super::free_slots::Look;
-use super::items::Avoided;
+use super::tables::free_slots::Look;
+use super::tables::items::Avoided;
 use super::{CoordinationLeader, Decision, Effect, Outputs, log};
 use crate::ids::{GatewayId, InstanceId};
 use crate::messages::{AssignmentId, CoordinatorMessage, ItemProgress};
--- a/crates/wingshore-coordination/src/leader/outcomes.rs
+++ b/crates/wingshore-coordination/src/leader/outcomes.rs
@@ -1,6 +1,6 @@
 //! What follows from the end of a try at an item.
 
-use super::items::Running;
+use super::tables::items::Running;
 use super::scoring::release_scoring;
 use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
 use crate::fingerprint::RequestFingerprint;
--- a/crates/wingshore-coordination/src/leader/placement.rs
+++ b/crates/wingshore-coordination/src/leader/placement.rs
@@ -1,9 +1,9 @@
 //! Which engine runs an item, and through which gateway.
 
-use super::engines::{Engine, slow_down};
-use super::free_slots::Look;
+use super::tables::engines::{Engine, slow_down};
+use super::tables::free_slots::Look;
 use super::gateways::Gateway;
-use super::items::{Progress, Running};
+use super::tables::items::{Progress, Running};
 use super::{CoordinationLeader, Decision, Effect, Outputs, log};
 use crate::configuration::Route;
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
--- a/crates/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/wingshore-coordination/src/leader/rollout.rs
@@ -7,7 +7,7 @@
 //! the leadership as their fence and the engine's count of orders, so that one that is carried out
 //! late does nothing.
 
-use super::capacity_plan::Peak;
+use super::decisions::capacity_plan::Peak;
 use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use crate::registry::ModelVersion;
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -1,7 +1,7 @@
 //! Scorings on the leader's side: which gateway asks for which text's score, and what follows.
 
 use super::outcomes::SILENCE_LIMIT;
-use super::scorings::Running;
+use super::tables::scorings::Running;
 use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
 use crate::ids::{GatewayId, ItemKey};
 use crate::messages::{AssignmentId, CoordinatorMessage};
--- a/crates/wingshore-coordination/src/leader/settings.rs
+++ b/crates/wingshore-coordination/src/leader/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the leader machine.
 
-use super::capacity_plan::CapacityPolicy;
+use super::decisions::capacity_plan::CapacityPolicy;
 use super::policy::LeaderPolicy;
 use super::usage::UsageDuty;
 use crate::fingerprint::FingerprintKey;
--- a/crates/wingshore-coordination/src/leader/scorings.rs
+++ b/crates/wingshore-coordination/src/leader/tables/scorings.rs
@@ -15,19 +15,19 @@
 
 /// A scoring that a gateway has in hand.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
-    pub(super) item: ItemKey,
-    pub(super) made_by: AssignmentId,
-    pub(super) gateway: GatewayId,
+pub(crate) struct Running {
+    pub(crate) item: ItemKey,
+    pub(crate) made_by: AssignmentId,
+    pub(crate) gateway: GatewayId,
     /// When the gateway last spoke of it.
-    pub(super) heard: Instant,
+    pub(crate) heard: Instant,
 }
 
 /// A text whose score nobody asks for at present.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
-    pub(super) made_by: AssignmentId,
-    pub(super) not_before: Instant,
+pub(crate) struct Waiting {
+    pub(crate) made_by: AssignmentId,
+    pub(crate) not_before: Instant,
 }
 
 /// All scorings of this leadership.
@@ -35,10 +35,10 @@
 /// Invariant: an item is in at most one of `waiting` and `running`.
 #[derive(Default)]
 pub(crate) struct Scorings {
-    pub(super) waiting: BTreeMap<ItemKey, Waiting>,
-    pub(super) running: BTreeMap<AssignmentId, Running>,
+    pub(crate) waiting: BTreeMap<ItemKey, Waiting>,
+    pub(crate) running: BTreeMap<AssignmentId, Running>,
     /// Scorings in a row without a score, by item.
-    pub(super) tries: BTreeMap<ItemKey, u32>,
+    pub(crate) tries: BTreeMap<ItemKey, u32>,
 }
 
 impl Scorings {
@@ -72,7 +72,7 @@
         self.waiting.keys().chain(running)
     }
 
-    pub(super) fn wait(&mut self, item: ItemKey, made_by: AssignmentId, not_before: Instant) {
+    pub(crate) fn wait(&mut self, item: ItemKey, made_by: AssignmentId, not_before: Instant) {
         let waiting = Waiting {
             made_by,
             not_before,
@@ -80,7 +80,7 @@
         self.waiting.insert(item, waiting);
     }
 
-    pub(super) fn start(&mut self, scoring: AssignmentId, running: Running) {
+    pub(crate) fn start(&mut self, scoring: AssignmentId, running: Running) {
         self.waiting.remove(&running.item);
         self.running.insert(scoring, running);
     }
@@ -90,7 +90,7 @@
         self.running.contains_key(&scoring)
     }
 
-    pub(super) fn is_in_hand(&self, item: &ItemKey) -> bool {
+    pub(crate) fn is_in_hand(&self, item: &ItemKey) -> bool {
         self.running.values().any(|running| running.item == *item)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Takes out those in hand that are meant.
-    pub(super) fn take_running(
+    pub(crate) fn take_running(
         &mut self,
         is_meant: impl Fn(&Running) -> bool,
     ) -> Vec<(AssignmentId, Running)> {
@@ -130,7 +130,7 @@
     }
 
     /// How long an item pauses after a scoring without a score.
-    pub(super) fn next_pause(&mut self, item: &ItemKey) -> Duration {
+    pub(crate) fn next_pause(&mut self, item: &ItemKey) -> Duration {
         let tries = self.tries.entry(item.clone()).or_default();
         let pause = doubled_pause(FIRST_PAUSE, *tries, MOST_PAUSE);
         *tries += 1;
