--- a/crates/wingshore-coordination/src/leader/admission.rs
+++ b/crates/wingshore-coordination/src/leader/admission.rs
@@ -4,10 +4,11 @@
 //! bound, callers that submit faster than engines work would drive all members over their memory
 //! at once, and with them what was accepted before.
 
-use super::{CoordinationLeader, Decision, Outputs, log, reply};
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::turn::Turn;
 use crate::jobs::JobSubmission;
 use crate::messages::Reply;
-use crate::state::CoordinationState;
 use std::time::Duration;
 use wingshore_types::machine::RequestTag;
 
@@ -21,10 +22,9 @@
         &self,
         tag: RequestTag,
         submission: &JobSubmission,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) -> bool {
-        let open_jobs = state.jobs().values().filter(|job| !job.ended);
+        let open_jobs = turn.state.jobs().values().filter(|job| !job.ended);
         let open_bytes: usize = open_jobs.map(|job| job.submission.bytes()).sum();
         let most_bytes = self.settings.most_open_job_bytes;
         if open_bytes == 0 || open_bytes.saturating_add(submission.bytes()) <= most_bytes {
@@ -36,9 +36,9 @@
             open_bytes,
             most_bytes,
         };
-        log(decision, out);
+        turn.log(decision);
         let come_back = Reply::ComeBack(COME_BACK);
-        reply(tag, come_back, out);
+        turn.reply(tag, come_back);
         true
     }
 }
--- a/crates/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/wingshore-coordination/src/leader/capacity.rs
@@ -5,8 +5,12 @@
 //! registry shows another number: an older order may have been carried out late, or servers may be
 //! lost. Which numbers are wanted is [`super::decisions::capacity_plan`]'s.
 
+use super::decision_log::Decision;
 use super::decisions::capacity_plan::{CapacityDemand, DEMAND_MEMORY, Peak, wanted};
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::interface::Effect;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::configuration::Service;
 use crate::ids::ServiceName;
 use crate::provider::{CapacityOrder, ProviderAnswer};
@@ -15,7 +19,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use wingshore_types::machine::LeaderOutput;
 use wingshore_types::{Instant, doubled_pause};
 
 /// Between two looks at what is wanted.
@@ -52,42 +55,30 @@
 
 impl CoordinationLeader {
     /// Decides how many servers are wanted, and orders what is due.
-    pub(crate) fn drive_capacity(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn drive_capacity(&mut self, turn: &mut Turn<'_>) {
         let looked_at = self.capacity.looked_at;
-        let is_due = looked_at.is_none_or(|at| now.since(at) >= LOOK_INTERVAL);
-        let Some(configuration) = state.configuration().filter(|_| is_due) else {
+        let is_due = looked_at.is_none_or(|at| turn.now.since(at) >= LOOK_INTERVAL);
+        let Some(configuration) = turn.state.configuration().filter(|_| is_due) else {
             return;
         };
         if !self.settings.orders_servers || !self.rollout.holds_orders() {
             return;
         }
-        self.capacity.looked_at = Some(now);
+        self.capacity.looked_at = Some(turn.now);
         let configuration = Arc::clone(configuration);
         for service in &configuration.services {
             if let Some(scaling) = &service.scaling {
-                self.want_servers(now, service, scaling, state, out);
-                self.order_servers(now, service, scaling, state, out);
+                self.want_servers(service, scaling, turn);
+                self.order_servers(service, scaling, turn);
             }
         }
     }
 
     /// Commits the numbers that are wanted of a service's servers.
-    fn want_servers(
-        &mut self,
-        now: Instant,
-        service: &Service,
-        scaling: &Scaling,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let demand = self.demand_of(now, service, state);
+    fn want_servers(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
+        let demand = self.demand_of(turn.now, service, turn.state);
         for (pool, count) in wanted(&service.name, scaling, &demand, self.settings.capacity) {
-            let known = state.capacity().get(&pool).copied();
+            let known = turn.state.capacity().get(&pool).copied();
             if known == Some(count) || self.capacity.proposed.contains(&pool) {
                 continue;
             }
@@ -97,13 +88,13 @@
                 before: known,
                 open_items: demand.open_items,
             };
-            log(decision, out);
+            turn.log(decision);
             self.capacity.proposed.insert(pool.clone());
             let command = Command::WantCapacity {
                 pool: pool.clone(),
                 count,
             };
-            self.propose(command, Waiter::CapacityWanted(pool), out);
+            self.propose(command, FollowUp::CapacityWanted(pool), turn);
         }
     }
 
@@ -146,26 +137,19 @@
     }
 
     /// Gives orders for which there is reason.
-    fn order_servers(
-        &mut self,
-        now: Instant,
-        service: &Service,
-        scaling: &Scaling,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn order_servers(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
         let holder = self.duty_holder();
-        for (pool, count) in state.capacity() {
+        for (pool, count) in turn.state.capacity() {
             if pool.service != service.name {
                 continue;
             }
-            let present = present_in(pool, state);
+            let present = present_in(pool, turn.state);
             let order = self.capacity.orders.entry(pool.clone()).or_default();
-            if order.is_under_way || order.is_fenced || now < order.not_before {
+            if order.is_under_way || order.is_fenced || turn.now < order.not_before {
                 continue;
             }
             let is_had = order.acknowledged.is_some_and(|(acknowledged, at)| {
-                let is_booting = now < at + scaling.boot + BOOT_MARGIN;
+                let is_booting = turn.now < at + scaling.boot + BOOT_MARGIN;
                 acknowledged == *count && (is_booting || present == *count)
             });
             if is_had {
@@ -177,24 +161,18 @@
                 count: *count,
                 holder: holder.clone(),
             });
-            out.push(LeaderOutput::Effect(effect));
+            turn.effect(effect);
         }
     }
 
     /// A number is committed.
-    pub(crate) fn capacity_wanted(
-        &mut self,
-        now: Instant,
-        pool: &CapacityPool,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn capacity_wanted(&mut self, pool: &CapacityPool, turn: &mut Turn<'_>) {
         self.capacity.proposed.remove(pool);
         self.capacity.looked_at = None;
         if let Some(order) = self.capacity.orders.get_mut(pool) {
-            order.not_before = now;
+            order.not_before = turn.now;
         }
-        self.drive_capacity(now, state, out);
+        self.drive_capacity(turn);
     }
 
     /// The provider has answered an order, or has not.
--- a/crates/wingshore-coordination/src/leader/configuring.rs
+++ b/crates/wingshore-coordination/src/leader/configuring.rs
@@ -1,6 +1,9 @@
 //! What operators and trainers put in force: configurations, and versions of models.
 
-use super::{CoordinationLeader, Decision, Outputs, Waiter, log, reply};
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::configuration::SiteConfiguration;
 use crate::ids::ModelName;
 use crate::messages::Reply;
@@ -15,18 +18,29 @@
         &mut self,
         tag: RequestTag,
         configuration: Arc<SiteConfiguration>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         if let Err(error) = configuration.check() {
-            return reply(tag, Reply::Refused(error.to_string()), out);
+            return turn.reply(tag, Reply::Refused(error.to_string()));
         }
-        let held = state.configuration().map_or(0, |held| held.version);
-        if state.configuration().is_some() && configuration.version <= held {
-            return reply(tag, Reply::Done, out);
+        let held = turn.state.configuration().map_or(0, |held| held.version);
+        if turn.state.configuration().is_some() && configuration.version <= held {
+            return turn.reply(tag, Reply::Done);
         }
         let command = Command::Configure(configuration);
-        self.propose(command, Waiter::Configuration(tag), out);
+        self.propose(command, FollowUp::Configuration(tag), turn);
+    }
+
+    /// A configuration is in force.
+    pub(super) fn configured(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
+        if let Some(configuration) = turn.state.configuration() {
+            let version = configuration.version;
+            turn.log(Decision::Configured { version });
+        }
+        turn.reply(tag, Reply::Done);
+        self.take_configuration(turn.state);
+        self.engines.begin(turn.state);
+        self.place_items(turn);
     }
 
     /// Looks up what is decided by from now on.
@@ -42,19 +56,28 @@
         tag: RequestTag,
         model: ModelName,
         version: u64,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let named = state.named_versions().get(&model).copied().unwrap_or(0);
+        let named = turn
+            .state
+            .named_versions()
+            .get(&model)
+            .copied()
+            .unwrap_or(0);
         if version <= named {
-            return reply(tag, Reply::Done, out);
+            return turn.reply(tag, Reply::Done);
         }
         let decision = Decision::VersionNamed {
             model: model.clone(),
             version,
         };
-        log(decision, out);
+        turn.log(decision);
         let command = Command::NameVersion { model, version };
-        self.propose(command, Waiter::Version(tag), out);
+        self.propose(command, FollowUp::Version(tag), turn);
+    }
+    /// A version is named: engines are to load it.
+    pub(super) fn version_named(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
+        turn.reply(tag, Reply::Done);
+        self.drive_rollout(turn);
     }
 }
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/dispatch.rs
@@ -0,0 +1,212 @@
+//! Inputs of the leader machine: which part of the leader each goes to.
+
+use super::gateways::INTRODUCTION_TIME;
+use super::interface::{Effect, Event};
+use super::jobs;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::{Outputs, Turn};
+use crate::messages::{Reply, Request};
+use crate::state::{Command, CoordinationState};
+use std::time::Duration;
+use wingshore_types::machine::{LeaderMachine, ProposalTag, RequestTag};
+use wingshore_types::{Epoch, Instant};
+
+/// Time between two sweeps through all servers, items and jobs for what has expired: their limits are
+/// seconds, and a sweep costs time in proportion to all of them. Not measured.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+
+impl LeaderMachine for CoordinationLeader {
+    type State = CoordinationState;
+    type Request = Request;
+    type Reply = Reply;
+    type Effect = Effect;
+    type Event = Event;
+
+    fn on_leadership(
+        &mut self,
+        now: Instant,
+        epoch: Epoch,
+        state: &CoordinationState,
+        out: &mut Outputs,
+    ) {
+        let turn = &mut Turn { now, state, out };
+        self.epoch = epoch;
+        self.place_from = turn.now + INTRODUCTION_TIME;
+        self.heartbeats.begin(turn.now, turn.state.servers().keys());
+        self.engines.begin(turn.state);
+        self.take_configuration(turn.state);
+        let longest_first = self.settings.policy.long_items_first;
+        self.items.begin(epoch, longest_first, turn.state);
+        self.scorings.begin(turn.now, turn.state);
+        self.job_clock.begin(turn.now, turn.state.jobs().keys());
+        self.evidence.begin(turn.now, turn.state);
+        self.usage.begin(turn.now);
+        self.begin_rollout(turn);
+        if turn.state.evidence().key().is_none() {
+            let command = Command::SetFingerprintKey(self.settings.fingerprint_key);
+            self.propose(command, FollowUp::Nothing, turn);
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        now: Instant,
+        tag: RequestTag,
+        request: Request,
+        state: &CoordinationState,
+        out: &mut Outputs,
+    ) {
+        let turn = &mut Turn { now, state, out };
+        match request {
+            Request::PutConfiguration(configuration) => {
+                self.put_configuration(tag, configuration, turn);
+            }
+            Request::ReadConfiguration => {
+                let configuration = turn.state.configuration().cloned();
+                turn.reply(tag, Reply::Configuration(configuration));
+            }
+            Request::Heartbeat(heartbeat) => self.on_heartbeat(tag, heartbeat, turn),
+            Request::Deregister(name) => self.on_deregister(tag, name, turn),
+            Request::NameVersion { model, version } => {
+                self.name_version(tag, model, version, turn);
+            }
+            Request::SubmitJob(submission) => self.submit_job(tag, submission, turn),
+            Request::ReadJob { job, from, wait } => {
+                self.read_job(tag, job, from, wait, turn);
+            }
+            Request::ReadItem { job, item } => jobs::read_item(tag, &job, &item, turn),
+            Request::EndJob(job) => self.end_job(tag, &job, turn),
+            Request::DescribeMember { member, node } => {
+                self.describe_member(tag, member, node, turn);
+            }
+            Request::RetireMember { member, node } => {
+                self.retire_member(tag, member, node, turn);
+            }
+        }
+    }
+
+    fn on_applied(
+        &mut self,
+        now: Instant,
+        tag: ProposalTag,
+        (): (),
+        state: &CoordinationState,
+        out: &mut Outputs,
+    ) {
+        let turn = &mut Turn { now, state, out };
+        let Some(follow_up) = self.proposals.take(tag) else {
+            return;
+        };
+        match follow_up {
+            FollowUp::Request(tag) => turn.reply(tag, Reply::Done),
+            FollowUp::Configuration(tag) => self.configured(tag, turn),
+            FollowUp::Server(instance, tag) => self.server_changed(instance, tag, turn),
+            FollowUp::Job(job, tag) => self.job_accepted(job, tag, turn),
+            FollowUp::Result { job, finished } => self.result_listed(&job, finished, turn),
+            FollowUp::TextKept { gateway, made_by } => turn.release_attempt(gateway, made_by),
+            FollowUp::Scored { item, finished } => self.scored(&item, finished, turn),
+            FollowUp::ScoringCounted { gateway, scoring } => {
+                turn.release_scoring(gateway, scoring);
+            }
+            FollowUp::Nothing => {}
+            FollowUp::Orders => self.orders_held(turn),
+            FollowUp::CrashesNoted(requests) => self.crashes_noted(requests, turn),
+            FollowUp::Evidence(requests) => self.evidence_changed(requests, turn),
+            FollowUp::CapacityWanted(pool) => self.capacity_wanted(&pool, turn),
+            FollowUp::UsageClosed(window) => self.usage_closed(window, turn),
+            FollowUp::Version(tag) => self.version_named(tag, turn),
+        }
+    }
+
+    fn on_event(
+        &mut self,
+        now: Instant,
+        event: Event,
+        state: &CoordinationState,
+        out: &mut Outputs,
+    ) {
+        let turn = &mut Turn { now, state, out };
+        match event {
+            Event::GatewayConnected(hello) => self.on_gateway(hello, turn),
+            Event::GatewayStatus(gateway, status) => {
+                if let Some(known) = self.gateways.get_mut(&gateway) {
+                    known.status = status;
+                }
+            }
+            Event::GatewayRunning {
+                gateway,
+                items,
+                scorings,
+            } => self.on_running(gateway, (items, scorings), turn),
+            Event::ScoringsInHand(scorings) => self.on_scoring(turn.now, &scorings),
+            Event::ScoringEnded {
+                gateway,
+                scoring,
+                outcome,
+            } => self.on_scoring_ended(gateway, scoring, outcome, turn),
+            Event::ItemKept {
+                assignment,
+                after_events,
+                text,
+            } => self.keep_text(assignment, after_events, text, turn),
+            Event::ItemsProgressed(progress) => self.on_progress(progress, turn),
+            Event::RequestsCrashed { gateway, seen } => {
+                self.on_requests_crashed(turn.now, gateway, seen, turn.state);
+            }
+            Event::RequestsRan(requests) => self.on_requests_ran(requests, turn),
+            Event::GatewayGone { gateway, silence } => {
+                self.on_gateway_gone((gateway, silence), turn);
+            }
+            Event::ItemEnded {
+                gateway,
+                assignment,
+                item,
+                outcome,
+            } => self.on_item_ended(gateway, (assignment, item), outcome, turn),
+            Event::ServersHeard { from, servers } => {
+                self.on_servers_heard(from, servers, turn);
+            }
+            Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
+            Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
+            Event::UsageTold { gateway, usage } => {
+                self.usage.told(gateway, usage, turn.state.usage());
+            }
+            Event::CapacityAnswered {
+                pool,
+                count,
+                answer,
+            } => self.on_capacity_answered(turn.now, &pool, count, answer),
+            Event::UsageAnswered { window, answer } => {
+                self.on_usage_answered(window, answer, turn);
+            }
+            Event::Ordered { instance, answer } => {
+                self.on_ordered(&instance, answer, turn);
+            }
+            Event::Reported { instance, report } => {
+                self.on_reported(&instance, report, turn);
+            }
+        }
+    }
+
+    fn on_tick(&mut self, now: Instant, state: &CoordinationState, out: &mut Outputs) {
+        let turn = &mut Turn { now, state, out };
+        self.answer_waiting_readers(turn);
+        self.away_gateways_lost(turn.now);
+        if turn.now >= self.next_sweep {
+            self.next_sweep = turn.now + SWEEP_INTERVAL;
+            self.expire_servers(turn);
+            self.give_up_items(turn);
+            self.end_silent_items(turn);
+            self.end_silent_scorings(turn.now);
+            self.forget_jobs(turn);
+            self.relieve_requests(turn);
+        }
+        self.weigh_evidence(turn);
+        self.drive_rollout(turn);
+        self.drive_usage(turn);
+        self.drive_capacity(turn);
+        self.place_items(turn);
+        self.place_scorings(turn);
+    }
+}
--- a/crates/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/wingshore-coordination/src/leader/evidence.rs
@@ -10,7 +10,10 @@
 //!   several requests stood on the same servers, one of them may be the cause. A request is rejected
 //!   at the third ending only if its endings single it out, else at the next one.
 
-use super::{CoordinationLeader, Decision, Outputs, Waiter, log};
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
@@ -179,13 +182,8 @@
     }
 
     /// Weighs the evidence that is due, and proposes what counts.
-    pub(crate) fn weigh_evidence(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let is_due = |pending: &mut Pending| now.since(pending.told_at) >= WEIGHED_AFTER;
+    pub(crate) fn weigh_evidence(&mut self, turn: &mut Turn<'_>) {
+        let is_due = |pending: &mut Pending| turn.now.since(pending.told_at) >= WEIGHED_AFTER;
         let due: Vec<Pending> = self.evidence.pending.extract_if(.., is_due).collect();
         let mut counts = Vec::new();
         for Pending {
@@ -193,43 +191,43 @@
         } in due
         {
             let weight = self.evidence.weight(&evidence);
-            let counted = weight.counts() && state.evidence().is_news(&evidence);
+            let counted = weight.counts() && turn.state.evidence().is_news(&evidence);
             let decision = Decision::RequestSuspected {
                 request: evidence.fingerprint,
                 instance: evidence.instance.clone(),
                 gateway,
                 ended_together: weight.together,
                 under_request: weight.under_request,
-                ended_before: state.evidence().ended_under(evidence.fingerprint),
+                ended_before: turn.state.evidence().ended_under(evidence.fingerprint),
                 counted,
             };
-            log(decision, out);
+            turn.log(decision);
             if counted {
                 counts.push(evidence);
             }
         }
         self.evidence
             .endings
-            .retain(|_, ending| now.since(ending.at) < ENDINGS_KEPT);
+            .retain(|_, ending| turn.now.since(ending.at) < ENDINGS_KEPT);
         if counts.is_empty() {
             return;
         }
         let requests = counts.iter().map(|evidence| evidence.fingerprint).collect();
         let command = Command::NoteCrashes(counts);
-        self.propose(command, Waiter::CrashesNoted(requests), out);
+        self.propose(command, FollowUp::CrashesNoted(requests), turn);
     }
 
     /// Runs of requests under which servers had ended went well.
     pub(crate) fn on_requests_ran(
         &mut self,
         requests: Vec<RequestFingerprint>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         self.evidence
             .pending
             .retain(|pending| !requests.contains(&pending.evidence.fingerprint));
-        let is_known = |request: &RequestFingerprint| state.evidence().ended_under(*request) > 0;
+        let is_known =
+            |request: &RequestFingerprint| turn.state.evidence().ended_under(*request) > 0;
         let known: Vec<RequestFingerprint> = requests.into_iter().filter(is_known).collect();
         if known.is_empty() {
             return;
@@ -239,88 +237,70 @@
                 request: *request,
                 reason: "a run of it went well",
             };
-            log(decision, out);
+            turn.log(decision);
         }
-        let waiter = Waiter::Evidence(known.clone());
-        self.propose(Command::ClearRequests(known), waiter, out);
+        let follow_up = FollowUp::Evidence(known.clone());
+        self.propose(Command::ClearRequests(known), follow_up, turn);
     }
 
     /// More servers have ended under these requests: some are rejected.
-    pub(crate) fn crashes_noted(
-        &mut self,
-        now: Instant,
-        requests: Vec<RequestFingerprint>,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        self.reject_requests(&requests, state, out);
-        self.evidence_changed(now, requests, state, out);
+    pub(crate) fn crashes_noted(&mut self, requests: Vec<RequestFingerprint>, turn: &mut Turn<'_>) {
+        self.reject_requests(&requests, turn);
+        self.evidence_changed(requests, turn);
     }
 
     /// Evidence against these requests has changed: notes when, and logs those that are rejected.
     pub(crate) fn evidence_changed(
         &mut self,
-        now: Instant,
         requests: Vec<RequestFingerprint>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         for request in requests {
-            if state.evidence().ended_under(request) == 0 {
+            if turn.state.evidence().ended_under(request) == 0 {
                 self.evidence.news.remove(&request);
             } else {
-                self.evidence.news.insert(request, now);
+                self.evidence.news.insert(request, turn.now);
             }
-            let suspect = state.evidence().suspect(request);
+            let suspect = turn.state.evidence().suspect(request);
             if let Some(suspect) = suspect.filter(|suspect| suspect.rejected) {
-                log(Decision::RequestRejected(suspect.clone()), out);
+                turn.log(Decision::RequestRejected(suspect.clone()));
             }
         }
     }
 
     /// Rejects those of these requests that are not to run any more.
-    fn reject_requests(
-        &mut self,
-        requests: &[RequestFingerprint],
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
         let is_over = |request: &&RequestFingerprint| {
-            let ended = state.evidence().ended_under(**request);
-            let suspect = state.evidence().suspect(**request);
+            let ended = turn.state.evidence().ended_under(**request);
+            let suspect = turn.state.evidence().suspect(**request);
             suspect.is_some_and(|suspect| !suspect.rejected)
                 && (ended >= MOST_ENDINGS
                     || ended >= REJECTED_FROM && self.evidence.singles_out(**request))
         };
         let rejected: Vec<RequestFingerprint> = requests.iter().filter(is_over).copied().collect();
         if !rejected.is_empty() {
-            let waiter = Waiter::Evidence(rejected.clone());
-            self.propose(Command::RejectRequests(rejected), waiter, out);
+            let follow_up = FollowUp::Evidence(rejected.clone());
+            self.propose(Command::RejectRequests(rejected), follow_up, turn);
         }
     }
 
     /// Evidence without news for too long counts no longer.
-    pub(crate) fn relieve_requests(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let old = self.evidence.take_old(now);
+    pub(crate) fn relieve_requests(&mut self, turn: &mut Turn<'_>) {
+        let old = self.evidence.take_old(turn.now);
         if old.is_empty() {
             return;
         }
         for request in &old {
-            let suspect = state.evidence().suspect(*request);
+            let suspect = turn.state.evidence().suspect(*request);
             if suspect.is_some_and(|suspect| suspect.rejected) {
                 let decision = Decision::RequestCleared {
                     request: *request,
                     reason: "no news of it for long: it may run once more",
                 };
-                log(decision, out);
+                turn.log(decision);
             }
         }
-        let waiter = Waiter::Evidence(old.clone());
-        self.propose(Command::RelieveRequests(old), waiter, out);
+        let follow_up = FollowUp::Evidence(old.clone());
+        self.propose(Command::RelieveRequests(old), follow_up, turn);
     }
 }
--- a/crates/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/wingshore-coordination/src/leader/gateways.rs
@@ -1,13 +1,13 @@
 //! Gateways that are connected to this leader, and those that were a moment ago.
 
-use super::{CoordinationLeader, Effect, Outputs};
+use super::interface::Effect;
+use super::machine::CoordinationLeader;
+use super::turn::Turn;
 use crate::ids::GatewayId;
 use crate::messages::{CoordinatorMessage, GatewayHello, GatewayStatus, RunningItem};
 use crate::scoring::RunningScoring;
-use crate::state::CoordinationState;
 use std::time::Duration;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
 
 /// A new leader waits this long for gateways to tell which items they run. Not measured.
 pub(super) const INTRODUCTION_TIME: Duration = Duration::from_millis(300);
@@ -37,7 +37,7 @@
 }
 
 impl CoordinationLeader {
-    pub(super) fn on_gateway(&mut self, now: Instant, hello: GatewayHello, out: &mut Outputs) {
+    pub(super) fn on_gateway(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
         let gateway = Gateway {
             node: hello.node,
             zone: hello.zone,
@@ -47,10 +47,10 @@
         };
         let message = CoordinatorMessage::Leading { epoch: self.epoch };
         let effect = Effect::ToGateway(hello.gateway, message);
-        out.push(LeaderOutput::Effect(effect));
+        turn.effect(effect);
         self.restarted_gateways_lost(hello.gateway, &gateway.node);
         self.gateways.insert(hello.gateway, gateway);
-        self.scoring_gateway_lost(now, hello.gateway);
+        self.scoring_gateway_lost(turn.now, hello.gateway);
     }
 
     /// A process that begins on a machine takes the place of the one before: what that ran is lost.
@@ -74,11 +74,9 @@
 
     pub(super) fn on_running(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         (items, scorings): (Vec<RunningItem>, Vec<RunningScoring>),
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(known) = self.gateways.get_mut(&gateway) else {
             return;
@@ -91,34 +89,32 @@
             known.running = self.items.gateway_tells(gateway, &told, &mut self.engines);
         }
         for item in items {
-            self.adopt(gateway, now, item, state, out);
+            self.adopt(gateway, item, turn);
         }
         for scoring in scorings {
-            self.adopt_scoring(now, gateway, scoring, state, out);
+            self.adopt_scoring(gateway, scoring, turn);
         }
-        self.place_items(now, state, out);
+        self.place_items(turn);
     }
 
     pub(super) fn on_gateway_gone(
         &mut self,
-        now: Instant,
         (gateway, silence): (GatewayId, Duration),
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(known) = self.gateways.remove(&gateway) else {
             return;
         };
-        self.keep_usage_of(gateway, out);
+        self.keep_usage_of(gateway, turn);
         let grace = RETURN_GRACE.saturating_sub(silence);
         self.away.push(AwayGateway {
             gateway,
             node: known.node,
-            lost_at: now + grace,
+            lost_at: turn.now + grace,
         });
-        self.away_gateways_lost(now);
-        self.scoring_gateway_lost(now, gateway);
-        self.place_items(now, state, out);
-        self.place_scorings(now, state, out);
+        self.away_gateways_lost(turn.now);
+        self.scoring_gateway_lost(turn.now, gateway);
+        self.place_items(turn);
+        self.place_scorings(turn);
     }
 }
--- a/crates/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/jobs.rs
@@ -1,11 +1,12 @@
 //! Submitting, reading and ending batch jobs.
 
-use super::outcomes::release;
-use super::scoring::release_scoring;
-use super::{CoordinationLeader, Decision, Outputs, Waiter, log, reply};
-use crate::ids::{ItemId, ItemKey, JobId};
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
+use crate::ids::{GatewayId, ItemId, ItemKey, JobId};
 use crate::jobs::JobSubmission;
-use crate::messages::Reply;
+use crate::messages::{AssignmentId, Reply};
 use crate::state::{Command, CoordinationState};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -46,24 +47,25 @@
 impl CoordinationLeader {
     pub(crate) fn submit_job(
         &mut self,
-        now: Instant,
         tag: RequestTag,
         submission: Arc<JobSubmission>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        if state.find_job(&submission.id).is_some() {
-            return reply(tag, Reply::Done, out);
+        if turn.state.find_job(&submission.id).is_some() {
+            return turn.reply(tag, Reply::Done);
         }
-        if let Some(reason) = self.missing_scorer_route(&submission, state) {
-            return reply(tag, Reply::Refused(reason), out);
+        if let Some(reason) = self.missing_scorer_route(&submission, turn.state) {
+            return turn.reply(tag, Reply::Refused(reason));
         }
-        if self.refuse_for_want_of_room(tag, &submission, state, out) {
+        if self.refuse_for_want_of_room(tag, &submission, turn) {
             return;
         }
         let id = submission.id.clone();
-        self.job_clock.known_since.entry(id.clone()).or_insert(now);
-        self.propose(Command::AcceptJob(submission), Waiter::Job(id, tag), out);
+        self.job_clock
+            .known_since
+            .entry(id.clone())
+            .or_insert(turn.now);
+        self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
     }
 
     /// Says which item names a scorer that no route leads to.
@@ -85,22 +87,15 @@
         })
     }
 
-    pub(crate) fn job_accepted(
-        &mut self,
-        now: Instant,
-        job: JobId,
-        tag: RequestTag,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        reply(tag, Reply::Done, out);
-        self.items.add_job(&job, state);
-        if let Some(known) = state.jobs().get(&job) {
+    pub(crate) fn job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
+        turn.reply(tag, Reply::Done);
+        self.items.add_job(&job, turn.state);
+        if let Some(known) = turn.state.jobs().get(&job) {
             let submission = &known.submission;
             let model = submission.model.clone();
             let named = model
                 .as_ref()
-                .and_then(|model| state.named_versions().get(model));
+                .and_then(|model| turn.state.named_versions().get(model));
             let decision = Decision::JobAccepted {
                 job,
                 items: submission.items.len(),
@@ -109,109 +104,103 @@
                 named_version: named.copied().unwrap_or(1),
                 model,
             };
-            log(decision, out);
+            turn.log(decision);
         }
-        self.place_items(now, state, out);
+        self.place_items(turn);
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one request")]
     pub(crate) fn read_job(
         &mut self,
-        now: Instant,
         tag: RequestTag,
         job: JobId,
         from: u64,
         wait: Duration,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let Some((job, known)) = state.find_job(&job) else {
-            return reply(tag, Reply::Unknown, out);
+        let Some((job, known)) = turn.state.find_job(&job) else {
+            return turn.reply(tag, Reply::Unknown);
         };
         let has_some = (known.results.len() as u64) > from;
         if has_some || wait.is_zero() || known.ended {
             let page = known.page(from, MOST_PAGE_BYTES);
-            return reply(tag, Reply::Page(page), out);
+            return turn.reply(tag, Reply::Page(page));
         }
         self.readers.waiting.push(Reader {
             tag,
             job: job.clone(),
             from,
-            until: now + wait,
+            until: turn.now + wait,
         });
     }
 
     /// Logs a result that was just listed, which is the last one of its job.
-    pub(crate) fn log_listed(
-        &self,
-        now: Instant,
-        id: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let Some(job) = state.jobs().get(id) else {
+    pub(crate) fn log_listed(&self, id: &JobId, turn: &mut Turn<'_>) {
+        let Some(job) = turn.state.jobs().get(id) else {
             return;
         };
         let Some(result) = job.results.last() else {
             return;
         };
-        let since = self.job_clock.known_since.get(id).copied().unwrap_or(now);
+        let since = self
+            .job_clock
+            .known_since
+            .get(id)
+            .copied()
+            .unwrap_or(turn.now);
         let decision = Decision::ItemListed {
             job: id.clone(),
             item: result.id.clone(),
             position: job.results.len() as u64 - 1,
             versions: result.versions.clone(),
-            age: now.since(since),
+            age: turn.now.since(since),
         };
-        log(decision, out);
+        turn.log(decision);
     }
 
-    /// Results of a job were listed: readers that wait for them are answered.
-    pub(crate) fn results_listed(
+    /// A result was listed: the gateway that made it need not keep it any more.
+    pub(super) fn result_listed(
         &mut self,
         job: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        finished: Option<(GatewayId, AssignmentId)>,
+        turn: &mut Turn<'_>,
     ) {
-        self.answer_readers(state, out, |reader| reader.job == *job);
+        if let Some((gateway, assignment)) = finished {
+            self.log_listed(job, turn);
+            turn.release_attempt(gateway, assignment);
+        }
+        self.results_listed(job, turn);
+    }
+
+    /// Results of a job were listed: readers that wait for them are answered.
+    pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
+        self.answer_readers(|reader| reader.job == *job, turn);
     }
 
     /// Readers whose time is over are answered.
-    pub(crate) fn answer_waiting_readers(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        self.answer_readers(state, out, |reader| now >= reader.until);
+    pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
+        let now = turn.now;
+        self.answer_readers(|reader| now >= reader.until, turn);
     }
 
-    fn answer_readers(
-        &mut self,
-        state: &CoordinationState,
-        out: &mut Outputs,
-        is_due: impl Fn(&Reader) -> bool,
-    ) {
+    fn answer_readers(&mut self, is_due: impl Fn(&Reader) -> bool, turn: &mut Turn<'_>) {
         let due = self.readers.waiting.extract_if(.., |reader| is_due(reader));
         for reader in due {
-            let answer = state.jobs().get(&reader.job).map_or(Reply::Unknown, |job| {
-                Reply::Page(job.page(reader.from, MOST_PAGE_BYTES))
-            });
-            reply(reader.tag, answer, out);
+            let answer = turn
+                .state
+                .jobs()
+                .get(&reader.job)
+                .map_or(Reply::Unknown, |job| {
+                    Reply::Page(job.page(reader.from, MOST_PAGE_BYTES))
+                });
+            turn.reply(reader.tag, answer);
         }
     }
 
-    pub(crate) fn end_job(
-        &mut self,
-        tag: RequestTag,
-        id: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let Some((id, job)) = state.find_job(id) else {
-            return reply(tag, Reply::Unknown, out);
+    pub(crate) fn end_job(&mut self, tag: RequestTag, id: &JobId, turn: &mut Turn<'_>) {
+        let Some((id, job)) = turn.state.find_job(id) else {
+            return turn.reply(tag, Reply::Unknown);
         };
-        let ended = self.items.remove_job(id, state);
+        let ended = self.items.remove_job(id, turn.state);
         if !job.ended {
             let decision = Decision::JobEnded {
                 job: id.clone(),
@@ -219,31 +208,26 @@
                 listed: job.results.len(),
                 running: ended.len(),
             };
-            log(decision, out);
+            turn.log(decision);
         }
         for (assignment, running) in ended {
             self.note_end(&running);
-            release(running.gateway, assignment, out);
+            turn.release_attempt(running.gateway, assignment);
         }
         for (gateway, scoring) in self.scorings.remove_job(id) {
-            release_scoring(gateway, scoring, out);
+            turn.release_scoring(gateway, scoring);
         }
         if job.ended {
-            return reply(tag, Reply::Done, out);
+            return turn.reply(tag, Reply::Done);
         }
         let command = Command::EndJob(id.clone());
-        self.propose(command, Waiter::Request(tag), out);
+        self.propose(command, FollowUp::Request(tag), turn);
     }
 
     /// Gives up items that have been queued for longer than their route allows, or whose route is
     /// gone.
-    pub(crate) fn give_up_items(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if state.configuration().is_none() {
+    pub(crate) fn give_up_items(&mut self, turn: &mut Turn<'_>) {
+        if turn.state.configuration().is_none() {
             return;
         }
         let unscored = self.scorings.items().cloned();
@@ -251,13 +235,13 @@
             .items
             .waiting()
             .chain(unscored)
-            .filter(|item| self.is_given_up(now, item, state))
+            .filter(|item| self.is_given_up(turn.now, item, turn.state))
             .collect();
         for item in given_up {
             self.abandon(
                 &item,
                 "its time in the queue is over or its route is gone",
-                out,
+                turn,
             );
         }
     }
@@ -280,44 +264,34 @@
     }
 
     /// Forgets jobs that ended long ago.
-    pub(crate) fn forget_jobs(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn forget_jobs(&mut self, turn: &mut Turn<'_>) {
         let retention = self.settings.job_retention;
-        let old: Vec<JobId> = state
+        let old: Vec<JobId> = turn
+            .state
             .jobs()
             .iter()
             .filter(|(_, job)| job.ended)
             .filter(|(id, _)| {
                 let since = self.job_clock.known_since.get(*id);
-                since.is_some_and(|since| now.since(*since) > retention)
+                since.is_some_and(|since| turn.now.since(*since) > retention)
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in old {
             // Counted anew, so that the proposal is not made again before it is applied.
-            self.job_clock.known_since.insert(id.clone(), now);
-            self.propose(Command::ForgetJob(id), Waiter::Nobody, out);
+            self.job_clock.known_since.insert(id.clone(), turn.now);
+            self.propose(Command::ForgetJob(id), FollowUp::Nothing, turn);
         }
     }
 }
 
 /// Answers with the body of an item that is not listed.
-pub(super) fn read_item(
-    tag: RequestTag,
-    job: &JobId,
-    item: &ItemId,
-    state: &CoordinationState,
-    out: &mut Outputs,
-) {
-    let known = state.find_job(job);
+pub(super) fn read_item(tag: RequestTag, job: &JobId, item: &ItemId, turn: &mut Turn<'_>) {
+    let known = turn.state.find_job(job);
     let item = known.and_then(|(_, job)| {
         let (index, item) = job.find_item(item)?;
         (!job.is_listed(index)).then_some(item)
     });
     let answer = item.map_or(Reply::Unknown, |item| Reply::Item(item.body.clone()));
-    reply(tag, answer, out);
+    turn.reply(tag, answer);
 }
--- a/crates/wingshore-coordination/src/leader/load_choice.rs
+++ b/crates/wingshore-coordination/src/leader/load_choice.rs
@@ -6,7 +6,8 @@
 //! version when that job comes.
 
 use super::decisions::capacity_plan::DEMAND_MEMORY;
-use super::{CoordinationLeader, Outputs};
+use super::machine::CoordinationLeader;
+use super::turn::Turn;
 use crate::ids::{InstanceId, ModelName};
 use crate::state::CoordinationState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -149,19 +150,14 @@
 impl CoordinationLeader {
     /// Begins as many loads as the weight store serves, each for the model that has the fewest
     /// engines at its newest version.
-    pub(super) fn begin_loads(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(super) fn begin_loads(&mut self, turn: &mut Turn<'_>) {
         let most = self.most_loads();
         if self.rollout.active() >= most {
             return;
         }
         self.count_long_items();
-        let mut models = self.loads_by_model(state);
-        self.note_peaks(now, &mut models);
+        let mut models = self.loads_by_model(turn.state);
+        self.note_peaks(turn.now, &mut models);
         let policy = self.settings.policy;
         let mut loading = BTreeSet::new();
         while self.rollout.active() < most && loading.len() < MOST_BEGUN_AT_ONCE {
@@ -180,8 +176,8 @@
             };
             // One engine loads one model at a time.
             loading.insert(instance.clone());
-            self.ask_report(&instance, out);
-            self.rollout.begin_load(now, instance, model, named);
+            self.ask_report(&instance, turn);
+            self.rollout.begin_load(turn.now, instance, model, named);
         }
     }
 
--- a/crates/wingshore-coordination/src/leader/moves.rs
+++ b/crates/wingshore-coordination/src/leader/moves.rs
@@ -1,14 +1,15 @@
 //! Moving items away from engines that are slower than others.
 
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
 use super::tables::free_slots::Look;
 use super::tables::items::Avoided;
-use super::{CoordinationLeader, Decision, Effect, Outputs, log};
+use super::turn::Turn;
 use crate::ids::{GatewayId, InstanceId};
 use crate::messages::{AssignmentId, CoordinatorMessage, ItemProgress};
 use crate::state::CoordinationState;
 use std::time::Duration;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
 
 /// An item moves where its events come this many times faster.
 const WORTH_MOVING: f64 = 1.25;
@@ -32,39 +33,34 @@
 
 impl CoordinationLeader {
     /// A gateway tells how far its items are.
-    pub(crate) fn on_progress(
-        &mut self,
-        now: Instant,
-        progress: Vec<ItemProgress>,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn on_progress(&mut self, progress: Vec<ItemProgress>, turn: &mut Turn<'_>) {
         let told: Vec<AssignmentId> = progress.iter().map(|item| item.assignment).collect();
         for ItemProgress { assignment, events } in progress {
             let Some(running) = self.items.running_mut(assignment) else {
                 continue;
             };
-            running.heard = now;
+            running.heard = turn.now;
             let Some((before, at)) = running.seen else {
-                running.seen = Some((events, now));
+                running.seen = Some((events, turn.now));
                 continue;
             };
             let instance = running.instance.clone();
             let engine = self.engines.get(&instance);
-            let steady = engine
-                .is_some_and(|engine| engine.loading.is_none() && now >= engine.unsteady_until);
+            let steady = engine.is_some_and(|engine| {
+                engine.loading.is_none() && turn.now >= engine.unsteady_until
+            });
             if !steady {
-                running.seen = Some((events, now));
+                running.seen = Some((events, turn.now));
                 continue;
             }
             let new = events.saturating_sub(before);
             if new < FEWEST_MEASURED {
                 continue;
             }
-            running.seen = Some((events, now));
-            self.engines.paced(&instance, new, now.since(at));
+            running.seen = Some((events, turn.now));
+            self.engines.paced(&instance, new, turn.now.since(at));
         }
-        self.move_items(now, &told, state, out);
+        self.move_items(&told, turn);
     }
 
     /// Counts, for each engine and model, the items that are long or have proved to be.
@@ -81,13 +77,7 @@
     }
 
     /// Breaks off those of `tries` whose items go on faster elsewhere.
-    fn move_items(
-        &mut self,
-        now: Instant,
-        tries: &[AssignmentId],
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn move_items(&mut self, tries: &[AssignmentId], turn: &mut Turn<'_>) {
         if !self.settings.policy.moves {
             return;
         }
@@ -100,21 +90,16 @@
             else {
                 continue;
             };
-            let Some(target) = self.better_engine(now, assignment, &promised, state) else {
+            let Some(target) = self.better_engine(turn.now, assignment, &promised, turn.state)
+            else {
                 continue;
             };
             *promised.entry(target).or_default() += 1;
-            self.interrupt(now, assignment, gateway, out);
+            self.interrupt(assignment, gateway, turn);
         }
     }
 
-    fn interrupt(
-        &mut self,
-        now: Instant,
-        assignment: AssignmentId,
-        gateway: GatewayId,
-        out: &mut Outputs,
-    ) {
+    fn interrupt(&mut self, assignment: AssignmentId, gateway: GatewayId, turn: &mut Turn<'_>) {
         let Some(running) = self.items.running_mut(assignment) else {
             return;
         };
@@ -124,7 +109,7 @@
             progress.moves += 1;
             progress.avoid = Some(Avoided {
                 instance: instance.clone(),
-                until: now + AVOIDED_FOR,
+                until: turn.now + AVOIDED_FOR,
             });
         }
         let decision = Decision::ItemMoved {
@@ -133,9 +118,9 @@
             index: item.index,
             instance,
         };
-        log(decision, out);
+        turn.log(decision);
         let message = CoordinatorMessage::Interrupt { assignment };
-        out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
+        turn.send(gateway, message);
     }
 
     /// An engine with a free slot on which the item goes on much faster.
--- a/crates/wingshore-coordination/src/leader/outcomes.rs
+++ b/crates/wingshore-coordination/src/leader/outcomes.rs
@@ -1,8 +1,10 @@
 //! What follows from the end of a try at an item.
 
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
 use super::tables::items::Running;
-use super::scoring::release_scoring;
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::turn::Turn;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ItemKey};
 use crate::jobs::{ItemState, ListedResult};
@@ -13,7 +15,6 @@
 use crate::text::{FinishedText, ItemText, ResultText};
 use std::time::Duration;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
 
 /// A try or a scoring that its gateway does not speak of for this long is over. Gateways speak of all that
 /// they run each 400 ms. Not measured.
@@ -33,14 +34,7 @@
 
 impl CoordinationLeader {
     /// A gateway runs an item that an earlier leader assigned.
-    pub(crate) fn adopt(
-        &mut self,
-        gateway: GatewayId,
-        now: Instant,
-        running: RunningItem,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn adopt(&mut self, gateway: GatewayId, running: RunningItem, turn: &mut Turn<'_>) {
         let RunningItem {
             assignment,
             item,
@@ -50,7 +44,8 @@
         if self.items.is_running(assignment) {
             return;
         }
-        let is_open = state
+        let is_open = turn
+            .state
             .jobs()
             .get(&item.job)
             .filter(|job| !job.ended && !job.is_listed(item.index))
@@ -60,16 +55,16 @@
             .progress(&item)
             .is_some_and(|progress| progress.assignment.is_none() && !progress.ended);
         if !is_open || !is_free {
-            return release(gateway, assignment, out);
+            return turn.release_attempt(gateway, assignment);
         }
         self.items.take(&item);
-        let job = state.jobs().get(&item.job);
+        let job = turn.state.jobs().get(&item.job);
         let held = job.and_then(|job| job.kept(item.index));
         let held = held.map(ItemText::held).unwrap_or_default();
         let message = CoordinatorMessage::HandInFrom { assignment, held };
-        out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
+        turn.send(gateway, message);
         let model = job.and_then(|job| job.submission.model.clone());
-        let running = Running::new(now, item, gateway, instance, model);
+        let running = Running::new(turn.now, item, gateway, instance, model);
         self.start(assignment, running);
     }
 
@@ -79,7 +74,7 @@
         assignment: AssignmentId,
         after_events: u64,
         text: ItemText,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(item) = self.items.item_of(assignment) else {
             return;
@@ -89,15 +84,15 @@
             after_events,
             text,
         };
-        self.propose(command, Waiter::Nobody, out);
+        self.propose(command, FollowUp::Nothing, turn);
     }
 
     /// Tries that their gateways do not speak of any more are over.
-    pub(crate) fn end_silent_items(&mut self, now: Instant, out: &mut Outputs) {
+    pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
         let silent: Vec<AssignmentId> = self
             .items
             .running()
-            .filter(|(_, running)| now.since(running.heard) > SILENCE_LIMIT)
+            .filter(|(_, running)| turn.now.since(running.heard) > SILENCE_LIMIT)
             .map(|(assignment, _)| *assignment)
             .collect();
         for assignment in silent {
@@ -105,7 +100,7 @@
                 continue;
             };
             self.note_end(&running);
-            release(running.gateway, assignment, out);
+            turn.release_attempt(running.gateway, assignment);
             let decision = Decision::ItemRetried {
                 assignment,
                 job: running.item.job.clone(),
@@ -113,23 +108,21 @@
                 instance: running.instance,
                 reason: "the gateway does not speak of it any more",
             };
-            log(decision, out);
+            turn.log(decision);
             self.items.wait(running.item);
         }
     }
 
     pub(crate) fn on_item_ended(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         (assignment, item): (AssignmentId, ItemKey),
         outcome: ItemOutcome,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(running) = self.items.end(assignment) else {
             let finished = (gateway, assignment);
-            return self.on_forgotten_end(now, finished, &item, outcome, state, out);
+            return self.on_forgotten_end(finished, &item, outcome, turn);
         };
         self.note_end(&running);
         let has_ended = self
@@ -138,18 +131,18 @@
             .is_none_or(|progress| progress.ended);
         match outcome {
             ItemOutcome::Finished(text)
-                if !has_ended && is_too_old(&text, &running.item, state) =>
+                if !has_ended && is_too_old(&text, &running.item, turn.state) =>
             {
-                self.release_unknown(gateway, assignment, out);
-                self.begin_anew(now, assignment, &running, out);
+                self.release_unknown(gateway, assignment, turn);
+                self.begin_anew(assignment, &running, turn);
             }
             ItemOutcome::Finished(text) if !has_ended => {
                 self.engines.succeeded(&running.instance);
                 let finished = (gateway, assignment);
-                self.take_text(now, &running.item, text, finished, state, out);
+                self.take_text(&running.item, text, finished, turn);
             }
             outcome => {
-                self.release_unknown(gateway, assignment, out);
+                self.release_unknown(gateway, assignment, turn);
                 if !has_ended {
                     let decision = Decision::ItemRetried {
                         assignment,
@@ -158,24 +151,18 @@
                         instance: running.instance.clone(),
                         reason: outcome.name(),
                     };
-                    log(decision, out);
-                    self.take_outcome(now, &running, outcome, state, out);
+                    turn.log(decision);
+                    self.take_outcome(&running, outcome, turn);
                 }
             }
         }
-        self.place_items(now, state, out);
+        self.place_items(turn);
     }
 
     /// An engine made a text under a version that is older than the job allows: one that started
     /// again, or carried an order out late, may hold less than it is known for. Nothing of the text
     /// counts, and the engine is asked how it stands before it gets more.
-    fn begin_anew(
-        &mut self,
-        now: Instant,
-        assignment: AssignmentId,
-        running: &Running,
-        out: &mut Outputs,
-    ) {
+    fn begin_anew(&mut self, assignment: AssignmentId, running: &Running, turn: &mut Turn<'_>) {
         let decision = Decision::ItemRetried {
             assignment,
             job: running.item.job.clone(),
@@ -183,9 +170,9 @@
             instance: running.instance.clone(),
             reason: "its text is of an older version than its job allows",
         };
-        log(decision, out);
-        self.pause_engine(now, &running.instance);
-        self.ask_report(&running.instance, out);
+        turn.log(decision);
+        self.pause_engine(turn.now, &running.instance);
+        self.ask_report(&running.instance, turn);
         if let Some(progress) = self.items.progress_mut(&running.item) {
             progress.kept = ItemText::default();
         }
@@ -196,82 +183,71 @@
     /// text is a result all the same, whatever runs for the item meanwhile: the first one counts.
     fn on_forgotten_end(
         &mut self,
-        now: Instant,
         (gateway, assignment): (GatewayId, AssignmentId),
         item: &ItemKey,
         outcome: ItemOutcome,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let progress = self.items.progress(item);
         let open = progress.filter(|progress| !progress.ended);
         let (Some(progress), ItemOutcome::Finished(text)) = (open, outcome) else {
-            return self.release_unknown(gateway, assignment, out);
+            return self.release_unknown(gateway, assignment, turn);
         };
-        if is_too_old(&text, item, state) {
-            return self.release_unknown(gateway, assignment, out);
+        if is_too_old(&text, item, turn.state) {
+            return self.release_unknown(gateway, assignment, turn);
         }
         if let Some(other) = progress.assignment
             && let Some(running) = self.items.end(other)
         {
             self.note_end(&running);
-            release(running.gateway, other, out);
+            turn.release_attempt(running.gateway, other);
         }
-        self.take_text(now, item, text, (gateway, assignment), state, out);
-        self.place_items(now, state, out);
+        self.take_text(item, text, (gateway, assignment), turn);
+        self.place_items(turn);
     }
 
     /// A try has made the whole text of an item that has no result yet.
     fn take_text(
         &mut self,
-        now: Instant,
         item: &ItemKey,
         text: FinishedText,
         finished: (GatewayId, AssignmentId),
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        if Self::scorer_of(item, state).is_some() {
-            self.keep_unscored(now, item, text, finished, out);
+        if Self::scorer_of(item, turn.state).is_some() {
+            self.keep_unscored(item, text, finished, turn);
         } else {
-            self.list_success(item, text, finished, out);
+            self.list_success(item, text, finished, turn);
         }
     }
 
     /// A try is of no use, and neither is the scoring that may have followed it.
-    fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, out: &mut Outputs) {
-        release(gateway, assignment, out);
+    fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, turn: &mut Turn<'_>) {
+        turn.release_attempt(gateway, assignment);
         if !self.scorings.has(assignment) {
-            release_scoring(gateway, assignment, out);
+            turn.release_scoring(gateway, assignment);
         }
     }
 
-    fn take_outcome(
-        &mut self,
-        now: Instant,
-        running: &Running,
-        outcome: ItemOutcome,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn take_outcome(&mut self, running: &Running, outcome: ItemOutcome, turn: &mut Turn<'_>) {
         match outcome {
             ItemOutcome::Interrupted { text, cause } => {
                 if let Some(progress) = self.items.progress_mut(&running.item) {
                     progress.kept = text;
                 }
                 if let BreakCause::Engine(request) = cause {
-                    self.pause_engine(now, &running.instance);
-                    self.note_break(now, &running.item, request, state);
+                    self.pause_engine(turn.now, &running.instance);
+                    self.note_break(turn.now, &running.item, request, turn.state);
                 }
                 self.items.wait(running.item.clone());
             }
-            ItemOutcome::NotRun(reason) => self.not_run(now, running, reason),
-            ItemOutcome::Failed => self.failed(now, running, state, out),
+            ItemOutcome::NotRun(reason) => self.not_run(turn.now, running, reason),
+            ItemOutcome::Failed => self.failed(running, turn),
             ItemOutcome::Impossible | ItemOutcome::Finished(_) => {
                 self.abandon(
                     &running.item,
                     "the engine says that it can never be done",
-                    out,
+                    turn,
                 );
             }
         }
@@ -326,21 +302,19 @@
         self.items.wait(running.item.clone());
     }
 
-    fn failed(
-        &mut self,
-        now: Instant,
-        running: &Running,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let most = self.most_attempts(&running.item, state);
+    fn failed(&mut self, running: &Running, turn: &mut Turn<'_>) {
+        let most = self.most_attempts(&running.item, turn.state);
         let Some(progress) = self.items.progress_mut(&running.item) else {
             return;
         };
         progress.failures += 1;
-        progress.not_before = Some(now + FAILED_PAUSE);
+        progress.not_before = Some(turn.now + FAILED_PAUSE);
         if progress.failures >= most {
-            return self.abandon(&running.item, "it failed as often as its route allows", out);
+            return self.abandon(
+                &running.item,
+                "it failed as often as its route allows",
+                turn,
+            );
         }
         self.items.wait(running.item.clone());
     }
@@ -358,7 +332,7 @@
         item: &ItemKey,
         text: FinishedText,
         finished: (GatewayId, AssignmentId),
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let result = ListedResult {
             index: item.index,
@@ -367,17 +341,17 @@
             versions: text.versions,
             score: None,
         };
-        self.list(item, result, Some(finished), out);
+        self.list(item, result, Some(finished), turn);
     }
 
     /// Gives an item up.
-    pub(crate) fn abandon(&mut self, item: &ItemKey, reason: &'static str, out: &mut Outputs) {
+    pub(crate) fn abandon(&mut self, item: &ItemKey, reason: &'static str, turn: &mut Turn<'_>) {
         let decision = Decision::ItemAbandoned {
             job: item.job.clone(),
             index: item.index,
             reason,
         };
-        log(decision, out);
+        turn.log(decision);
         let result = ListedResult {
             index: item.index,
             state: ItemState::Abandoned,
@@ -386,9 +360,9 @@
             score: None,
         };
         for (gateway, scoring) in self.scorings.remove_item(item) {
-            release_scoring(gateway, scoring, out);
+            turn.release_scoring(gateway, scoring);
         }
-        self.list(item, result, None, out);
+        self.list(item, result, None, turn);
     }
 
     /// Proposes a result; the gateway that made it keeps it until it is committed.
@@ -397,7 +371,7 @@
         item: &ItemKey,
         result: ListedResult,
         finished: Option<(GatewayId, AssignmentId)>,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         self.items.finish(item);
         let job = item.job.clone();
@@ -405,7 +379,7 @@
             job: job.clone(),
             result,
         };
-        self.propose(command, Waiter::Result { job, finished }, out);
+        self.propose(command, FollowUp::Result { job, finished }, turn);
     }
 
     /// Its engine and its gateway have one item less.
@@ -423,9 +397,3 @@
     let oldest = job.map_or(0, |job| job.submission.min_version);
     !text.is_made_since(oldest)
 }
-
-/// Tells a gateway that a try is of no more use.
-pub(crate) fn release(gateway: GatewayId, assignment: AssignmentId, out: &mut Outputs) {
-    let message = CoordinatorMessage::Release { assignment };
-    out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
-}
--- a/crates/wingshore-coordination/src/leader/placement.rs
+++ b/crates/wingshore-coordination/src/leader/placement.rs
@@ -1,10 +1,12 @@
 //! Which engine runs an item, and through which gateway.
 
+use super::decision_log::Decision;
+use super::gateways::Gateway;
+use super::machine::CoordinationLeader;
 use super::tables::engines::{Engine, slow_down};
 use super::tables::free_slots::Look;
-use super::gateways::Gateway;
 use super::tables::items::{Progress, Running};
-use super::{CoordinationLeader, Decision, Effect, Outputs, log};
+use super::turn::Turn;
 use crate::configuration::Route;
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
 use crate::jobs::{Job, JobItem};
@@ -14,7 +16,6 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
 
 /// Most items that one gateway runs at once.
 const MOST_ITEMS_OF_A_GATEWAY: usize = 96;
@@ -48,20 +49,15 @@
 
 impl CoordinationLeader {
     /// Places as many waiting items as engines and gateways take.
-    pub(crate) fn place_items(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if self.items.none_waits() || self.gateways.is_empty() || now < self.place_from {
+    pub(crate) fn place_items(&mut self, turn: &mut Turn<'_>) {
+        if self.items.none_waits() || self.gateways.is_empty() || turn.now < self.place_from {
             return;
         }
-        for job in self.jobs_by_rank(state) {
+        for job in self.jobs_by_rank(turn.state) {
             if !self.engines.has_free_slots() {
                 return;
             }
-            self.place_job(now, &job, state, out);
+            self.place_job(&job, turn);
         }
     }
 
@@ -92,13 +88,7 @@
     }
 
     /// Places waiting items of one job while any engine takes such ones.
-    fn place_job(
-        &mut self,
-        now: Instant,
-        id: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn place_job(&mut self, id: &JobId, turn: &mut Turn<'_>) {
         let mut full_services = BTreeSet::new();
         let mut last = None;
         while let Some(rank) = self.items.next_waiting(id, last) {
@@ -107,7 +97,7 @@
                 job: id.clone(),
                 index: rank.index,
             };
-            let placed = self.place(now, key, &full_services, state, out);
+            let placed = self.place(key, &full_services, turn);
             if let Err(NotPlaced::NoEngine { service }) = placed {
                 full_services.insert(service);
                 if full_services.len() >= self.engines.services_with_free_slots() {
@@ -120,20 +110,20 @@
     /// Places an item, unless its service is known to be full.
     fn place(
         &mut self,
-        now: Instant,
         key: ItemKey,
         full_services: &BTreeSet<ServiceName>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) -> Result<(), NotPlaced> {
-        let candidate = self.candidate(now, key, state).ok_or(NotPlaced::NotNow)?;
+        let candidate = self
+            .candidate(turn.now, key, turn.state)
+            .ok_or(NotPlaced::NotNow)?;
         if full_services.contains(&candidate.service) {
             return Err(NotPlaced::NotNow);
         }
-        let Some(instance) = self.choose_engine(now, &candidate, state) else {
+        let Some(instance) = self.choose_engine(turn.now, &candidate, turn.state) else {
             // One that it is to avoid may take others.
             let progress = &candidate.progress;
-            if progress.avoided(now).is_some() || is_suspect(progress, state) {
+            if progress.avoided(turn.now).is_some() || is_suspect(progress, turn.state) {
                 return Err(NotPlaced::NotNow);
             }
             let service = candidate.service;
@@ -142,7 +132,7 @@
         let gateway = self.choose_gateway(self.engines.get(&instance));
         let gateway = gateway.ok_or(NotPlaced::NotNow)?;
         self.items.take(&candidate.key);
-        self.assign(now, gateway, &instance, &candidate, out);
+        self.assign(gateway, &instance, &candidate, turn);
         Ok(())
     }
 
@@ -268,11 +258,10 @@
 
     fn assign(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         instance: &InstanceId,
         candidate: &Candidate<'_>,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(engine) = self.engines.get(instance) else {
             return;
@@ -317,10 +306,10 @@
             scorer: item.scorer.as_deref().cloned(),
             is_long: candidate.progress.is_long,
         }));
-        out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
-        log(decision, out);
+        turn.send(gateway, message);
+        turn.log(decision);
         let (key, model) = (candidate.key.clone(), candidate.model().cloned());
-        let running = Running::new(now, key, gateway, instance.clone(), model);
+        let running = Running::new(turn.now, key, gateway, instance.clone(), model);
         self.start(assignment, running);
         self.items
             .set_group_home(&job.submission.id, &item.group, instance);
--- a/crates/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/wingshore-coordination/src/leader/rollout.rs
@@ -7,15 +7,18 @@
 //! the leadership as their fence and the engine's count of orders, so that one that is carried out
 //! late does nothing.
 
+use super::decision_log::Decision;
 use super::decisions::capacity_plan::Peak;
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::interface::Effect;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use crate::registry::ModelVersion;
 use crate::state::{Command, CoordinationState, OrderHolder};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_types::machine::LeaderOutput;
 use wingshore_types::{Epoch, Instant};
 
 /// Time between further looks at an engine that loads. Not measured.
@@ -185,31 +188,33 @@
 }
 
 impl CoordinationLeader {
-    pub(crate) fn begin_rollout(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let holder = state.order_holder();
+    pub(crate) fn begin_rollout(&mut self, turn: &mut Turn<'_>) {
+        let holder = turn.state.order_holder();
         let is_own = holder.is_none_or(|holder| holder.node == self.settings.node);
         let wait = if is_own {
             Duration::ZERO
         } else {
             self.settings.order_handover
         };
-        self.rollout.claim_at = Some(now + wait);
-        self.drive_rollout(now, state, out);
+        self.rollout.claim_at = Some(turn.now + wait);
+        self.drive_rollout(turn);
+    }
+
+    /// The claim is committed: this machine gives orders from here on.
+    pub(super) fn orders_held(&mut self, turn: &mut Turn<'_>) {
+        self.rollout
+            .may_order(turn.now + self.settings.order_handover);
+        self.drive_rollout(turn);
     }
 
     /// Notes in the log that this machine has held orders for the time of a handover.
-    fn settle_orders(&mut self, now: Instant, state: &CoordinationState, out: &mut Outputs) {
-        if self.rollout.settle_at.is_none_or(|at| now < at) {
+    fn settle_orders(&mut self, turn: &mut Turn<'_>) {
+        if self.rollout.settle_at.is_none_or(|at| turn.now < at) {
             return;
         }
         self.rollout.settle_at = None;
-        if !state.orders_are_settled() {
-            self.propose(Command::SettleOrders(self.epoch), Waiter::Nobody, out);
+        if !turn.state.orders_are_settled() {
+            self.propose(Command::SettleOrders(self.epoch), FollowUp::Nothing, turn);
         }
     }
 
@@ -218,60 +223,49 @@
     /// engines refuse its fence once they have seen a higher one. Its time need not be waited out,
     /// unless it has held orders only since a short while: machines that fall one after the other,
     /// and come back, would take turns.
-    pub(crate) fn on_coordinators_lost(
-        &mut self,
-        now: Instant,
-        nodes: &[String],
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if !self.settings.engines_check_fences || !state.orders_are_settled() {
+    pub(crate) fn on_coordinators_lost(&mut self, nodes: &[String], turn: &mut Turn<'_>) {
+        if !self.settings.engines_check_fences || !turn.state.orders_are_settled() {
             return;
         }
-        let holder = state.order_holder();
+        let holder = turn.state.order_holder();
         let is_lost = holder.is_some_and(|holder| nodes.contains(&holder.node));
         if is_lost && let Some(claim_at) = &mut self.rollout.claim_at {
-            *claim_at = now.min(*claim_at);
-            self.drive_rollout(now, state, out);
+            *claim_at = turn.now.min(*claim_at);
+            self.drive_rollout(turn);
         }
     }
 
     /// As [`CoordinationLeader::drive_rollout`], after the answer of one engine; not too often.
-    fn drive_rollout_soon(&mut self, now: Instant, state: &CoordinationState, out: &mut Outputs) {
+    fn drive_rollout_soon(&mut self, turn: &mut Turn<'_>) {
         let engines = self
             .engines
             .count()
             .saturating_sub(ENGINES_LOOKED_AT_ALWAYS);
         let engines = u32::try_from(engines).unwrap_or(u32::MAX);
         let interval = LOOK_INTERVAL_OF_AN_ENGINE.saturating_mul(engines);
-        if now.since(self.rollout.looked_at) >= interval {
-            self.drive_rollout(now, state, out);
+        if turn.now.since(self.rollout.looked_at) >= interval {
+            self.drive_rollout(turn);
         }
     }
 
     /// Claims, looks and orders what is due.
-    pub(crate) fn drive_rollout(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if self.rollout.claim_at.is_some_and(|at| now >= at) {
+    pub(crate) fn drive_rollout(&mut self, turn: &mut Turn<'_>) {
+        if self.rollout.claim_at.is_some_and(|at| turn.now >= at) {
             self.rollout.claim_at = None;
             let holder = OrderHolder {
                 node: self.settings.node.clone(),
                 epoch: self.epoch,
             };
-            self.propose(Command::HoldOrders(holder), Waiter::Orders, out);
+            self.propose(Command::HoldOrders(holder), FollowUp::Orders, turn);
         }
-        self.settle_orders(now, state, out);
-        if !self.rollout.may_order || state.named_versions().is_empty() {
+        self.settle_orders(turn);
+        if !self.rollout.may_order || turn.state.named_versions().is_empty() {
             return;
         }
-        self.rollout.looked_at = now;
-        self.drop_finished_loads(state);
-        self.continue_loads(now, out);
-        self.begin_loads(now, state, out);
+        self.rollout.looked_at = turn.now;
+        self.drop_finished_loads(turn.state);
+        self.continue_loads(turn);
+        self.begin_loads(turn);
     }
 
     fn drop_finished_loads(&mut self, state: &CoordinationState) {
@@ -290,12 +284,12 @@
         });
     }
 
-    fn continue_loads(&mut self, now: Instant, out: &mut Outputs) {
+    fn continue_loads(&mut self, turn: &mut Turn<'_>) {
         let mut look_at = Vec::new();
         for (instance, load) in &mut self.rollout.loads {
             let is_due = match load.phase {
-                Phase::LookFrom(from) => now >= from,
-                Phase::Asked(at) | Phase::Ordered(at) => now.since(at) >= ENGINE_TIMEOUT,
+                Phase::LookFrom(from) => turn.now >= from,
+                Phase::Asked(at) | Phase::Ordered(at) => turn.now.since(at) >= ENGINE_TIMEOUT,
                 Phase::LeftAlone(_) => false,
             };
             if !is_due {
@@ -305,40 +299,38 @@
                 load.tries += 1;
             }
             if load.tries > MOST_TRIES {
-                load.phase = Phase::LeftAlone(now + REPORT_INTERVAL * LEFT_ALONE_INTERVALS);
+                load.phase = Phase::LeftAlone(turn.now + REPORT_INTERVAL * LEFT_ALONE_INTERVALS);
                 continue;
             }
-            load.phase = Phase::Asked(now);
+            load.phase = Phase::Asked(turn.now);
             look_at.push(instance.clone());
         }
         self.rollout
             .loads
-            .retain(|_, load| !matches!(load.phase, Phase::LeftAlone(until) if now >= until));
+            .retain(|_, load| !matches!(load.phase, Phase::LeftAlone(until) if turn.now >= until));
         for instance in look_at {
-            self.ask_report(&instance, out);
+            self.ask_report(&instance, turn);
         }
     }
 
-    pub(super) fn ask_report(&self, instance: &InstanceId, out: &mut Outputs) {
+    pub(super) fn ask_report(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
         if let Some(engine) = self.engines.get(instance) {
             let effect = Effect::AskReport {
                 instance: instance.clone(),
                 address: engine.record.address,
             };
-            out.push(LeaderOutput::Effect(effect));
+            turn.effect(effect);
         }
     }
 
     pub(crate) fn on_reported(
         &mut self,
-        now: Instant,
         instance: &InstanceId,
         report: Option<EngineReport>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         if let Some(report) = &report {
-            self.note_versions(now, instance, report, state, out);
+            self.note_versions(instance, report, turn);
         }
         let Some(load) = self.rollout.loads.get_mut(instance) else {
             return;
@@ -348,7 +340,7 @@
         }
         let Some(report) = report else {
             load.tries += 1;
-            load.phase = Phase::LookFrom(now + REPORT_INTERVAL);
+            load.phase = Phase::LookFrom(turn.now + REPORT_INTERVAL);
             return;
         };
         let version = report
@@ -357,24 +349,18 @@
             .find(|entry| entry.model == load.model)
             .map_or(0, |entry| entry.version);
         if report.busy {
-            load.phase = Phase::LookFrom(now + REPORT_INTERVAL);
+            load.phase = Phase::LookFrom(turn.now + REPORT_INTERVAL);
             return;
         }
         if version >= load.version {
-            return self.drive_rollout_soon(now, state, out);
+            return self.drive_rollout_soon(turn);
         }
-        load.phase = Phase::Ordered(now);
+        load.phase = Phase::Ordered(turn.now);
         load.tries += 1;
-        self.order(instance, report.sequence, state, out);
+        self.order(instance, report.sequence, turn);
     }
 
-    fn order(
-        &mut self,
-        instance: &InstanceId,
-        sequence: u64,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn order(&mut self, instance: &InstanceId, sequence: u64, turn: &mut Turn<'_>) {
         let Some(load) = self.rollout.loads.get(instance) else {
             return;
         };
@@ -389,47 +375,40 @@
             holder: self.settings.node.clone(),
             fence: self.epoch,
             expected_sequence: sequence,
-            keep_running: !any_single_version(&engine.record.service, state),
+            keep_running: !any_single_version(&engine.record.service, turn.state),
         };
         let model = Some(order.model.clone());
         self.engines.set_loading(instance, model);
-        out.push(LeaderOutput::Effect(Effect::Order(order)));
+        turn.effect(Effect::Order(order));
     }
 
     pub(crate) fn on_ordered(
         &mut self,
-        now: Instant,
         instance: &InstanceId,
         answer: OrderAnswer,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let load_time = self.settings.load_time;
         let Some(load) = self.rollout.loads.get_mut(instance) else {
             return;
         };
         load.phase = match answer {
-            OrderAnswer::Accepted => Phase::LookFrom(now + load_time),
-            OrderAnswer::AlreadyHeld | OrderAnswer::Conflict => Phase::LookFrom(now),
-            OrderAnswer::Unknown => Phase::LookFrom(now + REPORT_INTERVAL),
-            OrderAnswer::Fenced | OrderAnswer::Refused => Phase::LookFrom(now + ENGINE_TIMEOUT),
+            OrderAnswer::Accepted => Phase::LookFrom(turn.now + load_time),
+            OrderAnswer::AlreadyHeld | OrderAnswer::Conflict => Phase::LookFrom(turn.now),
+            OrderAnswer::Unknown => Phase::LookFrom(turn.now + REPORT_INTERVAL),
+            OrderAnswer::Fenced | OrderAnswer::Refused => {
+                Phase::LookFrom(turn.now + ENGINE_TIMEOUT)
+            }
         };
         let is_loading = matches!(answer, OrderAnswer::Accepted | OrderAnswer::Unknown);
         if !is_loading {
             self.engines.set_loading(instance, None);
         }
-        self.drive_rollout_soon(now, state, out);
+        self.drive_rollout_soon(turn);
     }
 
     /// An engine has told its versions: they are kept, and what waits for them is placed.
-    fn note_versions(
-        &mut self,
-        now: Instant,
-        instance: &InstanceId,
-        report: &EngineReport,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    fn note_versions(&mut self, instance: &InstanceId, report: &EngineReport, turn: &mut Turn<'_>) {
         let risen = self.engines.raise_versions(instance, &report.models);
         let has_risen = !risen.is_empty();
         for ModelVersion { model, version } in risen {
@@ -438,13 +417,13 @@
                 model,
                 version,
             };
-            log(decision, out);
+            turn.log(decision);
         }
         if !report.busy {
-            self.engines.loaded(instance, now + AFTER_LOAD);
+            self.engines.loaded(instance, turn.now + AFTER_LOAD);
         }
         if has_risen {
-            self.place_items(now, state, out);
+            self.place_items(turn);
         }
     }
 }
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -1,8 +1,11 @@
 //! Scorings on the leader's side: which gateway asks for which text's score, and what follows.
 
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
 use super::outcomes::SILENCE_LIMIT;
+use super::proposals::FollowUp;
 use super::tables::scorings::Running;
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::turn::Turn;
 use crate::ids::{GatewayId, ItemKey};
 use crate::messages::{AssignmentId, CoordinatorMessage};
 use crate::scoring::{RunningScoring, Scorer, ScoringAssignment, ScoringDecision, ScoringOutcome};
@@ -10,7 +13,6 @@
 use crate::text::FinishedText;
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
 
 /// Most scorings that one gateway has in hand by this leader's word.
 const MOST_SCORINGS_OF_A_GATEWAY: usize = 256;
@@ -30,18 +32,17 @@
     /// while the gateway that has it asks for the score.
     pub(crate) fn keep_unscored(
         &mut self,
-        now: Instant,
         item: &ItemKey,
         text: FinishedText,
         (gateway, made_by): (GatewayId, AssignmentId),
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         self.items.finish(item);
         let running = Running {
             item: item.clone(),
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(made_by, running);
         let command = Command::KeepUnscored {
@@ -49,18 +50,16 @@
             made_by,
             text,
         };
-        let waiter = Waiter::TextKept { gateway, made_by };
-        self.propose(command, waiter, out);
+        let follow_up = FollowUp::TextKept { gateway, made_by };
+        self.propose(command, follow_up, turn);
     }
 
     /// A gateway has a scoring in hand that an earlier leader knew of.
     pub(crate) fn adopt_scoring(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         scoring: RunningScoring,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let RunningScoring {
             scoring,
@@ -70,7 +69,7 @@
         if self.scorings.running.contains_key(&scoring) {
             return;
         }
-        let job = state.jobs().get(&item.job).filter(|job| !job.ended);
+        let job = turn.state.jobs().get(&item.job).filter(|job| !job.ended);
         let kept = job.and_then(|job| job.unscored(item.index));
         let is_own_text = match kept {
             Some(kept) => kept.made_by == made_by,
@@ -79,13 +78,13 @@
         };
         let is_open = job.is_some_and(|job| !job.is_listed(item.index));
         if !is_open || !is_own_text || self.scorings.is_in_hand(&item) {
-            return release_scoring(gateway, scoring, out);
+            return turn.release_scoring(gateway, scoring);
         }
         let running = Running {
             item,
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(scoring, running);
     }
@@ -120,27 +119,22 @@
     }
 
     /// Gives texts that wait for a score to gateways.
-    pub(crate) fn place_scorings(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if self.scorings.waiting.is_empty() || now < self.place_from {
+    pub(crate) fn place_scorings(&mut self, turn: &mut Turn<'_>) {
+        if self.scorings.waiting.is_empty() || turn.now < self.place_from {
             return;
         }
         let due: Vec<(ItemKey, AssignmentId)> = self
             .scorings
             .waiting
             .iter()
-            .filter(|(_, waiting)| now >= waiting.not_before)
+            .filter(|(_, waiting)| turn.now >= waiting.not_before)
             .map(|(item, waiting)| (item.clone(), waiting.made_by))
             .collect();
         for (item, made_by) in due {
             let Some(gateway) = self.choose_scoring_gateway() else {
                 return;
             };
-            self.assign_scoring(now, item, made_by, gateway, state, out);
+            self.assign_scoring(item, made_by, gateway, turn);
         }
     }
 
@@ -161,14 +155,13 @@
 
     fn assign_scoring(
         &mut self,
-        now: Instant,
         item: ItemKey,
         made_by: AssignmentId,
         gateway: GatewayId,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let contents = state
+        let contents = turn
+            .state
             .jobs()
             .get(&item.job)
             .and_then(|job| job.submission.items.get(item.index as usize));
@@ -186,7 +179,7 @@
             request: scorer.request.clone(),
             gateway,
         };
-        log(Decision::Scoring(decision), out);
+        turn.log(Decision::Scoring(decision));
         let message = CoordinatorMessage::Score(ScoringAssignment {
             scoring,
             item: item.clone(),
@@ -194,27 +187,25 @@
             made_by,
             scorer: *scorer,
         });
-        out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
+        turn.send(gateway, message);
         let running = Running {
             item,
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(scoring, running);
     }
 
     pub(crate) fn on_scoring_ended(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         scoring: AssignmentId,
         outcome: ScoringOutcome,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let Some(running) = self.scorings.running.remove(&scoring) else {
-            return release_scoring(gateway, scoring, out);
+            return turn.release_scoring(gateway, scoring);
         };
         let Running { item, made_by, .. } = running;
         let reason = outcome.name();
@@ -227,44 +218,43 @@
                     score,
                 };
                 let finished = (gateway, scoring);
-                let waiter = Waiter::Scored { item, finished };
-                self.propose(command, waiter, out);
+                let follow_up = FollowUp::Scored { item, finished };
+                self.propose(command, follow_up, turn);
             }
             ScoringOutcome::Failed(failures) => {
-                let known = kept_failures(&item, state).saturating_add(failures);
-                if known >= self.most_scoring_attempts(&item, state) {
-                    release_scoring(gateway, scoring, out);
+                let known = kept_failures(&item, turn.state).saturating_add(failures);
+                if known >= self.most_scoring_attempts(&item, turn.state) {
+                    turn.release_scoring(gateway, scoring);
                     let reason = "its scoring failed as often as the route allows";
-                    return self.abandon(&item, reason, out);
+                    return self.abandon(&item, reason, turn);
                 }
-                self.retry_scoring(now, scoring, &item, made_by, (reason, known), out);
+                self.retry_scoring(scoring, &item, made_by, (reason, known), turn);
                 let command = Command::CountScoringFailures {
                     item,
                     made_by,
                     failures,
                 };
-                let waiter = Waiter::ScoringCounted { gateway, scoring };
-                self.propose(command, waiter, out);
+                let follow_up = FollowUp::ScoringCounted { gateway, scoring };
+                self.propose(command, follow_up, turn);
             }
             ScoringOutcome::NotScored(_) => {
-                release_scoring(gateway, scoring, out);
-                let known = kept_failures(&item, state);
-                self.retry_scoring(now, scoring, &item, made_by, (reason, known), out);
+                turn.release_scoring(gateway, scoring);
+                let known = kept_failures(&item, turn.state);
+                self.retry_scoring(scoring, &item, made_by, (reason, known), turn);
             }
         }
     }
 
     fn retry_scoring(
         &mut self,
-        now: Instant,
         scoring: AssignmentId,
         item: &ItemKey,
         made_by: AssignmentId,
         (reason, failures): (&'static str, u32),
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let pause = self.scorings.next_pause(item);
-        self.scorings.wait(item.clone(), made_by, now + pause);
+        self.scorings.wait(item.clone(), made_by, turn.now + pause);
         let decision = ScoringDecision::Retried {
             scoring,
             item: item.clone(),
@@ -272,31 +262,29 @@
             failures,
             pause,
         };
-        log(Decision::Scoring(decision), out);
+        turn.log(Decision::Scoring(decision));
     }
 
     /// A score was committed: the item is listed, unless the text that the group holds is another
     /// try's.
     pub(crate) fn scored(
         &mut self,
-        now: Instant,
         item: &ItemKey,
         (gateway, scoring): (GatewayId, AssignmentId),
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        release_scoring(gateway, scoring, out);
-        let Some(job) = state.jobs().get(&item.job) else {
+        turn.release_scoring(gateway, scoring);
+        let Some(job) = turn.state.jobs().get(&item.job) else {
             return;
         };
         if job.is_listed(item.index) {
-            self.log_listed(now, &item.job, state, out);
-            return self.results_listed(&item.job, state, out);
+            self.log_listed(&item.job, turn);
+            return self.results_listed(&item.job, turn);
         }
         if let Some(unscored) = job.unscored(item.index)
             && !self.scorings.is_in_hand(item)
         {
-            self.scorings.wait(item.clone(), unscored.made_by, now);
+            self.scorings.wait(item.clone(), unscored.made_by, turn.now);
         }
     }
 
@@ -313,9 +301,3 @@
     let unscored = job.and_then(|job| job.unscored(item.index));
     unscored.map_or(0, |unscored| unscored.failures)
 }
-
-/// Tells a gateway that a scoring is of no more use.
-pub(crate) fn release_scoring(gateway: GatewayId, scoring: AssignmentId, out: &mut Outputs) {
-    let message = CoordinatorMessage::ReleaseScoring { scoring };
-    out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
-}
--- a/crates/wingshore-coordination/src/leader/servers.rs
+++ b/crates/wingshore-coordination/src/leader/servers.rs
@@ -1,6 +1,10 @@
 //! The registry's leader side: heartbeats, drains, departures, expiry.
 
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log, reply};
+use super::decision_log::Decision;
+use super::interface::Effect;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::ids::{InstanceId, ServerName};
 use crate::messages::Reply;
 use crate::registry::{HeardServer, Heartbeat, ServerRecord};
@@ -8,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_types::machine::{LeaderOutput, RequestTag};
+use wingshore_types::machine::RequestTag;
 use wingshore_types::{Instant, ReplicaId};
 
 /// Calls of a run that has ended may arrive this long after the next one of its name: heartbeats and
@@ -133,53 +137,46 @@
 impl CoordinationLeader {
     pub(crate) fn on_heartbeat(
         &mut self,
-        now: Instant,
         tag: RequestTag,
         heartbeat: Heartbeat,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        if let Some(reason) = foreign(&heartbeat.server, state) {
-            return reply(tag, Reply::Refused(reason), out);
+        if let Some(reason) = foreign(&heartbeat.server, turn.state) {
+            return turn.reply(tag, Reply::Refused(reason));
         }
         let instance = heartbeat.server.instance.clone();
         let is_newest = self
             .heartbeats
-            .note(now, instance.clone(), heartbeat.sequence);
-        let is_known = state.servers().contains_key(&instance);
+            .note(turn.now, instance.clone(), heartbeat.sequence);
+        let is_known = turn.state.servers().contains_key(&instance);
         if is_newest {
             self.engines.heard(&instance);
         }
-        if state.has_departed(&instance)
+        if turn.state.has_departed(&instance)
             || !is_newest
-            || self.heartbeats.knows_later_run(&instance, state)
-            || (!is_known && self.may_be_outdated(now, &instance))
+            || self.heartbeats.knows_later_run(&instance, turn.state)
+            || (!is_known && self.may_be_outdated(turn.now, &instance))
         {
-            return reply(tag, Reply::Done, out);
+            return turn.reply(tag, Reply::Done);
         }
-        let wanted = merged(heartbeat.server, state);
-        if state.servers().get(&instance) == Some(&wanted) {
-            return reply(tag, Reply::Done, out);
+        let wanted = merged(heartbeat.server, turn.state);
+        if turn.state.servers().get(&instance) == Some(&wanted) {
+            return turn.reply(tag, Reply::Done);
         }
         if !is_known {
-            self.supersede_others(&wanted, state, out);
-            self.end_earlier_runs(now, &instance, state, out);
+            self.supersede_others(&wanted, turn);
+            self.end_earlier_runs(&instance, turn);
         }
         let command = Command::Register(wanted);
-        self.propose(command, Waiter::Server(instance, Some(tag)), out);
+        self.propose(command, FollowUp::Server(instance, Some(tag)), turn);
     }
 
     /// Two runs cannot listen at one address: where a new one registers, the one before has ended,
     /// and is given nothing from now on. It would be known by its silence only after
     /// [`LeaderSettings::server_expiry`](super::LeaderSettings::server_expiry), and be sent what
     /// the new one refuses until then.
-    fn supersede_others(
-        &mut self,
-        server: &ServerRecord,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let others = state.servers().values();
+    fn supersede_others(&mut self, server: &ServerRecord, turn: &mut Turn<'_>) {
+        let others = turn.state.servers().values();
         let name = server.instance.name();
         let others = others.filter(|other| other.address == server.address);
         let others = others.filter(|other| other.instance.name() != name);
@@ -187,7 +184,7 @@
         self.heartbeats.supersede(server.address, &others);
         for instance in others {
             let command = Command::Expire(instance.clone());
-            self.propose(command, Waiter::Server(instance, None), out);
+            self.propose(command, FollowUp::Server(instance, None), turn);
         }
     }
 
@@ -199,14 +196,8 @@
     }
 
     /// A server has started again under its name: the runs before have ended for good.
-    fn end_earlier_runs(
-        &mut self,
-        now: Instant,
-        instance: &InstanceId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let runs = state.runs_of(instance.name());
+    fn end_earlier_runs(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
+        let runs = turn.state.runs_of(instance.name());
         let earlier: Vec<InstanceId> = runs
             .map(|(run, _)| run)
             .filter(|run| *run < instance)
@@ -215,27 +206,29 @@
         if earlier.is_empty() {
             return;
         }
-        self.heartbeats.restarted.note(now, instance.name());
+        self.heartbeats.restarted.note(turn.now, instance.name());
         for run in earlier {
-            self.propose(Command::Depart(run.clone()), Waiter::Server(run, None), out);
+            self.propose(
+                Command::Depart(run.clone()),
+                FollowUp::Server(run, None),
+                turn,
+            );
         }
     }
 
     /// Another coordinator answered heartbeats that say what the registry holds.
     pub(crate) fn on_servers_heard(
         &mut self,
-        now: Instant,
         from: ReplicaId,
         servers: Vec<HeardServer>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let mut unknown = Vec::new();
         for HeardServer { instance, sequence } in servers {
-            if state.servers().contains_key(&instance) {
+            if turn.state.servers().contains_key(&instance) {
                 self.engines.heard(&instance);
-                self.heartbeats.note(now, instance, sequence);
-            } else if !state.has_departed(&instance) {
+                self.heartbeats.note(turn.now, instance, sequence);
+            } else if !turn.state.has_departed(&instance) {
                 unknown.push(instance);
             }
         }
@@ -244,60 +237,44 @@
                 to: from,
                 instances: unknown,
             };
-            out.push(LeaderOutput::Effect(effect));
+            turn.effect(effect);
         }
     }
 
     /// A server deregisters. It does not say which of its runs ends: where a new one has just
     /// registered, the call may be a late one of the run before, and is not acknowledged. A server
     /// that means it calls again.
-    pub(crate) fn on_deregister(
-        &mut self,
-        now: Instant,
-        tag: RequestTag,
-        name: ServerName,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let newest = state.runs_of(&name).last().map(|(run, _)| run.clone());
+    pub(crate) fn on_deregister(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
+        let newest = turn.state.runs_of(&name).last().map(|(run, _)| run.clone());
         let Some(newest) = newest else {
-            return self.deregister_unknown(now, tag, name, state, out);
+            return self.deregister_unknown(tag, name, turn);
         };
-        if newest.born().is_some() && self.heartbeats.restarted.has(now, &name) {
-            return reply(tag, Reply::ComeBack(LATE_CALLS), out);
+        if newest.born().is_some() && self.heartbeats.restarted.has(turn.now, &name) {
+            return turn.reply(tag, Reply::ComeBack(LATE_CALLS));
         }
         let command = Command::Depart(newest.clone());
-        self.propose(command, Waiter::Server(newest, Some(tag)), out);
+        self.propose(command, FollowUp::Server(newest, Some(tag)), turn);
     }
 
     /// A server deregisters that the registry does not hold: its heartbeats may still be under way.
-    fn deregister_unknown(
-        &mut self,
-        now: Instant,
-        tag: RequestTag,
-        name: ServerName,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        self.heartbeats.deregistered.note(now, &name);
+    fn deregister_unknown(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
+        self.heartbeats.deregistered.note(turn.now, &name);
         let instance = InstanceId::new(name, None);
-        if state.has_departed(&instance) {
-            return reply(tag, Reply::Done, out);
+        if turn.state.has_departed(&instance) {
+            return turn.reply(tag, Reply::Done);
         }
         let command = Command::Depart(instance.clone());
-        self.propose(command, Waiter::Server(instance, Some(tag)), out);
+        self.propose(command, FollowUp::Server(instance, Some(tag)), turn);
     }
 
     /// What the registry holds of a server has changed.
     pub(crate) fn server_changed(
         &mut self,
-        now: Instant,
         instance: InstanceId,
         tag: Option<RequestTag>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let change = match state.servers().get(&instance) {
+        let change = match turn.state.servers().get(&instance) {
             Some(server) if server.draining => "draining",
             Some(_) => "registered",
             None => "gone",
@@ -306,23 +283,19 @@
             instance: instance.clone(),
             change,
         };
-        log(decision, out);
+        turn.log(decision);
         if let Some(tag) = tag {
-            reply(tag, Reply::Done, out);
+            turn.reply(tag, Reply::Done);
         }
-        self.engines.server_changed(&instance, state);
-        self.place_items(now, state, out);
+        self.engines.server_changed(&instance, turn.state);
+        self.place_items(turn);
     }
 
-    pub(crate) fn expire_servers(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        self.heartbeats.forget(now - FORGET_AFTER, state);
-        let limit = now - self.settings.server_expiry;
-        let silent: Vec<InstanceId> = state
+    pub(crate) fn expire_servers(&mut self, turn: &mut Turn<'_>) {
+        self.heartbeats.forget(turn.now - FORGET_AFTER, turn.state);
+        let limit = turn.now - self.settings.server_expiry;
+        let silent: Vec<InstanceId> = turn
+            .state
             .servers()
             .keys()
             .filter(|instance| self.heartbeats.silent_since(instance, limit))
@@ -333,12 +306,12 @@
             self.heartbeats.last.insert(
                 instance.clone(),
                 LastHeartbeat {
-                    at: now,
+                    at: turn.now,
                     sequence: 0,
                 },
             );
             let command = Command::Expire(instance.clone());
-            self.propose(command, Waiter::Server(instance, None), out);
+            self.propose(command, FollowUp::Server(instance, None), turn);
         }
     }
 }
--- a/crates/wingshore-coordination/src/leader/usage.rs
+++ b/crates/wingshore-coordination/src/leader/usage.rs
@@ -4,15 +4,18 @@
 //! leads, and however often, sends the same. The holder of orders sends: its claim keeps the calls
 //! of two machines apart as it does for orders to engines.
 
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::decision_log::Decision;
+use super::interface::Effect;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
 use crate::ids::GatewayId;
 use crate::provider::{DutyHolder, ProviderAnswer, UsageReport};
 use crate::site_time::WallTime;
-use crate::state::{Command, CoordinationState, SiteUsage};
+use crate::state::{Command, SiteUsage};
 use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wingshore_types::machine::LeaderOutput;
 use wingshore_types::{Instant, doubled_pause};
 
 /// A window is closed after this part of the time in which its report is due: gateways tell their
@@ -186,33 +189,28 @@
 
 impl CoordinationLeader {
     /// Closes windows and sends reports that are due.
-    pub(crate) fn drive_usage(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn drive_usage(&mut self, turn: &mut Turn<'_>) {
         let Some(duty) = self.settings.usage else {
             return;
         };
-        let configuration = state.configuration();
+        let configuration = turn.state.configuration();
         if configuration.is_none_or(|held| held.tenants.is_empty()) {
             return;
         }
-        if let Some(window) = self.usage.next_to_close(now, duty, state.usage()) {
-            let counts = self.usage.counts_of(window, state.usage());
+        if let Some(window) = self.usage.next_to_close(turn.now, duty, turn.state.usage()) {
+            let counts = self.usage.counts_of(window, turn.state.usage());
             self.usage.closing = Some(window);
             let command = Command::CloseUsageWindow { window, counts };
-            self.propose(command, Waiter::UsageClosed(window), out);
+            self.propose(command, FollowUp::UsageClosed(window), turn);
         }
         if self.rollout.holds_orders() {
-            self.send_reports(now, state, out);
+            self.send_reports(turn);
         }
     }
 
-    fn send_reports(&mut self, now: Instant, state: &CoordinationState, out: &mut Outputs) {
-        for window in self.usage.take_due(now, state.usage()) {
-            let Some(counts) = state.usage().waiting().get(&window) else {
+    fn send_reports(&mut self, turn: &mut Turn<'_>) {
+        for window in self.usage.take_due(turn.now, turn.state.usage()) {
+            let Some(counts) = turn.state.usage().waiting().get(&window) else {
                 continue;
             };
             let report = UsageReport {
@@ -220,7 +218,7 @@
                 counts: counts.clone(),
                 holder: self.duty_holder(),
             };
-            out.push(LeaderOutput::Effect(Effect::ReportUsage(report)));
+            turn.effect(Effect::ReportUsage(report));
         }
     }
 
@@ -233,50 +231,47 @@
     }
 
     /// The counts of a window are committed.
-    pub(crate) fn usage_closed(
-        &mut self,
-        now: Instant,
-        window: UsageWindow,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
+    pub(crate) fn usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
         self.usage.closing = None;
         self.usage.totals = self.usage.totals.split_off(&window.next());
-        let counts = state.usage().waiting().get(&window);
+        let counts = turn.state.usage().waiting().get(&window);
         let decision = Decision::UsageClosed {
             window,
             tenants: counts.map_or(0, |counts| counts.0.len()),
             requests: counts.map_or(0, |counts| counts.0.values().sum()),
         };
-        log(decision, out);
-        self.drive_usage(now, state, out);
+        turn.log(decision);
+        self.drive_usage(turn);
     }
 
     /// The provider has answered a report, or has not.
     pub(crate) fn on_usage_answered(
         &mut self,
-        now: Instant,
         window: UsageWindow,
         answer: ProviderAnswer,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         match answer {
             ProviderAnswer::Done => {
                 self.usage.sending.remove(&window);
-                self.propose(Command::UsageReported(window), Waiter::Nobody, out);
+                self.propose(Command::UsageReported(window), FollowUp::Nothing, turn);
             }
             ProviderAnswer::Conflict => self.usage.is_fenced = true,
             ProviderAnswer::Busy | ProviderAnswer::Refused | ProviderAnswer::Unknown => {
-                self.usage.failed(now, window);
+                self.usage.failed(turn.now, window);
             }
         }
     }
 
     /// A gateway is gone: what it had counted is kept beyond this leadership.
-    pub(crate) fn keep_usage_of(&mut self, gateway: GatewayId, out: &mut Outputs) {
+    pub(crate) fn keep_usage_of(&mut self, gateway: GatewayId, turn: &mut Turn<'_>) {
         let usage = self.usage.told_by(gateway);
         if !usage.is_empty() {
-            self.propose(Command::KeepUsage { gateway, usage }, Waiter::Nobody, out);
+            self.propose(
+                Command::KeepUsage { gateway, usage },
+                FollowUp::Nothing,
+                turn,
+            );
         }
     }
 }
