--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -2,3 +2,4 @@
 //! no clock of its own, no changes of what others own.
 
 pub(crate) mod capacity_plan;
+pub(crate) mod crash_evidence;
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -4,7 +4,7 @@
 //! the tables, and says what is to be done.
 
 use super::capacity::Capacity;
-use super::evidence::Evidence;
+use super::decisions::crash_evidence::Evidence;
 use super::gateways::{AwayGateway, Gateway};
 use super::interface::LeaderFigures;
 use super::jobs::{JobClock, Readers};
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -30,7 +30,7 @@
 pub use decisions::capacity_plan::{
     CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity,
 };
-pub use evidence::EVIDENCE_LIFETIME;
+pub use decisions::crash_evidence::EVIDENCE_LIFETIME;
 pub use interface::{Effect, Event, LeaderFigures};
 pub use machine::CoordinationLeader;
 pub use policy::LeaderPolicy;
--- a/crates/wingshore-coordination/src/leader/placement.rs
+++ b/crates/wingshore-coordination/src/leader/placement.rs
@@ -1,6 +1,7 @@
 //! Which engine runs an item, and through which gateway.
 
 use super::decision_log::Decision;
+use super::decisions::crash_evidence;
 use super::gateways::Gateway;
 use super::machine::CoordinationLeader;
 use super::tables::engines::{Engine, slow_down};
@@ -11,7 +12,7 @@
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
 use crate::jobs::{Job, JobItem};
 use crate::messages::{CoordinatorMessage, ItemAssignment};
-use crate::state::{CoordinationState, TOLD_FROM};
+use crate::state::CoordinationState;
 use crate::text::{DurablePrefix, ItemText};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -329,7 +330,7 @@
 /// other: the next ending then tells which of them is the cause.
 fn is_suspect(progress: &Progress, state: &CoordinationState) -> bool {
     let request = progress.request;
-    request.is_some_and(|request| state.evidence().ended_under(request) >= TOLD_FROM)
+    request.is_some_and(|request| crash_evidence::is_suspect(state.evidence().ended_under(request)))
 }
 
 /// With which text a try begins. Where versions must not mix, an engine at another one begins anew.
