--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -3,3 +3,4 @@
 
 pub(crate) mod capacity_plan;
 pub(crate) mod crash_evidence;
+pub(crate) mod usage_reports;
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -5,6 +5,7 @@
 
 use super::capacity::Capacity;
 use super::decisions::crash_evidence::Evidence;
+use super::decisions::usage_reports::UsageReporter;
 use super::gateways::{AwayGateway, Gateway};
 use super::interface::LeaderFigures;
 use super::jobs::{JobClock, Readers};
@@ -16,7 +17,6 @@
 use super::tables::items::Items;
 use super::tables::scorings::Scorings;
 use super::turn::Turn;
-use super::usage::UsageReporter;
 use crate::ids::GatewayId;
 use crate::routes::RouteTable;
 use crate::state::Command;
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -31,9 +31,9 @@
     CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity,
 };
 pub use decisions::crash_evidence::EVIDENCE_LIFETIME;
+pub use decisions::usage_reports::UsageDuty;
 pub use interface::{Effect, Event, LeaderFigures};
 pub use machine::CoordinationLeader;
 pub use policy::LeaderPolicy;
 pub use rollout::{EngineReport, OrderAnswer, WeightOrder};
 pub use settings::LeaderSettings;
-pub use usage::UsageDuty;
--- a/crates/wingshore-coordination/src/leader/settings.rs
+++ b/crates/wingshore-coordination/src/leader/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of the leader machine.
 
 use super::decisions::capacity_plan::CapacityPolicy;
+use super::decisions::usage_reports::UsageDuty;
 use super::policy::LeaderPolicy;
-use super::usage::UsageDuty;
 use crate::fingerprint::FingerprintKey;
 use std::time::Duration;
 
--- a/crates/wingshore-coordination/src/leader/usage.rs
+++ b/crates/wingshore-coordination/src/leader/usage.rs
@@ -1,8 +1,4 @@
-//! Reports of usage: closing a window, and sending its report.
-//!
-//! A window's counts are committed before its report is sent for the first time, so that whoever
-//! leads, and however often, sends the same. The holder of orders sends: its claim keeps the calls
-//! of two machines apart as it does for orders to engines.
+//! Reports of usage: commits the counts of windows, and sends their reports.
 
 use super::decision_log::Decision;
 use super::interface::Effect;
@@ -11,181 +7,8 @@
 use super::turn::Turn;
 use crate::ids::GatewayId;
 use crate::provider::{DutyHolder, ProviderAnswer, UsageReport};
-use crate::site_time::WallTime;
-use crate::state::{Command, SiteUsage};
-use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
-use std::collections::BTreeMap;
-use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
-
-/// A window is closed after this part of the time in which its report is due: gateways tell their
-/// counts each 400 ms, and the rest of the time is for calls that have to be made again.
-const CLOSE_PART: f64 = 0.4;
-/// A new leader hears what gateways have counted before it closes a window.
-const TELLING_TIME: Duration = Duration::from_millis(1500);
-/// Windows that ended this many before the present one are not made up for.
-const MOST_BEHIND: u64 = 24;
-/// Reports under way at once.
-const MOST_SENDING: usize = 2;
-/// Pause after a first call without success; twice as long after each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// The longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-
-/// Reports of usage that a site owes its provider.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsageDuty {
-    /// Length of a window.
-    pub window: Duration,
-    /// Time after the end of a window in which its report is due.
-    pub due: Duration,
-}
-
-/// One report on its way.
-#[derive(Clone, Copy, Debug, Default)]
-struct Sending {
-    is_under_way: bool,
-    failures: u32,
-    not_before: Instant,
-}
-
-/// What the leader knows of usage besides what is durable.
-#[derive(Default)]
-pub(crate) struct UsageReporter {
-    /// A time of day that the site agreed on, and when.
-    agreed: Option<(WallTime, Instant)>,
-    /// Totals of gateways in windows that are open.
-    totals: BTreeMap<UsageWindow, BTreeMap<GatewayId, UsageCounts>>,
-    /// The window whose counts are being committed.
-    closing: Option<UsageWindow>,
-    sending: BTreeMap<UsageWindow, Sending>,
-    /// Whether another holder has acted: this one does not any more.
-    is_fenced: bool,
-    close_from: Instant,
-}
-
-impl UsageReporter {
-    /// A new leadership.
-    pub(crate) fn begin(&mut self, now: Instant) {
-        self.close_from = now + TELLING_TIME;
-    }
-
-    /// The site has agreed on its time of day.
-    pub(crate) fn time_agreed(&mut self, now: Instant, wall: WallTime) {
-        self.agreed = Some((wall, now));
-    }
-
-    fn site_time(&self, now: Instant) -> Option<WallTime> {
-        let (wall, at) = self.agreed?;
-        let since = i64::try_from(now.since(at).as_millis()).unwrap_or(i64::MAX);
-        Some(WallTime(wall.0.saturating_add(since)))
-    }
-
-    /// A gateway has told totals.
-    pub(crate) fn told(
-        &mut self,
-        gateway: GatewayId,
-        usage: Vec<WindowUsage>,
-        durable: &SiteUsage,
-    ) {
-        for WindowUsage { window, counts } in usage {
-            if durable.closed().is_none_or(|closed| window > closed) {
-                self.totals
-                    .entry(window)
-                    .or_default()
-                    .insert(gateway, counts);
-            }
-        }
-    }
-
-    /// What a gateway has told of windows that are open.
-    fn told_by(&self, gateway: GatewayId) -> Vec<WindowUsage> {
-        let totals = self.totals.iter();
-        totals
-            .filter_map(|(window, gateways)| {
-                let counts = gateways.get(&gateway)?.clone();
-                let window = *window;
-                Some(WindowUsage { window, counts })
-            })
-            .collect()
-    }
-
-    /// All that was counted in a window. What a gateway told lately stands for what was kept of it.
-    fn counts_of(&self, window: UsageWindow, durable: &SiteUsage) -> UsageCounts {
-        let mut sum = UsageCounts::default();
-        let totals = self.totals.get(&window);
-        let is_told = |gateway: &GatewayId| totals.is_some_and(|told| told.contains_key(gateway));
-        let kept = durable
-            .kept(window)
-            .filter(|(gateway, _)| !is_told(gateway));
-        let told = totals.into_iter().flatten();
-        for (_, counts) in kept.chain(told) {
-            sum.add(counts);
-        }
-        sum
-    }
-
-    /// The window to be closed next, if its time has come.
-    fn next_to_close(
-        &self,
-        now: Instant,
-        duty: UsageDuty,
-        durable: &SiteUsage,
-    ) -> Option<UsageWindow> {
-        if self.closing.is_some() || now < self.close_from {
-            return None;
-        }
-        let time = self.site_time(now)?;
-        let present = UsageWindow::at(time, duty.window);
-        let oldest = UsageWindow(present.0.saturating_sub(MOST_BEHIND));
-        let next = match durable.closed() {
-            Some(closed) => closed.next(),
-            None => self.first_window(present, durable),
-        };
-        let next = next.max(oldest);
-        let wait = duty.due.mul_f64(CLOSE_PART);
-        let closes_at = next.end(duty.window).0 + i64::try_from(wait.as_millis()).ok()?;
-        (time.0 >= closes_at).then_some(next)
-    }
-
-    /// The window to begin with: the first one that anything was counted in, or else the one before the
-    /// present one.
-    fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
-        let before = UsageWindow(present.0.saturating_sub(1));
-        let told = self.totals.keys().next().copied();
-        let counted = told.into_iter().chain(durable.first_kept()).min();
-        counted.map_or(before, |counted| counted.min(before))
-    }
-
-    /// Windows whose reports are to be sent now.
-    fn take_due(&mut self, now: Instant, durable: &SiteUsage) -> Vec<UsageWindow> {
-        let waiting = durable.waiting();
-        self.sending
-            .retain(|window, _| waiting.contains_key(window));
-        if self.is_fenced {
-            return Vec::new();
-        }
-        let under_way = self.sending.values().filter(|send| send.is_under_way);
-        let room = MOST_SENDING.saturating_sub(under_way.count());
-        let mut due = Vec::new();
-        for window in waiting.keys() {
-            let send = self.sending.entry(*window).or_default();
-            if due.len() < room && !send.is_under_way && now >= send.not_before {
-                send.is_under_way = true;
-                due.push(*window);
-            }
-        }
-        due
-    }
-
-    fn failed(&mut self, now: Instant, window: UsageWindow) {
-        if let Some(send) = self.sending.get_mut(&window) {
-            send.not_before = now + doubled_pause(FIRST_PAUSE, send.failures, LONGEST_PAUSE);
-            send.failures += 1;
-            send.is_under_way = false;
-        }
-    }
-}
+use crate::state::Command;
+use crate::usage::UsageWindow;
 
 impl CoordinationLeader {
     /// Closes windows and sends reports that are due.
@@ -197,9 +20,8 @@
         if configuration.is_none_or(|held| held.tenants.is_empty()) {
             return;
         }
-        if let Some(window) = self.usage.next_to_close(turn.now, duty, turn.state.usage()) {
-            let counts = self.usage.counts_of(window, turn.state.usage());
-            self.usage.closing = Some(window);
+        let usage = turn.state.usage();
+        if let Some((window, counts)) = self.usage.close_next(turn.now, duty, usage) {
             let command = Command::CloseUsageWindow { window, counts };
             self.propose(command, FollowUp::UsageClosed(window), turn);
         }
@@ -213,12 +35,11 @@
             let Some(counts) = turn.state.usage().waiting().get(&window) else {
                 continue;
             };
-            let report = UsageReport {
+            turn.effect(Effect::ReportUsage(UsageReport {
                 window,
                 counts: counts.clone(),
                 holder: self.duty_holder(),
-            };
-            turn.effect(Effect::ReportUsage(report));
+            }));
         }
     }
 
@@ -232,15 +53,13 @@
 
     /// The counts of a window are committed.
     pub(crate) fn usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
-        self.usage.closing = None;
-        self.usage.totals = self.usage.totals.split_off(&window.next());
+        self.usage.closed(window);
         let counts = turn.state.usage().waiting().get(&window);
-        let decision = Decision::UsageClosed {
+        turn.log(Decision::UsageClosed {
             window,
             tenants: counts.map_or(0, |counts| counts.0.len()),
             requests: counts.map_or(0, |counts| counts.0.values().sum()),
-        };
-        turn.log(decision);
+        });
         self.drive_usage(turn);
     }
 
@@ -251,15 +70,8 @@
         answer: ProviderAnswer,
         turn: &mut Turn<'_>,
     ) {
-        match answer {
-            ProviderAnswer::Done => {
-                self.usage.sending.remove(&window);
-                self.propose(Command::UsageReported(window), FollowUp::Nothing, turn);
-            }
-            ProviderAnswer::Conflict => self.usage.is_fenced = true,
-            ProviderAnswer::Busy | ProviderAnswer::Refused | ProviderAnswer::Unknown => {
-                self.usage.failed(turn.now, window);
-            }
+        if self.usage.on_answer(turn.now, window, answer) {
+            self.propose(Command::UsageReported(window), FollowUp::Nothing, turn);
         }
     }
 
