--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -3,4 +3,5 @@
 
 pub(crate) mod capacity_plan;
 pub(crate) mod crash_evidence;
+pub(crate) mod registration;
 pub(crate) mod usage_reports;
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -5,13 +5,13 @@
 
 use super::capacity::Capacity;
 use super::decisions::crash_evidence::Evidence;
+use super::decisions::registration::Heartbeats;
 use super::decisions::usage_reports::UsageReporter;
 use super::gateways::{AwayGateway, Gateway};
 use super::interface::LeaderFigures;
 use super::jobs::{JobClock, Readers};
 use super::proposals::{FollowUp, Proposals};
 use super::rollout::Rollout;
-use super::servers::Heartbeats;
 use super::settings::LeaderSettings;
 use super::tables::engines::Engines;
 use super::tables::items::Items;
