--- a/crates/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/wingshore-coordination/src/leader/capacity.rs
@@ -1,12 +1,11 @@
-//! Ordering servers: how many of each service are to be had where.
+//! Ordering servers: commits how many of each pool are wanted, and orders them.
 //!
-//! A number is committed before it is ordered, so that a successor goes on with it rather than with
-//! one of its own. An order is given again until the provider acknowledges it, and later while the
-//! registry shows another number: an older order may have been carried out late, or servers may be
-//! lost. Which numbers are wanted is [`super::decisions::capacity_plan`]'s.
+//! A number is committed before it is ordered, so that a successor continues with it rather than with
+//! one of its own. Which numbers are wanted is [`super::decisions::capacity_plan`]'s, when they are ordered
+//! [`super::decisions::capacity_orders`]'s.
 
 use super::decision_log::Decision;
-use super::decisions::capacity_plan::{CapacityDemand, DEMAND_MEMORY, Peak, wanted};
+use super::decisions::capacity_plan::{CapacityDemand, DEMAND_MEMORY, wanted};
 use super::interface::Effect;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -16,55 +15,26 @@
 use crate::provider::{CapacityOrder, ProviderAnswer};
 use crate::scaling::{CapacityPool, Scaling};
 use crate::state::{Command, CoordinationState};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::Instant;
 
-/// Between two looks at what is wanted.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a first order without success; twice as long after each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Servers that were ordered are missed this long after they should serve.
-const BOOT_MARGIN: Duration = Duration::from_secs(4);
-
-/// How an order stands.
-#[derive(Clone, Copy, Debug, Default)]
-struct OrderState {
-    is_under_way: bool,
-    failures: u32,
-    not_before: Instant,
-    /// The number that the provider has acknowledged, and when.
-    acknowledged: Option<(u32, Instant)>,
-    /// Whether another holder has acted on it: this one does not any more.
-    is_fenced: bool,
-}
-
-/// What the leader knows of servers ordered besides what is durable.
-#[derive(Default)]
-pub(crate) struct Capacity {
-    orders: BTreeMap<CapacityPool, OrderState>,
-    looked_at: Option<Instant>,
-    /// Pools whose number is being committed.
-    proposed: BTreeSet<CapacityPool>,
-    /// Items that were open at once lately, by the service that runs them.
-    open_items: BTreeMap<ServiceName, Peak>,
-}
+/// Time between two scans of what is wanted. Not measured.
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 
 impl CoordinationLeader {
     /// Decides how many servers are wanted, and orders what is due.
     pub(crate) fn drive_capacity(&mut self, turn: &mut Turn<'_>) {
-        let looked_at = self.capacity.looked_at;
-        let is_due = looked_at.is_none_or(|at| turn.now.since(at) >= LOOK_INTERVAL);
+        let scanned_at = self.capacity.scanned_at;
+        let is_due = scanned_at.is_none_or(|at| turn.now.since(at) >= SCAN_INTERVAL);
         let Some(configuration) = turn.state.configuration().filter(|_| is_due) else {
             return;
         };
         if !self.settings.orders_servers || !self.rollout.holds_orders() {
             return;
         }
-        self.capacity.looked_at = Some(turn.now);
+        self.capacity.scanned_at = Some(turn.now);
         let configuration = Arc::clone(configuration);
         for service in &configuration.services {
             if let Some(scaling) = &service.scaling {
@@ -145,17 +115,10 @@
             }
             let present = present_in(pool, turn.state);
             let order = self.capacity.orders.entry(pool.clone()).or_default();
-            if order.is_under_way || order.is_fenced || turn.now < order.not_before {
-                continue;
-            }
-            let is_had = order.acknowledged.is_some_and(|(acknowledged, at)| {
-                let is_booting = turn.now < at + scaling.boot + BOOT_MARGIN;
-                acknowledged == *count && (is_booting || present == *count)
-            });
-            if is_had {
+            if !order.is_due(turn.now, *count, present, scaling.boot) {
                 continue;
             }
-            order.is_under_way = true;
+            order.sent();
             let effect = Effect::OrderCapacity(CapacityOrder {
                 pool: pool.clone(),
                 count: *count,
@@ -168,9 +131,9 @@
     /// A number is committed.
     pub(crate) fn capacity_wanted(&mut self, pool: &CapacityPool, turn: &mut Turn<'_>) {
         self.capacity.proposed.remove(pool);
-        self.capacity.looked_at = None;
+        self.capacity.scanned_at = None;
         if let Some(order) = self.capacity.orders.get_mut(pool) {
-            order.not_before = turn.now;
+            order.number_changed(turn.now);
         }
         self.drive_capacity(turn);
     }
@@ -183,24 +146,8 @@
         count: u32,
         answer: ProviderAnswer,
     ) {
-        let Some(order) = self.capacity.orders.get_mut(pool) else {
-            return;
-        };
-        order.is_under_way = false;
-        match answer {
-            ProviderAnswer::Done => {
-                order.acknowledged = Some((count, now));
-                order.failures = 0;
-            }
-            // Of servers that may be taken away it says that there are none to be had.
-            ProviderAnswer::Conflict if !pool.reclaimable => order.is_fenced = true,
-            ProviderAnswer::Conflict
-            | ProviderAnswer::Busy
-            | ProviderAnswer::Refused
-            | ProviderAnswer::Unknown => {
-                order.not_before = now + doubled_pause(FIRST_PAUSE, order.failures, LONGEST_PAUSE);
-                order.failures += 1;
-            }
+        if let Some(order) = self.capacity.orders.get_mut(pool) {
+            order.on_answer(now, count, pool.reclaimable, answer);
         }
     }
 }
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -3,7 +3,6 @@
 //! What it does stands in one module a topic. Each takes an input, asks the decision modules, changes
 //! the tables, and says what is to be done.
 
-use super::capacity::Capacity;
 use super::decisions::crash_evidence::Evidence;
 use super::decisions::registration::Heartbeats;
 use super::decisions::usage_reports::UsageReporter;
@@ -13,6 +12,7 @@
 use super::proposals::{FollowUp, Proposals};
 use super::rollout::Rollout;
 use super::settings::LeaderSettings;
+use super::tables::capacity::Capacity;
 use super::tables::engines::Engines;
 use super::tables::items::Items;
 use super::tables::scorings::Scorings;
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -1,6 +1,7 @@
 //! What a leader keeps in memory: engines, items, scorings. All of it is built anew at each
 //! leadership, from the replicated state and from what gateways and servers report.
 
+pub(crate) mod capacity;
 pub(crate) mod engines;
 pub(crate) mod free_slots;
 pub(crate) mod items;
