--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -4,5 +4,6 @@
 pub(crate) mod capacity_orders;
 pub(crate) mod capacity_plan;
 pub(crate) mod crash_evidence;
+pub(crate) mod ejection;
 pub(crate) mod registration;
 pub(crate) mod usage_reports;
--- a/crates/wingshore-coordination/src/leader/moves.rs
+++ b/crates/wingshore-coordination/src/leader/moves.rs
@@ -2,7 +2,7 @@
 
 use super::decision_log::Decision;
 use super::machine::CoordinationLeader;
-use super::tables::free_slots::Look;
+use super::tables::free_slots::{EngineQuery, Look};
 use super::tables::items::Avoided;
 use super::turn::Turn;
 use crate::ids::{GatewayId, InstanceId};
@@ -46,9 +46,7 @@
             };
             let instance = running.instance.clone();
             let engine = self.engines.get(&instance);
-            let steady = engine.is_some_and(|engine| {
-                engine.loading.is_none() && turn.now >= engine.unsteady_until
-            });
+            let steady = engine.is_some_and(|engine| engine.is_steady(turn.now));
             if !steady {
                 running.seen = Some((events, turn.now));
                 continue;
@@ -149,19 +147,19 @@
         } else {
             MUCH_FASTER
         };
+        let query = EngineQuery {
+            service: &engine.record.service,
+            model,
+            min_version,
+            look: Look::FastestKnown,
+        };
         self.engines
-            .best_of_each(
-                &engine.record.service,
-                model,
-                min_version,
-                Look::FastestKnown,
-                |instance, other| {
-                    let promised = promised.get(instance).copied().unwrap_or(0);
-                    other.pace.is_some()
-                        && other.takes(now, model, min_version)
-                        && other.running + promised + SPARE_SLOTS < other.slots
-                },
-            )
+            .best_of_each(query, |instance, other| {
+                let promised = promised.get(instance).copied().unwrap_or(0);
+                other.pace.is_some()
+                    && other.takes(now, model, min_version)
+                    && other.running + promised + SPARE_SLOTS < other.slots
+            })
             .into_iter()
             .filter_map(|(instance, other)| Some((other.expected_pace()?, instance)))
             .filter(|(other, _)| pace > other * gain)
--- a/crates/wingshore-coordination/src/leader/outcomes.rs
+++ b/crates/wingshore-coordination/src/leader/outcomes.rs
@@ -1,6 +1,7 @@
 //! What follows from the end of a try at an item.
 
 use super::decision_log::Decision;
+use super::decisions::ejection::eject_until;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::items::Running;
@@ -276,7 +277,12 @@
     }
 
     fn pause_engine(&mut self, now: Instant, instance: &InstanceId) {
-        self.engines.pause(now, instance);
+        let Some(engine) = self.engines.get(instance) else {
+            return;
+        };
+        if let Some(until) = eject_until(now, engine.paused_until, engine.faults) {
+            self.engines.eject(instance, until);
+        }
     }
 
     fn not_run(&mut self, now: Instant, running: &Running, reason: NotRunReason) {
--- a/crates/wingshore-coordination/src/leader/placement.rs
+++ b/crates/wingshore-coordination/src/leader/placement.rs
@@ -4,9 +4,10 @@
 use super::decisions::crash_evidence;
 use super::gateways::Gateway;
 use super::machine::CoordinationLeader;
-use super::tables::engines::{Engine, slow_down};
-use super::tables::free_slots::Look;
+use super::tables::engine::Engine;
+use super::tables::free_slots::{EngineQuery, Look};
 use super::tables::items::{Progress, Running};
+use super::tables::pace::slow_down;
 use super::turn::Turn;
 use crate::configuration::Route;
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
@@ -201,18 +202,18 @@
             .filter(|(_, engine)| engine.record.service == candidate.service)
             .filter(|(_, engine)| engine.takes(now, model, min_version))
             .filter(|(home, _)| is_apart(home));
+        let query = EngineQuery {
+            service: &candidate.service,
+            model,
+            min_version,
+            look: Look::Any,
+        };
         self.engines
-            .best_of_each(
-                &candidate.service,
-                model,
-                min_version,
-                Look::Any,
-                |instance, engine| {
-                    avoid != Some(instance)
-                        && engine.takes(now, model, min_version)
-                        && is_apart(instance)
-                },
-            )
+            .best_of_each(query, |instance, engine| {
+                avoid != Some(instance)
+                    && engine.takes(now, model, min_version)
+                    && is_apart(instance)
+            })
             .into_iter()
             .chain(at_home)
             .map(|(instance, engine)| {
@@ -346,12 +347,6 @@
     (kept.clone(), durable)
 }
 
-impl Engine {
-    fn version_of_any(&self, model: Option<&ModelName>) -> u64 {
-        model.map_or(0, |model| self.version_of(model))
-    }
-}
-
 /// What a long item costs on an engine: the time that it takes there, and the standing still while
 /// the engine loads weights that it still lacks.
 fn long_cost(engine: &Engine, best_pace: f64, is_newest: bool) -> f64 {
--- a/crates/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/wingshore-coordination/src/leader/tables/engines.rs
@@ -1,72 +1,14 @@
-//! What the leader knows of each engine besides its registration.
+//! All engines that the leader knows, and an index of those with free slots.
 
-use super::free_slots::{EngineNumber, FreeSlots, Look, PaceStep};
+use super::engine::{Engine, EngineNumber};
+use super::free_slots::{EngineQuery, FreeSlots};
+use super::pace::{PaceStep, measured};
 use crate::ids::{GatewayId, InstanceId, ModelName, ServiceName};
 use crate::registry::{ModelVersion, ServerRecord};
 use crate::state::CoordinationState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
-
-/// Weight of the newest measurement of an engine's pace.
-const PACE_WEIGHT: f64 = 0.15;
-
-/// An engine at fault gets no items for this long at first, and twice as long each time. Not measured.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// The longest such time. Not measured.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-
-/// One engine.
-#[derive(Clone, Debug)]
-pub(crate) struct Engine {
-    pub(crate) number: EngineNumber,
-    pub(crate) record: ServerRecord,
-    /// Items that are assigned to it.
-    pub(crate) running: usize,
-    /// Gets no items before this time.
-    pub(crate) paused_until: Instant,
-    /// Nobody listened at its address: it gets no items before it is heard of again. A server
-    /// that crashed never is; one that was cut off is within its heartbeat interval.
-    pub(crate) unheard: bool,
-    /// Faults in a row.
-    pub(crate) faults: u32,
-    /// The model whose weights it is loading.
-    pub(crate) loading: Option<ModelName>,
-    /// Items that run at once.
-    pub(crate) slots: usize,
-    /// Time from event to event of a stream if it ran alone, in milliseconds, as measured lately.
-    pub(crate) pace: Option<f64>,
-    /// Until then streams may stand still: it loads weights, or has just done so.
-    pub(crate) unsteady_until: Instant,
-    /// The gateway that ran its last item: it has connections to it.
-    pub(crate) gateway: Option<GatewayId>,
-    /// Long items that run on it, by their model.
-    pub(crate) long_running: BTreeMap<ModelName, usize>,
-}
-
-impl Engine {
-    /// Time from event to event for one more item, in milliseconds.
-    pub(crate) fn expected_pace(&self) -> Option<f64> {
-        Some(self.pace? * slow_down(self.running + 1))
-    }
-
-    /// The version of `model` it holds at least.
-    pub(crate) fn version_of(&self, model: &ModelName) -> u64 {
-        self.record.version_of(model).unwrap_or(0)
-    }
-
-    /// Whether it takes an item of `model` at `now`.
-    pub(crate) fn takes(&self, now: Instant, model: Option<&ModelName>, min_version: u64) -> bool {
-        let loading = model.is_some() && self.loading.as_ref() == model;
-        let holds = model.is_none_or(|model| self.version_of(model) >= min_version);
-        !self.record.draining
-            && !self.unheard
-            && !loading
-            && holds
-            && now >= self.paused_until
-            && self.running < self.slots
-    }
-}
+use wingshore_types::Instant;
 
 /// All engines: servers of services that the configuration says are engines.
 ///
@@ -123,20 +65,7 @@
         let number = EngineNumber(self.next_number);
         self.next_number += 1;
         let instance = record.instance.clone();
-        let engine = Engine {
-            number,
-            record,
-            running: 0,
-            paused_until: Instant::ZERO,
-            unheard: false,
-            faults: 0,
-            loading: None,
-            slots,
-            pace: None,
-            unsteady_until: Instant::ZERO,
-            gateway: None,
-            long_running: BTreeMap::new(),
-        };
+        let engine = Engine::new(number, record, slots);
         self.staying += usize::from(!engine.record.reclaimable);
         self.free.add(&engine);
         self.by_number.insert(number, instance.clone());
@@ -169,25 +98,20 @@
         !self.free.is_empty()
     }
 
-    /// For each version of `model` from `min_version` on, and each number of items that run on an
-    /// engine, the fastest engine of a service with a free slot that `accepts` takes: the best one
-    /// is among them. Engines whose pace is not known come first.
-    pub(crate) fn best_of_each<'a>(
-        &'a self,
-        service: &ServiceName,
-        model: Option<&ModelName>,
-        min_version: u64,
-        look: Look,
+    /// For each version from the lowest allowed on, and each number of items that run on an engine,
+    /// the fastest engine with a free slot that `accepts` takes: the best one is among them. Engines
+    /// whose pace is not known come first.
+    pub(crate) fn best_of_each(
+        &self,
+        query: EngineQuery<'_>,
         accepts: impl Fn(&InstanceId, &Engine) -> bool,
-    ) -> Vec<(&'a InstanceId, &'a Engine)> {
+    ) -> Vec<(&InstanceId, &Engine)> {
         let takes = |number| {
             let known = self.numbered(number);
             known.is_some_and(|(instance, engine)| accepts(instance, engine))
         };
-        let fastest = self.fastest(service).map(|(step, _)| step);
-        let best = self
-            .free
-            .best_of_each((service, fastest), model, min_version, look, takes);
+        let fastest = self.fastest(query.service).map(|(step, _)| step);
+        let best = self.free.best_of_each(query, fastest, takes);
         let known = best.into_iter().filter_map(|number| self.numbered(number));
         known.collect()
     }
@@ -319,10 +243,7 @@
         if events == 0 {
             return;
         }
-        let measured = time.as_secs_f64() * 1000.0 / events as f64;
-        let sample = measured / slow_down(engine.running);
-        let known = engine.pace.unwrap_or(sample);
-        let pace = Some(known + (sample - known) * PACE_WEIGHT);
+        let pace = Some(measured(engine.pace, engine.running, events, time));
         let (before, after) = (PaceStep::of(engine.pace), PaceStep::of(pace));
         if before == after {
             engine.pace = pace;
@@ -378,27 +299,15 @@
         }
     }
 
-    /// It failed, or did not take an item: it gets none for a while.
-    pub(crate) fn pause(&mut self, now: Instant, instance: &InstanceId) {
-        let Some(engine) = self.all.get_mut(instance) else {
-            return;
-        };
-        // Items that ended together are one fault.
-        if now < engine.paused_until {
-            return;
+    /// It is at fault once more: it gets no items before `until`.
+    pub(crate) fn eject(&mut self, instance: &InstanceId, until: Instant) {
+        if let Some(engine) = self.all.get_mut(instance) {
+            engine.paused_until = until;
+            engine.faults += 1;
         }
-        engine.paused_until = now + doubled_pause(FIRST_PAUSE, engine.faults, LONGEST_PAUSE);
-        engine.faults += 1;
     }
 }
 
-/// How many times longer an engine takes from event to event with this many items than with none.
-pub(crate) fn slow_down(running: usize) -> f64 {
-    /// By how much each item slows the others down.
-    const EACH: f64 = 0.009;
-    1.0 + EACH * running as f64
-}
-
 /// Requests that an engine runs at once, by its own word and by the configuration.
 fn slots_of(record: &ServerRecord, state: &CoordinationState) -> usize {
     let profile = state
--- a/crates/wingshore-coordination/src/leader/tables/free_slots.rs
+++ b/crates/wingshore-coordination/src/leader/tables/free_slots.rs
@@ -5,52 +5,11 @@
 //! of a core at 3,500 items a second; by this index it takes some 10 µs, whatever their number
 //! (a group of one member, jobs of twice the slots, one core).
 
-use super::engines::Engine;
+use super::engine::{Engine, EngineNumber};
+use super::pace::PaceStep;
 use crate::ids::{ModelName, ServiceName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Paces that differ by less than a part of this many of a doubling count as one: they change with
-/// each measurement, and an engine is put in another place only where that can matter.
-const PACE_STEPS_OF_A_DOUBLING: f64 = 64.0;
-/// Paces below a thousandth of a millisecond count as that.
-const LEAST_PACE_MS: f64 = 0.001;
-
-/// Names an engine within one leader's memory.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct EngineNumber(pub(crate) u32);
-
-/// The step in which an engine's pace falls; lower ones are faster. Unknown paces come first: they
-/// count as the best one known.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PaceStep(Option<u32>);
-
-impl PaceStep {
-    /// Of a pace in milliseconds.
-    pub(crate) fn of(pace: Option<f64>) -> Self {
-        let steps = |pace: f64| {
-            let doublings = (pace.max(LEAST_PACE_MS) / LEAST_PACE_MS).log2();
-            (doublings * PACE_STEPS_OF_A_DOUBLING) as u32
-        };
-        Self(pace.map(steps))
-    }
-
-    /// Whether it is about as good as the fastest known one.
-    fn is_similar(self, fastest: Option<Self>) -> bool {
-        match (self.0, fastest.and_then(|fastest| fastest.0)) {
-            (Some(own), Some(fastest)) => own <= fastest + SIMILAR_STEPS,
-            // Nothing speaks against one of unknown pace that is connected already.
-            (None, _) | (_, None) => true,
-        }
-    }
-}
-
-/// An engine without a connection is left for items that find no idle one with a connection, of
-/// which the pace is at most this many steps, 3 %, behind the fastest known: as much as paces that
-/// are measured once differ by chance. Engines of unknown pace count as the best, so that each item
-/// of a site with many more engines than items would go to one that nothing is known of, on a new
-/// connection.
-const SIMILAR_STEPS: u32 = 3;
-
 /// Whether the gateway through which an engine's items go has connections to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Connected {
@@ -132,52 +91,70 @@
         }
     }
 
-    /// For each version from `min_version` on and each number of items that run on an engine, the
+    /// For each version from the lowest allowed on and each number of items that run on an engine, the
     /// engine with the best pace of which `takes` holds: the best one for an item is among them,
     /// since of two such engines that differ in pace only, the faster is better. One without a
     /// connection is among them only where that is not similar to the `fastest` known pace.
     pub(crate) fn best_of_each(
         &self,
-        (service, fastest): (&ServiceName, Option<PaceStep>),
-        model: Option<&ModelName>,
-        min_version: u64,
-        look: Look,
+        query: EngineQuery<'_>,
+        fastest: Option<PaceStep>,
         takes: impl Fn(EngineNumber) -> bool,
     ) -> Vec<EngineNumber> {
         let group = Group {
-            service: service.clone(),
-            model: model.cloned(),
+            service: query.service.clone(),
+            model: query.model.cloned(),
         };
         let mut best = Vec::new();
-        let Some(versions) = self.groups.get(&group) else {
-            return best;
-        };
-        for places in versions.range(min_version..).map(|(_, places)| places) {
-            let mut next = places.first().copied();
-            while let Some(first) = next {
-                let found = |connected: Connected| {
-                    let alike = places.range(look.begin_of(first.running, connected)..);
-                    let alike = alike.take_while(|place| {
-                        place.running == first.running && place.connected == connected
-                    });
-                    let mut looked_at = alike.take(look.most_looks());
-                    looked_at.find(|place| takes(place.number)).copied()
-                };
-                let connected = found(Connected::Yes);
-                best.extend(connected.map(|place| place.number));
-                if !connected.is_some_and(|place| place.pace.is_similar(fastest)) {
-                    best.extend(found(Connected::No).map(|place| place.number));
-                }
-                next = places
-                    .range(Look::Any.begin_of(first.running + 1, Connected::Yes)..)
-                    .next()
-                    .copied();
+        if let Some(versions) = self.groups.get(&group) {
+            for (_, places) in versions.range(query.min_version..) {
+                best_of_version(places, query.look, fastest, &takes, &mut best);
             }
         }
         best
     }
 }
 
+/// For each number of items that run on engines at one version, adds the best of these engines.
+fn best_of_version(
+    places: &BTreeSet<Place>,
+    look: Look,
+    fastest: Option<PaceStep>,
+    takes: &impl Fn(EngineNumber) -> bool,
+    best: &mut Vec<EngineNumber>,
+) {
+    let mut next = places.first().copied();
+    while let Some(first) = next {
+        let found = |connected: Connected| {
+            let alike = places.range(look.begin_of(first.running, connected)..);
+            let alike = alike
+                .take_while(|place| place.running == first.running && place.connected == connected);
+            let mut looked_at = alike.take(look.most_looks());
+            looked_at.find(|place| takes(place.number)).copied()
+        };
+        let connected = found(Connected::Yes);
+        best.extend(connected.map(|place| place.number));
+        if !connected.is_some_and(|place| place.pace.is_similar(fastest)) {
+            best.extend(found(Connected::No).map(|place| place.number));
+        }
+        let with_more_items = Look::Any.begin_of(first.running + 1, Connected::Yes);
+        next = places.range(with_more_items..).next().copied();
+    }
+}
+
+/// Engines that are asked for.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EngineQuery<'a> {
+    /// Of this service.
+    pub(crate) service: &'a ServiceName,
+    /// That serve this model; any engine where none is named.
+    pub(crate) model: Option<&'a ModelName>,
+    /// That hold this version of it, or a newer one.
+    pub(crate) min_version: u64,
+    /// Which of them are looked at.
+    pub(crate) look: Look,
+}
+
 /// Which engines are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Look {
@@ -191,8 +168,8 @@
     /// Before the engines that run `running` items, and have connections or have none.
     fn begin_of(self, running: usize, connected: Connected) -> Place {
         let pace = match self {
-            Self::Any => PaceStep(None),
-            Self::FastestKnown => PaceStep(Some(0)),
+            Self::Any => PaceStep::UNKNOWN,
+            Self::FastestKnown => PaceStep::FASTEST,
         };
         let number = EngineNumber(0);
         Place {
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -2,7 +2,9 @@
 //! leadership, from the replicated state and from what gateways and servers report.
 
 pub(crate) mod capacity;
+pub(crate) mod engine;
 pub(crate) mod engines;
 pub(crate) mod free_slots;
 pub(crate) mod items;
+pub(crate) mod pace;
 pub(crate) mod scorings;
