--- a/crates/wingshore-coordination/src/leader/interface.rs
+++ b/crates/wingshore-coordination/src/leader/interface.rs
@@ -1,8 +1,9 @@
 //! What the leader machine hears from outside the group, and what it wants done there.
 
-use super::{Decision, EngineReport, OrderAnswer, WeightOrder};
+use super::decision_log::Decision;
+use super::decisions::load_progress::{EngineReport, OrderAnswer};
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemKey};
+use crate::ids::{GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
     AssignmentId, CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress,
     RunningItem, SeenCrash,
@@ -16,7 +17,7 @@
 use crate::usage::{UsageWindow, WindowUsage};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_types::ReplicaId;
+use wingshore_types::{Epoch, ReplicaId};
 
 /// News from outside the group.
 #[derive(Clone, Debug, PartialEq)]
@@ -162,6 +163,27 @@
     },
 }
 
+/// An order to load weights.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightOrder {
+    /// The engine.
+    pub instance: InstanceId,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The model.
+    pub model: ModelName,
+    /// The version to load.
+    pub version: u64,
+    /// Name of the machine that gives the order.
+    pub holder: String,
+    /// Its leadership; engines refuse lower ones.
+    pub fence: Epoch,
+    /// Orders that the engine had taken when it was polled.
+    pub expected_sequence: u64,
+    /// Whether runs go on under the new version, rather than end first.
+    pub keep_running: bool,
+}
+
 /// How much a leader has in hand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaderFigures {
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/loading.rs
@@ -0,0 +1,69 @@
+//! Beginning loads of weights.
+
+use super::decisions::item_length::is_long_for_loads;
+use super::decisions::load_choice::{LoadChoice, NextLoad, max_loads};
+use super::decisions::load_progress::Load;
+use super::machine::CoordinationLeader;
+use super::turn::Turn;
+use crate::state::CoordinationState;
+use wingshore_types::Instant;
+
+impl CoordinationLeader {
+    /// Begins as many loads as the weight store serves.
+    pub(super) fn begin_loads(&mut self, turn: &mut Turn<'_>) {
+        let max = max_loads(&self.engines, self.settings.concurrent_loads);
+        if self.rollout.active() >= max {
+            return;
+        }
+        self.count_long_items();
+        let mut choice = self.load_choice(turn.now, turn.state);
+        while self.rollout.active() < max {
+            let Some(next) = choice.take() else {
+                return;
+            };
+            let NextLoad {
+                instance,
+                model,
+                version,
+            } = next;
+            self.ask_report(&instance, turn);
+            let load = Load::begin(turn.now, model, version);
+            self.rollout.loads.insert(instance, load);
+        }
+    }
+
+    /// Counts, for each engine and model, the items that are long or have proved to be.
+    fn count_long_items(&mut self) {
+        self.engines.clear_long_running();
+        for (_, running) in self.items.running() {
+            let events = running.seen.map_or(0, |(events, _)| events);
+            if let Some(model) = &running.model
+                && is_long_for_loads(running.is_long, events)
+            {
+                self.engines.add_long_running(&running.instance, model);
+            }
+        }
+    }
+
+    fn load_choice(&mut self, now: Instant, state: &CoordinationState) -> LoadChoice {
+        let mut choice = LoadChoice::new(
+            state.named_versions(),
+            &self.engines,
+            |instance| self.rollout.model_loaded_by(instance),
+            self.settings.policy,
+        );
+        for (job, items) in self.items.waiting_by_job() {
+            let job = state.jobs().get(job);
+            if let Some(model) = job.and_then(|job| job.submission.model.as_ref()) {
+                choice.count_waiting(model, items);
+            }
+        }
+        for (_, running) in self.items.running() {
+            if let Some(model) = &running.model {
+                choice.count_running(model);
+            }
+        }
+        choice.note_peaks(now, &mut self.rollout.peaks);
+        choice
+    }
+}
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -10,7 +10,7 @@
 mod gateways;
 mod interface;
 mod jobs;
-mod load_choice;
+mod loading;
 mod machine;
 mod members;
 mod moves;
@@ -31,9 +31,9 @@
     CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity,
 };
 pub use decisions::crash_evidence::EVIDENCE_LIFETIME;
+pub use decisions::load_progress::{EngineReport, OrderAnswer};
 pub use decisions::usage_reports::UsageDuty;
-pub use interface::{Effect, Event, LeaderFigures};
+pub use interface::{Effect, Event, LeaderFigures, WeightOrder};
 pub use machine::CoordinationLeader;
 pub use policy::LeaderPolicy;
-pub use rollout::{EngineReport, OrderAnswer, WeightOrder};
 pub use settings::LeaderSettings;
--- a/crates/wingshore-coordination/src/leader/moves.rs
+++ b/crates/wingshore-coordination/src/leader/moves.rs
@@ -17,8 +17,6 @@
 const MUCH_FASTER: f64 = 1.8;
 /// Events after which an item counts as a long one.
 const LONG_EVENTS: u64 = 20;
-/// Events after which an item has proved to be a long one.
-const PROVED_LONG_EVENTS: u64 = 30;
 /// Events after which an item may move at all.
 const FEWEST_EVENTS: u64 = 3;
 /// Most times that one item moves.
@@ -61,19 +59,6 @@
         self.move_items(&told, turn);
     }
 
-    /// Counts, for each engine and model, the items that are long or have proved to be.
-    pub(crate) fn count_long_items(&mut self) {
-        self.engines.clear_long_running();
-        for (_, running) in self.items.running() {
-            let events = running.seen.map_or(0, |(events, _)| events);
-            if let Some(model) = &running.model
-                && (running.is_long || events >= PROVED_LONG_EVENTS)
-            {
-                self.engines.add_long_running(&running.instance, model);
-            }
-        }
-    }
-
     /// Breaks off those of `tries` whose items go on faster elsewhere.
     fn move_items(&mut self, tries: &[AssignmentId], turn: &mut Turn<'_>) {
         if !self.settings.policy.moves {
--- a/crates/wingshore-coordination/src/leader/tables/engine.rs
+++ b/crates/wingshore-coordination/src/leader/tables/engine.rs
@@ -1,7 +1,7 @@
 //! One engine, and what the leader knows of it besides its registration.
 
 use super::pace::slow_down;
-use crate::ids::{GatewayId, ModelName};
+use crate::ids::{GatewayId, InstanceId, ModelName};
 use crate::registry::ServerRecord;
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
@@ -57,6 +57,11 @@
         }
     }
 
+    /// Which incarnation of a server it is.
+    pub(crate) fn instance(&self) -> &InstanceId {
+        &self.record.instance
+    }
+
     /// Time from event to event for one more item, in milliseconds.
     pub(crate) fn expected_pace(&self) -> Option<f64> {
         Some(self.pace? * slow_down(self.running + 1))
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -7,4 +7,5 @@
 pub(crate) mod free_slots;
 pub(crate) mod items;
 pub(crate) mod pace;
+pub(crate) mod rollout;
 pub(crate) mod scorings;
