--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -5,6 +5,8 @@
 pub(crate) mod capacity_plan;
 pub(crate) mod crash_evidence;
 pub(crate) mod ejection;
+pub(crate) mod expiry;
+pub(crate) mod gateway_choice;
 pub(crate) mod item_length;
 pub(crate) mod load_choice;
 pub(crate) mod load_progress;
--- a/crates/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/wingshore-coordination/src/leader/dispatch.rs
@@ -1,6 +1,6 @@
 //! Inputs of the leader machine: which part of the leader each goes to.
 
-use super::gateways::INTRODUCTION_TIME;
+use super::decisions::expiry::INTRODUCTION_TIME;
 use super::interface::{Effect, Event};
 use super::jobs;
 use super::machine::CoordinationLeader;
@@ -60,7 +60,7 @@
         let turn = &mut Turn { now, state, out };
         match request {
             Request::PutConfiguration(configuration) => {
-                self.put_configuration(tag, configuration, turn);
+                self.put_configuration(tag, configuration, turn)
             }
             Request::ReadConfiguration => {
                 let configuration = turn.state.configuration().cloned();
@@ -68,13 +68,9 @@
             }
             Request::Heartbeat(heartbeat) => self.on_heartbeat(tag, heartbeat, turn),
             Request::Deregister(name) => self.on_deregister(tag, name, turn),
-            Request::NameVersion { model, version } => {
-                self.name_version(tag, model, version, turn);
-            }
+            Request::NameVersion { model, version } => self.name_version(tag, model, version, turn),
             Request::SubmitJob(submission) => self.submit_job(tag, submission, turn),
-            Request::ReadJob { job, from, wait } => {
-                self.read_job(tag, job, from, wait, turn);
-            }
+            Request::ReadJob { job, from, wait } => self.read_job(tag, job, from, wait, turn),
             Request::ReadItem { job, item } => jobs::read_item(tag, &job, &item, turn),
             Request::EndJob(job) => self.end_job(tag, &job, turn),
             Request::DescribeMember { member, node } => {
@@ -129,16 +125,12 @@
         let turn = &mut Turn { now, state, out };
         match event {
             Event::GatewayConnected(hello) => self.on_gateway(hello, turn),
-            Event::GatewayStatus(gateway, status) => {
-                if let Some(known) = self.gateways.get_mut(&gateway) {
-                    known.status = status;
-                }
-            }
+            Event::GatewayStatus(gateway, status) => self.on_gateway_status(gateway, status),
             Event::GatewayRunning {
                 gateway,
                 items,
                 scorings,
-            } => self.on_running(gateway, (items, scorings), turn),
+            } => self.on_running(gateway, items, scorings, turn),
             Event::ScoringsInHand(scorings) => self.on_scoring(turn.now, &scorings),
             Event::ScoringEnded {
                 gateway,
@@ -156,7 +148,7 @@
             }
             Event::RequestsRan(requests) => self.on_requests_ran(requests, turn),
             Event::GatewayGone { gateway, silence } => {
-                self.on_gateway_gone((gateway, silence), turn);
+                self.on_gateway_gone(gateway, silence, turn);
             }
             Event::ItemEnded {
                 gateway,
@@ -164,28 +156,20 @@
                 item,
                 outcome,
             } => self.on_item_ended(gateway, (assignment, item), outcome, turn),
-            Event::ServersHeard { from, servers } => {
-                self.on_servers_heard(from, servers, turn);
-            }
+            Event::ServersHeard { from, servers } => self.on_servers_heard(from, servers, turn),
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
             Event::UsageTold { gateway, usage } => {
-                self.usage.told(gateway, usage, turn.state.usage());
+                self.usage.told(gateway, usage, turn.state.usage())
             }
             Event::CapacityAnswered {
                 pool,
                 count,
                 answer,
             } => self.on_capacity_answered(turn.now, &pool, count, answer),
-            Event::UsageAnswered { window, answer } => {
-                self.on_usage_answered(window, answer, turn);
-            }
-            Event::Ordered { instance, answer } => {
-                self.on_ordered(&instance, answer, turn);
-            }
-            Event::Reported { instance, report } => {
-                self.on_reported(&instance, report, turn);
-            }
+            Event::UsageAnswered { window, answer } => self.on_usage_answered(window, answer, turn),
+            Event::Ordered { instance, answer } => self.on_ordered(&instance, answer, turn),
+            Event::Reported { instance, report } => self.on_reported(&instance, report, turn),
         }
     }
 
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -6,22 +6,20 @@
 use super::decisions::crash_evidence::Evidence;
 use super::decisions::registration::Heartbeats;
 use super::decisions::usage_reports::UsageReporter;
-use super::gateways::{AwayGateway, Gateway};
 use super::interface::LeaderFigures;
 use super::jobs::{JobClock, Readers};
 use super::proposals::{FollowUp, Proposals};
 use super::settings::LeaderSettings;
 use super::tables::capacity::Capacity;
 use super::tables::engines::Engines;
+use super::tables::gateways::Gateways;
 use super::tables::items::Items;
 use super::tables::rollout::Rollout;
 use super::tables::scorings::Scorings;
 use super::turn::Turn;
-use crate::ids::GatewayId;
 use crate::routes::RouteTable;
 use crate::state::Command;
 use crate::tenants::TenantRanks;
-use std::collections::BTreeMap;
 use wingshore_types::{Epoch, Instant};
 
 /// The leader machine of the coordination group.
@@ -35,8 +33,7 @@
     /// When all servers, items and jobs are next looked through for what has expired.
     pub(super) next_sweep: Instant,
     pub(super) proposals: Proposals,
-    pub(super) gateways: BTreeMap<GatewayId, Gateway>,
-    pub(super) away: Vec<AwayGateway>,
+    pub(super) gateways: Gateways,
     pub(super) heartbeats: Heartbeats,
     pub(super) engines: Engines,
     pub(super) items: Items,
@@ -68,8 +65,7 @@
             place_from: Instant::ZERO,
             next_sweep: Instant::ZERO,
             proposals: Proposals::default(),
-            gateways: BTreeMap::new(),
-            away: Vec::new(),
+            gateways: Gateways::default(),
             heartbeats: Heartbeats::default(),
             engines: Engines::default(),
             items: Items::default(),
--- a/crates/wingshore-coordination/src/leader/outcomes.rs
+++ b/crates/wingshore-coordination/src/leader/outcomes.rs
@@ -2,6 +2,7 @@
 
 use super::decision_log::Decision;
 use super::decisions::ejection::eject_until;
+use super::decisions::expiry::is_silent;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::items::Running;
@@ -17,9 +18,6 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// A try or a scoring that its gateway does not speak of for this long is over. Gateways speak of all that
-/// they run each 400 ms. Not measured.
-pub(super) const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 /// An item that was not run is not placed again for this long.
 const NOT_RUN_PAUSE: Duration = Duration::from_millis(30);
 /// An item that is rejected since servers have ended under it is offered to a gateway again after
@@ -93,7 +91,7 @@
         let silent: Vec<AssignmentId> = self
             .items
             .running()
-            .filter(|(_, running)| turn.now.since(running.heard) > SILENCE_LIMIT)
+            .filter(|(_, running)| is_silent(turn.now, running.heard))
             .map(|(assignment, _)| *assignment)
             .collect();
         for assignment in silent {
@@ -391,9 +389,7 @@
     /// Its engine and its gateway have one item less.
     pub(crate) fn note_end(&mut self, running: &Running) {
         self.engines.ended(&running.instance);
-        if let Some(known) = self.gateways.get_mut(&running.gateway) {
-            known.running = known.running.saturating_sub(1);
-        }
+        self.gateways.item_ended(running.gateway);
     }
 }
 
--- a/crates/wingshore-coordination/src/leader/placement.rs
+++ b/crates/wingshore-coordination/src/leader/placement.rs
@@ -2,7 +2,7 @@
 
 use super::decision_log::Decision;
 use super::decisions::crash_evidence;
-use super::gateways::Gateway;
+use super::decisions::gateway_choice::gateway_for_item;
 use super::machine::CoordinationLeader;
 use super::tables::engine::Engine;
 use super::tables::free_slots::{EngineQuery, Look};
@@ -19,9 +19,6 @@
 use std::sync::Arc;
 use wingshore_types::Instant;
 
-/// Most items that one gateway runs at once.
-const MOST_ITEMS_OF_A_GATEWAY: usize = 96;
-
 /// An item that can be placed, with all that decides where.
 struct Candidate<'a> {
     key: ItemKey,
@@ -131,8 +128,8 @@
             let service = candidate.service;
             return Err(NotPlaced::NoEngine { service });
         };
-        let gateway = self.choose_gateway(self.engines.get(&instance));
-        let gateway = gateway.ok_or(NotPlaced::NotNow)?;
+        let engine = self.engines.get(&instance);
+        let gateway = gateway_for_item(&self.gateways, engine).ok_or(NotPlaced::NotNow)?;
         self.items.take(&candidate.key);
         self.assign(gateway, &instance, &candidate, turn);
         Ok(())
@@ -231,33 +228,6 @@
             .map(|(_, instance)| instance.clone())
     }
 
-    /// The gateway that has connections to the engine, or else one with little work, rather in the
-    /// engine's zone.
-    fn choose_gateway(&self, engine: Option<&Engine>) -> Option<GatewayId> {
-        /// Items by which a gateway in another zone must have less work.
-        const FAR: usize = 4;
-        let takes_more = |gateway: &Gateway| {
-            gateway.introduced
-                && gateway.status.takes_items
-                && gateway.running < MOST_ITEMS_OF_A_GATEWAY
-        };
-        let connected = engine.and_then(|engine| engine.gateway);
-        if let Some(connected) =
-            connected.filter(|id| self.gateways.get(id).is_some_and(takes_more))
-        {
-            return Some(connected);
-        }
-        let zone = engine.map(|engine| engine.record.zone.as_str());
-        self.gateways
-            .iter()
-            .filter(|(_, gateway)| takes_more(gateway))
-            .min_by_key(|(_, gateway)| {
-                let is_far = zone != Some(gateway.zone.as_str());
-                gateway.running + if is_far { FAR } else { 0 }
-            })
-            .map(|(id, _)| *id)
-    }
-
     fn assign(
         &mut self,
         gateway: GatewayId,
@@ -320,9 +290,7 @@
     /// A try begins, or is known to be under way.
     pub(crate) fn start(&mut self, assignment: crate::AssignmentId, running: Running) {
         self.engines.started(&running.instance, running.gateway);
-        if let Some(known) = self.gateways.get_mut(&running.gateway) {
-            known.running += 1;
-        }
+        self.gateways.item_started(running.gateway);
         self.items.start(assignment, running);
     }
 }
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -1,8 +1,9 @@
 //! Scorings on the leader's side: which gateway asks for which text's score, and what follows.
 
 use super::decision_log::Decision;
+use super::decisions::expiry::is_silent;
+use super::decisions::gateway_choice::gateway_for_scoring;
 use super::machine::CoordinationLeader;
-use super::outcomes::SILENCE_LIMIT;
 use super::proposals::FollowUp;
 use super::tables::scorings::Running;
 use super::turn::Turn;
@@ -14,9 +15,6 @@
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
 
-/// Most scorings that one gateway has in hand by this leader's word.
-const MOST_SCORINGS_OF_A_GATEWAY: usize = 256;
-
 impl CoordinationLeader {
     /// What scores the text of an item.
     pub(crate) fn scorer_of<'a>(
@@ -105,7 +103,7 @@
 
     /// Scorings that their gateways do not speak of any more are over.
     pub(crate) fn end_silent_scorings(&mut self, now: Instant) {
-        self.scorings_lost(now, |running| now.since(running.heard) > SILENCE_LIMIT);
+        self.scorings_lost(now, |running| is_silent(now, running.heard));
     }
 
     fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&Running) -> bool) {
@@ -143,14 +141,7 @@
         for running in self.scorings.running.values() {
             *in_hand.entry(running.gateway).or_default() += 1;
         }
-        let count = |gateway: &GatewayId| in_hand.get(gateway).copied().unwrap_or(0);
-        self.gateways
-            .iter()
-            .filter(|(_, gateway)| gateway.introduced && gateway.status.takes_items)
-            .map(|(id, _)| (count(id), *id))
-            .filter(|(count, _)| *count < MOST_SCORINGS_OF_A_GATEWAY)
-            .min()
-            .map(|(_, id)| id)
+        gateway_for_scoring(&self.gateways, &in_hand)
     }
 
     fn assign_scoring(
--- a/crates/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/wingshore-coordination/src/leader/tables/items.rs
@@ -1,6 +1,5 @@
 //! Items of batch jobs on their way: which wait, which run where, what they have so far.
 
-use super::engines::Engines;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName};
 use crate::jobs::JobItem;
@@ -366,43 +365,41 @@
         self.take(item);
     }
 
-    /// A gateway is gone with all it ran: its items wait again.
-    pub(crate) fn gateway_lost(&mut self, gateway: GatewayId, engines: &mut Engines) {
-        let lost: Vec<AssignmentId> = self
-            .running
-            .iter()
-            .filter(|(_, running)| running.gateway == gateway)
-            .map(|(assignment, _)| *assignment)
-            .collect();
-        self.end_and_wait(lost, engines);
+    /// A gateway is gone with all it ran: its items wait again. Gives the engine of each attempt that is
+    /// over by that.
+    pub(crate) fn gateway_lost(&mut self, gateway: GatewayId) -> Vec<InstanceId> {
+        let lost = self.attempts_of(gateway);
+        self.end_and_wait(lost)
     }
 
-    fn end_and_wait(&mut self, lost: Vec<AssignmentId>, engines: &mut Engines) {
+    /// A gateway that is back reports all that it runs: what it does not speak of waits again. Gives
+    /// how many of its attempts go on, and the engine of each that is over.
+    pub(crate) fn gateway_reports(
+        &mut self,
+        gateway: GatewayId,
+        reported: &BTreeSet<AssignmentId>,
+    ) -> (usize, Vec<InstanceId>) {
+        let known = self.attempts_of(gateway).into_iter();
+        let (kept, lost): (Vec<AssignmentId>, Vec<AssignmentId>) =
+            known.partition(|assignment| reported.contains(assignment));
+        (kept.len(), self.end_and_wait(lost))
+    }
+
+    fn attempts_of(&self, gateway: GatewayId) -> Vec<AssignmentId> {
+        let running = self.running.iter();
+        let own = running.filter(|(_, running)| running.gateway == gateway);
+        own.map(|(assignment, _)| *assignment).collect()
+    }
+
+    fn end_and_wait(&mut self, lost: Vec<AssignmentId>) -> Vec<InstanceId> {
+        let mut engines = Vec::new();
         for assignment in lost {
             if let Some(running) = self.end(assignment) {
-                engines.ended(&running.instance);
+                engines.push(running.instance);
                 self.wait(running.item);
             }
         }
-    }
-
-    /// A gateway that is back tells all that it runs: what it does not speak of waits again. Gives
-    /// how many of its attempts go on.
-    pub(crate) fn gateway_tells(
-        &mut self,
-        gateway: GatewayId,
-        told: &BTreeSet<AssignmentId>,
-        engines: &mut Engines,
-    ) -> usize {
-        let known = self
-            .running
-            .iter()
-            .filter(|(_, running)| running.gateway == gateway);
-        let (kept, lost): (Vec<AssignmentId>, Vec<AssignmentId>) = known
-            .map(|(assignment, _)| *assignment)
-            .partition(|assignment| told.contains(assignment));
-        self.end_and_wait(lost, engines);
-        kept.len()
+        engines
     }
 
     /// The engine that ran an item of the group last.
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -5,6 +5,7 @@
 pub(crate) mod engine;
 pub(crate) mod engines;
 pub(crate) mod free_slots;
+pub(crate) mod gateways;
 pub(crate) mod items;
 pub(crate) mod pace;
 pub(crate) mod rollout;
