--- a/crates/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -14,6 +14,7 @@
 //!
 //! Old or missing inputs: a new leader counts from its own beginning, so that nothing is over too early.
 
+use crate::configuration::Route;
 use std::time::Duration;
 use wingshore_types::Instant;
 
@@ -37,3 +38,28 @@
 pub(crate) fn gateway_lost_at(now: Instant, silence: Duration) -> Instant {
     now + RETURN_GRACE.saturating_sub(silence)
 }
+
+/// Whether an item without a result is abandoned whose job is known since `known_since`: its time in the
+/// queue is over, or no route leads to engines any more.
+pub(crate) fn is_past_queue_time(
+    now: Instant,
+    known_since: Option<Instant>,
+    route: Option<&Route>,
+) -> bool {
+    let Some(route) = route else {
+        return true;
+    };
+    match (known_since, route.max_queue) {
+        (Some(since), Some(max)) => now.since(since) > max,
+        _ => false,
+    }
+}
+
+/// Whether a job that its caller has ended is forgotten.
+pub(crate) fn is_job_forgotten(
+    now: Instant,
+    known_since: Option<Instant>,
+    retention: Duration,
+) -> bool {
+    known_since.is_some_and(|since| now.since(since) > retention)
+}
--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -1,6 +1,7 @@
 //! Rules by which a leader decides. Each module answers one question over plain data: no sockets,
 //! no clock of its own, no changes of what others own.
 
+pub(crate) mod admission;
 pub(crate) mod capacity_orders;
 pub(crate) mod capacity_plan;
 pub(crate) mod crash_evidence;
--- a/crates/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/jobs.rs
@@ -1,48 +1,23 @@
 //! Submitting, reading and ending batch jobs.
 
 use super::decision_log::Decision;
+use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
+use super::decisions::expiry::{is_job_forgotten, is_past_queue_time};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
+use super::tables::jobs::Reader;
 use super::turn::Turn;
 use crate::ids::{GatewayId, ItemId, ItemKey, JobId};
 use crate::jobs::JobSubmission;
 use crate::messages::{AssignmentId, Reply};
 use crate::state::{Command, CoordinationState};
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
 /// Most bytes of results in one answer. Not measured.
-const MOST_PAGE_BYTES: usize = 900 * 1024;
-
-/// Since when each job is known to this leader. A new leader counts from its beginning, so that
-/// nothing is given up or forgotten too early.
-#[derive(Default)]
-pub(crate) struct JobClock {
-    known_since: HashMap<JobId, Instant>,
-}
-
-impl JobClock {
-    /// A new leadership.
-    pub(crate) fn begin<'a>(&mut self, now: Instant, jobs: impl Iterator<Item = &'a JobId>) {
-        self.known_since = jobs.map(|id| (id.clone(), now)).collect();
-    }
-}
-
-/// Readers that wait for a result.
-#[derive(Default)]
-pub(crate) struct Readers {
-    waiting: Vec<Reader>,
-}
-
-struct Reader {
-    tag: RequestTag,
-    job: JobId,
-    from: u64,
-    until: Instant,
-}
+const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 impl CoordinationLeader {
     pub(crate) fn submit_job(
@@ -61,13 +36,34 @@
             return;
         }
         let id = submission.id.clone();
-        self.job_clock
-            .known_since
-            .entry(id.clone())
-            .or_insert(turn.now);
+        self.job_clock.note(turn.now, &id);
         self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
     }
 
+    /// Refuses a job for which there is no room; says whether it did.
+    fn refuse_for_want_of_room(
+        &self,
+        tag: RequestTag,
+        submission: &JobSubmission,
+        turn: &mut Turn<'_>,
+    ) -> bool {
+        let open_jobs = turn.state.jobs().values().filter(|job| !job.ended);
+        let open_bytes = open_jobs.map(|job| job.submission.bytes()).sum();
+        let bytes = submission.bytes();
+        let most_bytes = self.settings.most_open_job_bytes;
+        if has_room(bytes, open_bytes, most_bytes) {
+            return false;
+        }
+        turn.log(Decision::JobRefused {
+            job: submission.id.clone(),
+            bytes,
+            open_bytes,
+            most_bytes,
+        });
+        turn.reply(tag, Reply::ComeBack(ROOM_RETRY_AFTER));
+        true
+    }
+
     /// Says which item names a scorer that no route leads to.
     fn missing_scorer_route(
         &self,
@@ -122,10 +118,10 @@
         };
         let has_some = (known.results.len() as u64) > from;
         if has_some || wait.is_zero() || known.ended {
-            let page = known.page(from, MOST_PAGE_BYTES);
+            let page = known.page(from, MAX_PAGE_BYTES);
             return turn.reply(tag, Reply::Page(page));
         }
-        self.readers.waiting.push(Reader {
+        self.readers.add(Reader {
             tag,
             job: job.clone(),
             from,
@@ -141,12 +137,7 @@
         let Some(result) = job.results.last() else {
             return;
         };
-        let since = self
-            .job_clock
-            .known_since
-            .get(id)
-            .copied()
-            .unwrap_or(turn.now);
+        let since = self.job_clock.known_since(id).unwrap_or(turn.now);
         let decision = Decision::ItemListed {
             job: id.clone(),
             item: result.id.clone(),
@@ -173,27 +164,14 @@
 
     /// Results of a job were listed: readers that wait for them are answered.
     pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
-        self.answer_readers(|reader| reader.job == *job, turn);
+        let readers = self.readers.take_of(job);
+        answer_readers(readers, turn);
     }
 
     /// Readers whose time is over are answered.
     pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
-        let now = turn.now;
-        self.answer_readers(|reader| now >= reader.until, turn);
-    }
-
-    fn answer_readers(&mut self, is_due: impl Fn(&Reader) -> bool, turn: &mut Turn<'_>) {
-        let due = self.readers.waiting.extract_if(.., |reader| is_due(reader));
-        for reader in due {
-            let answer = turn
-                .state
-                .jobs()
-                .get(&reader.job)
-                .map_or(Reply::Unknown, |job| {
-                    Reply::Page(job.page(reader.from, MOST_PAGE_BYTES))
-                });
-            turn.reply(reader.tag, answer);
-        }
+        let readers = self.readers.take_due(turn.now);
+        answer_readers(readers, turn);
     }
 
     pub(crate) fn end_job(&mut self, tag: RequestTag, id: &JobId, turn: &mut Turn<'_>) {
@@ -235,7 +213,7 @@
             .items
             .waiting()
             .chain(unscored)
-            .filter(|item| self.is_given_up(turn.now, item, turn.state))
+            .filter(|item| self.is_past_queue_time(turn.now, item, turn.state))
             .collect();
         for item in given_up {
             self.abandon(
@@ -246,45 +224,47 @@
         }
     }
 
-    fn is_given_up(&self, now: Instant, item: &ItemKey, state: &CoordinationState) -> bool {
+    fn is_past_queue_time(&self, now: Instant, item: &ItemKey, state: &CoordinationState) -> bool {
         let Some(job) = state.jobs().get(&item.job) else {
             return false;
         };
         let Some(contents) = job.submission.items.get(item.index as usize) else {
             return false;
         };
-        let Some(route) = self.routes.find(&job.submission.host, &contents.path) else {
-            return true;
-        };
-        let since = self.job_clock.known_since.get(&item.job);
-        match (since, route.max_queue) {
-            (Some(since), Some(most)) => now.since(*since) > most,
-            _ => false,
-        }
+        let route = self.routes.find(&job.submission.host, &contents.path);
+        let known_since = self.job_clock.known_since(&item.job);
+        is_past_queue_time(now, known_since, route.map(Arc::as_ref))
     }
 
     /// Forgets jobs that ended long ago.
     pub(crate) fn forget_jobs(&mut self, turn: &mut Turn<'_>) {
-        let retention = self.settings.job_retention;
-        let old: Vec<JobId> = turn
-            .state
-            .jobs()
-            .iter()
-            .filter(|(_, job)| job.ended)
-            .filter(|(id, _)| {
-                let since = self.job_clock.known_since.get(*id);
-                since.is_some_and(|since| turn.now.since(*since) > retention)
-            })
-            .map(|(id, _)| id.clone())
-            .collect();
+        let (now, retention) = (turn.now, self.settings.job_retention);
+        let is_forgotten = |id: &JobId| {
+            let known_since = self.job_clock.known_since(id);
+            is_job_forgotten(now, known_since, retention)
+        };
+        let ended = turn.state.jobs().iter().filter(|(_, job)| job.ended);
+        let old = ended.map(|(id, _)| id).filter(|id| is_forgotten(id));
+        let old: Vec<JobId> = old.cloned().collect();
         for id in old {
             // Counted anew, so that the proposal is not made again before it is applied.
-            self.job_clock.known_since.insert(id.clone(), turn.now);
+            self.job_clock.restart(turn.now, &id);
             self.propose(Command::ForgetJob(id), FollowUp::Nothing, turn);
         }
     }
 }
 
+/// Answers readers with what there is.
+fn answer_readers(readers: Vec<Reader>, turn: &mut Turn<'_>) {
+    for reader in readers {
+        let job = turn.state.jobs().get(&reader.job);
+        let answer = job.map_or(Reply::Unknown, |job| {
+            Reply::Page(job.page(reader.from, MAX_PAGE_BYTES))
+        });
+        turn.reply(reader.tag, answer);
+    }
+}
+
 /// Answers with the body of an item that is not listed.
 pub(super) fn read_item(tag: RequestTag, job: &JobId, item: &ItemId, turn: &mut Turn<'_>) {
     let known = turn.state.find_job(job);
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -1,6 +1,5 @@
 //! What only the group's leader does.
 
-mod admission;
 mod capacity;
 mod configuring;
 mod decision_log;
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -7,6 +7,7 @@
 pub(crate) mod free_slots;
 pub(crate) mod gateways;
 pub(crate) mod items;
+pub(crate) mod jobs;
 pub(crate) mod pace;
 pub(crate) mod rollout;
 pub(crate) mod scorings;
