--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -4,6 +4,7 @@
 pub(crate) mod admission;
 pub(crate) mod capacity_orders;
 pub(crate) mod capacity_plan;
+pub(crate) mod continuation;
 pub(crate) mod crash_evidence;
 pub(crate) mod ejection;
 pub(crate) mod expiry;
@@ -12,5 +13,6 @@
 pub(crate) mod load_choice;
 pub(crate) mod load_progress;
 pub(crate) mod order_rights;
+pub(crate) mod placement;
 pub(crate) mod registration;
 pub(crate) mod usage_reports;
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -14,7 +14,7 @@
 mod members;
 mod moves;
 mod outcomes;
-mod placement;
+mod placing;
 mod policy;
 mod proposals;
 mod rollout;
--- a/crates/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/wingshore-coordination/src/leader/tables/items.rs
@@ -2,7 +2,7 @@
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName};
-use crate::jobs::JobItem;
+use crate::leader::decisions::item_length::long_from;
 use crate::messages::AssignmentId;
 use crate::state::CoordinationState;
 use crate::text::ItemText;
@@ -12,8 +12,6 @@
 
 /// Items that have outlasted their jobs are remembered up to this many.
 const MOST_OUTLASTING: usize = 4096;
-/// An item is long from this many times the mean estimate on.
-const LONG_FACTOR: u64 = 2;
 
 /// A try that is under way.
 #[derive(Clone, Debug)]
@@ -145,7 +143,7 @@
         }
         self.jobs.insert(id.clone(), self.next_job);
         self.next_job += 1;
-        let long_from = long_output(&job.submission.items);
+        let long_from = long_from(&job.submission.items);
         for index in job.open_items() {
             let item = ItemKey {
                 job: id.clone(),
@@ -175,12 +173,15 @@
         id: &JobId,
         state: &CoordinationState,
     ) -> Vec<(AssignmentId, Running)> {
+        let running = self.running.iter();
+        let own = running.filter(|(_, running)| running.item.job == *id);
+        let ended: Vec<AssignmentId> = own.map(|(assignment, _)| *assignment).collect();
+        let ended = ended.into_iter();
+        let ended: Vec<(AssignmentId, Running)> = ended
+            .filter_map(|assignment| Some((assignment, self.running.remove(&assignment)?)))
+            .collect();
         let submission = state.jobs().get(id).map(|job| &job.submission);
-        for running in self
-            .running
-            .values()
-            .filter(|running| running.item.job == *id)
-        {
+        for (_, running) in &ended {
             let item = submission.and_then(|job| job.items.get(running.item.index as usize));
             self.outlasting.extend(item.map(|item| item.id.clone()));
         }
@@ -191,16 +192,7 @@
         self.group_homes.remove(id);
         self.waiting.retain(|(_, job), _| job != id);
         self.progress.retain(|item, _| item.job != *id);
-        let ended: Vec<AssignmentId> = self
-            .running
-            .iter()
-            .filter(|(_, running)| running.item.job == *id)
-            .map(|(assignment, _)| *assignment)
-            .collect();
         ended
-            .into_iter()
-            .filter_map(|assignment| Some((assignment, self.running.remove(&assignment)?)))
-            .collect()
     }
 
     /// Puts an item among those that wait.
@@ -413,13 +405,3 @@
         homes.insert(group.to_owned(), instance.clone());
     }
 }
-
-/// The estimate from which on an item of a job is a long one.
-fn long_output(items: &[JobItem]) -> u64 {
-    let estimates = items.iter().filter_map(|item| item.expected_output);
-    let (sum, count) = estimates.fold((0, 0), |(sum, count), estimate| (sum + estimate, count + 1));
-    if count == 0 {
-        return u64::MAX;
-    }
-    sum / count * LONG_FACTOR
-}
