--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -12,6 +12,7 @@
 pub(crate) mod item_length;
 pub(crate) mod load_choice;
 pub(crate) mod load_progress;
+pub(crate) mod moves;
 pub(crate) mod order_rights;
 pub(crate) mod placement;
 pub(crate) mod registration;
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -12,7 +12,7 @@
 mod loading;
 mod machine;
 mod members;
-mod moves;
+mod moving;
 mod outcomes;
 mod placing;
 mod policy;
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/moving.rs
@@ -0,0 +1,109 @@
+//! Progress of items that run, and moving them to faster engines.
+
+use super::decision_log::Decision;
+use super::decisions::moves::{AVOIDED_FOR, MovableItem, better_engine};
+use super::machine::CoordinationLeader;
+use super::tables::items::Avoided;
+use super::turn::Turn;
+use crate::ids::{GatewayId, InstanceId};
+use crate::messages::{AssignmentId, CoordinatorMessage, ItemProgress};
+use crate::state::CoordinationState;
+use std::collections::BTreeMap;
+use wingshore_types::Instant;
+
+/// Fewest events of a measurement of pace. Not measured.
+const MIN_MEASURED_EVENTS: u64 = 2;
+
+impl CoordinationLeader {
+    /// A gateway reports how far its items are.
+    pub(crate) fn on_progress(&mut self, progress: Vec<ItemProgress>, turn: &mut Turn<'_>) {
+        for item in &progress {
+            self.note_progress(turn.now, *item);
+        }
+        if self.settings.policy.moves {
+            self.move_items(&progress, turn);
+        }
+    }
+
+    /// Notes how far an item is, and what that says of its engine's pace.
+    fn note_progress(&mut self, now: Instant, progress: ItemProgress) {
+        let ItemProgress { assignment, events } = progress;
+        let Some(running) = self.items.running_mut(assignment) else {
+            return;
+        };
+        running.heard = now;
+        let engine = self.engines.get(&running.instance);
+        let is_steady = engine.is_some_and(|engine| engine.is_steady(now));
+        let Some((before, at)) = running.seen.filter(|_| is_steady) else {
+            running.seen = Some((events, now));
+            return;
+        };
+        let new = events.saturating_sub(before);
+        if new < MIN_MEASURED_EVENTS {
+            return;
+        }
+        running.seen = Some((events, now));
+        let instance = running.instance.clone();
+        self.engines.paced(&instance, new, now.since(at));
+    }
+
+    /// Breaks off those of the attempts whose items go on faster elsewhere.
+    fn move_items(&mut self, attempts: &[ItemProgress], turn: &mut Turn<'_>) {
+        let mut promised: BTreeMap<InstanceId, usize> = BTreeMap::new();
+        for ItemProgress { assignment, .. } in attempts {
+            let better = self.better_engine(turn.now, *assignment, &promised, turn.state);
+            if let Some((gateway, target)) = better {
+                *promised.entry(target).or_default() += 1;
+                self.interrupt(*assignment, gateway, turn);
+            }
+        }
+    }
+
+    /// The gateway that runs an attempt, and the engine on which its item goes on much faster.
+    fn better_engine(
+        &self,
+        now: Instant,
+        assignment: AssignmentId,
+        promised: &BTreeMap<InstanceId, usize>,
+        state: &CoordinationState,
+    ) -> Option<(GatewayId, InstanceId)> {
+        let running = self.items.running_of(assignment)?;
+        let progress = self.items.progress(&running.item)?;
+        if running.interrupted || progress.ended {
+            return None;
+        }
+        let (events, _) = running.seen?;
+        let submission = &state.jobs().get(&running.item.job)?.submission;
+        let item = MovableItem {
+            instance: &running.instance,
+            model: submission.model.as_ref(),
+            min_version: submission.min_version,
+            events,
+            moves: progress.moves,
+        };
+        let better = better_engine(now, &item, &self.engines, promised)?;
+        Some((running.gateway, better))
+    }
+
+    fn interrupt(&mut self, assignment: AssignmentId, gateway: GatewayId, turn: &mut Turn<'_>) {
+        let Some(running) = self.items.running_mut(assignment) else {
+            return;
+        };
+        running.interrupted = true;
+        let (item, instance) = (running.item.clone(), running.instance.clone());
+        if let Some(progress) = self.items.progress_mut(&item) {
+            progress.moves += 1;
+            progress.avoid = Some(Avoided {
+                instance: instance.clone(),
+                until: turn.now + AVOIDED_FOR,
+            });
+        }
+        turn.log(Decision::ItemMoved {
+            assignment,
+            job: item.job,
+            index: item.index,
+            instance,
+        });
+        turn.send(gateway, CoordinatorMessage::Interrupt { assignment });
+    }
+}
