--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/attempts.rs
@@ -0,0 +1,305 @@
+//! Attempts at items that gateways run: taken over from an earlier leader, heard of, ended.
+
+use super::decision_log::Decision;
+use super::decisions::ejection::eject_until;
+use super::decisions::expiry::is_silent;
+use super::decisions::item_outcome::{
+    EngineVerdict, ItemHistory, PartialText, Retry, Verdict, verdict,
+};
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::tables::items::Running;
+use super::turn::Turn;
+use crate::fingerprint::RequestFingerprint;
+use crate::ids::{GatewayId, InstanceId, ItemKey};
+use crate::messages::{AssignmentId, BreakCause, CoordinatorMessage, ItemOutcome, RunningItem};
+use crate::state::{Command, CoordinationState};
+use crate::text::{FinishedText, ItemText};
+use wingshore_types::Instant;
+
+/// What a log line says of an attempt whose text is not taken.
+const TOO_OLD: &str = "its text is of an older version than its job allows";
+/// What a log line says of an attempt that its gateway does not speak of.
+const SILENT: &str = "the gateway does not speak of it any more";
+
+impl CoordinationLeader {
+    /// A gateway runs an item that an earlier leader assigned.
+    pub(crate) fn adopt(&mut self, gateway: GatewayId, running: RunningItem, turn: &mut Turn<'_>) {
+        let RunningItem {
+            assignment,
+            item,
+            instance,
+        } = running;
+        // A gateway that was welcomed twice reports twice.
+        if self.items.is_running(assignment) {
+            return;
+        }
+        let job = turn.state.jobs().get(&item.job);
+        let is_open = job
+            .filter(|job| !job.ended && !job.is_listed(item.index))
+            .is_some_and(|job| job.unscored(item.index).is_none());
+        let is_free = self
+            .items
+            .progress(&item)
+            .is_some_and(|progress| progress.assignment.is_none() && !progress.ended);
+        if !is_open || !is_free {
+            return turn.release_attempt(gateway, assignment);
+        }
+        self.items.take(&item);
+        let held = job.and_then(|job| job.kept(item.index));
+        let held = held.map(ItemText::held).unwrap_or_default();
+        turn.send(gateway, CoordinatorMessage::HandInFrom { assignment, held });
+        let model = job.and_then(|job| job.submission.model.clone());
+        let running = Running::new(turn.now, item, gateway, instance, model);
+        self.start(assignment, running);
+    }
+
+    /// Makes events of a long item durable.
+    pub(crate) fn keep_text(
+        &mut self,
+        assignment: AssignmentId,
+        after_events: u64,
+        text: ItemText,
+        turn: &mut Turn<'_>,
+    ) {
+        let Some(item) = self.items.item_of(assignment) else {
+            return;
+        };
+        let command = Command::KeepText {
+            item,
+            after_events,
+            text,
+        };
+        self.propose(command, FollowUp::Nothing, turn);
+    }
+
+    /// Attempts that their gateways do not speak of any more are over.
+    pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
+        let silent: Vec<AssignmentId> = self
+            .items
+            .running()
+            .filter(|(_, running)| is_silent(turn.now, running.heard))
+            .map(|(assignment, _)| *assignment)
+            .collect();
+        for assignment in silent {
+            if let Some(running) = self.items.end(assignment) {
+                self.note_end(&running);
+                turn.release_attempt(running.gateway, assignment);
+                log_retry(assignment, &running, SILENT, turn);
+                self.items.wait(running.item);
+            }
+        }
+    }
+
+    /// An attempt at an item is over.
+    pub(crate) fn on_item_ended(
+        &mut self,
+        gateway: GatewayId,
+        assignment: AssignmentId,
+        item: &ItemKey,
+        outcome: ItemOutcome,
+        turn: &mut Turn<'_>,
+    ) {
+        let finished = (gateway, assignment);
+        let Some(running) = self.items.end(assignment) else {
+            return self.on_forgotten_end(finished, item, outcome, turn);
+        };
+        self.note_end(&running);
+        match self.history_of(&running.item, &outcome, turn.state) {
+            Some(history) => self.attempt_ended(finished, &running, outcome, history, turn),
+            None => self.release_unknown(gateway, assignment, turn),
+        }
+        self.place_items(turn);
+    }
+
+    /// What is known of an item that has no result yet.
+    fn history_of(
+        &self,
+        item: &ItemKey,
+        outcome: &ItemOutcome,
+        state: &CoordinationState,
+    ) -> Option<ItemHistory> {
+        let progress = self.items.progress(item)?;
+        if progress.ended {
+            return None;
+        }
+        let is_too_old = match outcome {
+            ItemOutcome::Finished(text) => is_too_old(text, item, state),
+            _ => false,
+        };
+        let may_end_engines = match outcome {
+            ItemOutcome::Interrupted {
+                cause: BreakCause::Engine(Some(request)),
+                ..
+            } => self.has_ended_servers(*request, state),
+            _ => false,
+        };
+        Some(ItemHistory {
+            is_too_old,
+            failures: progress.failures,
+            max_failures: self.max_failures(item, state),
+            may_end_engines,
+        })
+    }
+
+    fn has_ended_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
+        self.evidence.is_pending(request) || state.evidence().ended_under(request) > 0
+    }
+
+    fn max_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
+        let attempts = state.jobs().get(&item.job).and_then(|job| {
+            let path = &job.submission.items.get(item.index as usize)?.path;
+            Some(self.routes.find(&job.submission.host, path)?.max_attempts)
+        });
+        attempts.unwrap_or(1).max(1)
+    }
+
+    /// An attempt at an item without a result is over.
+    fn attempt_ended(
+        &mut self,
+        finished: (GatewayId, AssignmentId),
+        running: &Running,
+        outcome: ItemOutcome,
+        history: ItemHistory,
+        turn: &mut Turn<'_>,
+    ) {
+        let (gateway, assignment) = finished;
+        let verdict = verdict(&outcome, history);
+        if verdict != Verdict::Take {
+            self.release_unknown(gateway, assignment, turn);
+            let reason = if history.is_too_old {
+                TOO_OLD
+            } else {
+                outcome.name()
+            };
+            log_retry(assignment, running, reason, turn);
+        }
+        match (verdict, outcome) {
+            (Verdict::Take, ItemOutcome::Finished(text)) => {
+                self.engines.succeeded(&running.instance);
+                self.take_text(&running.item, text, finished, turn);
+            }
+            (Verdict::Take, _) => {}
+            (Verdict::Retry(retry), outcome) => self.retry(running, outcome, retry, turn),
+            (Verdict::Abandon(reason), _) => self.abandon(&running.item, reason, turn),
+        }
+    }
+
+    /// An item waits again.
+    fn retry(
+        &mut self,
+        running: &Running,
+        outcome: ItemOutcome,
+        retry: Retry,
+        turn: &mut Turn<'_>,
+    ) {
+        self.judge_engine(&running.instance, retry.engine, turn);
+        if let Some(progress) = self.items.progress_mut(&running.item) {
+            if let Some(backoff) = retry.backoff {
+                progress.not_before = Some(turn.now + backoff);
+            }
+            progress.failures += u32::from(retry.is_failure);
+            match (retry.partial_text, outcome) {
+                (PartialText::Drop, _) => progress.kept = ItemText::default(),
+                (PartialText::Replace, ItemOutcome::Interrupted { text, cause }) => {
+                    progress.kept = text;
+                    if let BreakCause::Engine(Some(request)) = cause {
+                        progress.request = Some(request);
+                    }
+                }
+                _ => {}
+            }
+        }
+        self.items.wait(running.item.clone());
+    }
+
+    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineVerdict, turn: &mut Turn<'_>) {
+        match verdict {
+            EngineVerdict::Keep => {}
+            EngineVerdict::Eject => self.eject(turn.now, instance),
+            EngineVerdict::EjectUntilHeartbeat => {
+                self.eject(turn.now, instance);
+                self.engines.await_heartbeat(instance);
+            }
+            EngineVerdict::EjectAndPoll => {
+                self.eject(turn.now, instance);
+                self.ask_report(instance, turn);
+            }
+            EngineVerdict::Defer(duration) => {
+                self.engines.pause_until(instance, turn.now + duration);
+            }
+        }
+    }
+
+    fn eject(&mut self, now: Instant, instance: &InstanceId) {
+        let Some(engine) = self.engines.get(instance) else {
+            return;
+        };
+        if let Some(until) = eject_until(now, engine.paused_until, engine.faults) {
+            self.engines.eject(instance, until);
+        }
+    }
+
+    /// An attempt is over that this leader had given up, because its gateway was unreachable. A whole
+    /// text is a result all the same, whatever runs for the item meanwhile: the first one counts.
+    fn on_forgotten_end(
+        &mut self,
+        (gateway, assignment): (GatewayId, AssignmentId),
+        item: &ItemKey,
+        outcome: ItemOutcome,
+        turn: &mut Turn<'_>,
+    ) {
+        let progress = self.items.progress(item);
+        let open = progress.filter(|progress| !progress.ended);
+        let (Some(progress), ItemOutcome::Finished(text)) = (open, outcome) else {
+            return self.release_unknown(gateway, assignment, turn);
+        };
+        if is_too_old(&text, item, turn.state) {
+            return self.release_unknown(gateway, assignment, turn);
+        }
+        if let Some(other) = progress.assignment
+            && let Some(running) = self.items.end(other)
+        {
+            self.note_end(&running);
+            turn.release_attempt(running.gateway, other);
+        }
+        self.take_text(item, text, (gateway, assignment), turn);
+        self.place_items(turn);
+    }
+
+    /// An attempt is of no use, and neither is the scoring that may have followed it.
+    fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, turn: &mut Turn<'_>) {
+        turn.release_attempt(gateway, assignment);
+        if !self.scorings.has(assignment) {
+            turn.release_scoring(gateway, assignment);
+        }
+    }
+
+    /// Its engine and its gateway have one item less.
+    pub(crate) fn note_end(&mut self, running: &Running) {
+        self.engines.ended(&running.instance);
+        self.gateways.item_ended(running.gateway);
+    }
+}
+
+/// Whether a text is of a version that its job does not allow.
+fn is_too_old(text: &FinishedText, item: &ItemKey, state: &CoordinationState) -> bool {
+    let job = state.jobs().get(&item.job);
+    let oldest = job.map_or(0, |job| job.submission.min_version);
+    !text.is_made_since(oldest)
+}
+
+fn log_retry(
+    assignment: AssignmentId,
+    running: &Running,
+    reason: &'static str,
+    turn: &mut Turn<'_>,
+) {
+    turn.log(Decision::ItemRetried {
+        assignment,
+        job: running.item.job.clone(),
+        index: running.item.index,
+        instance: running.instance.clone(),
+        reason,
+    });
+}
--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -10,6 +10,7 @@
 pub(crate) mod expiry;
 pub(crate) mod gateway_choice;
 pub(crate) mod item_length;
+pub(crate) mod item_outcome;
 pub(crate) mod load_choice;
 pub(crate) mod load_progress;
 pub(crate) mod moves;
--- a/crates/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/wingshore-coordination/src/leader/dispatch.rs
@@ -155,7 +155,7 @@
                 assignment,
                 item,
                 outcome,
-            } => self.on_item_ended(gateway, (assignment, item), outcome, turn),
+            } => self.on_item_ended(gateway, assignment, &item, outcome, turn),
             Event::ServersHeard { from, servers } => self.on_servers_heard(from, servers, turn),
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -1,5 +1,6 @@
 //! What only the group's leader does.
 
+mod attempts;
 mod capacity;
 mod configuring;
 mod decision_log;
@@ -13,10 +14,10 @@
 mod machine;
 mod members;
 mod moving;
-mod outcomes;
 mod placing;
 mod policy;
 mod proposals;
+mod results;
 mod rollout;
 mod scoring;
 mod servers;
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/results.rs
@@ -0,0 +1,71 @@
+//! Results of items: whole texts, and items that are abandoned.
+
+use super::decision_log::Decision;
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::turn::Turn;
+use crate::ids::{GatewayId, ItemKey};
+use crate::jobs::{ItemState, ListedResult};
+use crate::messages::AssignmentId;
+use crate::state::Command;
+use crate::text::{FinishedText, ResultText};
+
+impl CoordinationLeader {
+    /// An attempt has made the whole text of an item that has no result yet.
+    pub(crate) fn take_text(
+        &mut self,
+        item: &ItemKey,
+        text: FinishedText,
+        finished: (GatewayId, AssignmentId),
+        turn: &mut Turn<'_>,
+    ) {
+        if Self::scorer_of(item, turn.state).is_some() {
+            return self.keep_unscored(item, text, finished, turn);
+        }
+        let result = ListedResult {
+            index: item.index,
+            state: ItemState::Succeeded,
+            text: text.text,
+            versions: text.versions,
+            score: None,
+        };
+        self.list(item, result, Some(finished), turn);
+    }
+
+    /// Abandons an item.
+    pub(crate) fn abandon(&mut self, item: &ItemKey, reason: &'static str, turn: &mut Turn<'_>) {
+        turn.log(Decision::ItemAbandoned {
+            job: item.job.clone(),
+            index: item.index,
+            reason,
+        });
+        let result = ListedResult {
+            index: item.index,
+            state: ItemState::Abandoned,
+            text: ResultText::default(),
+            versions: Vec::new(),
+            score: None,
+        };
+        for (gateway, scoring) in self.scorings.remove_item(item) {
+            turn.release_scoring(gateway, scoring);
+        }
+        self.list(item, result, None, turn);
+    }
+
+    /// Proposes a result; the gateway that made it keeps it until it is committed.
+    fn list(
+        &mut self,
+        item: &ItemKey,
+        result: ListedResult,
+        finished: Option<(GatewayId, AssignmentId)>,
+        turn: &mut Turn<'_>,
+    ) {
+        self.items.finish(item);
+        let job = item.job.clone();
+        let command = Command::ListResult {
+            job: job.clone(),
+            result,
+        };
+        self.propose(command, FollowUp::Result { job, finished }, turn);
+    }
+}
