--- a/crates/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/mod.rs
@@ -1,5 +1,6 @@
-//! Rules by which a leader decides. Each module answers one question over plain data: no sockets,
-//! no clock of its own, no changes of what others own.
+//! Rules by which a leader decides. Each module answers one question over plain data: no sockets, no
+//! clock of its own, no change of what others own. Its head says the question, its inputs, the rule,
+//! why, what was measured, and what happens when an input is old or missing.
 
 pub(crate) mod admission;
 pub(crate) mod capacity_orders;
@@ -17,4 +18,5 @@
 pub(crate) mod order_rights;
 pub(crate) mod placement;
 pub(crate) mod registration;
+pub(crate) mod scoring_outcome;
 pub(crate) mod usage_reports;
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -24,7 +24,8 @@
 
 /// The leader machine of the coordination group.
 ///
-/// Invariant: it holds nothing that must survive it; all of that is in [`CoordinationState`](crate::state::CoordinationState).
+/// Invariant: it holds nothing that must survive it; all of that is in
+/// [`CoordinationState`](crate::state::CoordinationState).
 pub struct CoordinationLeader {
     pub(super) settings: LeaderSettings,
     pub(super) epoch: Epoch,
--- a/crates/wingshore-coordination/src/leader/mod.rs
+++ b/crates/wingshore-coordination/src/leader/mod.rs
@@ -1,4 +1,15 @@
 //! What only the group's leader does.
+//!
+//! [`CoordinationLeader`] is a state machine: inputs come with their time, and what is to be done is
+//! given back. Its parts use each other in one direction:
+//!
+//! - `dispatch` takes the inputs, and hands each to the module of its topic: servers, gateways, jobs,
+//!   placing, attempts, moving, results, scoring, rollout, loading, capacity, usage, evidence,
+//!   configuring, members;
+//! - a module of a topic asks `decisions` what to do, changes `tables`, proposes commands, and says
+//!   what is to be done outside the group;
+//! - `decisions` answers one question a module, over plain data;
+//! - `tables` is what the leader knows, and `machine` holds all of it.
 
 mod attempts;
 mod capacity;
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -3,6 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::expiry::is_silent;
 use super::decisions::gateway_choice::gateway_for_scoring;
+use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Verdict, backoff, verdict};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::scorings::Running;
@@ -188,6 +189,7 @@
         self.scorings.start(scoring, running);
     }
 
+    /// A gateway's scoring is over.
     pub(crate) fn on_scoring_ended(
         &mut self,
         gateway: GatewayId,
@@ -200,42 +202,53 @@
         };
         let Running { item, made_by, .. } = running;
         let reason = outcome.name();
-        match outcome {
-            ScoringOutcome::Scored(score) => {
-                self.scorings.tries.remove(&item);
-                let command = Command::ListScored {
-                    item: item.clone(),
-                    made_by,
-                    score,
-                };
-                let finished = (gateway, scoring);
-                let follow_up = FollowUp::Scored { item, finished };
-                self.propose(command, follow_up, turn);
+        let failures = kept_failures(&item, turn.state);
+        let max_failures = self.max_scoring_failures(&item, turn.state);
+        match verdict(outcome, failures, max_failures) {
+            Verdict::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
+            Verdict::Abandon => {
+                turn.release_scoring(gateway, scoring);
+                self.abandon(&item, FAILED_TOO_OFTEN, turn);
             }
-            ScoringOutcome::Failed(failures) => {
-                let known = kept_failures(&item, turn.state).saturating_add(failures);
-                if known >= self.most_scoring_attempts(&item, turn.state) {
+            Verdict::Retry { counted, failures } => {
+                if counted.is_none() {
                     turn.release_scoring(gateway, scoring);
-                    let reason = "its scoring failed as often as the route allows";
-                    return self.abandon(&item, reason, turn);
                 }
-                self.retry_scoring(scoring, &item, made_by, (reason, known), turn);
-                let command = Command::CountScoringFailures {
-                    item,
-                    made_by,
-                    failures,
-                };
-                let follow_up = FollowUp::ScoringCounted { gateway, scoring };
-                self.propose(command, follow_up, turn);
-            }
-            ScoringOutcome::NotScored(_) => {
-                turn.release_scoring(gateway, scoring);
-                let known = kept_failures(&item, turn.state);
-                self.retry_scoring(scoring, &item, made_by, (reason, known), turn);
+                self.retry_scoring(scoring, &item, made_by, (reason, failures), turn);
+                if let Some(failures) = counted {
+                    let command = Command::CountScoringFailures {
+                        item,
+                        made_by,
+                        failures,
+                    };
+                    let follow_up = FollowUp::ScoringCounted { gateway, scoring };
+                    self.propose(command, follow_up, turn);
+                }
             }
         }
     }
 
+    /// Proposes a score; the gateway keeps it until it is committed.
+    fn list_scored(
+        &mut self,
+        gateway: GatewayId,
+        scoring: AssignmentId,
+        item: ItemKey,
+        made_by: AssignmentId,
+        score: String,
+        turn: &mut Turn<'_>,
+    ) {
+        self.scorings.tries.remove(&item);
+        let command = Command::ListScored {
+            item: item.clone(),
+            made_by,
+            score,
+        };
+        let finished = (gateway, scoring);
+        let follow_up = FollowUp::Scored { item, finished };
+        self.propose(command, follow_up, turn);
+    }
+
     fn retry_scoring(
         &mut self,
         scoring: AssignmentId,
@@ -244,7 +257,7 @@
         (reason, failures): (&'static str, u32),
         turn: &mut Turn<'_>,
     ) {
-        let pause = self.scorings.next_pause(item);
+        let pause = backoff(self.scorings.count_retry(item));
         self.scorings.wait(item.clone(), made_by, turn.now + pause);
         let decision = ScoringDecision::Retried {
             scoring,
@@ -279,7 +292,7 @@
         }
     }
 
-    fn most_scoring_attempts(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
+    fn max_scoring_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
         let scorer = Self::scorer_of(item, state);
         let route = scorer.and_then(|scorer| self.routes.find(&scorer.host, &scorer.path));
         route.map_or(u32::MAX, |route| route.max_attempts).max(1)
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -1,5 +1,5 @@
-//! What a leader keeps in memory: engines, items, scorings. All of it is built anew at each
-//! leadership, from the replicated state and from what gateways and servers report.
+//! What a leader keeps in memory. All of it is built anew at each leadership, from the replicated
+//! state and from what gateways and servers report.
 
 pub(crate) mod capacity;
 pub(crate) mod engine;
--- a/crates/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/wingshore-coordination/src/leader/tables/scorings.rs
@@ -4,14 +4,7 @@
 use crate::messages::AssignmentId;
 use crate::state::CoordinationState;
 use std::collections::BTreeMap;
-use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
-
-/// A scoring without an answer is tried again after this time at first, and twice as long each
-/// time.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// The longest such time.
-const MOST_PAUSE: Duration = Duration::from_secs(1);
+use wingshore_types::Instant;
 
 /// A scoring that a gateway has in hand.
 #[derive(Clone, Debug)]
@@ -129,11 +122,11 @@
         BTreeMap::into_iter(taken).collect()
     }
 
-    /// How long an item pauses after a scoring without a score.
-    pub(crate) fn next_pause(&mut self, item: &ItemKey) -> Duration {
+    /// A score of an item is to be asked for again; says how often it was before, in a row.
+    pub(crate) fn count_retry(&mut self, item: &ItemKey) -> u32 {
         let tries = self.tries.entry(item.clone()).or_default();
-        let pause = doubled_pause(FIRST_PAUSE, *tries, MOST_PAUSE);
+        let before = *tries;
         *tries += 1;
-        pause
+        before
     }
 }
