--- a/crates/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/wingshore-coordination/src/leader/attempts.rs
@@ -8,7 +8,7 @@
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
-use super::tables::items::Running;
+use super::tables::items::Attempt;
 use super::turn::Turn;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ItemKey};
@@ -24,14 +24,14 @@
 
 impl CoordinationLeader {
     /// A gateway runs an item that an earlier leader assigned.
-    pub(crate) fn adopt(&mut self, gateway: GatewayId, running: RunningItem, turn: &mut Turn<'_>) {
+    pub(crate) fn adopt(&mut self, gateway: GatewayId, reported: RunningItem, turn: &mut Turn<'_>) {
         let RunningItem {
             assignment,
             item,
             instance,
-        } = running;
+        } = reported;
         // A gateway that was welcomed twice reports twice.
-        if self.items.is_running(assignment) {
+        if self.items.is_under_way(assignment) {
             return;
         }
         let job = turn.state.jobs().get(&item.job);
@@ -40,8 +40,8 @@
             .is_some_and(|job| job.unscored(item.index).is_none());
         let is_free = self
             .items
-            .progress(&item)
-            .is_some_and(|progress| progress.assignment.is_none() && !progress.ended);
+            .open_item(&item)
+            .is_some_and(|open_item| open_item.assignment.is_none() && !open_item.has_result);
         if !is_open || !is_free {
             return turn.release_attempt(gateway, assignment);
         }
@@ -50,12 +50,12 @@
         let held = held.map(ItemText::held).unwrap_or_default();
         turn.send(gateway, CoordinatorMessage::HandInFrom { assignment, held });
         let model = job.and_then(|job| job.submission.model.clone());
-        let running = Running::new(turn.now, item, gateway, instance, model);
-        self.start(assignment, running);
+        let attempt = Attempt::new(turn.now, item, gateway, instance, model);
+        self.start(assignment, attempt);
     }
 
     /// Makes events of a long item durable.
-    pub(crate) fn keep_text(
+    pub(crate) fn keep_partial_text(
         &mut self,
         assignment: AssignmentId,
         after_events: u64,
@@ -77,16 +77,16 @@
     pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
         let silent: Vec<AssignmentId> = self
             .items
-            .running()
-            .filter(|(_, running)| is_silent(turn.now, running.heard))
+            .attempts()
+            .filter(|(_, attempt)| is_silent(turn.now, attempt.heard))
             .map(|(assignment, _)| *assignment)
             .collect();
         for assignment in silent {
-            if let Some(running) = self.items.end(assignment) {
-                self.note_end(&running);
-                turn.release_attempt(running.gateway, assignment);
-                log_retry(assignment, &running, SILENT, turn);
-                self.items.wait(running.item);
+            if let Some(attempt) = self.items.end(assignment) {
+                self.note_end(&attempt);
+                turn.release_attempt(attempt.gateway, assignment);
+                log_retry(assignment, &attempt, SILENT, turn);
+                self.items.wait(attempt.item);
             }
         }
     }
@@ -101,12 +101,12 @@
         turn: &mut Turn<'_>,
     ) {
         let finished = (gateway, assignment);
-        let Some(running) = self.items.end(assignment) else {
+        let Some(attempt) = self.items.end(assignment) else {
             return self.on_forgotten_end(finished, item, outcome, turn);
         };
-        self.note_end(&running);
-        match self.history_of(&running.item, &outcome, turn.state) {
-            Some(history) => self.attempt_ended(finished, &running, outcome, history, turn),
+        self.note_end(&attempt);
+        match self.history_of(&attempt.item, &outcome, turn.state) {
+            Some(history) => self.attempt_ended(finished, &attempt, outcome, history, turn),
             None => self.release_unknown(gateway, assignment, turn),
         }
         self.place_items(turn);
@@ -119,8 +119,8 @@
         outcome: &ItemOutcome,
         state: &CoordinationState,
     ) -> Option<ItemHistory> {
-        let progress = self.items.progress(item)?;
-        if progress.ended {
+        let open_item = self.items.open_item(item)?;
+        if open_item.has_result {
             return None;
         }
         let is_too_old = match outcome {
@@ -136,7 +136,7 @@
         };
         Some(ItemHistory {
             is_too_old,
-            failures: progress.failures,
+            failures: open_item.failures,
             max_failures: self.max_failures(item, state),
             may_end_engines,
         })
@@ -158,7 +158,7 @@
     fn attempt_ended(
         &mut self,
         finished: (GatewayId, AssignmentId),
-        running: &Running,
+        attempt: &Attempt,
         outcome: ItemOutcome,
         history: ItemHistory,
         turn: &mut Turn<'_>,
@@ -172,45 +172,45 @@
             } else {
                 outcome.name()
             };
-            log_retry(assignment, running, reason, turn);
+            log_retry(assignment, attempt, reason, turn);
         }
         match (verdict, outcome) {
             (Verdict::Take, ItemOutcome::Finished(text)) => {
-                self.engines.succeeded(&running.instance);
-                self.take_text(&running.item, text, finished, turn);
+                self.engines.succeeded(&attempt.instance);
+                self.take_text(&attempt.item, text, finished, turn);
             }
             (Verdict::Take, _) => {}
-            (Verdict::Retry(retry), outcome) => self.retry(running, outcome, retry, turn),
-            (Verdict::Abandon(reason), _) => self.abandon(&running.item, reason, turn),
+            (Verdict::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
+            (Verdict::Abandon(reason), _) => self.abandon(&attempt.item, reason, turn),
         }
     }
 
     /// An item waits again.
     fn retry(
         &mut self,
-        running: &Running,
+        attempt: &Attempt,
         outcome: ItemOutcome,
         retry: Retry,
         turn: &mut Turn<'_>,
     ) {
-        self.judge_engine(&running.instance, retry.engine, turn);
-        if let Some(progress) = self.items.progress_mut(&running.item) {
+        self.judge_engine(&attempt.instance, retry.engine, turn);
+        if let Some(open_item) = self.items.open_item_mut(&attempt.item) {
             if let Some(backoff) = retry.backoff {
-                progress.not_before = Some(turn.now + backoff);
+                open_item.not_before = Some(turn.now + backoff);
             }
-            progress.failures += u32::from(retry.is_failure);
+            open_item.failures += u32::from(retry.is_failure);
             match (retry.partial_text, outcome) {
-                (PartialText::Drop, _) => progress.kept = ItemText::default(),
+                (PartialText::Drop, _) => open_item.partial_text = ItemText::default(),
                 (PartialText::Replace, ItemOutcome::Interrupted { text, cause }) => {
-                    progress.kept = text;
+                    open_item.partial_text = text;
                     if let BreakCause::Engine(Some(request)) = cause {
-                        progress.request = Some(request);
+                        open_item.request = Some(request);
                     }
                 }
                 _ => {}
             }
         }
-        self.items.wait(running.item.clone());
+        self.items.wait(attempt.item.clone());
     }
 
     fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineVerdict, turn: &mut Turn<'_>) {
@@ -226,7 +226,7 @@
                 self.ask_report(instance, turn);
             }
             EngineVerdict::Defer(duration) => {
-                self.engines.pause_until(instance, turn.now + duration);
+                self.engines.defer_until(instance, turn.now + duration);
             }
         }
     }
@@ -235,12 +235,12 @@
         let Some(engine) = self.engines.get(instance) else {
             return;
         };
-        if let Some(until) = eject_until(now, engine.paused_until, engine.faults) {
+        if let Some(until) = eject_until(now, engine.ejected_until, engine.faults) {
             self.engines.eject(instance, until);
         }
     }
 
-    /// An attempt is over that this leader had given up, because its gateway was unreachable. A whole
+    /// An attempt is over that this leader took to be over, because its gateway was unreachable. A whole
     /// text is a result all the same, whatever runs for the item meanwhile: the first one counts.
     fn on_forgotten_end(
         &mut self,
@@ -249,19 +249,19 @@
         outcome: ItemOutcome,
         turn: &mut Turn<'_>,
     ) {
-        let progress = self.items.progress(item);
-        let open = progress.filter(|progress| !progress.ended);
-        let (Some(progress), ItemOutcome::Finished(text)) = (open, outcome) else {
+        let open_item = self.items.open_item(item);
+        let open = open_item.filter(|open_item| !open_item.has_result);
+        let (Some(open_item), ItemOutcome::Finished(text)) = (open, outcome) else {
             return self.release_unknown(gateway, assignment, turn);
         };
         if is_too_old(&text, item, turn.state) {
             return self.release_unknown(gateway, assignment, turn);
         }
-        if let Some(other) = progress.assignment
-            && let Some(running) = self.items.end(other)
+        if let Some(other) = open_item.assignment
+            && let Some(attempt) = self.items.end(other)
         {
-            self.note_end(&running);
-            turn.release_attempt(running.gateway, other);
+            self.note_end(&attempt);
+            turn.release_attempt(attempt.gateway, other);
         }
         self.take_text(item, text, (gateway, assignment), turn);
         self.place_items(turn);
@@ -276,9 +276,9 @@
     }
 
     /// Its engine and its gateway have one item less.
-    pub(crate) fn note_end(&mut self, running: &Running) {
-        self.engines.ended(&running.instance);
-        self.gateways.item_ended(running.gateway);
+    pub(crate) fn note_end(&mut self, attempt: &Attempt) {
+        self.engines.ended(&attempt.instance);
+        self.gateways.item_ended(attempt.gateway);
     }
 }
 
@@ -291,15 +291,15 @@
 
 fn log_retry(
     assignment: AssignmentId,
-    running: &Running,
+    attempt: &Attempt,
     reason: &'static str,
     turn: &mut Turn<'_>,
 ) {
     turn.log(Decision::ItemRetried {
         assignment,
-        job: running.item.job.clone(),
-        index: running.item.index,
-        instance: running.instance.clone(),
+        job: attempt.item.job.clone(),
+        index: attempt.item.index,
+        instance: attempt.instance.clone(),
         reason,
     });
 }
--- a/crates/wingshore-coordination/src/leader/decision_log.rs
+++ b/crates/wingshore-coordination/src/leader/decision_log.rs
@@ -57,12 +57,12 @@
         items: usize,
         /// Results that are listed.
         listed: usize,
-        /// Tries that are ended with it.
+        /// Attempts that are ended with it.
         running: usize,
     },
     /// An item was placed.
     ItemAssigned {
-        /// The try.
+        /// The attempt.
         assignment: AssignmentId,
         /// The job.
         job: JobId,
@@ -80,12 +80,12 @@
         is_long: bool,
         /// The gateway that runs it.
         gateway: GatewayId,
-        /// The last event of earlier tries.
+        /// The last event of earlier attempts.
         after_event: Option<u64>,
     },
-    /// A try was over without a whole result.
+    /// An attempt was over without a whole result.
     ItemRetried {
-        /// The try.
+        /// The attempt.
         assignment: AssignmentId,
         /// The job.
         job: JobId,
@@ -93,12 +93,12 @@
         index: u32,
         /// The engine.
         instance: InstanceId,
-        /// What came of the try.
+        /// What came of the attempt.
         reason: &'static str,
     },
     /// An item goes on at a faster engine.
     ItemMoved {
-        /// The try that is broken off.
+        /// The attempt that is broken off.
         assignment: AssignmentId,
         /// The job.
         job: JobId,
@@ -122,7 +122,7 @@
     },
     /// About a scoring.
     Scoring(ScoringDecision),
-    /// An item was given up.
+    /// An item was abandoned.
     ItemAbandoned {
         /// The job.
         job: JobId,
@@ -158,7 +158,7 @@
     RequestSuspected {
         /// The request.
         request: RequestFingerprint,
-        /// The run of the server.
+        /// The incarnation of the server.
         instance: InstanceId,
         /// The gateway that saw it.
         gateway: GatewayId,
--- a/crates/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -4,14 +4,14 @@
 //! in each zone that nobody takes away, the most that a zone may have, and a policy (a setting).
 //!
 //! Rule: by demand, as many servers that may be taken away as the open items need beyond those that
-//! stay, at most [`MOST_EXTRA_PART`] of these, the same number in each zone. Those that stay are left as
+//! stay, at most [`MAX_EXTRA_PART`] of these, the same number in each zone. Those that stay are left as
 //! they are. A service without such a kind of server, or without any registered one, wants none.
 //!
 //! Why: servers that may be taken away cost a part of the others; all of a zone go at once, so they are
 //! spread.
 //!
 //! Measured: worth of a day +0.017 +- 0.035 (12 pairs, 45 engines), no result; kept by the simulation of
-//! steps, whose figures are at [`MOST_EXTRA_PART`].
+//! steps, whose figures are at [`MAX_EXTRA_PART`].
 //!
 //! Old or missing inputs: a new leader counts the open items from its own beginning, so that it may want
 //! fewer for a while; the registry's servers may be some seconds old.
@@ -28,7 +28,7 @@
 /// stay, 16 seeds each, standard error 0.012 s): steps of 7.39 s without more, 7.27 s with two fifths
 /// more, 7.22 s with four fifths, 7.25 s with as many again; where a fifth of the engines is slow for a
 /// while 7.54, 7.42, 7.35 and 7.35 s.
-const MOST_EXTRA_PART: f64 = 0.8;
+const MAX_EXTRA_PART: f64 = 0.8;
 
 /// The most items that were open at once count for this long at the least: some steps of a trainer.
 /// Not measured.
@@ -114,6 +114,6 @@
     let staying: u32 = demand.staying.values().sum();
     let needed = demand.open_items.div_ceil(demand.slots.max(1) as usize);
     let needed = u32::try_from(needed).unwrap_or(u32::MAX);
-    let most = (f64::from(staying) * MOST_EXTRA_PART) as u32;
+    let most = (f64::from(staying) * MAX_EXTRA_PART) as u32;
     needed.saturating_sub(staying).min(most)
 }
--- a/crates/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -3,7 +3,7 @@
 //! Inputs: which servers' connections gateways lost under which requests, and when, with the servers
 //! that nobody listens for since; which requests ran well; the time.
 //!
-//! Rule: evidence is weighed [`WEIGHED_AFTER`] it was told. An ending counts against a request if that
+//! Rule: evidence is weighed [`WEIGHED_AFTER`] it was reported. An ending counts against a request if that
 //! stood on half of the servers of the service that ended with it, or on several of them. A request is
 //! rejected at the third ending that counts if its endings single it out, else at the fourth. A run that
 //! goes well clears it; without news for [`EVIDENCE_LIFETIME`] the oldest ending counts no longer.
@@ -17,7 +17,7 @@
 //! runs without one that is, in 164 with one; more than three late sends in 29. Each ending counted
 //! alone: 21 runs of 2,000.
 //!
-//! Old or missing inputs: endings are told up to a minute late, after a change of leaders; evidence
+//! Old or missing inputs: endings may be reported up to a minute late, after a change of leaders; evidence
 //! about a server whose ending is not known counts for itself. A new leader counts silence from its own
 //! beginning, so that nothing is let go too early.
 
@@ -38,32 +38,32 @@
 /// Servers that end within this time of each other end together. A request that ends its server
 /// does so within 200 ms and is then sent to the next one.
 const TOGETHER: Duration = Duration::from_millis(300);
-/// Evidence is weighed this long after it was told, so that other gateways have told theirs: a lost
+/// Evidence is weighed this long after it was reported, so that other gateways have reported theirs: a lost
 /// connection shows at once, and the way to the leader takes some ms.
 const WEIGHED_AFTER: Duration = Duration::from_millis(300);
-/// Endings are remembered this long, for evidence that a gateway tells late, after a change of
+/// Endings are remembered this long, for evidence that a gateway reports late, after a change of
 /// leaders.
 const ENDINGS_KEPT: Duration = Duration::from_secs(60);
 /// Most pieces of evidence that wait to be weighed, 100 bytes each: those of 400 servers with 16
 /// requests each that end at once. What is beyond is dropped: with so many no request is the cause.
-const MOST_PENDING: usize = 6400;
+const MAX_PENDING: usize = 6400;
 
-/// What gateways have told and was not weighed yet, and when servers ended.
+/// What gateways have reported and was not weighed yet, and when servers ended.
 #[derive(Default)]
 pub(crate) struct Evidence {
     pending: Vec<Pending>,
-    /// Runs of servers that ended under requests.
+    /// Incarnations of servers that ended under requests.
     endings: BTreeMap<InstanceId, Ending>,
     /// When there was news of each request last. A new leader counts from its beginning, so that
     /// nothing is let go too early.
     news: BTreeMap<RequestFingerprint, Instant>,
 }
 
-/// Evidence that was told and not weighed yet.
+/// Evidence that was reported and not weighed yet.
 pub(crate) struct Pending {
     pub(crate) evidence: CrashEvidence,
     pub(crate) gateway: GatewayId,
-    told_at: Instant,
+    reported_at: Instant,
 }
 
 struct Ending {
@@ -96,7 +96,7 @@
         self.news = suspects.map(|known| (known.fingerprint, now)).collect();
     }
 
-    /// A gateway tells what it has seen.
+    /// A gateway reports what it has seen.
     pub(crate) fn take(
         &mut self,
         now: Instant,
@@ -113,16 +113,16 @@
             requests: BTreeSet::new(),
         });
         let is_news = ending.requests.insert(evidence.fingerprint);
-        if is_news && self.pending.len() < MOST_PENDING {
+        if is_news && self.pending.len() < MAX_PENDING {
             self.pending.push(Pending {
                 evidence,
                 gateway,
-                told_at: now,
+                reported_at: now,
             });
         }
     }
 
-    /// Whether an ending under a request was told and not weighed yet.
+    /// Whether an ending under a request was reported and not weighed yet.
     pub(crate) fn is_pending(&self, request: RequestFingerprint) -> bool {
         let mut pending = self.pending.iter();
         pending.any(|pending| pending.evidence.fingerprint == request)
@@ -170,17 +170,17 @@
 
     /// Takes the evidence whose time to be weighed has come.
     pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Pending> {
-        let is_due = |pending: &mut Pending| now.since(pending.told_at) >= WEIGHED_AFTER;
+        let is_due = |pending: &mut Pending| now.since(pending.reported_at) >= WEIGHED_AFTER;
         self.pending.extract_if(.., is_due).collect()
     }
 
-    /// Forgets endings that no evidence can still be told of.
+    /// Forgets endings that no evidence can still be reported of.
     pub(crate) fn forget_endings(&mut self, now: Instant) {
         self.endings
             .retain(|_, ending| now.since(ending.at) < ENDINGS_KEPT);
     }
 
-    /// Runs of these requests went well: what was told against them and not weighed counts for nothing.
+    /// These requests ran well: what was reported against them and not weighed counts for nothing.
     pub(crate) fn clear(&mut self, requests: &[RequestFingerprint]) {
         self.pending
             .retain(|pending| !requests.contains(&pending.evidence.fingerprint));
--- a/crates/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -18,7 +18,7 @@
 //!
 //! Measured (a step in the simulation of steps, 45 engines, 16 seeds, standard error 0.01 to 0.02 s;
 //! 7.39 s by this rule): without the scarcest model first 8.48 s; faster engines first 7.49 s, and 8.51
-//! s in place of 7.54 s where a fifth of them is slow for a while; long items that do not defer loads:
+//! s in place of 7.54 s where a fifth of them is slow for a while; loads that are not deferred for long items:
 //! no difference there, worth of a day +0.010 +- 0.018 for deferring (15 pairs, 11 engines). Each
 //! constant says what it bought.
 //!
--- a/crates/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/moves.rs
@@ -19,7 +19,7 @@
 
 use crate::ids::{InstanceId, ModelName};
 use crate::leader::tables::engines::Engines;
-use crate::leader::tables::free_slots::{EngineQuery, Look};
+use crate::leader::tables::free_slots::{EngineQuery, Scan};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -74,7 +74,7 @@
         service: &engine.record.service,
         model: item.model,
         min_version: item.min_version,
-        look: Look::FastestKnown,
+        scan: Scan::FastestKnown,
     };
     let better = engines.best_of_each(query, |instance, other| {
         let promised = promised.get(instance).copied().unwrap_or(0);
--- a/crates/wingshore-coordination/src/leader/decisions/placement.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/placement.rs
@@ -26,7 +26,7 @@
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use crate::leader::tables::engine::Engine;
 use crate::leader::tables::engines::Engines;
-use crate::leader::tables::free_slots::{EngineQuery, Look};
+use crate::leader::tables::free_slots::{EngineQuery, Scan};
 use crate::leader::tables::pace::slow_down;
 use wingshore_types::Instant;
 
@@ -88,7 +88,7 @@
         service: needs.service,
         model: needs.model,
         min_version: needs.min_version,
-        look: Look::Any,
+        scan: Scan::Any,
     };
     engines
         .best_of_each(query, takes)
--- a/crates/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/registration.rs
@@ -45,11 +45,11 @@
 #[derive(Default)]
 pub(crate) struct Heartbeats {
     last: BTreeMap<InstanceId, LastHeartbeat>,
-    /// Runs whose address another run has registered since, and heartbeats of them since then. At
-    /// most one for each server: a run that is not heard of again is dropped when the next one at
+    /// Incarnations whose address another one has registered since, and heartbeats of them since then.
+    /// At most one for each server: one that is not heard of again is dropped when the next one at
     /// its address is superseded.
     superseded: BTreeMap<InstanceId, Superseded>,
-    /// Servers that have started again lately: a deregistration may be one of the run before.
+    /// Servers that have started again lately: a deregistration may be one of the incarnation before.
     restarted: RecentNames,
     /// Unknown servers that have deregistered lately: a heartbeat may be one of before that.
     deregistered: RecentNames,
@@ -106,7 +106,7 @@
         true
     }
 
-    /// A run has registered at the address of these others.
+    /// An incarnation has registered at the address of these others.
     pub(crate) fn supersede(&mut self, address: SocketAddr, others: &[InstanceId]) {
         self.superseded.retain(|_, known| known.address != address);
         for instance in others {
@@ -127,14 +127,14 @@
         superseded.heartbeats < HEARTBEATS_TO_RETURN
     }
 
-    /// Whether a later run of the same server is registered, or was heard of and has expired since.
-    fn knows_later_run(&self, instance: &InstanceId, state: &CoordinationState) -> bool {
-        let heard = self.last.range(instance..).map(|(run, _)| run);
-        let mut heard = heard.take_while(|run| run.name() == instance.name());
-        heard.any(|run| run > instance)
+    /// Whether a later incarnation of the same server is registered, or was heard of and has expired since.
+    fn knows_later_incarnation(&self, instance: &InstanceId, state: &CoordinationState) -> bool {
+        let heard = self.last.range(instance..).map(|(known, _)| known);
+        let mut heard = heard.take_while(|known| known.name() == instance.name());
+        heard.any(|known| known > instance)
             || state
                 .runs_of(instance.name())
-                .any(|(run, _)| run > instance)
+                .any(|(known, _)| known > instance)
     }
 
     /// Whether a heartbeat that is the newest of its incarnation tells what that is now.
@@ -145,7 +145,7 @@
         state: &CoordinationState,
     ) -> bool {
         !state.has_departed(instance)
-            && !self.knows_later_run(instance, state)
+            && !self.knows_later_incarnation(instance, state)
             && (state.servers().contains_key(instance) || !self.may_be_outdated(now, instance))
     }
 
@@ -196,7 +196,7 @@
     /// Forgets servers that are not registered and were silent since before `limit`.
     fn forget(&mut self, limit: Instant, state: &CoordinationState) {
         self.last
-            .retain(|run, last| last.at >= limit || state.servers().contains_key(run));
+            .retain(|known, last| last.at >= limit || state.servers().contains_key(known));
     }
 
     /// Whether the server has been silent since before `limit`.
@@ -206,7 +206,7 @@
 }
 
 /// Why an entry names no server to use: it is of a service that the configuration does not have, or
-/// says what the run that it names cannot have become. Such entries come from another writer, and
+/// says what the incarnation that it names cannot have become. Such entries come from another writer, and
 /// are to disturb nobody.
 pub(crate) fn foreign(server: &ServerRecord, state: &CoordinationState) -> Option<String> {
     let service = &server.service;
@@ -225,7 +225,7 @@
     })
 }
 
-/// What the registry should hold after `server` has told its state.
+/// What the registry should hold after `server` has reported itself.
 pub(crate) fn merged(mut server: ServerRecord, state: &CoordinationState) -> ServerRecord {
     if let Some(held) = state.servers().get(&server.instance) {
         server.draining |= held.draining;
--- a/crates/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -1,6 +1,6 @@
 //! When are the counts of a usage window fixed, and when is its report sent to the provider?
 //!
-//! Inputs: the site's agreed time of day; totals that gateways told for open windows, and what the log
+//! Inputs: the site's agreed time of day; totals that gateways reported for open windows, and what the log
 //! keeps of gateways that are gone; the length of a window and the time in which its report is due; the
 //! provider's answers.
 //!
@@ -26,7 +26,7 @@
 use std::time::Duration;
 use wingshore_types::{Instant, doubled_pause};
 
-/// A window is closed after this part of the time in which its report is due: gateways tell their
+/// A window is closed after this part of the time in which its report is due: gateways report their
 /// counts each 400 ms, and the rest of the time is for calls that have to be made again.
 const CLOSE_PART: f64 = 0.4;
 /// A new leader hears what gateways have counted before it closes a window.
@@ -89,8 +89,8 @@
         Some(WallTime(wall.0.saturating_add(since)))
     }
 
-    /// A gateway has told totals.
-    pub(crate) fn told(
+    /// A gateway has reported totals.
+    pub(crate) fn reported(
         &mut self,
         gateway: GatewayId,
         usage: Vec<WindowUsage>,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// What a gateway has told of windows that are open.
-    pub(crate) fn told_by(&self, gateway: GatewayId) -> Vec<WindowUsage> {
+    /// What a gateway has reported of windows that are open.
+    pub(crate) fn reported_by(&self, gateway: GatewayId) -> Vec<WindowUsage> {
         let totals = self.totals.iter();
         totals
             .filter_map(|(window, gateways)| {
@@ -118,16 +118,17 @@
             .collect()
     }
 
-    /// All that was counted in a window. What a gateway told lately stands for what was kept of it.
+    /// All that was counted in a window. What a gateway reported lately stands for what was kept of it.
     fn counts_of(&self, window: UsageWindow, durable: &SiteUsage) -> UsageCounts {
         let mut sum = UsageCounts::default();
         let totals = self.totals.get(&window);
-        let is_told = |gateway: &GatewayId| totals.is_some_and(|told| told.contains_key(gateway));
+        let is_reported =
+            |gateway: &GatewayId| totals.is_some_and(|reported| reported.contains_key(gateway));
         let kept = durable
             .kept(window)
-            .filter(|(gateway, _)| !is_told(gateway));
-        let told = totals.into_iter().flatten();
-        for (_, counts) in kept.chain(told) {
+            .filter(|(gateway, _)| !is_reported(gateway));
+        let reported = totals.into_iter().flatten();
+        for (_, counts) in kept.chain(reported) {
             sum.add(counts);
         }
         sum
@@ -178,8 +179,8 @@
     /// present one.
     fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
         let before = UsageWindow(present.0.saturating_sub(1));
-        let told = self.totals.keys().next().copied();
-        let counted = told.into_iter().chain(durable.first_kept()).min();
+        let reported = self.totals.keys().next().copied();
+        let counted = reported.into_iter().chain(durable.first_kept()).min();
         counted.map_or(before, |counted| counted.min(before))
     }
 
--- a/crates/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/wingshore-coordination/src/leader/dispatch.rs
@@ -141,7 +141,7 @@
                 assignment,
                 after_events,
                 text,
-            } => self.keep_text(assignment, after_events, text, turn),
+            } => self.keep_partial_text(assignment, after_events, text, turn),
             Event::ItemsProgressed(progress) => self.on_progress(progress, turn),
             Event::RequestsCrashed { gateway, seen } => {
                 self.on_requests_crashed(turn.now, gateway, seen, turn.state);
@@ -160,7 +160,7 @@
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
             Event::UsageTold { gateway, usage } => {
-                self.usage.told(gateway, usage, turn.state.usage())
+                self.usage.reported(gateway, usage, turn.state.usage())
             }
             Event::CapacityAnswered {
                 pool,
@@ -180,7 +180,7 @@
         if turn.now >= self.next_sweep {
             self.next_sweep = turn.now + SWEEP_INTERVAL;
             self.expire_servers(turn);
-            self.give_up_items(turn);
+            self.abandon_overdue_items(turn);
             self.end_silent_items(turn);
             self.end_silent_scorings(turn.now);
             self.forget_jobs(turn);
--- a/crates/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/wingshore-coordination/src/leader/evidence.rs
@@ -58,7 +58,7 @@
         self.propose(command, FollowUp::CrashesNoted(requests), turn);
     }
 
-    /// Runs of requests under which servers had ended went well.
+    /// Requests under which servers had ended ran well.
     pub(crate) fn on_requests_ran(
         &mut self,
         requests: Vec<RequestFingerprint>,
--- a/crates/wingshore-coordination/src/leader/interface.rs
+++ b/crates/wingshore-coordination/src/leader/interface.rs
@@ -24,29 +24,29 @@
 pub enum Event {
     /// A gateway has connected to this coordinator.
     GatewayConnected(GatewayHello),
-    /// A gateway tells its state.
+    /// A gateway reports its status.
     GatewayStatus(GatewayId, GatewayStatus),
-    /// A gateway tells what it has in hand.
+    /// A gateway reports what it has in hand.
     GatewayRunning {
         /// Which gateway.
         gateway: GatewayId,
-        /// Tries at items.
+        /// Attempts at items.
         items: Vec<RunningItem>,
         /// Scorings.
         scorings: Vec<RunningScoring>,
     },
-    /// A gateway hands in events of a long item.
+    /// A gateway uploads events of a long item.
     ItemKept {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// Events of the item that were kept before.
         after_events: u64,
         /// The events behind them.
         text: ItemText,
     },
-    /// A gateway tells how far its items are.
+    /// A gateway reports how far its items are.
     ItemsProgressed(Vec<ItemProgress>),
-    /// A gateway tells which scorings it has in hand.
+    /// A gateway reports which scorings it has in hand.
     ScoringsInHand(Vec<AssignmentId>),
     /// A gateway's scoring is over.
     ScoringEnded {
@@ -64,7 +64,7 @@
         /// What it has seen.
         seen: Vec<SeenCrash>,
     },
-    /// Runs of requests under which servers had ended went well at a gateway.
+    /// Requests under which servers had ended ran well at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
     /// The connection of a gateway has ended.
     GatewayGone {
@@ -73,11 +73,11 @@
         /// How long it had been silent before.
         silence: Duration,
     },
-    /// A gateway's try at an item is over.
+    /// A gateway's attempt at an item is over.
     ItemEnded {
         /// Which gateway.
         gateway: GatewayId,
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
@@ -95,7 +95,7 @@
     CoordinatorsLost(Vec<String>),
     /// The site has agreed on its time of day.
     TimeAgreed(WallTime),
-    /// A gateway tells totals of requests that began to run.
+    /// A gateway reports totals of requests that began to run.
     UsageTold {
         /// Which gateway.
         gateway: GatewayId,
@@ -125,7 +125,7 @@
         /// The answer.
         answer: OrderAnswer,
     },
-    /// An engine answered how it stands, or did not.
+    /// An engine answered a poll of its status, or did not.
     Reported {
         /// The engine.
         instance: InstanceId,
@@ -139,7 +139,7 @@
 pub enum Effect {
     /// Send a message to one gateway.
     ToGateway(GatewayId, CoordinatorMessage),
-    /// Tell another coordinator that the registry does not hold these servers.
+    /// Report to another coordinator that the registry does not hold these servers.
     UnknownServers {
         /// The coordinator.
         to: ReplicaId,
@@ -154,7 +154,7 @@
     ReportUsage(UsageReport),
     /// Give an engine an order.
     Order(WeightOrder),
-    /// Ask an engine how it stands.
+    /// Poll an engine for its status.
     AskReport {
         /// The engine.
         instance: InstanceId,
@@ -180,7 +180,7 @@
     pub fence: Epoch,
     /// Orders that the engine had taken when it was polled.
     pub expected_sequence: u64,
-    /// Whether runs go on under the new version, rather than end first.
+    /// Whether requests under way go on under the new version, rather than end first.
     pub keep_running: bool,
 }
 
--- a/crates/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/jobs.rs
@@ -202,9 +202,9 @@
         self.propose(command, FollowUp::Request(tag), turn);
     }
 
-    /// Gives up items that have been queued for longer than their route allows, or whose route is
+    /// Abandons items that have been queued for longer than their route allows, or whose route is
     /// gone.
-    pub(crate) fn give_up_items(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn abandon_overdue_items(&mut self, turn: &mut Turn<'_>) {
         if turn.state.configuration().is_none() {
             return;
         }
--- a/crates/wingshore-coordination/src/leader/loading.rs
+++ b/crates/wingshore-coordination/src/leader/loading.rs
@@ -35,12 +35,12 @@
     /// Counts, for each engine and model, the items that are long or have proved to be.
     fn count_long_items(&mut self) {
         self.engines.clear_long_running();
-        for (_, running) in self.items.running() {
-            let events = running.seen.map_or(0, |(events, _)| events);
-            if let Some(model) = &running.model
-                && is_long_for_loads(running.is_long, events)
+        for (_, attempt) in self.items.attempts() {
+            let events = attempt.seen.map_or(0, |(events, _)| events);
+            if let Some(model) = &attempt.model
+                && is_long_for_loads(attempt.is_long, events)
             {
-                self.engines.add_long_running(&running.instance, model);
+                self.engines.add_long_running(&attempt.instance, model);
             }
         }
     }
@@ -58,8 +58,8 @@
                 choice.count_waiting(model, items);
             }
         }
-        for (_, running) in self.items.running() {
-            if let Some(model) = &running.model {
+        for (_, attempt) in self.items.attempts() {
+            if let Some(model) = &attempt.model {
                 choice.count_running(model);
             }
         }
--- a/crates/wingshore-coordination/src/leader/machine.rs
+++ b/crates/wingshore-coordination/src/leader/machine.rs
@@ -1,6 +1,6 @@
 //! The leader machine: what it holds.
 //!
-//! What it does stands in one module a topic. Each takes an input, asks the decision modules, changes
+//! What it does is in one module a topic. Each takes an input, asks the decision modules, changes
 //! the tables, and says what is to be done.
 
 use super::decisions::crash_evidence::Evidence;
@@ -29,9 +29,9 @@
 pub struct CoordinationLeader {
     pub(super) settings: LeaderSettings,
     pub(super) epoch: Epoch,
-    /// Items are placed from this time on: gateways first tell what they run.
+    /// Items are placed from this time on: gateways first report what they run.
     pub(super) place_from: Instant,
-    /// When all servers, items and jobs are next looked through for what has expired.
+    /// When the next sweep through servers, items and jobs is due.
     pub(super) next_sweep: Instant,
     pub(super) proposals: Proposals,
     pub(super) gateways: Gateways,
@@ -87,7 +87,7 @@
         let engines = self.engines.iter();
         LeaderFigures {
             items_waiting: self.items.waiting_count(),
-            items_running: self.items.running().count(),
+            items_running: self.items.attempts().count(),
             engines_loading: engines
                 .filter(|(_, engine)| engine.loading.is_some())
                 .count(),
--- a/crates/wingshore-coordination/src/leader/moving.rs
+++ b/crates/wingshore-coordination/src/leader/moving.rs
@@ -28,22 +28,22 @@
     /// Notes how far an item is, and what that says of its engine's pace.
     fn note_progress(&mut self, now: Instant, progress: ItemProgress) {
         let ItemProgress { assignment, events } = progress;
-        let Some(running) = self.items.running_mut(assignment) else {
+        let Some(attempt) = self.items.attempt_mut(assignment) else {
             return;
         };
-        running.heard = now;
-        let engine = self.engines.get(&running.instance);
+        attempt.heard = now;
+        let engine = self.engines.get(&attempt.instance);
         let is_steady = engine.is_some_and(|engine| engine.is_steady(now));
-        let Some((before, at)) = running.seen.filter(|_| is_steady) else {
-            running.seen = Some((events, now));
+        let Some((before, at)) = attempt.seen.filter(|_| is_steady) else {
+            attempt.seen = Some((events, now));
             return;
         };
         let new = events.saturating_sub(before);
         if new < MIN_MEASURED_EVENTS {
             return;
         }
-        running.seen = Some((events, now));
-        let instance = running.instance.clone();
+        attempt.seen = Some((events, now));
+        let instance = attempt.instance.clone();
         self.engines.paced(&instance, new, now.since(at));
     }
 
@@ -67,33 +67,33 @@
         promised: &BTreeMap<InstanceId, usize>,
         state: &CoordinationState,
     ) -> Option<(GatewayId, InstanceId)> {
-        let running = self.items.running_of(assignment)?;
-        let progress = self.items.progress(&running.item)?;
-        if running.interrupted || progress.ended {
+        let attempt = self.items.attempt(assignment)?;
+        let open_item = self.items.open_item(&attempt.item)?;
+        if attempt.interrupted || open_item.has_result {
             return None;
         }
-        let (events, _) = running.seen?;
-        let submission = &state.jobs().get(&running.item.job)?.submission;
+        let (events, _) = attempt.seen?;
+        let submission = &state.jobs().get(&attempt.item.job)?.submission;
         let item = MovableItem {
-            instance: &running.instance,
+            instance: &attempt.instance,
             model: submission.model.as_ref(),
             min_version: submission.min_version,
             events,
-            moves: progress.moves,
+            moves: open_item.moves,
         };
         let better = better_engine(now, &item, &self.engines, promised)?;
-        Some((running.gateway, better))
+        Some((attempt.gateway, better))
     }
 
     fn interrupt(&mut self, assignment: AssignmentId, gateway: GatewayId, turn: &mut Turn<'_>) {
-        let Some(running) = self.items.running_mut(assignment) else {
+        let Some(attempt) = self.items.attempt_mut(assignment) else {
             return;
         };
-        running.interrupted = true;
-        let (item, instance) = (running.item.clone(), running.instance.clone());
-        if let Some(progress) = self.items.progress_mut(&item) {
-            progress.moves += 1;
-            progress.avoid = Some(Avoided {
+        attempt.interrupted = true;
+        let (item, instance) = (attempt.item.clone(), attempt.instance.clone());
+        if let Some(open_item) = self.items.open_item_mut(&item) {
+            open_item.moves += 1;
+            open_item.avoid = Some(Avoided {
                 instance: instance.clone(),
                 until: turn.now + AVOIDED_FOR,
             });
--- a/crates/wingshore-coordination/src/leader/placing.rs
+++ b/crates/wingshore-coordination/src/leader/placing.rs
@@ -7,7 +7,7 @@
 use super::decisions::placement::{ItemNeeds, choose_engine};
 use super::machine::CoordinationLeader;
 use super::tables::engine::Engine;
-use super::tables::items::{Progress, Running};
+use super::tables::items::{Attempt, OpenItem};
 use super::turn::Turn;
 use crate::configuration::Route;
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
@@ -44,7 +44,7 @@
     NotNow,
     /// No engine takes items of its job.
     NoEngine {
-        /// The service whose engines were looked at.
+        /// The service whose engines were examined.
         service: ServiceName,
     },
 }
@@ -163,7 +163,7 @@
     ) -> Option<Candidate<'a>> {
         let job = state.jobs().get(&key.job)?;
         let item = job.submission.items.get(key.index as usize)?;
-        let known = self.items.progress(&key)?;
+        let known = self.items.open_item(&key)?;
         if known.not_before.is_some_and(|earliest| now < earliest) {
             return None;
         }
@@ -177,7 +177,7 @@
             item,
             route: Arc::clone(route),
             service,
-            partial_text: usable_text(&known.kept, job.kept(key.index), min_version),
+            partial_text: usable_text(&known.partial_text, job.kept(key.index), min_version),
             is_long: known.is_long,
             avoid: known.avoided(now).cloned(),
             is_suspect: is_suspected(known, state),
@@ -197,7 +197,7 @@
         let newest = model.and_then(|model| state.named_versions().get(model).copied());
         let affinity = self
             .items
-            .group_home(&submission.id, &candidate.item.group)
+            .affinity(&submission.id, &candidate.item.group)
             .filter(|_| policy.prompt_homes);
         let needs = ItemNeeds {
             service: &candidate.service,
@@ -209,7 +209,7 @@
             affinity,
             is_long: candidate.is_long && policy.long_items_first,
         };
-        let is_suspect = |progress: &Progress| is_suspected(progress, state);
+        let is_suspect = |open_item: &OpenItem| is_suspected(open_item, state);
         choose_engine(now, &needs, &self.engines, |instance| {
             !candidate.is_suspect || !self.items.has_suspect_on(instance, is_suspect)
         })
@@ -245,11 +245,11 @@
         turn.send(gateway, CoordinatorMessage::Assign(Box::new(message)));
         turn.log(decision);
         let (key, model) = (candidate.key.clone(), candidate.model().cloned());
-        let running = Running::new(turn.now, key, gateway, instance.clone(), model);
-        self.start(assignment, running);
+        let attempt = Attempt::new(turn.now, key, gateway, instance.clone(), model);
+        self.start(assignment, attempt);
         let job = &candidate.job.submission.id;
         self.items
-            .set_group_home(job, &candidate.item.group, instance);
+            .set_affinity(job, &candidate.item.group, instance);
     }
 
     /// Everything that the gateway needs.
@@ -283,15 +283,15 @@
     }
 
     /// An attempt begins, or is known to be under way.
-    pub(crate) fn start(&mut self, assignment: AssignmentId, running: Running) {
-        self.engines.started(&running.instance, running.gateway);
-        self.gateways.item_started(running.gateway);
-        self.items.start(assignment, running);
+    pub(crate) fn start(&mut self, assignment: AssignmentId, attempt: Attempt) {
+        self.engines.started(&attempt.instance, attempt.gateway);
+        self.gateways.item_started(attempt.gateway);
+        self.items.start(assignment, attempt);
     }
 }
 
 /// Whether several servers have ended under an item.
-fn is_suspected(progress: &Progress, state: &CoordinationState) -> bool {
-    let request = progress.request;
+fn is_suspected(open_item: &OpenItem, state: &CoordinationState) -> bool {
+    let request = open_item.request;
     request.is_some_and(|request| is_suspect(state.evidence().ended_under(request)))
 }
--- a/crates/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/wingshore-coordination/src/leader/rollout.rs
@@ -177,7 +177,7 @@
         self.drive_rollout_soon(turn);
     }
 
-    /// An engine has told its versions: they are kept, and what waits for them is placed.
+    /// An engine has reported its versions: they are noted, and what waits for them is placed.
     fn note_versions(&mut self, instance: &InstanceId, report: &EngineReport, turn: &mut Turn<'_>) {
         let risen = self.engines.raise_versions(instance, &report.models);
         let has_risen = !risen.is_empty();
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -6,7 +6,7 @@
 use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Verdict, backoff, verdict};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
-use super::tables::scorings::Running;
+use super::tables::scorings::OpenScoring;
 use super::turn::Turn;
 use crate::ids::{GatewayId, ItemKey};
 use crate::messages::{AssignmentId, CoordinatorMessage};
@@ -27,7 +27,7 @@
         contents.scorer.as_deref()
     }
 
-    /// A try has made the whole text of an item that is to be scored: the text is made durable
+    /// An attempt has made the whole text of an item that is to be scored: the text is made durable
     /// while the gateway that has it asks for the score.
     pub(crate) fn keep_unscored(
         &mut self,
@@ -37,7 +37,7 @@
         turn: &mut Turn<'_>,
     ) {
         self.items.finish(item);
-        let running = Running {
+        let running = OpenScoring {
             item: item.clone(),
             made_by,
             gateway,
@@ -65,7 +65,7 @@
             item,
             made_by,
         } = scoring;
-        if self.scorings.running.contains_key(&scoring) {
+        if self.scorings.under_way.contains_key(&scoring) {
             return;
         }
         let job = turn.state.jobs().get(&item.job).filter(|job| !job.ended);
@@ -73,13 +73,13 @@
         let is_own_text = match kept {
             Some(kept) => kept.made_by == made_by,
             // The text may come right behind, from the gateway that made it.
-            None => scoring == made_by && self.items.is_running(made_by),
+            None => scoring == made_by && self.items.is_under_way(made_by),
         };
         let is_open = job.is_some_and(|job| !job.is_listed(item.index));
         if !is_open || !is_own_text || self.scorings.is_in_hand(&item) {
             return turn.release_scoring(gateway, scoring);
         }
-        let running = Running {
+        let running = OpenScoring {
             item,
             made_by,
             gateway,
@@ -91,7 +91,7 @@
     /// A gateway speaks of the scorings that it has in hand.
     pub(crate) fn on_scoring(&mut self, now: Instant, scorings: &[AssignmentId]) {
         for scoring in scorings {
-            if let Some(running) = self.scorings.running.get_mut(scoring) {
+            if let Some(running) = self.scorings.under_way.get_mut(scoring) {
                 running.heard = now;
             }
         }
@@ -107,11 +107,11 @@
         self.scorings_lost(now, |running| is_silent(now, running.heard));
     }
 
-    fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&Running) -> bool) {
+    fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
         for (_, running) in self.scorings.take_running(is_lost) {
-            // Where the text was never told, its item runs again.
-            let progress = self.items.progress(&running.item);
-            if progress.is_some_and(|progress| progress.ended) {
+            // Where the text never arrived, its item runs again.
+            let open_item = self.items.open_item(&running.item);
+            if open_item.is_some_and(|open_item| open_item.has_result) {
                 self.scorings.wait(running.item, running.made_by, now);
             }
         }
@@ -139,7 +139,7 @@
 
     fn choose_scoring_gateway(&self) -> Option<GatewayId> {
         let mut in_hand: BTreeMap<GatewayId, usize> = BTreeMap::new();
-        for running in self.scorings.running.values() {
+        for running in self.scorings.under_way.values() {
             *in_hand.entry(running.gateway).or_default() += 1;
         }
         gateway_for_scoring(&self.gateways, &in_hand)
@@ -180,7 +180,7 @@
             scorer: *scorer,
         });
         turn.send(gateway, message);
-        let running = Running {
+        let running = OpenScoring {
             item,
             made_by,
             gateway,
@@ -197,10 +197,10 @@
         outcome: ScoringOutcome,
         turn: &mut Turn<'_>,
     ) {
-        let Some(running) = self.scorings.running.remove(&scoring) else {
+        let Some(running) = self.scorings.under_way.remove(&scoring) else {
             return turn.release_scoring(gateway, scoring);
         };
-        let Running { item, made_by, .. } = running;
+        let OpenScoring { item, made_by, .. } = running;
         let reason = outcome.name();
         let failures = kept_failures(&item, turn.state);
         let max_failures = self.max_scoring_failures(&item, turn.state);
@@ -238,7 +238,7 @@
         score: String,
         turn: &mut Turn<'_>,
     ) {
-        self.scorings.tries.remove(&item);
+        self.scorings.retries.remove(&item);
         let command = Command::ListScored {
             item: item.clone(),
             made_by,
@@ -270,7 +270,7 @@
     }
 
     /// A score was committed: the item is listed, unless the text that the group holds is another
-    /// try's.
+    /// attempt's.
     pub(crate) fn scored(
         &mut self,
         item: &ItemKey,
--- a/crates/wingshore-coordination/src/leader/servers.rs
+++ b/crates/wingshore-coordination/src/leader/servers.rs
@@ -41,13 +41,13 @@
         }
         if !is_known {
             self.supersede_others(&wanted, turn);
-            self.end_earlier_runs(&instance, turn);
+            self.end_earlier_incarnations(&instance, turn);
         }
         let command = Command::Register(wanted);
         self.propose(command, FollowUp::Server(instance, Some(tag)), turn);
     }
 
-    /// Two runs cannot listen at one address: where a new one registers, the one before has ended,
+    /// Two incarnations cannot listen at one address: where a new one registers, the one before has ended,
     /// and is given nothing from now on. It would be known by its silence only after
     /// [`LeaderSettings::server_expiry`](super::LeaderSettings::server_expiry), and be sent what
     /// the new one refuses until then.
@@ -64,24 +64,19 @@
         }
     }
 
-    /// A server has started again under its name: the runs before have ended for good.
-    fn end_earlier_runs(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
-        let runs = turn.state.runs_of(instance.name());
-        let earlier: Vec<InstanceId> = runs
-            .map(|(run, _)| run)
-            .filter(|run| *run < instance)
-            .cloned()
-            .collect();
+    /// A server has started again under its name: its incarnations before have ended for good.
+    fn end_earlier_incarnations(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
+        let incarnations = turn.state.runs_of(instance.name());
+        let earlier = incarnations.map(|(incarnation, _)| incarnation);
+        let earlier = earlier.filter(|incarnation| *incarnation < instance);
+        let earlier: Vec<InstanceId> = earlier.cloned().collect();
         if earlier.is_empty() {
             return;
         }
         self.heartbeats.note_restart(turn.now, instance.name());
-        for run in earlier {
-            self.propose(
-                Command::Depart(run.clone()),
-                FollowUp::Server(run, None),
-                turn,
-            );
+        for instance in earlier {
+            let command = Command::Depart(instance.clone());
+            self.propose(command, FollowUp::Server(instance, None), turn);
         }
     }
 
@@ -110,11 +105,12 @@
         }
     }
 
-    /// A server deregisters. It does not say which of its runs ends: where a new one has just
-    /// registered, the call may be a late one of the run before, and is not acknowledged. A server
+    /// A server deregisters. It does not say which incarnation ends: where a new one has just
+    /// registered, the call may be a late one of the one before, and is not acknowledged. A server
     /// that means it calls again.
     pub(crate) fn on_deregister(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
-        let newest = turn.state.runs_of(&name).last().map(|(run, _)| run.clone());
+        let newest = turn.state.runs_of(&name).last();
+        let newest = newest.map(|(incarnation, _)| incarnation.clone());
         let Some(newest) = newest else {
             return self.deregister_unknown(tag, name, turn);
         };
--- a/crates/wingshore-coordination/src/leader/settings.rs
+++ b/crates/wingshore-coordination/src/leader/settings.rs
@@ -26,7 +26,7 @@
     /// How it is chosen.
     pub capacity: CapacityPolicy,
     /// Whether engines refuse orders whose fence is lower than one that they have seen. Where they
-    /// do not look, only time keeps the orders of two machines apart.
+    /// do not check, only time keeps the orders of two machines apart.
     pub engines_check_fences: bool,
     /// Engines that may load weights at once at any site. Three to eleven at 11 engines gained nothing:
     /// a load takes 0.45 s for each that is under way.
--- a/crates/wingshore-coordination/src/leader/tables/engine.rs
+++ b/crates/wingshore-coordination/src/leader/tables/engine.rs
@@ -18,10 +18,10 @@
     /// Items that are assigned to it.
     pub(crate) running: usize,
     /// Gets no items before this time.
-    pub(crate) paused_until: Instant,
+    pub(crate) ejected_until: Instant,
     /// Nobody listened at its address: it gets no items before it is heard of again. A server
     /// that crashed never is; one that was cut off is within its heartbeat interval.
-    pub(crate) unheard: bool,
+    pub(crate) awaits_heartbeat: bool,
     /// Faults in a row.
     pub(crate) faults: u32,
     /// The model whose weights it is loading.
@@ -45,8 +45,8 @@
             number,
             record,
             running: 0,
-            paused_until: Instant::ZERO,
-            unheard: false,
+            ejected_until: Instant::ZERO,
+            awaits_heartbeat: false,
             faults: 0,
             loading: None,
             slots,
@@ -87,10 +87,10 @@
         let loading = model.is_some() && self.loading.as_ref() == model;
         let holds = model.is_none_or(|model| self.version_of(model) >= min_version);
         !self.record.draining
-            && !self.unheard
+            && !self.awaits_heartbeat
             && !loading
             && holds
-            && now >= self.paused_until
+            && now >= self.ejected_until
             && self.running < self.slots
     }
 }
--- a/crates/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/wingshore-coordination/src/leader/tables/engines.rs
@@ -20,8 +20,8 @@
     by_number: HashMap<EngineNumber, InstanceId>,
     /// How many nobody takes away.
     staying: usize,
-    /// How many are unheard of: usually none.
-    unheard: usize,
+    /// How many are awaits_heartbeat of: usually none.
+    awaits_heartbeat: usize,
     next_number: u32,
     free: FreeSlots,
     /// Engines whose pace is known, the fastest first, by their service.
@@ -77,7 +77,7 @@
             return;
         };
         self.staying -= usize::from(!engine.record.reclaimable);
-        self.unheard -= usize::from(engine.unheard);
+        self.awaits_heartbeat -= usize::from(engine.awaits_heartbeat);
         self.free.remove(&engine);
         self.by_number.remove(&engine.number);
         self.forget_pace(&engine);
@@ -125,7 +125,7 @@
         self.free.services()
     }
 
-    /// The engine of this run.
+    /// An engine.
     pub(crate) fn get(&self, instance: &InstanceId) -> Option<&Engine> {
         self.all.get(instance)
     }
@@ -138,32 +138,32 @@
     }
 
     /// It gets no items before `until`.
-    pub(crate) fn pause_until(&mut self, instance: &InstanceId, until: Instant) {
+    pub(crate) fn defer_until(&mut self, instance: &InstanceId, until: Instant) {
         if let Some(engine) = self.all.get_mut(instance) {
-            engine.paused_until = engine.paused_until.max(until);
+            engine.ejected_until = engine.ejected_until.max(until);
         }
     }
 
     /// Nobody listens at its address: it gets no items before its next heartbeat.
     pub(crate) fn await_heartbeat(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.all.get_mut(instance) {
-            let was_unheard = std::mem::replace(&mut engine.unheard, true);
-            self.unheard += usize::from(!was_unheard);
+            let did_await = std::mem::replace(&mut engine.awaits_heartbeat, true);
+            self.awaits_heartbeat += usize::from(!did_await);
         }
     }
 
     /// It was heard of.
     pub(crate) fn heard(&mut self, instance: &InstanceId) {
-        if self.unheard == 0 {
+        if self.awaits_heartbeat == 0 {
             return;
         }
         if let Some(engine) = self.all.get_mut(instance) {
-            let was_unheard = std::mem::replace(&mut engine.unheard, false);
-            self.unheard -= usize::from(was_unheard);
+            let did_await = std::mem::replace(&mut engine.awaits_heartbeat, false);
+            self.awaits_heartbeat -= usize::from(did_await);
         }
     }
 
-    /// It has told its versions; gives those that are news.
+    /// It has reported its versions; gives those that are news.
     pub(crate) fn raise_versions(
         &mut self,
         instance: &InstanceId,
@@ -302,7 +302,7 @@
     /// It is at fault once more: it gets no items before `until`.
     pub(crate) fn eject(&mut self, instance: &InstanceId, until: Instant) {
         if let Some(engine) = self.all.get_mut(instance) {
-            engine.paused_until = until;
+            engine.ejected_until = until;
             engine.faults += 1;
         }
     }
--- a/crates/wingshore-coordination/src/leader/tables/free_slots.rs
+++ b/crates/wingshore-coordination/src/leader/tables/free_slots.rs
@@ -1,7 +1,7 @@
-//! Engines with free slots, in an order in which the best one for an item is found without a look
-//! at all of them.
+//! Engines with free slots, in an order in which the best one for an item is found without a scan
+//! of all of them.
 //!
-//! With 2,500 engines a look at each of them took 230 µs for each item that was placed, four fifths
+//! With 2,500 engines a scan of all of them took 230 µs for each item that was placed, four fifths
 //! of a core at 3,500 items a second; by this index it takes some 10 µs, whatever their number
 //! (a group of one member, jobs of twice the slots, one core).
 
@@ -108,7 +108,7 @@
         let mut best = Vec::new();
         if let Some(versions) = self.groups.get(&group) {
             for (_, places) in versions.range(query.min_version..) {
-                best_of_version(places, query.look, fastest, &takes, &mut best);
+                best_of_version(places, query.scan, fastest, &takes, &mut best);
             }
         }
         best
@@ -118,7 +118,7 @@
 /// For each number of items that run on engines at one version, adds the best of these engines.
 fn best_of_version(
     places: &BTreeSet<Place>,
-    look: Look,
+    scan: Scan,
     fastest: Option<PaceStep>,
     takes: &impl Fn(EngineNumber) -> bool,
     best: &mut Vec<EngineNumber>,
@@ -126,18 +126,18 @@
     let mut next = places.first().copied();
     while let Some(first) = next {
         let found = |connected: Connected| {
-            let alike = places.range(look.begin_of(first.running, connected)..);
+            let alike = places.range(scan.begin_of(first.running, connected)..);
             let alike = alike
                 .take_while(|place| place.running == first.running && place.connected == connected);
-            let mut looked_at = alike.take(look.most_looks());
-            looked_at.find(|place| takes(place.number)).copied()
+            let mut scanned = alike.take(scan.max_scanned());
+            scanned.find(|place| takes(place.number)).copied()
         };
         let connected = found(Connected::Yes);
         best.extend(connected.map(|place| place.number));
         if !connected.is_some_and(|place| place.pace.is_similar(fastest)) {
             best.extend(found(Connected::No).map(|place| place.number));
         }
-        let with_more_items = Look::Any.begin_of(first.running + 1, Connected::Yes);
+        let with_more_items = Scan::Any.begin_of(first.running + 1, Connected::Yes);
         next = places.range(with_more_items..).next().copied();
     }
 }
@@ -151,20 +151,20 @@
     pub(crate) model: Option<&'a ModelName>,
     /// That hold this version of it, or a newer one.
     pub(crate) min_version: u64,
-    /// Which of them are looked at.
-    pub(crate) look: Look,
+    /// Which of them are examined.
+    pub(crate) scan: Scan,
 }
 
-/// Which engines are looked at.
+/// Which engines are examined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Look {
+pub(crate) enum Scan {
     /// All, until one takes the item: none is to be left out.
     Any,
     /// Some of those whose pace is known, the fastest first: for what need not be done at all.
     FastestKnown,
 }
 
-impl Look {
+impl Scan {
     /// Before the engines that run `running` items, and have connections or have none.
     fn begin_of(self, running: usize, connected: Connected) -> Place {
         let pace = match self {
@@ -180,14 +180,14 @@
         }
     }
 
-    /// Engines with the same version and as many items that are looked at.
-    fn most_looks(self) -> usize {
-        /// With more, each item of a site of 3,000 servers that tells how far it is costs as much as
-        /// all engines without a free slot to spare.
-        const MOST_OF_FASTEST: usize = 8;
+    /// Engines with the same version and as many items that are examined.
+    fn max_scanned(self) -> usize {
+        /// With more, each item whose progress is reported, at a site of 3,000 servers, costs as much as
+        /// all engines that have no free slot left.
+        const MAX_FASTEST: usize = 8;
         match self {
             Self::Any => usize::MAX,
-            Self::FastestKnown => MOST_OF_FASTEST,
+            Self::FastestKnown => MAX_FASTEST,
         }
     }
 }
--- a/crates/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/wingshore-coordination/src/leader/tables/items.rs
@@ -10,12 +10,12 @@
 use std::ops::Bound;
 use wingshore_types::{Epoch, Instant};
 
-/// Items that have outlasted their jobs are remembered up to this many.
-const MOST_OUTLASTING: usize = 4096;
+/// Items that have survived their jobs are remembered up to this many.
+const MAX_SURVIVING: usize = 4096;
 
-/// A try that is under way.
+/// An attempt that is under way.
 #[derive(Clone, Debug)]
-pub(crate) struct Running {
+pub(crate) struct Attempt {
     pub(crate) item: ItemKey,
     pub(crate) gateway: GatewayId,
     pub(crate) instance: InstanceId,
@@ -25,14 +25,14 @@
     pub(crate) is_long: bool,
     /// Events at the last word of the gateway, and when that came.
     pub(crate) seen: Option<(u64, Instant)>,
-    /// Whether the gateway was told to break it off.
+    /// Whether the gateway was ordered to break it off.
     pub(crate) interrupted: bool,
     /// When the gateway last spoke of it.
     pub(crate) heard: Instant,
 }
 
-impl Running {
-    /// A try that begins, or that a gateway says it runs.
+impl Attempt {
+    /// An attempt that begins, or that a gateway says it runs.
     pub(crate) fn new(
         now: Instant,
         item: ItemKey,
@@ -61,19 +61,19 @@
     pub(crate) until: Instant,
 }
 
-/// What earlier tries at an item have left.
+/// What is known of an item that is not listed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Progress {
-    /// All events so far.
-    pub(crate) kept: ItemText,
-    /// Tries that the engine ran and failed.
+pub(crate) struct OpenItem {
+    /// All events of earlier attempts.
+    pub(crate) partial_text: ItemText,
+    /// Attempts that engines ran and failed.
     pub(crate) failures: u32,
     /// Not placed before this time.
     pub(crate) not_before: Option<Instant>,
-    /// The try under way.
+    /// The attempt under way.
     pub(crate) assignment: Option<AssignmentId>,
     /// A result is proposed.
-    pub(crate) ended: bool,
+    pub(crate) has_result: bool,
     /// Times that it was moved from one engine to another.
     pub(crate) moves: u32,
     /// The engine that it was moved away from.
@@ -81,12 +81,12 @@
     /// What it asks, once an engine broke it off early.
     pub(crate) request: Option<RequestFingerprint>,
     /// The caller's estimate of its length; longer ones are placed first.
-    pub(crate) expected: u64,
-    /// Whether it is one of the longest: by the estimate, or by an earlier job that it outlasted.
+    pub(crate) expected_length: u64,
+    /// Whether it is one of the longest: by the estimate, or by an earlier job that it survived.
     pub(crate) is_long: bool,
 }
 
-impl Progress {
+impl OpenItem {
     /// The engine that the item does not go to at `now`.
     pub(crate) fn avoided(&self, now: Instant) -> Option<&InstanceId> {
         let avoid = self.avoid.as_ref().filter(|avoid| now < avoid.until);
@@ -115,12 +115,12 @@
     jobs: HashMap<JobId, u64>,
     /// Jobs in the order of their acceptance; none is empty.
     waiting: BTreeMap<(u64, JobId), BTreeSet<Rank>>,
-    running: BTreeMap<AssignmentId, Running>,
-    progress: BTreeMap<ItemKey, Progress>,
+    attempts: BTreeMap<AssignmentId, Attempt>,
+    open: BTreeMap<ItemKey, OpenItem>,
     /// Items that were running when their job ended.
-    outlasting: HashSet<ItemId>,
+    surviving: HashSet<ItemId>,
     /// The engine that ran an item of a group last, by job.
-    group_homes: HashMap<JobId, HashMap<String, InstanceId>>,
+    affinities: HashMap<JobId, HashMap<String, InstanceId>>,
 }
 
 impl Items {
@@ -151,47 +151,47 @@
             };
             let contents = job.submission.items.get(index as usize);
             let expected = contents.and_then(|item| item.expected_output).unwrap_or(0);
-            let outlasted = contents.is_some_and(|item| self.outlasting.contains(&item.id));
+            let survived = contents.is_some_and(|item| self.surviving.contains(&item.id));
             let has_text = job.unscored(index).is_some();
-            let progress = Progress {
-                ended: has_text,
-                expected: if outlasted { u64::MAX } else { expected },
-                is_long: outlasted || expected >= long_from,
-                ..Progress::default()
+            let open_item = OpenItem {
+                has_result: has_text,
+                expected_length: if survived { u64::MAX } else { expected },
+                is_long: survived || expected >= long_from,
+                ..OpenItem::default()
             };
-            self.progress.insert(item.clone(), progress);
+            self.open.insert(item.clone(), open_item);
             if !has_text {
                 self.wait(item);
             }
         }
     }
 
-    /// Forgets all items of a job; gives the tries under way. What still runs has outlasted the
+    /// Forgets all items of a job; gives the attempts under way. What still runs has survived the
     /// job, and may come again in another one.
     pub(crate) fn remove_job(
         &mut self,
         id: &JobId,
         state: &CoordinationState,
-    ) -> Vec<(AssignmentId, Running)> {
-        let running = self.running.iter();
-        let own = running.filter(|(_, running)| running.item.job == *id);
+    ) -> Vec<(AssignmentId, Attempt)> {
+        let attempts = self.attempts.iter();
+        let own = attempts.filter(|(_, attempt)| attempt.item.job == *id);
         let ended: Vec<AssignmentId> = own.map(|(assignment, _)| *assignment).collect();
         let ended = ended.into_iter();
-        let ended: Vec<(AssignmentId, Running)> = ended
-            .filter_map(|assignment| Some((assignment, self.running.remove(&assignment)?)))
+        let ended: Vec<(AssignmentId, Attempt)> = ended
+            .filter_map(|assignment| Some((assignment, self.attempts.remove(&assignment)?)))
             .collect();
         let submission = state.jobs().get(id).map(|job| &job.submission);
-        for (_, running) in &ended {
-            let item = submission.and_then(|job| job.items.get(running.item.index as usize));
-            self.outlasting.extend(item.map(|item| item.id.clone()));
+        for (_, attempt) in &ended {
+            let item = submission.and_then(|job| job.items.get(attempt.item.index as usize));
+            self.surviving.extend(item.map(|item| item.id.clone()));
         }
-        if self.outlasting.len() > MOST_OUTLASTING {
-            self.outlasting.clear();
+        if self.surviving.len() > MAX_SURVIVING {
+            self.surviving.clear();
         }
         self.jobs.remove(id);
-        self.group_homes.remove(id);
+        self.affinities.remove(id);
         self.waiting.retain(|(_, job), _| job != id);
-        self.progress.retain(|item, _| item.job != *id);
+        self.open.retain(|item, _| item.job != *id);
         ended
     }
 
@@ -206,8 +206,8 @@
     }
 
     fn rank(&self, item: &ItemKey) -> Rank {
-        let progress = self.progress.get(item);
-        let expected = progress.map_or(0, |progress| progress.expected);
+        let open_item = self.open.get(item);
+        let expected = open_item.map_or(0, |open_item| open_item.expected_length);
         let expected = if self.longest_first { expected } else { 0 };
         Rank {
             length: std::cmp::Reverse(expected),
@@ -269,7 +269,7 @@
         }
     }
 
-    /// An identifier for a new try.
+    /// An identifier for a new attempt.
     pub(crate) fn next_assignment(&mut self) -> AssignmentId {
         self.next_assignment += 1;
         AssignmentId {
@@ -278,81 +278,81 @@
         }
     }
 
-    /// A try begins, or is known to be under way.
-    pub(crate) fn start(&mut self, assignment: AssignmentId, mut running: Running) {
-        if let Some(progress) = self.progress.get_mut(&running.item) {
-            progress.assignment = Some(assignment);
-            running.is_long = progress.is_long;
+    /// An attempt begins, or is known to be under way.
+    pub(crate) fn start(&mut self, assignment: AssignmentId, mut attempt: Attempt) {
+        if let Some(open_item) = self.open.get_mut(&attempt.item) {
+            open_item.assignment = Some(assignment);
+            attempt.is_long = open_item.is_long;
         }
-        self.running.insert(assignment, running);
+        self.attempts.insert(assignment, attempt);
     }
 
-    /// A try is over.
-    pub(crate) fn end(&mut self, assignment: AssignmentId) -> Option<Running> {
-        let running = self.running.remove(&assignment)?;
-        if let Some(progress) = self.progress.get_mut(&running.item)
-            && progress.assignment == Some(assignment)
+    /// An attempt is over.
+    pub(crate) fn end(&mut self, assignment: AssignmentId) -> Option<Attempt> {
+        let attempt = self.attempts.remove(&assignment)?;
+        if let Some(open_item) = self.open.get_mut(&attempt.item)
+            && open_item.assignment == Some(assignment)
         {
-            progress.assignment = None;
+            open_item.assignment = None;
         }
-        Some(running)
+        Some(attempt)
     }
 
-    /// The tries under way.
-    pub(crate) fn running(&self) -> impl Iterator<Item = (&AssignmentId, &Running)> {
-        self.running.iter()
+    /// The attempts under way.
+    pub(crate) fn attempts(&self) -> impl Iterator<Item = (&AssignmentId, &Attempt)> {
+        self.attempts.iter()
     }
 
     /// Whether an item that `is_suspect` runs on an engine.
     pub(crate) fn has_suspect_on(
         &self,
         instance: &InstanceId,
-        is_suspect: impl Fn(&Progress) -> bool,
+        is_suspect: impl Fn(&OpenItem) -> bool,
     ) -> bool {
-        let mut running = self.running.values();
-        running.any(|running| {
-            let progress = self.progress.get(&running.item);
-            running.instance == *instance && progress.is_some_and(&is_suspect)
+        let mut attempts = self.attempts.values();
+        attempts.any(|attempt| {
+            let open_item = self.open.get(&attempt.item);
+            attempt.instance == *instance && open_item.is_some_and(&is_suspect)
         })
     }
 
-    /// The item of a try that is under way and has no result proposed.
+    /// The item of an attempt that is under way and has no result proposed.
     pub(crate) fn item_of(&self, assignment: AssignmentId) -> Option<ItemKey> {
-        let running = self.running.get(&assignment)?;
-        let progress = self.progress.get(&running.item)?;
-        (!progress.ended).then(|| running.item.clone())
+        let attempt = self.attempts.get(&assignment)?;
+        let open_item = self.open.get(&attempt.item)?;
+        (!open_item.has_result).then(|| attempt.item.clone())
     }
 
-    /// Whether a try is known to be under way.
-    pub(crate) fn is_running(&self, assignment: AssignmentId) -> bool {
-        self.running.contains_key(&assignment)
+    /// Whether an attempt is known to be under way.
+    pub(crate) fn is_under_way(&self, assignment: AssignmentId) -> bool {
+        self.attempts.contains_key(&assignment)
     }
 
-    /// A try under way.
-    pub(crate) fn running_of(&self, assignment: AssignmentId) -> Option<&Running> {
-        self.running.get(&assignment)
+    /// An attempt under way.
+    pub(crate) fn attempt(&self, assignment: AssignmentId) -> Option<&Attempt> {
+        self.attempts.get(&assignment)
     }
 
-    /// A try under way.
-    pub(crate) fn running_mut(&mut self, assignment: AssignmentId) -> Option<&mut Running> {
-        self.running.get_mut(&assignment)
+    /// An attempt under way.
+    pub(crate) fn attempt_mut(&mut self, assignment: AssignmentId) -> Option<&mut Attempt> {
+        self.attempts.get_mut(&assignment)
     }
 
-    /// What earlier tries have left; `None` for an item that is listed or forgotten.
-    pub(crate) fn progress(&self, item: &ItemKey) -> Option<&Progress> {
-        self.progress.get(item)
+    /// What is known of an item; `None` for one that is listed or forgotten.
+    pub(crate) fn open_item(&self, item: &ItemKey) -> Option<&OpenItem> {
+        self.open.get(item)
     }
 
-    /// As [`Items::progress`].
-    pub(crate) fn progress_mut(&mut self, item: &ItemKey) -> Option<&mut Progress> {
-        self.progress.get_mut(item)
+    /// As [`Items::open_item`].
+    pub(crate) fn open_item_mut(&mut self, item: &ItemKey) -> Option<&mut OpenItem> {
+        self.open.get_mut(item)
     }
 
     /// The item's result is proposed: it needs nothing more.
     pub(crate) fn finish(&mut self, item: &ItemKey) {
-        if let Some(progress) = self.progress.get_mut(item) {
-            progress.ended = true;
-            progress.kept = ItemText::default();
+        if let Some(open_item) = self.open.get_mut(item) {
+            open_item.has_result = true;
+            open_item.partial_text = ItemText::default();
         }
         self.take(item);
     }
@@ -378,30 +378,30 @@
     }
 
     fn attempts_of(&self, gateway: GatewayId) -> Vec<AssignmentId> {
-        let running = self.running.iter();
-        let own = running.filter(|(_, running)| running.gateway == gateway);
+        let attempts = self.attempts.iter();
+        let own = attempts.filter(|(_, attempt)| attempt.gateway == gateway);
         own.map(|(assignment, _)| *assignment).collect()
     }
 
     fn end_and_wait(&mut self, lost: Vec<AssignmentId>) -> Vec<InstanceId> {
         let mut engines = Vec::new();
         for assignment in lost {
-            if let Some(running) = self.end(assignment) {
-                engines.push(running.instance);
-                self.wait(running.item);
+            if let Some(attempt) = self.end(assignment) {
+                engines.push(attempt.instance);
+                self.wait(attempt.item);
             }
         }
         engines
     }
 
     /// The engine that ran an item of the group last.
-    pub(crate) fn group_home(&self, job: &JobId, group: &str) -> Option<&InstanceId> {
-        self.group_homes.get(job)?.get(group)
+    pub(crate) fn affinity(&self, job: &JobId, group: &str) -> Option<&InstanceId> {
+        self.affinities.get(job)?.get(group)
     }
 
     /// An engine runs an item of the group.
-    pub(crate) fn set_group_home(&mut self, job: &JobId, group: &str, instance: &InstanceId) {
-        let homes = self.group_homes.entry(job.clone()).or_default();
-        homes.insert(group.to_owned(), instance.clone());
+    pub(crate) fn set_affinity(&mut self, job: &JobId, group: &str, instance: &InstanceId) {
+        let engines = self.affinities.entry(job.clone()).or_default();
+        engines.insert(group.to_owned(), instance.clone());
     }
 }
--- a/crates/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/tables/jobs.rs
@@ -6,7 +6,7 @@
 use wingshore_types::machine::RequestTag;
 
 /// Since when each job is known to this leader. A new leader counts from its beginning, so that
-/// nothing is given up or forgotten too early.
+/// nothing is abandoned or forgotten too early.
 #[derive(Default)]
 pub(crate) struct JobClock {
     known_since: HashMap<JobId, Instant>,
--- a/crates/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/wingshore-coordination/src/leader/tables/scorings.rs
@@ -8,7 +8,7 @@
 
 /// A scoring that a gateway has in hand.
 #[derive(Clone, Debug)]
-pub(crate) struct Running {
+pub(crate) struct OpenScoring {
     pub(crate) item: ItemKey,
     pub(crate) made_by: AssignmentId,
     pub(crate) gateway: GatewayId,
@@ -18,7 +18,7 @@
 
 /// A text whose score nobody asks for at present.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingText {
     pub(crate) made_by: AssignmentId,
     pub(crate) not_before: Instant,
 }
@@ -28,10 +28,10 @@
 /// Invariant: an item is in at most one of `waiting` and `running`.
 #[derive(Default)]
 pub(crate) struct Scorings {
-    pub(crate) waiting: BTreeMap<ItemKey, Waiting>,
-    pub(crate) running: BTreeMap<AssignmentId, Running>,
+    pub(crate) waiting: BTreeMap<ItemKey, WaitingText>,
+    pub(crate) under_way: BTreeMap<AssignmentId, OpenScoring>,
     /// Scorings in a row without a score, by item.
-    pub(crate) tries: BTreeMap<ItemKey, u32>,
+    pub(crate) retries: BTreeMap<ItemKey, u32>,
 }
 
 impl Scorings {
@@ -51,7 +51,7 @@
 
     /// Scorings that gateways have in hand.
     pub(crate) fn running_count(&self) -> usize {
-        self.running.len()
+        self.under_way.len()
     }
 
     /// Texts whose score nobody asks for at present.
@@ -61,30 +61,30 @@
 
     /// Items whose texts have no score yet.
     pub(crate) fn items(&self) -> impl Iterator<Item = &ItemKey> {
-        let running = self.running.values().map(|running| &running.item);
+        let running = self.under_way.values().map(|running| &running.item);
         self.waiting.keys().chain(running)
     }
 
     pub(crate) fn wait(&mut self, item: ItemKey, made_by: AssignmentId, not_before: Instant) {
-        let waiting = Waiting {
+        let waiting = WaitingText {
             made_by,
             not_before,
         };
         self.waiting.insert(item, waiting);
     }
 
-    pub(crate) fn start(&mut self, scoring: AssignmentId, running: Running) {
+    pub(crate) fn start(&mut self, scoring: AssignmentId, running: OpenScoring) {
         self.waiting.remove(&running.item);
-        self.running.insert(scoring, running);
+        self.under_way.insert(scoring, running);
     }
 
     /// Whether a gateway has this scoring in hand.
     pub(crate) fn has(&self, scoring: AssignmentId) -> bool {
-        self.running.contains_key(&scoring)
+        self.under_way.contains_key(&scoring)
     }
 
     pub(crate) fn is_in_hand(&self, item: &ItemKey) -> bool {
-        self.running.values().any(|running| running.item == *item)
+        self.under_way.values().any(|running| running.item == *item)
     }
 
     /// Forgets an item; gives the gateways that have it in hand.
@@ -99,7 +99,7 @@
 
     fn remove(&mut self, is_meant: impl Fn(&ItemKey) -> bool) -> Vec<(GatewayId, AssignmentId)> {
         self.waiting.retain(|item, _| !is_meant(item));
-        self.tries.retain(|item, _| !is_meant(item));
+        self.retries.retain(|item, _| !is_meant(item));
         let removed = self.take_running(|running| is_meant(&running.item));
         removed
             .into_iter()
@@ -110,23 +110,23 @@
     /// Takes out those in hand that are meant.
     pub(crate) fn take_running(
         &mut self,
-        is_meant: impl Fn(&Running) -> bool,
-    ) -> Vec<(AssignmentId, Running)> {
-        if !self.running.values().any(&is_meant) {
+        is_meant: impl Fn(&OpenScoring) -> bool,
+    ) -> Vec<(AssignmentId, OpenScoring)> {
+        if !self.under_way.values().any(&is_meant) {
             return Vec::new();
         }
-        let (taken, left) = std::mem::take(&mut self.running)
+        let (taken, left) = std::mem::take(&mut self.under_way)
             .into_iter()
             .partition(|(_, running)| is_meant(running));
-        self.running = left;
+        self.under_way = left;
         BTreeMap::into_iter(taken).collect()
     }
 
     /// A score of an item is to be asked for again; says how often it was before, in a row.
     pub(crate) fn count_retry(&mut self, item: &ItemKey) -> u32 {
-        let tries = self.tries.entry(item.clone()).or_default();
-        let before = *tries;
-        *tries += 1;
+        let retries = self.retries.entry(item.clone()).or_default();
+        let before = *retries;
+        *retries += 1;
         before
     }
 }
--- a/crates/wingshore-coordination/src/leader/usage.rs
+++ b/crates/wingshore-coordination/src/leader/usage.rs
@@ -77,7 +77,7 @@
 
     /// A gateway is gone: what it had counted is kept beyond this leadership.
     pub(crate) fn keep_usage_of(&mut self, gateway: GatewayId, turn: &mut Turn<'_>) {
-        let usage = self.usage.told_by(gateway);
+        let usage = self.usage.reported_by(gateway);
         if !usage.is_empty() {
             self.propose(
                 Command::KeepUsage { gateway, usage },
