--- a/crates/wingshore-coordination/tests/capacity.rs
+++ b/crates/wingshore-coordination/tests/capacity.rs
@@ -94,7 +94,7 @@
 
 /// Steps come each 4 s: between two of them less is open, which is no reason to give servers back.
 #[gtest]
-fn a_peak_outlasts_the_pause_behind_it() {
+fn a_peak_survives_the_lull_behind_it() {
     const SPAN: Duration = Duration::from_secs(15);
     let at = |seconds: u64| Instant::ZERO + Duration::from_secs(seconds);
     let mut peak = Peak::default();
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn an_order_without_success_is_given_again_with_growing_pauses() {
+fn an_order_without_success_is_given_again_with_growing_backoff() {
     let mut group = group();
     let mut given = 0;
     for _ in 0..40 {
--- a/crates/wingshore-coordination/tests/evidence.rs
+++ b/crates/wingshore-coordination/tests/evidence.rs
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn one_ending_told_by_several_gateways_counts_once() {
+fn one_ending_reported_by_several_gateways_counts_once() {
     let mut group = group();
     for _ in 0..5 {
         end_one_by_one(&mut group, &["a"], &[request(1)]);
@@ -141,7 +141,7 @@
 }
 
 #[gtest]
-fn a_run_that_goes_well_clears_a_request() {
+fn an_attempt_that_goes_well_clears_a_request() {
     let mut group = group();
     end_one_by_one(&mut group, &["a", "b"], &[request(1)]);
     group.event(Event::RequestsRan(vec![request(1)]));
--- a/crates/wingshore-coordination/tests/items.rs
+++ b/crates/wingshore-coordination/tests/items.rs
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn a_broken_try_is_gone_on_with_behind_its_last_event() {
+fn a_broken_attempt_is_resumed_behind_its_last_event() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     let outcome = ItemOutcome::Interrupted {
@@ -212,7 +212,7 @@
 }
 
 #[gtest]
-fn a_broken_try_goes_on_behind_more_than_was_handed_in() {
+fn a_broken_attempt_is_resumed_behind_more_than_was_uploaded() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     keep(&mut group, &first, 0, 2);
--- a/crates/wingshore-coordination/tests/registry.rs
+++ b/crates/wingshore-coordination/tests/registry.rs
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn a_silent_server_leaves_the_registry_and_may_come_back() {
+fn a_silent_server_leaves_the_registry_and_may_return() {
     let mut group = Group::new();
     group.heartbeat(engine("e", 1));
     group.wait(Duration::from_secs(7));
@@ -158,7 +158,7 @@
 }
 
 #[gtest]
-fn a_run_that_a_late_first_heartbeat_displaced_is_back_with_its_second_one() {
+fn an_incarnation_that_a_late_first_heartbeat_displaced_returns_with_its_second_one() {
     let mut group = Group::new();
     group.heartbeat(run_at("alive", "a"));
     // This run ended before the other began; its only heartbeat was under way since.
--- a/crates/wingshore-coordination/tests/rollout.rs
+++ b/crates/wingshore-coordination/tests/rollout.rs
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn an_engine_is_looked_at_before_it_is_ordered() {
+fn an_engine_is_polled_before_it_is_ordered() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
     let looked_at = asked(&mut group);
@@ -180,7 +180,7 @@
 }
 
 #[gtest]
-fn an_order_without_an_answer_is_followed_by_a_look_and_not_by_an_order() {
+fn an_order_without_an_answer_is_followed_by_a_poll_and_not_by_an_order() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
     let looked_at = asked(&mut group);
--- a/crates/wingshore-coordination/tests/runs.rs
+++ b/crates/wingshore-coordination/tests/runs.rs
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn late_heartbeats_of_the_run_before_change_nothing() {
+fn late_heartbeats_of_the_incarnation_before_change_nothing() {
     let mut group = Group::new();
     beat(&mut group, record("e", 100, 5), 9);
     beat(&mut group, record("e", 200, 1), 1);
@@ -77,7 +77,7 @@
 
 /// Where no run says when it started, as before: a name is a run.
 #[gtest]
-fn a_run_that_says_its_start_follows_one_that_did_not() {
+fn an_incarnation_that_says_its_start_follows_one_that_did_not() {
     let mut group = Group::new();
     group.heartbeat(engine("e", 5));
     beat(&mut group, record("e", 100, 1), 1);
--- a/crates/wingshore-coordination/tests/scoring.rs
+++ b/crates/wingshore-coordination/tests/scoring.rs
@@ -140,7 +140,7 @@
 }
 
 #[gtest]
-fn a_gateway_lost_between_text_and_score_costs_a_scoring_and_not_a_run() {
+fn a_gateway_lost_between_text_and_score_costs_a_scoring_and_not_an_attempt() {
     let (mut group, gateway, assignment) = group_with_item();
     let other = group.add_gateway(2);
     finish(&mut group, gateway, &assignment);
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn a_gateway_lost_before_its_text_was_told_costs_a_run() {
+fn a_gateway_lost_before_its_text_arrived_costs_an_attempt() {
     let (mut group, gateway, _) = group_with_item();
     group.add_gateway(2);
     group.event(gone(gateway));
@@ -220,7 +220,7 @@
 }
 
 #[gtest]
-fn a_score_of_another_try_is_not_taken() {
+fn a_score_of_another_attempt_is_not_taken() {
     let (mut group, gateway, assignment) = group_with_item();
     let other = group.add_gateway(2);
     finish(&mut group, gateway, &assignment);
@@ -310,7 +310,7 @@
 }
 
 #[gtest]
-fn an_item_whose_text_gets_no_score_in_time_is_given_up() {
+fn an_item_whose_text_gets_no_score_in_time_is_abandoned() {
     let (mut group, gateway, assignment) = group_with_item();
     finish(&mut group, gateway, &assignment);
     group.wait(Duration::from_secs(41));
--- a/crates/wingshore-coordination/tests/usage.rs
+++ b/crates/wingshore-coordination/tests/usage.rs
@@ -249,7 +249,7 @@
 
 /// What a gateway that was killed had told counts, also where the leader is lost after it.
 #[gtest]
-fn counts_of_a_gateway_that_is_gone_outlast_the_leader() {
+fn counts_of_a_gateway_that_is_gone_survive_the_leader() {
     let mut group = group();
     group.add_gateway(1);
     group.add_gateway(2);
