--- a/crates/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/wingshore-coordination/src/leader/attempts.rs
@@ -8,7 +8,7 @@
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
-use super::tables::items::Attempt;
+use super::tables::item::Attempt;
 use super::turn::Turn;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ItemKey};
--- a/crates/wingshore-coordination/src/leader/moving.rs
+++ b/crates/wingshore-coordination/src/leader/moving.rs
@@ -3,7 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::moves::{AVOIDED_FOR, MovableItem, better_engine};
 use super::machine::CoordinationLeader;
-use super::tables::items::Avoided;
+use super::tables::item::Avoided;
 use super::turn::Turn;
 use crate::ids::{GatewayId, InstanceId};
 use crate::messages::{AssignmentId, CoordinatorMessage, ItemProgress};
--- a/crates/wingshore-coordination/src/leader/placing.rs
+++ b/crates/wingshore-coordination/src/leader/placing.rs
@@ -7,7 +7,7 @@
 use super::decisions::placement::{ItemNeeds, choose_engine};
 use super::machine::CoordinationLeader;
 use super::tables::engine::Engine;
-use super::tables::items::{Attempt, OpenItem};
+use super::tables::item::{Attempt, OpenItem};
 use super::turn::Turn;
 use crate::configuration::Route;
 use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
--- a/crates/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/wingshore-coordination/src/leader/tables/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod engines;
 pub(crate) mod free_slots;
 pub(crate) mod gateways;
+pub(crate) mod item;
 pub(crate) mod items;
 pub(crate) mod jobs;
 pub(crate) mod pace;
