--- a/crates/wingshore-coordination/tests/capacity.rs
+++ b/crates/wingshore-coordination/tests/capacity.rs
@@ -204,7 +204,7 @@
     expect_that!(given, all![ge(12), le(24)]);
 }
 
-/// A successor goes on with the number that is committed, under a token of its own.
+/// A successor continues with the number that is committed, under a token of its own.
 #[gtest]
 fn a_successor_orders_what_was_committed() {
     let mut group = group();
--- a/crates/wingshore-coordination/tests/evidence.rs
+++ b/crates/wingshore-coordination/tests/evidence.rs
@@ -62,7 +62,7 @@
     suspect.is_some_and(|suspect| suspect.rejected)
 }
 
-/// What gateways were told last of a request.
+/// What gateways learned last of a request.
 fn told(group: &Group, request: RequestFingerprint) -> Option<Suspect> {
     let mut changes = group.told.iter().rev();
     changes.find_map(|change| match change {
--- a/crates/wingshore-coordination/tests/items.rs
+++ b/crates/wingshore-coordination/tests/items.rs
@@ -1,4 +1,4 @@
-//! Items of batch jobs: placement, broken tries, leaders that change.
+//! Items of batch jobs: placement, broken attempts, leaders that change.
 
 mod support;
 
@@ -78,7 +78,7 @@
     expect_that!(second.kept, eq(&text(2)));
 }
 
-/// A leader that took over while a second try ran used to list only the events of that try: the
+/// A leader that took over while a second attempt ran used to list only the events of that attempt: the
 /// text of the first one was with the old leader.
 #[gtest]
 fn a_new_leader_lists_the_whole_text_of_an_item_that_was_gone_on_with() {
@@ -93,7 +93,7 @@
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
     group.event(told_running(gateway, vec![running(&second)]));
-    // The gateway goes on from what the assignment carries.
+    // The gateway continues from what the assignment carries.
     let mut whole = second.kept.clone();
     whole.text.push_str("\nevent 3");
     whole.events += 1;
@@ -122,7 +122,7 @@
     expect_that!(group.assignments(), is_empty());
 }
 
-/// A gateway that was welcomed twice by a new leader was told to release what it had told twice;
+/// A gateway that was welcomed twice by a new leader was ordered to release what it had reported twice;
 /// the leader took it to be running all the same, and the item was never placed again.
 #[gtest]
 fn what_a_gateway_tells_twice_goes_on() {
@@ -224,7 +224,7 @@
     let second = group.assignments().remove(0);
     expect_that!(second.kept, eq(&text(3)));
     expect_that!(second.durable, eq(text(2).extent()));
-    // What the second try hands in follows what the log holds.
+    // What the second attempt uploads follows what the log holds.
     keep(&mut group, &second, 2, 5);
     group.event(gone(gateway));
     group.add_gateway(2);
@@ -353,7 +353,7 @@
     expect_that!(results(&group), len(eq(1)));
 }
 
-/// Parts that were handed in to a leader that fell may be lost: the gateway learns from which event
+/// Parts that were uploaded to a leader that fell may be lost: the gateway learns from which event
 /// on the next leader has none.
 #[gtest]
 fn a_new_leader_says_how_much_of_a_text_it_holds() {
--- a/crates/wingshore-coordination/tests/not_run.rs
+++ b/crates/wingshore-coordination/tests/not_run.rs
@@ -8,7 +8,7 @@
 use wingshore_coordination::{ItemOutcome, JobId, NotRunReason, Request};
 
 /// Seen: an item was sent to one dead engine ten times in half a second. Cause: a refused connection
-/// paused the engine for 250 ms, and it was tried again until it had been silent for 6 s.
+/// ejected the engine for 250 ms, and it was tried again until it had been silent for 6 s.
 #[gtest]
 fn an_engine_where_nobody_listens_gets_no_items_before_its_next_heartbeat() {
     let (mut group, gateway) = Group::with_job(1);
@@ -31,10 +31,10 @@
     group.end_item(gateway, &first, rejected);
     group.wait(Duration::from_secs(1));
     expect_that!(group.assignments(), is_empty());
-    // The engine is not paused for it.
+    // The engine is not ejected for it.
     group.ask(Request::SubmitJob(job("other", 1)));
     expect_that!(group.assignments(), len(eq(1)));
-    // Nor is the item given up early.
+    // Nor is the item abandoned early.
     let job = &group.state.jobs()[&JobId::from("j")];
     expect_that!(job.results, is_empty());
 }
--- a/crates/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/wingshore-coordination/tests/placement_properties.rs
@@ -17,7 +17,7 @@
 
 /// Slots of an engine, as the usual configuration and record say.
 const SLOTS: usize = 4;
-/// Longer than any pause of an engine or an item.
+/// Longer than any ejection of an engine or backoff of an item.
 const LONG: Duration = Duration::from_secs(5);
 const MODELS: [&str; 2] = ["m", "n"];
 
@@ -29,13 +29,13 @@
     Drain(usize),
     /// It departs.
     Depart(usize),
-    /// It tells newer versions.
+    /// It reports newer versions.
     Raise(usize, u64),
     /// A job for one of the models, with this oldest version.
     Submit(usize, u32, u64),
-    /// A try ends whole.
+    /// An attempt ends whole.
     Finish(usize),
-    /// An engine had no room for a try.
+    /// An engine had no room for an attempt.
     Full(usize),
     /// Tries have got on, at different paces.
     Progress(u64),
@@ -161,7 +161,7 @@
         self.running.extend(assigned);
     }
 
-    /// Engines tell that they are there, and the gateway that all goes on.
+    /// Engines send heartbeats, and the gateway reports that all goes on.
     fn hear_all(&mut self) {
         let servers: Vec<_> = self.group.state.servers().values().cloned().collect();
         for server in servers {
@@ -237,7 +237,7 @@
                 prop_assert!(count <= SLOTS, "{} runs {}", instance, count);
             }
         }
-        // All pauses pass.
+        // All ejections and backoffs pass.
         for _ in 0..10 {
             site.run(&Step::Wait(LONG.as_millis() as u64 / 10));
         }
--- a/crates/wingshore-coordination/tests/registry.rs
+++ b/crates/wingshore-coordination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Configuration and registry: what is acknowledged, in which order, and what never comes back.
+//! Configuration and registry: what is acknowledged, in which order, and what never returns.
 
 mod support;
 
@@ -119,7 +119,7 @@
     expect_that!(group.state.servers()[&instance].models[0].version, eq(5));
 }
 
-/// A run of a server at the address of another one.
+/// An incarnation of a server at the address of another one.
 fn run_at(name: &str, address: &str) -> wingshore_coordination::ServerRecord {
     let mut server = engine(name, 1);
     server.address = address_of(address);
@@ -131,9 +131,9 @@
     servers.map(ToString::to_string).collect()
 }
 
-/// Seen: after a crash, engines were sent items for the run before for up to 6 s, which the new run
+/// Seen: after a crash, engines were sent items for the incarnation before for up to 6 s, which the new one
 /// refused: 900 to 1,600 of 2,600 to 3,200 attempts on a day of crashes in series. Cause: only
-/// silence ended a run, though the next one at its address proves the end.
+/// silence ended an incarnation, though the next one at its address proves the end.
 #[gtest]
 fn a_run_that_registers_ends_the_one_before_at_its_address() {
     let mut group = Group::new();
@@ -161,7 +161,7 @@
 fn an_incarnation_that_a_late_first_heartbeat_displaced_returns_with_its_second_one() {
     let mut group = Group::new();
     group.heartbeat(run_at("alive", "a"));
-    // This run ended before the other began; its only heartbeat was under way since.
+    // This incarnation ended before the other began; its only heartbeat was under way since.
     group.heartbeat(run_at("dead", "a"));
     group.heartbeat(run_at("alive", "a"));
     group.heartbeat(run_at("alive", "a"));
--- a/crates/wingshore-coordination/tests/rollout.rs
+++ b/crates/wingshore-coordination/tests/rollout.rs
@@ -405,7 +405,7 @@
 }
 
 /// Seen at a site of 9,600 engines: 144 orders for each version where the items of a step fill 35
-/// engines. A job comes with the version that it needs, and as long as its items waited each look
+/// engines. A job comes with the version that it needs, and as long as its items waited each scan
 /// began more loads, though those under way had room for all of them.
 #[gtest]
 fn items_that_wait_for_loads_under_way_bring_on_no_more() {
@@ -415,7 +415,7 @@
         let mut submission = JobSubmission::clone(&job(&format!("j{version}"), 80));
         submission.min_version = version;
         group.ask(Request::SubmitJob(Arc::new(submission)));
-        // Longer than a load takes: no engine has told yet that it is done.
+        // Longer than a load takes: no engine has reported yet that it is done.
         group.wait(Duration::from_millis(900));
         let began: BTreeSet<InstanceId> = asked(&mut group).into_iter().collect();
         // 80 items fill 20 engines of 4 slots; twice that is enough.
--- a/crates/wingshore-coordination/tests/runs.rs
+++ b/crates/wingshore-coordination/tests/runs.rs
@@ -1,7 +1,7 @@
-//! Runs of servers: a server may start again under its name, and then is another run that holds nothing.
+//! Incarnations of servers: a server may start again under its name, and then is another incarnation that holds nothing.
 //!
-//! A server that starts again says so by the time of its start. Calls of the run before may arrive late:
-//! heartbeats that a cut held up, and deregistrations, which do not say which run they mean. Entries of other
+//! A server that starts again says so by the time of its start. Calls of the incarnation before may arrive late:
+//! heartbeats that a cut held up, and deregistrations, which do not say which incarnation they mean. Entries of other
 //! writers may name real servers. `histories_end_as_the_model_says` draws all of these against a plain model.
 
 mod support;
@@ -17,7 +17,7 @@
     ViewChange,
 };
 
-/// Longer than a deregistration may be a late one of the run before.
+/// Longer than a deregistration may be a late one of the incarnation before.
 const UNAMBIGUOUS: Duration = Duration::from_secs(6);
 
 fn run(name: &str, born: u64) -> InstanceId {
@@ -75,7 +75,7 @@
     expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
 }
 
-/// Where no run says when it started, as before: a name is a run.
+/// Where no incarnation says when it started, as before: a name is an incarnation.
 #[gtest]
 fn an_incarnation_that_says_its_start_follows_one_that_did_not() {
     let mut group = Group::new();
@@ -99,7 +99,7 @@
     group.wait(UNAMBIGUOUS);
     expect_that!(leave(&mut group, "e"), some(eq(&Reply::Done)));
     expect_that!(registered(&group), is_empty());
-    // That run has ended for good; the next one is another.
+    // That incarnation has ended for good; the next one is another.
     beat(&mut group, record("e", 200, 1), 99);
     expect_that!(registered(&group), is_empty());
     beat(&mut group, record("e", 300, 1), 1);
@@ -138,7 +138,7 @@
     );
 }
 
-/// A run cannot become one of another service, or move to another address.
+/// An incarnation cannot become one of another service, or move to another address.
 #[gtest]
 fn an_entry_under_the_name_of_a_real_server_does_not_take_its_place() {
     let mut group = Group::new();
@@ -168,9 +168,9 @@
 enum Call {
     /// Its process starts again.
     Restart(u8),
-    /// Its present run tells its state.
+    /// Its present incarnation reports its state.
     Beat(u8),
-    /// A run of before tells its state late.
+    /// An earlier incarnation reports its state late.
     LateBeat(u8, u8),
     /// The last heartbeat once more.
     Duplicate(u8),
@@ -199,12 +199,12 @@
 struct ModelServer {
     born: u64,
     sequence: u64,
-    /// The newest run that has told its state, and when.
+    /// The newest incarnation that has reported its state, and when.
     heard: Option<(u64, Duration)>,
 }
 
 proptest! {
-    /// Whatever arrives late, twice or from others: the registry holds of each name the newest run that was
+    /// Whatever arrives late, twice or from others: the registry holds of each name the newest incarnation that was
     /// heard of, unless it was silent for too long, and never another one.
     #[test]
     fn histories_end_as_the_model_says(history in vec(calls(), 1..60)) {
@@ -264,7 +264,7 @@
                     Some((born, heard)) if time < heard + expiry => {
                         prop_assert_eq!(runs, vec![run(&name(*server), born)]);
                     }
-                    // It may have expired by now, or within the next look.
+                    // It may have expired by now, or within the next scan.
                     Some((born, _)) => {
                         let newest = run(&name(*server), born);
                         prop_assert!(runs.is_empty() || runs == vec![newest]);
--- a/crates/wingshore-coordination/tests/scoring.rs
+++ b/crates/wingshore-coordination/tests/scoring.rs
@@ -12,7 +12,7 @@
     RunningScoring, ScoringAssignment, ScoringOutcome,
 };
 
-/// Longer than any pause between scorings.
+/// Longer than any backoff between scorings.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
 fn text() -> ItemText {
@@ -195,7 +195,7 @@
     expect_that!(results(&group), eq(&listed("stamp")));
 }
 
-/// The leader before was gone before it had made the text durable: the gateway tells all again.
+/// The leader before was gone before it had made the text durable: the gateway reports all again.
 #[gtest]
 fn a_text_and_its_score_that_no_leader_made_durable_are_taken_from_the_gateway() {
     let (mut group, gateway, assignment) = group_with_item();
--- a/crates/wingshore-coordination/tests/state_properties.rs
+++ b/crates/wingshore-coordination/tests/state_properties.rs
@@ -38,7 +38,7 @@
     })
 }
 
-/// The try, out of a few, that made or scored a text.
+/// The attempt, out of a few, that made or scored a text.
 fn made_by() -> impl Strategy<Value = AssignmentId> {
     (0..3_u64).prop_map(|number| AssignmentId {
         epoch: Epoch(1),
@@ -46,7 +46,7 @@
     })
 }
 
-/// The text that a try made; its score is the same.
+/// The text that an attempt made; its score is the same.
 fn text_of(made_by: AssignmentId) -> String {
     format!("text of try {}", made_by.number)
 }
--- a/crates/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/wingshore-coordination/tests/state_snapshot.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// A state with results, some of them empty, kept parts of texts and an ended job.
+/// A state with results, some of them empty, partial texts and an ended job.
 fn fill(state: &mut CoordinationState) {
     for number in 0..JOBS {
         let job = support::job(&format!("job-{number}"), ITEMS);
--- a/crates/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/wingshore-coordination/tests/step_world/mod.rs
@@ -427,7 +427,7 @@
         }
     }
 
-    /// Gateways tell how far texts are; servers tell that they are there.
+    /// Gateways report how far texts are; servers send heartbeats.
     fn tell(&mut self) {
         if self.ticks.is_multiple_of(PROGRESS_TICKS) {
             let progress = self.runs.values().map(|run| ItemProgress {
--- a/crates/wingshore-coordination/tests/support/mod.rs
+++ b/crates/wingshore-coordination/tests/support/mod.rs
@@ -26,7 +26,7 @@
     pub leader: CoordinationLeader,
     pub effects: Vec<Effect>,
     pub replies: Vec<(RequestTag, Reply)>,
-    /// What gateways are told, in order: each entry's changes once it is applied.
+    /// What is announced to gateways, in order: each entry's changes once it is applied.
     pub told: Vec<ViewChange>,
     pub settings: LeaderSettings,
     index: u64,
@@ -153,7 +153,7 @@
         gateway
     }
 
-    /// A gateway connects, and has not told yet what it runs.
+    /// A gateway connects, and has not reported yet what it runs.
     pub fn connect_gateway(&mut self, id: u64) -> GatewayId {
         self.start_gateway_anew(id, id)
     }
@@ -200,7 +200,7 @@
         });
     }
 
-    /// An engine registers, or tells its state again.
+    /// An engine registers, or reports its state again.
     pub fn heartbeat(&mut self, server: ServerRecord) -> Option<Reply> {
         self.sequence += 1;
         let sequence = self.sequence;
--- a/crates/wingshore-coordination/tests/usage.rs
+++ b/crates/wingshore-coordination/tests/usage.rs
@@ -199,7 +199,7 @@
     tell(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
-    // What is told late does not change it any more.
+    // What is reported late does not change it any more.
     tell(&mut group, 1, WINDOW, &[("a", 4)]);
     answer(&mut group, UsageWindow(WINDOW), ProviderAnswer::Unknown);
     group.wait(Duration::from_secs(1));
@@ -247,7 +247,7 @@
     expect_that!(take_reports(&mut group), is_empty());
 }
 
-/// What a gateway that was killed had told counts, also where the leader is lost after it.
+/// What a gateway that was killed had reported counts, also where the leader is lost after it.
 #[gtest]
 fn counts_of_a_gateway_that_is_gone_survive_the_leader() {
     let mut group = group();
@@ -268,7 +268,7 @@
     expect_that!(reports[0].counts, eq(&counts(&[("a", 7)])));
 }
 
-/// One that is back after a lost connection tells its totals again: they count once.
+/// One that is back after a lost connection reports its totals again: they count once.
 #[gtest]
 fn a_gateway_that_is_back_counts_once() {
     let mut group = group();
@@ -299,7 +299,7 @@
             answer(&mut group, report.window, ProviderAnswer::Unknown);
         }
     }
-    // With pauses of up to 2 s between calls.
+    // With backoffs of up to 2 s between calls.
     expect_that!(sent.len(), le(60));
     let mut reported = Vec::new();
     for _ in 0..40 {
