--- a/crates/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/wingshore-coordination/src/leader/dispatch.rs
@@ -99,6 +99,7 @@
             FollowUp::Configuration(tag) => self.configured(tag, turn),
             FollowUp::Server(instance, tag) => self.server_changed(instance, tag, turn),
             FollowUp::Job(job, tag) => self.job_accepted(job, tag, turn),
+            FollowUp::JobForgotten(job) => self.job_clock.forget(&job),
             FollowUp::Result { job, finished } => self.result_listed(&job, finished, turn),
             FollowUp::TextKept { gateway, made_by } => turn.release_attempt(gateway, made_by),
             FollowUp::Scored { item, finished } => self.scored(&item, finished, turn),
--- a/crates/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/jobs.rs
@@ -249,7 +249,8 @@
         for id in old {
             // Counted anew, so that the proposal is not made again before it is applied.
             self.job_clock.restart(turn.now, &id);
-            self.propose(Command::ForgetJob(id), FollowUp::Nothing, turn);
+            let follow_up = FollowUp::JobForgotten(id.clone());
+            self.propose(Command::ForgetJob(id), follow_up, turn);
         }
     }
 }
--- a/crates/wingshore-coordination/src/leader/proposals.rs
+++ b/crates/wingshore-coordination/src/leader/proposals.rs
@@ -20,6 +20,8 @@
     Server(InstanceId, Option<RequestTag>),
     /// A job was accepted: its items can be placed.
     Job(JobId, RequestTag),
+    /// An ended job was forgotten.
+    JobForgotten(JobId),
     /// A result was listed: readers may wait for it, and the gateway keeps it until then.
     Result {
         job: JobId,
--- a/crates/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/tables/jobs.rs
@@ -28,6 +28,11 @@
         self.known_since.insert(job.clone(), now);
     }
 
+    /// A job is forgotten: a later one of its name begins anew.
+    pub(crate) fn forget(&mut self, job: &JobId) {
+        self.known_since.remove(job);
+    }
+
     /// Since when a job is known.
     pub(crate) fn known_since(&self, job: &JobId) -> Option<Instant> {
         self.known_since.get(job).copied()
