--- a/crates/wingshore-coordination/src/leader/interface.rs
+++ b/crates/wingshore-coordination/src/leader/interface.rs
@@ -1,8 +1,9 @@
 //! What the leader machine hears from outside the group, and what it wants done there.
 
-use super::{Decision, EngineReport, OrderAnswer, WeightOrder};
+use super::decision_log::Decision;
+use super::decisions::load_progress::{EngineReport, OrderAnswer};
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemKey};
+use crate::ids::{GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
     AssignmentId, CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress,
     RunningItem, SeenCrash,
@@ -16,36 +17,36 @@
 use crate::usage::{UsageWindow, WindowUsage};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_types::ReplicaId;
+use wingshore_types::{Epoch, ReplicaId};
 
 /// News from outside the group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A gateway has connected to this coordinator.
     GatewayConnected(GatewayHello),
-    /// A gateway tells its state.
+    /// A gateway reports its status.
     GatewayStatus(GatewayId, GatewayStatus),
-    /// A gateway tells what it has in hand.
+    /// A gateway reports what it has in hand.
     GatewayRunning {
         /// Which gateway.
         gateway: GatewayId,
-        /// Tries at items.
+        /// Attempts at items.
         items: Vec<RunningItem>,
         /// Scorings.
         scorings: Vec<RunningScoring>,
     },
-    /// A gateway hands in events of a long item.
+    /// A gateway uploads events of a long item.
     ItemKept {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// Events of the item that were kept before.
         after_events: u64,
         /// The events behind them.
         text: ItemText,
     },
-    /// A gateway tells how far its items are.
+    /// A gateway reports how far its items are.
     ItemsProgressed(Vec<ItemProgress>),
-    /// A gateway tells which scorings it has in hand.
+    /// A gateway reports which scorings it has in hand.
     ScoringsInHand(Vec<AssignmentId>),
     /// A gateway's scoring is over.
     ScoringEnded {
@@ -63,7 +64,7 @@
         /// What it has seen.
         seen: Vec<SeenCrash>,
     },
-    /// Runs of requests under which servers had ended went well at a gateway.
+    /// Requests under which servers had ended ran well at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
     /// The connection of a gateway has ended.
     GatewayGone {
@@ -72,11 +73,11 @@
         /// How long it had been silent before.
         silence: Duration,
     },
-    /// A gateway's try at an item is over.
+    /// A gateway's attempt at an item is over.
     ItemEnded {
         /// Which gateway.
         gateway: GatewayId,
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
@@ -94,7 +95,7 @@
     CoordinatorsLost(Vec<String>),
     /// The site has agreed on its time of day.
     TimeAgreed(WallTime),
-    /// A gateway tells totals of requests that began to run.
+    /// A gateway reports totals of requests that began to run.
     UsageTold {
         /// Which gateway.
         gateway: GatewayId,
@@ -124,7 +125,7 @@
         /// The answer.
         answer: OrderAnswer,
     },
-    /// An engine answered how it stands, or did not.
+    /// An engine answered a poll of its status, or did not.
     Reported {
         /// The engine.
         instance: InstanceId,
@@ -138,7 +139,7 @@
 pub enum Effect {
     /// Send a message to one gateway.
     ToGateway(GatewayId, CoordinatorMessage),
-    /// Tell another coordinator that the registry does not hold these servers.
+    /// Report to another coordinator that the registry does not hold these servers.
     UnknownServers {
         /// The coordinator.
         to: ReplicaId,
@@ -153,7 +154,7 @@
     ReportUsage(UsageReport),
     /// Give an engine an order.
     Order(WeightOrder),
-    /// Ask an engine how it stands.
+    /// Poll an engine for its status.
     AskReport {
         /// The engine.
         instance: InstanceId,
@@ -162,6 +163,27 @@
     },
 }
 
+/// An order to load weights.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightOrder {
+    /// The engine.
+    pub instance: InstanceId,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The model.
+    pub model: ModelName,
+    /// The version to load.
+    pub version: u64,
+    /// Name of the machine that gives the order.
+    pub holder: String,
+    /// Its leadership; engines refuse lower ones.
+    pub fence: Epoch,
+    /// Orders that the engine had taken when it was polled.
+    pub expected_sequence: u64,
+    /// Whether requests under way go on under the new version, rather than end first.
+    pub keep_running: bool,
+}
+
 /// How much a leader has in hand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaderFigures {
--- a/crates/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/wingshore-coordination/src/leader/jobs.rs
@@ -1,66 +1,67 @@
 //! Submitting, reading and ending batch jobs.
 
-use super::outcomes::release;
-use super::scoring::release_scoring;
-use super::{CoordinationLeader, Decision, Outputs, Waiter, log, reply};
-use crate::ids::{ItemId, ItemKey, JobId};
+use super::decision_log::Decision;
+use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
+use super::decisions::expiry::{is_job_forgotten, is_past_queue_time};
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::tables::jobs::Reader;
+use super::turn::Turn;
+use crate::ids::{GatewayId, ItemId, ItemKey, JobId};
 use crate::jobs::JobSubmission;
-use crate::messages::Reply;
+use crate::messages::{AssignmentId, Reply};
 use crate::state::{Command, CoordinationState};
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
-/// Since when each job is known to this leader. A new leader counts from its beginning, so that
-/// nothing is given up or forgotten too early.
-#[derive(Default)]
-pub(crate) struct JobClock {
-    known_since: HashMap<JobId, Instant>,
-}
-
-impl JobClock {
-    /// A new leadership.
-    pub(crate) fn begin<'a>(&mut self, now: Instant, jobs: impl Iterator<Item = &'a JobId>) {
-        self.known_since = jobs.map(|id| (id.clone(), now)).collect();
-    }
-}
-
-/// Readers that wait for a result.
-#[derive(Default)]
-pub(crate) struct Readers {
-    waiting: Vec<Reader>,
-}
-
-struct Reader {
-    tag: RequestTag,
-    job: JobId,
-    from: u64,
-    until: Instant,
-}
+/// Most bytes of results in one answer. Not measured.
+const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 impl CoordinationLeader {
     pub(crate) fn submit_job(
         &mut self,
-        now: Instant,
         tag: RequestTag,
         submission: Arc<JobSubmission>,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        if state.find_job(&submission.id).is_some() {
-            return reply(tag, Reply::Done, out);
+        if turn.state.find_job(&submission.id).is_some() {
+            return turn.reply(tag, Reply::Done);
         }
-        if let Some(reason) = self.missing_scorer_route(&submission, state) {
-            return reply(tag, Reply::Refused(reason), out);
+        if let Some(reason) = self.missing_scorer_route(&submission, turn.state) {
+            return turn.reply(tag, Reply::Refused(reason));
         }
-        if self.refuse_for_want_of_room(tag, &submission, state, out) {
+        if self.refuse_for_want_of_room(tag, &submission, turn) {
             return;
         }
         let id = submission.id.clone();
-        self.job_clock.known_since.entry(id.clone()).or_insert(now);
-        self.propose(Command::AcceptJob(submission), Waiter::Job(id, tag), out);
+        self.job_clock.note(turn.now, &id);
+        self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
+    }
+
+    /// Refuses a job for which there is no room; says whether it did.
+    fn refuse_for_want_of_room(
+        &self,
+        tag: RequestTag,
+        submission: &JobSubmission,
+        turn: &mut Turn<'_>,
+    ) -> bool {
+        let open_jobs = turn.state.jobs().values().filter(|job| !job.ended);
+        let open_bytes = open_jobs.map(|job| job.submission.bytes()).sum();
+        let bytes = submission.bytes();
+        let most_bytes = self.settings.most_open_job_bytes;
+        if has_room(bytes, open_bytes, most_bytes) {
+            return false;
+        }
+        turn.log(Decision::JobRefused {
+            job: submission.id.clone(),
+            bytes,
+            open_bytes,
+            most_bytes,
+        });
+        turn.reply(tag, Reply::ComeBack(ROOM_RETRY_AFTER));
+        true
     }
 
     /// Says which item names a scorer that no route leads to.
@@ -82,22 +83,15 @@
         })
     }
 
-    pub(crate) fn job_accepted(
-        &mut self,
-        now: Instant,
-        job: JobId,
-        tag: RequestTag,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        reply(tag, Reply::Done, out);
-        self.items.add_job(&job, state);
-        if let Some(known) = state.jobs().get(&job) {
+    pub(crate) fn job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
+        turn.reply(tag, Reply::Done);
+        self.items.add_job(&job, turn.state);
+        if let Some(known) = turn.state.jobs().get(&job) {
             let submission = &known.submission;
             let model = submission.model.clone();
             let named = model
                 .as_ref()
-                .and_then(|model| state.named_versions().get(model));
+                .and_then(|model| turn.state.named_versions().get(model));
             let decision = Decision::JobAccepted {
                 job,
                 items: submission.items.len(),
@@ -106,110 +100,85 @@
                 named_version: named.copied().unwrap_or(1),
                 model,
             };
-            log(decision, out);
+            turn.log(decision);
         }
-        self.place_items(now, state, out);
+        self.place_items(turn);
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one request")]
     pub(crate) fn read_job(
         &mut self,
-        now: Instant,
         tag: RequestTag,
         job: JobId,
         from: u64,
         wait: Duration,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let Some((job, known)) = state.find_job(&job) else {
-            return reply(tag, Reply::Unknown, out);
+        let Some((job, known)) = turn.state.find_job(&job) else {
+            return turn.reply(tag, Reply::Unknown);
         };
         let has_some = (known.results.len() as u64) > from;
         if has_some || wait.is_zero() || known.ended {
-            let page = known.page(from, self.settings.page_bytes);
-            return reply(tag, Reply::Page(page), out);
+            let page = known.page(from, MAX_PAGE_BYTES);
+            return turn.reply(tag, Reply::Page(page));
         }
-        self.readers.waiting.push(Reader {
+        self.readers.add(Reader {
             tag,
             job: job.clone(),
             from,
-            until: now + wait,
+            until: turn.now + wait,
         });
     }
 
     /// Logs a result that was just listed, which is the last one of its job.
-    pub(crate) fn log_listed(
-        &self,
-        now: Instant,
-        id: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let Some(job) = state.jobs().get(id) else {
+    pub(crate) fn log_listed(&self, id: &JobId, turn: &mut Turn<'_>) {
+        let Some(job) = turn.state.jobs().get(id) else {
             return;
         };
         let Some(result) = job.results.last() else {
             return;
         };
-        let since = self.job_clock.known_since.get(id).copied().unwrap_or(now);
+        let since = self.job_clock.known_since(id).unwrap_or(turn.now);
         let decision = Decision::ItemListed {
             job: id.clone(),
             item: result.id.clone(),
             position: job.results.len() as u64 - 1,
             versions: result.versions.clone(),
-            age: now.since(since),
+            age: turn.now.since(since),
         };
-        log(decision, out);
+        turn.log(decision);
     }
 
-    /// Results of a job were listed: readers that wait for them are answered.
-    pub(crate) fn results_listed(
+    /// A result was listed: the gateway that made it need not keep it any more.
+    pub(super) fn result_listed(
         &mut self,
         job: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        finished: Option<(GatewayId, AssignmentId)>,
+        turn: &mut Turn<'_>,
     ) {
-        self.answer_readers(state, out, |reader| reader.job == *job);
+        if let Some((gateway, assignment)) = finished {
+            self.log_listed(job, turn);
+            turn.release_attempt(gateway, assignment);
+        }
+        self.results_listed(job, turn);
     }
 
-    /// Readers whose time is over are answered.
-    pub(crate) fn answer_waiting_readers(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        self.answer_readers(state, out, |reader| now >= reader.until);
+    /// Results of a job were listed: readers that wait for them are answered.
+    pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
+        let readers = self.readers.take_of(job);
+        answer_readers(readers, turn);
     }
 
-    fn answer_readers(
-        &mut self,
-        state: &CoordinationState,
-        out: &mut Outputs,
-        is_due: impl Fn(&Reader) -> bool,
-    ) {
-        let page_bytes = self.settings.page_bytes;
-        let due = self.readers.waiting.extract_if(.., |reader| is_due(reader));
-        for reader in due {
-            let answer = state.jobs().get(&reader.job).map_or(Reply::Unknown, |job| {
-                Reply::Page(job.page(reader.from, page_bytes))
-            });
-            reply(reader.tag, answer, out);
-        }
+    /// Readers whose time is over are answered.
+    pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
+        let readers = self.readers.take_due(turn.now);
+        answer_readers(readers, turn);
     }
 
-    pub(crate) fn end_job(
-        &mut self,
-        tag: RequestTag,
-        id: &JobId,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let Some((id, job)) = state.find_job(id) else {
-            return reply(tag, Reply::Unknown, out);
+    pub(crate) fn end_job(&mut self, tag: RequestTag, id: &JobId, turn: &mut Turn<'_>) {
+        let Some((id, job)) = turn.state.find_job(id) else {
+            return turn.reply(tag, Reply::Unknown);
         };
-        let ended = self.items.remove_job(id, state);
+        let ended = self.items.remove_job(id, turn.state);
         if !job.ended {
             let decision = Decision::JobEnded {
                 job: id.clone(),
@@ -217,31 +186,26 @@
                 listed: job.results.len(),
                 running: ended.len(),
             };
-            log(decision, out);
+            turn.log(decision);
         }
         for (assignment, running) in ended {
             self.note_end(&running);
-            release(running.gateway, assignment, out);
+            turn.release_attempt(running.gateway, assignment);
         }
         for (gateway, scoring) in self.scorings.remove_job(id) {
-            release_scoring(gateway, scoring, out);
+            turn.release_scoring(gateway, scoring);
         }
         if job.ended {
-            return reply(tag, Reply::Done, out);
+            return turn.reply(tag, Reply::Done);
         }
         let command = Command::EndJob(id.clone());
-        self.propose(command, Waiter::Request(tag), out);
+        self.propose(command, FollowUp::Request(tag), turn);
     }
 
-    /// Gives up items that have been queued for longer than their route allows, or whose route is
+    /// Abandons items that have been queued for longer than their route allows, or whose route is
     /// gone.
-    pub(crate) fn give_up_items(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if state.configuration().is_none() {
+    pub(crate) fn abandon_overdue_items(&mut self, turn: &mut Turn<'_>) {
+        if turn.state.configuration().is_none() {
             return;
         }
         let unscored = self.scorings.items().cloned();
@@ -249,73 +213,66 @@
             .items
             .waiting()
             .chain(unscored)
-            .filter(|item| self.is_given_up(now, item, state))
+            .filter(|item| self.is_past_queue_time(turn.now, item, turn.state))
             .collect();
         for item in given_up {
             self.abandon(
                 &item,
                 "its time in the queue is over or its route is gone",
-                out,
+                turn,
             );
         }
     }
 
-    fn is_given_up(&self, now: Instant, item: &ItemKey, state: &CoordinationState) -> bool {
+    fn is_past_queue_time(&self, now: Instant, item: &ItemKey, state: &CoordinationState) -> bool {
         let Some(job) = state.jobs().get(&item.job) else {
             return false;
         };
         let Some(contents) = job.submission.items.get(item.index as usize) else {
             return false;
         };
-        let Some(route) = self.routes.find(&job.submission.host, &contents.path) else {
-            return true;
-        };
-        let since = self.job_clock.known_since.get(&item.job);
-        match (since, route.max_queue) {
-            (Some(since), Some(most)) => now.since(*since) > most,
-            _ => false,
-        }
+        let route = self.routes.find(&job.submission.host, &contents.path);
+        let known_since = self.job_clock.known_since(&item.job);
+        is_past_queue_time(now, known_since, route.map(Arc::as_ref))
     }
 
     /// Forgets jobs that ended long ago.
-    pub(crate) fn forget_jobs(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        let retention = self.settings.job_retention;
-        let old: Vec<JobId> = state
-            .jobs()
-            .iter()
-            .filter(|(_, job)| job.ended)
-            .filter(|(id, _)| {
-                let since = self.job_clock.known_since.get(*id);
-                since.is_some_and(|since| now.since(*since) > retention)
-            })
-            .map(|(id, _)| id.clone())
-            .collect();
+    pub(crate) fn forget_jobs(&mut self, turn: &mut Turn<'_>) {
+        let (now, retention) = (turn.now, self.settings.job_retention);
+        let is_forgotten = |id: &JobId| {
+            let known_since = self.job_clock.known_since(id);
+            is_job_forgotten(now, known_since, retention)
+        };
+        let ended = turn.state.jobs().iter().filter(|(_, job)| job.ended);
+        let old = ended.map(|(id, _)| id).filter(|id| is_forgotten(id));
+        let old: Vec<JobId> = old.cloned().collect();
         for id in old {
             // Counted anew, so that the proposal is not made again before it is applied.
-            self.job_clock.known_since.insert(id.clone(), now);
-            self.propose(Command::ForgetJob(id), Waiter::Nobody, out);
+            self.job_clock.restart(turn.now, &id);
+            let follow_up = FollowUp::JobForgotten(id.clone());
+            self.propose(Command::ForgetJob(id), follow_up, turn);
         }
     }
 }
 
+/// Answers readers with what there is.
+fn answer_readers(readers: Vec<Reader>, turn: &mut Turn<'_>) {
+    for reader in readers {
+        let job = turn.state.jobs().get(&reader.job);
+        let answer = job.map_or(Reply::Unknown, |job| {
+            Reply::Page(job.page(reader.from, MAX_PAGE_BYTES))
+        });
+        turn.reply(reader.tag, answer);
+    }
+}
+
 /// Answers with the body of an item that is not listed.
-pub(super) fn read_item(
-    tag: RequestTag,
-    job: &JobId,
-    item: &ItemId,
-    state: &CoordinationState,
-    out: &mut Outputs,
-) {
-    let known = state.find_job(job);
+pub(super) fn read_item(tag: RequestTag, job: &JobId, item: &ItemId, turn: &mut Turn<'_>) {
+    let known = turn.state.find_job(job);
     let item = known.and_then(|(_, job)| {
         let (index, item) = job.find_item(item)?;
         (!job.is_listed(index)).then_some(item)
     });
     let answer = item.map_or(Reply::Unknown, |item| Reply::Item(item.body.clone()));
-    reply(tag, answer, out);
+    turn.reply(tag, answer);
 }
--- /dev/null
+++ b/crates/wingshore-coordination/src/leader/placing.rs
@@ -0,0 +1,297 @@
+//! Placing items that wait: which may run now, and their assignment to an engine through a gateway.
+
+use super::decision_log::Decision;
+use super::decisions::continuation::{starting_text, usable_text};
+use super::decisions::crash_evidence::is_suspect;
+use super::decisions::gateway_choice::gateway_for_item;
+use super::decisions::placement::{ItemNeeds, choose_engine};
+use super::machine::CoordinationLeader;
+use super::tables::engine::Engine;
+use super::tables::item::{Attempt, OpenItem};
+use super::turn::Turn;
+use crate::configuration::Route;
+use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName, ServiceName};
+use crate::jobs::{Job, JobItem};
+use crate::messages::{AssignmentId, CoordinatorMessage, ItemAssignment};
+use crate::state::CoordinationState;
+use crate::text::{DurablePrefix, ItemText};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use wingshore_types::Instant;
+
+/// Microseconds of a millisecond.
+const MICROSECONDS_OF_A_MS: f64 = 1000.0;
+
+/// An item that can be placed, with all that decides where.
+struct Candidate<'a> {
+    key: ItemKey,
+    job: &'a Job,
+    item: &'a JobItem,
+    route: Arc<Route>,
+    service: ServiceName,
+    /// What earlier attempts generated, as far as a further one may continue it.
+    partial_text: ItemText,
+    is_long: bool,
+    /// The engine that it does not go back to for now.
+    avoid: Option<InstanceId>,
+    /// Whether several servers have ended under it.
+    is_suspect: bool,
+}
+
+/// Why an item was not placed.
+enum NotPlaced {
+    /// It cannot be placed now; others of its job may be.
+    NotNow,
+    /// No engine takes items of its job.
+    NoEngine {
+        /// The service whose engines were examined.
+        service: ServiceName,
+    },
+}
+
+impl Candidate<'_> {
+    fn model(&self) -> Option<&ModelName> {
+        self.job.submission.model.as_ref()
+    }
+
+    /// The last version that made its partial text.
+    fn partial_version(&self) -> Option<u64> {
+        self.partial_text.versions.last().copied()
+    }
+
+    /// How much of its text the log holds.
+    fn durable(&self) -> DurablePrefix {
+        let durable = self.job.kept(self.key.index);
+        durable.map(ItemText::extent).unwrap_or_default()
+    }
+}
+
+impl CoordinationLeader {
+    /// Places as many waiting items as engines and gateways take.
+    pub(crate) fn place_items(&mut self, turn: &mut Turn<'_>) {
+        if self.items.none_waits() || self.gateways.is_empty() || turn.now < self.place_from {
+            return;
+        }
+        for job in self.jobs_by_rank(turn.state) {
+            if !self.engines.has_free_slots() {
+                return;
+            }
+            self.place_job(&job, turn);
+        }
+    }
+
+    /// Jobs with waiting items: those of the most urgent tenants first, then in the order of their
+    /// acceptance.
+    fn jobs_by_rank(&self, state: &CoordinationState) -> Vec<JobId> {
+        let mut jobs = self.items.waiting_jobs();
+        if !self.ranks.is_empty() {
+            jobs.sort_by_key(|job| self.job_rank(job, state));
+        }
+        jobs
+    }
+
+    fn job_rank(&self, id: &JobId, state: &CoordinationState) -> u8 {
+        let route = self.route_of_job(id, state);
+        let of_route = route.map_or(u8::MAX, |route| route.priority);
+        self.ranks.rank(id.tenant(), of_route)
+    }
+
+    /// The route of a job's first item.
+    pub(super) fn route_of_job(
+        &self,
+        id: &JobId,
+        state: &CoordinationState,
+    ) -> Option<&Arc<Route>> {
+        let job = &state.jobs().get(id)?.submission;
+        self.routes.find(&job.host, &job.items.first()?.path)
+    }
+
+    /// Places waiting items of one job while any engine takes such ones.
+    fn place_job(&mut self, id: &JobId, turn: &mut Turn<'_>) {
+        let mut full_services = BTreeSet::new();
+        let mut last = None;
+        while let Some(rank) = self.items.next_waiting(id, last) {
+            last = Some(rank);
+            let key = ItemKey {
+                job: id.clone(),
+                index: rank.index,
+            };
+            let placed = self.place(key, &full_services, turn);
+            if let Err(NotPlaced::NoEngine { service }) = placed {
+                full_services.insert(service);
+                if full_services.len() >= self.engines.services_with_free_slots() {
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Places an item, unless its service is known to be full.
+    fn place(
+        &mut self,
+        key: ItemKey,
+        full_services: &BTreeSet<ServiceName>,
+        turn: &mut Turn<'_>,
+    ) -> Result<(), NotPlaced> {
+        let candidate = self
+            .candidate(turn.now, key, turn.state)
+            .ok_or(NotPlaced::NotNow)?;
+        if full_services.contains(&candidate.service) {
+            return Err(NotPlaced::NotNow);
+        }
+        let Some(instance) = self.choose_engine(turn.now, &candidate, turn.state) else {
+            // One that it is to avoid may take others.
+            if candidate.avoid.is_some() || candidate.is_suspect {
+                return Err(NotPlaced::NotNow);
+            }
+            let service = candidate.service;
+            return Err(NotPlaced::NoEngine { service });
+        };
+        let engine = self.engines.get(&instance);
+        let gateway = gateway_for_item(&self.gateways, engine).ok_or(NotPlaced::NotNow)?;
+        self.items.take(&candidate.key);
+        self.assign(gateway, &instance, &candidate, turn);
+        Ok(())
+    }
+
+    /// The item, if it may run now.
+    fn candidate<'a>(
+        &self,
+        now: Instant,
+        key: ItemKey,
+        state: &'a CoordinationState,
+    ) -> Option<Candidate<'a>> {
+        let job = state.jobs().get(&key.job)?;
+        let item = job.submission.items.get(key.index as usize)?;
+        let known = self.items.open_item(&key)?;
+        if known.not_before.is_some_and(|earliest| now < earliest) {
+            return None;
+        }
+        let route = self.routes.find(&job.submission.host, &item.path)?;
+        let service = route
+            .target_for(u64::from(crc32fast::hash(item.group.as_bytes())))?
+            .clone();
+        let min_version = job.submission.min_version;
+        Some(Candidate {
+            job,
+            item,
+            route: Arc::clone(route),
+            service,
+            partial_text: usable_text(&known.partial_text, job.kept(key.index), min_version),
+            is_long: known.is_long,
+            avoid: known.avoided(now).cloned(),
+            is_suspect: is_suspected(known, state),
+            key,
+        })
+    }
+
+    fn choose_engine(
+        &self,
+        now: Instant,
+        candidate: &Candidate<'_>,
+        state: &CoordinationState,
+    ) -> Option<InstanceId> {
+        let submission = &candidate.job.submission;
+        let policy = self.settings.policy;
+        let model = candidate.model();
+        let newest = model.and_then(|model| state.named_versions().get(model).copied());
+        let affinity = self
+            .items
+            .affinity(&submission.id, &candidate.item.group)
+            .filter(|_| policy.prompt_homes);
+        let needs = ItemNeeds {
+            service: &candidate.service,
+            model,
+            min_version: submission.min_version,
+            newest_version: newest.unwrap_or(0),
+            partial_version: candidate.partial_version(),
+            avoid: candidate.avoid.as_ref(),
+            affinity,
+            is_long: candidate.is_long && policy.long_items_first,
+        };
+        let is_suspect = |open_item: &OpenItem| is_suspected(open_item, state);
+        choose_engine(now, &needs, &self.engines, |instance| {
+            !candidate.is_suspect || !self.items.has_suspect_on(instance, is_suspect)
+        })
+    }
+
+    fn assign(
+        &mut self,
+        gateway: GatewayId,
+        instance: &InstanceId,
+        candidate: &Candidate<'_>,
+        turn: &mut Turn<'_>,
+    ) {
+        let Some(engine) = self.engines.get(instance) else {
+            return;
+        };
+        let version = engine.version_of_any(candidate.model());
+        let single_version = candidate.route.single_version;
+        let kept = starting_text(&candidate.partial_text, single_version, version);
+        let assignment = self.items.next_assignment();
+        let decision = Decision::ItemAssigned {
+            assignment,
+            job: candidate.job.submission.id.clone(),
+            item: candidate.item.id.clone(),
+            instance: instance.clone(),
+            engine_running: engine.running + 1,
+            engine_version: version,
+            engine_pace_us: engine.pace.map(|pace| (pace * MICROSECONDS_OF_A_MS) as u64),
+            is_long: candidate.is_long,
+            gateway,
+            after_event: kept.last_event,
+        };
+        let message = self.assignment(assignment, engine, candidate, kept);
+        turn.send(gateway, CoordinatorMessage::Assign(Box::new(message)));
+        turn.log(decision);
+        let (key, model) = (candidate.key.clone(), candidate.model().cloned());
+        let attempt = Attempt::new(turn.now, key, gateway, instance.clone(), model);
+        self.start(assignment, attempt);
+        let job = &candidate.job.submission.id;
+        self.items
+            .set_affinity(job, &candidate.item.group, instance);
+    }
+
+    /// Everything that the gateway needs.
+    fn assignment(
+        &self,
+        assignment: AssignmentId,
+        engine: &Engine,
+        candidate: &Candidate<'_>,
+        kept: ItemText,
+    ) -> ItemAssignment {
+        let (job, item) = (&candidate.job.submission, candidate.item);
+        let route = &candidate.route;
+        let expected_version = kept.versions.last().copied();
+        ItemAssignment {
+            assignment,
+            item: candidate.key.clone(),
+            request: item.id.clone(),
+            instance: engine.instance().clone(),
+            address: engine.record.address,
+            host: job.host.clone(),
+            path: item.path.clone(),
+            headers: item.headers.clone(),
+            body: item.body.clone(),
+            kept,
+            durable: candidate.durable(),
+            expected_version: expected_version.filter(|_| route.single_version),
+            priority: self.ranks.rank(job.id.tenant(), route.priority),
+            scorer: item.scorer.as_deref().cloned(),
+            is_long: candidate.is_long,
+        }
+    }
+
+    /// An attempt begins, or is known to be under way.
+    pub(crate) fn start(&mut self, assignment: AssignmentId, attempt: Attempt) {
+        self.engines.started(&attempt.instance, attempt.gateway);
+        self.gateways.item_started(attempt.gateway);
+        self.items.start(assignment, attempt);
+    }
+}
+
+/// Whether several servers have ended under an item.
+fn is_suspected(open_item: &OpenItem, state: &CoordinationState) -> bool {
+    let request = open_item.request;
+    request.is_some_and(|request| is_suspect(state.evidence().ended_under(request)))
+}
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -1,7 +1,13 @@
 //! Scorings on the leader's side: which gateway asks for which text's score, and what follows.
 
-use super::scorings::Running;
-use super::{CoordinationLeader, Decision, Effect, Outputs, Waiter, log};
+use super::decision_log::Decision;
+use super::decisions::expiry::is_silent;
+use super::decisions::gateway_choice::gateway_for_scoring;
+use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Verdict, backoff, verdict};
+use super::machine::CoordinationLeader;
+use super::proposals::FollowUp;
+use super::tables::scorings::OpenScoring;
+use super::turn::Turn;
 use crate::ids::{GatewayId, ItemKey};
 use crate::messages::{AssignmentId, CoordinatorMessage};
 use crate::scoring::{RunningScoring, Scorer, ScoringAssignment, ScoringDecision, ScoringOutcome};
@@ -9,10 +15,6 @@
 use crate::text::FinishedText;
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
-use wingshore_types::machine::LeaderOutput;
-
-/// Most scorings that one gateway has in hand by this leader's word.
-const MOST_SCORINGS_OF_A_GATEWAY: usize = 256;
 
 impl CoordinationLeader {
     /// What scores the text of an item.
@@ -25,22 +27,21 @@
         contents.scorer.as_deref()
     }
 
-    /// A try has made the whole text of an item that is to be scored: the text is made durable
+    /// An attempt has made the whole text of an item that is to be scored: the text is made durable
     /// while the gateway that has it asks for the score.
     pub(crate) fn keep_unscored(
         &mut self,
-        now: Instant,
         item: &ItemKey,
         text: FinishedText,
         (gateway, made_by): (GatewayId, AssignmentId),
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         self.items.finish(item);
-        let running = Running {
+        let running = OpenScoring {
             item: item.clone(),
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(made_by, running);
         let command = Command::KeepUnscored {
@@ -48,43 +49,41 @@
             made_by,
             text,
         };
-        let waiter = Waiter::TextKept { gateway, made_by };
-        self.propose(command, waiter, out);
+        let follow_up = FollowUp::TextKept { gateway, made_by };
+        self.propose(command, follow_up, turn);
     }
 
     /// A gateway has a scoring in hand that an earlier leader knew of.
     pub(crate) fn adopt_scoring(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         scoring: RunningScoring,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
         let RunningScoring {
             scoring,
             item,
             made_by,
         } = scoring;
-        if self.scorings.running.contains_key(&scoring) {
+        if self.scorings.under_way.contains_key(&scoring) {
             return;
         }
-        let job = state.jobs().get(&item.job).filter(|job| !job.ended);
+        let job = turn.state.jobs().get(&item.job).filter(|job| !job.ended);
         let kept = job.and_then(|job| job.unscored(item.index));
         let is_own_text = match kept {
             Some(kept) => kept.made_by == made_by,
             // The text may come right behind, from the gateway that made it.
-            None => scoring == made_by && self.items.is_running(made_by),
+            None => scoring == made_by && self.items.is_under_way(made_by),
         };
         let is_open = job.is_some_and(|job| !job.is_listed(item.index));
         if !is_open || !is_own_text || self.scorings.is_in_hand(&item) {
-            return release_scoring(gateway, scoring, out);
+            return turn.release_scoring(gateway, scoring);
         }
-        let running = Running {
+        let running = OpenScoring {
             item,
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(scoring, running);
     }
@@ -92,7 +91,7 @@
     /// A gateway speaks of the scorings that it has in hand.
     pub(crate) fn on_scoring(&mut self, now: Instant, scorings: &[AssignmentId]) {
         for scoring in scorings {
-            if let Some(running) = self.scorings.running.get_mut(scoring) {
+            if let Some(running) = self.scorings.under_way.get_mut(scoring) {
                 running.heard = now;
             }
         }
@@ -105,70 +104,56 @@
 
     /// Scorings that their gateways do not speak of any more are over.
     pub(crate) fn end_silent_scorings(&mut self, now: Instant) {
-        let limit = self.settings.item_silence;
-        self.scorings_lost(now, |running| now.since(running.heard) > limit);
+        self.scorings_lost(now, |running| is_silent(now, running.heard));
     }
 
-    fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&Running) -> bool) {
+    fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
         for (_, running) in self.scorings.take_running(is_lost) {
-            // Where the text was never told, its item runs again.
-            let progress = self.items.progress(&running.item);
-            if progress.is_some_and(|progress| progress.ended) {
+            // Where the text never arrived, its item runs again.
+            let open_item = self.items.open_item(&running.item);
+            if open_item.is_some_and(|open_item| open_item.has_result) {
                 self.scorings.wait(running.item, running.made_by, now);
             }
         }
     }
 
     /// Gives texts that wait for a score to gateways.
-    pub(crate) fn place_scorings(
-        &mut self,
-        now: Instant,
-        state: &CoordinationState,
-        out: &mut Outputs,
-    ) {
-        if self.scorings.waiting.is_empty() || now < self.place_from {
+    pub(crate) fn place_scorings(&mut self, turn: &mut Turn<'_>) {
+        if self.scorings.waiting.is_empty() || turn.now < self.place_from {
             return;
         }
         let due: Vec<(ItemKey, AssignmentId)> = self
             .scorings
             .waiting
             .iter()
-            .filter(|(_, waiting)| now >= waiting.not_before)
+            .filter(|(_, waiting)| turn.now >= waiting.not_before)
             .map(|(item, waiting)| (item.clone(), waiting.made_by))
             .collect();
         for (item, made_by) in due {
             let Some(gateway) = self.choose_scoring_gateway() else {
                 return;
             };
-            self.assign_scoring(now, item, made_by, gateway, state, out);
+            self.assign_scoring(item, made_by, gateway, turn);
         }
     }
 
     fn choose_scoring_gateway(&self) -> Option<GatewayId> {
         let mut in_hand: BTreeMap<GatewayId, usize> = BTreeMap::new();
-        for running in self.scorings.running.values() {
+        for running in self.scorings.under_way.values() {
             *in_hand.entry(running.gateway).or_default() += 1;
         }
-        let count = |gateway: &GatewayId| in_hand.get(gateway).copied().unwrap_or(0);
-        self.gateways
-            .iter()
-            .filter(|(_, gateway)| gateway.introduced && gateway.status.takes_items)
-            .map(|(id, _)| (count(id), *id))
-            .filter(|(count, _)| *count < MOST_SCORINGS_OF_A_GATEWAY)
-            .min()
-            .map(|(_, id)| id)
+        gateway_for_scoring(&self.gateways, &in_hand)
     }
 
     fn assign_scoring(
         &mut self,
-        now: Instant,
         item: ItemKey,
         made_by: AssignmentId,
         gateway: GatewayId,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let contents = state
+        let contents = turn
+            .state
             .jobs()
             .get(&item.job)
             .and_then(|job| job.submission.items.get(item.index as usize));
@@ -186,7 +171,7 @@
             request: scorer.request.clone(),
             gateway,
         };
-        log(Decision::Scoring(decision), out);
+        turn.log(Decision::Scoring(decision));
         let message = CoordinatorMessage::Score(ScoringAssignment {
             scoring,
             item: item.clone(),
@@ -194,77 +179,86 @@
             made_by,
             scorer: *scorer,
         });
-        out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
-        let running = Running {
+        turn.send(gateway, message);
+        let running = OpenScoring {
             item,
             made_by,
             gateway,
-            heard: now,
+            heard: turn.now,
         };
         self.scorings.start(scoring, running);
     }
 
+    /// A gateway's scoring is over.
     pub(crate) fn on_scoring_ended(
         &mut self,
-        now: Instant,
         gateway: GatewayId,
         scoring: AssignmentId,
         outcome: ScoringOutcome,
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let Some(running) = self.scorings.running.remove(&scoring) else {
-            return release_scoring(gateway, scoring, out);
+        let Some(running) = self.scorings.under_way.remove(&scoring) else {
+            return turn.release_scoring(gateway, scoring);
         };
-        let Running { item, made_by, .. } = running;
+        let OpenScoring { item, made_by, .. } = running;
         let reason = outcome.name();
-        match outcome {
-            ScoringOutcome::Scored(score) => {
-                self.scorings.tries.remove(&item);
-                let command = Command::ListScored {
-                    item: item.clone(),
-                    made_by,
-                    score,
-                };
-                let finished = (gateway, scoring);
-                let waiter = Waiter::Scored { item, finished };
-                self.propose(command, waiter, out);
+        let failures = kept_failures(&item, turn.state);
+        let max_failures = self.max_scoring_failures(&item, turn.state);
+        match verdict(outcome, failures, max_failures) {
+            Verdict::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
+            Verdict::Abandon => {
+                turn.release_scoring(gateway, scoring);
+                self.abandon(&item, FAILED_TOO_OFTEN, turn);
             }
-            ScoringOutcome::Failed(failures) => {
-                let known = kept_failures(&item, state).saturating_add(failures);
-                if known >= self.most_scoring_attempts(&item, state) {
-                    release_scoring(gateway, scoring, out);
-                    let reason = "its scoring failed as often as the route allows";
-                    return self.abandon(&item, reason, out);
+            Verdict::Retry { counted, failures } => {
+                if counted.is_none() {
+                    turn.release_scoring(gateway, scoring);
+                }
+                self.retry_scoring(scoring, &item, made_by, (reason, failures), turn);
+                if let Some(failures) = counted {
+                    let command = Command::CountScoringFailures {
+                        item,
+                        made_by,
+                        failures,
+                    };
+                    let follow_up = FollowUp::ScoringCounted { gateway, scoring };
+                    self.propose(command, follow_up, turn);
                 }
-                self.retry_scoring(now, scoring, &item, made_by, (reason, known), out);
-                let command = Command::CountScoringFailures {
-                    item,
-                    made_by,
-                    failures,
-                };
-                let waiter = Waiter::ScoringCounted { gateway, scoring };
-                self.propose(command, waiter, out);
-            }
-            ScoringOutcome::NotScored(_) => {
-                release_scoring(gateway, scoring, out);
-                let known = kept_failures(&item, state);
-                self.retry_scoring(now, scoring, &item, made_by, (reason, known), out);
             }
         }
     }
 
+    /// Proposes a score; the gateway keeps it until it is committed.
+    fn list_scored(
+        &mut self,
+        gateway: GatewayId,
+        scoring: AssignmentId,
+        item: ItemKey,
+        made_by: AssignmentId,
+        score: String,
+        turn: &mut Turn<'_>,
+    ) {
+        self.scorings.retries.remove(&item);
+        let command = Command::ListScored {
+            item: item.clone(),
+            made_by,
+            score,
+        };
+        let finished = (gateway, scoring);
+        let follow_up = FollowUp::Scored { item, finished };
+        self.propose(command, follow_up, turn);
+    }
+
     fn retry_scoring(
         &mut self,
-        now: Instant,
         scoring: AssignmentId,
         item: &ItemKey,
         made_by: AssignmentId,
         (reason, failures): (&'static str, u32),
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        let pause = self.scorings.next_pause(item);
-        self.scorings.wait(item.clone(), made_by, now + pause);
+        let pause = backoff(self.scorings.count_retry(item));
+        self.scorings.wait(item.clone(), made_by, turn.now + pause);
         let decision = ScoringDecision::Retried {
             scoring,
             item: item.clone(),
@@ -272,35 +266,33 @@
             failures,
             pause,
         };
-        log(Decision::Scoring(decision), out);
+        turn.log(Decision::Scoring(decision));
     }
 
     /// A score was committed: the item is listed, unless the text that the group holds is another
-    /// try's.
+    /// attempt's.
     pub(crate) fn scored(
         &mut self,
-        now: Instant,
         item: &ItemKey,
         (gateway, scoring): (GatewayId, AssignmentId),
-        state: &CoordinationState,
-        out: &mut Outputs,
+        turn: &mut Turn<'_>,
     ) {
-        release_scoring(gateway, scoring, out);
-        let Some(job) = state.jobs().get(&item.job) else {
+        turn.release_scoring(gateway, scoring);
+        let Some(job) = turn.state.jobs().get(&item.job) else {
             return;
         };
         if job.is_listed(item.index) {
-            self.log_listed(now, &item.job, state, out);
-            return self.results_listed(&item.job, state, out);
+            self.log_listed(&item.job, turn);
+            return self.results_listed(&item.job, turn);
         }
         if let Some(unscored) = job.unscored(item.index)
             && !self.scorings.is_in_hand(item)
         {
-            self.scorings.wait(item.clone(), unscored.made_by, now);
+            self.scorings.wait(item.clone(), unscored.made_by, turn.now);
         }
     }
 
-    fn most_scoring_attempts(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
+    fn max_scoring_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
         let scorer = Self::scorer_of(item, state);
         let route = scorer.and_then(|scorer| self.routes.find(&scorer.host, &scorer.path));
         route.map_or(u32::MAX, |route| route.max_attempts).max(1)
@@ -313,9 +305,3 @@
     let unscored = job.and_then(|job| job.unscored(item.index));
     unscored.map_or(0, |unscored| unscored.failures)
 }
-
-/// Tells a gateway that a scoring is of no more use.
-pub(crate) fn release_scoring(gateway: GatewayId, scoring: AssignmentId, out: &mut Outputs) {
-    let message = CoordinatorMessage::ReleaseScoring { scoring };
-    out.push(LeaderOutput::Effect(Effect::ToGateway(gateway, message)));
-}
