--- a/crates/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -7,9 +7,13 @@
 //!
 //! Rule: a score is taken. Failures count; with as many as the route allows the item is abandoned.
 //! Everything else is asked for again, after [`INITIAL_BACKOFF`], twice as long each time,
-//! [`MAX_BACKOFF`] at the most.
+//! [`MAX_BACKOFF`] at the most. Failures of a scoring that an earlier leader assigned count only as far
+//! as they exceed those counted already.
 //!
 //! Why: a refusal or a lost answer says nothing about the text; only an answer that the scoring failed does.
+//! A gateway repeats its report to the next leader until one confirms it, and an earlier leader may have
+//! counted it: counted twice, an item is abandoned before its route says so. Where the earlier leader
+//! had counted another scoring, this counts too few, and the score is asked for once more at the most.
 //!
 //! Measured: neither backoff is.
 //!
@@ -43,24 +47,47 @@
     Abandon,
 }
 
-/// What follows the end of a scoring of an item with so many `failures` before.
-pub(crate) fn verdict(outcome: ScoringOutcome, failures: u32, max_failures: u32) -> Verdict {
-    match outcome {
-        ScoringOutcome::Scored(score) => Verdict::Take(score),
-        ScoringOutcome::NotScored(_) => Verdict::Retry {
-            counted: None,
-            failures,
-        },
-        ScoringOutcome::Failed(counted) => {
-            let failures = failures.saturating_add(counted);
-            if failures >= max_failures {
-                return Verdict::Abandon;
-            }
-            Verdict::Retry {
-                counted: Some(counted),
-                failures,
-            }
+/// Failures of scoring servers for an item.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Failures {
+    /// Those that the group has counted so far.
+    pub(crate) counted: u32,
+    /// With as many the item is abandoned.
+    pub(crate) max: u32,
+    /// Whether an earlier leader assigned the scoring that has ended, and may have counted its failures.
+    pub(crate) may_include_these: bool,
+}
+
+impl Failures {
+    /// Of those that a scoring reports, the ones that are not counted yet.
+    fn not_counted(self, reported: u32) -> u32 {
+        if self.may_include_these {
+            reported.saturating_sub(self.counted)
+        } else {
+            reported
+        }
+    }
+}
+
+/// What follows the end of a scoring.
+pub(crate) fn verdict(outcome: ScoringOutcome, known: Failures) -> Verdict {
+    let reported = match outcome {
+        ScoringOutcome::Scored(score) => return Verdict::Take(score),
+        ScoringOutcome::NotScored(_) => {
+            return Verdict::Retry {
+                counted: None,
+                failures: known.counted,
+            };
         }
+        ScoringOutcome::Failed(reported) => known.not_counted(reported),
+    };
+    let failures = known.counted.saturating_add(reported);
+    if failures >= known.max {
+        return Verdict::Abandon;
+    }
+    Verdict::Retry {
+        counted: (reported > 0).then_some(reported),
+        failures,
     }
 }
 
--- a/crates/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/wingshore-coordination/src/leader/scoring.rs
@@ -3,7 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::expiry::is_silent;
 use super::decisions::gateway_choice::gateway_for_scoring;
-use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Verdict, backoff, verdict};
+use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Failures, Verdict, backoff, verdict};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::scorings::OpenScoring;
@@ -202,9 +202,12 @@
         };
         let OpenScoring { item, made_by, .. } = running;
         let reason = outcome.name();
-        let failures = kept_failures(&item, turn.state);
-        let max_failures = self.max_scoring_failures(&item, turn.state);
-        match verdict(outcome, failures, max_failures) {
+        let known = Failures {
+            counted: kept_failures(&item, turn.state),
+            max: self.max_scoring_failures(&item, turn.state),
+            may_include_these: scoring.epoch != self.epoch,
+        };
+        match verdict(outcome, known) {
             Verdict::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
             Verdict::Abandon => {
                 turn.release_scoring(gateway, scoring);
