--- a/crates/wingshore-coordination/src/ids.rs
+++ b/crates/wingshore-coordination/src/ids.rs
@@ -4,6 +4,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
+use wingshore_types::Epoch;
 
 /// Stands between the parts of an encoded identifier. Names of servers and jobs come from targets of
 /// requests, whose reader takes no control characters; those of tenants are checked.
@@ -153,6 +154,15 @@
     pub index: u32,
 }
 
+/// Names one try at an item, over all leaderships.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct AssignmentId {
+    /// The leadership that made it.
+    pub epoch: Epoch,
+    /// Its number within the leadership.
+    pub number: u64,
+}
+
 /// When a server started, by its own word: milliseconds since the start of 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
--- a/crates/wingshore-coordination/src/jobs.rs
+++ b/crates/wingshore-coordination/src/jobs.rs
@@ -1,7 +1,6 @@
 //! Batch jobs: what was submitted, and the results listed so far.
 
-use crate::ids::{ItemId, JobId, ModelName};
-use crate::messages::{AssignmentId, JobPage};
+use crate::ids::{AssignmentId, ItemId, JobId, ModelName};
 use crate::scoring::{Scorer, UnscoredText};
 use crate::text::{FinishedText, ItemText, ResultText};
 use serde::{Deserialize, Serialize};
@@ -125,6 +124,17 @@
     pub score: Option<String>,
 }
 
+/// Results of a job from a position on.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct JobPage {
+    /// Items of the job.
+    pub total: u64,
+    /// Position of the first result here.
+    pub from: u64,
+    /// Results in order.
+    pub results: Vec<Arc<ResultRecord>>,
+}
+
 /// An accepted batch job.
 ///
 /// Invariant: each item is listed at most once, and what is listed is never changed or moved.
--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -7,6 +7,7 @@
 //! Neither reads a clock, opens a socket or a file, or draws randomness.
 
 mod configuration;
+mod evidence;
 mod fingerprint;
 mod ids;
 mod jobs;
@@ -30,12 +31,13 @@
     ConfigurationError, EngineProfile, IngressLimits, Route, RouteKind, RouteTarget, Service,
     SiteConfiguration,
 };
+pub use evidence::{CrashEvidence, Suspect};
 pub use fingerprint::{FingerprintKey, RequestContent, RequestFingerprint};
 pub use ids::{
-    BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName, ServiceName,
-    TenantName,
+    AssignmentId, BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
+    ServiceName, TenantName,
 };
-pub use jobs::{ItemState, Job, JobItem, JobSubmission, ListedResult, ResultRecord};
+pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
     CapacityDemand, CapacityPolicy, CoordinationLeader, Decision, EVIDENCE_LIFETIME, Effect,
     EngineReport, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
@@ -43,9 +45,9 @@
 };
 pub use links::{CoordinatorFrame, CoordinatorHello, HeartbeatAnswer, IncomingFrame, KnownLeader};
 pub use messages::{
-    AssignmentId, BreakCause, CallReply, CoordinatorMessage, GatewayHello, GatewayMessage,
-    GatewayStatus, ItemAssignment, ItemOutcome, ItemProgress, JobPage, NotRunReason, Reply,
-    Request, RunningItem, SeenCrash,
+    BreakCause, CallReply, CoordinatorMessage, GatewayHello, GatewayMessage, GatewayStatus,
+    ItemAssignment, ItemOutcome, ItemProgress, NotRunReason, Reply, Request, RunningItem,
+    SeenCrash,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
 pub use registry::{HeardServer, Heartbeat, ModelVersion, ServerRecord};
@@ -57,8 +59,8 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, CrashEvidence, KnownChanges, MOST_ENDINGS, MOST_SUSPECTS,
-    OrderHolder, REJECTED_FROM, RequestEvidence, SiteUsage, Suspect,
+    Command, CoordinationState, KnownChanges, MOST_ENDINGS, MOST_SUSPECTS, OrderHolder,
+    REJECTED_FROM, RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
--- a/crates/wingshore-coordination/src/messages.rs
+++ b/crates/wingshore-coordination/src/messages.rs
@@ -1,13 +1,14 @@
 //! What gateways and coordinators say to each other, and what callers ask of the group.
 
 use crate::configuration::SiteConfiguration;
+use crate::evidence::CrashEvidence;
 use crate::fingerprint::RequestFingerprint;
+pub(crate) use crate::ids::AssignmentId;
 use crate::ids::{GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName};
-use crate::jobs::{JobSubmission, ResultRecord};
+use crate::jobs::{JobPage, JobSubmission};
 use crate::registry::Heartbeat;
 use crate::scoring::{RunningScoring, Scorer, ScoringAssignment, ScoringOutcome};
 use crate::site_time::WallTime;
-use crate::state::CrashEvidence;
 use crate::text::{DurablePrefix, FinishedText, HeldPrefix, ItemText};
 use crate::usage::WindowUsage;
 use crate::view::ViewUpdate;
@@ -134,17 +135,6 @@
     ComeBack(Duration),
 }
 
-/// Results of a job from a position on.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobPage {
-    /// Items of the job.
-    pub total: u64,
-    /// Position of the first result here.
-    pub from: u64,
-    /// Results in order.
-    pub results: Vec<Arc<ResultRecord>>,
-}
-
 /// First message of a gateway on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayHello {
@@ -193,15 +183,6 @@
     pub configuration: u64,
 }
 
-/// Names one try at an item, over all leaderships.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AssignmentId {
-    /// The leadership that made it.
-    pub epoch: Epoch,
-    /// Its number within the leadership.
-    pub number: u64,
-}
-
 /// A gateway has seen a server end under a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenCrash {
--- a/crates/wingshore-coordination/src/scoring.rs
+++ b/crates/wingshore-coordination/src/scoring.rs
@@ -4,8 +4,7 @@
 //! A score belongs to the text that one try made: it is taken only for the text that the group
 //! holds, so that a call made for another try's text never becomes its score.
 
-use crate::ids::{GatewayId, ItemId, ItemKey};
-use crate::messages::AssignmentId;
+use crate::ids::{AssignmentId, GatewayId, ItemId, ItemKey};
 use crate::text::FinishedText;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/wingshore-coordination/src/state/command.rs
+++ b/crates/wingshore-coordination/src/state/command.rs
@@ -1,11 +1,11 @@
 //! Changes of the replicated state, as they stand in the log.
 
-use super::{CrashEvidence, EarlierConfiguration, EarlierServer, OrderHolder};
+use super::{EarlierConfiguration, EarlierServer, OrderHolder};
 use crate::configuration::SiteConfiguration;
+use crate::evidence::CrashEvidence;
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
-use crate::ids::{GatewayId, InstanceId, ItemKey, JobId, ModelName};
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, JobId, ModelName};
 use crate::jobs::{JobSubmission, ListedResult};
-use crate::messages::AssignmentId;
 use crate::registry::ServerRecord;
 use crate::scaling::CapacityPool;
 use crate::text::{FinishedText, ItemText};
--- a/crates/wingshore-coordination/src/state/evidence.rs
+++ b/crates/wingshore-coordination/src/state/evidence.rs
@@ -1,7 +1,7 @@
 //! What the site has learned of requests from failed attempts: under which of them servers ended.
 
+use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
-use crate::ids::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,26 +18,6 @@
 /// a new such request each time ends three servers with each, so that the bound is met late.
 pub const MOST_SUSPECTS: usize = 1024;
 
-/// A server has ended while it ran a request.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct CrashEvidence {
-    /// The request.
-    pub fingerprint: RequestFingerprint,
-    /// The run of the server.
-    pub instance: InstanceId,
-}
-
-/// A request under which servers have ended.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspect {
-    /// The request.
-    pub fingerprint: RequestFingerprint,
-    /// The runs of servers that ended under it, the oldest first.
-    pub ended: Vec<InstanceId>,
-    /// Whether no other server is to run it.
-    pub rejected: bool,
-}
-
 /// What the site has learned of requests from failed attempts; it outlasts requests, processes
 /// and leaderships.
 ///
--- a/crates/wingshore-coordination/src/state/mod.rs
+++ b/crates/wingshore-coordination/src/state/mod.rs
@@ -11,12 +11,12 @@
 pub use command::Command;
 pub use earlier::{EarlierConfiguration, EarlierServer, EarlierState};
 pub(crate) use evidence::TOLD_FROM;
-pub use evidence::{
-    CrashEvidence, MOST_ENDINGS, MOST_SUSPECTS, REJECTED_FROM, RequestEvidence, Suspect,
-};
+pub use evidence::{MOST_ENDINGS, MOST_SUSPECTS, REJECTED_FROM, RequestEvidence};
 pub use usage::SiteUsage;
 pub use view::KnownChanges;
 
+pub(crate) use crate::evidence::{CrashEvidence, Suspect};
+
 use crate::configuration::SiteConfiguration;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{InstanceId, JobId, ModelName, ServerName};
--- a/crates/wingshore-coordination/src/state/view.rs
+++ b/crates/wingshore-coordination/src/state/view.rs
@@ -1,9 +1,10 @@
 //! The gateways' view of the state.
 
-use super::evidence::{Suspect, TOLD_FROM};
+use super::evidence::TOLD_FROM;
 use super::view_history::ViewPart;
 use super::{CoordinationState, ServerRecord};
 use crate::configuration::SiteConfiguration;
+use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
 use crate::view::{SiteView, ViewChange};
--- a/crates/wingshore-coordination/src/view.rs
+++ b/crates/wingshore-coordination/src/view.rs
@@ -6,10 +6,10 @@
 //! gateway holds already.
 
 use crate::configuration::SiteConfiguration;
+use crate::evidence::Suspect;
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
 use crate::ids::InstanceId;
 use crate::registry::ServerRecord;
-use crate::state::Suspect;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use wingshore_types::LogIndex;
