--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -12,7 +12,6 @@
 mod ids;
 mod jobs;
 mod leader;
-mod links;
 mod messages;
 mod provider;
 mod registry;
@@ -43,11 +42,10 @@
     EngineReport, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
     WeightOrder, wanted_capacity,
 };
-pub use links::{CoordinatorFrame, CoordinatorHello, HeartbeatAnswer, IncomingFrame, KnownLeader};
 pub use messages::{
-    BreakCause, CallReply, CoordinatorMessage, GatewayHello, GatewayMessage, GatewayStatus,
-    ItemAssignment, ItemOutcome, ItemProgress, NotRunReason, Reply, Request, RunningItem,
-    SeenCrash,
+    BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, GatewayHello,
+    GatewayMessage, GatewayStatus, HeartbeatAnswer, IncomingFrame, ItemAssignment, ItemOutcome,
+    ItemProgress, KnownLeader, NotRunReason, Reply, Request, RunningItem, SeenCrash,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
 pub use registry::{HeardServer, Heartbeat, ModelVersion, ServerRecord};
--- /dev/null
+++ b/crates/wingshore-coordination/src/messages/coordinator.rs
@@ -0,0 +1,84 @@
+//! What coordinators say to gateways.
+
+use super::group::Reply;
+use super::items::ItemAssignment;
+use crate::ids::AssignmentId;
+use crate::scoring::ScoringAssignment;
+use crate::site_time::WallTime;
+use crate::text::HeldPrefix;
+use crate::view::ViewUpdate;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+use wingshore_types::{Epoch, LogIndex};
+
+/// From a coordinator to a gateway.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum CoordinatorMessage {
+    /// The coordinator leads: it gives out items, and answers calls.
+    Leading {
+        /// The leadership.
+        epoch: Epoch,
+    },
+    /// What a gateway that follows the view here must know.
+    View(ViewUpdate),
+    /// Answer to a call.
+    Reply {
+        /// Which call.
+        id: u64,
+        /// The answer.
+        reply: CallReply,
+    },
+    /// An item to run.
+    Assign(Box<ItemAssignment>),
+    /// A try is to be broken off: the item goes on elsewhere.
+    Interrupt {
+        /// Which try.
+        assignment: AssignmentId,
+    },
+    /// A try is of no more use: one that runs is ended, one that has ended is forgotten.
+    Release {
+        /// Which try.
+        assignment: AssignmentId,
+    },
+    /// How much of an item's text the group's log holds, for a try that a new leader has taken
+    /// over: parts that were handed in to the leader before may be lost.
+    HandInFrom {
+        /// Which try.
+        assignment: AssignmentId,
+        /// What the log holds.
+        held: HeldPrefix,
+    },
+    /// A text to be scored.
+    Score(ScoringAssignment),
+    /// A scoring is of no more use: one that is under way is ended, one that has ended is forgotten.
+    ReleaseScoring {
+        /// Which one.
+        scoring: AssignmentId,
+    },
+    /// A sign of life.
+    Alive {
+        /// Where coordinators listen for the site's own processes, as far as this one knows; `None`
+        /// if that is as it was told before on this link.
+        coordinators: Option<Vec<SocketAddr>>,
+        /// Where this one stands.
+        zone: String,
+        /// The last entry of the log in its copy of the state, which results and the view can be
+        /// read from; `None` without a copy, or while it knows no leader.
+        copy: Option<LogIndex>,
+        /// Its time of day.
+        wall: WallTime,
+    },
+}
+
+/// Answer to a call.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum CallReply {
+    /// The group's answer.
+    Reply(Reply),
+    /// This coordinator does not lead; the call had no effect.
+    NotLeader,
+    /// Leadership was lost meanwhile; the call may or may not take effect.
+    Unknown,
+    /// This copy holds nothing that answers the call; the leader may.
+    Nothing,
+}
--- a/crates/wingshore-coordination/src/links.rs
+++ b/crates/wingshore-coordination/src/messages/frames.rs
@@ -1,7 +1,7 @@
-//! Links between the site's own processes: who is at the other end, and what is said there.
+//! Frames between the site's own processes: introductions, and the envelopes of messages.
 
+use super::gateway::{GatewayHello, GatewayMessage};
 use crate::ids::InstanceId;
-use crate::messages::{GatewayHello, GatewayMessage};
 use crate::registry::{HeardServer, Heartbeat};
 use crate::site_time::WallTime;
 use serde::{Deserialize, Serialize};
--- /dev/null
+++ b/crates/wingshore-coordination/src/messages/mod.rs
@@ -0,0 +1,18 @@
+//! Messages between the site's own processes, and what callers ask of the group.
+//!
+//! They travel as `postcard` values, which hold neither names nor lengths of fields: fields and
+//! variants keep their order for good, and new variants come last.
+
+mod coordinator;
+mod frames;
+mod gateway;
+mod group;
+mod items;
+
+pub use coordinator::{CallReply, CoordinatorMessage};
+pub use frames::{CoordinatorFrame, CoordinatorHello, HeartbeatAnswer, IncomingFrame, KnownLeader};
+pub use gateway::{GatewayHello, GatewayMessage, GatewayStatus, SeenCrash};
+pub use group::{Reply, Request};
+pub use items::{BreakCause, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason, RunningItem};
+
+pub(crate) use crate::ids::AssignmentId;
