--- a/crates/wingshore-coordination/src/state/command.rs
+++ b/crates/wingshore-coordination/src/state/command.rs
@@ -1,6 +1,7 @@
 //! Changes of the replicated state, as they stand in the log.
 
-use super::{EarlierConfiguration, EarlierServer, OrderHolder};
+use super::earlier::{EarlierConfiguration, EarlierServer};
+use super::orders::OrderHolder;
 use crate::configuration::SiteConfiguration;
 use crate::evidence::CrashEvidence;
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
--- a/crates/wingshore-coordination/src/state/earlier.rs
+++ b/crates/wingshore-coordination/src/state/earlier.rs
@@ -1,9 +1,14 @@
 //! What the release before wrote into the log and into snapshots, where this one writes more.
 //!
 //! The codec tells fields by their order only, so a structure that has grown is read by its earlier
-//! form, and takes what that lacks from the defaults.
+//! form, and takes what that lacks from the defaults. These forms look like those in use, and share
+//! none of their code on purpose: they stay as they were written while the others grow. They cannot
+//! go while any log or snapshot holds them, and a group that applies little takes no snapshot for
+//! many releases.
 
-use super::{CoordinationState, OrderHolder};
+use super::orders::OrderState;
+use super::servers::ServerRegistry;
+use super::site::CoordinationState;
 use crate::configuration::{
     EngineProfile, IngressLimits, Route, RouteKind, RouteTarget, Service, SiteConfiguration,
 };
@@ -75,12 +80,18 @@
     departures: VecDeque<InstanceId>,
     named_versions: BTreeMap<ModelName, u64>,
     jobs: BTreeMap<JobId, Job>,
-    order_holder: Option<OrderHolder>,
-    orders_settled: bool,
+    orders: OrderState,
     member_nodes: BTreeMap<ReplicaId, String>,
     retired_members: BTreeMap<String, ReplicaId>,
 }
 
+impl EarlierConfiguration {
+    /// The same as this release holds it.
+    pub(super) fn upgrade(self: Arc<Self>) -> Arc<SiteConfiguration> {
+        Arc::new(Arc::unwrap_or_clone(self).into())
+    }
+}
+
 impl From<EarlierConfiguration> for SiteConfiguration {
     fn from(earlier: EarlierConfiguration) -> Self {
         Self {
@@ -144,19 +155,20 @@
 
 impl From<EarlierState> for CoordinationState {
     fn from(earlier: EarlierState) -> Self {
-        let configuration = earlier.configuration.map(Arc::unwrap_or_clone);
         let servers = earlier.servers.into_iter();
-        Self {
-            configuration: configuration.map(|held| Arc::new(held.into())),
+        let registry = ServerRegistry {
             servers: servers
                 .map(|(instance, server)| (instance, server.into()))
                 .collect(),
             departed: earlier.departed,
             departures: earlier.departures,
+        };
+        Self {
+            configuration: earlier.configuration.map(EarlierConfiguration::upgrade),
+            registry,
             named_versions: earlier.named_versions,
             jobs: earlier.jobs,
-            order_holder: earlier.order_holder,
-            orders_settled: earlier.orders_settled,
+            orders: earlier.orders,
             member_nodes: earlier.member_nodes,
             retired_members: earlier.retired_members,
             ..Self::default()
--- /dev/null
+++ b/crates/wingshore-coordination/src/state/servers.rs
@@ -0,0 +1,74 @@
+//! The registry of servers, as the group holds it.
+
+use crate::ids::{InstanceId, ServerName};
+use crate::registry::ServerRecord;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Departed incarnations that are remembered, so that a late heartbeat does not bring one back: some
+/// 100 bytes each. Heartbeats are late by seconds, in which few servers of any site depart; not
+/// measured.
+const MAX_DEPARTED: usize = 8192;
+
+/// Registered servers, and the incarnations that are gone for good.
+///
+/// Invariants: a departed incarnation is not registered again while it is remembered; an incarnation
+/// that is leaving goes on leaving, and the versions it holds never fall.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub(super) struct ServerRegistry {
+    pub(super) servers: BTreeMap<InstanceId, ServerRecord>,
+    pub(super) departed: BTreeSet<InstanceId>,
+    /// In the order of departure, oldest first.
+    pub(super) departures: VecDeque<InstanceId>,
+}
+
+impl ServerRegistry {
+    /// All registered incarnations of a server, in the order of their starts: usually one.
+    pub(super) fn incarnations_of<'a>(
+        &'a self,
+        name: &'a ServerName,
+    ) -> impl Iterator<Item = (&'a InstanceId, &'a ServerRecord)> + 'a {
+        let first = InstanceId::new(name.clone(), None);
+        let incarnations = self.servers.range(first..);
+        incarnations.take_while(move |(instance, _)| instance.name() == name)
+    }
+
+    /// The server as gateways see it.
+    pub(super) fn seen_by_gateways(&self, instance: &InstanceId) -> Option<ServerRecord> {
+        let server = self.servers.get(instance);
+        server.map(ServerRecord::without_models)
+    }
+
+    /// Takes what a server says of itself, unless it has departed.
+    pub(super) fn register(&mut self, mut server: ServerRecord) {
+        if self.departed.contains(&server.instance) {
+            return;
+        }
+        if let Some(held) = self.servers.get(&server.instance) {
+            server.draining |= held.draining;
+            for entry in &held.models {
+                server.raise_version(&entry.model, entry.version);
+            }
+        }
+        self.servers.insert(server.instance.clone(), server);
+    }
+
+    /// An incarnation is over for good.
+    pub(super) fn depart(&mut self, instance: InstanceId) {
+        self.servers.remove(&instance);
+        if !self.departed.insert(instance.clone()) {
+            return;
+        }
+        self.departures.push_back(instance);
+        if self.departures.len() > MAX_DEPARTED
+            && let Some(oldest) = self.departures.pop_front()
+        {
+            self.departed.remove(&oldest);
+        }
+    }
+
+    /// An incarnation was not heard of for too long; it may register again.
+    pub(super) fn expire(&mut self, instance: &InstanceId) {
+        self.servers.remove(instance);
+    }
+}
--- a/crates/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/read.rs
@@ -1,11 +1,12 @@
 //! Restoring a state, record by record.
 
-use super::{
+use super::records::{
     FIRST_FORMAT_OF_RECORDS, FORMAT, LAST_FIRST_BYTE_BEFORE, LENGTH_BYTES, Record, SavedResult,
     SavedText,
 };
 use crate::jobs::{Job, ResultRecord};
-use crate::state::{CoordinationState, EarlierState};
+use crate::state::earlier::EarlierState;
+use crate::state::site::CoordinationState;
 use crate::text::{ResultText, TextPlace};
 use crate::text_store::TextStoreHandle;
 use std::io::Read;
@@ -49,7 +50,7 @@
     let mut job: Option<Box<Job>> = None;
     loop {
         match read_record(reader)? {
-            Record::Job(next) => state.add_job(job.replace(next)),
+            Record::Job(next) => add_job(&mut state, job.replace(next)),
             Record::Result(saved) => {
                 let Some(job) = &mut job else {
                     return Err(RestoreError::from_display("a result without a job"));
@@ -58,7 +59,7 @@
                     .push(Arc::new(read_result(texts, saved, reader)?));
             }
             Record::End => {
-                state.add_job(job);
+                add_job(&mut state, job);
                 return Ok(*state);
             }
             Record::Evidence(evidence) => state.evidence = *evidence,
@@ -69,6 +70,12 @@
     }
 }
 
+fn add_job(state: &mut CoordinationState, job: Option<Box<Job>>) {
+    if let Some(job) = job {
+        state.jobs.insert(job.submission.id.clone(), *job);
+    }
+}
+
 fn read_record(reader: &mut dyn Read) -> Result<Record, RestoreError> {
     let mut length = [0; LENGTH_BYTES];
     reader
--- a/crates/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/write.rs
@@ -1,10 +1,14 @@
 //! A frozen state, encoded while it is read.
 
-use super::{FORMAT, LENGTH_BYTES, Record, SavedResult, SavedText};
+use super::records::{FORMAT, LENGTH_BYTES, Record, SavedResult, SavedText};
 use crate::ids::JobId;
 use crate::jobs::{Job, ResultRecord};
-use crate::state::CoordinationState;
+use crate::state::evidence::RequestEvidence;
+use crate::state::site::CoordinationState;
+use crate::state::view_history::ViewHistory;
 use crate::text::TextPlace;
+use crate::text_store::TextStoreHandle;
+use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::sync::Arc;
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
@@ -163,7 +167,7 @@
 ) -> io::Result<Option<Piece>> {
     let piece = match position {
         Position::Site => Piece {
-            record: encode(&Record::Site(Box::new(frozen.state.without_jobs())))?,
+            record: encode(&Record::Site(Box::new(without_jobs(&frozen.state))))?,
             text: None,
             next: Position::Evidence,
         },
@@ -193,6 +197,25 @@
     Ok(Some(piece))
 }
 
+/// All that the first record holds: jobs follow it, and what is not encoded is left out.
+fn without_jobs(state: &CoordinationState) -> CoordinationState {
+    CoordinationState {
+        configuration: state.configuration.clone(),
+        registry: state.registry.clone(),
+        named_versions: state.named_versions.clone(),
+        jobs: BTreeMap::new(),
+        orders: state.orders.clone(),
+        member_nodes: state.member_nodes.clone(),
+        retired_members: state.retired_members.clone(),
+        usage: state.usage.clone(),
+        capacity: state.capacity.clone(),
+        // Each field is named here, so that none is left out of snapshots unnoticed.
+        evidence: RequestEvidence::default(),
+        texts: TextStoreHandle::default(),
+        view_history: ViewHistory::default(),
+    }
+}
+
 fn result_piece<F: TextForm>(
     result: &ResultRecord,
     place: TextPlace,
--- a/crates/wingshore-coordination/src/state/view.rs
+++ b/crates/wingshore-coordination/src/state/view.rs
@@ -1,12 +1,14 @@
 //! The gateways' view of the state.
 
-use super::evidence::TOLD_FROM;
+use super::evidence::{RequestEvidence, TOLD_FROM};
+use super::servers::ServerRegistry;
+use super::site::CoordinationState;
 use super::view_history::ViewPart;
-use super::{CoordinationState, ServerRecord};
 use crate::configuration::SiteConfiguration;
 use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
+use crate::registry::ServerRecord;
 use crate::view::{SiteView, ViewChange};
 use std::sync::Arc;
 use wingshore_types::LogIndex;
@@ -23,7 +25,7 @@
 impl CoordinationState {
     /// All that gateways are told.
     pub fn view(&self) -> SiteView {
-        let servers = self.servers.values();
+        let servers = self.registry.servers.values();
         let suspects = self.evidence.suspects().filter(|known| is_told(known));
         SiteView {
             configuration: self.configuration.as_ref().map(for_gateways),
@@ -64,8 +66,8 @@
                 let configuration = self.configuration.as_ref()?;
                 Some(ViewChange::Configuration(for_gateways(configuration)))
             }
-            ViewPart::Server(instance) => Some(match self.servers.get(instance) {
-                Some(server) => ViewChange::Server(server.without_models()),
+            ViewPart::Server(instance) => Some(match self.registry.seen_by_gateways(instance) {
+                Some(server) => ViewChange::Server(server),
                 None => ViewChange::Gone(instance.clone()),
             }),
             ViewPart::FingerprintKey => self.evidence.key().map(ViewChange::FingerprintKey),
@@ -79,41 +81,36 @@
         }
     }
 
-    /// Applies `change`, and notes whether gateways see a server differently after it.
+    /// Applies `change` to the registry, and notes whether gateways see a server differently after it.
     pub(super) fn change_server(
         &mut self,
         index: LogIndex,
         instance: InstanceId,
-        change: impl FnOnce(&mut Self),
+        change: impl FnOnce(&mut ServerRegistry),
     ) {
-        let seen = |state: &Self| {
-            state
-                .servers
-                .get(&instance)
-                .map(ServerRecord::without_models)
-        };
-        let before = seen(self);
-        change(self);
-        if before != seen(self) {
+        let before = self.registry.seen_by_gateways(&instance);
+        change(&mut self.registry);
+        if before != self.registry.seen_by_gateways(&instance) {
             self.view_history.note(index, ViewPart::Server(instance));
         }
     }
 
-    /// Applies `change` to what is known of requests, and notes those of which gateways are or
-    /// were told.
+    /// Applies `change` to what is known of requests, and notes those that are or were part of the
+    /// view.
     pub(super) fn change_evidence(
         &mut self,
         index: LogIndex,
         requests: Vec<RequestFingerprint>,
-        change: impl FnOnce(&mut Self),
+        change: impl FnOnce(&mut RequestEvidence),
     ) {
-        let told = |state: &Self, request: &RequestFingerprint| {
-            state.evidence.suspect(*request).is_some_and(is_told)
+        let told = |evidence: &RequestEvidence, request: &RequestFingerprint| {
+            evidence.suspect(*request).is_some_and(is_told)
         };
-        let before: Vec<bool> = requests.iter().map(|request| told(self, request)).collect();
-        change(self);
+        let before = requests.iter().map(|request| told(&self.evidence, request));
+        let before: Vec<bool> = before.collect();
+        change(&mut self.evidence);
         for (request, told_before) in requests.into_iter().zip(before) {
-            if told_before || told(self, &request) {
+            if told_before || told(&self.evidence, &request) {
                 self.view_history.note(index, ViewPart::Suspect(request));
             }
         }
