--- a/crates/wingshore-consensus/src/accessors.rs
+++ b/crates/wingshore-consensus/src/accessors.rs
@@ -1,7 +1,8 @@
 //! Questions about a member.
 
 use crate::progress::Progress;
-use crate::raft::{Raft, Role};
+use crate::raft::Raft;
+use crate::role::Role;
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
--- a/crates/wingshore-consensus/src/change.rs
+++ b/crates/wingshore-consensus/src/change.rs
@@ -1,9 +1,11 @@
 //! Membership change, one member at a time.
 
 use crate::entry::{CodecError, Entry};
+use crate::interface::Output;
 use crate::leader::ProposeError;
 use crate::progress::Progress;
-use crate::raft::{Output, Raft, Role};
+use crate::raft::Raft;
+use crate::role::Role;
 use snafu::{ResultExt, Snafu, ensure};
 use wingshore_types::protocol::membership::{Member, Membership};
 use wingshore_types::{LogIndex, ReplicaId};
--- a/crates/wingshore-consensus/src/election.rs
+++ b/crates/wingshore-consensus/src/election.rs
@@ -1,21 +1,12 @@
 //! Pre-vote, votes, and becoming a leader.
 
+use crate::interface::Output;
 use crate::message::{Body, VoteRequest};
-use crate::raft::{Output, Raft, Role};
+use crate::raft::Raft;
+use crate::role::{Ballot, Role};
 use std::collections::BTreeSet;
 use wingshore_types::{Instant, ReplicaId};
 
-/// The votes, or pre-votes, of one campaign.
-#[derive(Debug)]
-pub(crate) struct Ballot {
-    /// Who granted.
-    pub(crate) granted: BTreeSet<ReplicaId>,
-    /// The leader handed over.
-    pub(crate) transfer: bool,
-    /// When to ask again those who have not granted.
-    pub(crate) next_retry: Instant,
-}
-
 impl Raft {
     /// Whether this member may vote: never before a membership has named it, and never when it
     /// lost the disk it voted with.
--- a/crates/wingshore-consensus/src/follower.rs
+++ b/crates/wingshore-consensus/src/follower.rs
@@ -1,8 +1,10 @@
 //! What a follower does with appends and heartbeats.
 
 use crate::entry::{CodecError, Entry};
+use crate::interface::Output;
 use crate::message::{AppendRejection, AppendRequest, Body, HeartbeatRequest};
-use crate::raft::{Output, Raft, Role};
+use crate::raft::Raft;
+use crate::role::Role;
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{LogIndex, ReplicaId};
 
--- a/crates/wingshore-consensus/src/leader.rs
+++ b/crates/wingshore-consensus/src/leader.rs
@@ -1,13 +1,13 @@
 //! What a leader does: heartbeats, appends, commits.
 
 use crate::entry::{Entry, EntryKind};
+use crate::interface::Output;
 use crate::lease::HeartbeatRounds;
 use crate::message::{AppendRejection, AppendRequest, Body, HeartbeatRequest};
 use crate::progress::Progress;
-use crate::raft::{Output, Raft, Role};
-use crate::transfer::Transfer;
+use crate::raft::Raft;
+use crate::role::{LeaderState, Role};
 use snafu::{Snafu, ensure};
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
@@ -22,30 +22,6 @@
     Transferring,
 }
 
-/// What only a leader has.
-#[derive(Debug)]
-pub(crate) struct LeaderState {
-    /// The other members.
-    pub(crate) progress: BTreeMap<ReplicaId, Progress>,
-    /// Heartbeat rounds and the lease.
-    pub(crate) rounds: HeartbeatRounds,
-    /// Index of the first entry of this leadership.
-    pub(crate) first_index: LogIndex,
-    /// The hand-over under way.
-    pub(crate) transfer: Option<Transfer>,
-    next_heartbeat: Instant,
-}
-
-impl LeaderState {
-    /// When something is to be done at the latest.
-    pub(crate) fn next_deadline(&self) -> Instant {
-        match &self.transfer {
-            Some(transfer) => self.next_heartbeat.min(transfer.deadline),
-            None => self.next_heartbeat,
-        }
-    }
-}
-
 impl Raft {
     /// Appends a command; it is committed when [`Output::Apply`] gives out this very index and
     /// term.
--- a/crates/wingshore-consensus/src/lib.rs
+++ b/crates/wingshore-consensus/src/lib.rs
@@ -19,6 +19,8 @@
 mod election;
 mod entry;
 mod follower;
+mod incoming;
+mod interface;
 mod leader;
 mod lease;
 mod log;
@@ -28,16 +30,18 @@
 mod progress;
 mod raft;
 mod recovery;
+mod role;
 mod snapshot;
 mod transfer;
 
 pub use change::{ChangeError, ChangeOutcome};
 pub use config::{ConfigError, Faults, Limits, RaftConfig, Timing};
 pub use entry::{CodecError, Entry, EntryKind, SnapshotContents};
+pub use interface::{Input, Output};
 pub use leader::ProposeError;
 pub use message::{
     AppendRejection, AppendRequest, Body, HeartbeatRequest, Message, SnapshotChunk, VoteRequest,
 };
-pub use raft::{Input, Output, Raft};
+pub use raft::Raft;
 pub use recovery::RecoveryError;
 pub use transfer::TransferError;
--- a/crates/wingshore-consensus/src/recovery.rs
+++ b/crates/wingshore-consensus/src/recovery.rs
@@ -2,10 +2,12 @@
 
 use crate::config::{ConfigError, RaftConfig};
 use crate::entry::{CodecError, Entry, HardState, SnapshotContents};
+use crate::interface::Output;
 use crate::log::RaftLog;
 use crate::members::Members;
 use crate::persistence::Persistence;
-use crate::raft::{Output, Raft, Role};
+use crate::raft::Raft;
+use crate::role::Role;
 use snafu::{ResultExt, Snafu, ensure};
 use std::collections::BTreeSet;
 use std::sync::Weak;
--- /dev/null
+++ b/crates/wingshore-consensus/src/role.rs
@@ -0,0 +1,66 @@
+//! What a member does in its term, and what it knows for that.
+
+use crate::lease::HeartbeatRounds;
+use crate::progress::Progress;
+use std::collections::{BTreeMap, BTreeSet};
+use wingshore_types::{Instant, LogIndex, ReplicaId};
+
+/// What a member does in its term.
+#[derive(Debug)]
+pub(crate) enum Role {
+    /// Follows the leader, or waits for one.
+    Follower,
+    /// Asks whether it would be elected, before it disturbs anyone.
+    PreCandidate(Ballot),
+    /// Asks for votes.
+    Candidate(Ballot),
+    /// Leads.
+    Leader(Box<LeaderState>),
+}
+
+/// The votes, or pre-votes, of one campaign.
+#[derive(Debug)]
+pub(crate) struct Ballot {
+    /// Who granted.
+    pub(crate) granted: BTreeSet<ReplicaId>,
+    /// The leader handed over.
+    pub(crate) transfer: bool,
+    /// When to ask again those who have not granted.
+    pub(crate) next_retry: Instant,
+}
+
+/// What only a leader has.
+#[derive(Debug)]
+pub(crate) struct LeaderState {
+    /// The other members.
+    pub(crate) progress: BTreeMap<ReplicaId, Progress>,
+    /// Heartbeat rounds and the lease.
+    pub(crate) rounds: HeartbeatRounds,
+    /// Index of the first entry of this leadership.
+    pub(crate) first_index: LogIndex,
+    /// The hand-over under way.
+    pub(crate) transfer: Option<Transfer>,
+    /// When the next heartbeat round is due.
+    pub(crate) next_heartbeat: Instant,
+}
+
+impl LeaderState {
+    /// When something is to be done at the latest.
+    pub(crate) fn next_deadline(&self) -> Instant {
+        match &self.transfer {
+            Some(transfer) => self.next_heartbeat.min(transfer.deadline),
+            None => self.next_heartbeat,
+        }
+    }
+}
+
+/// A hand-over under way. No proposals are taken meanwhile.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Transfer {
+    /// The receiver.
+    pub(crate) target: ReplicaId,
+    /// When it is given up.
+    pub(crate) deadline: Instant,
+    /// The receiver was asked to campaign.
+    pub(crate) sent: bool,
+}
--- a/crates/wingshore-consensus/src/snapshot.rs
+++ b/crates/wingshore-consensus/src/snapshot.rs
@@ -1,44 +1,19 @@
 //! Snapshots: taking them, sending them in chunks, and receiving them.
 
 use crate::entry::{CodecError, SnapshotContents};
+use crate::incoming::IncomingSnapshot;
+use crate::interface::Output;
 use crate::log::RaftLog;
 use crate::members::Members;
 use crate::message::{Body, SnapshotChunk};
 use crate::progress::{Progress, ProgressState};
-use crate::raft::{Output, Raft, Role};
-use std::io;
+use crate::raft::Raft;
+use crate::role::Role;
 use std::sync::Arc;
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_data::SnapshotState;
-use wingshore_types::snapshot_spool::SpooledSnapshot;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// A snapshot that is being received. It belongs to one leadership: another leader's encoding of
-/// the same state need not be equal byte for byte.
-#[derive(Debug)]
-pub(crate) struct IncomingSnapshot {
-    index: LogIndex,
-    term: u64,
-    total: u64,
-    received: u64,
-    data: Box<dyn SpooledSnapshot>,
-}
-
-impl IncomingSnapshot {
-    fn is_of(&self, chunk: &SnapshotChunk) -> bool {
-        (self.index, self.term, self.total) == (chunk.index, chunk.term, chunk.total)
-    }
-
-    /// Adds a part, if it is the next one.
-    fn append(&mut self, chunk: &SnapshotChunk) -> io::Result<()> {
-        if chunk.offset == self.received {
-            self.data.append(&chunk.data)?;
-            self.received += chunk.data.len() as u64;
-        }
-        Ok(())
-    }
-}
-
 impl Raft {
     /// Whether a snapshot can be taken now: what it would cover is durable in the log.
     pub fn can_compact(&self) -> bool {
--- a/crates/wingshore-consensus/src/transfer.rs
+++ b/crates/wingshore-consensus/src/transfer.rs
@@ -1,7 +1,9 @@
 //! Handing leadership over.
 
+use crate::interface::Output;
 use crate::message::Body;
-use crate::raft::{Output, Raft, Role};
+use crate::raft::Raft;
+use crate::role::{Role, Transfer};
 use snafu::{Snafu, ensure};
 use wingshore_types::{Instant, ReplicaId};
 
@@ -25,17 +27,6 @@
     },
 }
 
-/// A hand-over under way. No proposals are taken meanwhile.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Transfer {
-    /// The receiver.
-    pub(crate) target: ReplicaId,
-    /// When it is given up.
-    pub(crate) deadline: Instant,
-    /// The receiver was asked to campaign.
-    pub(crate) sent: bool,
-}
-
 impl Raft {
     /// Hands leadership to `target`, once it has the whole log. [`Output::Leadership`] tells the
     /// end, or [`Output::TransferAborted`].
