--- a/crates/wingshore-group/src/applying.rs
+++ b/crates/wingshore-group/src/applying.rs
@@ -2,7 +2,7 @@
 
 use crate::host::Host;
 use crate::interface::{HostError, HostOutput, HostReply};
-use crate::leading::Proposal;
+use crate::pending::Proposal;
 use wingshore_consensus::{Entry, EntryKind};
 use wingshore_types::machine::{LeaderMachine, ReplicatedState};
 use wingshore_types::protocol::membership::MembershipReply;
--- a/crates/wingshore-group/src/host.rs
+++ b/crates/wingshore-group/src/host.rs
@@ -1,11 +1,10 @@
 //! The host of one replicated group: its state and the dispatch of inputs.
 
 use crate::interface::{HostConfig, HostError, HostInput, HostOutput, HostReply, Leadership};
-use crate::leading::{Leading, Proposal};
 use crate::machines::MachineFactory;
-use crate::membership::PendingTransfer;
+use crate::pending::{Leading, PendingTransfer, Proposal};
 use crate::snapshots::SnapshotSchedule;
-use crate::stop::StopPhase;
+use crate::stop_phase::StopPhase;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/wingshore-group/src/leading.rs
+++ b/crates/wingshore-group/src/leading.rs
@@ -2,6 +2,7 @@
 
 use crate::host::Host;
 use crate::interface::{HostError, HostOutput, HostReply, Leadership};
+use crate::pending::{Leading, Proposal};
 use std::time::Duration;
 use wingshore_consensus::ProposeError;
 use wingshore_types::machine::{
@@ -12,22 +13,6 @@
 /// Time between ticks of the leader machine.
 const MACHINE_TICK: Duration = Duration::from_millis(50);
 
-/// A running leader machine.
-pub(crate) struct Leading<L> {
-    pub(crate) machine: L,
-    pub(crate) epoch: Epoch,
-    pub(crate) next_tick: Instant,
-}
-
-/// Who waits for a log entry of this leadership to be applied.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum Proposal {
-    /// The leader machine.
-    Machine(ProposalTag),
-    /// A request about members.
-    Membership(RequestTag),
-}
-
 impl<L> Host<L>
 where
     L: LeaderMachine + Default + 'static,
--- a/crates/wingshore-group/src/lib.rs
+++ b/crates/wingshore-group/src/lib.rs
@@ -10,8 +10,10 @@
 mod leading;
 mod machines;
 mod membership;
+mod pending;
 mod snapshots;
 mod stop;
+mod stop_phase;
 
 pub use host::Host;
 pub use interface::{HostConfig, HostError, HostInput, HostOutput, HostReply, Leadership};
--- a/crates/wingshore-group/src/membership.rs
+++ b/crates/wingshore-group/src/membership.rs
@@ -2,19 +2,12 @@
 
 use crate::host::Host;
 use crate::interface::{HostError, HostOutput, HostReply};
-use crate::leading::Proposal;
+use crate::pending::{PendingTransfer, Proposal};
 use wingshore_consensus::{ChangeError, ChangeOutcome};
 use wingshore_types::machine::{LeaderMachine, RequestTag};
 use wingshore_types::protocol::membership::{MembershipReply, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A request to hand leadership over that waits for its end.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct PendingTransfer {
-    pub(crate) tag: RequestTag,
-    pub(crate) target: ReplicaId,
-}
-
 impl<L> Host<L>
 where
     L: LeaderMachine + Default + 'static,
