--- a/crates/wingshore-coordination/src/configuration.rs
+++ b/crates/wingshore-coordination/src/configuration.rs
@@ -21,7 +21,7 @@
     pub services: Vec<Service>,
     /// What callers may send, and how long they may take.
     pub limits: IngressLimits,
-    /// Who may call; empty where a site does not tell its callers apart.
+    /// Who may call; empty where a site does not distinguish its callers.
     pub tenants: Vec<Tenant>,
     /// The document as the operator sent it, for reading it back.
     #[serde(with = "byte_vector")]
@@ -39,19 +39,19 @@
     pub path_prefix: String,
     /// What may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a request may be held.
+    /// Longest time that a request may be held before it is answered.
     pub timeout: Duration,
-    /// Within which an answer is in time.
+    /// Time within which an answer counts as in time.
     pub target_latency: Duration,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services and their shares of the requests.
     pub targets: Vec<RouteTarget>,
-    /// Most servers to which one request may be sent.
+    /// Maximal number of servers to which one request may be sent.
     pub max_attempts: u32,
-    /// Time after a batch job's first send from which on its items may be given up.
+    /// Time after a batch job's first attempt from which on its items may be abandoned.
     pub max_queue: Option<Duration>,
-    /// Time after a batch job's first send by which its results are due.
+    /// Time after a batch job's first attempt by which its results are due.
     pub due: Option<Duration>,
     /// Whether all events of a result must come from one weight version.
     pub single_version: bool,
@@ -88,7 +88,7 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Where servers tell their health.
+    /// Path at which servers report their health.
     pub health_path: String,
     /// Most connections that one server accepts from all callers together.
     pub max_connections: u32,
--- a/crates/wingshore-coordination/src/evidence.rs
+++ b/crates/wingshore-coordination/src/evidence.rs
@@ -9,7 +9,7 @@
 pub struct CrashEvidence {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// The run of the server.
+    /// The incarnation of the server.
     pub instance: InstanceId,
 }
 
@@ -18,7 +18,7 @@
 pub struct Suspect {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// The runs of servers that ended under it, the oldest first.
+    /// The incarnations of servers that ended under it, the oldest first.
     pub ended: Vec<InstanceId>,
     /// Whether no other server is to run it.
     pub rejected: bool,
--- a/crates/wingshore-coordination/src/ids.rs
+++ b/crates/wingshore-coordination/src/ids.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use wingshore_types::Epoch;
 
-/// Stands between the parts of an encoded identifier. Names of servers and jobs come from targets of
+/// Separates the parts of an encoded identifier. Names of servers and jobs come from targets of
 /// requests, whose reader takes no control characters; those of tenants are checked.
 const SEPARATOR: char = '\n';
 
-/// The name of an encoded identifier, and what stands behind it.
+/// The name of an encoded identifier, and what follows it.
 fn parts(text: &str) -> (&str, Option<&str>) {
     match text.split_once(SEPARATOR) {
         Some((name, rest)) => (name, Some(rest)),
@@ -58,7 +58,7 @@
     ServerName
 }
 text_id! {
-    /// A tenant: callers that share their keys, and are told apart from others.
+    /// A tenant: callers that share their keys.
     TenantName
 }
 text_id! {
@@ -74,7 +74,7 @@
     ItemId
 }
 
-/// One run of a gateway process; drawn at random at its start.
+/// One incarnation of a gateway process; drawn at random at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GatewayId(pub u64);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whose job it is; `None` where callers are not told apart.
+    /// Whose job it is; `None` where callers are not distinguished.
     pub fn tenant(&self) -> Option<&TenantName> {
         self.tenant.as_ref()
     }
@@ -154,7 +154,7 @@
     pub index: u32,
 }
 
-/// Names one try at an item, over all leaderships.
+/// Names one attempt at an item, or one scoring, over all leaderships.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AssignmentId {
     /// The leadership that made it.
@@ -163,15 +163,15 @@
     pub number: u64,
 }
 
-/// When a server started, by its own word: milliseconds since the start of 1970.
+/// When a server started, as it reports itself: milliseconds since the start of 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BornAt(pub u64);
 
-/// One run of a server process. A server that starts again under its name is another run: it holds
-/// nothing that the one before held, and its counts start anew.
+/// One incarnation of a server: the life of its process. A server that starts again under its name is
+/// another incarnation: it holds nothing that the one before held, and its counts start anew.
 ///
-/// Runs of one name are in the order of their starts; one that does not say when it started comes
+/// Incarnations of one name are in the order of their starts; one that does not report its start comes
 /// before all that do.
 ///
 /// Encoded as one text, the name alone where there is no start: as releases before wrote it.
@@ -182,13 +182,13 @@
 }
 
 impl InstanceId {
-    /// The run of `name` that started at `born`; `None` where servers do not say that, and have a
-    /// name of its own for each run.
+    /// The incarnation of `name` that started at `born`; `None` where servers do not report that, and
+    /// have a name of its own for each incarnation.
     pub fn new(name: ServerName, born: Option<BornAt>) -> Self {
         Self { name, born }
     }
 
-    /// What the server calls itself: by this, requests say which server they are meant for.
+    /// What the server calls itself; requests address servers by this name.
     pub fn name(&self) -> &ServerName {
         &self.name
     }
--- a/crates/wingshore-coordination/src/jobs.rs
+++ b/crates/wingshore-coordination/src/jobs.rs
@@ -22,7 +22,7 @@
     pub host: String,
     /// Step of the trainer.
     pub step: u64,
-    /// The model that makes the tokens; `None` where the items say it.
+    /// The model that makes the tokens; `None` where each item names its own.
     pub model: Option<ModelName>,
     /// The oldest version that may make them.
     pub min_version: u64,
@@ -75,9 +75,9 @@
     /// Body of the request.
     #[serde(with = "byte_vector")]
     pub body: Vec<u8>,
-    /// Tokens of its prompt and the most it puts out, together.
+    /// Tokens of its prompt and the most that it may generate, together.
     pub tokens: u64,
-    /// The caller's estimate of the tokens that it puts out; often far off.
+    /// The caller's estimate of the tokens that it generates; often far off.
     pub expected_output: Option<u64>,
     /// Items of one group share their prompt and count only together.
     pub group: String,
@@ -90,7 +90,7 @@
 pub enum ItemState {
     /// Its text is whole.
     Succeeded,
-    /// It was given up.
+    /// It was abandoned.
     Abandoned,
 }
 
@@ -105,7 +105,7 @@
     pub text: ResultText,
     /// The weight versions that made them, in the order of their first event.
     pub versions: Vec<u64>,
-    /// What its scorer said; `None` without one.
+    /// Its score; `None` without a scorer.
     pub score: Option<String>,
 }
 
@@ -120,7 +120,7 @@
     pub text: ResultText,
     /// The weight versions that made them.
     pub versions: Vec<u64>,
-    /// What its scorer said; `None` without one.
+    /// Its score; `None` without a scorer.
     pub score: Option<String>,
 }
 
@@ -146,8 +146,8 @@
     pub results: Vec<Arc<ResultRecord>>,
     /// For each item, whether it is listed.
     listed: Vec<bool>,
-    /// The first events of items that are not listed.
-    kept: BTreeMap<u32, ItemText>,
+    /// Partial texts of items that are not listed.
+    partial_texts: BTreeMap<u32, ItemText>,
     /// Whole texts that wait for their scores; of items that are not listed.
     unscored: BTreeMap<u32, UnscoredText>,
     /// Whether the caller has ended it.
@@ -162,7 +162,7 @@
             submission,
             results: Vec::new(),
             listed,
-            kept: BTreeMap::new(),
+            partial_texts: BTreeMap::new(),
             unscored: BTreeMap::new(),
             ended: false,
         }
@@ -174,7 +174,7 @@
             submission: Arc::clone(&self.submission),
             results: Vec::new(),
             listed: self.listed.clone(),
-            kept: self.kept.clone(),
+            partial_texts: self.partial_texts.clone(),
             unscored: self.unscored.clone(),
             ended: self.ended,
         }
@@ -189,7 +189,7 @@
         if std::mem::replace(&mut self.listed[index], true) {
             return false;
         }
-        self.kept.remove(&result.index);
+        self.partial_texts.remove(&result.index);
         self.unscored.remove(&result.index);
         self.results.push(Arc::new(ResultRecord {
             id: item.id.clone(),
@@ -206,7 +206,7 @@
         if self.ended || self.is_listed(index) || self.unscored.contains_key(&index) {
             return;
         }
-        self.kept.remove(&index);
+        self.partial_texts.remove(&index);
         let unscored = UnscoredText {
             made_by,
             text,
@@ -252,33 +252,33 @@
         self.unscored.iter().map(|(index, text)| (*index, text))
     }
 
-    /// Keeps events of an item that follow those kept before; others are dropped.
+    /// Adds events to an item's partial text, if they follow those that it has; others are dropped.
     pub fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
         if self.is_listed(index) || self.ended || self.unscored.contains_key(&index) {
             return;
         }
-        let kept = self.kept.entry(index).or_default();
-        if kept.events == after_events {
-            kept.extend(text);
+        let partial_text = self.partial_texts.entry(index).or_default();
+        if partial_text.events == after_events {
+            partial_text.extend(text);
         }
     }
 
-    /// The first events of an item that is not listed.
+    /// The partial text of an item that is not listed.
     pub fn kept(&self, index: u32) -> Option<&ItemText> {
-        self.kept.get(&index)
+        self.partial_texts.get(&index)
     }
 
-    /// The caller has ended the job: nothing more of it is run, so that what its items were is not
-    /// needed any more.
+    /// The caller has ended the job: nothing more of it is run, so that the contents of its items are
+    /// not needed any more.
     pub fn end(&mut self) {
         self.ended = true;
-        self.kept.clear();
+        self.partial_texts.clear();
         self.unscored.clear();
         self.submission = Arc::new(self.submission.without_contents());
     }
 
-    /// Results from a position on, as many as fit into `most_bytes`, at least one if there is one.
-    pub fn page(&self, from: u64, most_bytes: usize) -> JobPage {
+    /// Results from a position on, as many as fit into `max_bytes`, at least one if there is one.
+    pub fn page(&self, from: u64, max_bytes: usize) -> JobPage {
         let start = usize::try_from(from).unwrap_or(usize::MAX);
         let mut bytes = 0;
         let results = self
@@ -287,7 +287,7 @@
             .skip(start)
             .take_while(|result| {
                 let size = result.text.length() + RESULT_OVERHEAD;
-                let fits = bytes == 0 || bytes + size <= most_bytes;
+                let fits = bytes == 0 || bytes + size <= max_bytes;
                 bytes += size;
                 fits
             })
@@ -301,9 +301,9 @@
     }
 
     /// As [`Job::page`]; `None` without any result from that position on.
-    pub fn page_if_any(&self, from: u64, most_bytes: usize) -> Option<JobPage> {
+    pub fn page_if_any(&self, from: u64, max_bytes: usize) -> Option<JobPage> {
         let has_some = self.results.len() as u64 > from;
-        has_some.then(|| self.page(from, most_bytes))
+        has_some.then(|| self.page(from, max_bytes))
     }
 
     /// Bytes that the texts of its results take in memory.
--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! One replicated group holds all of it. [`CoordinationState`] is the replicated part;
 //! [`CoordinationLeader`] runs on the group's leader only: it places items of batch jobs on
-//! engines, brings engines to the versions that trainers named, and tells gateways what changes.
+//! engines, and brings engines to the versions that trainers named.
 //! Neither reads a clock, opens a socket or a file, or draws randomness.
 
 mod configuration;
--- a/crates/wingshore-coordination/src/messages/coordinator.rs
+++ b/crates/wingshore-coordination/src/messages/coordinator.rs
@@ -1,4 +1,4 @@
-//! What coordinators say to gateways.
+//! Messages from coordinators to gateways.
 
 use super::group::Reply;
 use super::items::ItemAssignment;
@@ -19,7 +19,7 @@
         /// The leadership.
         epoch: Epoch,
     },
-    /// What a gateway that follows the view here must know.
+    /// An update for a gateway that follows the view here.
     View(ViewUpdate),
     /// Answer to a call.
     Reply {
@@ -30,20 +30,21 @@
     },
     /// An item to run.
     Assign(Box<ItemAssignment>),
-    /// A try is to be broken off: the item goes on elsewhere.
+    /// An attempt is to be broken off: the item is resumed elsewhere.
     Interrupt {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
     },
-    /// A try is of no more use: one that runs is ended, one that has ended is forgotten.
+    /// An attempt is of no more use: one that runs is ended, one that has ended is forgotten.
     Release {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
     },
-    /// How much of an item's text the group's log holds, for a try that a new leader has taken
-    /// over: parts that were handed in to the leader before may be lost.
+    /// How much of an item's text the group's log holds, for an attempt that a new leader has taken
+    /// over: the gateway uploads its text from there on, since parts that were uploaded to the leader
+    /// before may be lost.
     HandInFrom {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// What the log holds.
         held: HeldPrefix,
@@ -55,12 +56,12 @@
         /// Which one.
         scoring: AssignmentId,
     },
-    /// A sign of life.
+    /// The status of the coordinator, sent again and again.
     Alive {
         /// Where coordinators listen for the site's own processes, as far as this one knows; `None`
-        /// if that is as it was told before on this link.
+        /// if that is as it was sent before on this link.
         coordinators: Option<Vec<SocketAddr>>,
-        /// Where this one stands.
+        /// Zone of this one.
         zone: String,
         /// The last entry of the log in its copy of the state, which results and the view can be
         /// read from; `None` without a copy, or while it knows no leader.
--- a/crates/wingshore-coordination/src/messages/frames.rs
+++ b/crates/wingshore-coordination/src/messages/frames.rs
@@ -17,7 +17,7 @@
     pub id: ReplicaId,
     /// Name of its machine.
     pub node: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Where it listens for the site's own processes.
     pub internal: SocketAddr,
@@ -54,20 +54,20 @@
     Coordinator(CoordinatorFrame),
 }
 
-/// What coordinators say to each other.
+/// Frames between coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoordinatorFrame {
     /// First frame on a connection, and again from time to time.
     Hello(CoordinatorHello),
     /// A message of the replicated log.
     Consensus(#[serde(with = "byte_vector")] Vec<u8>),
-    /// To the leader: servers whose heartbeats say what the registry holds.
+    /// To the leader: servers whose heartbeats bring no news to the registry.
     Heard(Vec<HeardServer>),
     /// From the leader: servers that the registry does not hold.
     UnknownServers(Vec<InstanceId>),
-    /// To the leader: a heartbeat that says something new.
+    /// To the leader: a heartbeat that differs from what the registry holds.
     Heartbeat {
-        /// Comes back with the reply.
+        /// Returned with the reply.
         id: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
@@ -84,7 +84,7 @@
 /// What came of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatAnswer {
-    /// What it says is durable.
+    /// What it reports is durable.
     Durable,
     /// It names no server to use; says why.
     Refused(String),
--- a/crates/wingshore-coordination/src/messages/gateway.rs
+++ b/crates/wingshore-coordination/src/messages/gateway.rs
@@ -1,4 +1,4 @@
-//! What gateways say to coordinators.
+//! Messages from gateways to coordinators.
 
 use super::group::Request;
 use super::items::{ItemOutcome, ItemProgress, RunningItem};
@@ -16,13 +16,13 @@
 /// First message of a gateway on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayHello {
-    /// The gateway's run.
+    /// The gateway's incarnation.
     pub gateway: GatewayId,
     /// Name of its machine.
     pub node: String,
     /// Where clients reach it.
     pub front: SocketAddr,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Region of that zone.
     pub region: String,
@@ -30,7 +30,7 @@
     pub status: GatewayStatus,
 }
 
-/// What a gateway says again and again.
+/// The status that a gateway reports again and again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayStatus {
     /// Whether clients may be sent to it.
@@ -55,36 +55,37 @@
 pub enum GatewayMessage {
     /// As of now.
     Status(GatewayStatus),
-    /// Answer to a welcome: all that it has in hand, or whose end it has not told yet.
+    /// Answer to [`crate::CoordinatorMessage::Leading`]: all that the gateway carries out, or whose end it
+    /// has not reported yet.
     Running {
-        /// Tries at items.
+        /// Attempts at items.
         items: Vec<RunningItem>,
         /// Scorings.
         scorings: Vec<RunningScoring>,
     },
-    /// How far the items are that run.
+    /// Progress of the items that run.
     Progress(Vec<ItemProgress>),
-    /// The scorings that it has in hand.
+    /// The scorings that it carries out.
     Scoring(Vec<AssignmentId>),
-    /// Events of a long item that are to outlast this gateway and the leader.
+    /// Events of a long item that are to survive the loss of this gateway and of the leader.
     Keep {
-        /// The try.
+        /// The attempt.
         assignment: AssignmentId,
-        /// Events of the item that were kept before.
+        /// Events of the item that were uploaded before.
         after_events: u64,
-        /// The events behind them.
+        /// The events after them.
         text: ItemText,
     },
     /// A request to the group, made for a caller.
     Call {
-        /// Comes back with the reply.
+        /// Returned with the reply.
         id: u64,
         /// What is asked.
         request: Request,
     },
-    /// A try at an item is over.
+    /// An attempt at an item is over.
     ItemEnded {
-        /// Which try.
+        /// Which attempt.
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
@@ -102,22 +103,22 @@
     RequestsCrashed(Vec<SeenCrash>),
     /// Requests that began to run, as totals of this gateway for windows that are open.
     Usage(Vec<WindowUsage>),
-    /// Runs of requests under which servers had ended went well.
+    /// Attempts of requests under which servers had ended went well.
     RequestsRan(Vec<RequestFingerprint>),
-    /// Asks the receiver to tell the view, and each change of it from here on.
+    /// Asks the receiver to send the view, and each change of it from here on.
     FollowView {
         /// The last entry of the log that the view of this gateway accounts for.
         since: Option<LogIndex>,
     },
-    /// The receiver need not tell the view any more.
+    /// The receiver need not send the view any more.
     LeaveView,
     /// Reads results of a job from the receiver's own copy of the state.
     ReadCopy {
-        /// Comes back with the reply.
+        /// Returned with the reply.
         id: u64,
         /// The job.
         job: JobId,
-        /// The first position wanted.
+        /// The first position to be read.
         from: u64,
         /// How long the answer may wait for a result.
         wait: Duration,
--- a/crates/wingshore-coordination/src/messages/group.rs
+++ b/crates/wingshore-coordination/src/messages/group.rs
@@ -17,9 +17,9 @@
     PutConfiguration(Arc<SiteConfiguration>),
     /// The configuration in force.
     ReadConfiguration,
-    /// A server tells its state.
+    /// A server reports its status.
     Heartbeat(Heartbeat),
-    /// A server is gone, or about to end. It does not say which of its runs.
+    /// A server is gone, or about to end. It does not say which of its incarnations.
     Deregister(ServerName),
     /// A trainer has published a version.
     NameVersion {
@@ -34,7 +34,7 @@
     ReadJob {
         /// The job.
         job: JobId,
-        /// The first position wanted.
+        /// The first position to be read.
         from: u64,
         /// How long the answer may wait for a result.
         wait: Duration,
@@ -65,7 +65,7 @@
 }
 
 impl Request {
-    /// What is asked, in a word.
+    /// The kind of request, as a name for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::PutConfiguration(_) => "put_configuration",
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What the call is about, for logs.
+    /// What the request concerns, for logs.
     pub fn subject(&self) -> String {
         match self {
             Self::PutConfiguration(configuration) => format!("version {}", configuration.version),
@@ -122,6 +122,6 @@
     Unknown,
     /// The request cannot be carried out by anybody; says why.
     Refused(String),
-    /// The request had no effect, for want of room; come back after this time.
+    /// The request had no effect, for want of room; retry after this time.
     ComeBack(Duration),
 }
--- a/crates/wingshore-coordination/src/messages/items.rs
+++ b/crates/wingshore-coordination/src/messages/items.rs
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use wingshore_types::protocol::byte_vector;
 
-/// How far a try is.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemProgress {
-    /// The try.
+    /// The attempt.
     pub assignment: AssignmentId,
-    /// Events of the item so far, also those of earlier tries.
+    /// Events of the item so far, also those of earlier attempts.
     pub events: u64,
 }
 
 /// An item that a gateway is running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningItem {
-    /// The try.
+    /// The attempt.
     pub assignment: AssignmentId,
     /// The item.
     pub item: ItemKey,
@@ -28,10 +28,10 @@
     pub instance: InstanceId,
 }
 
-/// A try at an item: everything the gateway needs.
+/// An attempt at an item: everything that the gateway needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemAssignment {
-    /// Names the try.
+    /// Names the attempt.
     pub assignment: AssignmentId,
     /// The item.
     pub item: ItemKey,
@@ -50,10 +50,10 @@
     /// Body of the request.
     #[serde(with = "byte_vector")]
     pub body: Vec<u8>,
-    /// What earlier tries have left; the engine goes on behind it.
+    /// Partial text of earlier attempts; the engine continues after it.
     pub kept: ItemText,
     /// How much of the item's text the group's log holds. Where that is more than `kept`, the
-    /// attempt begins anew, and its events do not belong behind those of the log.
+    /// attempt begins anew, and its events do not belong after those of the log.
     pub durable: DurablePrefix,
     /// The only version that may make the events; set where versions must not mix.
     pub expected_version: Option<u64>,
@@ -65,14 +65,14 @@
     pub is_long: bool,
 }
 
-/// What came of a try at an item.
+/// Outcome of an attempt at an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
     /// The stream has ended whole.
     Finished(FinishedText),
     /// The stream broke off; what came before counts.
     Interrupted {
-        /// All events so far, also those of earlier tries.
+        /// All events so far, also those of earlier attempts.
         text: ItemText,
         /// What broke it off.
         cause: BreakCause,
@@ -85,12 +85,12 @@
     Impossible,
 }
 
-/// What broke a try at an item off.
+/// What broke off an attempt at an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BreakCause {
-    /// The gateway, which stops or was told to.
+    /// The gateway, which stops or was ordered to break off.
     Gateway,
-    /// The engine, or the way to it. Names what the item asks, unless it ran for so long that it is
+    /// The engine, or the connection to it. Names what the item asks, unless it ran for so long that it is
     /// not what ends engines.
     Engine(Option<RequestFingerprint>),
 }
@@ -100,7 +100,7 @@
 pub enum NotRunReason {
     /// The engine is full or loads weights.
     Full,
-    /// The address belongs to another run of a server, or the version differs.
+    /// The address belongs to another incarnation of a server, or the version differs.
     Mismatch,
     /// No connection came up.
     Unreachable,
@@ -113,7 +113,7 @@
 }
 
 impl ItemOutcome {
-    /// What came of the try, in words.
+    /// The outcome in words, for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Finished(_) => "finished",
--- a/crates/wingshore-coordination/src/provider.rs
+++ b/crates/wingshore-coordination/src/provider.rs
@@ -1,4 +1,5 @@
-//! What is asked of the provider of a site's machines, by one coordinator at a time.
+//! Calls to the provider of a site's machines, made by one coordinator at a time: reports of usage, and
+//! orders for servers.
 
 use crate::scaling::CapacityPool;
 use crate::usage::{UsageCounts, UsageWindow};
@@ -51,7 +52,7 @@
 }
 
 impl ProviderAnswer {
-    /// The answer in a word.
+    /// The answer's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/wingshore-coordination/src/registry.rs
+++ b/crates/wingshore-coordination/src/registry.rs
@@ -16,13 +16,13 @@
 /// A server as the registry holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Which run of the server.
+    /// Which incarnation of the server.
     pub instance: InstanceId,
     /// Of which service.
     pub service: ServiceName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Requests it works on at once.
     pub slots: u32,
@@ -34,16 +34,16 @@
     pub models: Vec<ModelVersion>,
 }
 
-/// What a server says of itself, again and again.
+/// The status that a server reports again and again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The server.
     pub server: ServerRecord,
-    /// Rises with each heartbeat of this run, so that a late one can be told.
+    /// Rises with each heartbeat of this incarnation, so that a late one is recognised.
     pub sequence: u64,
 }
 
-/// A server that a coordinator has heard of, and that says what the registry holds.
+/// A server whose heartbeat a coordinator has received, and whose status is as the registry holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardServer {
     /// The server.
@@ -67,7 +67,7 @@
         Some(known.version)
     }
 
-    /// Notes that it holds at least `version` of `model`; versions of one run never fall.
+    /// Notes that it holds at least `version` of `model`; versions of one incarnation never fall.
     pub fn raise_version(&mut self, model: &ModelName, version: u64) -> bool {
         match self.models.iter_mut().find(|entry| entry.model == *model) {
             Some(entry) if entry.version < version => {
--- a/crates/wingshore-coordination/src/routes.rs
+++ b/crates/wingshore-coordination/src/routes.rs
@@ -24,7 +24,7 @@
         Self { hosts }
     }
 
-    /// The route of `host` with the longest prefix that begins `path`. A port behind the host
+    /// The route of `host` with the longest prefix that begins `path`. A port after the host
     /// counts for nothing.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.of_host(host)
--- a/crates/wingshore-coordination/src/scoring.rs
+++ b/crates/wingshore-coordination/src/scoring.rs
@@ -1,8 +1,8 @@
-//! Scoring: the call to a service whose answer is the score of a whole text, and what gateways and
-//! the leader say to each other about it.
+//! Scoring: the call to a service whose answer is the score of a whole text, and the messages of
+//! gateways and the leader about it.
 //!
-//! A score belongs to the text that one try made: it is taken only for the text that the group
-//! holds, so that a call made for another try's text never becomes its score.
+//! A score belongs to the text of one attempt: it is taken only for the text that the group holds, so
+//! that a call made for another attempt's text never becomes its score.
 
 use crate::ids::{AssignmentId, GatewayId, ItemId, ItemKey};
 use crate::text::FinishedText;
@@ -29,7 +29,7 @@
 /// Invariant: `made_by` never changes while the item has this text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnscoredText {
-    /// The try that made the text.
+    /// The attempt that made the text.
     pub made_by: AssignmentId,
     /// The text.
     pub text: FinishedText,
@@ -46,20 +46,20 @@
     pub item: ItemKey,
     /// The item's own identifier.
     pub id: ItemId,
-    /// The try whose text is scored.
+    /// The attempt whose text is scored.
     pub made_by: AssignmentId,
     /// What is to be asked.
     pub scorer: Scorer,
 }
 
-/// A scoring that a gateway has in hand, or whose end it has not told yet.
+/// A scoring that a gateway carries out, or whose end it has not reported yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningScoring {
     /// The scoring.
     pub scoring: AssignmentId,
     /// The item.
     pub item: ItemKey,
-    /// The try whose text is scored.
+    /// The attempt whose text is scored.
     pub made_by: AssignmentId,
 }
 
@@ -70,7 +70,7 @@
     Scored(String),
     /// Scoring servers have run it and failed, this many times.
     Failed(u32),
-    /// There is no score, and no server said that it failed.
+    /// There is no score, and no server reported that it failed.
     NotScored(NotScoredReason),
 }
 
@@ -81,7 +81,7 @@
     NoRoute,
     /// No server took it.
     Refused,
-    /// A server may have run it; no answer came whole in time.
+    /// A server may have run it; no whole answer came in time.
     NoAnswer,
     /// The gateway stops.
     Stopping,
--- a/crates/wingshore-coordination/src/state/command.rs
+++ b/crates/wingshore-coordination/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicated state, as they stand in the log.
+//! Changes of the replicated state, as the log holds them.
 
 use super::earlier::{EarlierConfiguration, EarlierServer};
 use super::orders::OrderHolder;
@@ -22,9 +22,9 @@
     ConfigureEarlier(Arc<EarlierConfiguration>),
     /// As [`Command::Register`], as the release before wrote it.
     RegisterEarlier(EarlierServer),
-    /// A server's run is over for good.
+    /// An incarnation of a server is over for good.
     Depart(InstanceId),
-    /// A server has not been heard of for too long; it may come back.
+    /// A server has sent no heartbeat for too long; it may register again.
     Expire(InstanceId),
     /// A trainer has published a version.
     NameVersion {
@@ -46,7 +46,7 @@
     EndJob(JobId),
     /// Removes an ended job that nobody may ask for any more.
     ForgetJob(JobId),
-    /// Says who gives orders to engines from here on.
+    /// Names who gives orders to engines from here on.
     HoldOrders(OrderHolder),
     /// Notes the name of a coordinator's machine.
     DescribeMember {
@@ -62,29 +62,29 @@
         /// Its machine.
         node: String,
     },
-    /// Keeps the first events of an item that is not listed yet.
+    /// Keeps the partial text of an item that is not listed yet.
     KeepText {
         /// The item.
         item: ItemKey,
-        /// Events that were kept before.
+        /// Events that it had before.
         after_events: u64,
-        /// The events behind them.
+        /// The events after them.
         text: ItemText,
     },
     /// Keeps the whole text of an item until it has a score; the first one of an item counts.
     KeepUnscored {
         /// The item.
         item: ItemKey,
-        /// The try that made the text.
+        /// The attempt that made the text.
         made_by: AssignmentId,
         /// The text.
         text: FinishedText,
     },
-    /// Lists an item with its score, if its text is the one of that try.
+    /// Lists an item with its score, if its text is the one of that attempt.
     ListScored {
         /// The item.
         item: ItemKey,
-        /// The try whose text was scored.
+        /// The attempt whose text was scored.
         made_by: AssignmentId,
         /// The score.
         score: String,
@@ -93,7 +93,7 @@
     CountScoringFailures {
         /// The item.
         item: ItemKey,
-        /// The try whose text was to be scored.
+        /// The attempt whose text was to be scored.
         made_by: AssignmentId,
         /// How many.
         failures: u32,
@@ -126,7 +126,7 @@
     },
     /// The provider has acknowledged the report of a window.
     UsageReported(UsageWindow),
-    /// So many servers are wanted in a pool.
+    /// Sets the target number of servers of a pool.
     WantCapacity {
         /// Of which servers.
         pool: CapacityPool,
--- a/crates/wingshore-coordination/src/state/evidence.rs
+++ b/crates/wingshore-coordination/src/state/evidence.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request may be rejected once so many servers have ended under it without one run of it that
-/// went well. Two may be chance: an attempt and its repeat, while servers end for other reasons.
+/// A request may be rejected once so many servers have ended under it, and no attempt of it went well
+/// meanwhile. Two may be chance: an attempt and its repeat, while servers end for other reasons.
 pub const REJECTED_FROM: usize = 3;
-/// Gateways are told of a request from so many ended servers on: the next one may be the last, so
-/// that each run of it that goes well counts. With a single one most are innocent, and many stand
-/// on each server that ends.
+/// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
+/// so that each attempt of it that goes well counts. With a single one most are not the cause: many
+/// requests run on each server that ends.
 pub(crate) const TOLD_FROM: usize = REJECTED_FROM - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
 pub const MOST_ENDINGS: usize = 4;
@@ -18,7 +18,7 @@
 /// a new such request each time ends three servers with each, so that the bound is met late.
 pub const MOST_SUSPECTS: usize = 1024;
 
-/// What the site has learned of requests from failed attempts; it outlasts requests, processes
+/// What the site has learned of requests from failed attempts; it survives requests, processes
 /// and leaderships.
 ///
 /// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to [`MOST_ENDINGS`] distinct
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A run of the request went well: it was not what ended servers.
+    /// An attempt of the request went well: it was not what ended servers.
     pub(super) fn clear(&mut self, request: RequestFingerprint) {
         if self.suspects.remove(&request).is_some() {
             self.order.retain(|known| *known != request);
--- a/crates/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/read.rs
@@ -13,8 +13,9 @@
 use std::sync::Arc;
 use wingshore_types::machine::RestoreError;
 
-/// Largest record, in bytes: a submission is at most as large as a caller's body.
-const MOST_RECORD_BYTES: usize = 256 << 20;
+/// Largest record, in bytes: far above any submission, which is at most as large as a caller's body
+/// ([`crate::IngressLimits`]); a damaged length is found by it. Not measured.
+const MAX_RECORD_BYTES: usize = 256 << 20;
 
 /// Reads a state; texts go to its store as they come.
 pub(in crate::state) fn restore(
@@ -87,8 +88,8 @@
 
 fn read_bytes(reader: &mut dyn Read, length: u32) -> Result<Vec<u8>, RestoreError> {
     let length = length as usize;
-    if length > MOST_RECORD_BYTES {
-        let message = format!("a record of {length} bytes; allowed are {MOST_RECORD_BYTES}");
+    if length > MAX_RECORD_BYTES {
+        let message = format!("a record of {length} bytes; allowed are {MAX_RECORD_BYTES}");
         return Err(RestoreError::from_display(message));
     }
     let mut bytes = Vec::new();
@@ -133,7 +134,7 @@
     })
 }
 
-/// Reads a state of the format before, which stands in memory whole for that.
+/// Reads a state of the oldest format, whose bytes are in memory whole meanwhile.
 fn restore_whole(
     texts: &TextStoreHandle,
     begin: &[u8],
--- a/crates/wingshore-coordination/src/state/snapshot/records.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/records.rs
@@ -29,7 +29,7 @@
     Result(SavedResult),
     /// Nothing follows.
     End,
-    /// What failed attempts say of requests; stands before the jobs.
+    /// What failed attempts say of requests; comes before the jobs.
     Evidence(Box<RequestEvidence>),
     /// All besides jobs and evidence; comes first.
     Site(Box<CoordinationState>),
@@ -50,7 +50,7 @@
 /// Where a result's compressed text is.
 #[derive(Serialize, Deserialize)]
 pub(super) enum SavedText {
-    /// Behind the record: so many bytes.
+    /// After the record: so many bytes.
     Follows(u32),
     /// On the disk of the machine that the snapshot is for.
     OnDisk(BlobPlace),
--- a/crates/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/write.rs
@@ -153,9 +153,9 @@
 
 /// What a place in the stream gives.
 struct Piece {
-    /// The record behind its length.
+    /// The record, after its length.
     record: Vec<u8>,
-    /// The text behind it.
+    /// The text after it.
     text: Option<TextPlace>,
     next: Position,
 }
--- a/crates/wingshore-coordination/src/state/usage.rs
+++ b/crates/wingshore-coordination/src/state/usage.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Reports that wait to be sent: behind that many, the oldest are dropped. Five minutes of windows
-/// of 5 s; nobody waits for older ones.
-const MOST_WAITING: usize = 60;
+/// Reports that wait to be sent; of more, the oldest are dropped. Five minutes of windows of 5 s; nobody
+/// waits for older ones. Not measured.
+const MAX_WAITING: usize = 60;
 
 /// What is durable of the site's usage.
 ///
@@ -59,7 +59,7 @@
         self.closed = Some(window);
         self.kept = self.kept.split_off(&window.next());
         self.waiting.insert(window, counts);
-        if self.waiting.len() > MOST_WAITING {
+        if self.waiting.len() > MAX_WAITING {
             self.waiting.pop_first();
         }
     }
--- a/crates/wingshore-coordination/src/state/view.rs
+++ b/crates/wingshore-coordination/src/state/view.rs
@@ -16,17 +16,17 @@
 /// How far the changes of a state's view are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownChanges {
-    /// Changes behind this entry are known; `None` for a state that was just restored.
+    /// Changes after this entry are known; `None` for a state that was just restored.
     pub complete_from: Option<LogIndex>,
     /// The last entry that is known to have changed anything.
     pub newest: Option<LogIndex>,
 }
 
 impl CoordinationState {
-    /// All that gateways are told.
+    /// The whole view.
     pub fn view(&self) -> SiteView {
         let servers = self.registry.servers.values();
-        let suspects = self.evidence.suspects().filter(|known| is_told(known));
+        let suspects = self.evidence.suspects().filter(|known| is_in_view(known));
         SiteView {
             configuration: self.configuration.as_ref().map(for_gateways),
             servers: servers.map(ServerRecord::without_models).collect(),
@@ -43,13 +43,13 @@
         }
     }
 
-    /// How many parts of the view have changed behind `since`; `None` where that is not known.
+    /// How many parts of the view have changed after `since`; `None` where that is not known.
     pub fn view_change_count(&self, since: LogIndex) -> Option<usize> {
         let from = self.view_history.complete_from()?;
         (since >= from).then(|| self.view_history.parts_since(since).count())
     }
 
-    /// What has changed in the view behind `since`, each part as it is now; `None` where that is
+    /// What has changed in the view after `since`, each part as it is now; `None` where that is
     /// not known any more.
     pub fn view_changes(&self, since: LogIndex) -> Option<Vec<ViewChange>> {
         let from = self.view_history.complete_from()?;
@@ -73,7 +73,7 @@
             ViewPart::FingerprintKey => self.evidence.key().map(ViewChange::FingerprintKey),
             ViewPart::Suspect(request) => {
                 let suspect = self.evidence.suspect(*request);
-                Some(match suspect.filter(|known| is_told(known)) {
+                Some(match suspect.filter(|known| is_in_view(known)) {
                     Some(suspect) => ViewChange::Suspect(suspect.clone()),
                     None => ViewChange::Cleared(*request),
                 })
@@ -103,22 +103,24 @@
         requests: Vec<RequestFingerprint>,
         change: impl FnOnce(&mut RequestEvidence),
     ) {
-        let told = |evidence: &RequestEvidence, request: &RequestFingerprint| {
-            evidence.suspect(*request).is_some_and(is_told)
+        let is_visible = |evidence: &RequestEvidence, request: &RequestFingerprint| {
+            evidence.suspect(*request).is_some_and(is_in_view)
         };
-        let before = requests.iter().map(|request| told(&self.evidence, request));
+        let before = requests
+            .iter()
+            .map(|request| is_visible(&self.evidence, request));
         let before: Vec<bool> = before.collect();
         change(&mut self.evidence);
-        for (request, told_before) in requests.into_iter().zip(before) {
-            if told_before || told(&self.evidence, &request) {
+        for (request, was_visible) in requests.into_iter().zip(before) {
+            if was_visible || is_visible(&self.evidence, &request) {
                 self.view_history.note(index, ViewPart::Suspect(request));
             }
         }
     }
 }
 
-/// Whether gateways are told of it.
-fn is_told(suspect: &Suspect) -> bool {
+/// Whether it is part of the view.
+fn is_in_view(suspect: &Suspect) -> bool {
     suspect.ended.len() >= TOLD_FROM
 }
 
--- a/crates/wingshore-coordination/src/state/view_history.rs
+++ b/crates/wingshore-coordination/src/state/view_history.rs
@@ -1,4 +1,4 @@
-//! Which parts of the gateways' view have changed behind which entry of the log.
+//! Which parts of the gateways' view have changed after which entry of the log.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
@@ -6,11 +6,11 @@
 use wingshore_types::LogIndex;
 
 /// Parts that are remembered, 100 to 150 bytes each: all servers of a site of this size may change
-/// within the time that a gateway is out of touch. A gateway that has missed more is told the whole
-/// view, which is no longer than that.
-const MOST_PARTS: usize = 16_384;
+/// while a gateway is unreachable. A gateway that has missed more is sent the whole view, which is no
+/// longer than that. Not measured.
+const MAX_PARTS: usize = 16_384;
 
-/// A part of the view that is told by itself.
+/// A part of the view that is sent by itself.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ViewPart {
     Configuration,
@@ -21,8 +21,8 @@
 
 /// The history. Each member makes its own while it applies the log; it is no part of snapshots.
 ///
-/// Invariants: each part stands in `changes` once, at the last entry that changed it; every part
-/// that has changed behind `complete_from` is there.
+/// Invariants: each part is in `changes` once, at the last entry that changed it; every part that has
+/// changed after `complete_from` is in it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ViewHistory {
     complete_from: Option<LogIndex>,
@@ -50,7 +50,7 @@
             self.forget(before, &part);
         }
         self.changes.entry(index).or_default().insert(part);
-        while self.changed_at.len() > MOST_PARTS {
+        while self.changed_at.len() > MAX_PARTS {
             let Some((oldest, parts)) = self.changes.pop_first() else {
                 return;
             };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The entry behind which all changes are known; `None` while no entry was applied.
+    /// The entry after which all changes are known; `None` while no entry was applied.
     pub(crate) fn complete_from(&self) -> Option<LogIndex> {
         self.complete_from
     }
@@ -80,9 +80,9 @@
         self.changes.keys().next_back().copied()
     }
 
-    /// Parts that have changed behind `since`, in the order of their last changes.
+    /// Parts that have changed after `since`, in the order of their last changes.
     pub(crate) fn parts_since(&self, since: LogIndex) -> impl Iterator<Item = &ViewPart> {
-        let behind = LogIndex(since.0 + 1);
-        self.changes.range(behind..).flat_map(|(_, parts)| parts)
+        let first = LogIndex(since.0 + 1);
+        self.changes.range(first..).flat_map(|(_, parts)| parts)
     }
 }
--- a/crates/wingshore-coordination/src/tenants.rs
+++ b/crates/wingshore-coordination/src/tenants.rs
@@ -7,8 +7,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What a caller shows to say which tenant it is of. It is a secret: it stands in no log, no metric
-/// and no error, and goes to no server.
+/// The key by which a caller names its tenant. It is a secret: it is in no log, no metric and no
+/// error, and is sent to no server.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(Arc<str>);
@@ -34,11 +34,11 @@
 /// Callers that share their keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, as servers are told it.
+    /// Its name, as it is sent to servers.
     pub name: TenantName,
     /// Keys that open for it; a tenant without any is shut out.
     pub keys: Vec<ApiKey>,
-    /// Its rank, which comes before that of a route; 0 is the most urgent. `None` where it has none.
+    /// Its rank, which replaces that of a route; 0 is the most urgent. `None` where it has none.
     pub priority: Option<u8>,
 }
 
@@ -61,7 +61,7 @@
         /// The tenant.
         tenant: TenantName,
     },
-    /// A name that cannot be told to servers.
+    /// A name that cannot be sent to servers.
     #[snafu(display(
         "tenant {tenant:?}: its name; allowed is text that is not empty, without control characters"
     ))]
@@ -158,8 +158,7 @@
 /// The keys of one configuration.
 ///
 /// They are looked up by the standard library's hash, whose key is drawn at random in each process:
-/// a caller can neither choose keys that fall together nor learn one from the time that a look-up
-/// takes.
+/// a caller can neither choose keys that collide nor learn one from the time that a look-up takes.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     callers: Vec<Caller>,
--- a/crates/wingshore-coordination/src/text.rs
+++ b/crates/wingshore-coordination/src/text.rs
@@ -11,7 +11,7 @@
 use wingshore_types::blob::Blob;
 use wingshore_types::protocol::byte_vector;
 
-/// Text of an item from its first event on, over all tries that made it.
+/// Text of an item from its first event on, over all attempts that made it.
 ///
 /// It travels with the item, so that a change of leaders loses nothing of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     pub bytes: usize,
 }
 
-/// The first events of an item as the group's log holds them, told to a gateway that runs the item.
+/// The first events of an item as the group's log holds them, sent to a gateway that runs the item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldPrefix {
     /// How much it is.
@@ -53,7 +53,7 @@
 }
 
 impl ItemText {
-    /// The events behind `prefix`, as a text of their own.
+    /// The events after `prefix`, as a text of their own.
     pub fn after(&self, prefix: DurablePrefix) -> Self {
         let rest = self.text.get(prefix.bytes..).unwrap_or_default();
         // The line feed between two events belongs to neither.
@@ -162,7 +162,7 @@
     Disk(Arc<dyn Blob>),
 }
 
-/// A kept text cannot be read.
+/// A stored text cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TextError {
     /// Its bytes are not those of a text.
@@ -229,7 +229,7 @@
             .clone()
     }
 
-    /// The same bytes stand on disk from now on.
+    /// The same bytes are on disk from now on.
     pub fn move_to(&self, blob: Arc<dyn Blob>) {
         let mut place = self.place.write().unwrap_or_else(PoisonError::into_inner);
         *place = TextPlace::Disk(blob);
@@ -258,7 +258,7 @@
     /// The text.
     ///
     /// # Errors
-    /// When the kept bytes are damaged, or cannot be read.
+    /// When the stored bytes are damaged, or cannot be read.
     pub fn unpack(&self) -> Result<String, TextError> {
         let length = self.length;
         if length == 0 {
--- a/crates/wingshore-coordination/src/text_store.rs
+++ b/crates/wingshore-coordination/src/text_store.rs
@@ -1,4 +1,4 @@
-//! Where texts of results go that memory has no room for.
+//! The store for texts of results that memory has no room for.
 
 use crate::text::PackedText;
 use std::fmt::Debug;
@@ -7,7 +7,7 @@
 use wingshore_types::blob::{Blob, BlobPlace};
 
 /// Keeps the texts that a state holds within a budget of memory: the oldest ones move to disk. How
-/// much of a site's results stands in memory follows from that budget, not from how many there are.
+/// much of a site's results is in memory follows from that budget, not from their number.
 pub trait TextStore: Debug + Send + Sync {
     /// The state holds a text from now on.
     fn hold(&self, text: &Arc<PackedText>);
@@ -24,7 +24,7 @@
     /// A snapshot of the state is taken; gives its number.
     fn begin_snapshot(&self) -> u64;
 
-    /// The snapshot of this number is durable: what only the one before refers to may go.
+    /// The snapshot of this number is durable: what only earlier ones refer to may be removed.
     fn snapshot_durable(&self, number: u64);
 }
 
--- a/crates/wingshore-coordination/src/usage.rs
+++ b/crates/wingshore-coordination/src/usage.rs
@@ -1,8 +1,8 @@
 //! Usage: how many requests of each tenant began to run at servers in each window of time.
 //!
-//! Gateways count, and tell the leader their totals for the windows that are open. A total replaces
-//! the one before, so that it may be told again to any leader, and what a gateway costs grows with
-//! the tenants that it has seen, not with all.
+//! Gateways count, and report to the leader their totals for the windows that are open. A total replaces
+//! the one before, so that it may be reported again to any leader, and the size of a report grows with
+//! the tenants that the gateway has seen, not with all.
 
 use crate::ids::TenantName;
 use crate::site_time::WallTime;
@@ -10,7 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Windows that a gateway goes on counting: their reports may not have been made.
+/// Windows that a gateway goes on counting, besides the newest: their reports may not have been made.
+/// Not measured.
 const WINDOWS_KEPT: u64 = 6;
 
 /// A window of time, by its number since the start of 1970.
@@ -31,7 +32,7 @@
         WallTime(i64::try_from(end).unwrap_or(i64::MAX))
     }
 
-    /// The one behind it.
+    /// The one after it.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -69,7 +70,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     windows: BTreeMap<UsageWindow, UsageCounts>,
-    /// Those that have changed since they were told.
+    /// Those that have changed since they were reported.
     changed: BTreeSet<UsageWindow>,
 }
 
@@ -105,7 +106,7 @@
             .collect()
     }
 
-    /// All totals are to be told: to a leader that knows none.
+    /// All totals are to be reported: to a leader that knows none.
     pub fn tell_all(&mut self) {
         self.changed = self.windows.keys().copied().collect();
     }
--- a/crates/wingshore-coordination/src/view.rs
+++ b/crates/wingshore-coordination/src/view.rs
@@ -1,9 +1,9 @@
-//! What gateways are told of the site: the configuration and the servers, without the parts that
-//! only the leader and operators use.
+//! The view of the site that gateways are sent: the configuration and the servers, without the parts
+//! that only the leader and operators use.
 //!
-//! Every member of the group can tell it, since it follows from the log: a [`ViewUpdate`] says as
-//! of which entry it is and from which one it goes on. So a change of leader sends nothing that a
-//! gateway holds already.
+//! Every member of the group can send it, since it follows from the log: a [`ViewUpdate`] names the
+//! entry that it accounts for and the one that it continues from. So after a change of leader nothing
+//! is sent that a gateway holds already.
 
 use crate::configuration::SiteConfiguration;
 use crate::evidence::Suspect;
@@ -27,7 +27,7 @@
     pub suspects: Vec<Suspect>,
 }
 
-/// A change of the view. It says what a part of the view is, not how it differs, so that taking it
+/// A change of the view. It holds the changed part as it is now, not how it differs, so that applying it
 /// twice does no harm.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewChange {
@@ -50,18 +50,18 @@
 pub struct ViewUpdate {
     /// The last entry that it accounts for.
     pub revision: LogIndex,
-    /// What is told.
+    /// The view, or its changes.
     pub content: ViewContent,
 }
 
-/// What an update of the view tells.
+/// The content of an update of the view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewContent {
     /// All of it.
     Whole(SiteView),
     /// The parts that have changed; none, where only the revision is news.
     Changes {
-        /// Behind this entry.
+        /// Changes after this entry.
         since: LogIndex,
         /// Each changed part once, as of the update's revision.
         changes: Vec<ViewChange>,
