--- a/crates/wingshore-coordination/src/configuration.rs
+++ b/crates/wingshore-coordination/src/configuration.rs
@@ -1,15 +1,29 @@
-//! The configuration of a site: routes, services and limits, under a version that its operators
+//! The configuration of a site: routes, services, tenants and limits, under a version that its operators
 //! choose.
+//!
+//! Owns the types and the check that refuses a configuration that cannot be in force. What operators
+//! send is parsed where the platform is spoken to; which configuration is in force is decided by
+//! [`crate::CoordinationState`].
 
 use crate::ids::{ModelName, ServiceName};
 use crate::scaling::Scaling;
 use crate::tenants::{Tenant, TenantError, check_tenants};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::protocol::byte_vector;
 
+/// Maximal bytes of a request's head, where a configuration names none. Chosen, not measured.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
+/// Maximal bytes of a request's body, where a configuration names none: room for a batch job with
+/// thousands of items. Chosen, not measured.
+const DEFAULT_BODY_BYTES: usize = 32 * 1024 * 1024;
+/// Longest time for a request to arrive whole, where a configuration names none. Chosen, not measured.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest time that a connection may be idle, where a configuration names none. Chosen, not measured.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
 /// A whole configuration. The one with the highest version is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfiguration {
@@ -90,7 +104,7 @@
     pub name: ServiceName,
     /// Path at which servers report their health.
     pub health_path: String,
-    /// Most connections that one server accepts from all callers together.
+    /// Maximal number of connections that one server accepts from all callers together.
     pub max_connections: u32,
     /// Set where the servers are model engines.
     pub engine: Option<EngineProfile>,
@@ -112,23 +126,23 @@
 /// What callers may send, and how long they may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IngressLimits {
-    /// Most bytes of a request's head.
+    /// Maximal bytes of a request's head.
     pub head_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximal bytes of a request's body.
     pub body_bytes: usize,
     /// Longest time for a request to arrive whole, counted from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for IngressLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 32 * 1024 * 1024,
-            head_timeout: Duration::from_secs(3),
-            idle_timeout: Duration::from_secs(15),
+            head_bytes: DEFAULT_HEAD_BYTES,
+            body_bytes: DEFAULT_BODY_BYTES,
+            head_timeout: DEFAULT_HEAD_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 }
@@ -200,7 +214,7 @@
     pub fn check(&self) -> Result<(), ConfigurationError> {
         check_tenants(&self.tenants)?;
         let services = self.service_names()?;
-        let mut places = std::collections::BTreeMap::new();
+        let mut places = BTreeMap::new();
         for route in &self.routes {
             route.check(&services)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
--- a/crates/wingshore-coordination/src/ids.rs
+++ b/crates/wingshore-coordination/src/ids.rs
@@ -1,4 +1,7 @@
-//! Identifiers.
+//! Identifiers of servers, services, models, jobs, items, tenants, gateways and attempts.
+//!
+//! Each is a type of its own, cheap to clone. Those with several parts are encoded as one text, in
+//! the form that the releases wrote which had only the first part.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/wingshore-coordination/src/jobs.rs
+++ b/crates/wingshore-coordination/src/jobs.rs
@@ -1,4 +1,8 @@
 //! Batch jobs: what was submitted, and the results listed so far.
+//!
+//! A [`Job`] is part of the replicated state. It owns the rule of what counts: the first result of an
+//! item is listed, the first whole text is scored, and a partial text only grows at its end. Which item
+//! runs where is decided by the leader.
 
 use crate::ids::{AssignmentId, ItemId, JobId, ModelName};
 use crate::scoring::{Scorer, UnscoredText};
@@ -8,9 +12,10 @@
 use std::sync::Arc;
 use wingshore_types::protocol::byte_vector;
 
-/// Bytes of an item besides its texts and its body, roughly.
+/// Bytes of memory of an item besides its headers, path and bodies. An estimate from the sizes of its
+/// fields, not measured.
 const ITEM_OVERHEAD: usize = 250;
-/// Bytes of a result besides its text, roughly.
+/// Bytes of memory of a result besides its text. An estimate from the sizes of its fields, not measured.
 const RESULT_OVERHEAD: usize = 160;
 
 /// A batch job as a caller submits it.
--- a/crates/wingshore-coordination/src/registry.rs
+++ b/crates/wingshore-coordination/src/registry.rs
@@ -1,4 +1,4 @@
-//! Servers as they register themselves.
+//! Servers as they register themselves: the registry's record of a server, and its heartbeats.
 
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use serde::{Deserialize, Serialize};
--- a/crates/wingshore-coordination/src/routes.rs
+++ b/crates/wingshore-coordination/src/routes.rs
@@ -1,4 +1,8 @@
-//! Finding the route of a request.
+//! Which route does a request take?
+//!
+//! Inputs: the host and the path that it names, and the routes of one configuration. Of the routes of
+//! the host, the one with the longest prefix that begins the path counts; hosts are compared without
+//! port and case. Without a route the request is refused as not run.
 
 use crate::configuration::{Route, SiteConfiguration};
 use std::collections::HashMap;
--- a/crates/wingshore-coordination/src/scaling.rs
+++ b/crates/wingshore-coordination/src/scaling.rs
@@ -1,4 +1,4 @@
-//! Services whose number of servers can be ordered.
+//! Services whose number of servers can be ordered from the provider.
 
 use crate::ids::ServiceName;
 use serde::{Deserialize, Serialize};
@@ -8,9 +8,9 @@
 /// How the number of a service's servers can be chosen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// Fewest servers in a zone.
+    /// Minimal number of servers in a zone.
     pub min: u32,
-    /// Most servers in a zone, of both kinds together.
+    /// Maximal number of servers in a zone, of both kinds together.
     pub max: u32,
     /// Time from an order until a new server serves.
     pub boot: Duration,
--- a/crates/wingshore-coordination/src/site_time.rs
+++ b/crates/wingshore-coordination/src/site_time.rs
@@ -1,10 +1,16 @@
-//! The time of day that the machines of a site agree on.
+//! Which time of day do the machines of a site agree on?
 //!
-//! A machine's time of day may jump by seconds; its boot-time clock does not. So each machine keeps,
-//! for each time of day that it hears of, the difference to its own boot-time clock, and goes by the
-//! median of those: as long as the clocks of fewer than half of the machines are wrong, it lies
-//! among the right ones. Machines that are right disagree by milliseconds, and so does the median
-//! from one to the next: it is not slewed, since nothing here measures short times by it.
+//! A machine's time of day may jump by seconds; its boot-time clock does not.
+//!
+//! - Inputs: times of day of the coordinators, a coordinator's own among them, in milliseconds since 1970,
+//!   and when each was heard by the boot-time clock.
+//! - Rule: each reading is kept as its difference to this machine's boot-time clock, and the median of
+//!   the differences counts; of an even number, the lower one of the two in the middle.
+//! - Why: as long as the clocks of fewer than half of the machines are wrong, the median is among the
+//!   right ones. Machines that are right disagree by milliseconds, and so does the median from one
+//!   reading to the next: it is not slewed, since nothing here measures short times by it.
+//! - Old or missing inputs: a reading older than [`MAX_READING_AGE`] does not count; without any there is
+//!   no time, and what needs one waits.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,8 +22,9 @@
 #[serde(transparent)]
 pub struct WallTime(pub i64);
 
-/// A machine that is silent for this long does not count: ten introductions of a coordinator.
-const FRESH: Duration = Duration::from_secs(3);
+/// A machine that is silent for longer does not count: ten introductions of a coordinator. Not
+/// measured.
+const MAX_READING_AGE: Duration = Duration::from_secs(3);
 
 /// A time of day as it was heard.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +61,7 @@
     /// The time of day; `None` before any was heard.
     pub fn now(&mut self, now: Instant) -> Option<WallTime> {
         self.readings
-            .retain(|_, reading| now.since(reading.heard) <= FRESH);
+            .retain(|_, reading| now.since(reading.heard) <= MAX_READING_AGE);
         let mut ahead: Vec<i64> = self
             .readings
             .values()
--- a/crates/wingshore-coordination/src/state/evidence.rs
+++ b/crates/wingshore-coordination/src/state/evidence.rs
@@ -1,4 +1,8 @@
-//! What the site has learned of requests from failed attempts: under which of them servers ended.
+//! The record of requests under which servers ended, as the group holds it.
+//!
+//! It notes which incarnations of servers ended under which request, forgets what a successful attempt
+//! or time has cleared, and stays within a bound. What counts as evidence, and when a request is
+//! rejected, the leader decides; the thresholds are here, since the gateways' view depends on them too.
 
 use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
--- a/crates/wingshore-coordination/src/state/usage.rs
+++ b/crates/wingshore-coordination/src/state/usage.rs
@@ -1,4 +1,5 @@
-//! Usage as the group holds it: what was counted by gateways that are gone, and reports.
+//! Usage as the group holds it: what gateways that are gone had counted, and the reports that the
+//! provider has not acknowledged.
 
 use crate::ids::GatewayId;
 use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
--- a/crates/wingshore-coordination/src/state/view.rs
+++ b/crates/wingshore-coordination/src/state/view.rs
@@ -1,4 +1,7 @@
-//! The gateways' view of the state.
+//! The gateways' view of the state: the whole, and its changes after an entry of the log.
+//!
+//! Changes are known back to a bound of [`super::view_history`]; a gateway that has missed more is sent
+//! the whole view.
 
 use super::evidence::{RequestEvidence, TOLD_FROM};
 use super::servers::ServerRegistry;
--- a/crates/wingshore-coordination/src/tenants.rs
+++ b/crates/wingshore-coordination/src/tenants.rs
@@ -1,9 +1,12 @@
 //! Tenants: who calls, known by the keys that the configuration gives them.
+//!
+//! Owns the check of tenants, the table by which gateways look keys up, and the ranks of tenants. Keys
+//! never appear in debug output.
 
 use crate::ids::TenantName;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::sync::Arc;
 
@@ -82,7 +85,7 @@
 /// # Errors
 /// Says the first thing that is wrong, without any key.
 pub(crate) fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantError> {
-    let mut names = std::collections::HashSet::new();
+    let mut names = HashSet::new();
     let mut owners: HashMap<&ApiKey, &TenantName> = HashMap::new();
     for tenant in tenants {
         let name = &tenant.name;
--- a/crates/wingshore-coordination/src/text.rs
+++ b/crates/wingshore-coordination/src/text.rs
@@ -1,4 +1,8 @@
-//! Texts of items: while they grow, and as they are listed.
+//! Texts of items: while they grow ([`ItemText`]), and whole and compressed as they are listed
+//! ([`ResultText`]).
+//!
+//! A listed text is in memory or on this machine's disk; a [`crate::TextStore`] moves it, and readers do
+//! not notice.
 
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
