--- a/crates/wingshore-coordination/src/configuration.rs
+++ b/crates/wingshore-coordination/src/configuration.rs
@@ -16,8 +16,7 @@
 
 /// Maximal bytes of a request's head, where a configuration names none. Chosen, not measured.
 const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
-/// Maximal bytes of a request's body, where a configuration names none: room for a batch job with
-/// thousands of items. Chosen, not measured.
+/// Maximal bytes of a request's body, where a configuration names none. Chosen, not measured.
 const DEFAULT_BODY_BYTES: usize = 32 * 1024 * 1024;
 /// Longest time for a request to arrive whole, where a configuration names none. Chosen, not measured.
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
@@ -281,7 +280,7 @@
     }
 
     /// Sum of the weights.
-    pub fn total_weight(&self) -> u64 {
+    fn total_weight(&self) -> u64 {
         self.targets
             .iter()
             .map(|target| u64::from(target.weight))
@@ -289,7 +288,7 @@
     }
 
     /// The part of its requests that goes to a service, from 0 to 1.
-    pub fn part_of(&self, service: &ServiceName) -> f64 {
+    pub(crate) fn part_of(&self, service: &ServiceName) -> f64 {
         let own = self.targets.iter();
         let own = own.filter(|target| target.service == *service);
         let own: u64 = own.map(|target| u64::from(target.weight)).sum();
--- a/crates/wingshore-coordination/src/ids.rs
+++ b/crates/wingshore-coordination/src/ids.rs
@@ -1,7 +1,7 @@
 //! Identifiers of servers, services, models, jobs, items, tenants, gateways and attempts.
 //!
-//! Each is a type of its own, cheap to clone. Those with several parts are encoded as one text, in
-//! the form that the releases wrote which had only the first part.
+//! Each is a type of its own, cheap to clone. Those with an optional second part are encoded as one
+//! text: the first part alone where there is no second one, which is what earlier releases wrote.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/wingshore-coordination/src/jobs.rs
+++ b/crates/wingshore-coordination/src/jobs.rs
@@ -161,7 +161,7 @@
 
 impl Job {
     /// A job without results.
-    pub fn new(submission: Arc<JobSubmission>) -> Self {
+    pub(crate) fn new(submission: Arc<JobSubmission>) -> Self {
         let listed = vec![false; submission.items.len()];
         Self {
             submission,
@@ -186,7 +186,7 @@
     }
 
     /// Lists a result, unless its item is listed already or does not exist.
-    pub fn list(&mut self, result: ListedResult) -> bool {
+    pub(crate) fn list(&mut self, result: ListedResult) -> bool {
         let index = result.index as usize;
         let Some(item) = self.submission.items.get(index) else {
             return false;
@@ -207,7 +207,7 @@
     }
 
     /// Keeps the whole text of an item until it has a score; the first one counts.
-    pub fn keep_unscored(&mut self, index: u32, made_by: AssignmentId, text: FinishedText) {
+    pub(crate) fn keep_unscored(&mut self, index: u32, made_by: AssignmentId, text: FinishedText) {
         if self.ended || self.is_listed(index) || self.unscored.contains_key(&index) {
             return;
         }
@@ -221,7 +221,7 @@
     }
 
     /// Lists an item with its score, if its text is the one that was scored.
-    pub fn list_scored(&mut self, index: u32, made_by: AssignmentId, score: String) -> bool {
+    pub(crate) fn list_scored(&mut self, index: u32, made_by: AssignmentId, score: String) -> bool {
         let is_scored_text = |unscored: &UnscoredText| unscored.made_by == made_by;
         if !self.unscored.get(&index).is_some_and(is_scored_text) {
             return false;
@@ -239,7 +239,12 @@
     }
 
     /// Scoring servers have failed for an item, `failures` times.
-    pub fn count_scoring_failures(&mut self, index: u32, made_by: AssignmentId, failures: u32) {
+    pub(crate) fn count_scoring_failures(
+        &mut self,
+        index: u32,
+        made_by: AssignmentId,
+        failures: u32,
+    ) {
         if let Some(unscored) = self.unscored.get_mut(&index)
             && unscored.made_by == made_by
         {
@@ -253,12 +258,12 @@
     }
 
     /// All items whose texts wait for their scores.
-    pub fn unscored_items(&self) -> impl Iterator<Item = (u32, &UnscoredText)> {
+    pub(crate) fn unscored_items(&self) -> impl Iterator<Item = (u32, &UnscoredText)> {
         self.unscored.iter().map(|(index, text)| (*index, text))
     }
 
     /// Adds events to an item's partial text, if they follow those that it has; others are dropped.
-    pub fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
+    pub(crate) fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
         if self.is_listed(index) || self.ended || self.unscored.contains_key(&index) {
             return;
         }
@@ -275,7 +280,7 @@
 
     /// The caller has ended the job: nothing more of it is run, so that the contents of its items are
     /// not needed any more.
-    pub fn end(&mut self) {
+    pub(crate) fn end(&mut self) {
         self.ended = true;
         self.partial_texts.clear();
         self.unscored.clear();
@@ -331,7 +336,7 @@
     }
 
     /// The item with this identifier and its place.
-    pub fn find_item(&self, id: &ItemId) -> Option<(u32, &JobItem)> {
+    pub(crate) fn find_item(&self, id: &ItemId) -> Option<(u32, &JobItem)> {
         (0_u32..)
             .zip(&self.submission.items)
             .find(|(_, item)| item.id == *id)
--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -57,8 +57,8 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, KnownChanges, MOST_ENDINGS, MOST_SUSPECTS, OrderHolder,
-    REJECTED_FROM, RequestEvidence, SiteUsage,
+    Command, CoordinationState, KnownChanges, MOST_SUSPECTS, OrderHolder, REJECTED_FROM,
+    RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
--- a/crates/wingshore-coordination/src/registry.rs
+++ b/crates/wingshore-coordination/src/registry.rs
@@ -54,7 +54,7 @@
 
 impl ServerRecord {
     /// The same server without its models, which change with each load of weights.
-    pub fn without_models(&self) -> Self {
+    pub(crate) fn without_models(&self) -> Self {
         Self {
             models: Vec::new(),
             ..self.clone()
--- a/crates/wingshore-coordination/src/state/evidence.rs
+++ b/crates/wingshore-coordination/src/state/evidence.rs
@@ -17,7 +17,7 @@
 /// requests run on each server that ends.
 pub(crate) const TOLD_FROM: usize = REJECTED_FROM - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
-pub const MOST_ENDINGS: usize = 4;
+pub(crate) const MOST_ENDINGS: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
 /// a new such request each time ends three servers with each, so that the bound is met late.
 pub const MOST_SUSPECTS: usize = 1024;
@@ -25,7 +25,7 @@
 /// What the site has learned of requests from failed attempts; it survives requests, processes
 /// and leaderships.
 ///
-/// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to [`MOST_ENDINGS`] distinct
+/// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to `MOST_ENDINGS` distinct
 /// servers; `order` names exactly these, in the order in which they were first noted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestEvidence {
@@ -52,7 +52,7 @@
     }
 
     /// Whether this is news: neither known nor about a request that is rejected already.
-    pub fn is_news(&self, evidence: &CrashEvidence) -> bool {
+    pub(crate) fn is_news(&self, evidence: &CrashEvidence) -> bool {
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
             !suspect.rejected
@@ -62,7 +62,7 @@
     }
 
     /// All requests under which servers have ended.
-    pub fn suspects(&self) -> impl Iterator<Item = &Suspect> {
+    pub(crate) fn suspects(&self) -> impl Iterator<Item = &Suspect> {
         self.suspects.values()
     }
 
--- a/crates/wingshore-coordination/src/state/site.rs
+++ b/crates/wingshore-coordination/src/state/site.rs
@@ -80,7 +80,7 @@
     }
 
     /// All registered incarnations of a server, in the order of their starts: usually one.
-    pub fn runs_of<'a>(
+    pub(crate) fn runs_of<'a>(
         &'a self,
         name: &'a ServerName,
     ) -> impl Iterator<Item = (&'a InstanceId, &'a ServerRecord)> + 'a {
@@ -127,7 +127,7 @@
     /// Whether the machine that gives orders has held them for the time of a handover: if it is
     /// lost now, no other machine's orders are so young that engines could see three machines take
     /// turns.
-    pub fn orders_are_settled(&self) -> bool {
+    pub(crate) fn orders_are_settled(&self) -> bool {
         self.orders.settled
     }
 }
--- a/crates/wingshore-coordination/src/state/usage.rs
+++ b/crates/wingshore-coordination/src/state/usage.rs
@@ -41,7 +41,7 @@
     }
 
     /// The first open window that a gateway which is gone had counted in.
-    pub fn first_kept(&self) -> Option<UsageWindow> {
+    pub(crate) fn first_kept(&self) -> Option<UsageWindow> {
         self.kept.keys().next().copied()
     }
 
--- a/crates/wingshore-coordination/src/text.rs
+++ b/crates/wingshore-coordination/src/text.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether no event is of a version before `oldest`.
-    pub fn is_made_since(&self, oldest: u64) -> bool {
+    pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
         are_since(&self.versions, oldest)
     }
 
@@ -124,7 +124,7 @@
 
 impl FinishedText {
     /// Whether no event is of a version before `oldest`.
-    pub fn is_made_since(&self, oldest: u64) -> bool {
+    pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
         are_since(&self.versions, oldest)
     }
 }
