--- a/crates/wingshore-consensus/src/accessors.rs
+++ b/crates/wingshore-consensus/src/accessors.rs
@@ -50,7 +50,7 @@
     }
 
     /// End of the leader lease, when there is one.
-    pub fn lease_until(&self) -> Option<Instant> {
+    fn lease_until(&self) -> Option<Instant> {
         match &self.role {
             Role::Leader(leader) => leader.rounds.lease_until(&self.timing),
             _ => None,
@@ -80,11 +80,6 @@
         self.log.last_index()
     }
 
-    /// The last entry that is durable here.
-    pub fn persisted_index(&self) -> LogIndex {
-        self.persistence.persisted_index()
-    }
-
     /// The first entry that is not compacted away.
     pub fn first_index(&self) -> LogIndex {
         LogIndex(self.log.base_index().0 + 1)
--- a/crates/wingshore-consensus/src/entry.rs
+++ b/crates/wingshore-consensus/src/entry.rs
@@ -207,11 +207,11 @@
 
 /// What a snapshot's bytes hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SnapshotContents {
+pub(crate) struct SnapshotContents {
     /// The members as of the snapshot's index.
-    pub membership: Membership,
+    pub(crate) membership: Membership,
     /// The replicated state, as it encodes itself; shares the snapshot's bytes.
-    pub state: SnapshotState,
+    pub(crate) state: SnapshotState,
 }
 
 impl SnapshotContents {
@@ -229,7 +229,7 @@
     ///
     /// # Errors
     /// When the bytes are damaged, of another format version, or cannot be read.
-    pub fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
+    pub(crate) fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
         let what = "snapshot";
         let head = snapshot.data.beginning(MOST_HEAD_BYTES);
         let head = head.map_err(|error| unreadable(what, &error))?;
--- a/crates/wingshore-consensus/src/lib.rs
+++ b/crates/wingshore-consensus/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use change::{ChangeError, ChangeOutcome};
 pub use config::{ConfigError, Faults, Limits, RaftConfig, Timing};
-pub use entry::{CodecError, Entry, EntryKind, SnapshotContents};
+pub use entry::{CodecError, Entry, EntryKind};
 pub use interface::{Input, Output};
 pub use leader::ProposeError;
 pub use message::{
--- a/crates/wingshore-consensus/src/progress.rs
+++ b/crates/wingshore-consensus/src/progress.rs
@@ -198,19 +198,19 @@
     }
 
     /// The follower rejected an append after `rejected`; `agreed` is the last index at which the
-    /// logs may agree, and `last_index` the follower's last. Says whether that is news.
+    /// logs may agree, and `last_index` the follower's last.
     pub(crate) fn on_rejected(
         &mut self,
         rejected: LogIndex,
         agreed: LogIndex,
         last_index: LogIndex,
-    ) -> bool {
+    ) {
         if last_index < self.match_index {
             // The follower lost what it had acknowledged, or the message is old. Sending again
             // is right in the first case and harmless in the second.
             self.match_index = LogIndex(0);
             self.probe_from(LogIndex(last_index.0 + 1));
-            return true;
+            return;
         }
         let is_news = match &self.state {
             ProgressState::Probe { .. } => rejected.0 + 1 == self.next_index.0,
@@ -221,7 +221,6 @@
             let next = LogIndex(agreed.0.min(rejected.0.saturating_sub(1)) + 1);
             self.probe_from(next.max(LogIndex(self.match_index.0 + 1)));
         }
-        is_news
     }
 
     /// The follower answered heartbeat `round`; what seems lost is sent again.
