--- a/crates/wingshore-consensus/src/accessors.rs
+++ b/crates/wingshore-consensus/src/accessors.rs
@@ -1,4 +1,4 @@
-//! Questions about a member.
+//! What a member answers about itself, without any change.
 
 use crate::progress::Progress;
 use crate::raft::Raft;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether this member is handing leadership over; it takes no proposals meanwhile.
+    /// Whether this member is transferring leadership; it takes no proposals meanwhile.
     pub fn is_transferring(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.transfer.is_some(),
@@ -85,7 +85,7 @@
         LogIndex(self.log.base_index().0 + 1)
     }
 
-    /// The term of the entry at `index`, unless it is compacted or not there.
+    /// The term of the entry at `index`, unless it is compacted or not written yet.
     pub fn term_at(&self, index: LogIndex) -> Option<u64> {
         self.log.term_at(index)
     }
--- a/crates/wingshore-consensus/src/entry.rs
+++ b/crates/wingshore-consensus/src/entry.rs
@@ -15,10 +15,10 @@
 const HARD_STATE_FORMAT: u8 = 1;
 /// Format of the encoded snapshot contents.
 const SNAPSHOT_FORMAT: u8 = 2;
-/// The format before: the state's length stands before the state.
+/// The format before: the length of the state comes before the state.
 const SNAPSHOT_FORMAT_WITH_LENGTH: u8 = 1;
-/// Most bytes before the state of a snapshot: some thousand members.
-const MOST_HEAD_BYTES: u64 = 64 << 10;
+/// Maximal bytes before the state of a snapshot: some thousand members.
+const MAX_HEAD_BYTES: u64 = 64 << 10;
 
 /// Bytes could not be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -146,7 +146,7 @@
         HEADER + self.data.len()
     }
 
-    /// As it stands on disk: the kind's byte, then the data.
+    /// Its form on disk: the kind's byte, then the data.
     pub(crate) fn to_record(&self) -> LogRecord {
         let mut data = Vec::with_capacity(self.data.len() + 1);
         data.push(self.kind.code());
@@ -231,7 +231,7 @@
     /// When the bytes are damaged, of another format version, or cannot be read.
     pub(crate) fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
         let what = "snapshot";
-        let head = snapshot.data.beginning(MOST_HEAD_BYTES);
+        let head = snapshot.data.beginning(MAX_HEAD_BYTES);
         let head = head.map_err(|error| unreadable(what, &error))?;
         let has_length = head.first() == Some(&SNAPSHOT_FORMAT_WITH_LENGTH);
         if !has_length {
@@ -241,9 +241,9 @@
             postcard::take_from_bytes(&head).context(DecodeSnafu { what })?;
         let mut length = None;
         if has_length {
-            let (value, behind) =
+            let (value, after) =
                 postcard::take_from_bytes::<u64>(rest).context(DecodeSnafu { what })?;
-            (length, rest) = (Some(value), behind);
+            (length, rest) = (Some(value), after);
         }
         let state = snapshot.data.behind((head.len() - rest.len()) as u64);
         if length.is_some_and(|length| length != state.length()) {
--- a/crates/wingshore-consensus/src/follower.rs
+++ b/crates/wingshore-consensus/src/follower.rs
@@ -1,4 +1,7 @@
 //! What a follower does with appends and heartbeats.
+//!
+//! It takes entries that continue its log, replaces a tail that conflicts with the leader's, and
+//! acknowledges only what is durable.
 
 use crate::entry::{CodecError, Entry};
 use crate::interface::Output;
@@ -45,7 +48,7 @@
         self.send(from, Body::AppendRejected(rejection), out);
     }
 
-    /// Takes one entry: skips it when it is there, replaces a conflicting tail.
+    /// Takes one entry: skips it when the log has it, replaces a conflicting tail.
     fn accept_entry(&mut self, entry: Entry, out: &mut Vec<Output>) -> Result<(), CodecError> {
         if self.log.matches(entry.index, entry.term) || entry.index <= self.commit_index {
             return Ok(());
--- a/crates/wingshore-consensus/src/incoming.rs
+++ b/crates/wingshore-consensus/src/incoming.rs
@@ -1,4 +1,4 @@
-//! A snapshot on its way to this member.
+//! A snapshot that this member is receiving.
 
 use crate::message::SnapshotChunk;
 use std::io;
--- a/crates/wingshore-consensus/src/interface.rs
+++ b/crates/wingshore-consensus/src/interface.rs
@@ -1,4 +1,4 @@
-//! What a member takes and gives.
+//! Inputs and outputs of a member.
 
 use crate::entry::Entry;
 use crate::message::Message;
@@ -10,7 +10,7 @@
 /// What a member reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; wanted at the latest at [`crate::Raft::next_deadline`].
+    /// Time has passed; due at the latest at [`crate::Raft::next_deadline`].
     Tick,
     /// A message of another member.
     Message {
@@ -26,7 +26,7 @@
     },
 }
 
-/// What a member wants done, in this order.
+/// What a member asks its host to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message; it may be lost, repeated or overtaken.
@@ -61,6 +61,7 @@
     },
     /// The newest membership in the log has changed.
     MembershipChanged(Membership),
-    /// A leadership transfer was given up before it began; this member still leads.
+    /// A leadership transfer was given up before the receiver was asked to campaign; this member still
+    /// leads.
     TransferAborted,
 }
--- a/crates/wingshore-consensus/src/leader.rs
+++ b/crates/wingshore-consensus/src/leader.rs
@@ -1,4 +1,7 @@
 //! What a leader does: heartbeats, appends, commits.
+//!
+//! An entry is committed once a quorum has it durably, and only by counting copies of an entry of the
+//! leader's own term (section 5.4.2 of the paper).
 
 use crate::entry::{Entry, EntryKind};
 use crate::interface::Output;
--- a/crates/wingshore-consensus/src/lib.rs
+++ b/crates/wingshore-consensus/src/lib.rs
@@ -5,12 +5,12 @@
 //! one at a time, leadership transfer and snapshots in chunks. It reads no clock, does no I/O and
 //! draws randomness from a seeded generator it is handed.
 //!
-//! What it promises:
+//! Its promises:
 //! - at most one leader in a term;
 //! - an entry that was given out by [`Output::Apply`] stays in the log of every later leader, and
 //!   every member applies the same entries in the same order;
-//! - while [`Raft::holds_lease`] says yes, no other member leads, as long as no clock drifts by
-//!   more than [`Timing::drift`];
+//! - while [`Raft::holds_lease`] is true, no other member leads, as long as no clock drifts by more
+//!   than [`Timing::drift`];
 //! - nothing that depends on a write is sent before that write is reported durable.
 
 mod accessors;
--- a/crates/wingshore-consensus/src/log.rs
+++ b/crates/wingshore-consensus/src/log.rs
@@ -50,7 +50,7 @@
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The entry at `index`, unless it is compacted or not there yet.
+    /// The entry at `index`, unless it is compacted or not written yet.
     pub(crate) fn entry(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.base_index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
@@ -97,7 +97,7 @@
         while self.base_index < index && self.bytes > bytes && self.remove_first() {}
     }
 
-    /// Removes the oldest entry; says whether there was one.
+    /// Removes the oldest entry; `false` when there is none.
     fn remove_first(&mut self) -> bool {
         let Some(entry) = self.entries.pop_front() else {
             return false;
@@ -108,8 +108,8 @@
         true
     }
 
-    /// The entries of `from..=through`, at most `most_bytes` unless the first alone is larger.
-    pub(crate) fn slice(&self, from: LogIndex, through: LogIndex, most_bytes: usize) -> Vec<Entry> {
+    /// The entries of `from..=through`, at most `max_bytes` unless the first alone is larger.
+    pub(crate) fn slice(&self, from: LogIndex, through: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
         let mut index = from;
@@ -118,7 +118,7 @@
                 break;
             };
             bytes += entry.size();
-            if bytes > most_bytes && !entries.is_empty() {
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
--- a/crates/wingshore-consensus/src/members.rs
+++ b/crates/wingshore-consensus/src/members.rs
@@ -46,7 +46,7 @@
         self.changes.push_back((index, membership));
     }
 
-    /// Forgets the changes from `index` on; says whether there were any.
+    /// Forgets the changes from `index` on; `false` when there are none.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) -> bool {
         let before = self.changes.len();
         self.changes.retain(|(changed_at, _)| *changed_at < index);
--- a/crates/wingshore-consensus/src/message.rs
+++ b/crates/wingshore-consensus/src/message.rs
@@ -1,4 +1,6 @@
 //! Messages between members.
+//!
+//! They travel as `postcard` values: fields and variants keep their order for good.
 
 use crate::entry::Entry;
 use serde::{Deserialize, Serialize};
@@ -10,11 +12,11 @@
 pub struct Message {
     /// The sender's current term.
     pub term: u64,
-    /// What it says.
+    /// Its content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// Asks whether a vote would be granted in the term after the sender's. Changes nothing.
@@ -60,7 +62,7 @@
         /// Bytes received without gap.
         received: u64,
     },
-    /// Asks the receiver to campaign at once; the sender has given its lease up.
+    /// Asks the receiver to campaign at once; the sender has released its lease.
     TimeoutNow,
 }
 
--- a/crates/wingshore-consensus/src/persistence.rs
+++ b/crates/wingshore-consensus/src/persistence.rs
@@ -1,6 +1,7 @@
 //! What of a member's state is durable, and the one write under way.
 //!
-//! Changes made while a write is under way are collected and go out together as the next one.
+//! Changes made while a write is under way are collected and go out together as the next one. What
+//! depends on a write is sent only once its token is durable.
 
 use crate::entry::{CodecError, Entry, HardState};
 use crate::log::RaftLog;
@@ -140,7 +141,7 @@
         Ok(Some((self.last_token, batch)))
     }
 
-    /// The write is durable; says whether it was the one under way.
+    /// The write is durable; `false` when it was not the one under way.
     pub(crate) fn on_persisted(&mut self, token: u64) -> bool {
         match self.underway {
             Some(underway) if underway.token == token => {
--- a/crates/wingshore-consensus/src/progress.rs
+++ b/crates/wingshore-consensus/src/progress.rs
@@ -1,4 +1,15 @@
-//! What a leader knows of one follower, and how much is under way to it.
+//! What is sent to a follower next, and when does something under way count as lost?
+//!
+//! - Inputs: acknowledgements and rejections of appends, answers to heartbeats, acknowledged bytes of a
+//!   snapshot; the limits of what may be under way ([`Limits`]).
+//! - Rule: a follower whose log is not known is probed with one append at a time until one is accepted;
+//!   from then on entries are streamed up to the limits. A follower that answers
+//!   [`STALLED_REPLIES`] heartbeats without any progress is stalled: what is under way counts as lost and
+//!   is sent again, entries from the last acknowledged one, a snapshot from its last acknowledged byte.
+//! - Why: messages may be lost, repeated and overtaken, and each heartbeat is answered, so that answers
+//!   without progress are the sign of a loss.
+//! - Old or missing inputs: an acknowledgement that is older than what is known changes nothing. A
+//!   follower that acknowledges less than before has lost its log, and is probed anew.
 
 use crate::limits::Limits;
 use std::collections::VecDeque;
@@ -7,13 +18,15 @@
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_data::PartReader;
 
-/// Heartbeat replies without progress after which appends under way count as lost.
+/// Heartbeat replies without progress after which what is under way counts as lost. With heartbeats
+/// twice as often it was reached while appends were still on their way, and the leader sent them again;
+/// the interval was set back then, and this figure kept.
 const STALLED_REPLIES: u32 = 2;
 
-/// How entries go to a follower.
+/// How entries are sent to a follower.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
-    /// Looking for the last entry in common, one message at a time.
+    /// Searching for the last entry in common, one message at a time.
     Probe {
         /// A probe is under way.
         sent: bool,
@@ -52,7 +65,7 @@
     }
 }
 
-/// A snapshot on its way in chunks.
+/// A snapshot that is being sent in chunks.
 #[derive(Debug)]
 pub(crate) struct SnapshotTransfer {
     /// The snapshot.
@@ -61,8 +74,8 @@
     pub(crate) sent: u64,
     /// Bytes the follower has.
     pub(crate) received: u64,
-    /// Bytes by the follower's last acknowledgement: fewer where it was overtaken by an earlier
-    /// one on the way, or where the follower has restarted.
+    /// Bytes by the follower's last acknowledgement: fewer where an earlier one overtook it, or where
+    /// the follower has restarted.
     reported: u64,
     /// The place from which chunks were last sent again because of an acknowledgement.
     resent_from: Option<u64>,
@@ -84,12 +97,12 @@
     }
 
     /// At most `length` bytes from `offset` on; none when they cannot be read: the state that is
-    /// sent says why, and the transfer is begun again when nothing comes of it.
+    /// sent logs why, and the transfer is begun again once the follower is stalled.
     pub(crate) fn part(&mut self, offset: u64, length: usize) -> Vec<u8> {
         self.parts.part(offset, length).unwrap_or_default()
     }
 
-    /// Sends again what is not acknowledged, since nothing has come of it for a while. A follower
+    /// Sends again what is not acknowledged, since the follower is stalled. A follower
     /// that had all of it, and still has not acknowledged its index, restarted before it was
     /// durable: it needs it from the beginning.
     fn resend(&mut self) {
@@ -102,9 +115,9 @@
         self.sent = self.received;
     }
 
-    /// The follower has `received` bytes; says whether that is more than before.
+    /// The follower has `received` bytes; `true` when that is more than before.
     ///
-    /// An acknowledgement that tells nothing new follows a chunk behind a gap. The chunks after
+    /// An acknowledgement without news answers a chunk after a gap. The chunks after
     /// the gap are sent again once for each place: doing so for each acknowledgement would bring
     /// on as many acknowledgements again, and more on a network that reorders.
     fn acknowledge(&mut self, received: u64) -> bool {
@@ -131,7 +144,7 @@
     pub(crate) match_index: LogIndex,
     /// The next entry to send.
     pub(crate) next_index: LogIndex,
-    /// How entries go there.
+    /// How entries are sent to it.
     pub(crate) state: ProgressState,
     /// The last heartbeat round it answered.
     pub(crate) acknowledged_round: u64,
@@ -174,7 +187,7 @@
         }
     }
 
-    /// The follower acknowledged `match_index`; says whether that is news.
+    /// The follower acknowledged `match_index`; `true` when that is more than before.
     pub(crate) fn on_accepted(&mut self, match_index: LogIndex) -> bool {
         let advanced = match_index > self.match_index;
         if advanced {
@@ -261,7 +274,7 @@
         }
     }
 
-    /// The last entry of the snapshot that is being sent there.
+    /// The last entry of the snapshot that is being sent to it.
     pub(crate) fn snapshot_under_way(&self) -> Option<LogIndex> {
         match &self.state {
             ProgressState::Snapshot(transfer) => Some(transfer.snapshot.index),
@@ -274,7 +287,7 @@
         self.state = ProgressState::Snapshot(SnapshotTransfer::new(snapshot));
     }
 
-    /// Looks for the last entry in common from before `next_index`.
+    /// Searches for the last entry in common from before `next_index`.
     fn probe_from(&mut self, next_index: LogIndex) {
         self.next_index = next_index;
         self.state = ProgressState::Probe { sent: false };
--- a/crates/wingshore-consensus/src/raft.rs
+++ b/crates/wingshore-consensus/src/raft.rs
@@ -1,4 +1,6 @@
 //! One member: its state, and the dispatch of inputs.
+//!
+//! What a follower, a candidate and a leader do with them is in modules of their own.
 
 use crate::config::Faults;
 use crate::entry::{CodecError, HardState};
@@ -55,7 +57,7 @@
     pub(crate) snapshot_index: LogIndex,
     /// The snapshot that was made last, while something still holds it: a write or a transfer.
     pub(crate) recent_snapshot: Weak<StoredSnapshot>,
-    /// Members that need a snapshot, and there is none to send.
+    /// Members that need a snapshot while none is at hand.
     pub(crate) awaiting_snapshot: BTreeSet<ReplicaId>,
 
     pub(crate) role: Role,
@@ -109,18 +111,19 @@
     /// little behind may need. A snapshot that is being sent holds the entries after it back, but
     /// not for long: a receiver that takes nothing must not fill the memory.
     fn trim_log(&mut self) {
-        /// Entries behind a snapshot under way may take this many times the usual space.
-        const HELD_BACK: usize = 4;
+        /// Entries after a snapshot under way may take this many times the usual space. Chosen, not
+        /// measured.
+        const HELD_BACK_FACTOR: usize = 4;
         let kept = self.limits.cached_log_bytes;
         let through = self.last_applied.min(self.persistence.persisted_index());
         let sent = self.oldest_snapshot_under_way();
         let held = sent.map_or(through, |sent| sent.min(through));
         self.log.trim_through(held, kept);
-        self.log.trim_through(through, kept * HELD_BACK);
+        self.log.trim_through(through, kept * HELD_BACK_FACTOR);
         self.members.compact_through(self.log.base_index());
     }
 
-    /// When [`Input::Tick`] is wanted at the latest.
+    /// When [`Input::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Instant {
         if self.last_applied < self.commit_index {
             return Instant::ZERO;
@@ -166,7 +169,7 @@
         }
         if term < self.term {
             if body.is_from_leader() {
-                self.tell_term(from, out);
+                self.send_term(from, out);
             }
             return;
         }
@@ -228,7 +231,7 @@
         self.set_leader(leader, out);
     }
 
-    /// Notes who leads the current term, and says so.
+    /// Notes who leads the current term, and reports it.
     pub(crate) fn set_leader(&mut self, leader: Option<ReplicaId>, out: &mut Vec<Output>) {
         self.leader = leader;
         out.push(Output::Leadership {
@@ -299,8 +302,8 @@
         }
     }
 
-    /// Tells the leader of an older term that its term is over.
-    fn tell_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
+    /// Lets the leader of an older term know that its term is over.
+    fn send_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
         let body = Body::HeartbeatReply {
             round: 0,
             needs_log: false,
--- a/crates/wingshore-consensus/src/recovery.rs
+++ b/crates/wingshore-consensus/src/recovery.rs
@@ -1,4 +1,7 @@
 //! Starting a member from what storage recovered.
+//!
+//! Records that a snapshot overrides are dropped; a gap, a damaged value, or a record of a term that the
+//! hard state does not know stops the start.
 
 use crate::config::RaftConfig;
 use crate::entry::{CodecError, Entry, HardState, SnapshotContents};
@@ -128,10 +131,10 @@
         let agrees = agrees_with_snapshot(&records, base_index, self.log.last_term());
         let first = records.first().map(|first| first.index);
         if agrees {
-            let behind = records
+            let newer = records
                 .into_iter()
                 .filter(|record| record.index > base_index);
-            for record in behind {
+            for record in newer {
                 self.recover_record(&record)?;
             }
         }
--- a/crates/wingshore-consensus/src/role.rs
+++ b/crates/wingshore-consensus/src/role.rs
@@ -25,7 +25,7 @@
     pub(crate) granted: BTreeSet<ReplicaId>,
     /// The leader handed over.
     pub(crate) transfer: bool,
-    /// When to ask again those who have not granted.
+    /// When to ask those again who have not granted.
     pub(crate) next_retry: Instant,
 }
 
@@ -38,7 +38,7 @@
     pub(crate) rounds: HeartbeatRounds,
     /// Index of the first entry of this leadership.
     pub(crate) first_index: LogIndex,
-    /// The hand-over under way.
+    /// The leadership transfer under way.
     pub(crate) transfer: Option<Transfer>,
     /// When the next heartbeat round is due.
     pub(crate) next_heartbeat: Instant,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A hand-over under way. No proposals are taken meanwhile.
+/// A leadership transfer under way. No proposals are taken meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
     /// The receiver.
--- a/crates/wingshore-consensus/src/snapshot.rs
+++ b/crates/wingshore-consensus/src/snapshot.rs
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Whether a member needs a snapshot and none is at hand: [`Raft::provide_snapshot`] is wanted.
+    /// Whether a member needs a snapshot and none is at hand: [`Raft::provide_snapshot`] is to be called.
     pub fn wants_snapshot(&self) -> bool {
         self.is_leader() && !self.awaiting_snapshot.is_empty()
     }
@@ -82,7 +82,7 @@
     }
 
     /// Starts to send a snapshot to a member that needs entries which are compacted away: the
-    /// recent one if the log goes on from it, or else one that is asked for.
+    /// recent one if the log continues from it, or else one that the host is asked for.
     pub(crate) fn start_snapshot(&mut self, to: ReplicaId) {
         let base = self.log.base_index();
         let recent = self.recent_snapshot.upgrade();
@@ -166,8 +166,8 @@
         self.install_when_complete(out);
     }
 
-    /// Adds a chunk if it is the next one; says how much there is. What cannot be gathered is
-    /// given up, and its sender begins anew.
+    /// Adds a chunk if it is the next one; gives how many bytes have come. What cannot be gathered is
+    /// dropped, and its sender begins anew.
     fn collect(&mut self, chunk: &SnapshotChunk) -> u64 {
         let known = self.incoming.take().filter(|known| known.is_of(chunk));
         let Some(mut incoming) = known.or_else(|| self.begin_incoming(chunk)) else {
@@ -181,7 +181,7 @@
         received
     }
 
-    /// The spool says why when it has no place.
+    /// `None` when the spool has no place; it logs why.
     fn begin_incoming(&self, chunk: &SnapshotChunk) -> Option<IncomingSnapshot> {
         let data = self.spool.begin().ok()?;
         Some(IncomingSnapshot {
@@ -198,7 +198,7 @@
         let Some(incoming) = self.incoming.take_if(is_complete) else {
             return;
         };
-        // The spool says why; the leader sends the snapshot again.
+        // The spool logs why; the leader sends the snapshot again.
         let Ok(data) = incoming.data.finish() else {
             return;
         };
--- a/crates/wingshore-consensus/src/transfer.rs
+++ b/crates/wingshore-consensus/src/transfer.rs
@@ -1,4 +1,9 @@
-//! Handing leadership over.
+//! When does a leader transfer its leadership?
+//!
+//! When the host asks for it, to a voter. It takes no proposals meanwhile, waits until the receiver has
+//! durably the whole log, releases its lease, and asks the receiver to campaign at once. After one
+//! election timeout the transfer is given up: before the receiver was asked, the leader goes on leading;
+//! after that it steps down, since its lease cannot return in this term.
 
 use crate::interface::Output;
 use crate::message::Body;
@@ -19,7 +24,7 @@
         /// The receiver.
         target: ReplicaId,
     },
-    /// Another hand-over is under way.
+    /// Another transfer is under way.
     #[snafu(display("leadership is being handed over to member {target} already"))]
     Underway {
         /// Its receiver.
@@ -28,8 +33,8 @@
 }
 
 impl Raft {
-    /// Hands leadership to `target`, once it has the whole log. [`Output::Leadership`] tells the
-    /// end, or [`Output::TransferAborted`].
+    /// Transfers leadership to `target`, once it has the whole log. [`Output::Leadership`] or
+    /// [`Output::TransferAborted`] reports the end.
     ///
     /// # Errors
     /// When this member does not lead, or `target` does not vote.
@@ -59,7 +64,7 @@
         Ok(())
     }
 
-    /// The voter that has most of the log, apart from this member: the best one to hand over to.
+    /// The voter that has most of the log, apart from this member: the best receiver.
     pub fn transfer_candidate(&self) -> Option<ReplicaId> {
         self.members
             .voter_ids()
@@ -67,7 +72,7 @@
             .max_by_key(|id| self.match_index(*id))
     }
 
-    /// Asks the receiver to campaign, once it has the whole log. The lease is given up first, for
+    /// Asks the receiver to campaign, once it has the whole log. The lease is released first, for
     /// the rest of the term: the receiver's campaign does not wait for followers to miss this
     /// leader, however late the message arrives.
     pub(crate) fn continue_transfer(&mut self, _now: Instant, out: &mut Vec<Output>) {
@@ -91,7 +96,7 @@
         self.send(target, Body::TimeoutNow, out);
     }
 
-    /// Gives a hand-over up that takes too long. Once the receiver was asked to campaign, the
+    /// Gives up a transfer that takes too long. Once the receiver was asked to campaign, the
     /// lease cannot come back in this term, so this member steps down.
     pub(crate) fn check_transfer_deadline(&mut self, now: Instant, out: &mut Vec<Output>) {
         let Role::Leader(leader) = &mut self.role else {
