--- a/crates/wingshore-storage/src/blobs.rs
+++ b/crates/wingshore-storage/src/blobs.rs
@@ -1,19 +1,18 @@
 //! Bytes beside a group's log that are written once and removed file by file.
 //!
-//! Each blob is durable when it is handed out. A file goes when nothing in memory holds a blob of it
-//! any more *and* a snapshot is durable that was taken after that: until then the snapshot on disk
-//! may still refer to it.
+//! Each blob is durable when it is given out. When a file may be removed is decided in
+//! [`crate::blob_index`].
 
+use crate::blob_index::FileIndex;
 use crate::error::{IoContext, StorageError};
 use crate::file_system::{File, FileSystem, ReadableFile};
-use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use wingshore_types::blob::{Blob, BlobPlace};
 
-/// Size from which on a file is closed and a new one begun, in bytes: a small part of what a disk
-/// has, since a file goes only as a whole.
+/// Size from which on a file is closed and a new one begun, in bytes: a small part of a disk, since a
+/// file is only removed as a whole. Chosen, not measured.
 const DEFAULT_FILE_BYTES: u64 = 8 << 20;
 /// Start of the names of files.
 const PREFIX: &str = "blobs-";
@@ -27,18 +26,7 @@
 struct Shared {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
-    book: Mutex<Book>,
-}
-
-/// Which files are held, and which may go.
-#[derive(Default)]
-struct Book {
-    held: BTreeMap<u64, Weak<BlobFile>>,
-    /// Snapshots begun so far.
-    snapshots: u64,
-    /// Files that nothing holds any more, with the snapshots begun before that.
-    released: Vec<(u64, u64)>,
-    removable: Vec<u64>,
+    index: Mutex<FileIndex<BlobFile>>,
 }
 
 /// One file. Dropping it releases it.
@@ -50,14 +38,7 @@
 
 impl Drop for BlobFile {
     fn drop(&mut self) {
-        let mut book = self.shared.book();
-        let is_open_again = |file: &Weak<Self>| file.strong_count() > 0;
-        if book.held.get(&self.number).is_some_and(is_open_again) {
-            return;
-        }
-        let begun = book.snapshots;
-        book.held.remove(&self.number);
-        book.released.push((begun, self.number));
+        self.shared.index().release(self.number);
     }
 }
 
@@ -99,8 +80,8 @@
 }
 
 impl Shared {
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn index(&self) -> MutexGuard<'_, FileIndex<BlobFile>> {
+        self.index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn open_file(self: &Arc<Self>, number: u64) -> io::Result<Arc<BlobFile>> {
@@ -110,11 +91,7 @@
             reader,
             shared: Arc::clone(self),
         });
-        let mut book = self.book();
-        book.held.insert(number, Arc::downgrade(&file));
-        // A file that is in use again is not released any more.
-        book.released.retain(|(_, released)| *released != number);
-        drop(book);
+        self.index().hold(number, Arc::downgrade(&file));
         Ok(file)
     }
 }
@@ -145,7 +122,7 @@
         let shared = Arc::new(Shared {
             fs,
             directory: directory.to_owned(),
-            book: Mutex::default(),
+            index: Mutex::default(),
         });
         let files = Self { shared };
         let last = files.numbers()?.into_iter().max().unwrap_or(0);
@@ -163,7 +140,7 @@
     /// # Errors
     /// When its file cannot be opened.
     pub fn find(&self, place: BlobPlace) -> io::Result<StoredBlob> {
-        let held = self.shared.book().held.get(&place.file).cloned();
+        let held = self.shared.index().held(place.file);
         let file = match held.and_then(|file| file.upgrade()) {
             Some(file) => file,
             None => self.shared.open_file(place.file)?,
@@ -173,31 +150,20 @@
 
     /// A snapshot is taken of what holds blobs; gives its number.
     pub fn begin_snapshot(&self) -> u64 {
-        let mut book = self.shared.book();
-        book.snapshots += 1;
-        book.snapshots
+        self.shared.index().begin_snapshot()
     }
 
     /// The snapshot of this number is durable, in the place of the one before.
     pub fn snapshot_durable(&self, number: u64) {
-        let mut book = self.shared.book();
-        let released = std::mem::take(&mut book.released);
-        let (removable, kept) = released.into_iter().partition(|(begun, _)| *begun < number);
-        book.released = kept;
-        let removable: Vec<(u64, u64)> = removable;
-        book.removable
-            .extend(removable.iter().map(|(_, file)| file));
+        self.shared.index().snapshot_durable(number);
     }
 
-    /// Removes the files that may go; gives how many.
+    /// Removes the files that may be removed; gives how many.
     ///
     /// # Errors
-    /// When the disk fails; the file stays, and goes at the next start.
+    /// When the disk fails; the file stays, and is removed at the next start.
     pub fn remove_released(&self) -> Result<usize, StorageError> {
-        let mut book = self.shared.book();
-        let mut removable = std::mem::take(&mut book.removable);
-        removable.retain(|number| !book.held.contains_key(number));
-        drop(book);
+        let removable = self.shared.index().take_removable();
         self.remove(&removable)
     }
 
@@ -208,10 +174,9 @@
     /// When the disk fails.
     pub fn remove_unreferenced(&self) -> Result<usize, StorageError> {
         let mut numbers = self.numbers()?;
-        let book = self.shared.book();
-        numbers.retain(|number| !book.held.contains_key(number));
-        numbers.retain(|number| !book.released.iter().any(|(_, file)| file == number));
-        drop(book);
+        let index = self.shared.index();
+        numbers.retain(|number| index.is_unreferenced(*number));
+        drop(index);
         self.remove(&numbers)
     }
 
@@ -249,10 +214,10 @@
 }
 
 impl BlobWriter {
-    /// Makes `blobs` durable; they come back in their order.
+    /// Makes `blobs` durable; they are returned in their order.
     ///
     /// # Errors
-    /// When the disk fails or is full. None of them is then handed out, and the next ones go to a
+    /// When the disk fails or is full. None of them is then given out, and the next ones are written to a
     /// new file: what the last one holds is not known.
     pub fn append(&mut self, blobs: &[Arc<[u8]>]) -> Result<Vec<StoredBlob>, StorageError> {
         let mut active = match self.active.take() {
@@ -262,7 +227,7 @@
         let path = path_of(&self.shared.directory, active.readable.number);
         let stored = self.append_to(&mut active, &path, blobs);
         if stored.is_err() && active.length == 0 {
-            // Its space may be what is wanted. Where it stays, it goes at the next start.
+            // Its space may be what is needed. Where it stays, it is removed at the next start.
             let _ = self.shared.fs.remove(&path);
         } else if stored.is_ok() && active.length < self.file_bytes {
             self.active = Some(active);
--- a/crates/wingshore-storage/src/lib.rs
+++ b/crates/wingshore-storage/src/lib.rs
@@ -9,6 +9,7 @@
 //! All access to disk goes through [`FileSystem`], so that tests and simulations can lose
 //! unsynced data, tear writes and crash at any call; see [`memory`].
 
+mod blob_index;
 mod blobs;
 mod error;
 mod file_system;
