--- a/crates/wingshore-storage/src/error.rs
+++ b/crates/wingshore-storage/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of storage. All of them are fatal to the group they concern.
+//! Errors of storage. All but a full disk are fatal to the group they concern.
 
 use snafu::Snafu;
 use std::io;
@@ -117,7 +117,7 @@
 
 impl StorageError {
     /// Whether the disk refused a write because it is full.
-    pub fn is_for_want_of_space(&self) -> bool {
+    pub fn is_disk_full(&self) -> bool {
         let Self::Io { source, .. } = self else {
             return false;
         };
--- a/crates/wingshore-storage/src/frame.rs
+++ b/crates/wingshore-storage/src/frame.rs
@@ -1,4 +1,4 @@
-//! Checksummed frames: how everything stands on disk.
+//! Checksummed frames: the form of everything on disk.
 //!
 //! A frame is `magic | length | checksum | payload`, integers little-endian. The checksum covers
 //! the frame's place (a caller's salt and its offset in the file) beside its payload, so that
@@ -16,7 +16,7 @@
 pub(crate) const CUT_PAYLOAD: &str = "the frame is cut short";
 pub(crate) const WRONG_CHECKSUM: &str = "the frame's checksum does not match";
 
-/// What stands at an offset.
+/// What is found at an offset.
 pub(crate) enum Scan<'a> {
     /// A whole frame.
     Frame {
@@ -29,7 +29,7 @@
     Bad(&'static str),
 }
 
-/// Appends a frame with `payload` to `out`, to stand at `offset` of its file.
+/// Appends a frame with `payload` to `out`, to be at `offset` of its file.
 pub(crate) fn encode(salt: u64, offset: u64, payload: &[u8], out: &mut Vec<u8>) {
     let checksum = checksum(salt, offset, payload);
     out.extend_from_slice(&header(payload.len(), checksum));
@@ -46,9 +46,9 @@
 }
 
 /// Largest payload that a frame can hold, in bytes.
-pub(crate) const MOST_PAYLOAD_BYTES: usize = u32::MAX as usize;
+pub(crate) const MAX_PAYLOAD_BYTES: usize = u32::MAX as usize;
 
-/// Reads what stands at `offset` of `file`.
+/// Reads what is at `offset` of `file`.
 pub(crate) fn scan(salt: u64, offset: usize, file: &[u8]) -> Scan<'_> {
     let rest = file.get(offset..).unwrap_or_default();
     if rest.is_empty() {
@@ -70,7 +70,7 @@
     Scan::Frame { payload }
 }
 
-/// Length and checksum of the payload behind a header.
+/// Length and checksum of the payload after a header.
 pub(crate) fn read_header(header: &[u8]) -> Result<(usize, u32), &'static str> {
     if header.len() < HEADER_BYTES {
         return Err(CUT_HEADER);
@@ -96,11 +96,14 @@
     Bad(&'static str),
 }
 
-/// Reads the frame that stands at `offset` of a file, from a reader that has come there.
+/// Reads the frame at `offset` of a file, from a reader that is there.
 pub(crate) fn read_next(reader: &mut impl Read, salt: u64, offset: u64) -> io::Result<NextFrame> {
     let mut header = Vec::new();
-    let most = HEADER_BYTES as u64;
-    reader.by_ref().take(most).read_to_end(&mut header)?;
+    let header_bytes = HEADER_BYTES as u64;
+    reader
+        .by_ref()
+        .take(header_bytes)
+        .read_to_end(&mut header)?;
     if header.is_empty() {
         return Ok(NextFrame::End);
     }
@@ -120,7 +123,7 @@
     if expected != checksum(salt, offset, &payload) {
         return Ok(NextFrame::Bad(WRONG_CHECKSUM));
     }
-    let next = offset + most + length as u64;
+    let next = offset + header_bytes + length as u64;
     Ok(NextFrame::Frame { payload, next })
 }
 
@@ -148,7 +151,7 @@
 pub(crate) struct Checksum(crc32fast::Hasher);
 
 impl Checksum {
-    /// Of a payload of `length` bytes in a frame that is to stand at `offset` of its file.
+    /// Of a payload of `length` bytes in a frame that is to be at `offset` of its file.
     pub(crate) fn new(salt: u64, offset: u64, length: usize) -> Self {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(&salt.to_le_bytes());
--- a/crates/wingshore-storage/src/journal.rs
+++ b/crates/wingshore-storage/src/journal.rs
@@ -1,6 +1,6 @@
 //! Records of the log's segments, and what replaying them gives.
 //!
-//! Segments are only ever appended to. Removing entries from the end, or letting them go from
+//! Segments are only ever appended to. Removing entries from the end, or discarding them from
 //! the front, is a record of its own, so that one write and one sync make a whole batch durable.
 
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 /// One record. A frame of a segment holds those of one batch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Record<'a> {
-    /// First in each segment, so that earlier segments can go.
+    /// First in each segment, so that earlier segments can be removed.
     SegmentStart {
         /// [`FORMAT`] of the writer.
         format: u16,
@@ -27,7 +27,7 @@
     TruncateFrom(LogIndex),
     /// Adds an entry.
     Append(Cow<'a, LogRecord>),
-    /// Lets entries up to an index go.
+    /// Discards entries up to an index.
     DiscardThrough(LogIndex),
 }
 
@@ -82,8 +82,8 @@
     }
 
     /// Puts log and snapshot together. A crash between the snapshot and the records that belong
-    /// to it leaves entries that the snapshot overrides; then `true` comes back with a log
-    /// without them.
+    /// to it leaves entries that the snapshot overrides; then the log is
+    /// without them, and `true` is returned with it.
     ///
     /// # Errors
     /// Says which entries are missing.
--- a/crates/wingshore-storage/src/lib.rs
+++ b/crates/wingshore-storage/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! What a [`GroupStore::write`] reports as done is on disk. A crash at any instruction leaves a
 //! state in which all reported batches are there, followed at most by the one batch that was
-//! being written. Damage to anything that was reported as done is told from such a torn tail and
-//! refuses to start, naming file and offset.
+//! being written. Damage to anything that was reported as done is distinguished from such a torn tail:
+//! the start is refused, naming file and offset.
 //!
 //! All access to disk goes through [`FileSystem`], so that tests and simulations can lose
 //! unsynced data, tear writes and crash at any call; see [`memory`].
@@ -29,4 +29,4 @@
 pub use folder::{DataFolder, Identity};
 pub use patient::{PatientStore, with_space};
 pub use real::RealFileSystem;
-pub use store::{DEFAULT_SEGMENT_BYTES, GroupStore};
+pub use store::GroupStore;
--- a/crates/wingshore-storage/src/memory.rs
+++ b/crates/wingshore-storage/src/memory.rs
@@ -66,7 +66,7 @@
         self.state().calls
     }
 
-    /// Whether the process has died.
+    /// Whether the process has died: crash tests distinguish that from a disk that is damaged.
     pub fn is_crashed(&self) -> bool {
         self.state().crashed
     }
@@ -105,7 +105,7 @@
 }
 
 impl Shared {
-    /// Counts a changing call and says what becomes of it.
+    /// Counts a changing call, and decides what it may do.
     fn begin_call(&mut self) -> io::Result<Permission> {
         self.check_alive()?;
         self.calls += 1;
--- a/crates/wingshore-storage/src/memory/disk.rs
+++ b/crates/wingshore-storage/src/memory/disk.rs
@@ -195,7 +195,7 @@
 }
 
 impl Content {
-    /// Unsynced bytes come back up to some place, and some of them may come back as zeros: a
+    /// Unsynced bytes survive up to some place, and some of them may have become zeros: a
     /// disk writes pages in any order.
     fn lose_unsynced(&mut self, chance: &mut Chance) {
         let common = self
@@ -231,7 +231,7 @@
         self.pending.push(change);
     }
 
-    /// Any of the unsynced changes of names may come back: nothing orders them.
+    /// Any of the unsynced changes of names may survive: nothing orders them.
     fn lose_unsynced(&mut self, chance: &mut Chance) {
         for change in self.pending.drain(..) {
             if chance.below(2) == 0 {
--- a/crates/wingshore-storage/src/patient.rs
+++ b/crates/wingshore-storage/src/patient.rs
@@ -1,4 +1,10 @@
-//! A store that waits while its disk is full.
+//! What becomes of a write that the disk refuses?
+//!
+//! - Inputs: the error of the write or of the opening.
+//! - Rule: while the error is a full disk, the caller's `wait` is called and the store is opened and
+//!   written again, without limit; any other error is final, and the store takes no more writes.
+//! - Why: a full disk ends by itself or by an operator, and a member that waits loses nothing. After a
+//!   failed sync nothing unsynced can be trusted.
 
 use crate::error::StorageError;
 use crate::file_system::FileSystem;
@@ -12,8 +18,7 @@
 ///
 /// A refused write leaves either nothing or a torn tail, which the next opening cuts off; what was
 /// reported as durable before is untouched. So the store is opened again and the batch written
-/// again, in a form that gives the same log whether or not the first try was whole. All other
-/// errors stay fatal: after a failed sync nothing unsynced can be trusted.
+/// again, in a form that gives the same log whether or not the first attempt was whole.
 pub struct PatientStore {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
@@ -21,11 +26,11 @@
 }
 
 impl PatientStore {
-    /// Opens, or begins, the store in `directory`. `wait` is called after each refusal for want of
-    /// space.
+    /// Opens, or begins, the store in `directory`. `wait` is called after each refusal by a full
+    /// disk.
     ///
     /// # Errors
-    /// As [`GroupStore::open`], except for want of space.
+    /// As [`GroupStore::open`], except for a full disk.
     pub fn open(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -43,7 +48,7 @@
     /// Makes `batch` durable, however long the disk is full.
     ///
     /// # Errors
-    /// As [`GroupStore::write`], except for want of space.
+    /// As [`GroupStore::write`], except for a full disk.
     pub fn write(
         &mut self,
         batch: &WriteBatch,
@@ -53,7 +58,7 @@
         loop {
             let attempt = again.as_ref().unwrap_or(batch);
             match self.write_once(attempt) {
-                Err(error) if error.is_for_want_of_space() => {
+                Err(error) if error.is_disk_full() => {
                     self.store = None;
                     wait(&error);
                     again.get_or_insert_with(|| repeatable(batch));
@@ -85,7 +90,7 @@
 ) -> Result<T, StorageError> {
     loop {
         match action() {
-            Err(error) if error.is_for_want_of_space() => wait(&error),
+            Err(error) if error.is_disk_full() => wait(&error),
             result => return result,
         }
     }
--- a/crates/wingshore-storage/src/segment.rs
+++ b/crates/wingshore-storage/src/segment.rs
@@ -1,4 +1,6 @@
-//! One file of the log.
+//! One file of the log: writing it, and replaying it at a start.
+//!
+//! A torn tail of the last segment is cut off; any other damage stops the start.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::{File, FileReader, FileSystem};
@@ -105,7 +107,7 @@
     last_index: Option<LogIndex>,
 }
 
-/// Reads a segment frame by frame: only one of them stands in memory beside its records.
+/// Reads a segment frame by frame: only one of them is in memory beside its records.
 fn read_frames(
     fs: &dyn FileSystem,
     path: &Path,
@@ -189,7 +191,7 @@
         let payload = postcard::to_stdvec(records)
             .map_err(io::Error::other)
             .during("encode", &self.path)?;
-        if payload.len() > frame::MOST_PAYLOAD_BYTES {
+        if payload.len() > frame::MAX_PAYLOAD_BYTES {
             return Err(io::Error::from(io::ErrorKind::FileTooLarge)).during("encode", &self.path);
         }
         self.buffer.clear();
--- a/crates/wingshore-storage/src/snapshot.rs
+++ b/crates/wingshore-storage/src/snapshot.rs
@@ -1,4 +1,7 @@
-//! The snapshot file: one, replaced as a whole.
+//! Files that are replaced as a whole: the snapshot of a group, and the identity of a folder.
+//!
+//! A new one is written beside the old one, synced, and renamed to its place, so that a crash leaves
+//! one of the two.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::{File, FileRange, FileReader, FileSystem, READ_BYTES, ReadableFile};
@@ -17,11 +20,11 @@
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
 /// Added to the name of a file that is being written.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
-/// Bytes of a file that are written as a whole which are collected for one write.
+/// Bytes that are collected for one write to a file that is replaced as a whole. Chosen, not measured.
 const WRITE_BYTES: usize = 256 << 10;
-/// Most bytes of index, term and length before a snapshot's data.
-const MOST_HEAD_BYTES: u64 = 32;
-/// Salt of the frames of files that are written as a whole.
+/// Maximal bytes of index, term and length before a snapshot's data.
+const MAX_HEAD_BYTES: u64 = 32;
+/// Salt of the frames of files that are replaced as a whole.
 const WHOLE_FILE_SALT: u64 = u64::MAX;
 
 /// Writes `value` aside, syncs it, renames it to `name` and syncs the directory.
@@ -76,7 +79,7 @@
     let payload = frame::HEADER_BYTES as u64;
     let mut head = Vec::new();
     FileReader::new(Arc::clone(&file), payload)
-        .take(length.min(MOST_HEAD_BYTES))
+        .take(length.min(MAX_HEAD_BYTES))
         .read_to_end(&mut head)
         .during("read", &path)?;
     let unreadable = |error| damaged(&path, 0, format!("unreadable content: {error}"));
@@ -121,7 +124,7 @@
     Ok(read)
 }
 
-/// Writes a payload of `length` bytes as one frame. It is produced twice: its checksum stands before it.
+/// Writes a payload of `length` bytes as one frame. It is produced twice: its checksum comes before it.
 fn write_payload(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -131,7 +134,7 @@
 ) -> Result<(), StorageError> {
     let path = directory.join(name);
     let aside = directory.join(format!("{name}{TEMPORARY_SUFFIX}"));
-    if length > frame::MOST_PAYLOAD_BYTES {
+    if length > frame::MAX_PAYLOAD_BYTES {
         return Err(io::Error::from(io::ErrorKind::FileTooLarge)).during("encode", &path);
     }
     let mut checksum = frame::Checksum::new(WHOLE_FILE_SALT, 0, length);
--- a/crates/wingshore-storage/src/store.rs
+++ b/crates/wingshore-storage/src/store.rs
@@ -11,8 +11,9 @@
 use wingshore_types::LogIndex;
 use wingshore_types::log::{RecoveredLog, StoredSnapshot, WriteBatch};
 
-/// Size from which on a segment is closed and a new one begun, in bytes.
-pub const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
+/// Size from which on a segment is closed and a new one begun, in bytes. Chosen, not measured; space is
+/// given back in steps of it.
+const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
 /// Number of the first segment of a log.
 const FIRST_SEGMENT: u64 = 1;
@@ -231,7 +232,7 @@
     }
 
     /// Checks that appended entries follow what is kept, without gaps, and that only entries in
-    /// the snapshot are let go.
+    /// the snapshot are discarded.
     fn check(&self, batch: &WriteBatch) -> Result<(), StorageError> {
         let snapshot = batch
             .snapshot
--- a/crates/wingshore-storage/tests/blobs.rs
+++ b/crates/wingshore-storage/tests/blobs.rs
@@ -130,10 +130,7 @@
     });
     for _ in 0..3 {
         let refused = writer.append(&[bytes(1, 1000)]);
-        expect_that!(
-            refused.is_err_and(|error| error.is_for_want_of_space()),
-            eq(true)
-        );
+        expect_that!(refused.is_err_and(|error| error.is_disk_full()), eq(true));
     }
     expect_that!(files(&disk), eq(0));
     disk.set_faults(Faults::default());
