--- a/crates/wingshore-types/src/ids.rs
+++ b/crates/wingshore-types/src/ids.rs
@@ -191,21 +191,6 @@
     }
 }
 
-/// A sample: its pool and its number within the pool.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct SampleId {
-    /// The pool the sample belongs to.
-    pub pool: PoolId,
-    /// The trainer's number for it.
-    pub number: SampleNumber,
-}
-
-impl fmt::Display for SampleId {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}/{}", self.pool, self.number)
-    }
-}
-
 /// A replicated group. Each has its own log, leader and members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GroupId {
--- a/crates/wingshore-types/src/lib.rs
+++ b/crates/wingshore-types/src/lib.rs
@@ -23,8 +23,8 @@
 
 pub use ids::{
     Epoch, GroupId, IntentId, LeaseId, LogIndex, NodeId, OrderSequence, PlanId, PoolId, ReplicaId,
-    RequestId, Revision, SampleId, SampleNumber, ServerId, ServiceId, StepId, TrainerId,
-    WeightVersion, ZoneId,
+    RequestId, Revision, SampleNumber, ServerId, ServiceId, StepId, TrainerId, WeightVersion,
+    ZoneId,
 };
 pub use sample::{Generation, Prompt, Sample, Segment, Token};
 pub use time::{Instant, doubled_pause};
