--- a/crates/wingshore-diagnostics/src/lib.rs
+++ b/crates/wingshore-diagnostics/src/lib.rs
@@ -1,5 +1,5 @@
 //! What every process of wingshore has: a log ring in memory that is written out when something
-//! goes wrong, and the signal of a planned stop.
+//! goes wrong, structured logs on standard output, and the signal of a planned stop.
 
 mod ring;
 mod stop;
@@ -45,7 +45,7 @@
         &self.ring
     }
 
-    /// Writes the ring out, because of `reason`; the answer says where to.
+    /// Writes the ring out, because of `reason`; gives its place.
     ///
     /// # Errors
     /// When the file cannot be written; the ring is then on standard error.
--- a/crates/wingshore-diagnostics/src/stop.rs
+++ b/crates/wingshore-diagnostics/src/stop.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Tells the threads of a process that a planned stop was asked for.
+/// Signals to the threads of a process that a planned stop was asked for.
 #[derive(Clone, Default)]
 pub struct StopSignal {
     inner: Arc<Inner>,
--- a/crates/wingshore-diagnostics/src/structured.rs
+++ b/crates/wingshore-diagnostics/src/structured.rs
@@ -1,9 +1,17 @@
 //! Structured logs on standard output: one JSON object a line.
 //!
-//! A thread of its own writes them. Nobody waits for it: where the reader does not keep up, or
-//! the process would write more than its budget, lines are left out and counted, and a line says
-//! how many. Lines about requests are sampled by the request's identity, so that those of a
-//! sampled request are all there; lines about failures are not sampled.
+//! A thread of its own writes them, and nobody waits for it. Which lines are written is decided by two
+//! rules:
+//!
+//! - Budget ([`BudgetDrain`]): a second has a fixed number of lines, of which a part is reserved for
+//!   warnings and errors; lines beyond it are left out and counted, and a line reports how many.
+//! - Sampling ([`RequestSampler`]): lines about requests that went well are written for a share of the
+//!   requests, chosen by a hash of the request's identity. After each second the share shrinks in
+//!   proportion if there were too many lines, and doubles if there were fewer than half as many. The same
+//!   request is chosen in every process with the same share, so that all lines of a sampled request are
+//!   written. Lines about failures are not sampled.
+//!
+//! The figures of the budget are chosen, not measured.
 
 use slog::{Drain, Level, Logger, OwnedKVList, Record, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
@@ -12,23 +20,23 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the thread that writes.
+/// Lines that may wait for the thread that writes. Chosen, not measured.
 const QUEUE: usize = 2048;
 /// The time over which the budget is counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Longest wait at the end of a process for lines that were not written yet.
+/// Longest wait at the end of a process for lines that were not written yet. Chosen, not measured.
 const FLUSH_LIMIT: Duration = Duration::from_millis(250);
-/// All requests are in the sample.
+/// The share in which all requests are in the sample.
 const WHOLE: u64 = 1 << 16;
 
 /// What a process may write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogBudget {
-    /// Most lines a second.
+    /// Maximal number of lines a second.
     pub lines_per_second: u64,
-    /// Of these, kept for lines about failures (warnings and errors).
+    /// Of these, reserved for lines about failures (warnings and errors).
     pub kept_for_failures: u64,
-    /// Most lines a second about requests that went well; beyond them fewer requests are sampled.
+    /// Target for lines a second about requests that went well; beyond it fewer requests are sampled.
     pub sampled_lines_per_second: u64,
 }
 
@@ -126,25 +134,25 @@
     second: AtomicU64,
     /// Lines in it.
     lines: AtomicU64,
-    /// Lines left out that no line has told yet.
+    /// Lines left out that no line has reported yet.
     unreported: AtomicU64,
     counts: LogCounts,
 }
 
 impl BudgetDrain {
-    /// Counts a line; says whether it fits.
+    /// Counts a line, if it fits.
     fn takes(&self, level: Level) -> bool {
         let second = self.begun.elapsed().as_secs() / WINDOW.as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        let kept = if level.is_at_least(Level::Warning) {
+        let reserved = if level.is_at_least(Level::Warning) {
             0
         } else {
             self.budget.kept_for_failures
         };
-        let most = self.budget.lines_per_second.saturating_sub(kept);
-        let fits = self.lines.load(Ordering::Relaxed) < most;
+        let max = self.budget.lines_per_second.saturating_sub(reserved);
+        let fits = self.lines.load(Ordering::Relaxed) < max;
         if fits {
             self.lines.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/wingshore-types/src/blob.rs
+++ b/crates/wingshore-types/src/blob.rs
@@ -1,9 +1,9 @@
-//! Bytes that are kept on a machine's own disk beside a replicated log.
+//! Blobs: bytes on a machine's own disk beside a replicated log, and the trait by which states hold them.
 
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// Where a blob stands on this machine's disk.
+/// Place of a blob on this machine's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlobPlace {
     /// Number of its file.
@@ -18,7 +18,7 @@
 
 /// Bytes that are durable on this machine's disk, and stay there while something holds this.
 pub trait Blob: Send + Sync {
-    /// Where they stand.
+    /// Their place.
     fn place(&self) -> BlobPlace;
 
     /// The bytes.
--- a/crates/wingshore-types/src/configuration.rs
+++ b/crates/wingshore-types/src/configuration.rs
@@ -46,7 +46,7 @@
     pub id: ServiceId,
     /// Kind of its servers.
     pub kind: ServiceKind,
-    /// Most requests in flight on one server, over all callers' classes.
+    /// Maximal number of requests in flight on one server, over all callers' classes.
     pub slots_per_server: u32,
     /// Share of the slots guaranteed to live requests; the rest is guaranteed to rollouts. Either
     /// class borrows what the other does not use.
@@ -74,7 +74,7 @@
     pub service: ServiceId,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// Whether new work may go to it.
     pub admission: Admission,
@@ -99,7 +99,8 @@
     pub service: ServiceId,
     /// The trainer its samples go to.
     pub trainer: TrainerId,
-    /// Most versions a delivered sample's oldest segment may lie behind the trainer's version.
+    /// Maximal number of versions by which a delivered sample's oldest segment may lag the trainer's
+    /// version.
     pub staleness_bound: u64,
     /// Weight between the two measures: 0 counts staleness only, 1000 trainer idle time only.
     /// Default 500, 0 to 1000. The ledger lets at most `1 + 3 (weight / 1000)^2` steps be generated
@@ -113,7 +114,7 @@
     pub weight_store: SocketAddr,
     /// How engines take new versions.
     pub swap: SwapPolicy,
-    /// Most samples submitted and not yet acknowledged; more are refused as not run.
+    /// Maximal number of samples submitted and not yet acknowledged; more are refused as not run.
     pub max_open_samples: u32,
     /// How long a node may hold a sample without renewing its lease, in milliseconds.
     pub sample_lease_ms: u64,
--- a/crates/wingshore-types/src/ids.rs
+++ b/crates/wingshore-types/src/ids.rs
@@ -39,7 +39,7 @@
     };
 }
 
-/// Declares a number that stands for one thing.
+/// Declares a number that identifies one thing.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
--- a/crates/wingshore-types/src/log.rs
+++ b/crates/wingshore-types/src/log.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One log entry as it stands on disk; the payload's format belongs to the consensus crate.
+/// One log entry in its form on disk; the payload's format belongs to the consensus crate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Its position.
@@ -17,7 +17,7 @@
     pub data: Vec<u8>,
 }
 
-/// A snapshot as it stands on disk.
+/// A snapshot in its form on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSnapshot {
     /// The last entry it contains.
--- a/crates/wingshore-types/src/machine.rs
+++ b/crates/wingshore-types/src/machine.rs
@@ -39,7 +39,7 @@
 /// The replicated part: the same commands in the same order give the same state and replies on
 /// every member. Times come inside commands.
 pub trait ReplicatedState: Sized {
-    /// A change of state, as it stands in the log.
+    /// A change of state, as the log holds it.
     type Command: Serialize + DeserializeOwned + Clone;
     /// What the change answers.
     type Reply: Clone;
@@ -82,12 +82,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalTag(pub u64);
 
-/// What a leader machine wants done.
+/// What a leader machine asks its host to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaderOutput<C, R, E> {
     /// Append a command to the log; [`LeaderMachine::on_applied`] follows once it is applied.
     Propose {
-        /// Comes back with the reply.
+        /// Returned with the reply.
         tag: ProposalTag,
         /// The command.
         command: C,
--- a/crates/wingshore-types/src/protocol/claims.rs
+++ b/crates/wingshore-types/src/protocol/claims.rs
@@ -77,7 +77,7 @@
     Granted,
     /// Another attempt is in flight, or ended without anyone knowing how: may have run.
     Taken {
-        /// When to ask again, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// It ran; here is its answer, where kept.
@@ -86,7 +86,7 @@
     Mismatch,
     /// Too many keys are kept; not run.
     Full {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// Settled.
--- a/crates/wingshore-types/src/protocol/control.rs
+++ b/crates/wingshore-types/src/protocol/control.rs
@@ -49,7 +49,7 @@
 pub struct PlanCost {
     /// Servers that take no new work at some time.
     pub servers_affected: u32,
-    /// Most servers away at once.
+    /// Maximal number of servers away at once.
     pub servers_away_at_once: u32,
     /// Slots away at once, of all slots of the service.
     pub slots_away_at_once: u32,
@@ -63,7 +63,7 @@
     pub staleness_versions: u64,
 }
 
-/// Where a plan stands.
+/// Status of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanState {
@@ -99,7 +99,7 @@
     pub id: PlanId,
     /// The intent that led to it.
     pub intent_id: IntentId,
-    /// What was wanted.
+    /// What the operator intends.
     pub intent: Intent,
     /// The revision it was made against.
     pub base_revision: Revision,
@@ -107,11 +107,11 @@
     pub steps: Vec<PlanStep>,
     /// What they cost.
     pub cost: PlanCost,
-    /// Where it stands.
+    /// Its status.
     pub state: PlanState,
 }
 
-/// A node's word on the configuration it has in force.
+/// A node's report of the configuration that it has in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAcknowledgement {
     /// Which node.
@@ -201,7 +201,7 @@
         intent_id: IntentId,
         /// The revision the operator saw; `None` takes the newest.
         base_revision: Option<Revision>,
-        /// What is wanted.
+        /// What the operator intends.
         intent: Intent,
     },
     /// Carry a plan out.
@@ -248,7 +248,7 @@
         /// What changed in between.
         message: String,
     },
-    /// The request makes no sense; says what, where and what is allowed.
+    /// The request is invalid; names what, where and what is allowed.
     Invalid {
         /// What is wrong.
         message: String,
@@ -257,7 +257,7 @@
     UnknownPlan(PlanId),
     /// The plan is not in a state that allows it.
     WrongState {
-        /// Where it stands.
+        /// Its status.
         state: PlanState,
     },
 }
@@ -272,7 +272,7 @@
         /// The lease, counted from when the watcher sent its request, in milliseconds.
         lease_ms: u64,
     },
-    /// A plan, as it stands.
+    /// A plan, as of now.
     Plan(Box<Plan>),
     /// Plans.
     Plans(Vec<Plan>),
--- a/crates/wingshore-types/src/protocol/ledger.rs
+++ b/crates/wingshore-types/src/protocol/ledger.rs
@@ -107,7 +107,7 @@
         node: NodeId,
         /// The node's boot; a later boot of a node ends the leases of its earlier ones.
         boot_id: u64,
-        /// Most samples.
+        /// Maximal number of samples.
         most: u32,
     },
     /// Keeps leases; answers those that are lost.
@@ -141,7 +141,7 @@
     Unscored {
         /// Which pool.
         pool: PoolId,
-        /// Most samples.
+        /// Maximal number of samples.
         most: u32,
     },
     /// Reports a score. The first one wins.
@@ -193,18 +193,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerRefusal {
-    /// The group has not been told of the pool yet.
+    /// The group does not know the pool yet.
     UnknownPool,
     /// Too many open samples; nothing of the request was added.
     Full {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// Not enough samples were ready in time; nothing was handed over.
     NotReady {
         /// Samples ready now.
         ready: u32,
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// The step is older than one already acknowledged, or was pulled with another count.
@@ -217,7 +217,7 @@
         /// The one that is.
         expected: TrainerId,
     },
-    /// The request makes no sense.
+    /// The request is invalid.
     Invalid {
         /// What is wrong.
         message: String,
--- a/crates/wingshore-types/src/protocol/wire.rs
+++ b/crates/wingshore-types/src/protocol/wire.rs
@@ -96,7 +96,7 @@
     Hello(Hello),
     /// A request.
     Request {
-        /// Comes back with the reply.
+        /// Returned with the reply.
         id: RequestId,
         /// The group meant.
         group: GroupId,
@@ -119,7 +119,7 @@
         #[serde(with = "crate::protocol::byte_vector")]
         message: Vec<u8>,
     },
-    /// Nothing to say: sent on an idle connection, so that a peer that was cut off silently is
+    /// No content: sent on an idle connection, so that a peer that was cut off silently is
     /// noticed. Needs no answer.
     KeepAlive,
     /// Sent instead of a [`Hello`] before the connection is closed.
--- a/crates/wingshore-types/src/sample.rs
+++ b/crates/wingshore-types/src/sample.rs
@@ -7,7 +7,7 @@
 /// One token of a model's vocabulary.
 pub type Token = u32;
 
-/// A run of generated tokens made by one weight version.
+/// Consecutive generated tokens made by one weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     /// The version that produced the tokens, as the engine stamped it.
@@ -23,7 +23,7 @@
     pub number: SampleNumber,
     /// Prompt tokens.
     pub tokens: Vec<Token>,
-    /// Most tokens to generate.
+    /// Maximal number of tokens to generate.
     pub max_tokens: u32,
     /// Seed of the generation.
     pub seed: u64,
--- a/crates/wingshore-types/src/snapshot_data.rs
+++ b/crates/wingshore-types/src/snapshot_data.rs
@@ -1,6 +1,6 @@
 //! The bytes of a snapshot, encoded or read from disk only as they are needed.
 //!
-//! A state of many megabytes must not stand in memory twice, once as itself and once encoded: it
+//! A state of many megabytes must not be in memory twice, once as itself and once encoded: it
 //! is frozen (a copy that shares its large parts) and encoded while it is written or sent, and it
 //! is read piece by piece where it is restored.
 
@@ -10,7 +10,7 @@
 use std::io::{self, Cursor, Read, Write};
 use std::sync::Arc;
 
-/// Most bytes that are copied at a time.
+/// Maximal bytes that are copied at a time. Chosen, not measured.
 const COPY_BYTES: usize = 256 << 10;
 
 /// Bytes that are produced when they are read, each time the same ones.
@@ -24,8 +24,8 @@
     /// When what they are made from cannot be read.
     fn reader(self: Arc<Self>) -> io::Result<Box<dyn Read + Send>>;
 
-    /// The form for this machine's own disk, where that is another one: it refers to what stands
-    /// there besides.
+    /// The form for this machine's own disk, where that is another one: it refers to what is on that
+    /// disk already.
     fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
         None
     }
@@ -99,7 +99,7 @@
 
 impl Eq for SnapshotState {}
 
-/// A state behind a head: all bytes of a snapshot.
+/// A state after a head: all bytes of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotData {
     head: Bytes,
@@ -107,7 +107,7 @@
 }
 
 impl SnapshotData {
-    /// `state` behind `head`.
+    /// `state` after `head`.
     pub fn new(head: Vec<u8>, state: SnapshotState) -> Self {
         let head = head.into();
         Self { head, state }
@@ -155,17 +155,17 @@
         Ok(bytes.into())
     }
 
-    /// The first `most` bytes, or all if there are fewer.
+    /// The first `length` bytes, or all if there are fewer.
     ///
     /// # Errors
     /// When what they are made from cannot be read.
-    pub fn beginning(&self, most: u64) -> io::Result<Vec<u8>> {
+    pub fn beginning(&self, length: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        self.reader()?.take(most).read_to_end(&mut bytes)?;
+        self.reader()?.take(length).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
-    /// What stands behind the first `skipped` bytes.
+    /// What follows the first `skipped` bytes.
     pub fn behind(&self, skipped: u64) -> SnapshotState {
         if skipped == self.head.len() as u64 {
             return self.state.clone();
@@ -231,7 +231,7 @@
     }
 }
 
-/// What stands behind the first bytes of a snapshot.
+/// What follows the first bytes of a snapshot.
 struct Tail {
     data: SnapshotData,
     skipped: u64,
--- a/crates/wingshore-types/src/time.rs
+++ b/crates/wingshore-types/src/time.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Nanoseconds since an arbitrary origin of one process; never compared across processes
-/// unless a message says so.
+/// unless a message defines it so.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,11 +32,11 @@
     }
 }
 
-/// The pause after a failure: `first`, twice as long after each of the `failures` in a row before it,
-/// and `longest` at the most.
-pub fn doubled_pause(first: Duration, failures: u32, longest: Duration) -> Duration {
+/// The backoff after a failure: `initial`, twice as long after each of the `failures` in a row before
+/// it, and at most `max`.
+pub fn doubled_pause(initial: Duration, failures: u32, max: Duration) -> Duration {
     let factor = 1_u32.checked_shl(failures).unwrap_or(u32::MAX);
-    first.saturating_mul(factor).min(longest)
+    initial.saturating_mul(factor).min(max)
 }
 
 impl Add<Duration> for Instant {
--- a/crates/wingshore-types/src/verdict.rs
+++ b/crates/wingshore-types/src/verdict.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It did not run and will not: no byte left for a back end, or the back end said so itself.
+    /// It did not run and will not: no byte left for a back end, or the back end reported so itself.
     NotRun,
     /// It may have run, may be running, or may still run.
     MayHaveRun,
