--- a/crates/wingshore-diagnostics/src/ring.rs
+++ b/crates/wingshore-diagnostics/src/ring.rs
@@ -28,7 +28,7 @@
 
 impl LogRing {
     /// Keeps the newest `capacity` lines.
-    pub fn new(capacity: usize) -> Self {
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
             lines: Mutex::new(VecDeque::new()),
@@ -36,7 +36,7 @@
     }
 
     /// Adds a line; the oldest one goes when the ring is full.
-    pub fn push(&self, line: String) {
+    pub(crate) fn push(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == self.capacity {
             lines.pop_front();
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// When the folder or file cannot be written; the lines then go to standard error.
-    pub fn write_to_folder(&self, folder: &Path, reason: &str) -> Result<String, DumpError> {
+    pub(crate) fn write_to_folder(&self, folder: &Path, reason: &str) -> Result<String, DumpError> {
         let path = folder.join(format!("log-{}.txt", since_epoch().as_millis()));
         let written = self.try_write(folder, &path, reason);
         if written.is_err() {
@@ -65,7 +65,7 @@
     }
 
     /// Writes the ring to standard error.
-    pub fn write_to_standard_error(&self, reason: &str) {
+    pub(crate) fn write_to_standard_error(&self, reason: &str) {
         eprintln!("log ring, written because of: {reason}");
         for line in self.lines() {
             eprintln!("{line}");
--- a/crates/wingshore-diagnostics/src/structured.rs
+++ b/crates/wingshore-diagnostics/src/structured.rs
@@ -224,9 +224,4 @@
             self.share = (self.share * 2).min(WHOLE);
         }
     }
-
-    /// The share of requests that are chosen, in thousandths.
-    pub fn permille(&self) -> u64 {
-        self.share * 1000 / WHOLE
-    }
 }
--- a/crates/wingshore-group/src/interface.rs
+++ b/crates/wingshore-group/src/interface.rs
@@ -37,7 +37,7 @@
 
 impl HostConfig {
     /// Bytes of applied log between snapshots, unless set otherwise. Chosen, not measured.
-    pub const DEFAULT_SNAPSHOT_EVERY_BYTES: u64 = 8 * 1024 * 1024;
+    const DEFAULT_SNAPSHOT_EVERY_BYTES: u64 = 8 * 1024 * 1024;
 
     /// Settings with the usual timing and limits.
     pub fn new(id: ReplicaId, bootstrap: Option<Membership>, seed: u64) -> Self {
--- a/crates/wingshore-types/src/generator.rs
+++ b/crates/wingshore-types/src/generator.rs
@@ -1,7 +1,7 @@
-//! The arithmetic token function that stand-in engines generate by.
+//! Hashes of prompts, and the arithmetic token function of stand-in engines.
 //!
-//! It lives here, and not with the stand-ins, only so that checkers of any crate's tests can
-//! recompute which version made which token. No production code calls it.
+//! [`hash_tokens`] names prompts and their prefixes. [`token_at`] is called by stand-ins and checkers only:
+//! it is here so that the tests of any crate can recompute which version made which token.
 
 use crate::ids::WeightVersion;
 use crate::sample::Token;
--- a/crates/wingshore-types/src/machine.rs
+++ b/crates/wingshore-types/src/machine.rs
@@ -11,16 +11,6 @@
 use std::fmt::Display;
 use std::io::Read;
 
-/// A state machine that takes inputs and pushes outputs.
-pub trait Machine {
-    /// What it reacts to.
-    type Input;
-    /// What it wants done.
-    type Output;
-    /// Handles one input at `now`, pushing what follows from it.
-    fn step(&mut self, now: Instant, input: Self::Input, out: &mut Vec<Self::Output>);
-}
-
 /// Why a snapshot could not be restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoreError {
