--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -22,7 +22,6 @@
 mod state;
 mod tenants;
 mod text;
-mod text_store;
 mod usage;
 mod view;
 
@@ -62,8 +61,8 @@
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
-    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError, TextPlace,
+    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError,
+    TextPlace, TextStore,
 };
-pub use text_store::TextStore;
 pub use usage::{UsageCounts, UsageMeter, UsageWindow, WindowUsage};
 pub use view::{SiteView, ViewChange, ViewContent, ViewUpdate};
--- a/crates/wingshore-coordination/src/state/site.rs
+++ b/crates/wingshore-coordination/src/state/site.rs
@@ -10,7 +10,7 @@
 use crate::jobs::Job;
 use crate::registry::ServerRecord;
 use crate::scaling::CapacityPool;
-use crate::text_store::{TextStore, TextStoreHandle};
+use crate::text::{TextStore, TextStoreHandle};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/read.rs
@@ -7,8 +7,7 @@
 use crate::jobs::{Job, ResultRecord};
 use crate::state::earlier::EarlierState;
 use crate::state::site::CoordinationState;
-use crate::text::{ResultText, TextPlace};
-use crate::text_store::TextStoreHandle;
+use crate::text::{ResultText, TextPlace, TextStoreHandle};
 use std::io::Read;
 use std::sync::Arc;
 use wingshore_types::machine::RestoreError;
--- a/crates/wingshore-coordination/src/text_store.rs
+++ b/crates/wingshore-coordination/src/text/store.rs
@@ -1,6 +1,6 @@
 //! The store for texts of results that memory has no room for.
 
-use crate::text::PackedText;
+use super::packed::PackedText;
 use std::fmt::Debug;
 use std::io;
 use std::sync::Arc;
