--- a/crates/wingshore-consensus/src/limits.rs
+++ b/crates/wingshore-consensus/src/limits.rs
@@ -3,15 +3,15 @@
 //! Sizes are in bytes. The limits bound memory and the time that one step takes; none of them decides
 //! what is committed.
 
-/// So that a heartbeat never waits long behind one message. Chosen, not measured.
+/// Chosen, not measured.
 const APPEND_BYTES: usize = 256 * 1024;
-/// Chosen, not measured; small appends reach it before [`IN_FLIGHT_BYTES`].
+/// Small appends reach it before [`IN_FLIGHT_BYTES`]. Chosen, not measured.
 const IN_FLIGHT_MESSAGES: usize = 64;
 /// Sixteen full appends. Chosen, not measured.
 const IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
 /// As [`APPEND_BYTES`]. Chosen, not measured.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
-/// Chosen, not measured: a chunk is acknowledged while the next ones are on their way.
+/// Chosen, not measured.
 const SNAPSHOT_CHUNKS_IN_FLIGHT: usize = 4;
 /// Chosen, not measured.
 const RETAINED_LOG_BYTES: usize = 1024 * 1024;
--- a/crates/wingshore-consensus/src/progress.rs
+++ b/crates/wingshore-consensus/src/progress.rs
@@ -9,7 +9,8 @@
 //! - Why: messages may be lost, repeated and overtaken, and each heartbeat is answered, so that answers
 //!   without progress are the sign of a loss.
 //! - Old or missing inputs: an acknowledgement that is older than what is known changes nothing. A
-//!   follower that acknowledges less than before has lost its log, and is probed anew.
+//!   rejection from a log that is shorter than what was acknowledged is old, or the follower has lost its
+//!   log: it is probed anew, which is right in the second case and harmless in the first.
 
 use crate::limits::Limits;
 use std::collections::VecDeque;
@@ -18,9 +19,9 @@
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_data::PartReader;
 
-/// Heartbeat replies without progress after which what is under way counts as lost. With heartbeats
-/// twice as often it was reached while appends were still on their way, and the leader sent them again;
-/// the interval was set back then, and this figure kept.
+/// Heartbeat replies without progress after which what is under way counts as lost. It holds for
+/// heartbeats that are rarer than appends take to be acknowledged: with twice as many the leader sent
+/// again what was still on its way. The figure itself is chosen, not measured.
 const STALLED_REPLIES: u32 = 2;
 
 /// How entries are sent to a follower.
