--- a/crates/wingshore-consensus/src/accessors.rs
+++ b/crates/wingshore-consensus/src/accessors.rs
@@ -1,7 +1,8 @@
-//! Questions about a member.
+//! What a member answers about itself, without any change.
 
 use crate::progress::Progress;
-use crate::raft::{Raft, Role};
+use crate::raft::Raft;
+use crate::role::Role;
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether this member is handing leadership over; it takes no proposals meanwhile.
+    /// Whether this member is transferring leadership; it takes no proposals meanwhile.
     pub fn is_transferring(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.transfer.is_some(),
@@ -49,7 +50,7 @@
     }
 
     /// End of the leader lease, when there is one.
-    pub fn lease_until(&self) -> Option<Instant> {
+    fn lease_until(&self) -> Option<Instant> {
         match &self.role {
             Role::Leader(leader) => leader.rounds.lease_until(&self.timing),
             _ => None,
@@ -79,17 +80,12 @@
         self.log.last_index()
     }
 
-    /// The last entry that is durable here.
-    pub fn persisted_index(&self) -> LogIndex {
-        self.persistence.persisted_index()
-    }
-
     /// The first entry that is not compacted away.
     pub fn first_index(&self) -> LogIndex {
         LogIndex(self.log.base_index().0 + 1)
     }
 
-    /// The term of the entry at `index`, unless it is compacted or not there.
+    /// The term of the entry at `index`, unless it is compacted or not written yet.
     pub fn term_at(&self, index: LogIndex) -> Option<u64> {
         self.log.term_at(index)
     }
--- a/crates/wingshore-consensus/src/lib.rs
+++ b/crates/wingshore-consensus/src/lib.rs
@@ -5,12 +5,12 @@
 //! one at a time, leadership transfer and snapshots in chunks. It reads no clock, does no I/O and
 //! draws randomness from a seeded generator it is handed.
 //!
-//! What it promises:
+//! Its promises:
 //! - at most one leader in a term;
 //! - an entry that was given out by [`Output::Apply`] stays in the log of every later leader, and
 //!   every member applies the same entries in the same order;
-//! - while [`Raft::holds_lease`] says yes, no other member leads, as long as no clock drifts by
-//!   more than [`Timing::drift`];
+//! - while [`Raft::holds_lease`] is true, no other member leads, as long as no clock drifts by more
+//!   than [`Timing::drift`];
 //! - nothing that depends on a write is sent before that write is reported durable.
 
 mod accessors;
@@ -19,8 +19,11 @@
 mod election;
 mod entry;
 mod follower;
+mod incoming;
+mod interface;
 mod leader;
 mod lease;
+mod limits;
 mod log;
 mod members;
 mod message;
@@ -28,16 +31,21 @@
 mod progress;
 mod raft;
 mod recovery;
+mod role;
 mod snapshot;
+mod timing;
 mod transfer;
 
 pub use change::{ChangeError, ChangeOutcome};
-pub use config::{ConfigError, Faults, Limits, RaftConfig, Timing};
-pub use entry::{CodecError, Entry, EntryKind, SnapshotContents};
+pub use config::{Faults, RaftConfig};
+pub use entry::{CodecError, Entry, EntryKind};
+pub use interface::{Input, Output};
 pub use leader::ProposeError;
+pub use limits::Limits;
 pub use message::{
     AppendRejection, AppendRequest, Body, HeartbeatRequest, Message, SnapshotChunk, VoteRequest,
 };
-pub use raft::{Input, Output, Raft};
+pub use raft::Raft;
 pub use recovery::RecoveryError;
+pub use timing::{ConfigError, Timing};
 pub use transfer::TransferError;
--- a/crates/wingshore-consensus/src/raft.rs
+++ b/crates/wingshore-consensus/src/raft.rs
@@ -1,95 +1,26 @@
 //! One member: its state, and the dispatch of inputs.
+//!
+//! What a follower, a candidate and a leader do with them is in modules of their own.
 
-use crate::config::{Faults, Limits, Timing};
-use crate::election::Ballot;
-use crate::entry::{CodecError, Entry, HardState};
-use crate::leader::LeaderState;
+use crate::config::Faults;
+use crate::entry::{CodecError, HardState};
+use crate::incoming::IncomingSnapshot;
+use crate::interface::{Input, Output};
+use crate::limits::Limits;
 use crate::log::RaftLog;
 use crate::members::Members;
 use crate::message::{Body, Message};
 use crate::persistence::Persistence;
-use crate::snapshot::IncomingSnapshot;
+use crate::role::Role;
+use crate::timing::Timing;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Weak};
-use wingshore_types::log::{StoredSnapshot, WriteBatch};
-use wingshore_types::protocol::membership::Membership;
-use wingshore_types::snapshot_data::SnapshotState;
+use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_spool::SnapshotSpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// What a member reacts to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Input {
-    /// Time has passed; wanted at the latest at [`Raft::next_deadline`].
-    Tick,
-    /// A message of another member.
-    Message {
-        /// The sender.
-        from: ReplicaId,
-        /// The message.
-        message: Message,
-    },
-    /// The write with this token is durable.
-    Persisted {
-        /// Of [`Output::Write`].
-        token: u64,
-    },
-}
-
-/// What a member wants done, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Send a message; it may be lost, repeated or overtaken.
-    Send {
-        /// The receiver.
-        to: ReplicaId,
-        /// The message.
-        message: Message,
-    },
-    /// Make a batch durable, then feed [`Input::Persisted`]. At most one is under way.
-    Write {
-        /// Names the write.
-        token: u64,
-        /// What to write.
-        batch: WriteBatch,
-    },
-    /// The entry is committed: apply it.
-    Apply(Entry),
-    /// Replace the replicated state by a snapshot's.
-    Restore {
-        /// The last entry the snapshot contains.
-        index: LogIndex,
-        /// The replicated state, as it encoded itself.
-        state: SnapshotState,
-    },
-    /// Leadership as this member sees it has changed.
-    Leadership {
-        /// The current term.
-        term: u64,
-        /// Its leader, when known; this member itself when it leads.
-        leader: Option<ReplicaId>,
-    },
-    /// The newest membership in the log has changed.
-    MembershipChanged(Membership),
-    /// A leadership transfer was given up before it began; this member still leads.
-    TransferAborted,
-}
-
-/// What a member does in its term.
-#[derive(Debug)]
-pub(crate) enum Role {
-    /// Follows the leader, or waits for one.
-    Follower,
-    /// Asks whether it would be elected, before it disturbs anyone.
-    PreCandidate(Ballot),
-    /// Asks for votes.
-    Candidate(Ballot),
-    /// Leads.
-    Leader(Box<LeaderState>),
-}
-
 /// A message that waits for a write.
 #[derive(Debug)]
 pub(crate) struct Deferred {
@@ -126,7 +57,7 @@
     pub(crate) snapshot_index: LogIndex,
     /// The snapshot that was made last, while something still holds it: a write or a transfer.
     pub(crate) recent_snapshot: Weak<StoredSnapshot>,
-    /// Members that need a snapshot, and there is none to send.
+    /// Members that need a snapshot while none is at hand.
     pub(crate) awaiting_snapshot: BTreeSet<ReplicaId>,
 
     pub(crate) role: Role,
@@ -180,18 +111,19 @@
     /// little behind may need. A snapshot that is being sent holds the entries after it back, but
     /// not for long: a receiver that takes nothing must not fill the memory.
     fn trim_log(&mut self) {
-        /// Entries behind a snapshot under way may take this many times the usual space.
-        const HELD_BACK: usize = 4;
+        /// Entries after a snapshot under way may take this many times the usual space. Chosen, not
+        /// measured.
+        const HELD_BACK_FACTOR: usize = 4;
         let kept = self.limits.cached_log_bytes;
         let through = self.last_applied.min(self.persistence.persisted_index());
         let sent = self.oldest_snapshot_under_way();
         let held = sent.map_or(through, |sent| sent.min(through));
         self.log.trim_through(held, kept);
-        self.log.trim_through(through, kept * HELD_BACK);
+        self.log.trim_through(through, kept * HELD_BACK_FACTOR);
         self.members.compact_through(self.log.base_index());
     }
 
-    /// When [`Input::Tick`] is wanted at the latest.
+    /// When [`Input::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Instant {
         if self.last_applied < self.commit_index {
             return Instant::ZERO;
@@ -237,7 +169,7 @@
         }
         if term < self.term {
             if body.is_from_leader() {
-                self.tell_term(from, out);
+                self.send_term(from, out);
             }
             return;
         }
@@ -299,7 +231,7 @@
         self.set_leader(leader, out);
     }
 
-    /// Notes who leads the current term, and says so.
+    /// Notes who leads the current term, and reports it.
     pub(crate) fn set_leader(&mut self, leader: Option<ReplicaId>, out: &mut Vec<Output>) {
         self.leader = leader;
         out.push(Output::Leadership {
@@ -370,8 +302,8 @@
         }
     }
 
-    /// Tells the leader of an older term that its term is over.
-    fn tell_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
+    /// Lets the leader of an older term know that its term is over.
+    fn send_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
         let body = Body::HeartbeatReply {
             round: 0,
             needs_log: false,
--- a/crates/wingshore-consensus/src/snapshot.rs
+++ b/crates/wingshore-consensus/src/snapshot.rs
@@ -1,44 +1,19 @@
 //! Snapshots: taking them, sending them in chunks, and receiving them.
 
 use crate::entry::{CodecError, SnapshotContents};
+use crate::incoming::IncomingSnapshot;
+use crate::interface::Output;
 use crate::log::RaftLog;
 use crate::members::Members;
 use crate::message::{Body, SnapshotChunk};
 use crate::progress::{Progress, ProgressState};
-use crate::raft::{Output, Raft, Role};
-use std::io;
+use crate::raft::Raft;
+use crate::role::Role;
 use std::sync::Arc;
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_data::SnapshotState;
-use wingshore_types::snapshot_spool::SpooledSnapshot;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// A snapshot that is being received. It belongs to one leadership: another leader's encoding of
-/// the same state need not be equal byte for byte.
-#[derive(Debug)]
-pub(crate) struct IncomingSnapshot {
-    index: LogIndex,
-    term: u64,
-    total: u64,
-    received: u64,
-    data: Box<dyn SpooledSnapshot>,
-}
-
-impl IncomingSnapshot {
-    fn is_of(&self, chunk: &SnapshotChunk) -> bool {
-        (self.index, self.term, self.total) == (chunk.index, chunk.term, chunk.total)
-    }
-
-    /// Adds a part, if it is the next one.
-    fn append(&mut self, chunk: &SnapshotChunk) -> io::Result<()> {
-        if chunk.offset == self.received {
-            self.data.append(&chunk.data)?;
-            self.received += chunk.data.len() as u64;
-        }
-        Ok(())
-    }
-}
-
 impl Raft {
     /// Whether a snapshot can be taken now: what it would cover is durable in the log.
     pub fn can_compact(&self) -> bool {
@@ -68,7 +43,7 @@
         Ok(())
     }
 
-    /// Whether a member needs a snapshot and none is at hand: [`Raft::provide_snapshot`] is wanted.
+    /// Whether a member needs a snapshot and none is at hand: [`Raft::provide_snapshot`] is to be called.
     pub fn wants_snapshot(&self) -> bool {
         self.is_leader() && !self.awaiting_snapshot.is_empty()
     }
@@ -107,7 +82,7 @@
     }
 
     /// Starts to send a snapshot to a member that needs entries which are compacted away: the
-    /// recent one if the log goes on from it, or else one that is asked for.
+    /// recent one if the log continues from it, or else one that the host is asked for.
     pub(crate) fn start_snapshot(&mut self, to: ReplicaId) {
         let base = self.log.base_index();
         let recent = self.recent_snapshot.upgrade();
@@ -191,8 +166,8 @@
         self.install_when_complete(out);
     }
 
-    /// Adds a chunk if it is the next one; says how much there is. What cannot be gathered is
-    /// given up, and its sender begins anew.
+    /// Adds a chunk if it is the next one; gives how many bytes have come. What cannot be gathered is
+    /// dropped, and its sender begins anew.
     fn collect(&mut self, chunk: &SnapshotChunk) -> u64 {
         let known = self.incoming.take().filter(|known| known.is_of(chunk));
         let Some(mut incoming) = known.or_else(|| self.begin_incoming(chunk)) else {
@@ -206,7 +181,7 @@
         received
     }
 
-    /// The spool says why when it has no place.
+    /// `None` when the spool has no place; it logs why.
     fn begin_incoming(&self, chunk: &SnapshotChunk) -> Option<IncomingSnapshot> {
         let data = self.spool.begin().ok()?;
         Some(IncomingSnapshot {
@@ -223,7 +198,7 @@
         let Some(incoming) = self.incoming.take_if(is_complete) else {
             return;
         };
-        // The spool says why; the leader sends the snapshot again.
+        // The spool logs why; the leader sends the snapshot again.
         let Ok(data) = incoming.data.finish() else {
             return;
         };
--- a/crates/wingshore-coordination/src/configuration.rs
+++ b/crates/wingshore-coordination/src/configuration.rs
@@ -1,15 +1,28 @@
-//! The configuration of a site: routes, services and limits, under a version that its operators
+//! The configuration of a site: routes, services, tenants and limits, under a version that its operators
 //! choose.
+//!
+//! Owns the types and the check that refuses a configuration that cannot be in force. What operators
+//! send is parsed where the platform is spoken to; which configuration is in force is decided by
+//! [`crate::CoordinationState`].
 
 use crate::ids::{ModelName, ServiceName};
 use crate::scaling::Scaling;
 use crate::tenants::{Tenant, TenantError, check_tenants};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::protocol::byte_vector;
 
+/// Maximal bytes of a request's head, where a configuration names none. Chosen, not measured.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
+/// Maximal bytes of a request's body, where a configuration names none. Chosen, not measured.
+const DEFAULT_BODY_BYTES: usize = 32 * 1024 * 1024;
+/// Longest time for a request to arrive whole, where a configuration names none. Chosen, not measured.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest time that a connection may be idle, where a configuration names none. Chosen, not measured.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
 /// A whole configuration. The one with the highest version is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfiguration {
@@ -21,7 +34,7 @@
     pub services: Vec<Service>,
     /// What callers may send, and how long they may take.
     pub limits: IngressLimits,
-    /// Who may call; empty where a site does not tell its callers apart.
+    /// Who may call; empty where a site does not distinguish its callers.
     pub tenants: Vec<Tenant>,
     /// The document as the operator sent it, for reading it back.
     #[serde(with = "byte_vector")]
@@ -39,19 +52,19 @@
     pub path_prefix: String,
     /// What may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a request may be held.
+    /// Longest time that a request may be held before it is answered.
     pub timeout: Duration,
-    /// Within which an answer is in time.
+    /// Time within which an answer counts as in time.
     pub target_latency: Duration,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services and their shares of the requests.
     pub targets: Vec<RouteTarget>,
-    /// Most servers to which one request may be sent.
+    /// Maximal number of servers to which one request may be sent.
     pub max_attempts: u32,
-    /// Time after a batch job's first send from which on its items may be given up.
+    /// Time after a batch job's first attempt from which on its items may be abandoned.
     pub max_queue: Option<Duration>,
-    /// Time after a batch job's first send by which its results are due.
+    /// Time after a batch job's first attempt by which its results are due.
     pub due: Option<Duration>,
     /// Whether all events of a result must come from one weight version.
     pub single_version: bool,
@@ -88,9 +101,9 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Where servers tell their health.
+    /// Path at which servers report their health.
     pub health_path: String,
-    /// Most connections that one server accepts from all callers together.
+    /// Maximal number of connections that one server accepts from all callers together.
     pub max_connections: u32,
     /// Set where the servers are model engines.
     pub engine: Option<EngineProfile>,
@@ -112,23 +125,23 @@
 /// What callers may send, and how long they may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IngressLimits {
-    /// Most bytes of a request's head.
+    /// Maximal bytes of a request's head.
     pub head_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximal bytes of a request's body.
     pub body_bytes: usize,
     /// Longest time for a request to arrive whole, counted from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for IngressLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 32 * 1024 * 1024,
-            head_timeout: Duration::from_secs(3),
-            idle_timeout: Duration::from_secs(15),
+            head_bytes: DEFAULT_HEAD_BYTES,
+            body_bytes: DEFAULT_BODY_BYTES,
+            head_timeout: DEFAULT_HEAD_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 }
@@ -200,7 +213,7 @@
     pub fn check(&self) -> Result<(), ConfigurationError> {
         check_tenants(&self.tenants)?;
         let services = self.service_names()?;
-        let mut places = std::collections::BTreeMap::new();
+        let mut places = BTreeMap::new();
         for route in &self.routes {
             route.check(&services)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
@@ -267,7 +280,7 @@
     }
 
     /// Sum of the weights.
-    pub fn total_weight(&self) -> u64 {
+    fn total_weight(&self) -> u64 {
         self.targets
             .iter()
             .map(|target| u64::from(target.weight))
@@ -275,7 +288,7 @@
     }
 
     /// The part of its requests that goes to a service, from 0 to 1.
-    pub fn part_of(&self, service: &ServiceName) -> f64 {
+    pub(crate) fn part_of(&self, service: &ServiceName) -> f64 {
         let own = self.targets.iter();
         let own = own.filter(|target| target.service == *service);
         let own: u64 = own.map(|target| u64::from(target.weight)).sum();
--- a/crates/wingshore-coordination/src/jobs.rs
+++ b/crates/wingshore-coordination/src/jobs.rs
@@ -1,7 +1,10 @@
 //! Batch jobs: what was submitted, and the results listed so far.
+//!
+//! A [`Job`] is part of the replicated state. It owns the rule of what counts: the first result of an
+//! item is listed, the first whole text is scored, and a partial text only grows at its end. Which item
+//! runs where is decided by the leader.
 
-use crate::ids::{ItemId, JobId, ModelName};
-use crate::messages::{AssignmentId, JobPage};
+use crate::ids::{AssignmentId, ItemId, JobId, ModelName};
 use crate::scoring::{Scorer, UnscoredText};
 use crate::text::{FinishedText, ItemText, ResultText};
 use serde::{Deserialize, Serialize};
@@ -9,9 +12,10 @@
 use std::sync::Arc;
 use wingshore_types::protocol::byte_vector;
 
-/// Bytes of an item besides its texts and its body, roughly.
+/// Bytes of memory of an item besides its headers, path and bodies. An estimate from the sizes of its
+/// fields, not measured.
 const ITEM_OVERHEAD: usize = 250;
-/// Bytes of a result besides its text, roughly.
+/// Bytes of memory of a result besides its text. An estimate from the sizes of its fields, not measured.
 const RESULT_OVERHEAD: usize = 160;
 
 /// A batch job as a caller submits it.
@@ -23,7 +27,7 @@
     pub host: String,
     /// Step of the trainer.
     pub step: u64,
-    /// The model that makes the tokens; `None` where the items say it.
+    /// The model that makes the tokens; `None` where each item names its own.
     pub model: Option<ModelName>,
     /// The oldest version that may make them.
     pub min_version: u64,
@@ -76,9 +80,9 @@
     /// Body of the request.
     #[serde(with = "byte_vector")]
     pub body: Vec<u8>,
-    /// Tokens of its prompt and the most it puts out, together.
+    /// Tokens of its prompt and the most that it may generate, together.
     pub tokens: u64,
-    /// The caller's estimate of the tokens that it puts out; often far off.
+    /// The caller's estimate of the tokens that it generates; often far off.
     pub expected_output: Option<u64>,
     /// Items of one group share their prompt and count only together.
     pub group: String,
@@ -91,7 +95,7 @@
 pub enum ItemState {
     /// Its text is whole.
     Succeeded,
-    /// It was given up.
+    /// It was abandoned.
     Abandoned,
 }
 
@@ -106,7 +110,7 @@
     pub text: ResultText,
     /// The weight versions that made them, in the order of their first event.
     pub versions: Vec<u64>,
-    /// What its scorer said; `None` without one.
+    /// Its score; `None` without a scorer.
     pub score: Option<String>,
 }
 
@@ -121,10 +125,21 @@
     pub text: ResultText,
     /// The weight versions that made them.
     pub versions: Vec<u64>,
-    /// What its scorer said; `None` without one.
+    /// Its score; `None` without a scorer.
     pub score: Option<String>,
 }
 
+/// Results of a job from a position on.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct JobPage {
+    /// Items of the job.
+    pub total: u64,
+    /// Position of the first result here.
+    pub from: u64,
+    /// Results in order.
+    pub results: Vec<Arc<ResultRecord>>,
+}
+
 /// An accepted batch job.
 ///
 /// Invariant: each item is listed at most once, and what is listed is never changed or moved.
@@ -136,8 +151,8 @@
     pub results: Vec<Arc<ResultRecord>>,
     /// For each item, whether it is listed.
     listed: Vec<bool>,
-    /// The first events of items that are not listed.
-    kept: BTreeMap<u32, ItemText>,
+    /// Partial texts of items that are not listed.
+    partial_texts: BTreeMap<u32, ItemText>,
     /// Whole texts that wait for their scores; of items that are not listed.
     unscored: BTreeMap<u32, UnscoredText>,
     /// Whether the caller has ended it.
@@ -146,13 +161,13 @@
 
 impl Job {
     /// A job without results.
-    pub fn new(submission: Arc<JobSubmission>) -> Self {
+    pub(crate) fn new(submission: Arc<JobSubmission>) -> Self {
         let listed = vec![false; submission.items.len()];
         Self {
             submission,
             results: Vec::new(),
             listed,
-            kept: BTreeMap::new(),
+            partial_texts: BTreeMap::new(),
             unscored: BTreeMap::new(),
             ended: false,
         }
@@ -164,14 +179,14 @@
             submission: Arc::clone(&self.submission),
             results: Vec::new(),
             listed: self.listed.clone(),
-            kept: self.kept.clone(),
+            partial_texts: self.partial_texts.clone(),
             unscored: self.unscored.clone(),
             ended: self.ended,
         }
     }
 
     /// Lists a result, unless its item is listed already or does not exist.
-    pub fn list(&mut self, result: ListedResult) -> bool {
+    pub(crate) fn list(&mut self, result: ListedResult) -> bool {
         let index = result.index as usize;
         let Some(item) = self.submission.items.get(index) else {
             return false;
@@ -179,7 +194,7 @@
         if std::mem::replace(&mut self.listed[index], true) {
             return false;
         }
-        self.kept.remove(&result.index);
+        self.partial_texts.remove(&result.index);
         self.unscored.remove(&result.index);
         self.results.push(Arc::new(ResultRecord {
             id: item.id.clone(),
@@ -192,11 +207,11 @@
     }
 
     /// Keeps the whole text of an item until it has a score; the first one counts.
-    pub fn keep_unscored(&mut self, index: u32, made_by: AssignmentId, text: FinishedText) {
+    pub(crate) fn keep_unscored(&mut self, index: u32, made_by: AssignmentId, text: FinishedText) {
         if self.ended || self.is_listed(index) || self.unscored.contains_key(&index) {
             return;
         }
-        self.kept.remove(&index);
+        self.partial_texts.remove(&index);
         let unscored = UnscoredText {
             made_by,
             text,
@@ -206,7 +221,7 @@
     }
 
     /// Lists an item with its score, if its text is the one that was scored.
-    pub fn list_scored(&mut self, index: u32, made_by: AssignmentId, score: String) -> bool {
+    pub(crate) fn list_scored(&mut self, index: u32, made_by: AssignmentId, score: String) -> bool {
         let is_scored_text = |unscored: &UnscoredText| unscored.made_by == made_by;
         if !self.unscored.get(&index).is_some_and(is_scored_text) {
             return false;
@@ -224,7 +239,12 @@
     }
 
     /// Scoring servers have failed for an item, `failures` times.
-    pub fn count_scoring_failures(&mut self, index: u32, made_by: AssignmentId, failures: u32) {
+    pub(crate) fn count_scoring_failures(
+        &mut self,
+        index: u32,
+        made_by: AssignmentId,
+        failures: u32,
+    ) {
         if let Some(unscored) = self.unscored.get_mut(&index)
             && unscored.made_by == made_by
         {
@@ -238,37 +258,37 @@
     }
 
     /// All items whose texts wait for their scores.
-    pub fn unscored_items(&self) -> impl Iterator<Item = (u32, &UnscoredText)> {
+    pub(crate) fn unscored_items(&self) -> impl Iterator<Item = (u32, &UnscoredText)> {
         self.unscored.iter().map(|(index, text)| (*index, text))
     }
 
-    /// Keeps events of an item that follow those kept before; others are dropped.
-    pub fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
+    /// Adds events to an item's partial text, if they follow those that it has; others are dropped.
+    pub(crate) fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
         if self.is_listed(index) || self.ended || self.unscored.contains_key(&index) {
             return;
         }
-        let kept = self.kept.entry(index).or_default();
-        if kept.events == after_events {
-            kept.extend(text);
+        let partial_text = self.partial_texts.entry(index).or_default();
+        if partial_text.events == after_events {
+            partial_text.extend(text);
         }
     }
 
-    /// The first events of an item that is not listed.
+    /// The partial text of an item that is not listed.
     pub fn kept(&self, index: u32) -> Option<&ItemText> {
-        self.kept.get(&index)
+        self.partial_texts.get(&index)
     }
 
-    /// The caller has ended the job: nothing more of it is run, so that what its items were is not
-    /// needed any more.
-    pub fn end(&mut self) {
+    /// The caller has ended the job: nothing more of it is run, so that the contents of its items are
+    /// not needed any more.
+    pub(crate) fn end(&mut self) {
         self.ended = true;
-        self.kept.clear();
+        self.partial_texts.clear();
         self.unscored.clear();
         self.submission = Arc::new(self.submission.without_contents());
     }
 
-    /// Results from a position on, as many as fit into `most_bytes`, at least one if there is one.
-    pub fn page(&self, from: u64, most_bytes: usize) -> JobPage {
+    /// Results from a position on, as many as fit into `max_bytes`, at least one if there is one.
+    pub fn page(&self, from: u64, max_bytes: usize) -> JobPage {
         let start = usize::try_from(from).unwrap_or(usize::MAX);
         let mut bytes = 0;
         let results = self
@@ -277,7 +297,7 @@
             .skip(start)
             .take_while(|result| {
                 let size = result.text.length() + RESULT_OVERHEAD;
-                let fits = bytes == 0 || bytes + size <= most_bytes;
+                let fits = bytes == 0 || bytes + size <= max_bytes;
                 bytes += size;
                 fits
             })
@@ -291,9 +311,9 @@
     }
 
     /// As [`Job::page`]; `None` without any result from that position on.
-    pub fn page_if_any(&self, from: u64, most_bytes: usize) -> Option<JobPage> {
+    pub fn page_if_any(&self, from: u64, max_bytes: usize) -> Option<JobPage> {
         let has_some = self.results.len() as u64 > from;
-        has_some.then(|| self.page(from, most_bytes))
+        has_some.then(|| self.page(from, max_bytes))
     }
 
     /// Bytes that the texts of its results take in memory.
@@ -316,7 +336,7 @@
     }
 
     /// The item with this identifier and its place.
-    pub fn find_item(&self, id: &ItemId) -> Option<(u32, &JobItem)> {
+    pub(crate) fn find_item(&self, id: &ItemId) -> Option<(u32, &JobItem)> {
         (0_u32..)
             .zip(&self.submission.items)
             .find(|(_, item)| item.id == *id)
--- a/crates/wingshore-coordination/src/lib.rs
+++ b/crates/wingshore-coordination/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! One replicated group holds all of it. [`CoordinationState`] is the replicated part;
 //! [`CoordinationLeader`] runs on the group's leader only: it places items of batch jobs on
-//! engines, brings engines to the versions that trainers named, and tells gateways what changes.
+//! engines, and brings engines to the versions that trainers named.
 //! Neither reads a clock, opens a socket or a file, or draws randomness.
 
 mod configuration;
+mod evidence;
 mod fingerprint;
 mod ids;
 mod jobs;
 mod leader;
-mod links;
 mod messages;
 mod provider;
 mod registry;
@@ -22,7 +22,6 @@
 mod state;
 mod tenants;
 mod text;
-mod text_store;
 mod usage;
 mod view;
 
@@ -30,22 +29,22 @@
     ConfigurationError, EngineProfile, IngressLimits, Route, RouteKind, RouteTarget, Service,
     SiteConfiguration,
 };
+pub use evidence::{CrashEvidence, Suspect};
 pub use fingerprint::{FingerprintKey, RequestContent, RequestFingerprint};
 pub use ids::{
-    BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName, ServiceName,
-    TenantName,
+    AssignmentId, BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
+    ServiceName, TenantName,
 };
-pub use jobs::{ItemState, Job, JobItem, JobSubmission, ListedResult, ResultRecord};
+pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
     CapacityDemand, CapacityPolicy, CoordinationLeader, Decision, EVIDENCE_LIFETIME, Effect,
     EngineReport, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
     WeightOrder, wanted_capacity,
 };
-pub use links::{CoordinatorFrame, CoordinatorHello, HeartbeatAnswer, IncomingFrame, KnownLeader};
 pub use messages::{
-    AssignmentId, BreakCause, CallReply, CoordinatorMessage, GatewayHello, GatewayMessage,
-    GatewayStatus, ItemAssignment, ItemOutcome, ItemProgress, JobPage, NotRunReason, Reply,
-    Request, RunningItem, SeenCrash,
+    BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, GatewayHello,
+    GatewayMessage, GatewayStatus, HeartbeatAnswer, IncomingFrame, ItemAssignment, ItemOutcome,
+    ItemProgress, KnownLeader, NotRunReason, Reply, Request, RunningItem, SeenCrash,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
 pub use registry::{HeardServer, Heartbeat, ModelVersion, ServerRecord};
@@ -57,13 +56,13 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, CrashEvidence, KnownChanges, MOST_ENDINGS, MOST_SUSPECTS,
-    OrderHolder, REJECTED_FROM, RequestEvidence, SiteUsage, Suspect,
+    Command, CoordinationState, KnownChanges, MOST_SUSPECTS, OrderHolder, REJECTED_FROM,
+    RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
-    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError, TextPlace,
+    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError,
+    TextPlace, TextStore,
 };
-pub use text_store::TextStore;
 pub use usage::{UsageCounts, UsageMeter, UsageWindow, WindowUsage};
 pub use view::{SiteView, ViewChange, ViewContent, ViewUpdate};
--- a/crates/wingshore-coordination/src/registry.rs
+++ b/crates/wingshore-coordination/src/registry.rs
@@ -1,4 +1,4 @@
-//! Servers as they register themselves.
+//! Servers as they register themselves: the registry's record of a server, and its heartbeats.
 
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use serde::{Deserialize, Serialize};
@@ -16,13 +16,13 @@
 /// A server as the registry holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Which run of the server.
+    /// Which incarnation of the server.
     pub instance: InstanceId,
     /// Of which service.
     pub service: ServiceName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Requests it works on at once.
     pub slots: u32,
@@ -34,16 +34,16 @@
     pub models: Vec<ModelVersion>,
 }
 
-/// What a server says of itself, again and again.
+/// The status that a server reports again and again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The server.
     pub server: ServerRecord,
-    /// Rises with each heartbeat of this run, so that a late one can be told.
+    /// Rises with each heartbeat of this incarnation, so that a late one is recognised.
     pub sequence: u64,
 }
 
-/// A server that a coordinator has heard of, and that says what the registry holds.
+/// A server whose heartbeat a coordinator has received, and whose status is as the registry holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardServer {
     /// The server.
@@ -54,7 +54,7 @@
 
 impl ServerRecord {
     /// The same server without its models, which change with each load of weights.
-    pub fn without_models(&self) -> Self {
+    pub(crate) fn without_models(&self) -> Self {
         Self {
             models: Vec::new(),
             ..self.clone()
@@ -67,7 +67,7 @@
         Some(known.version)
     }
 
-    /// Notes that it holds at least `version` of `model`; versions of one run never fall.
+    /// Notes that it holds at least `version` of `model`; versions of one incarnation never fall.
     pub fn raise_version(&mut self, model: &ModelName, version: u64) -> bool {
         match self.models.iter_mut().find(|entry| entry.model == *model) {
             Some(entry) if entry.version < version => {
--- a/crates/wingshore-coordination/src/routes.rs
+++ b/crates/wingshore-coordination/src/routes.rs
@@ -1,4 +1,8 @@
-//! Finding the route of a request.
+//! Which route does a request take?
+//!
+//! Inputs: the host and the path that it names, and the routes of one configuration. Of the routes of
+//! the host, the one with the longest prefix that begins the path counts; hosts are compared without
+//! port and case. Without a route the request is refused as not run.
 
 use crate::configuration::{Route, SiteConfiguration};
 use std::collections::HashMap;
@@ -24,7 +28,7 @@
         Self { hosts }
     }
 
-    /// The route of `host` with the longest prefix that begins `path`. A port behind the host
+    /// The route of `host` with the longest prefix that begins `path`. A port after the host
     /// counts for nothing.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.of_host(host)
--- a/crates/wingshore-coordination/src/state/evidence.rs
+++ b/crates/wingshore-coordination/src/state/evidence.rs
@@ -1,47 +1,31 @@
-//! What the site has learned of requests from failed attempts: under which of them servers ended.
+//! The record of requests under which servers ended, as the group holds it.
+//!
+//! It notes which incarnations of servers ended under which request, forgets what a successful attempt
+//! or time has cleared, and stays within a bound. What counts as evidence, and when a request is
+//! rejected, the leader decides; the thresholds are here, since the gateways' view depends on them too.
 
+use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
-use crate::ids::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request may be rejected once so many servers have ended under it without one run of it that
-/// went well. Two may be chance: an attempt and its repeat, while servers end for other reasons.
+/// A request may be rejected once so many servers have ended under it, and no attempt of it went well
+/// meanwhile. Two may be chance: an attempt and its repeat, while servers end for other reasons.
 pub const REJECTED_FROM: usize = 3;
-/// Gateways are told of a request from so many ended servers on: the next one may be the last, so
-/// that each run of it that goes well counts. With a single one most are innocent, and many stand
-/// on each server that ends.
+/// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
+/// so that each attempt of it that goes well counts. With a single one most are not the cause: many
+/// requests run on each server that ends.
 pub(crate) const TOLD_FROM: usize = REJECTED_FROM - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
-pub const MOST_ENDINGS: usize = 4;
+pub(crate) const MOST_ENDINGS: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
 /// a new such request each time ends three servers with each, so that the bound is met late.
 pub const MOST_SUSPECTS: usize = 1024;
 
-/// A server has ended while it ran a request.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct CrashEvidence {
-    /// The request.
-    pub fingerprint: RequestFingerprint,
-    /// The run of the server.
-    pub instance: InstanceId,
-}
-
-/// A request under which servers have ended.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspect {
-    /// The request.
-    pub fingerprint: RequestFingerprint,
-    /// The runs of servers that ended under it, the oldest first.
-    pub ended: Vec<InstanceId>,
-    /// Whether no other server is to run it.
-    pub rejected: bool,
-}
-
-/// What the site has learned of requests from failed attempts; it outlasts requests, processes
+/// What the site has learned of requests from failed attempts; it survives requests, processes
 /// and leaderships.
 ///
-/// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to [`MOST_ENDINGS`] distinct
+/// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to `MOST_ENDINGS` distinct
 /// servers; `order` names exactly these, in the order in which they were first noted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestEvidence {
@@ -68,7 +52,7 @@
     }
 
     /// Whether this is news: neither known nor about a request that is rejected already.
-    pub fn is_news(&self, evidence: &CrashEvidence) -> bool {
+    pub(crate) fn is_news(&self, evidence: &CrashEvidence) -> bool {
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
             !suspect.rejected
@@ -78,7 +62,7 @@
     }
 
     /// All requests under which servers have ended.
-    pub fn suspects(&self) -> impl Iterator<Item = &Suspect> {
+    pub(crate) fn suspects(&self) -> impl Iterator<Item = &Suspect> {
         self.suspects.values()
     }
 
@@ -134,7 +118,7 @@
         }
     }
 
-    /// A run of the request went well: it was not what ended servers.
+    /// An attempt of the request went well: it was not what ended servers.
     pub(super) fn clear(&mut self, request: RequestFingerprint) {
         if self.suspects.remove(&request).is_some() {
             self.order.retain(|known| *known != request);
--- a/crates/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/wingshore-coordination/src/state/snapshot/read.rs
@@ -1,19 +1,20 @@
 //! Restoring a state, record by record.
 
-use super::{
+use super::records::{
     FIRST_FORMAT_OF_RECORDS, FORMAT, LAST_FIRST_BYTE_BEFORE, LENGTH_BYTES, Record, SavedResult,
     SavedText,
 };
 use crate::jobs::{Job, ResultRecord};
-use crate::state::{CoordinationState, EarlierState};
-use crate::text::{ResultText, TextPlace};
-use crate::text_store::TextStoreHandle;
+use crate::state::earlier::EarlierState;
+use crate::state::site::CoordinationState;
+use crate::text::{ResultText, TextPlace, TextStoreHandle};
 use std::io::Read;
 use std::sync::Arc;
 use wingshore_types::machine::RestoreError;
 
-/// Largest record, in bytes: a submission is at most as large as a caller's body.
-const MOST_RECORD_BYTES: usize = 256 << 20;
+/// Largest record, in bytes: far above any submission, which is at most as large as a caller's body
+/// ([`crate::IngressLimits`]); a damaged length is found by it. Not measured.
+const MAX_RECORD_BYTES: usize = 256 << 20;
 
 /// Reads a state; texts go to its store as they come.
 pub(in crate::state) fn restore(
@@ -49,7 +50,7 @@
     let mut job: Option<Box<Job>> = None;
     loop {
         match read_record(reader)? {
-            Record::Job(next) => state.add_job(job.replace(next)),
+            Record::Job(next) => add_job(&mut state, job.replace(next)),
             Record::Result(saved) => {
                 let Some(job) = &mut job else {
                     return Err(RestoreError::from_display("a result without a job"));
@@ -58,7 +59,7 @@
                     .push(Arc::new(read_result(texts, saved, reader)?));
             }
             Record::End => {
-                state.add_job(job);
+                add_job(&mut state, job);
                 return Ok(*state);
             }
             Record::Evidence(evidence) => state.evidence = *evidence,
@@ -69,6 +70,12 @@
     }
 }
 
+fn add_job(state: &mut CoordinationState, job: Option<Box<Job>>) {
+    if let Some(job) = job {
+        state.jobs.insert(job.submission.id.clone(), *job);
+    }
+}
+
 fn read_record(reader: &mut dyn Read) -> Result<Record, RestoreError> {
     let mut length = [0; LENGTH_BYTES];
     reader
@@ -80,8 +87,8 @@
 
 fn read_bytes(reader: &mut dyn Read, length: u32) -> Result<Vec<u8>, RestoreError> {
     let length = length as usize;
-    if length > MOST_RECORD_BYTES {
-        let message = format!("a record of {length} bytes; allowed are {MOST_RECORD_BYTES}");
+    if length > MAX_RECORD_BYTES {
+        let message = format!("a record of {length} bytes; allowed are {MAX_RECORD_BYTES}");
         return Err(RestoreError::from_display(message));
     }
     let mut bytes = Vec::new();
@@ -126,7 +133,7 @@
     })
 }
 
-/// Reads a state of the format before, which stands in memory whole for that.
+/// Reads a state of the oldest format, whose bytes are in memory whole meanwhile.
 fn restore_whole(
     texts: &TextStoreHandle,
     begin: &[u8],
--- a/crates/wingshore-coordination/src/state/usage.rs
+++ b/crates/wingshore-coordination/src/state/usage.rs
@@ -1,13 +1,14 @@
-//! Usage as the group holds it: what was counted by gateways that are gone, and reports.
+//! Usage as the group holds it: what gateways that are gone had counted, and the reports that the
+//! provider has not acknowledged.
 
 use crate::ids::GatewayId;
 use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Reports that wait to be sent: behind that many, the oldest are dropped. Five minutes of windows
-/// of 5 s; nobody waits for older ones.
-const MOST_WAITING: usize = 60;
+/// Reports that wait to be sent; of more, the oldest are dropped. Five minutes of windows of 5 s; nobody
+/// waits for older ones. Not measured.
+const MAX_WAITING: usize = 60;
 
 /// What is durable of the site's usage.
 ///
@@ -40,7 +41,7 @@
     }
 
     /// The first open window that a gateway which is gone had counted in.
-    pub fn first_kept(&self) -> Option<UsageWindow> {
+    pub(crate) fn first_kept(&self) -> Option<UsageWindow> {
         self.kept.keys().next().copied()
     }
 
@@ -59,7 +60,7 @@
         self.closed = Some(window);
         self.kept = self.kept.split_off(&window.next());
         self.waiting.insert(window, counts);
-        if self.waiting.len() > MOST_WAITING {
+        if self.waiting.len() > MAX_WAITING {
             self.waiting.pop_first();
         }
     }
--- a/crates/wingshore-coordination/src/state/view.rs
+++ b/crates/wingshore-coordination/src/state/view.rs
@@ -1,11 +1,17 @@
-//! The gateways' view of the state.
+//! The gateways' view of the state: the whole, and its changes after an entry of the log.
+//!
+//! Changes are known back to a bound of [`super::view_history`]; a gateway that has missed more is sent
+//! the whole view.
 
-use super::evidence::{Suspect, TOLD_FROM};
+use super::evidence::{RequestEvidence, TOLD_FROM};
+use super::servers::ServerRegistry;
+use super::site::CoordinationState;
 use super::view_history::ViewPart;
-use super::{CoordinationState, ServerRecord};
 use crate::configuration::SiteConfiguration;
+use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
+use crate::registry::ServerRecord;
 use crate::view::{SiteView, ViewChange};
 use std::sync::Arc;
 use wingshore_types::LogIndex;
@@ -13,17 +19,17 @@
 /// How far the changes of a state's view are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownChanges {
-    /// Changes behind this entry are known; `None` for a state that was just restored.
+    /// Changes after this entry are known; `None` for a state that was just restored.
     pub complete_from: Option<LogIndex>,
     /// The last entry that is known to have changed anything.
     pub newest: Option<LogIndex>,
 }
 
 impl CoordinationState {
-    /// All that gateways are told.
+    /// The whole view.
     pub fn view(&self) -> SiteView {
-        let servers = self.servers.values();
-        let suspects = self.evidence.suspects().filter(|known| is_told(known));
+        let servers = self.registry.servers.values();
+        let suspects = self.evidence.suspects().filter(|known| is_in_view(known));
         SiteView {
             configuration: self.configuration.as_ref().map(for_gateways),
             servers: servers.map(ServerRecord::without_models).collect(),
@@ -40,13 +46,13 @@
         }
     }
 
-    /// How many parts of the view have changed behind `since`; `None` where that is not known.
+    /// How many parts of the view have changed after `since`; `None` where that is not known.
     pub fn view_change_count(&self, since: LogIndex) -> Option<usize> {
         let from = self.view_history.complete_from()?;
         (since >= from).then(|| self.view_history.parts_since(since).count())
     }
 
-    /// What has changed in the view behind `since`, each part as it is now; `None` where that is
+    /// What has changed in the view after `since`, each part as it is now; `None` where that is
     /// not known any more.
     pub fn view_changes(&self, since: LogIndex) -> Option<Vec<ViewChange>> {
         let from = self.view_history.complete_from()?;
@@ -63,14 +69,14 @@
                 let configuration = self.configuration.as_ref()?;
                 Some(ViewChange::Configuration(for_gateways(configuration)))
             }
-            ViewPart::Server(instance) => Some(match self.servers.get(instance) {
-                Some(server) => ViewChange::Server(server.without_models()),
+            ViewPart::Server(instance) => Some(match self.registry.seen_by_gateways(instance) {
+                Some(server) => ViewChange::Server(server),
                 None => ViewChange::Gone(instance.clone()),
             }),
             ViewPart::FingerprintKey => self.evidence.key().map(ViewChange::FingerprintKey),
             ViewPart::Suspect(request) => {
                 let suspect = self.evidence.suspect(*request);
-                Some(match suspect.filter(|known| is_told(known)) {
+                Some(match suspect.filter(|known| is_in_view(known)) {
                     Some(suspect) => ViewChange::Suspect(suspect.clone()),
                     None => ViewChange::Cleared(*request),
                 })
@@ -78,49 +84,46 @@
         }
     }
 
-    /// Applies `change`, and notes whether gateways see a server differently after it.
+    /// Applies `change` to the registry, and notes whether gateways see a server differently after it.
     pub(super) fn change_server(
         &mut self,
         index: LogIndex,
         instance: InstanceId,
-        change: impl FnOnce(&mut Self),
+        change: impl FnOnce(&mut ServerRegistry),
     ) {
-        let seen = |state: &Self| {
-            state
-                .servers
-                .get(&instance)
-                .map(ServerRecord::without_models)
-        };
-        let before = seen(self);
-        change(self);
-        if before != seen(self) {
+        let before = self.registry.seen_by_gateways(&instance);
+        change(&mut self.registry);
+        if before != self.registry.seen_by_gateways(&instance) {
             self.view_history.note(index, ViewPart::Server(instance));
         }
     }
 
-    /// Applies `change` to what is known of requests, and notes those of which gateways are or
-    /// were told.
+    /// Applies `change` to what is known of requests, and notes those that are or were part of the
+    /// view.
     pub(super) fn change_evidence(
         &mut self,
         index: LogIndex,
         requests: Vec<RequestFingerprint>,
-        change: impl FnOnce(&mut Self),
+        change: impl FnOnce(&mut RequestEvidence),
     ) {
-        let told = |state: &Self, request: &RequestFingerprint| {
-            state.evidence.suspect(*request).is_some_and(is_told)
+        let is_visible = |evidence: &RequestEvidence, request: &RequestFingerprint| {
+            evidence.suspect(*request).is_some_and(is_in_view)
         };
-        let before: Vec<bool> = requests.iter().map(|request| told(self, request)).collect();
-        change(self);
-        for (request, told_before) in requests.into_iter().zip(before) {
-            if told_before || told(self, &request) {
+        let before = requests
+            .iter()
+            .map(|request| is_visible(&self.evidence, request));
+        let before: Vec<bool> = before.collect();
+        change(&mut self.evidence);
+        for (request, was_visible) in requests.into_iter().zip(before) {
+            if was_visible || is_visible(&self.evidence, &request) {
                 self.view_history.note(index, ViewPart::Suspect(request));
             }
         }
     }
 }
 
-/// Whether gateways are told of it.
-fn is_told(suspect: &Suspect) -> bool {
+/// Whether it is part of the view.
+fn is_in_view(suspect: &Suspect) -> bool {
     suspect.ended.len() >= TOLD_FROM
 }
 
--- a/crates/wingshore-group/src/membership.rs
+++ b/crates/wingshore-group/src/membership.rs
@@ -2,19 +2,12 @@
 
 use crate::host::Host;
 use crate::interface::{HostError, HostOutput, HostReply};
-use crate::leading::Proposal;
+use crate::pending::{PendingTransfer, Proposal};
 use wingshore_consensus::{ChangeError, ChangeOutcome};
 use wingshore_types::machine::{LeaderMachine, RequestTag};
 use wingshore_types::protocol::membership::{MembershipReply, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A request to hand leadership over that waits for its end.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct PendingTransfer {
-    pub(crate) tag: RequestTag,
-    pub(crate) target: ReplicaId,
-}
-
 impl<L> Host<L>
 where
     L: LeaderMachine + Default + 'static,
@@ -96,7 +89,7 @@
         }
     }
 
-    /// Leadership has ended, or a new leader is known: answers the request to hand it over. The
+    /// Leadership has ended, or a new leader is known: answers the request to transfer it. The
     /// answer claims only who leads the new term, so it needs no lease.
     pub(crate) fn answer_transfer(
         &mut self,
@@ -116,7 +109,7 @@
         reply_refused(transfer.tag, message, out);
     }
 
-    /// The hand-over was given up; this replica still leads.
+    /// The transfer was given up; this replica still leads.
     pub(crate) fn on_transfer_aborted(&mut self, out: &mut Vec<HostOutput<L>>) {
         if let Some(transfer) = self.transfer.take() {
             let message = format!("member {} did not catch up in time", transfer.target);
--- a/crates/wingshore-types/src/ids.rs
+++ b/crates/wingshore-types/src/ids.rs
@@ -39,7 +39,7 @@
     };
 }
 
-/// Declares a number that stands for one thing.
+/// Declares a number that identifies one thing.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -191,21 +191,6 @@
     }
 }
 
-/// A sample: its pool and its number within the pool.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct SampleId {
-    /// The pool the sample belongs to.
-    pub pool: PoolId,
-    /// The trainer's number for it.
-    pub number: SampleNumber,
-}
-
-impl fmt::Display for SampleId {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}/{}", self.pool, self.number)
-    }
-}
-
 /// A replicated group. Each has its own log, leader and members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GroupId {
