--- a/crates/wingshore-coordination/src/leader/decision_log.rs
+++ b/crates/wingshore-coordination/src/leader/decision_log.rs
@@ -1,11 +1,10 @@
 //! What the leader decides, as it is logged: the inputs of each decision and its outcome.
 
+use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemId, JobId, ModelName};
-use crate::messages::AssignmentId;
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemId, JobId, ModelName};
 use crate::scaling::CapacityPool;
 use crate::scoring::ScoringDecision;
-use crate::state::Suspect;
 use crate::usage::UsageWindow;
 
 impl Decision {
--- a/crates/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -21,12 +21,11 @@
 //! about a server whose ending is not known counts for itself. A new leader counts silence from its own
 //! beginning, so that nothing is let go too early.
 
+use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
-use crate::state::{
-    CoordinationState, CrashEvidence, MOST_ENDINGS, REJECTED_FROM, Suspect, TOLD_FROM,
-};
+use crate::state::{CoordinationState, MOST_ENDINGS, REJECTED_FROM, TOLD_FROM};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
--- a/crates/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/wingshore-coordination/src/leader/evidence.rs
@@ -6,10 +6,11 @@
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::turn::Turn;
+use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::GatewayId;
 use crate::messages::SeenCrash;
-use crate::state::{Command, CoordinationState, Suspect};
+use crate::state::{Command, CoordinationState};
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
--- a/crates/wingshore-coordination/src/leader/interface.rs
+++ b/crates/wingshore-coordination/src/leader/interface.rs
@@ -3,10 +3,10 @@
 use super::decision_log::Decision;
 use super::decisions::load_progress::{EngineReport, OrderAnswer};
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemKey, ModelName};
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
-    AssignmentId, CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress,
-    RunningItem, SeenCrash,
+    CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress, RunningItem,
+    SeenCrash,
 };
 use crate::provider::{CapacityOrder, ProviderAnswer, UsageReport};
 use crate::registry::HeardServer;
--- a/crates/wingshore-coordination/src/leader/proposals.rs
+++ b/crates/wingshore-coordination/src/leader/proposals.rs
@@ -2,8 +2,7 @@
 
 use super::turn::Outputs;
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemKey, JobId};
-use crate::messages::AssignmentId;
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, JobId};
 use crate::scaling::CapacityPool;
 use crate::state::Command;
 use crate::usage::UsageWindow;
--- a/crates/wingshore-coordination/src/leader/results.rs
+++ b/crates/wingshore-coordination/src/leader/results.rs
@@ -4,9 +4,8 @@
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::turn::Turn;
-use crate::ids::{GatewayId, ItemKey};
+use crate::ids::{AssignmentId, GatewayId, ItemKey};
 use crate::jobs::{ItemState, ListedResult};
-use crate::messages::AssignmentId;
 use crate::state::Command;
 use crate::text::{FinishedText, ResultText};
 
--- a/crates/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/wingshore-coordination/src/leader/tables/item.rs
@@ -1,8 +1,7 @@
 //! One item of a batch job that is not listed, and an attempt at it.
 
 use crate::fingerprint::RequestFingerprint;
-use crate::ids::{GatewayId, InstanceId, ItemKey, ModelName};
-use crate::messages::AssignmentId;
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::text::ItemText;
 use wingshore_types::Instant;
 
--- a/crates/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/wingshore-coordination/src/leader/tables/items.rs
@@ -1,9 +1,8 @@
 //! Items of batch jobs on their way: which wait, which run where, what they have so far.
 
 use super::item::{Attempt, OpenItem, Rank};
-use crate::ids::{GatewayId, InstanceId, ItemId, ItemKey, JobId};
+use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemId, ItemKey, JobId};
 use crate::leader::decisions::item_length::long_from;
-use crate::messages::AssignmentId;
 use crate::state::CoordinationState;
 use crate::text::ItemText;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
--- a/crates/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/wingshore-coordination/src/leader/tables/scorings.rs
@@ -1,7 +1,6 @@
 //! Which texts wait for their scores, and which gateways have scorings in hand.
 
-use crate::ids::{GatewayId, ItemKey, JobId};
-use crate::messages::AssignmentId;
+use crate::ids::{AssignmentId, GatewayId, ItemKey, JobId};
 use crate::state::CoordinationState;
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
--- a/crates/wingshore-coordination/src/leader/turn.rs
+++ b/crates/wingshore-coordination/src/leader/turn.rs
@@ -2,8 +2,8 @@
 
 use super::decision_log::Decision;
 use super::interface::Effect;
-use crate::ids::GatewayId;
-use crate::messages::{AssignmentId, CoordinatorMessage, Reply};
+use crate::ids::{AssignmentId, GatewayId};
+use crate::messages::{CoordinatorMessage, Reply};
 use crate::state::{Command, CoordinationState};
 use wingshore_types::Instant;
 use wingshore_types::machine::{LeaderOutput, RequestTag};
--- a/crates/wingshore-coordination/src/messages/mod.rs
+++ b/crates/wingshore-coordination/src/messages/mod.rs
@@ -14,5 +14,3 @@
 pub use gateway::{GatewayHello, GatewayMessage, GatewayStatus, SeenCrash};
 pub use group::{Reply, Request};
 pub use items::{BreakCause, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason, RunningItem};
-
-pub(crate) use crate::ids::AssignmentId;
--- a/crates/wingshore-coordination/src/state/mod.rs
+++ b/crates/wingshore-coordination/src/state/mod.rs
@@ -23,5 +23,3 @@
 pub use site::CoordinationState;
 pub use usage::SiteUsage;
 pub use view::KnownChanges;
-
-pub(crate) use crate::evidence::{CrashEvidence, Suspect};
--- a/crates/wingshore-coordinator/src/process/host.rs
+++ b/crates/wingshore-coordinator/src/process/host.rs
@@ -67,7 +67,6 @@
         job_retention: settings.job_retention,
         most_open_job_bytes: settings.memory.open_jobs(),
         policy: settings.leader_policy,
-        ..LeaderSettings::default()
     };
     let machines = MachineFactory {
         leader: Box::new(move || CoordinationLeader::new(leader_settings.clone())),
