--- a/crates/wingshore/tests/decisions.rs
+++ b/crates/wingshore/tests/decisions.rs
@@ -35,7 +35,7 @@
     for target in cell.split("](").skip(1) {
         let link = target.split(')').next().unwrap_or(target);
         let path = root().join("docs").join(link);
-        verify_true!(path.is_file(), "no module {}", path.display()).into_test_result()?;
+        assert_that!(path.is_file(), is_true(), "no module {}", path.display());
         text += &std::fs::read_to_string(path)?;
     }
     Ok(text)
@@ -45,7 +45,7 @@
 fn every_rule_names_its_module_and_its_constants() -> Result<()> {
     let rows = rows();
     for columns in &rows {
-        verify_eq!(columns.len(), COLUMNS, "{columns:?}").into_test_result()?;
+        assert_that!(columns.len(), eq(COLUMNS), "{columns:?}");
         let modules = columns[1];
         expect_true!(modules.contains("]("), "no link in {modules}");
         let source = sources(modules)?;
