--- a/crates/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/wingshore-coordinator/src/outgoing_calls.rs
@@ -73,7 +73,6 @@
 }
 
 struct CallConnection {
-    connection: ConnectionId,
     callee: Callee,
     call: Option<CallUnderWay>,
     used: Instant,
@@ -195,17 +194,17 @@
         call: &OutgoingCall,
         question: Question,
     ) -> Option<Event> {
-        let idle = self.connections.values().find(|entry| {
+        let idle = self.connections.iter().find(|(connection, entry)| {
             entry.callee == callee
                 && entry.call.is_none()
                 && now.since(entry.used) < IDLE_LIMIT
-                && reactor.is_open(entry.connection)
+                && reactor.is_open(**connection)
         });
         let options = ConnectOptions {
             unacknowledged_limit: callee.timeout(),
         };
         let connection = idle
-            .map(|entry| entry.connection)
+            .map(|(connection, _)| *connection)
             .or_else(|| reactor.connect(address, options));
         let Some(connection) = connection else {
             return Some(self.event(question, None));
@@ -217,7 +216,6 @@
             reader: AnswerReader::new(false),
         };
         let entry = CallConnection {
-            connection,
             callee,
             call: Some(under_way),
             used: now,
@@ -292,9 +290,9 @@
     ) -> Vec<Event> {
         let concerned: Vec<ConnectionId> = self
             .connections
-            .values()
-            .filter(|entry| is_concerned(entry))
-            .map(|entry| entry.connection)
+            .iter()
+            .filter(|(_, entry)| is_concerned(entry))
+            .map(|(connection, _)| *connection)
             .collect();
         concerned
             .into_iter()
--- a/crates/wingshore-coordinator/src/process/callers.rs
+++ b/crates/wingshore-coordinator/src/process/callers.rs
@@ -109,12 +109,7 @@
         }
     }
 
-    pub(super) fn on_call(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        request: &WholeRequest,
-    ) {
+    fn on_call(&mut self, now: Instant, connection: ConnectionId, request: &WholeRequest) {
         match self.protocol.read(request) {
             ControlCall::Group(Request::Heartbeat(heartbeat)) if !self.host.is_leader() => {
                 self.pass_on_heartbeat(now, connection, heartbeat);
@@ -146,7 +141,7 @@
         }
     }
 
-    pub(super) fn answer_locally(&self, now: Instant, question: &LocalQuestion) -> ControlAnswer {
+    fn answer_locally(&self, now: Instant, question: &LocalQuestion) -> ControlAnswer {
         match question {
             LocalQuestion::Gateways { zone } => {
                 let gateways = self.directory.for_client(now, zone, GATEWAY_FRESH);
@@ -173,11 +168,7 @@
         self.answer(connection, &answer);
     }
 
-    pub(super) fn redirect(
-        &self,
-        connection: ConnectionId,
-        leader: Option<ReplicaId>,
-    ) -> ControlAnswer {
+    fn redirect(&self, connection: ConnectionId, leader: Option<ReplicaId>) -> ControlAnswer {
         let leader = leader
             .or_else(|| self.known_leader().map(|known| known.leader))
             .filter(|leader| self.route_to(*leader).is_some())
--- a/crates/wingshore-coordinator/src/process/links.rs
+++ b/crates/wingshore-coordinator/src/process/links.rs
@@ -23,7 +23,7 @@
 const STANDBY_SILENCE: Duration = Duration::from_secs(10);
 
 impl Coordinator {
-    pub(super) fn on_connected(&mut self, _now: Instant, connection: ConnectionId) {
+    pub(super) fn on_connected(&mut self, connection: ConnectionId) {
         let Some(Role::Dialed(address)) = self.roles.get(&connection) else {
             return;
         };
@@ -65,12 +65,7 @@
         }
     }
 
-    pub(super) fn on_frame(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        frame: IncomingFrame,
-    ) {
+    fn on_frame(&mut self, now: Instant, connection: ConnectionId, frame: IncomingFrame) {
         match frame {
             IncomingFrame::Gateway(hello) => {
                 if let Some(Role::Link(link)) = self.roles.get_mut(&connection) {
@@ -130,19 +125,14 @@
         }
     }
 
-    pub(super) fn coordinator_at(&self, connection: ConnectionId) -> Option<ReplicaId> {
+    fn coordinator_at(&self, connection: ConnectionId) -> Option<ReplicaId> {
         self.routes
             .iter()
             .find(|(_, routes)| routes.contains(&connection))
             .map(|(id, _)| *id)
     }
 
-    pub(super) fn on_hello(
-        &mut self,
-        now: Instant,
-        connection: ConnectionId,
-        hello: CoordinatorHello,
-    ) {
+    fn on_hello(&mut self, now: Instant, connection: ConnectionId, hello: CoordinatorHello) {
         self.site_clock.heard(now, hello.id, hello.wall);
         let joiner = Joiner {
             id: hello.id,
@@ -175,7 +165,7 @@
         self.hellos.insert(hello.id, hello);
     }
 
-    pub(super) fn on_gateway_message(
+    fn on_gateway_message(
         &mut self,
         now: Instant,
         connection: ConnectionId,
@@ -347,7 +337,7 @@
         }
     }
 
-    pub(super) fn dial(&mut self, now: Instant, address: SocketAddr) {
+    fn dial(&mut self, now: Instant, address: SocketAddr) {
         if let Some(dial) = self.dials.get(&address) {
             let is_late = !dial.up && now.since(dial.since) >= CONNECT_TIMEOUT;
             match dial.connection {
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -58,10 +58,7 @@
         }
     }
 
-    pub(super) fn membership_view<'a>(
-        &'a self,
-        retired: &'a BTreeSet<ReplicaId>,
-    ) -> MembershipView<'a> {
+    fn membership_view<'a>(&'a self, retired: &'a BTreeSet<ReplicaId>) -> MembershipView<'a> {
         let membership = self.host.membership();
         let members = membership.voters.iter().chain(&membership.learners);
         MembershipView {
@@ -78,13 +75,13 @@
         }
     }
 
-    pub(super) fn retired_members(&self) -> BTreeSet<ReplicaId> {
+    fn retired_members(&self) -> BTreeSet<ReplicaId> {
         let retired = self.host.state().retired_members();
         retired.values().copied().collect()
     }
 
     /// Notes the machines of coordinators that are not noted yet.
-    pub(super) fn describe_members(&mut self) {
+    fn describe_members(&mut self) {
         let own = (self.folder.identity().replica, self.settings.node.clone());
         let others = self
             .hellos
@@ -143,7 +140,7 @@
         }
     }
 
-    pub(super) fn request_change(&mut self, request: MembershipRequest) {
+    fn request_change(&mut self, request: MembershipRequest) {
         let tag = self.tag(Waiting::Planner, "change_members", None);
         self.inputs.push(HostInput::Membership { tag, request });
     }
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -326,7 +326,7 @@
                 };
                 self.roles.insert(connection, role);
             }
-            NetEvent::Connected(connection) => self.on_connected(now, connection),
+            NetEvent::Connected(connection) => self.on_connected(connection),
             NetEvent::Received(connection) => self.on_received(now, connection),
             NetEvent::EndOfInput(connection) => {
                 // A caller that has ended its side still waits for its answer.
--- a/crates/wingshore-coordinator/src/process/outputs.rs
+++ b/crates/wingshore-coordinator/src/process/outputs.rs
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    pub(super) fn carry_out(
+    fn carry_out(
         &mut self,
         now: Instant,
         output: HostOutput<CoordinationLeader>,
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    pub(super) fn on_leadership(&mut self, now: Instant, leadership: Leadership) {
+    fn on_leadership(&mut self, now: Instant, leadership: Leadership) {
         self.change_under_way = false;
         match leadership {
             Leadership::Leading { epoch } => {
@@ -78,7 +78,7 @@
         self.tell_alive();
     }
 
-    pub(super) fn on_effect(&mut self, now: Instant, effect: Effect) {
+    fn on_effect(&mut self, now: Instant, effect: Effect) {
         let event = match effect {
             Effect::ToGateway(gateway, message) => {
                 if let Some(connection) = self.directory.connection(gateway) {
@@ -138,7 +138,7 @@
         }
     }
 
-    pub(super) fn send_consensus(&mut self, to: ReplicaId, message: Vec<u8>) {
+    fn send_consensus(&mut self, to: ReplicaId, message: Vec<u8>) {
         let Some(connection) = self.route_to(to) else {
             return;
         };
@@ -164,7 +164,7 @@
         }
     }
 
-    pub(super) fn on_reply(&mut self, tag: RequestTag, reply: HostReply<Reply>) {
+    fn on_reply(&mut self, tag: RequestTag, reply: HostReply<Reply>) {
         let Some(pending) = self.waiting.remove(&tag) else {
             return;
         };
--- a/crates/wingshore-net/src/frame.rs
+++ b/crates/wingshore-net/src/frame.rs
@@ -8,7 +8,7 @@
 /// Bytes of the length before each frame.
 const PREFIX: usize = 4;
 /// Largest frame, in bytes; a longer one is a fault of the peer.
-pub const MOST_FRAME_BYTES: usize = 64 << 20;
+const MOST_FRAME_BYTES: usize = 64 << 20;
 
 /// Why a frame cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
--- a/crates/wingshore-net/src/http/body.rs
+++ b/crates/wingshore-net/src/http/body.rs
@@ -8,7 +8,7 @@
 
 /// How the end of a body is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
+pub(super) enum Framing {
     /// After this many bytes.
     Length(u64),
     /// After the last chunk.
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// When the headers contradict themselves.
-    pub fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
+    pub(super) fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
         Ok(declared(&head.headers)?.unwrap_or(Self::Length(0)))
     }
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// When the headers contradict themselves.
-    pub fn of_answer(head: &AnswerHead, to_head_request: bool) -> Result<Self, HttpError> {
+    pub(super) fn of_answer(head: &AnswerHead, to_head_request: bool) -> Result<Self, HttpError> {
         let has_none = to_head_request || matches!(head.status, 100..=199 | 204 | 304);
         if has_none {
             return Ok(Self::Length(0));
@@ -101,14 +101,14 @@
 }
 
 /// Reads one body as its bytes arrive.
-pub struct BodyReader {
+pub(super) struct BodyReader {
     position: Position,
     chunked: bool,
 }
 
 impl BodyReader {
     /// A body that has not begun.
-    pub fn new(framing: Framing) -> Self {
+    pub(super) fn new(framing: Framing) -> Self {
         let position = match framing {
             Framing::Length(0) => Position::Done,
             Framing::Length(length) => Position::Bytes(length),
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     /// When the bytes are no chunks.
-    pub fn read(
+    pub(super) fn read(
         &mut self,
         input: &mut BytesMut,
         body: &mut Vec<u8>,
@@ -174,7 +174,7 @@
     }
 
     /// Whether the body is whole when the connection ends in order here.
-    pub fn ends_at_close(&self) -> bool {
+    pub(super) fn ends_at_close(&self) -> bool {
         matches!(self.position, Position::Open | Position::Done)
     }
 }
--- a/crates/wingshore-net/src/http/head.rs
+++ b/crates/wingshore-net/src/http/head.rs
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 /// When the bytes are no head, or one longer than `most_bytes`.
-pub fn read_request_head(
+pub(super) fn read_request_head(
     input: &mut BytesMut,
     most_bytes: usize,
 ) -> Result<Option<RequestHead>, HttpError> {
@@ -175,7 +175,7 @@
 ///
 /// # Errors
 /// When the bytes are no head, or one longer than `most_bytes`.
-pub fn read_answer_head(
+pub(super) fn read_answer_head(
     input: &mut BytesMut,
     most_bytes: usize,
 ) -> Result<Option<AnswerHead>, HttpError> {
--- a/crates/wingshore-net/src/http/mod.rs
+++ b/crates/wingshore-net/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod head;
 
 pub use answer::HttpAnswer;
-pub use body::{BodyReader, BodyStatus, Framing};
+pub use body::BodyStatus;
 pub use encode::{HeadWriter, write_chunk, write_last_chunk};
 pub use exchange::{AnswerReader, RequestError, RequestReader, WholeAnswer, WholeRequest};
-pub use head::{AnswerHead, Headers, HttpError, RequestHead, read_answer_head, read_request_head};
+pub use head::{AnswerHead, Headers, HttpError, RequestHead};
--- a/crates/wingshore-net/src/reactor.rs
+++ b/crates/wingshore-net/src/reactor.rs
@@ -62,7 +62,6 @@
     waker: Arc<Waker>,
     connections: Slab<Connection>,
     listeners: Vec<Listener>,
-    accepted: usize,
     generation: u64,
     dirty: Vec<ConnectionId>,
     unread: Vec<ConnectionId>,
@@ -111,7 +110,6 @@
             waker: Arc::new(waker),
             connections: Slab::new(),
             listeners: Vec::new(),
-            accepted: 0,
             generation: 0,
             dirty: Vec::new(),
             unread: Vec::new(),
@@ -279,7 +277,6 @@
             let Some(connection) = self.add(stream, false, limit) else {
                 continue;
             };
-            self.accepted += 1;
             out.push(NetEvent::Accepted {
                 listener,
                 connection,
@@ -424,11 +421,6 @@
         self.connections.len()
     }
 
-    /// The other end's address.
-    pub fn peer_address(&self, id: ConnectionId) -> Option<SocketAddr> {
-        self.get(id)?.stream.peer_addr().ok()
-    }
-
     fn flush(&mut self, out: &mut Vec<NetEvent>) {
         for id in std::mem::take(&mut self.dirty) {
             let Some(connection) = self.get_mut(id) else {
