--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -8,7 +8,7 @@
 mod budget;
 mod call_rate;
 mod control;
-mod decisions;
+mod decision_log;
 mod directory;
 mod error;
 mod heartbeats;
--- a/crates/wingshore-coordinator/src/process/outputs.rs
+++ b/crates/wingshore-coordinator/src/process/outputs.rs
@@ -1,7 +1,7 @@
 //! What the group's host wants done.
 
 use super::{Coordinator, Waiting};
-use crate::decisions;
+use crate::decision_log;
 use crate::error::{CoordinatorError, GroupSnafu};
 use slog::{info, warn};
 use snafu::ResultExt;
@@ -124,7 +124,7 @@
                 return;
             }
         }
-        decisions::log(&self.logger, decision);
+        decision_log::log(&self.logger, decision);
     }
 
     pub(super) fn send_to_all_gateways(&mut self, message: &CoordinatorMessage) {
