--- a/crates/wingshore-coordinator/src/decision_log.rs
+++ b/crates/wingshore-coordinator/src/decision_log.rs
@@ -1,10 +1,37 @@
-//! Log lines of the leader's decisions.
+//! Log lines of the leader's decisions, one for each.
+//!
+//! Operators find by these lines why something happened: their keys are part of what the program
+//! promises. Which lines of items are written is chosen by the caller, by sampling.
 
 use slog::{Logger, info, warn};
 use wingshore_coordination::{Decision, ModelName, ScoringDecision, TenantName};
 
 /// Writes one line for a decision.
 pub(crate) fn log(logger: &Logger, decision: &Decision) {
+    match decision {
+        Decision::JobAccepted { .. } | Decision::JobRefused { .. } | Decision::JobEnded { .. } => {
+            log_job(logger, decision)
+        }
+        Decision::ItemAssigned { .. }
+        | Decision::ItemRetried { .. }
+        | Decision::ItemMoved { .. }
+        | Decision::ItemListed { .. }
+        | Decision::ItemAbandoned { .. } => log_item(logger, decision),
+        Decision::RequestSuspected { .. }
+        | Decision::RequestRejected(_)
+        | Decision::RequestCleared { .. } => log_suspicion(logger, decision),
+        Decision::ServerChanged { .. }
+        | Decision::VersionNamed { .. }
+        | Decision::VersionReached { .. }
+        | Decision::CapacityWanted { .. }
+        | Decision::UsageClosed { .. }
+        | Decision::Configured { .. } => log_site(logger, decision),
+        Decision::Scoring(decision) => log_scoring(logger, decision),
+    }
+}
+
+/// Lines for decisions on whole batch jobs; for others there is none here.
+fn log_job(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::JobAccepted {
             job,
@@ -37,6 +64,13 @@
             info!(logger, "job ended"; "job" => %job, "items" => items, "listed" => listed,
                 "running" => running);
         }
+        _ => {}
+    }
+}
+
+/// Lines for decisions on items of batch jobs; for others there is none here.
+fn log_item(logger: &Logger, decision: &Decision) {
+    match decision {
         Decision::ItemAssigned {
             assignment,
             job,
@@ -88,21 +122,13 @@
         Decision::ItemAbandoned { job, index, reason } => {
             info!(logger, "item abandoned"; "job" => %job, "index" => index, "reason" => reason);
         }
-        Decision::Scoring(decision) => log_scoring(logger, decision),
-        Decision::ServerChanged { instance, change } => {
-            info!(logger, "server"; "server" => %instance, "change" => change);
-        }
-        Decision::VersionNamed { model, version } => {
-            info!(logger, "version named"; "model" => %model, "version" => version);
-        }
-        Decision::VersionReached {
-            instance,
-            model,
-            version,
-        } => {
-            info!(logger, "version reached"; "engine" => %instance, "model" => %model,
-                "version" => version);
-        }
+        _ => {}
+    }
+}
+
+/// Lines for decisions on requests under which servers ended; for others there is none here.
+fn log_suspicion(logger: &Logger, decision: &Decision) {
+    match decision {
         Decision::RequestSuspected {
             request,
             instance,
@@ -125,6 +151,27 @@
         Decision::RequestCleared { request, reason } => {
             warn!(logger, "request let off"; "fingerprint" => %request, "reason" => reason);
         }
+        _ => {}
+    }
+}
+
+/// Lines for decisions on servers and on what is in force; for others there is none here.
+fn log_site(logger: &Logger, decision: &Decision) {
+    match decision {
+        Decision::ServerChanged { instance, change } => {
+            info!(logger, "server"; "server" => %instance, "change" => change);
+        }
+        Decision::VersionNamed { model, version } => {
+            info!(logger, "version named"; "model" => %model, "version" => version);
+        }
+        Decision::VersionReached {
+            instance,
+            model,
+            version,
+        } => {
+            info!(logger, "version reached"; "engine" => %instance, "model" => %model,
+                "version" => version);
+        }
         Decision::CapacityWanted {
             pool,
             count,
@@ -146,9 +193,11 @@
         Decision::Configured { version } => {
             info!(logger, "configuration in force"; "version" => version);
         }
+        _ => {}
     }
 }
 
+/// Lines for decisions on scorings of texts.
 fn log_scoring(logger: &Logger, decision: &ScoringDecision) {
     match decision {
         ScoringDecision::Assigned {
