--- a/crates/wingshore-coordinator/src/process/disk.rs
+++ b/crates/wingshore-coordinator/src/process/disk.rs
@@ -16,7 +16,7 @@
 use wingshore_types::log::RecoveredLog;
 
 /// The parts of an open data folder.
-pub(super) struct Opened {
+pub(super) struct OpenedDisk {
     pub(super) folder: DataFolder,
     pub(super) store: PatientStore,
     pub(super) recovered: RecoveredLog,
@@ -31,7 +31,7 @@
 pub(super) fn open(
     settings: &CoordinatorSettings,
     logger: &Logger,
-) -> Result<Opened, CoordinatorError> {
+) -> Result<OpenedDisk, CoordinatorError> {
     let fs: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
     let mut wait = |error: &StorageError| wait_for_space(logger, error);
     let folder = with_space(&mut wait, || identity::open(&fs, settings));
@@ -49,7 +49,7 @@
     let opened = PatientStore::open(fs, &directory, &mut wait);
     let (store, recovered) = opened.context(StorageSnafu)?;
     log_recovered(logger, &recovered);
-    Ok(Opened {
+    Ok(OpenedDisk {
         folder,
         store,
         recovered,
--- a/crates/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/wingshore-coordinator/src/process/heartbeats.rs
@@ -3,6 +3,7 @@
 use super::Coordinator;
 use crate::heartbeats::HeartbeatVerdict;
 use crate::protocol::ControlAnswer;
+use std::collections::HashMap;
 use std::time::Duration;
 use wingshore_coordination::{
     CoordinatorFrame, Heartbeat, HeartbeatAnswer, IncomingFrame, Reply, ServerRecord,
@@ -21,6 +22,29 @@
     since: Instant,
 }
 
+/// All of them that are not answered, by the number that the leader answers with.
+#[derive(Default)]
+pub(super) struct PassedOnHeartbeats {
+    by_id: HashMap<u64, PassedOn>,
+    next_id: u64,
+}
+
+impl PassedOnHeartbeats {
+    fn add(&mut self, passed_on: PassedOn) -> u64 {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.by_id.insert(id, passed_on);
+        id
+    }
+
+    /// Takes out those that have waited for too long.
+    fn take_late(&mut self, now: Instant) -> Vec<PassedOn> {
+        let is_late = |passed_on: &PassedOn| now.since(passed_on.since) >= PASS_ON_LIMIT;
+        let late = self.by_id.extract_if(|_, passed_on| is_late(passed_on));
+        late.map(|(_, passed_on)| passed_on).collect()
+    }
+}
+
 impl Coordinator {
     /// Answers a heartbeat that says nothing new; any other one goes to the leader.
     pub(super) fn pass_on_heartbeat(
@@ -36,21 +60,18 @@
         if self.heartbeats.offer(now, &heartbeat) == HeartbeatVerdict::Known {
             return self.answer_heartbeat(caller, &ControlAnswer::Reply(Reply::Done));
         }
-        let id = self.next_tag;
-        self.next_tag += 1;
-        let passed_on = PassedOn {
+        let id = self.passed_on.add(PassedOn {
             caller,
             server: heartbeat.server.clone(),
             since: now,
-        };
-        self.passed_on.insert(id, passed_on);
+        });
         let frame = CoordinatorFrame::Heartbeat { id, heartbeat };
         self.send_frame(link, &IncomingFrame::Coordinator(frame));
     }
 
     /// The leader has answered a heartbeat that was passed on.
     pub(super) fn on_heartbeat_reply(&mut self, now: Instant, id: u64, answer: HeartbeatAnswer) {
-        let Some(passed_on) = self.passed_on.remove(&id) else {
+        let Some(passed_on) = self.passed_on.by_id.remove(&id) else {
             return;
         };
         let answer = match answer {
@@ -66,13 +87,7 @@
 
     /// Answers heartbeats that the leader has not acknowledged in time.
     pub(super) fn give_up_passed_on(&mut self, now: Instant) {
-        let late = |passed_on: &PassedOn| now.since(passed_on.since) >= PASS_ON_LIMIT;
-        let late: Vec<PassedOn> = self
-            .passed_on
-            .extract_if(|_, passed_on| late(passed_on))
-            .map(|(_, passed_on)| passed_on)
-            .collect();
-        for passed_on in late {
+        for passed_on in self.passed_on.take_late(now) {
             self.answer_heartbeat(passed_on.caller, &ControlAnswer::Unavailable);
         }
     }
--- /dev/null
+++ b/crates/wingshore-coordinator/src/process/housekeeping.rs
@@ -0,0 +1,101 @@
+//! What a coordinator does by time: introductions, connections, time-outs, members, reload and stop.
+
+use super::Coordinator;
+use crate::silence::SilenceJudge;
+use slog::{info, warn};
+use std::time::Duration;
+use wingshore_group::HostInput;
+use wingshore_types::Instant;
+
+/// Between introductions on a link, and signs of life to gateways.
+const HELLO_INTERVAL: Duration = Duration::from_millis(300);
+/// Between looks at what has become due.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// A gateway that is silent for this long is disconnected, and what it ran is begun elsewhere: two
+/// and a half of the intervals in which it tells its state. While a gateway is cut off its items
+/// stand still for this time; a step that waits for one of them is over as much later.
+const GATEWAY_SILENCE: Duration = Duration::from_millis(1000);
+
+/// When what is due.
+#[derive(Default)]
+pub(super) struct Schedule {
+    next_housekeeping: Instant,
+    next_hello: Instant,
+    silence_judge: SilenceJudge,
+}
+
+impl Schedule {
+    /// When something is due next.
+    pub(super) fn next(&self) -> Instant {
+        self.next_housekeeping.min(self.next_hello)
+    }
+}
+
+/// How far the planned stop of this process is.
+#[derive(Default)]
+pub(super) struct PlannedStop {
+    since: Option<Instant>,
+    /// Whether nothing is left to do.
+    pub(super) is_over: bool,
+}
+
+impl Coordinator {
+    /// What is due by time: connections, signs of life, members, the planned stop.
+    pub(super) fn keep_house(&mut self, now: Instant) {
+        if now >= self.schedule.next_hello {
+            self.schedule.next_hello = now + HELLO_INTERVAL;
+            self.greet();
+            self.tell_view_revision();
+            self.tell_heard(now);
+        }
+        if now < self.schedule.next_housekeeping {
+            return;
+        }
+        self.schedule.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
+        self.dial_members(now);
+        let events = self.calls.expire(now, &mut self.reactor);
+        self.take_call_events(events);
+        self.agree_on_time(now);
+        if self.schedule.silence_judge.look(now) {
+            for connection in self.directory.silent(now, GATEWAY_SILENCE) {
+                self.on_ended(now, connection);
+            }
+        }
+        self.close_idle_callers(now);
+        self.give_up_passed_on(now);
+        self.plan_members(now);
+        self.report_shortage(now);
+        self.reload();
+        self.begin_stop(now);
+    }
+
+    /// Reads the seeds again where the settings have changed. Seeds that cannot be read leave
+    /// those before in force.
+    fn reload(&mut self) {
+        if !self.signals.take_reload() {
+            return;
+        }
+        match (self.seed_source)() {
+            Ok(seeds) => {
+                info!(self.logger, "reloaded"; "seeds" => ?seeds);
+                self.settings.seeds = seeds;
+            }
+            Err(reason) => warn!(self.logger, "not reloaded"; "reason" => reason),
+        }
+    }
+
+    fn begin_stop(&mut self, now: Instant) {
+        if !self.signals.is_stopping() {
+            return;
+        }
+        match self.stop.since {
+            None => {
+                info!(self.logger, "planned stop"; "node" => &self.settings.node);
+                self.stop.since = Some(now);
+                self.inputs.push(HostInput::Stop);
+            }
+            Some(since) if now.since(since) >= self.settings.stop_limit => self.stop.is_over = true,
+            Some(_) => {}
+        }
+    }
+}
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -1,7 +1,7 @@
 //! Members of the group: whom the leader takes in, lets go and empties.
 
 use super::{Coordinator, Waiting};
-use crate::membership::{MembershipView, Shortage, losses_borne_by};
+use crate::membership::{MembershipPlanner, MembershipView, Shortage, losses_borne_by};
 use crate::protocol::ControlAnswer;
 use slog::{info, warn};
 use std::collections::BTreeSet;
@@ -11,19 +11,30 @@
 use wingshore_types::protocol::membership::MembershipRequest;
 use wingshore_types::{Instant, ReplicaId};
 
+/// What the leader has in hand about members.
+#[derive(Default)]
+pub(super) struct MembershipWork {
+    /// Chooses the changes.
+    pub(super) planner: MembershipPlanner,
+    /// Whether a change was asked for and is not answered yet.
+    pub(super) is_changing: bool,
+    /// The shortage of coordinators that was logged last.
+    reported_shortage: Option<Shortage>,
+}
+
 impl Coordinator {
     /// Lets the leader change the members where that is needed.
     pub(super) fn plan_members(&mut self, now: Instant) {
-        if !self.host.is_leader() || self.change_under_way {
+        if !self.host.is_leader() || self.members.is_changing {
             return;
         }
         self.describe_members();
         let retired = self.retired_members();
         let view = self.membership_view(&retired);
-        if let Some(request) = self.planner.plan(now, &view) {
+        if let Some(request) = self.members.planner.plan(now, &view) {
             self.metrics.member_change();
             info!(self.logger, "member change"; "request" => ?request);
-            self.change_under_way = true;
+            self.members.is_changing = true;
             self.request_change(request);
         }
     }
@@ -31,15 +42,15 @@
     /// Says so where there are too few coordinators for the losses that the settings ask for; once
     /// until it changes.
     pub(super) fn report_shortage(&mut self, now: Instant) {
-        if !self.host.is_leader() || !self.planner.has_heard_all(now) {
+        if !self.host.is_leader() || !self.members.planner.has_heard_all(now) {
             return;
         }
         let retired = self.retired_members();
         let shortage = self.membership_view(&retired).shortage(now);
-        if shortage == self.reported_shortage {
+        if shortage == self.members.reported_shortage {
             return;
         }
-        self.reported_shortage = shortage;
+        self.members.reported_shortage = shortage;
         let losses_to_bear = self.settings.losses_borne;
         match shortage {
             Some(Shortage {
@@ -107,7 +118,9 @@
             _ if !self.host.holds_lease(now) => ControlAnswer::Unavailable,
             None => ControlAnswer::NoSuchMachine,
             Some(id) if retired.contains(&id) => ControlAnswer::Retiring,
-            Some(id) if !self.planner.can_retire(now, id, &view) => ControlAnswer::TooFewLeft,
+            Some(id) if !self.members.planner.can_retire(now, id, &view) => {
+                ControlAnswer::TooFewLeft
+            }
             Some(member) => {
                 info!(self.logger, "retirement"; "node" => node, "member" => member.0);
                 let node = node.to_owned();
--- a/crates/wingshore-coordinator/src/process/outputs.rs
+++ b/crates/wingshore-coordinator/src/process/outputs.rs
@@ -47,19 +47,19 @@
                 self.dial_members(now);
             }
             HostOutput::Leadership(leadership) => self.on_leadership(now, leadership),
-            HostOutput::Stopped => self.stopped = true,
+            HostOutput::Stopped => self.stop.is_over = true,
             HostOutput::Failed(source) => return Err(source).context(GroupSnafu),
         }
         Ok(())
     }
 
     fn on_leadership(&mut self, now: Instant, leadership: Leadership) {
-        self.change_under_way = false;
+        self.members.is_changing = false;
         match leadership {
             Leadership::Leading { epoch } => {
                 info!(self.logger, "leading"; "node" => &self.settings.node, "epoch" => epoch.0);
                 self.metrics.leadership_began();
-                self.planner.begin(now);
+                self.members.planner.begin(now);
                 let lost = self.peers.lost_within(now, self.settings.order_handover());
                 let event = Event::CoordinatorsLost(lost);
                 self.inputs.push(HostInput::Event(event));
@@ -127,7 +127,7 @@
     }
 
     fn on_reply(&mut self, tag: RequestTag, reply: HostReply<Reply>) {
-        let Some(pending) = self.waiting.remove(&tag) else {
+        let Some(pending) = self.pending.take(tag) else {
             return;
         };
         let time = self.clock.now().since(pending.since);
@@ -161,7 +161,7 @@
                 self.send_frame(connection, &IncomingFrame::Coordinator(reply));
             }
             Waiting::Planner => {
-                self.change_under_way = false;
+                self.members.is_changing = false;
                 if let HostReply::Membership(MembershipReply::Refused { message }) = reply {
                     info!(self.logger, "member change refused"; "reason" => message);
                 }
--- /dev/null
+++ b/crates/wingshore-coordinator/src/process/pending.rs
@@ -0,0 +1,75 @@
+//! Calls to the group that wait for its answer, and who gets that answer.
+
+use super::Coordinator;
+use std::collections::HashMap;
+use wingshore_coordination::Request;
+use wingshore_group::HostInput;
+use wingshore_net::ConnectionId;
+use wingshore_types::Instant;
+use wingshore_types::machine::RequestTag;
+
+/// Who waits for the group's answer.
+pub(super) enum Waiting {
+    Caller(ConnectionId),
+    Gateway(ConnectionId, u64),
+    /// A coordinator that passed a heartbeat on.
+    Coordinator(ConnectionId, u64),
+    Planner,
+    /// Something that is asked again if it does not come about.
+    Nobody,
+}
+
+/// A call that waits for the group's answer.
+pub(super) struct PendingCall {
+    pub(super) waiting: Waiting,
+    pub(super) call: &'static str,
+    /// What it is about, where each answer is logged.
+    pub(super) subject: Option<String>,
+    pub(super) since: Instant,
+}
+
+/// All of them, by the tag that the group answers with.
+#[derive(Default)]
+pub(super) struct PendingCalls {
+    by_tag: HashMap<RequestTag, PendingCall>,
+    next_tag: u64,
+}
+
+impl PendingCalls {
+    /// A call is made; gives its tag.
+    pub(super) fn add(&mut self, call: PendingCall) -> RequestTag {
+        let tag = RequestTag(self.next_tag);
+        self.next_tag += 1;
+        self.by_tag.insert(tag, call);
+        tag
+    }
+
+    /// A call is answered.
+    pub(super) fn take(&mut self, tag: RequestTag) -> Option<PendingCall> {
+        self.by_tag.remove(&tag)
+    }
+}
+
+impl Coordinator {
+    /// Asks the group something; the answer goes to whoever waits.
+    pub(super) fn ask_group(&mut self, request: Request, waiting: Waiting) {
+        let subject = request.is_rare().then(|| request.subject());
+        let tag = self.tag(waiting, request.kind(), subject);
+        self.inputs.push(HostInput::Request { tag, request });
+    }
+
+    /// Notes who waits for a call.
+    pub(super) fn tag(
+        &mut self,
+        waiting: Waiting,
+        call: &'static str,
+        subject: Option<String>,
+    ) -> RequestTag {
+        self.pending.add(PendingCall {
+            waiting,
+            call,
+            subject,
+            since: self.clock.now(),
+        })
+    }
+}
--- /dev/null
+++ b/crates/wingshore-coordinator/src/process/start.rs
@@ -0,0 +1,158 @@
+//! The start of a coordinator: what it has on its disk, where it listens, its threads.
+
+use super::heartbeats::PassedOnHeartbeats;
+use super::housekeeping::{PlannedStop, Schedule};
+use super::members::MembershipWork;
+use super::pending::PendingCalls;
+use super::{Coordinator, LINK_LIMIT, disk, host};
+use crate::dials::Dials;
+use crate::directory::Directory;
+use crate::error::{CoordinatorError, NetSnafu, ThreadSnafu};
+use crate::heartbeats::HeartbeatRelay;
+use crate::metrics::CoordinatorMetrics;
+use crate::outgoing_calls::{CallProtocols, OutgoingCalls};
+use crate::peers::Peers;
+use crate::protocol::ControlProtocol;
+use crate::settings::CoordinatorSettings;
+use crate::view_feed::ViewFeed;
+use crate::writer::Writer;
+use slog::{Logger, info};
+use snafu::ResultExt;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+use wingshore_clock::Clock;
+use wingshore_coordination::{CoordinationLeader, SiteClock};
+use wingshore_diagnostics::{LogBudget, LogCounts, RequestSampler};
+use wingshore_group::Host;
+use wingshore_net::{ListenerId, Reactor, SeedSource, Signals};
+use wingshore_storage::DataFolder;
+
+/// Sent bytes may stay unacknowledged this long on connections of callers.
+const CALLER_LIMIT: Duration = Duration::from_secs(5);
+/// Most connections of others at a time.
+const MOST_CONNECTIONS: usize = 6000;
+/// Listeners that are told apart from those of callers.
+pub(super) struct Listeners {
+    /// For the site's own processes.
+    pub(super) internal: ListenerId,
+    /// For monitoring.
+    pub(super) metrics: Option<ListenerId>,
+}
+
+impl Listeners {
+    fn open(
+        settings: &CoordinatorSettings,
+        reactor: &mut Reactor,
+    ) -> Result<Self, CoordinatorError> {
+        let listen = |reactor: &mut Reactor, address, limit| {
+            reactor
+                .listen(address, limit, MOST_CONNECTIONS)
+                .context(NetSnafu)
+        };
+        listen(reactor, settings.control, CALLER_LIMIT)?;
+        if let Some(address) = settings.directory {
+            listen(reactor, address, CALLER_LIMIT)?;
+        }
+        let internal = settings
+            .internal_bind
+            .unwrap_or_else(|| settings.internal_address());
+        let internal = listen(reactor, internal, LINK_LIMIT)?;
+        let metrics = settings
+            .metrics
+            .map(|address| listen(reactor, address, CALLER_LIMIT))
+            .transpose()?;
+        Ok(Self { internal, metrics })
+    }
+}
+
+/// What is open once the start has succeeded.
+struct Opened {
+    clock: Clock,
+    folder: DataFolder,
+    reactor: Reactor,
+    listeners: Listeners,
+    writer: Writer,
+    host: Host<CoordinationLeader>,
+}
+
+impl Opened {
+    fn open(settings: &CoordinatorSettings, logger: &Logger) -> Result<Self, CoordinatorError> {
+        let clock = Clock::start();
+        let disk::OpenedDisk {
+            folder,
+            store,
+            recovered,
+            texts,
+            spool,
+        } = disk::open(settings, logger)?;
+        let mut reactor = Reactor::new().context(NetSnafu)?;
+        let listeners = Listeners::open(settings, &mut reactor)?;
+        let writer = Writer::start(store, reactor.waker(), logger.clone()).context(ThreadSnafu)?;
+        let now = clock.now();
+        let host = host::open(settings, &folder, now, recovered, Arc::clone(&texts), spool)?;
+        texts.remove_unreferenced();
+        let identity = folder.identity();
+        info!(logger, "started"; "node" => &settings.node, "member" => identity.replica.0,
+            "memory" => %settings.memory, "founder" => identity.founding.is_some(),
+            "applied" => host.applied_index().0);
+        Ok(Self {
+            clock,
+            folder,
+            reactor,
+            listeners,
+            writer,
+            host,
+        })
+    }
+}
+
+impl Coordinator {
+    /// Opens the data folder and listens.
+    ///
+    /// # Errors
+    /// When the folder or an address cannot be used.
+    pub fn start(
+        settings: CoordinatorSettings,
+        protocol: Box<dyn ControlProtocol>,
+        call_protocols: CallProtocols,
+        signals: Signals,
+        seed_source: SeedSource,
+        logger: Logger,
+        log_counts: LogCounts,
+    ) -> Result<Self, CoordinatorError> {
+        let opened = Opened::open(&settings, &logger)?;
+        Ok(Self {
+            logger,
+            clock: opened.clock,
+            folder: opened.folder,
+            reactor: opened.reactor,
+            listeners: opened.listeners,
+            metrics: CoordinatorMetrics::new(),
+            log_counts,
+            sampler: RequestSampler::new(LogBudget::default()),
+            protocol,
+            host: opened.host,
+            writer: opened.writer,
+            signals,
+            seed_source,
+            stop: PlannedStop::default(),
+            roles: HashMap::new(),
+            dials: Dials::default(),
+            peers: Peers::default(),
+            directory: Directory::default(),
+            calls: OutgoingCalls::new(call_protocols, settings.provider.as_ref()),
+            site_clock: SiteClock::default(),
+            pending: PendingCalls::default(),
+            copy_readers: Vec::new(),
+            view_feed: ViewFeed::default(),
+            told_coordinators: Vec::new(),
+            heartbeats: HeartbeatRelay::default(),
+            passed_on: PassedOnHeartbeats::default(),
+            members: MembershipWork::default(),
+            schedule: Schedule::default(),
+            inputs: Vec::new(),
+            settings,
+        })
+    }
+}
