--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -24,6 +24,7 @@
 mod settings;
 mod silence;
 mod spool;
+mod text_queue;
 mod texts;
 mod view_feed;
 mod writer;
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -45,7 +45,7 @@
 use wingshore_group::{Host, HostInput};
 use wingshore_net::{ConnectionId, Reactor, SeedSource, Signals};
 use wingshore_storage::DataFolder;
-use wingshore_types::{Instant, ReplicaId};
+use wingshore_types::ReplicaId;
 
 /// Sent bytes may stay unacknowledged this long on links of the site.
 const LINK_LIMIT: Duration = Duration::from_millis(1500);
--- a/crates/wingshore-coordinator/src/texts.rs
+++ b/crates/wingshore-coordinator/src/texts.rs
@@ -3,12 +3,12 @@
 //! A thread of its own moves the oldest texts to disk when there are too many, so that a slow disk
 //! holds up nobody. What it cannot move stays in memory and is tried again.
 
+use crate::text_queue::TextQueue;
 use slog::{Logger, info, warn};
-use std::collections::VecDeque;
 use std::fmt::{self, Debug, Formatter};
 use std::io;
 use std::path::Path;
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError, Weak};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 use wingshore_coordination::{PackedText, TextPlace, TextStore};
@@ -17,46 +17,33 @@
 
 /// Name of the folder of texts in the data folder.
 const FOLDER: &str = "texts";
-/// Bytes that are moved with one sync: long enough for a disk's speed, short beside the budget.
-const MOVED_AT_ONCE: usize = 512 << 10;
-/// Texts move once the budget is exceeded, until this part of it is free: so that not each text
-/// brings on a sync.
-const FREED_PART: usize = 8;
-/// Beyond the budget by this part of it, whoever brings more waits.
-const TOLERATED_PART: usize = 4;
 /// Longest wait of one who brings a single text: the loop that it runs in has others to answer.
 const WAIT_FOR_ONE: Duration = Duration::from_millis(20);
-/// A batch that takes longer than this to be moved is on a disk that hangs: a hundred times what a
-/// sync takes. Nobody waits for it then but a start.
-const HANGING_AFTER: Duration = Duration::from_millis(100);
 /// Between attempts to move texts after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// A text in memory, and its bytes.
-struct HeldText {
-    text: Weak<PackedText>,
-    bytes: usize,
-}
-
-/// Texts in memory, oldest first.
-#[derive(Default)]
-struct Queue {
-    texts: VecDeque<HeldText>,
-    /// Sum of their bytes; those of texts that were let go count until they are at the front.
-    bytes: usize,
-    /// Whether the last attempt to move texts failed.
-    is_stuck: bool,
-    /// Since when a batch is being moved.
-    moving_since: Option<Instant>,
+/// What the thread that moves texts and those who bring them share.
+struct State {
+    queue: TextQueue,
     /// Whether a snapshot has become durable since files were last removed.
     may_remove: bool,
     is_closed: bool,
 }
 
+impl State {
+    fn is_crowded(&self) -> bool {
+        self.queue.is_crowded() && !self.is_closed
+    }
+
+    /// Whether there is soon to be room.
+    fn makes_room(&self) -> bool {
+        self.queue.makes_room(Instant::now()) && !self.is_closed
+    }
+}
+
 struct Shared {
-    queue: Mutex<Queue>,
+    state: Mutex<State>,
     changed: Condvar,
-    budget: usize,
     files: BlobFiles,
     logger: Logger,
 }
@@ -69,35 +56,21 @@
 impl TextArchive {
     /// Bytes of the texts in memory, with those of texts that were let go and not yet noticed.
     pub fn bytes_in_memory(&self) -> usize {
-        self.shared.queue().bytes
+        self.shared.state().queue.bytes()
     }
 }
 
 impl Debug for TextArchive {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let queue = self.shared.queue();
-        write!(
-            formatter,
-            "TextArchive({} of {} bytes)",
-            queue.bytes, self.shared.budget
-        )
+        let state = self.shared.state();
+        let (bytes, budget) = (state.queue.bytes(), state.queue.budget());
+        write!(formatter, "TextArchive({bytes} of {budget} bytes)")
     }
 }
 
 impl Shared {
-    fn queue(&self) -> MutexGuard<'_, Queue> {
-        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn is_crowded(&self, queue: &Queue) -> bool {
-        let most = self.budget + self.budget / TOLERATED_PART;
-        queue.bytes > most && !queue.is_stuck && !queue.is_closed
-    }
-
-    /// Whether there is soon to be room.
-    fn makes_room(&self, queue: &Queue) -> bool {
-        let hangs = |since: Instant| since.elapsed() >= HANGING_AFTER;
-        self.is_crowded(queue) && !queue.moving_since.is_some_and(hangs)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -114,9 +87,12 @@
     ) -> Result<Self, StorageError> {
         let (files, writer) = BlobFiles::open(fs, &data.join(FOLDER))?;
         let shared = Arc::new(Shared {
-            queue: Mutex::default(),
+            state: Mutex::new(State {
+                queue: TextQueue::new(budget),
+                may_remove: false,
+                is_closed: false,
+            }),
             changed: Condvar::new(),
-            budget,
             files,
             logger,
         });
@@ -148,7 +124,7 @@
 
 impl Drop for TextArchive {
     fn drop(&mut self) {
-        self.shared.queue().is_closed = true;
+        self.shared.state().is_closed = true;
         self.shared.changed.notify_all();
     }
 }
@@ -158,29 +134,22 @@
         let TextPlace::Memory(bytes) = text.place() else {
             return;
         };
-        let mut queue = self.shared.queue();
-        queue.bytes += bytes.len();
-        queue.texts.push_back(HeldText {
-            text: Arc::downgrade(text),
-            bytes: bytes.len(),
-        });
-        if queue.bytes > self.shared.budget {
+        let mut state = self.shared.state();
+        state.queue.push(text, bytes.len());
+        if state.queue.is_over_budget() {
             self.shared.changed.notify_all();
         }
-        if self.shared.makes_room(&queue) {
-            let makes_room = |queue: &mut Queue| self.shared.makes_room(queue);
-            let waited = self
-                .shared
-                .changed
-                .wait_timeout_while(queue, WAIT_FOR_ONE, makes_room);
-            drop(waited);
+        if state.makes_room() {
+            let makes_room = |state: &mut State| state.makes_room();
+            let changed = &self.shared.changed;
+            drop(changed.wait_timeout_while(state, WAIT_FOR_ONE, makes_room));
         }
     }
 
     fn wait_for_room(&self) {
-        let is_crowded = |queue: &mut Queue| self.shared.is_crowded(queue);
-        let queue = self.shared.queue();
-        drop(self.shared.changed.wait_while(queue, is_crowded));
+        let is_crowded = |state: &mut State| state.is_crowded();
+        let state = self.shared.state();
+        drop(self.shared.changed.wait_while(state, is_crowded));
     }
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
@@ -195,7 +164,7 @@
 
     fn snapshot_durable(&self, number: u64) {
         self.shared.files.snapshot_durable(number);
-        self.shared.queue().may_remove = true;
+        self.shared.state().may_remove = true;
         self.shared.changed.notify_all();
     }
 }
@@ -212,7 +181,7 @@
             if texts.is_empty() {
                 self.remove_released();
             } else if let Err(error) = self.move_batch(&texts) {
-                self.put_back(texts, &error);
+                self.put_back(&texts, &error);
                 thread::sleep(RETRY_PAUSE);
             }
         }
@@ -220,26 +189,24 @@
 
     /// Waits for texts to move; none of them when files may be removed. `None` at the end.
     fn next_batch(&self) -> Option<Vec<Arc<PackedText>>> {
-        let budget = self.shared.budget;
-        let mut queue = self.shared.queue();
+        let mut state = self.shared.state();
         loop {
-            if queue.is_closed {
+            if state.is_closed {
                 return None;
             }
-            if std::mem::take(&mut queue.may_remove) {
+            if std::mem::take(&mut state.may_remove) {
                 return Some(Vec::new());
             }
-            if queue.bytes > budget {
-                let texts = take_oldest(&mut queue, budget - budget / FREED_PART);
+            if state.queue.is_over_budget() {
+                let texts = state.queue.take_batch(Instant::now());
                 if !texts.is_empty() {
-                    queue.moving_since = Some(Instant::now());
                     return Some(texts);
                 }
                 self.shared.changed.notify_all();
                 continue;
             }
-            let woken = self.shared.changed.wait(queue);
-            queue = woken.unwrap_or_else(PoisonError::into_inner);
+            let woken = self.shared.changed.wait(state);
+            state = woken.unwrap_or_else(PoisonError::into_inner);
         }
     }
 
@@ -255,29 +222,14 @@
             text.move_to(Arc::new(LoggedBlob { blob, shared }));
         }
         let moved: usize = bytes.iter().map(|bytes| bytes.len()).sum();
-        let mut queue = self.shared.queue();
-        queue.bytes = queue.bytes.saturating_sub(moved);
-        queue.is_stuck = false;
-        queue.moving_since = None;
-        drop(queue);
+        self.shared.state().queue.moved(moved);
         self.shared.changed.notify_all();
         Ok(())
     }
 
-    fn put_back(&self, texts: Vec<Arc<PackedText>>, error: &StorageError) {
+    fn put_back(&self, texts: &[Arc<PackedText>], error: &StorageError) {
         warn!(self.shared.logger, "texts stay in memory"; "error" => %error);
-        let mut queue = self.shared.queue();
-        queue.is_stuck = true;
-        queue.moving_since = None;
-        for text in texts.iter().rev() {
-            if let TextPlace::Memory(bytes) = text.place() {
-                queue.texts.push_front(HeldText {
-                    text: Arc::downgrade(text),
-                    bytes: bytes.len(),
-                });
-            }
-        }
-        drop(queue);
+        self.shared.state().queue.put_back(texts);
         self.shared.changed.notify_all();
     }
 
@@ -289,26 +241,6 @@
     }
 }
 
-/// The oldest texts, as many as bring the others down to `wanted` bytes and go with one sync. Their
-/// bytes go on counting until they are moved.
-fn take_oldest(queue: &mut Queue, wanted: usize) -> Vec<Arc<PackedText>> {
-    let mut texts = Vec::new();
-    let mut taken = 0;
-    while queue.bytes - taken > wanted && taken < MOVED_AT_ONCE {
-        let Some(held) = queue.texts.pop_front() else {
-            break;
-        };
-        match held.text.upgrade() {
-            Some(text) => {
-                taken += held.bytes;
-                texts.push(text);
-            }
-            None => queue.bytes -= held.bytes,
-        }
-    }
-    texts
-}
-
 /// A text on disk that logs when it cannot be read: not all who read it can.
 struct LoggedBlob {
     blob: StoredBlob,
