--- a/crates/wingshore-coordinator/src/budget.rs
+++ b/crates/wingshore-coordinator/src/budget.rs
@@ -13,7 +13,7 @@
 /// Part of the limit for applied entries that are kept for members that are behind.
 const CACHED_LOG_PART: u64 = 32;
 /// Least share of any, in bytes: with less, each text would be a sync of its own.
-const LEAST_SHARE: u64 = 64 << 10;
+const MIN_SHARE: u64 = 64 << 10;
 
 /// The memory that a coordinator may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,13 +47,13 @@
     }
 
     fn share(&self, part: u64) -> usize {
-        let share = (self.limit / part).max(LEAST_SHARE);
+        let share = (self.limit / part).max(MIN_SHARE);
         usize::try_from(share).unwrap_or(usize::MAX)
     }
 
     /// Bytes of log between snapshots.
     pub fn log_between_snapshots(&self) -> u64 {
-        (self.limit / LOG_PART).max(LEAST_SHARE)
+        (self.limit / LOG_PART).max(MIN_SHARE)
     }
 }
 
--- a/crates/wingshore-coordinator/src/control.rs
+++ b/crates/wingshore-coordinator/src/control.rs
@@ -4,9 +4,9 @@
 use wingshore_types::Instant;
 
 /// Most bytes of a request's head.
-pub(crate) const MOST_HEAD: usize = 32 * 1024;
+pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Most bytes of a request's body.
-pub(crate) const MOST_BODY: usize = 48 * 1024 * 1024;
+pub(crate) const MAX_BODY_BYTES: usize = 48 * 1024 * 1024;
 
 /// One HTTP connection to this process.
 pub(crate) struct ControlConnection {
--- a/crates/wingshore-coordinator/src/decision_log.rs
+++ b/crates/wingshore-coordinator/src/decision_log.rs
@@ -149,7 +149,7 @@
                 "ended" => ended.join(","));
         }
         Decision::RequestCleared { request, reason } => {
-            warn!(logger, "request let off"; "fingerprint" => %request, "reason" => reason);
+            warn!(logger, "request cleared"; "fingerprint" => %request, "reason" => reason);
         }
         _ => {}
     }
--- a/crates/wingshore-coordinator/src/directory.rs
+++ b/crates/wingshore-coordinator/src/directory.rs
@@ -8,7 +8,7 @@
 use wingshore_types::Instant;
 
 /// Most addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// From this many gateways in a client's own zone on, it gets only those.
 const ENOUGH_IN_ZONE: usize = 2;
 
@@ -108,7 +108,7 @@
         ready
             .iter()
             .filter(|gateway| !only_near || gateway.hello.zone == zone)
-            .take(MOST_ADDRESSES)
+            .take(MAX_ADDRESSES)
             .map(|gateway| GatewayAddress {
                 front: gateway.hello.front,
             })
--- a/crates/wingshore-coordinator/src/membership.rs
+++ b/crates/wingshore-coordinator/src/membership.rs
@@ -13,7 +13,7 @@
 /// A joiner that was last heard of longer ago is not taken in.
 const JOINER_SILENCE: Duration = Duration::from_secs(1);
 /// Most voters: each further one makes every commit dearer.
-const MOST_VOTERS: usize = 7;
+const MAX_VOTERS: usize = 7;
 /// Members besides those that the losses and zones ask for: one that can vote at once in the place
 /// of a lost one. Each further one holds the whole state in memory and is sent the whole log.
 const SPARE_MEMBERS: usize = 1;
@@ -69,19 +69,19 @@
 
 impl MembershipView<'_> {
     /// The fewest voters that bear the losses.
-    fn fewest_voters(&self) -> usize {
+    fn min_voters(&self) -> usize {
         2 * self.losses_borne + 1
     }
 
     /// Members that are wanted: as many as bear the losses, and one in each zone whose gateways
     /// read from it, and a spare. The other coordinators stand by without the group's state.
-    pub fn wanted_members(&self, now: Instant) -> usize {
+    pub fn target_members(&self, now: Instant) -> usize {
         let zones: BTreeSet<&str> = self
             .fresh(now)
             .map(|joiner| joiner.zone.as_str())
             .chain([self.own_zone])
             .collect();
-        self.fewest_voters().max(zones.len()) + SPARE_MEMBERS
+        self.min_voters().max(zones.len()) + SPARE_MEMBERS
     }
 
     /// Coordinators other than the leader that are heard of and are not to leave.
@@ -103,13 +103,13 @@
         coordinators.extend(standby);
         let shortage = Shortage {
             coordinators: coordinators.len(),
-            needed: self.fewest_voters(),
+            needed: self.min_voters(),
         };
         (shortage.coordinators < shortage.needed).then_some(shortage)
     }
 
     /// Members that are there: the leader, and those that are heard of and are not to leave.
-    fn members_there(&self, now: Instant) -> impl Iterator<Item = &Member> {
+    fn live_members(&self, now: Instant) -> impl Iterator<Item = &Member> {
         let fresh: BTreeSet<ReplicaId> = self.fresh(now).map(|joiner| joiner.id).collect();
         members(self.membership).filter(move |member| {
             let is_own = member.id == self.own && !self.retired.contains(&member.id);
@@ -118,9 +118,9 @@
     }
 
     /// Zones in which a member is there.
-    fn zones_with_members(&self, now: Instant) -> BTreeSet<&str> {
+    fn zones_with_live_members(&self, now: Instant) -> BTreeSet<&str> {
         let others = self
-            .members_there(now)
+            .live_members(now)
             .filter_map(|member| self.heard.get(&member.id));
         others
             .map(|joiner| joiner.zone.as_str())
@@ -131,10 +131,10 @@
     /// Voters that are wanted: an odd number, and as many of the members that are there as
     /// possible. So each majority of them holds a majority of the voters, whichever way they are
     /// cut apart.
-    pub fn wanted_voters(&self, now: Instant) -> usize {
-        let there = self.members_there(now).count();
+    pub fn target_voters(&self, now: Instant) -> usize {
+        let there = self.live_members(now).count();
         let odd = there.saturating_sub(1) / 2 * 2 + 1;
-        odd.min(MOST_VOTERS).max(self.fewest_voters())
+        odd.min(MAX_VOTERS).max(self.min_voters())
     }
 
     /// Whether the group would bear a loss right now without this member: it is none, enough
@@ -143,7 +143,7 @@
         let is_member = members(self.membership).any(|member| member.id == id);
         let voters = &self.membership.voters;
         !is_member
-            && voters.len() >= self.wanted_voters(now)
+            && voters.len() >= self.target_voters(now)
             && voters
                 .iter()
                 .all(|voter| self.caught_up.contains(&voter.id))
@@ -214,7 +214,7 @@
         left.insert(view.own);
         left.remove(&id);
         left.retain(|member| !view.retired.contains(member));
-        left.len() >= view.fewest_voters()
+        left.len() >= view.min_voters()
     }
 
     /// The next step towards a group without the members that are to leave: first a successor
@@ -225,7 +225,7 @@
             return Some(MembershipRequest::Remove(learner.id));
         }
         let leaving = view.membership.voters.iter().find(is_retired)?;
-        if view.membership.voters.len() <= view.wanted_voters(now) {
+        if view.membership.voters.len() <= view.target_voters(now) {
             let ready = self.ready_learner(now, view)?;
             return Some(MembershipRequest::Promote(ready));
         }
@@ -260,10 +260,8 @@
         let voters = view.membership.voters.len();
         let silent = self.silent_voter(now, VOTER_SILENCE, view);
         match silent {
-            Some(silent) if voters >= view.fewest_voters() => {
-                Some(MembershipRequest::Remove(silent))
-            }
-            _ => (voters < view.wanted_voters(now)).then_some(MembershipRequest::Promote(ready)),
+            Some(silent) if voters >= view.min_voters() => Some(MembershipRequest::Remove(silent)),
+            _ => (voters < view.target_voters(now)).then_some(MembershipRequest::Promote(ready)),
         }
     }
 
@@ -274,7 +272,7 @@
         now: Instant,
         view: &MembershipView<'_>,
     ) -> Option<MembershipRequest> {
-        let is_superfluous = view.membership.voters.len() > view.wanted_voters(now);
+        let is_superfluous = view.membership.voters.len() > view.target_voters(now);
         let silent = self.silent_voter(now, LEARNER_SILENCE, view);
         let silent = silent.filter(|_| is_superfluous);
         silent.map(MembershipRequest::Remove)
@@ -294,7 +292,7 @@
     /// A coordinator that stands by is taken in while fewer members are there than are wanted,
     /// rather one in a zone without a member.
     fn joiner_to_add(&self, now: Instant, view: &MembershipView<'_>) -> Option<MembershipRequest> {
-        if view.members_there(now).count() >= view.wanted_members(now) {
+        if view.live_members(now).count() >= view.target_members(now) {
             return None;
         }
         let is_new = |joiner: &&Joiner| {
@@ -306,7 +304,7 @@
                 && !view.retired.contains(&joiner.id)
                 && !members(view.membership).any(clashes)
         };
-        let zones = view.zones_with_members(now);
+        let zones = view.zones_with_live_members(now);
         let joiners = view.heard.values().filter(is_new);
         let best = joiners.min_by_key(|joiner| zones.contains(joiner.zone.as_str()));
         best.map(|joiner| {
--- a/crates/wingshore-coordinator/src/metrics.rs
+++ b/crates/wingshore-coordinator/src/metrics.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Shortest time that the histograms tell apart, in seconds.
-const SHORTEST: f64 = 0.000_5;
+const MIN_BUCKET_SECONDS: f64 = 0.000_5;
 /// Each bucket reaches twice as far as the one before.
 const BUCKET_FACTOR: f64 = 2.0;
 /// Buckets; the last one ends at 8.2 s.
@@ -37,7 +37,11 @@
 
 impl MetricConstructor<Histogram> for Buckets {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(exponential_buckets(SHORTEST, BUCKET_FACTOR, BUCKETS))
+        Histogram::new(exponential_buckets(
+            MIN_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKETS,
+        ))
     }
 }
 
@@ -80,7 +84,7 @@
     write_seconds: Histogram,
     orders: Family<OutcomeLabel, Counter>,
     provider_calls: Family<CallLabels, Counter>,
-    tries: Family<OutcomeLabel, Counter>,
+    attempts: Family<OutcomeLabel, Counter>,
     scorings: Family<OutcomeLabel, Counter>,
     leaderships: Counter,
     member_changes: Counter,
@@ -175,7 +179,7 @@
             write_seconds: Buckets.new_metric(),
             orders: Family::default(),
             provider_calls: Family::default(),
-            tries: Family::default(),
+            attempts: Family::default(),
             scorings: Family::default(),
             leaderships: Counter::default(),
             member_changes: Counter::default(),
@@ -217,7 +221,7 @@
         registry.register(
             "tries",
             "Tries at items of batch jobs by what came of them",
-            self.tries.clone(),
+            self.attempts.clone(),
         );
         registry.register(
             "scorings",
@@ -266,8 +270,8 @@
     }
 
     /// A gateway has told what came of a try.
-    pub(crate) fn try_ended(&self, outcome: &'static str) {
-        self.tries.get_or_create(&OutcomeLabel { outcome }).inc();
+    pub(crate) fn attempt_ended(&self, outcome: &'static str) {
+        self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
     /// A gateway has told what came of a scoring.
--- a/crates/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/wingshore-coordinator/src/outgoing_calls.rs
@@ -61,7 +61,7 @@
 
 impl Question {
     /// Whether only the holder of orders may ask.
-    fn is_holders(&self) -> bool {
+    fn needs_lease(&self) -> bool {
         !matches!(self, Self::Report(_))
     }
 }
@@ -271,7 +271,7 @@
     pub(crate) fn drop_holders_calls(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         self.end_all(reactor, |entry| {
             let call = entry.call.as_ref();
-            call.is_some_and(|call| call.question.is_holders())
+            call.is_some_and(|call| call.question.needs_lease())
         })
     }
 
--- a/crates/wingshore-coordinator/src/process/callers.rs
+++ b/crates/wingshore-coordinator/src/process/callers.rs
@@ -34,7 +34,7 @@
         };
         let next = control
             .reader
-            .next(input, control::MOST_HEAD, control::MOST_BODY);
+            .next(input, control::MAX_HEAD_BYTES, control::MAX_BODY_BYTES);
         match next {
             Ok(None) => {}
             Ok(Some(request)) => {
@@ -60,7 +60,7 @@
         };
         let next = control
             .reader
-            .next(input, control::MOST_HEAD, control::MOST_BODY);
+            .next(input, control::MAX_HEAD_BYTES, control::MAX_BODY_BYTES);
         let answer = match next {
             Ok(None) => return,
             Ok(Some(_)) => HttpAnswer {
@@ -116,7 +116,7 @@
     fn on_call(&mut self, now: Instant, connection: ConnectionId, request: &WholeRequest) {
         match self.protocol.read(request) {
             ControlCall::Group(Request::Heartbeat(heartbeat)) if !self.host.is_leader() => {
-                self.pass_on_heartbeat(now, connection, heartbeat);
+                self.forward_heartbeat(now, connection, heartbeat);
             }
             ControlCall::Group(request) => self.ask_group(request, Waiting::Caller(connection)),
             ControlCall::Local(LocalQuestion::Retire { node }) if self.host.is_leader() => {
--- a/crates/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/wingshore-coordinator/src/process/coordinators.rs
@@ -75,14 +75,14 @@
     }
 
     /// Introduces this coordinator again to all others, and gives gateways a sign of life.
-    pub(super) fn greet(&mut self) {
+    pub(super) fn introduce_to_all(&mut self) {
         let others: Vec<ReplicaId> = self.peers.ids().collect();
         let links = others.into_iter().filter_map(|other| self.route_to(other));
         let links: Vec<ConnectionId> = links.collect();
         for connection in links {
             self.introduce(connection);
         }
-        self.tell_alive();
+        self.send_alive();
     }
 
     /// A connection that leads to a coordinator.
--- a/crates/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/wingshore-coordinator/src/process/gateways.rs
@@ -27,7 +27,7 @@
             self.roles.remove(&before);
         }
         let coordinators = self.coordinator_addresses();
-        let alive = self.sign_of_life(Some(coordinators));
+        let alive = self.alive_message(Some(coordinators));
         self.send_frame(connection, &alive);
         self.inputs.push(HostInput::Event(event));
     }
@@ -66,7 +66,7 @@
     /// Counts attempts and scorings that a gateway reports the end of.
     fn count_ends(&self, report: &GatewayMessage) {
         match report {
-            GatewayMessage::ItemEnded { outcome, .. } => self.metrics.try_ended(outcome.name()),
+            GatewayMessage::ItemEnded { outcome, .. } => self.metrics.attempt_ended(outcome.name()),
             GatewayMessage::ScoringEnded { outcome, .. } => {
                 self.metrics.scoring_ended(outcome.name());
             }
@@ -76,15 +76,15 @@
 
     /// Gives all gateways a sign of life. Addresses are told only when they have changed: with 45
     /// coordinators and 836 gateways they were nine tenths of what crossed between zones at rest.
-    pub(super) fn tell_alive(&mut self) {
+    pub(super) fn send_alive(&mut self) {
         let coordinators = self.coordinator_addresses();
-        let is_news = coordinators != self.told_coordinators;
-        let alive = self.sign_of_life(is_news.then(|| coordinators.clone()));
-        self.told_coordinators = coordinators;
+        let is_news = coordinators != self.announced_coordinators;
+        let alive = self.alive_message(is_news.then(|| coordinators.clone()));
+        self.announced_coordinators = coordinators;
         self.send_to_all_gateways(&alive);
     }
 
-    fn sign_of_life(&self, coordinators: Option<Vec<SocketAddr>>) -> CoordinatorMessage {
+    fn alive_message(&self, coordinators: Option<Vec<SocketAddr>>) -> CoordinatorMessage {
         let has_copy = self.is_member() && self.host.leader().is_some();
         CoordinatorMessage::Alive {
             coordinators,
--- a/crates/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/wingshore-coordinator/src/process/housekeeping.rs
@@ -41,12 +41,12 @@
 
 impl Coordinator {
     /// What is due by time: connections, signs of life, members, the planned stop.
-    pub(super) fn keep_house(&mut self, now: Instant) {
+    pub(super) fn run_housekeeping(&mut self, now: Instant) {
         if now >= self.schedule.next_hello {
             self.schedule.next_hello = now + HELLO_INTERVAL;
-            self.greet();
-            self.tell_view_revision();
-            self.tell_heard(now);
+            self.introduce_to_all();
+            self.send_view_revision();
+            self.report_heard(now);
         }
         if now < self.schedule.next_housekeeping {
             return;
@@ -56,13 +56,13 @@
         let events = self.calls.expire(now, &mut self.reactor);
         self.take_call_events(events);
         self.agree_on_time(now);
-        if self.schedule.silence_judge.look(now) {
+        if self.schedule.silence_judge.silence_counts(now) {
             for connection in self.directory.silent(now, GATEWAY_SILENCE) {
                 self.on_ended(now, connection);
             }
         }
         self.close_idle_callers(now);
-        self.give_up_passed_on(now);
+        self.answer_late_heartbeats(now);
         self.plan_members(now);
         self.report_shortage(now);
         self.reload();
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -18,7 +18,7 @@
 mod views;
 
 use self::connections::{Link, Role};
-use self::heartbeats::PassedOnHeartbeats;
+use self::heartbeats::ForwardedHeartbeats;
 use self::housekeeping::{PlannedStop, Schedule};
 use self::members::MembershipWork;
 use self::pending::{PendingCalls, Waiting};
@@ -50,7 +50,7 @@
 /// Sent bytes may stay unacknowledged this long on links of the site.
 const LINK_LIMIT: Duration = Duration::from_millis(1500);
 /// Longest wait for sockets.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
 
 /// A running coordinator.
 pub struct Coordinator {
@@ -80,9 +80,9 @@
     copy_readers: Vec<copies::CopyReader>,
     view_feed: ViewFeed<ConnectionId>,
     /// The coordinators that gateways were told of last.
-    told_coordinators: Vec<SocketAddr>,
+    announced_coordinators: Vec<SocketAddr>,
     heartbeats: HeartbeatRelay,
-    passed_on: PassedOnHeartbeats,
+    forwarded: ForwardedHeartbeats,
     members: MembershipWork,
     schedule: Schedule,
     inputs: Vec<HostInput<CoordinationLeader>>,
@@ -104,12 +104,12 @@
                 self.on_net_event(now, event);
             }
             self.take_write_events()?;
-            self.keep_house(now);
+            self.run_housekeeping(now);
             if now >= self.host.next_tick() {
                 self.inputs.push(HostInput::Tick);
             }
             self.step_host(now, &mut outputs)?;
-            self.tell_view();
+            self.send_view();
             self.drop_orders_without_lease();
             self.answer_copy_readers(now);
         }
@@ -123,7 +123,7 @@
         }
         let now = self.clock.now();
         let due = self.host.next_tick().min(self.schedule.next());
-        due.since(now).min(LONGEST_WAIT)
+        due.since(now).min(MAX_POLL_WAIT)
     }
 
     fn take_write_events(&mut self) -> Result<(), CoordinatorError> {
--- a/crates/wingshore-coordinator/src/process/outputs.rs
+++ b/crates/wingshore-coordinator/src/process/outputs.rs
@@ -74,7 +74,7 @@
             }
         }
         // Gateways need a copy of the view that knows its leader.
-        self.tell_alive();
+        self.send_alive();
     }
 
     fn on_effect(&mut self, now: Instant, effect: Effect) {
@@ -108,7 +108,7 @@
     }
 
     /// Voters that there is a connection to, and this one.
-    fn members_in_touch(&self) -> usize {
+    fn reachable_voters(&self) -> usize {
         let voters = self.host.membership().voters.iter();
         let own = self.folder.identity().replica;
         voters
@@ -138,7 +138,7 @@
             info!(self.logger, "call answered"; "call" => pending.call, "subject" => subject,
                 "outcome" => outcome, "after_ms" => time.as_millis() as u64,
                 "term" => self.host.term(), "leader" => leader,
-                "members_in_touch" => self.members_in_touch(),
+                "members_in_touch" => self.reachable_voters(),
                 "voters" => self.host.membership().voters.len());
         }
         match pending.waiting {
--- a/crates/wingshore-coordinator/src/process/start.rs
+++ b/crates/wingshore-coordinator/src/process/start.rs
@@ -1,6 +1,6 @@
 //! The start of a coordinator: what it has on its disk, where it listens, its threads.
 
-use super::heartbeats::PassedOnHeartbeats;
+use super::heartbeats::ForwardedHeartbeats;
 use super::housekeeping::{PlannedStop, Schedule};
 use super::members::MembershipWork;
 use super::pending::PendingCalls;
@@ -31,7 +31,7 @@
 /// Sent bytes may stay unacknowledged this long on connections of callers.
 const CALLER_LIMIT: Duration = Duration::from_secs(5);
 /// Most connections of others at a time.
-const MOST_CONNECTIONS: usize = 6000;
+const MAX_CONNECTIONS: usize = 6000;
 /// Listeners that are told apart from those of callers.
 pub(super) struct Listeners {
     /// For the site's own processes.
@@ -47,7 +47,7 @@
     ) -> Result<Self, CoordinatorError> {
         let listen = |reactor: &mut Reactor, address, limit| {
             reactor
-                .listen(address, limit, MOST_CONNECTIONS)
+                .listen(address, limit, MAX_CONNECTIONS)
                 .context(NetSnafu)
         };
         listen(reactor, settings.control, CALLER_LIMIT)?;
@@ -146,9 +146,9 @@
             pending: PendingCalls::default(),
             copy_readers: Vec::new(),
             view_feed: ViewFeed::default(),
-            told_coordinators: Vec::new(),
+            announced_coordinators: Vec::new(),
             heartbeats: HeartbeatRelay::default(),
-            passed_on: PassedOnHeartbeats::default(),
+            forwarded: ForwardedHeartbeats::default(),
             members: MembershipWork::default(),
             schedule: Schedule::default(),
             inputs: Vec::new(),
--- a/crates/wingshore-coordinator/src/process/views.rs
+++ b/crates/wingshore-coordinator/src/process/views.rs
@@ -18,23 +18,23 @@
 
 impl Coordinator {
     /// Tells gateways what has changed since the last turn of the loop.
-    pub(super) fn tell_view(&mut self) {
+    pub(super) fn send_view(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
             applied: self.host.applied_index(),
         };
-        if let Err(error) = self.view_feed.tell(source, &mut self.reactor) {
+        if let Err(error) = self.view_feed.send_changes(source, &mut self.reactor) {
             warn!(self.logger, "view not encoded"; "error" => %error);
         }
     }
 
     /// Tells gateways that know all how far the log is, from time to time.
-    pub(super) fn tell_view_revision(&mut self) {
+    pub(super) fn send_view_revision(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
             applied: self.host.applied_index(),
         };
-        if let Err(error) = self.view_feed.tell_revision(source, &mut self.reactor) {
+        if let Err(error) = self.view_feed.send_revision(source, &mut self.reactor) {
             warn!(self.logger, "view not encoded"; "error" => %error);
         }
     }
--- a/crates/wingshore-coordinator/src/spool.rs
+++ b/crates/wingshore-coordinator/src/spool.rs
@@ -64,14 +64,14 @@
 impl SnapshotSpool for FileSpool {
     fn begin(&self) -> io::Result<Box<dyn SpooledSnapshot>> {
         let number = self.begun.fetch_add(1, Ordering::Relaxed);
-        let place = SpoolFile {
+        let spool_file = SpoolFile {
             fs: Arc::clone(&self.fs),
             path: self.folder.join(number.to_string()),
             logger: self.logger.clone(),
         };
-        let file = place.logged(self.fs.create(&place.path))?;
+        let file = spool_file.logged(self.fs.create(&spool_file.path))?;
         Ok(Box::new(Spooled {
-            place,
+            spool_file,
             file,
             length: 0,
         }))
@@ -106,7 +106,7 @@
 
 /// A snapshot that is being received.
 struct Spooled {
-    place: SpoolFile,
+    spool_file: SpoolFile,
     file: Box<dyn File>,
     length: u64,
 }
@@ -120,17 +120,17 @@
 impl SpooledSnapshot for Spooled {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let appended = self.file.append(bytes);
-        self.place.logged(appended)?;
+        self.spool_file.logged(appended)?;
         self.length += bytes.len() as u64;
         Ok(())
     }
 
     fn finish(self: Box<Self>) -> io::Result<SnapshotData> {
-        let opened = self.place.fs.open_to_read(&self.place.path);
-        let file = self.place.logged(opened)?;
+        let opened = self.spool_file.fs.open_to_read(&self.spool_file.path);
+        let file = self.spool_file.logged(opened)?;
         let received = Received {
             range: Arc::new(FileRange::new(file, 0, self.length)),
-            _place: self.place,
+            _spool_file: self.spool_file,
         };
         Ok(SnapshotState::Frozen(Arc::new(received)).into())
     }
@@ -139,7 +139,7 @@
 /// A snapshot that was received whole; its file goes with it.
 struct Received {
     range: Arc<FileRange>,
-    _place: SpoolFile,
+    _spool_file: SpoolFile,
 }
 
 impl FrozenState for Received {
--- a/crates/wingshore-coordinator/src/texts.rs
+++ b/crates/wingshore-coordinator/src/texts.rs
@@ -20,7 +20,7 @@
 /// Longest wait of one who brings a single text: the loop that it runs in has others to answer.
 const WAIT_FOR_ONE: Duration = Duration::from_millis(20);
 /// Between attempts to move texts after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const MOVE_RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
 /// What the thread that moves texts and those who bring them share.
 struct State {
@@ -182,7 +182,7 @@
                 self.remove_released();
             } else if let Err(error) = self.move_batch(&texts) {
                 self.put_back(&texts, &error);
-                thread::sleep(RETRY_PAUSE);
+                thread::sleep(MOVE_RETRY_BACKOFF);
             }
         }
     }
--- a/crates/wingshore-coordinator/src/view_feed.rs
+++ b/crates/wingshore-coordinator/src/view_feed.rs
@@ -16,10 +16,10 @@
 
 /// A gateway is told nothing new while so many bytes wait for it: what changes meanwhile is told
 /// once, as it is then. About the time of 35 ms on a link of 60 Mbit/s.
-const MOST_QUEUED: usize = 256 * 1024;
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Gateways that are told the whole view at a time. The others wait: the first ones then have it
 /// after a few ms, where all would have it after seconds if they shared the link.
-const WHOLE_AT_A_TIME: usize = 16;
+const MAX_WHOLE_VIEWS_UNDER_WAY: usize = 16;
 /// An encoded view is sent together with what has changed since, as long as that is no more than
 /// one part in so many of its servers: encoding 10,000 servers takes milliseconds, and while a
 /// site's servers register, each gateway would ask for another state of them.
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// When the codec cannot encode it.
-    pub fn tell(
+    pub fn send_changes(
         &mut self,
         source: FeedSource<'_>,
         links: &mut impl FeedLinks<K>,
@@ -113,7 +113,7 @@
         self.whole_under_way.retain(|link| links.queued(*link) > 0);
         let mut frames = ChangeFrames::new(source);
         for link in std::mem::take(&mut self.behind) {
-            if !self.tell_one(link, &mut frames, links)? {
+            if !self.send_to(link, &mut frames, links)? {
                 self.behind.insert(link);
             }
         }
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// When the codec cannot encode it.
-    pub fn tell_revision(
+    pub fn send_revision(
         &mut self,
         source: FeedSource<'_>,
         links: &mut impl FeedLinks<K>,
@@ -146,13 +146,13 @@
     }
 
     /// Tells one gateway what it lacks; says whether that was all.
-    fn tell_one(
+    fn send_to(
         &mut self,
         link: K,
         frames: &mut ChangeFrames<'_>,
         links: &mut impl FeedLinks<K>,
     ) -> Result<bool, postcard::Error> {
-        if links.queued(link) > MOST_QUEUED {
+        if links.queued(link) > MAX_QUEUED_BYTES {
             return Ok(false);
         }
         let known = self.known.get(&link).copied().flatten();
@@ -163,7 +163,7 @@
             self.known.insert(link, Some(frames.source.applied));
             return Ok(true);
         }
-        if self.whole_under_way.len() >= WHOLE_AT_A_TIME {
+        if self.whole_under_way.len() >= MAX_WHOLE_VIEWS_UNDER_WAY {
             return Ok(false);
         }
         let whole = self.whole(frames.source)?;
--- a/crates/wingshore-coordinator/src/writer.rs
+++ b/crates/wingshore-coordinator/src/writer.rs
@@ -9,12 +9,12 @@
 use wingshore_types::log::WriteBatch;
 
 /// Between attempts to write on a full disk.
-const FULL_DISK_PAUSE: Duration = Duration::from_millis(200);
+const FULL_DISK_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Waits for space on a full disk.
 pub(crate) fn wait_for_space(logger: &Logger, error: &StorageError) {
     warn!(logger, "the disk is full"; "error" => %error);
-    thread::sleep(FULL_DISK_PAUSE);
+    thread::sleep(FULL_DISK_BACKOFF);
 }
 
 /// One write asked for.
--- a/crates/wingshore-coordinator/tests/membership.rs
+++ b/crates/wingshore-coordinator/tests/membership.rs
@@ -252,10 +252,10 @@
         site.hear(id, machine, 0);
         site.membership.learners.push(member(id, machine));
     }
-    expect_that!(site.view().wanted_voters(site.now), eq(5));
+    expect_that!(site.view().target_voters(site.now), eq(5));
     site.membership.learners.pop();
     site.membership.learners.pop();
-    expect_that!(site.view().wanted_voters(site.now), eq(3));
+    expect_that!(site.view().target_voters(site.now), eq(3));
 }
 
 #[gtest]
--- a/crates/wingshore-coordinator/tests/silence.rs
+++ b/crates/wingshore-coordinator/tests/silence.rs
@@ -14,17 +14,17 @@
 fn silence_counts_while_looks_come_in_time() {
     let mut judge = SilenceJudge::default();
     for step in 0..50 {
-        expect_that!(judge.look(at(step * 130)), eq(true));
+        expect_that!(judge.silence_counts(at(step * 130)), eq(true));
     }
 }
 
 #[gtest]
 fn after_the_process_has_stood_still_others_have_time_to_be_heard() {
     let mut judge = SilenceJudge::default();
-    judge.look(at(0));
-    expect_that!(judge.look(at(1200)), eq(false));
-    expect_that!(judge.look(at(1300)), eq(false));
-    expect_that!(judge.look(at(1500)), eq(false));
-    expect_that!(judge.look(at(1600)), eq(false));
-    expect_that!(judge.look(at(1700)), eq(true));
+    judge.silence_counts(at(0));
+    expect_that!(judge.silence_counts(at(1200)), eq(false));
+    expect_that!(judge.silence_counts(at(1300)), eq(false));
+    expect_that!(judge.silence_counts(at(1500)), eq(false));
+    expect_that!(judge.silence_counts(at(1600)), eq(false));
+    expect_that!(judge.silence_counts(at(1700)), eq(true));
 }
--- a/crates/wingshore-coordinator/tests/view_feed.rs
+++ b/crates/wingshore-coordinator/tests/view_feed.rs
@@ -131,7 +131,8 @@
     gateways: &mut [View],
 ) -> usize {
     for round in 0..10_000 {
-        feed.tell(copy.source(), links).expect("it can be encoded");
+        feed.send_changes(copy.source(), links)
+            .expect("it can be encoded");
         if links.waiting.is_empty() {
             return round;
         }
@@ -218,7 +219,7 @@
     for (link, next) in (0_u32..160).zip(8000..) {
         copy.register(next, next + 1);
         feed.follow(link, None);
-        feed.tell(copy.source(), &mut links)
+        feed.send_changes(copy.source(), &mut links)
             .expect("it can be encoded");
         let large = |buffers: &&usize| **buffers > 100_000;
         wholes = links.held.values().filter(large).count();
@@ -235,12 +236,12 @@
     copy.register(0, 8000);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(1));
     feed.follow(0, None);
-    feed.tell(copy.source(), &mut links)
+    feed.send_changes(copy.source(), &mut links)
         .expect("it can be encoded");
     let after_whole = links.queued(0);
     for round in 0..100 {
         copy.register(8000 + round, 8001 + round);
-        feed.tell(copy.source(), &mut links)
+        feed.send_changes(copy.source(), &mut links)
             .expect("it can be encoded");
     }
     expect_that!(links.queued(0), eq(after_whole));
@@ -265,7 +266,7 @@
     let mut copy = copy.restored();
     let mut feed = ViewFeed::default();
     follow_all(&mut feed, &gateways);
-    feed.tell(copy.source(), &mut links)
+    feed.send_changes(copy.source(), &mut links)
         .expect("it can be encoded");
     let kind = |link: u32| read(&links.waiting[&link][0]).content;
     expect_that!(kind(0), matches_pattern!(ViewContent::Whole(_)));
@@ -305,7 +306,7 @@
     copy.applied += 5;
     settle(&mut feed, &copy, &mut links, &mut gateways);
     expect_that!(gateways[0].revision(), some(eq(LogIndex(20))));
-    feed.tell_revision(copy.source(), &mut links)
+    feed.send_revision(copy.source(), &mut links)
         .expect("it can be encoded");
     links.deliver(&mut gateways);
     expect_that!(gateways[0].revision(), some(eq(LogIndex(25))));
--- a/crates/wingshore-net/src/connection.rs
+++ b/crates/wingshore-net/src/connection.rs
@@ -1,12 +1,12 @@
 //! One connection of the reactor: its buffers, and one turn of reading or writing.
 
-use crate::output::{OutputQueue, give_back};
+use crate::output::{OutputQueue, release_if_large};
 use bytes::BytesMut;
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 
 /// Most bytes taken from one connection before others get their turn.
-const READ_TURN: usize = 256 * 1024;
+const MAX_READ_PER_TURN: usize = 256 * 1024;
 
 /// One socket and its buffers.
 pub(crate) struct Connection {
@@ -18,10 +18,10 @@
     pub(crate) input_ended: bool,
     /// The peer has ended its side, or the connection failed: the end stands behind what can be
     /// read, and no further event tells of it.
-    pub(crate) end_is_near: bool,
+    pub(crate) end_signalled: bool,
     pub(crate) close_when_flushed: bool,
     pub(crate) writable: bool,
-    pub(crate) dirty: bool,
+    pub(crate) needs_flush: bool,
     pub(crate) read_pending: bool,
 }
 
@@ -48,14 +48,14 @@
             Ok(count) => {
                 received += count;
                 if !connection.close_when_flushed {
-                    give_back(&mut connection.input);
+                    release_if_large(&mut connection.input);
                     connection.input.extend_from_slice(&scratch[..count]);
                 }
                 // A short read has taken all there was; what comes later has an event of its own.
-                let is_drained = count < scratch.len() && !connection.end_is_near;
+                let is_drained = count < scratch.len() && !connection.end_signalled;
                 if is_drained {
                     ReadEnd::Drained
-                } else if received < READ_TURN {
+                } else if received < MAX_READ_PER_TURN {
                     continue;
                 } else {
                     ReadEnd::MoreLater
@@ -80,6 +80,6 @@
             Err(error) => return Err(error),
         }
     }
-    connection.output.give_back();
+    connection.output.release_if_large();
     Ok(())
 }
--- a/crates/wingshore-net/src/frame.rs
+++ b/crates/wingshore-net/src/frame.rs
@@ -8,13 +8,13 @@
 /// Bytes of the length before each frame.
 const PREFIX: usize = 4;
 /// Largest frame, in bytes; a longer one is a fault of the peer.
-const MOST_FRAME_BYTES: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// Why a frame cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum FrameError {
     /// Longer than any frame is.
-    #[snafu(display("a frame of {length} bytes; allowed are {MOST_FRAME_BYTES}"))]
+    #[snafu(display("a frame of {length} bytes; allowed are {MAX_FRAME_BYTES}"))]
     TooLong {
         /// Its length.
         length: usize,
@@ -47,7 +47,7 @@
         return Ok(None);
     };
     let length = u32::from_le_bytes(*prefix) as usize;
-    if length > MOST_FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return TooLongSnafu { length }.fail();
     }
     if input.len() < PREFIX + length {
--- a/crates/wingshore-net/src/http/body.rs
+++ b/crates/wingshore-net/src/http/body.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BytesMut};
 
 /// Longest line that gives the size of a chunk.
-const MOST_CHUNK_LINE: usize = 1024;
+const MAX_CHUNK_LINE: usize = 1024;
 
 /// How the end of a body is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -181,7 +181,7 @@
 
 fn take_line(input: &mut BytesMut) -> Result<Option<Vec<u8>>, HttpError> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        if input.len() > MOST_CHUNK_LINE {
+        if input.len() > MAX_CHUNK_LINE {
             return refuse("a chunk's line without an end");
         }
         return Ok(None);
--- a/crates/wingshore-net/src/http/exchange.rs
+++ b/crates/wingshore-net/src/http/exchange.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 /// Most bytes of an answer's head.
-const MOST_ANSWER_HEAD: usize = 64 * 1024;
+const MAX_ANSWER_HEAD: usize = 64 * 1024;
 
 /// Why a request is refused before it is whole.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -76,14 +76,14 @@
     pub fn next(
         &mut self,
         input: &mut BytesMut,
-        most_head: usize,
-        most_body: usize,
+        max_head: usize,
+        max_body: usize,
     ) -> Result<Option<WholeRequest>, RequestError> {
         if self.under_way.is_none() {
-            let Some(head) = read_request_head(input, most_head)? else {
+            let Some(head) = read_request_head(input, max_head)? else {
                 return Ok(None);
             };
-            match body_reader(&head, most_body) {
+            match body_reader(&head, max_body) {
                 Ok(reader) => self.under_way = Some((head, reader, Vec::new())),
                 Err(error) => {
                     self.unreadable = Some(head);
@@ -96,7 +96,7 @@
         };
         let status = reader.read(input, &mut body).map_err(RequestError::from);
         let status = match status {
-            Ok(_) if body.len() > most_body => BodyTooLongSnafu { limit: most_body }.fail(),
+            Ok(_) if body.len() > max_body => BodyTooLongSnafu { limit: max_body }.fail(),
             status => status,
         };
         match status {
@@ -125,10 +125,10 @@
 }
 
 /// Reads the body of a request, unless it is known to be too long.
-fn body_reader(head: &RequestHead, most_body: usize) -> Result<BodyReader, RequestError> {
+fn body_reader(head: &RequestHead, max_body: usize) -> Result<BodyReader, RequestError> {
     let framing = Framing::of_request(head)?;
-    if matches!(framing, Framing::Length(length) if length > most_body as u64) {
-        return BodyTooLongSnafu { limit: most_body }.fail();
+    if matches!(framing, Framing::Length(length) if length > max_body as u64) {
+        return BodyTooLongSnafu { limit: max_body }.fail();
     }
     Ok(BodyReader::new(framing))
 }
@@ -177,7 +177,7 @@
     /// When the bytes are no answer.
     pub fn read(&mut self, input: &mut BytesMut) -> Result<BodyStatus, HttpError> {
         while self.under_way.is_none() {
-            let Some(head) = read_answer_head(input, MOST_ANSWER_HEAD)? else {
+            let Some(head) = read_answer_head(input, MAX_ANSWER_HEAD)? else {
                 return Ok(BodyStatus::Partial);
             };
             // Interim answers come before the one that counts.
--- a/crates/wingshore-net/src/http/head.rs
+++ b/crates/wingshore-net/src/http/head.rs
@@ -4,7 +4,7 @@
 use snafu::Snafu;
 
 /// Most header lines of a message.
-const MOST_HEADERS: usize = 96;
+const MAX_HEADERS: usize = 96;
 
 /// Why bytes are not an HTTP/1.1 message.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -148,14 +148,14 @@
 /// Takes a request's head out of `input`; `None` when it is not whole yet.
 ///
 /// # Errors
-/// When the bytes are no head, or one longer than `most_bytes`.
+/// When the bytes are no head, or one longer than `max_bytes`.
 pub(super) fn read_request_head(
     input: &mut BytesMut,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<Option<RequestHead>, HttpError> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
-    let Some(length) = parse_status(parsed.parse(input), input.len(), most_bytes)? else {
+    let Some(length) = parse_status(parsed.parse(input), input.len(), max_bytes)? else {
         return Ok(None);
     };
     let method = parsed.method.unwrap_or_default().to_owned();
@@ -174,14 +174,14 @@
 /// Takes an answer's head out of `input`; `None` when it is not whole yet.
 ///
 /// # Errors
-/// When the bytes are no head, or one longer than `most_bytes`.
+/// When the bytes are no head, or one longer than `max_bytes`.
 pub(super) fn read_answer_head(
     input: &mut BytesMut,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<Option<AnswerHead>, HttpError> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
-    let Some(length) = parse_status(parsed.parse(input), input.len(), most_bytes)? else {
+    let Some(length) = parse_status(parsed.parse(input), input.len(), max_bytes)? else {
         return Ok(None);
     };
     let status = parsed.code.unwrap_or_default();
@@ -198,13 +198,13 @@
 fn parse_status(
     result: httparse::Result<usize>,
     available: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<Option<usize>, HttpError> {
     match result {
-        Ok(httparse::Status::Complete(length)) if length <= most_bytes => Ok(Some(length)),
-        Ok(httparse::Status::Partial) if available <= most_bytes => Ok(None),
+        Ok(httparse::Status::Complete(length)) if length <= max_bytes => Ok(Some(length)),
+        Ok(httparse::Status::Partial) if available <= max_bytes => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            HeadTooLongSnafu { limit: most_bytes }.fail()
+            HeadTooLongSnafu { limit: max_bytes }.fail()
         }
         Err(error) => MalformedSnafu {
             reason: error.to_string(),
--- a/crates/wingshore-net/src/output.rs
+++ b/crates/wingshore-net/src/output.rs
@@ -8,7 +8,7 @@
 const SHARED_FROM: usize = 4 * 1024;
 /// An empty buffer that has grown beyond this many bytes is given back: a process with hundreds of
 /// connections that each carried one large message must not hold on to all of them.
-const KEPT_BUFFER: usize = 32 * 1024;
+const MAX_IDLE_BUFFER: usize = 32 * 1024;
 
 /// The queue: whole pieces first, then what is still being gathered.
 ///
@@ -65,14 +65,14 @@
     }
 
     /// Frees the buffer if it is empty and large.
-    pub(crate) fn give_back(&mut self) {
-        give_back(&mut self.tail);
+    pub(crate) fn release_if_large(&mut self) {
+        release_if_large(&mut self.tail);
     }
 }
 
 /// Frees a buffer that is empty and large.
-pub(crate) fn give_back(buffer: &mut BytesMut) {
-    if buffer.is_empty() && buffer.capacity() > KEPT_BUFFER {
+pub(crate) fn release_if_large(buffer: &mut BytesMut) {
+    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_BUFFER {
         *buffer = BytesMut::new();
     }
 }
--- a/crates/wingshore-net/src/reactor.rs
+++ b/crates/wingshore-net/src/reactor.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Most events taken from the kernel at a time.
-const EVENTS_AT_A_TIME: usize = 256;
+const MAX_EVENTS_PER_POLL: usize = 256;
 /// Bytes read from a socket at a time.
 const READ_CHUNK: usize = 16 * 1024;
 /// The token of the waker; connections and listeners count from 0.
@@ -49,7 +49,7 @@
 struct Listener {
     socket: TcpListener,
     unacknowledged_limit: Duration,
-    most_connections: usize,
+    max_connections: usize,
 }
 
 /// All sockets of a process, and the wait for any of them.
@@ -63,7 +63,7 @@
     connections: Slab<Connection>,
     listeners: Vec<Listener>,
     generation: u64,
-    dirty: Vec<ConnectionId>,
+    needs_flush: Vec<ConnectionId>,
     unread: Vec<ConnectionId>,
     /// Connections that were refused before they had a socket, and are not reported yet.
     refused: Vec<ConnectionId>,
@@ -106,12 +106,12 @@
         })?;
         Ok(Self {
             poll,
-            events: Events::with_capacity(EVENTS_AT_A_TIME),
+            events: Events::with_capacity(MAX_EVENTS_PER_POLL),
             waker: Arc::new(waker),
             connections: Slab::new(),
             listeners: Vec::new(),
             generation: 0,
-            dirty: Vec::new(),
+            needs_flush: Vec::new(),
             unread: Vec::new(),
             refused: Vec::new(),
             scratch: vec![0; READ_CHUNK].into_boxed_slice(),
@@ -124,7 +124,7 @@
         ReactorWaker(Arc::clone(&self.waker))
     }
 
-    /// Listens on `address`. Beyond `most_connections` over all listeners, new ones are closed.
+    /// Listens on `address`. Beyond `max_connections` over all listeners, new ones are closed.
     ///
     /// # Errors
     /// When the address cannot be used.
@@ -132,7 +132,7 @@
         &mut self,
         address: SocketAddr,
         unacknowledged_limit: Duration,
-        most_connections: usize,
+        max_connections: usize,
     ) -> Result<ListenerId, NetError> {
         let mut socket = TcpListener::bind(address).context(ListenSnafu { address })?;
         let id = ListenerId(self.listeners.len());
@@ -146,7 +146,7 @@
         self.listeners.push(Listener {
             socket,
             unacknowledged_limit,
-            most_connections,
+            max_connections,
         });
         Ok(id)
     }
@@ -248,10 +248,10 @@
             connection.connecting = false;
             out.push(NetEvent::Connected(id));
         }
-        connection.end_is_near |= event.ended || event.failed;
+        connection.end_signalled |= event.ended || event.failed;
         if event.writable {
             connection.writable = true;
-            self.mark_dirty(id);
+            self.schedule_flush(id);
         }
         if event.readable || event.ended || event.failed {
             self.read(id, out);
@@ -271,7 +271,7 @@
                 Err(_) => return,
             };
             let limit = entry.unacknowledged_limit;
-            if self.connections.len() >= entry.most_connections {
+            if self.connections.len() >= entry.max_connections {
                 continue;
             }
             let Some(connection) = self.add(stream, false, limit) else {
@@ -309,10 +309,10 @@
             output: OutputQueue::default(),
             connecting,
             input_ended: false,
-            end_is_near: false,
+            end_signalled: false,
             close_when_flushed: false,
             writable: !connecting,
-            dirty: false,
+            needs_flush: false,
             read_pending: false,
         });
         Some(ConnectionId {
@@ -339,7 +339,7 @@
         }
         match outcome.end {
             ReadEnd::Drained => {}
-            ReadEnd::MoreLater => self.mark_unread(id),
+            ReadEnd::MoreLater => self.schedule_read(id),
             ReadEnd::EndOfInput => {
                 if let Some(connection) = self.get_mut(id) {
                     connection.input_ended = true;
@@ -350,7 +350,7 @@
         }
     }
 
-    fn mark_unread(&mut self, id: ConnectionId) {
+    fn schedule_read(&mut self, id: ConnectionId) {
         if let Some(connection) = self
             .get_mut(id)
             .filter(|connection| !connection.read_pending)
@@ -360,10 +360,13 @@
         }
     }
 
-    fn mark_dirty(&mut self, id: ConnectionId) {
-        if let Some(connection) = self.get_mut(id).filter(|connection| !connection.dirty) {
-            connection.dirty = true;
-            self.dirty.push(id);
+    fn schedule_flush(&mut self, id: ConnectionId) {
+        if let Some(connection) = self
+            .get_mut(id)
+            .filter(|connection| !connection.needs_flush)
+        {
+            connection.needs_flush = true;
+            self.needs_flush.push(id);
         }
     }
 
@@ -371,7 +374,7 @@
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.get_mut(id) {
             connection.output.push(bytes);
-            self.mark_dirty(id);
+            self.schedule_flush(id);
         }
     }
 
@@ -379,7 +382,7 @@
     pub fn send_shared(&mut self, id: ConnectionId, bytes: &Bytes) {
         if let Some(connection) = self.get_mut(id) {
             connection.output.push_shared(bytes);
-            self.mark_dirty(id);
+            self.schedule_flush(id);
         }
     }
 
@@ -387,7 +390,7 @@
     pub fn close_when_flushed(&mut self, id: ConnectionId) {
         if let Some(connection) = self.get_mut(id) {
             connection.close_when_flushed = true;
-            self.mark_dirty(id);
+            self.schedule_flush(id);
         }
     }
 
@@ -422,11 +425,11 @@
     }
 
     fn flush(&mut self, out: &mut Vec<NetEvent>) {
-        for id in std::mem::take(&mut self.dirty) {
+        for id in std::mem::take(&mut self.needs_flush) {
             let Some(connection) = self.get_mut(id) else {
                 continue;
             };
-            connection.dirty = false;
+            connection.needs_flush = false;
             if connection.connecting {
                 continue;
             }
