--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -51,8 +51,7 @@
 use wingshore_storage::DataFolder;
 use wingshore_types::ReplicaId;
 
-/// Sent bytes may stay unacknowledged this long on links of the site: the silence after which a voter
-/// is replaced. Not measured.
+/// Sent bytes may stay unacknowledged this long on links of the site. Not measured.
 const LINK_LIMIT: Duration = Duration::from_millis(1500);
 /// Longest wait for sockets in one turn. Not measured; nothing rests on it, what is due ends the wait.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
