--- a/crates/wingshore-net/src/event.rs
+++ b/crates/wingshore-net/src/event.rs
@@ -1,6 +1,6 @@
 //! What a reactor reports, and how it is asked to connect.
 
-use crate::reactor::{ConnectionId, ListenerId};
+use crate::id::{ConnectionId, ListenerId};
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/wingshore-net/src/lib.rs
+++ b/crates/wingshore-net/src/lib.rs
@@ -5,13 +5,16 @@
 //! length-prefixed `postcard` frames that a site's own processes exchange.
 
 mod connection;
+mod connection_table;
 mod event;
 pub mod frame;
 pub mod http;
+mod id;
 mod output;
 mod reactor;
 mod signals;
 
 pub use event::{ConnectOptions, NetError, NetEvent};
-pub use reactor::{ConnectionId, ListenerId, Reactor, ReactorWaker};
+pub use id::{ConnectionId, ListenerId};
+pub use reactor::{Reactor, ReactorWaker};
 pub use signals::{SeedSource, Signals};
--- a/crates/wingshore-net/src/reactor.rs
+++ b/crates/wingshore-net/src/reactor.rs
@@ -1,13 +1,13 @@
 //! Sockets, their buffers, and what becomes ready on them.
 
-use crate::connection::{Connection, ReadEnd, read_available, write_queued};
+use crate::connection::{ReadEnd, read_available, write_queued};
+use crate::connection_table::ConnectionTable;
 use crate::event::{ConnectOptions, ListenSnafu, NetError, NetEvent, SystemSnafu};
-use crate::output::OutputQueue;
+use crate::id::{ConnectionId, ListenerId};
 use bytes::{Bytes, BytesMut};
 use mio::event::Event as ReadyEvent;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use slab::Slab;
 use snafu::ResultExt;
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr};
@@ -23,17 +23,6 @@
 /// Tokens from here on are listeners.
 const LISTENER_BASE: usize = 1 << 40;
 
-/// One connection in the life of one reactor; never used for a second connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnectionId {
-    slot: usize,
-    generation: u64,
-}
-
-/// One listening socket of a reactor.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ListenerId(usize);
-
 /// Wakes a reactor from another thread.
 #[derive(Clone, Debug)]
 pub struct ReactorWaker(Arc<Waker>);
@@ -60,9 +49,8 @@
     poll: Poll,
     events: Events,
     waker: Arc<Waker>,
-    connections: Slab<Connection>,
+    connections: ConnectionTable,
     listeners: Vec<Listener>,
-    generation: u64,
     needs_flush: Vec<ConnectionId>,
     unread: Vec<ConnectionId>,
     /// Connections that were refused before they had a socket, and are not reported yet.
@@ -108,9 +96,8 @@
             poll,
             events: Events::with_capacity(MAX_EVENTS_PER_POLL),
             waker: Arc::new(waker),
-            connections: Slab::new(),
+            connections: ConnectionTable::default(),
             listeners: Vec::new(),
-            generation: 0,
             needs_flush: Vec::new(),
             unread: Vec::new(),
             refused: Vec::new(),
@@ -164,26 +151,21 @@
         options: ConnectOptions,
     ) -> Option<ConnectionId> {
         match TcpStream::connect(address) {
-            Ok(stream) => self.add(stream, true, options.unacknowledged_limit),
+            Ok(stream) => {
+                let limit = options.unacknowledged_limit;
+                self.connections
+                    .add(self.poll.registry(), stream, true, limit)
+            }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                Some(self.refused_at_once())
+                let id = self.connections.id_without_socket();
+                self.refused.push(id);
+                Some(id)
             }
             // No descriptor or port is left: the caller does without a connection.
             Err(_) => None,
         }
     }
 
-    /// A connection that the system has refused before it had a socket.
-    fn refused_at_once(&mut self) -> ConnectionId {
-        self.generation += 1;
-        let id = ConnectionId {
-            slot: usize::MAX,
-            generation: self.generation,
-        };
-        self.refused.push(id);
-        id
-    }
-
     /// Waits until something happens, `timeout` at most, and pushes what did.
     ///
     /// # Errors
@@ -224,14 +206,9 @@
             self.accept(ListenerId(event.token.0 - LISTENER_BASE), out);
             return;
         }
-        let slot = event.token.0;
-        let Some(connection) = self.connections.get_mut(slot) else {
+        let Some((id, connection)) = self.connections.in_slot(event.token.0) else {
             return;
         };
-        let id = ConnectionId {
-            slot,
-            generation: connection.generation,
-        };
         if connection.connecting && (event.writable || event.failed) {
             let error = connection.stream.take_error();
             let refused = |error: &io::Error| error.kind() == ErrorKind::ConnectionRefused;
@@ -274,7 +251,8 @@
             if self.connections.len() >= entry.max_connections {
                 continue;
             }
-            let Some(connection) = self.add(stream, false, limit) else {
+            let registry = self.poll.registry();
+            let Some(connection) = self.connections.add(registry, stream, false, limit) else {
                 continue;
             };
             out.push(NetEvent::Accepted {
@@ -284,46 +262,9 @@
         }
     }
 
-    fn add(
-        &mut self,
-        mut stream: TcpStream,
-        connecting: bool,
-        unacknowledged_limit: Duration,
-    ) -> Option<ConnectionId> {
-        // Neither option is needed for correctness on systems that lack it.
-        let _ = stream.set_nodelay(true);
-        let socket = socket2::SockRef::from(&stream);
-        let _ = socket.set_tcp_user_timeout(Some(unacknowledged_limit));
-        self.generation += 1;
-        let entry = self.connections.vacant_entry();
-        let slot = entry.key();
-        let interest = Interest::READABLE | Interest::WRITABLE;
-        self.poll
-            .registry()
-            .register(&mut stream, Token(slot), interest)
-            .ok()?;
-        entry.insert(Connection {
-            stream,
-            generation: self.generation,
-            input: BytesMut::new(),
-            output: OutputQueue::default(),
-            connecting,
-            input_ended: false,
-            end_signalled: false,
-            close_when_flushed: false,
-            writable: !connecting,
-            needs_flush: false,
-            read_pending: false,
-        });
-        Some(ConnectionId {
-            slot,
-            generation: self.generation,
-        })
-    }
-
     fn read(&mut self, id: ConnectionId, out: &mut Vec<NetEvent>) {
         let mut scratch = std::mem::take(&mut self.scratch);
-        let outcome = match self.get_mut(id) {
+        let outcome = match self.connections.get_mut(id) {
             Some(connection) if !connection.input_ended => {
                 connection.read_pending = false;
                 read_available(connection, &mut scratch)
@@ -341,7 +282,7 @@
             ReadEnd::Drained => {}
             ReadEnd::MoreLater => self.schedule_read(id),
             ReadEnd::EndOfInput => {
-                if let Some(connection) = self.get_mut(id) {
+                if let Some(connection) = self.connections.get_mut(id) {
                     connection.input_ended = true;
                 }
                 out.push(NetEvent::EndOfInput(id));
@@ -352,6 +293,7 @@
 
     fn schedule_read(&mut self, id: ConnectionId) {
         if let Some(connection) = self
+            .connections
             .get_mut(id)
             .filter(|connection| !connection.read_pending)
         {
@@ -362,6 +304,7 @@
 
     fn schedule_flush(&mut self, id: ConnectionId) {
         if let Some(connection) = self
+            .connections
             .get_mut(id)
             .filter(|connection| !connection.needs_flush)
         {
@@ -372,7 +315,7 @@
 
     /// Queues bytes; they leave at the next [`Reactor::poll`].
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
-        if let Some(connection) = self.get_mut(id) {
+        if let Some(connection) = self.connections.get_mut(id) {
             connection.output.push(bytes);
             self.schedule_flush(id);
         }
@@ -380,7 +323,7 @@
 
     /// Queues bytes that many connections are sent: long ones are held once, not copied for each.
     pub fn send_shared(&mut self, id: ConnectionId, bytes: &Bytes) {
-        if let Some(connection) = self.get_mut(id) {
+        if let Some(connection) = self.connections.get_mut(id) {
             connection.output.push_shared(bytes);
             self.schedule_flush(id);
         }
@@ -388,7 +331,7 @@
 
     /// Closes once all queued bytes have left; what the peer sends meanwhile is read and dropped.
     pub fn close_when_flushed(&mut self, id: ConnectionId) {
-        if let Some(connection) = self.get_mut(id) {
+        if let Some(connection) = self.connections.get_mut(id) {
             connection.close_when_flushed = true;
             self.schedule_flush(id);
         }
@@ -396,8 +339,7 @@
 
     /// Closes at once; queued bytes are dropped.
     pub fn close(&mut self, id: ConnectionId) {
-        if self.get_mut(id).is_some() {
-            let mut connection = self.connections.remove(id.slot);
+        if let Some(mut connection) = self.connections.remove(id) {
             // Both only free what the system frees at the close anyway.
             let _ = self.poll.registry().deregister(&mut connection.stream);
             let _ = connection.stream.shutdown(Shutdown::Both);
@@ -406,17 +348,21 @@
 
     /// Received bytes that were not taken yet.
     pub fn input(&mut self, id: ConnectionId) -> Option<&mut BytesMut> {
-        self.get_mut(id).map(|connection| &mut connection.input)
+        self.connections
+            .get_mut(id)
+            .map(|connection| &mut connection.input)
     }
 
     /// Bytes that wait to leave.
     pub fn queued(&self, id: ConnectionId) -> usize {
-        self.get(id).map_or(0, |connection| connection.output.len())
+        self.connections
+            .get(id)
+            .map_or(0, |connection| connection.output.len())
     }
 
     /// Whether the connection is there.
     pub fn is_open(&self, id: ConnectionId) -> bool {
-        self.get(id).is_some()
+        self.connections.get(id).is_some()
     }
 
     /// Connections that are open, on their way up or being flushed.
@@ -426,7 +372,7 @@
 
     fn flush(&mut self, out: &mut Vec<NetEvent>) {
         for id in std::mem::take(&mut self.needs_flush) {
-            let Some(connection) = self.get_mut(id) else {
+            let Some(connection) = self.connections.get_mut(id) else {
                 continue;
             };
             connection.needs_flush = false;
@@ -446,7 +392,7 @@
     /// All is sent: closes. Unread input would turn the close into a reset, which may overtake
     /// the last bytes, so that the peer gets an orderly end first.
     fn end_output(&mut self, id: ConnectionId) {
-        let Some(connection) = self.get_mut(id) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         let _ = connection.stream.shutdown(Shutdown::Write);
@@ -457,16 +403,4 @@
         self.close(id);
         out.push(NetEvent::Broken(id));
     }
-
-    fn get(&self, id: ConnectionId) -> Option<&Connection> {
-        self.connections
-            .get(id.slot)
-            .filter(|connection| connection.generation == id.generation)
-    }
-
-    fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        self.connections
-            .get_mut(id.slot)
-            .filter(|connection| connection.generation == id.generation)
-    }
 }
