--- a/crates/wingshore-net/src/connection.rs
+++ b/crates/wingshore-net/src/connection.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Most bytes taken from one connection before others get their turn.
+/// Bytes taken from one connection before others get their turn. Not measured.
 const MAX_READ_PER_TURN: usize = 256 * 1024;
 
 /// One socket and its buffers.
@@ -16,8 +16,8 @@
     pub(crate) output: OutputQueue,
     pub(crate) connecting: bool,
     pub(crate) input_ended: bool,
-    /// The peer has ended its side, or the connection failed: the end stands behind what can be
-    /// read, and no further event tells of it.
+    /// The peer has ended its side, or the connection failed: the end comes behind what can be read,
+    /// and no further event reports it.
     pub(crate) end_signalled: bool,
     pub(crate) close_when_flushed: bool,
     pub(crate) writable: bool,
--- a/crates/wingshore-net/src/http/body.rs
+++ b/crates/wingshore-net/src/http/body.rs
@@ -3,10 +3,10 @@
 use super::head::{AnswerHead, Headers, HttpError, RequestHead};
 use bytes::{Buf, BytesMut};
 
-/// Longest line that gives the size of a chunk.
+/// Longest line that gives the size of a chunk, in bytes. Not measured.
 const MAX_CHUNK_LINE: usize = 1024;
 
-/// How the end of a body is told.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
     /// After this many bytes.
--- a/crates/wingshore-net/src/http/head.rs
+++ b/crates/wingshore-net/src/http/head.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// Most header lines of a message.
+/// Header lines of a message at most. Not measured.
 const MAX_HEADERS: usize = 96;
 
 /// Why bytes are not an HTTP/1.1 message.
@@ -21,7 +21,7 @@
         /// From the parser.
         reason: String,
     },
-    /// The end of the body cannot be told.
+    /// The end of the body cannot be found.
     #[snafu(display("unusable framing: {reason}"))]
     Framing {
         /// Why.
--- a/crates/wingshore-net/src/lib.rs
+++ b/crates/wingshore-net/src/lib.rs
@@ -12,6 +12,7 @@
 mod id;
 mod output;
 mod reactor;
+mod ready;
 mod signals;
 
 pub use event::{ConnectOptions, NetError, NetEvent};
--- a/crates/wingshore-net/src/output.rs
+++ b/crates/wingshore-net/src/output.rs
@@ -4,9 +4,9 @@
 use std::collections::VecDeque;
 
 /// Shared bytes from this length on are queued as they are. Shorter ones are copied behind what
-/// waits already, so that they leave with it in one system call.
+/// waits already, so that they leave with it in one system call. Not measured at other values.
 const SHARED_FROM: usize = 4 * 1024;
-/// An empty buffer that has grown beyond this many bytes is given back: a process with hundreds of
+/// An empty buffer that has grown beyond this many bytes is freed: a process with hundreds of
 /// connections that each carried one large message must not hold on to all of them.
 const MAX_IDLE_BUFFER: usize = 32 * 1024;
 
--- a/crates/wingshore-net/src/reactor.rs
+++ b/crates/wingshore-net/src/reactor.rs
@@ -1,11 +1,15 @@
-//! Sockets, their buffers, and what becomes ready on them.
+//! Sockets, their buffers, and what becomes ready on them: one wait for all of them on one thread.
+//!
+//! Owns the system's readiness facility, the listeners and, in [`ConnectionTable`], the connections.
+//! Sockets are edge-triggered: what was not read to its end in a turn is noted here and read in the
+//! next one. Knows no protocol.
 
 use crate::connection::{ReadEnd, read_available, write_queued};
 use crate::connection_table::ConnectionTable;
 use crate::event::{ConnectOptions, ListenSnafu, NetError, NetEvent, SystemSnafu};
 use crate::id::{ConnectionId, ListenerId};
+use crate::ready::Ready;
 use bytes::{Bytes, BytesMut};
-use mio::event::Event as ReadyEvent;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use snafu::ResultExt;
@@ -14,9 +18,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most events taken from the kernel at a time.
+/// Events taken from the kernel at a time. Not measured; what is more comes with the next poll.
 const MAX_EVENTS_PER_POLL: usize = 256;
-/// Bytes read from a socket at a time.
+/// Bytes read from a socket at a time. Not measured.
 const READ_CHUNK: usize = 16 * 1024;
 /// The token of the waker; connections and listeners count from 0.
 const WAKER_TOKEN: Token = Token(usize::MAX - 1);
@@ -59,28 +63,6 @@
     ready: Vec<Ready>,
 }
 
-/// An event of the kernel, copied out of its buffer.
-#[derive(Clone, Copy)]
-struct Ready {
-    token: Token,
-    readable: bool,
-    writable: bool,
-    ended: bool,
-    failed: bool,
-}
-
-impl From<&ReadyEvent> for Ready {
-    fn from(event: &ReadyEvent) -> Self {
-        Self {
-            token: event.token(),
-            readable: event.is_readable(),
-            writable: event.is_writable(),
-            ended: event.is_read_closed(),
-            failed: event.is_error(),
-        }
-    }
-}
-
 impl Reactor {
     /// A reactor without sockets.
     ///
