--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -20,6 +20,7 @@
 mod dials;
 mod directory;
 mod error;
+mod forwarded_heartbeats;
 mod heartbeats;
 mod identity;
 mod lost;
--- a/crates/wingshore-coordinator/src/process/connections.rs
+++ b/crates/wingshore-coordinator/src/process/connections.rs
@@ -1,28 +1,9 @@
-//! What each connection is, and what its events mean by that.
+//! What the events of each connection mean, by its role.
 
-use super::Coordinator;
+use super::{Coordinator, Link, Role};
 use crate::control::ControlConnection;
-use std::net::SocketAddr;
-use wingshore_coordination::GatewayId;
 use wingshore_net::{ConnectionId, ListenerId, NetEvent};
-use wingshore_types::{Instant, ReplicaId};
-
-/// What a connection is.
-pub(super) enum Role {
-    Control(ControlConnection),
-    /// Of monitoring.
-    Metrics(ControlConnection),
-    /// Accepted on the internal port.
-    Link(Link),
-    /// Made to another coordinator.
-    Dialed(SocketAddr),
-}
-
-#[derive(Default)]
-pub(super) struct Link {
-    pub(super) gateway: Option<GatewayId>,
-    pub(super) coordinator: Option<ReplicaId>,
-}
+use wingshore_types::Instant;
 
 impl Coordinator {
     /// Something has happened on a socket.
--- a/crates/wingshore-coordinator/src/process/copies.rs
+++ b/crates/wingshore-coordinator/src/process/copies.rs
@@ -5,6 +5,7 @@
 //! [`CallReply::Nothing`] asks there.
 
 use super::Coordinator;
+use super::copy_readers::CopyReader;
 use std::time::Duration;
 use wingshore_coordination::{CallReply, CoordinatorMessage, JobId, Reply};
 use wingshore_net::ConnectionId;
@@ -13,15 +14,6 @@
 /// Bytes of results in one answer at most, as in answers of the leader. Not measured.
 const PAGE_BYTES: usize = 900 * 1024;
 
-/// A gateway that reads, and waits for a result.
-pub(super) struct CopyReader {
-    connection: ConnectionId,
-    id: u64,
-    job: JobId,
-    from: u64,
-    until: Instant,
-}
-
 impl Coordinator {
     /// A gateway reads the results of a job from a position on.
     pub(super) fn read_copy(
--- a/crates/wingshore-coordinator/src/process/outputs.rs
+++ b/crates/wingshore-coordinator/src/process/group.rs
@@ -1,5 +1,6 @@
-//! What the group's host wants done, and the answers of the group on their way to whoever asked.
+//! The group's host: calls to it, what it wants done, and its answers on their way to whoever asked.
 
+use super::pending::PendingCall;
 use super::{Coordinator, Waiting};
 use crate::decision_log;
 use crate::error::{CoordinatorError, GroupSnafu};
@@ -8,7 +9,7 @@
 use std::time::Duration;
 use wingshore_coordination::{
     CallReply, CoordinationLeader, CoordinatorFrame, CoordinatorMessage, Decision, Effect, Event,
-    HeartbeatAnswer, IncomingFrame, Reply,
+    HeartbeatAnswer, IncomingFrame, Reply, Request,
 };
 use wingshore_group::{HostInput, HostOutput, HostReply, Leadership};
 use wingshore_types::Instant;
@@ -16,6 +17,28 @@
 use wingshore_types::protocol::membership::MembershipReply;
 
 impl Coordinator {
+    /// Asks the group something; the answer goes to whoever waits.
+    pub(super) fn ask_group(&mut self, request: Request, waiting: Waiting) {
+        let subject = request.is_rare().then(|| request.subject());
+        let tag = self.tag(waiting, request.kind(), subject);
+        self.inputs.push(HostInput::Request { tag, request });
+    }
+
+    /// Notes who waits for a call.
+    pub(super) fn tag(
+        &mut self,
+        waiting: Waiting,
+        call: &'static str,
+        subject: Option<String>,
+    ) -> RequestTag {
+        self.pending.add(PendingCall {
+            waiting,
+            call,
+            subject,
+            since: self.clock.now(),
+        })
+    }
+
     pub(super) fn step_host(
         &mut self,
         now: Instant,
--- a/crates/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/wingshore-coordinator/src/process/housekeeping.rs
@@ -1,7 +1,6 @@
 //! What a coordinator does by time: introductions, connections, time-outs, members, reload and stop.
 
 use super::Coordinator;
-use crate::silence::SilenceJudge;
 use slog::{info, warn};
 use std::time::Duration;
 use wingshore_group::HostInput;
@@ -19,29 +18,6 @@
 /// the shorter limit was not measured alone.
 const GATEWAY_SILENCE: Duration = Duration::from_millis(1000);
 
-/// When what is due.
-#[derive(Default)]
-pub(super) struct Schedule {
-    next_housekeeping: Instant,
-    next_hello: Instant,
-    silence_judge: SilenceJudge,
-}
-
-impl Schedule {
-    /// When something is due next.
-    pub(super) fn next(&self) -> Instant {
-        self.next_housekeeping.min(self.next_hello)
-    }
-}
-
-/// How far the planned stop of this process is.
-#[derive(Default)]
-pub(super) struct PlannedStop {
-    since: Option<Instant>,
-    /// Whether nothing is left to do.
-    pub(super) is_over: bool,
-}
-
 impl Coordinator {
     /// Does what is due by time: introductions, connections, time-outs, members, reload and stop.
     pub(super) fn run_housekeeping(&mut self, now: Instant) {
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -2,7 +2,7 @@
 //! be done is decided by [`MembershipPlanner`].
 
 use super::{Coordinator, Waiting};
-use crate::membership::{MembershipPlanner, MembershipView, Shortage, losses_borne_by};
+use crate::membership::{MembershipView, Shortage, losses_borne_by};
 use crate::protocol::ControlAnswer;
 use slog::{info, warn};
 use std::collections::BTreeSet;
@@ -12,17 +12,6 @@
 use wingshore_types::protocol::membership::MembershipRequest;
 use wingshore_types::{Instant, ReplicaId};
 
-/// The changes of members that the leader makes.
-#[derive(Default)]
-pub(super) struct MembershipWork {
-    /// Chooses the changes.
-    pub(super) planner: MembershipPlanner,
-    /// Whether a change was asked for and is not answered yet.
-    pub(super) is_changing: bool,
-    /// The shortage of coordinators that was logged last.
-    reported_shortage: Option<Shortage>,
-}
-
 impl Coordinator {
     /// Lets the leader change the members where that is needed.
     pub(super) fn plan_members(&mut self, now: Instant) {
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -8,28 +8,34 @@
 mod connections;
 mod coordinators;
 mod copies;
+mod copy_readers;
 mod disk;
 mod duties;
 mod gateways;
+mod group;
 mod heartbeats;
 mod host;
 mod housekeeping;
 mod links;
+mod listeners;
+mod member_changes;
 mod members;
-mod outputs;
 mod pending;
+mod roles;
+mod schedule;
 mod start;
 mod views;
 
-use self::connections::{Link, Role};
-use self::heartbeats::ForwardedHeartbeats;
-use self::housekeeping::{PlannedStop, Schedule};
-use self::members::MembershipWork;
+use self::copy_readers::CopyReader;
+use self::listeners::{LINK_LIMIT, Listeners};
+use self::member_changes::MemberChanges;
 use self::pending::{PendingCalls, Waiting};
-use self::start::Listeners;
+use self::roles::{Link, Role};
+use self::schedule::{PlannedStop, Schedule};
 use crate::dials::Dials;
 use crate::directory::Directory;
 use crate::error::{CoordinatorError, NetSnafu, StorageSnafu};
+use crate::forwarded_heartbeats::ForwardedHeartbeats;
 use crate::heartbeats::HeartbeatRelay;
 use crate::metrics::CoordinatorMetrics;
 use crate::outgoing_calls::OutgoingCalls;
@@ -51,8 +57,6 @@
 use wingshore_storage::DataFolder;
 use wingshore_types::ReplicaId;
 
-/// Sent bytes may stay unacknowledged this long on links of the site. Not measured.
-const LINK_LIMIT: Duration = Duration::from_millis(1500);
 /// Longest wait for sockets in one turn. Not measured; nothing rests on it, what is due ends the wait.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
 
@@ -81,13 +85,13 @@
     site_clock: SiteClock<ReplicaId>,
     pending: PendingCalls,
     /// Gateways that wait for a result in this member's copy of the state.
-    copy_readers: Vec<copies::CopyReader>,
+    copy_readers: Vec<CopyReader>,
     view_feed: ViewFeed<ConnectionId>,
     /// The coordinators that gateways were sent last.
     announced_coordinators: Vec<SocketAddr>,
     heartbeats: HeartbeatRelay,
     forwarded: ForwardedHeartbeats,
-    members: MembershipWork,
+    members: MemberChanges,
     schedule: Schedule,
     inputs: Vec<HostInput<CoordinationLeader>>,
 }
--- a/crates/wingshore-coordinator/src/process/pending.rs
+++ b/crates/wingshore-coordinator/src/process/pending.rs
@@ -1,9 +1,6 @@
 //! Calls to the group that wait for its answer, and who gets that answer.
 
-use super::Coordinator;
 use std::collections::HashMap;
-use wingshore_coordination::Request;
-use wingshore_group::HostInput;
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
@@ -52,27 +49,3 @@
         self.by_tag.remove(&tag)
     }
 }
-
-impl Coordinator {
-    /// Asks the group something; the answer goes to whoever waits.
-    pub(super) fn ask_group(&mut self, request: Request, waiting: Waiting) {
-        let subject = request.is_rare().then(|| request.subject());
-        let tag = self.tag(waiting, request.kind(), subject);
-        self.inputs.push(HostInput::Request { tag, request });
-    }
-
-    /// Notes who waits for a call.
-    pub(super) fn tag(
-        &mut self,
-        waiting: Waiting,
-        call: &'static str,
-        subject: Option<String>,
-    ) -> RequestTag {
-        self.pending.add(PendingCall {
-            waiting,
-            call,
-            subject,
-            since: self.clock.now(),
-        })
-    }
-}
--- /dev/null
+++ b/crates/wingshore-coordinator/src/process/schedule.rs
@@ -0,0 +1,31 @@
+//! When what is due by time, and how far the planned stop is.
+
+use crate::silence::SilenceJudge;
+use wingshore_types::Instant;
+
+/// When what is due.
+#[derive(Default)]
+pub(super) struct Schedule {
+    /// When housekeeping is due.
+    pub(super) next_housekeeping: Instant,
+    /// When introductions are due.
+    pub(super) next_hello: Instant,
+    /// Whether silence of others counts.
+    pub(super) silence_judge: SilenceJudge,
+}
+
+impl Schedule {
+    /// When something is due next.
+    pub(super) fn next(&self) -> Instant {
+        self.next_housekeeping.min(self.next_hello)
+    }
+}
+
+/// How far the planned stop of this process is.
+#[derive(Default)]
+pub(super) struct PlannedStop {
+    /// Since when it has been under way.
+    pub(super) since: Option<Instant>,
+    /// Whether nothing is left to do.
+    pub(super) is_over: bool,
+}
--- a/crates/wingshore-coordinator/src/process/start.rs
+++ b/crates/wingshore-coordinator/src/process/start.rs
@@ -1,13 +1,14 @@
 //! The start of a coordinator: what it has on its disk, where it listens, its threads.
 
-use super::heartbeats::ForwardedHeartbeats;
-use super::housekeeping::{PlannedStop, Schedule};
-use super::members::MembershipWork;
+use super::listeners::Listeners;
+use super::member_changes::MemberChanges;
 use super::pending::PendingCalls;
-use super::{Coordinator, LINK_LIMIT, disk, host};
+use super::schedule::{PlannedStop, Schedule};
+use super::{Coordinator, disk, host};
 use crate::dials::Dials;
 use crate::directory::Directory;
 use crate::error::{CoordinatorError, NetSnafu, ThreadSnafu};
+use crate::forwarded_heartbeats::ForwardedHeartbeats;
 use crate::heartbeats::HeartbeatRelay;
 use crate::metrics::CoordinatorMetrics;
 use crate::outgoing_calls::{CallProtocols, OutgoingCalls};
@@ -20,53 +21,13 @@
 use snafu::ResultExt;
 use std::collections::HashMap;
 use std::sync::Arc;
-use std::time::Duration;
 use wingshore_clock::Clock;
 use wingshore_coordination::{CoordinationLeader, SiteClock};
 use wingshore_diagnostics::{LogBudget, LogCounts, RequestSampler};
 use wingshore_group::Host;
-use wingshore_net::{ListenerId, Reactor, SeedSource, Signals};
+use wingshore_net::{Reactor, SeedSource, Signals};
 use wingshore_storage::DataFolder;
 
-/// Sent bytes may stay unacknowledged this long on connections of callers. Not measured.
-const CALLER_LIMIT: Duration = Duration::from_secs(5);
-/// Connections at a time at most. Not measured at its bound: the busiest coordinator of 45 at 836
-/// gateways held 1,600 to 2,400.
-const MAX_CONNECTIONS: usize = 6000;
-/// Listeners other than those of callers.
-pub(super) struct Listeners {
-    /// For the site's own processes.
-    pub(super) internal: ListenerId,
-    /// For monitoring.
-    pub(super) metrics: Option<ListenerId>,
-}
-
-impl Listeners {
-    fn open(
-        settings: &CoordinatorSettings,
-        reactor: &mut Reactor,
-    ) -> Result<Self, CoordinatorError> {
-        let listen = |reactor: &mut Reactor, address, limit| {
-            reactor
-                .listen(address, limit, MAX_CONNECTIONS)
-                .context(NetSnafu)
-        };
-        listen(reactor, settings.control, CALLER_LIMIT)?;
-        if let Some(address) = settings.directory {
-            listen(reactor, address, CALLER_LIMIT)?;
-        }
-        let internal = settings
-            .internal_bind
-            .unwrap_or_else(|| settings.internal_address());
-        let internal = listen(reactor, internal, LINK_LIMIT)?;
-        let metrics = settings
-            .metrics
-            .map(|address| listen(reactor, address, CALLER_LIMIT))
-            .transpose()?;
-        Ok(Self { internal, metrics })
-    }
-}
-
 /// What is open once the start has succeeded.
 struct Opened {
     clock: Clock,
@@ -150,7 +111,7 @@
             announced_coordinators: Vec::new(),
             heartbeats: HeartbeatRelay::default(),
             forwarded: ForwardedHeartbeats::default(),
-            members: MembershipWork::default(),
+            members: MemberChanges::default(),
             schedule: Schedule::default(),
             inputs: Vec::new(),
             settings,
