--- a/crates/wingshore-coordinator/src/metrics.rs
+++ b/crates/wingshore-coordinator/src/metrics.rs
@@ -90,84 +90,139 @@
     scorings: Family<OutcomeLabel, Counter>,
     leaderships: Counter,
     member_changes: Counter,
-    gauges: Vec<(&'static str, Gauge)>,
+    /// In the order of [`GAUGES`].
+    gauges: Vec<Gauge>,
 }
 
-/// Gauges: name and help.
-const GAUGES: [(&str, &str); 26] = [
-    ("leading", "1 where this coordinator leads the group"),
-    ("leader_known", "1 where it knows a leader"),
-    ("term", "Term of the group; the fence of orders"),
-    (
+/// A value that is read when monitoring asks.
+struct GaugeEntry {
+    name: &'static str,
+    help: &'static str,
+    read: fn(&Readings) -> u64,
+}
+
+const fn gauge(name: &'static str, help: &'static str, read: fn(&Readings) -> u64) -> GaugeEntry {
+    GaugeEntry { name, help, read }
+}
+
+static GAUGES: [GaugeEntry; 26] = [
+    gauge(
+        "leading",
+        "1 where this coordinator leads the group",
+        |readings| u64::from(readings.leading),
+    ),
+    gauge("leader_known", "1 where it knows a leader", |readings| {
+        u64::from(readings.leader_known)
+    }),
+    gauge(
+        "term",
+        "Term of the group; the fence of orders",
+        |readings| readings.term,
+    ),
+    gauge(
         "commit_index",
         "Last entry of the log known to be committed",
+        |readings| readings.commit_index,
     ),
-    (
+    gauge(
         "applied_index",
         "Last entry of the log applied to the state",
+        |readings| readings.applied_index,
     ),
-    ("voters", "Members that vote"),
-    ("learners", "Members that only receive"),
-    (
+    gauge("voters", "Members that vote", |readings| {
+        readings.voters as u64
+    }),
+    gauge("learners", "Members that only receive", |readings| {
+        readings.learners as u64
+    }),
+    gauge(
         "losses_borne",
         "Members whose loss at one time the voters bear",
+        |readings| readings.losses_borne as u64,
     ),
-    (
+    gauge(
         "losses_to_bear",
         "Members whose loss at one time the settings ask to bear",
+        |readings| readings.losses_to_bear as u64,
     ),
-    ("gateways", "Gateways that are connected"),
-    ("view_followers", "Gateways that follow the view here"),
-    ("servers", "Servers in the registry"),
-    (
+    gauge("gateways", "Gateways that are connected", |readings| {
+        readings.gateways as u64
+    }),
+    gauge(
+        "view_followers",
+        "Gateways that follow the view here",
+        |readings| readings.view_followers as u64,
+    ),
+    gauge("servers", "Servers in the registry", |readings| {
+        readings.servers as u64
+    }),
+    gauge(
         "servers_draining",
         "Servers in the registry that are leaving",
+        |readings| readings.servers_draining as u64,
     ),
-    ("jobs_open", "Batch jobs that are not ended"),
-    (
+    gauge("jobs_open", "Batch jobs that are not ended", |readings| {
+        readings.jobs_open as u64
+    }),
+    gauge(
         "items_waiting",
         "Items without an engine; 0 where it does not lead",
+        |readings| readings.items_waiting as u64,
     ),
-    (
+    gauge(
         "items_running",
         "Items on engines; 0 where it does not lead",
+        |readings| readings.items_running as u64,
     ),
-    (
+    gauge(
         "engines_loading",
         "Engines that load weights; 0 where it does not lead",
+        |readings| readings.engines_loading as u64,
     ),
-    (
+    gauge(
         "scorings_waiting",
         "Texts that wait for a scoring; 0 where it does not lead",
+        |readings| readings.scorings_waiting as u64,
     ),
-    (
+    gauge(
         "scorings_running",
         "Scorings that gateways hold; 0 where it does not lead",
+        |readings| readings.scorings_running as u64,
     ),
-    (
+    gauge(
         "suspect_requests",
         "Requests under which servers have ended; at most 1,024",
+        |readings| readings.suspect_requests as u64,
     ),
-    (
+    gauge(
         "rejected_requests",
         "Requests that no server is to run, since servers have ended under them",
+        |readings| readings.rejected_requests as u64,
     ),
-    (
+    gauge(
         "configuration_version",
         "Version of the configuration in force here",
+        |readings| readings.configuration,
+    ),
+    gauge(
+        "results",
+        "Results of batch jobs that are remembered",
+        |readings| readings.results as u64,
     ),
-    ("results", "Results of batch jobs that are remembered"),
-    (
+    gauge(
         "result_text_bytes",
         "Bytes that the texts of results take in memory",
+        |readings| readings.result_text_bytes as u64,
     ),
-    (
+    gauge(
         "log_bytes",
         "Bytes that entries of the group's log take in memory",
+        |readings| readings.log_bytes as u64,
     ),
-    (
+    gauge(
         "log_lines_left_out",
         "Log lines left out for want of budget",
+        |readings| readings.log_lines_left_out,
     ),
 ];
 
@@ -240,10 +295,10 @@
             "Changes of members asked for here",
             self.member_changes.clone(),
         );
-        for (name, help) in GAUGES {
+        for entry in &GAUGES {
             let gauge = Gauge::default();
-            self.registry.register(name, help, gauge.clone());
-            self.gauges.push((name, gauge));
+            registry.register(entry.name, entry.help, gauge.clone());
+            self.gauges.push(gauge);
         }
     }
 
@@ -293,36 +348,8 @@
 
     /// All metrics as text.
     pub(crate) fn text(&self, readings: &Readings) -> String {
-        let count = |value: usize| value as u64;
-        let values = [
-            u64::from(readings.leading),
-            u64::from(readings.leader_known),
-            readings.term,
-            readings.commit_index,
-            readings.applied_index,
-            count(readings.voters),
-            count(readings.learners),
-            count(readings.losses_borne),
-            count(readings.losses_to_bear),
-            count(readings.gateways),
-            count(readings.view_followers),
-            count(readings.servers),
-            count(readings.servers_draining),
-            count(readings.jobs_open),
-            count(readings.items_waiting),
-            count(readings.items_running),
-            count(readings.engines_loading),
-            count(readings.scorings_waiting),
-            count(readings.scorings_running),
-            count(readings.suspect_requests),
-            count(readings.rejected_requests),
-            readings.configuration,
-            count(readings.results),
-            count(readings.result_text_bytes),
-            count(readings.log_bytes),
-            readings.log_lines_left_out,
-        ];
-        for ((_, gauge), value) in self.gauges.iter().zip(values) {
+        for (gauge, entry) in self.gauges.iter().zip(&GAUGES) {
+            let value = (entry.read)(readings);
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         }
         let mut text = String::new();
