--- a/crates/wingshore-coordinator/src/dials.rs
+++ b/crates/wingshore-coordinator/src/dials.rs
@@ -9,7 +9,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
 /// Between the end of one connection to an address and the next attempt. Not measured; short beside
@@ -20,32 +19,39 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A connection to an address, or the last attempt.
-struct Dial {
-    connection: Option<ConnectionId>,
+struct Dial<K> {
+    connection: Option<K>,
     is_up: bool,
     since: Instant,
 }
 
 /// What is to be done about an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DialStep {
+pub enum DialStep<K> {
     /// Connect to it.
     Connect,
     /// End this attempt: it takes too long.
-    Abandon(ConnectionId),
+    Abandon(K),
     /// Nothing now.
     Wait,
 }
 
 /// All of them, by address.
-#[derive(Default)]
-pub(crate) struct Dials {
-    by_address: BTreeMap<SocketAddr, Dial>,
+pub struct Dials<K> {
+    by_address: BTreeMap<SocketAddr, Dial<K>>,
 }
 
-impl Dials {
+impl<K> Default for Dials<K> {
+    fn default() -> Self {
+        Self {
+            by_address: BTreeMap::new(),
+        }
+    }
+}
+
+impl<K: Copy> Dials<K> {
     /// What is to be done about an address that is wanted.
-    pub(crate) fn next_step(&self, now: Instant, address: SocketAddr) -> DialStep {
+    pub fn next_step(&self, now: Instant, address: SocketAddr) -> DialStep<K> {
         let Some(dial) = self.by_address.get(&address) else {
             return DialStep::Connect;
         };
@@ -61,12 +67,7 @@
     }
 
     /// An attempt has begun; without a connection where the system had none.
-    pub(crate) fn begun(
-        &mut self,
-        now: Instant,
-        address: SocketAddr,
-        connection: Option<ConnectionId>,
-    ) {
+    pub fn begun(&mut self, now: Instant, address: SocketAddr, connection: Option<K>) {
         let dial = Dial {
             connection,
             is_up: false,
@@ -76,14 +77,14 @@
     }
 
     /// The connection to an address is up.
-    pub(crate) fn connected(&mut self, address: SocketAddr) {
+    pub fn connected(&mut self, address: SocketAddr) {
         if let Some(dial) = self.by_address.get_mut(&address) {
             dial.is_up = true;
         }
     }
 
     /// The connection to an address has ended.
-    pub(crate) fn ended(&mut self, now: Instant, address: SocketAddr) {
+    pub fn ended(&mut self, now: Instant, address: SocketAddr) {
         if let Some(dial) = self.by_address.get_mut(&address) {
             dial.connection = None;
             dial.is_up = false;
@@ -92,7 +93,7 @@
     }
 
     /// Forgets addresses that are not wanted any more; gives their connections.
-    pub(crate) fn forget_others(&mut self, wanted: &[SocketAddr]) -> Vec<ConnectionId> {
+    pub fn forget_others(&mut self, wanted: &[SocketAddr]) -> Vec<K> {
         let mut others = Vec::new();
         self.by_address.retain(|address, dial| {
             let is_wanted = wanted.contains(address);
--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`process`](Coordinator): the loop and its wiring. It holds no rule of its own.
 //! - Decisions, without I/O and clocks: [`membership`](MembershipPlanner), [`lost`](LostMachines),
 //!   [`silence`](SilenceJudge), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
-//!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), `dials`, `text_queue`.
+//!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials), `text_queue`, `forwarded_heartbeats`.
 //! - State: `peers` (other coordinators), [`texts`](TextArchive) and [`spool`](FileSpool) on disk.
 //! - Edges: [`ControlProtocol`], [`EngineProtocol`], [`ProviderProtocol`] translate the wire of a
 //!   deployment; this crate knows no wire but that of the site's own processes.
@@ -40,6 +40,7 @@
 
 pub use budget::MemoryBudget;
 pub use call_rate::CallRate;
+pub use dials::{DialStep, Dials};
 pub use directory::GatewayAddress;
 pub use error::CoordinatorError;
 pub use heartbeats::{HeartbeatRelay, HeartbeatVerdict};
--- a/crates/wingshore-coordinator/src/process/mod.rs
+++ b/crates/wingshore-coordinator/src/process/mod.rs
@@ -78,7 +78,7 @@
     seed_source: SeedSource,
     stop: PlannedStop,
     roles: HashMap<ConnectionId, Role>,
-    dials: Dials,
+    dials: Dials<ConnectionId>,
     peers: Peers,
     directory: Directory,
     calls: OutgoingCalls,
