--- a/crates/wingshore-coordinator/src/budget.rs
+++ b/crates/wingshore-coordinator/src/budget.rs
@@ -16,7 +16,7 @@
 /// other values.
 const LOG_PART: u64 = 8;
 /// Part of the limit for the contents of open jobs, which are in the state and in snapshots. Not
-/// measured; beyond it a submission is refused at once and told when to retry.
+/// measured; beyond it a submission is refused at once, with a Retry-After.
 const OPEN_JOBS_PART: u64 = 8;
 /// Part of the limit for applied entries that are kept for members that are behind; a member further
 /// behind is sent a snapshot. Not measured at other values.
--- a/crates/wingshore-coordinator/src/call_rate.rs
+++ b/crates/wingshore-coordinator/src/call_rate.rs
@@ -1,11 +1,12 @@
 //! The rate of calls to the provider. A decision without I/O.
 //!
-//! Question: may one more call leave now? Inputs: the calls a second that the provider takes from the
-//! whole site, the time, and the calls made here before. Rule: a leaky bucket at half of that rate
-//! with a burst of half a second; a call that exceeds it counts as answered "busy", so that whoever
-//! makes it backs off. Why: only the holder of orders calls the provider, so that what it sends is what the
-//! whole site sends, but for a moment after a change of holders. Nothing is carried over to a new
-//! holder: it begins with an empty bucket, and the half that is not used covers that.
+//! Question: may one more call leave now? Inputs: the calls a second that the provider takes from
+//! the whole site, the time, and the calls made here before. Rule: a leaky bucket at half of that
+//! rate with a burst of half a second; a call that exceeds it counts as answered "busy", so that
+//! whoever makes it backs off. Why: only the holder of orders calls the provider, so that what it
+//! sends is what the whole site sends, but for a moment after a change of holders. Nothing is
+//! carried over to a new holder: it begins with an empty bucket, and the half that is not used
+//! covers that.
 
 use std::time::Duration;
 use wingshore_types::Instant;
--- a/crates/wingshore-coordinator/src/dials.rs
+++ b/crates/wingshore-coordinator/src/dials.rs
@@ -1,10 +1,10 @@
 //! Connections that this coordinator makes to others. A decision without I/O.
 //!
 //! Question: whom to connect to now, and which attempt to give up? Inputs: the addresses that are
-//! wanted (members and seeds), the time. Rule: one connection an address; one that ended, or did not
-//! come up within [`CONNECT_TIMEOUT`], is made again [`CONNECT_INTERVAL`] after that; the connection to
-//! an address that is not wanted any more is closed. A list that is out of date costs attempts to machines that are
-//! gone, nothing else.
+//! wanted (members and seeds), the time. Rule: one connection an address; one that ended, or did
+//! not come up within [`CONNECT_TIMEOUT`], is made again [`CONNECT_INTERVAL`] after that; the
+//! connection to an address that is not wanted any more is closed. A list that is out of date costs
+//! attempts to machines that are gone, nothing else.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/wingshore-coordinator/src/directory.rs
+++ b/crates/wingshore-coordinator/src/directory.rs
@@ -2,11 +2,11 @@
 //! without I/O.
 //!
 //! Question: which gateways does a client in a zone get? Inputs: the introductions of gateways and
-//! their status reports, each 400 ms; the client's zone; how old a status may be. Rule: those that are
-//! ready and were heard of lately, of the client's own zone alone where there are two at least, else of
-//! all zones; at most [`MAX_ADDRESSES`]. Why: calls stay in the zone, and one gateway that ends leaves
-//! the client another one. A gateway whose status is too old is left out; with none left the client is
-//! told to retry.
+//! their status reports, each 400 ms; the client's zone; how old a status may be. Rule: those that
+//! are ready and were heard of lately, of the client's own zone alone where there are two at least,
+//! else of all zones; at most [`MAX_ADDRESSES`]. Why: calls stay in the zone, and one gateway that
+//! ends leaves the client another one. A gateway whose status is too old is left out; with none
+//! left the client gets a Retry-After.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/wingshore-coordinator/src/forwarded_heartbeats.rs
+++ b/crates/wingshore-coordinator/src/forwarded_heartbeats.rs
@@ -1,7 +1,9 @@
-//! Heartbeats of servers that were forwarded to the leader and are not answered. A decision without I/O.
+//! Heartbeats of servers that were forwarded to the leader and are not answered. A decision without
+//! I/O.
 //!
-//! Question: when is the server told that nobody could acknowledge its heartbeat? Rule: when the leader
-//! has not answered for [`FORWARD_TIMEOUT`]. The heartbeat may count all the same; a server repeats it.
+//! Question: when is the server told that nobody could acknowledge its heartbeat? Rule: when the
+//! leader has not answered for [`FORWARD_TIMEOUT`]. The heartbeat may count all the same; a server
+//! repeats it.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/wingshore-coordinator/src/heartbeats.rs
@@ -1,14 +1,16 @@
 //! Heartbeats of servers that reach a coordinator which does not lead. A decision without I/O.
 //!
-//! Question: may this coordinator acknowledge a heartbeat itself? Inputs: the heartbeat, and the record
-//! of that server that the leader acknowledged through here. Rule: a heartbeat that says what the
-//! leader acknowledged is acknowledged here, and the leader is sent in one message an interval which
-//! servers were heard of; all else is forwarded whole. Why: the leader's work grows with what changes, not
-//! with the number of servers; before, 1,000 servers sent it 400 new connections a second by redirects
-//! and filled its third of a core, then 61 a second reached the busiest coordinator.
+//! Question: may this coordinator acknowledge a heartbeat itself? Inputs: the heartbeat, and the
+//! record of that server that the leader acknowledged through here. Rule: a heartbeat that says
+//! what the leader acknowledged is acknowledged here, and the leader is sent in one message an
+//! interval which servers were heard of; all else is forwarded whole. Why: the leader's work grows
+//! with what changes, not with the number of servers; before, 1,000 servers sent it 400 new
+//! connections a second by redirects and filled its third of a core, then 61 a second reached the
+//! busiest coordinator.
 //!
-//! Missing input: a server that is not known here, or that the leader says the registry does not hold,
-//! has its next heartbeat forwarded. While no leader is connected nothing is acknowledged here.
+//! Missing input: a server that is not known here, or that the leader says the registry does not
+//! hold, has its next heartbeat forwarded. While no leader is connected nothing is acknowledged
+//! here.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/crates/wingshore-coordinator/src/identity.rs
+++ b/crates/wingshore-coordinator/src/identity.rs
@@ -1,11 +1,11 @@
 //! Who this member is: a founder of the site, or one that joins it.
 //!
-//! Question: does a data folder become that of a founder or of a joiner? Inputs: whether the folder is
-//! empty, whether the site begins with this start, the seeds and this machine's address. Rule: an
-//! empty folder of a seed at the first start of a site is a founder's, numbered by the order of the
-//! addresses, the same at each seed; any other empty folder gets an identity drawn at random and
-//! joins; a folder that is not empty keeps its identity. Why: a machine that lost its disk must not vote
-//! as the member that it was.
+//! Question: does a data folder become that of a founder or of a joiner? Inputs: whether the folder
+//! is empty, whether the site begins with this start, the seeds and this machine's address. Rule:
+//! an empty folder of a seed at the first start of a site is a founder's, numbered by the order of
+//! the addresses, the same at each seed; any other empty folder gets an identity drawn at random
+//! and joins; a folder that is not empty keeps its identity. Why: a machine that lost its disk must
+//! not vote as the member that it was.
 
 use crate::settings::CoordinatorSettings;
 use std::net::SocketAddr;
--- a/crates/wingshore-coordinator/src/lib.rs
+++ b/crates/wingshore-coordinator/src/lib.rs
@@ -6,7 +6,8 @@
 //! - [`process`](Coordinator): the loop and its wiring. It holds no rule of its own.
 //! - Decisions, without I/O and clocks: [`membership`](MembershipPlanner), [`lost`](LostMachines),
 //!   [`silence`](SilenceJudge), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
-//!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials), `text_queue`, `forwarded_heartbeats`.
+//!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials),
+//!   `text_queue`, `forwarded_heartbeats`.
 //! - State: `peers` (other coordinators), [`texts`](TextArchive) and [`spool`](FileSpool) on disk.
 //! - Edges: [`ControlProtocol`], [`EngineProtocol`], [`ProviderProtocol`] translate the wire of a
 //!   deployment; this crate knows no wire but that of the site's own processes.
--- a/crates/wingshore-coordinator/src/lost.rs
+++ b/crates/wingshore-coordinator/src/lost.rs
@@ -1,13 +1,13 @@
 //! Machines of coordinators that were lost a short while ago. A decision without I/O.
 //!
-//! Question: which machines cannot have given an order in the last moments, so that a new leader need
-//! not wait for them? Inputs: ends of connections, and how long each process says that it has been
-//! running, at each introduction. Rule: a machine is lost when the last connection to it ends, and
-//! when its process turns out to have begun within the window that is asked for. Why: a new leader
-//! waits out the orders of the holder before it, unless that machine was lost; where the leader itself
-//! had restarted it saw no connection end, and gave its first order 3.3 s late (one grown day went from
-//! 0.474 to 0.677, five others by less than 0.06 either way, one play each). A machine that was never
-//! heard of counts as not lost: then the new leader waits.
+//! Question: which machines cannot have given an order in the last moments, so that a new leader
+//! need not wait for them? Inputs: ends of connections, and how long each process says that it has
+//! been running, at each introduction. Rule: a machine is lost when the last connection to it ends,
+//! and when its process turns out to have begun within the window that is asked for. Why: a new
+//! leader waits out the orders of the holder before it, unless that machine was lost; where the
+//! leader itself had restarted it saw no connection end, and gave its first order 3.3 s late (one
+//! grown day went from 0.474 to 0.677, five others by less than 0.06 either way, one play each). A
+//! machine that was never heard of counts as not lost: then the new leader waits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/wingshore-coordinator/src/membership.rs
+++ b/crates/wingshore-coordinator/src/membership.rs
@@ -1,22 +1,24 @@
-//! Which change the group's members need next, and whether there are enough coordinators. A decision
-//! without I/O.
+//! Which change the group's members need next, and whether there are enough coordinators. A
+//! decision without I/O.
 //!
-//! Question: which one change of members is to be proposed now, may a machine be retired, and can the
-//! group bear the losses that the settings ask for? Inputs: the members and those that hold all that
-//! is committed (from the log), when each coordinator was last heard of and in which zone (from
-//! introductions and consensus messages, each 300 ms at the longest), the losses to bear, the
+//! Question: which one change of members is to be proposed now, may a machine be retired, and can
+//! the group bear the losses that the settings ask for? Inputs: the members and those that hold all
+//! that is committed (from the log), when each coordinator was last heard of and in which zone
+//! (from introductions and consensus messages, each 300 ms at the longest), the losses to bear, the
 //! machines that are to leave.
 //!
-//! Rule: as many members as bear the losses, or one a zone, and a spare; the other coordinators stand
-//! by. Of the live members an odd number votes, at least twice the losses and one, at most
-//! [`MAX_VOTERS`]. One change at a time, in the order of [`MembershipPlanner::plan`]: a member whose
-//! disk is lost goes first, a voter that is silent goes only when a learner can take its place.
+//! Rule: as many members as bear the losses, or one a zone, and a spare; the other coordinators
+//! stand by. Of the live members an odd number votes, at least twice the losses and one, at most
+//! [`MAX_VOTERS`]. One change at a time, in the order of [`MembershipPlanner::plan`]: a member
+//! whose disk is lost goes first, a voter that is silent goes only when a learner can take its
+//! place.
 //!
 //! Why: with an odd number of voters each majority of the members holds a majority of the voters,
-//! whichever way they are cut apart. Each member costs: when all 18 coordinators of a large site were
-//! members, the leader sent 1 MB a second to each, and each held the whole state. Silent members do not
-//! count for the number of voters: while they did, a group grew to seven voters with a dead one among
-//! them and lost what was acknowledged with two more disks (3 of 6 plays, none of 6 since).
+//! whichever way they are cut apart. Each member costs: when all 18 coordinators of a large site
+//! were members, the leader sent 1 MB a second to each, and each held the whole state. Silent
+//! members do not count for the number of voters: while they did, a group grew to seven voters with
+//! a dead one among them and lost what was acknowledged with two more disks (3 of 6 plays, none of
+//! 6 since).
 //!
 //! Old or missing input: before a leadership has lasted as long as a limit, silence is counted from
 //! its begin, so that nothing is removed for want of news.
@@ -28,7 +30,7 @@
 use wingshore_types::{Instant, ReplicaId};
 
 /// A voter that is silent for this long gives its place to a learner that has caught up: five
-/// introductions. Not measured at other values; members that were taken in voted within 0.7 s.
+/// introductions. Not measured at other values; joiners that were added voted within 0.7 s.
 const VOTER_SILENCE: Duration = Duration::from_millis(1500);
 /// A learner that is silent for this long is removed, and a superfluous voter. Not measured; longer
 /// than a restart, after which it goes on with its folder.
--- a/crates/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/wingshore-coordinator/src/outgoing_calls.rs
@@ -1,14 +1,14 @@
 //! Calls to engines and to the provider over HTTP.
 //!
-//! Owns the connections that were made for them, one call at a time on each, kept for the next call to
-//! the same callee. Relies on the reactor for sockets, on [`CallProtocols`] for the wire, and on
-//! [`CallRate`] for the provider's rate. Whether a call may be made at all (the lease, the fence) is
-//! decided before it comes here; each call ends in exactly one [`Event`].
+//! Owns the connections that were made for them, one call at a time on each, kept for the next call
+//! to the same callee. Relies on the reactor for sockets, on [`CallProtocols`] for the wire, and on
+//! [`CallRate`] for the provider's rate. Whether a call may be made at all (the lease, the fence)
+//! is decided before it comes here; each call ends in exactly one [`Event`].
 //!
-//! Question: when is a call given up? Inputs: when it was made, who is called. Rule: without a whole
-//! answer within the callee's time-out, when its connection ends, or, for calls that need the lease,
-//! once the lease is over. Why: a call that was given up may still take effect, so its event says
-//! "unknown" and the leader asks for a report before it decides again.
+//! Question: when is a call given up? Inputs: when it was made, who is called. Rule: without a
+//! whole answer within the callee's time-out, when its connection ends, or, for calls that need the
+//! lease, once the lease is over. Why: a call that was given up may still take effect, so its event
+//! says "unknown" and the leader asks for a report before it decides again.
 
 use crate::call_rate::CallRate;
 use crate::protocol::{EngineProtocol, OutgoingCall, ProviderProtocol};
--- a/crates/wingshore-coordinator/src/peers.rs
+++ b/crates/wingshore-coordinator/src/peers.rs
@@ -1,9 +1,9 @@
 //! The other coordinators, as this one knows them. No I/O.
 //!
-//! Owns what each of them said of itself, when it was last heard of, the connections that lead to it,
-//! and which machines were lost a short while ago. Relies on introductions, which each coordinator
-//! repeats on every link; what it knows is as old as the last one. Addresses and identities of
-//! members come from the group's log, not from here.
+//! Owns what each of them said of itself, when it was last heard of, the connections that lead to
+//! it, and which machines were lost a short while ago. Relies on introductions, which each
+//! coordinator repeats on every link; what it knows is as old as the last one. Addresses and
+//! identities of members come from the group's log, not from here.
 
 use crate::lost::LostMachines;
 use crate::membership::Joiner;
--- a/crates/wingshore-coordinator/src/silence.rs
+++ b/crates/wingshore-coordinator/src/silence.rs
@@ -1,12 +1,12 @@
 //! When silence of others counts against them. A decision without I/O.
 //!
 //! Question: is a gateway that was not heard of for its limit silent, or has this process not read?
-//! Inputs: the times of this process's own checks, each 100 ms. Rule: after a gap between two checks of
-//! more than [`STALL_LIMIT`] silence counts again only [`CATCH_UP_TIME`] later. Why: a process that
-//! stood still (its machine was suspended, or a turn of its loop took long, as a new leader's does while it
-//! applies its log: 0.6 s) finds that nobody was heard of meanwhile; what they have sent waits to be
-//! read, in several turns where they are hundreds. Measured for the limit that this makes possible, see
-//! `GATEWAY_SILENCE`.
+//! Inputs: the times of this process's own checks, each 100 ms. Rule: after a gap between two
+//! checks of more than [`STALL_LIMIT`] silence counts again only [`CATCH_UP_TIME`] later. Why: a
+//! process that stood still (its machine was suspended, or a turn of its loop took long, as a new
+//! leader's does while it applies its log: 0.6 s) finds that nobody was heard of meanwhile; what
+//! they have sent waits to be read, in several turns where they are hundreds. Measured for the
+//! limit that this makes possible, see `GATEWAY_SILENCE`.
 
 use std::time::Duration;
 use wingshore_types::Instant;
--- a/crates/wingshore-coordinator/src/text_queue.rs
+++ b/crates/wingshore-coordinator/src/text_queue.rs
@@ -1,18 +1,18 @@
 //! Which texts of results leave memory, and who waits for that. A decision without I/O.
 //!
-//! Question: which texts move to disk now, and does whoever brings a text wait? Inputs: the bytes of
-//! the texts in memory, oldest first; the budget in bytes; since when a batch is being moved; whether
-//! the last attempt failed. Rule: beyond the budget the oldest texts move, in batches of
-//! [`MAX_BATCH_BYTES`], until an eighth of the budget is free. Beyond the budget by a quarter whoever
-//! brings one waits for the batch, unless the disk has failed or hangs; then texts stay in memory and
-//! are tried again. Why: memory is bounded by the settings and not by how long a site has run, and a
-//! slow disk costs memory before it costs time.
+//! Question: which texts move to disk now, and does whoever brings a text wait? Inputs: the bytes
+//! of the texts in memory, oldest first; the budget in bytes; since when a batch is being moved;
+//! whether the last attempt failed. Rule: beyond the budget the oldest texts move, in batches of
+//! [`MAX_BATCH_BYTES`], until an eighth of the budget is free. Beyond the budget by a quarter
+//! whoever brings one waits for the batch, unless the disk has failed or hangs; then texts stay in
+//! memory and are tried again. Why: memory is bounded by the settings and not by how long a site
+//! has run, and a slow disk costs memory before it costs time.
 //!
 //! A text that was released is noticed only when it is the oldest; until then its bytes count.
 //!
-//! Measured (debug build, 80 MB of texts, a limit of 80 MB): the peak of a start was 151 MB with all
-//! texts in memory and is 27 to 35 MB; 400 texts on a disk that hangs took 7.3 s while each waited, and
-//! take less than 2 s.
+//! Measured (debug build, 80 MB of texts, a limit of 80 MB): the peak of a start was 151 MB with
+//! all texts in memory and is 27 to 35 MB; 400 texts on a disk that hangs took 7.3 s while each
+//! waited, and take less than 2 s.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Weak};
--- a/crates/wingshore-coordinator/src/texts.rs
+++ b/crates/wingshore-coordinator/src/texts.rs
@@ -1,9 +1,9 @@
 //! The store of texts of results: the newest in memory, within a budget; the others on disk.
 //!
-//! Owns the files of texts of one member and the thread that moves the oldest texts there, so that a
-//! slow disk holds up nobody. Relies on [`TextQueue`] for which texts move and who waits, and on the
-//! log: it holds each text until a snapshot that names the text's file is durable, so that a text is
-//! lost neither with memory nor with a file.
+//! Owns the files of texts of one member and the thread that moves the oldest texts there, so that
+//! a slow disk holds up nobody. Relies on [`TextQueue`] for which texts move and who waits, and on
+//! the log: it holds each text until a snapshot that names the text's file is durable, so that a
+//! text is lost neither with memory nor with a file.
 
 use crate::text_queue::TextQueue;
 use slog::{Logger, info, warn};
--- a/crates/wingshore-coordinator/src/view_feed.rs
+++ b/crates/wingshore-coordinator/src/view_feed.rs
@@ -1,17 +1,19 @@
 //! Which gateways are sent which part of the view. A decision without I/O.
 //!
-//! Question: what is a gateway sent now: changes, the whole view, or nothing yet? Inputs: this member's
-//! copy of the state and the last entry applied to it; up to which entry of the log each gateway
-//! accounts for; the bytes that wait on its link. Rule: a gateway that knows the view as of some entry
-//! is sent what has changed behind it; one that knows nothing, or has missed more than is remembered,
-//! is sent the whole. One whose link is full is sent nothing until it has drained, then what is new at that
-//! time; at most [`MAX_WHOLE_VIEWS_UNDER_WAY`] whole views are on their way. An encoded whole view is
-//! used again together with the changes behind it while those are few.
+//! Question: what is a gateway sent now: changes, the whole view, or nothing yet? Inputs: this
+//! member's copy of the state and the last entry applied to it; up to which entry of the log each
+//! gateway accounts for; the bytes that wait on its link. Rule: a gateway that knows the view as of
+//! some entry is sent what has changed behind it; one that knows nothing, or has missed more than
+//! is remembered, is sent the whole. One whose link is full is sent nothing until it has drained,
+//! then what is new at that time; at most [`MAX_WHOLE_VIEWS_UNDER_WAY`] whole views are on their
+//! way. An encoded whole view is used again together with the changes behind it while those are
+//! few.
 //!
-//! Why: a change of leader costs nothing here, and after a restart of a whole site all members send the
-//! view at once. Before, each new leader sent 469 kB for 10,000 servers to each of 836 gateways, 392 MB
-//! from a process of 270 MB, and no leader lasted longer than 0.9 s; the fullest member now takes 102
-//! to 106 MB. A copy that lags sends what it has: gateways leave a member that lags 0.7 s for another.
+//! Why: a change of leader costs nothing here, and after a restart of a whole site all members send
+//! the view at once. Before, each new leader sent 469 kB for 10,000 servers to each of 836
+//! gateways, 392 MB from a process of 270 MB, and no leader lasted longer than 0.9 s; the fullest
+//! member now takes 102 to 106 MB. A copy that lags sends what it has: gateways leave a member that
+//! lags 0.7 s for another.
 
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/wingshore-net/src/connection_table.rs
+++ b/crates/wingshore-net/src/connection_table.rs
@@ -1,7 +1,7 @@
 //! All connections of a reactor, by identities that are never used twice.
 //!
 //! Owns the sockets and their buffers. A slot is used again for another connection; the generation in
-//! the identity tells the two apart, so that what refers to a connection that is gone finds nothing.
+//! the identity distinguishes the two, so that what refers to a connection that is gone finds nothing.
 
 use crate::connection::Connection;
 use crate::id::ConnectionId;
