--- a/crates/wingshore-coordinator/src/membership.rs
+++ b/crates/wingshore-coordinator/src/membership.rs
@@ -357,6 +357,7 @@
     }
 }
 
-fn members(membership: &Membership) -> impl Iterator<Item = &Member> {
+/// All members: voters, then learners.
+pub(crate) fn members(membership: &Membership) -> impl Iterator<Item = &Member> {
     membership.voters.iter().chain(&membership.learners)
 }
--- a/crates/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/wingshore-coordinator/src/process/coordinators.rs
@@ -2,6 +2,7 @@
 
 use super::{Coordinator, LINK_LIMIT, Role};
 use crate::dials::DialStep;
+use crate::membership::members;
 use slog::info;
 use std::net::SocketAddr;
 use wingshore_coordination::{
@@ -101,9 +102,8 @@
 
     /// Whether this coordinator is a member of the group, rather than one on standby.
     pub(super) fn is_member(&self) -> bool {
-        let membership = self.host.membership();
-        let mut members = membership.voters.iter().chain(&membership.learners);
-        members.any(|member| member.id == self.folder.identity().replica)
+        let own = self.folder.identity().replica;
+        members(self.host.membership()).any(|member| member.id == own)
     }
 
     /// Whom this coordinator knows to lead: by the log, or by what others say where it is on standby or
@@ -127,8 +127,7 @@
 
     /// Where the members listen for the site's own processes.
     fn member_addresses(&self) -> Vec<SocketAddr> {
-        let membership = self.host.membership();
-        let members = membership.voters.iter().chain(&membership.learners);
+        let members = members(self.host.membership());
         members.map(|member| member.address).collect()
     }
 
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -2,14 +2,14 @@
 //! What is to be done is decided by [`MembershipPlanner`].
 
 use super::{Coordinator, Waiting};
-use crate::membership::{MembershipView, Shortage, losses_borne_by};
+use crate::membership::{MembershipView, Shortage, losses_borne_by, members};
 use crate::protocol::ControlAnswer;
 use slog::{info, warn};
 use std::collections::BTreeSet;
 use wingshore_coordination::{CoordinationLeader, Request};
 use wingshore_group::{Host, HostInput};
 use wingshore_net::ConnectionId;
-use wingshore_types::protocol::membership::MembershipRequest;
+use wingshore_types::protocol::membership::{Member, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
 impl Coordinator {
@@ -61,13 +61,12 @@
 
     fn membership_view<'a>(&'a self, retired: &'a BTreeSet<ReplicaId>) -> MembershipView<'a> {
         let membership = self.host.membership();
-        let members = membership.voters.iter().chain(&membership.learners);
         MembershipView {
             own: self.folder.identity().replica,
             own_zone: &self.settings.zone,
             membership,
             heard: self.peers.joiners(),
-            caught_up: members
+            caught_up: members(membership)
                 .map(|member| member.id)
                 .filter(|id| self.host.is_caught_up(*id))
                 .collect(),
@@ -154,12 +153,10 @@
     if own.1 == node {
         return Some(own.0);
     }
-    let membership = host.membership();
-    let members = membership.voters.iter().chain(&membership.learners);
     let nodes = host.state().member_nodes();
-    let mut on_node =
-        members.filter(|member| nodes.get(&member.id).is_some_and(|name| name == node));
-    on_node.next().map(|member| member.id).or_else(|| {
+    let is_on_node = |member: &&Member| nodes.get(&member.id).is_some_and(|name| name == node);
+    let found = members(host.membership()).find(is_on_node);
+    found.map(|member| member.id).or_else(|| {
         let retired = host.state().retired_members();
         retired.get(node).copied()
     })
