--- a/crates/wingshore-coordinator/src/metrics.rs
+++ b/crates/wingshore-coordinator/src/metrics.rs
@@ -1,4 +1,6 @@
-//! What a coordinator tells monitoring.
+//! Metrics of a coordinator: counters and histograms as things happen, gauges when monitoring asks.
+//!
+//! Names and labels are part of what the program promises; docs/OPERATIONS.md lists them.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -9,8 +11,8 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::time::Duration;
 
-/// Shortest time that the histograms tell apart, in seconds.
-const SHORTEST: f64 = 0.000_5;
+/// Upper end of the first bucket of the histograms, in seconds.
+const MIN_BUCKET_SECONDS: f64 = 0.000_5;
 /// Each bucket reaches twice as far as the one before.
 const BUCKET_FACTOR: f64 = 2.0;
 /// Buckets; the last one ends at 8.2 s.
@@ -37,7 +39,11 @@
 
 impl MetricConstructor<Histogram> for Buckets {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(exponential_buckets(SHORTEST, BUCKET_FACTOR, BUCKETS))
+        Histogram::new(exponential_buckets(
+            MIN_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKETS,
+        ))
     }
 }
 
@@ -80,88 +86,143 @@
     write_seconds: Histogram,
     orders: Family<OutcomeLabel, Counter>,
     provider_calls: Family<CallLabels, Counter>,
-    tries: Family<OutcomeLabel, Counter>,
+    attempts: Family<OutcomeLabel, Counter>,
     scorings: Family<OutcomeLabel, Counter>,
     leaderships: Counter,
     member_changes: Counter,
-    gauges: Vec<(&'static str, Gauge)>,
+    /// In the order of [`GAUGES`].
+    gauges: Vec<Gauge>,
 }
 
-/// Gauges: name and help.
-const GAUGES: [(&str, &str); 26] = [
-    ("leading", "1 where this coordinator leads the group"),
-    ("leader_known", "1 where it knows a leader"),
-    ("term", "Term of the group; the fence of orders"),
-    (
+/// A value that is read when monitoring asks.
+struct GaugeEntry {
+    name: &'static str,
+    help: &'static str,
+    read: fn(&Readings) -> u64,
+}
+
+const fn gauge(name: &'static str, help: &'static str, read: fn(&Readings) -> u64) -> GaugeEntry {
+    GaugeEntry { name, help, read }
+}
+
+static GAUGES: [GaugeEntry; 26] = [
+    gauge(
+        "leading",
+        "1 where this coordinator leads the group",
+        |readings| u64::from(readings.leading),
+    ),
+    gauge("leader_known", "1 where it knows a leader", |readings| {
+        u64::from(readings.leader_known)
+    }),
+    gauge(
+        "term",
+        "Term of the group; the fence of orders",
+        |readings| readings.term,
+    ),
+    gauge(
         "commit_index",
         "Last entry of the log known to be committed",
+        |readings| readings.commit_index,
     ),
-    (
+    gauge(
         "applied_index",
         "Last entry of the log applied to the state",
+        |readings| readings.applied_index,
     ),
-    ("voters", "Members that vote"),
-    ("learners", "Members that only receive"),
-    (
+    gauge("voters", "Members that vote", |readings| {
+        readings.voters as u64
+    }),
+    gauge("learners", "Members that only receive", |readings| {
+        readings.learners as u64
+    }),
+    gauge(
         "losses_borne",
         "Members whose loss at one time the voters bear",
+        |readings| readings.losses_borne as u64,
     ),
-    (
+    gauge(
         "losses_to_bear",
         "Members whose loss at one time the settings ask to bear",
+        |readings| readings.losses_to_bear as u64,
     ),
-    ("gateways", "Gateways in touch"),
-    ("view_followers", "Gateways that follow the view here"),
-    ("servers", "Servers in the registry"),
-    (
+    gauge("gateways", "Gateways that are connected", |readings| {
+        readings.gateways as u64
+    }),
+    gauge(
+        "view_followers",
+        "Gateways that follow the view here",
+        |readings| readings.view_followers as u64,
+    ),
+    gauge("servers", "Servers in the registry", |readings| {
+        readings.servers as u64
+    }),
+    gauge(
         "servers_draining",
         "Servers in the registry that are leaving",
+        |readings| readings.servers_draining as u64,
     ),
-    ("jobs_open", "Batch jobs that are not ended"),
-    (
+    gauge("jobs_open", "Batch jobs that are not ended", |readings| {
+        readings.jobs_open as u64
+    }),
+    gauge(
         "items_waiting",
         "Items without an engine; 0 where it does not lead",
+        |readings| readings.items_waiting as u64,
     ),
-    (
+    gauge(
         "items_running",
         "Items on engines; 0 where it does not lead",
+        |readings| readings.items_running as u64,
     ),
-    (
+    gauge(
         "engines_loading",
         "Engines that load weights; 0 where it does not lead",
+        |readings| readings.engines_loading as u64,
     ),
-    (
+    gauge(
         "scorings_waiting",
         "Texts that wait for a scoring; 0 where it does not lead",
+        |readings| readings.scorings_waiting as u64,
     ),
-    (
+    gauge(
         "scorings_running",
-        "Scorings that gateways have in hand; 0 where it does not lead",
+        "Scorings that gateways hold; 0 where it does not lead",
+        |readings| readings.scorings_running as u64,
     ),
-    (
+    gauge(
         "suspect_requests",
         "Requests under which servers have ended; at most 1,024",
+        |readings| readings.suspect_requests as u64,
     ),
-    (
+    gauge(
         "rejected_requests",
         "Requests that no server is to run, since servers have ended under them",
+        |readings| readings.rejected_requests as u64,
     ),
-    (
+    gauge(
         "configuration_version",
         "Version of the configuration in force here",
+        |readings| readings.configuration,
+    ),
+    gauge(
+        "results",
+        "Results of batch jobs that are remembered",
+        |readings| readings.results as u64,
     ),
-    ("results", "Results of batch jobs that are remembered"),
-    (
+    gauge(
         "result_text_bytes",
         "Bytes that the texts of results take in memory",
+        |readings| readings.result_text_bytes as u64,
     ),
-    (
+    gauge(
         "log_bytes",
         "Bytes that entries of the group's log take in memory",
+        |readings| readings.log_bytes as u64,
     ),
-    (
+    gauge(
         "log_lines_left_out",
         "Log lines left out for want of budget",
+        |readings| readings.log_lines_left_out,
     ),
 ];
 
@@ -175,7 +236,7 @@
             write_seconds: Buckets.new_metric(),
             orders: Family::default(),
             provider_calls: Family::default(),
-            tries: Family::default(),
+            attempts: Family::default(),
             scorings: Family::default(),
             leaderships: Counter::default(),
             member_changes: Counter::default(),
@@ -216,12 +277,12 @@
         );
         registry.register(
             "tries",
-            "Tries at items of batch jobs by what came of them",
-            self.tries.clone(),
+            "Attempts at items of batch jobs by their outcome",
+            self.attempts.clone(),
         );
         registry.register(
             "scorings",
-            "Scorings of texts by what came of them",
+            "Scorings of texts by their outcome",
             self.scorings.clone(),
         );
         registry.register(
@@ -234,10 +295,10 @@
             "Changes of members asked for here",
             self.member_changes.clone(),
         );
-        for (name, help) in GAUGES {
+        for entry in &GAUGES {
             let gauge = Gauge::default();
-            self.registry.register(name, help, gauge.clone());
-            self.gauges.push((name, gauge));
+            registry.register(entry.name, entry.help, gauge.clone());
+            self.gauges.push(gauge);
         }
     }
 
@@ -265,12 +326,12 @@
         self.provider_calls.get_or_create(&labels).inc();
     }
 
-    /// A gateway has told what came of a try.
-    pub(crate) fn try_ended(&self, outcome: &'static str) {
-        self.tries.get_or_create(&OutcomeLabel { outcome }).inc();
+    /// A gateway has reported the outcome of an attempt at an item.
+    pub(crate) fn attempt_ended(&self, outcome: &'static str) {
+        self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// A gateway has told what came of a scoring.
+    /// A gateway has reported the outcome of a scoring.
     pub(crate) fn scoring_ended(&self, outcome: &'static str) {
         self.scorings.get_or_create(&OutcomeLabel { outcome }).inc();
     }
@@ -287,36 +348,8 @@
 
     /// All metrics as text.
     pub(crate) fn text(&self, readings: &Readings) -> String {
-        let count = |value: usize| value as u64;
-        let values = [
-            u64::from(readings.leading),
-            u64::from(readings.leader_known),
-            readings.term,
-            readings.commit_index,
-            readings.applied_index,
-            count(readings.voters),
-            count(readings.learners),
-            count(readings.losses_borne),
-            count(readings.losses_to_bear),
-            count(readings.gateways),
-            count(readings.view_followers),
-            count(readings.servers),
-            count(readings.servers_draining),
-            count(readings.jobs_open),
-            count(readings.items_waiting),
-            count(readings.items_running),
-            count(readings.engines_loading),
-            count(readings.scorings_waiting),
-            count(readings.scorings_running),
-            count(readings.suspect_requests),
-            count(readings.rejected_requests),
-            readings.configuration,
-            count(readings.results),
-            count(readings.result_text_bytes),
-            count(readings.log_bytes),
-            readings.log_lines_left_out,
-        ];
-        for ((_, gauge), value) in self.gauges.iter().zip(values) {
+        for (gauge, entry) in self.gauges.iter().zip(&GAUGES) {
+            let value = (entry.read)(readings);
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         }
         let mut text = String::new();
--- a/crates/wingshore-coordinator/src/process/members.rs
+++ b/crates/wingshore-coordinator/src/process/members.rs
@@ -1,29 +1,30 @@
-//! Members of the group: whom the leader takes in, lets go and empties.
+//! Members of the group: changes that the leader asks for, and machines that are to be emptied.
+//! What is to be done is decided by [`MembershipPlanner`].
 
 use super::{Coordinator, Waiting};
-use crate::membership::{MembershipView, Shortage, losses_borne_by};
+use crate::membership::{MembershipView, Shortage, losses_borne_by, members};
 use crate::protocol::ControlAnswer;
 use slog::{info, warn};
 use std::collections::BTreeSet;
 use wingshore_coordination::{CoordinationLeader, Request};
 use wingshore_group::{Host, HostInput};
 use wingshore_net::ConnectionId;
-use wingshore_types::protocol::membership::MembershipRequest;
+use wingshore_types::protocol::membership::{Member, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
 impl Coordinator {
     /// Lets the leader change the members where that is needed.
     pub(super) fn plan_members(&mut self, now: Instant) {
-        if !self.host.is_leader() || self.change_under_way {
+        if !self.host.is_leader() || self.members.is_changing {
             return;
         }
         self.describe_members();
         let retired = self.retired_members();
         let view = self.membership_view(&retired);
-        if let Some(request) = self.planner.plan(now, &view) {
+        if let Some(request) = self.members.planner.plan(now, &view) {
             self.metrics.member_change();
             info!(self.logger, "member change"; "request" => ?request);
-            self.change_under_way = true;
+            self.members.is_changing = true;
             self.request_change(request);
         }
     }
@@ -31,15 +32,15 @@
     /// Says so where there are too few coordinators for the losses that the settings ask for; once
     /// until it changes.
     pub(super) fn report_shortage(&mut self, now: Instant) {
-        if !self.host.is_leader() || !self.planner.has_heard_all(now) {
+        if !self.host.is_leader() || !self.members.planner.has_heard_all(now) {
             return;
         }
         let retired = self.retired_members();
         let shortage = self.membership_view(&retired).shortage(now);
-        if shortage == self.reported_shortage {
+        if shortage == self.members.reported_shortage {
             return;
         }
-        self.reported_shortage = shortage;
+        self.members.reported_shortage = shortage;
         let losses_to_bear = self.settings.losses_borne;
         match shortage {
             Some(Shortage {
@@ -58,18 +59,14 @@
         }
     }
 
-    pub(super) fn membership_view<'a>(
-        &'a self,
-        retired: &'a BTreeSet<ReplicaId>,
-    ) -> MembershipView<'a> {
+    fn membership_view<'a>(&'a self, retired: &'a BTreeSet<ReplicaId>) -> MembershipView<'a> {
         let membership = self.host.membership();
-        let members = membership.voters.iter().chain(&membership.learners);
         MembershipView {
             own: self.folder.identity().replica,
             own_zone: &self.settings.zone,
             membership,
-            heard: &self.heard,
-            caught_up: members
+            heard: self.peers.joiners(),
+            caught_up: members(membership)
                 .map(|member| member.id)
                 .filter(|id| self.host.is_caught_up(*id))
                 .collect(),
@@ -78,18 +75,16 @@
         }
     }
 
-    pub(super) fn retired_members(&self) -> BTreeSet<ReplicaId> {
+    fn retired_members(&self) -> BTreeSet<ReplicaId> {
         let retired = self.host.state().retired_members();
         retired.values().copied().collect()
     }
 
     /// Notes the machines of coordinators that are not noted yet.
-    pub(super) fn describe_members(&mut self) {
+    fn describe_members(&mut self) {
         let own = (self.folder.identity().replica, self.settings.node.clone());
-        let others = self
-            .hellos
-            .values()
-            .map(|hello| (hello.id, hello.node.clone()));
+        let nodes = self.peers.nodes();
+        let others = nodes.map(|(id, node)| (id, node.to_owned()));
         let known = self.host.state().member_nodes();
         let news: Vec<(ReplicaId, String)> = others
             .chain([own])
@@ -101,19 +96,19 @@
         }
     }
 
-    /// A machine is to be emptied: what the leader answers at once, or `None` when it is to be
-    /// noted first.
+    /// A machine is to be emptied: answers at once, or once the group has noted it.
     pub(super) fn begin_retirement(&mut self, now: Instant, connection: ConnectionId, node: &str) {
         let retired = self.retired_members();
         let view = self.membership_view(&retired);
         let own = (view.own, self.settings.node.as_str());
-        let standby = self.hellos.values().find(|hello| hello.node == node);
-        let known = member_of(&self.host, own, node).or_else(|| standby.map(|hello| hello.id));
+        let known = member_of(&self.host, own, node).or_else(|| self.peers.on_node(node));
         let answer = match known {
             _ if !self.host.holds_lease(now) => ControlAnswer::Unavailable,
             None => ControlAnswer::NoSuchMachine,
             Some(id) if retired.contains(&id) => ControlAnswer::Retiring,
-            Some(id) if !self.planner.can_retire(now, id, &view) => ControlAnswer::TooFewLeft,
+            Some(id) if !self.members.planner.can_retire(now, id, &view) => {
+                ControlAnswer::TooFewLeft
+            }
             Some(member) => {
                 info!(self.logger, "retirement"; "node" => node, "member" => member.0);
                 let node = node.to_owned();
@@ -143,7 +138,7 @@
         }
     }
 
-    pub(super) fn request_change(&mut self, request: MembershipRequest) {
+    fn request_change(&mut self, request: MembershipRequest) {
         let tag = self.tag(Waiting::Planner, "change_members", None);
         self.inputs.push(HostInput::Membership { tag, request });
     }
@@ -158,12 +153,10 @@
     if own.1 == node {
         return Some(own.0);
     }
-    let membership = host.membership();
-    let members = membership.voters.iter().chain(&membership.learners);
     let nodes = host.state().member_nodes();
-    let mut on_node =
-        members.filter(|member| nodes.get(&member.id).is_some_and(|name| name == node));
-    on_node.next().map(|member| member.id).or_else(|| {
+    let is_on_node = |member: &&Member| nodes.get(&member.id).is_some_and(|name| name == node);
+    let found = members(host.membership()).find(is_on_node);
+    found.map(|member| member.id).or_else(|| {
         let retired = host.state().retired_members();
         retired.get(node).copied()
     })
--- a/crates/wingshore-coordinator/src/process/views.rs
+++ b/crates/wingshore-coordinator/src/process/views.rs
@@ -1,4 +1,4 @@
-//! The view of the site, told to the gateways that follow it here.
+//! The view of the site, sent to the gateways that follow it here.
 
 use super::Coordinator;
 use crate::view_feed::{FeedLinks, FeedSource};
@@ -17,24 +17,24 @@
 }
 
 impl Coordinator {
-    /// Tells gateways what has changed since the last turn of the loop.
-    pub(super) fn tell_view(&mut self) {
+    /// Sends gateways what has changed since the last turn of the loop.
+    pub(super) fn send_view(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
             applied: self.host.applied_index(),
         };
-        if let Err(error) = self.view_feed.tell(source, &mut self.reactor) {
+        if let Err(error) = self.view_feed.send_changes(source, &mut self.reactor) {
             warn!(self.logger, "view not encoded"; "error" => %error);
         }
     }
 
-    /// Tells gateways that know all how far the log is, from time to time.
-    pub(super) fn tell_view_revision(&mut self) {
+    /// Sends gateways that lack nothing how far the log is.
+    pub(super) fn send_view_revision(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
             applied: self.host.applied_index(),
         };
-        if let Err(error) = self.view_feed.tell_revision(source, &mut self.reactor) {
+        if let Err(error) = self.view_feed.send_revision(source, &mut self.reactor) {
             warn!(self.logger, "view not encoded"; "error" => %error);
         }
     }
--- a/crates/wingshore-coordinator/src/spool.rs
+++ b/crates/wingshore-coordinator/src/spool.rs
@@ -1,5 +1,8 @@
-//! Snapshots that are received gather in a file: a state of many megabytes need not stand in memory
+//! Snapshots that are received gather in a file: a state of many megabytes need not be in memory
 //! beside the one that it replaces.
+//!
+//! Owns the folder `incoming` of the data folder. Nothing there survives the process: a file is removed
+//! with the last use of its snapshot, and what an earlier process left is removed at the start.
 
 use slog::{Logger, warn};
 use std::fmt::{self, Debug, Formatter};
@@ -14,7 +17,7 @@
 /// Name of the folder in the data folder.
 const FOLDER: &str = "incoming";
 
-/// Gathers snapshots in files of its folder. Nothing there outlasts the process.
+/// Gathers snapshots in files of its folder. Nothing there survives the process.
 pub struct FileSpool {
     fs: Arc<dyn FileSystem>,
     folder: PathBuf,
@@ -64,14 +67,14 @@
 impl SnapshotSpool for FileSpool {
     fn begin(&self) -> io::Result<Box<dyn SpooledSnapshot>> {
         let number = self.begun.fetch_add(1, Ordering::Relaxed);
-        let place = SpoolFile {
+        let spool_file = SpoolFile {
             fs: Arc::clone(&self.fs),
             path: self.folder.join(number.to_string()),
             logger: self.logger.clone(),
         };
-        let file = place.logged(self.fs.create(&place.path))?;
+        let file = spool_file.logged(self.fs.create(&spool_file.path))?;
         Ok(Box::new(Spooled {
-            place,
+            spool_file,
             file,
             length: 0,
         }))
@@ -106,7 +109,7 @@
 
 /// A snapshot that is being received.
 struct Spooled {
-    place: SpoolFile,
+    spool_file: SpoolFile,
     file: Box<dyn File>,
     length: u64,
 }
@@ -120,17 +123,17 @@
 impl SpooledSnapshot for Spooled {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let appended = self.file.append(bytes);
-        self.place.logged(appended)?;
+        self.spool_file.logged(appended)?;
         self.length += bytes.len() as u64;
         Ok(())
     }
 
     fn finish(self: Box<Self>) -> io::Result<SnapshotData> {
-        let opened = self.place.fs.open_to_read(&self.place.path);
-        let file = self.place.logged(opened)?;
+        let opened = self.spool_file.fs.open_to_read(&self.spool_file.path);
+        let file = self.spool_file.logged(opened)?;
         let received = Received {
             range: Arc::new(FileRange::new(file, 0, self.length)),
-            _place: self.place,
+            _spool_file: self.spool_file,
         };
         Ok(SnapshotState::Frozen(Arc::new(received)).into())
     }
@@ -139,7 +142,7 @@
 /// A snapshot that was received whole; its file goes with it.
 struct Received {
     range: Arc<FileRange>,
-    _place: SpoolFile,
+    _spool_file: SpoolFile,
 }
 
 impl FrozenState for Received {
