--- a/crates/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -48,6 +48,10 @@
 /// day earned 0.59 of its credit, with a fifth of them 0.95 (one play each).
 const ENGINES_PER_LOAD: usize = 5;
 
+/// Engines that may load at once at any site. Three to eleven at 11 engines gained nothing: a load
+/// takes 0.45 s for each that is under way.
+const MIN_LOADS_AT_ONCE: usize = 2;
+
 /// Versions that an engine may be behind and still run work: jobs ask for the newest version or the one
 /// before.
 const USABLE_LAG: u64 = 1;
@@ -312,7 +316,7 @@
 
 /// Engines that may load at once: the weight store serves a share of them at full speed. It is laid
 /// out for those that stay: others that were ordered for a while do not make it faster.
-pub(crate) fn max_loads(engines: &Engines, min_at_once: usize) -> usize {
+pub(crate) fn max_loads(engines: &Engines) -> usize {
     let share = engines.staying() / ENGINES_PER_LOAD;
-    share.max(min_at_once)
+    share.max(MIN_LOADS_AT_ONCE)
 }
--- a/crates/wingshore-coordination/src/leader/loading.rs
+++ b/crates/wingshore-coordination/src/leader/loading.rs
@@ -11,7 +11,7 @@
 impl CoordinationLeader {
     /// Begins as many loads as the weight store serves.
     pub(super) fn begin_loads(&mut self, turn: &mut Turn<'_>) {
-        let max = max_loads(&self.engines, self.settings.concurrent_loads);
+        let max = max_loads(&self.engines);
         if self.rollout.active() >= max {
             return;
         }
--- a/crates/wingshore-coordination/src/leader/settings.rs
+++ b/crates/wingshore-coordination/src/leader/settings.rs
@@ -28,9 +28,6 @@
     /// Whether engines refuse orders whose fence is lower than one that they have seen. Where they
     /// do not check, only time keeps the orders of two machines apart.
     pub engines_check_fences: bool,
-    /// Engines that may load weights at once at any site. Three to eleven at 11 engines gained nothing:
-    /// a load takes 0.45 s for each that is under way.
-    pub concurrent_loads: usize,
     /// Time from an order to the first look at how it went: a load takes 0.9 s.
     pub load_time: Duration,
     /// An ended job is remembered this long: callers may still read it.
@@ -52,7 +49,6 @@
             orders_servers: false,
             capacity: CapacityPolicy::ByDemand,
             engines_check_fences: false,
-            concurrent_loads: 2,
             load_time: Duration::from_millis(900),
             job_retention: Duration::from_secs(130),
             most_open_job_bytes: 32 << 20,
--- a/crates/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/wingshore-coordination/tests/step_world/mod.rs
@@ -91,7 +91,6 @@
     pub fn new(seed: u64, (staying, extra): (u32, u32), work: &[Work]) -> Self {
         let mut group = Group::with_settings(LeaderSettings {
             engines_check_fences: true,
-            concurrent_loads: 2,
             load_time: Duration::from_millis(920),
             ..LeaderSettings::default()
         });
