--- a/crates/wingshore-lab/src/fleet/program.rs
+++ b/crates/lab/wingshore-lab/src/fleet/program.rs
@@ -53,5 +53,5 @@
 
 /// The workspace this program was built from.
 pub fn workspace() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..")
 }
--- a/crates/wingshore/tests/command_line.rs
+++ b/crates/nodes/wingshore/tests/command_line.rs
@@ -5,8 +5,8 @@
 use googletest::prelude::*;
 use support::{path_text, wingshore};
 
-const REPLICA: &str = include_str!("../../../examples/first-site/replica-1.toml");
-const SITE: &str = include_str!("../../../examples/first-site/site.toml");
+const REPLICA: &str = include_str!("../../../../examples/first-site/replica-1.toml");
+const SITE: &str = include_str!("../../../../examples/first-site/site.toml");
 
 /// The whole file, what is replaced in it by what, and what each error line must hold, in order.
 #[rustfmt::skip]
@@ -52,7 +52,7 @@
 
 #[gtest]
 fn check_accepts_the_files_of_the_sites() -> Result<()> {
-    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../sites");
+    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../sites");
     let mut checked = 0;
     for site in ["farewind", "roster"].map(|site| root.join(site)) {
         let mut files = vec![site.join("site.toml")];
--- a/crates/wingshore/tests/decisions.rs
+++ b/crates/nodes/wingshore/tests/decisions.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
 
-const PAGE: &str = include_str!("../../../docs/DECISIONS.md");
+const PAGE: &str = include_str!("../../../../docs/DECISIONS.md");
 
 /// Columns of a row: the question, the modules, the constants, the rule.
 const COLUMNS: usize = 4;
--- a/crates/wingshore/tests/links.rs
+++ b/crates/nodes/wingshore/tests/links.rs
@@ -7,7 +7,7 @@
 const ROOTS: [&str; 5] = ["docs/", "crates/", "examples/", "sites/", ".ci/"];
 
 fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..")
 }
 
 fn pages(folder: &Path, found: &mut Vec<PathBuf>) -> std::io::Result<()> {
--- a/crates/wingshore/tests/metrics.rs
+++ b/crates/nodes/wingshore/tests/metrics.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use support::{Process, Site, free_address, wait_for};
 
-const PAGE: &str = include_str!("../../../docs/operations/metrics-and-logs.md");
+const PAGE: &str = include_str!("../../../../docs/operations/metrics-and-logs.md");
 
 const SITE: &str = "role = \"site\"\nzones = [\"hall\"]\n\
                     [[service]]\nid = \"shifts\"\nkind = \"live\"\n";
--- a/crates/wingshore/tests/pages.rs
+++ b/crates/nodes/wingshore/tests/pages.rs
@@ -56,7 +56,7 @@
 }
 
 fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..")
 }
 
 fn read_page(name: &str) -> String {
--- a/crates/wingshore-types/tests/platform_page.rs
+++ b/crates/shared/wingshore-types/tests/platform_page.rs
@@ -10,7 +10,7 @@
     MachineList, ScoreReply, ScoreRequest,
 };
 
-const PAGE: &str = include_str!("../../../docs/PLATFORM.md");
+const PAGE: &str = include_str!("../../../../docs/PLATFORM.md");
 const OPENING: &str = "```json ";
 const CLOSING: &str = "```";
 
