--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
@@ -17,7 +17,7 @@
 
 use crate::provider::ProviderAnswer;
 use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// Backoff after a first order without success.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
@@ -82,7 +82,8 @@
             | ProviderAnswer::Busy
             | ProviderAnswer::Refused
             | ProviderAnswer::Unknown => {
-                self.not_before = now + doubled_pause(INITIAL_BACKOFF, self.failures, MAX_BACKOFF);
+                self.not_before =
+                    now + doubled_backoff(INITIAL_BACKOFF, self.failures, MAX_BACKOFF);
                 self.failures += 1;
             }
         }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -25,7 +25,7 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
-use crate::state::{CoordinationState, MOST_ENDINGS, REJECTED_FROM, TOLD_FROM};
+use crate::state::{CoordinationState, MAX_ENDINGS, REJECTED_FROM, REPORTED_FROM};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -204,7 +204,7 @@
     pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
         let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
-        !suspect.rejected && (ended >= MOST_ENDINGS || is_enough)
+        !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
     }
 
     /// Requests without news for too long; their time begins anew.
@@ -222,5 +222,5 @@
 /// Whether so many servers have ended under an item that it is suspected to be the cause. Such items run
 /// on engines apart from each other: the next ending then tells which of them it is.
 pub(crate) fn is_suspect(ended_under: usize) -> bool {
-    ended_under >= TOLD_FROM
+    ended_under >= REPORTED_FROM
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/ejection.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/ejection.rs
@@ -14,7 +14,7 @@
 //! Old or missing inputs: a new leader knows of no faults, so that each engine gets items again at once.
 
 use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// Length of the first ejection.
 const INITIAL_EJECTION: Duration = Duration::from_millis(250);
@@ -24,5 +24,5 @@
 /// Until when an engine with so many `faults` before this one is ejected; `None` while it is already.
 pub(crate) fn eject_until(now: Instant, ejected_until: Instant, faults: u32) -> Option<Instant> {
     let is_new = now >= ejected_until;
-    is_new.then(|| now + doubled_pause(INITIAL_EJECTION, faults, MAX_EJECTION))
+    is_new.then(|| now + doubled_backoff(INITIAL_EJECTION, faults, MAX_EJECTION))
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
@@ -33,7 +33,7 @@
 
 /// What an engine reports of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineReport {
+pub struct EngineStatus {
     /// Its models and their versions.
     pub models: Vec<ModelVersion>,
     /// Whether an order is under way.
@@ -42,7 +42,7 @@
     pub sequence: u64,
 }
 
-impl EngineReport {
+impl EngineStatus {
     fn version_of(&self, model: &ModelName) -> u64 {
         let mut models = self.models.iter();
         let known = models.find(|entry| entry.model == *model);
@@ -168,7 +168,7 @@
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
-        report: Option<&EngineReport>,
+        report: Option<&EngineStatus>,
     ) -> ReportVerdict {
         if !matches!(self.phase, Phase::Polled(_)) {
             return ReportVerdict::Wait;
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -133,7 +133,7 @@
         let mut heard = heard.take_while(|known| known.name() == instance.name());
         heard.any(|known| known > instance)
             || state
-                .runs_of(instance.name())
+                .incarnations_of(instance.name())
                 .any(|(known, _)| known > instance)
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -22,7 +22,7 @@
 
 use crate::scoring::ScoringOutcome;
 use std::time::Duration;
-use wingshore_types::doubled_pause;
+use wingshore_types::doubled_backoff;
 
 /// Backoff after the first scoring without a score.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
@@ -93,5 +93,5 @@
 
 /// How long until a score is asked for again after so many scorings in a row without one.
 pub(crate) fn backoff(scorings_before: u32) -> Duration {
-    doubled_pause(INITIAL_BACKOFF, scorings_before, MAX_BACKOFF)
+    doubled_backoff(INITIAL_BACKOFF, scorings_before, MAX_BACKOFF)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -24,7 +24,7 @@
 use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// A window is closed after this part of the time in which its report is due: gateways report their
 /// counts each 400 ms, and the rest of the time is for calls that have to be made again.
@@ -227,7 +227,7 @@
 
     fn failed(&mut self, now: Instant, window: UsageWindow) {
         if let Some(send) = self.sending.get_mut(&window) {
-            send.not_before = now + doubled_pause(INITIAL_BACKOFF, send.failures, MAX_BACKOFF);
+            send.not_before = now + doubled_backoff(INITIAL_BACKOFF, send.failures, MAX_BACKOFF);
             send.failures += 1;
             send.is_under_way = false;
         }
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -138,7 +138,7 @@
                 scoring,
                 outcome,
             } => self.on_scoring_ended(gateway, scoring, outcome, turn),
-            Event::ItemKept {
+            Event::PartialTextStored {
                 assignment,
                 after_events,
                 text,
@@ -148,7 +148,7 @@
                 self.on_requests_crashed(turn.now, gateway, seen, turn.state);
             }
             Event::RequestsRan(requests) => self.on_requests_ran(requests, turn),
-            Event::GatewayGone { gateway, silence } => {
+            Event::GatewayDisconnected { gateway, silence } => {
                 self.on_gateway_gone(gateway, silence, turn);
             }
             Event::ItemEnded {
@@ -157,10 +157,10 @@
                 item,
                 outcome,
             } => self.on_item_ended(gateway, assignment, &item, outcome, turn),
-            Event::ServersHeard { from, servers } => self.on_servers_heard(from, servers, turn),
+            Event::ServersReported { from, servers } => self.on_servers_heard(from, servers, turn),
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
-            Event::UsageTold { gateway, usage } => {
+            Event::UsageReported { gateway, usage } => {
                 self.usage.reported(gateway, usage, turn.state.usage())
             }
             Event::CapacityAnswered {
@@ -170,7 +170,7 @@
             } => self.on_capacity_answered(turn.now, &pool, count, answer),
             Event::UsageAnswered { window, answer } => self.on_usage_answered(window, answer, turn),
             Event::Ordered { instance, answer } => self.on_ordered(&instance, answer, turn),
-            Event::Reported { instance, report } => self.on_reported(&instance, report, turn),
+            Event::EnginePolled { instance, report } => self.on_reported(&instance, report, turn),
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -1,7 +1,7 @@
 //! What the leader machine hears from outside the group, and what it wants done there.
 
 use super::decision_log::Decision;
-use super::decisions::load_progress::{EngineReport, OrderAnswer};
+use super::decisions::load_progress::{EngineStatus, OrderAnswer};
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
@@ -36,7 +36,7 @@
         scorings: Vec<RunningScoring>,
     },
     /// A gateway uploads events of a long item.
-    ItemKept {
+    PartialTextStored {
         /// Which attempt.
         assignment: AssignmentId,
         /// Events of the item that were kept before.
@@ -67,7 +67,7 @@
     /// Requests under which servers had ended ran well at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
     /// The connection of a gateway has ended.
-    GatewayGone {
+    GatewayDisconnected {
         /// Which gateway.
         gateway: GatewayId,
         /// How long it had been silent before.
@@ -85,7 +85,7 @@
         outcome: ItemOutcome,
     },
     /// Another coordinator has heard of servers that say what the registry holds.
-    ServersHeard {
+    ServersReported {
         /// The coordinator.
         from: ReplicaId,
         /// The servers.
@@ -96,7 +96,7 @@
     /// The site has agreed on its time of day.
     TimeAgreed(WallTime),
     /// A gateway reports totals of requests that began to run.
-    UsageTold {
+    UsageReported {
         /// Which gateway.
         gateway: GatewayId,
         /// Its totals.
@@ -126,11 +126,11 @@
         answer: OrderAnswer,
     },
     /// An engine answered a poll of its status, or did not.
-    Reported {
+    EnginePolled {
         /// The engine.
         instance: InstanceId,
         /// The answer; `None` without one.
-        report: Option<EngineReport>,
+        report: Option<EngineStatus>,
     },
 }
 
@@ -155,7 +155,7 @@
     /// Give an engine an order.
     Order(WeightOrder),
     /// Poll an engine for its status.
-    AskReport {
+    PollEngine {
         /// The engine.
         instance: InstanceId,
         /// Where it listens.
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -50,7 +50,7 @@
         let open_jobs = turn.state.jobs().values().filter(|job| !job.ended);
         let open_bytes = open_jobs.map(|job| job.submission.bytes()).sum();
         let bytes = submission.bytes();
-        let most_bytes = self.settings.most_open_job_bytes;
+        let most_bytes = self.settings.max_open_job_bytes;
         if has_room(bytes, open_bytes, most_bytes) {
             return false;
         }
--- a/crates/gateways/wingshore-coordination/src/leader/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/mod.rs
@@ -42,7 +42,7 @@
     CapacityDemand, CapacityPolicy, Peak, wanted as wanted_capacity,
 };
 pub use decisions::crash_evidence::EVIDENCE_LIFETIME;
-pub use decisions::load_progress::{EngineReport, OrderAnswer};
+pub use decisions::load_progress::{EngineStatus, OrderAnswer};
 pub use decisions::usage_reports::UsageDuty;
 pub use interface::{Effect, Event, LeaderFigures, WeightOrder};
 pub use machine::CoordinationLeader;
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -4,7 +4,7 @@
 //! as their fence and the engine's count of orders, so that one that is carried out late does nothing.
 
 use super::decision_log::Decision;
-use super::decisions::load_progress::{EngineReport, OrderAnswer, ReportVerdict};
+use super::decisions::load_progress::{EngineStatus, OrderAnswer, ReportVerdict};
 use super::decisions::order_rights::{claim_delay, may_claim_at_once};
 use super::interface::{Effect, WeightOrder};
 use super::machine::CoordinationLeader;
@@ -111,7 +111,7 @@
     /// Polls an engine.
     pub(super) fn ask_report(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
         if let Some(engine) = self.engines.get(instance) {
-            turn.effect(Effect::AskReport {
+            turn.effect(Effect::PollEngine {
                 instance: instance.clone(),
                 address: engine.record.address,
             });
@@ -122,7 +122,7 @@
     pub(crate) fn on_reported(
         &mut self,
         instance: &InstanceId,
-        report: Option<EngineReport>,
+        report: Option<EngineStatus>,
         turn: &mut Turn<'_>,
     ) {
         if let Some(report) = &report {
@@ -178,7 +178,7 @@
     }
 
     /// An engine has reported its versions: they are noted, and what waits for them is placed.
-    fn note_versions(&mut self, instance: &InstanceId, report: &EngineReport, turn: &mut Turn<'_>) {
+    fn note_versions(&mut self, instance: &InstanceId, report: &EngineStatus, turn: &mut Turn<'_>) {
         let risen = self.engines.raise_versions(instance, &report.models);
         let has_risen = !risen.is_empty();
         for ModelVersion { model, version } in risen {
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -66,7 +66,7 @@
 
     /// A server has started again under its name: its incarnations before have ended for good.
     fn end_earlier_incarnations(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
-        let incarnations = turn.state.runs_of(instance.name());
+        let incarnations = turn.state.incarnations_of(instance.name());
         let earlier = incarnations.map(|(incarnation, _)| incarnation);
         let earlier = earlier.filter(|incarnation| *incarnation < instance);
         let earlier: Vec<InstanceId> = earlier.cloned().collect();
@@ -109,7 +109,7 @@
     /// registered, the call may be a late one of the one before, and is not acknowledged. A server
     /// that means it calls again.
     pub(crate) fn on_deregister(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
-        let newest = turn.state.runs_of(&name).last();
+        let newest = turn.state.incarnations_of(&name).last();
         let newest = newest.map(|(incarnation, _)| incarnation.clone());
         let Some(newest) = newest else {
             return self.deregister_unknown(tag, name, turn);
--- a/crates/gateways/wingshore-coordination/src/leader/settings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/settings.rs
@@ -33,7 +33,7 @@
     /// An ended job is remembered this long: callers may still read it.
     pub job_retention: Duration,
     /// Most bytes that the contents of open jobs may have together: a part of the process's memory.
-    pub most_open_job_bytes: usize,
+    pub max_open_job_bytes: usize,
     /// Which mechanisms of choice are on.
     pub policy: LeaderPolicy,
 }
@@ -51,7 +51,7 @@
             engines_check_fences: false,
             load_time: Duration::from_millis(900),
             job_retention: Duration::from_secs(130),
-            most_open_job_bytes: 32 << 20,
+            max_open_job_bytes: 32 << 20,
             policy: LeaderPolicy::default(),
         }
     }
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -38,7 +38,7 @@
 pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
     CapacityDemand, CapacityPolicy, CoordinationLeader, Decision, EVIDENCE_LIFETIME, Effect,
-    EngineReport, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
+    EngineStatus, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
     WeightOrder, wanted_capacity,
 };
 pub use messages::{
@@ -56,7 +56,7 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, KnownChanges, MOST_SUSPECTS, OrderHolder, REJECTED_FROM,
+    Command, CoordinationState, KnownChanges, MAX_SUSPECTS, OrderHolder, REJECTED_FROM,
     RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -15,17 +15,17 @@
 /// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
 /// so that each attempt of it that goes well counts. With a single one most are not the cause: many
 /// requests run on each server that ends.
-pub(crate) const TOLD_FROM: usize = REJECTED_FROM - 1;
+pub(crate) const REPORTED_FROM: usize = REJECTED_FROM - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
-pub(crate) const MOST_ENDINGS: usize = 4;
+pub(crate) const MAX_ENDINGS: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
 /// a new such request each time ends three servers with each, so that the bound is met late.
-pub const MOST_SUSPECTS: usize = 1024;
+pub const MAX_SUSPECTS: usize = 1024;
 
 /// What the site has learned of requests from failed attempts; it survives requests, processes
 /// and leaderships.
 ///
-/// Invariants: at most [`MOST_SUSPECTS`] requests, each with one to `MOST_ENDINGS` distinct
+/// Invariants: at most [`MAX_SUSPECTS`] requests, each with one to `MAX_ENDINGS` distinct
 /// servers; `order` names exactly these, in the order in which they were first noted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestEvidence {
@@ -56,7 +56,7 @@
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
             !suspect.rejected
-                && suspect.ended.len() < MOST_ENDINGS
+                && suspect.ended.len() < MAX_ENDINGS
                 && !suspect.ended.contains(&evidence.instance)
         })
     }
@@ -127,7 +127,7 @@
 
     /// Forgets the oldest request that is not rejected, or else the oldest one.
     fn make_room(&mut self) {
-        if self.suspects.len() < MOST_SUSPECTS {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let is_open = |request: &&RequestFingerprint| {
--- a/crates/gateways/wingshore-coordination/src/state/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/state/mod.rs
@@ -17,8 +17,8 @@
 mod view_history;
 
 pub use command::Command;
-pub(crate) use evidence::{MOST_ENDINGS, TOLD_FROM};
-pub use evidence::{MOST_SUSPECTS, REJECTED_FROM, RequestEvidence};
+pub(crate) use evidence::{MAX_ENDINGS, REPORTED_FROM};
+pub use evidence::{MAX_SUSPECTS, REJECTED_FROM, RequestEvidence};
 pub use orders::OrderHolder;
 pub use site::CoordinationState;
 pub use usage::SiteUsage;
--- a/crates/gateways/wingshore-coordination/src/state/site.rs
+++ b/crates/gateways/wingshore-coordination/src/state/site.rs
@@ -80,7 +80,7 @@
     }
 
     /// All registered incarnations of a server, in the order of their starts: usually one.
-    pub(crate) fn runs_of<'a>(
+    pub(crate) fn incarnations_of<'a>(
         &'a self,
         name: &'a ServerName,
     ) -> impl Iterator<Item = (&'a InstanceId, &'a ServerRecord)> + 'a {
--- a/crates/gateways/wingshore-coordination/src/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/usage.rs
@@ -107,7 +107,7 @@
     }
 
     /// All totals are to be reported: to a leader that knows none.
-    pub fn tell_all(&mut self) {
+    pub fn report_all(&mut self) {
         self.changed = self.windows.keys().copied().collect();
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/admission.rs
+++ b/crates/gateways/wingshore-coordination/tests/admission.rs
@@ -12,7 +12,7 @@
     let mut group = Group::new();
     group.ask(Request::SubmitJob(job("j", 4)));
     let bytes = job("j", 4).bytes();
-    group.settings.most_open_job_bytes = 3 * bytes;
+    group.settings.max_open_job_bytes = 3 * bytes;
     group.change_leader("coordinator-b");
     expect_that!(
         group.ask(Request::SubmitJob(job("k", 8))),
@@ -39,7 +39,7 @@
 #[gtest]
 fn a_job_that_is_alone_is_taken_however_large_it_is() {
     let mut group = Group::new();
-    group.settings.most_open_job_bytes = 1;
+    group.settings.max_open_job_bytes = 1;
     group.change_leader("coordinator-b");
     expect_that!(
         group.ask(Request::SubmitJob(job("j", 4))),
--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -7,8 +7,8 @@
 use support::{Group, engine};
 use wingshore_coordination::{
     BreakCause, CoordinationState, CrashEvidence, EVIDENCE_LIFETIME, Event, FingerprintKey,
-    GatewayId, InstanceId, ItemOutcome, ItemText, MOST_SUSPECTS, RequestContent,
-    RequestFingerprint, SeenCrash, Suspect, ViewChange,
+    GatewayId, InstanceId, ItemOutcome, ItemText, MAX_SUSPECTS, RequestContent, RequestFingerprint,
+    SeenCrash, Suspect, ViewChange,
 };
 use wingshore_types::machine::ReplicatedState;
 
@@ -176,7 +176,7 @@
 fn a_caller_with_a_new_such_request_each_time_displaces_no_rejected_one() {
     let mut group = group();
     end_one_by_one(&mut group, &["a", "b", "c"], &[request(0)]);
-    for number in 1..=MOST_SUSPECTS as u32 + 20 {
+    for number in 1..=MAX_SUSPECTS as u32 + 20 {
         tell(
             &mut group,
             vec![seen(request(number), &format!("s-{number}"))],
@@ -184,7 +184,7 @@
         group.wait(WEIGHED);
     }
     let (suspects, rejected) = group.state.evidence().counts();
-    expect_that!(suspects, eq(MOST_SUSPECTS));
+    expect_that!(suspects, eq(MAX_SUSPECTS));
     expect_that!(rejected, eq(1));
     expect_that!(is_rejected(&group.state, request(0)), eq(true));
 }
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -23,7 +23,7 @@
 
 /// The connection of a gateway ends after a long silence: it is lost with all that it runs.
 fn gone(gateway: GatewayId) -> Event {
-    Event::GatewayGone {
+    Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::from_secs(2),
     }
@@ -178,7 +178,7 @@
 }
 
 fn keep(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
-    group.event(Event::ItemKept {
+    group.event(Event::PartialTextStored {
         assignment: assignment.assignment,
         after_events: from,
         text: part(from, to),
@@ -359,7 +359,7 @@
 fn a_new_leader_says_how_much_of_a_text_it_holds() {
     let (mut group, gateway) = Group::with_job(1);
     let assignment = group.assignments().remove(0);
-    group.event(Event::ItemKept {
+    group.event(Event::PartialTextStored {
         assignment: assignment.assignment,
         after_events: 0,
         text: text(2),
@@ -408,7 +408,7 @@
     let (mut group, gateway) = Group::with_job(2);
     let assignments = group.assignments();
     group.add_gateway(2);
-    let broken = Event::GatewayGone {
+    let broken = Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::ZERO,
     };
@@ -433,7 +433,7 @@
     let (mut group, gateway) = Group::with_job(1);
     group.assignments();
     group.add_gateway(2);
-    group.event(Event::GatewayGone {
+    group.event(Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::ZERO,
     });
--- a/crates/gateways/wingshore-coordination/tests/rollout.rs
+++ b/crates/gateways/wingshore-coordination/tests/rollout.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use support::{Group, engine, job};
 use wingshore_coordination::{
-    Effect, EngineReport, Event, InstanceId, ItemProgress, JobSubmission, LeaderSettings,
+    Effect, EngineStatus, Event, InstanceId, ItemProgress, JobSubmission, LeaderSettings,
     ModelName, ModelVersion, OrderAnswer, Request, WeightOrder,
 };
 
@@ -33,16 +33,16 @@
     effects
         .into_iter()
         .filter_map(|effect| match effect {
-            Effect::AskReport { instance, .. } => Some(instance),
+            Effect::PollEngine { instance, .. } => Some(instance),
             _ => None,
         })
         .collect()
 }
 
 fn report(group: &mut Group, instance: &InstanceId, version: u64, busy: bool) {
-    group.event(Event::Reported {
+    group.event(Event::EnginePolled {
         instance: instance.clone(),
-        report: Some(EngineReport {
+        report: Some(EngineStatus {
             models: vec![ModelVersion {
                 model: ModelName::from("m"),
                 version,
@@ -194,7 +194,7 @@
     let effects = std::mem::take(&mut group.effects);
     let looks = effects
         .iter()
-        .filter(|effect| matches!(effect, Effect::AskReport { .. }));
+        .filter(|effect| matches!(effect, Effect::PollEngine { .. }));
     expect_that!(looks.count(), ge(1));
     let orders = effects
         .iter()
@@ -268,9 +268,9 @@
     let mut begun = (0, 0);
     for _ in 0..50 {
         for instance in asked(group) {
-            group.event(Event::Reported {
+            group.event(Event::EnginePolled {
                 instance: instance.clone(),
-                report: Some(EngineReport {
+                report: Some(EngineStatus {
                     models: Vec::new(),
                     busy: false,
                     sequence: 1,
@@ -282,9 +282,9 @@
                 } else {
                     begun.1 += 1;
                 }
-                group.event(Event::Reported {
+                group.event(Event::EnginePolled {
                     instance: order.instance,
-                    report: Some(EngineReport {
+                    report: Some(EngineStatus {
                         models: vec![ModelVersion {
                             model: order.model,
                             version: order.version,
--- a/crates/gateways/wingshore-coordination/tests/scoring.rs
+++ b/crates/gateways/wingshore-coordination/tests/scoring.rs
@@ -44,7 +44,7 @@
 
 /// The connection of a gateway ends after a long silence: it is lost with all that it runs.
 fn gone(gateway: GatewayId) -> Event {
-    Event::GatewayGone {
+    Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::from_secs(2),
     }
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, CoordinatorMessage, Effect, EngineReport, Event, FinishedText,
+    AssignmentId, BreakCause, CoordinatorMessage, Effect, EngineStatus, Event, FinishedText,
     GatewayId, HeardServer, InstanceId, ItemAssignment, ItemId, ItemOutcome, ItemProgress,
     ItemText, JobId, JobItem, JobSubmission, LeaderSettings, ModelName, ModelVersion, OrderAnswer,
     Request, ResultText, ServerRecord,
@@ -279,13 +279,13 @@
                     let (instance, answer) = (order.instance, OrderAnswer::Accepted);
                     self.group.event(Event::Ordered { instance, answer });
                 }
-                Effect::AskReport { instance, .. } => {
-                    let report = self.engines.get(&instance).map(|engine| EngineReport {
+                Effect::PollEngine { instance, .. } => {
+                    let report = self.engines.get(&instance).map(|engine| EngineStatus {
                         models: engine.record.models.clone(),
                         busy: engine.loading.is_some(),
                         sequence: engine.sequence,
                     });
-                    self.group.event(Event::Reported { instance, report });
+                    self.group.event(Event::EnginePolled { instance, report });
                 }
                 _ => {}
             }
@@ -443,7 +443,7 @@
             });
             let servers = servers.collect();
             let from = ReplicaId(2);
-            self.group.event(Event::ServersHeard { from, servers });
+            self.group.event(Event::ServersReported { from, servers });
         }
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -228,7 +228,7 @@
     group.event(Event::TimeAgreed(wingshore_coordination::WallTime(
         1_000_000,
     )));
-    group.event(Event::UsageTold {
+    group.event(Event::UsageReported {
         gateway: GatewayId(1),
         usage: Vec::new(),
     });
--- a/crates/gateways/wingshore-coordination/tests/usage.rs
+++ b/crates/gateways/wingshore-coordination/tests/usage.rs
@@ -105,7 +105,7 @@
     meter.not_run(window, &name("a"));
     let told = meter.take_changes();
     expect_that!(told[0].counts, eq(&counts(&[("a", 1), ("b", 1)])));
-    meter.tell_all();
+    meter.report_all();
     expect_that!(meter.take_changes(), len(eq(1)));
 }
 
@@ -147,7 +147,7 @@
         window: UsageWindow(window),
         counts: counts(of),
     };
-    group.event(Event::UsageTold {
+    group.event(Event::UsageReported {
         gateway: GatewayId(gateway),
         usage: vec![usage],
     });
@@ -255,7 +255,7 @@
     group.add_gateway(2);
     tell(&mut group, 1, WINDOW, &[("a", 3)]);
     tell(&mut group, 2, WINDOW, &[("a", 2)]);
-    group.event(Event::GatewayGone {
+    group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
@@ -274,7 +274,7 @@
     let mut group = group();
     group.add_gateway(1);
     tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    group.event(Event::GatewayGone {
+    group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -321,7 +321,7 @@
                     engines.order_answer(&answer.head)
                 }),
             },
-            Question::Report(instance) => Event::Reported {
+            Question::Report(instance) => Event::EnginePolled {
                 instance,
                 report: answer.and_then(|answer| engines.report_answer(&answer.head, &answer.body)),
             },
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -106,7 +106,7 @@
         };
         info!(self.logger, "gateway lost"; "gateway" => gateway.0);
         let silence = now.since(known.heard);
-        let event = Event::GatewayGone { gateway, silence };
+        let event = Event::GatewayDisconnected { gateway, silence };
         self.inputs.push(HostInput::Event(event));
     }
 }
@@ -131,13 +131,13 @@
             assignment,
             after_events,
             text,
-        } => Event::ItemKept {
+        } => Event::PartialTextStored {
             assignment,
             after_events,
             text,
         },
         GatewayMessage::RequestsCrashed(seen) => Event::RequestsCrashed { gateway, seen },
-        GatewayMessage::Usage(usage) => Event::UsageTold { gateway, usage },
+        GatewayMessage::Usage(usage) => Event::UsageReported { gateway, usage },
         GatewayMessage::RequestsRan(requests) => Event::RequestsRan(requests),
         GatewayMessage::ItemEnded {
             assignment,
--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -122,7 +122,7 @@
             Effect::OrderCapacity(order) => self.order_capacity(now, &order),
             Effect::ReportUsage(report) => self.report_usage(now, &report),
             Effect::Order(order) => self.order_load(now, &order),
-            Effect::AskReport { instance, address } => {
+            Effect::PollEngine { instance, address } => {
                 self.calls
                     .ask_report(now, &mut self.reactor, &instance, address)
             }
--- a/crates/gateways/wingshore-coordinator/src/process/host.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/host.rs
@@ -54,7 +54,7 @@
             drift: CLOCK_DRIFT,
         },
         snapshot_every_bytes: settings.memory.log_between_snapshots(),
-        most_log_bytes: settings.memory.log_between_snapshots(),
+        max_log_bytes: settings.memory.log_between_snapshots(),
         spool: Arc::new(spool),
         limits: Limits {
             cached_log_bytes: settings.memory.cached_log(),
@@ -79,7 +79,7 @@
             .is_some_and(|provider| provider.orders_servers),
         capacity: settings.capacity,
         job_retention: settings.job_memory(),
-        most_open_job_bytes: settings.memory.open_jobs(),
+        max_open_job_bytes: settings.memory.open_jobs(),
         policy: settings.leader_policy,
     };
     let machines = MachineFactory {
--- a/crates/gateways/wingshore-coordinator/src/process/links.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/links.rs
@@ -54,7 +54,7 @@
             CoordinatorFrame::Hello(hello) => self.on_coordinator_hello(now, connection, hello),
             CoordinatorFrame::Heard(servers) => {
                 if let Some(from) = self.peers.at(connection) {
-                    let event = Event::ServersHeard { from, servers };
+                    let event = Event::ServersReported { from, servers };
                     self.inputs.push(HostInput::Event(event));
                 }
             }
--- a/crates/gateways/wingshore-coordinator/src/protocol.rs
+++ b/crates/gateways/wingshore-coordinator/src/protocol.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{
-    CapacityOrder, EngineReport, InstanceId, OrderAnswer, ProviderAnswer, Reply, Request,
+    CapacityOrder, EngineStatus, InstanceId, OrderAnswer, ProviderAnswer, Reply, Request,
     UsageReport, WeightOrder,
 };
 use wingshore_net::http::{AnswerHead, HttpAnswer, WholeRequest};
@@ -111,7 +111,7 @@
     /// The question for the status of an engine.
     fn report(&self, instance: &InstanceId) -> OutgoingCall;
     /// What an engine answered to it.
-    fn report_answer(&self, head: &AnswerHead, body: &[u8]) -> Option<EngineReport>;
+    fn report_answer(&self, head: &AnswerHead, body: &[u8]) -> Option<EngineStatus>;
 }
 
 /// Translates calls to the provider of the site's machines.
--- a/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_coordination::{
-    CoordinationLeader, Effect, EngineReport, Event, Heartbeat, InstanceId, ModelName,
+    CoordinationLeader, Effect, EngineStatus, Event, Heartbeat, InstanceId, ModelName,
     ModelVersion, OrderAnswer, Request, WeightOrder,
 };
 use wingshore_group::{HostInput, HostOutput};
@@ -294,7 +294,7 @@
                 machine.inbox.push((at, Input::Persisted(token)));
             }
             HostOutput::Effect(Effect::Order(order)) => self.give_order(index, order),
-            HostOutput::Effect(Effect::AskReport { instance, .. }) => {
+            HostOutput::Effect(Effect::PollEngine { instance, .. }) => {
                 self.report(index, &instance);
             }
             HostOutput::Failed(error) => panic!("machine {index} cannot go on: {error}"),
@@ -340,7 +340,7 @@
         let at = self.now + self.millis(2..30);
         let is_cut = self.machines[index].cut_from_engines_until > self.now;
         let engine = &self.engines[instance];
-        let report = EngineReport {
+        let report = EngineStatus {
             models: vec![ModelVersion {
                 model: ModelName::from(MODEL),
                 version: engine.version,
@@ -348,7 +348,7 @@
             busy: engine.loading.is_some(),
             sequence: engine.orders,
         };
-        let event = Event::Reported {
+        let event = Event::EnginePolled {
             instance: instance.clone(),
             report: (!is_cut).then_some(report),
         };
--- a/crates/gateways/wingshore-gateway/src/balance.rs
+++ b/crates/gateways/wingshore-gateway/src/balance.rs
@@ -22,7 +22,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use wingshore_coordination::{InstanceId, ServerRecord};
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// Latency of a server that has not answered yet, in milliseconds. Not measured.
 const INITIAL_LATENCY_MS: f64 = 20.0;
@@ -169,7 +169,7 @@
         if now < server.ejected_until {
             return;
         }
-        let ejection = doubled_pause(INITIAL_EJECTION, server.failures, MAX_EJECTION);
+        let ejection = doubled_backoff(INITIAL_EJECTION, server.failures, MAX_EJECTION);
         server.ejected_until = now + ejection;
         server.failures += 1;
     }
--- a/crates/gateways/wingshore-gateway/src/usage.rs
+++ b/crates/gateways/wingshore-gateway/src/usage.rs
@@ -54,7 +54,7 @@
 
     /// All totals are due again: there is a leader that knows none.
     pub(crate) fn report_all(&mut self) {
-        self.meter.tell_all();
+        self.meter.report_all();
     }
 
     /// The totals that have changed since the last call, for the leader; `None` without any.
--- a/crates/nodes/wingshore-control/src/leader/engine.rs
+++ b/crates/nodes/wingshore-control/src/leader/engine.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wingshore_types::ids::{ServiceId, WeightVersion};
 use wingshore_types::platform::{EngineOrder, EngineState, OrderFence};
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// An engine's report, with when it was asked for.
 #[derive(Clone, Debug)]
@@ -270,7 +270,7 @@
     /// The wait doubles with each failure in a row.
     fn end_failure(&mut self, now: Instant, settings: &LeaderSettings) {
         self.order = None;
-        let wait = doubled_pause(
+        let wait = doubled_backoff(
             settings.swap_backoff,
             self.failures,
             settings.longest_swap_backoff,
--- a/crates/nodes/wingshore-routing/src/membership.rs
+++ b/crates/nodes/wingshore-routing/src/membership.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 use wingshore_types::configuration::Admission;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// The merged view of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 
     /// The server refused a request as not run.
     pub(crate) fn on_refusal(&mut self, now: Instant, pause: Duration, most: Duration) {
-        let pause = doubled_pause(pause, self.refusals, most);
+        let pause = doubled_backoff(pause, self.refusals, most);
         self.refusals = self.refusals.saturating_add(1);
         self.refused_until = self.refused_until.max(now + pause);
     }
--- a/crates/nodes/wingshore-routing/src/outlier.rs
+++ b/crates/nodes/wingshore-routing/src/outlier.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
-use wingshore_types::{Instant, doubled_pause};
+use wingshore_types::{Instant, doubled_backoff};
 
 /// Limits of ejection.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
 
     /// Ejects it.
     pub(crate) fn eject(&mut self, now: Instant, limits: EjectionLimits) {
-        let time = doubled_pause(limits.time, self.ejections, limits.time_most);
+        let time = doubled_backoff(limits.time, self.ejections, limits.time_most);
         self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
         self.ejected_until = Some(now + time);
--- a/crates/shared/wingshore-group/src/host.rs
+++ b/crates/shared/wingshore-group/src/host.rs
@@ -98,7 +98,7 @@
             machines,
             snapshots: SnapshotSchedule::new(
                 config.snapshot_every_bytes,
-                config.most_log_bytes,
+                config.max_log_bytes,
                 config.seed,
             ),
             has_failed: false,
--- a/crates/shared/wingshore-group/src/interface.rs
+++ b/crates/shared/wingshore-group/src/interface.rs
@@ -28,7 +28,7 @@
     pub snapshot_every_bytes: u64,
     /// Upper bound of it, in bytes, however large the last snapshot is, and up to half of that again: a
     /// start holds the log after the snapshot.
-    pub most_log_bytes: u64,
+    pub max_log_bytes: u64,
     /// Deliberate faults; all off outside tests.
     pub faults: Faults,
     /// Where snapshots are gathered while they are received.
@@ -48,7 +48,7 @@
             timing: Timing::default(),
             limits: Limits::default(),
             snapshot_every_bytes: Self::DEFAULT_SNAPSHOT_EVERY_BYTES,
-            most_log_bytes: u64::MAX,
+            max_log_bytes: u64::MAX,
             faults: Faults::default(),
             spool: Arc::new(MemorySpool),
         }
--- a/crates/shared/wingshore-types/src/lib.rs
+++ b/crates/shared/wingshore-types/src/lib.rs
@@ -27,5 +27,5 @@
     ZoneId,
 };
 pub use sample::{Generation, Prompt, Sample, Segment, Token};
-pub use time::{Instant, doubled_pause};
+pub use time::{Instant, doubled_backoff};
 pub use verdict::{ErrorBody, ErrorDetail, Verdict};
--- a/crates/shared/wingshore-types/src/time.rs
+++ b/crates/shared/wingshore-types/src/time.rs
@@ -34,7 +34,7 @@
 
 /// The backoff after a failure: `initial`, twice as long after each of the `failures` in a row before
 /// it, and at most `max`.
-pub fn doubled_pause(initial: Duration, failures: u32, max: Duration) -> Duration {
+pub fn doubled_backoff(initial: Duration, failures: u32, max: Duration) -> Duration {
     let factor = 1_u32.checked_shl(failures).unwrap_or(u32::MAX);
     initial.saturating_mul(factor).min(max)
 }
