--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -81,7 +81,7 @@
 /// A leader that took over while a second attempt ran used to list only the events of that attempt: the
 /// text of the first one was with the old leader.
 #[gtest]
-fn a_new_leader_lists_the_whole_text_of_an_item_that_was_gone_on_with() {
+fn a_new_leader_lists_the_whole_text_of_an_item_that_was_resumed() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     let outcome = ItemOutcome::Interrupted {
@@ -125,7 +125,7 @@
 /// A gateway that was welcomed twice by a new leader was ordered to release what it had reported twice;
 /// the leader took it to be running all the same, and the item was never placed again.
 #[gtest]
-fn what_a_gateway_tells_twice_goes_on() {
+fn what_a_gateway_reports_twice_goes_on() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     group.change_leader("coordinator-b");
@@ -142,7 +142,7 @@
 }
 
 #[gtest]
-fn a_try_that_its_gateway_does_not_speak_of_is_placed_again() {
+fn an_attempt_that_its_gateway_does_not_report_is_placed_again() {
     let (mut group, _) = Group::with_job(1);
     assert_that!(group.assignments(), len(eq(1)));
     group.wait(std::time::Duration::from_secs(3));
@@ -164,7 +164,7 @@
 }
 
 #[gtest]
-fn a_result_that_is_told_twice_is_listed_once() {
+fn a_result_that_is_reported_twice_is_listed_once() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     group.end_item(gateway, &first, ItemOutcome::Finished(text(1).into()));
@@ -186,7 +186,7 @@
 }
 
 #[gtest]
-fn events_that_were_handed_in_outlast_gateway_and_leader() {
+fn events_that_were_uploaded_survive_gateway_and_leader() {
     let (mut group, _) = Group::with_job(1);
     let first = group.assignments().remove(0);
     keep(&mut group, &first, 0, 2);
--- a/crates/gateways/wingshore-coordination/tests/registry.rs
+++ b/crates/gateways/wingshore-coordination/tests/registry.rs
@@ -135,7 +135,7 @@
 /// refused: 900 to 1,600 of 2,600 to 3,200 attempts on a day of crashes in series. Cause: only
 /// silence ended an incarnation, though the next one at its address proves the end.
 #[gtest]
-fn a_run_that_registers_ends_the_one_before_at_its_address() {
+fn an_incarnation_that_registers_ends_the_one_before_at_its_address() {
     let mut group = Group::new();
     group.heartbeat(run_at("first", "a"));
     group.heartbeat(run_at("other", "b"));
@@ -149,7 +149,7 @@
 }
 
 #[gtest]
-fn a_late_heartbeat_of_the_run_before_changes_nothing() {
+fn a_late_heartbeat_of_the_incarnation_before_changes_nothing() {
     let mut group = Group::new();
     group.heartbeat(run_at("first", "a"));
     group.heartbeat(run_at("second", "a"));
