--- a/crates/lab/wingshore-lab/tests/stand_ins_over_http.rs
+++ b/crates/lab/wingshore-lab/tests/stand_ins_over_http.rs
@@ -1,9 +1,10 @@
 //! Stand-ins as programs of their own: what platforms, nodes and fleets see of them over HTTP.
 
 use googletest::prelude::*;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::process::{Child, Command};
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 use tempfile::{TempDir, tempdir};
@@ -12,6 +13,21 @@
 /// How long a stand-in may take until it listens, or until a fetch has ended.
 const LIMIT: Duration = Duration::from_secs(20);
 
+/// Where the stand-ins listen, each on a loopback address of its own.
+const PORT: u16 = 6100;
+/// First of the second parts of these addresses.
+const FIRST_NETWORK: u8 = 160;
+
+/// An address that nobody else uses. A port of 127.0.0.1 that was found free beforehand was taken by a
+/// listener of another process before the stand-in came up: the wait saw that one listen, and the first
+/// call was refused.
+fn own_address() -> SocketAddr {
+    static STARTED: AtomicU8 = AtomicU8::new(0);
+    let network = FIRST_NETWORK + STARTED.fetch_add(1, Ordering::Relaxed);
+    let [.., high, low] = std::process::id().to_be_bytes();
+    SocketAddr::from((Ipv4Addr::new(127, network, high, low), PORT))
+}
+
 /// A running stand-in; it ends with the test.
 struct StandIn {
     child: Child,
@@ -31,8 +47,7 @@
 impl StandIn {
     fn start(kind: &str, behaviour: &str) -> Self {
         let folder = tempdir().expect("a folder");
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let address = own_address();
         let log = folder.path().join("log.jsonl");
         let settings = folder.path().join("settings.toml");
         let text = format!(
@@ -40,7 +55,6 @@
             log.display()
         );
         std::fs::write(&settings, text).expect("settings");
-        drop(listener);
         let child = Command::new(env!("CARGO_BIN_EXE_wingshore-lab"))
             .args(["stand-in", kind, "--settings"])
             .arg(&settings)
