--- a/crates/wingshore-node/src/http/mod.rs
+++ b/crates/wingshore-node/src/http/mod.rs
@@ -13,11 +13,10 @@
 mod route;
 mod server;
 
-pub use body::{BodyError, read_body};
+pub use body::BodyError;
 pub use caller::Caller;
 pub use event_stream::EventStream;
-pub use framing::{BodyLength, FramingError, body_length};
-pub use headers::{CallerHeaders, HeaderError, HeaderList, without_hop_by_hop};
+pub use headers::{CallerHeaders, HeaderList, without_hop_by_hop};
 pub use respond::{EdgeAnswer, EdgeError};
-pub use route::{Route, RouteError, parse_route};
-pub use server::{EdgeHandler, EdgeServer, WorkKind};
+pub use route::{Route, RouteError};
+pub use server::{EdgeHandler, EdgeServer};
--- a/crates/wingshore-node/src/lib.rs
+++ b/crates/wingshore-node/src/lib.rs
@@ -2,12 +2,12 @@
 //! samples of the rollout pools it is set up for.
 
 mod background;
-pub mod http;
+mod http;
 mod metrics;
 mod rollout;
 mod run;
-pub mod serve;
+mod serve;
 mod state;
-pub mod upstream;
+mod upstream;
 
 pub use run::{NodeError, RunningNode, run, start};
--- a/crates/wingshore-node/src/serve/mod.rs
+++ b/crates/wingshore-node/src/serve/mod.rs
@@ -9,5 +9,4 @@
 mod intake;
 mod trainer;
 
-pub use completion_request::{CompletionRequest, CompletionRequestError, CompletionTarget};
 pub use edge::NodeEdge;
--- a/crates/wingshore-node/src/upstream/mod.rs
+++ b/crates/wingshore-node/src/upstream/mod.rs
@@ -13,6 +13,5 @@
 pub use answer::{ServerAnswer, ServerReply};
 pub use cache::copy_cache;
 pub use engine::{EngineAttempt, EngineEnd};
-pub use event_reader::{EventReader, StreamError};
-pub use failure::{failure_of, failure_of_read};
+pub use failure::failure_of;
 pub use json::JsonError;
