--- a/crates/wingshore-node/src/background/pools.rs
+++ b/crates/wingshore-node/src/background/pools.rs
@@ -20,13 +20,14 @@
 }
 
 impl PoolAnnouncer {
-    /// Announces `pool` unless it was announced as it is; answers whether its ledger knows it.
-    pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) -> bool {
+    /// Announces `pool` unless it was announced as it is. A failure is logged; the ledger then
+    /// refuses requests about the pool, and the next of them announces it again.
+    pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) {
         if lock(&self.announced)
             .get(&pool.id)
             .is_some_and(|known| is_same_to_ledger(known, pool))
         {
-            return true;
+            return;
         }
         let request = GroupRequest::Ledger(LedgerRequest::Configure {
             pool: pool.id.clone(),
@@ -43,12 +44,10 @@
         {
             Ok(GroupReply::Ledger(LedgerReply::Done)) => {
                 lock(&self.announced).insert(pool.id.clone(), pool.clone());
-                true
             }
             other => {
                 warn!(node.diagnostics.logger(), "pool not announced to its ledger";
                     "pool" => pool.id.to_string(), "answer" => format!("{other:?}"));
-                false
             }
         }
     }
--- a/crates/wingshore-node/src/metrics.rs
+++ b/crates/wingshore-node/src/metrics.rs
@@ -84,14 +84,8 @@
 }
 
 impl Default for Metrics {
-    fn default() -> Self {
-        Self::new()
-    }
-}
-
-impl Metrics {
     /// All at zero.
-    pub fn new() -> Self {
+    fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore"),
             requests: Family::default(),
@@ -120,7 +114,9 @@
             .register_collector(Box::new(TrafficCollector));
         metrics
     }
+}
 
+impl Metrics {
     /// Counts a request as being worked on until the guard is dropped.
     pub fn begin(&self, kind: &'static str) -> InFlight {
         let gauge = self.in_flight.get_or_create_owned(&KindLabel { kind });
--- a/crates/wingshore-node/src/run.rs
+++ b/crates/wingshore-node/src/run.rs
@@ -1,8 +1,6 @@
 //! Starts and stops a node.
 
-use crate::background::{
-    ErrandRunner, Errands, NodeWatch, PoolAnnouncer, Prober, read_machine_list,
-};
+use crate::background::{ErrandRunner, NodeWatch, PoolAnnouncer, Prober, read_machine_list};
 use crate::http::EdgeServer;
 use crate::rollout::{RolloutDriver, start_rollouts};
 use crate::serve::NodeEdge;
@@ -68,7 +66,7 @@
     errands: ErrandRunner,
     prober: Prober,
     rollouts: Vec<RolloutDriver>,
-    threads: Vec<JoinHandle<()>>,
+    machine_list_reader: JoinHandle<()>,
 }
 
 /// Starts a node; answers once it listens.
@@ -81,20 +79,14 @@
     stop: StopSignal,
 ) -> Result<RunningNode, NodeError> {
     let boot_id = rand::random();
-    let errands = Errands::default();
-    let node = Arc::new(NodeState::new(
-        settings,
-        diagnostics,
-        stop,
-        boot_id,
-        errands,
-    ));
+    let node = Arc::new(NodeState::new(settings, diagnostics, stop, boot_id));
     let announcer = Arc::new(PoolAnnouncer::default());
     let watcher = start_watch(&node)?;
     let errands = ErrandRunner::start(&node).context(ThreadSnafu { name: "errand" })?;
     let prober = Prober::start(&node).context(ThreadSnafu { name: "probe" })?;
     let rollouts = start_rollouts(&node).context(ThreadSnafu { name: "rollout" })?;
-    let threads = start_background(&node)?;
+    let reading = Arc::clone(&node);
+    let machine_list_reader = spawn("machine-list", move || read_machine_list(&reading))?;
     let handler = Arc::new(NodeEdge::new(Arc::clone(&node), announcer));
     let address = node.settings.listen;
     let edge = EdgeServer::start(address, &node.settings.http, handler)
@@ -108,7 +100,7 @@
         errands,
         prober,
         rollouts,
-        threads,
+        machine_list_reader,
     })
 }
 
@@ -132,10 +124,8 @@
         for rollouts in self.rollouts {
             rollouts.join();
         }
-        for thread in self.threads {
-            // A panic was reported when it happened.
-            let _ = thread.join();
-        }
+        // A panic was reported when it happened.
+        let _ = self.machine_list_reader.join();
         self.prober.join();
         self.errands.finish(&self.node);
         drop(self.watcher);
@@ -160,12 +150,6 @@
     ConfigurationWatcher::start(client, handler).context(ThreadSnafu { name: "watch" })
 }
 
-fn start_background(node: &Arc<NodeState>) -> Result<Vec<JoinHandle<()>>, NodeError> {
-    let reading = Arc::clone(node);
-    let machines = spawn("machine-list", move || read_machine_list(&reading))?;
-    Ok(vec![machines])
-}
-
 fn spawn(
     name: &'static str,
     work: impl FnOnce() + Send + 'static,
--- a/crates/wingshore-node/src/serve/execute.rs
+++ b/crates/wingshore-node/src/serve/execute.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use wingshore_request::{
-    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionOutput, FailureKind, FinalAnswer,
-    RequestExecution, RequestSpecification, SendAttempt,
+    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionLimits, ExecutionOutput, FailureKind,
+    Faults, FinalAnswer, RequestExecution, RequestSpecification, SendAttempt,
 };
 use wingshore_types::GroupId;
 use wingshore_types::protocol::claims::ClaimsRequest;
@@ -41,7 +41,8 @@
     attempts: &mut dyn Attempts,
 ) -> Option<FinalAnswer> {
     let deadline = specification.route.deadline;
-    let mut execution = RequestExecution::new(specification, node.limits, node.faults);
+    let mut execution =
+        RequestExecution::new(specification, ExecutionLimits::default(), Faults::default());
     let mut inputs = VecDeque::from([ExecutionInput::Begin]);
     let mut answer = None;
     while let Some(input) = inputs.pop_front() {
--- a/crates/wingshore-node/src/state.rs
+++ b/crates/wingshore-node/src/state.rs
@@ -11,7 +11,7 @@
 use wingshore_client::GroupClient;
 use wingshore_clock::Clock;
 use wingshore_diagnostics::{Diagnostics, StopSignal};
-use wingshore_request::{ConfigurationView, ExecutionLimits, Faults, NotAdmitted, WithoutLease};
+use wingshore_request::{ConfigurationView, NotAdmitted, WithoutLease};
 use wingshore_routing::{Router, RouterSettings};
 use wingshore_settings::NodeSettings;
 use wingshore_types::Instant;
@@ -45,10 +45,6 @@
     pub stop: StopSignal,
     /// Work that nobody waits for.
     pub errands: Errands,
-    /// Limits of each caller's request.
-    pub limits: ExecutionLimits,
-    /// Deliberate faults; off outside tests.
-    pub faults: Faults,
     router: Mutex<Router>,
     view: Mutex<ConfigurationView>,
     attempts: AtomicU64,
@@ -61,7 +57,6 @@
         diagnostics: Diagnostics,
         stop: StopSignal,
         boot_id: u64,
-        errands: Errands,
     ) -> Self {
         let groups = GroupClient::new(&settings.site, settings.replicas.clone(), boot_id);
         let router_settings = router_settings(&settings);
@@ -75,13 +70,11 @@
             clock: Clock::start(),
             boot_id,
             groups,
-            upstream: UpstreamClient::new(),
-            metrics: Metrics::new(),
+            upstream: UpstreamClient::default(),
+            metrics: Metrics::default(),
             diagnostics,
             stop,
-            errands,
-            limits: ExecutionLimits::default(),
-            faults: Faults::default(),
+            errands: Errands::default(),
             router: Mutex::new(router),
             view: Mutex::new(ConfigurationView::new(without_lease)),
             attempts: AtomicU64::new(0),
--- a/crates/wingshore-node/src/upstream/agent.rs
+++ b/crates/wingshore-node/src/upstream/agent.rs
@@ -89,21 +89,17 @@
 }
 
 impl Default for UpstreamClient {
-    fn default() -> Self {
-        Self::new()
-    }
-}
-
-impl UpstreamClient {
     /// A client without connections yet.
-    pub fn new() -> Self {
+    fn default() -> Self {
         Self {
             pooled: AgentPool::new(|| agent(IDLE_PER_AGENT, PAYLOAD_BUFFER)),
             small: AgentPool::new(|| agent(IDLE_PER_AGENT, SMALL_BUFFER)),
             fresh: agent(0, PAYLOAD_BUFFER),
         }
     }
+}
 
+impl UpstreamClient {
     /// Sends a request; answers once the answer's head has come.
     ///
     /// # Errors
