--- a/crates/wingshore-node/src/background/errands.rs
+++ b/crates/wingshore-node/src/background/errands.rs
@@ -1,19 +1,15 @@
-//! Work that nobody waits for: settling claims, cancelling attempts at engines.
+//! The threads that run the work that nobody waits for.
 
+use crate::background::errand_queue::Errand;
 use crate::state::NodeState;
 use crate::upstream::EngineAttempt;
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
+use crossbeam_channel::{Receiver, Sender, bounded};
 use slog::{debug, warn};
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
-use wingshore_types::GroupId;
-use wingshore_types::protocol::claims::ClaimsRequest;
 use wingshore_types::protocol::wire::GroupRequest;
 
-/// Most errands that wait.
-const QUEUE: usize = 16 * 1024;
 /// Threads that run errands.
 const THREADS: usize = 4;
 /// A settlement is tried for this long. A claim left unsettled stays taken, which is safe.
@@ -24,53 +20,6 @@
 /// Between two looks at whether they are done.
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// One errand.
-#[derive(Debug)]
-pub enum Errand {
-    /// Tell a claims group how a claim ended.
-    Settle {
-        /// The group.
-        group: GroupId,
-        /// The settlement.
-        request: Box<ClaimsRequest>,
-    },
-    /// Tell an engine that nobody wants an attempt any more.
-    CancelAtEngine {
-        /// The engine.
-        address: SocketAddr,
-        /// The attempt.
-        request_id: String,
-    },
-}
-
-/// The queue of errands; bounded.
-#[derive(Clone, Debug)]
-pub struct Errands {
-    sender: Sender<Errand>,
-    receiver: Receiver<Errand>,
-}
-
-impl Default for Errands {
-    fn default() -> Self {
-        let (sender, receiver) = bounded(QUEUE);
-        Self { sender, receiver }
-    }
-}
-
-impl Errands {
-    /// Leaves an errand.
-    ///
-    /// # Errors
-    /// Gives it back when too many wait.
-    pub fn leave(&self, errand: Errand) -> Result<(), Errand> {
-        self.sender
-            .try_send(errand)
-            .map_err(|refused| match refused {
-                TrySendError::Full(errand) | TrySendError::Disconnected(errand) => errand,
-            })
-    }
-}
-
 /// The threads that run errands.
 pub struct ErrandRunner {
     threads: Vec<JoinHandle<()>>,
--- a/crates/wingshore-node/src/background/pools.rs
+++ b/crates/wingshore-node/src/background/pools.rs
@@ -1,6 +1,7 @@
 //! Tells ledger groups what they need to know of pools.
 
-use crate::state::{NodeState, lock};
+use crate::lock::lock;
+use crate::state::NodeState;
 use slog::warn;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
--- a/crates/wingshore-node/src/http/body_readers.rs
+++ b/crates/wingshore-node/src/http/body_readers.rs
@@ -1,7 +1,7 @@
 //! Reads bodies that may come slowly, on threads of their own, so that a slow caller never holds a
 //! worker. The HTTP library has no time limit for reading.
 
-use crate::http::server::{Counted, EdgeHandler, Queues, Task};
+use crate::http::work::{Counted, EdgeHandler, Queues, Task};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
--- a/crates/wingshore-node/src/http/connections.rs
+++ b/crates/wingshore-node/src/http/connections.rs
@@ -5,7 +5,7 @@
 //! the next request of the same connection. The HTTP library cannot be told to close it, so what
 //! comes on it is refused.
 
-use crate::state::lock;
+use crate::lock::lock;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Mutex;
--- a/crates/wingshore-node/src/http/mod.rs
+++ b/crates/wingshore-node/src/http/mod.rs
@@ -12,6 +12,7 @@
 mod respond;
 mod route;
 mod server;
+mod work;
 
 pub use body::BodyError;
 pub use caller::Caller;
@@ -19,4 +20,5 @@
 pub use headers::{CallerHeaders, HeaderList, without_hop_by_hop};
 pub use respond::{EdgeAnswer, EdgeError};
 pub use route::{Route, RouteError};
-pub use server::{EdgeHandler, EdgeServer};
+pub use server::EdgeServer;
+pub use work::EdgeHandler;
--- a/crates/wingshore-node/src/http/server.rs
+++ b/crates/wingshore-node/src/http/server.rs
@@ -1,17 +1,13 @@
-//! The listening side: one thread takes requests and hands them to bounded groups of workers, one
-//! group for each kind of work, so that long work of one kind never holds up another.
+//! The listening side: one thread takes requests and hands them to the groups of workers.
 
 use crate::http::body_readers::BodyReaders;
-use crate::http::caller::Caller;
 use crate::http::connections::Connections;
 use crate::http::listener::{ListenerHandle, reachable};
 use crate::http::open_connections::open_connections;
-use crate::http::route::Route;
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
+use crate::http::work::{Counted, EdgeHandler, Queues};
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread::{self, JoinHandle};
@@ -20,8 +16,6 @@
 use wingshore_http::{Nudger, NudgerThread};
 use wingshore_settings::HttpSettings;
 
-/// Threads for status pages and for refusals, each.
-const SMALL_GROUP: usize = 4;
 /// A connection without traffic is asked after this time whether its caller still exists.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(15);
 /// Between two such questions.
@@ -34,55 +28,6 @@
 /// ends. A request on one that stayed unused that long may be cut.
 const CLOSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Kinds of work, each with its own workers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WorkKind {
-    /// Forwarded requests.
-    Forward,
-    /// Completions.
-    Completion,
-    /// A trainer's requests, which may wait long.
-    Trainer,
-    /// Status pages and requests for nothing that exists.
-    Status,
-}
-
-impl WorkKind {
-    fn of(caller: &Caller) -> Self {
-        match caller.route() {
-            Ok(Route::Forward { .. }) => Self::Forward,
-            Ok(Route::Completions) => Self::Completion,
-            Ok(Route::Submit(_) | Route::Pull(..) | Route::Acknowledge(..) | Route::Publish(_)) => {
-                Self::Trainer
-            }
-            Ok(Route::Health | Route::Ready | Route::Metrics) | Err(_) => Self::Status,
-        }
-    }
-}
-
-/// What is done with requests.
-pub trait EdgeHandler: Send + Sync + 'static {
-    /// Answers a request.
-    fn handle(&self, caller: Caller);
-    /// Refuses a request for which no worker is free.
-    fn refuse_overload(&self, caller: Caller);
-}
-
-/// Counts a request from its arrival to the end of its answer.
-pub(super) struct Counted {
-    pub(super) caller: Caller,
-    in_flight: Arc<AtomicUsize>,
-}
-
-impl Counted {
-    /// Has `task` answer it. A panic is reported by the process's hook; the thread goes on.
-    pub(super) fn answer_by(self, handler: &dyn EdgeHandler, task: Task) {
-        let Self { caller, in_flight } = self;
-        let _ = catch_unwind(AssertUnwindSafe(|| task(handler, caller)));
-        in_flight.fetch_sub(1, Ordering::SeqCst);
-    }
-}
-
 /// A listening server. Ended by [`EdgeServer::drain`], then [`EdgeServer::close`].
 pub struct EdgeServer {
     server: Arc<Server>,
@@ -105,7 +50,6 @@
         settings: &HttpSettings,
         handler: Arc<dyn EdgeHandler>,
     ) -> io::Result<Self> {
-        let workers = settings.workers;
         let listener = TcpListener::bind(address)?;
         set_connection_options(&listener, settings.slow_caller_limit)?;
         let address = listener.local_addr()?;
@@ -116,16 +60,7 @@
             .map_err(io::Error::other)?;
         let in_flight = Arc::new(AtomicUsize::new(0));
         let mut threads = Vec::new();
-        let handle: Task = |handler, caller| handler.handle(caller);
-        let refuse: Task = |handler, caller| handler.refuse_overload(caller);
-        let mut group = |name, size, task| start_group(name, size, task, &handler, &mut threads);
-        let queues = Queues {
-            forward: group("forward", workers, handle)?,
-            completion: group("completion", workers, handle)?,
-            trainer: group("trainer", workers, handle)?,
-            status: group("status", SMALL_GROUP, handle)?,
-            refusal: group("refusal", SMALL_GROUP, refuse)?,
-        };
+        let queues = Queues::start(settings.workers, &handler, &mut threads)?;
         let (nudger, nudger_thread) = Nudger::start(reachable(address))?;
         let acceptor = Acceptor {
             server: Arc::clone(&server),
@@ -228,37 +163,6 @@
     }
 }
 
-pub(super) type Task = fn(&dyn EdgeHandler, Caller);
-
-/// One queue for each group of workers; a queue holds no more than its group has threads.
-pub(super) struct Queues {
-    forward: Sender<Counted>,
-    completion: Sender<Counted>,
-    trainer: Sender<Counted>,
-    status: Sender<Counted>,
-    refusal: Sender<Counted>,
-}
-
-impl Queues {
-    /// Hands a request to its workers.
-    pub(super) fn add(&self, counted: Counted) {
-        let kind = WorkKind::of(&counted.caller);
-        if let Err(TrySendError::Full(counted)) = self.of(kind).try_send(counted) {
-            // Waits: a flood is slowed down where it comes in.
-            let _ = self.refusal.send(counted);
-        }
-    }
-
-    fn of(&self, kind: WorkKind) -> &Sender<Counted> {
-        match kind {
-            WorkKind::Forward => &self.forward,
-            WorkKind::Completion => &self.completion,
-            WorkKind::Trainer => &self.trainer,
-            WorkKind::Status => &self.status,
-        }
-    }
-}
-
 /// Takes requests and hands them to the workers.
 struct Acceptor {
     server: Arc<Server>,
@@ -284,11 +188,7 @@
 
     fn take(&self, request: Request) {
         self.nudger.on_request(request.remote_addr());
-        self.in_flight.fetch_add(1, Ordering::SeqCst);
-        let counted = Counted {
-            caller: Caller::new(request, &self.connections),
-            in_flight: Arc::clone(&self.in_flight),
-        };
+        let counted = Counted::new(request, &self.connections, &self.in_flight);
         if counted.caller.may_keep_waiting() {
             self.body_readers.read(counted, &self.queues);
         } else {
@@ -296,28 +196,3 @@
         }
     }
 }
-
-fn start_group(
-    name: &str,
-    size: usize,
-    task: Task,
-    handler: &Arc<dyn EdgeHandler>,
-    threads: &mut Vec<JoinHandle<()>>,
-) -> io::Result<Sender<Counted>> {
-    let (sender, receiver) = bounded(size);
-    for number in 0..size {
-        let receiver = receiver.clone();
-        let handler = Arc::clone(handler);
-        let thread = thread::Builder::new()
-            .name(format!("{name}-{number}"))
-            .spawn(move || work(&receiver, handler.as_ref(), task))?;
-        threads.push(thread);
-    }
-    Ok(sender)
-}
-
-fn work(receiver: &Receiver<Counted>, handler: &dyn EdgeHandler, task: Task) {
-    while let Ok(counted) = receiver.recv() {
-        counted.answer_by(handler, task);
-    }
-}
--- a/crates/wingshore-node/src/lib.rs
+++ b/crates/wingshore-node/src/lib.rs
@@ -3,6 +3,7 @@
 
 mod background;
 mod http;
+mod lock;
 mod metrics;
 mod rollout;
 mod run;
--- a/crates/wingshore-node/src/rollout/streams.rs
+++ b/crates/wingshore-node/src/rollout/streams.rs
@@ -1,6 +1,7 @@
 //! Rollout streams: each runs on a worker and can be ended from outside.
 
-use crate::state::{NodeState, lock};
+use crate::lock::lock;
+use crate::state::NodeState;
 use crate::upstream::{EngineAttempt, EngineEnd, InterruptibleClient};
 use crossbeam_channel::Sender;
 use slog::debug;
--- a/crates/wingshore-node/src/state.rs
+++ b/crates/wingshore-node/src/state.rs
@@ -1,12 +1,13 @@
 //! What the threads of a node share.
 
 use crate::background::{Errand, Errands};
+use crate::lock::lock;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamClient;
 use slog::{error, warn};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use wingshore_client::GroupClient;
 use wingshore_clock::Clock;
@@ -180,12 +181,6 @@
     }
 }
 
-/// Locks; a thread that panicked with the lock held has left nothing half done that matters more
-/// than going on.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 fn router_settings(settings: &NodeSettings) -> RouterSettings {
     RouterSettings {
         choices: settings.routing.choices as u32,
