--- a/crates/wingshore-node/src/background/errands.rs
+++ b/crates/wingshore-node/src/background/call_runner.rs
@@ -1,6 +1,6 @@
 //! The threads that run the work that nobody waits for.
 
-use crate::background::errand_queue::Errand;
+use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
 use crate::upstream::EngineAttempt;
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -10,23 +10,23 @@
 use std::time::{Duration, Instant};
 use wingshore_types::protocol::wire::GroupRequest;
 
-/// Threads that run errands.
+/// Threads that run background calls.
 const THREADS: usize = 4;
-/// A settlement is tried for this long. A claim left unsettled stays taken, which is safe.
+/// A settlement is attempted for this long. A claim left unsettled stays taken, which is safe.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a planned stop waits for errands.
+/// How long a planned stop waits for background calls.
 const FINISH_LIMIT: Duration = Duration::from_secs(5);
-/// Between two looks at whether they are done.
+/// Time between two checks whether they are done.
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// The threads that run errands.
-pub struct ErrandRunner {
+/// The threads that run background calls.
+pub struct BackgroundCallRunner {
     threads: Vec<JoinHandle<()>>,
     end: Sender<()>,
 }
 
-impl ErrandRunner {
+impl BackgroundCallRunner {
     /// Starts the threads.
     ///
     /// # Errors
@@ -38,8 +38,8 @@
             let node = Arc::clone(node);
             let ended = ended.clone();
             let thread = thread::Builder::new()
-                .name(format!("errand-{number}"))
-                .spawn(move || run_errands(&node, &ended))?;
+                .name(format!("call-{number}"))
+                .spawn(move || run_calls(&node, &ended))?;
             threads.push(thread);
         }
         Ok(Self { threads, end })
@@ -62,32 +62,32 @@
     }
 }
 
-fn run_errands(node: &NodeState, ended: &Receiver<()>) {
-    let waiting = &node.errands.receiver;
+fn run_calls(node: &NodeState, ended: &Receiver<()>) {
+    let waiting = &node.background_calls.receiver;
     loop {
         crossbeam_channel::select! {
-            recv(waiting) -> errand => match errand {
-                Ok(errand) => run_errand(node, errand),
+            recv(waiting) -> call => match call {
+                Ok(call) => run_call(node, call),
                 Err(_) => return,
             },
             recv(ended) -> _ => break,
         }
     }
-    while let Ok(errand) = waiting.try_recv() {
-        run_errand(node, errand);
+    while let Ok(call) = waiting.try_recv() {
+        run_call(node, call);
     }
 }
 
-fn run_errand(node: &NodeState, errand: Errand) {
-    match errand {
-        Errand::Settle { group, request } => {
+fn run_call(node: &NodeState, call: BackgroundCall) {
+    match call {
+        BackgroundCall::Settle { group, request } => {
             let request = GroupRequest::Claims(*request);
             if let Err(error) = node.groups.call(group, request, SETTLE_TIMEOUT) {
                 warn!(node.diagnostics.logger(), "claim not settled, its key stays taken";
                     "group" => group.to_string(), "error" => error.to_string());
             }
         }
-        Errand::CancelAtEngine {
+        BackgroundCall::CancelAtEngine {
             address,
             request_id,
         } => {
--- a/crates/wingshore-node/src/background/mod.rs
+++ b/crates/wingshore-node/src/background/mod.rs
@@ -1,14 +1,12 @@
 //! Threads that run beside the callers' requests.
 
-mod errand_queue;
-mod errands;
+mod call_runner;
 mod machines;
 mod pools;
 mod probes;
 mod watch;
 
-pub use errand_queue::{Errand, Errands};
-pub use errands::ErrandRunner;
+pub use call_runner::BackgroundCallRunner;
 pub use machines::read_machine_list;
 pub use pools::PoolAnnouncer;
 pub use probes::Prober;
--- a/crates/wingshore-node/src/background/pools.rs
+++ b/crates/wingshore-node/src/background/pools.rs
@@ -1,4 +1,4 @@
-//! Tells ledger groups what they need to know of pools.
+//! Announces to ledger groups what they need to know of pools.
 
 use crate::lock::lock;
 use crate::state::NodeState;
@@ -11,7 +11,7 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, PoolId, Revision};
 
-/// One announcement is tried for this long.
+/// Timeout of one announcement.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Remembers which pools were announced as they are now.
--- a/crates/wingshore-node/src/background/probes.rs
+++ b/crates/wingshore-node/src/background/probes.rs
@@ -10,7 +10,7 @@
 use wingshore_routing::{ProbeKind, ProbeTarget};
 use wingshore_types::platform::{CacheEvents, EngineState, LoadReport};
 
-/// Between two looks at which probes are due.
+/// Time between two checks which probes are due.
 const POLL: Duration = Duration::from_millis(50);
 /// Threads that probe.
 const THREADS: usize = 4;
--- a/crates/wingshore-node/src/background/errand_queue.rs
+++ b/crates/wingshore-node/src/background_calls.rs
@@ -5,20 +5,20 @@
 use wingshore_types::GroupId;
 use wingshore_types::protocol::claims::ClaimsRequest;
 
-/// Most errands that wait.
+/// Most background calls that wait.
 const QUEUE: usize = 16 * 1024;
 
-/// One errand.
+/// A call to a group or an engine whose answer nobody waits for.
 #[derive(Debug)]
-pub enum Errand {
-    /// Tell a claims group how a claim ended.
+pub enum BackgroundCall {
+    /// Report to a claims group how a claim ended.
     Settle {
         /// The group.
         group: GroupId,
         /// The settlement.
         request: Box<ClaimsRequest>,
     },
-    /// Tell an engine that nobody wants an attempt any more.
+    /// Cancel an attempt at its engine.
     CancelAtEngine {
         /// The engine.
         address: SocketAddr,
@@ -27,30 +27,28 @@
     },
 }
 
-/// The queue of errands; bounded.
+/// The bounded queue of background calls.
 #[derive(Clone, Debug)]
-pub struct Errands {
-    sender: Sender<Errand>,
-    pub(super) receiver: Receiver<Errand>,
+pub struct BackgroundCallQueue {
+    sender: Sender<BackgroundCall>,
+    pub receiver: Receiver<BackgroundCall>,
 }
 
-impl Default for Errands {
+impl Default for BackgroundCallQueue {
     fn default() -> Self {
         let (sender, receiver) = bounded(QUEUE);
         Self { sender, receiver }
     }
 }
 
-impl Errands {
-    /// Leaves an errand.
+impl BackgroundCallQueue {
+    /// Adds a call.
     ///
     /// # Errors
-    /// Gives it back when too many wait.
-    pub fn leave(&self, errand: Errand) -> Result<(), Errand> {
-        self.sender
-            .try_send(errand)
-            .map_err(|refused| match refused {
-                TrySendError::Full(errand) | TrySendError::Disconnected(errand) => errand,
-            })
+    /// Returns the call when too many wait.
+    pub fn add(&self, call: BackgroundCall) -> Result<(), BackgroundCall> {
+        self.sender.try_send(call).map_err(|refused| match refused {
+            TrySendError::Full(call) | TrySendError::Disconnected(call) => call,
+        })
     }
 }
--- a/crates/wingshore-node/src/http/body_readers.rs
+++ b/crates/wingshore-node/src/http/body_readers.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 /// Most bodies that are read at one time.
-const MOST_READERS: usize = 256;
+const MAX_READERS: usize = 256;
 
 /// Threads that read bodies; each lives as long as its body comes.
 pub(super) struct BodyReaders {
@@ -32,7 +32,7 @@
         let before = self.reading.fetch_add(1, Ordering::SeqCst);
         let (limit, handler) = (self.limit, Arc::clone(&self.handler));
         let (reading, queues) = (Arc::clone(&self.reading), Arc::clone(queues));
-        let is_refused = before >= MOST_READERS;
+        let is_refused = before >= MAX_READERS;
         let reader = move || {
             if is_refused {
                 let refuse: Task = |handler, caller| handler.refuse_overload(caller);
--- a/crates/wingshore-node/src/http/connections.rs
+++ b/crates/wingshore-node/src/http/connections.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 /// A connection from the same address and port this much later is another one.
-const MEMORY: Duration = Duration::from_secs(60);
+const DISTRUST_TIME: Duration = Duration::from_secs(60);
 /// Most connections that are remembered.
-const MOST: usize = 4096;
+const MAX_DISTRUSTED: usize = 4096;
 
 /// The connections of a node.
 #[derive(Debug, Default)]
@@ -38,8 +38,8 @@
     /// From now on nothing on this connection is taken for a request.
     pub fn distrust(&self, peer: SocketAddr) {
         let mut since = lock(&self.distrusted_since);
-        since.retain(|_, begun| begun.elapsed() < MEMORY);
-        if since.len() < MOST {
+        since.retain(|_, begun| begun.elapsed() < DISTRUST_TIME);
+        if since.len() < MAX_DISTRUSTED {
             since.insert(peer, Instant::now());
         }
     }
@@ -48,6 +48,6 @@
     pub fn is_trusted(&self, peer: SocketAddr) -> bool {
         lock(&self.distrusted_since)
             .get(&peer)
-            .is_none_or(|begun| begun.elapsed() >= MEMORY)
+            .is_none_or(|begun| begun.elapsed() >= DISTRUST_TIME)
     }
 }
--- a/crates/wingshore-node/src/http/server.rs
+++ b/crates/wingshore-node/src/http/server.rs
@@ -20,7 +20,7 @@
 const KEEPALIVE_TIME: Duration = Duration::from_secs(15);
 /// Between two such questions.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Between two looks at what is in flight, during a stop.
+/// Time between two checks of what is in flight, during a stop.
 const STOP_POLL: Duration = Duration::from_millis(10);
 /// How long there may be neither a connection nor a request before the server ends.
 const CLOSE_QUIET: Duration = Duration::from_millis(50);
@@ -111,7 +111,7 @@
     pub fn close(mut self) -> io::Result<()> {
         self.connections.close_after_answers();
         let closed = self.listener.close();
-        let is_idle = wait_until_left_alone(self.address.port(), &self.in_flight);
+        let is_idle = wait_until_quiet(self.address.port(), &self.in_flight);
         self.server.unblock();
         if let Some(acceptor) = self.acceptor.take() {
             // The acceptor has no result, and a panic of it was reported when it happened.
@@ -148,15 +148,15 @@
 
 /// Waits until callers have let go of their connections and nothing was in flight for a while,
 /// [`CLOSE_LIMIT`] at most; says whether nothing is in flight.
-fn wait_until_left_alone(port: u16, in_flight: &AtomicUsize) -> bool {
+fn wait_until_quiet(port: u16, in_flight: &AtomicUsize) -> bool {
     let give_up = Instant::now() + CLOSE_LIMIT;
-    let mut alone_since = Instant::now();
+    let mut quiet_since = Instant::now();
     loop {
         let is_idle = in_flight.load(Ordering::SeqCst) == 0;
         if !is_idle || open_connections(port) > 0 {
-            alone_since = Instant::now();
+            quiet_since = Instant::now();
         }
-        if alone_since.elapsed() >= CLOSE_QUIET || Instant::now() >= give_up {
+        if quiet_since.elapsed() >= CLOSE_QUIET || Instant::now() >= give_up {
             return is_idle;
         }
         thread::sleep(STOP_POLL);
--- a/crates/wingshore-node/src/lib.rs
+++ b/crates/wingshore-node/src/lib.rs
@@ -2,6 +2,7 @@
 //! samples of the rollout pools it is set up for.
 
 mod background;
+mod background_calls;
 mod http;
 mod lock;
 mod metrics;
--- a/crates/wingshore-node/src/rollout/driver.rs
+++ b/crates/wingshore-node/src/rollout/driver.rs
@@ -30,7 +30,7 @@
 const CACHE_COPIERS: usize = 4;
 /// Where scorers take samples.
 const SCORE: &str = "/score";
-/// A straggler runs at least this long before it is tried on a second engine.
+/// A straggler runs at least this long before a second attempt starts on another engine.
 const OVER_ISSUE_AFTER: Duration = Duration::from_secs(2);
 /// One in so many streams may be a second attempt.
 const OVER_ISSUE_SHARE: u32 = 8;
@@ -41,7 +41,7 @@
 }
 
 impl RolloutDriver {
-    /// Waits for the planned stop's end: what runs has finished or was given back.
+    /// Waits for the planned stop's end: what runs has finished or was released.
     pub fn join(self) {
         // A panic was reported when it happened.
         let _ = self.thread.join();
--- a/crates/wingshore-node/src/rollout/streams.rs
+++ b/crates/wingshore-node/src/rollout/streams.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Runs a noted stream to its end, telling the runner what comes.
+    /// Runs a noted stream to its end, reporting to the runner what comes.
     pub fn run(&self, node: &NodeState, stream: &RolloutStream, runner: &Sender<RolloutInput>) {
         let Some(client) = lock(&self.clients).get(&stream.attempt).cloned() else {
             return;
--- a/crates/wingshore-node/src/run.rs
+++ b/crates/wingshore-node/src/run.rs
@@ -1,6 +1,8 @@
 //! Starts and stops a node.
 
-use crate::background::{ErrandRunner, NodeWatch, PoolAnnouncer, Prober, read_machine_list};
+use crate::background::{
+    BackgroundCallRunner, NodeWatch, PoolAnnouncer, Prober, read_machine_list,
+};
 use crate::http::EdgeServer;
 use crate::rollout::{RolloutDriver, start_rollouts};
 use crate::serve::NodeEdge;
@@ -63,7 +65,7 @@
     node: Arc<NodeState>,
     edge: EdgeServer,
     watcher: ConfigurationWatcher,
-    errands: ErrandRunner,
+    background_calls: BackgroundCallRunner,
     prober: Prober,
     rollouts: Vec<RolloutDriver>,
     machine_list_reader: JoinHandle<()>,
@@ -82,7 +84,9 @@
     let node = Arc::new(NodeState::new(settings, diagnostics, stop, boot_id));
     let announcer = Arc::new(PoolAnnouncer::default());
     let watcher = start_watch(&node)?;
-    let errands = ErrandRunner::start(&node).context(ThreadSnafu { name: "errand" })?;
+    let background_calls = BackgroundCallRunner::start(&node).context(ThreadSnafu {
+        name: "background call",
+    })?;
     let prober = Prober::start(&node).context(ThreadSnafu { name: "probe" })?;
     let rollouts = start_rollouts(&node).context(ThreadSnafu { name: "rollout" })?;
     let reading = Arc::clone(&node);
@@ -97,7 +101,7 @@
         node,
         edge,
         watcher,
-        errands,
+        background_calls,
         prober,
         rollouts,
         machine_list_reader,
@@ -127,7 +131,7 @@
         // A panic was reported when it happened.
         let _ = self.machine_list_reader.join();
         self.prober.join();
-        self.errands.finish(&self.node);
+        self.background_calls.finish(&self.node);
         drop(self.watcher);
         // Last: until then callers are told that their requests did not run.
         if let Err(error) = self.edge.close() {
--- a/crates/wingshore-node/src/serve/edge.rs
+++ b/crates/wingshore-node/src/serve/edge.rs
@@ -2,12 +2,13 @@
 
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError, EdgeHandler, Route, RouteError};
+use crate::serve::trainer::{TrainerHandler, TrainerRequest};
 use crate::serve::{completions, forward, trainer};
 use crate::state::NodeState;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When to come back to a node whose workers are all busy.
+/// Retry-after of a node whose workers are all busy.
 const RETRY_AFTER_OVERLOAD: Duration = Duration::from_millis(100);
 /// Nanoseconds of a millisecond.
 const NANOSECONDS_OF_MILLISECOND: u128 = 1_000_000;
@@ -65,20 +66,28 @@
                 forward::serve(&self.node, caller, service, &target);
             }
             Route::Submit(pool) => {
-                trainer::serve(self.desk(), caller, trainer::Errand::Submit(pool));
+                trainer::serve(self.trainer_handler(), caller, TrainerRequest::Submit(pool));
             }
             Route::Pull(pool, step) => {
-                trainer::serve(self.desk(), caller, trainer::Errand::Pull(pool, step));
+                trainer::serve(
+                    self.trainer_handler(),
+                    caller,
+                    TrainerRequest::Pull(pool, step),
+                );
             }
             Route::Acknowledge(pool, step) => {
                 trainer::serve(
-                    self.desk(),
+                    self.trainer_handler(),
                     caller,
-                    trainer::Errand::Acknowledge(pool, step),
+                    TrainerRequest::Acknowledge(pool, step),
                 );
             }
             Route::Publish(pool) => {
-                trainer::serve(self.desk(), caller, trainer::Errand::Publish(pool));
+                trainer::serve(
+                    self.trainer_handler(),
+                    caller,
+                    TrainerRequest::Publish(pool),
+                );
             }
         }
     }
@@ -94,8 +103,8 @@
 }
 
 impl NodeEdge {
-    fn desk(&self) -> trainer::Desk<'_> {
-        trainer::Desk {
+    fn trainer_handler(&self) -> TrainerHandler<'_> {
+        TrainerHandler {
             node: &self.node,
             announcer: &self.announcer,
         }
--- a/crates/wingshore-node/src/serve/execute.rs
+++ b/crates/wingshore-node/src/serve/execute.rs
@@ -1,6 +1,6 @@
 //! Carries out what a [`RequestExecution`] wants done, on the worker's own thread.
 
-use crate::background::Errand;
+use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -60,7 +60,7 @@
                 }
                 ExecutionOutput::Settle { group, request } => {
                     let request = Box::new(request);
-                    node.leave_errand(Errand::Settle { group, request });
+                    node.add_background_call(BackgroundCall::Settle { group, request });
                 }
                 // Attempts are waited for, and end before a cancel of them can be wanted.
                 ExecutionOutput::Cancel { .. } => {}
@@ -93,7 +93,7 @@
     }
 }
 
-/// The lease is looked at once more right before the first byte leaves: the process may have
+/// The lease is checked once more right before the first byte leaves: the process may have
 /// been frozen since the server was chosen.
 fn make(node: &NodeState, send: &SendAttempt, attempts: &mut dyn Attempts) -> ExecutionInput {
     let attempt = send.attempt;
--- a/crates/wingshore-node/src/serve/trainer.rs
+++ b/crates/wingshore-node/src/serve/trainer.rs
@@ -37,7 +37,7 @@
 
 /// What a trainer asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Errand {
+pub enum TrainerRequest {
     /// Add prompts.
     Submit(PoolId),
     /// Hand a step's batch over.
@@ -48,12 +48,12 @@
     Publish(PoolId),
 }
 
-/// What the trainer's requests need.
+/// Serves trainers' requests, with what they need of the node.
 #[derive(Clone, Copy)]
-pub struct Desk<'a> {
+pub struct TrainerHandler<'a> {
     /// The node.
     pub node: &'a NodeState,
-    /// Tells ledgers of pools.
+    /// Announces pools to their ledgers.
     pub announcer: &'a PoolAnnouncer,
 }
 
@@ -65,30 +65,35 @@
 }
 
 /// Serves one of a trainer's requests.
-pub fn serve(desk: Desk<'_>, mut caller: Caller, errand: Errand) {
+pub fn serve(handler: TrainerHandler<'_>, mut caller: Caller, request: TrainerRequest) {
     let started = Instant::now();
-    let _in_flight = desk.node.metrics.begin(KIND);
-    let (code, answer) = match answer(desk, &mut caller, errand) {
+    let _in_flight = handler.node.metrics.begin(KIND);
+    let (code, answer) = match answer(handler, &mut caller, request) {
         Ok(answer) => ("ok".to_owned(), answer),
         Err(error) => (error.code.clone(), error.answer()),
     };
     caller.respond(answer);
-    desk.node
+    handler
+        .node
         .metrics
         .on_answered(KIND, &code, started.elapsed());
 }
 
-fn answer(desk: Desk<'_>, caller: &mut Caller, errand: Errand) -> Result<EdgeAnswer, EdgeError> {
-    let intake = take_in(desk.node, caller)?;
-    match errand {
-        Errand::Submit(pool) => desk.submit(&intake, &pool),
-        Errand::Pull(pool, step) => desk.pull(&intake, &pool, step),
-        Errand::Acknowledge(pool, step) => desk.acknowledge(&intake, &pool, step),
-        Errand::Publish(pool) => desk.publish(&intake, &pool),
+fn answer(
+    handler: TrainerHandler<'_>,
+    caller: &mut Caller,
+    request: TrainerRequest,
+) -> Result<EdgeAnswer, EdgeError> {
+    let intake = take_in(handler.node, caller)?;
+    match request {
+        TrainerRequest::Submit(pool) => handler.submit(&intake, &pool),
+        TrainerRequest::Pull(pool, step) => handler.pull(&intake, &pool, step),
+        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&intake, &pool, step),
+        TrainerRequest::Publish(pool) => handler.publish(&intake, &pool),
     }
 }
 
-impl Desk<'_> {
+impl TrainerHandler<'_> {
     fn submit(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
         let body: SubmitRequest = parse(&intake.body)?;
         let request = LedgerRequest::Submit {
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Asks the pool's ledger; tells it of the pool first where that is needed.
+    /// Asks the pool's ledger; announces the pool to it first where that is needed.
     fn ask_ledger(
         self,
         id: &PoolId,
--- a/crates/wingshore-node/src/state.rs
+++ b/crates/wingshore-node/src/state.rs
@@ -1,6 +1,6 @@
 //! What the threads of a node share.
 
-use crate::background::{Errand, Errands};
+use crate::background_calls::{BackgroundCall, BackgroundCallQueue};
 use crate::lock::lock;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamClient;
@@ -21,9 +21,9 @@
 
 use crate::http::EdgeError;
 
-/// When to come back to a node that has no configuration or no lease.
-const RETRY_WITHOUT_CONFIGURATION: Duration = Duration::from_millis(500);
-/// When to come back to a node that stops: its successor needs a moment.
+/// Retry-after of a node that has no configuration or no lease.
+const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
+/// Retry-after of a node that stops: its successor needs a moment.
 const RETRY_AFTER_STOP: Duration = Duration::from_secs(2);
 
 /// Shared by all threads of a node.
@@ -45,7 +45,7 @@
     /// Planned stop.
     pub stop: StopSignal,
     /// Work that nobody waits for.
-    pub errands: Errands,
+    pub background_calls: BackgroundCallQueue,
     router: Mutex<Router>,
     view: Mutex<ConfigurationView>,
     attempts: AtomicU64,
@@ -75,7 +75,7 @@
             metrics: Metrics::default(),
             diagnostics,
             stop,
-            errands: Errands::default(),
+            background_calls: BackgroundCallQueue::default(),
             router: Mutex::new(router),
             view: Mutex::new(ConfigurationView::new(without_lease)),
             attempts: AtomicU64::new(0),
@@ -151,20 +151,20 @@
                 "this node has lost its configuration lease and refuses by its settings",
             ),
         };
-        Err(refusal.retry_after(RETRY_WITHOUT_CONFIGURATION))
+        Err(refusal.retry_after(RETRY_AFTER_NO_CONFIGURATION))
     }
 
     /// Leaves work to be done soon that nobody waits for.
-    pub fn leave_errand(&self, errand: Errand) {
-        if let Err(errand) = self.errands.leave(errand) {
-            warn!(self.diagnostics.logger(), "errand dropped, too many are open";
-                "errand" => format!("{errand:?}"));
+    pub fn add_background_call(&self, call: BackgroundCall) {
+        if let Err(call) = self.background_calls.add(call) {
+            warn!(self.diagnostics.logger(), "background call dropped, too many wait";
+                "errand" => format!("{call:?}"));
         }
     }
 
-    /// Tells an engine that nobody wants an attempt any more.
+    /// Cancels an attempt at its engine, in the background.
     pub fn cancel_at_engine(&self, address: SocketAddr, request_id: &str) {
-        self.leave_errand(Errand::CancelAtEngine {
+        self.add_background_call(BackgroundCall::CancelAtEngine {
             address,
             request_id: request_id.to_owned(),
         });
--- a/crates/wingshore-node/src/upstream/engine.rs
+++ b/crates/wingshore-node/src/upstream/engine.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells the engine that nobody wants this attempt any more. Best effort.
+    /// Cancels the attempt at the engine. Best effort; answers whether the engine took it.
     pub fn cancel(client: &UpstreamClient, address: SocketAddr, request_id: &str) -> bool {
         let cancel = CancelRequest {
             request_id: request_id.to_owned(),
