--- a/crates/wingshore-node/src/serve/completion_answer.rs
+++ b/crates/wingshore-node/src/serve/completion_answer.rs
@@ -56,6 +56,21 @@
     logprobs: Option<()>,
 }
 
+impl Choice {
+    /// The only choice of an answer, with `tokens` and nothing else.
+    fn of(tokens: &[Token]) -> Self {
+        Self {
+            index: 0,
+            text: text_of(tokens),
+            tokens: tokens.to_vec(),
+            segments: Vec::new(),
+            weight_version: None,
+            finish_reason: None,
+            logprobs: None,
+        }
+    }
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct UsageBody {
     prompt_tokens: u32,
@@ -73,13 +88,9 @@
         usage: Usage,
     ) -> Self {
         let choice = Choice {
-            index: 0,
-            text: text_of(&generation.tokens),
-            tokens: generation.tokens.clone(),
             segments: generation.segments.clone(),
-            weight_version: None,
             finish_reason: Some(reason),
-            logprobs: None,
+            ..Choice::of(&generation.tokens)
         };
         Self {
             head,
@@ -91,13 +102,8 @@
     /// One event: tokens made by one version.
     pub fn chunk(head: &'a CompletionHead, version: WeightVersion, tokens: &[Token]) -> Self {
         let choice = Choice {
-            index: 0,
-            text: text_of(tokens),
-            tokens: tokens.to_vec(),
-            segments: Vec::new(),
             weight_version: Some(version),
-            finish_reason: None,
-            logprobs: None,
+            ..Choice::of(tokens)
         };
         Self {
             head,
@@ -109,13 +115,8 @@
     /// The last event before `[DONE]`.
     pub fn end(head: &'a CompletionHead, reason: FinishReason, usage: Usage) -> Self {
         let choice = Choice {
-            index: 0,
-            text: String::new(),
-            tokens: Vec::new(),
-            segments: Vec::new(),
-            weight_version: None,
             finish_reason: Some(reason),
-            logprobs: None,
+            ..Choice::of(&[])
         };
         Self {
             head,
