--- a/crates/wingshore-node/src/serve/mod.rs
+++ b/crates/wingshore-node/src/serve/mod.rs
@@ -8,5 +8,6 @@
 mod forward;
 mod intake;
 mod trainer;
+mod trainer_errors;
 
 pub use edge::NodeEdge;
--- a/crates/wingshore-node/src/serve/trainer.rs
+++ b/crates/wingshore-node/src/serve/trainer.rs
@@ -6,16 +6,16 @@
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError};
 use crate::serve::intake::{Intake, take_in};
+use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected};
 use crate::state::NodeState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::time::{Duration, Instant};
-use wingshore_client::CallError;
 use wingshore_types::api::{
     AcknowledgeBody, BatchBody, PublishBody, PullBody, SampleBody, SubmitReply, SubmitRequest,
 };
 use wingshore_types::configuration::Pool;
-use wingshore_types::protocol::control::{ControlRefusal, ControlReply, ControlRequest};
+use wingshore_types::protocol::control::{ControlReply, ControlRequest};
 use wingshore_types::protocol::ledger::{
     Batch, LedgerRefusal, LedgerReply, LedgerRequest, PullRequest,
 };
@@ -32,9 +32,6 @@
 const PULL_MARGIN: Duration = Duration::from_secs(5);
 /// Time for the further parts of a large batch, when the caller states no deadline.
 const PARTS_TIME: Duration = Duration::from_secs(30);
-/// When to ask again after a group did not answer.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
-
 /// What a trainer asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrainerRequest {
@@ -304,65 +301,3 @@
         reply => Ok(reply),
     }
 }
-
-fn ledger_refusal(refusal: &LedgerRefusal) -> EdgeError {
-    match refusal {
-        LedgerRefusal::UnknownPool => EdgeError::not_run(
-            503,
-            "unknown_to_ledger",
-            "the pool's ledger has not been told of the pool yet",
-        )
-        .retry_after(RETRY_AFTER),
-        LedgerRefusal::Full { retry_after_ms } => EdgeError::not_run(
-            503,
-            "ledger_full",
-            "too many samples are submitted and not yet acknowledged; none of these was added",
-        )
-        .retry_after(Duration::from_millis(*retry_after_ms)),
-        LedgerRefusal::NotReady {
-            ready,
-            retry_after_ms,
-        } => EdgeError::not_run(
-            503,
-            "not_ready",
-            format!("{ready} samples are ready, fewer than asked for; none was handed over"),
-        )
-        .retry_after(Duration::from_millis(*retry_after_ms)),
-        LedgerRefusal::WrongStep { message } => EdgeError::not_run(409, "wrong_step", message),
-        LedgerRefusal::WrongTrainer { expected } => EdgeError::not_run(
-            403,
-            "wrong_trainer",
-            format!("the pool's trainer is `{expected}`"),
-        ),
-        LedgerRefusal::Invalid { message } => EdgeError::not_run(400, "invalid_request", message),
-    }
-}
-
-fn control_refusal(refusal: &ControlRefusal) -> EdgeError {
-    match refusal {
-        ControlRefusal::Invalid { message } => EdgeError::not_run(400, "invalid_request", message),
-        ControlRefusal::Conflict { message, .. } => EdgeError::not_run(409, "conflict", message),
-        other => EdgeError::not_run(409, "refused", format!("{other:?}")),
-    }
-}
-
-/// Requests to groups are safe to repeat, so the caller is told when.
-fn call_error(error: &CallError) -> EdgeError {
-    EdgeError {
-        status: 503,
-        code: "group_unavailable".to_owned(),
-        verdict: error.verdict(),
-        message: error.to_string(),
-        retry_after: Some(RETRY_AFTER),
-    }
-}
-
-fn unexpected<T: std::fmt::Debug>(reply: &T) -> EdgeError {
-    EdgeError {
-        status: 502,
-        code: "bad_answer".to_owned(),
-        verdict: Verdict::MayHaveRun,
-        message: format!("the group answered something else: {reply:?}"),
-        retry_after: Some(RETRY_AFTER),
-    }
-}
