--- a/crates/wingshore-node/src/serve/completions.rs
+++ b/crates/wingshore-node/src/serve/completions.rs
@@ -4,8 +4,8 @@
 use crate::serve::completion_answer::{CompletionBody, CompletionHead};
 use crate::serve::completion_request::{CompletionRequest, CompletionTarget};
 use crate::serve::execute::{AttemptResult, Attempts, execute};
-use crate::serve::forward::{internal, replayed};
 use crate::serve::intake::{Intake, take_in};
+use crate::serve::whole_answer::{internal, kept_answer, replayed};
 use crate::state::NodeState;
 use crate::upstream::{EngineAttempt, EngineEnd, InterruptibleClient, ServerAnswer};
 use std::ops::ControlFlow;
@@ -25,8 +25,6 @@
 const KIND: &str = "completion";
 /// Path that fingerprints of keyed completions name.
 const PATH: &str = "/v1/completions";
-/// Largest answer that is kept for repeats of an idempotency key.
-const MAX_KEPT_ANSWER: usize = 64 * 1024;
 /// The last event of a whole stream.
 const DONE: &str = "[DONE]";
 
@@ -275,11 +273,7 @@
         }
         let body = CompletionBody::whole(&self.head, &self.generation, reason, usage);
         let body = serde_json::to_vec(&body).ok()?;
-        (body.len() <= MAX_KEPT_ANSWER).then(|| StoredAnswer {
-            status: 200,
-            content_type: "application/json".to_owned(),
-            body,
-        })
+        kept_answer(200, "application/json", &body)
     }
 
     /// Gives the caller its final answer; says the code for the metrics.
--- a/crates/wingshore-node/src/serve/forward.rs
+++ b/crates/wingshore-node/src/serve/forward.rs
@@ -3,9 +3,10 @@
 use crate::http::{Caller, EdgeAnswer, EdgeError, HeaderList, without_hop_by_hop};
 use crate::serve::execute::{AttemptResult, Attempts, execute};
 use crate::serve::intake::{Intake, take_in};
+use crate::serve::whole_answer::{internal, kept_answer, replayed, serve_whole};
 use crate::state::NodeState;
 use crate::upstream::{Connections, ServerAnswer, ServerReply, UpstreamRequest, failure_of};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use wingshore_request::{AnswerBody, AttemptEnd, FinalAnswer, RequestSpecification, SendAttempt};
 use wingshore_routing::{Class, RouteRequest};
 use wingshore_types::api::{DEADLINE_HEADER, SERVER_HEADER};
@@ -13,25 +14,18 @@
 use wingshore_types::protocol::claims::StoredAnswer;
 use wingshore_types::{ServerId, ServiceId};
 
-/// Largest answer that is kept for repeats of an idempotency key.
-const MAX_KEPT_ANSWER: usize = 64 * 1024;
-/// Header that marks an answer kept from an earlier request with the same key.
-pub const REPLAYED_HEADER: &str = "x-wingshore-replayed";
+/// Content type of a kept answer whose server named none.
+const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
 /// Methods that change nothing on a server, and so may run twice.
 const SAFE_METHODS: &[&str] = &["GET", "HEAD", "OPTIONS"];
 /// Label of forwarded requests in metrics.
 const KIND: &str = "forward";
 
 /// Forwards a request to a server of `service`.
-pub fn serve(node: &NodeState, mut caller: Caller, service: ServiceId, target: &str) {
-    let started = Instant::now();
-    let _in_flight = node.metrics.begin(KIND);
-    let (code, answer) = match forward(node, &mut caller, service, target) {
-        Ok(answer) => ("ok".to_owned(), answer),
-        Err(error) => (error.code.clone(), error.answer()),
-    };
-    caller.respond(answer);
-    node.metrics.on_answered(KIND, &code, started.elapsed());
+pub fn serve(node: &NodeState, caller: Caller, service: ServiceId, target: &str) {
+    serve_whole(node, KIND, caller, |caller| {
+        forward(node, caller, service, target)
+    });
 }
 
 fn forward(
@@ -163,18 +157,12 @@
     }
 
     fn kept(&self, answer: &ServerAnswer) -> Option<StoredAnswer> {
-        if !self.keeps_answer || answer.body.len() > MAX_KEPT_ANSWER {
+        if !self.keeps_answer {
             return None;
         }
-        Some(StoredAnswer {
-            status: answer.status,
-            content_type: answer
-                .headers
-                .first("content-type")
-                .unwrap_or("application/octet-stream")
-                .to_owned(),
-            body: answer.body.clone(),
-        })
+        let content_type = answer.headers.first("content-type");
+        let content_type = content_type.unwrap_or(DEFAULT_CONTENT_TYPE);
+        kept_answer(answer.status, content_type, &answer.body)
     }
 }
 
@@ -204,23 +192,6 @@
     })
 }
 
-/// The answer of an earlier request with the same key.
-pub fn replayed(kept: StoredAnswer) -> EdgeAnswer {
-    EdgeAnswer::new(kept.status, &kept.content_type, kept.body).with_header(REPLAYED_HEADER, "true")
-}
-
-/// A fault of the node itself.
-pub fn internal(node: &NodeState, what: &str) -> EdgeError {
-    node.on_broken_promise(what);
-    EdgeError {
-        status: 500,
-        code: "internal".to_owned(),
-        verdict: wingshore_types::Verdict::MayHaveRun,
-        message: what.to_owned(),
-        retry_after: None,
-    }
-}
-
 fn unknown_service(id: &ServiceId) -> EdgeError {
     EdgeError::not_run(
         404,
--- a/crates/wingshore-node/src/serve/mod.rs
+++ b/crates/wingshore-node/src/serve/mod.rs
@@ -9,5 +9,6 @@
 mod intake;
 mod trainer;
 mod trainer_errors;
+mod whole_answer;
 
 pub use edge::NodeEdge;
--- a/crates/wingshore-node/src/serve/trainer.rs
+++ b/crates/wingshore-node/src/serve/trainer.rs
@@ -7,6 +7,7 @@
 use crate::http::{Caller, EdgeAnswer, EdgeError};
 use crate::serve::intake::{Intake, take_in};
 use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected};
+use crate::serve::whole_answer::serve_whole;
 use crate::state::NodeState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -62,18 +63,10 @@
 }
 
 /// Serves one of a trainer's requests.
-pub fn serve(handler: TrainerHandler<'_>, mut caller: Caller, request: TrainerRequest) {
-    let started = Instant::now();
-    let _in_flight = handler.node.metrics.begin(KIND);
-    let (code, answer) = match answer(handler, &mut caller, request) {
-        Ok(answer) => ("ok".to_owned(), answer),
-        Err(error) => (error.code.clone(), error.answer()),
-    };
-    caller.respond(answer);
-    handler
-        .node
-        .metrics
-        .on_answered(KIND, &code, started.elapsed());
+pub fn serve(handler: TrainerHandler<'_>, caller: Caller, request: TrainerRequest) {
+    serve_whole(handler.node, KIND, caller, |caller| {
+        answer(handler, caller, request)
+    });
 }
 
 fn answer(
