--- a/crates/wingshore-node/src/lib.rs
+++ b/crates/wingshore-node/src/lib.rs
@@ -1,6 +1,7 @@
 //! The node role: beside each caller, serves it over HTTP, routes and retries, and runs leased
 //! samples of the rollout pools it is set up for.
 
+mod admission;
 mod background;
 mod background_calls;
 mod http;
--- a/crates/wingshore-node/src/state.rs
+++ b/crates/wingshore-node/src/state.rs
@@ -1,6 +1,11 @@
 //! What the threads of a node share.
+//!
+//! Owns the router, the node's copy of the configuration and the numbers of attempts. Relies on the
+//! watch to keep the copy up to date and on the prober to keep the router informed.
 
+use crate::admission;
 use crate::background_calls::{BackgroundCall, BackgroundCallQueue};
+use crate::http::EdgeError;
 use crate::lock::lock;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamClient;
@@ -8,24 +13,16 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::Duration;
 use wingshore_client::GroupClient;
 use wingshore_clock::Clock;
 use wingshore_diagnostics::{Diagnostics, StopSignal};
-use wingshore_request::{ConfigurationView, NotAdmitted, WithoutLease};
+use wingshore_request::{ConfigurationView, WithoutLease};
 use wingshore_routing::{Router, RouterSettings};
 use wingshore_settings::NodeSettings;
 use wingshore_types::Instant;
 use wingshore_types::configuration::Configuration;
 use wingshore_types::protocol::claims::Claimant;
 
-use crate::http::EdgeError;
-
-/// Retry-after of a node that has no configuration or no lease.
-const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
-/// Retry-after of a node that stops: its successor needs a moment.
-const RETRY_AFTER_STOP: Duration = Duration::from_secs(2);
-
 /// Shared by all threads of a node.
 pub struct NodeState {
     /// Its settings.
@@ -126,11 +123,8 @@
     /// # Errors
     /// The refusal for the caller.
     pub fn may_admit(&self) -> Result<(), EdgeError> {
-        if self.stop.is_stopping() {
-            let refusal = EdgeError::not_run(503, "stopping", "this node is being stopped");
-            return Err(refusal.retry_after(RETRY_AFTER_STOP));
-        }
-        self.holds_configuration(self.clock.now())
+        let now = self.clock.now();
+        admission::may_admit(self.stop.is_stopping(), &self.view(), now)
     }
 
     /// Whether the configuration may be acted on at `now`.
@@ -138,23 +132,10 @@
     /// # Errors
     /// The refusal for the caller.
     pub fn holds_configuration(&self, now: Instant) -> Result<(), EdgeError> {
-        let refusal = match self.view().may_admit(now) {
-            Ok(()) => return Ok(()),
-            Err(NotAdmitted::NoConfiguration) => EdgeError::not_run(
-                503,
-                "no_configuration",
-                "this node has not received the configuration yet",
-            ),
-            Err(NotAdmitted::LeaseExpired) => EdgeError::not_run(
-                503,
-                "no_lease",
-                "this node has lost its configuration lease and refuses by its settings",
-            ),
-        };
-        Err(refusal.retry_after(RETRY_AFTER_NO_CONFIGURATION))
+        admission::may_act_on_configuration(&self.view(), now)
     }
 
-    /// Leaves work to be done soon that nobody waits for.
+    /// Adds a call that nobody waits for; drops it, with a log line, when too many wait.
     pub fn add_background_call(&self, call: BackgroundCall) {
         if let Err(call) = self.background_calls.add(call) {
             warn!(self.diagnostics.logger(), "background call dropped, too many wait";
