--- a/crates/wingshore-node/src/background/probes.rs
+++ b/crates/wingshore-node/src/background/probes.rs
@@ -1,4 +1,4 @@
-//! Asks back ends how they are, as the router wants it.
+//! Probes back ends: which and when is decided by the router, which also gets what they answer.
 
 use crate::state::NodeState;
 use crate::upstream::JsonError;
@@ -10,11 +10,11 @@
 use wingshore_routing::{ProbeKind, ProbeTarget};
 use wingshore_types::platform::{CacheEvents, EngineState, LoadReport};
 
-/// Time between two checks which probes are due.
+/// Time between two checks which probes are due. Not measured.
 const POLL: Duration = Duration::from_millis(50);
-/// Threads that probe.
+/// Threads that probe. Not measured.
 const THREADS: usize = 4;
-/// Probes that wait for a thread.
+/// Most probes that wait for a thread; further ones are skipped. Not measured.
 const QUEUE: usize = 1024;
 
 /// The threads that probe back ends.
--- a/crates/wingshore-node/src/background/watch.rs
+++ b/crates/wingshore-node/src/background/watch.rs
@@ -1,4 +1,7 @@
 //! Keeps the copy of the configuration and its lease up to date.
+//!
+//! Relies on the watcher's thread, which calls it for each watch and each answer. A lease counts
+//! from the sending of the watch whose answer carried it.
 
 use crate::state::NodeState;
 use slog::{info, warn};
@@ -9,9 +12,10 @@
 use wingshore_request::UpdateOutcome;
 use wingshore_types::protocol::control::{ConfigurationUpdate, NodeAcknowledgement, WatchRequest};
 
-/// Longest time a watch waits for news.
+/// Longest time a watch waits for news. Not measured.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// A watch waits no longer than this part of the lease, so that waiting never costs it.
+/// A watch waits no longer than this part of the lease, so that waiting never costs it. Without
+/// this bound a node with a lease shorter than [`MAX_WATCH_WAIT`] had none between two watches.
 const LEASE_DIVISOR: u32 = 3;
 
 /// Applies what the watch of the configuration brings.
--- a/crates/wingshore-node/src/http/caller.rs
+++ b/crates/wingshore-node/src/http/caller.rs
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use tiny_http::{HTTPVersion, Header, Request, Response, StatusCode};
 
-/// Largest declared rest of a body that the HTTP library may drain. It allocates the whole rest
+/// Largest declared rest of a body, in bytes, that the HTTP library may drain. It allocates the whole rest
 /// at once when a request is let go, and an absurd length would then end the process.
 const MAX_DRAINED_BODY: u64 = 1 << 30;
 
-/// The HTTP library reads bodies up to this length together with their heads.
+/// The HTTP library reads bodies up to this length, in bytes, together with their heads.
 const MAX_LIBRARY_BODY: u64 = 1024;
 
 /// A request whose head was read. Its head is parsed once, here.
--- a/crates/wingshore-node/src/http/connections.rs
+++ b/crates/wingshore-node/src/http/connections.rs
@@ -12,9 +12,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A connection from the same address and port this much later is another one.
+/// A connection from the same address and port this much later is another one. Not measured.
 const DISTRUST_TIME: Duration = Duration::from_secs(60);
-/// Most connections that are remembered.
+/// Most connections that are remembered; further ones are not distrusted. Not measured.
 const MAX_DISTRUSTED: usize = 4096;
 
 /// The connections of a node.
--- a/crates/wingshore-node/src/http/headers.rs
+++ b/crates/wingshore-node/src/http/headers.rs
@@ -6,9 +6,9 @@
     DEADLINE_HEADER, IDEMPOTENCY_HEADER, NO_REPEAT_HEADER, PRIORITY_HEADER,
 };
 
-/// Longest idempotency key.
+/// Longest idempotency key, in bytes; part of the interface to callers.
 const MAX_KEY_LENGTH: usize = 255;
-/// Longest deadline a caller may state: one day.
+/// Longest deadline a caller may state, in milliseconds: one day; part of the interface to callers.
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
 /// Headers that belong to one connection and are never forwarded.
--- a/crates/wingshore-node/src/rollout/driver.rs
+++ b/crates/wingshore-node/src/rollout/driver.rs
@@ -1,4 +1,8 @@
 //! One thread for each pool drives the pool's [`RolloutRunner`].
+//!
+//! Owns the runner and the workers that carry out what it wants. What is leased, generated, scored
+//! and retried is decided by the runner; only the share of each pool is decided here. Relies on the
+//! configuration to name the pool's ledger, and on the router for engines.
 
 use crate::rollout::streams::{RolloutStream, RunningStreams};
 use crate::rollout::workers::Workers;
@@ -20,19 +24,20 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, PoolId, Revision, Verdict};
 
-/// Between two ticks of a runner.
+/// Time between two ticks of a runner. Not measured.
 const TICK: Duration = Duration::from_millis(20);
-/// One call to a ledger is given up after this time; the runner sends again what matters.
+/// Timeout of one call to a ledger; the runner sends again what matters. Not measured.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Threads for calls to ledgers, for each pool.
+/// Threads for calls to ledgers, for each pool. Not measured.
 const LEDGER_CALLERS: usize = 8;
-/// Threads that have KV caches copied, for each pool.
+/// Threads that have KV caches copied, for each pool. Not measured.
 const CACHE_COPIERS: usize = 4;
 /// Where scorers take samples.
 const SCORE: &str = "/score";
-/// A straggler runs at least this long before a second attempt starts on another engine.
+/// A straggler runs at least this long before a second attempt starts on another engine. Not
+/// measured.
 const OVER_ISSUE_AFTER: Duration = Duration::from_secs(2);
-/// One in so many streams may be a second attempt.
+/// One in so many streams may be a second attempt. Not measured.
 const OVER_ISSUE_SHARE: u32 = 8;
 
 /// The rollouts of one pool.
--- a/crates/wingshore-node/src/upstream/failure.rs
+++ b/crates/wingshore-node/src/upstream/failure.rs
@@ -1,4 +1,12 @@
 //! What an error of the HTTP client says about the execution of the request.
+//!
+//! Question: may the request of a failed attempt have run?
+//! Inputs: the HTTP client's error, before or after the answer's head.
+//! Rule: only an error of connecting says that it did not run. Any other error before the head,
+//! and any error while the body is read, says that it may have run.
+//! Why: once a byte has left, nobody but the server knows; a wrong "did not run" would make a
+//! request that must not be repeated run twice.
+//! An error of an unknown kind counts as a lost connection, which may have run.
 
 use crate::upstream::connector::ConnectError;
 use std::io;
--- a/crates/wingshore-node/src/upstream/json.rs
+++ b/crates/wingshore-node/src/upstream/json.rs
@@ -1,4 +1,4 @@
-//! Small JSON questions to the platform: probes, scores, cancels.
+//! Small JSON questions to back ends: probes, scores, cancels, the machine list.
 
 use crate::http::HeaderList;
 use crate::upstream::agent::{Connections, UpstreamClient, UpstreamRequest};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest answer that is read.
+/// Largest answer that is read, in bytes. Not measured.
 const MAX_ANSWER: u64 = 16 * 1024 * 1024;
 
 /// Why a question has no answer.
