--- a/crates/wingshore-request/src/lib.rs
+++ b/crates/wingshore-request/src/lib.rs
@@ -7,6 +7,7 @@
 mod errors;
 mod execution;
 mod faults;
+mod messages;
 mod specification;
 
 pub use answer::{ErrorCode, FinalAnswer, RequestError};
@@ -14,6 +15,7 @@
 pub use configuration_view::{
     ConfigurationView, NotAdmitted, UpdateOutcome, WatchPosition, WithoutLease,
 };
-pub use execution::{ExecutionInput, ExecutionOutput, RequestExecution, SendAttempt};
+pub use execution::RequestExecution;
 pub use faults::Faults;
+pub use messages::{ExecutionInput, ExecutionOutput, SendAttempt};
 pub use specification::{ClaimIntent, ExecutionLimits, RequestSpecification, claims_group};
