--- a/crates/wingshore-request/src/errors.rs
+++ b/crates/wingshore-request/src/errors.rs
@@ -1,4 +1,11 @@
 //! The errors that end a caller's request.
+//!
+//! Question: which code, verdict and retry-after does a caller get?
+//! Inputs: the last failure, the worst verdict of all attempts, whether the deadline has passed, or
+//! the answer of the claims group.
+//! Rule: a passed deadline goes before the last failure. The verdict is never better than that of
+//! the worst attempt. The retry-after is what the server or the claims group names, else
+//! [`DEFAULT_RETRY_AFTER`]; there is none where asking again cannot help.
 
 use crate::answer::{ErrorCode, RequestError};
 use crate::attempt::{AttemptFailure, FailureKind};
@@ -6,7 +13,7 @@
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::ClaimsReply;
 
-/// When to ask again where nothing better is known.
+/// Retry-after where neither server nor claims group names one. Not measured.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// The error after the last attempt, which failed; `verdict` is the worst of all attempts.
--- a/crates/wingshore-request/src/execution.rs
+++ b/crates/wingshore-request/src/execution.rs
@@ -9,6 +9,7 @@
 use crate::errors::{DEFAULT_RETRY_AFTER, attempt_error, claim_error, deadline_error};
 use crate::faults::Faults;
 use crate::messages::{ExecutionInput, ExecutionOutput, SendAttempt};
+use crate::retry::{backoff, may_retry, next_slot_poll};
 use crate::specification::{ClaimIntent, ExecutionLimits, RequestSpecification};
 use wingshore_routing::{AttemptOutcome, Refusal, RefusalCode, Router, Ticket};
 use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, ClaimsRequest, StoredAnswer};
@@ -209,13 +210,11 @@
         refusal: Refusal,
         out: &mut Vec<ExecutionOutput>,
     ) {
-        let next_look = now + self.limits.slot_poll;
-        let waits = refusal.code == RefusalCode::NoCapacity
-            && next_look < slot_until
-            && next_look < self.specification.route.deadline;
-        if waits {
+        let deadline = self.specification.route.deadline;
+        let next_poll = next_slot_poll(&self.limits, now, refusal.code, slot_until, deadline);
+        if let Some(next_poll) = next_poll {
             self.phase = Phase::Waiting { slot_until };
-            out.push(ExecutionOutput::WaitUntil(next_look));
+            out.push(ExecutionOutput::WaitUntil(next_poll));
             return;
         }
         let error = RequestError::from_refusal(refusal, self.verdict);
@@ -303,8 +302,8 @@
         if self.faults.retry_on_may_have_run {
             route.no_repeat = false;
         }
-        let allowed = !route.no_repeat || verdict.allows_retry_of_no_repeat();
-        allowed && self.attempts < self.limits.attempts && router.may_retry(now, &route, verdict)
+        may_retry(&self.limits, self.attempts, route.no_repeat, verdict)
+            && router.may_retry(now, &route, verdict)
     }
 
     fn wait_before_retry(
@@ -314,8 +313,7 @@
         out: &mut Vec<ExecutionOutput>,
     ) {
         self.specification.route.excluded.push(failed);
-        let doublings = self.attempts.saturating_sub(1).min(10);
-        let resume_at = now + self.limits.backoff * (1 << doublings);
+        let resume_at = now + backoff(&self.limits, self.attempts);
         self.phase = Phase::Waiting {
             slot_until: resume_at + self.limits.slot_wait,
         };
--- a/crates/wingshore-request/src/lib.rs
+++ b/crates/wingshore-request/src/lib.rs
@@ -8,6 +8,7 @@
 mod execution;
 mod faults;
 mod messages;
+mod retry;
 mod specification;
 
 pub use answer::{ErrorCode, FinalAnswer, RequestError};
--- a/crates/wingshore-request/src/specification.rs
+++ b/crates/wingshore-request/src/specification.rs
@@ -40,13 +40,15 @@
 /// Limits of one execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionLimits {
-    /// Most attempts, the first one included.
+    /// Most attempts, the first one included; 3 unless set. Not measured.
     pub attempts: u32,
-    /// Longest time to wait for a free slot before the request is refused.
+    /// Longest time to wait for a free slot before the request is refused; 100 ms unless set. Not
+    /// measured.
     pub slot_wait: Duration,
-    /// Time between two looks for a free slot.
+    /// Time between two polls for a free slot; 5 ms unless set. Not measured.
     pub slot_poll: Duration,
-    /// Pause before the second attempt; doubles with each further one.
+    /// Backoff before the second attempt, doubled for each further one; 5 ms unless set. Not
+    /// measured.
     pub backoff: Duration,
 }
 
