--- a/crates/wingshore-request/src/answer.rs
+++ b/crates/wingshore-request/src/answer.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use wingshore_routing::{Refusal, RefusalCode};
+use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::StoredAnswer;
-use wingshore_types::{ErrorBody, ErrorDetail, Verdict};
 
 /// Stable codes of errors; `docs/API.md` lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -100,18 +100,6 @@
             retry_after: refusal.retry_after,
         }
     }
-
-    /// The JSON body.
-    pub fn body(&self) -> ErrorBody {
-        ErrorBody {
-            error: ErrorDetail {
-                code: self.code.as_str().to_owned(),
-                verdict: self.verdict,
-                message: self.message.clone(),
-                retry_after_ms: self.retry_after.map(whole_milliseconds),
-            },
-        }
-    }
 }
 
 /// The final answer to a caller; exactly one per execution, unless the caller has gone.
@@ -127,7 +115,3 @@
     /// An error.
     Error(RequestError),
 }
-
-fn whole_milliseconds(duration: Duration) -> u64 {
-    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
-}
