--- a/crates/wingshore-node/src/background/mod.rs
+++ b/crates/wingshore-node/src/background/mod.rs
@@ -1,4 +1,5 @@
-//! Threads that run beside the callers' requests.
+//! Threads that run beside the callers' requests: probes, the configuration watch, the machine
+//! list, background calls. Each keeps a part of the node's state up to date or empties its queue.
 
 mod call_runner;
 mod machines;
--- a/crates/wingshore-request/src/attempt.rs
+++ b/crates/wingshore-request/src/attempt.rs
@@ -1,4 +1,10 @@
-//! How one attempt at a back end ended.
+//! How one attempt at a back end ended, and what its failure says about the execution.
+//!
+//! Question: may the request of a failed attempt have run?
+//! Input: the kind of the failure, as the driver of the sockets saw it.
+//! Rule: it did not run where no byte left or where the server itself says so; it ran where an
+//! answer came that is too large; in all other cases it may have run.
+//! Why: a request that must not be repeated is sent again only after an attempt that did not run.
 
 use std::time::Duration;
 use wingshore_types::Verdict;
--- a/crates/wingshore-request/src/execution.rs
+++ b/crates/wingshore-request/src/execution.rs
@@ -3,6 +3,10 @@
 //! claim (when it has an idempotency key) -> attempts, each through the router -> settle the
 //! claim -> final answer. A request that must not be repeated is sent again only after an attempt
 //! that certainly did not run.
+//!
+//! Invariants: no attempt starts before a claim is granted; at most one attempt is in flight; each
+//! execution ends in one final answer, unless its caller has gone; a claim is settled as not run only
+//! while no attempt can have run.
 
 use crate::answer::{ErrorCode, FinalAnswer, RequestError};
 use crate::attempt::{AnswerBody, AttemptEnd, AttemptFailure, FailureKind};
@@ -15,7 +19,7 @@
 use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, ClaimsRequest, StoredAnswer};
 use wingshore_types::{Instant, ServerId, Verdict};
 
-/// First status that counts as the server's own failure.
+/// First HTTP status that counts as the server's own failure.
 const FIRST_SERVER_ERROR: u16 = 500;
 
 /// An attempt in flight.
@@ -42,7 +46,7 @@
     Over,
 }
 
-/// One caller's request; see the module's page.
+/// One caller's request; see the head of the module.
 #[derive(Debug)]
 pub struct RequestExecution {
     specification: RequestSpecification,
--- a/crates/wingshore-request/src/specification.rs
+++ b/crates/wingshore-request/src/specification.rs
@@ -1,4 +1,5 @@
-//! What is to be executed: a parsed request and its limits.
+//! What is to be executed: a parsed request, its claim and its limits. Which group holds a key is
+//! computed here, alike on every node.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
