--- a/crates/wingshore-request/src/execution.rs
+++ b/crates/wingshore-request/src/execution.rs
@@ -10,18 +10,17 @@
 
 use crate::answer::{ErrorCode, FinalAnswer, RequestError};
 use crate::attempt::{AnswerBody, AttemptEnd, AttemptFailure, FailureKind};
+use crate::claim::{claim_output, outcome_of_verdict, settle_output};
 use crate::errors::{DEFAULT_RETRY_AFTER, attempt_error, claim_error, deadline_error};
 use crate::faults::Faults;
 use crate::messages::{ExecutionInput, ExecutionOutput, SendAttempt};
+use crate::outcome::{outcome_of_answer, outcome_of_failure};
 use crate::retry::{backoff, may_retry, next_slot_poll};
-use crate::specification::{ClaimIntent, ExecutionLimits, RequestSpecification};
+use crate::specification::{ExecutionLimits, RequestSpecification};
 use wingshore_routing::{AttemptOutcome, Refusal, RefusalCode, Router, Ticket};
-use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, ClaimsRequest, StoredAnswer};
+use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, StoredAnswer};
 use wingshore_types::{Instant, ServerId, Verdict};
 
-/// First HTTP status that counts as the server's own failure.
-const FIRST_SERVER_ERROR: u16 = 500;
-
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 struct InFlight {
@@ -244,7 +243,8 @@
             AttemptEnd::Answered { status, body, kept }
                 if body == AnswerBody::Whole || self.faults.accept_short_body =>
             {
-                router.on_finished(now, in_flight.ticket, outcome_of(now, &in_flight, status));
+                let latency = now.since(in_flight.sent_at);
+                router.on_finished(now, in_flight.ticket, outcome_of_answer(status, latency));
                 self.on_answer(attempt, kept, out);
             }
             AttemptEnd::Answered { .. } => {
@@ -283,12 +283,7 @@
         out: &mut Vec<ExecutionOutput>,
     ) {
         let verdict = failure.kind.verdict();
-        let outcome = match failure.kind {
-            FailureKind::RefusedByServer => AttemptOutcome::Refused,
-            FailureKind::LeaseLost => AttemptOutcome::Cancelled,
-            _ => AttemptOutcome::Failed(verdict),
-        };
-        router.on_finished(now, in_flight.ticket, outcome);
+        router.on_finished(now, in_flight.ticket, outcome_of_failure(failure.kind));
         self.verdict = self.verdict.worse(verdict);
         self.last_failure = Some(failure.clone());
         let is_own_fault = failure.kind == FailureKind::LeaseLost;
@@ -371,28 +366,14 @@
         self.finish(FinalAnswer::Error(error), out);
     }
 
-    /// Frees the key only when no attempt can have run.
     fn settle_by_verdict(&self, out: &mut Vec<ExecutionOutput>) {
-        let outcome = match self.verdict {
-            Verdict::NotRun => ClaimOutcome::NotRun,
-            Verdict::MayHaveRun => ClaimOutcome::Unknown,
-            Verdict::Ran => ClaimOutcome::Answered(None),
-        };
-        self.settle(outcome, out);
+        self.settle(outcome_of_verdict(self.verdict), out);
     }
 
     fn settle(&self, outcome: ClaimOutcome, out: &mut Vec<ExecutionOutput>) {
-        let Some(claim) = &self.specification.claim else {
-            return;
-        };
-        out.push(ExecutionOutput::Settle {
-            group: claim.group,
-            request: ClaimsRequest::Settle {
-                key: claim.key.clone(),
-                claimant: claim.claimant.clone(),
-                outcome,
-            },
-        });
+        if let Some(claim) = &self.specification.claim {
+            out.push(settle_output(claim, outcome));
+        }
     }
 
     fn finish(&mut self, mut answer: FinalAnswer, out: &mut Vec<ExecutionOutput>) {
@@ -403,24 +384,3 @@
         self.phase = Phase::Over;
     }
 }
-
-fn claim_output(claim: &ClaimIntent) -> ExecutionOutput {
-    ExecutionOutput::Claim {
-        group: claim.group,
-        request: ClaimsRequest::Claim {
-            key: claim.key.clone(),
-            fingerprint: claim.fingerprint,
-            claimant: claim.claimant.clone(),
-        },
-    }
-}
-
-/// What the router learns from a whole answer: a server error counts against the server.
-fn outcome_of(now: Instant, in_flight: &InFlight, status: u16) -> AttemptOutcome {
-    if status >= FIRST_SERVER_ERROR {
-        return AttemptOutcome::Failed(Verdict::Ran);
-    }
-    AttemptOutcome::Success {
-        latency: now.since(in_flight.sent_at),
-    }
-}
--- a/crates/wingshore-request/src/lib.rs
+++ b/crates/wingshore-request/src/lib.rs
@@ -8,11 +8,13 @@
 
 mod answer;
 mod attempt;
+mod claim;
 mod configuration_view;
 mod errors;
 mod execution;
 mod faults;
 mod messages;
+mod outcome;
 mod retry;
 mod specification;
 
