--- a/crates/nodes/wingshore-node/src/background/errands.rs
+++ b/crates/nodes/wingshore-node/src/background/call_runner.rs
@@ -1,83 +1,33 @@
-//! Work that nobody waits for: settling claims, cancelling attempts at engines.
+//! The threads that run the work that nobody waits for.
 
+use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
 use crate::upstream::EngineAttempt;
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
+use crossbeam_channel::{Receiver, Sender, bounded};
 use slog::{debug, warn};
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
-use wingshore_types::GroupId;
-use wingshore_types::protocol::claims::ClaimsRequest;
 use wingshore_types::protocol::wire::GroupRequest;
 
-/// Most errands that wait.
-const QUEUE: usize = 16 * 1024;
-/// Threads that run errands.
+/// Threads that run background calls. Not measured.
 const THREADS: usize = 4;
-/// A settlement is tried for this long. A claim left unsettled stays taken, which is safe.
+/// A settlement is attempted for this long. A claim left unsettled stays taken, which is safe.
+/// Not measured.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a planned stop waits for errands.
+/// Longest time that a planned stop waits for background calls. Not measured.
 const FINISH_LIMIT: Duration = Duration::from_secs(5);
-/// Between two looks at whether they are done.
+/// Time between two checks whether they are done. Not measured.
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// One errand.
-#[derive(Debug)]
-pub enum Errand {
-    /// Tell a claims group how a claim ended.
-    Settle {
-        /// The group.
-        group: GroupId,
-        /// The settlement.
-        request: Box<ClaimsRequest>,
-    },
-    /// Tell an engine that nobody wants an attempt any more.
-    CancelAtEngine {
-        /// The engine.
-        address: SocketAddr,
-        /// The attempt.
-        request_id: String,
-    },
-}
-
-/// The queue of errands; bounded.
-#[derive(Clone, Debug)]
-pub struct Errands {
-    sender: Sender<Errand>,
-    receiver: Receiver<Errand>,
-}
-
-impl Default for Errands {
-    fn default() -> Self {
-        let (sender, receiver) = bounded(QUEUE);
-        Self { sender, receiver }
-    }
-}
-
-impl Errands {
-    /// Leaves an errand.
-    ///
-    /// # Errors
-    /// Gives it back when too many wait.
-    pub fn leave(&self, errand: Errand) -> Result<(), Errand> {
-        self.sender
-            .try_send(errand)
-            .map_err(|refused| match refused {
-                TrySendError::Full(errand) | TrySendError::Disconnected(errand) => errand,
-            })
-    }
-}
-
-/// The threads that run errands.
-pub struct ErrandRunner {
+/// The threads that run background calls.
+pub struct BackgroundCallRunner {
     threads: Vec<JoinHandle<()>>,
     end: Sender<()>,
 }
 
-impl ErrandRunner {
+impl BackgroundCallRunner {
     /// Starts the threads.
     ///
     /// # Errors
@@ -89,8 +39,8 @@
             let node = Arc::clone(node);
             let ended = ended.clone();
             let thread = thread::Builder::new()
-                .name(format!("errand-{number}"))
-                .spawn(move || run_errands(&node, &ended))?;
+                .name(format!("call-{number}"))
+                .spawn(move || run_calls(&node, &ended))?;
             threads.push(thread);
         }
         Ok(Self { threads, end })
@@ -113,32 +63,32 @@
     }
 }
 
-fn run_errands(node: &NodeState, ended: &Receiver<()>) {
-    let waiting = &node.errands.receiver;
+fn run_calls(node: &NodeState, ended: &Receiver<()>) {
+    let waiting = &node.background_calls.receiver;
     loop {
         crossbeam_channel::select! {
-            recv(waiting) -> errand => match errand {
-                Ok(errand) => run_errand(node, errand),
+            recv(waiting) -> call => match call {
+                Ok(call) => run_call(node, call),
                 Err(_) => return,
             },
             recv(ended) -> _ => break,
         }
     }
-    while let Ok(errand) = waiting.try_recv() {
-        run_errand(node, errand);
+    while let Ok(call) = waiting.try_recv() {
+        run_call(node, call);
     }
 }
 
-fn run_errand(node: &NodeState, errand: Errand) {
-    match errand {
-        Errand::Settle { group, request } => {
+fn run_call(node: &NodeState, call: BackgroundCall) {
+    match call {
+        BackgroundCall::Settle { group, request } => {
             let request = GroupRequest::Claims(*request);
             if let Err(error) = node.groups.call(group, request, SETTLE_TIMEOUT) {
                 warn!(node.diagnostics.logger(), "claim not settled, its key stays taken";
                     "group" => group.to_string(), "error" => error.to_string());
             }
         }
-        Errand::CancelAtEngine {
+        BackgroundCall::CancelAtEngine {
             address,
             request_id,
         } => {
--- a/crates/nodes/wingshore-node/src/background/pools.rs
+++ b/crates/nodes/wingshore-node/src/background/pools.rs
@@ -1,6 +1,7 @@
-//! Tells ledger groups what they need to know of pools.
+//! Announces to ledger groups what they need to know of pools.
 
-use crate::state::{NodeState, lock};
+use crate::lock::lock;
+use crate::state::NodeState;
 use slog::warn;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,7 +11,7 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, PoolId, Revision};
 
-/// One announcement is tried for this long.
+/// Timeout of one announcement. Not measured.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Remembers which pools were announced as they are now.
@@ -20,13 +21,14 @@
 }
 
 impl PoolAnnouncer {
-    /// Announces `pool` unless it was announced as it is; answers whether its ledger knows it.
-    pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) -> bool {
+    /// Announces `pool` unless it was announced as it is. A failure is logged; the ledger then
+    /// refuses requests about the pool, and the next of them announces it again.
+    pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) {
         if lock(&self.announced)
             .get(&pool.id)
             .is_some_and(|known| is_same_to_ledger(known, pool))
         {
-            return true;
+            return;
         }
         let request = GroupRequest::Ledger(LedgerRequest::Configure {
             pool: pool.id.clone(),
@@ -43,12 +45,10 @@
         {
             Ok(GroupReply::Ledger(LedgerReply::Done)) => {
                 lock(&self.announced).insert(pool.id.clone(), pool.clone());
-                true
             }
             other => {
                 warn!(node.diagnostics.logger(), "pool not announced to its ledger";
                     "pool" => pool.id.to_string(), "answer" => format!("{other:?}"));
-                false
             }
         }
     }
--- a/crates/nodes/wingshore-node/src/http/mod.rs
+++ b/crates/nodes/wingshore-node/src/http/mod.rs
@@ -1,4 +1,8 @@
 //! The HTTP edge towards callers: framing checks, routes, bodies, answers and event streams.
+//!
+//! Owns the listening socket, the threads that read and answer requests, and what is known of the
+//! callers' connections. Relies on the HTTP library for heads and on an [`EdgeHandler`] for answers;
+//! knows nothing of the node's state.
 
 mod body;
 mod body_readers;
@@ -12,12 +16,13 @@
 mod respond;
 mod route;
 mod server;
+mod work;
 
-pub use body::{BodyError, read_body};
+pub use body::BodyError;
 pub use caller::Caller;
 pub use event_stream::EventStream;
-pub use framing::{BodyLength, FramingError, body_length};
-pub use headers::{CallerHeaders, HeaderError, HeaderList, without_hop_by_hop};
+pub use headers::{CallerHeaders, HeaderList, without_hop_by_hop};
 pub use respond::{EdgeAnswer, EdgeError};
-pub use route::{Route, RouteError, parse_route};
-pub use server::{EdgeHandler, EdgeServer, WorkKind};
+pub use route::{Route, RouteError};
+pub use server::EdgeServer;
+pub use work::EdgeHandler;
--- a/crates/nodes/wingshore-node/src/rollout/streams.rs
+++ b/crates/nodes/wingshore-node/src/rollout/streams.rs
@@ -1,6 +1,7 @@
 //! Rollout streams: each runs on a worker and can be ended from outside.
 
-use crate::state::{NodeState, lock};
+use crate::lock::lock;
+use crate::state::NodeState;
 use crate::upstream::{EngineAttempt, EngineEnd, InterruptibleClient};
 use crossbeam_channel::Sender;
 use slog::debug;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Runs a noted stream to its end, telling the runner what comes.
+    /// Runs a noted stream to its end, reporting to the runner what comes.
     pub fn run(&self, node: &NodeState, stream: &RolloutStream, runner: &Sender<RolloutInput>) {
         let Some(client) = lock(&self.clients).get(&stream.attempt).cloned() else {
             return;
--- a/crates/nodes/wingshore-node/src/serve/execute.rs
+++ b/crates/nodes/wingshore-node/src/serve/execute.rs
@@ -1,12 +1,12 @@
 //! Carries out what a [`RequestExecution`] wants done, on the worker's own thread.
 
-use crate::background::Errand;
+use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
 use std::collections::VecDeque;
 use std::time::Duration;
 use wingshore_request::{
-    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionOutput, FailureKind, FinalAnswer,
-    RequestExecution, RequestSpecification, SendAttempt,
+    AttemptEnd, AttemptFailure, ExecutionInput, ExecutionLimits, ExecutionOutput, FailureKind,
+    Faults, FinalAnswer, RequestExecution, RequestSpecification, SendAttempt,
 };
 use wingshore_types::GroupId;
 use wingshore_types::protocol::claims::ClaimsRequest;
@@ -15,7 +15,7 @@
 
 use crate::metrics::KindLabel;
 
-/// Longest wait for a claims group.
+/// Timeout of one call to a claims group; the request's deadline may be sooner. Not measured.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What came of an attempt.
@@ -41,7 +41,8 @@
     attempts: &mut dyn Attempts,
 ) -> Option<FinalAnswer> {
     let deadline = specification.route.deadline;
-    let mut execution = RequestExecution::new(specification, node.limits, node.faults);
+    let mut execution =
+        RequestExecution::new(specification, ExecutionLimits::default(), Faults::default());
     let mut inputs = VecDeque::from([ExecutionInput::Begin]);
     let mut answer = None;
     while let Some(input) = inputs.pop_front() {
@@ -59,7 +60,7 @@
                 }
                 ExecutionOutput::Settle { group, request } => {
                     let request = Box::new(request);
-                    node.leave_errand(Errand::Settle { group, request });
+                    node.add_background_call(BackgroundCall::Settle { group, request });
                 }
                 // Attempts are waited for, and end before a cancel of them can be wanted.
                 ExecutionOutput::Cancel { .. } => {}
@@ -92,7 +93,7 @@
     }
 }
 
-/// The lease is looked at once more right before the first byte leaves: the process may have
+/// The lease is checked once more right before the first byte leaves: the process may have
 /// been frozen since the server was chosen.
 fn make(node: &NodeState, send: &SendAttempt, attempts: &mut dyn Attempts) -> ExecutionInput {
     let attempt = send.attempt;
--- a/crates/nodes/wingshore-node/src/serve/trainer.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer.rs
@@ -6,16 +6,17 @@
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError};
 use crate::serve::intake::{Intake, take_in};
+use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected};
+use crate::serve::whole_answer::serve_whole;
 use crate::state::NodeState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::time::{Duration, Instant};
-use wingshore_client::CallError;
 use wingshore_types::api::{
     AcknowledgeBody, BatchBody, PublishBody, PullBody, SampleBody, SubmitReply, SubmitRequest,
 };
 use wingshore_types::configuration::Pool;
-use wingshore_types::protocol::control::{ControlRefusal, ControlReply, ControlRequest};
+use wingshore_types::protocol::control::{ControlReply, ControlRequest};
 use wingshore_types::protocol::ledger::{
     Batch, LedgerRefusal, LedgerReply, LedgerRequest, PullRequest,
 };
@@ -24,20 +25,18 @@
 
 /// Label of a trainer's requests in metrics.
 const KIND: &str = "trainer";
-/// How long a group is asked when the caller states no deadline.
+/// Timeout of a request to a group when the caller states no deadline. Not measured.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait a pull may ask for.
+/// Longest wait a pull may ask for; part of the interface to trainers.
 const MAX_PULL_WAIT: Duration = Duration::from_secs(600);
-/// Time for a pull beyond the wait it asks for.
+/// Time for a pull beyond the wait it asks for. Not measured.
 const PULL_MARGIN: Duration = Duration::from_secs(5);
-/// Time for the further parts of a large batch, when the caller states no deadline.
+/// Time for the further parts of a large batch, when the caller states no deadline. Not
+/// measured.
 const PARTS_TIME: Duration = Duration::from_secs(30);
-/// When to ask again after a group did not answer.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
-
 /// What a trainer asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Errand {
+pub enum TrainerRequest {
     /// Add prompts.
     Submit(PoolId),
     /// Hand a step's batch over.
@@ -48,12 +47,12 @@
     Publish(PoolId),
 }
 
-/// What the trainer's requests need.
+/// Serves trainers' requests, with what they need of the node.
 #[derive(Clone, Copy)]
-pub struct Desk<'a> {
+pub struct TrainerHandler<'a> {
     /// The node.
     pub node: &'a NodeState,
-    /// Tells ledgers of pools.
+    /// Announces pools to their ledgers.
     pub announcer: &'a PoolAnnouncer,
 }
 
@@ -65,30 +64,27 @@
 }
 
 /// Serves one of a trainer's requests.
-pub fn serve(desk: Desk<'_>, mut caller: Caller, errand: Errand) {
-    let started = Instant::now();
-    let _in_flight = desk.node.metrics.begin(KIND);
-    let (code, answer) = match answer(desk, &mut caller, errand) {
-        Ok(answer) => ("ok".to_owned(), answer),
-        Err(error) => (error.code.clone(), error.answer()),
-    };
-    caller.respond(answer);
-    desk.node
-        .metrics
-        .on_answered(KIND, &code, started.elapsed());
+pub fn serve(handler: TrainerHandler<'_>, caller: Caller, request: TrainerRequest) {
+    serve_whole(handler.node, KIND, caller, |caller| {
+        answer(handler, caller, request)
+    });
 }
 
-fn answer(desk: Desk<'_>, caller: &mut Caller, errand: Errand) -> Result<EdgeAnswer, EdgeError> {
-    let intake = take_in(desk.node, caller)?;
-    match errand {
-        Errand::Submit(pool) => desk.submit(&intake, &pool),
-        Errand::Pull(pool, step) => desk.pull(&intake, &pool, step),
-        Errand::Acknowledge(pool, step) => desk.acknowledge(&intake, &pool, step),
-        Errand::Publish(pool) => desk.publish(&intake, &pool),
+fn answer(
+    handler: TrainerHandler<'_>,
+    caller: &mut Caller,
+    request: TrainerRequest,
+) -> Result<EdgeAnswer, EdgeError> {
+    let intake = take_in(handler.node, caller)?;
+    match request {
+        TrainerRequest::Submit(pool) => handler.submit(&intake, &pool),
+        TrainerRequest::Pull(pool, step) => handler.pull(&intake, &pool, step),
+        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&intake, &pool, step),
+        TrainerRequest::Publish(pool) => handler.publish(&intake, &pool),
     }
 }
 
-impl Desk<'_> {
+impl TrainerHandler<'_> {
     fn submit(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
         let body: SubmitRequest = parse(&intake.body)?;
         let request = LedgerRequest::Submit {
@@ -199,7 +195,7 @@
         }
     }
 
-    /// Asks the pool's ledger; tells it of the pool first where that is needed.
+    /// Asks the pool's ledger; announces the pool to it first where that is needed.
     fn ask_ledger(
         self,
         id: &PoolId,
@@ -299,65 +295,3 @@
         reply => Ok(reply),
     }
 }
-
-fn ledger_refusal(refusal: &LedgerRefusal) -> EdgeError {
-    match refusal {
-        LedgerRefusal::UnknownPool => EdgeError::not_run(
-            503,
-            "unknown_to_ledger",
-            "the pool's ledger has not been told of the pool yet",
-        )
-        .retry_after(RETRY_AFTER),
-        LedgerRefusal::Full { retry_after_ms } => EdgeError::not_run(
-            503,
-            "ledger_full",
-            "too many samples are submitted and not yet acknowledged; none of these was added",
-        )
-        .retry_after(Duration::from_millis(*retry_after_ms)),
-        LedgerRefusal::NotReady {
-            ready,
-            retry_after_ms,
-        } => EdgeError::not_run(
-            503,
-            "not_ready",
-            format!("{ready} samples are ready, fewer than asked for; none was handed over"),
-        )
-        .retry_after(Duration::from_millis(*retry_after_ms)),
-        LedgerRefusal::WrongStep { message } => EdgeError::not_run(409, "wrong_step", message),
-        LedgerRefusal::WrongTrainer { expected } => EdgeError::not_run(
-            403,
-            "wrong_trainer",
-            format!("the pool's trainer is `{expected}`"),
-        ),
-        LedgerRefusal::Invalid { message } => EdgeError::not_run(400, "invalid_request", message),
-    }
-}
-
-fn control_refusal(refusal: &ControlRefusal) -> EdgeError {
-    match refusal {
-        ControlRefusal::Invalid { message } => EdgeError::not_run(400, "invalid_request", message),
-        ControlRefusal::Conflict { message, .. } => EdgeError::not_run(409, "conflict", message),
-        other => EdgeError::not_run(409, "refused", format!("{other:?}")),
-    }
-}
-
-/// Requests to groups are safe to repeat, so the caller is told when.
-fn call_error(error: &CallError) -> EdgeError {
-    EdgeError {
-        status: 503,
-        code: "group_unavailable".to_owned(),
-        verdict: error.verdict(),
-        message: error.to_string(),
-        retry_after: Some(RETRY_AFTER),
-    }
-}
-
-fn unexpected<T: std::fmt::Debug>(reply: &T) -> EdgeError {
-    EdgeError {
-        status: 502,
-        code: "bad_answer".to_owned(),
-        verdict: Verdict::MayHaveRun,
-        message: format!("the group answered something else: {reply:?}"),
-        retry_after: Some(RETRY_AFTER),
-    }
-}
--- a/crates/nodes/wingshore-node/src/state.rs
+++ b/crates/nodes/wingshore-node/src/state.rs
@@ -1,30 +1,28 @@
 //! What the threads of a node share.
+//!
+//! Owns the router, the node's copy of the configuration and the numbers of attempts. Relies on the
+//! watch to keep the copy up to date and on the prober to keep the router informed.
 
-use crate::background::{Errand, Errands};
+use crate::admission;
+use crate::background_calls::{BackgroundCall, BackgroundCallQueue};
+use crate::http::EdgeError;
+use crate::lock::lock;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamClient;
 use slog::{error, warn};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::Duration;
+use std::sync::{Arc, Mutex, MutexGuard};
 use wingshore_client::GroupClient;
 use wingshore_clock::Clock;
 use wingshore_diagnostics::{Diagnostics, StopSignal};
-use wingshore_request::{ConfigurationView, ExecutionLimits, Faults, NotAdmitted, WithoutLease};
+use wingshore_request::{ConfigurationView, WithoutLease};
 use wingshore_routing::{Router, RouterSettings};
 use wingshore_settings::NodeSettings;
 use wingshore_types::Instant;
 use wingshore_types::configuration::Configuration;
 use wingshore_types::protocol::claims::Claimant;
 
-use crate::http::EdgeError;
-
-/// When to come back to a node that has no configuration or no lease.
-const RETRY_WITHOUT_CONFIGURATION: Duration = Duration::from_millis(500);
-/// When to come back to a node that stops: its successor needs a moment.
-const RETRY_AFTER_STOP: Duration = Duration::from_secs(2);
-
 /// Shared by all threads of a node.
 pub struct NodeState {
     /// Its settings.
@@ -44,11 +42,7 @@
     /// Planned stop.
     pub stop: StopSignal,
     /// Work that nobody waits for.
-    pub errands: Errands,
-    /// Limits of each caller's request.
-    pub limits: ExecutionLimits,
-    /// Deliberate faults; off outside tests.
-    pub faults: Faults,
+    pub background_calls: BackgroundCallQueue,
     router: Mutex<Router>,
     view: Mutex<ConfigurationView>,
     attempts: AtomicU64,
@@ -61,7 +55,6 @@
         diagnostics: Diagnostics,
         stop: StopSignal,
         boot_id: u64,
-        errands: Errands,
     ) -> Self {
         let groups = GroupClient::new(&settings.site, settings.replicas.clone(), boot_id);
         let router_settings = router_settings(&settings);
@@ -75,13 +68,11 @@
             clock: Clock::start(),
             boot_id,
             groups,
-            upstream: UpstreamClient::new(),
-            metrics: Metrics::new(),
+            upstream: UpstreamClient::default(),
+            metrics: Metrics::default(),
             diagnostics,
             stop,
-            errands,
-            limits: ExecutionLimits::default(),
-            faults: Faults::default(),
+            background_calls: BackgroundCallQueue::default(),
             router: Mutex::new(router),
             view: Mutex::new(ConfigurationView::new(without_lease)),
             attempts: AtomicU64::new(0),
@@ -132,11 +123,8 @@
     /// # Errors
     /// The refusal for the caller.
     pub fn may_admit(&self) -> Result<(), EdgeError> {
-        if self.stop.is_stopping() {
-            let refusal = EdgeError::not_run(503, "stopping", "this node is being stopped");
-            return Err(refusal.retry_after(RETRY_AFTER_STOP));
-        }
-        self.holds_configuration(self.clock.now())
+        let now = self.clock.now();
+        admission::may_admit(self.stop.is_stopping(), &self.view(), now)
     }
 
     /// Whether the configuration may be acted on at `now`.
@@ -144,33 +132,20 @@
     /// # Errors
     /// The refusal for the caller.
     pub fn holds_configuration(&self, now: Instant) -> Result<(), EdgeError> {
-        let refusal = match self.view().may_admit(now) {
-            Ok(()) => return Ok(()),
-            Err(NotAdmitted::NoConfiguration) => EdgeError::not_run(
-                503,
-                "no_configuration",
-                "this node has not received the configuration yet",
-            ),
-            Err(NotAdmitted::LeaseExpired) => EdgeError::not_run(
-                503,
-                "no_lease",
-                "this node has lost its configuration lease and refuses by its settings",
-            ),
-        };
-        Err(refusal.retry_after(RETRY_WITHOUT_CONFIGURATION))
+        admission::may_act_on_configuration(&self.view(), now)
     }
 
-    /// Leaves work to be done soon that nobody waits for.
-    pub fn leave_errand(&self, errand: Errand) {
-        if let Err(errand) = self.errands.leave(errand) {
-            warn!(self.diagnostics.logger(), "errand dropped, too many are open";
-                "errand" => format!("{errand:?}"));
+    /// Adds a call that nobody waits for; drops it, with a log line, when too many wait.
+    pub fn add_background_call(&self, call: BackgroundCall) {
+        if let Err(call) = self.background_calls.add(call) {
+            warn!(self.diagnostics.logger(), "background call dropped, too many wait";
+                "errand" => format!("{call:?}"));
         }
     }
 
-    /// Tells an engine that nobody wants an attempt any more.
+    /// Cancels an attempt at its engine, in the background.
     pub fn cancel_at_engine(&self, address: SocketAddr, request_id: &str) {
-        self.leave_errand(Errand::CancelAtEngine {
+        self.add_background_call(BackgroundCall::CancelAtEngine {
             address,
             request_id: request_id.to_owned(),
         });
@@ -187,12 +162,6 @@
     }
 }
 
-/// Locks; a thread that panicked with the lock held has left nothing half done that matters more
-/// than going on.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 fn router_settings(settings: &NodeSettings) -> RouterSettings {
     RouterSettings {
         choices: settings.routing.choices as u32,
--- a/crates/nodes/wingshore-node/src/upstream/engine.rs
+++ b/crates/nodes/wingshore-node/src/upstream/engine.rs
@@ -21,8 +21,9 @@
 /// Where engines take cancels.
 const CANCEL: &str = "/v1/cancel";
 /// A cancel is given up after this time; the engine's own deadline then ends the work.
+/// Not measured.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest error body that is read from an engine.
+/// Largest error body that is read from an engine, in bytes. Not measured.
 const MAX_ERROR_BODY: u64 = 64 * 1024;
 /// First status that is an error of the request or the server.
 const FIRST_ERROR: u16 = 400;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Tells the engine that nobody wants this attempt any more. Best effort.
+    /// Cancels the attempt at the engine. Best effort; answers whether the engine took it.
     pub fn cancel(client: &UpstreamClient, address: SocketAddr, request_id: &str) -> bool {
         let cancel = CancelRequest {
             request_id: request_id.to_owned(),
--- a/crates/nodes/wingshore-node/src/upstream/mod.rs
+++ b/crates/nodes/wingshore-node/src/upstream/mod.rs
@@ -1,4 +1,6 @@
 //! Requests to back ends: engines, live servers, scorers and the machine list.
+//!
+//! Owns the pools of connections. Each error is told apart by whether the request may have run.
 
 mod agent;
 mod answer;
@@ -13,6 +15,5 @@
 pub use answer::{ServerAnswer, ServerReply};
 pub use cache::copy_cache;
 pub use engine::{EngineAttempt, EngineEnd};
-pub use event_reader::{EventReader, StreamError};
-pub use failure::{failure_of, failure_of_read};
+pub use failure::failure_of;
 pub use json::JsonError;
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -3,87 +3,23 @@
 //! claim (when it has an idempotency key) -> attempts, each through the router -> settle the
 //! claim -> final answer. A request that must not be repeated is sent again only after an attempt
 //! that certainly did not run.
+//!
+//! Invariants: no attempt starts before a claim is granted; at most one attempt is in flight; each
+//! execution ends in one final answer, unless its caller has gone; a claim is settled as not run only
+//! while no attempt can have run.
 
 use crate::answer::{ErrorCode, FinalAnswer, RequestError};
 use crate::attempt::{AnswerBody, AttemptEnd, AttemptFailure, FailureKind};
+use crate::claim::{claim_output, outcome_of_verdict, settle_output};
 use crate::errors::{DEFAULT_RETRY_AFTER, attempt_error, claim_error, deadline_error};
 use crate::faults::Faults;
-use crate::specification::{ClaimIntent, ExecutionLimits, RequestSpecification};
-use std::net::SocketAddr;
+use crate::messages::{ExecutionInput, ExecutionOutput, SendAttempt};
+use crate::outcome::{outcome_of_answer, outcome_of_failure};
+use crate::retry::{backoff, may_retry, next_slot_poll};
+use crate::specification::{ExecutionLimits, RequestSpecification};
 use wingshore_routing::{AttemptOutcome, Refusal, RefusalCode, Router, Ticket};
-use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, ClaimsRequest, StoredAnswer};
-use wingshore_types::{GroupId, Instant, ServerId, Verdict};
-
-/// First status that counts as the server's own failure.
-const FIRST_SERVER_ERROR: u16 = 500;
-
-/// What an execution reacts to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ExecutionInput {
-    /// Begin.
-    Begin,
-    /// The claims group answered.
-    ClaimAnswered(ClaimsReply),
-    /// The claims group did not answer; the verdict says whether the claim may stand.
-    ClaimFailed(Verdict),
-    /// An attempt ended.
-    AttemptEnded {
-        /// Its number.
-        attempt: u32,
-        /// How.
-        end: AttemptEnd,
-    },
-    /// The time asked for by [`ExecutionOutput::WaitUntil`], or any other, has come.
-    Tick,
-    /// The caller has gone: nobody wants the answer any more.
-    CallerGone,
-}
-
-/// An attempt to be made now.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SendAttempt {
-    /// Its number, from 1.
-    pub attempt: u32,
-    /// The server.
-    pub server: ServerId,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Give up then.
-    pub deadline: Instant,
-    /// Whether a connection of its own is wanted: on a reused one, a close by the server can
-    /// cross the request, which then may have run.
-    pub fresh_connection: bool,
-}
-
-/// What an execution wants done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ExecutionOutput {
-    /// Ask a claims group and report its answer.
-    Claim {
-        /// The group.
-        group: GroupId,
-        /// The claim.
-        request: ClaimsRequest,
-    },
-    /// Make an attempt and report its end.
-    Send(SendAttempt),
-    /// Send a tick at this time.
-    WaitUntil(Instant),
-    /// Tell a claims group how the claim ended; again until it has answered. Nothing waits.
-    Settle {
-        /// The group.
-        group: GroupId,
-        /// The settlement.
-        request: ClaimsRequest,
-    },
-    /// Stop an attempt; its end is no longer wanted.
-    Cancel {
-        /// Its number.
-        attempt: u32,
-    },
-    /// Give the caller its answer. The execution is over.
-    Answer(FinalAnswer),
-}
+use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsReply, StoredAnswer};
+use wingshore_types::{Instant, ServerId, Verdict};
 
 /// An attempt in flight.
 #[derive(Clone, Debug)]
@@ -109,7 +45,7 @@
     Over,
 }
 
-/// One caller's request; see the module's page.
+/// One caller's request; see the head of the module.
 #[derive(Debug)]
 pub struct RequestExecution {
     specification: RequestSpecification,
@@ -277,13 +213,11 @@
         refusal: Refusal,
         out: &mut Vec<ExecutionOutput>,
     ) {
-        let next_look = now + self.limits.slot_poll;
-        let waits = refusal.code == RefusalCode::NoCapacity
-            && next_look < slot_until
-            && next_look < self.specification.route.deadline;
-        if waits {
+        let deadline = self.specification.route.deadline;
+        let next_poll = next_slot_poll(&self.limits, now, refusal.code, slot_until, deadline);
+        if let Some(next_poll) = next_poll {
             self.phase = Phase::Waiting { slot_until };
-            out.push(ExecutionOutput::WaitUntil(next_look));
+            out.push(ExecutionOutput::WaitUntil(next_poll));
             return;
         }
         let error = RequestError::from_refusal(refusal, self.verdict);
@@ -309,7 +243,8 @@
             AttemptEnd::Answered { status, body, kept }
                 if body == AnswerBody::Whole || self.faults.accept_short_body =>
             {
-                router.on_finished(now, in_flight.ticket, outcome_of(now, &in_flight, status));
+                let latency = now.since(in_flight.sent_at);
+                router.on_finished(now, in_flight.ticket, outcome_of_answer(status, latency));
                 self.on_answer(attempt, kept, out);
             }
             AttemptEnd::Answered { .. } => {
@@ -348,12 +283,7 @@
         out: &mut Vec<ExecutionOutput>,
     ) {
         let verdict = failure.kind.verdict();
-        let outcome = match failure.kind {
-            FailureKind::RefusedByServer => AttemptOutcome::Refused,
-            FailureKind::LeaseLost => AttemptOutcome::Cancelled,
-            _ => AttemptOutcome::Failed(verdict),
-        };
-        router.on_finished(now, in_flight.ticket, outcome);
+        router.on_finished(now, in_flight.ticket, outcome_of_failure(failure.kind));
         self.verdict = self.verdict.worse(verdict);
         self.last_failure = Some(failure.clone());
         let is_own_fault = failure.kind == FailureKind::LeaseLost;
@@ -371,8 +301,8 @@
         if self.faults.retry_on_may_have_run {
             route.no_repeat = false;
         }
-        let allowed = !route.no_repeat || verdict.allows_retry_of_no_repeat();
-        allowed && self.attempts < self.limits.attempts && router.may_retry(now, &route, verdict)
+        may_retry(&self.limits, self.attempts, route.no_repeat, verdict)
+            && router.may_retry(now, &route, verdict)
     }
 
     fn wait_before_retry(
@@ -382,8 +312,7 @@
         out: &mut Vec<ExecutionOutput>,
     ) {
         self.specification.route.excluded.push(failed);
-        let doublings = self.attempts.saturating_sub(1).min(10);
-        let resume_at = now + self.limits.backoff * (1 << doublings);
+        let resume_at = now + backoff(&self.limits, self.attempts);
         self.phase = Phase::Waiting {
             slot_until: resume_at + self.limits.slot_wait,
         };
@@ -437,28 +366,14 @@
         self.finish(FinalAnswer::Error(error), out);
     }
 
-    /// Frees the key only when no attempt can have run.
     fn settle_by_verdict(&self, out: &mut Vec<ExecutionOutput>) {
-        let outcome = match self.verdict {
-            Verdict::NotRun => ClaimOutcome::NotRun,
-            Verdict::MayHaveRun => ClaimOutcome::Unknown,
-            Verdict::Ran => ClaimOutcome::Answered(None),
-        };
-        self.settle(outcome, out);
+        self.settle(outcome_of_verdict(self.verdict), out);
     }
 
     fn settle(&self, outcome: ClaimOutcome, out: &mut Vec<ExecutionOutput>) {
-        let Some(claim) = &self.specification.claim else {
-            return;
-        };
-        out.push(ExecutionOutput::Settle {
-            group: claim.group,
-            request: ClaimsRequest::Settle {
-                key: claim.key.clone(),
-                claimant: claim.claimant.clone(),
-                outcome,
-            },
-        });
+        if let Some(claim) = &self.specification.claim {
+            out.push(settle_output(claim, outcome));
+        }
     }
 
     fn finish(&mut self, mut answer: FinalAnswer, out: &mut Vec<ExecutionOutput>) {
@@ -469,24 +384,3 @@
         self.phase = Phase::Over;
     }
 }
-
-fn claim_output(claim: &ClaimIntent) -> ExecutionOutput {
-    ExecutionOutput::Claim {
-        group: claim.group,
-        request: ClaimsRequest::Claim {
-            key: claim.key.clone(),
-            fingerprint: claim.fingerprint,
-            claimant: claim.claimant.clone(),
-        },
-    }
-}
-
-/// What the router learns from a whole answer: a server error counts against the server.
-fn outcome_of(now: Instant, in_flight: &InFlight, status: u16) -> AttemptOutcome {
-    if status >= FIRST_SERVER_ERROR {
-        return AttemptOutcome::Failed(Verdict::Ran);
-    }
-    AttemptOutcome::Success {
-        latency: now.since(in_flight.sent_at),
-    }
-}
