--- a/crates/wingshore-ledger/src/lib.rs
+++ b/crates/wingshore-ledger/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! * [`samples`]: the life of rollout samples, from submission to the trainer's acknowledgement.
 //! * [`claims`]: idempotency keys, claimed before a request leaves for a back end.
-//! * [`batching`]: how either leader gathers requests into log commands.
+//! * `batching`: how either leader gathers requests into log commands.
 
-pub mod batching;
+mod batching;
 pub mod claims;
 pub mod samples;
 
--- a/crates/wingshore-ledger/src/samples/depth.rs
+++ b/crates/wingshore-ledger/src/samples/depth.rs
@@ -11,7 +11,6 @@
 use std::collections::BTreeMap;
 use wingshore_types::PoolId;
 use wingshore_types::configuration::Permille;
-use wingshore_types::protocol::ledger::LedgerRequest;
 
 /// Further steps that are generated ahead just below the full weight.
 const MOST_STEPS_AHEAD: u64 = 3;
@@ -29,27 +28,8 @@
         self.counts.insert(pool.clone(), count);
     }
 
-    /// The lease request, with as many samples as may be generated now.
-    pub(super) fn limit(&self, request: LedgerRequest, ledger: &PoolLedger) -> LedgerRequest {
-        let LedgerRequest::Lease {
-            pool,
-            node,
-            boot_id,
-            most,
-        } = request
-        else {
-            return request;
-        };
-        let most = most.min(self.grantable(&pool, ledger));
-        LedgerRequest::Lease {
-            pool,
-            node,
-            boot_id,
-            most,
-        }
-    }
-
-    fn grantable(&self, id: &PoolId, ledger: &PoolLedger) -> u32 {
+    /// How many more samples may be leased now.
+    pub(super) fn grantable(&self, id: &PoolId, ledger: &PoolLedger) -> u32 {
         let Some(count) = self.counts.get(id) else {
             return u32::MAX;
         };
--- a/crates/wingshore-ledger/src/samples/faults.rs
+++ b/crates/wingshore-ledger/src/samples/faults.rs
@@ -14,13 +14,3 @@
     /// A repeated pull of a step is given other samples.
     pub forget_handover: bool,
 }
-
-impl Faults {
-    /// No fault.
-    pub const NONE: Self = Self {
-        hand_over_without_age_check: false,
-        answer_before_commit: false,
-        accept_second_finish: false,
-        forget_handover: false,
-    };
-}
--- a/crates/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/wingshore-ledger/src/samples/finishing.rs
@@ -77,8 +77,8 @@
         let Some(step) = self.indexes.delivered.get(&number) else {
             return;
         };
-        let delivered = self.handed_over.get(step).and_then(|hand_over| {
-            let samples = &hand_over.batch.samples;
+        let delivered = self.recorded(*step).and_then(|batch| {
+            let samples = &batch.samples;
             samples.iter().find(|sample| sample.number == number)
         });
         let Some(delivered) = delivered else {
--- a/crates/wingshore-ledger/src/samples/leader.rs
+++ b/crates/wingshore-ledger/src/samples/leader.rs
@@ -89,11 +89,12 @@
                 self.depth.on_pull(&pool, pull.count);
                 self.wait_for_pull(now, tag, pool, pull, out);
             }
-            (request @ LedgerRequest::Lease { .. }, Some(ledger)) => {
-                let request = self.depth.limit(request, ledger);
+            (mut request, Some(ledger)) => {
+                if let LedgerRequest::Lease { pool, most, .. } = &mut request {
+                    *most = (*most).min(self.depth.grantable(pool, ledger));
+                }
                 self.answer_or_enqueue(tag, request, ledger, out);
             }
-            (request, Some(ledger)) => self.answer_or_enqueue(tag, request, ledger, out),
         }
     }
 
--- a/crates/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/wingshore-ledger/src/samples/numbers.rs
@@ -39,7 +39,7 @@
     }
 
     /// The lowest number that is still told apart.
-    pub fn floor(&self) -> u64 {
+    pub(super) fn floor(&self) -> u64 {
         self.floor
     }
 
--- a/crates/wingshore-ledger/src/samples/pool.rs
+++ b/crates/wingshore-ledger/src/samples/pool.rs
@@ -4,11 +4,12 @@
 use super::faults::Faults;
 use super::indexes::Indexes;
 use super::numbers::{NumberSet, Remembered};
-use super::pulls::HandOver;
 use super::stage::{Holder, OpenSample, QueueKey, Stage};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use wingshore_types::protocol::ledger::{LedgerCounts, LedgerRefusal, LedgerReply, SampleLease};
+use wingshore_types::protocol::ledger::{
+    Batch, LedgerCounts, LedgerRefusal, LedgerReply, SampleLease,
+};
 use wingshore_types::{
     Generation, LeaseId, NodeId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
 };
@@ -27,7 +28,8 @@
     /// The newest version the trainer has stated.
     pub(super) trainer_version: WeightVersion,
     pub(super) open: BTreeMap<SampleNumber, OpenSample>,
-    pub(super) handed_over: BTreeMap<StepId, HandOver>,
+    /// What each step got, until the trainer acknowledges it.
+    pub(super) handed_over: BTreeMap<StepId, Batch>,
     pub(super) acknowledged: NumberSet,
     pub(super) acknowledged_step: Option<StepId>,
     pub(super) acknowledged_count: u64,
@@ -112,8 +114,8 @@
         for sample in self.open.values() {
             indexes.insert(sample);
         }
-        for (step, hand_over) in &self.handed_over {
-            for sample in &hand_over.batch.samples {
+        for (step, batch) in &self.handed_over {
+            for sample in &batch.samples {
                 indexes.delivered.insert(sample.number, *step);
             }
         }
--- a/crates/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/wingshore-ledger/src/samples/pulls.rs
@@ -2,7 +2,6 @@
 
 use super::pool::{PoolLedger, invalid};
 use super::stage::{OpenSample, QueueKey, Stage, encoded_bytes};
-use serde::{Deserialize, Serialize};
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, PullRequest};
 use wingshore_types::{Sample, StepId, TrainerId, WeightVersion};
 
@@ -16,12 +15,6 @@
 /// When to come back after a pull that found too few samples, in milliseconds.
 pub(crate) const NOT_READY_RETRY_AFTER_MS: u64 = 100;
 
-/// A recorded hand-over. It is kept until the trainer acknowledges it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct HandOver {
-    pub(crate) batch: Batch,
-}
-
 /// How a pull stands, from the committed state.
 #[derive(Debug)]
 pub(crate) enum PullStanding<'a> {
@@ -48,9 +41,9 @@
         pull: &PullRequest,
     ) -> Result<PullStanding<'_>, LedgerRefusal> {
         self.check_trainer(&pull.trainer)?;
-        if let Some(hand_over) = self.handed_over.get(&pull.step) {
-            check_same_count(&hand_over.batch, pull)?;
-            return Ok(PullStanding::Recorded(&hand_over.batch));
+        if let Some(batch) = self.recorded(pull.step) {
+            check_same_count(batch, pull)?;
+            return Ok(PullStanding::Recorded(batch));
         }
         self.check_new_step(pull)?;
         if pull.weight_version > self.trainer_version {
@@ -67,9 +60,7 @@
 
     /// The batch recorded for a step.
     pub fn recorded(&self, step: StepId) -> Option<&Batch> {
-        self.handed_over
-            .get(&step)
-            .map(|hand_over| &hand_over.batch)
+        self.handed_over.get(&step)
     }
 
     /// The part of a handed-over batch that begins with sample `from`.
@@ -123,8 +114,8 @@
         if self.handed_over.first_key_value().map(|(first, _)| *first) != Some(step) {
             return LedgerReply::Refused(self.wrong_acknowledgement(step));
         }
-        if let Some(hand_over) = self.handed_over.remove(&step) {
-            self.free(&hand_over.batch);
+        if let Some(batch) = self.handed_over.remove(&step) {
+            self.free(&batch);
         }
         self.acknowledged_step = Some(step);
         LedgerReply::Done
@@ -210,7 +201,7 @@
             samples.extend(into_whole_sample(open));
         }
         let batch = self.batch(pull, samples);
-        self.handed_over.insert(pull.step, HandOver { batch });
+        self.handed_over.insert(pull.step, batch);
         LedgerReply::Done
     }
 
@@ -261,8 +252,8 @@
 
     /// The deliberate fault [`super::Faults::forget_handover`].
     fn forget(&mut self, step: StepId) {
-        if let Some(hand_over) = self.handed_over.remove(&step) {
-            for sample in &hand_over.batch.samples {
+        if let Some(batch) = self.handed_over.remove(&step) {
+            for sample in &batch.samples {
                 self.indexes.delivered.remove(&sample.number);
             }
         }
--- a/crates/wingshore-ledger/src/samples/state.rs
+++ b/crates/wingshore-ledger/src/samples/state.rs
@@ -49,11 +49,9 @@
     }
 
     fn apply_operation(&mut self, operation: Operation) -> LedgerReply {
-        if let Operation::Configure { pool, settings } = operation {
-            let faults = self.faults;
-            let new = || PoolLedger::new(settings.clone(), faults);
-            let ledger = self.pools.entry(pool).or_insert_with(new);
-            return ledger.configure(settings);
+        if let Operation::Configure { pool, settings } = &operation {
+            let new = || PoolLedger::new(settings.clone(), self.faults);
+            self.pools.entry(pool.clone()).or_insert_with(new);
         }
         match self.pools.get_mut(operation.pool()) {
             Some(pool) => apply_to_pool(pool, operation),
--- a/crates/wingshore-ledger/tests/depth.rs
+++ b/crates/wingshore-ledger/tests/depth.rs
@@ -11,7 +11,7 @@
 
 /// A pool whose trainer took one step and asks for the next; answers how many samples are leased.
 fn granted(weight: u16) -> usize {
-    let mut group = support::ledger(Faults::NONE);
+    let mut group = support::ledger(Faults::default());
     group.call(configure_weight(2, 2, MAX_OPEN * 4, Permille(weight)));
     ready(&mut group, 0..u64::from(COUNT), 1);
     group.call(pull(0, 1, COUNT, 0));
@@ -43,7 +43,7 @@
 
 #[gtest]
 fn delivered_samples_make_room_for_new_ones() {
-    let mut group = support::ledger(Faults::NONE);
+    let mut group = support::ledger(Faults::default());
     group.call(configure_weight(2, 2, MAX_OPEN * 4, Permille(0)));
     let mut next = 0;
     for step in 0..3 {
--- a/crates/wingshore-ledger/tests/growth.rs
+++ b/crates/wingshore-ledger/tests/growth.rs
@@ -54,7 +54,7 @@
 
 #[gtest]
 fn a_ledger_does_not_grow_with_the_steps_it_has_served() -> Result<()> {
-    let mut group = ledger(Faults::NONE);
+    let mut group = ledger(Faults::default());
     group.call(configure(1, 1_000_000, 1_000));
     (0..20).for_each(|number| step(&mut group, number, 1));
     let early = sizes(&group);
@@ -68,7 +68,7 @@
 /// Numbers that leave gaps are remembered one by one, up to a bound.
 #[gtest]
 fn a_ledger_remembers_scattered_numbers_up_to_a_bound() -> Result<()> {
-    let mut group = ledger(Faults::NONE);
+    let mut group = ledger(Faults::default());
     group.call(configure(1, 1_000_000, 1_000));
     let steps = NumberSet::MAX_RANGES as u64 / SAMPLES + 100;
     (0..steps).for_each(|number| step(&mut group, number, 3));
