--- a/crates/wingshore-ledger/src/claims/mod.rs
+++ b/crates/wingshore-ledger/src/claims/mod.rs
@@ -13,4 +13,4 @@
 pub use command::ClaimsCommand;
 pub use faults::Faults;
 pub use leader::ClaimsLeader;
-pub use state::{ClaimsLimits, ClaimsState, RESEND_WINDOW, RETENTION};
+pub use state::{ClaimsState, RESEND_WINDOW, RETENTION};
--- a/crates/wingshore-ledger/src/claims/state.rs
+++ b/crates/wingshore-ledger/src/claims/state.rs
@@ -27,15 +27,15 @@
 /// First byte of a snapshot.
 const SNAPSHOT_VERSION: u8 = 1;
 
-/// How much a claims group keeps. The same on every member: it decides replies.
+/// How much a claims group keeps. It decides replies, so it is part of the state and of snapshots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimsLimits {
+struct ClaimsLimits {
     /// Most keys.
-    pub keys: u64,
+    keys: u64,
     /// Most bytes of keys and answers, as estimated.
-    pub bytes: u64,
-    /// Largest answer body that is kept, in bytes.
-    pub answer_bytes: u64,
+    bytes: u64,
+    /// Largest answer that is kept, in bytes of its body and its content type.
+    answer_bytes: u64,
 }
 
 impl Default for ClaimsLimits {
@@ -65,14 +65,6 @@
 }
 
 impl ClaimsState {
-    /// An empty state with other limits than the usual ones.
-    pub fn with_limits(limits: ClaimsLimits) -> Self {
-        Self {
-            limits,
-            ..Self::default()
-        }
-    }
-
     /// Switches deliberate faults on or off; for tests only.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
--- a/crates/wingshore-ledger/tests/claims.rs
+++ b/crates/wingshore-ledger/tests/claims.rs
@@ -4,11 +4,12 @@
 
 use googletest::prelude::*;
 use proptest::prelude::*;
+use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use support::Group;
 use wingshore_ledger::claims::{
-    ClaimsCommand, ClaimsLeader, ClaimsLimits, ClaimsState, Faults, RESEND_WINDOW, RETENTION,
+    ClaimsCommand, ClaimsLeader, ClaimsState, Faults, RESEND_WINDOW, RETENTION,
 };
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::protocol::claims::{
@@ -311,26 +312,52 @@
     expect_that!(group.call(claim(1, 7, 2)), some(eq(&ClaimsReply::Granted)));
 }
 
+/// How much a group keeps, as its snapshots hold it.
+#[derive(Clone, Copy, Serialize)]
+struct Limits {
+    keys: u64,
+    bytes: u64,
+    answer_bytes: u64,
+}
+
+const USUAL_LIMITS: Limits = Limits {
+    keys: 1 << 21,
+    bytes: 512 << 20,
+    answer_bytes: 64 << 10,
+};
+
+/// An empty group with other limits: they are part of a snapshot, which says how much is kept.
+fn state_with(limits: Limits) -> ClaimsState {
+    let empty = |limits| {
+        let (clock_ms, entries) = (0_u64, 0_u64);
+        let mut snapshot = vec![1];
+        snapshot.extend(postcard::to_allocvec(&(clock_ms, limits, entries)).unwrap());
+        snapshot
+    };
+    assert_eq!(ClaimsState::default().snapshot(), empty(USUAL_LIMITS));
+    ClaimsState::restore(&empty(limits)).unwrap()
+}
+
 #[gtest]
 fn full_refuses_new_keys_and_forgets_none() {
     let cases = [
         (
             "keys",
-            ClaimsLimits {
+            Limits {
                 keys: 3,
-                ..ClaimsLimits::default()
+                ..USUAL_LIMITS
             },
         ),
         (
             "bytes",
-            ClaimsLimits {
+            Limits {
                 bytes: 1_500,
-                ..ClaimsLimits::default()
+                ..USUAL_LIMITS
             },
         ),
     ];
     for (name, limits) in cases {
-        let mut state = ClaimsState::with_limits(limits);
+        let mut state = state_with(limits);
         let replies: Vec<ClaimsReply> = (0..9)
             .flat_map(|key| apply(&mut state, 0, vec![claim(key, 7, 1)]))
             .collect();
@@ -357,11 +384,10 @@
 
 #[gtest]
 fn answers_that_are_too_large_are_remembered_as_run() {
-    let limits = ClaimsLimits {
+    let mut state = state_with(Limits {
         answer_bytes: 100,
-        ..ClaimsLimits::default()
-    };
-    let mut state = ClaimsState::with_limits(limits);
+        ..USUAL_LIMITS
+    });
     apply(&mut state, 0, vec![claim(1, 7, 1)]);
     apply(&mut state, 0, vec![settle(1, 1, answered(&[0; 101]))]);
     let reply = apply(&mut state, 0, vec![claim(1, 7, 2)]);
