--- a/crates/wingshore-rollout/src/cache_moves.rs
+++ b/crates/wingshore-rollout/src/cache_moves.rs
@@ -56,7 +56,7 @@
     /// Takes a slot on another engine and has the cache copied there; `None` where that does not
     /// pay or no other engine has a slot.
     fn copy_cache(&mut self, context: &mut Context<'_>, id: AttemptId) -> Option<()> {
-        let costs = self.settings.cache_moves?;
+        let costs = self.settings.cache_moves;
         let attempt = self.attempts.get(&id)?;
         let sample = self.held.get(attempt.lease)?.clone();
         let tokens = sample.prompt.tokens.len() + attempt.generation.tokens.len();
--- a/crates/wingshore-rollout/src/polls.rs
+++ b/crates/wingshore-rollout/src/polls.rs
@@ -2,13 +2,17 @@
 
 use crate::held::{HeldSample, is_older_than};
 use crate::messages::{CallId, RolloutOutput};
-use crate::runner::{Context, RolloutRunner};
+use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
 use std::time::Duration;
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease, UnscoredSample};
 use wingshore_types::{Generation, Instant, LeaseId};
 
 /// Most reports that may wait for the ledger before no more samples are leased.
 const MAX_WAITING_REPORTS: usize = 512;
+/// Most samples asked for by one lease request. Not measured.
+const MAX_LEASES_PER_REQUEST: u32 = 64;
+/// Time until the ledger is asked again when it had nothing to lease or to score. Not measured.
+const EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Leases are renewed when this part of their duration has passed.
 const RENEWAL_DIVISOR: u64 = 3;
 
@@ -100,7 +104,7 @@
             pool: self.pool.clone(),
             node: self.settings.node.clone(),
             boot_id: self.settings.boot_id,
-            most: wanted.min(self.settings.lease_batch),
+            most: wanted.min(MAX_LEASES_PER_REQUEST),
         };
         self.polls.lease.call = Some(self.ask(context, request));
     }
@@ -141,13 +145,13 @@
         let granted = match reply {
             Some(LedgerReply::Leases(granted)) => granted,
             _ => {
-                self.polls.lease.next = context.now + self.retry_pause();
+                self.polls.lease.next = context.now + RETRY_BACKOFF;
                 return;
             }
         };
         self.polls.ledger_is_empty = granted.is_empty();
         if granted.is_empty() {
-            self.polls.lease.next = context.now + self.settings.poll_interval;
+            self.polls.lease.next = context.now + EMPTY_POLL_INTERVAL;
         }
         for lease in granted {
             self.raise_oldest_useful(context, lease.oldest_useful);
@@ -178,9 +182,9 @@
         match reply {
             Some(LedgerReply::Lost(lost)) => self.drop_lost(context, &lost),
             _ => {
-                let pause = self.retry_pause();
-                self.polls.renew.next = context.now + pause;
-                self.renew_all_at(context.now + pause);
+                let retry_at = context.now + RETRY_BACKOFF;
+                self.polls.renew.next = retry_at;
+                self.renew_all_at(retry_at);
             }
         }
     }
@@ -206,12 +210,12 @@
         let samples: Vec<UnscoredSample> = match reply {
             Some(LedgerReply::Unscored(samples)) => samples,
             _ => {
-                self.polls.unscored.next = context.now + self.retry_pause();
+                self.polls.unscored.next = context.now + RETRY_BACKOFF;
                 return;
             }
         };
         if samples.is_empty() {
-            self.polls.unscored.next = context.now + self.settings.poll_interval;
+            self.polls.unscored.next = context.now + EMPTY_POLL_INTERVAL;
         }
         for sample in samples {
             self.score(context, sample);
--- a/crates/wingshore-rollout/src/runner.rs
+++ b/crates/wingshore-rollout/src/runner.rs
@@ -15,7 +15,11 @@
 use wingshore_types::protocol::ledger::{LedgerRefusal, LedgerReply, LedgerRequest};
 use wingshore_types::{Instant, PoolId, WeightVersion};
 
-/// What a runner holds and has done, for metrics.
+/// Time before a request to the ledger or the scorer that failed is sent again, and before a sample
+/// whose attempt generated nothing is started again. Not measured.
+pub(crate) const RETRY_BACKOFF: Duration = Duration::from_millis(200);
+
+/// What a runner holds and has done. Tests read it; no metric shows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// Samples that wait for a slot.
@@ -230,7 +234,7 @@
             None
             | Some(LedgerReply::Refused(LedgerRefusal::Full { .. } | LedgerRefusal::UnknownPool)) =>
             {
-                let due = context.now + self.settings.retry_pause;
+                let due = context.now + RETRY_BACKOFF;
                 self.reports.again(key, due);
             }
             Some(_) => {
@@ -277,8 +281,4 @@
         self.next_call += 1;
         CallId(self.next_call)
     }
-
-    pub(crate) fn retry_pause(&self) -> Duration {
-        self.settings.retry_pause
-    }
 }
--- a/crates/wingshore-rollout/src/scoring.rs
+++ b/crates/wingshore-rollout/src/scoring.rs
@@ -2,13 +2,17 @@
 
 use crate::messages::{RolloutOutput, ScoreCallId};
 use crate::reports::ReportKey;
-use crate::runner::{Context, RolloutRunner};
+use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::platform::ScoreRequest;
 use wingshore_types::protocol::ledger::{LedgerRequest, UnscoredSample};
 use wingshore_types::{Instant, LeaseId, SampleNumber};
 
+/// How long the scorer may take for one answer. Not measured.
+const SCORE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Requests to the scorer for one sample, before it is left to another node. Not measured.
+const MAX_SCORE_ATTEMPTS: u32 = 4;
 /// The scorer's own timeout may be reported late by so much before the answer is not waited for.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
@@ -46,15 +50,10 @@
     }
 
     /// Marks a task as asked and gives the call; `None` when it was asked often enough.
-    fn ask(
-        &mut self,
-        key: TaskKey,
-        due: Instant,
-        most: u32,
-    ) -> Option<(ScoreCallId, ScoreRequest)> {
+    fn ask(&mut self, key: TaskKey, due: Instant) -> Option<(ScoreCallId, ScoreRequest)> {
         self.forget_call(key);
         let task = self.tasks.get_mut(&key)?;
-        if task.requests >= most {
+        if task.requests >= MAX_SCORE_ATTEMPTS {
             self.tasks.remove(&key);
             return None;
         }
@@ -116,7 +115,7 @@
         let Some(key) = self.scoring.calls.remove(&call) else {
             return;
         };
-        let due = context.now + self.retry_pause();
+        let due = context.now + RETRY_BACKOFF;
         match score.filter(|score| score.is_finite()) {
             Some(score) => {
                 self.scoring.tasks.remove(&key);
@@ -142,15 +141,13 @@
             return;
         };
         let address = binding.pool.scorer;
-        let timeout = self.settings.score_timeout;
-        let due = context.now + timeout + ANSWER_MARGIN;
-        let most = self.settings.score_attempts;
-        if let Some((call, request)) = self.scoring.ask(key, due, most) {
+        let due = context.now + SCORE_TIMEOUT + ANSWER_MARGIN;
+        if let Some((call, request)) = self.scoring.ask(key, due) {
             context.out.push(RolloutOutput::Score {
                 call,
                 address,
                 request: Box::new(request),
-                timeout,
+                timeout: SCORE_TIMEOUT,
             });
         }
     }
--- a/crates/wingshore-rollout/src/settings.rs
+++ b/crates/wingshore-rollout/src/settings.rs
@@ -23,32 +23,18 @@
     pub boot_id: u64,
     /// Most samples running or waiting for a slot at once.
     pub window_most: u32,
-    /// Most samples asked for by one lease request.
-    pub lease_batch: u32,
-    /// Pause before asking again when the ledger had nothing.
-    pub poll_interval: Duration,
-    /// Pause before a failed request to the ledger or the scorer is sent again.
-    pub retry_pause: Duration,
-    /// The engine's limit for one attempt.
-    pub stream_deadline: Duration,
     /// A stream without its first event for so long is given up: the engine may queue it.
     pub first_event_timeout: Duration,
     /// A stream without a further event for so long is given up and resumed elsewhere.
     pub stall_timeout: Duration,
-    /// Priority of rollouts on engines; higher goes first.
-    pub priority: i32,
     /// How long attempts on a leaving engine may go on before they are moved.
     pub leaving_grace: Duration,
-    /// When attempts on a leaving engine move with their KV cache; `None` for never.
-    pub cache_moves: Option<CacheMoveCosts>,
+    /// When attempts on a leaving engine move with their KV cache.
+    pub cache_moves: CacheMoveCosts,
     /// Second attempts of stragglers; `None` for none.
     pub over_issue: Option<OverIssue>,
     /// Most samples at the scorer at once.
     pub score_concurrency: u32,
-    /// The scorer's limit for one answer.
-    pub score_timeout: Duration,
-    /// Requests to the scorer for one sample, before it is left to another node.
-    pub score_attempts: u32,
     /// How long a planned stop lets attempts go on.
     pub stop_limit: Duration,
 }
@@ -60,19 +46,12 @@
             node,
             boot_id,
             window_most: 512,
-            lease_batch: 64,
-            poll_interval: Duration::from_millis(100),
-            retry_pause: Duration::from_millis(200),
-            stream_deadline: Duration::from_secs(600),
             first_event_timeout: Duration::from_secs(30),
             stall_timeout: Duration::from_secs(5),
-            priority: 0,
             leaving_grace: Duration::from_secs(2),
-            cache_moves: Some(CacheMoveCosts::default()),
+            cache_moves: CacheMoveCosts::default(),
             over_issue: None,
             score_concurrency: 32,
-            score_timeout: Duration::from_secs(5),
-            score_attempts: 4,
             stop_limit: Duration::from_secs(5),
         }
     }
--- a/crates/wingshore-rollout/src/streams.rs
+++ b/crates/wingshore-rollout/src/streams.rs
@@ -3,8 +3,9 @@
 use crate::held::{HeldSample, is_older_than};
 use crate::messages::{AttemptId, RolloutOutput, StreamEnd};
 use crate::reports::ReportKey;
-use crate::runner::{Context, RolloutRunner};
+use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
 use std::net::SocketAddr;
+use std::time::Duration;
 use wingshore_routing::{
     Admitted, AttemptOutcome, Class, Refusal, RefusalCode, RouteRequest, Ticket,
 };
@@ -13,6 +14,12 @@
 use wingshore_types::protocol::ledger::LedgerRequest;
 use wingshore_types::{Generation, Instant, LeaseId, ServerId, Token, Verdict, WeightVersion};
 
+/// The engine's limit for one attempt, from its start. Not measured.
+const ATTEMPT_DEADLINE: Duration = Duration::from_secs(600);
+/// Priority of rollouts on engines; higher goes first. Live requests without a priority of their own
+/// have the same.
+const ROLLOUT_PRIORITY: i32 = 0;
+
 /// One attempt that runs.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
@@ -49,7 +56,7 @@
         }
         for lease in self.held.startable(context.now) {
             if let Err(refusal) = self.start(context, lease, None) {
-                let pause = refusal.retry_after.unwrap_or(self.retry_pause());
+                let pause = refusal.retry_after.unwrap_or(RETRY_BACKOFF);
                 self.refused_until = context.now + pause;
                 let running = self.attempts.len() as u32;
                 match refusal.code {
@@ -223,7 +230,7 @@
             class: Class::Rollout,
             prefix_hash: Some(hash_tokens(&sample.prompt.tokens)),
             tokens_estimate: sample.prompt.tokens.len() as u32,
-            deadline: context.now + self.settings.stream_deadline,
+            deadline: context.now + ATTEMPT_DEADLINE,
             no_repeat: false,
             excluded: avoided.into_iter().collect(),
             oldest_useful: Some(self.oldest_useful),
@@ -244,7 +251,7 @@
         resume: &Generation,
     ) -> EngineCompletionRequest {
         let binding = self.binding.as_ref();
-        let deadline = self.settings.stream_deadline.as_millis();
+        let deadline = ATTEMPT_DEADLINE.as_millis();
         EngineCompletionRequest {
             request_id: self.request_id(attempt),
             model: binding.map_or_else(String::new, |binding| binding.model.clone()),
@@ -252,7 +259,7 @@
             prompt: sample.prompt.tokens.clone(),
             resume: resume.tokens.clone(),
             max_tokens: sample.prompt.max_tokens,
-            priority: self.settings.priority,
+            priority: ROLLOUT_PRIORITY,
             stream: true,
             deadline_ms: u64::try_from(deadline).unwrap_or(u64::MAX),
             seed: sample.prompt.seed,
@@ -335,7 +342,7 @@
         let is_useful =
             tokens == Tokens::Keep && !is_older_than(&attempt.generation, self.oldest_useful);
         let own_tokens = attempt.generation.tokens.len() - attempt.resumed_tokens;
-        let not_before = now + self.retry_pause();
+        let not_before = now + RETRY_BACKOFF;
         let mut is_kept = false;
         self.held.update(attempt.lease, |sample| {
             sample.avoided = Some(attempt.server);
--- a/crates/wingshore-rollout/tests/support/mod.rs
+++ b/crates/wingshore-rollout/tests/support/mod.rs
@@ -404,10 +404,10 @@
     rollout.first_event_timeout = Duration::from_secs(1);
     rollout.leaving_grace = Duration::from_millis(500);
     // Copying always pays.
-    rollout.cache_moves = Some(CacheMoveCosts {
+    rollout.cache_moves = CacheMoveCosts {
         copy_base: Duration::ZERO,
         ..CacheMoveCosts::default()
-    });
+    };
     (settings.tune)(&mut rollout);
     let seed = index as u64;
     let mut router = Router::new(RouterSettings::default(), ZoneId::new("a"), seed);
