--- a/crates/wingshore-ledger/src/samples/leader.rs
+++ b/crates/wingshore-ledger/src/samples/leader.rs
@@ -169,8 +169,8 @@
                 },
                 out,
             ),
-            // Tried again at a later tick.
-            Waiting::Expiry(pool, leases) => self.lease_clock.ended(&pool, &leases),
+            // What follows is proposed again at a later tick.
+            Waiting::Expiry(pool, leases) => self.lease_clock.postpone(&pool, &leases),
             Waiting::HandOver(pool, _) => {
                 self.handing_over.remove(&pool);
             }
--- a/crates/wingshore-ledger/src/samples/lease_clock.rs
+++ b/crates/wingshore-ledger/src/samples/lease_clock.rs
@@ -51,6 +51,15 @@
         due
     }
 
+    /// The end of these leases had no room in the queue: they are due at the next tick, and may be
+    /// renewed until then.
+    pub(super) fn postpone(&mut self, pool: &PoolId, leases: &[LeaseId]) {
+        self.ended(pool, leases);
+        for lease in leases {
+            self.start(Instant::ZERO, pool, *lease, 0);
+        }
+    }
+
     /// The end of these leases was applied, or was not needed any more.
     pub(super) fn ended(&mut self, pool: &PoolId, leases: &[LeaseId]) {
         for lease in leases {
--- a/crates/wingshore-ledger/tests/samples_leader.rs
+++ b/crates/wingshore-ledger/tests/samples_leader.rs
@@ -438,3 +438,23 @@
     expect_that!(numbers.ranges() as u64, eq(most));
     expect_that!(numbers.remembers(5), eq(Remembered::Forgotten));
 }
+
+/// More operations than may queue and be in flight together.
+const TOO_MANY: u64 = 70_000;
+
+#[gtest]
+fn leases_that_run_out_while_the_queue_is_full_end_later() {
+    let mut group = ledger(Faults::default());
+    group.call(submit(0..2));
+    leased(&mut group, "node", 1, 2);
+    let mut refused = 0;
+    for number in 2..TOO_MANY {
+        let tag = group.request(submit([number]));
+        refused += usize::from(group.replies.contains_key(&tag));
+    }
+    expect_that!(refused, gt(0));
+    // The leases run out by the next tick, before anything that queues is committed.
+    group.now = group.now + Duration::from_millis(LEASE_MS);
+    group.pass(Duration::from_secs(1));
+    expect_that!(counts(&group).leased, eq(0));
+}
