--- a/crates/wingshore-ledger/src/claims/command.rs
+++ b/crates/wingshore-ledger/src/claims/command.rs
@@ -1,4 +1,4 @@
-//! What stands in the log of a claims group.
+//! Entries in the log of a claims group.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsRequest};
--- a/crates/wingshore-ledger/src/claims/entry.rs
+++ b/crates/wingshore-ledger/src/claims/entry.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use wingshore_types::protocol::claims::{ClaimKey, Claimant, StoredAnswer};
 
-/// Where a claim stands.
+/// Status of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Status {
     /// The claimant may have sent it.
--- a/crates/wingshore-ledger/src/claims/state.rs
+++ b/crates/wingshore-ledger/src/claims/state.rs
@@ -20,9 +20,9 @@
 pub const RESEND_WINDOW: Duration = Duration::from_secs(10 * 60);
 /// How long a freed claim is kept.
 const FREED_RETENTION: Duration = Duration::from_secs(60);
-/// When to ask again for a key that is taken, in milliseconds.
+/// Retry-after for a key that is taken, in milliseconds.
 const TAKEN_RETRY_AFTER_MS: u64 = 200;
-/// When to come back after a refusal for lack of room, in milliseconds.
+/// Retry-after of a refusal for lack of room, in milliseconds.
 pub(super) const FULL_RETRY_AFTER_MS: u64 = 1_000;
 /// First byte of a snapshot.
 const SNAPSHOT_VERSION: u8 = 1;
@@ -93,7 +93,7 @@
                 fingerprint,
                 claimant,
             } => match self.entries.get(key) {
-                Some(entry) => self.standing(entry, *fingerprint, claimant),
+                Some(entry) => self.known_reply(entry, *fingerprint, claimant),
                 None => None,
             },
             ClaimsRequest::Settle { key, claimant, .. } => match self.entries.get(key) {
@@ -104,7 +104,7 @@
     }
 
     /// The reply to a claim of a key that is remembered; `None` when it may be claimed anew.
-    fn standing(
+    fn known_reply(
         &self,
         entry: &Entry,
         fingerprint: u64,
--- a/crates/wingshore-ledger/src/samples/command.rs
+++ b/crates/wingshore-ledger/src/samples/command.rs
@@ -1,4 +1,4 @@
-//! What stands in the log of a ledger group.
+//! Entries in the log of a ledger group.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::configuration::Permille;
--- a/crates/wingshore-ledger/src/samples/depth.rs
+++ b/crates/wingshore-ledger/src/samples/depth.rs
@@ -13,7 +13,7 @@
 use wingshore_types::configuration::Permille;
 
 /// Further steps that are generated ahead just below the full weight.
-const MOST_STEPS_AHEAD: u64 = 3;
+const MAX_STEPS_AHEAD: u64 = 3;
 
 /// Samples a step of each pool takes, by its newest pull. In the leader's memory only: until the
 /// first pull after a change of leader nothing is held back.
@@ -49,6 +49,6 @@
     }
     let whole = u64::from(Permille::WHOLE.0);
     let weight = u64::from(weight.0);
-    let ahead = u64::from(count) * MOST_STEPS_AHEAD * weight * weight / (whole * whole);
+    let ahead = u64::from(count) * MAX_STEPS_AHEAD * weight * weight / (whole * whole);
     u32::try_from(u64::from(count) + ahead).ok()
 }
--- a/crates/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/wingshore-ledger/src/samples/numbers.rs
@@ -15,7 +15,7 @@
 }
 
 /// A set of numbers, kept as ranges. When there are more than `MAX_RANGES`, the lowest ones are
-/// given up: numbers there are then [`Remembered::Forgotten`], neither known nor new.
+/// forgotten: numbers there are then [`Remembered::Forgotten`], neither known nor new.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberSet {
     floor: u64,
@@ -62,7 +62,7 @@
         let first = below.map_or(number, |(first, _)| first);
         let last = above.unwrap_or(number);
         self.ranges.insert(first, last);
-        self.give_up_lowest();
+        self.forget_lowest();
     }
 
     fn range_at(&self, number: u64) -> Option<(u64, u64)> {
@@ -70,7 +70,7 @@
         (number <= last).then_some((first, last))
     }
 
-    fn give_up_lowest(&mut self) {
+    fn forget_lowest(&mut self) {
         while self.ranges.len() > Self::MAX_RANGES {
             if let Some((_, last)) = self.ranges.pop_first() {
                 self.floor = last.saturating_add(1);
--- a/crates/wingshore-ledger/src/samples/pool.rs
+++ b/crates/wingshore-ledger/src/samples/pool.rs
@@ -14,7 +14,7 @@
     Generation, LeaseId, NodeId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
 };
 
-/// When to come back after a refusal for lack of room, in milliseconds.
+/// Retry-after of a refusal for lack of room, in milliseconds.
 pub(crate) const FULL_RETRY_AFTER_MS: u64 = 500;
 /// Most leases granted by one request.
 pub(crate) const MAX_LEASES_PER_REQUEST: u32 = 256;
@@ -207,7 +207,7 @@
         LedgerReply::Done
     }
 
-    pub(super) fn give_back(&mut self, lease: LeaseId, partial: Generation) -> LedgerReply {
+    pub(super) fn return_lease(&mut self, lease: LeaseId, partial: Generation) -> LedgerReply {
         let Some(number) = self.indexes.leases.sample(lease) else {
             return LedgerReply::Done;
         };
--- a/crates/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/wingshore-ledger/src/samples/pulls.rs
@@ -12,12 +12,12 @@
 /// A part of a batch takes no further sample beyond this many bytes, so that it fits a frame
 /// between processes and holds up other answers on its connection only briefly.
 pub(crate) const PART_BYTES: usize = 8 << 20;
-/// When to come back after a pull that found too few samples, in milliseconds.
+/// Retry-after of a pull that found too few samples, in milliseconds.
 pub(crate) const NOT_READY_RETRY_AFTER_MS: u64 = 100;
 
-/// How a pull stands, from the committed state.
+/// Status of a pull, by the committed state.
 #[derive(Debug)]
-pub(crate) enum PullStanding<'a> {
+pub(crate) enum PullStatus<'a> {
     /// Recorded before: this is the answer.
     Recorded(&'a Batch),
     /// The trainer states a version that the state does not know yet.
@@ -32,28 +32,25 @@
 }
 
 impl PoolLedger {
-    /// How a pull stands.
+    /// Status of a pull.
     ///
     /// # Errors
     /// The refusal, when waiting would not help.
-    pub(crate) fn pull_standing(
-        &self,
-        pull: &PullRequest,
-    ) -> Result<PullStanding<'_>, LedgerRefusal> {
+    pub(crate) fn pull_status(&self, pull: &PullRequest) -> Result<PullStatus<'_>, LedgerRefusal> {
         self.check_trainer(&pull.trainer)?;
         if let Some(batch) = self.recorded(pull.step) {
             check_same_count(batch, pull)?;
-            return Ok(PullStanding::Recorded(batch));
+            return Ok(PullStatus::Recorded(batch));
         }
         self.check_new_step(pull)?;
         if pull.weight_version > self.trainer_version {
-            return Ok(PullStanding::NewerVersion);
+            return Ok(PullStatus::NewerVersion);
         }
         let ready = self.indexes.scored.len();
         if ready >= pull.count as usize {
-            return Ok(PullStanding::Ready);
+            return Ok(PullStatus::Ready);
         }
-        Ok(PullStanding::Waiting {
+        Ok(PullStatus::Waiting {
             ready: ready as u32,
         })
     }
@@ -95,12 +92,12 @@
             self.forget(pull.step);
         }
         self.observe_if_admissible(pull);
-        match self.pull_standing(pull) {
+        match self.pull_status(pull) {
             Err(refusal) => LedgerReply::Refused(refusal),
-            Ok(PullStanding::Recorded(_)) => LedgerReply::Done,
-            Ok(PullStanding::Ready) => self.record(pull),
-            Ok(PullStanding::NewerVersion) => LedgerReply::Refused(not_ready(0)),
-            Ok(PullStanding::Waiting { ready }) => LedgerReply::Refused(not_ready(ready)),
+            Ok(PullStatus::Recorded(_)) => LedgerReply::Done,
+            Ok(PullStatus::Ready) => self.record(pull),
+            Ok(PullStatus::NewerVersion) => LedgerReply::Refused(not_ready(0)),
+            Ok(PullStatus::Waiting { ready }) => LedgerReply::Refused(not_ready(ready)),
         }
     }
 
@@ -176,7 +173,7 @@
     }
 
     fn observe_if_admissible(&mut self, pull: &PullRequest) {
-        if matches!(self.pull_standing(pull), Ok(PullStanding::NewerVersion)) {
+        if matches!(self.pull_status(pull), Ok(PullStatus::NewerVersion)) {
             self.observe_version(pull.weight_version);
         }
     }
--- a/crates/wingshore-ledger/src/samples/scoring.rs
+++ b/crates/wingshore-ledger/src/samples/scoring.rs
@@ -10,9 +10,9 @@
 /// How long a finished sample is left to the first node it was given to for scoring. Each further
 /// offer lasts twice as long as the one before: a lost answer costs little, a slow scorer is not
 /// flooded.
-const FIRST_OFFER: Duration = Duration::from_secs(2);
+const INITIAL_OFFER: Duration = Duration::from_secs(2);
 /// Longest offer.
-const LONGEST_OFFER: Duration = Duration::from_secs(32);
+const MAX_OFFER: Duration = Duration::from_secs(32);
 /// Most finished samples in one answer.
 pub(crate) const MAX_UNSCORED_PER_REQUEST: u32 = 256;
 
@@ -107,7 +107,7 @@
         for sample in &offered {
             let key = (id.clone(), sample.number, sample.lease);
             let earlier = self.offers.get(&key).map(|offer| offer.duration);
-            let duration = earlier.map_or(FIRST_OFFER, |earlier| (earlier * 2).min(LONGEST_OFFER));
+            let duration = earlier.map_or(INITIAL_OFFER, |earlier| (earlier * 2).min(MAX_OFFER));
             let until = now + duration;
             self.offers.insert(key, Offer { until, duration });
         }
--- a/crates/wingshore-ledger/src/samples/stage.rs
+++ b/crates/wingshore-ledger/src/samples/stage.rs
@@ -1,4 +1,4 @@
-//! One open sample and where it stands.
+//! One open sample and its stage.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::{Generation, LeaseId, NodeId, Prompt, SampleNumber, Token, WeightVersion};
@@ -42,7 +42,7 @@
     pub(crate) generation: Generation,
 }
 
-/// Where an open sample stands.
+/// Stage of an open sample.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Stage {
     /// Waits for a lease.
--- a/crates/wingshore-ledger/src/samples/state.rs
+++ b/crates/wingshore-ledger/src/samples/state.rs
@@ -71,7 +71,7 @@
             ..
         } => pool.lease(node, boot_id, most),
         Operation::Expire { leases, .. } => pool.expire(&leases),
-        Operation::Return { lease, partial, .. } => pool.give_back(lease, partial),
+        Operation::Return { lease, partial, .. } => pool.return_lease(lease, partial),
         Operation::Finish {
             sample,
             lease,
--- a/crates/wingshore-ledger/src/samples/waiting_pulls.rs
+++ b/crates/wingshore-ledger/src/samples/waiting_pulls.rs
@@ -3,7 +3,7 @@
 use super::command::Operation;
 use super::leader::{LedgerLeader, Outputs, Waiting, refuse, reply};
 use super::pool::PoolLedger;
-use super::pulls::{PullStanding, not_ready, part_of};
+use super::pulls::{PullStatus, not_ready, part_of};
 use super::state::LedgerState;
 use std::time::Duration;
 use wingshore_types::machine::RequestTag;
@@ -67,25 +67,25 @@
         pool: &PoolLedger,
         out: &mut Outputs,
     ) -> Option<LedgerReply> {
-        match pool.pull_standing(&waiting.pull) {
+        match pool.pull_status(&waiting.pull) {
             Err(refusal) => Some(LedgerReply::Refused(refusal)),
-            Ok(PullStanding::Recorded(_)) if self.faults.forget_handover => {
+            Ok(PullStatus::Recorded(_)) if self.faults.forget_handover => {
                 Some(self.answer_anew(waiting, pool, out))
             }
-            Ok(PullStanding::Recorded(batch)) => Some(first_part(batch)),
-            Ok(PullStanding::NewerVersion) => {
+            Ok(PullStatus::Recorded(batch)) => Some(first_part(batch)),
+            Ok(PullStatus::NewerVersion) => {
                 self.observe(waiting, out);
                 None
             }
-            Ok(PullStanding::Ready) => {
+            Ok(PullStatus::Ready) => {
                 self.propose_hand_over(waiting, out);
                 let early = self.faults.answer_before_commit;
                 early.then(|| first_part(&pool.preview(&waiting.pull)))
             }
-            Ok(PullStanding::Waiting { ready }) if now >= waiting.deadline => {
+            Ok(PullStatus::Waiting { ready }) if now >= waiting.deadline => {
                 Some(LedgerReply::Refused(not_ready(ready)))
             }
-            Ok(PullStanding::Waiting { .. }) => None,
+            Ok(PullStatus::Waiting { .. }) => None,
         }
     }
 
