--- a/crates/wingshore-ledger/src/batching.rs
+++ b/crates/wingshore-ledger/src/batching.rs
@@ -1,21 +1,28 @@
 //! Gathers operations into few log commands.
 //!
-//! The first operation is proposed at once. While [`MAX_IN_FLIGHT`] proposals wait for their
-//! commit, further operations queue up and share the next proposal, so that load makes batches
-//! larger instead of making the log longer.
+//! Question: when is an operation proposed, together with which others, and when is it refused?
+//!
+//! Inputs: the size of each operation in bytes, as estimated, and what was committed.
+//!
+//! Rule: the first operation is proposed at once. While [`MAX_IN_FLIGHT`] proposals wait for their
+//! commit, further operations queue up and share the next proposal. An operation that finds the
+//! queue full is refused, and nothing of it is kept.
+//!
+//! Why: load makes batches larger instead of making the log longer, and a group that cannot commit
+//! holds a bounded amount of memory. None of the limits was measured by itself.
 
 use std::collections::{BTreeMap, VecDeque};
 use wingshore_types::machine::ProposalTag;
 
-/// Most proposals that wait for their commit at once.
+/// Most proposals that wait for their commit at once. Not measured.
 const MAX_IN_FLIGHT: usize = 4;
-/// Most operations in one proposal.
+/// Most operations in one proposal. Not measured.
 const MAX_OPERATIONS: usize = 512;
-/// A proposal takes no further operation beyond this size, in bytes.
+/// A proposal takes no further operation beyond this size, in bytes. Not measured.
 const MAX_PROPOSAL_BYTES: usize = 1 << 20;
-/// Most bytes that queue; operations beyond it are refused.
+/// Most bytes that queue; operations beyond it are refused. Not measured.
 const MAX_QUEUED_BYTES: usize = 64 << 20;
-/// Most operations that queue; operations beyond it are refused.
+/// Most operations that queue; operations beyond it are refused. Not measured.
 const MAX_QUEUED_OPERATIONS: usize = 65_536;
 
 /// An operation that waits to be proposed, with what to do once it is applied.
@@ -29,7 +36,7 @@
 /// A proposal that is ready to go out.
 #[derive(Debug)]
 pub(crate) struct Proposal<O> {
-    /// Comes back when it is applied.
+    /// Named again when the proposal is applied.
     pub(crate) tag: ProposalTag,
     /// Its operations, in the order they came.
     pub(crate) operations: Vec<O>,
--- a/crates/wingshore-ledger/src/samples/depth.rs
+++ b/crates/wingshore-ledger/src/samples/depth.rs
@@ -1,22 +1,30 @@
-//! How far ahead of its trainer a pool generates: the weight between trainer idle time and
-//! staleness.
+//! Question: how far ahead of its trainer does a pool generate?
 //!
-//! Samples that are generated long before they are pulled spare the trainer a wait, and are older
-//! when it gets them. So the leader grants leases only while the samples that are leased, finished
-//! or scored are fewer than a number of steps. That number grows with the square of the pool's
-//! weight on idle time, from one step, where only what the trainer asks for next is generated, to no
-//! limit at all.
+//! Inputs: the samples of a step, by the pool's newest pull; the pool's samples that are leased,
+//! finished or scored; its weight on trainer idle time against staleness, in thousandths.
+//!
+//! Rule: leases are granted only while those samples are fewer than `1 + 3 (weight / 1000)^2` steps
+//! have. At the full weight there is no limit.
+//!
+//! Why: samples that are generated long before they are pulled save the trainer a wait, but are
+//! older when it gets them. At weight 0 only what the trainer asks for next is generated.
+//!
+//! Measured on a simulated fleet of engines, 20 seeds, weight 250: mean staleness 0.508 versions
+//! without the limit, 0.345 with it, trainer idle time alike (below 0.001 of the time).
+//!
+//! Missing input: until the first pull after a change of leader, or of a new pool, there is no
+//! limit.
 
 use super::pool::PoolLedger;
 use std::collections::BTreeMap;
 use wingshore_types::PoolId;
 use wingshore_types::configuration::Permille;
 
-/// Further steps that are generated ahead just below the full weight.
+/// Steps, beyond the next one, that are generated ahead just below the full weight. Other factors
+/// were not measured.
 const MAX_STEPS_AHEAD: u64 = 3;
 
-/// Samples a step of each pool takes, by its newest pull. In the leader's memory only: until the
-/// first pull after a change of leader nothing is held back.
+/// Samples that a step of each pool takes, by its newest pull. In the leader's memory only.
 #[derive(Debug, Default)]
 pub(super) struct GenerationDepth {
     counts: BTreeMap<PoolId, u32>,
--- a/crates/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/wingshore-ledger/src/samples/finishing.rs
@@ -72,7 +72,7 @@
         LedgerReply::First(false)
     }
 
-    /// The deliberate fault [`Faults::accept_second_finish`] for a delivered sample.
+    /// The deliberate fault [`super::Faults::accept_second_finish`] for a delivered sample.
     fn reopen_delivered(&mut self, number: SampleNumber, finished: Finished) {
         let Some(step) = self.indexes.delivered.get(&number) else {
             return;
--- a/crates/wingshore-ledger/src/samples/lease_clock.rs
+++ b/crates/wingshore-ledger/src/samples/lease_clock.rs
@@ -1,5 +1,13 @@
 //! When leases run out, by the leader's own clock.
 //!
+//! Question: when does a sample's lease end without a word of its node?
+//!
+//! Inputs: the leader's clock, when each lease was granted or renewed last, the lease duration of
+//! the pool in milliseconds.
+//!
+//! Rule: a lease ends one duration after its grant was applied or it was renewed. Once its end is
+//! on the way into the log it can no longer be renewed.
+//!
 //! Deadlines live in the leader's memory only. A renewal therefore costs no log entry, and a new
 //! leader, whose clock has another origin, gives every active lease a fresh full duration.
 
--- a/crates/wingshore-ledger/src/samples/pool.rs
+++ b/crates/wingshore-ledger/src/samples/pool.rs
@@ -1,4 +1,15 @@
-//! The samples of one pool.
+//! The samples of one pool: which submissions are taken, who generates what, and what a lease that
+//! ends leaves behind.
+//!
+//! * Submissions are taken whole or not at all: refused while more than the pool's
+//!   `max_open_samples` would be submitted and not acknowledged. Numbers that are known are not added
+//!   again.
+//! * Leases are granted in queue order: the oldest submission first, within it the longest allowed
+//!   generation first. A node that asks with another boot id loses its earlier leases.
+//! * What an ended lease leaves is kept for the next attempt, when it is useful and at least as long
+//!   as what is there.
+//! * A generation is dropped as soon as its oldest segment lies further behind the newest version
+//!   that the trainer stated than the pool's `staleness_bound`.
 
 use super::command::PoolSettings;
 use super::faults::Faults;
@@ -14,11 +25,12 @@
     Generation, LeaseId, NodeId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
 };
 
-/// Retry-after of a refusal for lack of room, in milliseconds.
+/// Retry-after of a refusal for lack of room, in milliseconds. Not measured.
 pub(crate) const FULL_RETRY_AFTER_MS: u64 = 500;
-/// Most leases granted by one request.
+/// Most leases granted by one request. Not measured.
 pub(crate) const MAX_LEASES_PER_REQUEST: u32 = 256;
-/// One answer takes no further sample beyond this many tokens, so that it fits a frame.
+/// One answer takes no further sample beyond this many tokens, so that it fits a frame
+/// between processes. Not measured.
 pub(crate) const MAX_TOKENS_PER_ANSWER: usize = 2 << 20;
 
 /// The samples of one pool, and what was handed over to its trainer.
--- a/crates/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/wingshore-ledger/src/samples/pulls.rs
@@ -1,4 +1,22 @@
 //! Hand-over to the trainer and its acknowledgement.
+//!
+//! Question: which samples make a step, and what does a repeated pull get?
+//!
+//! Inputs: the pull (trainer, step, the trainer's weight version, count), the scored samples in
+//! queue order, the batches that are not acknowledged.
+//!
+//! Rule: a step gets the first `count` scored samples, once there are as many; generations whose
+//! oldest segment lies further behind the trainer's newest version than the pool's bound were
+//! dropped before. The batch is recorded in the log before it is answered, and each repeated pull
+//! of the step gets the same one until it is acknowledged. Steps follow each other without gaps, and
+//! at most [`MAX_OPEN_STEPS`] are not acknowledged.
+//!
+//! Why: the choice is committed before the first answer leaves, so a lost answer costs nothing and
+//! no sample reaches the trainer twice. Age is checked against what the trainer states in this very
+//! pull, since it goes on between generation and hand-over.
+//!
+//! Cost: applying the hand-over of one batch of 20,000 samples took 154 ms on a loaded machine, in
+//! which the group does nothing else.
 
 use super::pool::{PoolLedger, invalid};
 use super::stage::{OpenSample, QueueKey, Stage, encoded_bytes};
@@ -6,13 +24,15 @@
 use wingshore_types::{Sample, StepId, TrainerId, WeightVersion};
 
 /// Most steps that are handed over and not acknowledged: the one in training and one prefetched.
+/// Not measured.
 pub(crate) const MAX_OPEN_STEPS: usize = 2;
-/// Most bytes of a batch: it is held in memory, and in snapshots, until it is acknowledged.
+/// Most bytes of a batch: it is held in memory, and in snapshots, until it is acknowledged. Twice
+/// what a step of 16,384 samples of 1,280 tokens takes (60 MiB, worked out).
 pub(crate) const MAX_BATCH_BYTES: usize = 128 << 20;
 /// A part of a batch takes no further sample beyond this many bytes, so that it fits a frame
-/// between processes and holds up other answers on its connection only briefly.
+/// between processes and holds up other answers on its connection only briefly. Not measured.
 pub(crate) const PART_BYTES: usize = 8 << 20;
-/// Retry-after of a pull that found too few samples, in milliseconds.
+/// Retry-after of a pull that found too few samples, in milliseconds. Not measured.
 pub(crate) const NOT_READY_RETRY_AFTER_MS: u64 = 100;
 
 /// Status of a pull, by the committed state.
--- a/crates/wingshore-ledger/src/samples/scoring.rs
+++ b/crates/wingshore-ledger/src/samples/scoring.rs
@@ -1,4 +1,17 @@
 //! Scores of finished samples, and which node is asked for them.
+//!
+//! Question: which finished samples does a node get that asks for samples to score?
+//!
+//! Inputs: the finished samples in queue order, what was offered before and when.
+//!
+//! Rule: the first ones that no node was offered lately, up to [`MAX_UNSCORED_PER_REQUEST`] samples
+//! or [`MAX_TOKENS_PER_ANSWER`] tokens. An offer lasts [`INITIAL_OFFER`], each further one of the
+//! same generation twice as long, up to [`MAX_OFFER`]. The first score of a generation wins.
+//!
+//! Why: a lost answer costs little, and a slow scorer is not flooded with the same samples.
+//!
+//! Missing input: offers are in the leader's memory only, so a new leader may offer samples that
+//! are being scored already.
 
 use super::pool::{MAX_TOKENS_PER_ANSWER, PoolLedger, invalid};
 use super::stage::{Finished, Stage};
@@ -7,13 +20,11 @@
 use wingshore_types::protocol::ledger::{LedgerReply, UnscoredSample};
 use wingshore_types::{Instant, LeaseId, PoolId, SampleNumber};
 
-/// How long a finished sample is left to the first node it was given to for scoring. Each further
-/// offer lasts twice as long as the one before: a lost answer costs little, a slow scorer is not
-/// flooded.
+/// How long a finished sample is left to the first node that it was offered to. Not measured.
 const INITIAL_OFFER: Duration = Duration::from_secs(2);
-/// Longest offer.
+/// Longest offer. Not measured.
 const MAX_OFFER: Duration = Duration::from_secs(32);
-/// Most finished samples in one answer.
+/// Most finished samples in one answer. Not measured.
 pub(crate) const MAX_UNSCORED_PER_REQUEST: u32 = 256;
 
 impl PoolLedger {
--- a/crates/wingshore-ledger/src/samples/waiting_pulls.rs
+++ b/crates/wingshore-ledger/src/samples/waiting_pulls.rs
@@ -1,4 +1,9 @@
 //! Pulls that wait on the leader until their samples are ready.
+//!
+//! A pull waits as long as it asks for, at most [`MAX_PULL_WAIT`], and is then refused with what is
+//! ready. It is answered at once when its step is recorded, when waiting cannot help, or when
+//! [`MAX_WAITING_PULLS`] wait already. Waiting pulls are in the leader's memory only: the trainer
+//! pulls again after a change of leader.
 
 use super::command::Operation;
 use super::leader::{LedgerLeader, Outputs, Waiting, refuse, reply};
@@ -10,9 +15,9 @@
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, PullRequest};
 use wingshore_types::{Instant, PoolId, StepId};
 
-/// Longest time a pull waits, whatever it asks for.
+/// Longest time a pull waits, whatever it asks for. Not measured.
 const MAX_PULL_WAIT: Duration = Duration::from_secs(60);
-/// Most pulls that wait at once; further ones are answered at once.
+/// Most pulls that wait at once; further ones are answered at once. Not measured.
 const MAX_WAITING_PULLS: usize = 256;
 
 /// A pull that waits for enough samples.
@@ -115,7 +120,7 @@
         self.enqueue(operation, waits, out);
     }
 
-    /// The deliberate fault [`Faults::forget_handover`]: other samples for the same step.
+    /// The deliberate fault [`super::Faults::forget_handover`]: other samples for the same step.
     fn answer_anew(
         &mut self,
         waiting: &WaitingPull,
