--- a/crates/wingshore-ledger/src/claims/state.rs
+++ b/crates/wingshore-ledger/src/claims/state.rs
@@ -13,7 +13,7 @@
 };
 use wingshore_types::snapshot;
 
-/// How long a claim is kept after its last change. Promised to callers; not measured.
+/// How long a claim is kept after its last change. Not measured.
 pub const RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 /// For how long an attempt's own claim, sent again, is granted again. A key is thus remembered for
 /// [`RETENTION`] less this time after the latest answer by which anyone could have sent it. Not measured.
--- a/crates/wingshore-ledger/src/samples/mod.rs
+++ b/crates/wingshore-ledger/src/samples/mod.rs
@@ -10,6 +10,7 @@
 mod depth;
 mod faults;
 mod finishing;
+mod grants;
 mod indexes;
 mod leader;
 mod lease_clock;
@@ -21,6 +22,7 @@
 mod scoring;
 mod stage;
 mod state;
+mod submissions;
 mod waiting_pulls;
 
 pub use command::{LedgerCommand, Operation, PoolSettings};
--- a/crates/wingshore-ledger/src/samples/pool.rs
+++ b/crates/wingshore-ledger/src/samples/pool.rs
@@ -1,34 +1,23 @@
-//! The samples of one pool: which submissions are taken, who generates what, and what a lease that
-//! ends leaves behind.
+//! The samples of one pool and their stages; the rules by which they move stand in the modules beside
+//! this one.
 //!
-//! * Submissions are taken whole or not at all: refused while more than the pool's
-//!   `max_open_samples` would be submitted and not acknowledged. Numbers that are known are not added
-//!   again.
-//! * Leases are granted in queue order: the oldest submission first, within it the longest allowed
-//!   generation first. A node that asks with another boot id loses its earlier leases.
-//! * What an ended lease leaves is kept for the next attempt, when it is useful and at least as long
-//!   as what is there.
-//! * A generation is dropped as soon as its oldest segment lies further behind the newest version
-//!   that the trainer stated than the pool's `staleness_bound`.
+//! A generation is dropped as soon as its oldest segment lies further behind the newest version that
+//! the trainer stated than the pool's `staleness_bound`.
 
 use super::command::PoolSettings;
 use super::faults::Faults;
 use super::indexes::Indexes;
 use super::numbers::{NumberSet, Remembered};
-use super::stage::{Holder, OpenSample, QueueKey, Stage};
+use super::stage::{OpenSample, QueueKey, Stage};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
-use wingshore_types::protocol::ledger::{
-    Batch, LedgerCounts, LedgerRefusal, LedgerReply, SampleLease,
-};
+use std::collections::BTreeMap;
+use wingshore_types::protocol::ledger::{Batch, LedgerCounts, LedgerRefusal, LedgerReply};
 use wingshore_types::{
-    Generation, LeaseId, NodeId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
+    Generation, LeaseId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
 };
 
 /// Retry-after of a refusal for lack of room, in milliseconds. Not measured.
 pub(crate) const FULL_RETRY_AFTER_MS: u64 = 500;
-/// Most leases granted by one request. Not measured.
-pub(crate) const MAX_LEASES_PER_REQUEST: u32 = 256;
 /// One answer takes no further sample beyond this many tokens, so that it fits a frame
 /// between processes. Not measured.
 pub(crate) const MAX_TOKENS_PER_ANSWER: usize = 2 << 20;
@@ -45,7 +34,7 @@
     pub(super) acknowledged: NumberSet,
     pub(super) acknowledged_step: Option<StepId>,
     pub(super) acknowledged_count: u64,
-    next_submission: u64,
+    pub(super) next_submission: u64,
     pub(super) next_lease: u64,
     pub(super) duplicates_dropped: u64,
     pub(super) regenerated: u64,
@@ -114,13 +103,6 @@
         self.indexes.leases.sample(lease).is_some()
     }
 
-    /// Whether a lease request would change anything.
-    pub(super) fn lease_would_change(&self, node: &NodeId, boot_id: u64, most: u32) -> bool {
-        let old_boots = self.indexes.leases.of_other_boots(node, boot_id);
-        let grants = most > 0 && !self.indexes.pending.is_empty();
-        grants || !old_boots.is_empty()
-    }
-
     pub(super) fn rebuild_indexes(&mut self) {
         let mut indexes = Indexes::default();
         for sample in self.open.values() {
@@ -142,95 +124,6 @@
         LedgerReply::Done
     }
 
-    /// Checks a submission without making it.
-    ///
-    /// # Errors
-    /// The refusal; nothing of the submission may be added then.
-    pub(super) fn check_submission(&self, prompts: &[Prompt]) -> Result<(), LedgerRefusal> {
-        let mut new = BTreeSet::new();
-        for prompt in prompts {
-            self.check_prompt(prompt)?;
-            if !self.is_known(prompt.number) {
-                new.insert(prompt.number);
-            }
-        }
-        let limit = self.settings.max_open_samples as usize;
-        if new.len() > limit {
-            return Err(invalid(format!(
-                "{} new samples at once; the pool allows {limit} open ones",
-                new.len()
-            )));
-        }
-        if new.len() + self.open_count() > limit && !new.is_empty() {
-            return Err(LedgerRefusal::Full {
-                retry_after_ms: FULL_RETRY_AFTER_MS,
-            });
-        }
-        Ok(())
-    }
-
-    /// The answer to a submission that would add nothing.
-    pub(super) fn answer_submission(&self, prompts: &[Prompt]) -> Option<LedgerReply> {
-        if let Err(refusal) = self.check_submission(prompts) {
-            return Some(LedgerReply::Refused(refusal));
-        }
-        let all_known = prompts.iter().all(|prompt| self.is_known(prompt.number));
-        all_known.then_some(LedgerReply::Submitted {
-            added: 0,
-            known: prompts.len() as u32,
-        })
-    }
-
-    pub(super) fn submit(&mut self, prompts: Vec<Prompt>) -> LedgerReply {
-        if let Err(refusal) = self.check_submission(&prompts) {
-            return LedgerReply::Refused(refusal);
-        }
-        let submission = self.next_submission;
-        self.next_submission += 1;
-        let mut added = 0;
-        let mut known = 0;
-        for prompt in prompts {
-            if self.is_known(prompt.number) {
-                known += 1;
-                continue;
-            }
-            added += 1;
-            self.add_pending(QueueKey::new(submission, &prompt), prompt);
-        }
-        LedgerReply::Submitted { added, known }
-    }
-
-    pub(super) fn lease(&mut self, node: NodeId, boot_id: u64, most: u32) -> LedgerReply {
-        let ended = self.indexes.leases.of_other_boots(&node, boot_id);
-        self.expire(&ended);
-        let chosen = self.next_pending(most.min(MAX_LEASES_PER_REQUEST));
-        let holder = Holder { node, boot_id };
-        let granted = chosen
-            .into_iter()
-            .filter_map(|key| self.grant(key.number(), &holder))
-            .collect();
-        LedgerReply::Leases(granted)
-    }
-
-    pub(super) fn expire(&mut self, leases: &[LeaseId]) -> LedgerReply {
-        for lease in leases {
-            self.end_lease(*lease, None);
-        }
-        LedgerReply::Done
-    }
-
-    pub(super) fn return_lease(&mut self, lease: LeaseId, partial: Generation) -> LedgerReply {
-        let Some(number) = self.indexes.leases.sample(lease) else {
-            return LedgerReply::Done;
-        };
-        let most = self.open.get(&number).map(|open| open.prompt.max_tokens);
-        if let Err(refusal) = check_generation(&partial, most.unwrap_or(0)) {
-            return LedgerReply::Refused(refusal);
-        }
-        self.end_lease(lease, Some(partial));
-        LedgerReply::Done
-    }
-
     /// Drops generations that the trainer's version has left too far behind: whole ones are
     /// generated again, partial ones are forgotten.
     pub(super) fn observe_version(&mut self, version: WeightVersion) -> LedgerReply {
@@ -276,27 +169,6 @@
         })
     }
 
-    fn open_count(&self) -> usize {
-        self.open.len() + self.indexes.delivered.len()
-    }
-
-    fn check_prompt(&self, prompt: &Prompt) -> Result<(), LedgerRefusal> {
-        let number = prompt.number;
-        if prompt.max_tokens == 0 {
-            return Err(invalid(format!(
-                "sample {number}: max_tokens is 0; it must be at least 1"
-            )));
-        }
-        let is_forgotten = self.acknowledged.remembers(number.0) == Remembered::Forgotten;
-        if is_forgotten && !self.open.contains_key(&number) {
-            return Err(invalid(format!(
-                "sample {number}: numbers below {} are no longer told apart; number upwards",
-                self.acknowledged.floor()
-            )));
-        }
-        Ok(())
-    }
-
     pub(super) fn add_pending(&mut self, key: QueueKey, prompt: Prompt) {
         let sample = OpenSample {
             key,
@@ -309,60 +181,6 @@
         self.open.insert(key.number(), sample);
     }
 
-    /// The next samples to lease, as many as fit one answer; one at least.
-    fn next_pending(&self, most: u32) -> Vec<QueueKey> {
-        let mut tokens = 0;
-        let mut chosen = Vec::new();
-        for key in self.indexes.pending.iter().take(most as usize) {
-            if tokens >= MAX_TOKENS_PER_ANSWER {
-                break;
-            }
-            tokens += self.open.get(&key.number()).map_or(0, OpenSample::tokens);
-            chosen.push(*key);
-        }
-        chosen
-    }
-
-    fn grant(&mut self, number: SampleNumber, holder: &Holder) -> Option<SampleLease> {
-        let sample = self.open.get(&number)?;
-        let Stage::Pending { partial } = &sample.stage else {
-            return None;
-        };
-        let lease = LeaseId(self.next_lease);
-        self.next_lease += 1;
-        let granted = SampleLease {
-            lease,
-            prompt: sample.prompt.clone(),
-            partial: partial.clone(),
-            oldest_useful: self.oldest_useful(),
-            duration_ms: self.settings.sample_lease_ms,
-        };
-        let stage = Stage::Leased {
-            lease,
-            holder: holder.clone(),
-            partial: partial.clone(),
-        };
-        self.set_stage(number, stage);
-        Some(granted)
-    }
-
-    /// Ends an active lease. A newer partial generation replaces the one kept, when it is useful
-    /// and at least as long.
-    fn end_lease(&mut self, lease: LeaseId, newer: Option<Generation>) {
-        let Some(number) = self.indexes.leases.sample(lease) else {
-            return;
-        };
-        let kept = match self.open.get(&number).map(|sample| &sample.stage) {
-            Some(Stage::Leased { partial, .. }) => partial.clone(),
-            _ => Generation::default(),
-        };
-        let is_better = |newer: &Generation| {
-            !self.is_too_old(newer.oldest_version()) && newer.tokens.len() >= kept.tokens.len()
-        };
-        let partial = newer.filter(is_better).unwrap_or(kept);
-        self.set_stage(number, Stage::Pending { partial });
-    }
-
     pub(super) fn is_too_old(&self, oldest: Option<WeightVersion>) -> bool {
         oldest.is_some_and(|oldest| oldest < self.oldest_useful())
     }
