--- a/crates/wingshore-routing/src/request.rs
+++ b/crates/wingshore-routing/src/request.rs
@@ -155,8 +155,6 @@
     pub open: bool,
     /// Whether anyone says that it is leaving.
     pub leaving: bool,
-    /// Whether probes find it healthy.
-    pub healthy: bool,
     /// Whether it is ejected for failures now.
     pub ejected: bool,
     /// The weight version of its own last report.
--- a/crates/wingshore-routing/src/router/observe.rs
+++ b/crates/wingshore-routing/src/router/observe.rs
@@ -91,15 +91,7 @@
             AttemptOutcome::Failed(_) => self.on_failed(now, attempt),
             AttemptOutcome::Cancelled => {}
         }
-        if self
-            .fleet
-            .server(attempt.server)
-            .membership
-            .admission
-            .is_none()
-        {
-            self.free_if_gone(attempt.server);
-        }
+        self.free_if_gone(attempt.server);
     }
 
     fn on_success(&mut self, now: Instant, attempt: Attempt, latency: Duration) {
--- a/crates/wingshore-routing/src/router/report.rs
+++ b/crates/wingshore-routing/src/router/report.rs
@@ -33,7 +33,6 @@
             in_subset: server.is_member,
             open: server.is_member && server.is_open(now, self.faults.ignore_draining),
             leaving: server.membership.is_leaving(now),
-            healthy: server.membership.is_healthy(),
             ejected: server.outlier.is_ejected(),
             version: server.known_version(now),
             live: server.load.own_of(Class::Live),
