--- a/crates/wingshore-routing/src/admission.rs
+++ b/crates/wingshore-routing/src/admission.rs
@@ -44,18 +44,23 @@
         }
     }
 
-    /// Shares of one server while `kept` of `servers` servers are kept for live requests: those
+    /// Shares of one server while `dedicated` of `servers` are dedicated to live requests: those
     /// are live requests' alone, and of the others that much less is guaranteed to them, rounded
     /// up to whole slots.
-    pub(crate) fn with_homes(self, is_home: bool, kept: usize, servers: usize) -> Self {
-        if kept == 0 {
+    pub(crate) fn with_dedicated(
+        self,
+        is_dedicated: bool,
+        dedicated: usize,
+        servers: usize,
+    ) -> Self {
+        if dedicated == 0 {
             return self;
         }
         let whole = u64::from(self.live) * servers as u64;
-        let at_homes = u64::from(self.slots) * kept as u64;
-        let others = servers.saturating_sub(kept).max(1) as u64;
-        let elsewhere = whole.saturating_sub(at_homes).div_ceil(others);
-        let (live, reserve) = match is_home {
+        let at_dedicated = u64::from(self.slots) * dedicated as u64;
+        let others = servers.saturating_sub(dedicated).max(1) as u64;
+        let elsewhere = whole.saturating_sub(at_dedicated).div_ceil(others);
+        let (live, reserve) = match is_dedicated {
             true => (self.slots, self.slots),
             false => {
                 let live = u32::try_from(elsewhere).unwrap_or(self.live);
--- a/crates/wingshore-routing/src/affinity.rs
+++ b/crates/wingshore-routing/src/affinity.rs
@@ -13,9 +13,9 @@
 use wingshore_types::platform::{CacheEventKind, CacheEvents};
 
 /// Servers remembered per prefix.
-pub(crate) const MOST_HOLDERS: usize = 4;
+pub(crate) const MAX_HOLDERS: usize = 4;
 /// A hint that lost half of its worth this often is worth nothing.
-const MOST_HALVINGS: u32 = 6;
+const MAX_HALVINGS: u32 = 6;
 /// Thousandths: the worth of a certain entry.
 const CERTAIN: u64 = 1000;
 
@@ -104,7 +104,7 @@
         cache.doubts = cache.doubts.wrapping_add(1);
     }
 
-    /// The position stands for another server from now on.
+    /// The position is used for another server from now on.
     pub(crate) fn reset(&mut self, server: u32) {
         self.forget(server);
         self.cache(server).boot_id = None;
@@ -174,8 +174,8 @@
         service: u32,
         prefix_hash: u64,
         tokens: u32,
-    ) -> ([Hint; MOST_HOLDERS], usize) {
-        let mut hints = [Hint::default(); MOST_HOLDERS];
+    ) -> ([Hint; MAX_HOLDERS], usize) {
+        let mut hints = [Hint::default(); MAX_HOLDERS];
         let mut count = 0;
         let found = self.holders.get(&key_of(service, prefix_hash));
         for holder in found.into_iter().flatten() {
@@ -198,10 +198,10 @@
         }
         let age = now.since(holder.stored_at).as_nanos();
         let halvings_by_age = age / self.half_life.as_nanos().max(1);
-        let halvings_by_age = u32::try_from(halvings_by_age).unwrap_or(MOST_HALVINGS);
+        let halvings_by_age = u32::try_from(halvings_by_age).unwrap_or(MAX_HALVINGS);
         let halvings_by_doubt = cache.doubts.wrapping_sub(holder.doubts);
         let halvings = halvings_by_age.saturating_add(halvings_by_doubt);
-        if halvings >= MOST_HALVINGS {
+        if halvings >= MAX_HALVINGS {
             return 0;
         }
         let cached = u64::from(holder.tokens.min(tokens));
@@ -222,7 +222,7 @@
             *known = holder;
             return;
         }
-        if holders.len() == MOST_HOLDERS {
+        if holders.len() == MAX_HOLDERS {
             holders.remove(0);
         }
         holders.push(holder);
--- a/crates/wingshore-routing/src/balance.rs
+++ b/crates/wingshore-routing/src/balance.rs
@@ -9,8 +9,8 @@
 use crate::admission::Borrowing;
 use crate::affinity::Hint;
 use crate::class::Class;
+use crate::dedicated::MAX_OFFERED;
 use crate::fleet::{Server, ServerIndex, ServiceState};
-use crate::homes::MOST_OFFERED;
 use crate::request::RouteRequest;
 use crate::settings::RouterSettings;
 use rand_chacha::ChaCha8Rng;
@@ -20,14 +20,14 @@
 /// Costs are counted in thousandths of a request.
 const REQUEST: u64 = 1000;
 /// A server that has just returned counts as this share (in thousandths) of a server.
-const SLOW_START_LEAST: u64 = 100;
+const MIN_SLOW_START_SHARE: u64 = 100;
 
-/// What a live request avoids by going to a server that will not stand still for new weights.
-const LOADING: u64 = 1000 * REQUEST;
+/// What a live request avoids by going to a server that will not pause for new weights.
+const LOADING_COST: u64 = 1000 * REQUEST;
 
 /// Why no server was found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Nothing {
+pub(crate) struct NoneFound {
     /// An open server was not excluded.
     pub(crate) any_open: bool,
     /// One of those serves a useful version.
@@ -46,8 +46,8 @@
     pub(crate) service: &'a ServiceState,
     pub(crate) request: &'a RouteRequest,
     pub(crate) borrowing: Borrowing,
-    /// How many servers are kept for live requests.
-    pub(crate) homes_kept: usize,
+    /// How many engines are dedicated to live requests now.
+    pub(crate) dedicated_count: usize,
     /// Whether versions are checked; false only under a deliberate fault.
     pub(crate) check_version: bool,
     /// Whether leaving servers are taken too; true only under a deliberate fault.
@@ -72,12 +72,12 @@
         &self,
         random: &mut ChaCha8Rng,
         hints: &[Hint],
-    ) -> Result<ServerIndex, Nothing> {
+    ) -> Result<ServerIndex, NoneFound> {
         let mut best = Best::default();
         for hint in hints {
             self.offer_hint(hint, &mut best);
         }
-        self.offer_homes(&mut best);
+        self.offer_dedicated(&mut best);
         for zone in self.service.open.both() {
             self.draw(zone, random, &mut best);
         }
@@ -122,13 +122,13 @@
         can_take
     }
 
-    /// Live requests are offered the servers kept for them.
-    fn offer_homes(&self, best: &mut Best) {
+    /// Live requests are offered the engines dedicated to them.
+    fn offer_dedicated(&self, best: &mut Best) {
         if self.request.class == Class::Rollout {
             return;
         }
-        let kept = self.service.homes.open.iter().take(MOST_OFFERED);
-        for (_, index) in kept.filter(|(place, _)| *place < self.homes_kept) {
+        let dedicated = self.service.dedicated.open.iter().take(MAX_OFFERED);
+        for (_, index) in dedicated.filter(|(place, _)| *place < self.dedicated_count) {
             self.offer(*index, best);
         }
     }
@@ -145,9 +145,9 @@
     }
 
     /// Goes through all open servers from a random one on, until enough can take the request.
-    fn search(&self, random: &mut ChaCha8Rng) -> Result<ServerIndex, Nothing> {
+    fn search(&self, random: &mut ChaCha8Rng) -> Result<ServerIndex, NoneFound> {
         let mut best = Best::default();
-        let mut nothing = Nothing::default();
+        let mut nothing = NoneFound::default();
         for zone in self.service.open.both() {
             let mut accepted = 0;
             let start = if zone.is_empty() {
@@ -172,7 +172,7 @@
     }
 
     /// Whether a server can take the request; notes why not.
-    fn note(&self, server: &Server, nothing: &mut Nothing) -> bool {
+    fn note(&self, server: &Server, nothing: &mut NoneFound) -> bool {
         let has_room = self.has_room(server);
         nothing.any_room |= has_room;
         if self.is_excluded(server) {
@@ -184,7 +184,7 @@
         }
         nothing.any_useful = true;
         let class = self.request.class;
-        let shares = self.service.shares_of(server, self.homes_kept);
+        let shares = self.service.shares_of(server, self.dedicated_count);
         nothing.below_guarantee |= server.load.own_of(class) < shares.guarantee(class);
         has_room
     }
@@ -194,7 +194,7 @@
     }
 
     fn has_room(&self, server: &Server) -> bool {
-        let shares = self.service.shares_of(server, self.homes_kept);
+        let shares = self.service.shares_of(server, self.dedicated_count);
         let foreign = rounded(self.foreign(server));
         shares.has_room(&server.load, foreign, self.request.class, self.borrowing)
     }
@@ -221,7 +221,7 @@
         let load = own * REQUEST + self.foreign(server);
         let mut cost = load * REQUEST / self.ramp(server);
         if self.request.class == Class::Live && server.is_loading {
-            cost += LOADING;
+            cost += LOADING_COST;
         }
         match server.in_own_zone {
             true => cost,
@@ -243,7 +243,7 @@
         let left = server.slow_until.since(self.now).as_nanos() as u64;
         let passed = whole.saturating_sub(left);
         let share = u128::from(passed) * u128::from(REQUEST) / u128::from(whole);
-        (share as u64).max(SLOW_START_LEAST)
+        (share as u64).max(MIN_SLOW_START_SHARE)
     }
 }
 
--- a/crates/wingshore-routing/src/fleet.rs
+++ b/crates/wingshore-routing/src/fleet.rs
@@ -3,10 +3,10 @@
 use crate::admission::{Asks, ServiceTime, SlotShares};
 use crate::balance::rounded;
 use crate::class::{ByClass, Class};
+use crate::dedicated::DedicatedEngines;
 use crate::demand::Peak;
-use crate::homes::Homes;
 use crate::load::Load;
-use crate::membership::{Membership, Standing};
+use crate::membership::{Membership, ServerStatus};
 use crate::outlier::Outlier;
 use crate::persistence::Persistence;
 use crate::retry::RetryBudget;
@@ -32,9 +32,9 @@
     pub(crate) is_member: bool,
     /// Its place in this node's order; see [`crate::subset::rank`].
     pub(crate) rank: u64,
-    /// Its place in the order that all nodes share; see [`crate::homes`].
+    /// Its place in the order that all nodes share; see [`crate::dedicated`].
     pub(crate) shared_place: usize,
-    /// Whether it fetches weights, by its own last report: it will stand still for a moment.
+    /// Whether it fetches weights, by its own last report: it will pause for a moment.
     pub(crate) is_loading: bool,
     pub(crate) membership: Membership,
     pub(crate) outlier: Outlier,
@@ -47,7 +47,7 @@
 }
 
 impl Server {
-    /// Its version, as far as a report that still counts tells.
+    /// Its version, by a report that still counts.
     pub(crate) fn known_version(&self, now: Instant) -> Option<WeightVersion> {
         if now < self.version_until {
             self.version
@@ -58,10 +58,10 @@
 
     /// Whether new work may go to it.
     pub(crate) fn is_open(&self, now: Instant, ignore_leaving: bool) -> bool {
-        let allowed = match self.membership.standing(now) {
-            Standing::Open => true,
-            Standing::Leaving => ignore_leaving && self.membership.is_healthy(),
-            Standing::Absent | Standing::Unhealthy => false,
+        let allowed = match self.membership.status(now) {
+            ServerStatus::Open => true,
+            ServerStatus::Leaving => ignore_leaving && self.membership.is_healthy(),
+            ServerStatus::Absent | ServerStatus::Unhealthy => false,
         };
         allowed && !self.outlier.is_ejected()
     }
@@ -69,7 +69,7 @@
     /// Whether it counts as one of the servers a subset needs. An ejection is short, and does not
     /// change the subset.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
-        self.membership.standing(now) == Standing::Open
+        self.membership.status(now) == ServerStatus::Open
     }
 }
 
@@ -133,8 +133,8 @@
     pub(crate) members: ByZone,
     /// Members that new work may go to.
     pub(crate) open: ByZone,
-    /// Engines kept for live requests.
-    pub(crate) homes: Homes,
+    /// Engines that live requests may have for themselves.
+    pub(crate) dedicated: DedicatedEngines,
     pub(crate) subset: SubsetSize,
     /// When a request last asked for it; before that, when it was first configured.
     pub(crate) used_at: Instant,
@@ -147,7 +147,7 @@
     pub(crate) service_time: ByClass<ServiceTime>,
     pub(crate) persistence: Persistence,
     pub(crate) budget: RetryBudget,
-    /// When the next pause or ejection of a member ends.
+    /// When the next backoff or ejection of a member ends.
     pub(crate) next_change: Option<Instant>,
     /// Counts events by which a slot may have become free.
     pub(crate) epoch: u64,
@@ -161,16 +161,18 @@
         in_flight > 0 || now.since(self.used_at) < unused_after
     }
 
-    /// How many servers are kept for live requests now.
-    pub(crate) fn homes_kept(&self, now: Instant, burst_memory: Duration) -> usize {
+    /// How many engines are dedicated to live requests now.
+    pub(crate) fn dedicated_count(&self, now: Instant, burst_memory: Duration) -> usize {
         let peak = self.live_peak.value(now, burst_memory);
-        self.homes.kept(peak, self.open.len(), self.shares.slots())
+        self.dedicated
+            .count(peak, self.open.len(), self.shares.slots())
     }
 
-    /// Shares of one server while so many homes are kept.
-    pub(crate) fn shares_of(&self, server: &Server, kept: usize) -> SlotShares {
-        let is_home = server.shared_place < kept;
-        self.shares.with_homes(is_home, kept, self.homes.servers())
+    /// Shares of one server while so many engines are dedicated.
+    pub(crate) fn shares_of(&self, server: &Server, dedicated: usize) -> SlotShares {
+        let is_dedicated = server.shared_place < dedicated;
+        self.shares
+            .with_dedicated(is_dedicated, dedicated, self.dedicated.servers())
     }
 
     /// Live requests in flight, and all of others, whose class is unknown.
--- a/crates/wingshore-routing/src/lib.rs
+++ b/crates/wingshore-routing/src/lib.rs
@@ -1,19 +1,19 @@
 //! Routing: which server takes a request, how much work a class may have in flight, and when an
 //! attempt may be repeated.
 //!
-//! [`Router`] is a state machine without I/O: it is told what was seen (configuration, machine
-//! list, probes, reports, ends of attempts) together with the time, and decides from that alone.
+//! [`Router`] is a state machine without I/O: its inputs are what was seen (configuration, machine
+//! list, probes, reports, ends of attempts) together with the time, and it decides from that alone.
 //! The same seed and the same calls give the same decisions.
 
 mod admission;
 mod affinity;
 mod balance;
 mod class;
+mod dedicated;
 mod demand;
 mod faults;
 mod fleet;
 mod hash;
-mod homes;
 mod load;
 mod membership;
 mod outlier;
--- a/crates/wingshore-routing/src/load.rs
+++ b/crates/wingshore-routing/src/load.rs
@@ -17,7 +17,7 @@
 /// Resolution of the history.
 const BUCKET: Duration = Duration::from_millis(16);
 /// Most buckets with a change that are kept; at least 1 s of history.
-const MOST_BUCKETS: usize = 64;
+const MAX_BUCKETS: usize = 64;
 
 /// The own count before the first change within one bucket of time.
 #[derive(Clone, Copy, Debug)]
@@ -108,7 +108,7 @@
         {
             return;
         }
-        if self.history.len() == MOST_BUCKETS {
+        if self.history.len() == MAX_BUCKETS {
             self.history.pop_front();
         }
         let before = self.own();
--- a/crates/wingshore-routing/src/membership.rs
+++ b/crates/wingshore-routing/src/membership.rs
@@ -17,7 +17,7 @@
 
 /// The merged view of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum ServerStatus {
     /// Not in the configuration.
     Absent,
     /// It will stop, or refuses work.
@@ -69,12 +69,12 @@
     }
 
     /// The merged view.
-    pub(crate) fn standing(&self, now: Instant) -> Standing {
+    pub(crate) fn status(&self, now: Instant) -> ServerStatus {
         match self.admission {
-            None => Standing::Absent,
-            Some(_) if self.is_leaving(now) => Standing::Leaving,
-            Some(_) if !self.healthy => Standing::Unhealthy,
-            Some(_) => Standing::Open,
+            None => ServerStatus::Absent,
+            Some(_) if self.is_leaving(now) => ServerStatus::Leaving,
+            Some(_) if !self.healthy => ServerStatus::Unhealthy,
+            Some(_) => ServerStatus::Open,
         }
     }
 
@@ -91,16 +91,16 @@
         self.healthy
     }
 
-    /// When the pause after its refusals ends.
+    /// When the backoff after its refusals ends.
     pub(crate) fn refused_until(&self) -> Instant {
         self.refused_until
     }
 
     /// The server refused a request as not run.
-    pub(crate) fn on_refusal(&mut self, now: Instant, pause: Duration, most: Duration) {
-        let pause = doubled_pause(pause, self.refusals, most);
+    pub(crate) fn on_refusal(&mut self, now: Instant, initial: Duration, max: Duration) {
+        let backoff = doubled_pause(initial, self.refusals, max);
         self.refusals = self.refusals.saturating_add(1);
-        self.refused_until = self.refused_until.max(now + pause);
+        self.refused_until = self.refused_until.max(now + backoff);
     }
 
     /// The server answered a request.
--- a/crates/wingshore-routing/src/persistence.rs
+++ b/crates/wingshore-routing/src/persistence.rs
@@ -14,7 +14,7 @@
 /// What is assumed before reports are seen: half of a difference is left at the next report.
 const ASSUMED: f64 = 0.5;
 /// Never believed to be more than this, so that the time stays finite.
-const MOST_CORRELATION: f64 = 0.999;
+const MAX_CORRELATION: f64 = 0.999;
 /// Weights and loads are counted in thousandths.
 const THOUSAND: u64 = 1000;
 
@@ -109,7 +109,7 @@
             true => self.covariance / self.variance,
             false => ASSUMED,
         };
-        let correlation = correlation.clamp(0.0, MOST_CORRELATION);
+        let correlation = correlation.clamp(0.0, MAX_CORRELATION);
         self.half_life = (self.interval * correlation / (1.0 - correlation)) as u64;
     }
 }
--- a/crates/wingshore-routing/src/request.rs
+++ b/crates/wingshore-routing/src/request.rs
@@ -35,7 +35,7 @@
 /// A server was chosen and a slot taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// Must be handed back by [`crate::Router::on_finished`] however the attempt ends.
+    /// Must be returned by [`crate::Router::on_finished`] however the attempt ends.
     pub ticket: Ticket,
     /// The server.
     pub server: ServerId,
@@ -104,7 +104,7 @@
     Refused,
     /// It failed or timed out.
     Failed(Verdict),
-    /// The caller gave up, or the attempt was given up on its behalf; says nothing of the server.
+    /// The caller gave up, or the attempt was cancelled on its behalf; says nothing of the server.
     Cancelled,
 }
 
--- a/crates/wingshore-routing/src/retry.rs
+++ b/crates/wingshore-routing/src/retry.rs
@@ -44,7 +44,7 @@
     pub(crate) fn new(limits: BudgetLimits) -> Self {
         Self {
             limits,
-            tokens: most_tokens(limits),
+            tokens: max_tokens(limits),
             filled_at: None,
             granted: 0,
         }
@@ -88,10 +88,10 @@
 
     fn add(&mut self, thousandths: u64) {
         let sum = self.tokens.saturating_add(thousandths);
-        self.tokens = sum.min(most_tokens(self.limits));
+        self.tokens = sum.min(max_tokens(self.limits));
     }
 }
 
-fn most_tokens(limits: BudgetLimits) -> u64 {
+fn max_tokens(limits: BudgetLimits) -> u64 {
     u64::from(limits.burst) * TOKEN
 }
--- a/crates/wingshore-routing/src/router.rs
+++ b/crates/wingshore-routing/src/router.rs
@@ -1,7 +1,7 @@
 //! The router: one type over membership, load, affinity, limits and retries.
 //!
 //! `configure` takes what is said from outside about which servers exist, `observe` what servers
-//! say and how requests end, `decide` admits, `probe` says what to poll, `report` tells what is
+//! say and how requests end, `decide` admits, `probe` says what to poll, `report` says what is
 //! known.
 
 mod configure;
@@ -76,7 +76,7 @@
         self.list_open(now, service);
     }
 
-    /// Refreshes a service when a pause or an ejection has ended.
+    /// Refreshes a service when a backoff or an ejection has ended.
     fn refresh_if_due(&mut self, now: Instant, service: ServiceIndex) {
         let next_change = self.fleet.service(service).next_change;
         if next_change.is_some_and(|at| now >= at) {
@@ -126,15 +126,15 @@
         } = &mut self.fleet;
         let state = &mut services[service as usize];
         state.open.clear();
-        state.homes.open.clear();
+        state.dedicated.open.clear();
         state.next_change = None;
         state.epoch += 1;
         for index in state.members.iter() {
             let server = &servers[index as usize];
             if server.is_open(now, ignore_leaving) {
                 state.open.push(index, server.in_own_zone);
-                if state.homes.includes(server.shared_place) {
-                    state.homes.open.push((server.shared_place, index));
+                if state.dedicated.includes(server.shared_place) {
+                    state.dedicated.open.push((server.shared_place, index));
                 }
             }
             let changes = [
@@ -144,7 +144,7 @@
             let next = changes.into_iter().flatten().filter(|at| *at > now).min();
             state.next_change = earlier(state.next_change, next);
         }
-        state.homes.open.sort_unstable();
+        state.dedicated.open.sort_unstable();
     }
 }
 
--- a/crates/wingshore-routing/src/router/configure.rs
+++ b/crates/wingshore-routing/src/router/configure.rs
@@ -3,9 +3,9 @@
 use super::Router;
 use crate::admission::SlotShares;
 use crate::class::ByClass;
+use crate::dedicated::{DedicatedEngines, shared_rank};
 use crate::demand::Peak;
 use crate::fleet::{ByZone, Server, ServerIndex, ServiceIndex, ServiceState};
-use crate::homes::{Homes, shared_rank};
 use crate::load::Load;
 use crate::membership::Membership;
 use crate::outlier::Outlier;
@@ -100,7 +100,7 @@
             ranked: ByZone::default(),
             members: ByZone::default(),
             open: ByZone::default(),
-            homes: Homes::default(),
+            dedicated: DedicatedEngines::default(),
             subset: SubsetSize::new(self.settings.subset_size),
             used_at: now,
             grown_at: Instant::ZERO,
@@ -205,8 +205,8 @@
                 .collect();
             order.sort_unstable();
             let is_engines = matches!(service.kind, ServiceKind::Engines { .. });
-            let homes = &mut self.fleet.service_mut(index).homes;
-            homes.resize(order.len(), service.live_share, is_engines);
+            let dedicated = &mut self.fleet.service_mut(index).dedicated;
+            dedicated.resize(order.len(), service.live_share, is_engines);
             for (place, (_, server)) in order.into_iter().enumerate() {
                 self.fleet.server_mut(server).shared_place = place;
             }
--- a/crates/wingshore-routing/src/router/decide.rs
+++ b/crates/wingshore-routing/src/router/decide.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::admission::Borrowing;
-use crate::affinity::{Hint, MOST_HOLDERS};
-use crate::balance::{Choice, Nothing};
+use crate::affinity::{Hint, MAX_HOLDERS};
+use crate::balance::{Choice, NoneFound};
 use crate::class::Class;
 use crate::fleet::{FullMark, ServerIndex, ServiceIndex, ServiceState};
 use crate::request::{Admitted, Refusal, RefusalCode, RouteRequest};
@@ -69,7 +69,7 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> Result<ServerIndex, Nothing> {
+    ) -> Result<ServerIndex, NoneFound> {
         let (hints, count) = self.hints(now, service, request);
         let state = self.fleet.service(service);
         let choice = Choice {
@@ -79,7 +79,7 @@
             service: state,
             request,
             borrowing: self.borrowing(now, state, request.class),
-            homes_kept: state.homes_kept(now, self.settings.burst_memory),
+            dedicated_count: state.dedicated_count(now, self.settings.burst_memory),
             check_version: !self.faults.ignore_unknown_version,
             ignore_leaving: self.faults.ignore_draining,
         };
@@ -93,9 +93,9 @@
             Class::Rollout => {
                 let peak = state.live_peak.value(now, self.settings.burst_memory);
                 let missing = peak.saturating_sub(state.live_demand(now));
-                match state.homes_kept(now, self.settings.burst_memory) {
+                match state.dedicated_count(now, self.settings.burst_memory) {
                     0 => missing.div_ceil(state.open.len().max(1) as u32),
-                    // The homes have room for it.
+                    // The dedicated engines have room for it.
                     _ => 0,
                 }
             }
@@ -111,7 +111,7 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> ([Hint; MOST_HOLDERS], usize) {
+    ) -> ([Hint; MAX_HOLDERS], usize) {
         match request.prefix_hash {
             Some(prefix_hash) if self.settings.affinity_bonus > 0 => {
                 let tokens = request.tokens_estimate;
@@ -171,7 +171,7 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-        nothing: Nothing,
+        nothing: NoneFound,
     ) -> Refusal {
         if !nothing.any_open {
             let wait = self.settings.probe_interval * self.settings.healthy_after;
--- a/crates/wingshore-routing/src/router/observe.rs
+++ b/crates/wingshore-routing/src/router/observe.rs
@@ -62,7 +62,7 @@
         let service = self.fleet.server(index).service;
         let taken = self.affinity.on_events(now, index, service, events);
         if taken == EventsTaken::OtherBoot {
-            // Either the engine has restarted, or these events are late: its next state tells.
+            // Either the engine has restarted, or these events are late: its next state says.
             self.fleet.server_mut(index).version = None;
         }
     }
@@ -109,10 +109,10 @@
     }
 
     fn on_refused(&mut self, now: Instant, attempt: Attempt) {
-        let pause = self.settings.refusal_pause;
-        let most = self.settings.refusal_pause_most;
+        let initial = self.settings.refusal_pause;
+        let max = self.settings.refusal_pause_most;
         let server = self.fleet.server_mut(attempt.server);
-        server.membership.on_refusal(now, pause, most);
+        server.membership.on_refusal(now, initial, max);
         self.refresh(now, attempt.service);
     }
 
@@ -136,7 +136,7 @@
         floor_allows(ejected.count(), usable.len(), self.settings.most_ejected)
     }
 
-    /// A server came back as another process: what ran there is lost, and it starts slowly.
+    /// A server restarted as another process: what ran there is lost, and it starts slowly.
     fn on_restart(&mut self, now: Instant, index: ServerIndex) {
         let slow_until = now + self.settings.slow_start;
         self.change(now, index, |server| {
@@ -164,9 +164,9 @@
     /// Changes a server, and brings its service up to date if that opened or closed it.
     fn change(&mut self, now: Instant, index: ServerIndex, change: impl FnOnce(&mut Server)) {
         let server = self.fleet.server_mut(index);
-        let before = (server.membership.standing(now), server.outlier.is_ejected());
+        let before = (server.membership.status(now), server.outlier.is_ejected());
         change(server);
-        let after = (server.membership.standing(now), server.outlier.is_ejected());
+        let after = (server.membership.status(now), server.outlier.is_ejected());
         let service = server.service;
         if before != after {
             self.refresh(now, service);
--- a/crates/wingshore-routing/src/router/probe.rs
+++ b/crates/wingshore-routing/src/router/probe.rs
@@ -59,7 +59,7 @@
         server.next_probe = Some(now + (interval - cut));
     }
 
-    /// What a server is asked: engines tell more than live servers.
+    /// What a server is asked: engines report more than live servers.
     fn probe_kinds(&self, index: ServerIndex) -> Vec<ProbeKind> {
         let mut kinds = vec![ProbeKind::Load];
         let service = self.fleet.server(index).service;
--- a/crates/wingshore-routing/src/router/report.rs
+++ b/crates/wingshore-routing/src/router/report.rs
@@ -48,11 +48,11 @@
         service: &ServiceState,
         found: &mut Vec<OverGuarantee>,
     ) {
-        let kept = service.homes_kept(now, self.settings.burst_memory);
+        let dedicated = service.dedicated_count(now, self.settings.burst_memory);
         let mut wanted = self.wanted_back(now, class, service);
         for index in service.members.iter() {
             let server = self.fleet.server(index);
-            let shares = service.shares_of(server, kept);
+            let shares = service.shares_of(server, dedicated);
             let borrowed = shares.borrowed(&server.load, class);
             if borrowed == 0 {
                 continue;
@@ -72,13 +72,13 @@
     fn wanted_back(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
         let other = class.other();
         let asked = service.asks.get(other).count(now);
-        let kept = service.homes_kept(now, self.settings.burst_memory);
+        let dedicated = service.dedicated_count(now, self.settings.burst_memory);
         let free: u32 = service
             .open
             .iter()
             .map(|index| self.fleet.server(index))
             .map(|server| {
-                let shares = service.shares_of(server, kept);
+                let shares = service.shares_of(server, dedicated);
                 shares.free_within_guarantee(&server.load, other)
             })
             .sum();
--- a/crates/wingshore-routing/src/settings.rs
+++ b/crates/wingshore-routing/src/settings.rs
@@ -39,7 +39,7 @@
     /// in a row. Default 200 ms, 10 ms to 10 s.
     #[serde(deserialize_with = "duration")]
     pub refusal_pause: Duration,
-    /// The longest such pause. Default 5 s, 10 ms to 1 min.
+    /// The longest such backoff. Default 5 s, 10 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub refusal_pause_most: Duration,
     /// How long an engine's report of its version counts. Default 10 s, 1 s to 5 min.
@@ -87,12 +87,12 @@
     /// Servers of each service that this node uses and probes; grows up to fourfold while they
     /// are exhausted. Default 40, 1 to 100,000.
     pub subset_size: u32,
-    /// Share of them that stands in other zones, where there are any. Default 250, 0 to 1000.
+    /// Share of them in other zones, where there are any. Default 250, 0 to 1000.
     pub subset_other_zones: Permille,
-    /// Least time a refused caller is told to wait. Default 50 ms, 1 ms to 1 min.
+    /// Least retry-after of a refused caller. Default 50 ms, 1 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub retry_after_least: Duration,
-    /// Longest time a refused caller is told to wait. Default 30 s, 1 ms to 1 h.
+    /// Longest retry-after of a refused caller. Default 30 s, 1 ms to 1 h.
     #[serde(deserialize_with = "duration")]
     pub retry_after_most: Duration,
 }
@@ -151,7 +151,7 @@
 const HOUR: Duration = Duration::from_secs(3600);
 
 impl RouterSettings {
-    /// Checks every range; empty when all are kept.
+    /// Checks every range; empty when all are within.
     pub fn check(&self) -> Vec<SettingError> {
         let mut errors = Vec::new();
         self.check_numbers(&mut errors);
--- a/crates/wingshore-routing/src/subset.rs
+++ b/crates/wingshore-routing/src/subset.rs
@@ -11,9 +11,9 @@
 use wingshore_types::configuration::Permille;
 
 /// Servers passed over at most, per usable server wanted.
-const MOST_PASSED_OVER: usize = 4;
+const MAX_PASSED_OVER: usize = 4;
 /// Growth under exhaustion, at most.
-const MOST_GROWTH: usize = 4;
+const MAX_GROWTH_FACTOR: usize = 4;
 
 /// Rank of a server for a node; lower comes first.
 pub(crate) fn rank(seed: u64, server: &ServerId) -> u64 {
@@ -36,7 +36,7 @@
 
     /// Half as many again, up to a limit. Returns whether it grew.
     pub(crate) fn grow(&mut self) -> bool {
-        let most = self.base.saturating_mul(MOST_GROWTH);
+        let most = self.base.saturating_mul(MAX_GROWTH_FACTOR);
         let grown = self
             .wanted
             .saturating_add(self.wanted.div_ceil(2))
@@ -83,7 +83,7 @@
     wanted: usize,
     is_usable: impl Fn(ServerIndex) -> bool,
 ) -> &[ServerIndex] {
-    let bound = wanted.saturating_mul(MOST_PASSED_OVER).min(ranked.len());
+    let bound = wanted.saturating_mul(MAX_PASSED_OVER).min(ranked.len());
     let mut found = 0;
     for (position, server) in ranked[..bound].iter().enumerate() {
         if found == wanted {
--- a/crates/wingshore-routing/src/tickets.rs
+++ b/crates/wingshore-routing/src/tickets.rs
@@ -21,7 +21,7 @@
 }
 
 /// Attempts by ticket. A ticket names a position and the generation of its use, so that one that
-/// was handed back already finds nothing.
+/// was returned already finds nothing.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
     entries: Vec<Entry>,
