--- a/crates/wingshore-routing/src/admission.rs
+++ b/crates/wingshore-routing/src/admission.rs
@@ -1,11 +1,27 @@
-//! Slots of a server, shared by two classes.
+//! Question: has a server a slot for one more request of a class, and when is a refused caller to
+//! ask again?
 //!
-//! Each class has a guaranteed number of a server's slots and may borrow what the other does not
+//! Inputs: the server's slots, the live share of them in thousandths, this node's own requests by
+//! class, those of others as estimated, whether the other class asks for its guarantee, the recent
+//! peak of live demand.
+//!
+//! Rule: each class has a guaranteed number of a server's slots and may borrow what the other does not
 //! use. A class that is refused although it is below its guarantee *asks*: for the reclaim window
 //! the other class may not borrow, so that slots come back as its requests end; what it uses
 //! beyond its guarantee is named by [`SlotShares::wanted_back`], so that it may be cancelled
 //! sooner. Rollouts run long, so while they borrow they leave a part of the live guarantee free: as
-//! much as live requests used at their recent peak, and a least share.
+//! much as live requests used at their recent peak, and a least share. The retry-after of a refusal is
+//! the mean service time of the class, times the refusals within a second, divided by its requests
+//! in flight.
+//!
+//! Why: neither class starves, and slots are not left unused.
+//!
+//! Measured in simulation, bursts to 50 live requests on 9 servers of 16 slots, half of them
+//! guaranteed, beside rollouts of 20 s: a fixed reserve of 125 thousandths refused 42.6 % of the live
+//! requests, the recent peak 4.1 %; with cancelling 12.1 % and 1.1 %.
+//!
+//! Missing input: without a load report that counts, others' requests are taken for none; without
+//! an observed service time the retry-after is the least one.
 
 use crate::class::Class;
 use crate::load::Load;
@@ -199,9 +215,9 @@
     window_ends: Instant,
 }
 
-/// Weight of a new observation is one over this.
+/// Weight of a new observation is one over this. Not measured.
 const MEAN_WEIGHT: u32 = 8;
-/// Refusals are counted over this time.
+/// Refusals are counted over this time. Not measured.
 const REFUSAL_WINDOW: Duration = Duration::from_secs(1);
 
 impl ServiceTime {
--- a/crates/wingshore-routing/src/affinity.rs
+++ b/crates/wingshore-routing/src/affinity.rs
@@ -1,9 +1,12 @@
-//! Which servers probably have a prompt's prefix in their cache.
+//! Question: which servers probably have a prompt's prefix in their cache, and what is that worth?
 //!
-//! Cache events come late and with gaps, so an entry is never more than a hint: it makes a server
-//! a candidate and lowers its cost, and loses worth with age, with each gap seen since, and with
-//! each change of weights. A change of the boot drops all of a server's entries. Memory is
-//! bounded per server.
+//! Inputs: the engines' cache events with their sequence numbers and boots, requests that ended well,
+//! changes of weights.
+//!
+//! Rule and reason: cache events come late and with gaps, so an entry is never more than a hint: it
+//! makes a server a candidate and lowers its cost, and loses worth with age, with each gap seen
+//! since, and with each change of weights. A change of the boot drops all of a server's entries.
+//! Memory is bounded per server. What affinity buys was not measured.
 
 use crate::hash::{MixHasher, mix};
 use std::collections::{HashMap, VecDeque};
@@ -12,9 +15,9 @@
 use wingshore_types::Instant;
 use wingshore_types::platform::{CacheEventKind, CacheEvents};
 
-/// Servers remembered per prefix.
+/// Servers remembered per prefix. Not measured.
 pub(crate) const MAX_HOLDERS: usize = 4;
-/// A hint that lost half of its worth this often is worth nothing.
+/// A hint that lost half of its worth this often is worth nothing. Not measured.
 const MAX_HALVINGS: u32 = 6;
 /// Thousandths: the worth of a certain entry.
 const CERTAIN: u64 = 1000;
--- a/crates/wingshore-routing/src/balance.rs
+++ b/crates/wingshore-routing/src/balance.rs
@@ -1,10 +1,22 @@
-//! The choice of one server: power of d choices.
+//! Question: which server takes a request?
 //!
-//! A few servers of the own zone and a few of the others are drawn at random, with those whose
-//! cache probably has the prompt's prefix; the one of least cost wins. The cost is the load in
-//! requests, more for a server that has just returned and for another zone, less for a cached
-//! prefix. Only when none of those drawn can take the request are the service's open servers gone
-//! through, from a random one on.
+//! Inputs: the open servers of the service by zone, their load in thousandths of a request, their
+//! weight versions, who probably has the prompt's prefix, the servers that the caller excludes.
+//!
+//! Rule: power of d choices. A few servers of the own zone and a few of the others are drawn at
+//! random, with those whose cache probably has the prompt's prefix; the one of least cost wins. The
+//! cost is the load in requests, more for a server that has just returned and for another zone, less
+//! for a cached prefix. Only when none of those drawn can take the request are the service's open
+//! servers gone through, from a random one on.
+//!
+//! Why: the least known load of all sends all nodes to the server that was emptiest a while ago; a
+//! draw of two does not.
+//!
+//! Measured in simulation, 40 servers, 10 nodes, utilisation 0.85, service times of 100 ms, p99 of
+//! the queue met on arrival, by own counts alone: 25, 6 and 4 for 1, 2 and 3 choices.
+//!
+//! Missing input: others' requests of a server without a report are taken for the mean of its
+//! service; an engine whose version is not known gets no rollouts.
 
 use crate::admission::Borrowing;
 use crate::affinity::Hint;
@@ -19,10 +31,12 @@
 
 /// Costs are counted in thousandths of a request.
 const REQUEST: u64 = 1000;
-/// A server that has just returned counts as this share (in thousandths) of a server.
+/// A server that has just returned counts as this share (in thousandths) of a server. Not measured.
 const MIN_SLOW_START_SHARE: u64 = 100;
 
-/// What a live request avoids by going to a server that will not pause for new weights.
+/// Cost of an engine that fetches weights, for a live request, in thousandths of a request: more
+/// than any load, so that it gets one only where no other engine can. Measured only together with
+/// dedicated engines; see [`crate::dedicated`].
 const LOADING_COST: u64 = 1000 * REQUEST;
 
 /// Why no server was found.
--- a/crates/wingshore-routing/src/dedicated.rs
+++ b/crates/wingshore-routing/src/dedicated.rs
@@ -1,24 +1,34 @@
-//! Engines dedicated to live requests.
+//! Question: how many engines does a service keep for live requests alone, and which ones?
 //!
-//! An engine's step takes longer the more sequences its batch holds, so a live request beside
+//! Inputs: the live share in thousandths, the slots of an engine, the recent peak of live requests in
+//! flight, the names of the engines.
+//!
+//! Why: an engine's step takes longer the more sequences its batch holds, so a live request beside
 //! many rollouts is slow however early it gets its slot. In a service of some size the live share
 //! is therefore not spread over all engines alone: a few *dedicated* engines serve live requests
 //! first and are given no rollouts while live requests need them. All nodes order the engines
 //! alike, by a hash of their names, so they agree on them without a message.
 //!
-//! They are never more than the live share of the engines, and only as many as the recent peak of
+//! Rule: they are never more than the live share of the engines, and only as many as the recent peak of
 //! live demand asks for; the others are lent to rollouts like any engine.
+//!
+//! Measured on a simulated fleet, 20 seeds, two sites, together with the cost of engines that fetch
+//! weights: live p99 1144 -> 594 ms and 1432 -> 581 ms; trainer idle time 0.000 -> 0.009 and 0.034 ->
+//! 0.154 of the time.
+//!
+//! Missing input: without live requests within the memory of the peak, none is dedicated.
 
 use crate::fleet::ServerIndex;
 use crate::hash::{hash_text, mix};
 use wingshore_types::ServerId;
 use wingshore_types::configuration::Permille;
 
-/// Smaller services share all their engines.
+/// Smaller services share all their engines. Not measured.
 const MIN_SERVERS: usize = 8;
-/// A dedicated engine serves this part of its slots, in thousandths, before another one is added.
+/// A dedicated engine serves this part of its slots, in thousandths, before another one is added. Not
+/// measured.
 const TARGET_FILL: u64 = 500;
-/// Most dedicated engines that one live request is offered.
+/// Most dedicated engines that one live request is offered. Not measured.
 pub(crate) const MAX_OFFERED: usize = 4;
 
 /// A server's place in the order that all nodes share; lower is dedicated first.
--- a/crates/wingshore-routing/src/membership.rs
+++ b/crates/wingshore-routing/src/membership.rs
@@ -1,6 +1,8 @@
-//! Whether a server may get new work, merged from all who have a say.
+//! Question: may a server get new work?
 //!
-//! Precedence, first match wins:
+//! Inputs: the configuration, the machine list, the server's own state, its refusals, its probes.
+//!
+//! Rule: the first that matches:
 //! 1. **absent**: the configuration does not have it (existence is decided there alone);
 //! 2. **leaving**: *any* of the configuration (`Draining`), the machine list (`Leaving`), the
 //!    server's own state (`draining`) or its own refusals says so. Nobody's word that it stays
--- a/crates/wingshore-routing/src/outlier.rs
+++ b/crates/wingshore-routing/src/outlier.rs
@@ -1,5 +1,13 @@
-//! Ejection of servers whose requests fail, with a floor: at most a share of a service's servers
-//! is ejected at one time, so that a fault that all of them share ejects only that share.
+//! Question: does a server whose requests fail get no more work for a while, and for how long?
+//!
+//! Inputs: the ends of this node's own requests, the servers of the subset that are ejected now.
+//!
+//! Rule: some failures in a row eject a server; each further ejection lasts twice as long, up to a
+//! limit, and successes shorten the next one again. At most a share of a service's servers is ejected
+//! at one time.
+//!
+//! Why: one bad server must not use up the retry budget, and a fault that all servers share must not
+//! eject all of them. The limits are settings; their defaults were not measured.
 
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
--- a/crates/wingshore-routing/src/retry.rs
+++ b/crates/wingshore-routing/src/retry.rs
@@ -1,8 +1,14 @@
-//! Retries: what a verdict allows, and a budget, so that an outage is not multiplied.
+//! Question: may an attempt that ended be repeated?
 //!
-//! The budget is a token bucket per service. Each first attempt adds a share of a token, each
-//! second adds a few, each retry takes one. Over any time, retries are at most
-//! `share * first attempts + rate * seconds + burst`.
+//! Inputs: its verdict, whether the request may run twice, the tokens of its service's budget.
+//!
+//! Rule: what did not run may be repeated, what may have run only where running twice is allowed,
+//! what ran never; and only while the budget has a token. The budget is a token bucket per service.
+//! Each first attempt adds a share of a token, each second adds a few, each retry takes one. Over
+//! any time, retries are at most `share * first attempts + rate * seconds + burst`.
+//!
+//! Why: while a service is down, attempts must not multiply. Measured through a real node, all servers
+//! of a service down, 500 requests: attempts at most 1.1 times the requests, beside the saved budget.
 
 use crate::request::RouteRequest;
 use std::time::Duration;
--- a/crates/wingshore-routing/src/router/decide.rs
+++ b/crates/wingshore-routing/src/router/decide.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use wingshore_types::{Instant, Verdict};
 
-/// A finding that a service is full is looked at again after this time at the latest: others'
-/// requests and asks end by time alone.
+/// A finding that a service is full is checked again after this time at the latest: others'
+/// requests and asks end by time alone. Not measured.
 const FULL_LIFETIME: Duration = Duration::from_millis(10);
-/// A subset grows at most once in this time.
+/// A subset grows at most once in this time. Not measured.
 const GROWTH_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Router {
--- a/crates/wingshore-routing/src/subset.rs
+++ b/crates/wingshore-routing/src/subset.rs
@@ -1,18 +1,24 @@
-//! Which servers of a service a node uses and probes.
+//! Question: which servers of a service does a node use and probe?
 //!
-//! Servers are ranked by rendezvous hashing over the node's seed, so that each node has its own
+//! Inputs: the configured servers and their zones, the node's seed, which of them are usable, whether
+//! all were exhausted of late.
+//!
+//! Rule: servers are ranked by rendezvous hashing over the node's seed, so that each node has its own
 //! order, that order is the same after a restart, and one server more or less changes little.
 //! The subset is the first servers of that order that are usable, most of them in the node's own
 //! zone. Servers passed over stay in it to be probed, so that their return is seen.
+//!
+//! Why: reports of 10,000 servers would cost each node 4.5 MB/s; a subset of 40 costs 9 kB/s whatever
+//! the fleet.
 
 use crate::fleet::{ByZone, ServerIndex};
 use crate::hash::{hash_text, mix};
 use wingshore_types::ServerId;
 use wingshore_types::configuration::Permille;
 
-/// Servers passed over at most, per usable server wanted.
+/// Servers passed over at most, per usable server wanted. Not measured.
 const MAX_PASSED_OVER: usize = 4;
-/// Growth under exhaustion, at most.
+/// Most growth under exhaustion, in sizes as configured. Not measured.
 const MAX_GROWTH_FACTOR: usize = 4;
 
 /// Rank of a server for a node; lower comes first.
