--- a/crates/wingshore-rollout/src/cache_moves.rs
+++ b/crates/wingshore-rollout/src/cache_moves.rs
@@ -1,7 +1,7 @@
 //! Long attempts on a leaving engine move with their KV cache, where copying it is estimated to be
 //! cheaper than computing it anew.
 //!
-//! A slot on another engine is taken first. While the cache is copied the old attempt goes on, so
+//! A slot on another engine is taken first. While the cache is copied the old attempt runs on, so
 //! that the copying costs no time of its own; then it is cancelled and resumed on the new engine
 //! from all tokens that have come. The cache covers those that were there when it was copied.
 
@@ -90,14 +90,14 @@
         };
         if self.stopping_since.is_some() {
             // What runs is let finish.
-            return self.let_go(context, &next);
+            return self.release_slot(context, &next);
         }
         let lease = attempt.lease;
         self.move_elsewhere(context, id);
         // The other engine may have begun to leave meanwhile.
         let view = context.router.server_view(context.now, &next.server);
         if !is_copied || !view.is_some_and(|view| view.open) {
-            return self.let_go(context, &next);
+            return self.release_slot(context, &next);
         }
         self.counters.moved_with_cache += 1;
         self.resume_on(context, lease, next);
@@ -106,15 +106,15 @@
     fn resume_on(&mut self, context: &mut Context<'_>, lease: LeaseId, next: Admitted) {
         match self.held.get(lease).cloned() {
             Some(sample) if sample.attempts.is_empty() => {
-                let base = sample.base.clone();
-                self.start_on(context, lease, &sample, next, base);
+                let partial = sample.partial.clone();
+                self.start_on(context, lease, &sample, next, partial);
             }
-            _ => self.let_go(context, &next),
+            _ => self.release_slot(context, &next),
         }
     }
 
     /// Gives a slot back that was taken for a move.
-    pub(crate) fn let_go(&self, context: &mut Context<'_>, next: &Admitted) {
+    pub(crate) fn release_slot(&self, context: &mut Context<'_>, next: &Admitted) {
         let outcome = AttemptOutcome::Cancelled;
         context
             .router
--- a/crates/wingshore-rollout/src/held.rs
+++ b/crates/wingshore-rollout/src/held.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct HeldSample {
     pub(crate) prompt: Prompt,
-    /// What ended attempts have left; the next one goes on from there.
-    pub(crate) base: Generation,
+    /// What ended attempts generated; the next one is resumed from there.
+    pub(crate) partial: Generation,
     /// Attempts that run now: none while it waits, two when a straggler was issued twice.
     pub(crate) attempts: Vec<AttemptId>,
     /// The engine that failed it last; another one is preferred.
@@ -96,10 +96,10 @@
             .collect()
     }
 
-    /// Samples whose kept tokens begin with a version below `oldest_useful`.
-    pub(crate) fn with_base_older_than(&self, oldest_useful: WeightVersion) -> Vec<LeaseId> {
+    /// Samples whose partial generations begin with a version below `oldest_useful`.
+    pub(crate) fn with_partial_older_than(&self, oldest_useful: WeightVersion) -> Vec<LeaseId> {
         self.iter()
-            .filter(|(_, sample)| is_older_than(&sample.base, oldest_useful))
+            .filter(|(_, sample)| is_older_than(&sample.partial, oldest_useful))
             .map(|(lease, _)| lease)
             .collect()
     }
@@ -113,6 +113,6 @@
 }
 
 fn waiting_key(lease: LeaseId, sample: &HeldSample) -> WaitingKey {
-    let left = (sample.prompt.max_tokens as usize).saturating_sub(sample.base.tokens.len());
+    let left = (sample.prompt.max_tokens as usize).saturating_sub(sample.partial.tokens.len());
     (Reverse(left as u32), lease)
 }
--- a/crates/wingshore-rollout/src/messages.rs
+++ b/crates/wingshore-rollout/src/messages.rs
@@ -141,7 +141,7 @@
         /// The request.
         request: Box<EngineCompletionRequest>,
     },
-    /// Close a stream and tell the engine (`POST /v1/cancel`). No event of it is wanted any more.
+    /// Close a stream and cancel it on the engine (`POST /v1/cancel`). No event of it is wanted any more.
     CancelStream {
         /// Which attempt.
         attempt: AttemptId,
@@ -155,7 +155,7 @@
     /// Copy the KV cache of an attempt that runs (`POST /kv/export` on its engine, then `POST
     /// /kv/import` on the other). Answered by [`RolloutInput::CacheCopied`].
     CopyCache {
-        /// Which attempt; it goes on meanwhile.
+        /// Which attempt; it runs on meanwhile.
         attempt: AttemptId,
         /// Its engine's name for it.
         request_id: String,
--- a/crates/wingshore-rollout/src/polls.rs
+++ b/crates/wingshore-rollout/src/polls.rs
@@ -51,7 +51,7 @@
 
 impl Polls {
     /// A generation was finished: it can be scored now.
-    pub(crate) fn look_for_unscored(&mut self, now: Instant) {
+    pub(crate) fn poll_unscored_at_once(&mut self, now: Instant) {
         self.unscored.next = self.unscored.next.min(now);
     }
 
@@ -166,7 +166,7 @@
         let third = Duration::from_millis(granted.duration_ms / RENEWAL_DIVISOR);
         let sample = HeldSample {
             prompt: granted.prompt,
-            base: granted.partial,
+            partial: granted.partial,
             attempts: Vec::new(),
             avoided: None,
             not_before: context.now,
@@ -174,7 +174,7 @@
         };
         self.held.insert(granted.lease, sample);
         if self.stopping_since.is_some() {
-            self.give_back(context, granted.lease);
+            self.return_lease(context, granted.lease);
         }
     }
 
@@ -191,8 +191,8 @@
 
     fn drop_lost(&mut self, context: &mut Context<'_>, lost: &[LeaseId]) {
         for lease in lost {
-            if let Some(base) = self.abandon(context, *lease) {
-                self.counters.wasted_tokens += base.tokens.len() as u64;
+            if let Some(partial) = self.abandon(context, *lease) {
+                self.counters.wasted_tokens += partial.tokens.len() as u64;
             }
         }
     }
--- a/crates/wingshore-rollout/src/runner.rs
+++ b/crates/wingshore-rollout/src/runner.rs
@@ -36,7 +36,7 @@
     pub window: u32,
     /// Attempts started since the boot.
     pub attempts: u64,
-    /// Attempts that went on from an earlier one's tokens.
+    /// Attempts that were resumed from an earlier one's tokens.
     pub resumed: u64,
     /// Attempts that ended without their final event.
     pub cut: u64,
@@ -193,7 +193,7 @@
         self.raise_oldest_useful(context, WeightVersion(target.0.saturating_sub(bound)));
     }
 
-    /// Tells the ledger of the pool.
+    /// Sends the pool's settings to the ledger.
     pub(crate) fn configure(&mut self, now: Instant) {
         let Some(binding) = &self.binding else {
             return;
@@ -240,7 +240,7 @@
             Some(_) => {
                 self.reports.done(key);
                 if matches!(key, ReportKey::Finish(_)) {
-                    self.polls.look_for_unscored(context.now);
+                    self.polls.poll_unscored_at_once(context.now);
                 }
             }
         }
@@ -261,11 +261,11 @@
             return;
         }
         self.oldest_useful = to;
-        for lease in self.held.with_base_older_than(to) {
+        for lease in self.held.with_partial_older_than(to) {
             let mut dropped = 0;
             self.held.update(lease, |sample| {
-                dropped = sample.base.tokens.len();
-                sample.base = wingshore_types::Generation::default();
+                dropped = sample.partial.tokens.len();
+                sample.partial = wingshore_types::Generation::default();
             });
             self.counters.wasted_tokens += dropped as u64;
         }
--- a/crates/wingshore-rollout/src/settings.rs
+++ b/crates/wingshore-rollout/src/settings.rs
@@ -23,11 +23,11 @@
     pub boot_id: u64,
     /// Most samples running or waiting for a slot at once.
     pub window_most: u32,
-    /// A stream without its first event for so long is given up: the engine may queue it.
+    /// A stream without its first event for so long is cancelled: the engine may queue it.
     pub first_event_timeout: Duration,
-    /// A stream without a further event for so long is given up and resumed elsewhere.
+    /// A stream without a further event for so long is cancelled and resumed elsewhere.
     pub stall_timeout: Duration,
-    /// How long attempts on a leaving engine may go on before they are moved.
+    /// How long attempts on a leaving engine may run before they are moved.
     pub leaving_grace: Duration,
     /// When attempts on a leaving engine move with their KV cache.
     pub cache_moves: CacheMoveCosts,
@@ -35,7 +35,7 @@
     pub over_issue: Option<OverIssue>,
     /// Most samples at the scorer at once.
     pub score_concurrency: u32,
-    /// How long a planned stop lets attempts go on.
+    /// How long a planned stop lets attempts run.
     pub stop_limit: Duration,
 }
 
--- a/crates/wingshore-rollout/src/stopping.rs
+++ b/crates/wingshore-rollout/src/stopping.rs
@@ -8,7 +8,7 @@
 
 /// After this many stop limits, reports that the ledger does not answer are given up: their
 /// leases run out by themselves.
-const GIVE_UP_FACTOR: u32 = 2;
+const STOP_LIMITS_FOR_REPORTS: u32 = 2;
 
 impl RolloutRunner {
     pub(crate) fn on_stop(&mut self, context: &mut Context<'_>) {
@@ -16,7 +16,7 @@
             return;
         }
         self.stopping_since = Some(context.now);
-        self.give_back_waiting(context);
+        self.return_waiting(context);
     }
 
     /// Once the limit has passed: cancels what still runs and gives it back.
@@ -30,7 +30,7 @@
         self.scoring.clear();
         let leases: Vec<LeaseId> = self.held.iter().map(|(lease, _)| lease).collect();
         for lease in leases {
-            self.give_back(context, lease);
+            self.return_lease(context, lease);
         }
     }
 
@@ -42,13 +42,13 @@
         if self.is_stopped {
             return;
         }
-        self.give_back_waiting(context);
+        self.return_waiting(context);
         self.send_reports(context);
         let is_idle = self.held.is_empty()
             && self.reports.is_empty()
             && self.scoring.len() == 0
             && !self.polls.awaits_leases();
-        let limit = self.settings.stop_limit * GIVE_UP_FACTOR;
+        let limit = self.settings.stop_limit * STOP_LIMITS_FOR_REPORTS;
         if is_idle || context.now.since(since) >= limit {
             self.is_stopped = true;
             context.out.push(RolloutOutput::Stopped);
@@ -56,7 +56,7 @@
     }
 
     /// Gives a lease back with the tokens generated so far.
-    pub(crate) fn give_back(&mut self, context: &mut Context<'_>, lease: LeaseId) {
+    pub(crate) fn return_lease(&mut self, context: &mut Context<'_>, lease: LeaseId) {
         let Some(partial) = self.abandon(context, lease) else {
             return;
         };
@@ -70,7 +70,7 @@
     }
 
     /// Samples without an attempt, for instance because their stream was cut, go back at once.
-    fn give_back_waiting(&mut self, context: &mut Context<'_>) {
+    fn return_waiting(&mut self, context: &mut Context<'_>) {
         let waiting: Vec<LeaseId> = self
             .held
             .iter()
@@ -78,7 +78,7 @@
             .map(|(lease, _)| lease)
             .collect();
         for lease in waiting {
-            self.give_back(context, lease);
+            self.return_lease(context, lease);
         }
     }
 }
--- a/crates/wingshore-rollout/src/streams.rs
+++ b/crates/wingshore-rollout/src/streams.rs
@@ -35,14 +35,14 @@
     pub(crate) last_event: Instant,
     /// Since when its engine is seen to be leaving.
     pub(crate) leaving_since: Option<Instant>,
-    /// Where it goes on once its KV cache is there.
+    /// Where it is resumed once its KV cache is there.
     pub(crate) next: Option<Admitted>,
 }
 
 /// What becomes of an ended attempt's tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Tokens {
-    /// The next attempt goes on from them.
+    /// The next attempt is resumed from them.
     Keep,
     /// They are of no use.
     Drop,
@@ -56,8 +56,8 @@
         }
         for lease in self.held.startable(context.now) {
             if let Err(refusal) = self.start(context, lease, None) {
-                let pause = refusal.retry_after.unwrap_or(RETRY_BACKOFF);
-                self.refused_until = context.now + pause;
+                let backoff = refusal.retry_after.unwrap_or(RETRY_BACKOFF);
+                self.refused_until = context.now + backoff;
                 let running = self.attempts.len() as u32;
                 match refusal.code {
                     RefusalCode::NoCapacity => self.window.on_refused(context.now, running),
@@ -84,7 +84,7 @@
         };
         let (generation, avoided) = match resume {
             Some((generation, running_on)) => (generation, Some(running_on)),
-            None => (sample.base.clone(), sample.avoided.clone()),
+            None => (sample.partial.clone(), sample.avoided.clone()),
         };
         let is_second = !sample.attempts.is_empty();
         let admitted = self.admit(context, &sample, avoided, is_second)?;
@@ -166,7 +166,7 @@
             return self.report_finish(context, attempt);
         }
         self.counters.cut += 1;
-        self.put_back(context.now, attempt, Tokens::Keep);
+        self.keep_partial(context.now, attempt, Tokens::Keep);
     }
 
     /// Cancels an attempt; its sample waits for another one.
@@ -181,7 +181,7 @@
         self.cancel_with(context, id, outcome, tokens);
     }
 
-    /// Cancels the attempts at a sample and forgets it; their tokens come back, longest first.
+    /// Cancels the attempts at a sample and forgets it; returns the longest partial generation.
     pub(crate) fn abandon(
         &mut self,
         context: &mut Context<'_>,
@@ -191,7 +191,7 @@
         for id in running {
             self.cancel(context, id, Tokens::Keep);
         }
-        self.held.remove(lease).map(|sample| sample.base)
+        self.held.remove(lease).map(|sample| sample.partial)
     }
 
     /// Starts anew the attempts whose first tokens are too old by now.
@@ -302,7 +302,7 @@
     ) -> Option<Attempt> {
         let mut attempt = self.attempts.remove(&id)?;
         if let Some(next) = attempt.next.take() {
-            self.let_go(context, &next);
+            self.release_slot(context, &next);
         }
         let outcome = outcome.unwrap_or(AttemptOutcome::Success {
             latency: context.now.since(attempt.started),
@@ -334,11 +334,11 @@
             address: attempt.address,
             request_id: self.request_id(id),
         });
-        self.put_back(context.now, attempt, tokens);
+        self.keep_partial(context.now, attempt, tokens);
     }
 
-    /// Keeps what an ended attempt leaves with its sample, where that is the best so far.
-    fn put_back(&mut self, now: Instant, attempt: Attempt, tokens: Tokens) {
+    /// Keeps what an ended attempt generated with its sample, where that is the longest so far.
+    fn keep_partial(&mut self, now: Instant, attempt: Attempt, tokens: Tokens) {
         let is_useful =
             tokens == Tokens::Keep && !is_older_than(&attempt.generation, self.oldest_useful);
         let own_tokens = attempt.generation.tokens.len() - attempt.resumed_tokens;
@@ -346,8 +346,8 @@
         let mut is_kept = false;
         self.held.update(attempt.lease, |sample| {
             sample.avoided = Some(attempt.server);
-            if is_useful && attempt.generation.tokens.len() > sample.base.tokens.len() {
-                sample.base = attempt.generation;
+            if is_useful && attempt.generation.tokens.len() > sample.partial.tokens.len() {
+                sample.partial = attempt.generation;
                 is_kept = true;
             }
             if own_tokens == 0 {
--- a/crates/wingshore-rollout/src/window.rs
+++ b/crates/wingshore-rollout/src/window.rs
@@ -5,13 +5,13 @@
 use wingshore_types::Instant;
 
 /// Size at the start.
-const INITIAL: u32 = 8;
+const INITIAL_SIZE: u32 = 8;
 /// Time without a refusal after which the window grows again.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(200);
 /// After the first refusal the window grows by one part in this many.
 const GROWTH_DIVISOR: u32 = 8;
 /// Samples held beyond those that run, so that a freed slot is filled at once.
-const SPARE: u32 = 2;
+const EXTRA_SAMPLES: u32 = 2;
 
 /// The window of held samples.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 impl LeaseWindow {
     pub(crate) fn new(most: u32) -> Self {
         Self {
-            size: INITIAL.min(most),
+            size: INITIAL_SIZE.min(most),
             most,
             was_refused: false,
             grows_at: Instant::ZERO,
@@ -38,13 +38,13 @@
 
     /// The router had no engine at all, or none of use, while `running` attempts ran.
     pub(crate) fn on_no_engine(&mut self, running: u32) {
-        self.size = (running + SPARE).max(INITIAL).min(self.size);
+        self.size = (running + EXTRA_SAMPLES).max(INITIAL_SIZE).min(self.size);
     }
 
     /// The router had no slot while `running` attempts ran.
     pub(crate) fn on_refused(&mut self, now: Instant, running: u32) {
         self.was_refused = true;
-        self.size = (running + SPARE).min(self.most);
+        self.size = (running + EXTRA_SAMPLES).min(self.most);
         self.grows_at = now + GROWTH_INTERVAL;
     }
 
