--- a/crates/wingshore-rollout/src/lib.rs
+++ b/crates/wingshore-rollout/src/lib.rs
@@ -8,7 +8,9 @@
 //! * `window`: how many samples to hold, from what the router admits
 //! * `held`: leased samples that are not finished yet
 //! * `streams`: attempts on engines, from start to end
-//! * `placement`: moving attempts off engines, second attempts of stragglers
+//! * `placement`: moving attempts off engines
+//! * `cache_moves`: whether an attempt moves with its KV cache
+//! * `second_attempts`: second attempts of stragglers
 //! * `reports`: what must reach the ledger, sent again until it does
 //! * `polls`: asking the ledger for leases, renewals and unscored samples
 //! * `scoring`: finished samples on their way through the scorer
@@ -23,6 +25,7 @@
 mod reports;
 mod runner;
 mod scoring;
+mod second_attempts;
 mod settings;
 mod stopping;
 mod streams;
--- a/crates/wingshore-rollout/src/placement.rs
+++ b/crates/wingshore-rollout/src/placement.rs
@@ -1,12 +1,23 @@
-//! Moving attempts off engines, and second attempts of stragglers.
+//! Question: which attempts leave their engine before they are finished?
+//!
+//! Inputs: when each attempt's last event came, which engines are leaving and since when, how many
+//! slots live requests ask back on which engine, the tokens of each attempt.
+//!
+//! Rule: an attempt whose stream is silent for too long counts as failed. One on an engine that has
+//! been leaving for longer than the grace time moves, with its cache where that pays. Where live
+//! requests ask for slots, the attempts with the fewest tokens move. Each is resumed elsewhere from
+//! what it generated.
+//!
+//! Why: a silent or stopping engine must not hold up a step, and what has fewest tokens costs least
+//! to move. The times are settings, whose defaults were not measured.
+//!
+//! Missing input: an engine that the router does not know counts as leaving.
 
 use crate::messages::AttemptId;
 use crate::runner::{Context, RolloutRunner};
-use crate::settings::OverIssue;
 use crate::streams::{Attempt, Tokens};
-use std::cmp::Reverse;
 use wingshore_routing::Class;
-use wingshore_types::{Instant, LeaseId, ServerId};
+use wingshore_types::ServerId;
 
 impl RolloutRunner {
     /// Gives up streams that have been silent for too long, and resumes them elsewhere.
@@ -55,50 +66,6 @@
         }
     }
 
-    /// Starts second attempts of stragglers, when nothing else could use the slots.
-    pub(crate) fn over_issue(&mut self, context: &mut Context<'_>) {
-        let Some(policy) = self.settings.over_issue else {
-            return;
-        };
-        let has_other_work = self.held.waiting() > 0 || !self.polls.ledger_is_empty();
-        if has_other_work || self.stopping_since.is_some() || context.now < self.refused_until {
-            return;
-        }
-        for (lease, id) in self.stragglers(context.now, policy) {
-            let Some(attempt) = self.attempts.get(&id) else {
-                continue;
-            };
-            let resume = (attempt.generation.clone(), attempt.server.clone());
-            if self.start(context, lease, Some(resume)).is_err() {
-                return;
-            }
-            self.counters.over_issued += 1;
-        }
-    }
-
-    fn stragglers(&self, now: Instant, policy: OverIssue) -> Vec<(LeaseId, AttemptId)> {
-        let issued_twice = self.held.iter().filter(|(_, held)| held.attempts.len() > 1);
-        let room = (policy.most as usize).saturating_sub(issued_twice.count());
-        let mut stragglers: Vec<(Reverse<u32>, LeaseId, AttemptId)> = self
-            .attempts
-            .iter()
-            .filter(|(_, attempt)| now.since(attempt.started) >= policy.after)
-            .filter_map(|(id, attempt)| {
-                let held = self.held.get(attempt.lease)?;
-                let generated = attempt.generation.tokens.len() as u32;
-                let left = held.prompt.max_tokens.saturating_sub(generated);
-                let is_only = held.attempts.len() == 1;
-                is_only.then_some((Reverse(left), attempt.lease, *id))
-            })
-            .collect();
-        stragglers.sort();
-        stragglers.truncate(room);
-        stragglers
-            .into_iter()
-            .map(|(_, lease, id)| (lease, id))
-            .collect()
-    }
-
     /// Attempts on an engine, the one with the fewest tokens first.
     fn attempts_on(&self, server: &ServerId) -> Vec<AttemptId> {
         let mut running: Vec<(usize, AttemptId)> = self
