--- a/crates/wingshore-rollout/src/held.rs
+++ b/crates/wingshore-rollout/src/held.rs
@@ -1,4 +1,7 @@
-//! Leased samples that are not finished yet.
+//! Leased samples that are not finished yet, and the order in which they are started.
+//!
+//! Question: which held sample is started next? The one with most tokens left to generate, among
+//! those without an attempt whose backoff has passed: it decides when a step is complete.
 
 use crate::messages::AttemptId;
 use std::cmp::Reverse;
--- a/crates/wingshore-rollout/src/messages.rs
+++ b/crates/wingshore-rollout/src/messages.rs
@@ -141,7 +141,8 @@
         /// The request.
         request: Box<EngineCompletionRequest>,
     },
-    /// Close a stream and cancel it on the engine (`POST /v1/cancel`). No event of it is wanted any more.
+    /// Close a stream and cancel it on the engine (`POST /v1/cancel`). No event of it is wanted any
+    /// more.
     CancelStream {
         /// Which attempt.
         attempt: AttemptId,
--- a/crates/wingshore-rollout/src/polls.rs
+++ b/crates/wingshore-rollout/src/polls.rs
@@ -1,4 +1,17 @@
-//! What the runner asks the ledger for: leases, renewals and unscored samples.
+//! Question: when does the runner ask the ledger for leases, renewals and unscored samples, and for
+//! how many?
+//!
+//! Inputs: the size of the window, the samples held, reports that the ledger has not answered, free
+//! places at the scorer, the lease duration in milliseconds.
+//!
+//! Rule: at most one request of each kind is under way. Leases are asked for while fewer samples are
+//! held than the window allows and the ledger keeps up with the reports; unscored samples while the
+//! scorer has free places. Renewals name the leases of which a third of the duration has passed. After
+//! an empty answer or a failure the next request of the kind waits.
+//!
+//! Why: two renewals may be lost before a lease ends.
+//!
+//! Missing input: without the pool's configuration nothing is asked for.
 
 use crate::held::{HeldSample, is_older_than};
 use crate::messages::{CallId, RolloutOutput};
@@ -7,13 +20,13 @@
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease, UnscoredSample};
 use wingshore_types::{Generation, Instant, LeaseId};
 
-/// Most reports that may wait for the ledger before no more samples are leased.
+/// Most reports that may wait for the ledger before no more samples are leased. Not measured.
 const MAX_WAITING_REPORTS: usize = 512;
 /// Most samples asked for by one lease request. Not measured.
 const MAX_LEASES_PER_REQUEST: u32 = 64;
 /// Time until the ledger is asked again when it had nothing to lease or to score. Not measured.
 const EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Leases are renewed when this part of their duration has passed.
+/// Leases are renewed when this part of their duration has passed. Not measured.
 const RENEWAL_DIVISOR: u64 = 3;
 
 /// One kind of question: at most one is under way.
--- a/crates/wingshore-rollout/src/reports.rs
+++ b/crates/wingshore-rollout/src/reports.rs
@@ -1,4 +1,8 @@
 //! What must reach the ledger: sent, and sent again until it is answered.
+//!
+//! Each report is safe to send twice, and is kept until the ledger answers it finally: a refusal for
+//! lack of room or of the pool is not final. It is sent again after
+//! [`crate::runner::RETRY_BACKOFF`], without a limit; a planned stop ends it.
 
 use crate::messages::CallId;
 use std::collections::BTreeMap;
--- a/crates/wingshore-rollout/src/scoring.rs
+++ b/crates/wingshore-rollout/src/scoring.rs
@@ -1,4 +1,12 @@
-//! Finished samples on their way through the scorer.
+//! Question: how often and how long is the scorer asked for a score?
+//!
+//! Inputs: unscored samples that the ledger offers, the scorer's answers, `score_concurrency`.
+//!
+//! Rule: each sample is sent at once, and again after a failure or a timeout, up to
+//! [`MAX_SCORE_ATTEMPTS`] times; then it is forgotten here, and the ledger offers it again later, to
+//! this node or another. A score that is not a finite number counts as a failure.
+//!
+//! Why: scoring twice does no harm, since the first score of a generation wins in the ledger.
 
 use crate::messages::{RolloutOutput, ScoreCallId};
 use crate::reports::ReportKey;
@@ -14,6 +22,7 @@
 /// Requests to the scorer for one sample, before it is left to another node. Not measured.
 const MAX_SCORE_ATTEMPTS: u32 = 4;
 /// The scorer's own timeout may be reported late by so much before the answer is not waited for.
+/// Not measured.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 type TaskKey = (SampleNumber, LeaseId);
--- a/crates/wingshore-rollout/src/stopping.rs
+++ b/crates/wingshore-rollout/src/stopping.rs
@@ -1,4 +1,14 @@
-//! The planned stop.
+//! Question: what becomes of the held samples when the node stops as planned, and when is the stop
+//! over?
+//!
+//! Inputs: when the stop began, what runs, is held or is not answered by the ledger, `stop_limit`.
+//!
+//! Rule: nothing new is leased, started or scored. Samples without an attempt are returned at once,
+//! attempts run on until the limit; then they are cancelled and their samples returned with what was
+//! generated. The stop is over when nothing is left, or after [`STOP_LIMITS_FOR_REPORTS`] limits.
+//!
+//! Why: short attempts finish, and no lease has to run out. What the ledger did not answer by then
+//! ends with its lease.
 
 use crate::messages::RolloutOutput;
 use crate::reports::ReportKey;
@@ -7,7 +17,7 @@
 use wingshore_types::protocol::ledger::LedgerRequest;
 
 /// After this many stop limits, reports that the ledger does not answer are given up: their
-/// leases run out by themselves.
+/// leases run out by themselves. Not measured.
 const STOP_LIMITS_FOR_REPORTS: u32 = 2;
 
 impl RolloutRunner {
--- a/crates/wingshore-rollout/src/window.rs
+++ b/crates/wingshore-rollout/src/window.rs
@@ -1,16 +1,25 @@
-//! How many samples to hold. Nobody tells a node how much rollout capacity is free: the window
-//! grows while the router admits everything and shrinks to what runs when it refuses.
+//! Question: how many leased samples does a runner hold?
+//!
+//! Inputs: attempts that run, refusals of the router, the most that the settings allow.
+//!
+//! Rule: the window doubles while the router admits everything that is held. A refusal for want of a
+//! slot shrinks it to what runs, and a few more; from then on it grows by an eighth after some time
+//! without a refusal. A refusal for want of an engine shrinks it as well, but not below its first
+//! size.
+//!
+//! Why: no report says how much rollout capacity is free for one node, and samples that are held
+//! without a slot are missing on other nodes. None of the constants was measured.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Size at the start.
+/// Samples held at the start. Not measured.
 const INITIAL_SIZE: u32 = 8;
-/// Time without a refusal after which the window grows again.
+/// Time without a refusal after which the window grows again. Not measured.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(200);
-/// After the first refusal the window grows by one part in this many.
+/// After the first refusal the window grows by one part in this many. Not measured.
 const GROWTH_DIVISOR: u32 = 8;
-/// Samples held beyond those that run, so that a freed slot is filled at once.
+/// Samples held beyond those that run, so that a freed slot is filled at once. Not measured.
 const EXTRA_SAMPLES: u32 = 2;
 
 /// The window of held samples.
