--- a/crates/wingshore-ledger/src/samples/faults.rs
+++ b/crates/wingshore-ledger/src/samples/faults.rs
@@ -1,9 +1,7 @@
 //! Deliberate faults, by which tests show that a broken promise is noticed.
 
-use serde::{Deserialize, Serialize};
-
 /// Faults to switch on; all are off by default, and only tests switch any on.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Hands samples over whatever their age.
     pub hand_over_without_age_check: bool,
