--- a/crates/wingshore-routing/src/settings.rs
+++ b/crates/wingshore-routing/src/settings.rs
@@ -9,6 +9,10 @@
 use wingshore_types::configuration::Permille;
 
 /// All settings of a [`crate::Router`]; each has a default, so that an empty table is valid.
+///
+/// Measurements bear on `choices` (see `balance`), `live_reserve` and `burst_memory` (see `admission`),
+/// the retry budget (see `retry`) and `subset_size` (see `subset`). The other defaults were not
+/// measured.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouterSettings {
