--- a/crates/wingshore-replica/src/peers.rs
+++ b/crates/wingshore-replica/src/peers.rs
@@ -143,7 +143,7 @@
             replica: Some(self.own),
             seed: self.own.0 ^ id.0.rotate_left(32),
         };
-        match Peer::start_with(options, handler) {
+        match Peer::start(options, handler) {
             Ok(peer) => {
                 info!(self.logger, "connecting to member"; "member" => id.0, "address" => %address);
                 table.outgoing.insert(id, Arc::new(peer));
--- a/crates/wingshore-transport/src/codec.rs
+++ b/crates/wingshore-transport/src/codec.rs
@@ -27,11 +27,11 @@
 
 /// What a frame's header says of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
+struct Header {
     /// Length of the body, in bytes.
-    pub length: u32,
+    length: u32,
     /// CRC-32 of the body.
-    pub checksum: u32,
+    checksum: u32,
 }
 
 /// A frame as bytes, header included.
@@ -52,10 +52,7 @@
 }
 
 /// Checks a header; `limit` is the largest body allowed here, in bytes.
-///
-/// # Errors
-/// When the bytes are no header of this version, or the body would be larger than `limit`.
-pub fn decode_header(bytes: [u8; HEADER_BYTES], limit: u32) -> Result<Header, FrameError> {
+fn decode_header(bytes: [u8; HEADER_BYTES], limit: u32) -> Result<Header, FrameError> {
     let [m0, m1, m2, m3, v0, v1, l0, l1, l2, l3, c0, c1, c2, c3] = bytes;
     let magic = [m0, m1, m2, m3];
     ensure!(magic == MAGIC, BadMagicSnafu { found: magic });
@@ -68,11 +65,8 @@
     Ok(Header { length, checksum })
 }
 
-/// Decodes a body after checking it against its header.
-///
-/// # Errors
-/// When the checksum differs or the body is not exactly one message.
-pub fn decode_body(header: Header, body: &[u8]) -> Result<Frame, FrameError> {
+/// Decodes a body, which must be exactly one message, after checking it against its header.
+fn decode_body(header: Header, body: &[u8]) -> Result<Frame, FrameError> {
     let found = crc32fast::hash(body);
     let expected = header.checksum;
     ensure!(found == expected, BadChecksumSnafu { expected, found });
--- a/crates/wingshore-transport/src/connection.rs
+++ b/crates/wingshore-transport/src/connection.rs
@@ -6,7 +6,7 @@
 use crate::traffic::{CountingReader, count_received_frame, count_sent_bytes, count_sent_frame};
 use snafu::ResultExt;
 use std::io::{self, BufReader, Write};
-use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -49,18 +49,16 @@
 struct Shared {
     id: ConnectionId,
     stream: TcpStream,
-    address: SocketAddr,
     peer: Hello,
     queue: OutboundQueue,
 }
 
 impl ConnectionHandle {
     /// Makes the handle of a connection whose handshake is done.
-    pub(crate) fn new(stream: TcpStream, address: SocketAddr, peer: Hello) -> Self {
+    pub(crate) fn new(stream: TcpStream, peer: Hello) -> Self {
         let shared = Shared {
             id: next_id(),
             stream,
-            address,
             peer,
             queue: OutboundQueue::default(),
         };
@@ -74,11 +72,6 @@
         self.shared.id
     }
 
-    /// The other side's socket.
-    pub fn peer_address(&self) -> SocketAddr {
-        self.shared.address
-    }
-
     /// The other side's identity, when it is a replica.
     pub fn peer_replica(&self) -> Option<ReplicaId> {
         self.shared.peer.replica
@@ -122,7 +115,7 @@
     }
 
     /// Closes once the queued frames are written.
-    pub fn finish(&self) {
+    pub(crate) fn finish(&self) {
         self.shared.queue.finish();
     }
 
--- a/crates/wingshore-transport/src/lib.rs
+++ b/crates/wingshore-transport/src/lib.rs
@@ -17,10 +17,7 @@
 mod server;
 mod traffic;
 
-pub use codec::{
-    HEADER_BYTES, Header, MAX_FRAME_BYTES, MAX_HELLO_BYTES, decode_body, decode_header, encode,
-    read_frame,
-};
+pub use codec::{HEADER_BYTES, MAX_FRAME_BYTES, MAX_HELLO_BYTES, encode, read_frame};
 pub use connection::{ConnectionHandle, ConnectionId, FrameHandler, IDLE_LIMIT};
 pub use error::{BindError, ConnectError, FrameError, SendError};
 pub use outgoing::{ConnectOptions, Connection};
--- a/crates/wingshore-transport/src/outgoing.rs
+++ b/crates/wingshore-transport/src/outgoing.rs
@@ -68,7 +68,7 @@
             handshake::open(&mut stream, &hello).map_err(|error| describe(address, error))?;
         check_replica(address, options.expected, peer.replica)?;
         prepare_frames(&stream).context(ConnectSnafu { address })?;
-        let handle = ConnectionHandle::new(stream, address, peer);
+        let handle = ConnectionHandle::new(stream, peer);
         let running = handle.clone();
         let thread = thread::Builder::new()
             .name("frame-reader".to_owned())
--- a/crates/wingshore-transport/src/peer.rs
+++ b/crates/wingshore-transport/src/peer.rs
@@ -61,20 +61,12 @@
 }
 
 impl Peer {
-    /// Starts connecting in the background. Frames that come back are dropped.
+    /// Starts connecting in the background. Received frames go to `handler`: a replica that does
+    /// not know yet where this process listens answers on the connection that it was asked on.
     ///
     /// # Errors
     /// When no thread can be started.
-    pub fn start(options: PeerOptions) -> Result<Self, ConnectError> {
-        Self::start_with(options, Arc::new(DropFrames))
-    }
-
-    /// As [`Peer::start`]; frames that come back go to `handler`. A replica that does not know
-    /// yet where this process listens answers on the connection that it was asked on.
-    ///
-    /// # Errors
-    /// When no thread can be started.
-    pub fn start_with(
+    pub fn start(
         options: PeerOptions,
         handler: Arc<dyn FrameHandler>,
     ) -> Result<Self, ConnectError> {
@@ -206,9 +198,3 @@
         self.peer.changed.notify_all();
     }
 }
-
-struct DropFrames;
-
-impl FrameHandler for DropFrames {
-    fn on_frame(&self, _connection: &ConnectionHandle, _frame: Frame) {}
-}
--- a/crates/wingshore-transport/src/server.rs
+++ b/crates/wingshore-transport/src/server.rs
@@ -156,14 +156,14 @@
     fn accept_connections(self: &Arc<Self>) {
         while !self.is_stopping() {
             match self.listener.accept() {
-                Ok((stream, address)) => self.take_in(stream, address),
+                Ok((stream, _)) => self.take_in(stream),
                 Err(_) if self.is_stopping() => return,
                 Err(_) => thread::sleep(ACCEPT_RETRY),
             }
         }
     }
 
-    fn take_in(self: &Arc<Self>, stream: TcpStream, address: SocketAddr) {
+    fn take_in(self: &Arc<Self>, stream: TcpStream) {
         if prepare_handshake(&stream, HANDSHAKE_TIMEOUT).is_err() {
             return;
         }
@@ -176,19 +176,19 @@
             return;
         }
         // Without memory or threads the connection is dropped; the peer tries again.
-        if let Ok(accepted) = self.spawn(stream, address) {
+        if let Ok(accepted) = self.spawn(stream) {
             connections.push(accepted);
         }
     }
 
-    fn spawn(self: &Arc<Self>, stream: TcpStream, address: SocketAddr) -> io::Result<Accepted> {
+    fn spawn(self: &Arc<Self>, stream: TcpStream) -> io::Result<Accepted> {
         let socket = stream.try_clone()?;
         let slot = Arc::new(Mutex::new(None));
         let shared = Arc::clone(self);
         let filled = Arc::clone(&slot);
         let thread = thread::Builder::new()
             .name("frame-reader".to_owned())
-            .spawn(move || shared.serve(stream, address, &filled))?;
+            .spawn(move || shared.serve(stream, &filled))?;
         Ok(Accepted {
             slot,
             socket,
@@ -196,12 +196,7 @@
         })
     }
 
-    fn serve(
-        &self,
-        mut stream: TcpStream,
-        address: SocketAddr,
-        slot: &Mutex<Option<ConnectionHandle>>,
-    ) {
+    fn serve(&self, mut stream: TcpStream, slot: &Mutex<Option<ConnectionHandle>>) {
         let hello = Hello {
             version: WIRE_VERSION,
             site: self.options.site.clone(),
@@ -214,7 +209,7 @@
         if prepare_frames(&stream).is_err() {
             return;
         }
-        let handle = ConnectionHandle::new(stream, address, peer);
+        let handle = ConnectionHandle::new(stream, peer);
         *slot.lock().unwrap_or_else(PoisonError::into_inner) = Some(handle.clone());
         handle.run(self.handler.as_ref());
     }
--- a/crates/wingshore-transport/tests/connections.rs
+++ b/crates/wingshore-transport/tests/connections.rs
@@ -349,14 +349,15 @@
 fn a_peer_reconnects_and_drops_while_down() {
     let (mut first, at_first) = server(1, 10);
     let address = first.local_address();
-    let peer = Peer::start(PeerOptions {
+    let (at_peer, _received) = recorder();
+    let options = PeerOptions {
         address,
         expected: Some(ReplicaId(1)),
         site: SITE.to_owned(),
         replica: Some(ReplicaId(2)),
         seed: 1,
-    })
-    .unwrap();
+    };
+    let peer = Peer::start(options, at_peer).unwrap();
     expect_true!(wait_until(|| peer.is_connected()));
     expect_true!(peer.send_consensus(GroupId::Control, vec![1]));
     expect_that!(
@@ -380,14 +381,15 @@
 #[gtest]
 fn a_peer_does_not_send_to_another_identity_at_its_address() {
     let (server, at_server) = server(9, 10);
-    let peer = Peer::start(PeerOptions {
+    let (at_peer, _received) = recorder();
+    let options = PeerOptions {
         address: server.local_address(),
         expected: Some(ReplicaId(1)),
         site: SITE.to_owned(),
         replica: Some(ReplicaId(2)),
         seed: 1,
-    })
-    .unwrap();
+    };
+    let peer = Peer::start(options, at_peer).unwrap();
     expect_true!(wait_until(|| peer
         .last_error()
         .is_some_and(|error| error.contains("expected replica 1"))));
