--- a/crates/wingshore-control/src/leader/engines.rs
+++ b/crates/wingshore-control/src/leader/engines.rs
@@ -7,11 +7,11 @@
 use super::swap_scheduler::SchedulerView;
 use crate::effect::{ControlEffect, OrderAnswer};
 use crate::settings::LeaderSettings;
-use crate::state::ControlState;
+use crate::state::{ControlState, is_engine_service};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
-use wingshore_types::configuration::{Configuration, Server, ServiceKind};
+use wingshore_types::configuration::{Configuration, Server};
 use wingshore_types::ids::{ServerId, ServiceId};
 use wingshore_types::platform::{EngineState, OrderFence};
 use wingshore_types::protocol::control::EngineStatus;
@@ -210,13 +210,6 @@
         .filter(|server| is_engine_service(configuration, &server.service))
 }
 
-fn is_engine_service(configuration: &Configuration, id: &ServiceId) -> bool {
-    configuration
-        .services
-        .get(id)
-        .is_some_and(|service| matches!(service.kind, ServiceKind::Engines { .. }))
-}
-
 /// Whether a known engine is still in the configuration, at the same address.
 fn is_same_engine(configuration: &Configuration, id: &ServerId, engine: &Engine) -> bool {
     configuration.servers.get(id).is_some_and(|server| {
--- a/crates/wingshore-control/src/leader/executor.rs
+++ b/crates/wingshore-control/src/leader/executor.rs
@@ -7,11 +7,10 @@
 use crate::command::StepResult;
 use crate::effect::ControlEffect;
 use crate::settings::LeaderSettings;
-use crate::state::ControlState;
+use crate::state::{ControlState, is_engine_service};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
-use wingshore_types::configuration::{Server, ServiceKind};
 use wingshore_types::ids::{PlanId, Revision, ServerId};
 use wingshore_types::protocol::control::{Plan, PlanState, PlanStep};
 
@@ -120,7 +119,7 @@
             let Some(server) = state.configuration().servers.get(id) else {
                 continue;
             };
-            if is_engine(state, server) || now < watched.ask_next {
+            if is_engine_service(state.configuration(), &server.service) || now < watched.ask_next {
                 continue;
             }
             watched.ask_next = now + settings.poll_interval;
@@ -196,11 +195,3 @@
         _ => None,
     }
 }
-
-fn is_engine(state: &ControlState, server: &Server) -> bool {
-    state
-        .configuration()
-        .services
-        .get(&server.service)
-        .is_some_and(|service| matches!(service.kind, ServiceKind::Engines { .. }))
-}
--- a/crates/wingshore-control/src/lib.rs
+++ b/crates/wingshore-control/src/lib.rs
@@ -20,6 +20,6 @@
 pub use leader::{ConfigurationProgress, ControlLeader};
 pub use settings::LeaderSettings;
 pub use state::{
-    ANSWERS_KEPT, ASSUMED_SWAP_MS, CHANGE_BYTES_KEPT, CHANGES_KEPT, CHANGES_PER_INTENT,
-    CLOSED_PLANS_KEPT, CLOSED_STEPS_KEPT, ControlState, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT,
+    ANSWERS_KEPT, ASSUMED_SWAP_MS, CHANGES_KEPT, CHANGES_PER_INTENT, CLOSED_PLANS_KEPT,
+    ControlState, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT,
 };
--- a/crates/wingshore-control/src/state/estimate.rs
+++ b/crates/wingshore-control/src/state/estimate.rs
@@ -1,11 +1,10 @@
 //! What plans cost, from the configuration and from measured times of swaps.
 
+use super::is_engine_service;
 use crate::settings::LeaderSettings;
 use crate::swaps::SwapLimits;
 use std::collections::BTreeSet;
-use wingshore_types::configuration::{
-    Admission, Configuration, ConfigurationChange, Pool, Server, ServiceKind,
-};
+use wingshore_types::configuration::{Admission, Configuration, ConfigurationChange, Pool, Server};
 use wingshore_types::ids::{ServerId, ServiceId, WeightVersion};
 use wingshore_types::protocol::control::PlanCost;
 
@@ -113,8 +112,7 @@
         .pools
         .values()
         .any(|pool| pool.service == server.service);
-    let is_engine =
-        service.is_some_and(|service| matches!(service.kind, ServiceKind::Engines { .. }));
+    let is_engine = is_engine_service(configuration, &server.service);
     let duration_ms = in_force_ms().saturating_add(longest_request_ms);
     let slots_away = slots(configuration, &server.service, 1);
     let slots_total = slots_of_service(configuration, &server.service);
--- a/crates/wingshore-control/src/state/history.rs
+++ b/crates/wingshore-control/src/state/history.rs
@@ -9,7 +9,7 @@
 /// Most changes kept.
 pub const CHANGES_KEPT: usize = 4_096;
 /// Most encoded bytes of changes kept: beyond that a snapshot is no worse than a delta.
-pub const CHANGE_BYTES_KEPT: u64 = 256 * 1024;
+const CHANGE_BYTES_KEPT: u64 = 256 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct KeptChange {
--- a/crates/wingshore-control/src/state/mod.rs
+++ b/crates/wingshore-control/src/state/mod.rs
@@ -18,7 +18,7 @@
 use plan_book::PlanBook;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use wingshore_types::configuration::Configuration;
+use wingshore_types::configuration::{Configuration, ServiceKind};
 use wingshore_types::ids::{
     LogIndex, PlanId, PoolId, Revision, ServerId, ServiceId, WeightVersion,
 };
@@ -28,8 +28,8 @@
 
 pub use answers::ANSWERS_KEPT;
 pub use estimate::ASSUMED_SWAP_MS;
-pub use history::{CHANGE_BYTES_KEPT, CHANGES_KEPT};
-pub use plan_book::{CLOSED_PLANS_KEPT, CLOSED_STEPS_KEPT, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT};
+pub use history::CHANGES_KEPT;
+pub use plan_book::{CLOSED_PLANS_KEPT, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT};
 pub use planner::CHANGES_PER_INTENT;
 
 /// Format of snapshots; the first byte of each.
@@ -141,6 +141,14 @@
     }
 }
 
+/// Whether the servers of a service are engines; false where the service does not exist.
+pub(crate) fn is_engine_service(configuration: &Configuration, id: &ServiceId) -> bool {
+    configuration
+        .services
+        .get(id)
+        .is_some_and(|service| matches!(service.kind, ServiceKind::Engines { .. }))
+}
+
 impl ReplicatedState for ControlState {
     type Command = ControlCommand;
     type Reply = CommandReply;
--- a/crates/wingshore-control/src/state/plan_book.rs
+++ b/crates/wingshore-control/src/state/plan_book.rs
@@ -9,7 +9,7 @@
 /// Closed plans kept.
 pub const CLOSED_PLANS_KEPT: usize = 4_000;
 /// Steps of closed plans kept, over all of them; the newest closed plan stays in any case.
-pub const CLOSED_STEPS_KEPT: usize = 50_000;
+const CLOSED_STEPS_KEPT: usize = 50_000;
 /// Most plans open at once; beyond that the oldest proposed one becomes stale.
 pub const OPEN_PLANS_LIMIT: usize = 2_000;
 /// Most steps of open plans, over all of them; beyond that the oldest proposed ones become stale.
