--- a/crates/wingshore-client/src/call.rs
+++ b/crates/wingshore-client/src/call.rs
@@ -28,14 +28,14 @@
     closing: Condvar,
 }
 
-/// What one call has tried so far.
+/// The attempts of one call so far.
 #[derive(Debug, Default)]
 struct Progress {
     attempts: u32,
     may_have_run: bool,
     last: String,
     backoff: Backoff,
-    tries_since_pause: usize,
+    attempts_since_backoff: usize,
 }
 
 /// What to do after an attempt.
@@ -43,12 +43,12 @@
     Return(GroupReply),
     Fail(CallError),
     TryAnother,
-    Pause,
+    BackOff,
 }
 
 impl GroupClient {
     /// A client of the groups that the replicas at `replicas` hold. `seed` draws the replica to
-    /// begin with and the jitter of pauses.
+    /// begin with and the jitter of backoffs.
     pub fn new(site: &str, replicas: Vec<SocketAddr>, seed: u64) -> Self {
         let mut generator = ChaCha8Rng::seed_from_u64(seed);
         let start = generator.random_range(0..replicas.len().max(1));
@@ -77,7 +77,7 @@
         timeout: Duration,
     ) -> Result<GroupReply, CallError> {
         let deadline = Instant::now() + timeout;
-        let patience = attempt_timeout(&request, timeout);
+        let longest_attempt = attempt_timeout(&request, timeout);
         let mut frame = request_frame(group, request);
         let mut progress = Progress::default();
         loop {
@@ -90,12 +90,12 @@
             }
             let chosen = self.inner.route().choose(group, now);
             let address = chosen.ok_or(CallError::NoReplicas)?;
-            let attempt = self.attempt(address, &mut frame, deadline.min(now + patience));
+            let attempt = self.attempt(address, &mut frame, deadline.min(now + longest_attempt));
             match self.judge(&mut progress, group, address, attempt) {
                 Next::Return(reply) => return Ok(reply),
                 Next::Fail(error) => return Err(error),
                 Next::TryAnother => {}
-                Next::Pause => self.pause(&mut progress, deadline),
+                Next::BackOff => self.back_off(&mut progress, deadline),
             }
         }
     }
@@ -166,7 +166,7 @@
             }
             Attempt::Reply(GroupReply::Unknown) => {
                 route.on_unable(group, address);
-                return Next::Pause;
+                return Next::BackOff;
             }
             Attempt::Reply(reply @ GroupReply::Rejected(_)) => {
                 route.on_unable(group, address);
@@ -181,18 +181,18 @@
                 route.on_failure(group, address, now);
             }
         }
-        // One round over all replicas without a pause, and one more for a fresh hint.
-        if progress.tries_since_pause <= route.candidate_count() {
+        // One round over all replicas without backoff, and one more for a fresh hint.
+        if progress.attempts_since_backoff <= route.candidate_count() {
             Next::TryAnother
         } else {
-            Next::Pause
+            Next::BackOff
         }
     }
 
     /// Waits before the next attempt, not beyond `deadline` nor beyond the client's closing.
-    fn pause(&self, progress: &mut Progress, deadline: Instant) {
-        progress.tries_since_pause = 0;
-        let pause = {
+    fn back_off(&self, progress: &mut Progress, deadline: Instant) {
+        progress.attempts_since_backoff = 0;
+        let backoff = {
             let mut generator = lock(&self.inner.generator);
             progress.backoff.next_pause(&mut generator)
         };
@@ -201,7 +201,7 @@
         let waited =
             self.inner
                 .closing
-                .wait_timeout_while(closed, pause.min(remaining), |closed| !*closed);
+                .wait_timeout_while(closed, backoff.min(remaining), |closed| !*closed);
         drop(waited);
     }
 }
@@ -215,7 +215,7 @@
 impl Progress {
     fn note(&mut self, attempt: &Attempt) {
         self.attempts += 1;
-        self.tries_since_pause += 1;
+        self.attempts_since_backoff += 1;
         self.last = match attempt {
             Attempt::Reply(GroupReply::NotLeader { .. }) => "not the leader".to_owned(),
             Attempt::Reply(GroupReply::Unknown) => "leadership was lost".to_owned(),
--- a/crates/wingshore-client/src/pool.rs
+++ b/crates/wingshore-client/src/pool.rs
@@ -109,10 +109,10 @@
             }
             self.start_connecting(&mut state, options)?;
         }
-        let patience = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let (mut state, _) = self
             .changed
-            .wait_timeout_while(state, patience, |state| state.connecting)
+            .wait_timeout_while(state, remaining, |state| state.connecting)
             .unwrap_or_else(PoisonError::into_inner);
         if let Some(connection) = state.live_connection() {
             return Ok(connection);
--- a/crates/wingshore-client/src/retry.rs
+++ b/crates/wingshore-client/src/retry.rs
@@ -1,4 +1,4 @@
-//! How long one attempt may take, and the pauses between attempts.
+//! How long one attempt may take, and the backoff between attempts.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -8,25 +8,25 @@
 use wingshore_types::protocol::wire::GroupRequest;
 
 /// Shortest time an attempt gets, unless the whole call has less.
-const SHORTEST_ATTEMPT: Duration = Duration::from_millis(100);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Longest time an attempt gets beyond what the request itself asks the group to wait.
-const LONGEST_ATTEMPT: Duration = Duration::from_secs(1);
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A call's time is divided into at least this many attempts.
 const ATTEMPTS_PER_CALL: u32 = 4;
 
-/// First pause.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
+/// First backoff.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
 /// How long one attempt of a call of `whole` may take, so that a leader that was cut off silently
 /// does not eat the whole call. A request that asks the group to wait gets that time on top.
 pub fn attempt_timeout(request: &GroupRequest, whole: Duration) -> Duration {
     let share = whole / ATTEMPTS_PER_CALL;
-    let own = share.clamp(SHORTEST_ATTEMPT, LONGEST_ATTEMPT);
+    let own = share.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
     own + wait_of(request)
 }
 
@@ -40,7 +40,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Pauses that double, with jitter, so that many callers do not come back at the same time.
+/// Backoffs that double, with jitter, so that many callers do not retry at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     next: Duration,
@@ -48,15 +48,17 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { next: FIRST_PAUSE }
+        Self {
+            next: INITIAL_BACKOFF,
+        }
     }
 }
 
 impl Backoff {
-    /// The next pause: between half of the current step and the whole of it.
+    /// The next backoff: between half of the current step and the whole of it.
     pub fn next_pause(&mut self, generator: &mut ChaCha8Rng) -> Duration {
         let step = self.next;
-        self.next = (step * 2).min(LONGEST_PAUSE);
+        self.next = (step * 2).min(MAX_BACKOFF);
         step.mul_f64(generator.random_range(0.5..=1.0))
     }
 }
--- a/crates/wingshore-client/src/watcher.rs
+++ b/crates/wingshore-client/src/watcher.rs
@@ -16,10 +16,10 @@
 /// Time for one watch beyond what it asks the other side to wait.
 const CALL_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Pause after a watch that failed or was refused.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after a watch that failed or was refused.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What the watcher asks and tells; called from the watcher's thread only.
+/// What the watcher asks for and reports; called from the watcher's thread only.
 pub trait WatchHandler: Send + 'static {
     /// The next watch: the revision held, and the acknowledgements to send. Called right before
     /// it is sent; may block for a moment to let acknowledgements gather.
@@ -29,7 +29,7 @@
     /// watch; it never shortens one that was granted before.
     fn on_update(&mut self, sent_at: BootTime, update: ConfigurationUpdate, lease_ms: u64);
 
-    /// The watch failed; it is tried again after a short pause.
+    /// The watch failed; it is sent again after a short backoff.
     fn on_failure(&mut self, reason: &str) {
         let _ = reason;
     }
@@ -97,11 +97,11 @@
         *self.stopping.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pause(&self) {
+    fn back_off(&self) {
         let stopping = self.stopping.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self
             .changed
-            .wait_timeout_while(stopping, FAILURE_PAUSE, |stopping| !*stopping);
+            .wait_timeout_while(stopping, FAILURE_BACKOFF, |stopping| !*stopping);
         drop(waited);
     }
 }
@@ -117,7 +117,7 @@
             Ok((update, lease_ms)) => handler.on_update(sent_at, update, lease_ms),
             Err(reason) => {
                 handler.on_failure(&reason);
-                stop.pause();
+                stop.back_off();
             }
         }
     }
--- a/crates/wingshore-control/src/effect.rs
+++ b/crates/wingshore-control/src/effect.rs
@@ -58,16 +58,16 @@
     StateRead {
         /// Which engine.
         server: ServerId,
-        /// When the question was sent, by the leader's clock.
+        /// When the poll was sent, by the leader's clock.
         asked_at: Instant,
-        /// Its state; the error says whether the engine may have seen the question.
+        /// Its state; the error says whether the engine may have seen the poll.
         state: Result<EngineState, Verdict>,
     },
     /// A live server's load was read, or not.
     LoadRead {
         /// Which server.
         server: ServerId,
-        /// When the question was sent, by the leader's clock.
+        /// When the poll was sent, by the leader's clock.
         asked_at: Instant,
         /// Its report.
         load: Result<LoadReport, Verdict>,
--- a/crates/wingshore-control/src/leader/engine.rs
+++ b/crates/wingshore-control/src/leader/engine.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Notes that a question for its state was not answered.
+    /// Notes that a poll of its state was not answered.
     pub(crate) fn on_silence(&mut self, asked_at: Instant) {
         let is_late = self
             .report
@@ -273,7 +273,7 @@
         let wait = doubled_pause(
             settings.swap_backoff,
             self.failures,
-            settings.longest_swap_backoff,
+            settings.max_swap_backoff,
         );
         self.failures = self.failures.saturating_add(1);
         self.failures_of_version = self.failures_of_version.saturating_add(1);
--- a/crates/wingshore-control/src/leader/engines.rs
+++ b/crates/wingshore-control/src/leader/engines.rs
@@ -122,15 +122,15 @@
         if is_busy || engine.version() != version {
             self.index.set_settled(engine.service(), false);
         }
-        let questions = is_busy.then(|| view.swap_questions(engine.service()));
-        self.polls.on_answer(id, asked_at, questions, view.settings);
+        let polling = is_busy.then(|| view.swap_polling(engine.service()));
+        self.polls.on_answer(id, asked_at, polling, view.settings);
         Some(FinishedSwap {
             service: engine.service().clone(),
             took: took?,
         })
     }
 
-    /// Brings the next question to an engine forward, at most to the usual interval.
+    /// Brings the next poll of an engine forward, at most to the usual interval.
     pub(crate) fn hurry(&mut self, id: &ServerId, at: Instant) {
         self.polls.hurry(id, at);
     }
--- a/crates/wingshore-control/src/leader/executor.rs
+++ b/crates/wingshore-control/src/leader/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out running plans: looks whether the next step is done, and has that committed before
+//! Carries out running plans: checks whether the next step is done, and has that committed before
 //! the one after it begins.
 
 use super::engines::Engines;
@@ -42,8 +42,8 @@
     watched: BTreeMap<ServerId, WatchedServer>,
 }
 
-/// What the executor looks at.
-pub(crate) struct Surroundings<'a> {
+/// What the executor reads.
+pub(crate) struct ExecutorView<'a> {
     /// Now.
     pub(crate) now: Instant,
     /// What is committed.
@@ -84,18 +84,18 @@
         }
     }
 
-    /// Looks at all running plans; answers what is to be committed.
-    pub(crate) fn advance(&mut self, around: &Surroundings<'_>) -> Vec<PlanProgress> {
-        self.forget_unwatched(around.state);
+    /// Checks all running plans; gives what is to be committed.
+    pub(crate) fn advance(&mut self, view: &ExecutorView<'_>) -> Vec<PlanProgress> {
+        self.forget_unwatched(view.state);
         let mut progress = Vec::new();
-        for plan in around.state.running_plans() {
+        for plan in view.state.running_plans() {
             let PlanState::Running { next_step } = plan.state else {
                 continue;
             };
             if self.committing.contains(&plan.id) {
                 continue;
             }
-            if let Some(result) = self.look(plan, next_step, around) {
+            if let Some(result) = self.check_step(plan, next_step, view) {
                 self.committing.insert(plan.id);
                 progress.push(PlanProgress {
                     plan: plan.id,
@@ -135,40 +135,40 @@
         self.watched.keys()
     }
 
-    fn look(
+    fn check_step(
         &mut self,
         plan: &Plan,
         next_step: u32,
-        around: &Surroundings<'_>,
+        view: &ExecutorView<'_>,
     ) -> Option<StepResult> {
         match plan.steps.get(next_step as usize)? {
             // Changes are committed together with the step before them.
             PlanStep::Change(_) => None,
             PlanStep::AwaitInForce => {
-                let everywhere = around.everywhere;
-                let wanted = around.state.changed_at(plan.id);
+                let everywhere = view.everywhere;
+                let wanted = view.state.changed_at(plan.id);
                 (everywhere >= wanted).then_some(StepResult::InForce(everywhere))
             }
-            PlanStep::AwaitIdle(server) => self.look_idle(server, around),
-            PlanStep::Swap { .. } => swap_steps::look(plan, next_step, around),
+            PlanStep::AwaitIdle(server) => self.check_idle(server, view),
+            PlanStep::Swap { .. } => swap_steps::check(plan, next_step, view),
         }
     }
 
-    fn look_idle(&mut self, id: &ServerId, around: &Surroundings<'_>) -> Option<StepResult> {
-        if !around.state.configuration().servers.contains_key(id) {
+    fn check_idle(&mut self, id: &ServerId, view: &ExecutorView<'_>) -> Option<StepResult> {
+        if !view.state.configuration().servers.contains_key(id) {
             return Some(StepResult::Done { steps: 1 });
         }
-        let now = around.now;
+        let now = view.now;
         let watched = self.watched.entry(id.clone()).or_insert(WatchedServer {
             watch: IdleWatch::new(now),
             silent_since: None,
             ask_next: now,
         });
-        if watched.watch.is_idle_for(around.settings.idle_for) {
+        if watched.watch.is_idle_for(view.settings.idle_for) {
             return Some(StepResult::Done { steps: 1 });
         }
         let silent_for = watched.silent_since.map(|since| now.since(since))?;
-        (silent_for >= around.settings.unreachable_after).then(|| StepResult::Failed {
+        (silent_for >= view.settings.unreachable_after).then(|| StepResult::Failed {
             reason: format!(
                 "server `{id}` has not answered for {} s, so whether it is idle is not known; it still gets no new work",
                 silent_for.as_secs()
--- a/crates/wingshore-control/src/leader/mod.rs
+++ b/crates/wingshore-control/src/leader/mod.rs
@@ -21,10 +21,10 @@
 use crate::settings::LeaderSettings;
 use crate::state::ControlState;
 use engines::Engines;
-use executor::{PlanExecutor, Surroundings};
+use executor::{ExecutorView, PlanExecutor};
 use leases::NodeLeases;
 use orders::FenceSource;
-use requests::{Look, SortedRequest};
+use requests::{Query, SortedRequest};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use swap_scheduler::SchedulerView;
@@ -119,7 +119,7 @@
         state: &ControlState,
         out: &mut Outputs,
     ) {
-        let wait = Duration::from_millis(request.wait_ms).min(self.settings.longest_watch);
+        let wait = Duration::from_millis(request.wait_ms).min(self.settings.max_watch);
         // Who acknowledges nothing holds nothing that could be counted on.
         let lease = if request.acknowledgements.is_empty() {
             Duration::ZERO
@@ -172,15 +172,15 @@
         }
     }
 
-    fn look(&mut self, now: Instant, look: Look, state: &ControlState) -> ControlReply {
-        match look {
-            Look::Plan(id) => match state.plan(id) {
+    fn answer_query(&mut self, now: Instant, query: Query, state: &ControlState) -> ControlReply {
+        match query {
+            Query::Plan(id) => match state.plan(id) {
                 Some(plan) => ControlReply::Plan(Box::new(plan.clone())),
                 None => ControlReply::Refused(ControlRefusal::UnknownPlan(id)),
             },
-            Look::Plans => ControlReply::Plans(requests::listed_plans(state)),
-            Look::Status => ControlReply::Status(Box::new(self.status(now, state))),
-            Look::Configuration => {
+            Query::Plans => ControlReply::Plans(requests::listed_plans(state)),
+            Query::Status => ControlReply::Status(Box::new(self.status(now, state))),
+            Query::Configuration => {
                 ControlReply::Configuration(Box::new(state.configuration().clone()))
             }
         }
@@ -202,7 +202,7 @@
             return;
         }
         let everywhere = self.everywhere(now, state.configuration().revision);
-        let progress = self.executor.advance(&Surroundings {
+        let progress = self.executor.advance(&ExecutorView {
             now,
             state,
             engines: &self.engines,
@@ -323,8 +323,8 @@
         match requests::sort(request) {
             SortedRequest::Watch(watch) => self.on_watch(now, tag, watch, state, out),
             SortedRequest::Change(command) => self.propose(Waiter::Client(tag), command, out),
-            SortedRequest::Look(look) => {
-                let reply = self.look(now, look, state);
+            SortedRequest::Query(query) => {
+                let reply = self.answer_query(now, query, state);
                 out.push(LeaderOutput::Reply { tag, reply });
             }
         }
--- a/crates/wingshore-control/src/leader/orders.rs
+++ b/crates/wingshore-control/src/leader/orders.rs
@@ -123,7 +123,7 @@
         }
         self.send_wait = (self.send_wait * 2)
             .max(settings.order_timeout)
-            .min(settings.longest_order_backoff);
+            .min(settings.max_order_backoff);
         self.send_next = now + self.send_wait;
         Some(self.order.clone())
     }
--- a/crates/wingshore-control/src/leader/polling.rs
+++ b/crates/wingshore-control/src/leader/polling.rs
@@ -8,39 +8,39 @@
 
 /// Nanoseconds in a second.
 const NANOSECONDS: u64 = 1_000_000_000;
-/// Most unused questions that may be asked at once later, as a time at full pace.
-const BURST: Duration = Duration::from_millis(200);
-
-/// An engine is asked first when this part of the usual time of a swap is over, in sixteenths.
-const FIRST_QUESTION: u32 = 14;
-/// Parts of the usual time of a swap between two further questions.
-const QUESTIONS_PER_SWAP: u32 = 16;
-/// Longest time from an order to the first question: a failed swap is to be noticed by then.
-const LONGEST_UNASKED: Duration = Duration::from_secs(5);
-/// Shortest time between two questions to an engine that swaps.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(50);
-
-/// When an engine that swaps is asked whether it is done. Each question before that costs a
+/// Most unused polls that may be sent at once later, as a time at full pace.
+const MAX_BURST: Duration = Duration::from_millis(200);
+
+/// An engine is polled first when this part of the usual time of a swap is over, in sixteenths.
+const FIRST_POLL: u32 = 14;
+/// Parts of the usual time of a swap between two further polls.
+const POLLS_PER_SWAP: u32 = 16;
+/// Longest time from an order to the first poll: a failed swap is to be noticed by then.
+const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(5);
+/// Shortest time between two polls of an engine that swaps.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// When an engine that swaps is polled whether it is done. Each poll before that costs a
 /// reading, and each moment after it delays those that could fetch from this engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct SwapQuestions {
-    /// From the order to the first question.
+pub(crate) struct SwapPolling {
+    /// From the order to the first poll.
     pub(crate) first: Duration,
     /// Between two further ones.
     pub(crate) interval: Duration,
 }
 
-impl SwapQuestions {
+impl SwapPolling {
     /// For swaps that usually take `usual`, where that is known.
     pub(crate) fn new(usual: Option<Duration>, settings: &LeaderSettings) -> Self {
         let longest = settings.poll_interval;
         let usual = usual.unwrap_or(longest);
-        let interval = usual / QUESTIONS_PER_SWAP;
+        let interval = usual / POLLS_PER_SWAP;
         Self {
-            first: (usual * FIRST_QUESTION / QUESTIONS_PER_SWAP)
-                .min(LONGEST_UNASKED)
+            first: (usual * FIRST_POLL / POLLS_PER_SWAP)
+                .min(MAX_FIRST_POLL_DELAY)
                 .max(longest),
-            interval: interval.max(SHORTEST_INTERVAL).min(longest),
+            interval: interval.max(MIN_POLL_INTERVAL).min(longest),
         }
     }
 }
@@ -57,7 +57,7 @@
 pub(crate) struct PollSchedule {
     slots: BTreeMap<ServerId, Slot>,
     by_time: BTreeSet<(Instant, ServerId)>,
-    /// Questions that may be asked now, in units of a billionth.
+    /// Polls that may be sent now, in units of a billionth.
     allowance: u64,
     updated_at: Instant,
 }
@@ -105,13 +105,13 @@
         due
     }
 
-    /// A question was answered, or failed: the next one follows after a while, sooner when the
+    /// A poll was answered, or failed: the next one follows after a while, sooner when the
     /// engine is in a swap.
     pub(crate) fn on_answer(
         &mut self,
         server: &ServerId,
         asked_at: Instant,
-        swap: Option<SwapQuestions>,
+        swap: Option<SwapPolling>,
         settings: &LeaderSettings,
     ) {
         let Some(slot) = self.slots.get(server).copied() else {
@@ -121,7 +121,7 @@
             return;
         }
         let interval = match swap {
-            Some(questions) => questions.interval,
+            Some(polling) => polling.interval,
             None => self.steady_interval(settings),
         };
         self.put(
@@ -133,7 +133,7 @@
         );
     }
 
-    /// Brings a server's next question forward.
+    /// Brings a server's next poll forward.
     pub(crate) fn hurry(&mut self, server: &ServerId, at: Instant) {
         let Some(slot) = self.slots.get(server).copied() else {
             return;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Moves a server's next question to `at`, sooner or later, unless one is on its way.
+    /// Moves a server's next poll to `at`, sooner or later, unless one is on its way.
     pub(crate) fn ask_at(&mut self, server: &ServerId, at: Instant) {
         let Some(slot) = self.slots.get(server).copied() else {
             return;
@@ -162,9 +162,9 @@
 
     fn gain_allowance(&mut self, now: Instant, settings: &LeaderSettings) {
         let pace = u64::from(settings.polls_per_second.max(1));
-        let elapsed = now.since(self.updated_at).min(BURST);
+        let elapsed = now.since(self.updated_at).min(MAX_BURST);
         let gained = u64::try_from(elapsed.as_nanos()).unwrap_or(u64::MAX);
-        let most = u64::try_from(BURST.as_nanos()).unwrap_or(u64::MAX);
+        let most = u64::try_from(MAX_BURST.as_nanos()).unwrap_or(u64::MAX);
         let limit = most.saturating_mul(pace).max(NANOSECONDS);
         self.allowance = self
             .allowance
--- a/crates/wingshore-control/src/leader/requests.rs
+++ b/crates/wingshore-control/src/leader/requests.rs
@@ -1,4 +1,4 @@
-//! What a client's request asks for: a watch, a change by way of the log, or a look.
+//! What a client's request asks for: a watch, a change by way of the log, or a query.
 
 use crate::command::ControlCommand;
 use crate::state::ControlState;
@@ -15,11 +15,11 @@
     /// Answered when the command is applied.
     Change(ControlCommand),
     /// Answered at once.
-    Look(Look),
+    Query(Query),
 }
 
-/// A question that changes nothing.
-pub(super) enum Look {
+/// A request that changes nothing.
+pub(super) enum Query {
     /// One plan.
     Plan(PlanId),
     /// A listing.
@@ -58,10 +58,10 @@
             pool,
             version,
         }),
-        ControlRequest::ShowPlan(id) => SortedRequest::Look(Look::Plan(id)),
-        ControlRequest::ListPlans => SortedRequest::Look(Look::Plans),
-        ControlRequest::Status => SortedRequest::Look(Look::Status),
-        ControlRequest::ReadConfiguration => SortedRequest::Look(Look::Configuration),
+        ControlRequest::ShowPlan(id) => SortedRequest::Query(Query::Plan(id)),
+        ControlRequest::ListPlans => SortedRequest::Query(Query::Plans),
+        ControlRequest::Status => SortedRequest::Query(Query::Status),
+        ControlRequest::ReadConfiguration => SortedRequest::Query(Query::Configuration),
     }
 }
 
--- a/crates/wingshore-control/src/leader/service_index.rs
+++ b/crates/wingshore-control/src/leader/service_index.rs
@@ -1,4 +1,4 @@
-//! Which engines each service has, and which services need no look because all is done there.
+//! Which engines each service has, and which services need no check because all is done there.
 
 use std::collections::BTreeMap;
 use wingshore_types::ids::{ServerId, ServiceId};
--- a/crates/wingshore-control/src/leader/swap_scheduler.rs
+++ b/crates/wingshore-control/src/leader/swap_scheduler.rs
@@ -3,7 +3,7 @@
 use super::engine::Engine;
 use super::engines::Engines;
 use super::orders::SwapOrder;
-use super::polling::SwapQuestions;
+use super::polling::SwapPolling;
 use super::store_fetches::StoreFetches;
 use crate::settings::LeaderSettings;
 use crate::state::ControlState;
@@ -21,7 +21,7 @@
     store: SocketAddr,
 }
 
-/// What the scheduler looks at.
+/// What the scheduler reads.
 #[derive(Clone, Copy)]
 pub(crate) struct SchedulerView<'a> {
     /// Now.
@@ -34,9 +34,9 @@
 
 impl SchedulerView<'_> {
     /// When engines of a service that swap are asked.
-    pub(super) fn swap_questions(&self, service: &ServiceId) -> SwapQuestions {
+    pub(super) fn swap_polling(&self, service: &ServiceId) -> SwapPolling {
         let usual = self.state.swap_time(service).map(Duration::from_millis);
-        SwapQuestions::new(usual, self.settings)
+        SwapPolling::new(usual, self.settings)
     }
 }
 
@@ -180,8 +180,8 @@
         let fence = self.fences.next();
         let order = SwapOrder::new(view.now, fence, version, start.source, boot_id);
         engine.give_order(view.now, order);
-        let questions = view.swap_questions(engine.service());
-        let first = view.now + questions.first;
+        let polling = view.swap_polling(engine.service());
+        let first = view.now + polling.first;
         self.polls.ask_at(&start.server, first);
         self.ordered.insert(start.server);
     }
--- a/crates/wingshore-control/src/leader/swap_steps.rs
+++ b/crates/wingshore-control/src/leader/swap_steps.rs
@@ -3,7 +3,7 @@
 //! Swaps that follow each other go on side by side, as the swap policy allows; the plan moves past
 //! those at its head that are done.
 
-use super::executor::Surroundings;
+use super::executor::ExecutorView;
 use crate::command::StepResult;
 use wingshore_types::configuration::Admission;
 use wingshore_types::ids::{ServerId, WeightVersion};
@@ -16,7 +16,7 @@
 enum SwapOutcome {
     /// The engine reports the version.
     Swapped,
-    /// It is gone, takes no work or is silent: it is brought to the version when it comes back.
+    /// It is gone, takes no work or is silent: it is brought to the version once it is reachable again.
     PassedOver,
     /// Not there yet.
     Open,
@@ -25,16 +25,16 @@
 }
 
 /// What the swaps from `next_step` on have come to.
-pub(super) fn look(plan: &Plan, next_step: u32, around: &Surroundings<'_>) -> Option<StepResult> {
+pub(super) fn check(plan: &Plan, next_step: u32, view: &ExecutorView<'_>) -> Option<StepResult> {
     let mut done = 0;
     for step in plan.steps.iter().skip(next_step as usize) {
         let PlanStep::Swap { server, version } = step else {
             break;
         };
-        match outcome(server, *version, around) {
+        match outcome(server, *version, view) {
             SwapOutcome::Swapped | SwapOutcome::PassedOver => done += 1,
             SwapOutcome::Open => break,
-            SwapOutcome::Failing => match reason_to_stop(plan, server, *version, around) {
+            SwapOutcome::Failing => match reason_to_stop(plan, server, *version, view) {
                 None => done += 1,
                 Some(reason) if done == 0 => return Some(StepResult::Failed { reason }),
                 Some(_) => break,
@@ -44,17 +44,17 @@
     (done > 0).then_some(StepResult::Done { steps: done })
 }
 
-fn outcome(id: &ServerId, version: WeightVersion, around: &Surroundings<'_>) -> SwapOutcome {
-    let server = around.state.configuration().servers.get(id);
+fn outcome(id: &ServerId, version: WeightVersion, view: &ExecutorView<'_>) -> SwapOutcome {
+    let server = view.state.configuration().servers.get(id);
     let in_use = server.is_some_and(|server| server.admission == Admission::Open);
-    let Some(engine) = around.engines.get(id).filter(|_| in_use) else {
+    let Some(engine) = view.engines.get(id).filter(|_| in_use) else {
         return SwapOutcome::PassedOver;
     };
-    let settings = around.settings;
+    let settings = view.settings;
     if engine.version() == Some(version) && !engine.is_swapping() {
         return SwapOutcome::Swapped;
     }
-    if engine.is_draining() || engine.is_unreachable(around.now, settings.unreachable_after) {
+    if engine.is_draining() || engine.is_unreachable(view.now, settings.unreachable_after) {
         return SwapOutcome::PassedOver;
     }
     if engine.failures_at(version) >= settings.swap_failures_that_stop_a_plan {
@@ -69,13 +69,13 @@
     plan: &Plan,
     failing: &ServerId,
     version: WeightVersion,
-    around: &Surroundings<'_>,
+    view: &ExecutorView<'_>,
 ) -> Option<String> {
     let outcomes: Vec<SwapOutcome> = plan
         .steps
         .iter()
         .filter_map(|step| match step {
-            PlanStep::Swap { server, version } => Some(outcome(server, *version, around)),
+            PlanStep::Swap { server, version } => Some(outcome(server, *version, view)),
             _ => None,
         })
         .collect();
--- a/crates/wingshore-control/src/settings.rs
+++ b/crates/wingshore-control/src/settings.rs
@@ -11,27 +11,27 @@
     /// By how much a node's clock may run slower than the leader's, as a share of the lease.
     pub clock_drift: Permille,
     /// Longest time a watch is held open; shorter than the lease.
-    pub longest_watch: Duration,
+    pub max_watch: Duration,
     /// Time after which an unanswered order is sent again, under the same fence.
     pub order_timeout: Duration,
     /// Longest time between two sendings of an unanswered order.
-    pub longest_order_backoff: Duration,
+    pub max_order_backoff: Duration,
     /// Time after which an accepted swap without result counts as failed.
     pub swap_timeout: Duration,
     /// Wait after the first failed swap of an engine; doubles with each further one.
     pub swap_backoff: Duration,
     /// Longest wait between two swaps of a failing engine.
-    pub longest_swap_backoff: Duration,
+    pub max_swap_backoff: Duration,
     /// Failed swaps in a row after which a plan waits for an engine no longer: it passes it over
     /// or, when many engines fail, stops.
     pub swap_failures_that_stop_a_plan: u32,
     /// Time without any answer after which an engine counts as unreachable.
     pub unreachable_after: Duration,
-    /// Time between two questions for an engine's state.
+    /// Time between two polls of an engine's state.
     pub poll_interval: Duration,
-    /// Time after which an unanswered question may be asked again.
+    /// Time after which an unanswered poll may be repeated.
     pub poll_timeout: Duration,
-    /// Most questions for state in a second, over all engines.
+    /// Most polls of state in a second, over all engines.
     pub polls_per_second: u32,
     /// How long a server must report nothing in flight before it counts as idle: requests may
     /// still be on their way to it.
@@ -51,12 +51,12 @@
         Self {
             lease: Duration::from_secs(5),
             clock_drift: Permille(50),
-            longest_watch: Duration::from_millis(2_000),
+            max_watch: Duration::from_millis(2_000),
             order_timeout: Duration::from_secs(2),
-            longest_order_backoff: Duration::from_secs(30),
+            max_order_backoff: Duration::from_secs(30),
             swap_timeout: Duration::from_secs(120),
             swap_backoff: Duration::from_secs(1),
-            longest_swap_backoff: Duration::from_secs(60),
+            max_swap_backoff: Duration::from_secs(60),
             swap_failures_that_stop_a_plan: 5,
             unreachable_after: Duration::from_secs(10),
             poll_interval: Duration::from_millis(500),
--- a/crates/wingshore-control/src/state/answers.rs
+++ b/crates/wingshore-control/src/state/answers.rs
@@ -1,6 +1,6 @@
 //! First answers to intents, kept so that a resend gets the same one.
 
-use super::plan_book::PlanBook;
+use super::plan_table::PlanTable;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use wingshore_types::ids::{IntentId, PlanId, Revision};
@@ -9,7 +9,7 @@
 /// Answers kept; the oldest by commit order go first.
 pub const ANSWERS_KEPT: usize = 10_000;
 
-/// A first answer. Of a plan only what can change is stored: the rest stands in the plan book.
+/// A first answer. Of a plan only what can change is stored: the rest stands in the plan table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum FirstAnswer {
     Plan { plan: PlanId, state: PlanState },
@@ -37,7 +37,7 @@
         &self,
         intent_id: IntentId,
         fingerprint: u64,
-        plans: &PlanBook,
+        plans: &PlanTable,
     ) -> Option<ControlReply> {
         let answered = self.by_intent.get(&intent_id)?;
         if answered.fingerprint != fingerprint {
@@ -85,8 +85,8 @@
     }
 }
 
-/// The plan as it stood when first answered; unknown once the plan book has let it go.
-fn plan_as_answered(id: PlanId, state: &PlanState, plans: &PlanBook) -> ControlReply {
+/// The plan as it stood when first answered; unknown once the plan table has let it go.
+fn plan_as_answered(id: PlanId, state: &PlanState, plans: &PlanTable) -> ControlReply {
     match plans.get(id) {
         Some(record) => {
             let mut plan = record.plan.clone();
--- a/crates/wingshore-control/src/state/apply.rs
+++ b/crates/wingshore-control/src/state/apply.rs
@@ -2,7 +2,7 @@
 
 use super::ControlState;
 use super::describe::describe_all;
-use super::plan_book::{OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT, PlanRecord};
+use super::plan_table::{OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT, PlanRecord};
 use super::planner::{PlanDraft, Planner};
 use crate::command::{CommandReply, ControlCommand, StepResult};
 use fnv::FnvHasher;
--- a/crates/wingshore-control/src/state/checks.rs
+++ b/crates/wingshore-control/src/state/checks.rs
@@ -1,4 +1,4 @@
-//! Whether changes make sense, beyond the names that [`Configuration::check`] looks after.
+//! Whether changes make sense, beyond the names that [`Configuration::check`] checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/wingshore-control/src/state/footprint.rs
+++ b/crates/wingshore-control/src/state/footprint.rs
@@ -1,5 +1,5 @@
-//! What a plan or a change depends on and touches, to tell changes that matter to a plan from
-//! those that do not.
+//! What a plan or a change depends on and touches, which changes matter to a plan and which
+//! do not.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/wingshore-control/src/state/mod.rs
+++ b/crates/wingshore-control/src/state/mod.rs
@@ -8,14 +8,14 @@
 mod execution;
 mod footprint;
 mod history;
-mod plan_book;
+mod plan_table;
 mod planner;
 
 use crate::command::{CommandReply, ControlCommand};
 use crate::faults::Faults;
 use answers::IntentAnswers;
 use history::ChangeHistory;
-use plan_book::PlanBook;
+use plan_table::PlanTable;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::configuration::{Configuration, ServiceKind};
@@ -29,7 +29,7 @@
 pub use answers::ANSWERS_KEPT;
 pub use estimate::ASSUMED_SWAP_MS;
 pub use history::CHANGES_KEPT;
-pub use plan_book::{CLOSED_PLANS_KEPT, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT};
+pub use plan_table::{CLOSED_PLANS_KEPT, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT};
 pub use planner::CHANGES_PER_INTENT;
 
 /// Format of snapshots; the first byte of each.
@@ -40,7 +40,7 @@
 pub struct ControlState {
     configuration: Configuration,
     history: ChangeHistory,
-    plans: PlanBook,
+    plans: PlanTable,
     answers: IntentAnswers,
     /// The newest version published for each pool.
     published: BTreeMap<PoolId, WeightVersion>,
--- a/crates/wingshore-control/src/state/plan_book.rs
+++ b/crates/wingshore-control/src/state/plan_table.rs
@@ -47,7 +47,7 @@
 
 /// All plans that are kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PlanBook {
+pub(crate) struct PlanTable {
     last_id: u64,
     records: BTreeMap<PlanId, PlanRecord>,
     open: BTreeSet<PlanId>,
@@ -55,7 +55,7 @@
     closed_steps: u64,
 }
 
-impl PlanBook {
+impl PlanTable {
     /// The number of the next plan.
     pub(crate) fn next_id(&self) -> PlanId {
         PlanId(self.last_id + 1)
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Adds a proposed plan whose number is [`PlanBook::next_id`].
+    /// Adds a proposed plan whose number is [`PlanTable::next_id`].
     pub(crate) fn add(&mut self, record: PlanRecord) {
         let id = record.plan.id;
         self.last_id = id.0;
--- a/crates/wingshore-replica/src/admin.rs
+++ b/crates/wingshore-replica/src/admin.rs
@@ -19,7 +19,7 @@
 /// Content type of everything else.
 const TEXT_TYPE: &[u8] = b"text/plain; charset=utf-8";
 
-/// What the admin listener tells of.
+/// What the admin listener reports.
 pub(crate) struct AdminState {
     pub(crate) metrics: ReplicaMetrics,
     pub(crate) groups: Vec<(GroupId, Arc<GroupMetrics>)>,
@@ -45,13 +45,13 @@
             AdminSnafu { address, message }.build()
         })?;
         let own = server.server_addr().to_ip().unwrap_or(address);
-        let (nudger, _) = Nudger::start(own).context(ThreadSnafu { name: "nudge" })?;
+        let (wake_up, _) = Nudger::start(own).context(ThreadSnafu { name: "nudge" })?;
         let server = Arc::new(server);
         let serving = Arc::clone(&server);
         let name = "admin".to_owned();
         let thread = thread::Builder::new()
             .name(name.clone())
-            .spawn(move || serve(&serving, &state, &nudger))
+            .spawn(move || serve(&serving, &state, &wake_up))
             .context(ThreadSnafu { name })?;
         Ok(Self {
             server,
@@ -75,9 +75,9 @@
     }
 }
 
-fn serve(server: &Server, state: &AdminState, nudger: &Nudger) {
+fn serve(server: &Server, state: &AdminState, wake_up: &Nudger) {
     for request in server.incoming_requests() {
-        nudger.on_request(request.remote_addr());
+        wake_up.on_request(request.remote_addr());
         let answer = state.answer(request.method(), request.url());
         respond(request, answer);
     }
--- a/crates/wingshore-replica/src/group/delays.rs
+++ b/crates/wingshore-replica/src/group/delays.rs
@@ -6,7 +6,7 @@
 use wingshore_types::Instant;
 
 /// Most numbers that are waited for; further ones are not measured.
-const MOST_OPEN: usize = 1024;
+const MAX_OPEN: usize = 1024;
 
 /// Numbers that were reached on one side and not yet on the other.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
     pub(crate) fn begin(&mut self, number: u64, now: Instant) {
         if number > self.newest {
             self.newest = number;
-            if self.open.len() < MOST_OPEN {
+            if self.open.len() < MAX_OPEN {
                 self.open.push_back((number, now));
             }
         }
--- a/crates/wingshore-replica/src/group/driver.rs
+++ b/crates/wingshore-replica/src/group/driver.rs
@@ -23,14 +23,14 @@
 use wingshore_types::{Epoch, GroupId, Instant, ReplicaId};
 
 /// Most inputs that one step takes; what they write goes out as one batch.
-const MOST_INPUTS: usize = 1024;
+const MAX_INPUTS_PER_STEP: usize = 1024;
 /// Longest sleep without any input.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Time between looks at how far the configuration has come; the error of what is measured.
+/// Time between checks how far the configuration has come; the error of what is measured.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
 /// No lease lasts longer, in milliseconds.
-const LONGEST_LEASE_MILLIS: u32 = 60_000;
+const MAX_LEASE_MS: u32 = 60_000;
 
 /// Carries out what a leader machine wants done outside.
 pub(crate) trait EffectRunner<L: HostedLeader>: Send {
@@ -193,7 +193,7 @@
         let received = select! {
             recv(outbox.events) -> event => event.ok().and_then(|event| self.event_input(event).transpose()),
             recv(outbox.requests) -> call => call.ok().map(|call| Ok(self.call_input(call))),
-            default(sleep.min(LONGEST_SLEEP)) => None,
+            default(sleep.min(MAX_SLEEP)) => None,
         };
         inputs.extend(received.transpose()?);
         Ok(())
@@ -205,13 +205,13 @@
         outbox: &Outbox<L>,
         inputs: &mut Vec<HostInput<L>>,
     ) -> Result<(), ReplicaError> {
-        while inputs.len() < MOST_INPUTS {
+        while inputs.len() < MAX_INPUTS_PER_STEP {
             let Ok(event) = outbox.events.try_recv() else {
                 break;
             };
             inputs.extend(self.event_input(event)?);
         }
-        while inputs.len() < MOST_INPUTS {
+        while inputs.len() < MAX_INPUTS_PER_STEP {
             let Ok(call) = outbox.requests.try_recv() else {
                 break;
             };
@@ -359,7 +359,7 @@
     if !host.holds_lease(now) {
         return None;
     }
-    let (mut held, mut ended) = (0_u32, LONGEST_LEASE_MILLIS);
+    let (mut held, mut ended) = (0_u32, MAX_LEASE_MS);
     while ended - held > 1 {
         let middle = held.midpoint(ended);
         match host.holds_lease(now + STEP * middle) {
--- a/crates/wingshore-replica/src/metrics.rs
+++ b/crates/wingshore-replica/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a replica tells monitoring about its groups.
+//! What a replica reports to monitoring about its groups.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -15,14 +15,14 @@
 use wingshore_transport::TrafficCollector;
 use wingshore_types::{GroupId, LogIndex};
 
-/// Shortest write that the histogram tells apart, in seconds.
+/// Shortest write that the histogram distinguishes, in seconds.
 const SHORTEST_WRITE: f64 = 0.000_1;
 /// Each bucket of the histogram reaches twice as far as the one before.
 const BUCKET_FACTOR: f64 = 2.0;
 /// Buckets of the histogram; the last one ends at 3.3 s.
 const BUCKETS: u16 = 16;
 
-/// Shortest time until a revision is in force everywhere that is told apart, in seconds.
+/// Shortest time until a revision is in force everywhere that is distinguished, in seconds.
 const SHORTEST_IN_FORCE: f64 = 0.05;
 /// Buckets for it; the last one ends at 25.6 s.
 const IN_FORCE_BUCKETS: u16 = 10;
--- a/crates/wingshore-replica/src/process.rs
+++ b/crates/wingshore-replica/src/process.rs
@@ -19,14 +19,14 @@
 use wingshore_types::ReplicaId;
 
 /// Most connections of other processes at a time.
-const MOST_CONNECTIONS: u32 = 4096;
+const MAX_CONNECTIONS: u32 = 4096;
 /// Most time that groups have to hand their leaderships over in a planned stop.
 const STOP_LIMIT: Duration = Duration::from_secs(10);
 /// Most time that groups have to finish the write that is under way when all is to end at once.
 const ABORT_LIMIT: Duration = Duration::from_secs(2);
-/// Between looks at whether a group has failed.
+/// Time between checks whether a group has failed.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Between looks at whether all groups have ended.
+/// Time between checks whether all groups have ended.
 const END_POLL: Duration = Duration::from_millis(5);
 
 /// Runs a replica until a planned stop, in which it hands its leaderships over.
@@ -162,7 +162,7 @@
         self.finish()
     }
 
-    /// Ends at once and hands nothing over: after a failure, or to try a crash out.
+    /// Ends at once and hands nothing over: after a failure, or to simulate a crash.
     ///
     /// # Errors
     /// When a group had failed.
@@ -225,7 +225,7 @@
     let options = ServerOptions {
         site: settings.site.clone(),
         replica: Some(replica),
-        max_connections: MOST_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
     };
     Server::bind(settings.listen, options, handler).context(ListenSnafu)
 }
--- a/crates/wingshore-replica/src/start.rs
+++ b/crates/wingshore-replica/src/start.rs
@@ -143,7 +143,7 @@
     LeaderSettings {
         lease: settings.configuration_lease,
         clock_drift: settings.timing.clock_drift,
-        longest_watch: settings.configuration_lease * 2 / 5,
+        max_watch: settings.configuration_lease * 2 / 5,
         order_timeout: settings.orders.timeout,
         poll_interval: settings.orders.state_poll,
         poll_timeout: settings.orders.timeout,
--- a/crates/wingshore-settings/src/node.rs
+++ b/crates/wingshore-settings/src/node.rs
@@ -19,7 +19,7 @@
     pub site: String,
     /// This node; unique at the site.
     pub node: NodeId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// Where callers reach it; it stands beside its caller, so usually on loopback.
     pub listen: SocketAddr,
--- a/crates/wingshore-settings/src/relay.rs
+++ b/crates/wingshore-settings/src/relay.rs
@@ -15,7 +15,7 @@
     pub site: String,
     /// This process's name.
     pub name: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Where it listens for frames.
     pub listen: SocketAddr,
--- a/crates/wingshore-settings/src/replica.rs
+++ b/crates/wingshore-settings/src/replica.rs
@@ -19,7 +19,7 @@
     pub site: String,
     /// This process's name, for people.
     pub name: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
     /// Where it listens for frames.
     pub listen: SocketAddr,
--- a/crates/wingshore-transport/src/codec.rs
+++ b/crates/wingshore-transport/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames as bytes: a fixed header (magic, version, length, checksum) and a `postcard` body.
 //!
-//! The header's layout never changes, so that sides of different versions can tell each other.
+//! The header's layout never changes, so that sides of different versions recognise each other.
 
 use crate::error::{
     BadChecksumSnafu, BadMagicSnafu, ClosedSnafu, FrameError, MalformedSnafu, TooLargeSnafu,
--- a/crates/wingshore-transport/src/connection.rs
+++ b/crates/wingshore-transport/src/connection.rs
@@ -119,7 +119,7 @@
         self.shared.queue.finish();
     }
 
-    /// Reads and writes until the connection ends, then tells the handler. Runs on the
+    /// Reads and writes until the connection ends, then notifies the handler. Runs on the
     /// connection's own thread.
     pub(crate) fn run(&self, handler: &dyn FrameHandler) {
         let connection = self.clone();
--- a/crates/wingshore-transport/src/peer.rs
+++ b/crates/wingshore-transport/src/peer.rs
@@ -16,11 +16,11 @@
 /// Longest time until a TCP connection stands.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after the first failed attempt; doubles with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+/// Backoff after the first failed attempt; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest pause between attempts.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+/// Longest backoff between attempts.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Which replica to hold a connection to.
 #[derive(Clone, Debug)]
@@ -135,7 +135,7 @@
 
     fn keep_connected(self: &Arc<Self>, options: &PeerOptions, frames: &Arc<dyn FrameHandler>) {
         let mut generator = StdRng::seed_from_u64(options.seed);
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let connect_options = ConnectOptions {
             site: options.site.clone(),
             replica: options.replica,
@@ -150,12 +150,12 @@
             match Connection::open(options.address, &connect_options, handler) {
                 Ok(connection) => {
                     self.hold(&connection);
-                    backoff = FIRST_BACKOFF;
+                    backoff = INITIAL_BACKOFF;
                 }
                 Err(error) => self.lock().last_error = Some(error.to_string()),
             }
-            self.pause(backoff.mul_f64(generator.random_range(0.5..1.0)));
-            backoff = (backoff * 2).min(LONGEST_BACKOFF);
+            self.back_off(backoff.mul_f64(generator.random_range(0.5..1.0)));
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -171,7 +171,7 @@
         state.current = None;
     }
 
-    fn pause(&self, duration: Duration) {
+    fn back_off(&self, duration: Duration) {
         let state = self.lock();
         let waited = self
             .changed
--- a/crates/wingshore-transport/src/server.rs
+++ b/crates/wingshore-transport/src/server.rs
@@ -19,10 +19,10 @@
 /// How long a stopping server waits for its peers to take the last frames.
 const DRAIN_LIMIT: Duration = Duration::from_millis(500);
 
-/// Pause between looks at whether a stopping server's connections have ended.
+/// Time between checks whether a stopping server's connections have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// Pause after a failed accept, for instance while the process is out of file descriptors.
+/// Backoff after a failed accept, for instance while the process is out of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// Longest silence of a connecting process during the handshake.
@@ -175,7 +175,7 @@
             refuse(stream, limit);
             return;
         }
-        // Without memory or threads the connection is dropped; the peer tries again.
+        // Without memory or threads the connection is dropped; the peer retries.
         if let Ok(accepted) = self.spawn(stream) {
             connections.push(accepted);
         }
