--- a/crates/wingshore-client/src/call.rs
+++ b/crates/wingshore-client/src/call.rs
@@ -13,6 +13,9 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId, Verdict};
 
+/// Attempts of a call to one process: a second one where the connection turned out to be lost.
+const ATTEMPTS_AT_ONE_ADDRESS: u32 = 2;
+
 /// Calls replicated groups. Clones share their connections and what they know about leaders.
 #[derive(Clone, Debug)]
 pub struct GroupClient {
@@ -115,7 +118,7 @@
         let deadline = Instant::now() + timeout;
         let mut frame = request_frame(group, request);
         let mut progress = Progress::default();
-        for _ in 0..2 {
+        for _ in 0..ATTEMPTS_AT_ONE_ADDRESS {
             match self.attempt(address, &mut frame, deadline) {
                 Attempt::Reply(reply) => return Ok(reply),
                 Attempt::Unsendable { reason } => return Err(CallError::Unsendable { reason }),
--- a/crates/wingshore-client/src/retry.rs
+++ b/crates/wingshore-client/src/retry.rs
@@ -1,4 +1,14 @@
-//! How long one attempt may take, and the backoff between attempts.
+//! Decision: how long may one attempt of a call take, and how long is the wait before the next?
+//!
+//! Inputs: the time of the whole call, how long the request asks the group to wait, the number of
+//! backoffs so far, a source of random numbers.
+//!
+//! Rule: an attempt gets a quarter of the call's time, within bounds, and what the group may wait on
+//! top. Backoffs double from [`INITIAL_BACKOFF`] to [`MAX_BACKOFF`], each drawn between half of the
+//! step and the whole.
+//!
+//! Why: a leader that was cut off silently must not use up the whole call, and callers that failed
+//! at the same moment must not return at the same moment. None of the figures is measured.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
--- a/crates/wingshore-client/src/route.rs
+++ b/crates/wingshore-client/src/route.rs
@@ -1,14 +1,22 @@
-//! Which replica to ask next: the leader where it is known, otherwise one after another.
+//! Decision: which replica is asked next?
+//!
+//! Inputs: the listed replicas, answers and failures with their times, hints of replicas that do not
+//! lead.
+//!
+//! Rule: the group's leader where it is known and has not just failed, otherwise the next replica in
+//! turn that has not just failed, otherwise the next one. A hint to a replica that has just failed
+//! is ignored: followers name a leader that was cut off until they elect another.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use wingshore_types::GroupId;
 
-/// How long a replica that failed an attempt is passed over while there are others.
+/// How long a replica that failed an attempt is passed over while there are others: half of the
+/// default election timeout. Not measured.
 const SUSPECT_TIME: Duration = Duration::from_millis(500);
 
-/// Most addresses learned from hints that are kept beside the listed ones.
+/// Most addresses learned from hints that are kept beside the listed ones. Not measured.
 const MAX_LEARNED: usize = 16;
 
 /// What a client knows about where groups are led. Reads no clock.
--- a/crates/wingshore-control/src/leader/idle.rs
+++ b/crates/wingshore-control/src/leader/idle.rs
@@ -1,4 +1,12 @@
-//! Whether a server has nothing in flight any more.
+//! Decision: has a server nothing in flight any more?
+//!
+//! Inputs: its own reports of requests in flight, each with the time it is as of; `idle_for`.
+//!
+//! Rule: it is idle once every report over `idle_for`, all of them from after its drain was in
+//! force, shows nothing in flight. A request may still be on its way at the first of them.
+//!
+//! Missing input: without reports it is never idle; the plan that waits for it stops after
+//! `unreachable_after`.
 
 use std::time::Duration;
 use wingshore_types::Instant;
--- a/crates/wingshore-control/src/leader/leases.rs
+++ b/crates/wingshore-control/src/leader/leases.rs
@@ -1,10 +1,19 @@
-//! Configuration leases of nodes, and what they prove about which revision is in force.
+//! Decision: which revision of the configuration is in force on every node?
+//!
+//! Inputs: acknowledgements of node processes with the time of their arrival, the counted lease
+//! ([`crate::LeaderSettings::counted_lease`]), the revision proved by an earlier leader, the newest
+//! committed one.
 //!
 //! A node acts on its configuration until its lease runs out, counted from its *sending* of a
 //! watch. The leader counts from the *arrival* and adds a margin for drift, so its count never ends
 //! before the node's. A revision is in force everywhere once each node that may hold a lease has
 //! acknowledged it. A new leader does not know which leases the one before it gave: until one
 //! whole lease has passed, it vouches only for what was proved and committed earlier.
+//!
+//! Measured with 1,900 hollow nodes and a lease of 5 s: a change was in force everywhere after
+//! 1.2 s, after 5.3 s while 159 nodes were frozen, after 6.3 s where the leader had died.
+//!
+//! Missing input: a node that is silent holds its lease until that has run out, and is waited for.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/wingshore-control/src/leader/orders.rs
+++ b/crates/wingshore-control/src/leader/orders.rs
@@ -1,4 +1,20 @@
-//! Fences of orders, and one order on its way to an engine.
+//! Decision: is an order to load weights sent, sent again, done or failed?
+//!
+//! Inputs: the engine's answer to the order, its reports with the time at which each was asked for,
+//! the time since the order was accepted.
+//!
+//! Rule: an order without answer is sent again under its fence, after a wait that doubles from
+//! `order_timeout` to `max_order_backoff`. It has succeeded when a report that was asked for after
+//! it names its fence, or a higher one, and its version. It has failed when it was refused, when
+//! such a report shows neither the version nor its load, when the engine has restarted without it,
+//! or when `swap_timeout` has passed since its acceptance.
+//!
+//! Why: an answer says that the engine took the order, only a report says what it serves. A fence is
+//! the leader's epoch and a sequence within it, so an engine refuses late orders of an earlier
+//! leader; a new decision has a new fence, and the old order is never sent again.
+//!
+//! Missing input: without a report the order stays open until `swap_timeout`; one that was never
+//! accepted stays open and is sent again.
 
 use crate::effect::OrderAnswer;
 use crate::settings::LeaderSettings;
--- a/crates/wingshore-control/src/leader/polling.rs
+++ b/crates/wingshore-control/src/leader/polling.rs
@@ -1,4 +1,20 @@
-//! When each engine is asked for its state: at an even pace, engines that swap more often.
+//! Decision: which engines are polled for their state now?
+//!
+//! Inputs: when each engine was polled last and whether the poll was answered; the usual time of a
+//! swap of its service, from committed measurements; the pace in polls a second over all engines.
+//!
+//! Rule: engines at rest are polled every `poll_interval`, less often where that would take more
+//! than half of the pace. An engine that swaps is polled first when its swap should be nearly over,
+//! then at short intervals. The most overdue go first.
+//!
+//! Why: each poll costs the leader a reading (0.08 thousandths of a core for one a second), and each
+//! moment between the end of a swap and the poll that shows it delays the engines that could fetch
+//! from this one. Polls paced by the usual time of a swap took 10,000 engines from 22.8 to 21.8 s
+//! and from 34,396 to 25,324 readings in simulated time (fetches of 2 s), against polls every half
+//! second from the order on.
+//!
+//! Missing input: without a measured time of swaps the usual one is taken to be `poll_interval`. An
+//! unanswered poll is repeated after `poll_timeout`.
 
 use crate::settings::LeaderSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,16 +24,19 @@
 
 /// Nanoseconds in a second.
 const NANOSECONDS: u64 = 1_000_000_000;
-/// Most unused polls that may be sent at once later, as a time at full pace.
+/// Most unused polls that may be sent at once later, as a time at full pace. Not
+/// measured.
 const MAX_BURST: Duration = Duration::from_millis(200);
 
-/// An engine is polled first when this part of the usual time of a swap is over, in sixteenths.
+/// An engine is polled first when this part of the usual time of a swap is over, in parts of
+/// [`POLLS_PER_SWAP`]. Measured together with it, as the head of this module says.
 const FIRST_POLL: u32 = 14;
 /// Parts of the usual time of a swap between two further polls.
 const POLLS_PER_SWAP: u32 = 16;
-/// Longest time from an order to the first poll: a failed swap is to be noticed by then.
+/// Longest time from an order to the first poll: a failed swap is to be noticed by then. Not
+/// measured.
 const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(5);
-/// Shortest time between two polls of an engine that swaps.
+/// Shortest time between two polls of an engine that swaps. Not measured.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// When an engine that swaps is polled whether it is done. Each poll before that costs a
--- a/crates/wingshore-control/src/leader/swap_steps.rs
+++ b/crates/wingshore-control/src/leader/swap_steps.rs
@@ -1,7 +1,18 @@
-//! Steps of plans that swap engines.
+//! Decision: does a plan move past its swaps, wait for them, or stop?
 //!
-//! Swaps that follow each other go on side by side, as the swap policy allows; the plan moves past
-//! those at its head that are done.
+//! Inputs: each engine's version by its report, failed swaps in a row to the plan's version, how
+//! long it has been silent, its admission.
+//!
+//! Rule: swaps that follow each other go on side by side, as the swap policy allows; the plan moves
+//! past those at its head that are done, and past engines that are gone, drained or unreachable. An
+//! engine with `swap_failures_that_stop_a_plan` failures in a row is passed over while fewer than
+//! one in [`FAILING_SHARE`] fail and some have succeeded; otherwise the plan stops.
+//!
+//! Why: one bad engine must not stop a move, and a version that fails everywhere must not take away
+//! more than a quarter of the engines. One at a time, 10,000 engines at 2 s each would take 5.5
+//! hours (worked out).
+//!
+//! Missing input: an engine without a report counts as not there yet until it is unreachable.
 
 use super::executor::ExecutorView;
 use crate::command::StepResult;
@@ -9,7 +20,7 @@
 use wingshore_types::ids::{ServerId, WeightVersion};
 use wingshore_types::protocol::control::{Plan, PlanStep};
 
-/// A plan stops when one in so many of its engines keeps failing.
+/// A plan stops when one in so many of its engines keeps failing. Not measured.
 const FAILING_SHARE: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/wingshore-control/src/leader/swap_times.rs
+++ b/crates/wingshore-control/src/leader/swap_times.rs
@@ -1,4 +1,12 @@
-//! Measured times of swaps, smoothed, for the estimates of plans.
+//! Decision: when is the usual time of a service's swaps committed anew?
+//!
+//! Inputs: the time of each swap from its order to the report that shows it, in milliseconds; the
+//! committed mean.
+//!
+//! Rule: a smoothed mean is committed when it differs from the committed one by more than a fifth,
+//! at most every [`COMMIT_INTERVAL`] for a service. Plans estimate their duration from it, and
+//! [`super::polling`] the first poll of an engine that swaps; both do with a rough figure, so that
+//! few commits are enough.
 
 use super::engines::FinishedSwap;
 use crate::command::ControlCommand;
@@ -8,11 +16,12 @@
 use wingshore_types::Instant;
 use wingshore_types::ids::ServiceId;
 
-/// Weight of the earlier mean against one new measurement.
+/// Weight of the earlier mean against one new measurement. Not measured.
 const EARLIER_WEIGHT: u64 = 3;
-/// A mean is committed when it differs from the committed one by more than one part in this.
+/// A mean is committed when it differs from the committed one by more than one part in this. Not
+/// measured.
 const CHANGE_THAT_MATTERS: u64 = 5;
-/// Least time between two commits for one service.
+/// Least time between two commits for one service. Not measured.
 const COMMIT_INTERVAL: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/wingshore-control/src/settings.rs
+++ b/crates/wingshore-control/src/settings.rs
@@ -1,4 +1,7 @@
-//! Times and limits of the leader's part.
+//! Times and limits of the leader's part, with their defaults.
+//!
+//! Replicas set the lease, the drift, the times of orders and polls from their settings; the rest
+//! are the defaults below. Those without a figure in their line were not measured.
 
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
@@ -10,7 +13,7 @@
     pub lease: Duration,
     /// By how much a node's clock may run slower than the leader's, as a share of the lease.
     pub clock_drift: Permille,
-    /// Longest time a watch is held open; shorter than the lease.
+    /// Longest time a watch is held open; well below the lease, so that a lost watch costs no lease.
     pub max_watch: Duration,
     /// Time after which an unanswered order is sent again, under the same fence.
     pub order_timeout: Duration,
@@ -31,18 +34,20 @@
     pub poll_interval: Duration,
     /// Time after which an unanswered poll may be repeated.
     pub poll_timeout: Duration,
-    /// Most polls of state in a second, over all engines.
+    /// Most polls of state in a second, over all engines. With 2,000, 9,500 engines that swapped
+    /// took 1,544 readings a second and a third of a core of the leader.
     pub polls_per_second: u32,
     /// How long a server must report nothing in flight before it counts as idle: requests may
     /// still be on their way to it.
     pub idle_for: Duration,
     /// Largest share of a service's engines that swaps may take away at once.
     pub away_share: Permille,
-    /// Most engines that fetch from one weight store at once.
+    /// Most engines that fetch from one weight store at once: what a store is assumed to bear.
     pub fetches_per_store: u32,
     /// Most engines that fetch from one other engine at once.
     pub fetches_per_engine: u32,
-    /// Services with at least this many engines also fetch weights from engines that have them.
+    /// Services with at least this many engines also fetch weights from engines that have them:
+    /// sources then grow threefold a round.
     pub fan_out_from_engines: u32,
 }
 
--- a/crates/wingshore-control/src/state/footprint.rs
+++ b/crates/wingshore-control/src/state/footprint.rs
@@ -1,5 +1,14 @@
-//! What a plan or a change depends on and touches, which changes matter to a plan and which
-//! do not.
+//! Decision: does a change, or another plan, disturb a plan?
+//!
+//! Inputs: the parts of the configuration that either uses (services, their sets of servers, their
+//! weights, servers, pools), each read, joined or written.
+//!
+//! Rule: two uses of one part disturb each other unless both read it or both add to or take from a
+//! set. A proposed plan that a committed change disturbs becomes stale; a plan is not confirmed
+//! while a running one uses the same parts.
+//!
+//! Why: an operator confirms what a plan says on the configuration that it was made from, and
+//! unrelated changes are frequent: refusing on any new revision would make most plans stale.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/wingshore-control/src/swaps.rs
+++ b/crates/wingshore-control/src/swaps.rs
@@ -1,9 +1,24 @@
-//! When each engine of a service takes new weights, and from where: pure policy, no state.
+//! Decision: which engines of a service begin to take new weights now, and from which source each?
 //!
-//! A swap takes an engine away from rollouts until its own report names the new version, so only a
-//! share of a service's engines swaps at once. The weight store serves a few fetches at a time; at
-//! larger services, engines that have the version serve it to others, so that the number of
-//! sources grows with each round.
+//! Inputs: each engine's version by its own report, its source while it fetches, whether it is
+//! ready; the wanted version; the limits, all in engines. No state and no clock.
+//!
+//! Rule: engines of unknown version go first, since they are away already; the others follow in the
+//! order given, as long as no more than [`SwapLimits::away_at_once`] are away. The store is drawn on
+//! first, then engines that have the version, each up to its number of fetches at once. An engine
+//! whose last swap failed fetches from the store only.
+//!
+//! Why: a swap takes an engine away from rollouts until its own report names the new version, so
+//! only a share swaps at once, and never more than live requests leave. The store serves a few
+//! fetches at a time; at larger services, engines that have the version serve it to others, so that
+//! the number of sources grows with each round.
+//!
+//! Measured in simulated time (`tests/swaps.rs`, fetches of 2 s, the default limits): 10,000 engines
+//! of one service take a version in 21.8 s; processes with hollow servers took 14.8 s for 238
+//! engines of one pool and 33.7 s for 9,500 of 31 pools that publish at one moment.
+//!
+//! Missing input: an engine without a report, or one that does not answer, is not ready and keeps
+//! its place; a version that no report names counts as unknown, and its engine as away.
 
 use crate::settings::LeaderSettings;
 use std::collections::BTreeMap;
--- a/crates/wingshore-replica/src/start.rs
+++ b/crates/wingshore-replica/src/start.rs
@@ -22,6 +22,10 @@
 /// Election timeouts differ by up to this part of the shortest one.
 const ELECTION_SPREAD_PART: u32 = 4;
 
+/// Longest watch of the configuration, in fifths of the lease: a node that loses one watch renews its
+/// lease by the next. Not measured.
+const MAX_WATCH_FIFTHS: u32 = 2;
+
 /// A group whose thread runs.
 pub(crate) struct RunningGroup {
     pub(crate) group: GroupId,
@@ -143,7 +147,7 @@
     LeaderSettings {
         lease: settings.configuration_lease,
         clock_drift: settings.timing.clock_drift,
-        max_watch: settings.configuration_lease * 2 / 5,
+        max_watch: settings.configuration_lease * MAX_WATCH_FIFTHS / 5,
         order_timeout: settings.orders.timeout,
         poll_interval: settings.orders.state_poll,
         poll_timeout: settings.orders.timeout,
