--- a/crates/wingshore-client/src/call.rs
+++ b/crates/wingshore-client/src/call.rs
@@ -1,6 +1,7 @@
 //! Calls to groups.
 
 use crate::error::CallError;
+use crate::lock::lock;
 use crate::multiplexed::Attempt;
 use crate::pool::ConnectionPool;
 use crate::retry::{Backoff, attempt_timeout};
@@ -8,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId, Verdict};
@@ -262,7 +263,3 @@
     let id = RequestId(0);
     Frame::Request { id, group, body }
 }
-
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/wingshore-client/src/lib.rs
+++ b/crates/wingshore-client/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod call;
 mod error;
+mod lock;
 mod multiplexed;
 mod pool;
 mod retry;
--- a/crates/wingshore-client/src/multiplexed.rs
+++ b/crates/wingshore-client/src/multiplexed.rs
@@ -1,10 +1,11 @@
 //! One connection that many calls share: replies find their calls by request id.
 
+use crate::lock::lock;
 use crossbeam_channel::{RecvTimeoutError, Sender, bounded};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 use wingshore_transport::{
     ConnectError, ConnectOptions, Connection, ConnectionHandle, FrameHandler, SendError,
@@ -129,7 +130,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, PendingState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
 
--- a/crates/wingshore-client/src/pool.rs
+++ b/crates/wingshore-client/src/pool.rs
@@ -1,9 +1,10 @@
 //! One connection per replica, opened when first wanted and shared by all calls.
 
+use crate::lock::lock;
 use crate::multiplexed::MultiplexedConnection;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use wingshore_transport::ConnectOptions;
@@ -192,7 +193,3 @@
         recent.then(|| failure.reason.clone())
     }
 }
-
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/wingshore-client/src/watcher.rs
+++ b/crates/wingshore-client/src/watcher.rs
@@ -2,8 +2,9 @@
 
 use crate::call::GroupClient;
 use crate::error::CallError;
+use crate::lock::lock;
 use std::io;
-use std::sync::{Arc, Condvar, Mutex, PoisonError};
+use std::sync::{Arc, Condvar, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 use wingshore_clock::BootTime;
@@ -74,11 +75,7 @@
         let Some(thread) = self.thread.take() else {
             return;
         };
-        *self
-            .stop
-            .stopping
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner) = true;
+        *lock(&self.stop.stopping) = true;
         self.stop.changed.notify_all();
         self.client.close();
         // A handler that panicked has ended the poll already.
@@ -94,11 +91,11 @@
 
 impl Stop {
     fn is_stopping(&self) -> bool {
-        *self.stopping.lock().unwrap_or_else(PoisonError::into_inner)
+        *lock(&self.stopping)
     }
 
     fn back_off(&self) {
-        let stopping = self.stopping.lock().unwrap_or_else(PoisonError::into_inner);
+        let stopping = lock(&self.stopping);
         let waited = self
             .changed
             .wait_timeout_while(stopping, FAILURE_BACKOFF, |stopping| !*stopping);
