--- a/crates/wingshore-settings/src/node.rs
+++ b/crates/wingshore-settings/src/node.rs
@@ -3,7 +3,7 @@
 use crate::document::parse_role;
 use crate::error::SettingsErrors;
 use crate::reader::TableReader;
-use crate::replica::LOG_LINES;
+use crate::replica::{CLAIMS_GROUPS, LOG_LINES};
 use crate::units::{DurationSetting, GIB, IntegerSetting, KIB, MIB, SizeSetting};
 use crate::{Overrides, relay};
 use std::net::SocketAddr;
@@ -111,12 +111,6 @@
     minimum: Duration::from_millis(100),
     maximum: Duration::from_secs(60),
 };
-const CLAIMS_GROUPS: IntegerSetting = IntegerSetting {
-    key: "claims_groups",
-    default: 1,
-    minimum: 1,
-    maximum: 64,
-};
 const STOP_GRACE: DurationSetting = DurationSetting {
     key: "stop_grace",
     default: Duration::from_secs(30),
--- a/crates/wingshore-settings/src/replica.rs
+++ b/crates/wingshore-settings/src/replica.rs
@@ -86,7 +86,7 @@
     minimum: 1,
     maximum: 64,
 };
-const CLAIMS_GROUPS: IntegerSetting = IntegerSetting {
+pub(crate) const CLAIMS_GROUPS: IntegerSetting = IntegerSetting {
     key: "claims_groups",
     default: 1,
     minimum: 1,
