--- a/crates/wingshore-replica/src/group/driver.rs
+++ b/crates/wingshore-replica/src/group/driver.rs
@@ -38,7 +38,7 @@
     fn on_leading(&mut self, epoch: Epoch) -> Option<L::Event>;
     /// The lease, as of the last step; `None` when it is not held.
     fn on_lease(&mut self, until: Option<Instant>);
-    /// Begins an effect; an event comes back at once where it cannot even begin.
+    /// Begins an effect; gives an event at once where it cannot even begin.
     fn begin(&mut self, effect: L::Effect) -> Option<L::Event>;
 }
 
--- a/crates/wingshore-replica/src/peers.rs
+++ b/crates/wingshore-replica/src/peers.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sets who takes the frames that come back; once, before the first membership.
+    /// Sets who takes the frames that are received; once, before the first membership.
     pub(crate) fn set_handler(&self, handler: &Arc<dyn FrameHandler>) {
         // A second handler is never set.
         let _ = self.handler.set(Arc::downgrade(handler));
--- a/crates/wingshore-settings/src/node.rs
+++ b/crates/wingshore-settings/src/node.rs
@@ -1,4 +1,6 @@
-//! Settings of the node role.
+//! Settings of the node role: keys, defaults and ranges.
+//!
+//! Relies on [`crate::reader`] for the checks and on [`crate::relay`] for the keys of every role.
 
 use crate::document::parse_role;
 use crate::error::SettingsErrors;
--- a/crates/wingshore-settings/src/replica.rs
+++ b/crates/wingshore-settings/src/replica.rs
@@ -1,4 +1,8 @@
-//! Settings of the replica role.
+//! Settings of the replica role: keys, defaults and ranges.
+//!
+//! Relies on [`crate::reader`] for the checks and on [`crate::relay`] for the keys of every role. The
+//! lease of a group must end before any quorum can elect another leader, so it is checked against
+//! the election timeout and the clock drift here.
 
 use crate::document::parse_role;
 use crate::error::SettingsErrors;
@@ -76,7 +80,8 @@
     pub state_poll: Duration,
     /// After which an order or reading is given up. Default 2s, 50ms to 60s.
     pub timeout: Duration,
-    /// Threads that carry them. Default 8, 1 to 256.
+    /// Threads that carry them. Default 8, 1 to 256. A reading that takes 10 ms allows 600 a second
+    /// with 8; a leader of 9,500 engines ran with 64.
     pub workers: usize,
 }
 
--- a/crates/wingshore-settings/src/rules.rs
+++ b/crates/wingshore-settings/src/rules.rs
@@ -1,4 +1,4 @@
-//! What is allowed, as errors and the list of settings say it.
+//! What is allowed, as errors and the list of settings say it. One text a rule, so that both agree.
 
 /// Names of things.
 pub(crate) const NAME_RULE: &str = "1 to 64 of a-z, 0-9 and `-`, beginning with a letter";
