--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -16,7 +16,7 @@
 use crate::forward_log as log;
 use crate::ids::ExchangeId;
 use crate::request_suspicion;
-use crate::split::TrafficSplit;
+use crate::split::ServiceSplit;
 use crate::streams::{self, StreamClient};
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostSend, Task};
@@ -30,7 +30,7 @@
 pub(crate) struct Exchanges {
     all: HashMap<ExchangeId, Exchange>,
     next: u64,
-    split: TrafficSplit,
+    split: ServiceSplit,
 }
 
 impl Exchanges {
@@ -39,7 +39,7 @@
         Self {
             all: HashMap::new(),
             next: 0,
-            split: TrafficSplit::new(seed),
+            split: ServiceSplit::new(seed),
         }
     }
 
--- a/crates/gateways/wingshore-gateway/src/split.rs
+++ b/crates/gateways/wingshore-gateway/src/split.rs
@@ -20,11 +20,11 @@
 const SHIFT: u32 = 33;
 
 /// The counter of one gateway.
-pub(crate) struct TrafficSplit {
+pub(crate) struct ServiceSplit {
     counter: u64,
 }
 
-impl TrafficSplit {
+impl ServiceSplit {
     /// Begins at `seed`, which differs from gateway to gateway.
     pub(crate) fn new(seed: u64) -> Self {
         Self { counter: seed }
