--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls about batch jobs that wait for the coordination group's answer.
 //!
-//! Owns the calls; relies on the links to the coordinators. Whom a call is sent to, and when again,
-//! is decided in [`call_policy`].
+//! Owns the calls; relies on the links to the coordinators. [`call_policy`] decides where a call is
+//! sent, and when it is sent again.
 
 use crate::call_policy::{self, RETRY_AFTER, call_time_limit};
 use crate::coordinators::send;
@@ -18,7 +18,7 @@
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// Where a call was sent.
+/// The coordinator that a call was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Receiver {
     /// The group's leader.
@@ -35,37 +35,37 @@
     }
 }
 
-/// One call that waits for the group.
+/// One call that waits for the group's answer.
 struct Call {
     client: ConnectionId,
     request: Request,
     until: Instant,
     sent_to: Option<Receiver>,
-    /// Whether it may take effect.
+    /// Whether the call was sent to a leader, so that it may take effect.
     may_take_effect: bool,
-    /// Whether a copy of the state near by may answer it.
+    /// Whether a copy of the state in the gateway's zone may still answer the call.
     may_read_copy: bool,
 }
 
-/// The end of a call.
+/// The answer to a finished call.
 pub(crate) struct CallEnd {
-    /// The connection of the client that waits for it.
+    /// The connection of the client that waits for the answer.
     pub(crate) client: ConnectionId,
     pub(crate) answer: BatchAnswer,
 }
 
-/// All calls that wait.
+/// All calls that wait for the group's answer.
 pub(crate) struct Calls {
     waiting: HashMap<CallId, Call>,
     next: u64,
     /// Whether results are read from copies of the state.
     reads_copies: bool,
-    /// By then every call is answered, once a planned stop has begun.
+    /// Deadline for answers to all calls, once a planned stop has begun.
     stop_at: Option<Instant>,
 }
 
 impl Calls {
-    /// None yet; `reads_copies` if results are read from copies of the state.
+    /// Starts without calls; `reads_copies` if results are read from copies of the state.
     pub(crate) fn new(reads_copies: bool) -> Self {
         Self {
             waiting: HashMap::new(),
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Passes a call on.
+    /// Sends a call to the group.
     ///
     /// # Errors
-    /// The answer, where a planned stop leaves too little time for the call.
+    /// Returns the answer to the client if a planned stop leaves too little time for the call.
     pub(crate) fn begin(
         &mut self,
         runtime: &mut Runtime,
@@ -108,7 +108,7 @@
         Ok(id)
     }
 
-    /// A planned stop answers every call by `stop_at`, also those that come later.
+    /// Shortens the deadlines of all calls, also of later ones, to `stop_at` for a planned stop.
     pub(crate) fn stop_by(&mut self, runtime: &mut Runtime, stop_at: Instant) {
         self.stop_at = Some(stop_at);
         for (id, call) in &mut self.waiting {
@@ -119,14 +119,15 @@
         }
     }
 
-    /// Sends a call to where it can be answered.
+    /// Sends a call to a copy of the state or to the leader.
     fn send_call(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
         if !self.send_to_copy(runtime, site, id) {
             self.send_to_leader(runtime, site, id);
         }
     }
 
-    /// Reads results from a copy of the state near by, if there is one.
+    /// Sends a read of results to a copy of the state in the gateway's zone; returns false if there
+    /// is none or the call cannot be answered by one.
     fn send_to_copy(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) -> bool {
         let now = runtime.now;
         let Some(call) = self.waiting.get_mut(&id).filter(|call| call.may_read_copy) else {
@@ -167,8 +168,8 @@
         runtime.timers.arm(call.until, TimerKey::Call(id));
     }
 
-    /// Calls that were sent on a connection that is gone wait for another leader; reads of a copy go
-    /// to the leader at once.
+    /// Handles the loss of a connection: calls sent to its leader wait for the next leader, and
+    /// reads sent to its copy go to the leader at once.
     pub(crate) fn link_lost(
         &mut self,
         runtime: &mut Runtime,
@@ -188,7 +189,7 @@
         }
     }
 
-    /// There is a leader: sends what waits for one.
+    /// Sends the calls that wait for a leader, once one has announced itself.
     pub(crate) fn resend(&mut self, runtime: &mut Runtime, site: &Site) {
         let leader = site.coordinators.leader().map(Receiver::Leader);
         let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Receiver::Copy(_)));
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The time of a call may be over, or one that was given back is to be sent again.
+    /// Answers a call that has timed out, or sends one again that its leader returned unanswered.
     pub(crate) fn on_timer(
         &mut self,
         runtime: &mut Runtime,
@@ -226,7 +227,7 @@
         })
     }
 
-    /// A coordinator has answered a call.
+    /// Handles a coordinator's reply to a call.
     pub(crate) fn on_reply(
         &mut self,
         runtime: &mut Runtime,
@@ -242,7 +243,7 @@
                 return None;
             }
             CallReply::NotLeader | CallReply::Unknown | CallReply::Nothing => {
-                // The next leader's announcement, or the timer, sends it again.
+                // Sent again when a leader announces itself, or by the timer.
                 if call.sent_to.map(Receiver::connection) == Some(connection) {
                     call.sent_to = None;
                     let resend_at = call_policy::resend_at(runtime.now, call.until);
@@ -266,8 +267,8 @@
         })
     }
 
-    /// A copy of the state had nothing: the leader says whether there is anything, by the rest of
-    /// the time that the answer may wait.
+    /// Sends a read to the leader after a copy of the state had no result. The leader may hold the
+    /// read for the rest of its wait.
     fn ask_leader_instead(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
         let now = runtime.now;
         if let Some(call) = self.waiting.get_mut(&id)
@@ -278,13 +279,13 @@
         self.send_to_leader(runtime, site, id);
     }
 
-    /// The client of a call is gone.
+    /// Drops a call whose client has disconnected.
     pub(crate) fn forget(&mut self, id: CallId) {
         self.waiting.remove(&id);
     }
 }
 
-/// Nobody answers a call any more.
+/// Logs and counts a call that the group does not answer in time.
 fn log_given_up(runtime: &Runtime, site: &Site, request: &Request, answer: &BatchAnswer) {
     let kind = request.kind();
     warn!(runtime.logger, "call given up"; "call" => kind, "subject" => request.subject(),
@@ -293,7 +294,7 @@
     runtime.metrics.call_ended(kind, answer.name());
 }
 
-/// What the group is asked for a call of `tenant`.
+/// Converts a call of `tenant` into a request to the group.
 pub(crate) fn request_of(call: BatchCall, tenant: Option<TenantName>) -> Request {
     let own = |job: JobId| job.of_tenant(tenant);
     match call {
--- a/crates/gateways/wingshore-gateway/src/environment.rs
+++ b/crates/gateways/wingshore-gateway/src/environment.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway act on together, apart from the state that each part owns.
+//! State that the parts of a gateway share, besides the state that each part owns.
 
 use crate::runtime::Runtime;
 use crate::servers::Servers;
@@ -7,18 +7,19 @@
 use crate::usage::UsageCounter;
 use wingshore_coordination::{GatewayMessage, RequestFingerprint};
 
-/// Sockets and logs, the site as it is known, and the servers.
+/// Sockets and logs, the known state of the site, and the servers.
 pub(crate) struct Environment {
     pub(crate) runtime: Runtime,
     pub(crate) site: Site,
     pub(crate) servers: Servers,
-    /// Counts of the requests that were sent.
+    /// Usage counts of the requests sent to servers.
     pub(crate) usage: UsageCounter,
 }
 
 impl Environment {
-    /// What is known of requests under which servers have ended; `None` where there are none, as
-    /// usual, so that no request need be named.
+    /// Returns what is known about requests that were running when a server crashed. Returns `None`
+    /// if there are no such requests, which is the usual case, so that no request needs a
+    /// fingerprint.
     pub(crate) fn suspicions(&self) -> Option<Suspicions<'_>> {
         let (view, crashes) = (&self.site.view, &self.servers.crashes);
         let are_any = view.has_suspects() || crashes.unreported().next().is_some();
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Whether no server is to run a request; `name` says what it asks.
+    /// Returns whether a request is rejected from all servers; `name` computes its fingerprint.
     pub(crate) fn is_rejected(
         &self,
         name: impl FnOnce(&Site) -> Option<RequestFingerprint>,
@@ -39,12 +40,13 @@
         })
     }
 
-    /// Sends a message to the leader; without one it is dropped.
+    /// Sends a message to the leader; drops it if there is no leader.
     pub(crate) fn report(&mut self, message: GatewayMessage) {
         self.site.coordinators.report(&mut self.runtime, message);
     }
 
-    /// Forgets what is old of servers, and those that the view does not name any more.
+    /// Closes idle connections to servers, and drops state about servers that have left the view
+    /// and crash evidence that has expired.
     pub(crate) fn forget_old_servers(&mut self) {
         let (servers, view) = (&mut self.servers, &self.site.view);
         servers
--- a/crates/gateways/wingshore-gateway/src/error.rs
+++ b/crates/gateways/wingshore-gateway/src/error.rs
@@ -1,16 +1,16 @@
-//! Why a gateway cannot start or go on.
+//! Errors that keep a gateway from starting or running.
 
 use snafu::Snafu;
 use wingshore_net::NetError;
 
-/// Why a gateway cannot start or go on.
+/// Errors that keep a gateway from starting or running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum GatewayError {
     /// A socket cannot be used.
     #[snafu(display("{source}"))]
     Net {
-        /// From the reactor.
+        /// The error of the reactor.
         source: NetError,
     },
 }
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -1,10 +1,10 @@
 //! Process of a gateway: the shared ingress of a site.
 //!
-//! One thread owns all sockets. Clients' requests are forwarded to servers, within the attempts,
-//! time-outs and kinds of their routes; items of batch jobs are run on engines as the coordination
-//! group's leader assigns them; calls about batch jobs are passed on to that leader, reads of results
-//! to a copy of the state in the gateway's zone first. All state is soft: a gateway may be killed at
-//! any time. What callers and servers speak is translated by an [`IngressProtocol`].
+//! One thread owns all sockets. Clients' requests are forwarded to servers within the attempts,
+//! timeouts and kinds of their routes. Items of batch jobs run on engines as assigned by the
+//! coordination group's leader. Calls about batch jobs are sent to that leader; reads of results go
+//! to a copy of the state in the gateway's zone first. All state is soft: a gateway may be killed
+//! at any time. An [`IngressProtocol`] translates the protocols of callers and servers.
 
 mod admission;
 mod answers;
--- a/crates/gateways/wingshore-gateway/src/runtime.rs
+++ b/crates/gateways/wingshore-gateway/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What every part of a gateway acts through: sockets, timers, logs and metrics.
+//! Access of all parts of a gateway to sockets, timers, logs and metrics.
 
 use crate::metrics::GatewayMetrics;
 use crate::timers::Timers;
@@ -10,7 +10,7 @@
 
 /// Sockets, timers, logs and metrics.
 pub(crate) struct Runtime {
-    /// The time of the present turn of the loop: one reading of the clock for all that it does.
+    /// The time of the current loop iteration: the clock is read once for the whole iteration.
     pub(crate) now: Instant,
     pub(crate) reactor: Reactor,
     pub(crate) timers: Timers,
@@ -20,7 +20,7 @@
 }
 
 impl Runtime {
-    /// Whether a request that went well gets a line in the log.
+    /// Returns whether a successful request gets a line in the log.
     pub(crate) fn samples(&mut self, request: &str) -> bool {
         let steady = Duration::from_millis(self.now.as_millis());
         self.sampler.takes(steady, request)
--- a/crates/gateways/wingshore-gateway/src/timers.rs
+++ b/crates/gateways/wingshore-gateway/src/timers.rs
@@ -1,6 +1,6 @@
-//! What becomes due at some time.
+//! Timers of a gateway.
 //!
-//! Owns the times; whether anything is due is known to the part that set one.
+//! Owns the times only; the part that armed a timer checks whether anything is due.
 
 use crate::ids::{CallId, ExchangeId};
 use std::collections::BTreeSet;
@@ -13,33 +13,33 @@
 pub(crate) enum TimerKey {
     /// A client's connection.
     Client(ConnectionId),
-    /// A request on its way.
+    /// An exchange with a server.
     Exchange(ExchangeId),
-    /// An item that runs.
+    /// A running item.
     Item(AssignmentId),
     /// A call to the group.
     Call(CallId),
 }
 
-/// Timers in the order of their times. One that has become superfluous fires all the same: its
-/// owner checks whether anything is due.
+/// Timers in the order of their times. Timers are never cancelled: the owner of an obsolete one
+/// checks whether anything is due.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: BTreeSet<(Instant, TimerKey)>,
 }
 
 impl Timers {
-    /// Fires `key` at `at`.
+    /// Arms a timer that fires `key` at `at`.
     pub(crate) fn arm(&mut self, at: Instant, key: TimerKey) {
         self.queue.insert((at, key));
     }
 
-    /// The earliest time.
+    /// Returns the time of the earliest timer.
     pub(crate) fn next(&self) -> Option<Instant> {
         self.queue.first().map(|(at, _)| *at)
     }
 
-    /// Takes a timer that is due.
+    /// Removes and returns a timer that is due.
     pub(crate) fn take_due(&mut self, now: Instant) -> Option<TimerKey> {
         let (at, _) = self.queue.first()?;
         if *at > now {
--- a/crates/gateways/wingshore-gateway/src/usage.rs
+++ b/crates/gateways/wingshore-gateway/src/usage.rs
@@ -1,8 +1,8 @@
-//! Counting the requests that began to run at servers, for the leader's reports to the provider.
+//! Counts of the requests that began to run at servers, for the leader's reports to the provider.
 //!
-//! Owns the counts of this gateway and the time of day that the coordinators agree on, as heard from
-//! them: by that a window is named, since this machine's own may be wrong. Without a time of day, or
-//! where the settings ask for no counts, nothing is counted.
+//! Owns the counts of this gateway and the time of day that the coordinators agree on. Windows are
+//! named by that time, since this machine's own clock may be wrong. Nothing is counted without a
+//! time of day, or if the settings disable counting.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 };
 use wingshore_types::Instant;
 
-/// The counts of one gateway.
+/// Usage counts of one gateway.
 pub(crate) struct UsageCounter {
-    /// Length of a window; `None` where usage is not counted.
+    /// Length of a window; `None` if usage is not counted.
     window: Option<Duration>,
     clock: SiteClock<SocketAddr>,
     meter: UsageMeter,
 }
 
 impl UsageCounter {
-    /// Counts in windows of this length.
+    /// Creates a counter with windows of this length.
     pub(crate) fn new(window: Option<Duration>) -> Self {
         Self {
             window,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// A coordinator has sent its time of day.
+    /// Records the time of day of a coordinator.
     pub(crate) fn time_heard(&mut self, now: Instant, coordinator: SocketAddr, wall: WallTime) {
         self.clock.heard(now, coordinator, wall);
     }
 
-    /// A request leaves for a server, which begins to run it within a millisecond or two. Gives the
-    /// window that it is counted in.
+    /// Counts a request that is sent to a server, which begins to run it within a millisecond or
+    /// two. Returns the window that it is counted in.
     pub(crate) fn request_sent(
         &mut self,
         now: Instant,
@@ -47,17 +47,18 @@
         Some(window)
     }
 
-    /// The server has not run a request that was counted in `window`.
+    /// Takes back the count of a request in `window` that the server has not run.
     pub(crate) fn not_run(&mut self, window: UsageWindow, tenant: &TenantName) {
         self.meter.not_run(window, tenant);
     }
 
-    /// All totals are due again: there is a leader that knows none.
+    /// Marks all totals as due for a report, for a new leader that has none.
     pub(crate) fn report_all(&mut self) {
         self.meter.report_all();
     }
 
-    /// The totals that have changed since the last call, for the leader; `None` without any.
+    /// Returns a report of the totals that have changed since the last call; `None` if there are
+    /// none.
     pub(crate) fn take_report(&mut self) -> Option<GatewayMessage> {
         let usage = self.meter.take_changes();
         (!usage.is_empty()).then_some(GatewayMessage::Usage(usage))
