--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -1,7 +1,7 @@
-//! Links to the coordinators, and which of them leads.
+//! Links to the coordinators, and which of them is the leader.
 //!
-//! Owns the state of each link. Whether a link is dialled, kept or given up is decided here, by time
-//! alone; what the messages on it mean is not known here.
+//! Owns the state of each link. Decides by time alone whether a link is connected, kept or closed;
+//! the contents of messages are handled elsewhere.
 
 use crate::runtime::Runtime;
 use crate::view_source::Candidate;
@@ -16,61 +16,59 @@
 use wingshore_net::{ConnectOptions, ConnectionId, frame};
 use wingshore_types::{Instant, LogIndex};
 
-/// Sent bytes may stay unacknowledged this long; somewhat more than the silence after which a link
-/// is given up.
+/// Limit on the time that sent bytes stay unacknowledged; slightly above [`SILENCE_LIMIT`].
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
-/// Between attempts to connect.
+/// Interval between attempts to connect.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// A link that was up for this long was no failed attempt.
+/// A link that was up for at least this long does not count as a failed attempt to connect.
 const STEADY_LINK: Duration = Duration::from_secs(2);
-/// An attempt to connect is over after this time.
+/// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// A coordinator that is silent for this long is disconnected: four of its heartbeats, which come
-/// each 300 ms.
+/// A coordinator that is silent for this long is disconnected: four heartbeats at 300 ms each.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1200);
-/// A coordinator's copy of the state is read only if it was heard of within this time: two of its
-/// heartbeats.
+/// A coordinator's copy of the state is read only if a message from the coordinator arrived within
+/// this time: two heartbeats at 300 ms each.
 const COPY_FRESH: Duration = Duration::from_millis(650);
 
 /// The link to one coordinator.
 struct CoordinatorLink {
     connection: Option<ConnectionId>,
     up: bool,
-    /// When the last attempt to connect began, or its connection ended; one that had lasted counts as
-    /// ended long enough ago to be made again at once.
+    /// When the last attempt to connect began or the connection ended. The end of a stable
+    /// connection is dated back, so that the link is reconnected at once.
     since: Instant,
-    /// When a message of it last came.
+    /// When the last message arrived.
     heard: Instant,
-    /// Whether it has said that it lives, and with that which formats it speaks.
+    /// Whether the first heartbeat, which carries the supported formats, has arrived.
     introduced: bool,
-    /// Other coordinators it knows.
+    /// Addresses of other coordinators that this one has announced.
     knows: Vec<SocketAddr>,
-    /// Its copy of the state, once it has said that it holds one.
+    /// The coordinator's copy of the state, once it has announced one.
     copy: Option<StateCopy>,
 }
 
 /// A coordinator's copy of the state.
 #[derive(Clone, Debug)]
 pub(crate) struct StateCopy {
-    /// The zone that it stands in.
+    /// The zone of the coordinator.
     pub(crate) zone: String,
-    /// The last entry of the log that it accounts for.
+    /// The last log entry applied to the copy.
     pub(crate) revision: LogIndex,
 }
 
 impl CoordinatorLink {
-    /// Its connection, once it is up.
+    /// Returns the connection if it is up.
     fn open_connection(&self) -> Option<ConnectionId> {
         self.connection.filter(|_| self.up)
     }
 
-    /// Its copy, if the link is up and it was heard of lately.
+    /// Returns the copy of the state if the link is up and a message arrived recently.
     fn fresh_copy(&self, now: Instant) -> Option<&StateCopy> {
         let is_fresh = self.up && now.since(self.heard) <= COPY_FRESH;
         self.copy.as_ref().filter(|_| is_fresh)
     }
 
-    /// Whether its connection takes too long to come up, or its coordinator is silent.
+    /// Returns whether the connection attempt has timed out or the coordinator is silent.
     fn is_lost(&self, now: Instant) -> bool {
         if self.up {
             now.since(self.heard) >= SILENCE_LIMIT
@@ -80,47 +78,48 @@
     }
 }
 
-/// All links.
+/// All links to coordinators.
 #[derive(Default)]
 pub(crate) struct Coordinators {
     links: BTreeMap<SocketAddr, CoordinatorLink>,
-    /// Where the connections lead.
+    /// The coordinator's address for each connection.
     addresses: HashMap<ConnectionId, SocketAddr>,
-    /// The coordinator whose leadership is the newest known, while the link is up.
+    /// The coordinator with the newest known leadership, while its link is up.
     leader: Option<SocketAddr>,
     refused: RefusedPeers,
 }
 
 impl Coordinators {
-    /// The connection to the leader.
+    /// Returns the connection to the leader.
     pub(crate) fn leader(&self) -> Option<ConnectionId> {
         self.connection(self.leader?)
     }
 
-    /// How long ago the leader was last heard of.
+    /// Returns the time since the last message from the leader.
     pub(crate) fn leader_silence(&self, now: Instant) -> Option<Duration> {
         let link = self.links.get(self.leader.as_ref()?)?;
         Some(now.since(link.heard))
     }
 
-    /// The connection to a coordinator, if its link is up.
+    /// Returns the connection to a coordinator, if its link is up.
     pub(crate) fn connection(&self, address: SocketAddr) -> Option<ConnectionId> {
         self.links.get(&address)?.open_connection()
     }
 
-    /// The coordinator that a connection leads to; `None` if it leads elsewhere.
+    /// Returns the address of the coordinator at the other end of a connection; `None` if the peer
+    /// is not a coordinator.
     pub(crate) fn address(&self, connection: ConnectionId) -> Option<SocketAddr> {
         self.addresses.get(&connection).copied()
     }
 
-    /// All connections that are up.
+    /// Returns all connections that are up.
     pub(crate) fn connected(&self) -> Vec<ConnectionId> {
         let links = self.links.values();
         links.filter_map(CoordinatorLink::open_connection).collect()
     }
 
-    /// The connection to a coordinator in `zone` with a fresh copy of the state, unless the leader
-    /// stands there.
+    /// Returns the connection to a coordinator in `zone` with a fresh copy of the state; `None` if
+    /// the leader has such a copy in `zone` too.
     pub(crate) fn near_copy(&self, now: Instant, zone: &str) -> Option<ConnectionId> {
         let is_near = |link: &CoordinatorLink| {
             let copy = link.fresh_copy(now);
@@ -136,7 +135,7 @@
         near.find_map(|(_, link)| link.connection)
     }
 
-    /// The coordinators that the view can be followed at, seen from `zone`.
+    /// Returns the coordinators from which a gateway in `zone` can follow the view.
     pub(crate) fn view_candidates(&self, now: Instant, zone: &str) -> Vec<Candidate> {
         let links = self.links.iter();
         links
@@ -152,8 +151,8 @@
             .collect()
     }
 
-    /// Where there is to be a link: `seeds`, and what other coordinators know. Forgets other
-    /// addresses that there is no connection to.
+    /// Returns the addresses to keep links to: `seeds`, and the addresses that connected or listed
+    /// coordinators announced. Drops other links that have no connection.
     pub(crate) fn wanted(&mut self, seeds: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let mut wanted = seeds;
         for link in self.links.values() {
@@ -166,8 +165,8 @@
         wanted
     }
 
-    /// Connects to a coordinator that there is no connection to, if it is time to. Gives a connection
-    /// that is lost instead, which the caller is to end.
+    /// Connects to a coordinator without a connection, if the connect interval has passed. Returns
+    /// an existing connection that is lost, which the caller must close.
     #[must_use]
     pub(crate) fn dial(
         &mut self,
@@ -203,7 +202,7 @@
         None
     }
 
-    /// A connection has come up.
+    /// Records that a connection is up.
     pub(crate) fn link_up(&mut self, runtime: &Runtime, address: SocketAddr) {
         let now = runtime.now;
         let Some(link) = self.links.get_mut(&address) else {
@@ -214,7 +213,7 @@
         info!(runtime.logger, "coordinator reached"; "address" => %address);
     }
 
-    /// A connection has ended, or is to.
+    /// Closes a connection and records its end.
     pub(crate) fn link_ended(
         &mut self,
         runtime: &mut Runtime,
@@ -228,8 +227,8 @@
             if link.up {
                 info!(runtime.logger, "coordinator lost"; "address" => %address);
             }
-            // A link that broke after a while is dialled again at once: the leader keeps the items
-            // of this gateway for a moment only.
+            // A stable link that broke is reconnected at once: the leader keeps the items of a
+            // disconnected gateway only briefly.
             let was_steady = link.up && now.since(link.since) >= STEADY_LINK;
             link.connection = None;
             link.up = false;
@@ -244,15 +243,16 @@
         }
     }
 
-    /// A message of a coordinator has come.
+    /// Records the arrival of a message from a coordinator.
     pub(crate) fn heard(&mut self, now: Instant, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address) {
             link.heard = now;
         }
     }
 
-    /// A coordinator has said that it lives, with `rest` after that: whether it can be spoken with. The
-    /// first time on a link it says there which formats it speaks.
+    /// Handles the formats in a heartbeat: returns whether the coordinator shares a format with
+    /// this gateway. Only the first heartbeat on a link carries the coordinator's formats, in
+    /// `rest`, the bytes after the message.
     pub(crate) fn speaks_with(
         &mut self,
         runtime: &Runtime,
@@ -277,13 +277,13 @@
         false
     }
 
-    /// A coordinator leads.
+    /// Records the coordinator that leads.
     pub(crate) fn set_leader(&mut self, address: SocketAddr) {
         self.leader = Some(address);
     }
 
-    /// A coordinator has said which others it knows, if that has changed, and how far its copy of
-    /// the state is.
+    /// Records the contents of a heartbeat: the other coordinators, if the list has changed, and
+    /// the copy of the state.
     pub(crate) fn heartbeat(
         &mut self,
         address: SocketAddr,
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Sends a message to the leader; without one it is dropped.
+    /// Sends a message to the leader; drops it if there is no leader.
     pub(crate) fn report(&self, runtime: &mut Runtime, message: GatewayMessage) {
         if let Some(leader) = self.leader() {
             send(runtime, leader, message);
@@ -311,7 +311,7 @@
     send_frame(runtime, connection, &IncomingFrame::FromGateway(message));
 }
 
-/// Sends a hello to a coordinator, with the formats that are spoken here.
+/// Sends a hello to a coordinator, with the formats that this gateway supports.
 pub(crate) fn send_hello(runtime: &mut Runtime, connection: ConnectionId, hello: GatewayHello) {
     let frame = IncomingFrame::Gateway(hello);
     send_frame(runtime, connection, &with_own_formats(&frame));
