--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an item of a batch job, and the text that it makes.
+//! One attempt at an item of a batch job, and the text that it generates.
 
 use crate::event_stream::StreamEvent;
 use crate::item_policy;
@@ -10,28 +10,30 @@
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// An attempt that is under way, or whose end the leader has not made durable.
+/// An attempt that is running, or whose outcome the leader has not made durable.
 ///
 /// Invariant: `uploaded` never covers more than `text`, while `may_upload` holds.
 pub(crate) struct ItemAttempt {
     pub(crate) assignment: ItemAssignment,
-    /// The connection to the engine, while the attempt is under way.
+    /// The connection to the engine, while the attempt is running.
     pub(crate) upstream: Option<ConnectionId>,
-    /// All events so far, also those of earlier attempts; empty once the outcome has taken it.
+    /// The data of all events so far, including those of earlier attempts; empty once it has moved
+    /// into the outcome.
     text: ItemText,
-    /// Events of the text, also after it was taken.
+    /// Number of events of the text; stays set after the text has moved into the outcome.
     events: u64,
-    /// How much of the text was uploaded to survive this process.
+    /// The prefix of the text that was uploaded to survive the loss of this process.
     uploaded: DurablePrefix,
-    /// Whether its events follow those that the log holds.
+    /// Whether the text begins with the prefix in the log, so that later events may be uploaded.
     may_upload: bool,
-    /// The version that makes the next event.
+    /// The weight version that generates the next event.
     pub(crate) version: Option<u64>,
     pub(crate) begun: Instant,
     first_event: Option<Instant>,
-    /// Whether it was reported that it has run for so long that it is not what ends servers.
+    /// Whether the attempt was reported as having run for so long that it is not what crashes
+    /// servers.
     is_cleared: bool,
-    /// When the engine was last heard of.
+    /// When the engine last sent data.
     pub(crate) heard: Instant,
     outcome: Option<ItemOutcome>,
     /// The connection on which the outcome was reported.
@@ -39,7 +41,7 @@
 }
 
 impl ItemAttempt {
-    /// One that begins now.
+    /// Creates an attempt that begins now.
     pub(crate) fn new(now: Instant, assignment: ItemAssignment) -> Self {
         Self {
             upstream: None,
@@ -58,17 +60,17 @@
         }
     }
 
-    /// Whether it is under way.
+    /// Returns whether the attempt is running.
     pub(crate) fn is_running(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Events of the item so far.
+    /// Returns the number of events of the item so far.
     pub(crate) fn events(&self) -> u64 {
         self.events
     }
 
-    /// Names it, its item and its engine.
+    /// Returns the identifiers of the attempt, its item and its engine.
     pub(crate) fn as_running(&self) -> RunningItem {
         RunningItem {
             assignment: self.assignment.assignment,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// How far it is.
+    /// Returns the progress of the attempt.
     pub(crate) fn progress(&self) -> ItemProgress {
         ItemProgress {
             assignment: self.assignment.assignment,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The engine has sent events.
+    /// Records events that the engine sent.
     pub(crate) fn take(&mut self, now: Instant, events: Vec<StreamEvent>) {
         if !events.is_empty() {
             self.first_event.get_or_insert(now);
@@ -117,25 +119,26 @@
         }
     }
 
-    /// Whether it has brought events for so long that it is not what ends its engine.
+    /// Returns whether the attempt has delivered events for so long that it is not what crashes its
+    /// engine.
     pub(crate) fn is_long_running(&self, now: Instant) -> bool {
         self.first_event
             .is_some_and(|first| suspects::is_cleared(now, first))
     }
 
-    /// Notes that it is not what ends engines; says whether that is news.
+    /// Marks the attempt as not crashing engines; returns false if it was already marked.
     pub(crate) fn clear(&mut self) -> bool {
         !std::mem::replace(&mut self.is_cleared, true)
     }
 
-    /// The log holds this much of the text: what follows is uploaded again, unless the log has its
-    /// events from another attempt.
+    /// Continues uploads after the prefix that the log holds, unless the log's events come from
+    /// another attempt.
     pub(crate) fn upload_from(&mut self, held: HeldPrefix) {
         self.may_upload = held.begins(&self.text);
         self.uploaded = held.extent;
     }
 
-    /// The events that are to survive this process, if it is time to upload them.
+    /// Returns the upload of new events, if one is due.
     pub(crate) fn take_upload(&mut self, id: AssignmentId) -> Option<GatewayMessage> {
         let uploaded = self.uploaded;
         let is_long = self.assignment.is_long;
@@ -152,12 +155,12 @@
         })
     }
 
-    /// It has ended whole: takes its text.
+    /// Moves the complete text into a finished outcome.
     pub(crate) fn finish(&mut self) -> ItemOutcome {
         ItemOutcome::Finished(std::mem::take(&mut self.text).into())
     }
 
-    /// It has broken off: takes the text so far.
+    /// Moves the text so far into an interrupted outcome.
     pub(crate) fn interrupt(&mut self, cause: BreakCause) -> ItemOutcome {
         ItemOutcome::Interrupted {
             text: std::mem::take(&mut self.text),
@@ -165,13 +168,13 @@
         }
     }
 
-    /// It is over.
+    /// Ends the attempt.
     pub(crate) fn end(&mut self, outcome: ItemOutcome) {
         self.upstream = None;
         self.outcome = Some(outcome);
     }
 
-    /// Its end, if that was not reported on this connection.
+    /// Returns the report of the outcome, if it was not reported on this connection.
     pub(crate) fn take_report(
         &mut self,
         id: AssignmentId,
@@ -189,7 +192,8 @@
         })
     }
 
-    /// The scoring of its text, if there is to be one. It bears the name of the attempt.
+    /// Returns the scoring of the text, if the item has a scorer. The scoring has the identifier of
+    /// the attempt.
     pub(crate) fn scoring(&self) -> Option<ScoringAssignment> {
         let assignment = &self.assignment;
         Some(ScoringAssignment {
--- a/crates/gateways/wingshore-gateway/src/item_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/item_policy.rs
@@ -1,57 +1,58 @@
-//! Decision: how long may an engine be silent, what is an engine's answer to an item, and when is a
-//! part of a growing text uploaded?
+//! Decision: how long may an engine be silent, what does an engine's answer to an item mean, and
+//! when are new events of a text uploaded?
 //!
 //! No I/O, no clock.
 //!
-//! **Inputs.** The status of the answer, whether it says that the item was not run, whether its last
-//! event is whole; the events of a text and how many of them were uploaded.
+//! **Inputs.** The status of the answer, whether it says that the item was not run, and whether its
+//! last event is complete; the number of events of a text and how many of them were uploaded.
 //!
-//! **Rule.** An engine that sends nothing for 2.5 s is given up: the item goes on elsewhere behind its
-//! last event. An answer is a finished text only if it ends behind a whole event. A text is uploaded each
-//! 24 events, a long one each 5, so that it survives this process and the leader.
+//! **Rule.** An engine that sends nothing for 2.5 s is abandoned: the item resumes on another
+//! engine after its last event. An answer is a finished text only if it ends with a complete event.
+//! A text is uploaded every 24 events, a long text every 5, so that it survives the loss of this
+//! process and of the leader.
 //!
-//! **Why.** What was not uploaded is made again after the loss of a gateway. An upload is one entry of
-//! the replicated log, so that short texts are not worth one.
+//! **Why.** Events that were not uploaded are generated again after the loss of a gateway. Each
+//! upload is one entry of the replicated log, which is too costly for short texts.
 
 use std::time::Duration;
 
-/// A connection to an engine must be up within this time; round trips within a region take a few
-/// milliseconds.
+/// Timeout for a connection to an engine; round trips within a region take a few milliseconds.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// An engine must begin to answer, and go on, within this time. It is above an engine's step and a
-/// load of weights.
+/// Limit on an engine's silence, both before and during its answer. It is longer than an engine's
+/// step and than a load of weights.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// So many events of an item are uploaded together, to survive this process. An item that has fewer
-/// is begun again at little cost: 2 s at 78 ms an event.
+/// Events of an item per upload. An item with fewer events is cheap to restart: 2 s at 78 ms per
+/// event.
 const UPLOAD_EVENTS: u64 = 24;
-/// So many events of a long item are uploaded together: those that an engine makes between two status
-/// reports (400 ms at 78 ms an event). Its job waits for it, so that each lost event is lost time.
+/// Events of a long item per upload: those that an engine generates between two status reports (400
+/// ms at 78 ms per event). The job waits for its long items, so that each lost event is lost time.
 const UPLOAD_EVENTS_OF_LONG: u64 = 5;
 
-/// Status by which an engine says that an item was meant for another incarnation or version.
+/// Status of an engine that has another incarnation or version than the item expects.
 const MISDIRECTED: u16 = 421;
-/// Status by which an engine says that an item can never be done.
+/// Status of an item that no engine can ever run.
 const IMPOSSIBLE: u16 = 422;
 
-/// What an engine's whole answer to an item is.
+/// Meaning of an engine's complete answer to an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemAnswer {
-    /// The whole text.
+    /// The complete text.
     Finished,
-    /// A text that ends inside an event.
+    /// A text that ends in the middle of an event.
     CutShort,
-    /// Another incarnation or version is there.
+    /// The engine has another incarnation or version than expected.
     Mismatch,
-    /// The engine has not run it.
+    /// The engine has not run the item.
     NotRun,
-    /// It can never be done.
+    /// No engine can ever run the item.
     Impossible,
-    /// The engine has run it and failed.
+    /// The engine ran the item and failed.
     Failed,
 }
 
-/// What an answer is that has this status; `ends_whole` if no part of an event is left over.
+/// Classifies an answer by its status; `ends_whole` if the answer has no incomplete event at its
+/// end.
 pub fn classify_item_answer(status: u16, says_not_run: bool, ends_whole: bool) -> ItemAnswer {
     match status {
         MISDIRECTED => ItemAnswer::Mismatch,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Whether the events behind those that were uploaded are uploaded now. A text counts as long if its
-/// job expects that, and once it has proved so.
+/// Returns whether the events after the uploaded ones are due for upload. A text counts as long if
+/// its job expects it to be, or once a full batch of it was uploaded.
 pub fn is_upload_due(events: u64, uploaded: u64, is_expected_long: bool) -> bool {
     let is_long = is_expected_long || uploaded >= UPLOAD_EVENTS;
     let batch = if is_long {
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -1,7 +1,8 @@
-//! Attempts at items of batch jobs on engines, as the leader assigns them.
+//! Attempts at items of batch jobs on engines, as assigned by the leader.
 //!
 //! Owns the attempts and their texts; relies on the connections to engines and on the link to the
-//! leader. The end of an attempt is kept until a leader has made it durable and releases it.
+//! leader. The outcome of an attempt is kept until a leader has made it durable and releases the
+//! attempt.
 
 use crate::answers::AnswerFacts;
 use crate::coordinators::send;
@@ -32,24 +33,24 @@
 }
 
 impl Items {
-    /// What runs, and what has ended without a leader having made that durable.
+    /// Returns the running attempts, and those whose outcome no leader has made durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningItem> + '_ {
         self.attempts.values().map(ItemAttempt::as_running)
     }
 
-    /// How far those are that run.
+    /// Returns the progress of the running attempts.
     pub(crate) fn progress(&self) -> Vec<ItemProgress> {
         let attempts = self.attempts.values();
         let running = attempts.filter(|attempt| attempt.is_running());
         running.map(ItemAttempt::progress).collect()
     }
 
-    /// How many there are.
+    /// Returns the number of attempts.
     pub(crate) fn count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Begins an attempt; it ends at once if this gateway takes none.
+    /// Begins an attempt; it ends at once if this gateway accepts no items.
     pub(crate) fn begin(
         &mut self,
         environment: &mut Environment,
@@ -86,7 +87,7 @@
         timers.arm(now + CONNECT_TIMEOUT, TimerKey::Item(id));
     }
 
-    /// Bytes of an engine's answer have arrived and are in its reader.
+    /// Handles bytes of an engine's answer that are in the connection's reader.
     pub(crate) fn on_input(
         &mut self,
         environment: &mut Environment,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// An engine's answer is whole; `ends_whole` if no part of an event is left over. Gives the scoring
-    /// that is to follow.
+    /// Handles an engine's complete answer; `ends_whole` if the answer has no incomplete event at
+    /// its end. Returns the scoring that follows.
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
@@ -141,7 +142,7 @@
         scoring
     }
 
-    /// The connection of an attempt ended without a whole answer.
+    /// Handles the end of an attempt's connection before a complete answer.
     pub(crate) fn on_connection_ended(
         &mut self,
         environment: &mut Environment,
@@ -165,7 +166,7 @@
         self.end(environment, id, outcome);
     }
 
-    /// An engine may have been silent for too long.
+    /// Ends an attempt whose engine has been silent for too long.
     pub(crate) fn on_timer(&mut self, environment: &mut Environment, id: AssignmentId) {
         let now = environment.runtime.now;
         let Some(attempt) = self.attempts.get(&id) else {
@@ -197,14 +198,14 @@
         self.on_connection_ended(environment, id, &lost);
     }
 
-    /// The log holds this much of an item's text.
+    /// Continues uploads of an item's text after the prefix that the log holds.
     pub(crate) fn upload_from(&mut self, id: AssignmentId, held: HeldPrefix) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.upload_from(held);
         }
     }
 
-    /// Uploads the events of growing texts that are to survive this process.
+    /// Uploads the events that are due, so that they survive the loss of this process.
     pub(crate) fn upload_texts(&mut self, environment: &mut Environment) {
         let Some(leader) = environment.site.coordinators.leader() else {
             return;
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Reports to the leader the ends that it was not sent.
+    /// Reports the outcomes that were not sent to this leader yet.
     pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
         for (id, attempt) in &mut self.attempts {
             if let Some(message) = attempt.take_report(*id, leader) {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// A leader has no more use for an attempt.
+    /// Drops an attempt that the leader no longer needs.
     pub(crate) fn release(&mut self, environment: &mut Environment, id: AssignmentId) {
         let attempt = self.attempts.remove(&id);
         if let Some(connection) = attempt.and_then(|attempt| attempt.upstream) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Breaks all attempts off: another gateway goes on with their items.
+    /// Interrupts all attempts: other gateways resume their items.
     pub(crate) fn return_all(&mut self, environment: &mut Environment) {
         let running: Vec<AssignmentId> = self.attempts.keys().copied().collect();
         for id in running {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Breaks an attempt off, if it is under way: its item goes on elsewhere.
+    /// Interrupts an attempt if it is running: its item resumes elsewhere.
     pub(crate) fn interrupt(&mut self, environment: &mut Environment, id: AssignmentId) {
         let attempt = self.attempts.get(&id);
         if attempt.is_some_and(ItemAttempt::is_running) {
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Closes the connection of an attempt, which ends with the text so far.
+    /// Closes the connection of an attempt and ends the attempt with the text so far.
     fn break_off(&mut self, environment: &mut Environment, id: AssignmentId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -283,8 +284,8 @@
         }
     }
 
-    /// What an item asks whose connection was lost; `None` if it ran for so long that it is not what
-    /// ends engines.
+    /// Returns the fingerprint of an item whose connection was lost; `None` if the item ran for so
+    /// long that it is not what crashes engines.
     fn possible_cause(
         &self,
         environment: &Environment,
@@ -298,7 +299,8 @@
         fingerprints::of_item(&environment.site, &attempt.assignment)
     }
 
-    /// An item that has brought events for long enough is not what ends servers.
+    /// Clears an item that has delivered events for long enough of the suspicion of crashing
+    /// servers.
     fn clear_if_long(&mut self, environment: &mut Environment, id: AssignmentId) {
         let now = environment.runtime.now;
         if environment.suspicions().is_none() {
@@ -315,10 +317,11 @@
     }
 }
 
-/// What an engine sends is not the stream of the item.
+/// The engine's answer is not the event stream of the item.
 struct NotItsStream;
 
-/// Reads what has arrived of an engine's answer; says whether events could be read from it.
+/// Reads the received part of an engine's answer; returns whether it is an event stream that could
+/// be read.
 fn read_events(
     now: Instant,
     names: &HeaderNames,
