--- a/crates/gateways/wingshore-gateway/src/metrics.rs
+++ b/crates/gateways/wingshore-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a gateway reports to monitoring.
+//! Metrics of a gateway.
 //!
-//! Counters are owned here; gauges are set from [`Readings`] when monitoring asks.
+//! Counters are kept here; gauges are set from [`Readings`] at each scrape.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -11,11 +11,11 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::time::Duration;
 
-/// Shortest time that the histograms tell apart, in seconds.
+/// Upper bound of the first histogram bucket, in seconds.
 const SHORTEST: f64 = 0.005;
-/// Each bucket reaches twice as far as the one before.
+/// Ratio of the upper bounds of neighbouring buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Buckets; the last one ends at 10.2 s.
+/// Number of buckets; the upper bound of the last one is 10.2 s.
 const BUCKETS: u16 = 12;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -49,7 +49,7 @@
     }
 }
 
-/// Values that are read when monitoring asks.
+/// Values of the gauges, read at each scrape.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Readings {
     pub(crate) clients: usize,
@@ -66,11 +66,11 @@
     pub(crate) log_lines_left_out: u64,
 }
 
-/// One gauge.
+/// Name, help text and source of one gauge.
 struct GaugeEntry {
     name: &'static str,
     help: &'static str,
-    /// Where its value is read.
+    /// Reads the value of the gauge.
     read: fn(&Readings) -> i64,
 }
 
@@ -78,7 +78,7 @@
     GaugeEntry { name, help, read }
 }
 
-/// All gauges, in the order in which they are served.
+/// All gauges, in the order of the output.
 const GAUGES: [GaugeEntry; 12] = [
     gauge("clients", "Connections of clients", |readings| {
         clamped(readings.clients)
@@ -130,7 +130,7 @@
     ),
 ];
 
-/// A count as a gauge holds it.
+/// Converts a count to the type of a gauge; the largest value stands for larger counts.
 fn clamped(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
 }
@@ -147,12 +147,12 @@
     scoring_seconds: Histogram,
     calls: Family<CallLabels, Counter>,
     peers_refused: Counter,
-    /// Those of [`GAUGES`].
+    /// The gauges, in the order of [`GAUGES`].
     gauges: Vec<Gauge>,
 }
 
 impl GatewayMetrics {
-    /// All at zero.
+    /// Creates all metrics with value zero.
     pub(crate) fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore_gateway"),
@@ -233,7 +233,7 @@
         }
     }
 
-    /// A live request has ended.
+    /// Records the end of a live request.
     pub(crate) fn request_ended(&self, route: &str, outcome: &'static str, time: Duration) {
         let route = route.to_owned();
         let label = RouteLabel {
@@ -245,35 +245,35 @@
         histogram.observe(time.as_secs_f64());
     }
 
-    /// A send of a live request has ended.
+    /// Records the end of an attempt at a live request.
     pub(crate) fn attempt_ended(&self, outcome: &'static str) {
         self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// An attempt at an item has ended.
+    /// Records the end of an attempt at an item.
     pub(crate) fn item_ended(&self, outcome: &'static str, time: Duration) {
         self.items.get_or_create(&OutcomeLabel { outcome }).inc();
         self.item_seconds.observe(time.as_secs_f64());
     }
 
-    /// A scoring has ended.
+    /// Records the end of a scoring.
     pub(crate) fn scoring_ended(&self, outcome: &'static str, time: Duration) {
         self.scorings.get_or_create(&OutcomeLabel { outcome }).inc();
         self.scoring_seconds.observe(time.as_secs_f64());
     }
 
-    /// A call about a batch job has ended.
+    /// Records the end of a call about a batch job.
     pub(crate) fn call_ended(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// A coordinator that speaks no common format was refused.
+    /// Records the refusal of a coordinator without a common format.
     pub(crate) fn peer_refused(&self) {
         self.peers_refused.inc();
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub(crate) fn text(&self, readings: Readings) -> String {
         for (gauge, entry) in self.gauges.iter().zip(GAUGES) {
             gauge.set((entry.read)(&readings));
--- a/crates/gateways/wingshore-gateway/src/protocol.rs
+++ b/crates/gateways/wingshore-gateway/src/protocol.rs
@@ -1,7 +1,7 @@
-//! What callers and servers of a deployment speak, as the deployment translates it.
+//! The protocol of a deployment's callers and servers, as seen by the gateway.
 //!
-//! A gateway knows requests, calls and answers; their bytes are known to the implementation of
-//! [`IngressProtocol`] alone.
+//! A gateway handles requests, calls and answers; only the implementation of [`IngressProtocol`]
+//! knows their encoding.
 
 use std::time::Duration;
 use wingshore_coordination::{ApiKey, ItemId, ItemState, JobId, JobPage, JobSubmission, TextError};
@@ -10,45 +10,45 @@
 /// Names of the headers that a gateway reads or sets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of a request; servers answer with the same.
+    /// Identifier of a request; servers repeat it in their answers.
     pub request_id: &'static str,
-    /// What a client shows its key in.
+    /// Credentials of a client: its API key.
     pub authorization: &'static str,
-    /// The tenant that a request is run for; set by gateways only.
+    /// The tenant that a request runs for; set by gateways only.
     pub tenant: &'static str,
-    /// Milliseconds that the sender will wait.
+    /// How long the sender waits for an answer, in milliseconds.
     pub deadline: &'static str,
     /// The incarnation of a server that a request is meant for.
     pub expected_instance: &'static str,
     /// The weight version that a request is meant for.
     pub expected_version: &'static str,
-    /// A server's word that it has not run the request.
+    /// Set by a server that has not run the request.
     pub not_run: &'static str,
-    /// On every answer of a server itself.
+    /// Set on every answer that a server itself generated.
     pub signature: &'static str,
-    /// A server's requests running, requests waiting and slots, joined by commas.
+    /// A server's load: running requests, waiting requests and slots, separated by commas.
     pub load: &'static str,
-    /// The last event that the receiver of a stream has.
+    /// Identifier of the last event that the receiver of a stream has.
     pub last_event: &'static str,
-    /// Rank of a request at an engine.
+    /// Priority of a request at an engine.
     pub priority: &'static str,
-    /// The weight version that makes what follows.
+    /// The weight version that generates the following events.
     pub version: &'static str,
 }
 
 /// A call about a batch job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchCall {
-    /// Results from a position on.
+    /// Reads results from a position on.
     Read {
         /// The job.
         job: JobId,
         /// The first position.
         from: u64,
-        /// How long the answer may wait.
+        /// How long the answer may be delayed until there are results.
         wait: Duration,
     },
-    /// The body of an item.
+    /// Reads the body of an item.
     ReadItem {
         /// The job.
         job: JobId,
@@ -63,7 +63,7 @@
 }
 
 impl BatchCall {
-    /// The same call, whose answer is held for at most `limit`.
+    /// Returns the same call with its wait limited to `limit`.
     pub(crate) fn held_for_at_most(self, limit: Duration) -> Self {
         match self {
             Self::Read { job, from, wait } => Self::Read {
@@ -76,14 +76,14 @@
     }
 }
 
-/// What to answer to a call about a batch job.
+/// Answer to a call about a batch job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchAnswer {
     /// The job is accepted.
     Accepted,
-    /// Results.
+    /// Results of a job.
     Page(ReadPage),
-    /// Body of an item.
+    /// The body of an item.
     Item(Vec<u8>),
     /// The job is ended.
     Ended,
@@ -93,16 +93,16 @@
     Unavailable(Duration),
     /// The call may or may not take effect.
     Uncertain,
-    /// The call is refused; says why.
+    /// The call is refused for this reason.
     Refused(String),
 }
 
 /// Results of a job from a position on, as a client reads them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u64,
-    /// Position of the first result here.
+    /// Position of the first result of this page.
     pub from: u64,
     /// Results in order.
     pub results: Vec<ReadResult>,
@@ -113,21 +113,21 @@
 pub struct ReadResult {
     /// The item.
     pub id: ItemId,
-    /// How it ended.
+    /// How the item ended.
     pub state: ItemState,
     /// The data of all events, separated by line feeds.
     pub text: String,
-    /// The weight versions that made them.
+    /// The weight versions that generated the text.
     pub versions: Vec<u64>,
-    /// What its scorer said; `None` without one.
+    /// The score of the text; `None` without one.
     pub score: Option<String>,
 }
 
 impl ReadPage {
-    /// The page with its texts unpacked.
+    /// Unpacks the texts of a page.
     ///
     /// # Errors
-    /// When a text is damaged.
+    /// Fails if a text is damaged.
     pub fn unpack(page: &JobPage) -> Result<Self, TextError> {
         let results = page.results.iter().map(|result| {
             Ok(ReadResult {
@@ -146,28 +146,28 @@
     }
 }
 
-/// A gateway's own answer to a client.
+/// Answer that a gateway generates itself for a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnAnswer {
-    /// No route for this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route asks for a key, and none that is in force was shown.
+    /// The route requires a key, and the request has none that is in force.
     Unauthorized,
-    /// Not run; the client may retry it after this time.
+    /// The request was not run; the client may retry it after this time.
     NotRun(Duration),
-    /// Not run: servers have ended under it. It is not rejected any more after this time at the
-    /// earliest.
+    /// The request was not run, because servers crashed while running it. It stays rejected for at
+    /// least this time.
     Rejected(Duration),
-    /// Not run: it did not arrive whole in time.
+    /// The request was not run, because it did not arrive completely in time.
     TooSlow,
-    /// It may have run; no answer of a server came whole.
+    /// The request may have run; no server's answer arrived completely.
     Broken,
-    /// It may have run; its time is over.
+    /// The request may have run; it timed out.
     OutOfTime,
 }
 
 impl OwnAnswer {
-    /// The answer in a word.
+    /// Returns the name of the answer for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NoRoute => "no_route",
@@ -182,7 +182,7 @@
 }
 
 impl BatchAnswer {
-    /// The answer in a word.
+    /// Returns the name of the answer for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Accepted | Self::Page(_) | Self::Item(_) | Self::Ended => "answered",
@@ -193,7 +193,7 @@
         }
     }
 
-    /// What is wrong with a call that is refused; empty otherwise.
+    /// Returns the reason of a refusal; empty for other answers.
     pub fn reason(&self) -> &str {
         match self {
             Self::Refused(reason) => reason,
@@ -202,23 +202,23 @@
     }
 }
 
-/// Translates what callers and servers speak.
+/// Translates the protocol of callers and servers.
 pub trait IngressProtocol {
-    /// Names of headers.
+    /// Returns the names of the headers.
     fn header_names(&self) -> &HeaderNames;
-    /// The key that a caller shows; `None` without one.
+    /// Returns the API key of a caller; `None` without one.
     fn read_key(&self, headers: &Headers) -> Option<ApiKey>;
-    /// Reads a call about a batch job; `None` when the request is none.
+    /// Reads a call about a batch job; `None` if the request is not such a call.
     fn read_batch_call(&self, head: &RequestHead) -> Option<BatchCall>;
-    /// Reads a batch job.
+    /// Reads the submission of a batch job.
     ///
     /// # Errors
-    /// Says what is wrong, where, and what is allowed.
+    /// Returns a message that says what is wrong, where, and what is allowed.
     fn read_submission(&self, request: &WholeRequest) -> Result<JobSubmission, String>;
     /// Writes the answer to a call about a batch job.
     fn write_batch(&self, answer: &BatchAnswer) -> HttpAnswer;
-    /// Writes an answer of the gateway's own.
+    /// Writes an answer that the gateway generated itself.
     fn write_own(&self, answer: &OwnAnswer) -> HttpAnswer;
-    /// Writes the answer to the question whether the gateway is ready.
+    /// Writes the answer to a readiness check.
     fn write_ready(&self, head: &RequestHead, ready: bool) -> HttpAnswer;
 }
--- a/crates/gateways/wingshore-gateway/src/settings.rs
+++ b/crates/gateways/wingshore-gateway/src/settings.rs
@@ -3,44 +3,44 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Settings of a gateway process, checked.
+/// Settings of a gateway process, after validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// Name of the machine.
     pub node: String,
-    /// Where it stands.
+    /// Zone of the machine.
     pub zone: String,
     /// Region of that zone.
     pub region: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub front: SocketAddr,
-    /// Where the deployment asks whether it is ready.
+    /// Address of the readiness check.
     pub ready: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Address that serves metrics.
     pub metrics: Option<SocketAddr>,
-    /// Port for the site's own processes; the same on all machines.
+    /// Port for connections between the site's own processes; the same on all machines.
     pub internal_port: u16,
-    /// Addresses of coordinators as far as known when the settings were written.
+    /// Addresses of coordinators that were known when the settings were written.
     pub seeds: Vec<IpAddr>,
-    /// Connections of all kinds at a time, at the most.
+    /// Maximum number of simultaneous connections of all kinds.
     pub most_connections: usize,
-    /// How long clients may go on using an address that they were given.
+    /// How long clients may keep using an address from the directory.
     pub directory_ttl: Duration,
-    /// Within which a planned stop must be over.
+    /// Maximum duration of a planned stop.
     pub stop_limit: Duration,
-    /// Length of the windows in which requests are counted for the provider; `None` where they are
-    /// not counted.
+    /// Length of the windows in which requests are counted for reports to the provider; `None`
+    /// disables counting.
     pub usage_window: Option<Duration>,
-    /// Which mechanisms of choice are on.
+    /// Optional mechanisms that are enabled.
     pub policy: GatewayPolicy,
 }
 
-/// Switches of a gateway's mechanisms of choice, for measuring what each is worth.
+/// Switches of a gateway's optional mechanisms, for measuring the effect of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayPolicy {
-    /// Results are read from the copy of the state in the gateway's zone.
+    /// Whether results are read from the copy of the state in the gateway's zone.
     pub near_copies: bool,
-    /// Scorings keep within a limit that adapts to what their servers take.
+    /// Whether a limit that adapts to the capacity of the servers applies to scorings.
     pub scoring_limit: bool,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl GatewaySettings {
-    /// Where the seeds listen for the site's own processes.
+    /// Returns the addresses at which the seeds listen for the site's own processes.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self
             .seeds
