--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -1,11 +1,11 @@
-//! Scorings: asking a scoring service for the scores of whole texts.
+//! Scorings: requests to a scoring service for the scores of complete texts.
 //!
-//! A scoring begins where its text was made as soon as the text is whole, or by the leader's word
-//! where that gateway is gone. It goes the way of a live request, within the routes, attempts and
-//! time limits in force.
+//! A scoring begins on the gateway that generated the text, as soon as the text is complete, or on
+//! another gateway that the leader assigns if that gateway is gone. It is sent like a live request,
+//! within the routes, attempts and time limits in force.
 //!
-//! Owns the scorings, those that wait and the limit of each service. The end of a scoring is kept until
-//! a leader has made it durable and releases it.
+//! Owns the scorings, their queue and the limit of each service. The outcome of a scoring is kept
+//! until a leader has made it durable and releases the scoring.
 
 use crate::coordinators::send;
 use crate::environment::Environment;
@@ -25,42 +25,42 @@
 use wingshore_net::http::{Headers, RequestHead, WholeAnswer, WholeRequest};
 use wingshore_types::Instant;
 
-/// One scoring in hand, or whose end the leader has not made durable.
+/// A scoring that is unfinished, or whose outcome the leader has not made durable.
 struct Scoring {
     assignment: ScoringAssignment,
-    /// When it came into hand.
+    /// When the scoring was added.
     since: Instant,
-    /// Its request under way, and to which service.
+    /// The running request and its service.
     exchange: Option<(ExchangeId, ServiceName)>,
     outcome: Option<ScoringOutcome>,
     /// The connection on which the outcome was reported.
     reported_on: Option<ConnectionId>,
 }
 
-/// What became of a scoring that was to be started.
+/// Result of an attempt to start a scoring.
 pub(crate) enum Started {
-    /// It waits for its turn.
+    /// The limit of its service is reached: the scoring must be queued again.
     Waits,
-    /// It is gone, or its request is on its way.
+    /// The scoring no longer exists, or its request was sent.
     Gone,
-    /// It has ended: others may have their turn.
+    /// The scoring has ended: other scorings may be started.
     Ended,
-    /// Its request is over already.
+    /// The request of the scoring has ended already.
     RequestOver(ExchangeEnd),
 }
 
 /// All scorings of this gateway.
 pub(crate) struct Scorings {
     all: BTreeMap<AssignmentId, Scoring>,
-    /// Those whose request has not been sent, in their order.
+    /// Scorings whose request was not sent yet, in order.
     queue: VecDeque<AssignmentId>,
     limits: HashMap<ServiceName, ConcurrencyLimit>,
-    /// Whether the limits of the services are kept.
+    /// Whether the limits of the services are enforced.
     is_limited: bool,
 }
 
 impl Scorings {
-    /// None yet; `is_limited` if they keep within what their servers take.
+    /// Starts without scorings; `is_limited` if the limits of the services are enforced.
     pub(crate) fn new(is_limited: bool) -> Self {
         Self {
             all: BTreeMap::new(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What is in hand, and what has ended without a leader having made that durable.
+    /// Returns the unfinished scorings, and those whose outcome no leader has made durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningScoring> + '_ {
         self.all.values().map(|scoring| RunningScoring {
             scoring: scoring.assignment.scoring,
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Names of those in hand.
+    /// Returns the identifiers of the unfinished scorings.
     pub(crate) fn in_hand(&self) -> Vec<AssignmentId> {
         let in_hand = self
             .all
@@ -88,17 +88,17 @@
         in_hand.map(|(id, _)| *id).collect()
     }
 
-    /// How many there are.
+    /// Returns the number of scorings.
     pub(crate) fn count(&self) -> usize {
         self.all.len()
     }
 
-    /// How many wait for their turn.
+    /// Returns the number of queued scorings.
     pub(crate) fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// A text is to be scored; says whether that is news.
+    /// Queues the scoring of a text; returns false if it exists already.
     pub(crate) fn add(&mut self, now: Instant, assignment: ScoringAssignment) -> bool {
         let id = assignment.scoring;
         if self.all.contains_key(&id) {
@@ -116,17 +116,17 @@
         true
     }
 
-    /// Takes all that wait for their turn.
+    /// Takes all queued scorings.
     pub(crate) fn take_queue(&mut self) -> VecDeque<AssignmentId> {
         std::mem::take(&mut self.queue)
     }
 
-    /// A scoring waits for its turn, behind the others.
+    /// Puts a scoring at the end of the queue.
     pub(crate) fn requeue(&mut self, id: AssignmentId) {
         self.queue.push_back(id);
     }
 
-    /// Sends the request of a scoring, if the limit of its service allows that.
+    /// Sends the request of a scoring if the limit of its service allows it.
     pub(crate) fn start(
         &mut self,
         environment: &mut Environment,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The request of a scoring is over.
+    /// Handles the end of a scoring's request.
     pub(crate) fn on_request_end(
         &mut self,
         environment: &mut Environment,
@@ -191,7 +191,7 @@
         self.end(environment, id, outcome);
     }
 
-    /// Reports to the leader the ends that it was not sent.
+    /// Reports the outcomes that were not sent to this leader yet.
     pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
         for (id, scoring) in &mut self.all {
             let outcome = scoring.outcome.as_ref();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A leader has no more use for a scoring.
+    /// Drops a scoring that the leader no longer needs.
     pub(crate) fn release(
         &mut self,
         environment: &mut Environment,
@@ -222,7 +222,7 @@
         self.queue.retain(|queued| *queued != id);
     }
 
-    /// A planned stop: scorings that have not begun go on elsewhere.
+    /// Ends the queued scorings for a planned stop: they are run elsewhere.
     pub(crate) fn return_queued(&mut self, environment: &mut Environment) {
         for id in self.take_queue() {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::Stopping);
@@ -230,7 +230,8 @@
         }
     }
 
-    /// The request of a scoring is over: its service has a free place. Gives the exchange.
+    /// Releases the slot that a scoring's request used in the limit of its service. Returns the
+    /// exchange.
     fn free_place(
         &mut self,
         now: Instant,
@@ -256,7 +257,7 @@
     }
 }
 
-/// The request that asks for a score.
+/// Builds the request for a score.
 fn request_of(names: &HeaderNames, scorer: &Scorer) -> WholeRequest {
     let lines = [
         ("Host", scorer.host.as_str()),
@@ -273,7 +274,7 @@
     }
 }
 
-/// The score that a success bears.
+/// Returns the score that a successful answer carries.
 fn score_of(environment: &Environment, answer: &WholeAnswer) -> Option<String> {
     let name = environment.site.protocol.header_names().signature;
     let score = answer.head.headers.text(name);
--- a/crates/gateways/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring_policy.rs
@@ -1,43 +1,43 @@
-//! Decision: how many scorings may be at a service's servers, what did the end of a scoring's request
-//! bring, and what does it say about the load of the servers?
+//! Decision: how many scorings may run at a service's servers, what is the outcome of a scoring's
+//! request, and what does it say about the load of the servers?
 //!
 //! No I/O, no clock.
 //!
-//! **Inputs.** The slots of the service's servers; how the attempts ended; whether the answer came
-//! within the target latency of its route; the signature that bears the score.
+//! **Inputs.** The slots of the service's servers; how the attempts ended; whether the answer
+//! arrived within the target latency of its route; the signature that carries the score.
 //!
-//! **Rule.** A gateway has at most half of the slots, within a limit that adapts
-//! ([`limit`](crate::limit)). A refusal, a late answer and none at all are overload; a server that says
-//! that it failed is not. A success without a score is no score.
+//! **Rule.** A gateway uses at most half of the slots, within a limit that adapts
+//! ([`limit`](crate::limit)). A refusal, a late answer and a missing answer count as overload; a
+//! server that reports a failure does not. A success without a score counts as no answer.
 //!
-//! **Why.** A step's texts end together: all their scorings at once would stand before live requests to
-//! the same servers.
+//! **Why.** The texts of a step end at about the same time: without a limit all their scorings
+//! would be queued ahead of live requests at the same servers.
 //!
-//! **Old or missing inputs.** Without known servers one scoring at a time is begun.
+//! **Old or missing inputs.** While no servers are known, scorings are started one at a time.
 
 use crate::attempts::AttemptHistory;
 use crate::limit::LoadSignal;
 use wingshore_coordination::{NotScoredReason, ScoringOutcome};
 
-/// One of so many slots of a service is for this gateway's scorings at the most: other gateways need
-/// some too.
+/// Slots of a service per scoring of this gateway: the rest is left for other gateways.
 const SLOTS_PER_SCORING: usize = 2;
 
-/// How many scorings may be at servers that have so many slots together.
+/// Returns how many scorings may run at servers with this total number of slots.
 pub fn max_scorings(slots: u32) -> usize {
     slots as usize / SLOTS_PER_SCORING
 }
 
-/// The end of a scoring.
+/// The end of a scoring's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScoringEnd {
-    /// What came of it.
+    /// The outcome of the scoring.
     pub outcome: ScoringOutcome,
-    /// What it says about the load of the servers.
+    /// What the request shows about the load of the servers.
     pub signal: LoadSignal,
 }
 
-/// The end of a scoring by an answer that is no failure; `score` is the signature of a success.
+/// Returns the end of a scoring by an answer that is not a failure; `score` is the signature of a
+/// successful answer.
 pub fn answered(score: Option<String>, history: AttemptHistory, is_in_time: bool) -> ScoringEnd {
     let outcome = match score {
         Some(score) => ScoringOutcome::Scored(score),
@@ -51,7 +51,8 @@
     ScoringEnd { outcome, signal }
 }
 
-/// The end of a scoring that no server has answered, or that all failed.
+/// Returns the end of a scoring that no server answered, or that failed at every server that
+/// answered.
 pub fn given_up(history: AttemptHistory) -> ScoringEnd {
     let (outcome, signal) = match history.server_failures {
         0 if history.may_have_run => (
