--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of its site: the configuration and the servers, as the group's log has them.
+//! A gateway's view of its site: the configuration and the servers, as recorded in the group's log.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 };
 use wingshore_types::{Epoch, LogIndex};
 
-/// What became of an update of the view.
+/// Result of an update of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateVerdict {
-    /// It was taken.
+    /// The update was applied.
     Taken,
-    /// The view accounts for more already.
+    /// The view already includes later log entries.
     Old,
-    /// It goes on from an entry that the view does not account for.
+    /// The update continues from a log entry that the view does not include yet.
     Gap,
 }
 
 /// The view of one gateway.
 ///
-/// Invariants: the configuration's version never falls; nothing is taken that accounts for less of
-/// the log than the view does, nor changes that leave a gap behind what it accounts for; no leader
-/// is believed that is older than the newest one known.
+/// Invariants: the configuration's version never decreases; an update is not applied if it includes
+/// less of the log than the view does, or if it leaves a gap after the view's revision; a leader is
+/// not accepted if its epoch is older than the newest known one.
 #[derive(Default)]
 pub struct View {
     epoch: Epoch,
-    /// The last entry of the log that it accounts for.
+    /// The last log entry that the view includes.
     revision: Option<LogIndex>,
     configuration: Option<Arc<SiteConfiguration>>,
     routes: RouteTable,
     keys: KeyTable,
     servers: BTreeMap<InstanceId, ServerRecord>,
     fingerprint_key: Option<FingerprintKey>,
-    /// Requests under which servers have ended.
+    /// Requests that were running when servers crashed.
     suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
 impl View {
-    /// A coordinator says that it leads; says whether it is believed.
+    /// Handles a coordinator's announcement that it leads; returns false if its epoch is stale.
     pub fn led(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             return false;
@@ -49,7 +49,7 @@
         true
     }
 
-    /// A coordinator has sent the view, or changes of it; says what became of that.
+    /// Applies a whole view or changes of it that a coordinator sent.
     pub fn update(&mut self, update: ViewUpdate) -> UpdateVerdict {
         let ViewUpdate { revision, content } = update;
         if self.revision.is_some_and(|known| revision < known) {
@@ -111,93 +111,93 @@
         self.configuration = Some(configuration);
     }
 
-    /// The last entry of the log that the view accounts for.
+    /// Returns the last log entry that the view includes.
     pub fn revision(&self) -> Option<LogIndex> {
         self.revision
     }
 
-    /// Version of the configuration; 0 without one.
+    /// Returns the version of the configuration; 0 without one.
     pub fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |held| held.version)
     }
 
-    /// Whether there is a configuration.
+    /// Returns whether there is a configuration.
     pub fn is_configured(&self) -> bool {
         self.configuration.is_some()
     }
 
-    /// The newest leadership known.
+    /// Returns the epoch of the newest known leader.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Key of the site's fingerprints of requests; `None` before it was received.
+    /// Returns the key of the site's request fingerprints; `None` before it was received.
     pub fn fingerprint_key(&self) -> Option<FingerprintKey> {
         self.fingerprint_key
     }
 
-    /// Whether any request is known under which servers have ended.
+    /// Returns whether any request is known to have been running when servers crashed.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// How many there are.
+    /// Returns the number of suspect requests.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// What the leader has announced of a request under which servers have ended.
+    /// Returns what the leader has announced about a suspect request.
     pub fn suspect(&self, request: RequestFingerprint) -> Option<&Suspect> {
         self.suspects.get(&request)
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn servers(&self) -> impl Iterator<Item = &ServerRecord> {
         self.servers.values()
     }
 
-    /// A server.
+    /// Returns a server.
     pub fn server(&self, instance: &InstanceId) -> Option<&ServerRecord> {
         self.servers.get(instance)
     }
 
-    /// The routes in force.
+    /// Returns the routes in force.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// Whether callers are told apart by their keys.
+    /// Returns whether callers are distinguished by their keys.
     pub fn has_tenants(&self) -> bool {
         let configuration = self.configuration.as_ref();
         configuration.is_some_and(|held| !held.tenants.is_empty())
     }
 
-    /// Whether callers have to show a key on this route.
+    /// Returns whether this route requires a key.
     pub fn asks_for_key(&self, route: &Route) -> bool {
         let configuration = self.configuration.as_ref();
         configuration.is_some_and(|held| held.asks_for_key(route))
     }
 
-    /// Whether callers have to show a key to ask for batch jobs at this host: calls about a job do
-    /// not say by which route it was submitted.
+    /// Returns whether calls about batch jobs require a key at this host: such calls do not name
+    /// the route by which the job was submitted.
     pub fn asks_for_key_of_jobs(&self, host: &str) -> bool {
         let is_public = |route: &Arc<Route>| route.kind == RouteKind::Batch && route.public;
         self.has_tenants() && !self.routes.of_host(host).any(is_public)
     }
 
-    /// The caller that a key opens for.
+    /// Returns the caller that a key belongs to.
     pub fn caller(&self, key: &ApiKey) -> Option<&Caller> {
         self.keys.find(key)
     }
 
-    /// What callers may send.
+    /// Returns the limits on requests of callers.
     pub fn limits(&self) -> IngressLimits {
         self.configuration
             .as_ref()
             .map_or_else(IngressLimits::default, |held| held.limits)
     }
 
-    /// The servers of a service that take new requests.
+    /// Returns the servers of a service that accept new requests.
     pub fn servers_of<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -207,7 +207,7 @@
             .filter(move |server| server.service == *service && !server.draining)
     }
 
-    /// Whether a server is known.
+    /// Returns whether a server is in the view.
     pub fn knows(&self, instance: &InstanceId) -> bool {
         self.servers.contains_key(instance)
     }
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -1,7 +1,7 @@
-//! The view of the site: where it is followed, and what its updates bring.
+//! Updates of the site's view: selects the coordinator that sends them, and applies them.
 //!
-//! Owns the choice of the coordinator that is followed; relies on the links for candidates and on
-//! [`View`] for which updates are taken.
+//! Owns the choice of the coordinator that is followed; relies on the links for candidates, and on
+//! [`View`] for which updates are applied.
 
 use crate::coordinators::{Coordinators, send};
 use crate::runtime::Runtime;
@@ -12,7 +12,7 @@
 use wingshore_coordination::{GatewayMessage, ViewChange, ViewContent, ViewUpdate};
 use wingshore_net::ConnectionId;
 
-/// What an update of the view has brought.
+/// Content of an update that was applied.
 pub(crate) enum ViewNews {
     /// The whole view.
     Whole,
@@ -20,15 +20,15 @@
     Changes(Vec<ViewChange>),
 }
 
-/// Following the view.
+/// Follows the view at one coordinator at a time.
 pub(crate) struct ViewFollowing {
     source: ViewSource,
-    /// Spreads the gateways of a site over coordinators that are alike.
+    /// Spreads the gateways of a site over equally suitable coordinators.
     salt: u64,
 }
 
 impl ViewFollowing {
-    /// Nothing is followed yet.
+    /// Starts without a coordinator to follow.
     pub(crate) fn new(salt: u64) -> Self {
         Self {
             source: ViewSource::default(),
@@ -36,12 +36,13 @@
         }
     }
 
-    /// The link to a coordinator has ended.
+    /// Handles the end of the link to a coordinator.
     pub(crate) fn link_ended(&mut self, address: SocketAddr) {
         self.source.link_ended(address);
     }
 
-    /// Follows the view where that is best, seen from `zone`.
+    /// Selects the best coordinator for a gateway in `zone`, and follows the view there if it is a
+    /// new one.
     pub(crate) fn follow(
         &mut self,
         runtime: &mut Runtime,
@@ -73,13 +74,13 @@
     }
 }
 
-/// Asks a coordinator for the view, behind what `view` accounts for.
+/// Asks a coordinator for the view from the revision of `view` on.
 fn ask_for_view(runtime: &mut Runtime, connection: ConnectionId, view: &View) {
     let since = view.revision();
     send(runtime, connection, GatewayMessage::FollowView { since });
 }
 
-/// Takes an update of the view that came on `connection`; `None` if it brings nothing.
+/// Applies an update of the view that arrived on `connection`; `None` if nothing was applied.
 pub(crate) fn take_update(
     runtime: &mut Runtime,
     view: &mut View,
--- a/crates/gateways/wingshore-gateway/src/view_source.rs
+++ b/crates/gateways/wingshore-gateway/src/view_source.rs
@@ -1,75 +1,77 @@
-//! Decision: at which coordinator is the view followed?
+//! Decision: from which coordinator does a gateway follow the view?
 //!
 //! No I/O; `now` is passed in.
 //!
-//! **Inputs.** The coordinators with a copy of the state that were heard of lately, with their zone, how
-//! far the copy is (an index of the log) and which one leads; how far the gateway's own view is.
+//! **Inputs.** The coordinators with a copy of the state from which a message arrived recently,
+//! with their zone, the revision of the copy (a log index) and which one leads; the revision of the
+//! gateway's own view.
 //!
-//! **Rule.** One in the gateway's own zone is followed and kept; without one, after 0.2 s, any other,
-//! the leader last. A view that stays behind what any coordinator has announced for 0.7 s is followed at
-//! another coordinator, and the one before is avoided for 3 s.
+//! **Rule.** A coordinator in the gateway's own zone is followed and kept. If there is none, any
+//! other is followed after 0.2 s, the leader only as the last choice. If the view has lagged behind
+//! the newest announced revision for 0.7 s, another coordinator is followed, and the previous one
+//! is avoided for 3 s.
 //!
-//! **Why.** Any copy is true, but it may be cut off from the leader while this gateway is not. Were the
-//! leader to send the view to all gateways of a large site, its link would be full for seconds; of what
-//! members of each zone send, little crosses between zones.
+//! **Why.** Every copy is correct, but its coordinator may be cut off from the leader while this
+//! gateway is not. If the leader sent the view to all gateways of a large site, its link would be
+//! saturated for seconds; if members in each zone send it, little traffic crosses zones.
 //!
-//! **Old or missing inputs.** A coordinator that was not heard of lately is no candidate. While there is
-//! none, nothing changes.
+//! **Old or missing inputs.** A coordinator that has been silent for too long is not a candidate.
+//! While there are no candidates, nothing changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_types::{Instant, LogIndex};
 
-/// The view may lag this long behind the newest entry that any coordinator has announced. Copies
-/// learn of commits each 100 ms and announce them to their followers each 300 ms, so that one that
-/// works is never so late; what is in force everywhere within 2 s has a second of it left for asking
-/// elsewhere.
+/// Limit on the view's lag behind the newest revision that any coordinator has announced. Copies
+/// receive commits every 100 ms and announce them to their followers every 300 ms, so that a
+/// working one never lags this long. Commits must be in force everywhere within 2 s, which leaves
+/// one second for another coordinator.
 const LAG_LIMIT: Duration = Duration::from_millis(700);
-/// A gateway without any view waits this long for a copy in its own zone to show itself: links to
-/// all coordinators come up within some milliseconds of each other.
+/// How long a gateway that follows no coordinator waits for a copy in its own zone to be announced:
+/// links to all coordinators come up within a few milliseconds of each other.
 const NEAR_COPY_WAIT: Duration = Duration::from_millis(200);
-/// A copy that was left because it lagged is not asked again for this long.
+/// How long a coordinator is avoided whose copy lagged.
 const AVOIDED_FOR: Duration = Duration::from_secs(3);
 
-/// A coordinator with a copy of the state that was heard of lately.
+/// A coordinator with a copy of the state from which a message arrived recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Where it listens.
+    /// Address of the coordinator.
     pub address: SocketAddr,
-    /// Whether it stands in the gateway's zone.
+    /// Whether the coordinator is in the gateway's zone.
     pub is_near: bool,
-    /// Whether it leads, as far as this gateway knows.
+    /// Whether the coordinator leads, as far as this gateway knows.
     pub leads: bool,
-    /// The last entry that its copy accounts for.
+    /// The last log entry that the copy includes.
     pub revision: LogIndex,
 }
 
-/// What a gateway knows when it chooses.
+/// Inputs of a gateway's choice of a coordinator to follow.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice<'a> {
     /// The coordinators to choose from.
     pub candidates: &'a [Candidate],
-    /// The last entry that its own view accounts for.
+    /// The last log entry that the gateway's own view includes.
     pub known: Option<LogIndex>,
-    /// Different numbers choose different ones of several that are alike.
+    /// Selects among equally suitable coordinators; differs between gateways.
     pub salt: u64,
 }
 
-/// The coordinator that is followed.
+/// Selection of the coordinator to follow.
 #[derive(Debug, Default)]
 pub struct ViewSource {
-    /// Where the view is followed now.
+    /// The coordinator that is followed now.
     current: Option<SocketAddr>,
-    /// Since when a newer entry is known than the view accounts for, and that entry.
+    /// The newest announced entry when the view began to lag, and since when it has lagged.
     lag: Option<(Instant, LogIndex)>,
-    /// Until when a copy that was left because it lagged is not asked again, and which one.
+    /// The coordinator that is avoided because its copy lagged, and until when.
     avoided: Option<(Instant, SocketAddr)>,
-    /// Since when there are candidates and none is followed.
+    /// Since when there have been candidates while none is followed.
     waiting_since: Option<Instant>,
 }
 
 impl ViewSource {
-    /// The coordinator that is followed.
+    /// Returns the coordinator that is followed now.
     pub fn current(&self) -> Option<SocketAddr> {
         self.current
     }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Chooses anew; gives the coordinator to follow from now on, if it is another one.
+    /// Updates the choice; returns the coordinator to follow from now on if it has changed.
     pub fn choose(&mut self, now: Instant, choice: &Choice<'_>) -> Option<SocketAddr> {
         self.note_lag(now, choice);
         let wanted = self.wanted(now, choice)?;
@@ -131,7 +133,7 @@
         }
     }
 
-    /// A copy in the own zone that is not known to lag.
+    /// Returns a copy in the gateway's own zone that is not avoided for lag.
     fn near(&self, choice: &Choice<'_>) -> Option<SocketAddr> {
         let avoided = self.avoided.map(|(_, address)| address);
         let near = choice.candidates.iter().filter(|known| known.is_near);
@@ -140,7 +142,7 @@
         best(&near, choice.salt)
     }
 
-    /// Any copy, once none in the own zone has shown itself in time.
+    /// Returns any copy, once the wait for a copy in the gateway's own zone is over.
     fn far(&mut self, now: Instant, choice: &Choice<'_>) -> Option<SocketAddr> {
         let far = best(choice.candidates, choice.salt)?;
         let since = *self.waiting_since.get_or_insert(now);
@@ -148,7 +150,7 @@
     }
 }
 
-/// One of several candidates: copies before the leader, which has most to do.
+/// Selects one of several candidates; followers before the leader, which has the most work.
 fn best(candidates: &[Candidate], salt: u64) -> Option<SocketAddr> {
     let followers: Vec<&Candidate> = candidates.iter().filter(|known| !known.leads).collect();
     let all: Vec<&Candidate> = candidates.iter().collect();
