--- a/crates/gateways/wingshore-gateway/src/process/group.rs
+++ b/crates/gateways/wingshore-gateway/src/process/group.rs
@@ -1,4 +1,4 @@
-//! Wiring of the links to the coordination group: what its messages do, and what it is sent.
+//! Handling of the links to the coordination group: incoming messages and reports to the group.
 
 use super::Gateway;
 use crate::coordinators::{StateCopy, send, send_hello};
@@ -14,7 +14,7 @@
 use wingshore_types::Epoch;
 
 impl Gateway {
-    /// Connects to all known coordinators there is no connection to.
+    /// Connects to all known coordinators without a connection.
     pub(super) fn dial_coordinators(&mut self) {
         let seeds = self.settings.seed_addresses();
         for address in self.environment.site.coordinators.wanted(seeds) {
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Whether the coordinator can be spoken with, as far as its message and what came after it say.
+    /// Returns whether the coordinator shares a format with this gateway, as far as its message and
+    /// the bytes after it show.
     fn speaks_with(
         &mut self,
         address: SocketAddr,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A coordinator says that it leads.
+    /// Handles a coordinator's announcement that it leads.
     fn on_leading(&mut self, connection: ConnectionId, address: SocketAddr, epoch: Epoch) {
         if !self.environment.site.view.led(epoch) {
             return;
@@ -152,7 +153,8 @@
         self.report_usage();
     }
 
-    /// Reports to a new leader which items run here; the ends that were not reported follow.
+    /// Reports to a new leader which items and scorings run here, and then the outcomes that were
+    /// not reported to it.
     fn report_running(&mut self, connection: ConnectionId) {
         let items: Vec<RunningItem> = self.items.running().collect();
         let scorings = self.scorings.running().collect();
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Reports how far the items are that run here.
+    /// Reports the progress of the running items, and the unfinished scorings.
     pub(super) fn report_progress(&mut self) {
         let progress = self.items.progress();
         if !progress.is_empty() {
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Reports the counts of usage that have changed.
+    /// Reports the usage counts that have changed.
     pub(super) fn report_usage(&mut self) {
         if self.environment.site.coordinators.leader().is_none() {
             return;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Follows the view where that is best.
+    /// Follows the view from the best coordinator.
     pub(super) fn follow_view(&mut self) {
         let site = &self.environment.site;
         self.following.follow(
@@ -205,7 +207,7 @@
         );
     }
 
-    /// A coordinator has sent the view, or changes of it.
+    /// Handles a whole view or changes of it that a coordinator sent.
     fn on_view(&mut self, connection: ConnectionId, update: ViewUpdate) {
         let version_before = self.environment.site.view.version();
         let view = &mut self.environment.site.view;
--- a/crates/gateways/wingshore-gateway/src/process/listeners.rs
+++ b/crates/gateways/wingshore-gateway/src/process/listeners.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use wingshore_net::{ListenerId, Reactor};
 
-/// Sent bytes may stay unacknowledged this long on connections of clients.
+/// Limit on the time that sent bytes stay unacknowledged on connections of clients.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(8);
 
-/// What a gateway listens on besides the port of its clients.
+/// Listeners of a gateway besides that for clients.
 pub(super) struct Listeners {
     ready: Option<ListenerId>,
     metrics: Option<ListenerId>,
 }
 
 impl Listeners {
-    /// Listens.
+    /// Opens the listening sockets.
     ///
     /// # Errors
-    /// When an address cannot be used.
+    /// Fails if an address cannot be used.
     pub(super) fn open(
         reactor: &mut Reactor,
         settings: &GatewaySettings,
@@ -38,7 +38,7 @@
         })
     }
 
-    /// Who calls on connections of a listener.
+    /// Returns the purpose of connections of a listener.
     pub(super) fn purpose(&self, listener: ListenerId) -> Purpose {
         if Some(listener) == self.ready {
             Purpose::Ready
--- a/crates/gateways/wingshore-gateway/src/process/mod.rs
+++ b/crates/gateways/wingshore-gateway/src/process/mod.rs
@@ -1,8 +1,8 @@
-//! One gateway process from start to end: the loop that owns all sockets, and the wiring of the parts.
+//! One gateway process: the loop that owns all sockets, and the interaction of the parts.
 //!
-//! Each part owns its state and returns what follows from it; the modules in here hand that on to the
-//! next part: [`network`] by connections, [`group`] by messages of coordinators, [`requests`] by what
-//! clients ask, [`work`] by what servers bring.
+//! Each part owns its state and returns the consequences of an event; the modules in here pass them
+//! on to other parts: [`network`] for connections, [`group`] for messages of coordinators,
+//! [`requests`] for clients' requests, [`work`] for results from servers.
 
 mod group;
 mod listeners;
@@ -40,18 +40,19 @@
 use wingshore_net::{Reactor, SeedSource, Signals};
 use wingshore_types::Instant;
 
-/// Between status reports to coordinators; a leader keeps the items of a gateway for at least 0.9 s
-/// since it was last heard of.
+/// Interval between status reports to coordinators; a leader keeps the items of a silent gateway
+/// for at least 0.9 s.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
-/// Between checks of what has become due.
+/// Interval between housekeeping runs.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for sockets; longer than housekeeping needs.
+/// Longest wait for socket events; longer than the housekeeping interval.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// After this many times the directory's time to live no client uses this gateway any more.
+/// Number of directory TTLs after which no client uses this gateway any more.
 const DIRECTORY_TTLS_UNTIL_UNUSED: u32 = 3;
-/// Left before the end of a planned stop for the last answers to arrive.
+/// Time reserved at the end of a planned stop for the last answers to be delivered.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Left before the end of a planned stop for the answers to calls that nobody has answered to leave.
+/// Time reserved at the end of a planned stop to deliver the gateway's own answers to calls that
+/// the group has not answered.
 const LAST_ANSWERS_MARGIN: Duration = Duration::from_millis(200);
 
 /// A running gateway.
@@ -76,10 +77,10 @@
 }
 
 impl Gateway {
-    /// Listens.
+    /// Creates a gateway and opens its listening sockets.
     ///
     /// # Errors
-    /// When an address cannot be used.
+    /// Fails if an address cannot be used.
     pub fn start(
         settings: GatewaySettings,
         protocol: Box<dyn IngressProtocol>,
@@ -113,10 +114,10 @@
         })
     }
 
-    /// Serves until a planned stop.
+    /// Serves until a planned stop is complete.
     ///
     /// # Errors
-    /// When sockets cannot be waited for.
+    /// Fails if waiting for socket events fails.
     pub fn run(mut self) -> Result<(), GatewayError> {
         let mut events = Vec::new();
         loop {
@@ -132,7 +133,7 @@
             if self.has_stopped() {
                 let runtime = &mut self.environment.runtime;
                 info!(runtime.logger, "stopped"; "node" => &self.settings.node);
-                // What is queued leaves with the last turn.
+                // Sends the queued output in a last iteration.
                 let reactor = &mut runtime.reactor;
                 reactor
                     .poll(Duration::ZERO, &mut events)
@@ -151,7 +152,7 @@
         due.since(now).min(MAX_WAIT)
     }
 
-    /// The status of this gateway.
+    /// Returns the status of this gateway.
     fn status(&self) -> GatewayStatus {
         let view = &self.environment.site.view;
         let is_serving = view.is_configured() && !self.is_stopping();
@@ -162,7 +163,7 @@
         }
     }
 
-    /// What metrics are read from when monitoring asks.
+    /// Returns the values of the gauges.
     fn readings(&self) -> Readings {
         let status = self.status();
         let Environment {
@@ -209,8 +210,8 @@
         self.begin_stop();
     }
 
-    /// Reads the seeds again where the settings have changed. Seeds that cannot be read leave
-    /// those before in force.
+    /// Reads the seeds again after a reload signal. If they cannot be read, the previous seeds stay
+    /// in force.
     fn reload(&mut self) {
         if !self.signals.take_reload() {
             return;
@@ -240,28 +241,28 @@
         let runtime = &mut self.environment.runtime;
         let stop_at = now + self.settings.stop_limit;
         self.calls.stop_by(runtime, stop_at - LAST_ANSWERS_MARGIN);
-        // A server that is at work may answer up to the end.
+        // A server with a running request may answer until the end of the stop.
         self.exchanges.stop_by(runtime, stop_at);
         self.report_status();
         self.items.return_all(&mut self.environment);
         self.scorings.return_queued(&mut self.environment);
     }
 
-    /// How far the planned stop is, once it has begun.
+    /// Returns the progress of the planned stop, if it has begun.
     fn stop_progress(&self) -> Option<StopProgress> {
         let elapsed = self.environment.runtime.now.since(self.stopping_since?);
         let left = self.settings.stop_limit.saturating_sub(elapsed);
         Some(StopProgress { elapsed, left })
     }
 
-    /// How long an answer may be held: a planned stop must not cut it.
+    /// Returns how long an answer may be held without being cut off by the planned stop.
     fn time_to_hold(&self) -> Duration {
         let left = self.stop_progress().map(|stop| stop.left);
         left.map_or(Duration::MAX, |left| left.saturating_sub(STOP_MARGIN))
     }
 
-    /// Whether a planned stop is over: nobody waits for an answer or the rest of one, and no client can
-    /// have an address of this gateway that it was given before.
+    /// Returns whether a planned stop is complete: no client waits for an answer or the rest of
+    /// one, and no client can still have this gateway's address from the directory.
     fn has_stopped(&mut self) -> bool {
         let Some(StopProgress { elapsed, left }) = self.stop_progress() else {
             return false;
@@ -282,7 +283,7 @@
     }
 }
 
-/// What the parts of a gateway act on.
+/// Creates the state that the parts of a gateway share.
 fn environment(
     settings: &GatewaySettings,
     reactor: Reactor,
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -1,4 +1,4 @@
-//! Wiring of events of sockets and of timers: which part each one is for.
+//! Dispatch of socket events and timers to the parts.
 
 use super::Gateway;
 use crate::crash_reports;
@@ -75,7 +75,8 @@
             return;
         };
         let Some(task) = upstream.task else {
-            // Bytes that nobody asked for: whatever comes next cannot be trusted.
+            // The server sent unexpected bytes: nothing that follows on the connection can be
+            // trusted.
             upstreams.close(&mut environment.runtime, connection);
             return;
         };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The answer on a connection is whole; `is_all_read` when nothing came behind it.
+    /// Handles a complete answer on a connection; `is_all_read` if no bytes followed it.
     fn upstream_answered(&mut self, connection: ConnectionId, task: Task, is_all_read: bool) {
         let environment = &mut self.environment;
         let runtime = &mut environment.runtime;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Nobody listens where a connection was to lead.
+    /// Handles a refused connection: no process listens at the address.
     fn on_refused(&mut self, connection: ConnectionId) {
         if self.environment.servers.upstreams.owns(connection) {
             return self.upstream_ended(connection, ConnectionEnd::Refused);
@@ -166,7 +167,7 @@
         self.on_broken(connection);
     }
 
-    /// A connection to a server ended without a whole answer.
+    /// Handles the end of a connection to a server before a complete answer.
     fn upstream_ended(&mut self, connection: ConnectionId, end: ConnectionEnd) {
         let environment = &mut self.environment;
         let runtime = &mut environment.runtime;
--- a/crates/gateways/wingshore-gateway/src/process/refusals.rs
+++ b/crates/gateways/wingshore-gateway/src/process/refusals.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own to requests that no server was offered, and why they were given.
+//! Answers of the gateway itself to requests that were not sent to a server, and the reasons.
 
 use super::Gateway;
 use crate::admission::{self, Refusal};
@@ -8,13 +8,13 @@
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HttpAnswer, RequestError, RequestHead};
 
-/// Stands for the route in metrics where there is none.
+/// Route label in metrics for requests without a route.
 const NO_ROUTE: &str = "none";
-/// The answer in logs to bytes that are no request.
+/// Name of the answer in logs to bytes that are not a valid request.
 const UNREADABLE: &str = "unreadable";
 
 impl Gateway {
-    /// Refuses a request that is not let in.
+    /// Refuses a request that is not admitted.
     pub(super) fn refuse(&mut self, client: ConnectionId, head: &RequestHead, refusal: Refusal) {
         let Refusal { answer, reason } = refusal;
         self.log_refused(Some(head), answer.name(), reason);
@@ -23,7 +23,7 @@
         self.answer_own(client, &answer);
     }
 
-    /// Refuses a request whose head alone says that it cannot be let in; the rest of it is not
+    /// Refuses a request that is not admitted because of its head alone; the rest of it is not
     /// read.
     pub(super) fn refuse_early(&mut self, client: ConnectionId) {
         let (purpose, head) = (self.clients.purpose(client), self.clients.head(client));
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Refuses a request that did not arrive whole in time; its connection is of no more use.
+    /// Refuses a request that did not arrive completely in time; its connection is closed after the
+    /// answer.
     pub(super) fn refuse_too_slow(&mut self, client: ConnectionId) {
         if !self.clients.close_after_answer(client) {
             return;
@@ -49,7 +50,8 @@
         self.answer_own(client, &answer);
     }
 
-    /// Refuses bytes that are no request, or one over a limit; their connection is of no more use.
+    /// Refuses bytes that are not a valid request, or a request over a limit; the connection is
+    /// closed after the answer.
     pub(super) fn refuse_unreadable(&mut self, client: ConnectionId, error: &RequestError) {
         if !self.clients.close_after_answer(client) {
             return;
@@ -60,7 +62,7 @@
         self.answer_whole(client, &answer);
     }
 
-    /// One line for an answer that was given without offering the request to a server.
+    /// Logs an answer that was given without sending the request to a server.
     pub(super) fn log_refused(
         &self,
         head: Option<&RequestHead>,
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -1,4 +1,4 @@
-//! Wiring of clients' requests: what each one is for, and how its answer goes out.
+//! Handling of clients' requests: dispatch by purpose, and delivery of the answers.
 
 use super::Gateway;
 use crate::admission::{self, Admission, Purpose, Refusal, tenant_of};
@@ -14,11 +14,11 @@
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HeadWriter, HttpAnswer, WholeRequest};
 
-/// Type of the text that monitoring reads.
+/// Content type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 impl Gateway {
-    /// Bytes of a client have arrived, or its last answer has gone out.
+    /// Handles new bytes of a client, also after its last answer was sent.
     pub(super) fn on_client_input(&mut self, client: ConnectionId) {
         let limits = self.environment.site.view.limits();
         let is_stopping = self.is_stopping();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All metrics, for monitoring.
+    /// Returns the answer with all metrics.
     fn metrics_answer(&self) -> HttpAnswer {
         let text = self.environment.runtime.metrics.text(self.readings());
         HttpAnswer {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends a client's request on its way to servers.
+    /// Forwards a client's request to servers.
     fn forward(
         &mut self,
         client: ConnectionId,
@@ -107,7 +107,7 @@
         self.on_exchange_end(end);
     }
 
-    /// Reads a batch job and passes it on.
+    /// Reads a batch job and submits it to the group.
     fn submit_job(
         &mut self,
         client: ConnectionId,
@@ -136,14 +136,14 @@
         }
     }
 
-    /// A call may be late, or its time over.
+    /// Handles the timer of a call: its resend or its timeout.
     pub(super) fn on_call_timer(&mut self, id: CallId) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         let end = self.calls.on_timer(runtime, site, id);
         self.end_call(end);
     }
 
-    /// A coordinator has answered a call.
+    /// Handles a coordinator's reply to a call.
     pub(super) fn on_call_reply(&mut self, connection: ConnectionId, id: CallId, reply: CallReply) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         let calls = &mut self.calls;
@@ -162,18 +162,18 @@
         self.answer_whole(client, &answer);
     }
 
-    /// Answers with an answer of the gateway's own.
+    /// Sends an answer that the gateway generated itself.
     pub(super) fn answer_own(&mut self, client: ConnectionId, answer: &OwnAnswer) {
         let answer = self.environment.site.protocol.write_own(answer);
         self.answer_whole(client, &answer);
     }
 
-    /// Answers a client whole.
+    /// Sends a complete answer to a client.
     pub(super) fn answer_whole(&mut self, client: ConnectionId, answer: &HttpAnswer) {
         self.answer(client, answer.head(), &answer.body);
     }
 
-    /// Sends an answer and goes on to the client's next request.
+    /// Sends an answer and continues with the client's next request.
     pub(super) fn answer(&mut self, client: ConnectionId, writer: HeadWriter, body: &[u8]) {
         let is_stopping = self.is_stopping();
         let runtime = &mut self.environment.runtime;
@@ -182,12 +182,12 @@
         self.after_answer(client, after);
     }
 
-    /// The answer to a client is out.
+    /// Continues with the client's next request after an answer.
     pub(super) fn after_answer(&mut self, client: ConnectionId, after: AfterAnswer) {
         if after == AfterAnswer::Nothing {
             return;
         }
-        // Several requests that can be answered at once may have arrived in one piece.
+        // Several requests that can be answered immediately may have arrived together.
         let mut unread = self.unread_input(client);
         while unread > 0 {
             self.on_client_input(client);
@@ -201,13 +201,13 @@
         self.clients.next_read(runtime, client, idle_timeout);
     }
 
-    /// Bytes of a client that were not read yet.
+    /// Returns the number of unread bytes of a client.
     fn unread_input(&mut self, client: ConnectionId) -> usize {
         let input = self.environment.runtime.reactor.input(client);
         input.map_or(0, |input| input.len())
     }
 
-    /// A client's time may be over.
+    /// Handles the timer of a client's connection.
     pub(super) fn on_client_timer(&mut self, client: ConnectionId) {
         let limits = self.environment.site.view.limits();
         let runtime = &mut self.environment.runtime;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Closes a client's connection and drops what it waits for.
+    /// Closes a client's connection and drops the exchange or call that it waits for.
     pub(super) fn close_client(&mut self, client: ConnectionId) {
         match self.clients.close(&mut self.environment.runtime, client) {
             None => {}
--- a/crates/gateways/wingshore-gateway/src/process/work.rs
+++ b/crates/gateways/wingshore-gateway/src/process/work.rs
@@ -1,4 +1,4 @@
-//! Wiring of what servers bring: the ends of forwarded requests, and scorings.
+//! Handling of results from servers: the ends of forwarded requests, and scorings.
 
 use super::Gateway;
 use crate::encode::end_to_end;
@@ -9,7 +9,8 @@
 use wingshore_net::http::{HeadWriter, WholeAnswer};
 
 impl Gateway {
-    /// An exchange may be over: whoever waits for it gets its end.
+    /// Delivers the end of an exchange, if it has ended, to the client or scoring that waits for
+    /// it.
     pub(super) fn on_exchange_end(&mut self, end: Option<ExchangeEnd>) {
         match end {
             None => {}
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Passes a server's answer on to a client.
+    /// Sends a server's answer to a client.
     fn pass_on(&mut self, client: ConnectionId, answer: &WholeAnswer) {
         let mut writer = HeadWriter::answer(answer.head.status);
         for (name, value) in end_to_end(&answer.head.headers) {
@@ -48,7 +49,7 @@
         self.after_answer(client, after);
     }
 
-    /// A text is to be scored.
+    /// Adds the scoring of a text.
     pub(super) fn begin_scoring(&mut self, assignment: ScoringAssignment) {
         let now = self.environment.runtime.now;
         if self.scorings.add(now, assignment) {
@@ -56,9 +57,10 @@
         }
     }
 
-    /// Sends the requests of those scorings that wait, as far as the limits of their services allow.
+    /// Sends the requests of queued scorings, as far as the limits of their services allow.
     ///
-    /// Without a leader nothing is begun: it could not say that a job has ended meanwhile.
+    /// Starts nothing without a leader, because a gateway without a leader does not learn that a
+    /// job has ended.
     pub(super) fn start_scorings(&mut self) {
         if self.environment.site.coordinators.leader().is_none() {
             return;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// A leader has no more use for a scoring.
+    /// Drops a scoring that the leader no longer needs.
     pub(super) fn release_scoring(&mut self, id: AssignmentId) {
         let (environment, exchanges) = (&mut self.environment, &mut self.exchanges);
         self.scorings.release(environment, exchanges, id);
