--- a/crates/gateways/wingshore-gateway/tests/bytes.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes.rs
@@ -1,6 +1,6 @@
-//! The bytes that clients, servers and engines get from a gateway, the messages that a leader gets,
-//! and the keys of the log lines. They are part of what a release promises: nothing here changes
-//! with the way the code is laid out.
+//! Golden tests of the bytes that a gateway sends to clients, servers and engines, of its messages
+//! to the leader, and of the keys of its log lines. All of these belong to the compatibility
+//! contract of a release and must not change with the layout of the code.
 
 mod bytes {
     mod planned_stop;
@@ -17,7 +17,7 @@
 use wingshore_coordination::{AssignmentId, CallReply, CoordinatorMessage, JobPage, Reply};
 use wingshore_types::Epoch;
 
-/// A server that gets each request of the services `one` and `pair`.
+/// A site in which `one` receives the requests for the service `one`, and `pair` those for `pair`.
 fn site_with(one: &Server, pair: &[&Server]) -> Site {
     let pair = pair.iter().map(|server| server.address()).collect();
     Site::with_view(view(one.address(), pair))
@@ -116,7 +116,7 @@
         site.ask("GET /live/x HTTP/1.1\r\nHost: open.test\r\nbroken\r\n\r\n"),
         starts_with("HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: ")
     );
-    // Half a head: its time is over after 300 ms.
+    // An incomplete head times out after 300 ms.
     let mut slow = site.client();
     slow.write_all(b"GET /live/x HTT").unwrap();
     expect_that!(
@@ -164,7 +164,7 @@
         read_message(&mut reading),
         eq("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 6\r\n\r\nbroken")
     );
-    // The route lets a request take 300 ms.
+    // The timeout of the route is 300 ms.
     ask("/short/x");
     let (_upstream, _) = server.accept();
     expect_that!(
--- a/crates/gateways/wingshore-gateway/tests/bytes/planned_stop.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/planned_stop.rs
@@ -1,8 +1,8 @@
-//! What clients get from a gateway whose planned stop runs out of time.
+//! Answers to clients of a gateway whose planned stop runs out of time.
 //!
-//! The gateway runs in the test, which plays its coordinator and its servers and decides who is silent. Whatever
-//! is due in a turn of the gateway's loop is done before the loop may end, so that no result hangs on how fast the
-//! machine is.
+//! The gateway runs inside the test, which plays the coordinator and the servers and decides which
+//! of them stay silent. Everything that is due in an iteration of the gateway's loop is done before
+//! the loop may end, so that no result depends on the speed of the machine.
 
 use crate::bytes::site::{Server, Site, StopTimes, read_message};
 use crate::bytes::view::view;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use wingshore_coordination::{RouteKind, ViewContent, ViewUpdate};
 
-/// Longer than what the sockets between a gateway and its client hold.
+/// Larger than the socket buffers between a gateway and its client.
 const LONG_ANSWER: usize = 24 << 20;
-/// All of its body; stands in no head.
+/// Byte that fills the body of the long answer and occurs in no head.
 const BODY: u8 = b'*';
 
 fn site_with(server: &Server) -> Site {
     Site::with_view(view(server.address(), Vec::new()))
 }
 
-/// A view whose streams may take longer than any stop here.
+/// Returns a view in which streams may take longer than any stop in these tests.
 fn view_with_long_streams(one: &Server, pair: &Server) -> ViewUpdate {
     let mut update = view(one.address(), vec![pair.address()]);
     let ViewContent::Whole(whole) = &mut update.content else {
@@ -46,7 +46,7 @@
     client
 }
 
-/// Begins a call about a job.
+/// Sends a call about a job on a connection of its own.
 fn call(site: &Site, kind: &str) -> TcpStream {
     let mut client = site.client();
     let request =
@@ -64,9 +64,10 @@
     format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// In soaks, gateways that were told to stop while coordinators had lost their disks held reads for 1.4 and 2.0 s
-/// and then cut them (seeds 2146958500594871715 and 3660868761312130446). A call without an answer had a time of
-/// its own, 1.3 s and more, which took no notice of the stop: the process ended before the call did.
+/// In soak tests, gateways that were stopping while coordinators had lost their disks held reads
+/// for 1.4 and 2.0 s and then cut them off (seeds 2146958500594871715 and 3660868761312130446). An
+/// unanswered call had its own time limit of 1.3 s or more, regardless of the stop: the process
+/// ended before the call did.
 #[gtest]
 fn calls_that_a_leader_never_answers_are_answered_at_the_end_of_a_stop() {
     let server = Server::start();
@@ -87,7 +88,8 @@
     }
 }
 
-/// The same cause without a leader: what was sent to none has had no effect, and its client may repeat it.
+/// The same fault without a leader: a call that was sent to no leader has had no effect, and its
+/// client may repeat it.
 #[gtest]
 fn calls_that_no_leader_got_have_no_effect_at_the_end_of_a_stop() {
     let server = Server::start();
@@ -105,9 +107,10 @@
     }
 }
 
-/// By reading: a stopping gateway waited for a server as long as the route allows, and cut the client of a request
-/// whose server outlasted the stop. The users' rule lets it cut only what was sent within 3 s after the SIGTERM. A
-/// request that may have run is not answered as if it had not.
+/// Found in code review: a stopping gateway waited for a server as long as the route allows, and
+/// cut off the client of a request whose server outlasted the stop. The requirements allow it to
+/// cut off only requests that were sent within 3 s after the SIGTERM. A request that may have run
+/// must not be answered as if it had not run.
 #[gtest]
 fn a_request_whose_server_outlasts_a_stop_is_answered_at_its_end() {
     let server = Server::start();
@@ -121,9 +124,9 @@
     );
 }
 
-/// By reading: an answer counted as out once it was queued. A connection that waits for nothing else was closed when
-/// the stop began, and the process ended when nobody waited, whatever of an answer had not left yet: a client that
-/// reads slowly got a part of it.
+/// Found in code review: an answer counted as sent once it was queued. An idle connection was
+/// closed at the start of the stop, and the process ended when no client waited, even if a part of
+/// an answer was still unsent: a client that reads slowly received a truncated answer.
 #[gtest]
 fn an_answer_that_has_not_left_whole_is_not_cut_by_a_stop() {
     let server = Server::start();
@@ -142,7 +145,7 @@
         );
         upstream.write_all(head.as_bytes()).unwrap();
         upstream.write_all(&vec![BODY; LONG_ANSWER]).unwrap();
-        // Its first byte says that the answer is under way.
+        // The first byte shows that the gateway has begun to send the answer.
         client.peek(&mut [0]).unwrap();
         site.stop();
         site.await_status(|status| !status.ready);
@@ -154,8 +157,9 @@
     }
 }
 
-/// By reading: of what comes later than 3 s after the SIGTERM nothing may be cut, and a stream that has begun cannot
-/// be answered in another way at the end of the stop. Nothing kept a stream from beginning that may take longer.
+/// Found in code review: requests that arrive later than 3 s after the SIGTERM must not be cut off,
+/// and a stream that has begun cannot be answered in another way at the end of the stop. Streams
+/// that may outlast the stop were nevertheless begun.
 #[gtest]
 fn a_late_stream_that_may_outlast_a_stop_is_refused_before_it_runs() {
     let (one, pair) = (Server::start(), Server::start());
--- a/crates/gateways/wingshore-gateway/tests/bytes/protocol.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/protocol.rs
@@ -1,4 +1,4 @@
-//! What callers and servers of the test speak.
+//! The protocol of the callers and servers in the tests.
 
 use std::time::Duration;
 use wingshore_coordination::{ApiKey, ItemId, JobId, JobSubmission};
--- a/crates/gateways/wingshore-gateway/tests/bytes/site.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/site.rs
@@ -20,7 +20,7 @@
 
 use crate::protocol::StubProtocol;
 
-/// Longest wait for anything of the gateway's.
+/// Timeout of every wait for the gateway.
 const WAIT: Duration = Duration::from_secs(5);
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 pub(crate) const ZONE: &str = "zone-a";
@@ -29,7 +29,7 @@
 #[derive(Clone, Default)]
 struct LogKeys(Arc<Mutex<BTreeSet<String>>>);
 
-/// Collects the keys of one line.
+/// Collects the keys of one log line.
 #[derive(Default)]
 struct KeysOfLine(Vec<String>);
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// The gateway and its coordinator.
+/// A running gateway and the coordinator that the test plays.
 pub(crate) struct Site {
     pub(crate) front: SocketAddr,
     pub(crate) ready: SocketAddr,
@@ -65,16 +65,16 @@
     alive: Arc<AtomicBool>,
 }
 
-/// Port of clients at a site's own address.
+/// Port for clients at the site's unique address.
 const FRONT_PORT: u16 = 6200;
-/// Port of the readiness check at a site's own address.
+/// Port of the readiness check at the site's unique address.
 const READY_PORT: u16 = 6201;
-/// First of the second parts of these addresses.
+/// Second octet of the first site's address.
 const FIRST_NETWORK: u8 = 190;
 
-/// An address that no other site uses. Ports of a shared one that were found free beforehand were at times
-/// taken by others before the gateway listened there: it ended, and the test waited for ever (8 of 60 runs, six
-/// at a time).
+/// Returns a loopback address that no other site uses. Ports of a shared address that had been
+/// checked as free were sometimes taken by others before the gateway listened there: the gateway
+/// ended, and the test waited forever (8 of 60 runs, with six in parallel).
 fn own_host() -> IpAddr {
     static STARTED: AtomicU8 = AtomicU8::new(0);
     let network = FIRST_NETWORK + STARTED.fetch_add(1, Ordering::Relaxed);
@@ -82,12 +82,12 @@
     IpAddr::from([127, network, high, low])
 }
 
-/// How long a gateway goes on once it is to stop.
+/// Time limits of a gateway's planned stop.
 #[derive(Clone, Copy)]
 pub(crate) struct StopTimes {
-    /// Within which a planned stop must be over.
+    /// Maximum duration of a planned stop.
     pub(crate) limit: Duration,
-    /// How long clients may go on using an address that they were given.
+    /// How long clients may keep using an address from the directory.
     pub(crate) directory_ttl: Duration,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl Site {
-    /// Starts the gateway and takes its link; it has no view yet.
+    /// Starts the gateway without a view and accepts its link to the coordinator.
     pub(crate) fn start() -> Self {
         Self::start_with(StopTimes::default())
     }
@@ -142,7 +142,7 @@
         site
     }
 
-    /// Coordinators that are silent are disconnected.
+    /// Sends heartbeats, because the gateway disconnects silent coordinators.
     fn send_heartbeats(&self) {
         let (coordinator, alive) = (Arc::clone(&self.coordinator), Arc::clone(&self.alive));
         thread::spawn(move || {
@@ -165,7 +165,7 @@
         Self::with_view_and_stop(view, StopTimes::default())
     }
 
-    /// As [`Site::with_view`], of a gateway that goes on for so long once it is to stop.
+    /// Like [`Site::with_view`], with the time limits of a planned stop.
     pub(crate) fn with_view_and_stop(view: ViewUpdate, stop_times: StopTimes) -> Self {
         let site = Self::start_with(stop_times);
         site.await_follower();
@@ -180,7 +180,7 @@
         site
     }
 
-    /// The gateway says who it is and asks for the view.
+    /// Waits for the gateway's hello and its request for the view.
     pub(crate) fn await_follower(&self) {
         self.expect(|message| matches!(message, IncomingFrame::Gateway(_)));
         self.expect(|message| {
@@ -191,13 +191,13 @@
         });
     }
 
-    /// Sends the view, and waits until it is in force.
+    /// Sends a view and waits until it is in force.
     pub(crate) fn send_view(&self, view: ViewUpdate) {
         self.send(&CoordinatorMessage::View(view));
         self.await_status(|status| status.configuration > 0);
     }
 
-    /// The next status of this kind that the gateway reports.
+    /// Waits for a status report that `is_expected` accepts.
     pub(crate) fn await_status(&self, is_expected: impl Fn(&GatewayStatus) -> bool) {
         self.expect(|message| match message {
             IncomingFrame::FromGateway(GatewayMessage::Status(status)) => is_expected(status),
@@ -215,7 +215,7 @@
         self.coordinator.lock().unwrap().write_all(&bytes).unwrap();
     }
 
-    /// The next frame of this kind; those before it are passed over.
+    /// Returns the next frame that `is_expected` accepts; skips the frames before it.
     pub(crate) fn expect(&self, is_expected: impl Fn(&IncomingFrame) -> bool) -> IncomingFrame {
         let end = std::time::Instant::now() + WAIT;
         loop {
@@ -229,7 +229,8 @@
         }
     }
 
-    /// The next frame besides status reports and progress, as its bytes behind their length.
+    /// Returns the next frame other than status and progress reports, as escaped bytes without the
+    /// length prefix.
     pub(crate) fn next_message(&self) -> String {
         let is_report = |message: &IncomingFrame| {
             matches!(
@@ -241,17 +242,17 @@
         bytes[4..].escape_ascii().to_string()
     }
 
-    /// Keys of the log lines so far.
+    /// Returns the keys of the log lines so far.
     pub(crate) fn log_keys(&self) -> Vec<String> {
         self.log.0.lock().unwrap().iter().cloned().collect()
     }
 
-    /// A connection of a client.
+    /// Opens a connection as a client.
     pub(crate) fn client(&self) -> TcpStream {
         connect(self.front)
     }
 
-    /// The answer to one request on a connection of its own.
+    /// Returns the answer to one request on a connection of its own.
     pub(crate) fn ask(&self, request: &str) -> String {
         let mut client = self.client();
         client.write_all(request.as_bytes()).unwrap();
@@ -329,7 +330,7 @@
         self.0.local_addr().unwrap()
     }
 
-    /// The next connection of the gateway, and the request on it.
+    /// Accepts the gateway's next connection and reads the request on it.
     pub(crate) fn accept(&self) -> (TcpStream, String) {
         let (mut stream, _) = self.0.accept().unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
@@ -338,8 +339,8 @@
     }
 }
 
-/// One message with a head; the body is as long as the head says, or ends with the last chunk or
-/// the connection.
+/// Reads one message with a head; the body has the length that the head gives, or ends with the
+/// last chunk or the connection.
 pub(crate) fn read_message(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
--- a/crates/gateways/wingshore-gateway/tests/bytes/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/view.rs
@@ -1,4 +1,4 @@
-//! The site that a gateway is told of.
+//! The view of the site that the test coordinator sends to the gateway.
 
 use crate::site::ZONE;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
     }
 }
 
-/// A view with the server of the service `one` and up to two of the service `pair`.
+/// Returns a view with the server of the service `one` and up to two servers of the service `pair`.
 pub(crate) fn view(one: SocketAddr, pair: Vec<SocketAddr>) -> ViewUpdate {
     let mut short = route("short", RouteKind::Unsafe, Some("one"));
     short.timeout = Duration::from_millis(300);
--- a/crates/gateways/wingshore-gateway/tests/calls_given_back.rs
+++ b/crates/gateways/wingshore-gateway/tests/calls_given_back.rs
@@ -1,4 +1,5 @@
-//! Calls that a leader gave back, since it was not sure to lead, and that goes on to lead.
+//! Calls that a leader returned unanswered because it was not sure of its leadership, and that kept
+//! its leadership.
 
 #[allow(dead_code, reason = "a part of what the tests of bytes use")]
 mod bytes {
@@ -16,7 +17,7 @@
     CallReply, CoordinatorMessage, GatewayMessage, IncomingFrame, JobPage, Reply, Request,
 };
 
-/// The next call that the leader gets.
+/// Returns the next call that the leader receives.
 fn next_call(site: &Site) -> Option<(u64, Request)> {
     let is_call = |frame: &IncomingFrame| {
         matches!(
@@ -30,12 +31,10 @@
     }
 }
 
-/// What is seen: a read of results is answered 503 when its time is over, though the leader answers all that it is
-/// asked.
-/// How it comes about: the leader does not hold its lease for a moment and gives the read back; it goes on to lead, so that
-/// no leader is announced.
-/// Cause: only calls that are not to wait were looked at again before their time was over.
-/// Proof: the read does not come again.
+/// A read of results was answered 503 at its timeout, although the leader answered every request
+/// that it was sent. The leader briefly did not hold its lease and returned the read unanswered; it
+/// then continued to lead, so that no new leader was announced. Only calls without a wait were
+/// checked again before their timeout. The test fails if the read is not sent again.
 #[gtest]
 fn a_read_that_its_leader_gave_back_is_sent_again() -> Result<()> {
     let server = Server::start();
--- a/crates/gateways/wingshore-gateway/tests/calls_review.rs
+++ b/crates/gateways/wingshore-gateway/tests/calls_review.rs
@@ -1,4 +1,4 @@
-//! What a leader that is slow, and is heard of all the time, is sent for one call of a client.
+//! Sends of one client call to a leader that answers slowly but sends heartbeats all the time.
 
 #[allow(dead_code, reason = "a part of what the tests of bytes use")]
 mod bytes {
@@ -17,12 +17,12 @@
     CallReply, CoordinatorMessage, GatewayMessage, IncomingFrame, Reply, Request,
 };
 
-/// What is seen: a leader that takes 1.6 s for a call gets it three times, whole, over a link on which it is heard of each
-/// 100 ms: the slower it is, the more it is sent.
-/// How it comes about: its processor is used up for a while, as while it sends the state.
-/// Cause: `call_policy` sends a call again after 0.7 s without an answer, whether or not the link on which it was sent
-/// stands and has brought signs of life since.
-/// Proof: nothing was lost, and the same call is there more than once. A submission is as long as a job.
+/// A leader that took 1.6 s to answer a call received the whole call three times, over a link with
+/// a heartbeat every 100 ms, so that a slower leader got more load. This happens while the leader's
+/// processor is saturated, for example while it sends the state. `call_policy` sent a call again
+/// after 0.7 s without an answer, regardless of whether its link was still up and alive. Nothing
+/// was lost on the link, so that the call must arrive only once; a submission is as large as its
+/// job.
 #[gtest]
 fn a_slow_leader_that_is_heard_of_is_sent_a_call_once() -> Result<()> {
     let mut call = None;
@@ -34,7 +34,7 @@
     let answered_after = Duration::from_millis(1_600);
     let begun = Instant::now();
     let mut calls = 0;
-    // Status reports come all the time: each turn ends.
+    // Status reports arrive continuously, so that each iteration ends.
     while begun.elapsed() < answered_after {
         let message = site.expect(|_| true);
         if let IncomingFrame::FromGateway(GatewayMessage::Call { id, request }) = message {
--- a/crates/gateways/wingshore-gateway/tests/policies.rs
+++ b/crates/gateways/wingshore-gateway/tests/policies.rs
@@ -1,4 +1,5 @@
-//! What engines' answers to items and the ends of scorings mean, when texts are uploaded, and how long calls take.
+//! Policies: the meaning of engines' answers to items and of the ends of scorings, when texts are
+//! uploaded, and the time limits of calls.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -89,9 +90,9 @@
     expect_that!(max_scorings(7), eq(3));
 }
 
-/// A stopping gateway gave calls more time than its stop left, and cut those that were not answered in it. A
-/// commit that is sent in the last moment and not answered would be uncertain, where a refusal lets its client
-/// go elsewhere at once.
+/// A stopping gateway gave calls more time than its stop left, and cut off those that were not
+/// answered by then. A commit that is sent at the last moment and not answered would be uncertain,
+/// whereas a refusal lets its client go to another gateway at once.
 #[gtest]
 fn a_call_has_no_longer_than_a_planned_stop_leaves() {
     let job = JobId::from("j");
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of its site: it never goes back.
+//! Updates of a gateway's view of its site: the view never goes back to an older state.
 
 use googletest::prelude::*;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
     let older = ViewChange::Configuration(configuration(5));
     view.update(changes(10, 11, vec![older]));
     expect_that!(view.version(), eq(7));
-    // A copy that has caught up to more of the log, but holds an older version.
+    // A copy that includes more of the log but has an older version.
     view.update(whole(12, 6, Vec::new()));
     expect_that!(view.version(), eq(7));
 }
@@ -104,7 +104,7 @@
     expect_that!(servers(&view), eq(1));
 }
 
-/// Two copies may tell the same entries, one after the other.
+/// Two copies may send the same entries one after the other.
 #[gtest]
 fn changes_that_overlap_are_taken() {
     let mut view = View::default();
--- a/crates/gateways/wingshore-gateway/tests/view_source.rs
+++ b/crates/gateways/wingshore-gateway/tests/view_source.rs
@@ -1,4 +1,4 @@
-//! Which coordinator a gateway follows the view at.
+//! The choice of the coordinator from which a gateway follows the view.
 
 use googletest::prelude::*;
 use std::net::SocketAddr;
@@ -50,8 +50,8 @@
     expect_that!(choose(&mut source, at(100), Some(5), &all), none());
 }
 
-/// All gateways of a site come back at one moment; were each to follow whichever copy it hears of
-/// first, the first one to show itself would tell the whole view to all of them.
+/// All gateways of a site may restart at the same time. If each followed the first copy that
+/// announced itself, that copy would send the whole view to all of them.
 #[gtest]
 fn without_a_near_copy_another_one_is_followed_after_a_moment_rather_than_the_leader() {
     let mut source = ViewSource::default();
@@ -73,8 +73,8 @@
     expect_that!(later, some(eq(address(LEADER))));
 }
 
-/// A follower that is cut off from the leader tells nothing new, while the leader says that there
-/// is more: what was acknowledged must be in force here all the same.
+/// A follower that is cut off from the leader sends no updates, while the leader announces newer
+/// entries: an acknowledged configuration must come into force here nevertheless.
 #[gtest]
 fn a_copy_that_stays_behind_is_left_for_one_that_does_not() {
     let mut source = ViewSource::default();
@@ -85,15 +85,15 @@
     expect_that!(choose(&mut source, at(700), Some(5), &behind), none());
     let left = choose(&mut source, at(900), Some(5), &behind);
     expect_that!(left, some(eq(address(LEADER))));
-    // It is not asked again at once, although it is nearer.
+    // The lagging copy is not followed again at once, although it is in the same zone.
     let even = [candidate(NEAR, 9), candidate(LEADER, 9)];
     expect_that!(choose(&mut source, at(1000), Some(9), &even), none());
     let back = choose(&mut source, at(5000), Some(9), &even);
     expect_that!(back, some(eq(address(NEAR))));
 }
 
-/// Entries that tell gateways nothing are committed all the time: a view that follows at a distance
-/// does not lag.
+/// Entries that do not concern gateways are committed all the time: a view that stays a few entries
+/// behind but advances does not lag.
 #[gtest]
 fn a_copy_that_follows_at_a_distance_is_kept() {
     let mut source = ViewSource::default();
