--- a/crates/gateways/wingshore-gateway/src/process/listeners.rs
+++ b/crates/gateways/wingshore-gateway/src/process/listeners.rs
@@ -28,7 +28,7 @@
     ) -> Result<Self, GatewayError> {
         let mut listen = |address: SocketAddr| {
             reactor
-                .listen(address, UNACKNOWLEDGED_LIMIT, settings.most_connections)
+                .listen(address, UNACKNOWLEDGED_LIMIT, settings.max_connections)
                 .context(NetSnafu)
         };
         listen(settings.front)?;
--- a/crates/gateways/wingshore-gateway/src/settings.rs
+++ b/crates/gateways/wingshore-gateway/src/settings.rs
@@ -23,7 +23,7 @@
     /// Addresses of coordinators that were known when the settings were written.
     pub seeds: Vec<IpAddr>,
     /// Maximum number of simultaneous connections of all kinds.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// How long clients may keep using an address from the directory.
     pub directory_ttl: Duration,
     /// Maximum duration of a planned stop.
--- a/crates/gateways/wingshore-gateway/tests/bytes/site.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/site.rs
@@ -285,7 +285,7 @@
         metrics: None,
         internal_port,
         seeds: vec![LOOPBACK],
-        most_connections: 64,
+        max_connections: 64,
         directory_ttl: stop_times.directory_ttl,
         stop_limit: stop_times.limit,
         usage_window: Some(Duration::from_secs(60)),
--- a/crates/gateways/wingshore-gateway/tests/pipelining.rs
+++ b/crates/gateways/wingshore-gateway/tests/pipelining.rs
@@ -35,7 +35,7 @@
         metrics: None,
         internal_port: free_address().port(),
         seeds: Vec::new(),
-        most_connections: 64,
+        max_connections: 64,
         directory_ttl: Duration::from_secs(1),
         stop_limit: Duration::from_secs(1),
         usage_window: None,
