--- a/crates/gateways/wingshore-coordinator/tests/view_feed.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed.rs
@@ -15,7 +15,7 @@
     ServiceName, SiteConfiguration, ViewContent, ViewUpdate,
 };
 use wingshore_coordinator::{FeedLinks, FeedSource, ViewFeed};
-use wingshore_gateway::{UpdateVerdict, View};
+use wingshore_gateway::{UpdateOutcome, View};
 use wingshore_net::frame;
 use wingshore_types::LogIndex;
 use wingshore_types::machine::ReplicatedState;
@@ -109,7 +109,7 @@
         for (link, frames) in std::mem::take(&mut self.waiting) {
             for bytes in frames {
                 let verdict = gateways[link as usize].update(read(&bytes));
-                assert_eq!(verdict, UpdateVerdict::Taken);
+                assert_eq!(verdict, UpdateOutcome::Taken);
             }
         }
     }
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -11,7 +11,7 @@
 
 /// Result of an update of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpdateVerdict {
+pub enum UpdateOutcome {
     /// The update was applied.
     Taken,
     /// The view already includes later log entries.
@@ -50,22 +50,22 @@
     }
 
     /// Applies a whole view or changes of it that a coordinator sent.
-    pub fn update(&mut self, update: ViewUpdate) -> UpdateVerdict {
+    pub fn update(&mut self, update: ViewUpdate) -> UpdateOutcome {
         let ViewUpdate { revision, content } = update;
         if self.revision.is_some_and(|known| revision < known) {
-            return UpdateVerdict::Old;
+            return UpdateOutcome::Old;
         }
         match content {
             ViewContent::Whole(view) => self.replace(view),
             ViewContent::Changes { since, changes } => {
                 if self.revision.is_none_or(|known| known < since) {
-                    return UpdateVerdict::Gap;
+                    return UpdateOutcome::Gap;
                 }
                 changes.into_iter().for_each(|change| self.change(change));
             }
         }
         self.revision = Some(revision);
-        UpdateVerdict::Taken
+        UpdateOutcome::Taken
     }
 
     fn replace(&mut self, view: SiteView) {
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -5,7 +5,7 @@
 
 use crate::coordinators::{Coordinators, send};
 use crate::runtime::Runtime;
-use crate::view::{UpdateVerdict, View};
+use crate::view::{UpdateOutcome, View};
 use crate::view_source::{Choice, ViewSource};
 use slog::info;
 use std::net::SocketAddr;
@@ -92,9 +92,9 @@
         ViewContent::Changes { changes, .. } => ViewNews::Changes(changes.clone()),
     };
     match view.update(update) {
-        UpdateVerdict::Taken => Some(news),
-        UpdateVerdict::Old => None,
-        UpdateVerdict::Gap => {
+        UpdateOutcome::Taken => Some(news),
+        UpdateOutcome::Old => None,
+        UpdateOutcome::Gap => {
             ask_for_view(runtime, connection, view);
             None
         }
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -6,7 +6,7 @@
     IngressLimits, InstanceId, ServerRecord, ServiceName, SiteConfiguration, SiteView, ViewChange,
     ViewContent, ViewUpdate,
 };
-use wingshore_gateway::{UpdateVerdict, View};
+use wingshore_gateway::{UpdateOutcome, View};
 use wingshore_types::{Epoch, LogIndex};
 
 fn configuration(version: u64) -> Arc<SiteConfiguration> {
@@ -84,10 +84,10 @@
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let behind = view.update(whole(9, 9, Vec::new()));
-    expect_that!(behind, eq(UpdateVerdict::Old));
+    expect_that!(behind, eq(UpdateOutcome::Old));
     let drained = ViewChange::Server(server("a", true));
     let behind = view.update(changes(8, 9, vec![drained]));
-    expect_that!(behind, eq(UpdateVerdict::Old));
+    expect_that!(behind, eq(UpdateOutcome::Old));
     expect_that!(servers(&view), eq(1));
     expect_that!(view.revision(), some(eq(LogIndex(10))));
 }
@@ -97,10 +97,10 @@
     let mut view = View::default();
     let gone = || vec![ViewChange::Gone(InstanceId::from("a"))];
     let first = view.update(changes(3, 12, gone()));
-    expect_that!(first, eq(UpdateVerdict::Gap));
+    expect_that!(first, eq(UpdateOutcome::Gap));
     view.update(whole(10, 7, vec![server("a", false)]));
     let late = view.update(changes(11, 12, gone()));
-    expect_that!(late, eq(UpdateVerdict::Gap));
+    expect_that!(late, eq(UpdateOutcome::Gap));
     expect_that!(servers(&view), eq(1));
 }
 
@@ -113,7 +113,7 @@
     view.update(changes(10, 12, vec![added.clone()]));
     let gone = ViewChange::Gone(InstanceId::from("a"));
     let verdict = view.update(changes(10, 13, vec![added, gone]));
-    expect_that!(verdict, eq(UpdateVerdict::Taken));
+    expect_that!(verdict, eq(UpdateOutcome::Taken));
     expect_that!(view.knows(&InstanceId::from("a")), eq(false));
     expect_that!(view.knows(&InstanceId::from("b")), eq(true));
 }
