--- a/crates/gateways/wingshore-coordinator/tests/view_feed.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed.rs
@@ -109,7 +109,7 @@
         for (link, frames) in std::mem::take(&mut self.waiting) {
             for bytes in frames {
                 let verdict = gateways[link as usize].update(read(&bytes));
-                assert_eq!(verdict, UpdateOutcome::Taken);
+                assert_eq!(verdict, UpdateOutcome::Applied);
             }
         }
     }
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
     /// The update was applied.
-    Taken,
+    Applied,
     /// The view already includes later log entries.
     Old,
     /// The update continues from a log entry that the view does not include yet.
@@ -65,7 +65,7 @@
             }
         }
         self.revision = Some(revision);
-        UpdateOutcome::Taken
+        UpdateOutcome::Applied
     }
 
     fn replace(&mut self, view: SiteView) {
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -92,7 +92,7 @@
         ViewContent::Changes { changes, .. } => ViewNews::Changes(changes.clone()),
     };
     match view.update(update) {
-        UpdateOutcome::Taken => Some(news),
+        UpdateOutcome::Applied => Some(news),
         UpdateOutcome::Old => None,
         UpdateOutcome::Gap => {
             ask_for_view(runtime, connection, view);
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -113,7 +113,7 @@
     view.update(changes(10, 12, vec![added.clone()]));
     let gone = ViewChange::Gone(InstanceId::from("a"));
     let verdict = view.update(changes(10, 13, vec![added, gone]));
-    expect_that!(verdict, eq(UpdateOutcome::Taken));
+    expect_that!(verdict, eq(UpdateOutcome::Applied));
     expect_that!(view.knows(&InstanceId::from("a")), eq(false));
     expect_that!(view.knows(&InstanceId::from("b")), eq(true));
 }
