--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -15,7 +15,7 @@
     /// The update was applied.
     Applied,
     /// The view already includes later log entries.
-    Old,
+    Stale,
     /// The update continues from a log entry that the view does not include yet.
     Gap,
 }
@@ -53,7 +53,7 @@
     pub fn update(&mut self, update: ViewUpdate) -> UpdateOutcome {
         let ViewUpdate { revision, content } = update;
         if self.revision.is_some_and(|known| revision < known) {
-            return UpdateOutcome::Old;
+            return UpdateOutcome::Stale;
         }
         match content {
             ViewContent::Whole(view) => self.replace(view),
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -93,7 +93,7 @@
     };
     match view.update(update) {
         UpdateOutcome::Applied => Some(news),
-        UpdateOutcome::Old => None,
+        UpdateOutcome::Stale => None,
         UpdateOutcome::Gap => {
             ask_for_view(runtime, connection, view);
             None
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -84,10 +84,10 @@
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let behind = view.update(whole(9, 9, Vec::new()));
-    expect_that!(behind, eq(UpdateOutcome::Old));
+    expect_that!(behind, eq(UpdateOutcome::Stale));
     let drained = ViewChange::Server(server("a", true));
     let behind = view.update(changes(8, 9, vec![drained]));
-    expect_that!(behind, eq(UpdateOutcome::Old));
+    expect_that!(behind, eq(UpdateOutcome::Stale));
     expect_that!(servers(&view), eq(1));
     expect_that!(view.revision(), some(eq(LogIndex(10))));
 }
