--- a/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
@@ -9,7 +9,7 @@
     Command, CoordinationState, CoordinatorMessage, InstanceId, ServerRecord, ServiceName,
 };
 use wingshore_coordinator::{FeedLinks, FeedSource, ViewFeed};
-use wingshore_gateway::{Candidate, Choice, View, ViewSource};
+use wingshore_gateway::{Candidate, ChoiceInputs, View, ViewSource};
 use wingshore_net::frame;
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::{Instant, LogIndex};
@@ -114,7 +114,7 @@
     let member_at = |address: SocketAddr| usize::from(address.port() - 7_000);
     while views.iter().any(|view| view.revision().is_none()) {
         for gateway in 0..gateways {
-            let choice = Choice {
+            let choice = ChoiceInputs {
                 candidates: &candidates,
                 known: views[gateway].revision(),
                 salt: gateway as u64,
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -73,4 +73,4 @@
 pub use scoring_policy::{ScoringEnd, answered, given_up, max_scorings};
 pub use settings::{GatewayPolicy, GatewaySettings};
 pub use view::{UpdateOutcome, View};
-pub use view_source::{Candidate, Choice, ViewSource};
+pub use view_source::{Candidate, ChoiceInputs, ViewSource};
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -6,7 +6,7 @@
 use crate::coordinators::{Coordinators, send};
 use crate::runtime::Runtime;
 use crate::view::{UpdateOutcome, View};
-use crate::view_source::{Choice, ViewSource};
+use crate::view_source::{ChoiceInputs, ViewSource};
 use slog::info;
 use std::net::SocketAddr;
 use wingshore_coordination::{GatewayMessage, ViewChange, ViewContent, ViewUpdate};
@@ -52,7 +52,7 @@
     ) {
         let now = runtime.now;
         let candidates = coordinators.view_candidates(now, zone);
-        let choice = Choice {
+        let choice = ChoiceInputs {
             candidates: &candidates,
             known: view.revision(),
             salt: self.salt,
--- a/crates/gateways/wingshore-gateway/src/view_source.rs
+++ b/crates/gateways/wingshore-gateway/src/view_source.rs
@@ -48,7 +48,7 @@
 
 /// Inputs of a gateway's choice of a coordinator to follow.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice<'a> {
+pub struct ChoiceInputs<'a> {
     /// The coordinators to choose from.
     pub candidates: &'a [Candidate],
     /// The last log entry that the gateway's own view includes.
@@ -84,7 +84,7 @@
     }
 
     /// Updates the choice; returns the coordinator to follow from now on if it has changed.
-    pub fn choose(&mut self, now: Instant, choice: &Choice<'_>) -> Option<SocketAddr> {
+    pub fn choose(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         self.note_lag(now, choice);
         let wanted = self.wanted(now, choice)?;
         if self.current == Some(wanted) {
@@ -95,7 +95,7 @@
         Some(wanted)
     }
 
-    fn note_lag(&mut self, now: Instant, choice: &Choice<'_>) {
+    fn note_lag(&mut self, now: Instant, choice: &ChoiceInputs<'_>) {
         let known = choice.known.unwrap_or(LogIndex(0));
         let newest = choice.candidates.iter().map(|known| known.revision).max();
         if self.lag.is_some_and(|(_, entry)| known >= entry) {
@@ -106,7 +106,7 @@
         }
     }
 
-    fn wanted(&mut self, now: Instant, choice: &Choice<'_>) -> Option<SocketAddr> {
+    fn wanted(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         self.avoided = self.avoided.filter(|(until, _)| now < *until);
         let lagging = self.lag.filter(|(since, _)| now.since(*since) >= LAG_LIMIT);
         if let (Some((_, entry)), Some(current)) = (lagging, self.current) {
@@ -134,7 +134,7 @@
     }
 
     /// Returns a copy in the gateway's own zone that is not avoided for lag.
-    fn near(&self, choice: &Choice<'_>) -> Option<SocketAddr> {
+    fn near(&self, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         let avoided = self.avoided.map(|(_, address)| address);
         let near = choice.candidates.iter().filter(|known| known.is_near);
         let near = near.filter(|known| Some(known.address) != avoided);
@@ -143,7 +143,7 @@
     }
 
     /// Returns any copy, once the wait for a copy in the gateway's own zone is over.
-    fn far(&mut self, now: Instant, choice: &Choice<'_>) -> Option<SocketAddr> {
+    fn far(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         let far = best(choice.candidates, choice.salt)?;
         let since = *self.waiting_since.get_or_insert(now);
         (now.since(since) >= NEAR_COPY_WAIT).then_some(far)
--- a/crates/gateways/wingshore-gateway/tests/view_source.rs
+++ b/crates/gateways/wingshore-gateway/tests/view_source.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_gateway::{Candidate, Choice, ViewSource};
+use wingshore_gateway::{Candidate, ChoiceInputs, ViewSource};
 use wingshore_types::{Instant, LogIndex};
 
 const NEAR: u16 = 1;
@@ -29,7 +29,7 @@
     known: Option<u64>,
     candidates: &[Candidate],
 ) -> Option<SocketAddr> {
-    let choice = Choice {
+    let choice = ChoiceInputs {
         candidates,
         known: known.map(LogIndex),
         salt: 0,
