--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -154,7 +154,7 @@
 /// The caller of a call about a batch job; `None` where it is not told apart from others.
 fn batch_caller(site: &Site, head: &RequestHead) -> Result<Option<Caller>, Refusal> {
     let caller = caller_of(site, &head.headers);
-    if caller.is_none() && site.view.asks_for_key_of_jobs(host(head)) {
+    if caller.is_none() && site.view.requires_key_for_jobs(host(head)) {
         return Err(Refusal::unauthorized(site, &head.headers));
     }
     Ok(caller)
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -180,7 +180,7 @@
 
     /// Returns whether calls about batch jobs require a key at this host: such calls do not name
     /// the route by which the job was submitted.
-    pub fn asks_for_key_of_jobs(&self, host: &str) -> bool {
+    pub fn requires_key_for_jobs(&self, host: &str) -> bool {
         let is_public = |route: &Arc<Route>| route.kind == RouteKind::Batch && route.public;
         self.has_tenants() && !self.routes.of_host(host).any(is_public)
     }
