--- a/crates/gateways/wingshore-gateway/src/process/group.rs
+++ b/crates/gateways/wingshore-gateway/src/process/group.rs
@@ -138,7 +138,7 @@
 
     /// Handles a coordinator's announcement that it leads.
     fn on_leading(&mut self, connection: ConnectionId, address: SocketAddr, epoch: Epoch) {
-        if !self.environment.site.view.led(epoch) {
+        if !self.environment.site.view.accept_leader(epoch) {
             return;
         }
         info!(self.environment.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -41,7 +41,7 @@
 
 impl View {
     /// Handles a coordinator's announcement that it leads; returns false if its epoch is stale.
-    pub fn led(&mut self, epoch: Epoch) -> bool {
+    pub fn accept_leader(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             return false;
         }
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -74,8 +74,8 @@
 #[gtest]
 fn a_leader_of_an_older_term_is_not_believed() {
     let mut view = View::default();
-    expect_that!(view.led(Epoch(5)), eq(true));
-    expect_that!(view.led(Epoch(4)), eq(false));
+    expect_that!(view.accept_leader(Epoch(5)), eq(true));
+    expect_that!(view.accept_leader(Epoch(4)), eq(false));
     expect_that!(view.epoch(), eq(Epoch(5)));
 }
 
