--- a/crates/gateways/wingshore-gateway/src/call_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/call_policy.rs
@@ -49,31 +49,31 @@
 /// at once. `stop_leaves` is the time that a planned stop still waits for answers, if one has
 /// begun.
 pub fn call_time_limit(request: &Request, stop_leaves: Option<Duration>) -> Option<Duration> {
-    let (own_limit, least) = match request {
+    let (own_limit, minimum) = match request {
         Request::ReadJob { wait, .. } => (CALL_TIMEOUT + *wait, Duration::ZERO),
         Request::ReadItem { .. } => (CALL_TIMEOUT, Duration::ZERO),
         _ => (COMMIT_TIMEOUT, RESEND_AFTER),
     };
     match stop_leaves {
-        Some(left) if left <= least => None,
+        Some(left) if left <= minimum => None,
         Some(left) => Some(own_limit.min(left)),
         None => Some(own_limit),
     }
 }
 
 /// Returns when a call that its leader returned now is sent again.
-pub(crate) fn resend_at(now: Instant, until: Instant) -> Instant {
-    until.min(now + RESEND_AFTER)
+pub(crate) fn resend_at(now: Instant, deadline: Instant) -> Instant {
+    deadline.min(now + RESEND_AFTER)
 }
 
 /// Returns how long the leader may hold a read for which a copy of the state had no result.
-pub(crate) fn remaining_wait(now: Instant, until: Instant, wait: Duration) -> Duration {
-    let rest = until.since(now).saturating_sub(CALL_TIMEOUT);
-    rest.min(wait)
+pub(crate) fn remaining_wait(now: Instant, deadline: Instant, wait: Duration) -> Duration {
+    let remaining = deadline.since(now).saturating_sub(CALL_TIMEOUT);
+    remaining.min(wait)
 }
 
 /// Returns the answer to a call that timed out; `may_take_effect` if it was sent to a leader.
-pub(crate) fn late_answer(request: &Request, may_take_effect: bool) -> BatchAnswer {
+pub(crate) fn timeout_answer(request: &Request, may_take_effect: bool) -> BatchAnswer {
     let is_read = matches!(request, Request::ReadJob { .. } | Request::ReadItem { .. });
     if is_read || !may_take_effect {
         BatchAnswer::Unavailable(RETRY_AFTER)
--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -20,14 +20,14 @@
 
 /// The coordinator that a call was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Receiver {
+enum Destination {
     /// The group's leader.
     Leader(ConnectionId),
     /// A coordinator that answers from its copy of the state.
     Copy(ConnectionId),
 }
 
-impl Receiver {
+impl Destination {
     fn connection(self) -> ConnectionId {
         match self {
             Self::Leader(connection) | Self::Copy(connection) => connection,
@@ -39,8 +39,8 @@
 struct Call {
     client: ConnectionId,
     request: Request,
-    until: Instant,
-    sent_to: Option<Receiver>,
+    deadline: Instant,
+    sent_to: Option<Destination>,
     /// Whether the call was sent to a leader, so that it may take effect.
     may_take_effect: bool,
     /// Whether a copy of the state in the gateway's zone may still answer the call.
@@ -57,7 +57,7 @@
 /// All calls that wait for the group's answer.
 pub(crate) struct Calls {
     waiting: HashMap<CallId, Call>,
-    next: u64,
+    next_id: u64,
     /// Whether results are read from copies of the state.
     reads_copies: bool,
     /// Deadline for answers to all calls, once a planned stop has begun.
@@ -69,7 +69,7 @@
     pub(crate) fn new(reads_copies: bool) -> Self {
         Self {
             waiting: HashMap::new(),
-            next: 0,
+            next_id: 0,
             reads_copies,
             stop_at: None,
         }
@@ -93,11 +93,11 @@
             log_given_up(runtime, site, &request, &answer);
             return Err(answer);
         };
-        let id = CallId(self.next);
-        self.next += 1;
+        let id = CallId(self.next_id);
+        self.next_id += 1;
         let call = Call {
             client,
-            until: now + time_limit,
+            deadline: now + time_limit,
             request,
             sent_to: None,
             may_take_effect: false,
@@ -112,8 +112,8 @@
     pub(crate) fn stop_by(&mut self, runtime: &mut Runtime, stop_at: Instant) {
         self.stop_at = Some(stop_at);
         for (id, call) in &mut self.waiting {
-            if call.until > stop_at {
-                call.until = stop_at;
+            if call.deadline > stop_at {
+                call.deadline = stop_at;
                 runtime.timers.arm(stop_at, TimerKey::Call(*id));
             }
         }
@@ -146,9 +146,9 @@
             wait: *wait,
         };
         call.may_read_copy = false;
-        call.sent_to = Some(Receiver::Copy(copy));
+        call.sent_to = Some(Destination::Copy(copy));
         send(runtime, copy, message);
-        runtime.timers.arm(call.until, TimerKey::Call(id));
+        runtime.timers.arm(call.deadline, TimerKey::Call(id));
         true
     }
 
@@ -158,14 +158,14 @@
         let Some(call) = self.waiting.get_mut(&id) else {
             return;
         };
-        call.sent_to = leader.map(Receiver::Leader);
+        call.sent_to = leader.map(Destination::Leader);
         if let Some(leader) = leader {
             call.may_take_effect = true;
             let request = call.request.clone();
             let message = GatewayMessage::Call { id: id.0, request };
             send(runtime, leader, message);
         }
-        runtime.timers.arm(call.until, TimerKey::Call(id));
+        runtime.timers.arm(call.deadline, TimerKey::Call(id));
     }
 
     /// Handles the loss of a connection: calls sent to its leader wait for the next leader, and
@@ -179,8 +179,8 @@
         let mut from_copy = Vec::new();
         for (id, call) in &mut self.waiting {
             match call.sent_to {
-                Some(Receiver::Copy(copy)) if copy == connection => from_copy.push(*id),
-                Some(Receiver::Leader(leader)) if leader == connection => call.sent_to = None,
+                Some(Destination::Copy(copy)) if copy == connection => from_copy.push(*id),
+                Some(Destination::Leader(leader)) if leader == connection => call.sent_to = None,
                 _ => {}
             }
         }
@@ -191,8 +191,8 @@
 
     /// Sends the calls that wait for a leader, once one has announced itself.
     pub(crate) fn resend(&mut self, runtime: &mut Runtime, site: &Site) {
-        let leader = site.coordinators.leader().map(Receiver::Leader);
-        let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Receiver::Copy(_)));
+        let leader = site.coordinators.leader().map(Destination::Leader);
+        let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Destination::Copy(_)));
         let waiting = self.waiting.iter();
         let unsent: Vec<CallId> = waiting
             .filter(|(_, call)| call.sent_to != leader && !is_at_copy(call))
@@ -212,14 +212,14 @@
     ) -> Option<CallEnd> {
         let now = runtime.now;
         let call = self.waiting.get(&id)?;
-        if now < call.until {
+        if now < call.deadline {
             if call.sent_to.is_none() {
                 self.send_call(runtime, site, id);
             }
             return None;
         }
         let call = self.waiting.remove(&id)?;
-        let answer = call_policy::late_answer(&call.request, call.may_take_effect);
+        let answer = call_policy::timeout_answer(&call.request, call.may_take_effect);
         log_given_up(runtime, site, &call.request, &answer);
         Some(CallEnd {
             client: call.client,
@@ -238,22 +238,22 @@
         let call = self.waiting.get_mut(&id)?;
         let reply = match reply {
             CallReply::Reply(reply) => reply,
-            CallReply::Nothing if call.sent_to == Some(Receiver::Copy(connection)) => {
-                self.ask_leader_instead(runtime, site, id);
+            CallReply::Nothing if call.sent_to == Some(Destination::Copy(connection)) => {
+                self.retry_at_leader(runtime, site, id);
                 return None;
             }
             CallReply::NotLeader | CallReply::Unknown | CallReply::Nothing => {
                 // Sent again when a leader announces itself, or by the timer.
-                if call.sent_to.map(Receiver::connection) == Some(connection) {
+                if call.sent_to.map(Destination::connection) == Some(connection) {
                     call.sent_to = None;
-                    let resend_at = call_policy::resend_at(runtime.now, call.until);
+                    let resend_at = call_policy::resend_at(runtime.now, call.deadline);
                     runtime.timers.arm(resend_at, TimerKey::Call(id));
                 }
                 return None;
             }
         };
         let call = self.waiting.remove(&id)?;
-        let answer = answer_of(&runtime.logger, &call.request, reply);
+        let answer = batch_answer(&runtime.logger, &call.request, reply);
         let kind = call.request.kind();
         runtime.metrics.call_ended(kind, answer.name());
         if !matches!(call.request, Request::ReadJob { .. }) {
@@ -269,12 +269,12 @@
 
     /// Sends a read to the leader after a copy of the state had no result. The leader may hold the
     /// read for the rest of its wait.
-    fn ask_leader_instead(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
+    fn retry_at_leader(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
         let now = runtime.now;
         if let Some(call) = self.waiting.get_mut(&id)
             && let Request::ReadJob { wait, .. } = &mut call.request
         {
-            *wait = call_policy::remaining_wait(now, call.until, *wait);
+            *wait = call_policy::remaining_wait(now, call.deadline, *wait);
         }
         self.send_to_leader(runtime, site, id);
     }
@@ -295,23 +295,23 @@
 }
 
 /// Converts a call of `tenant` into a request to the group.
-pub(crate) fn request_of(call: BatchCall, tenant: Option<TenantName>) -> Request {
-    let own = |job: JobId| job.of_tenant(tenant);
+pub(crate) fn group_request(call: BatchCall, tenant: Option<TenantName>) -> Request {
+    let scoped = |job: JobId| job.of_tenant(tenant);
     match call {
         BatchCall::Read { job, from, wait } => Request::ReadJob {
-            job: own(job),
+            job: scoped(job),
             from,
             wait,
         },
         BatchCall::ReadItem { job, item } => Request::ReadItem {
-            job: own(job),
+            job: scoped(job),
             item,
         },
-        BatchCall::End { job } => Request::EndJob(own(job)),
+        BatchCall::End { job } => Request::EndJob(scoped(job)),
     }
 }
 
-fn answer_of(logger: &Logger, request: &Request, reply: Reply) -> BatchAnswer {
+fn batch_answer(logger: &Logger, request: &Request, reply: Reply) -> BatchAnswer {
     match (request, reply) {
         (Request::SubmitJob(_), Reply::Done) => BatchAnswer::Accepted,
         (Request::EndJob(_), Reply::Done) => BatchAnswer::Ended,
@@ -327,7 +327,7 @@
     match ReadPage::unpack(page) {
         Ok(page) => BatchAnswer::Page(page),
         Err(error) => {
-            warn!(logger, "results not read"; "error" => %error);
+            warn!(logger, "results page not decoded"; "error" => %error);
             BatchAnswer::Unavailable(call_policy::RETRY_AFTER)
         }
     }
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -21,28 +21,28 @@
 /// Interval between attempts to connect.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(250);
 /// A link that was up for at least this long does not count as a failed attempt to connect.
-const STEADY_LINK: Duration = Duration::from_secs(2);
+const STABLE_LINK_TIME: Duration = Duration::from_secs(2);
 /// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// A coordinator that is silent for this long is disconnected: four heartbeats at 300 ms each.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1200);
 /// A coordinator's copy of the state is read only if a message from the coordinator arrived within
 /// this time: two heartbeats at 300 ms each.
-const COPY_FRESH: Duration = Duration::from_millis(650);
+const COPY_FRESHNESS_LIMIT: Duration = Duration::from_millis(650);
 
 /// The link to one coordinator.
 struct CoordinatorLink {
     connection: Option<ConnectionId>,
-    up: bool,
+    is_connected: bool,
     /// When the last attempt to connect began or the connection ended. The end of a stable
     /// connection is dated back, so that the link is reconnected at once.
-    since: Instant,
+    state_since: Instant,
     /// When the last message arrived.
-    heard: Instant,
+    last_message_at: Instant,
     /// Whether the first heartbeat, which carries the supported formats, has arrived.
-    introduced: bool,
+    formats_checked: bool,
     /// Addresses of other coordinators that this one has announced.
-    knows: Vec<SocketAddr>,
+    known_coordinators: Vec<SocketAddr>,
     /// The coordinator's copy of the state, once it has announced one.
     copy: Option<StateCopy>,
 }
@@ -59,21 +59,21 @@
 impl CoordinatorLink {
     /// Returns the connection if it is up.
     fn open_connection(&self) -> Option<ConnectionId> {
-        self.connection.filter(|_| self.up)
+        self.connection.filter(|_| self.is_connected)
     }
 
     /// Returns the copy of the state if the link is up and a message arrived recently.
     fn fresh_copy(&self, now: Instant) -> Option<&StateCopy> {
-        let is_fresh = self.up && now.since(self.heard) <= COPY_FRESH;
+        let is_fresh = self.is_connected && now.since(self.last_message_at) <= COPY_FRESHNESS_LIMIT;
         self.copy.as_ref().filter(|_| is_fresh)
     }
 
     /// Returns whether the connection attempt has timed out or the coordinator is silent.
     fn is_lost(&self, now: Instant) -> bool {
-        if self.up {
-            now.since(self.heard) >= SILENCE_LIMIT
+        if self.is_connected {
+            now.since(self.last_message_at) >= SILENCE_LIMIT
         } else {
-            now.since(self.since) >= CONNECT_TIMEOUT
+            now.since(self.state_since) >= CONNECT_TIMEOUT
         }
     }
 }
@@ -98,7 +98,7 @@
     /// Returns the time since the last message from the leader.
     pub(crate) fn leader_silence(&self, now: Instant) -> Option<Duration> {
         let link = self.links.get(self.leader.as_ref()?)?;
-        Some(now.since(link.heard))
+        Some(now.since(link.last_message_at))
     }
 
     /// Returns the connection to a coordinator, if its link is up.
@@ -153,16 +153,16 @@
 
     /// Returns the addresses to keep links to: `seeds`, and the addresses that connected or listed
     /// coordinators announced. Drops other links that have no connection.
-    pub(crate) fn wanted(&mut self, seeds: Vec<SocketAddr>) -> Vec<SocketAddr> {
-        let mut wanted = seeds;
+    pub(crate) fn target_addresses(&mut self, seeds: Vec<SocketAddr>) -> Vec<SocketAddr> {
+        let mut targets = seeds;
         for link in self.links.values() {
-            wanted.extend(&link.knows);
+            targets.extend(&link.known_coordinators);
         }
-        wanted.sort_unstable();
-        wanted.dedup();
+        targets.sort_unstable();
+        targets.dedup();
         self.links
-            .retain(|address, link| link.connection.is_some() || wanted.contains(address));
-        wanted
+            .retain(|address, link| link.connection.is_some() || targets.contains(address));
+        targets
     }
 
     /// Connects to a coordinator without a connection, if the connect interval has passed. Returns
@@ -177,7 +177,7 @@
         if let Some(link) = self.links.get(&address) {
             match link.connection {
                 Some(connection) => return link.is_lost(now).then_some(connection),
-                None if now.since(link.since) < CONNECT_INTERVAL => return None,
+                None if now.since(link.state_since) < CONNECT_INTERVAL => return None,
                 None => {}
             }
         }
@@ -188,14 +188,16 @@
         if let Some(connection) = connection {
             self.addresses.insert(connection, address);
         }
-        let before = self.links.remove(&address);
+        let previous = self.links.remove(&address);
         let link = CoordinatorLink {
             connection,
-            up: false,
-            since: now,
-            heard: now,
-            introduced: false,
-            knows: before.map(|link| link.knows).unwrap_or_default(),
+            is_connected: false,
+            state_since: now,
+            last_message_at: now,
+            formats_checked: false,
+            known_coordinators: previous
+                .map(|link| link.known_coordinators)
+                .unwrap_or_default(),
             copy: None,
         };
         self.links.insert(address, link);
@@ -208,8 +210,8 @@
         let Some(link) = self.links.get_mut(&address) else {
             return;
         };
-        link.up = true;
-        link.heard = now;
+        link.is_connected = true;
+        link.last_message_at = now;
         info!(runtime.logger, "coordinator reached"; "address" => %address);
     }
 
@@ -224,15 +226,15 @@
         runtime.reactor.close(connection);
         self.addresses.remove(&connection);
         if let Some(link) = self.links.get_mut(&address) {
-            if link.up {
+            if link.is_connected {
                 info!(runtime.logger, "coordinator lost"; "address" => %address);
             }
             // A stable link that broke is reconnected at once: the leader keeps the items of a
             // disconnected gateway only briefly.
-            let was_steady = link.up && now.since(link.since) >= STEADY_LINK;
+            let was_stable = link.is_connected && now.since(link.state_since) >= STABLE_LINK_TIME;
             link.connection = None;
-            link.up = false;
-            link.since = if was_steady {
+            link.is_connected = false;
+            link.state_since = if was_stable {
                 now - CONNECT_INTERVAL
             } else {
                 now
@@ -244,16 +246,16 @@
     }
 
     /// Records the arrival of a message from a coordinator.
-    pub(crate) fn heard(&mut self, now: Instant, address: SocketAddr) {
+    pub(crate) fn record_message(&mut self, now: Instant, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address) {
-            link.heard = now;
+            link.last_message_at = now;
         }
     }
 
     /// Handles the formats in a heartbeat: returns whether the coordinator shares a format with
     /// this gateway. Only the first heartbeat on a link carries the coordinator's formats, in
     /// `rest`, the bytes after the message.
-    pub(crate) fn speaks_with(
+    pub(crate) fn shares_format(
         &mut self,
         runtime: &Runtime,
         address: SocketAddr,
@@ -262,7 +264,7 @@
         let Some(link) = self.links.get_mut(&address) else {
             return false;
         };
-        if std::mem::replace(&mut link.introduced, true) {
+        if std::mem::replace(&mut link.formats_checked, true) {
             return true;
         }
         let Err(refusal) = self.refused.judge(address, rest) else {
@@ -292,7 +294,7 @@
     ) {
         if let Some(link) = self.links.get_mut(&address) {
             if let Some(coordinators) = coordinators {
-                link.knows = coordinators;
+                link.known_coordinators = coordinators;
             }
             link.copy = copy;
         }
--- a/crates/gateways/wingshore-gateway/src/environment.rs
+++ b/crates/gateways/wingshore-gateway/src/environment.rs
@@ -22,8 +22,8 @@
     /// fingerprint.
     pub(crate) fn suspicions(&self) -> Option<Suspicions<'_>> {
         let (view, crashes) = (&self.site.view, &self.servers.crashes);
-        let are_any = view.has_suspects() || crashes.unreported().next().is_some();
-        are_any.then(|| Suspicions {
+        let has_any = view.has_suspects() || crashes.unreported().next().is_some();
+        has_any.then(|| Suspicions {
             view,
             crashes,
             has_leader: self.site.coordinators.leader().is_some(),
--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -34,7 +34,7 @@
     /// servers.
     is_cleared: bool,
     /// When the engine last sent data.
-    pub(crate) heard: Instant,
+    pub(crate) last_input_at: Instant,
     outcome: Option<ItemOutcome>,
     /// The connection on which the outcome was reported.
     reported_on: Option<ConnectionId>,
@@ -53,7 +53,7 @@
             begun: now,
             first_event: None,
             is_cleared: false,
-            heard: now,
+            last_input_at: now,
             outcome: None,
             reported_on: None,
             assignment,
@@ -88,16 +88,16 @@
     }
 
     /// Records events that the engine sent.
-    pub(crate) fn take(&mut self, now: Instant, events: Vec<StreamEvent>) {
+    pub(crate) fn record_events(&mut self, now: Instant, events: Vec<StreamEvent>) {
         if !events.is_empty() {
             self.first_event.get_or_insert(now);
         }
         for event in events {
-            self.take_event(event);
+            self.append_event(event);
         }
     }
 
-    fn take_event(&mut self, event: StreamEvent) {
+    fn append_event(&mut self, event: StreamEvent) {
         if let Some(version) = event.version {
             self.version = Some(version);
         }
@@ -127,13 +127,13 @@
     }
 
     /// Marks the attempt as not crashing engines; returns false if it was already marked.
-    pub(crate) fn clear(&mut self) -> bool {
+    pub(crate) fn mark_cleared(&mut self) -> bool {
         !std::mem::replace(&mut self.is_cleared, true)
     }
 
     /// Continues uploads after the prefix that the log holds, unless the log's events come from
     /// another attempt.
-    pub(crate) fn upload_from(&mut self, held: HeldPrefix) {
+    pub(crate) fn upload_after(&mut self, held: HeldPrefix) {
         self.may_upload = held.begins(&self.text);
         self.uploaded = held.extent;
     }
--- a/crates/gateways/wingshore-gateway/src/item_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/item_policy.rs
@@ -24,15 +24,15 @@
 
 /// Events of an item per upload. An item with fewer events is cheap to restart: 2 s at 78 ms per
 /// event.
-const UPLOAD_EVENTS: u64 = 24;
+const EVENTS_PER_UPLOAD: u64 = 24;
 /// Events of a long item per upload: those that an engine generates between two status reports (400
 /// ms at 78 ms per event). The job waits for its long items, so that each lost event is lost time.
-const UPLOAD_EVENTS_OF_LONG: u64 = 5;
+const EVENTS_PER_LONG_UPLOAD: u64 = 5;
 
 /// Status of an engine that has another incarnation or version than the item expects.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_STATUS: u16 = 421;
 /// Status of an item that no engine can ever run.
-const IMPOSSIBLE: u16 = 422;
+const IMPOSSIBLE_STATUS: u16 = 422;
 
 /// Meaning of an engine's complete answer to an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,11 +55,11 @@
 /// end.
 pub fn classify_item_answer(status: u16, says_not_run: bool, ends_whole: bool) -> ItemAnswer {
     match status {
-        MISDIRECTED => ItemAnswer::Mismatch,
+        MISDIRECTED_STATUS => ItemAnswer::Mismatch,
         _ if says_not_run => ItemAnswer::NotRun,
         200..=299 if ends_whole => ItemAnswer::Finished,
         200..=299 => ItemAnswer::CutShort,
-        IMPOSSIBLE => ItemAnswer::Impossible,
+        IMPOSSIBLE_STATUS => ItemAnswer::Impossible,
         _ => ItemAnswer::Failed,
     }
 }
@@ -67,11 +67,11 @@
 /// Returns whether the events after the uploaded ones are due for upload. A text counts as long if
 /// its job expects it to be, or once a full batch of it was uploaded.
 pub fn is_upload_due(events: u64, uploaded: u64, is_expected_long: bool) -> bool {
-    let is_long = is_expected_long || uploaded >= UPLOAD_EVENTS;
+    let is_long = is_expected_long || uploaded >= EVENTS_PER_UPLOAD;
     let batch = if is_long {
-        UPLOAD_EVENTS_OF_LONG
+        EVENTS_PER_LONG_UPLOAD
     } else {
-        UPLOAD_EVENTS
+        EVENTS_PER_UPLOAD
     };
     events.saturating_sub(uploaded) >= batch
 }
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -98,15 +98,15 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.heard = now;
+        attempt.last_input_at = now;
         let names = environment.site.protocol.header_names();
         let Some(upstream) = environment.servers.upstreams.get_mut(connection) else {
             return;
         };
         match read_events(now, names, attempt, upstream) {
-            Ok(true) => self.clear_if_long(environment, id),
+            Ok(true) => self.clear_if_long_running(environment, id),
             Ok(false) => {}
-            Err(NotItsStream) => self.break_off(environment, id),
+            Err(UnexpectedAnswer) => self.close_and_interrupt(environment, id),
         }
     }
 
@@ -184,7 +184,7 @@
         } else {
             (CONNECT_TIMEOUT, ConnectionEnd::NeverUp)
         };
-        let deadline = attempt.heard + limit;
+        let deadline = attempt.last_input_at + limit;
         if now < deadline {
             let timers = &mut environment.runtime.timers;
             return timers.arm(deadline, TimerKey::Item(id));
@@ -199,9 +199,9 @@
     }
 
     /// Continues uploads of an item's text after the prefix that the log holds.
-    pub(crate) fn upload_from(&mut self, id: AssignmentId, held: HeldPrefix) {
+    pub(crate) fn upload_after(&mut self, id: AssignmentId, held: HeldPrefix) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
-            attempt.upload_from(held);
+            attempt.upload_after(held);
         }
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// Interrupts all attempts: other gateways resume their items.
-    pub(crate) fn return_all(&mut self, environment: &mut Environment) {
+    pub(crate) fn interrupt_all(&mut self, environment: &mut Environment) {
         let running: Vec<AssignmentId> = self.attempts.keys().copied().collect();
         for id in running {
             self.interrupt(environment, id);
@@ -247,12 +247,12 @@
     pub(crate) fn interrupt(&mut self, environment: &mut Environment, id: AssignmentId) {
         let attempt = self.attempts.get(&id);
         if attempt.is_some_and(ItemAttempt::is_running) {
-            self.break_off(environment, id);
+            self.close_and_interrupt(environment, id);
         }
     }
 
     /// Closes the connection of an attempt and ends the attempt with the text so far.
-    fn break_off(&mut self, environment: &mut Environment, id: AssignmentId) {
+    fn close_and_interrupt(&mut self, environment: &mut Environment, id: AssignmentId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -301,7 +301,7 @@
 
     /// Clears an item that has delivered events for long enough of the suspicion of crashing
     /// servers.
-    fn clear_if_long(&mut self, environment: &mut Environment, id: AssignmentId) {
+    fn clear_if_long_running(&mut self, environment: &mut Environment, id: AssignmentId) {
         let now = environment.runtime.now;
         if environment.suspicions().is_none() {
             return;
@@ -310,7 +310,7 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_long_running(now)) else {
             return;
         };
-        if attempt.clear() {
+        if attempt.mark_cleared() {
             let item = &attempt.assignment;
             crash_reports::ran_well(environment, |site| fingerprints::of_item(site, item));
         }
@@ -318,7 +318,7 @@
 }
 
 /// The engine's answer is not the event stream of the item.
-struct NotItsStream;
+struct UnexpectedAnswer;
 
 /// Reads the received part of an engine's answer; returns whether it is an event stream that could
 /// be read.
@@ -327,14 +327,14 @@
     names: &HeaderNames,
     attempt: &mut ItemAttempt,
     upstream: &mut Upstream,
-) -> Result<bool, NotItsStream> {
+) -> Result<bool, UnexpectedAnswer> {
     let Some(head) = upstream.reader.head().filter(|head| head.is_success()) else {
         return Ok(false);
     };
     if upstream.events.is_none() {
         let request = attempt.assignment.request.as_str().as_bytes();
         if !AnswerFacts::read(names, request, head).is_genuine() {
-            return Err(NotItsStream);
+            return Err(UnexpectedAnswer);
         }
         attempt.version = head.headers.number(names.version);
         upstream.events = Some(EventReader::new(names.version));
@@ -344,7 +344,7 @@
         .events
         .as_mut()
         .and_then(|events| events.read(&body));
-    attempt.take(now, events.ok_or(NotItsStream)?);
+    attempt.record_events(now, events.ok_or(UnexpectedAnswer)?);
     Ok(true)
 }
 
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -70,7 +70,7 @@
 pub use protocol::{
     BatchAnswer, BatchCall, HeaderNames, IngressProtocol, OwnAnswer, ReadPage, ReadResult,
 };
-pub use scoring_policy::{ScoringEnd, answered, given_up, max_scorings};
+pub use scoring_policy::{ScoringEnd, end_with_answer, end_without_answer, max_scorings};
 pub use settings::{GatewayPolicy, GatewaySettings};
 pub use view::{UpdateOutcome, View};
 pub use view_source::{Candidate, ChoiceInputs, ViewSource};
--- a/crates/gateways/wingshore-gateway/src/metrics.rs
+++ b/crates/gateways/wingshore-gateway/src/metrics.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// Upper bound of the first histogram bucket, in seconds.
-const SHORTEST: f64 = 0.005;
+const FIRST_BUCKET_SECONDS: f64 = 0.005;
 /// Ratio of the upper bounds of neighbouring buckets.
 const BUCKET_FACTOR: f64 = 2.0;
 /// Number of buckets; the upper bound of the last one is 10.2 s.
-const BUCKETS: u16 = 12;
+const BUCKET_COUNT: u16 = 12;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct RequestLabels {
@@ -41,11 +41,15 @@
 }
 
 #[derive(Clone)]
-struct Buckets;
+struct DurationBuckets;
 
-impl MetricConstructor<Histogram> for Buckets {
+impl MetricConstructor<Histogram> for DurationBuckets {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(exponential_buckets(SHORTEST, BUCKET_FACTOR, BUCKETS))
+        Histogram::new(exponential_buckets(
+            FIRST_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKET_COUNT,
+        ))
     }
 }
 
@@ -81,34 +85,34 @@
 /// All gauges, in the order of the output.
 const GAUGES: [GaugeEntry; 12] = [
     gauge("clients", "Connections of clients", |readings| {
-        clamped(readings.clients)
+        saturated(readings.clients)
     }),
     gauge("connections", "Connections of all kinds", |readings| {
-        clamped(readings.connections)
+        saturated(readings.connections)
     }),
     gauge("items_running", "Tries under way", |readings| {
-        clamped(readings.items)
+        saturated(readings.items)
     }),
     gauge("scorings_running", "Scorings in hand", |readings| {
-        clamped(readings.scorings)
+        saturated(readings.scorings)
     }),
     gauge(
         "scorings_queued",
         "Scorings whose request has not been sent",
-        |readings| clamped(readings.scorings_queued),
+        |readings| saturated(readings.scorings_queued),
     ),
     gauge(
         "suspect_requests",
         "Requests under which several servers have ended, as the leader has told",
-        |readings| clamped(readings.suspects),
+        |readings| saturated(readings.suspects),
     ),
     gauge(
         "crash_evidence",
         "Endings of servers under requests seen here lately; at most 512",
-        |readings| clamped(readings.evidence),
+        |readings| saturated(readings.evidence),
     ),
     gauge("coordinators", "Coordinators in touch", |readings| {
-        clamped(readings.coordinators)
+        saturated(readings.coordinators)
     }),
     gauge(
         "leader_known",
@@ -121,17 +125,17 @@
     gauge(
         "configuration_version",
         "Version of the configuration acted by",
-        |readings| clamped(readings.configuration),
+        |readings| saturated(readings.configuration),
     ),
     gauge(
         "log_lines_left_out",
         "Log lines left out for want of budget",
-        |readings| clamped(readings.log_lines_left_out),
+        |readings| saturated(readings.log_lines_left_out),
     ),
 ];
 
 /// Converts a count to the type of a gauge; the largest value stands for larger counts.
-fn clamped(count: impl TryInto<i64>) -> i64 {
+fn saturated(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
 }
 
@@ -139,7 +143,7 @@
 pub(crate) struct GatewayMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
-    request_seconds: Family<RouteLabel, Histogram, Buckets>,
+    request_seconds: Family<RouteLabel, Histogram, DurationBuckets>,
     attempts: Family<OutcomeLabel, Counter>,
     items: Family<OutcomeLabel, Counter>,
     item_seconds: Histogram,
@@ -157,12 +161,12 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore_gateway"),
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(Buckets),
+            request_seconds: Family::new_with_constructor(DurationBuckets),
             attempts: Family::default(),
             items: Family::default(),
-            item_seconds: Buckets.new_metric(),
+            item_seconds: DurationBuckets.new_metric(),
             scorings: Family::default(),
-            scoring_seconds: Buckets.new_metric(),
+            scoring_seconds: DurationBuckets.new_metric(),
             calls: Family::default(),
             peers_refused: Counter::default(),
             gauges: Vec::new(),
--- a/crates/gateways/wingshore-gateway/src/process/group.rs
+++ b/crates/gateways/wingshore-gateway/src/process/group.rs
@@ -4,7 +4,7 @@
 use crate::coordinators::{StateCopy, send, send_hello};
 use crate::crash_reports;
 use crate::ids::CallId;
-use crate::view_following::{self, ViewNews};
+use crate::view_following::{self, AppliedUpdate};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use wingshore_coordination::{
@@ -17,7 +17,7 @@
     /// Connects to all known coordinators without a connection.
     pub(super) fn dial_coordinators(&mut self) {
         let seeds = self.settings.seed_addresses();
-        for address in self.environment.site.coordinators.wanted(seeds) {
+        for address in self.environment.site.coordinators.target_addresses(seeds) {
             let lost = self
                 .environment
                 .site
@@ -48,7 +48,7 @@
     pub(super) fn on_link_ended(&mut self, connection: ConnectionId, address: SocketAddr) {
         let coordinators = &mut self.environment.site.coordinators;
         coordinators.link_ended(&mut self.environment.runtime, connection, address);
-        self.following.link_ended(address);
+        self.view_follower.link_ended(address);
         self.follow_view();
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         self.calls.link_lost(runtime, site, connection);
@@ -61,7 +61,7 @@
             };
             match frame::decode_with_rest::<CoordinatorMessage>(input) {
                 Ok(Some((message, rest))) => {
-                    if !self.speaks_with(address, &message, &rest) {
+                    if !self.shares_format(address, &message, &rest) {
                         return self.on_link_ended(connection, address);
                     }
                     self.on_coordinator(connection, address, message);
@@ -77,16 +77,16 @@
 
     /// Returns whether the coordinator shares a format with this gateway, as far as its message and
     /// the bytes after it show.
-    fn speaks_with(
+    fn shares_format(
         &mut self,
         address: SocketAddr,
         message: &CoordinatorMessage,
         rest: &[u8],
     ) -> bool {
-        let is_introduction = matches!(message, CoordinatorMessage::Alive { .. });
+        let carries_formats = matches!(message, CoordinatorMessage::Alive { .. });
         let environment = &mut self.environment;
         let coordinators = &mut environment.site.coordinators;
-        !is_introduction || coordinators.speaks_with(&environment.runtime, address, rest)
+        !carries_formats || coordinators.shares_format(&environment.runtime, address, rest)
     }
 
     fn on_coordinator(
@@ -96,7 +96,10 @@
         message: CoordinatorMessage,
     ) {
         let now = self.environment.runtime.now;
-        self.environment.site.coordinators.heard(now, address);
+        self.environment
+            .site
+            .coordinators
+            .record_message(now, address);
         match message {
             CoordinatorMessage::Leading { epoch } => {
                 self.on_leading(connection, address, epoch);
@@ -114,7 +117,7 @@
                 self.items.interrupt(&mut self.environment, assignment);
             }
             CoordinatorMessage::HandInFrom { assignment, held } => {
-                self.items.upload_from(assignment, held);
+                self.items.upload_after(assignment, held);
             }
             CoordinatorMessage::Release { assignment } => {
                 self.items.release(&mut self.environment, assignment);
@@ -127,7 +130,7 @@
                 copy,
                 wall,
             } => {
-                self.environment.usage.time_heard(now, address, wall);
+                self.environment.usage.record_wall_time(now, address, wall);
                 let copy = copy.map(|revision| StateCopy { zone, revision });
                 let links = &mut self.environment.site.coordinators;
                 links.heartbeat(address, coordinators, copy);
@@ -180,7 +183,7 @@
         if !progress.is_empty() {
             self.environment.report(GatewayMessage::Progress(progress));
         }
-        let scorings = self.scorings.in_hand();
+        let scorings = self.scorings.unfinished();
         if !scorings.is_empty() {
             self.environment.report(GatewayMessage::Scoring(scorings));
         }
@@ -199,7 +202,7 @@
     /// Follows the view from the best coordinator.
     pub(super) fn follow_view(&mut self) {
         let site = &self.environment.site;
-        self.following.follow(
+        self.view_follower.follow(
             &mut self.environment.runtime,
             &site.coordinators,
             &site.view,
@@ -211,16 +214,16 @@
     fn on_view(&mut self, connection: ConnectionId, update: ViewUpdate) {
         let version_before = self.environment.site.view.version();
         let view = &mut self.environment.site.view;
-        let news =
-            view_following::take_update(&mut self.environment.runtime, view, connection, update);
-        match news {
+        let applied =
+            view_following::apply_update(&mut self.environment.runtime, view, connection, update);
+        match applied {
             None => return,
-            Some(ViewNews::Changes(changes)) => {
+            Some(AppliedUpdate::Changes(changes)) => {
                 for change in &changes {
                     crash_reports::view_changed(&mut self.environment, change);
                 }
             }
-            Some(ViewNews::Whole) => {
+            Some(AppliedUpdate::Whole) => {
                 crash_reports::view_replaced(&mut self.environment);
                 self.start_scorings();
             }
--- a/crates/gateways/wingshore-gateway/src/process/mod.rs
+++ b/crates/gateways/wingshore-gateway/src/process/mod.rs
@@ -29,7 +29,7 @@
 use crate::timers::Timers;
 use crate::usage::UsageCounter;
 use crate::view::View;
-use crate::view_following::ViewFollowing;
+use crate::view_following::ViewFollower;
 use listeners::Listeners;
 use slog::{Logger, info, warn};
 use snafu::ResultExt;
@@ -60,7 +60,7 @@
     settings: GatewaySettings,
     id: GatewayId,
     environment: Environment,
-    following: ViewFollowing,
+    view_follower: ViewFollower,
     clients: Clients,
     calls: Calls,
     exchanges: Exchanges,
@@ -94,8 +94,8 @@
         info!(logger, "started"; "node" => &settings.node, "front" => %settings.front);
         let id = GatewayId(rand::random());
         Ok(Self {
-            environment: environment(&settings, reactor, protocol, logger),
-            following: ViewFollowing::new(id.0),
+            environment: new_environment(&settings, reactor, protocol, logger),
+            view_follower: ViewFollower::new(id.0),
             clients: Clients::default(),
             calls: Calls::new(settings.policy.near_copies),
             exchanges: Exchanges::new(rand::random()),
@@ -121,7 +121,7 @@
     pub fn run(mut self) -> Result<(), GatewayError> {
         let mut events = Vec::new();
         loop {
-            let wait = self.time_to_wait();
+            let wait = self.poll_timeout();
             let reactor = &mut self.environment.runtime.reactor;
             reactor.poll(wait, &mut events).context(NetSnafu)?;
             self.environment.runtime.now = self.clock.now();
@@ -143,7 +143,7 @@
         }
     }
 
-    fn time_to_wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let now = self.clock.now();
         let mut due = self.next_status.min(self.next_housekeeping);
         if let Some(timer) = self.environment.runtime.timers.next() {
@@ -206,13 +206,13 @@
         self.environment.forget_old_servers();
         self.clients.forget_left(&self.environment.runtime.reactor);
         self.start_scorings();
-        self.reload();
+        self.reload_seeds();
         self.begin_stop();
     }
 
     /// Reads the seeds again after a reload signal. If they cannot be read, the previous seeds stay
     /// in force.
-    fn reload(&mut self) {
+    fn reload_seeds(&mut self) {
         if !self.signals.take_reload() {
             return;
         }
@@ -244,8 +244,8 @@
         // A server with a running request may answer until the end of the stop.
         self.exchanges.stop_by(runtime, stop_at);
         self.report_status();
-        self.items.return_all(&mut self.environment);
-        self.scorings.return_queued(&mut self.environment);
+        self.items.interrupt_all(&mut self.environment);
+        self.scorings.end_queued(&mut self.environment);
     }
 
     /// Returns the progress of the planned stop, if it has begun.
@@ -256,7 +256,7 @@
     }
 
     /// Returns how long an answer may be held without being cut off by the planned stop.
-    fn time_to_hold(&self) -> Duration {
+    fn max_answer_hold(&self) -> Duration {
         let left = self.stop_progress().map(|stop| stop.left);
         left.map_or(Duration::MAX, |left| left.saturating_sub(STOP_MARGIN))
     }
@@ -284,7 +284,7 @@
 }
 
 /// Creates the state that the parts of a gateway share.
-fn environment(
+fn new_environment(
     settings: &GatewaySettings,
     reactor: Reactor,
     protocol: Box<dyn IngressProtocol>,
--- a/crates/gateways/wingshore-gateway/src/process/refusals.rs
+++ b/crates/gateways/wingshore-gateway/src/process/refusals.rs
@@ -72,10 +72,10 @@
         let now = self.environment.runtime.now;
         let site = &self.environment.site;
         let name = site.protocol.header_names().request_id;
-        let text = |name| head.and_then(|head| head.headers.text(name));
+        let header = |name| head.and_then(|head| head.headers.text(name));
         let leader_silence = site.coordinators.leader_silence(now);
-        warn!(self.environment.runtime.logger, "refused"; "request" => text(name),
-            "host" => text("host"), "path" => head.map(RequestHead::path), "answer" => answer,
+        warn!(self.environment.runtime.logger, "refused"; "request" => header(name),
+            "host" => header("host"), "path" => head.map(RequestHead::path), "answer" => answer,
             "reason" => %reason, "configuration" => site.view.version(),
             "epoch" => site.view.epoch().0,
             "leader_known" => site.coordinators.leader().is_some(),
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::admission::{self, Admission, Purpose, Refusal, tenant_of};
 use crate::attempt_timeouts;
-use crate::calls::{CallEnd, request_of};
+use crate::calls::{CallEnd, group_request};
 use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, Waiting};
 use crate::exchange::{Exchange, NewExchange, Origin};
 use crate::ids::CallId;
@@ -15,7 +15,7 @@
 use wingshore_net::http::{HeadWriter, HttpAnswer, WholeRequest};
 
 /// Content type of the metrics.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 impl Gateway {
     /// Handles new bytes of a client, also after its last answer was sent.
@@ -46,8 +46,8 @@
             }
             Admission::Refused(refusal) => self.refuse(client, &request.head, refusal),
             Admission::BatchCall(call, caller) => {
-                let call = call.held_for_at_most(self.time_to_hold());
-                let request = request_of(call, tenant_of(caller.as_ref()));
+                let call = call.with_max_wait(self.max_answer_hold());
+                let request = group_request(call, tenant_of(caller.as_ref()));
                 self.begin_call(client, request);
             }
             Admission::Submission(caller) => {
@@ -64,7 +64,7 @@
         let text = self.environment.runtime.metrics.text(self.readings());
         HttpAnswer {
             status: 200,
-            headers: vec![("Content-Type".to_owned(), METRICS_TYPE.to_owned())],
+            headers: vec![("Content-Type".to_owned(), METRICS_CONTENT_TYPE.to_owned())],
             body: text.into_bytes(),
         }
     }
@@ -82,8 +82,8 @@
         let headers = &request.head.headers;
         let deadline = headers.number(names.deadline).map(Duration::from_millis);
         let limit = attempt_timeouts::request_timeout(route.timeout, deadline);
-        let is_begun = |stop| attempt_timeouts::is_stream_begun(limit, stop);
-        if route.kind == RouteKind::Streaming && !self.stop_progress().is_none_or(is_begun) {
+        let may_begin = |stop| attempt_timeouts::is_stream_begun(limit, stop);
+        if route.kind == RouteKind::Streaming && !self.stop_progress().is_none_or(may_begin) {
             return self.refuse(client, &request.head, Refusal::STOPPING);
         }
         let Some(service) = self.exchanges.next_target(&route) else {
--- a/crates/gateways/wingshore-gateway/src/process/work.rs
+++ b/crates/gateways/wingshore-gateway/src/process/work.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::encode::end_to_end;
 use crate::exchange::ExchangeEnd;
-use crate::scoring::Started;
+use crate::scoring::StartOutcome;
 use wingshore_coordination::{AssignmentId, ScoringAssignment};
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{HeadWriter, WholeAnswer};
@@ -15,7 +15,7 @@
         match end {
             None => {}
             Some(ExchangeEnd::ServerAnswer { client, answer }) => {
-                self.pass_on(client, &answer);
+                self.forward_answer(client, &answer);
             }
             Some(ExchangeEnd::OwnAnswer { client, answer }) => {
                 self.answer_own(client, &answer);
@@ -34,7 +34,7 @@
     }
 
     /// Sends a server's answer to a client.
-    fn pass_on(&mut self, client: ConnectionId, answer: &WholeAnswer) {
+    fn forward_answer(&mut self, client: ConnectionId, answer: &WholeAnswer) {
         let mut writer = HeadWriter::answer(answer.head.status);
         for (name, value) in end_to_end(&answer.head.headers) {
             writer = writer.line(name, value);
@@ -69,10 +69,10 @@
             let environment = &mut self.environment;
             let exchanges = &mut self.exchanges;
             match self.scorings.start(environment, exchanges, id) {
-                Started::Waits => self.scorings.requeue(id),
-                Started::Gone => {}
-                Started::Ended => self.start_scorings(),
-                Started::RequestOver(end) => self.on_exchange_end(Some(end)),
+                StartOutcome::LimitReached => self.scorings.requeue(id),
+                StartOutcome::NothingToDo => {}
+                StartOutcome::Ended => self.start_scorings(),
+                StartOutcome::RequestEnded(end) => self.on_exchange_end(Some(end)),
             }
         }
     }
--- a/crates/gateways/wingshore-gateway/src/protocol.rs
+++ b/crates/gateways/wingshore-gateway/src/protocol.rs
@@ -64,7 +64,7 @@
 
 impl BatchCall {
     /// Returns the same call with its wait limited to `limit`.
-    pub(crate) fn held_for_at_most(self, limit: Duration) -> Self {
+    pub(crate) fn with_max_wait(self, limit: Duration) -> Self {
         match self {
             Self::Read { job, from, wait } => Self::Read {
                 job,
--- a/crates/gateways/wingshore-gateway/src/runtime.rs
+++ b/crates/gateways/wingshore-gateway/src/runtime.rs
@@ -22,7 +22,7 @@
 impl Runtime {
     /// Returns whether a successful request gets a line in the log.
     pub(crate) fn samples(&mut self, request: &str) -> bool {
-        let steady = Duration::from_millis(self.now.as_millis());
-        self.sampler.takes(steady, request)
+        let elapsed = Duration::from_millis(self.now.as_millis());
+        self.sampler.takes(elapsed, request)
     }
 }
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -29,7 +29,7 @@
 struct Scoring {
     assignment: ScoringAssignment,
     /// When the scoring was added.
-    since: Instant,
+    added_at: Instant,
     /// The running request and its service.
     exchange: Option<(ExchangeId, ServiceName)>,
     outcome: Option<ScoringOutcome>,
@@ -38,20 +38,20 @@
 }
 
 /// Result of an attempt to start a scoring.
-pub(crate) enum Started {
+pub(crate) enum StartOutcome {
     /// The limit of its service is reached: the scoring must be queued again.
-    Waits,
+    LimitReached,
     /// The scoring no longer exists, or its request was sent.
-    Gone,
+    NothingToDo,
     /// The scoring has ended: other scorings may be started.
     Ended,
     /// The request of the scoring has ended already.
-    RequestOver(ExchangeEnd),
+    RequestEnded(ExchangeEnd),
 }
 
 /// All scorings of this gateway.
 pub(crate) struct Scorings {
-    all: BTreeMap<AssignmentId, Scoring>,
+    by_id: BTreeMap<AssignmentId, Scoring>,
     /// Scorings whose request was not sent yet, in order.
     queue: VecDeque<AssignmentId>,
     limits: HashMap<ServiceName, ConcurrencyLimit>,
@@ -63,7 +63,7 @@
     /// Starts without scorings; `is_limited` if the limits of the services are enforced.
     pub(crate) fn new(is_limited: bool) -> Self {
         Self {
-            all: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             queue: VecDeque::new(),
             limits: HashMap::new(),
             is_limited,
@@ -72,7 +72,7 @@
 
     /// Returns the unfinished scorings, and those whose outcome no leader has made durable.
     pub(crate) fn running(&self) -> impl Iterator<Item = RunningScoring> + '_ {
-        self.all.values().map(|scoring| RunningScoring {
+        self.by_id.values().map(|scoring| RunningScoring {
             scoring: scoring.assignment.scoring,
             item: scoring.assignment.item.clone(),
             made_by: scoring.assignment.made_by,
@@ -80,17 +80,17 @@
     }
 
     /// Returns the identifiers of the unfinished scorings.
-    pub(crate) fn in_hand(&self) -> Vec<AssignmentId> {
-        let in_hand = self
-            .all
+    pub(crate) fn unfinished(&self) -> Vec<AssignmentId> {
+        let unfinished = self
+            .by_id
             .iter()
             .filter(|(_, scoring)| scoring.outcome.is_none());
-        in_hand.map(|(id, _)| *id).collect()
+        unfinished.map(|(id, _)| *id).collect()
     }
 
     /// Returns the number of scorings.
     pub(crate) fn count(&self) -> usize {
-        self.all.len()
+        self.by_id.len()
     }
 
     /// Returns the number of queued scorings.
@@ -101,17 +101,17 @@
     /// Queues the scoring of a text; returns false if it exists already.
     pub(crate) fn add(&mut self, now: Instant, assignment: ScoringAssignment) -> bool {
         let id = assignment.scoring;
-        if self.all.contains_key(&id) {
+        if self.by_id.contains_key(&id) {
             return false;
         }
         let scoring = Scoring {
             assignment,
-            since: now,
+            added_at: now,
             exchange: None,
             outcome: None,
             reported_on: None,
         };
-        self.all.insert(id, scoring);
+        self.by_id.insert(id, scoring);
         self.queue.push_back(id);
         true
     }
@@ -132,10 +132,10 @@
         environment: &mut Environment,
         exchanges: &mut Exchanges,
         id: AssignmentId,
-    ) -> Started {
+    ) -> StartOutcome {
         let now = environment.runtime.now;
-        let Some(scoring) = self.all.get_mut(&id) else {
-            return Started::Gone;
+        let Some(scoring) = self.by_id.get_mut(&id) else {
+            return StartOutcome::NothingToDo;
         };
         let scorer = &scoring.assignment.scorer;
         let routes = environment.site.view.routes();
@@ -144,13 +144,13 @@
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
             self.end(environment, id, outcome);
-            return Started::Ended;
+            return StartOutcome::Ended;
         };
         let servers = environment.site.view.servers_of(&service);
         let slots = servers.map(|server| server.slots).sum();
         let limit = self.limits.entry(service.clone()).or_default();
         if self.is_limited && !limit.allows(scoring_policy::max_scorings(slots)) {
-            return Started::Waits;
+            return StartOutcome::LimitReached;
         }
         limit.begun();
         let names = environment.site.protocol.header_names();
@@ -158,7 +158,7 @@
         let new = NewExchange {
             origin: Origin::Scoring(id),
             tenant: scoring.assignment.item.job.tenant().cloned(),
-            request: request_of(names, scorer),
+            request: score_request(names, scorer),
             id: scorer.request.as_str().as_bytes().to_vec(),
             route,
             service: service.clone(),
@@ -167,8 +167,8 @@
         let exchange = exchanges.next_id();
         scoring.exchange = Some((exchange, service));
         match exchanges.begin(environment, exchange, Exchange::new(now, new)) {
-            Some(end) => Started::RequestOver(end),
-            None => Started::Gone,
+            Some(end) => StartOutcome::RequestEnded(end),
+            None => StartOutcome::NothingToDo,
         }
     }
 
@@ -182,18 +182,18 @@
         let now = environment.runtime.now;
         let ScoringEnd { outcome, signal } = match &end.answer {
             Some(answer) => {
-                let score = score_of(environment, answer);
-                scoring_policy::answered(score, end.history, end.is_in_time)
+                let score = read_score(environment, answer);
+                scoring_policy::end_with_answer(score, end.history, end.is_in_time)
             }
-            None => scoring_policy::given_up(end.history),
+            None => scoring_policy::end_without_answer(end.history),
         };
-        self.free_place(now, id, signal);
+        self.release_slot(now, id, signal);
         self.end(environment, id, outcome);
     }
 
     /// Reports the outcomes that were not sent to this leader yet.
     pub(crate) fn report_ended(&mut self, environment: &mut Environment, leader: ConnectionId) {
-        for (id, scoring) in &mut self.all {
+        for (id, scoring) in &mut self.by_id {
             let outcome = scoring.outcome.as_ref();
             let Some(outcome) = outcome.filter(|_| scoring.reported_on != Some(leader)) else {
                 continue;
@@ -215,15 +215,15 @@
         id: AssignmentId,
     ) {
         let now = environment.runtime.now;
-        if let Some(exchange) = self.free_place(now, id, LoadSignal::None) {
+        if let Some(exchange) = self.release_slot(now, id, LoadSignal::None) {
             exchanges.abandon(environment, exchange);
         }
-        self.all.remove(&id);
+        self.by_id.remove(&id);
         self.queue.retain(|queued| *queued != id);
     }
 
     /// Ends the queued scorings for a planned stop: they are run elsewhere.
-    pub(crate) fn return_queued(&mut self, environment: &mut Environment) {
+    pub(crate) fn end_queued(&mut self, environment: &mut Environment) {
         for id in self.take_queue() {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::Stopping);
             self.end(environment, id, outcome);
@@ -232,13 +232,13 @@
 
     /// Releases the slot that a scoring's request used in the limit of its service. Returns the
     /// exchange.
-    fn free_place(
+    fn release_slot(
         &mut self,
         now: Instant,
         id: AssignmentId,
         signal: LoadSignal,
     ) -> Option<ExchangeId> {
-        let (exchange, service) = self.all.get_mut(&id)?.exchange.take()?;
+        let (exchange, service) = self.by_id.get_mut(&id)?.exchange.take()?;
         if let Some(limit) = self.limits.get_mut(&service) {
             limit.ended(now, signal);
         }
@@ -246,7 +246,7 @@
     }
 
     fn end(&mut self, environment: &mut Environment, id: AssignmentId, outcome: ScoringOutcome) {
-        let Some(scoring) = self.all.get_mut(&id) else {
+        let Some(scoring) = self.by_id.get_mut(&id) else {
             return;
         };
         log_ended(environment, scoring, &outcome, self.queue.len());
@@ -258,7 +258,7 @@
 }
 
 /// Builds the request for a score.
-fn request_of(names: &HeaderNames, scorer: &Scorer) -> WholeRequest {
+fn score_request(names: &HeaderNames, scorer: &Scorer) -> WholeRequest {
     let lines = [
         ("Host", scorer.host.as_str()),
         (names.request_id, scorer.request.as_str()),
@@ -275,7 +275,7 @@
 }
 
 /// Returns the score that a successful answer carries.
-fn score_of(environment: &Environment, answer: &WholeAnswer) -> Option<String> {
+fn read_score(environment: &Environment, answer: &WholeAnswer) -> Option<String> {
     let name = environment.site.protocol.header_names().signature;
     let score = answer.head.headers.text(name);
     score
@@ -292,7 +292,7 @@
     let now = environment.runtime.now;
     let assignment = &scoring.assignment;
     let id = assignment.scoring;
-    let time = now.since(scoring.since);
+    let time = now.since(scoring.added_at);
     let runtime = &mut environment.runtime;
     runtime.metrics.scoring_ended(outcome.name(), time);
     let is_scored = matches!(outcome, ScoringOutcome::Scored(_));
--- a/crates/gateways/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring_policy.rs
@@ -38,7 +38,11 @@
 
 /// Returns the end of a scoring by an answer that is not a failure; `score` is the signature of a
 /// successful answer.
-pub fn answered(score: Option<String>, history: AttemptHistory, is_in_time: bool) -> ScoringEnd {
+pub fn end_with_answer(
+    score: Option<String>,
+    history: AttemptHistory,
+    is_in_time: bool,
+) -> ScoringEnd {
     let outcome = match score {
         Some(score) => ScoringOutcome::Scored(score),
         None => ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
@@ -53,7 +57,7 @@
 
 /// Returns the end of a scoring that no server answered, or that failed at every server that
 /// answered.
-pub fn given_up(history: AttemptHistory) -> ScoringEnd {
+pub fn end_without_answer(history: AttemptHistory) -> ScoringEnd {
     let (outcome, signal) = match history.server_failures {
         0 if history.may_have_run => (
             ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
--- a/crates/gateways/wingshore-gateway/src/usage.rs
+++ b/crates/gateways/wingshore-gateway/src/usage.rs
@@ -30,7 +30,12 @@
     }
 
     /// Records the time of day of a coordinator.
-    pub(crate) fn time_heard(&mut self, now: Instant, coordinator: SocketAddr, wall: WallTime) {
+    pub(crate) fn record_wall_time(
+        &mut self,
+        now: Instant,
+        coordinator: SocketAddr,
+        wall: WallTime,
+    ) {
         self.clock.heard(now, coordinator, wall);
     }
 
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -61,7 +61,9 @@
                 if self.revision.is_none_or(|known| known < since) {
                     return UpdateOutcome::Gap;
                 }
-                changes.into_iter().for_each(|change| self.change(change));
+                changes
+                    .into_iter()
+                    .for_each(|change| self.apply_change(change));
             }
         }
         self.revision = Some(revision);
@@ -70,7 +72,7 @@
 
     fn replace(&mut self, view: SiteView) {
         if let Some(configuration) = view.configuration {
-            self.configure(configuration);
+            self.apply_configuration(configuration);
         }
         let servers = view.servers.into_iter();
         self.servers = servers
@@ -83,9 +85,9 @@
             .collect();
     }
 
-    fn change(&mut self, change: ViewChange) {
+    fn apply_change(&mut self, change: ViewChange) {
         match change {
-            ViewChange::Configuration(configuration) => self.configure(configuration),
+            ViewChange::Configuration(configuration) => self.apply_configuration(configuration),
             ViewChange::Server(server) => {
                 self.servers.insert(server.instance.clone(), server);
             }
@@ -102,7 +104,7 @@
         }
     }
 
-    fn configure(&mut self, configuration: Arc<SiteConfiguration>) {
+    fn apply_configuration(&mut self, configuration: Arc<SiteConfiguration>) {
         if configuration.version <= self.version() {
             return;
         }
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -13,7 +13,7 @@
 use wingshore_net::ConnectionId;
 
 /// Content of an update that was applied.
-pub(crate) enum ViewNews {
+pub(crate) enum AppliedUpdate {
     /// The whole view.
     Whole,
     /// These changes.
@@ -21,13 +21,13 @@
 }
 
 /// Follows the view at one coordinator at a time.
-pub(crate) struct ViewFollowing {
+pub(crate) struct ViewFollower {
     source: ViewSource,
     /// Spreads the gateways of a site over equally suitable coordinators.
     salt: u64,
 }
 
-impl ViewFollowing {
+impl ViewFollower {
     /// Starts without a coordinator to follow.
     pub(crate) fn new(salt: u64) -> Self {
         Self {
@@ -57,7 +57,7 @@
             known: view.revision(),
             salt: self.salt,
         };
-        let before = self.source.current();
+        let previous = self.source.current();
         let Some(address) = self.source.choose(now, &choice) else {
             return;
         };
@@ -66,9 +66,9 @@
         };
         info!(runtime.logger, "view followed"; "address" => %address,
             "revision" => view.revision().map(|since| since.0));
-        let before = before.and_then(|before| coordinators.connection(before));
-        if let Some(before) = before {
-            send(runtime, before, GatewayMessage::LeaveView);
+        let previous = previous.and_then(|previous| coordinators.connection(previous));
+        if let Some(previous) = previous {
+            send(runtime, previous, GatewayMessage::LeaveView);
         }
         ask_for_view(runtime, connection, view);
     }
@@ -81,18 +81,18 @@
 }
 
 /// Applies an update of the view that arrived on `connection`; `None` if nothing was applied.
-pub(crate) fn take_update(
+pub(crate) fn apply_update(
     runtime: &mut Runtime,
     view: &mut View,
     connection: ConnectionId,
     update: ViewUpdate,
-) -> Option<ViewNews> {
-    let news = match &update.content {
-        ViewContent::Whole(_) => ViewNews::Whole,
-        ViewContent::Changes { changes, .. } => ViewNews::Changes(changes.clone()),
+) -> Option<AppliedUpdate> {
+    let applied = match &update.content {
+        ViewContent::Whole(_) => AppliedUpdate::Whole,
+        ViewContent::Changes { changes, .. } => AppliedUpdate::Changes(changes.clone()),
     };
     match view.update(update) {
-        UpdateOutcome::Applied => Some(news),
+        UpdateOutcome::Applied => Some(applied),
         UpdateOutcome::Stale => None,
         UpdateOutcome::Gap => {
             ask_for_view(runtime, connection, view);
--- a/crates/gateways/wingshore-gateway/src/view_source.rs
+++ b/crates/gateways/wingshore-gateway/src/view_source.rs
@@ -31,7 +31,7 @@
 /// links to all coordinators come up within a few milliseconds of each other.
 const NEAR_COPY_WAIT: Duration = Duration::from_millis(200);
 /// How long a coordinator is avoided whose copy lagged.
-const AVOIDED_FOR: Duration = Duration::from_secs(3);
+const AVOIDANCE_TIME: Duration = Duration::from_secs(3);
 
 /// A coordinator with a copy of the state from which a message arrived recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,19 +85,23 @@
 
     /// Updates the choice; returns the coordinator to follow from now on if it has changed.
     pub fn choose(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
-        self.note_lag(now, choice);
-        let wanted = self.wanted(now, choice)?;
-        if self.current == Some(wanted) {
+        self.update_lag(now, choice);
+        let selected = self.select(now, choice)?;
+        if self.current == Some(selected) {
             return None;
         }
-        self.current = Some(wanted);
+        self.current = Some(selected);
         self.waiting_since = None;
-        Some(wanted)
+        Some(selected)
     }
 
-    fn note_lag(&mut self, now: Instant, choice: &ChoiceInputs<'_>) {
+    fn update_lag(&mut self, now: Instant, choice: &ChoiceInputs<'_>) {
         let known = choice.known.unwrap_or(LogIndex(0));
-        let newest = choice.candidates.iter().map(|known| known.revision).max();
+        let newest = choice
+            .candidates
+            .iter()
+            .map(|candidate| candidate.revision)
+            .max();
         if self.lag.is_some_and(|(_, entry)| known >= entry) {
             self.lag = None;
         }
@@ -106,58 +110,64 @@
         }
     }
 
-    fn wanted(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
+    fn select(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         self.avoided = self.avoided.filter(|(until, _)| now < *until);
         let lagging = self.lag.filter(|(since, _)| now.since(*since) >= LAG_LIMIT);
         if let (Some((_, entry)), Some(current)) = (lagging, self.current) {
-            let is_ahead = |known: &&Candidate| known.revision >= entry;
+            let is_ahead = |candidate: &&Candidate| candidate.revision >= entry;
             let others = choice.candidates.iter().filter(is_ahead);
             let others: Vec<Candidate> = others
-                .filter(|known| known.address != current)
+                .filter(|candidate| candidate.address != current)
                 .copied()
                 .collect();
-            let other = best(&others, choice.salt)?;
-            self.avoided = Some((now + AVOIDED_FOR, current));
+            let other = pick(&others, choice.salt)?;
+            self.avoided = Some((now + AVOIDANCE_TIME, current));
             self.lag = Some((now, entry));
             return Some(other);
         }
-        let near = self.near(choice);
+        let near = self.near_copy(choice);
         let follows_near = choice
             .candidates
             .iter()
-            .any(|known| known.is_near && Some(known.address) == self.current);
+            .any(|candidate| candidate.is_near && Some(candidate.address) == self.current);
         match self.current {
             Some(current) if follows_near => Some(current),
             Some(current) => near.or(Some(current)),
-            None => near.or_else(|| self.far(now, choice)),
+            None => near.or_else(|| self.any_after_wait(now, choice)),
         }
     }
 
     /// Returns a copy in the gateway's own zone that is not avoided for lag.
-    fn near(&self, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
+    fn near_copy(&self, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
         let avoided = self.avoided.map(|(_, address)| address);
-        let near = choice.candidates.iter().filter(|known| known.is_near);
-        let near = near.filter(|known| Some(known.address) != avoided);
+        let near = choice
+            .candidates
+            .iter()
+            .filter(|candidate| candidate.is_near);
+        let near = near.filter(|candidate| Some(candidate.address) != avoided);
         let near: Vec<Candidate> = near.copied().collect();
-        best(&near, choice.salt)
+        pick(&near, choice.salt)
     }
 
     /// Returns any copy, once the wait for a copy in the gateway's own zone is over.
-    fn far(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
-        let far = best(choice.candidates, choice.salt)?;
+    fn any_after_wait(&mut self, now: Instant, choice: &ChoiceInputs<'_>) -> Option<SocketAddr> {
+        let any = pick(choice.candidates, choice.salt)?;
         let since = *self.waiting_since.get_or_insert(now);
-        (now.since(since) >= NEAR_COPY_WAIT).then_some(far)
+        (now.since(since) >= NEAR_COPY_WAIT).then_some(any)
     }
 }
 
 /// Selects one of several candidates; followers before the leader, which has the most work.
-fn best(candidates: &[Candidate], salt: u64) -> Option<SocketAddr> {
-    let followers: Vec<&Candidate> = candidates.iter().filter(|known| !known.leads).collect();
+fn pick(candidates: &[Candidate], salt: u64) -> Option<SocketAddr> {
+    let followers: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|candidate| !candidate.leads)
+        .collect();
     let all: Vec<&Candidate> = candidates.iter().collect();
     let choices = if followers.is_empty() { all } else { followers };
     let count = u64::try_from(choices.len())
         .ok()
         .filter(|count| *count > 0)?;
     let index = usize::try_from(salt % count).ok()?;
-    choices.get(index).map(|known| known.address)
+    choices.get(index).map(|candidate| candidate.address)
 }
--- a/crates/gateways/wingshore-gateway/tests/bytes.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes.rs
@@ -23,7 +23,7 @@
     Site::with_view(view(one.address(), pair))
 }
 
-fn ended_in_log(site: &Site, keys: &str) -> bool {
+fn has_log_line(site: &Site, keys: &str) -> bool {
     site.log_keys().iter().any(|line| line == keys)
 }
 
@@ -55,7 +55,7 @@
         )
     );
     let keys = "after_ms attempts configuration epoch refusals request route server service status";
-    expect_that!(ended_in_log(&site, keys), eq(true));
+    expect_that!(has_log_line(&site, keys), eq(true));
 }
 
 #[gtest]
@@ -85,11 +85,11 @@
         eq("\\x01\\t\\x01\\x00\\x01\\x08tenant-1\\x01")
     );
     let keys = "after_ms fingerprint reason request server verdict";
-    expect_that!(ended_in_log(&site, keys), eq(true));
+    expect_that!(has_log_line(&site, keys), eq(true));
 }
 
 #[gtest]
-fn answers_of_the_gateways_own() {
+fn answers_generated_by_the_gateway() {
     let server = Server::start();
     let site = site_with(&server, &[]);
     let own = |head: &str| site.ask(&format!("GET {head}Id: r\r\n\r\n"));
@@ -127,7 +127,7 @@
     );
     let keys = "answer configuration epoch host leader_heard_ms leader_known path reason request \
                 stopping";
-    expect_that!(ended_in_log(&site, keys), eq(true));
+    expect_that!(has_log_line(&site, keys), eq(true));
     let mut check = connect(site.ready);
     check.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
     expect_that!(
@@ -173,7 +173,7 @@
     );
     let keys = "after_ms answer attempts configuration epoch fingerprint refusals request route \
                 servers service";
-    expect_that!(ended_in_log(&site, keys), eq(true));
+    expect_that!(has_log_line(&site, keys), eq(true));
 }
 
 #[gtest]
@@ -242,7 +242,7 @@
             9\r\ndata: a\n\n\r\n"
         )
     );
-    expect_that!(ended_in_log(&site, "last_event request route"), eq(true));
+    expect_that!(has_log_line(&site, "last_event request route"), eq(true));
 }
 
 #[gtest]
@@ -290,9 +290,9 @@
     upstream.write_all(answer.as_bytes()).unwrap();
     expect_that!(site.next_message(), eq("\\x01\\x07\\x01\\t\\x00\\x030.5"));
     let item_keys = "after_ms engine epoch events item job outcome try";
-    expect_that!(ended_in_log(&site, item_keys), eq(true));
+    expect_that!(has_log_line(&site, item_keys), eq(true));
     let scoring_keys = "after_ms configuration epoch item job outcome queued request scoring";
-    expect_that!(ended_in_log(&site, scoring_keys), eq(true));
+    expect_that!(has_log_line(&site, scoring_keys), eq(true));
 }
 
 #[gtest]
@@ -375,7 +375,7 @@
         ),
         eq("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nrefused 2 bytes")
     );
-    expect_that!(ended_in_log(&site, "answer call epoch subject"), eq(true));
+    expect_that!(has_log_line(&site, "answer call epoch subject"), eq(true));
 }
 
 #[gtest]
@@ -389,6 +389,6 @@
         "address configuration epoch",
         "before version",
     ] {
-        expect_that!(ended_in_log(&site, keys), eq(true), "{keys}");
+        expect_that!(has_log_line(&site, keys), eq(true), "{keys}");
     }
 }
--- a/crates/gateways/wingshore-gateway/tests/bytes/planned_stop.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/planned_stop.rs
@@ -15,9 +15,9 @@
 use wingshore_coordination::{RouteKind, ViewContent, ViewUpdate};
 
 /// Larger than the socket buffers between a gateway and its client.
-const LONG_ANSWER: usize = 24 << 20;
+const LONG_ANSWER_BYTES: usize = 24 << 20;
 /// Byte that fills the body of the long answer and occurs in no head.
-const BODY: u8 = b'*';
+const BODY_BYTE: u8 = b'*';
 
 fn site_with(server: &Server) -> Site {
     Site::with_view(view(server.address(), Vec::new()))
@@ -91,7 +91,7 @@
 /// The same fault without a leader: a call that was sent to no leader has had no effect, and its
 /// client may repeat it.
 #[gtest]
-fn calls_that_no_leader_got_have_no_effect_at_the_end_of_a_stop() {
+fn calls_that_no_leader_received_have_no_effect_at_the_end_of_a_stop() {
     let server = Server::start();
     for kind in ["read", "end"] {
         let site = Site::start();
@@ -141,10 +141,12 @@
         client.write_all(request.as_bytes()).unwrap();
         let (mut upstream, _) = server.accept();
         let head = format!(
-            "HTTP/1.1 200 OK\r\nId: r-1\r\nSignature: s\r\nContent-Length: {LONG_ANSWER}\r\n\r\n"
+            "HTTP/1.1 200 OK\r\nId: r-1\r\nSignature: s\r\nContent-Length: {LONG_ANSWER_BYTES}\r\n\r\n"
         );
         upstream.write_all(head.as_bytes()).unwrap();
-        upstream.write_all(&vec![BODY; LONG_ANSWER]).unwrap();
+        upstream
+            .write_all(&vec![BODY_BYTE; LONG_ANSWER_BYTES])
+            .unwrap();
         // The first byte shows that the gateway has begun to send the answer.
         client.peek(&mut [0]).unwrap();
         site.stop();
@@ -152,8 +154,8 @@
         thread::sleep(Duration::from_millis(500));
         let mut answer = Vec::new();
         client.read_to_end(&mut answer).unwrap();
-        let body = answer.iter().filter(|byte| **byte == BODY);
-        expect_that!(body.count(), eq(LONG_ANSWER), "{ending}");
+        let body = answer.iter().filter(|byte| **byte == BODY_BYTE);
+        expect_that!(body.count(), eq(LONG_ANSWER_BYTES), "{ending}");
     }
 }
 
--- a/crates/gateways/wingshore-gateway/tests/bytes/site.rs
+++ b/crates/gateways/wingshore-gateway/tests/bytes/site.rs
@@ -21,7 +21,7 @@
 use crate::protocol::StubProtocol;
 
 /// Timeout of every wait for the gateway.
-const WAIT: Duration = Duration::from_secs(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 pub(crate) const ZONE: &str = "zone-a";
 
@@ -70,14 +70,14 @@
 /// Port of the readiness check at the site's unique address.
 const READY_PORT: u16 = 6201;
 /// Second octet of the first site's address.
-const FIRST_NETWORK: u8 = 190;
+const FIRST_OCTET: u8 = 190;
 
 /// Returns a loopback address that no other site uses. Ports of a shared address that had been
 /// checked as free were sometimes taken by others before the gateway listened there: the gateway
 /// ended, and the test waited forever (8 of 60 runs, with six in parallel).
-fn own_host() -> IpAddr {
+fn unique_host() -> IpAddr {
     static STARTED: AtomicU8 = AtomicU8::new(0);
-    let network = FIRST_NETWORK + STARTED.fetch_add(1, Ordering::Relaxed);
+    let network = FIRST_OCTET + STARTED.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
     IpAddr::from([127, network, high, low])
 }
@@ -108,7 +108,7 @@
 
     fn start_with(stop_times: StopTimes) -> Self {
         let listener = TcpListener::bind((LOOPBACK, 0)).unwrap();
-        let host = own_host();
+        let host = unique_host();
         let front = SocketAddr::from((host, FRONT_PORT));
         let ready = SocketAddr::from((host, READY_PORT));
         let log = LogKeys::default();
@@ -217,14 +217,14 @@
 
     /// Returns the next frame that `is_expected` accepts; skips the frames before it.
     pub(crate) fn expect(&self, is_expected: impl Fn(&IncomingFrame) -> bool) -> IncomingFrame {
-        let end = std::time::Instant::now() + WAIT;
+        let end = std::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(std::time::Instant::now());
             match self.received.recv_timeout(left) {
                 Ok(message) if is_expected(&message) => return message,
                 Ok(_) => {}
-                Err(RecvTimeoutError::Timeout) => panic!("a frame did not come"),
-                Err(RecvTimeoutError::Disconnected) => panic!("the link has ended"),
+                Err(RecvTimeoutError::Timeout) => panic!("timed out waiting for a frame"),
+                Err(RecvTimeoutError::Disconnected) => panic!("the gateway closed the link"),
             }
         }
     }
@@ -302,15 +302,18 @@
 }
 
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
-    let end = std::time::Instant::now() + WAIT;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(WAIT)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 return stream;
             }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                assert!(std::time::Instant::now() < end, "nobody listens");
+                assert!(
+                    std::time::Instant::now() < end,
+                    "no listener at the address"
+                );
                 thread::sleep(Duration::from_millis(5));
             }
             Err(error) => panic!("{error}"),
@@ -333,7 +336,7 @@
     /// Accepts the gateway's next connection and reads the request on it.
     pub(crate) fn accept(&self) -> (TcpStream, String) {
         let (mut stream, _) = self.0.accept().unwrap();
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let request = read_message(&mut stream);
         (stream, request)
     }
--- a/crates/gateways/wingshore-gateway/tests/calls_given_back.rs
+++ b/crates/gateways/wingshore-gateway/tests/calls_given_back.rs
@@ -1,7 +1,10 @@
 //! Calls that a leader returned unanswered because it was not sure of its leadership, and that kept
 //! its leadership.
 
-#[allow(dead_code, reason = "a part of what the tests of bytes use")]
+#[allow(
+    dead_code,
+    reason = "only a part of the shared test support is used here"
+)]
 mod bytes {
     pub mod protocol;
     pub mod site;
@@ -36,7 +39,7 @@
 /// then continued to lead, so that no new leader was announced. Only calls without a wait were
 /// checked again before their timeout. The test fails if the read is not sent again.
 #[gtest]
-fn a_read_that_its_leader_gave_back_is_sent_again() -> Result<()> {
+fn a_read_that_its_leader_returned_is_sent_again() -> Result<()> {
     let server = Server::start();
     let site = Site::with_view(view(server.address(), Vec::new()));
     let mut client = site.client();
--- a/crates/gateways/wingshore-gateway/tests/calls_review.rs
+++ b/crates/gateways/wingshore-gateway/tests/calls_review.rs
@@ -1,6 +1,9 @@
 //! Sends of one client call to a leader that answers slowly but sends heartbeats all the time.
 
-#[allow(dead_code, reason = "a part of what the tests of bytes use")]
+#[allow(
+    dead_code,
+    reason = "only a part of the shared test support is used here"
+)]
 mod bytes {
     pub mod protocol;
     pub mod site;
@@ -24,7 +27,7 @@
 /// was lost on the link, so that the call must arrive only once; a submission is as large as its
 /// job.
 #[gtest]
-fn a_slow_leader_that_is_heard_of_is_sent_a_call_once() -> Result<()> {
+fn a_slow_leader_that_sends_heartbeats_receives_a_call_once() -> Result<()> {
     let mut call = None;
     let server = Server::start();
     let site = Site::with_view(view(server.address(), Vec::new()));
--- a/crates/gateways/wingshore-gateway/tests/policies.rs
+++ b/crates/gateways/wingshore-gateway/tests/policies.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 use wingshore_coordination::{ItemId, JobId, NotScoredReason, Request, ScoringOutcome};
 use wingshore_gateway::{
-    AttemptHistory, ItemAnswer, LoadSignal, ScoringEnd, answered, call_time_limit,
-    classify_item_answer, given_up, is_upload_due, max_scorings,
+    AttemptHistory, ItemAnswer, LoadSignal, ScoringEnd, call_time_limit, classify_item_answer,
+    end_with_answer, end_without_answer, is_upload_due, max_scorings,
 };
 
 #[gtest]
-fn an_engines_answer_is_what_its_status_and_end_say() {
+fn an_engines_answer_is_classified_by_its_status_and_end() {
     let table = [
         ((200, false, true), ItemAnswer::Finished),
         ((200, false, false), ItemAnswer::CutShort),
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_scoring_says_what_came_of_it_and_how_loaded_its_servers_are() {
+fn the_end_of_a_scoring_shows_its_outcome_and_the_load() {
     let fresh = AttemptHistory::default();
     let refused = AttemptHistory {
         refusals: 1,
@@ -64,24 +64,32 @@
     let failures = ScoringOutcome::Failed(2);
     let table = [
         (
-            answered(score.clone(), fresh, true),
+            end_with_answer(score.clone(), fresh, true),
             &scored,
             LoadSignal::InTime,
         ),
         (
-            answered(score.clone(), fresh, false),
+            end_with_answer(score.clone(), fresh, false),
             &scored,
             LoadSignal::Overload,
         ),
         (
-            answered(score, refused, true),
+            end_with_answer(score, refused, true),
             &scored,
             LoadSignal::Overload,
         ),
-        (answered(None, fresh, true), &no_answer, LoadSignal::InTime),
-        (given_up(silent), &no_answer, LoadSignal::Overload),
-        (given_up(refused), &no_server, LoadSignal::Overload),
-        (given_up(failed), &failures, LoadSignal::None),
+        (
+            end_with_answer(None, fresh, true),
+            &no_answer,
+            LoadSignal::InTime,
+        ),
+        (end_without_answer(silent), &no_answer, LoadSignal::Overload),
+        (
+            end_without_answer(refused),
+            &no_server,
+            LoadSignal::Overload,
+        ),
+        (end_without_answer(failed), &failures, LoadSignal::None),
     ];
     for (ScoringEnd { outcome, signal }, expected, expected_signal) in table {
         expect_that!(outcome, eq(expected));
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn an_older_configuration_is_not_taken() {
+fn an_older_configuration_is_not_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, Vec::new()));
     let older = ViewChange::Configuration(configuration(5));
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_leader_of_an_older_term_is_not_believed() {
+fn a_leader_of_an_older_epoch_is_not_accepted() {
     let mut view = View::default();
     expect_that!(view.accept_leader(Epoch(5)), eq(true));
     expect_that!(view.accept_leader(Epoch(4)), eq(false));
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn a_copy_that_is_behind_is_not_believed() {
+fn an_update_of_an_older_revision_is_not_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let behind = view.update(whole(9, 9, Vec::new()));
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn changes_that_leave_a_gap_are_not_taken() {
+fn changes_that_leave_a_gap_are_not_applied() {
     let mut view = View::default();
     let gone = || vec![ViewChange::Gone(InstanceId::from("a"))];
     let first = view.update(changes(3, 12, gone()));
@@ -106,7 +106,7 @@
 
 /// Two copies may send the same entries one after the other.
 #[gtest]
-fn changes_that_overlap_are_taken() {
+fn changes_that_overlap_are_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let added = ViewChange::Server(server("b", false));
