--- a/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
@@ -97,7 +97,7 @@
         .map(|member| Candidate {
             address: address(member),
             is_near: true,
-            leads: member == 0,
+            is_leader: member == 0,
             revision: LogIndex(applied),
         })
         .collect();
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -144,7 +144,7 @@
                 Some(Candidate {
                     address: *address,
                     is_near: copy.zone == zone,
-                    leads: Some(*address) == self.leader,
+                    is_leader: Some(*address) == self.leader,
                     revision: copy.revision,
                 })
             })
--- a/crates/gateways/wingshore-gateway/src/view_source.rs
+++ b/crates/gateways/wingshore-gateway/src/view_source.rs
@@ -41,7 +41,7 @@
     /// Whether the coordinator is in the gateway's zone.
     pub is_near: bool,
     /// Whether the coordinator leads, as far as this gateway knows.
-    pub leads: bool,
+    pub is_leader: bool,
     /// The last log entry that the copy includes.
     pub revision: LogIndex,
 }
@@ -161,7 +161,7 @@
 fn pick(candidates: &[Candidate], salt: u64) -> Option<SocketAddr> {
     let followers: Vec<&Candidate> = candidates
         .iter()
-        .filter(|candidate| !candidate.leads)
+        .filter(|candidate| !candidate.is_leader)
         .collect();
     let all: Vec<&Candidate> = candidates.iter().collect();
     let choices = if followers.is_empty() { all } else { followers };
--- a/crates/gateways/wingshore-gateway/tests/view_source.rs
+++ b/crates/gateways/wingshore-gateway/tests/view_source.rs
@@ -18,7 +18,7 @@
     Candidate {
         address: address(port),
         is_near: port == NEAR,
-        leads: port == LEADER,
+        is_leader: port == LEADER,
         revision: LogIndex(revision),
     }
 }
