--- a/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
@@ -96,7 +96,7 @@
     let candidates: Vec<Candidate> = (0..members)
         .map(|member| Candidate {
             address: address(member),
-            is_near: true,
+            is_same_zone: true,
             is_leader: member == 0,
             revision: LogIndex(applied),
         })
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -121,11 +121,11 @@
     /// Returns the connection to a coordinator in `zone` with a fresh copy of the state; `None` if
     /// the leader has such a copy in `zone` too.
     pub(crate) fn near_copy(&self, now: Instant, zone: &str) -> Option<ConnectionId> {
-        let is_near = |link: &CoordinatorLink| {
+        let is_same_zone = |link: &CoordinatorLink| {
             let copy = link.fresh_copy(now);
             copy.is_some_and(|copy| copy.zone == zone)
         };
-        let mut near = self.links.iter().filter(|(_, link)| is_near(link));
+        let mut near = self.links.iter().filter(|(_, link)| is_same_zone(link));
         if near
             .clone()
             .any(|(address, _)| Some(*address) == self.leader)
@@ -143,7 +143,7 @@
                 let copy = link.fresh_copy(now)?;
                 Some(Candidate {
                     address: *address,
-                    is_near: copy.zone == zone,
+                    is_same_zone: copy.zone == zone,
                     is_leader: Some(*address) == self.leader,
                     revision: copy.revision,
                 })
--- a/crates/gateways/wingshore-gateway/src/view_source.rs
+++ b/crates/gateways/wingshore-gateway/src/view_source.rs
@@ -39,7 +39,7 @@
     /// Address of the coordinator.
     pub address: SocketAddr,
     /// Whether the coordinator is in the gateway's zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether the coordinator leads, as far as this gateway knows.
     pub is_leader: bool,
     /// The last log entry that the copy includes.
@@ -129,7 +129,7 @@
         let follows_near = choice
             .candidates
             .iter()
-            .any(|candidate| candidate.is_near && Some(candidate.address) == self.current);
+            .any(|candidate| candidate.is_same_zone && Some(candidate.address) == self.current);
         match self.current {
             Some(current) if follows_near => Some(current),
             Some(current) => near.or(Some(current)),
@@ -143,7 +143,7 @@
         let near = choice
             .candidates
             .iter()
-            .filter(|candidate| candidate.is_near);
+            .filter(|candidate| candidate.is_same_zone);
         let near = near.filter(|candidate| Some(candidate.address) != avoided);
         let near: Vec<Candidate> = near.copied().collect();
         pick(&near, choice.salt)
--- a/crates/gateways/wingshore-gateway/tests/view_source.rs
+++ b/crates/gateways/wingshore-gateway/tests/view_source.rs
@@ -17,7 +17,7 @@
 fn candidate(port: u16, revision: u64) -> Candidate {
     Candidate {
         address: address(port),
-        is_near: port == NEAR,
+        is_same_zone: port == NEAR,
         is_leader: port == LEADER,
         revision: LogIndex(revision),
     }
