--- a/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
@@ -9,7 +9,7 @@
     Command, CoordinationState, CoordinatorMessage, InstanceId, ServerRecord, ServiceName,
 };
 use wingshore_coordinator::{FeedLinks, FeedSource, ViewFeed};
-use wingshore_gateway::{Candidate, Choice, View, ViewSource};
+use wingshore_gateway::{Candidate, ChoiceInputs, View, ViewSource};
 use wingshore_net::frame;
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::{Instant, LogIndex};
@@ -96,8 +96,8 @@
     let candidates: Vec<Candidate> = (0..members)
         .map(|member| Candidate {
             address: address(member),
-            is_near: true,
-            leads: member == 0,
+            is_same_zone: true,
+            is_leader: member == 0,
             revision: LogIndex(applied),
         })
         .collect();
@@ -114,7 +114,7 @@
     let member_at = |address: SocketAddr| usize::from(address.port() - 7_000);
     while views.iter().any(|view| view.revision().is_none()) {
         for gateway in 0..gateways {
-            let choice = Choice {
+            let choice = ChoiceInputs {
                 candidates: &candidates,
                 known: views[gateway].revision(),
                 salt: gateway as u64,
--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls about batch jobs that wait for the coordination group's answer.
 //!
-//! Owns the calls; relies on the links to the coordinators. Whom a call is sent to, and when again,
-//! is decided in [`call_policy`].
+//! Owns the calls; relies on the links to the coordinators. [`call_policy`] decides where a call is
+//! sent, and when it is sent again.
 
 use crate::call_policy::{self, RETRY_AFTER, call_time_limit};
 use crate::coordinators::send;
@@ -18,16 +18,16 @@
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// Where a call was sent.
+/// The coordinator that a call was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Receiver {
+enum Destination {
     /// The group's leader.
     Leader(ConnectionId),
     /// A coordinator that answers from its copy of the state.
     Copy(ConnectionId),
 }
 
-impl Receiver {
+impl Destination {
     fn connection(self) -> ConnectionId {
         match self {
             Self::Leader(connection) | Self::Copy(connection) => connection,
@@ -35,50 +35,50 @@
     }
 }
 
-/// One call that waits for the group.
+/// One call that waits for the group's answer.
 struct Call {
     client: ConnectionId,
     request: Request,
-    until: Instant,
-    sent_to: Option<Receiver>,
-    /// Whether it may take effect.
+    deadline: Instant,
+    sent_to: Option<Destination>,
+    /// Whether the call was sent to a leader, so that it may take effect.
     may_take_effect: bool,
-    /// Whether a copy of the state near by may answer it.
+    /// Whether a copy of the state in the gateway's zone may still answer the call.
     may_read_copy: bool,
 }
 
-/// The end of a call.
+/// The answer to a finished call.
 pub(crate) struct CallEnd {
-    /// The connection of the client that waits for it.
+    /// The connection of the client that waits for the answer.
     pub(crate) client: ConnectionId,
     pub(crate) answer: BatchAnswer,
 }
 
-/// All calls that wait.
+/// All calls that wait for the group's answer.
 pub(crate) struct Calls {
     waiting: HashMap<CallId, Call>,
-    next: u64,
+    next_id: u64,
     /// Whether results are read from copies of the state.
     reads_copies: bool,
-    /// By then every call is answered, once a planned stop has begun.
+    /// Deadline for answers to all calls, once a planned stop has begun.
     stop_at: Option<Instant>,
 }
 
 impl Calls {
-    /// None yet; `reads_copies` if results are read from copies of the state.
+    /// Starts without calls; `reads_copies` if results are read from copies of the state.
     pub(crate) fn new(reads_copies: bool) -> Self {
         Self {
             waiting: HashMap::new(),
-            next: 0,
+            next_id: 0,
             reads_copies,
             stop_at: None,
         }
     }
 
-    /// Passes a call on.
+    /// Sends a call to the group.
     ///
     /// # Errors
-    /// The answer, where a planned stop leaves too little time for the call.
+    /// Returns the answer to the client if a planned stop leaves too little time for the call.
     pub(crate) fn begin(
         &mut self,
         runtime: &mut Runtime,
@@ -93,11 +93,11 @@
             log_given_up(runtime, site, &request, &answer);
             return Err(answer);
         };
-        let id = CallId(self.next);
-        self.next += 1;
+        let id = CallId(self.next_id);
+        self.next_id += 1;
         let call = Call {
             client,
-            until: now + time_limit,
+            deadline: now + time_limit,
             request,
             sent_to: None,
             may_take_effect: false,
@@ -108,25 +108,26 @@
         Ok(id)
     }
 
-    /// A planned stop answers every call by `stop_at`, also those that come later.
+    /// Shortens the deadlines of all calls, also of later ones, to `stop_at` for a planned stop.
     pub(crate) fn stop_by(&mut self, runtime: &mut Runtime, stop_at: Instant) {
         self.stop_at = Some(stop_at);
         for (id, call) in &mut self.waiting {
-            if call.until > stop_at {
-                call.until = stop_at;
+            if call.deadline > stop_at {
+                call.deadline = stop_at;
                 runtime.timers.arm(stop_at, TimerKey::Call(*id));
             }
         }
     }
 
-    /// Sends a call to where it can be answered.
+    /// Sends a call to a copy of the state or to the leader.
     fn send_call(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
         if !self.send_to_copy(runtime, site, id) {
             self.send_to_leader(runtime, site, id);
         }
     }
 
-    /// Reads results from a copy of the state near by, if there is one.
+    /// Sends a read of results to a copy of the state in the gateway's zone; returns false if there
+    /// is none or the call cannot be answered by one.
     fn send_to_copy(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) -> bool {
         let now = runtime.now;
         let Some(call) = self.waiting.get_mut(&id).filter(|call| call.may_read_copy) else {
@@ -145,9 +146,9 @@
             wait: *wait,
         };
         call.may_read_copy = false;
-        call.sent_to = Some(Receiver::Copy(copy));
+        call.sent_to = Some(Destination::Copy(copy));
         send(runtime, copy, message);
-        runtime.timers.arm(call.until, TimerKey::Call(id));
+        runtime.timers.arm(call.deadline, TimerKey::Call(id));
         true
     }
 
@@ -157,18 +158,18 @@
         let Some(call) = self.waiting.get_mut(&id) else {
             return;
         };
-        call.sent_to = leader.map(Receiver::Leader);
+        call.sent_to = leader.map(Destination::Leader);
         if let Some(leader) = leader {
             call.may_take_effect = true;
             let request = call.request.clone();
             let message = GatewayMessage::Call { id: id.0, request };
             send(runtime, leader, message);
         }
-        runtime.timers.arm(call.until, TimerKey::Call(id));
+        runtime.timers.arm(call.deadline, TimerKey::Call(id));
     }
 
-    /// Calls that were sent on a connection that is gone wait for another leader; reads of a copy go
-    /// to the leader at once.
+    /// Handles the loss of a connection: calls sent to its leader wait for the next leader, and
+    /// reads sent to its copy go to the leader at once.
     pub(crate) fn link_lost(
         &mut self,
         runtime: &mut Runtime,
@@ -178,8 +179,8 @@
         let mut from_copy = Vec::new();
         for (id, call) in &mut self.waiting {
             match call.sent_to {
-                Some(Receiver::Copy(copy)) if copy == connection => from_copy.push(*id),
-                Some(Receiver::Leader(leader)) if leader == connection => call.sent_to = None,
+                Some(Destination::Copy(copy)) if copy == connection => from_copy.push(*id),
+                Some(Destination::Leader(leader)) if leader == connection => call.sent_to = None,
                 _ => {}
             }
         }
@@ -188,10 +189,10 @@
         }
     }
 
-    /// There is a leader: sends what waits for one.
+    /// Sends the calls that wait for a leader, once one has announced itself.
     pub(crate) fn resend(&mut self, runtime: &mut Runtime, site: &Site) {
-        let leader = site.coordinators.leader().map(Receiver::Leader);
-        let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Receiver::Copy(_)));
+        let leader = site.coordinators.leader().map(Destination::Leader);
+        let is_at_copy = |call: &Call| matches!(call.sent_to, Some(Destination::Copy(_)));
         let waiting = self.waiting.iter();
         let unsent: Vec<CallId> = waiting
             .filter(|(_, call)| call.sent_to != leader && !is_at_copy(call))
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The time of a call may be over, or one that was given back is to be sent again.
+    /// Answers a call that has timed out, or sends one again that its leader returned unanswered.
     pub(crate) fn on_timer(
         &mut self,
         runtime: &mut Runtime,
@@ -211,14 +212,14 @@
     ) -> Option<CallEnd> {
         let now = runtime.now;
         let call = self.waiting.get(&id)?;
-        if now < call.until {
+        if now < call.deadline {
             if call.sent_to.is_none() {
                 self.send_call(runtime, site, id);
             }
             return None;
         }
         let call = self.waiting.remove(&id)?;
-        let answer = call_policy::late_answer(&call.request, call.may_take_effect);
+        let answer = call_policy::timeout_answer(&call.request, call.may_take_effect);
         log_given_up(runtime, site, &call.request, &answer);
         Some(CallEnd {
             client: call.client,
@@ -226,7 +227,7 @@
         })
     }
 
-    /// A coordinator has answered a call.
+    /// Handles a coordinator's reply to a call.
     pub(crate) fn on_reply(
         &mut self,
         runtime: &mut Runtime,
@@ -237,22 +238,22 @@
         let call = self.waiting.get_mut(&id)?;
         let reply = match reply {
             CallReply::Reply(reply) => reply,
-            CallReply::Nothing if call.sent_to == Some(Receiver::Copy(connection)) => {
-                self.ask_leader_instead(runtime, site, id);
+            CallReply::Nothing if call.sent_to == Some(Destination::Copy(connection)) => {
+                self.retry_at_leader(runtime, site, id);
                 return None;
             }
             CallReply::NotLeader | CallReply::Unknown | CallReply::Nothing => {
-                // The next leader's announcement, or the timer, sends it again.
-                if call.sent_to.map(Receiver::connection) == Some(connection) {
+                // Sent again when a leader announces itself, or by the timer.
+                if call.sent_to.map(Destination::connection) == Some(connection) {
                     call.sent_to = None;
-                    let resend_at = call_policy::resend_at(runtime.now, call.until);
+                    let resend_at = call_policy::resend_at(runtime.now, call.deadline);
                     runtime.timers.arm(resend_at, TimerKey::Call(id));
                 }
                 return None;
             }
         };
         let call = self.waiting.remove(&id)?;
-        let answer = answer_of(&runtime.logger, &call.request, reply);
+        let answer = batch_answer(&runtime.logger, &call.request, reply);
         let kind = call.request.kind();
         runtime.metrics.call_ended(kind, answer.name());
         if !matches!(call.request, Request::ReadJob { .. }) {
@@ -266,25 +267,25 @@
         })
     }
 
-    /// A copy of the state had nothing: the leader says whether there is anything, by the rest of
-    /// the time that the answer may wait.
-    fn ask_leader_instead(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
+    /// Sends a read to the leader after a copy of the state had no result. The leader may hold the
+    /// read for the rest of its wait.
+    fn retry_at_leader(&mut self, runtime: &mut Runtime, site: &Site, id: CallId) {
         let now = runtime.now;
         if let Some(call) = self.waiting.get_mut(&id)
             && let Request::ReadJob { wait, .. } = &mut call.request
         {
-            *wait = call_policy::remaining_wait(now, call.until, *wait);
+            *wait = call_policy::remaining_wait(now, call.deadline, *wait);
         }
         self.send_to_leader(runtime, site, id);
     }
 
-    /// The client of a call is gone.
+    /// Drops a call whose client has disconnected.
     pub(crate) fn forget(&mut self, id: CallId) {
         self.waiting.remove(&id);
     }
 }
 
-/// Nobody answers a call any more.
+/// Logs and counts a call that the group does not answer in time.
 fn log_given_up(runtime: &Runtime, site: &Site, request: &Request, answer: &BatchAnswer) {
     let kind = request.kind();
     warn!(runtime.logger, "call given up"; "call" => kind, "subject" => request.subject(),
@@ -293,24 +294,24 @@
     runtime.metrics.call_ended(kind, answer.name());
 }
 
-/// What the group is asked for a call of `tenant`.
-pub(crate) fn request_of(call: BatchCall, tenant: Option<TenantName>) -> Request {
-    let own = |job: JobId| job.of_tenant(tenant);
+/// Converts a call of `tenant` into a request to the group.
+pub(crate) fn group_request(call: BatchCall, tenant: Option<TenantName>) -> Request {
+    let scoped = |job: JobId| job.of_tenant(tenant);
     match call {
         BatchCall::Read { job, from, wait } => Request::ReadJob {
-            job: own(job),
+            job: scoped(job),
             from,
             wait,
         },
         BatchCall::ReadItem { job, item } => Request::ReadItem {
-            job: own(job),
+            job: scoped(job),
             item,
         },
-        BatchCall::End { job } => Request::EndJob(own(job)),
+        BatchCall::End { job } => Request::EndJob(scoped(job)),
     }
 }
 
-fn answer_of(logger: &Logger, request: &Request, reply: Reply) -> BatchAnswer {
+fn batch_answer(logger: &Logger, request: &Request, reply: Reply) -> BatchAnswer {
     match (request, reply) {
         (Request::SubmitJob(_), Reply::Done) => BatchAnswer::Accepted,
         (Request::EndJob(_), Reply::Done) => BatchAnswer::Ended,
@@ -326,7 +327,7 @@
     match ReadPage::unpack(page) {
         Ok(page) => BatchAnswer::Page(page),
         Err(error) => {
-            warn!(logger, "results not read"; "error" => %error);
+            warn!(logger, "results page not decoded"; "error" => %error);
             BatchAnswer::Unavailable(call_policy::RETRY_AFTER)
         }
     }
--- a/crates/gateways/wingshore-gateway/src/metrics.rs
+++ b/crates/gateways/wingshore-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a gateway reports to monitoring.
+//! Metrics of a gateway.
 //!
-//! Counters are owned here; gauges are set from [`Readings`] when monitoring asks.
+//! Counters are kept here; gauges are set from [`Readings`] at each scrape.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -11,12 +11,12 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::time::Duration;
 
-/// Shortest time that the histograms tell apart, in seconds.
-const SHORTEST: f64 = 0.005;
-/// Each bucket reaches twice as far as the one before.
+/// Upper bound of the first histogram bucket, in seconds.
+const FIRST_BUCKET_SECONDS: f64 = 0.005;
+/// Ratio of the upper bounds of neighbouring buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Buckets; the last one ends at 10.2 s.
-const BUCKETS: u16 = 12;
+/// Number of buckets; the upper bound of the last one is 10.2 s.
+const BUCKET_COUNT: u16 = 12;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct RequestLabels {
@@ -41,15 +41,19 @@
 }
 
 #[derive(Clone)]
-struct Buckets;
+struct DurationBuckets;
 
-impl MetricConstructor<Histogram> for Buckets {
+impl MetricConstructor<Histogram> for DurationBuckets {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(exponential_buckets(SHORTEST, BUCKET_FACTOR, BUCKETS))
+        Histogram::new(exponential_buckets(
+            FIRST_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKET_COUNT,
+        ))
     }
 }
 
-/// Values that are read when monitoring asks.
+/// Values of the gauges, read at each scrape.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Readings {
     pub(crate) clients: usize,
@@ -66,11 +70,11 @@
     pub(crate) log_lines_left_out: u64,
 }
 
-/// One gauge.
+/// Name, help text and source of one gauge.
 struct GaugeEntry {
     name: &'static str,
     help: &'static str,
-    /// Where its value is read.
+    /// Reads the value of the gauge.
     read: fn(&Readings) -> i64,
 }
 
@@ -78,37 +82,37 @@
     GaugeEntry { name, help, read }
 }
 
-/// All gauges, in the order in which they are served.
+/// All gauges, in the order of the output.
 const GAUGES: [GaugeEntry; 12] = [
     gauge("clients", "Connections of clients", |readings| {
-        clamped(readings.clients)
+        saturated(readings.clients)
     }),
     gauge("connections", "Connections of all kinds", |readings| {
-        clamped(readings.connections)
+        saturated(readings.connections)
     }),
     gauge("items_running", "Tries under way", |readings| {
-        clamped(readings.items)
+        saturated(readings.items)
     }),
     gauge("scorings_running", "Scorings in hand", |readings| {
-        clamped(readings.scorings)
+        saturated(readings.scorings)
     }),
     gauge(
         "scorings_queued",
         "Scorings whose request has not been sent",
-        |readings| clamped(readings.scorings_queued),
+        |readings| saturated(readings.scorings_queued),
     ),
     gauge(
         "suspect_requests",
         "Requests under which several servers have ended, as the leader has told",
-        |readings| clamped(readings.suspects),
+        |readings| saturated(readings.suspects),
     ),
     gauge(
         "crash_evidence",
         "Endings of servers under requests seen here lately; at most 512",
-        |readings| clamped(readings.evidence),
+        |readings| saturated(readings.evidence),
     ),
     gauge("coordinators", "Coordinators in touch", |readings| {
-        clamped(readings.coordinators)
+        saturated(readings.coordinators)
     }),
     gauge(
         "leader_known",
@@ -121,17 +125,17 @@
     gauge(
         "configuration_version",
         "Version of the configuration acted by",
-        |readings| clamped(readings.configuration),
+        |readings| saturated(readings.configuration),
     ),
     gauge(
         "log_lines_left_out",
         "Log lines left out for want of budget",
-        |readings| clamped(readings.log_lines_left_out),
+        |readings| saturated(readings.log_lines_left_out),
     ),
 ];
 
-/// A count as a gauge holds it.
-fn clamped(count: impl TryInto<i64>) -> i64 {
+/// Converts a count to the type of a gauge; the largest value stands for larger counts.
+fn saturated(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
 }
 
@@ -139,7 +143,7 @@
 pub(crate) struct GatewayMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
-    request_seconds: Family<RouteLabel, Histogram, Buckets>,
+    request_seconds: Family<RouteLabel, Histogram, DurationBuckets>,
     attempts: Family<OutcomeLabel, Counter>,
     items: Family<OutcomeLabel, Counter>,
     item_seconds: Histogram,
@@ -147,22 +151,22 @@
     scoring_seconds: Histogram,
     calls: Family<CallLabels, Counter>,
     peers_refused: Counter,
-    /// Those of [`GAUGES`].
+    /// The gauges, in the order of [`GAUGES`].
     gauges: Vec<Gauge>,
 }
 
 impl GatewayMetrics {
-    /// All at zero.
+    /// Creates all metrics with value zero.
     pub(crate) fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore_gateway"),
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(Buckets),
+            request_seconds: Family::new_with_constructor(DurationBuckets),
             attempts: Family::default(),
             items: Family::default(),
-            item_seconds: Buckets.new_metric(),
+            item_seconds: DurationBuckets.new_metric(),
             scorings: Family::default(),
-            scoring_seconds: Buckets.new_metric(),
+            scoring_seconds: DurationBuckets.new_metric(),
             calls: Family::default(),
             peers_refused: Counter::default(),
             gauges: Vec::new(),
@@ -233,7 +237,7 @@
         }
     }
 
-    /// A live request has ended.
+    /// Records the end of a live request.
     pub(crate) fn request_ended(&self, route: &str, outcome: &'static str, time: Duration) {
         let route = route.to_owned();
         let label = RouteLabel {
@@ -245,35 +249,35 @@
         histogram.observe(time.as_secs_f64());
     }
 
-    /// A send of a live request has ended.
+    /// Records the end of an attempt at a live request.
     pub(crate) fn attempt_ended(&self, outcome: &'static str) {
         self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// An attempt at an item has ended.
+    /// Records the end of an attempt at an item.
     pub(crate) fn item_ended(&self, outcome: &'static str, time: Duration) {
         self.items.get_or_create(&OutcomeLabel { outcome }).inc();
         self.item_seconds.observe(time.as_secs_f64());
     }
 
-    /// A scoring has ended.
+    /// Records the end of a scoring.
     pub(crate) fn scoring_ended(&self, outcome: &'static str, time: Duration) {
         self.scorings.get_or_create(&OutcomeLabel { outcome }).inc();
         self.scoring_seconds.observe(time.as_secs_f64());
     }
 
-    /// A call about a batch job has ended.
+    /// Records the end of a call about a batch job.
     pub(crate) fn call_ended(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// A coordinator that speaks no common format was refused.
+    /// Records the refusal of a coordinator without a common format.
     pub(crate) fn peer_refused(&self) {
         self.peers_refused.inc();
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub(crate) fn text(&self, readings: Readings) -> String {
         for (gauge, entry) in self.gauges.iter().zip(GAUGES) {
             gauge.set((entry.read)(&readings));
--- a/crates/gateways/wingshore-gateway/src/process/group.rs
+++ b/crates/gateways/wingshore-gateway/src/process/group.rs
@@ -1,10 +1,10 @@
-//! Wiring of the links to the coordination group: what its messages do, and what it is sent.
+//! Handling of the links to the coordination group: incoming messages and reports to the group.
 
 use super::Gateway;
 use crate::coordinators::{StateCopy, send, send_hello};
 use crate::crash_reports;
 use crate::ids::CallId;
-use crate::view_following::{self, ViewNews};
+use crate::view_following::{self, AppliedUpdate};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use wingshore_coordination::{
@@ -14,10 +14,10 @@
 use wingshore_types::Epoch;
 
 impl Gateway {
-    /// Connects to all known coordinators there is no connection to.
+    /// Connects to all known coordinators without a connection.
     pub(super) fn dial_coordinators(&mut self) {
         let seeds = self.settings.seed_addresses();
-        for address in self.environment.site.coordinators.wanted(seeds) {
+        for address in self.environment.site.coordinators.target_addresses(seeds) {
             let lost = self
                 .environment
                 .site
@@ -48,7 +48,7 @@
     pub(super) fn on_link_ended(&mut self, connection: ConnectionId, address: SocketAddr) {
         let coordinators = &mut self.environment.site.coordinators;
         coordinators.link_ended(&mut self.environment.runtime, connection, address);
-        self.following.link_ended(address);
+        self.view_follower.link_ended(address);
         self.follow_view();
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         self.calls.link_lost(runtime, site, connection);
@@ -61,7 +61,7 @@
             };
             match frame::decode_with_rest::<CoordinatorMessage>(input) {
                 Ok(Some((message, rest))) => {
-                    if !self.speaks_with(address, &message, &rest) {
+                    if !self.shares_format(address, &message, &rest) {
                         return self.on_link_ended(connection, address);
                     }
                     self.on_coordinator(connection, address, message);
@@ -75,17 +75,18 @@
         }
     }
 
-    /// Whether the coordinator can be spoken with, as far as its message and what came after it say.
-    fn speaks_with(
+    /// Returns whether the coordinator shares a format with this gateway, as far as its message and
+    /// the bytes after it show.
+    fn shares_format(
         &mut self,
         address: SocketAddr,
         message: &CoordinatorMessage,
         rest: &[u8],
     ) -> bool {
-        let is_introduction = matches!(message, CoordinatorMessage::Alive { .. });
+        let carries_formats = matches!(message, CoordinatorMessage::Alive { .. });
         let environment = &mut self.environment;
         let coordinators = &mut environment.site.coordinators;
-        !is_introduction || coordinators.speaks_with(&environment.runtime, address, rest)
+        !carries_formats || coordinators.shares_format(&environment.runtime, address, rest)
     }
 
     fn on_coordinator(
@@ -95,7 +96,10 @@
         message: CoordinatorMessage,
     ) {
         let now = self.environment.runtime.now;
-        self.environment.site.coordinators.heard(now, address);
+        self.environment
+            .site
+            .coordinators
+            .record_message(now, address);
         match message {
             CoordinatorMessage::Leading { epoch } => {
                 self.on_leading(connection, address, epoch);
@@ -113,7 +117,7 @@
                 self.items.interrupt(&mut self.environment, assignment);
             }
             CoordinatorMessage::HandInFrom { assignment, held } => {
-                self.items.upload_from(assignment, held);
+                self.items.upload_after(assignment, held);
             }
             CoordinatorMessage::Release { assignment } => {
                 self.items.release(&mut self.environment, assignment);
@@ -126,7 +130,7 @@
                 copy,
                 wall,
             } => {
-                self.environment.usage.time_heard(now, address, wall);
+                self.environment.usage.record_wall_time(now, address, wall);
                 let copy = copy.map(|revision| StateCopy { zone, revision });
                 let links = &mut self.environment.site.coordinators;
                 links.heartbeat(address, coordinators, copy);
@@ -135,9 +139,9 @@
         }
     }
 
-    /// A coordinator says that it leads.
+    /// Handles a coordinator's announcement that it leads.
     fn on_leading(&mut self, connection: ConnectionId, address: SocketAddr, epoch: Epoch) {
-        if !self.environment.site.view.led(epoch) {
+        if !self.environment.site.view.accept_leader(epoch) {
             return;
         }
         info!(self.environment.runtime.logger, "leader"; "address" => %address, "epoch" => epoch.0,
@@ -152,7 +156,8 @@
         self.report_usage();
     }
 
-    /// Reports to a new leader which items run here; the ends that were not reported follow.
+    /// Reports to a new leader which items and scorings run here, and then the outcomes that were
+    /// not reported to it.
     fn report_running(&mut self, connection: ConnectionId) {
         let items: Vec<RunningItem> = self.items.running().collect();
         let scorings = self.scorings.running().collect();
@@ -172,19 +177,19 @@
         }
     }
 
-    /// Reports how far the items are that run here.
+    /// Reports the progress of the running items, and the unfinished scorings.
     pub(super) fn report_progress(&mut self) {
         let progress = self.items.progress();
         if !progress.is_empty() {
             self.environment.report(GatewayMessage::Progress(progress));
         }
-        let scorings = self.scorings.in_hand();
+        let scorings = self.scorings.unfinished();
         if !scorings.is_empty() {
             self.environment.report(GatewayMessage::Scoring(scorings));
         }
     }
 
-    /// Reports the counts of usage that have changed.
+    /// Reports the usage counts that have changed.
     pub(super) fn report_usage(&mut self) {
         if self.environment.site.coordinators.leader().is_none() {
             return;
@@ -194,10 +199,10 @@
         }
     }
 
-    /// Follows the view where that is best.
+    /// Follows the view from the best coordinator.
     pub(super) fn follow_view(&mut self) {
         let site = &self.environment.site;
-        self.following.follow(
+        self.view_follower.follow(
             &mut self.environment.runtime,
             &site.coordinators,
             &site.view,
@@ -205,20 +210,20 @@
         );
     }
 
-    /// A coordinator has sent the view, or changes of it.
+    /// Handles a whole view or changes of it that a coordinator sent.
     fn on_view(&mut self, connection: ConnectionId, update: ViewUpdate) {
         let version_before = self.environment.site.view.version();
         let view = &mut self.environment.site.view;
-        let news =
-            view_following::take_update(&mut self.environment.runtime, view, connection, update);
-        match news {
+        let applied =
+            view_following::apply_update(&mut self.environment.runtime, view, connection, update);
+        match applied {
             None => return,
-            Some(ViewNews::Changes(changes)) => {
+            Some(AppliedUpdate::Changes(changes)) => {
                 for change in &changes {
                     crash_reports::view_changed(&mut self.environment, change);
                 }
             }
-            Some(ViewNews::Whole) => {
+            Some(AppliedUpdate::Whole) => {
                 crash_reports::view_replaced(&mut self.environment);
                 self.start_scorings();
             }
--- a/crates/gateways/wingshore-gateway/src/view_following.rs
+++ b/crates/gateways/wingshore-gateway/src/view_following.rs
@@ -1,34 +1,34 @@
-//! The view of the site: where it is followed, and what its updates bring.
+//! Updates of the site's view: selects the coordinator that sends them, and applies them.
 //!
-//! Owns the choice of the coordinator that is followed; relies on the links for candidates and on
-//! [`View`] for which updates are taken.
+//! Owns the choice of the coordinator that is followed; relies on the links for candidates, and on
+//! [`View`] for which updates are applied.
 
 use crate::coordinators::{Coordinators, send};
 use crate::runtime::Runtime;
-use crate::view::{UpdateVerdict, View};
-use crate::view_source::{Choice, ViewSource};
+use crate::view::{UpdateOutcome, View};
+use crate::view_source::{ChoiceInputs, ViewSource};
 use slog::info;
 use std::net::SocketAddr;
 use wingshore_coordination::{GatewayMessage, ViewChange, ViewContent, ViewUpdate};
 use wingshore_net::ConnectionId;
 
-/// What an update of the view has brought.
-pub(crate) enum ViewNews {
+/// Content of an update that was applied.
+pub(crate) enum AppliedUpdate {
     /// The whole view.
     Whole,
     /// These changes.
     Changes(Vec<ViewChange>),
 }
 
-/// Following the view.
-pub(crate) struct ViewFollowing {
+/// Follows the view at one coordinator at a time.
+pub(crate) struct ViewFollower {
     source: ViewSource,
-    /// Spreads the gateways of a site over coordinators that are alike.
+    /// Spreads the gateways of a site over equally suitable coordinators.
     salt: u64,
 }
 
-impl ViewFollowing {
-    /// Nothing is followed yet.
+impl ViewFollower {
+    /// Starts without a coordinator to follow.
     pub(crate) fn new(salt: u64) -> Self {
         Self {
             source: ViewSource::default(),
@@ -36,12 +36,13 @@
         }
     }
 
-    /// The link to a coordinator has ended.
+    /// Handles the end of the link to a coordinator.
     pub(crate) fn link_ended(&mut self, address: SocketAddr) {
         self.source.link_ended(address);
     }
 
-    /// Follows the view where that is best, seen from `zone`.
+    /// Selects the best coordinator for a gateway in `zone`, and follows the view there if it is a
+    /// new one.
     pub(crate) fn follow(
         &mut self,
         runtime: &mut Runtime,
@@ -51,12 +52,12 @@
     ) {
         let now = runtime.now;
         let candidates = coordinators.view_candidates(now, zone);
-        let choice = Choice {
+        let choice = ChoiceInputs {
             candidates: &candidates,
             known: view.revision(),
             salt: self.salt,
         };
-        let before = self.source.current();
+        let previous = self.source.current();
         let Some(address) = self.source.choose(now, &choice) else {
             return;
         };
@@ -65,35 +66,35 @@
         };
         info!(runtime.logger, "view followed"; "address" => %address,
             "revision" => view.revision().map(|since| since.0));
-        let before = before.and_then(|before| coordinators.connection(before));
-        if let Some(before) = before {
-            send(runtime, before, GatewayMessage::LeaveView);
+        let previous = previous.and_then(|previous| coordinators.connection(previous));
+        if let Some(previous) = previous {
+            send(runtime, previous, GatewayMessage::LeaveView);
         }
         ask_for_view(runtime, connection, view);
     }
 }
 
-/// Asks a coordinator for the view, behind what `view` accounts for.
+/// Asks a coordinator for the view from the revision of `view` on.
 fn ask_for_view(runtime: &mut Runtime, connection: ConnectionId, view: &View) {
     let since = view.revision();
     send(runtime, connection, GatewayMessage::FollowView { since });
 }
 
-/// Takes an update of the view that came on `connection`; `None` if it brings nothing.
-pub(crate) fn take_update(
+/// Applies an update of the view that arrived on `connection`; `None` if nothing was applied.
+pub(crate) fn apply_update(
     runtime: &mut Runtime,
     view: &mut View,
     connection: ConnectionId,
     update: ViewUpdate,
-) -> Option<ViewNews> {
-    let news = match &update.content {
-        ViewContent::Whole(_) => ViewNews::Whole,
-        ViewContent::Changes { changes, .. } => ViewNews::Changes(changes.clone()),
+) -> Option<AppliedUpdate> {
+    let applied = match &update.content {
+        ViewContent::Whole(_) => AppliedUpdate::Whole,
+        ViewContent::Changes { changes, .. } => AppliedUpdate::Changes(changes.clone()),
     };
     match view.update(update) {
-        UpdateVerdict::Taken => Some(news),
-        UpdateVerdict::Old => None,
-        UpdateVerdict::Gap => {
+        UpdateOutcome::Applied => Some(applied),
+        UpdateOutcome::Stale => None,
+        UpdateOutcome::Gap => {
             ask_for_view(runtime, connection, view);
             None
         }
--- a/crates/gateways/wingshore-gateway/tests/view.rs
+++ b/crates/gateways/wingshore-gateway/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of its site: it never goes back.
+//! Updates of a gateway's view of its site: the view never goes back to an older state.
 
 use googletest::prelude::*;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
     IngressLimits, InstanceId, ServerRecord, ServiceName, SiteConfiguration, SiteView, ViewChange,
     ViewContent, ViewUpdate,
 };
-use wingshore_gateway::{UpdateVerdict, View};
+use wingshore_gateway::{UpdateOutcome, View};
 use wingshore_types::{Epoch, LogIndex};
 
 fn configuration(version: u64) -> Arc<SiteConfiguration> {
@@ -60,60 +60,60 @@
 }
 
 #[gtest]
-fn an_older_configuration_is_not_taken() {
+fn an_older_configuration_is_not_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, Vec::new()));
     let older = ViewChange::Configuration(configuration(5));
     view.update(changes(10, 11, vec![older]));
     expect_that!(view.version(), eq(7));
-    // A copy that has caught up to more of the log, but holds an older version.
+    // A copy that includes more of the log but has an older version.
     view.update(whole(12, 6, Vec::new()));
     expect_that!(view.version(), eq(7));
 }
 
 #[gtest]
-fn a_leader_of_an_older_term_is_not_believed() {
+fn a_leader_of_an_older_epoch_is_not_accepted() {
     let mut view = View::default();
-    expect_that!(view.led(Epoch(5)), eq(true));
-    expect_that!(view.led(Epoch(4)), eq(false));
+    expect_that!(view.accept_leader(Epoch(5)), eq(true));
+    expect_that!(view.accept_leader(Epoch(4)), eq(false));
     expect_that!(view.epoch(), eq(Epoch(5)));
 }
 
 #[gtest]
-fn a_copy_that_is_behind_is_not_believed() {
+fn an_update_of_an_older_revision_is_not_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let behind = view.update(whole(9, 9, Vec::new()));
-    expect_that!(behind, eq(UpdateVerdict::Old));
+    expect_that!(behind, eq(UpdateOutcome::Stale));
     let drained = ViewChange::Server(server("a", true));
     let behind = view.update(changes(8, 9, vec![drained]));
-    expect_that!(behind, eq(UpdateVerdict::Old));
+    expect_that!(behind, eq(UpdateOutcome::Stale));
     expect_that!(servers(&view), eq(1));
     expect_that!(view.revision(), some(eq(LogIndex(10))));
 }
 
 #[gtest]
-fn changes_that_leave_a_gap_are_not_taken() {
+fn changes_that_leave_a_gap_are_not_applied() {
     let mut view = View::default();
     let gone = || vec![ViewChange::Gone(InstanceId::from("a"))];
     let first = view.update(changes(3, 12, gone()));
-    expect_that!(first, eq(UpdateVerdict::Gap));
+    expect_that!(first, eq(UpdateOutcome::Gap));
     view.update(whole(10, 7, vec![server("a", false)]));
     let late = view.update(changes(11, 12, gone()));
-    expect_that!(late, eq(UpdateVerdict::Gap));
+    expect_that!(late, eq(UpdateOutcome::Gap));
     expect_that!(servers(&view), eq(1));
 }
 
-/// Two copies may tell the same entries, one after the other.
+/// Two copies may send the same entries one after the other.
 #[gtest]
-fn changes_that_overlap_are_taken() {
+fn changes_that_overlap_are_applied() {
     let mut view = View::default();
     view.update(whole(10, 7, vec![server("a", false)]));
     let added = ViewChange::Server(server("b", false));
     view.update(changes(10, 12, vec![added.clone()]));
     let gone = ViewChange::Gone(InstanceId::from("a"));
     let verdict = view.update(changes(10, 13, vec![added, gone]));
-    expect_that!(verdict, eq(UpdateVerdict::Taken));
+    expect_that!(verdict, eq(UpdateOutcome::Applied));
     expect_that!(view.knows(&InstanceId::from("a")), eq(false));
     expect_that!(view.knows(&InstanceId::from("b")), eq(true));
 }
