--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at items that gateways run: taken over from an earlier leader, heard of, ended.
+//! Attempts at items that run at gateways: adoption from an earlier leader, partial texts, ends.
 
 use super::decision_log::Decision;
 use super::decisions::ejection::eject_until;
@@ -17,20 +17,20 @@
 use crate::text::{FinishedText, ItemText};
 use wingshore_types::Instant;
 
-/// What a log line says of an attempt whose text is not taken.
+/// Logged reason for a retry after an attempt whose finished text is discarded.
 const TOO_OLD: &str = "its text is of an older version than its job allows";
-/// What a log line says of an attempt that its gateway does not speak of.
+/// Logged reason for a retry after an attempt that its gateway no longer reports.
 const SILENT: &str = "the gateway does not speak of it any more";
 
 impl CoordinationLeader {
-    /// A gateway runs an item that an earlier leader assigned.
+    /// Adopts an attempt that a gateway reports and that an earlier leader assigned.
     pub(crate) fn adopt(&mut self, gateway: GatewayId, reported: RunningItem, turn: &mut Turn<'_>) {
         let RunningItem {
             assignment,
             item,
             instance,
         } = reported;
-        // The connection of its gateway may have broken, and parts of the text been lost with it.
+        // The gateway may have reconnected, and uploaded parts of the text may have been lost.
         if self.items.is_under_way(assignment) {
             return self.tell_held(assignment, turn);
         }
@@ -52,7 +52,8 @@
         self.tell_held(assignment, turn);
     }
 
-    /// Tells the gateway of an attempt from where on it is to upload the text.
+    /// Tells the gateway of an attempt which prefix of the text is held, so that it uploads the
+    /// rest.
     pub(super) fn tell_held(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
         let Some(attempt) = self.items.attempt(assignment) else {
             return;
@@ -64,8 +65,9 @@
         }
     }
 
-    /// Makes events of a long item durable. Where they do not follow what the log is to hold, a part
-    /// before them was lost: the gateway is told from where on to upload.
+    /// Proposes to store uploaded events of a long item. If they do not directly follow the events
+    /// stored or proposed so far, an earlier upload was lost: the gateway is told from where to
+    /// upload again.
     pub(crate) fn keep_partial_text(
         &mut self,
         assignment: AssignmentId,
@@ -95,7 +97,7 @@
         self.propose(command, FollowUp::Nothing, turn);
     }
 
-    /// Attempts that their gateways do not speak of any more are over.
+    /// Ends the attempts that their gateways no longer report, and queues their items again.
     pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
         let silent: Vec<AssignmentId> = self
             .items
@@ -113,7 +115,7 @@
         }
     }
 
-    /// An attempt at an item is over.
+    /// Handles the end of an attempt at an item.
     pub(crate) fn on_item_ended(
         &mut self,
         gateway: GatewayId,
@@ -134,7 +136,8 @@
         self.place_items(turn);
     }
 
-    /// What is known of an item that has no result yet.
+    /// Collects the data by which the outcome of an attempt is judged; `None` if the item is not
+    /// open or already has a result.
     fn history_of(
         &self,
         item: &ItemKey,
@@ -176,7 +179,7 @@
         attempts.unwrap_or(1).max(1)
     }
 
-    /// An attempt at an item without a result is over.
+    /// Handles the end of an attempt at an item that has no result yet.
     fn attempt_ended(
         &mut self,
         finished: (GatewayId, AssignmentId),
@@ -207,7 +210,7 @@
         }
     }
 
-    /// An item waits again.
+    /// Queues an item again after a failed attempt.
     fn retry(
         &mut self,
         attempt: &Attempt,
@@ -262,8 +265,9 @@
         }
     }
 
-    /// An attempt is over that this leader took to be over, because its gateway was unreachable. A whole
-    /// text is a result all the same, whatever runs for the item meanwhile: the first one counts.
+    /// Handles the end of an attempt that this leader had already ended because its gateway was
+    /// unreachable. A finished text is accepted nevertheless, and ends any attempt that replaced
+    /// it: the first finished text counts.
     fn on_forgotten_end(
         &mut self,
         (gateway, assignment): (GatewayId, AssignmentId),
@@ -289,7 +293,7 @@
         self.place_items(turn);
     }
 
-    /// An attempt is of no use, and neither is the scoring that may have followed it.
+    /// Releases an attempt, and the scoring that its gateway may have started for its text.
     fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, turn: &mut Turn<'_>) {
         turn.release_attempt(gateway, assignment);
         if !self.scorings.has(assignment) {
@@ -297,14 +301,14 @@
         }
     }
 
-    /// Its engine and its gateway have one item less.
+    /// Updates the counts of running items of an ended attempt's engine and gateway.
     pub(crate) fn note_end(&mut self, attempt: &Attempt) {
         self.engines.ended(&attempt.instance);
         self.gateways.item_ended(attempt.gateway);
     }
 }
 
-/// Whether a text is of a version that its job does not allow.
+/// Returns whether a text was made by an older model version than its job allows.
 fn is_too_old(text: &FinishedText, item: &ItemKey, state: &CoordinationState) -> bool {
     let job = state.jobs().get(&item.job);
     let oldest = job.map_or(0, |job| job.submission.min_version);
--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -1,8 +1,8 @@
-//! Ordering servers: commits how many of each pool are wanted, and orders them.
+//! Ordering servers: commits the wanted number of servers of each pool, and orders it.
 //!
-//! A number is committed before it is ordered, so that a successor continues with it rather than with
-//! one of its own. Which numbers are wanted is [`super::decisions::capacity_plan`]'s, when they are ordered
-//! [`super::decisions::capacity_orders`]'s.
+//! A number is committed before it is ordered, so that the next leader continues with it instead of
+//! computing its own. [`super::decisions::capacity_plan`] computes the wanted numbers;
+//! [`super::decisions::capacity_orders`] decides when to order them.
 
 use super::decision_log::Decision;
 use super::decisions::capacity_plan::{CapacityDemand, DEMAND_MEMORY, wanted};
@@ -20,11 +20,11 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Time between two scans of what is wanted.
+/// Time between two computations of the wanted numbers.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 
 impl CoordinationLeader {
-    /// Decides how many servers are wanted, and orders what is due.
+    /// Computes the wanted numbers of servers, and sends the orders that are due.
     pub(crate) fn drive_capacity(&mut self, turn: &mut Turn<'_>) {
         let scanned_at = self.capacity.scanned_at;
         let is_due = scanned_at.is_none_or(|at| turn.now.since(at) >= SCAN_INTERVAL);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Commits the numbers that are wanted of a service's servers.
+    /// Proposes the wanted numbers of a service's servers where they changed.
     fn want_servers(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
         let demand = self.demand_of(turn.now, service, turn.state);
         for (pool, count) in wanted(&service.name, scaling, &demand, self.settings.capacity) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What is asked of a service, and what it has.
+    /// Returns the demand for a service and the servers that it already has.
     fn demand_of(
         &mut self,
         now: Instant,
@@ -92,8 +92,8 @@
         demand
     }
 
-    /// Items that a service runs, and its part of those that wait. A job's items are taken to go the way
-    /// of its first one.
+    /// Returns the number of items that a service runs plus its share of the waiting ones. All
+    /// items of a job are assumed to take the route of the first one.
     fn open_items_of(&self, service: &ServiceName, state: &CoordinationState) -> usize {
         let engines = self.engines.iter();
         let engines = engines.filter(|(_, engine)| engine.record.service == *service);
@@ -106,7 +106,7 @@
         running + waiting.sum::<usize>()
     }
 
-    /// Gives orders for which there is reason.
+    /// Sends the orders of a service that are due.
     fn order_servers(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
         let holder = self.duty_holder();
         for (pool, count) in turn.state.capacity() {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// A number is committed.
+    /// Continues after the wanted number of a pool was committed.
     pub(crate) fn capacity_wanted(&mut self, pool: &CapacityPool, turn: &mut Turn<'_>) {
         self.capacity.proposed.remove(pool);
         self.capacity.scanned_at = None;
@@ -138,7 +138,7 @@
         self.drive_capacity(turn);
     }
 
-    /// The provider has answered an order, or has not.
+    /// Handles the provider's answer to an order, or the lack of one.
     pub(crate) fn on_capacity_answered(
         &mut self,
         now: Instant,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Servers of a pool that are registered and not leaving.
+/// Returns the number of registered servers of a pool that are not draining.
 fn present_in(pool: &CapacityPool, state: &CoordinationState) -> u32 {
     let servers = state.servers().values();
     let present = servers.filter(|server| {
--- a/crates/gateways/wingshore-coordination/src/leader/configuring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/configuring.rs
@@ -1,4 +1,4 @@
-//! What operators and trainers put in force: configurations, and versions of models.
+//! Configurations that operators put in force, and model versions that trainers name.
 
 use super::decision_log::Decision;
 use super::machine::CoordinationLeader;
@@ -31,7 +31,7 @@
         self.propose(command, FollowUp::Configuration(tag), turn);
     }
 
-    /// A configuration is in force.
+    /// Continues after a configuration was committed and came into force.
     pub(super) fn configured(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
         if let Some(configuration) = turn.state.configuration() {
             let version = configuration.version;
@@ -43,7 +43,7 @@
         self.place_items(turn);
     }
 
-    /// Looks up what is decided by from now on.
+    /// Derives routes and tenant ranks from the configuration in force.
     pub(super) fn take_configuration(&mut self, state: &CoordinationState) {
         if let Some(configuration) = state.configuration() {
             self.routes = RouteTable::new(configuration);
@@ -75,7 +75,7 @@
         let command = Command::NameVersion { model, version };
         self.propose(command, FollowUp::Version(tag), turn);
     }
-    /// A version is named: engines are to load it.
+    /// Continues after a named version was committed: engines are to load it.
     pub(super) fn version_named(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
         turn.reply(tag, Reply::Done);
         self.drive_rollout(turn);
--- a/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
@@ -1,4 +1,4 @@
-//! What the leader decides, as it is logged: the inputs of each decision and its outcome.
+//! Decisions of the leader as they are logged: the inputs of each decision and its outcome.
 
 use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
@@ -8,8 +8,8 @@
 use crate::usage::UsageWindow;
 
 impl Decision {
-    /// The request that the decision is about, where it went well: lines about such ones may be
-    /// sampled.
+    /// Returns the request that the decision is about if everything went well; log lines about such
+    /// decisions may be sampled by it. `None` for decisions that are always logged.
     pub fn sampled_by(&self) -> Option<&ItemId> {
         match self {
             Self::ItemAssigned { item, .. } | Self::ItemListed { item, .. } => Some(item),
@@ -19,47 +19,47 @@
     }
 }
 
-/// A decision of the leader.
+/// A decision of the leader, with the data that its log line shows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// A batch job was accepted.
     JobAccepted {
-        /// The job, and with it whose it is.
+        /// The job; its identifier names the tenant.
         job: JobId,
         /// Its items.
         items: usize,
-        /// Step of the trainer.
+        /// The trainer's step.
         step: u64,
         /// The model.
         model: Option<ModelName>,
-        /// The oldest version that may make its tokens.
+        /// The oldest model version that may generate its tokens.
         min_version: u64,
         /// The newest named version of the model.
         named_version: u64,
     },
-    /// A batch job was refused: memory has no room for it now.
+    /// A batch job was refused because open jobs fill the memory set aside for them.
     JobRefused {
         /// The job.
         job: JobId,
-        /// Its bytes.
+        /// Size of its contents in bytes.
         bytes: usize,
-        /// Bytes of the jobs that are open.
+        /// Size of all open jobs in bytes.
         open_bytes: usize,
-        /// The most that open jobs may have together.
+        /// Limit for the size of all open jobs, in bytes.
         most_bytes: usize,
     },
-    /// The caller has ended a batch job.
+    /// The caller ended a batch job.
     JobEnded {
         /// The job.
         job: JobId,
         /// Its items.
         items: usize,
-        /// Results that are listed.
+        /// Number of its listed results.
         listed: usize,
-        /// Attempts that are ended with it.
+        /// Number of running attempts that are ended with it.
         running: usize,
     },
-    /// An item was placed.
+    /// An item was assigned to an engine and a gateway.
     ItemAssigned {
         /// The attempt.
         assignment: AssignmentId,
@@ -69,82 +69,83 @@
         item: ItemId,
         /// The engine.
         instance: InstanceId,
-        /// Items that run there, this one too.
+        /// Number of items that run on the engine, including this one.
         engine_running: usize,
-        /// Version that the engine holds at least.
+        /// Model version that the engine has loaded, or a lower bound of it.
         engine_version: u64,
-        /// Time from event to event there with one item, in microseconds, as measured lately.
+        /// Recently measured time between two events on the engine when it runs one item, in
+        /// microseconds.
         engine_pace_us: Option<u64>,
-        /// Whether it counts as a long one.
+        /// Whether the item is classified as long.
         is_long: bool,
         /// The gateway that runs it.
         gateway: GatewayId,
-        /// The last event of earlier attempts.
+        /// The last event of earlier attempts, after which this one continues.
         after_event: Option<u64>,
     },
-    /// An attempt was over without a whole result.
+    /// An attempt ended without a usable result.
     ItemRetried {
         /// The attempt.
         assignment: AssignmentId,
         /// The job.
         job: JobId,
-        /// The item's place in the job.
+        /// Index of the item in the job.
         index: u32,
         /// The engine.
         instance: InstanceId,
-        /// What came of the attempt.
+        /// Why the attempt ended.
         reason: &'static str,
     },
-    /// An item goes on at a faster engine.
+    /// An item is moved to a faster engine.
     ItemMoved {
-        /// The attempt that is broken off.
+        /// The attempt that is interrupted.
         assignment: AssignmentId,
         /// The job.
         job: JobId,
-        /// The item's place in the job.
+        /// Index of the item in the job.
         index: u32,
         /// The engine that is too slow.
         instance: InstanceId,
     },
-    /// A result is committed.
+    /// A result was committed.
     ItemListed {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemId,
-        /// Its position in the job.
+        /// Position of the result in the job's list.
         position: u64,
-        /// Versions that made it.
+        /// Model versions that generated it.
         versions: Vec<u64>,
-        /// Time since the job was known here.
+        /// Time since this leader learned of the job.
         age: std::time::Duration,
     },
-    /// About a scoring.
+    /// A decision about a scoring.
     Scoring(ScoringDecision),
     /// An item was abandoned.
     ItemAbandoned {
         /// The job.
         job: JobId,
-        /// The item's place in the job.
+        /// Index of the item in the job.
         index: u32,
         /// Why.
         reason: &'static str,
     },
-    /// What the registry holds of a server has changed.
+    /// The registry's record of a server changed.
     ServerChanged {
         /// The server.
         instance: InstanceId,
-        /// How: registered, draining, gone.
+        /// The new status: registered, draining or gone.
         change: &'static str,
     },
-    /// A trainer has named a version.
+    /// A trainer named a version.
     VersionNamed {
-        /// Of which model.
+        /// The model.
         model: ModelName,
         /// The version.
         version: u64,
     },
-    /// An engine holds a named version.
+    /// An engine has loaded a named version.
     VersionReached {
         /// The engine.
         instance: InstanceId,
@@ -153,50 +154,50 @@
         /// The version.
         version: u64,
     },
-    /// A server has ended under a request, which may count against it.
+    /// A server crashed while it processed a request; the crash may count against the request.
     RequestSuspected {
         /// The request.
         request: RequestFingerprint,
-        /// The incarnation of the server.
+        /// The incarnation of the server that crashed.
         instance: InstanceId,
-        /// The gateway that saw it.
+        /// The gateway that observed the crash.
         gateway: GatewayId,
-        /// Servers of the service that ended together, this one too.
+        /// Number of servers of the service that crashed together, including this one.
         ended_together: usize,
-        /// Those of them that the request stood on.
+        /// How many of them were processing the request.
         under_request: usize,
-        /// Endings that counted against the request before.
+        /// Number of earlier crashes that counted against the request.
         ended_before: usize,
-        /// Whether it counts.
+        /// Whether this crash counts against the request.
         counted: bool,
     },
-    /// So many servers have ended under a request that it is rejected from now on.
+    /// A request is rejected from now on, because too many servers crashed while they processed it.
     RequestRejected(Suspect),
-    /// A request is let off.
+    /// A request is no longer suspected.
     RequestCleared {
         /// The request.
         request: RequestFingerprint,
         /// Why.
         reason: &'static str,
     },
-    /// Another number of servers is wanted.
+    /// The wanted number of servers of a pool changed.
     CapacityWanted {
-        /// Of which servers.
+        /// The pool.
         pool: CapacityPool,
-        /// How many.
+        /// The wanted number.
         count: u32,
-        /// The number wanted before.
+        /// The previous number; `None` if there was none.
         before: Option<u32>,
-        /// The most items that were open at once lately.
+        /// Recent maximum of simultaneously open items.
         open_items: usize,
     },
-    /// The counts of a window of usage are fixed.
+    /// The counts of a usage window are final.
     UsageClosed {
         /// The window.
         window: UsageWindow,
-        /// Tenants with requests in it.
+        /// Number of tenants with requests in the window.
         tenants: usize,
-        /// Requests of all of them.
+        /// Number of requests of all tenants in the window.
         requests: u64,
     },
     /// A configuration came into force.
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -1,4 +1,4 @@
-//! Inputs of the leader machine: which part of the leader each goes to.
+//! Dispatch of the leader machine's inputs to the modules that handle them.
 
 use super::decisions::expiry::INTRODUCTION_TIME;
 use super::interface::{Effect, Event};
@@ -12,8 +12,8 @@
 use wingshore_types::machine::{LeaderMachine, ProposalTag, RequestTag};
 use wingshore_types::{Epoch, Instant};
 
-/// Time between two sweeps through all servers, items and jobs for what has expired: their limits are
-/// seconds, and a sweep costs time in proportion to all of them.
+/// Time between two sweeps over all servers, items and jobs for expired ones. Their timeouts are
+/// seconds, and a sweep takes time in proportion to the number of all of them.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl LeaderMachine for CoordinationLeader {
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -1,5 +1,5 @@
-//! The leader's part in what is learned of requests from failed attempts: makes durable what counts against a
-//! request, rejects it, and clears it. Gateways learn of both by the view.
+//! Evidence against requests during which servers crashed: commits it, rejects requests and clears
+//! them. Gateways learn of rejected and cleared requests through the view.
 
 use super::decision_log::Decision;
 use super::decisions::crash_evidence::Pending;
@@ -14,7 +14,7 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// A gateway has seen servers end under requests.
+    /// Handles a gateway's report of servers that crashed while they processed requests.
     pub(crate) fn on_requests_crashed(
         &mut self,
         now: Instant,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Weighs the evidence that is due, and proposes what counts.
+    /// Evaluates the evidence that is due, and proposes to record the part that counts.
     pub(crate) fn weigh_evidence(&mut self, turn: &mut Turn<'_>) {
         let mut counts = Vec::new();
         for Pending {
@@ -59,7 +59,7 @@
         self.propose(command, FollowUp::CrashesNoted(requests), turn);
     }
 
-    /// Requests under which servers had ended ran well.
+    /// Clears requests that succeeded although servers had crashed during them before.
     pub(crate) fn on_requests_ran(
         &mut self,
         requests: Vec<RequestFingerprint>,
@@ -82,13 +82,14 @@
         self.propose(Command::ClearRequests(known), follow_up, turn);
     }
 
-    /// More servers have ended under these requests: some are rejected.
+    /// Rejects those of these requests that reached the limit after more crashes were committed.
     pub(crate) fn crashes_noted(&mut self, requests: Vec<RequestFingerprint>, turn: &mut Turn<'_>) {
         self.reject_requests(&requests, turn);
         self.evidence_changed(requests, turn);
     }
 
-    /// Evidence against these requests has changed: notes when, and logs those that are rejected.
+    /// Records the time at which the evidence against these requests changed, and logs the rejected
+    /// ones.
     pub(crate) fn evidence_changed(
         &mut self,
         requests: Vec<RequestFingerprint>,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Rejects those of these requests that are not to run any more.
+    /// Proposes to reject those of these requests whose evidence reached the limit.
     fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
         let is_over = |request: &&RequestFingerprint| {
             let suspect = turn.state.evidence().suspect(**request);
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Evidence without news for too long counts no longer.
+    /// Drops the oldest evidence against requests whose evidence has not changed for too long;
+    /// rejected requests may then run once more.
     pub(crate) fn relieve_requests(&mut self, turn: &mut Turn<'_>) {
         let old = self.evidence.take_old(turn.now);
         if old.is_empty() {
--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways that connect, report what they run, and go.
+//! Connects, reports and disconnects of gateways.
 
 use super::decisions::expiry::gateway_lost_at;
 use super::machine::CoordinationLeader;
@@ -10,7 +10,8 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// A gateway has connected: it is asked what it runs.
+    /// Handles a gateway that connected: announces this leader, which asks the gateway to report
+    /// what it runs.
     pub(super) fn on_gateway(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
         let gateway = hello.gateway;
         let epoch = self.epoch;
@@ -21,14 +22,14 @@
         self.scoring_gateway_lost(turn.now, gateway);
     }
 
-    /// A gateway says how it is.
+    /// Records the status that a gateway reports.
     pub(super) fn on_gateway_status(&mut self, gateway: GatewayId, status: GatewayStatus) {
         if let Some(known) = self.gateways.get_mut(gateway) {
             known.status = status;
         }
     }
 
-    /// Gateways that were away for too long are lost with all that they ran.
+    /// Gives up gateways that were disconnected for too long, with all attempts that they ran.
     pub(super) fn away_gateways_lost(&mut self, now: Instant) {
         for lost in self.gateways.take_lost(now) {
             self.gateway_items_lost(lost);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A gateway reports all that it runs.
+    /// Handles a gateway's report of everything that it runs.
     pub(super) fn on_running(
         &mut self,
         gateway: GatewayId,
@@ -52,7 +53,8 @@
         let Some(is_first) = self.gateways.introduce(gateway) else {
             return;
         };
-        // One that was welcomed twice reports twice, the second time without what it was given since.
+        // A gateway to which this leader was announced twice reports twice; the second report lacks
+        // the items assigned since the first.
         if is_first {
             self.gateway_introduced(gateway, &items);
         }
@@ -65,7 +67,7 @@
         self.place_items(turn);
     }
 
-    /// What a gateway does not speak of in its first report waits again.
+    /// Queues those items of a gateway again that are missing in its first report.
     fn gateway_introduced(&mut self, gateway: GatewayId, items: &[RunningItem]) {
         let reported = items.iter().map(|item| item.assignment).collect();
         let (kept, lost) = self.items.gateway_reports(gateway, &reported);
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The connection of a gateway has ended, after a silence.
+    /// Handles the loss of a gateway's connection; `silence` is the time since its last message.
     pub(super) fn on_gateway_gone(
         &mut self,
         gateway: GatewayId,
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -1,4 +1,4 @@
-//! What the leader machine hears from outside the group, and what it wants done there.
+//! Inputs of the leader machine from outside the group, and its effects there.
 
 use super::decision_log::Decision;
 use super::decisions::load_progress::{EngineStatus, OrderAnswer};
@@ -19,61 +19,61 @@
 use std::time::Duration;
 use wingshore_types::{Epoch, ReplicaId};
 
-/// News from outside the group.
+/// An input of the leader from outside the group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A gateway has connected to this coordinator.
+    /// A gateway connected to this coordinator.
     GatewayConnected(GatewayHello),
     /// A gateway reports its status.
     GatewayStatus(GatewayId, GatewayStatus),
-    /// A gateway reports what it has in hand.
+    /// A gateway reports all attempts and scorings that it runs.
     GatewayRunning {
         /// Which gateway.
         gateway: GatewayId,
-        /// Attempts at items.
+        /// Its running attempts at items.
         items: Vec<RunningItem>,
-        /// Scorings.
+        /// Its running scorings.
         scorings: Vec<RunningScoring>,
     },
-    /// A gateway uploads events of a long item.
+    /// A gateway uploads the next events of a long item that is still running.
     PartialTextStored {
         /// Which attempt.
         assignment: AssignmentId,
-        /// Events of the item that were kept before.
+        /// Number of the item's events that precede `text`.
         after_events: u64,
-        /// The events behind them.
+        /// The events that follow them.
         text: ItemText,
     },
-    /// A gateway reports how far its items are.
+    /// A gateway reports how many events its items have produced.
     ItemsProgressed(Vec<ItemProgress>),
-    /// A gateway reports which scorings it has in hand.
+    /// A gateway reports which scorings it is still running.
     ScoringsInHand(Vec<AssignmentId>),
-    /// A gateway's scoring is over.
+    /// A scoring ended at a gateway.
     ScoringEnded {
         /// Which gateway.
         gateway: GatewayId,
         /// Which scoring.
         scoring: AssignmentId,
-        /// What came of it.
+        /// Its outcome.
         outcome: ScoringOutcome,
     },
-    /// A gateway has seen servers end under requests.
+    /// A gateway reports servers that crashed while they processed requests.
     RequestsCrashed {
         /// Which gateway.
         gateway: GatewayId,
-        /// What it has seen.
+        /// The observed crashes.
         seen: Vec<SeenCrash>,
     },
-    /// Requests under which servers had ended ran well at a gateway.
+    /// Requests during which servers had crashed before succeeded at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
-    /// The connection of a gateway has ended.
+    /// The connection of a gateway closed.
     GatewayDisconnected {
         /// Which gateway.
         gateway: GatewayId,
-        /// How long it had been silent before.
+        /// Time since its last message.
         silence: Duration,
     },
-    /// A gateway's attempt at an item is over.
+    /// An attempt at an item ended at a gateway.
     ItemEnded {
         /// Which gateway.
         gateway: GatewayId,
@@ -81,65 +81,65 @@
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
-        /// What came of it.
+        /// Its outcome.
         outcome: ItemOutcome,
     },
-    /// Another coordinator has heard of servers that say what the registry holds.
+    /// Another coordinator answered heartbeats that changed nothing in the registry.
     ServersReported {
         /// The coordinator.
         from: ReplicaId,
         /// The servers.
         servers: Vec<HeardServer>,
     },
-    /// Connections to these coordinators' machines have ended lately, or are down.
+    /// Connections to the machines of these coordinators closed recently, or are down.
     CoordinatorsLost(Vec<String>),
-    /// The site has agreed on its time of day.
+    /// The site's agreed time of day.
     TimeAgreed(WallTime),
-    /// A gateway reports totals of requests that began to run.
+    /// A gateway reports totals of requests that started to run, by window and tenant.
     UsageReported {
         /// Which gateway.
         gateway: GatewayId,
         /// Its totals.
         usage: Vec<WindowUsage>,
     },
-    /// The provider answered an order for servers, or did not.
+    /// The provider answered an order for servers, or the call got no answer.
     CapacityAnswered {
-        /// Of which servers.
+        /// The pool whose servers were ordered.
         pool: CapacityPool,
-        /// How many were ordered.
+        /// The ordered number of servers.
         count: u32,
         /// The answer.
         answer: ProviderAnswer,
     },
-    /// The provider answered a report of usage, or did not.
+    /// The provider answered a usage report, or the call got no answer.
     UsageAnswered {
-        /// Of which window.
+        /// The window of the report.
         window: UsageWindow,
         /// The answer.
         answer: ProviderAnswer,
     },
-    /// An engine answered an order, or did not.
+    /// An engine answered an order to load weights, or the call got no answer.
     Ordered {
         /// The engine.
         instance: InstanceId,
         /// The answer.
         answer: OrderAnswer,
     },
-    /// An engine answered a poll of its status, or did not.
+    /// An engine answered a status poll, or the poll got no answer.
     EnginePolled {
         /// The engine.
         instance: InstanceId,
-        /// The answer; `None` without one.
+        /// The reported status; `None` if the engine did not answer.
         report: Option<EngineStatus>,
     },
 }
 
-/// What is to be done outside the group.
+/// An action outside the group that the leader requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a message to one gateway.
+    /// Send a message to a gateway.
     ToGateway(GatewayId, CoordinatorMessage),
-    /// Report to another coordinator that the registry does not hold these servers.
+    /// Tell another coordinator that the registry does not contain these servers.
     UnknownServers {
         /// The coordinator.
         to: ReplicaId,
@@ -148,27 +148,27 @@
     },
     /// Log a decision.
     Log(Decision),
-    /// Order the number of servers in a pool.
+    /// Order a number of servers in a pool from the provider.
     OrderCapacity(CapacityOrder),
-    /// Report a window's usage to the provider.
+    /// Report the usage of a window to the provider.
     ReportUsage(UsageReport),
-    /// Give an engine an order.
+    /// Order an engine to load weights.
     Order(WeightOrder),
-    /// Poll an engine for its status.
+    /// Poll the status of an engine.
     PollEngine {
         /// The engine.
         instance: InstanceId,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
     },
 }
 
-/// An order to load weights.
+/// An order to an engine to load the weights of a model version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightOrder {
     /// The engine.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// The model.
     pub model: ModelName,
@@ -176,25 +176,25 @@
     pub version: u64,
     /// Name of the machine that gives the order.
     pub holder: String,
-    /// Its leadership; engines refuse lower ones.
+    /// Fencing token: the leader's epoch. Engines refuse orders with a lower one.
     pub fence: Epoch,
-    /// Orders that the engine had taken when it was polled.
+    /// Number of orders that the engine had accepted when it was last polled.
     pub expected_sequence: u64,
-    /// Whether requests under way go on under the new version, rather than end first.
+    /// Whether running requests continue with the new version, rather than finish before the load.
     pub keep_running: bool,
 }
 
-/// How much a leader has in hand.
+/// Counts of the leader's open work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaderFigures {
-    /// Items without an engine.
+    /// Items that wait for an engine.
     pub items_waiting: usize,
-    /// Items on engines.
+    /// Items that run on engines.
     pub items_running: usize,
-    /// Engines that load weights.
+    /// Engines that are loading weights.
     pub engines_loading: usize,
-    /// Texts that wait for a scoring.
+    /// Finished texts that wait for a scoring.
     pub scorings_waiting: usize,
-    /// Scorings that gateways have in hand.
+    /// Scorings that run at gateways.
     pub scorings_running: usize,
 }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -16,7 +16,7 @@
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
-/// Most bytes of results in one answer.
+/// Maximum size of the results in one reply, in bytes.
 const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 impl CoordinationLeader {
@@ -40,7 +40,7 @@
         self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
     }
 
-    /// Refuses a job for which there is no room; says whether it did.
+    /// Refuses a job that does not fit into the memory for open jobs; returns whether it did.
     fn refuse_for_want_of_room(
         &self,
         tag: RequestTag,
@@ -64,7 +64,7 @@
         true
     }
 
-    /// Says which item names a scorer that no route leads to.
+    /// Returns why a job is refused if one of its items names a scorer that no route leads to.
     fn missing_scorer_route(
         &self,
         submission: &JobSubmission,
@@ -129,7 +129,7 @@
         });
     }
 
-    /// Logs a result that was just listed, which is the last one of its job.
+    /// Logs the most recently listed result of a job.
     pub(crate) fn log_listed(&self, id: &JobId, turn: &mut Turn<'_>) {
         let Some(job) = turn.state.jobs().get(id) else {
             return;
@@ -148,7 +148,8 @@
         turn.log(decision);
     }
 
-    /// A result was listed: the gateway that made it need not keep it any more.
+    /// Continues after a result was committed: its gateway may drop it, and waiting readers are
+    /// answered.
     pub(super) fn result_listed(
         &mut self,
         job: &JobId,
@@ -162,13 +163,13 @@
         self.results_listed(job, turn);
     }
 
-    /// Results of a job were listed: readers that wait for them are answered.
+    /// Answers the readers that wait for results of a job.
     pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
         let readers = self.readers.take_of(job);
         answer_readers(readers, turn);
     }
 
-    /// Readers whose time is over are answered.
+    /// Answers the readers whose wait time has elapsed.
     pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
         let readers = self.readers.take_due(turn.now);
         answer_readers(readers, turn);
@@ -202,8 +203,8 @@
         self.propose(command, FollowUp::Request(tag), turn);
     }
 
-    /// Abandons items that have been queued for longer than their route allows, or whose route is
-    /// gone.
+    /// Abandons items that have been queued for longer than their route allows, or whose route no
+    /// longer exists.
     pub(crate) fn abandon_overdue_items(&mut self, turn: &mut Turn<'_>) {
         if turn.state.configuration().is_none() {
             return;
@@ -236,7 +237,7 @@
         is_past_queue_time(now, known_since, route.map(Arc::as_ref))
     }
 
-    /// Forgets jobs that ended long ago.
+    /// Proposes to remove jobs whose retention time is over.
     pub(crate) fn forget_jobs(&mut self, turn: &mut Turn<'_>) {
         let (now, retention) = (turn.now, self.settings.job_retention);
         let is_forgotten = |id: &JobId| {
@@ -247,7 +248,8 @@
         let old = ended.map(|(id, _)| id).filter(|id| is_forgotten(id));
         let old: Vec<JobId> = old.cloned().collect();
         for id in old {
-            // Counted anew, so that the proposal is not made again before it is applied.
+            // Restarts the clock, so that the job is not proposed again before the command is
+            // applied.
             self.job_clock.restart(turn.now, &id);
             let follow_up = FollowUp::JobForgotten(id.clone());
             self.propose(Command::ForgetJob(id), follow_up, turn);
@@ -255,7 +257,7 @@
     }
 }
 
-/// Answers readers with what there is.
+/// Answers readers with the results listed so far.
 fn answer_readers(readers: Vec<Reader>, turn: &mut Turn<'_>) {
     for reader in readers {
         let job = turn.state.jobs().get(&reader.job);
@@ -266,7 +268,7 @@
     }
 }
 
-/// Answers with the body of an item that is not listed.
+/// Answers with the body of an item that has no listed result yet.
 pub(super) fn read_item(tag: RequestTag, job: &JobId, item: &ItemId, turn: &mut Turn<'_>) {
     let known = turn.state.find_job(job);
     let item = known.and_then(|(_, job)| {
--- a/crates/gateways/wingshore-coordination/src/leader/loading.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/loading.rs
@@ -1,4 +1,4 @@
-//! Beginning loads of weights.
+//! Starts loads of model weights on engines.
 
 use super::decisions::item_length::is_long_for_loads;
 use super::decisions::load_choice::{LoadChoice, NextLoad, max_loads};
@@ -9,7 +9,7 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// Begins as many loads as the weight store serves.
+    /// Starts loads up to the number that the weight store can serve at once.
     pub(super) fn begin_loads(&mut self, turn: &mut Turn<'_>) {
         let max = max_loads(&self.engines);
         if self.rollout.active() >= max {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Counts, for each engine and model, the items that are long or have proved to be.
+    /// Counts the long items of each engine and model: those classified as long, and those that
+    /// have produced that many events.
     fn count_long_items(&mut self) {
         self.engines.clear_long_running();
         for (_, attempt) in self.items.attempts() {
--- a/crates/gateways/wingshore-coordination/src/leader/machine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/machine.rs
@@ -1,7 +1,7 @@
-//! The leader machine: what it holds.
+//! The data of the leader machine.
 //!
-//! What it does is in one module a topic. Each takes an input, asks the decision modules, changes
-//! the tables, and says what is to be done.
+//! Its behaviour is split into one module per topic. Each handles its inputs: it consults the
+//! decision modules, updates the tables and emits outputs.
 
 use super::decisions::crash_evidence::Evidence;
 use super::decisions::registration::Heartbeats;
@@ -25,14 +25,14 @@
 
 /// The leader machine of the coordination group.
 ///
-/// Invariant: it holds nothing that must survive it; all of that is in
+/// Invariant: all of its data is volatile. Everything that must survive a change of leader is in
 /// [`CoordinationState`](crate::state::CoordinationState).
 pub struct CoordinationLeader {
     pub(super) settings: LeaderSettings,
     pub(super) epoch: Epoch,
-    /// Items are placed from this time on: gateways first report what they run.
+    /// Nothing is placed before this time, so that gateways first report what they already run.
     pub(super) place_from: Instant,
-    /// When the next sweep through servers, items and jobs is due.
+    /// When the next sweep for expired servers, items and jobs is due.
     pub(super) next_sweep: Instant,
     pub(super) proposals: Proposals,
     pub(super) gateways: Gateways,
@@ -49,7 +49,7 @@
     pub(super) capacity: Capacity,
     /// The routes of the configuration in force.
     pub(super) routes: RouteTable,
-    /// Ranks of tenants in the configuration in force.
+    /// Ranks of the tenants of the configuration in force.
     pub(super) ranks: TenantRanks,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl CoordinationLeader {
-    /// A leader machine with these settings.
+    /// Creates a leader machine with these settings.
     pub fn new(settings: LeaderSettings) -> Self {
         Self {
             settings,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// How much it has in hand.
+    /// Returns the counts of the leader's open work.
     pub fn figures(&self) -> LeaderFigures {
         let engines = self.engines.iter();
         LeaderFigures {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Proposes a command; `follow_up` follows once it is applied.
+    /// Proposes a command; `follow_up` is carried out once the command is applied.
     pub(super) fn propose(&mut self, command: Command, follow_up: FollowUp, turn: &mut Turn<'_>) {
         self.proposals.add(command, follow_up, turn.out);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/members.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/members.rs
@@ -1,4 +1,4 @@
-//! What the group holds about its own members: names of machines, and which are to leave.
+//! Data of the group about its own members: names of their machines, and members to be removed.
 
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -9,7 +9,7 @@
 use wingshore_types::machine::RequestTag;
 
 impl CoordinationLeader {
-    /// Notes the name of a member's machine.
+    /// Records the name of a member's machine.
     pub(super) fn describe_member(
         &mut self,
         tag: RequestTag,
@@ -24,7 +24,7 @@
         self.propose(command, FollowUp::Request(tag), turn);
     }
 
-    /// Notes that a member is to leave for good.
+    /// Records that a member is to be removed permanently.
     pub(super) fn retire_member(
         &mut self,
         tag: RequestTag,
--- a/crates/gateways/wingshore-coordination/src/leader/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/mod.rs
@@ -1,15 +1,15 @@
-//! What only the group's leader does.
+//! The part of the coordination service that runs only on the group's leader.
 //!
-//! [`CoordinationLeader`] is a state machine: inputs come with their time, and what is to be done is
-//! given back. Its parts use each other in one direction:
+//! [`CoordinationLeader`] is a deterministic state machine: each input carries its time, and each
+//! step returns its outputs. Dependencies between its modules go in one direction:
 //!
-//! - `dispatch` takes the inputs, and hands each to the module of its topic: servers, gateways, jobs,
-//!   placing, attempts, moving, results, scoring, rollout, loading, capacity, usage, evidence,
-//!   configuring, members;
-//! - a module of a topic asks `decisions` what to do, changes `tables`, proposes commands, and says
-//!   what is to be done outside the group;
-//! - `decisions` answers one question a module, over plain data;
-//! - `tables` is what the leader knows, and `machine` holds all of it.
+//! - `dispatch` receives all inputs and passes each to the module of its topic: servers, gateways,
+//!   jobs, placing, attempts, moving, results, scoring, rollout, loading, capacity, usage,
+//!   evidence, configuring, members;
+//! - a topic module consults `decisions`, updates `tables`, proposes commands and emits effects
+//!   outside the group;
+//! - each module of `decisions` answers one question as a function of plain data;
+//! - `tables` holds the leader's volatile data; `machine` owns all tables.
 
 mod attempts;
 mod capacity;
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -1,4 +1,4 @@
-//! Progress of items that run, and moving them to faster engines.
+//! Progress of running items, and moves of items to faster engines.
 
 use super::decision_log::Decision;
 use super::decisions::moves::{AVOIDED_FOR, MovableItem, better_engine};
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
 
-/// Fewest events of a measurement of pace.
+/// Minimum number of events for a measurement of an engine's pace.
 const MIN_MEASURED_EVENTS: u64 = 2;
 
 impl CoordinationLeader {
-    /// A gateway reports how far its items are.
+    /// Handles a gateway's progress report.
     pub(crate) fn on_progress(&mut self, progress: Vec<ItemProgress>, turn: &mut Turn<'_>) {
         for item in &progress {
             self.note_progress(turn.now, *item);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Notes how far an item is, and what that says of its engine's pace.
+    /// Records the progress of an item, and updates the measured pace of its engine.
     fn note_progress(&mut self, now: Instant, progress: ItemProgress) {
         let ItemProgress { assignment, events } = progress;
         let Some(attempt) = self.items.attempt_mut(assignment) else {
@@ -47,7 +47,7 @@
         self.engines.paced(&instance, new, now.since(at));
     }
 
-    /// Breaks off those of the attempts whose items go on faster elsewhere.
+    /// Interrupts the attempts whose items would continue much faster on another engine.
     fn move_items(&mut self, attempts: &[ItemProgress], turn: &mut Turn<'_>) {
         let mut promised: BTreeMap<InstanceId, usize> = BTreeMap::new();
         for ItemProgress { assignment, .. } in attempts {
@@ -59,7 +59,8 @@
         }
     }
 
-    /// The gateway that runs an attempt, and the engine on which its item goes on much faster.
+    /// Returns the gateway that runs an attempt, and the engine on which its item would continue
+    /// much faster; `None` if there is no such engine.
     fn better_engine(
         &self,
         now: Instant,
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -1,4 +1,5 @@
-//! Placing items that wait: which may run now, and their assignment to an engine through a gateway.
+//! Placement of waiting items: selects items that may run now, and assigns each to an engine and a
+//! gateway.
 
 use super::decision_log::Decision;
 use super::decisions::continuation::{starting_text, usable_text};
@@ -19,32 +20,32 @@
 use std::sync::Arc;
 use wingshore_types::Instant;
 
-/// Microseconds of a millisecond.
+/// Converts an engine's pace, which is in milliseconds per event, to microseconds.
 const MICROSECONDS_OF_A_MS: f64 = 1000.0;
 
-/// An item that can be placed, with all that decides where.
+/// An item that can be placed, with everything that determines where.
 struct Candidate<'a> {
     key: ItemKey,
     job: &'a Job,
     item: &'a JobItem,
     route: Arc<Route>,
     service: ServiceName,
-    /// What earlier attempts generated, as far as a further one may continue it.
+    /// The text of earlier attempts, as far as the next attempt may continue it.
     partial_text: ItemText,
     is_long: bool,
-    /// The engine that it does not go back to for now.
+    /// The engine from which the item was moved away recently.
     avoid: Option<InstanceId>,
-    /// Whether several servers have ended under it.
+    /// Whether several servers crashed while they processed the item.
     is_suspect: bool,
 }
 
 /// Why an item was not placed.
 enum NotPlaced {
-    /// It cannot be placed now; others of its job may be.
+    /// The item cannot be placed now; other items of its job may be.
     NotNow,
-    /// No engine takes items of its job.
+    /// No engine of its service accepts items of its job.
     NoEngine {
-        /// The service whose engines were examined.
+        /// The service whose engines were considered.
         service: ServiceName,
     },
 }
@@ -54,12 +55,12 @@
         self.job.submission.model.as_ref()
     }
 
-    /// The last version that made its partial text.
+    /// Returns the last model version that generated the partial text.
     fn partial_version(&self) -> Option<u64> {
         self.partial_text.versions.last().copied()
     }
 
-    /// How much of its text the log holds.
+    /// Returns how much of the text is stored in the replicated state.
     fn durable(&self) -> DurablePrefix {
         let durable = self.job.kept(self.key.index);
         durable.map(ItemText::extent).unwrap_or_default()
@@ -67,7 +68,7 @@
 }
 
 impl CoordinationLeader {
-    /// Places as many waiting items as engines and gateways take.
+    /// Places as many waiting items as engines and gateways accept.
     pub(crate) fn place_items(&mut self, turn: &mut Turn<'_>) {
         if self.items.none_waits() || self.gateways.is_empty() || turn.now < self.place_from {
             return;
@@ -80,8 +81,7 @@
         }
     }
 
-    /// Jobs with waiting items: those of the most urgent tenants first, then in the order of their
-    /// acceptance.
+    /// Returns the jobs with waiting items, ordered by tenant priority, then by time of acceptance.
     fn jobs_by_rank(&self, state: &CoordinationState) -> Vec<JobId> {
         let mut jobs = self.items.waiting_jobs();
         if !self.ranks.is_empty() {
@@ -96,7 +96,7 @@
         self.ranks.rank(id.tenant(), of_route)
     }
 
-    /// The route of a job's first item.
+    /// Returns the route of a job's first item.
     pub(super) fn route_of_job(
         &self,
         id: &JobId,
@@ -106,7 +106,7 @@
         self.routes.find(&job.host, &job.items.first()?.path)
     }
 
-    /// Places waiting items of one job while any engine takes such ones.
+    /// Places waiting items of a job until no engine accepts any more of them.
     fn place_job(&mut self, id: &JobId, turn: &mut Turn<'_>) {
         let mut full_services = BTreeSet::new();
         let mut last = None;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Places an item, unless its service is known to be full.
+    /// Places an item, unless its service is in `full_services`.
     fn place(
         &mut self,
         key: ItemKey,
@@ -140,7 +140,7 @@
             return Err(NotPlaced::NotNow);
         }
         let Some(instance) = self.choose_engine(turn.now, &candidate, turn.state) else {
-            // One that it is to avoid may take others.
+            // An engine that this item avoids, or may not share, can still accept other items.
             if candidate.avoid.is_some() || candidate.is_suspect {
                 return Err(NotPlaced::NotNow);
             }
@@ -154,7 +154,7 @@
         Ok(())
     }
 
-    /// The item, if it may run now.
+    /// Returns an item with its placement data, if it may run now.
     fn candidate<'a>(
         &self,
         now: Instant,
@@ -260,7 +260,7 @@
             .set_affinity(job, &candidate.item.group, instance);
     }
 
-    /// Everything that the gateway needs.
+    /// Builds the assignment message, with everything that the gateway needs for the attempt.
     fn assignment(
         &self,
         assignment: AssignmentId,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// An attempt begins, or is known to be under way.
+    /// Records an attempt that starts, or that a gateway reports as running.
     pub(crate) fn start(&mut self, assignment: AssignmentId, attempt: Attempt) {
         self.engines.started(&attempt.instance, attempt.gateway);
         self.gateways.item_started(attempt.gateway);
@@ -298,7 +298,7 @@
     }
 }
 
-/// Whether several servers have ended under an item.
+/// Returns whether several servers crashed while they processed an item.
 fn is_suspected(open_item: &OpenItem, state: &CoordinationState) -> bool {
     let request = open_item.request;
     request.is_some_and(|request| is_suspect(state.evidence().ended_under(request)))
--- a/crates/gateways/wingshore-coordination/src/leader/policy.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/policy.rs
@@ -1,20 +1,20 @@
-//! Switches of the leader's mechanisms of choice, for measuring what each is worth. A mechanism
-//! that a promise rests on has none.
+//! Switches for the leader's optional heuristics, so that the benefit of each can be measured.
+//! Mechanisms that a guarantee depends on have no switch.
 
-/// Which mechanisms are on; all of them by default.
+/// The heuristics that are enabled; all of them by default.
 ///
-/// What each is worth: `docs/POLICY.md`.
+/// `docs/POLICY.md` lists the measured benefit of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderPolicy {
-    /// Items that go slower than elsewhere move to a faster engine.
+    /// Items that progress slowly on their engine move to a faster one.
     pub moves: bool,
-    /// Long items are placed first, on the engines where they end first.
+    /// Long items are placed first, on the engines where they are expected to end earliest.
     pub long_items_first: bool,
-    /// Items of a group go where their shared prompt was read.
+    /// Items of a group prefer the engine that has already processed their shared prompt.
     pub prompt_homes: bool,
-    /// Of several models, the one that fewest engines can run loads first.
+    /// Of several models, the one that the fewest engines can run is loaded first.
     pub scarce_models_first: bool,
-    /// Engines with long items load a new version later.
+    /// Engines that run long items load a new version later than others.
     pub loads_spare_long_items: bool,
 }
 
--- a/crates/gateways/wingshore-coordination/src/leader/proposals.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands that are proposed and not applied yet, and what follows once each is.
+//! Proposed commands that are not applied yet, and the action that follows each.
 
 use super::turn::Outputs;
 use crate::fingerprint::RequestFingerprint;
@@ -9,55 +9,57 @@
 use std::collections::HashMap;
 use wingshore_types::machine::{LeaderOutput, ProposalTag, RequestTag};
 
-/// What follows once a command is applied.
+/// Action that follows once a proposed command is applied.
 pub(crate) enum FollowUp {
-    /// A request is answered with [`Reply::Done`](crate::messages::Reply::Done).
+    /// Answer the request with [`Reply::Done`](crate::messages::Reply::Done).
     Request(RequestTag),
-    /// A configuration comes into force.
+    /// Put the new configuration in force and answer the request.
     Configuration(RequestTag),
-    /// What the registry holds of a server has changed.
+    /// Update the tables for a server whose registry record changed, and answer the request if any.
     Server(InstanceId, Option<RequestTag>),
-    /// A job was accepted: its items can be placed.
+    /// Start to place the items of an accepted job, and answer the request.
     Job(JobId, RequestTag),
-    /// An ended job was forgotten.
+    /// Drop the times recorded for an ended job that the state has forgotten.
     JobForgotten(JobId),
-    /// A result was listed: readers may wait for it, and the gateway keeps it until then.
+    /// Answer waiting readers of a job with a newly listed result, and release the attempt: its
+    /// gateway keeps the result until it is committed.
     Result {
         job: JobId,
         finished: Option<(GatewayId, AssignmentId)>,
     },
-    /// A text was made durable before its score: the gateway keeps it until then.
+    /// Release the attempt whose unscored text is now durable; its gateway kept the text until
+    /// then.
     TextKept {
         gateway: GatewayId,
         made_by: AssignmentId,
     },
-    /// A score was committed: the gateway keeps it until then.
+    /// Handle a committed score: the gateway of the scoring kept it until then.
     Scored {
         item: ItemKey,
         finished: (GatewayId, AssignmentId),
     },
-    /// Failures of scoring servers were counted: the gateway keeps them until then.
+    /// Release a scoring whose failures are now counted: its gateway kept them until then.
     ScoringCounted {
         gateway: GatewayId,
         scoring: AssignmentId,
     },
-    /// Nothing.
+    /// Do nothing.
     Nothing,
-    /// Orders may be given from here on.
+    /// Start to give orders to engines: the claim to do so is committed.
     Orders,
-    /// More servers have ended under requests: some may be rejected.
+    /// Check whether these requests are to be rejected: more servers crashed during them.
     CrashesNoted(Vec<RequestFingerprint>),
-    /// Evidence against requests has changed.
+    /// Update the leader's data for requests whose evidence changed.
     Evidence(Vec<RequestFingerprint>),
-    /// A version was named.
+    /// Answer the request that named a version, and start the rollout.
     Version(RequestTag),
-    /// The counts of a window were committed.
+    /// Send the report of a window whose counts are now committed.
     UsageClosed(UsageWindow),
-    /// The number of servers in a pool was committed.
+    /// Order the number of servers that was committed for a pool.
     CapacityWanted(CapacityPool),
 }
 
-/// All proposals of this leadership that are not applied yet.
+/// All proposals of this leader that are not applied yet.
 #[derive(Default)]
 pub(crate) struct Proposals {
     next: u64,
@@ -65,7 +67,7 @@
 }
 
 impl Proposals {
-    /// Proposes a command.
+    /// Proposes a command and remembers its follow-up.
     pub(crate) fn add(&mut self, command: Command, follow_up: FollowUp, out: &mut Outputs) {
         let tag = ProposalTag(self.next);
         self.next += 1;
@@ -73,7 +75,8 @@
         out.push(LeaderOutput::Propose { tag, command });
     }
 
-    /// What follows a proposal that is applied; `None` for one of another leadership.
+    /// Removes and returns the follow-up of an applied proposal; `None` if it was proposed in
+    /// another epoch.
     pub(crate) fn take(&mut self, tag: ProposalTag) -> Option<FollowUp> {
         self.open.remove(&tag)
     }
--- a/crates/gateways/wingshore-coordination/src/leader/results.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/results.rs
@@ -1,4 +1,4 @@
-//! Results of items: whole texts, and items that are abandoned.
+//! Results of items: finished texts and abandoned items.
 
 use super::decision_log::Decision;
 use super::machine::CoordinationLeader;
@@ -10,7 +10,8 @@
 use crate::text::{FinishedText, ResultText};
 
 impl CoordinationLeader {
-    /// An attempt has made the whole text of an item that has no result yet.
+    /// Accepts the finished text of an item that has no result yet; it is listed, or first scored
+    /// if the item has a scorer.
     pub(crate) fn take_text(
         &mut self,
         item: &ItemKey,
@@ -31,7 +32,7 @@
         self.list(item, result, Some(finished), turn);
     }
 
-    /// Abandons an item.
+    /// Abandons an item: lists it without a text and releases its scorings.
     pub(crate) fn abandon(&mut self, item: &ItemKey, reason: &'static str, turn: &mut Turn<'_>) {
         turn.log(Decision::ItemAbandoned {
             job: item.job.clone(),
@@ -51,7 +52,7 @@
         self.list(item, result, None, turn);
     }
 
-    /// Proposes a result; the gateway that made it keeps it until it is committed.
+    /// Proposes to list a result. The gateway that produced it keeps it until it is committed.
     fn list(
         &mut self,
         item: &ItemKey,
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -1,7 +1,8 @@
-//! Bringing engines to the versions that trainers named.
+//! Rollout of the model versions that trainers named to the engines.
 //!
-//! One machine gives orders at a time ([`super::decisions::order_rights`]). Orders carry the leadership
-//! as their fence and the engine's count of orders, so that one that is carried out late does nothing.
+//! Only one machine at a time gives orders ([`super::decisions::order_rights`]). Each order carries
+//! the leader's epoch as its fencing token and the number of orders that the engine has accepted,
+//! so that an order that arrives late has no effect.
 
 use super::decision_log::Decision;
 use super::decisions::load_progress::{EngineStatus, OrderAnswer, ReportVerdict};
@@ -15,14 +16,14 @@
 use crate::state::{Command, CoordinationState, OrderHolder};
 use std::time::Duration;
 
-/// After a scan of all engines for loads, answers of single ones bring on the next scan only after
-/// this time for each engine beyond [`ENGINES_SCANNED_ALWAYS`]; a tick always does. So answers cost
-/// at most a tenth of a core, whatever their number.
+/// Minimum time between two scans of all engines that are triggered by answers, for each engine
+/// beyond [`ENGINES_SCANNED_ALWAYS`]; ticks always scan. This limits the cost of answers to a
+/// tenth of a core, whatever their number.
 const SCAN_INTERVAL_OF_AN_ENGINE: Duration = Duration::from_micros(20);
-/// So many engines are scanned after each answer: their scan is short.
+/// Up to this number of engines, every answer triggers a scan, because the scan is short.
 const ENGINES_SCANNED_ALWAYS: usize = 100;
 
-/// Streams of an engine that has loaded weights are steady again after this time.
+/// Time after a load of weights until the pace of an engine's streams is steady again.
 const UNSTEADY_AFTER_LOAD: Duration = Duration::from_millis(500);
 
 impl CoordinationLeader {
@@ -33,21 +34,23 @@
         self.drive_rollout(turn);
     }
 
-    /// The claim is committed: this machine gives orders from here on.
+    /// Starts to give orders after the claim to do so was committed.
     pub(super) fn orders_held(&mut self, turn: &mut Turn<'_>) {
         self.rollout
             .claimed(turn.now + self.settings.order_handover);
         self.drive_rollout(turn);
     }
 
-    /// Notes in the log that this machine has held orders for the time of a handover.
+    /// Proposes to record that this machine has held the right to give orders for the handover
+    /// time.
     fn settle_orders(&mut self, turn: &mut Turn<'_>) {
         if self.rollout.take_settled(turn.now) && !turn.state.orders_are_settled() {
             self.propose(Command::SettleOrders(self.epoch), FollowUp::Nothing, turn);
         }
     }
 
-    /// Connections to machines were lost.
+    /// Claims the right to give orders at once if the machine that held it is among the lost ones
+    /// and the handover time need not be waited for.
     pub(crate) fn on_coordinators_lost(&mut self, nodes: &[String], turn: &mut Turn<'_>) {
         let state = turn.state;
         let may_claim = may_claim_at_once(
@@ -61,7 +64,8 @@
         }
     }
 
-    /// As [`CoordinationLeader::drive_rollout`], after the answer of one engine; not too often.
+    /// Calls [`CoordinationLeader::drive_rollout`] after an answer of one engine, at a limited
+    /// rate.
     fn drive_rollout_soon(&mut self, turn: &mut Turn<'_>) {
         let engines = self.engines.count().saturating_sub(ENGINES_SCANNED_ALWAYS);
         let engines = u32::try_from(engines).unwrap_or(u32::MAX);
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Claims, polls and orders what is due.
+    /// Claims the right to give orders, polls engines and starts loads, each when it is due.
     pub(crate) fn drive_rollout(&mut self, turn: &mut Turn<'_>) {
         if self.rollout.take_claim(turn.now) {
             let holder = OrderHolder {
@@ -108,7 +112,7 @@
         });
     }
 
-    /// Polls an engine.
+    /// Requests the status of an engine.
     pub(super) fn ask_report(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
         if let Some(engine) = self.engines.get(instance) {
             turn.effect(Effect::PollEngine {
@@ -118,7 +122,7 @@
         }
     }
 
-    /// An engine has answered a poll, or has not.
+    /// Handles an engine's answer to a status poll, or the lack of one.
     pub(crate) fn on_reported(
         &mut self,
         instance: &InstanceId,
@@ -160,7 +164,7 @@
         turn.effect(Effect::Order(order));
     }
 
-    /// An engine has answered an order, or has not.
+    /// Handles an engine's answer to an order, or the lack of one.
     pub(crate) fn on_ordered(
         &mut self,
         instance: &InstanceId,
@@ -177,7 +181,7 @@
         self.drive_rollout_soon(turn);
     }
 
-    /// An engine has reported its versions: they are noted, and what waits for them is placed.
+    /// Records the versions that an engine reports, and places the items that waited for them.
     fn note_versions(&mut self, instance: &InstanceId, report: &EngineStatus, turn: &mut Turn<'_>) {
         let risen = self.engines.raise_versions(instance, &report.models);
         let has_risen = !risen.is_empty();
@@ -198,7 +202,7 @@
     }
 }
 
-/// Whether a route to this service wants all events of a result from one version.
+/// Returns whether a route to this service requires each result to come from a single version.
 fn any_single_version(service: &ServiceName, state: &CoordinationState) -> bool {
     state.configuration().is_some_and(|configuration| {
         configuration.routes.iter().any(|route| {
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -1,4 +1,5 @@
-//! Scorings on the leader's side: which gateway asks for which text's score, and what follows.
+//! The leader's side of scoring: assigns texts to gateways that request their scores, and handles
+//! the outcomes.
 
 use super::decision_log::Decision;
 use super::decisions::expiry::is_silent;
@@ -17,7 +18,7 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// What scores the text of an item.
+    /// Returns the scorer of an item, if it has one.
     pub(crate) fn scorer_of<'a>(
         item: &ItemKey,
         state: &'a CoordinationState,
@@ -27,8 +28,8 @@
         contents.scorer.as_deref()
     }
 
-    /// An attempt has made the whole text of an item that is to be scored: the text is made durable
-    /// while the gateway that has it asks for the score.
+    /// Stores the finished text of an item that is to be scored. The text is made durable while the
+    /// gateway that produced it already requests the score.
     pub(crate) fn keep_unscored(
         &mut self,
         item: &ItemKey,
@@ -53,7 +54,7 @@
         self.propose(command, follow_up, turn);
     }
 
-    /// A gateway has a scoring in hand that an earlier leader knew of.
+    /// Adopts a scoring that a gateway reports and that began under an earlier leader.
     pub(crate) fn adopt_scoring(
         &mut self,
         gateway: GatewayId,
@@ -72,7 +73,7 @@
         let kept = job.and_then(|job| job.unscored(item.index));
         let is_own_text = match kept {
             Some(kept) => kept.made_by == made_by,
-            // The text may come right behind, from the gateway that made it.
+            // The gateway that produced the text may deliver it right after this report.
             None => scoring == made_by && self.items.is_under_way(made_by),
         };
         let is_open = job.is_some_and(|job| !job.is_listed(item.index));
@@ -88,7 +89,7 @@
         self.scorings.start(scoring, running);
     }
 
-    /// A gateway speaks of the scorings that it has in hand.
+    /// Records that a gateway still runs these scorings.
     pub(crate) fn on_scoring(&mut self, now: Instant, scorings: &[AssignmentId]) {
         for scoring in scorings {
             if let Some(running) = self.scorings.under_way.get_mut(scoring) {
@@ -97,19 +98,19 @@
         }
     }
 
-    /// A gateway is gone: texts that are durable, or about to be, are scored elsewhere.
+    /// Queues the scorings of a lost gateway again, for texts that are durable or about to be.
     pub(crate) fn scoring_gateway_lost(&mut self, now: Instant, gateway: GatewayId) {
         self.scorings_lost(now, |running| running.gateway == gateway);
     }
 
-    /// Scorings that their gateways do not speak of any more are over.
+    /// Ends the scorings that their gateways no longer report, and queues them again.
     pub(crate) fn end_silent_scorings(&mut self, now: Instant) {
         self.scorings_lost(now, |running| is_silent(now, running.heard));
     }
 
     fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
         for (_, running) in self.scorings.take_running(is_lost) {
-            // Where the text never arrived, its item runs again.
+            // If the text never arrived, the item itself runs again instead.
             let open_item = self.items.open_item(&running.item);
             if open_item.is_some_and(|open_item| open_item.has_result) {
                 self.scorings.wait(running.item, running.made_by, now);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Gives texts that wait for a score to gateways.
+    /// Assigns waiting scorings that are due to gateways.
     pub(crate) fn place_scorings(&mut self, turn: &mut Turn<'_>) {
         if self.scorings.waiting.is_empty() || turn.now < self.place_from {
             return;
@@ -189,7 +190,7 @@
         self.scorings.start(scoring, running);
     }
 
-    /// A gateway's scoring is over.
+    /// Handles the end of a scoring at a gateway.
     pub(crate) fn on_scoring_ended(
         &mut self,
         gateway: GatewayId,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Proposes a score; the gateway keeps it until it is committed.
+    /// Proposes to list an item with its score. The gateway keeps the score until it is committed.
     fn list_scored(
         &mut self,
         gateway: GatewayId,
@@ -272,8 +273,8 @@
         turn.log(Decision::Scoring(decision));
     }
 
-    /// A score was committed: the item is listed, unless the text that the group holds is another
-    /// attempt's.
+    /// Continues after a score was committed. The item is now listed, unless the stored text is
+    /// from another attempt than the score; that text is then scored.
     pub(crate) fn scored(
         &mut self,
         item: &ItemKey,
@@ -302,7 +303,7 @@
     }
 }
 
-/// Failures of scoring servers that the group has counted for an item.
+/// Returns the number of failures of scoring servers that are committed for an item.
 fn kept_failures(item: &ItemKey, state: &CoordinationState) -> u32 {
     let job = state.jobs().get(&item.job);
     let unscored = job.and_then(|job| job.unscored(item.index));
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -1,4 +1,4 @@
-//! The registry's leader side: heartbeats, drains, departures, expiry.
+//! The leader's side of the server registry: heartbeats, drains, deregistrations, expiry.
 
 use super::decision_log::Decision;
 use super::decisions::registration::{LATE_CALLS, foreign, merged};
@@ -47,15 +47,15 @@
         self.propose_server(command, instance, Some(tag), turn);
     }
 
-    /// A heartbeat that is not the newest of its server is acknowledged once what the newer ones said is
-    /// durable: the same may have come by two coordinators.
+    /// Acknowledges a heartbeat that is not the newest of its server, once the changes by the newer
+    /// ones are durable: the same state may have been reported through two coordinators.
     fn acknowledge_older(&mut self, tag: RequestTag, instance: &InstanceId, turn: &mut Turn<'_>) {
         if !self.registrations.wait(instance, tag) {
             turn.reply(tag, Reply::Done);
         }
     }
 
-    /// Proposes a change of what the registry holds of a server.
+    /// Proposes a change of a server's registry record.
     fn propose_server(
         &mut self,
         command: Command,
@@ -67,10 +67,10 @@
         self.propose(command, FollowUp::Server(instance, tag), turn);
     }
 
-    /// Two incarnations cannot listen at one address: where a new one registers, the one before has ended,
-    /// and is given nothing from now on. It would be known by its silence only after
-    /// [`LeaderSettings::server_expiry`](super::LeaderSettings::server_expiry), and be sent what
-    /// the new one refuses until then.
+    /// Removes other servers that are registered at the address of a new one. Two servers cannot
+    /// listen on one address, so the earlier one has ended. Otherwise it would be detected as
+    /// silent only after [`LeaderSettings::server_expiry`](super::LeaderSettings::server_expiry),
+    /// and until then would be sent items that the new server refuses.
     fn supersede_others(&mut self, server: &ServerRecord, turn: &mut Turn<'_>) {
         let others = turn.state.servers().values();
         let name = server.instance.name();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A server has started again under its name: its incarnations before have ended for good.
+    /// Removes the earlier incarnations of a server that restarted under its name; they have ended.
     fn end_earlier_incarnations(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
         let incarnations = turn.state.incarnations_of(instance.name());
         let earlier = incarnations.map(|(incarnation, _)| incarnation);
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Another coordinator answered heartbeats that say what the registry holds.
+    /// Handles heartbeats that another coordinator answered because they changed nothing in the
+    /// registry.
     pub(crate) fn on_servers_heard(
         &mut self,
         from: ReplicaId,
@@ -125,9 +126,9 @@
         }
     }
 
-    /// A server deregisters. It does not say which incarnation ends: where a new one has just
-    /// registered, the call may be a late one of the one before, and is not acknowledged. A server
-    /// that means it calls again.
+    /// Handles a deregistration. It does not identify the incarnation: if a new one has just
+    /// registered, the call may be a delayed one of the previous incarnation and is not
+    /// acknowledged. A server that really ends will call again.
     pub(crate) fn on_deregister(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
         let newest = turn.state.incarnations_of(&name).last();
         let newest = newest.map(|(incarnation, _)| incarnation.clone());
@@ -141,7 +142,8 @@
         self.propose_server(command, newest, Some(tag), turn);
     }
 
-    /// A server deregisters that the registry does not hold: its heartbeats may still be under way.
+    /// Handles the deregistration of a server that is not in the registry: delayed heartbeats of it
+    /// may still arrive.
     fn deregister_unknown(&mut self, tag: RequestTag, name: ServerName, turn: &mut Turn<'_>) {
         self.heartbeats.note_deregistration(turn.now, &name);
         let instance = InstanceId::new(name, None);
@@ -152,7 +154,7 @@
         self.propose_server(command, instance, Some(tag), turn);
     }
 
-    /// What the registry holds of a server has changed.
+    /// Continues after a change of a server's registry record was committed.
     pub(crate) fn server_changed(
         &mut self,
         instance: InstanceId,
@@ -177,7 +179,7 @@
         self.place_items(turn);
     }
 
-    /// Servers that are silent for too long leave the registry.
+    /// Removes servers without recent heartbeats from the registry.
     pub(crate) fn expire_servers(&mut self, turn: &mut Turn<'_>) {
         let expiry = self.settings.server_expiry;
         for instance in self.heartbeats.take_silent(turn.now, expiry, turn.state) {
--- a/crates/gateways/wingshore-coordination/src/leader/settings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/settings.rs
@@ -6,35 +6,37 @@
 use crate::fingerprint::FingerprintKey;
 use std::time::Duration;
 
-/// Settings of the leader machine; the same on all members. The defaults are those of tests; sites set
-/// their own.
+/// Settings of the leader machine; all members of a group use the same ones. The defaults are for
+/// tests; each site sets its own values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaderSettings {
-    /// Name of this machine, given to engines as the holder of orders.
+    /// Name of this machine; engines receive it as the holder of orders.
     pub node: String,
-    /// Key of the site's fingerprints, if this leader is the first one; drawn at random.
+    /// Random key for request fingerprints, used only if the group has no key yet.
     pub fingerprint_key: FingerprintKey,
-    /// A server that is silent for this long leaves the registry: some heartbeats.
+    /// A server without a heartbeat for this time is removed from the registry; several heartbeat
+    /// intervals.
     pub server_expiry: Duration,
-    /// A new leader gives orders only this long after another machine may have given its last: longer
-    /// than the lease of a leader, and than an order is under way.
+    /// Time that a new leader waits before its first order, counted from the last moment at which
+    /// another machine may have sent one. Longer than the leader lease, and longer than an order
+    /// can be in flight.
     pub order_handover: Duration,
-    /// Reports of usage that the site owes its provider; `None` where it owes none.
+    /// Usage reports that the provider requires; `None` if it requires none.
     pub usage: Option<UsageDuty>,
-    /// Whether the number of servers is ordered from their provider.
+    /// Whether the leader orders servers from their provider.
     pub orders_servers: bool,
-    /// How it is chosen.
+    /// How the number of servers to order is chosen.
     pub capacity: CapacityPolicy,
-    /// Whether engines refuse orders whose fence is lower than one that they have seen. Where they
-    /// do not check, only time keeps the orders of two machines apart.
+    /// Whether engines refuse orders whose fence is lower than the highest one they have seen. If
+    /// they do not, only `order_handover` separates the orders of two machines.
     pub engines_check_fences: bool,
-    /// Time from an order to the first look at how it went: a load takes 0.9 s.
+    /// Time from an order to the first poll of its progress; a load takes 0.9 s.
     pub load_time: Duration,
-    /// An ended job is remembered this long: callers may still read it.
+    /// Time for which an ended job is kept, so that callers can still read it.
     pub job_retention: Duration,
-    /// Most bytes that the contents of open jobs may have together: a part of the process's memory.
+    /// Limit for the contents of all open jobs together, in bytes: a part of the process's memory.
     pub max_open_job_bytes: usize,
-    /// Which mechanisms of choice are on.
+    /// The heuristics that are enabled.
     pub policy: LeaderPolicy,
 }
 
--- a/crates/gateways/wingshore-coordination/src/leader/turn.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/turn.rs
@@ -1,4 +1,4 @@
-//! One turn of the leader machine: the input's time, the replicated state, and where outputs go.
+//! The context of one step of the leader machine: time of the input, replicated state, outputs.
 
 use super::decision_log::Decision;
 use super::interface::Effect;
@@ -11,18 +11,18 @@
 /// Outputs of the leader machine.
 pub(crate) type Outputs = Vec<LeaderOutput<Command, Reply, Effect>>;
 
-/// One input is being handled.
+/// Context in which the leader handles one input.
 pub(crate) struct Turn<'a> {
-    /// When the input came.
+    /// Time of the input.
     pub(crate) now: Instant,
-    /// The replicated state, as applied so far.
+    /// The replicated state with all entries applied so far.
     pub(crate) state: &'a CoordinationState,
-    /// What is to be done, in order.
+    /// Collected outputs, in the order in which they take effect.
     pub(crate) out: &'a mut Outputs,
 }
 
 impl Turn<'_> {
-    /// Has something done outside the group.
+    /// Emits an effect outside the group.
     pub(crate) fn effect(&mut self, effect: Effect) {
         self.out.push(LeaderOutput::Effect(effect));
     }
@@ -32,7 +32,7 @@
         self.effect(Effect::Log(decision));
     }
 
-    /// Answers a request.
+    /// Replies to a request.
     pub(crate) fn reply(&mut self, tag: RequestTag, reply: Reply) {
         self.out.push(LeaderOutput::Reply { tag, reply });
     }
@@ -42,12 +42,12 @@
         self.effect(Effect::ToGateway(gateway, message));
     }
 
-    /// Tells a gateway that an attempt is of no more use.
+    /// Tells a gateway to drop an attempt, with its result if it has ended.
     pub(crate) fn release_attempt(&mut self, gateway: GatewayId, assignment: AssignmentId) {
         self.send(gateway, CoordinatorMessage::Release { assignment });
     }
 
-    /// Tells a gateway that a scoring is of no more use.
+    /// Tells a gateway to drop a scoring, with its result if it has ended.
     pub(crate) fn release_scoring(&mut self, gateway: GatewayId, scoring: AssignmentId) {
         self.send(gateway, CoordinatorMessage::ReleaseScoring { scoring });
     }
--- a/crates/gateways/wingshore-coordination/src/leader/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage: commits the counts of windows, and sends their reports.
+//! Usage reports: commits the counts of each window, and reports them to the provider.
 
 use super::decision_log::Decision;
 use super::interface::Effect;
@@ -11,7 +11,7 @@
 use crate::usage::UsageWindow;
 
 impl CoordinationLeader {
-    /// Closes windows and sends reports that are due.
+    /// Closes the windows and sends the reports that are due.
     pub(crate) fn drive_usage(&mut self, turn: &mut Turn<'_>) {
         let Some(duty) = self.settings.usage else {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// This machine, as it acts in this leadership.
+    /// Returns the identity of this machine and its fencing token for calls to the provider.
     pub(crate) fn duty_holder(&self) -> DutyHolder {
         DutyHolder {
             node: self.settings.node.clone(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The counts of a window are committed.
+    /// Continues after the counts of a window were committed.
     pub(crate) fn usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
         self.usage.closed(window);
         let counts = turn.state.usage().waiting().get(&window);
@@ -63,7 +63,7 @@
         self.drive_usage(turn);
     }
 
-    /// The provider has answered a report, or has not.
+    /// Handles the provider's answer to a report, or the lack of one.
     pub(crate) fn on_usage_answered(
         &mut self,
         window: UsageWindow,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A gateway is gone: what it had counted is kept beyond this leadership.
+    /// Proposes to store the counts of a lost gateway, so that they survive a change of leader.
     pub(crate) fn keep_usage_of(&mut self, gateway: GatewayId, turn: &mut Turn<'_>) {
         let usage = self.usage.reported_by(gateway);
         if !usage.is_empty() {
