--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -20,7 +20,7 @@
 /// Logged reason for a retry after an attempt whose finished text is discarded.
 const TOO_OLD: &str = "its text is of an older version than its job allows";
 /// Logged reason for a retry after an attempt that its gateway no longer reports.
-const SILENT: &str = "the gateway does not speak of it any more";
+const SILENT: &str = "the gateway no longer reports the attempt";
 
 impl CoordinationLeader {
     /// Adopts an attempt that a gateway reports and that an earlier leader assigned.
