--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -75,7 +75,7 @@
         for request in &known {
             turn.log(Decision::RequestCleared {
                 request: *request,
-                reason: "a run of it went well",
+                reason: "the request succeeded",
             });
         }
         let follow_up = FollowUp::Evidence(known.clone());
