--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -18,7 +18,7 @@
 use wingshore_types::Instant;
 
 /// Logged reason for a retry after an attempt whose finished text is discarded.
-const TOO_OLD: &str = "its text is of an older version than its job allows";
+const TOO_OLD: &str = "the text was made by an older model version than the job allows";
 /// Logged reason for a retry after an attempt that its gateway no longer reports.
 const SILENT: &str = "the gateway no longer reports the attempt";
 
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -130,7 +130,7 @@
             if suspect.is_some_and(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestCleared {
                     request: *request,
-                    reason: "no news of it for long: it may run once more",
+                    reason: "no new evidence for a long time: the request may run once more",
                 });
             }
         }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -219,7 +219,7 @@
         for item in given_up {
             self.abandon(
                 &item,
-                "its time in the queue is over or its route is gone",
+                "its queue time is over or its route no longer exists",
                 turn,
             );
         }
