--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -18,13 +18,18 @@
 use wingshore_types::Instant;
 
 /// Logged reason for a retry after an attempt whose finished text is discarded.
-const TOO_OLD: &str = "the text was made by an older model version than the job allows";
+const TEXT_TOO_OLD: &str = "the text was made by an older model version than the job allows";
 /// Logged reason for a retry after an attempt that its gateway no longer reports.
-const SILENT: &str = "the gateway no longer reports the attempt";
+const NO_LONGER_REPORTED: &str = "the gateway no longer reports the attempt";
 
 impl CoordinationLeader {
     /// Adopts an attempt that a gateway reports and that an earlier leader assigned.
-    pub(crate) fn adopt(&mut self, gateway: GatewayId, reported: RunningItem, turn: &mut Turn<'_>) {
+    pub(crate) fn adopt_attempt(
+        &mut self,
+        gateway: GatewayId,
+        reported: RunningItem,
+        turn: &mut Turn<'_>,
+    ) {
         let RunningItem {
             assignment,
             item,
@@ -32,7 +37,7 @@
         } = reported;
         // The gateway may have reconnected, and uploaded parts of the text may have been lost.
         if self.items.is_under_way(assignment) {
-            return self.tell_held(assignment, turn);
+            return self.send_held_prefix(assignment, turn);
         }
         let job = turn.state.jobs().get(&item.job);
         let is_open = job
@@ -49,12 +54,12 @@
         let model = job.and_then(|job| job.submission.model.clone());
         let attempt = Attempt::new(turn.now, item, gateway, instance, model);
         self.start(assignment, attempt);
-        self.tell_held(assignment, turn);
+        self.send_held_prefix(assignment, turn);
     }
 
     /// Tells the gateway of an attempt which prefix of the text is held, so that it uploads the
     /// rest.
-    pub(super) fn tell_held(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
+    pub(super) fn send_held_prefix(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
         let Some(attempt) = self.items.attempt(assignment) else {
             return;
         };
@@ -68,7 +73,7 @@
     /// Proposes to store uploaded events of a long item. If they do not directly follow the events
     /// stored or proposed so far, an earlier upload was lost: the gateway is told from where to
     /// upload again.
-    pub(crate) fn keep_partial_text(
+    pub(crate) fn store_partial_text(
         &mut self,
         assignment: AssignmentId,
         after_events: u64,
@@ -86,7 +91,7 @@
             return;
         };
         if open_item.held.extent.events != after_events {
-            return self.tell_held(assignment, turn);
+            return self.send_held_prefix(assignment, turn);
         }
         open_item.held = open_item.held.extended_by(&text);
         let command = Command::KeepText {
@@ -98,7 +103,7 @@
     }
 
     /// Ends the attempts that their gateways no longer report, and queues their items again.
-    pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn end_silent_attempts(&mut self, turn: &mut Turn<'_>) {
         let silent: Vec<AssignmentId> = self
             .items
             .attempts()
@@ -107,9 +112,9 @@
             .collect();
         for assignment in silent {
             if let Some(attempt) = self.items.end(assignment) {
-                self.note_end(&attempt);
+                self.count_attempt_end(&attempt);
                 turn.release_attempt(attempt.gateway, assignment);
-                log_retry(assignment, &attempt, SILENT, turn);
+                log_retry(assignment, &attempt, NO_LONGER_REPORTED, turn);
                 self.items.wait(attempt.item);
             }
         }
@@ -126,12 +131,12 @@
     ) {
         let finished = (gateway, assignment);
         let Some(attempt) = self.items.end(assignment) else {
-            return self.on_forgotten_end(finished, item, outcome, turn);
+            return self.on_unknown_attempt_ended(finished, item, outcome, turn);
         };
-        self.note_end(&attempt);
+        self.count_attempt_end(&attempt);
         match self.history_of(&attempt.item, &outcome, turn.state) {
             Some(history) => self.attempt_ended(finished, &attempt, outcome, history, turn),
-            None => self.release_unknown(gateway, assignment, turn),
+            None => self.release_attempt_and_scoring(gateway, assignment, turn),
         }
         self.place_items(turn);
     }
@@ -156,7 +161,7 @@
             ItemOutcome::Interrupted {
                 cause: BreakCause::Engine(Some(request)),
                 ..
-            } => self.has_ended_servers(*request, state),
+            } => self.has_crashed_servers(*request, state),
             _ => false,
         };
         Some(ItemHistory {
@@ -167,7 +172,7 @@
         })
     }
 
-    fn has_ended_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
+    fn has_crashed_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
         self.evidence.is_pending(request) || state.evidence().ended_under(request) > 0
     }
 
@@ -191,9 +196,9 @@
         let (gateway, assignment) = finished;
         let verdict = verdict(&outcome, history);
         if verdict != Verdict::Take {
-            self.release_unknown(gateway, assignment, turn);
+            self.release_attempt_and_scoring(gateway, assignment, turn);
             let reason = if history.is_too_old {
-                TOO_OLD
+                TEXT_TOO_OLD
             } else {
                 outcome.name()
             };
@@ -202,7 +207,7 @@
         match (verdict, outcome) {
             (Verdict::Take, ItemOutcome::Finished(text)) => {
                 self.engines.succeeded(&attempt.instance);
-                self.take_text(&attempt.item, text, finished, turn);
+                self.accept_text(&attempt.item, text, finished, turn);
             }
             (Verdict::Take, _) => {}
             (Verdict::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
@@ -218,7 +223,7 @@
         retry: Retry,
         turn: &mut Turn<'_>,
     ) {
-        self.judge_engine(&attempt.instance, retry.engine, turn);
+        self.apply_engine_verdict(&attempt.instance, retry.engine, turn);
         if let Some(open_item) = self.items.open_item_mut(&attempt.item) {
             if let Some(backoff) = retry.backoff {
                 open_item.not_before = Some(turn.now + backoff);
@@ -238,7 +243,12 @@
         self.items.wait(attempt.item.clone());
     }
 
-    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineVerdict, turn: &mut Turn<'_>) {
+    fn apply_engine_verdict(
+        &mut self,
+        instance: &InstanceId,
+        verdict: EngineVerdict,
+        turn: &mut Turn<'_>,
+    ) {
         match verdict {
             EngineVerdict::Keep => {}
             EngineVerdict::Eject => self.eject(turn.now, instance),
@@ -248,7 +258,7 @@
             }
             EngineVerdict::EjectAndPoll => {
                 self.eject(turn.now, instance);
-                self.ask_report(instance, turn);
+                self.poll_engine(instance, turn);
             }
             EngineVerdict::Defer(duration) => {
                 self.engines.defer_until(instance, turn.now + duration);
@@ -268,7 +278,7 @@
     /// Handles the end of an attempt that this leader had already ended because its gateway was
     /// unreachable. A finished text is accepted nevertheless, and ends any attempt that replaced
     /// it: the first finished text counts.
-    fn on_forgotten_end(
+    fn on_unknown_attempt_ended(
         &mut self,
         (gateway, assignment): (GatewayId, AssignmentId),
         item: &ItemKey,
@@ -278,23 +288,28 @@
         let open_item = self.items.open_item(item);
         let open = open_item.filter(|open_item| !open_item.has_result);
         let (Some(open_item), ItemOutcome::Finished(text)) = (open, outcome) else {
-            return self.release_unknown(gateway, assignment, turn);
+            return self.release_attempt_and_scoring(gateway, assignment, turn);
         };
         if is_too_old(&text, item, turn.state) {
-            return self.release_unknown(gateway, assignment, turn);
+            return self.release_attempt_and_scoring(gateway, assignment, turn);
         }
         if let Some(other) = open_item.assignment
             && let Some(attempt) = self.items.end(other)
         {
-            self.note_end(&attempt);
+            self.count_attempt_end(&attempt);
             turn.release_attempt(attempt.gateway, other);
         }
-        self.take_text(item, text, (gateway, assignment), turn);
+        self.accept_text(item, text, (gateway, assignment), turn);
         self.place_items(turn);
     }
 
     /// Releases an attempt, and the scoring that its gateway may have started for its text.
-    fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, turn: &mut Turn<'_>) {
+    fn release_attempt_and_scoring(
+        &self,
+        gateway: GatewayId,
+        assignment: AssignmentId,
+        turn: &mut Turn<'_>,
+    ) {
         turn.release_attempt(gateway, assignment);
         if !self.scorings.has(assignment) {
             turn.release_scoring(gateway, assignment);
@@ -302,7 +317,7 @@
     }
 
     /// Updates the counts of running items of an ended attempt's engine and gateway.
-    pub(crate) fn note_end(&mut self, attempt: &Attempt) {
+    pub(crate) fn count_attempt_end(&mut self, attempt: &Attempt) {
         self.engines.ended(&attempt.instance);
         self.gateways.item_ended(attempt.gateway);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -38,14 +38,14 @@
         let configuration = Arc::clone(configuration);
         for service in &configuration.services {
             if let Some(scaling) = &service.scaling {
-                self.want_servers(service, scaling, turn);
+                self.propose_wanted_counts(service, scaling, turn);
                 self.order_servers(service, scaling, turn);
             }
         }
     }
 
     /// Proposes the wanted numbers of a service's servers where they changed.
-    fn want_servers(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
+    fn propose_wanted_counts(&mut self, service: &Service, scaling: &Scaling, turn: &mut Turn<'_>) {
         let demand = self.demand_of(turn.now, service, turn.state);
         for (pool, count) in wanted(&service.name, scaling, &demand, self.settings.capacity) {
             let known = turn.state.capacity().get(&pool).copied();
@@ -64,7 +64,7 @@
                 pool: pool.clone(),
                 count,
             };
-            self.propose(command, FollowUp::CapacityWanted(pool), turn);
+            self.propose(command, FollowUp::CapacityCommitted(pool), turn);
         }
     }
 
@@ -113,7 +113,7 @@
             if pool.service != service.name {
                 continue;
             }
-            let present = present_in(pool, turn.state);
+            let present = count_present_servers(pool, turn.state);
             let order = self.capacity.orders.entry(pool.clone()).or_default();
             if !order.is_due(turn.now, *count, present, scaling.boot) {
                 continue;
@@ -129,7 +129,7 @@
     }
 
     /// Continues after the wanted number of a pool was committed.
-    pub(crate) fn capacity_wanted(&mut self, pool: &CapacityPool, turn: &mut Turn<'_>) {
+    pub(crate) fn on_capacity_committed(&mut self, pool: &CapacityPool, turn: &mut Turn<'_>) {
         self.capacity.proposed.remove(pool);
         self.capacity.scanned_at = None;
         if let Some(order) = self.capacity.orders.get_mut(pool) {
@@ -153,7 +153,7 @@
 }
 
 /// Returns the number of registered servers of a pool that are not draining.
-fn present_in(pool: &CapacityPool, state: &CoordinationState) -> u32 {
+fn count_present_servers(pool: &CapacityPool, state: &CoordinationState) -> u32 {
     let servers = state.servers().values();
     let present = servers.filter(|server| {
         server.service == pool.service
--- a/crates/gateways/wingshore-coordination/src/leader/configuring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/configuring.rs
@@ -28,23 +28,23 @@
             return turn.reply(tag, Reply::Done);
         }
         let command = Command::Configure(configuration);
-        self.propose(command, FollowUp::Configuration(tag), turn);
+        self.propose(command, FollowUp::ConfigurationApplied(tag), turn);
     }
 
     /// Continues after a configuration was committed and came into force.
-    pub(super) fn configured(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
+    pub(super) fn on_configuration_applied(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
         if let Some(configuration) = turn.state.configuration() {
             let version = configuration.version;
             turn.log(Decision::Configured { version });
         }
         turn.reply(tag, Reply::Done);
-        self.take_configuration(turn.state);
+        self.load_configuration(turn.state);
         self.engines.begin(turn.state);
         self.place_items(turn);
     }
 
     /// Derives routes and tenant ranks from the configuration in force.
-    pub(super) fn take_configuration(&mut self, state: &CoordinationState) {
+    pub(super) fn load_configuration(&mut self, state: &CoordinationState) {
         if let Some(configuration) = state.configuration() {
             self.routes = RouteTable::new(configuration);
             self.ranks = TenantRanks::new(&configuration.tenants);
@@ -73,10 +73,10 @@
         };
         turn.log(decision);
         let command = Command::NameVersion { model, version };
-        self.propose(command, FollowUp::Version(tag), turn);
+        self.propose(command, FollowUp::VersionNamed(tag), turn);
     }
     /// Continues after a named version was committed: engines are to load it.
-    pub(super) fn version_named(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
+    pub(super) fn on_version_named(&mut self, tag: RequestTag, turn: &mut Turn<'_>) {
         turn.reply(tag, Reply::Done);
         self.drive_rollout(turn);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -32,10 +32,10 @@
     ) {
         let turn = &mut Turn { now, state, out };
         self.epoch = epoch;
-        self.place_from = turn.now + INTRODUCTION_TIME;
+        self.placing_starts_at = turn.now + INTRODUCTION_TIME;
         self.heartbeats.begin(turn.now, turn.state.servers().keys());
         self.engines.begin(turn.state);
-        self.take_configuration(turn.state);
+        self.load_configuration(turn.state);
         let longest_first = self.settings.policy.long_items_first;
         self.items.begin(epoch, longest_first, turn.state);
         self.scorings.begin(turn.now, turn.state);
@@ -96,23 +96,25 @@
         };
         match follow_up {
             FollowUp::Request(tag) => turn.reply(tag, Reply::Done),
-            FollowUp::Configuration(tag) => self.configured(tag, turn),
-            FollowUp::Server(instance, tag) => self.server_changed(instance, tag, turn),
-            FollowUp::Job(job, tag) => self.job_accepted(job, tag, turn),
+            FollowUp::ConfigurationApplied(tag) => self.on_configuration_applied(tag, turn),
+            FollowUp::ServerChanged(instance, tag) => self.on_server_changed(instance, tag, turn),
+            FollowUp::JobAccepted(job, tag) => self.on_job_accepted(job, tag, turn),
             FollowUp::JobForgotten(job) => self.job_clock.forget(&job),
-            FollowUp::Result { job, finished } => self.result_listed(&job, finished, turn),
-            FollowUp::TextKept { gateway, made_by } => turn.release_attempt(gateway, made_by),
-            FollowUp::Scored { item, finished } => self.scored(&item, finished, turn),
-            FollowUp::ScoringCounted { gateway, scoring } => {
+            FollowUp::ResultListed { job, finished } => self.on_result_listed(&job, finished, turn),
+            FollowUp::UnscoredTextStored { gateway, made_by } => {
+                turn.release_attempt(gateway, made_by)
+            }
+            FollowUp::Scored { item, finished } => self.on_scored(&item, finished, turn),
+            FollowUp::ScoringFailuresCounted { gateway, scoring } => {
                 turn.release_scoring(gateway, scoring);
             }
             FollowUp::Nothing => {}
-            FollowUp::Orders => self.orders_held(turn),
-            FollowUp::CrashesNoted(requests) => self.crashes_noted(requests, turn),
-            FollowUp::Evidence(requests) => self.evidence_changed(requests, turn),
-            FollowUp::CapacityWanted(pool) => self.capacity_wanted(&pool, turn),
-            FollowUp::UsageClosed(window) => self.usage_closed(window, turn),
-            FollowUp::Version(tag) => self.version_named(tag, turn),
+            FollowUp::OrdersClaimed => self.on_orders_claimed(turn),
+            FollowUp::CrashesRecorded(requests) => self.on_crashes_recorded(requests, turn),
+            FollowUp::EvidenceChanged(requests) => self.on_evidence_changed(requests, turn),
+            FollowUp::CapacityCommitted(pool) => self.on_capacity_committed(&pool, turn),
+            FollowUp::UsageClosed(window) => self.on_usage_closed(window, turn),
+            FollowUp::VersionNamed(tag) => self.on_version_named(tag, turn),
         }
     }
 
@@ -125,14 +127,14 @@
     ) {
         let turn = &mut Turn { now, state, out };
         match event {
-            Event::GatewayConnected(hello) => self.on_gateway(hello, turn),
+            Event::GatewayConnected(hello) => self.on_gateway_connected(hello, turn),
             Event::GatewayStatus(gateway, status) => self.on_gateway_status(gateway, status),
             Event::GatewayRunning {
                 gateway,
                 items,
                 scorings,
-            } => self.on_running(gateway, items, scorings, turn),
-            Event::ScoringsInHand(scorings) => self.on_scoring(turn.now, &scorings),
+            } => self.on_gateway_running(gateway, items, scorings, turn),
+            Event::ScoringsInHand(scorings) => self.on_scorings_running(turn.now, &scorings),
             Event::ScoringEnded {
                 gateway,
                 scoring,
@@ -142,14 +144,14 @@
                 assignment,
                 after_events,
                 text,
-            } => self.keep_partial_text(assignment, after_events, text, turn),
+            } => self.store_partial_text(assignment, after_events, text, turn),
             Event::ItemsProgressed(progress) => self.on_progress(progress, turn),
             Event::RequestsCrashed { gateway, seen } => {
                 self.on_requests_crashed(turn.now, gateway, seen, turn.state);
             }
-            Event::RequestsRan(requests) => self.on_requests_ran(requests, turn),
+            Event::RequestsRan(requests) => self.on_requests_succeeded(requests, turn),
             Event::GatewayDisconnected { gateway, silence } => {
-                self.on_gateway_gone(gateway, silence, turn);
+                self.on_gateway_disconnected(gateway, silence, turn);
             }
             Event::ItemEnded {
                 gateway,
@@ -157,7 +159,9 @@
                 item,
                 outcome,
             } => self.on_item_ended(gateway, assignment, &item, outcome, turn),
-            Event::ServersReported { from, servers } => self.on_servers_heard(from, servers, turn),
+            Event::ServersReported { from, servers } => {
+                self.on_servers_reported(from, servers, turn)
+            }
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
             Event::UsageReported { gateway, usage } => {
@@ -169,25 +173,27 @@
                 answer,
             } => self.on_capacity_answered(turn.now, &pool, count, answer),
             Event::UsageAnswered { window, answer } => self.on_usage_answered(window, answer, turn),
-            Event::Ordered { instance, answer } => self.on_ordered(&instance, answer, turn),
-            Event::EnginePolled { instance, report } => self.on_reported(&instance, report, turn),
+            Event::Ordered { instance, answer } => self.on_order_answered(&instance, answer, turn),
+            Event::EnginePolled { instance, report } => {
+                self.on_engine_polled(&instance, report, turn)
+            }
         }
     }
 
     fn on_tick(&mut self, now: Instant, state: &CoordinationState, out: &mut Outputs) {
         let turn = &mut Turn { now, state, out };
-        self.answer_waiting_readers(turn);
-        self.away_gateways_lost(turn.now);
+        self.answer_expired_readers(turn);
+        self.expire_disconnected_gateways(turn.now);
         if turn.now >= self.next_sweep {
             self.next_sweep = turn.now + SWEEP_INTERVAL;
             self.expire_servers(turn);
             self.abandon_overdue_items(turn);
-            self.end_silent_items(turn);
+            self.end_silent_attempts(turn);
             self.end_silent_scorings(turn.now);
             self.forget_jobs(turn);
-            self.relieve_requests(turn);
+            self.expire_evidence(turn);
         }
-        self.weigh_evidence(turn);
+        self.evaluate_evidence(turn);
         self.drive_rollout(turn);
         self.drive_usage(turn);
         self.drive_capacity(turn);
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -28,7 +28,7 @@
     }
 
     /// Evaluates the evidence that is due, and proposes to record the part that counts.
-    pub(crate) fn weigh_evidence(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn evaluate_evidence(&mut self, turn: &mut Turn<'_>) {
         let mut counts = Vec::new();
         for Pending {
             evidence, gateway, ..
@@ -56,11 +56,11 @@
         }
         let requests = counts.iter().map(|evidence| evidence.fingerprint).collect();
         let command = Command::NoteCrashes(counts);
-        self.propose(command, FollowUp::CrashesNoted(requests), turn);
+        self.propose(command, FollowUp::CrashesRecorded(requests), turn);
     }
 
     /// Clears requests that succeeded although servers had crashed during them before.
-    pub(crate) fn on_requests_ran(
+    pub(crate) fn on_requests_succeeded(
         &mut self,
         requests: Vec<RequestFingerprint>,
         turn: &mut Turn<'_>,
@@ -78,19 +78,23 @@
                 reason: "the request succeeded",
             });
         }
-        let follow_up = FollowUp::Evidence(known.clone());
+        let follow_up = FollowUp::EvidenceChanged(known.clone());
         self.propose(Command::ClearRequests(known), follow_up, turn);
     }
 
     /// Rejects those of these requests that reached the limit after more crashes were committed.
-    pub(crate) fn crashes_noted(&mut self, requests: Vec<RequestFingerprint>, turn: &mut Turn<'_>) {
+    pub(crate) fn on_crashes_recorded(
+        &mut self,
+        requests: Vec<RequestFingerprint>,
+        turn: &mut Turn<'_>,
+    ) {
         self.reject_requests(&requests, turn);
-        self.evidence_changed(requests, turn);
+        self.on_evidence_changed(requests, turn);
     }
 
     /// Records the time at which the evidence against these requests changed, and logs the rejected
     /// ones.
-    pub(crate) fn evidence_changed(
+    pub(crate) fn on_evidence_changed(
         &mut self,
         requests: Vec<RequestFingerprint>,
         turn: &mut Turn<'_>,
@@ -113,14 +117,14 @@
         };
         let rejected: Vec<RequestFingerprint> = requests.iter().filter(is_over).copied().collect();
         if !rejected.is_empty() {
-            let follow_up = FollowUp::Evidence(rejected.clone());
+            let follow_up = FollowUp::EvidenceChanged(rejected.clone());
             self.propose(Command::RejectRequests(rejected), follow_up, turn);
         }
     }
 
     /// Drops the oldest evidence against requests whose evidence has not changed for too long;
     /// rejected requests may then run once more.
-    pub(crate) fn relieve_requests(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn expire_evidence(&mut self, turn: &mut Turn<'_>) {
         let old = self.evidence.take_old(turn.now);
         if old.is_empty() {
             return;
@@ -134,7 +138,7 @@
                 });
             }
         }
-        let follow_up = FollowUp::Evidence(old.clone());
+        let follow_up = FollowUp::EvidenceChanged(old.clone());
         self.propose(Command::RelieveRequests(old), follow_up, turn);
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -12,14 +12,14 @@
 impl CoordinationLeader {
     /// Handles a gateway that connected: announces this leader, which asks the gateway to report
     /// what it runs.
-    pub(super) fn on_gateway(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
+    pub(super) fn on_gateway_connected(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
         let gateway = hello.gateway;
         let epoch = self.epoch;
         turn.send(gateway, CoordinatorMessage::Leading { epoch });
         for lost in self.gateways.connect(hello) {
-            self.gateway_items_lost(lost);
+            self.requeue_items_of_gateway(lost);
         }
-        self.scoring_gateway_lost(turn.now, gateway);
+        self.requeue_scorings_of_gateway(turn.now, gateway);
     }
 
     /// Records the status that a gateway reports.
@@ -30,20 +30,20 @@
     }
 
     /// Gives up gateways that were disconnected for too long, with all attempts that they ran.
-    pub(super) fn away_gateways_lost(&mut self, now: Instant) {
+    pub(super) fn expire_disconnected_gateways(&mut self, now: Instant) {
         for lost in self.gateways.take_lost(now) {
-            self.gateway_items_lost(lost);
+            self.requeue_items_of_gateway(lost);
         }
     }
 
-    fn gateway_items_lost(&mut self, gateway: GatewayId) {
+    fn requeue_items_of_gateway(&mut self, gateway: GatewayId) {
         for instance in self.items.gateway_lost(gateway) {
             self.engines.ended(&instance);
         }
     }
 
     /// Handles a gateway's report of everything that it runs.
-    pub(super) fn on_running(
+    pub(super) fn on_gateway_running(
         &mut self,
         gateway: GatewayId,
         items: Vec<RunningItem>,
@@ -56,10 +56,10 @@
         // A gateway to which this leader was announced twice reports twice; the second report lacks
         // the items assigned since the first.
         if is_first {
-            self.gateway_introduced(gateway, &items);
+            self.on_first_report(gateway, &items);
         }
         for item in items {
-            self.adopt(gateway, item, turn);
+            self.adopt_attempt(gateway, item, turn);
         }
         for scoring in scorings {
             self.adopt_scoring(gateway, scoring, turn);
@@ -68,7 +68,7 @@
     }
 
     /// Queues those items of a gateway again that are missing in its first report.
-    fn gateway_introduced(&mut self, gateway: GatewayId, items: &[RunningItem]) {
+    fn on_first_report(&mut self, gateway: GatewayId, items: &[RunningItem]) {
         let reported = items.iter().map(|item| item.assignment).collect();
         let (kept, lost) = self.items.gateway_reports(gateway, &reported);
         for instance in lost {
@@ -80,7 +80,7 @@
     }
 
     /// Handles the loss of a gateway's connection; `silence` is the time since its last message.
-    pub(super) fn on_gateway_gone(
+    pub(super) fn on_gateway_disconnected(
         &mut self,
         gateway: GatewayId,
         silence: Duration,
@@ -90,9 +90,9 @@
         if !self.gateways.disconnect(gateway, lost_at) {
             return;
         }
-        self.keep_usage_of(gateway, turn);
-        self.away_gateways_lost(turn.now);
-        self.scoring_gateway_lost(turn.now, gateway);
+        self.store_usage_of(gateway, turn);
+        self.expire_disconnected_gateways(turn.now);
+        self.requeue_scorings_of_gateway(turn.now, gateway);
         self.place_items(turn);
         self.place_scorings(turn);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -32,16 +32,20 @@
         if let Some(reason) = self.missing_scorer_route(&submission, turn.state) {
             return turn.reply(tag, Reply::Refused(reason));
         }
-        if self.refuse_for_want_of_room(tag, &submission, turn) {
+        if self.refuse_if_memory_is_full(tag, &submission, turn) {
             return;
         }
         let id = submission.id.clone();
         self.job_clock.note(turn.now, &id);
-        self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
+        self.propose(
+            Command::AcceptJob(submission),
+            FollowUp::JobAccepted(id, tag),
+            turn,
+        );
     }
 
     /// Refuses a job that does not fit into the memory for open jobs; returns whether it did.
-    fn refuse_for_want_of_room(
+    fn refuse_if_memory_is_full(
         &self,
         tag: RequestTag,
         submission: &JobSubmission,
@@ -83,7 +87,7 @@
         })
     }
 
-    pub(crate) fn job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
+    pub(crate) fn on_job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
         turn.reply(tag, Reply::Done);
         self.items.add_job(&job, turn.state);
         if let Some(known) = turn.state.jobs().get(&job) {
@@ -130,7 +134,7 @@
     }
 
     /// Logs the most recently listed result of a job.
-    pub(crate) fn log_listed(&self, id: &JobId, turn: &mut Turn<'_>) {
+    pub(crate) fn log_last_result(&self, id: &JobId, turn: &mut Turn<'_>) {
         let Some(job) = turn.state.jobs().get(id) else {
             return;
         };
@@ -150,27 +154,27 @@
 
     /// Continues after a result was committed: its gateway may drop it, and waiting readers are
     /// answered.
-    pub(super) fn result_listed(
+    pub(super) fn on_result_listed(
         &mut self,
         job: &JobId,
         finished: Option<(GatewayId, AssignmentId)>,
         turn: &mut Turn<'_>,
     ) {
         if let Some((gateway, assignment)) = finished {
-            self.log_listed(job, turn);
+            self.log_last_result(job, turn);
             turn.release_attempt(gateway, assignment);
         }
-        self.results_listed(job, turn);
+        self.answer_readers_of(job, turn);
     }
 
     /// Answers the readers that wait for results of a job.
-    pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
+    pub(crate) fn answer_readers_of(&mut self, job: &JobId, turn: &mut Turn<'_>) {
         let readers = self.readers.take_of(job);
         answer_readers(readers, turn);
     }
 
     /// Answers the readers whose wait time has elapsed.
-    pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn answer_expired_readers(&mut self, turn: &mut Turn<'_>) {
         let readers = self.readers.take_due(turn.now);
         answer_readers(readers, turn);
     }
@@ -190,7 +194,7 @@
             turn.log(decision);
         }
         for (assignment, running) in ended {
-            self.note_end(&running);
+            self.count_attempt_end(&running);
             turn.release_attempt(running.gateway, assignment);
         }
         for (gateway, scoring) in self.scorings.remove_job(id) {
--- a/crates/gateways/wingshore-coordination/src/leader/loading.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/loading.rs
@@ -26,7 +26,7 @@
                 model,
                 version,
             } = next;
-            self.ask_report(&instance, turn);
+            self.poll_engine(&instance, turn);
             let load = Load::begin(turn.now, model, version);
             self.rollout.loads.insert(instance, load);
         }
--- a/crates/gateways/wingshore-coordination/src/leader/machine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/machine.rs
@@ -31,7 +31,7 @@
     pub(super) settings: LeaderSettings,
     pub(super) epoch: Epoch,
     /// Nothing is placed before this time, so that gateways first report what they already run.
-    pub(super) place_from: Instant,
+    pub(super) placing_starts_at: Instant,
     /// When the next sweep for expired servers, items and jobs is due.
     pub(super) next_sweep: Instant,
     pub(super) proposals: Proposals,
@@ -65,7 +65,7 @@
         Self {
             settings,
             epoch: Epoch(0),
-            place_from: Instant::ZERO,
+            placing_starts_at: Instant::ZERO,
             next_sweep: Instant::ZERO,
             proposals: Proposals::default(),
             gateways: Gateways::default(),
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -18,7 +18,7 @@
     /// Handles a gateway's progress report.
     pub(crate) fn on_progress(&mut self, progress: Vec<ItemProgress>, turn: &mut Turn<'_>) {
         for item in &progress {
-            self.note_progress(turn.now, *item);
+            self.record_progress(turn.now, *item);
         }
         if self.settings.policy.moves {
             self.move_items(&progress, turn);
@@ -26,7 +26,7 @@
     }
 
     /// Records the progress of an item, and updates the measured pace of its engine.
-    fn note_progress(&mut self, now: Instant, progress: ItemProgress) {
+    fn record_progress(&mut self, now: Instant, progress: ItemProgress) {
         let ItemProgress { assignment, events } = progress;
         let Some(attempt) = self.items.attempt_mut(assignment) else {
             return;
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -21,7 +21,7 @@
 use wingshore_types::Instant;
 
 /// Converts an engine's pace, which is in milliseconds per event, to microseconds.
-const MICROSECONDS_OF_A_MS: f64 = 1000.0;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 /// An item that can be placed, with everything that determines where.
 struct Candidate<'a> {
@@ -70,7 +70,8 @@
 impl CoordinationLeader {
     /// Places as many waiting items as engines and gateways accept.
     pub(crate) fn place_items(&mut self, turn: &mut Turn<'_>) {
-        if self.items.none_waits() || self.gateways.is_empty() || turn.now < self.place_from {
+        if self.items.none_waits() || self.gateways.is_empty() || turn.now < self.placing_starts_at
+        {
             return;
         }
         for job in self.jobs_by_rank(turn.state) {
@@ -238,7 +239,9 @@
             instance: instance.clone(),
             engine_running: engine.running + 1,
             engine_version: version,
-            engine_pace_us: engine.pace.map(|pace| (pace * MICROSECONDS_OF_A_MS) as u64),
+            engine_pace_us: engine
+                .pace
+                .map(|pace| (pace * MICROSECONDS_PER_MILLISECOND) as u64),
             is_long: candidate.is_long,
             gateway,
             after_event: kept.last_event,
@@ -253,7 +256,7 @@
         };
         self.start(assignment, attempt);
         if !extends_held {
-            self.tell_held(assignment, turn);
+            self.send_held_prefix(assignment, turn);
         }
         let job = &candidate.job.submission.id;
         self.items
--- a/crates/gateways/wingshore-coordination/src/leader/proposals.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/proposals.rs
@@ -14,22 +14,22 @@
     /// Answer the request with [`Reply::Done`](crate::messages::Reply::Done).
     Request(RequestTag),
     /// Put the new configuration in force and answer the request.
-    Configuration(RequestTag),
+    ConfigurationApplied(RequestTag),
     /// Update the tables for a server whose registry record changed, and answer the request if any.
-    Server(InstanceId, Option<RequestTag>),
+    ServerChanged(InstanceId, Option<RequestTag>),
     /// Start to place the items of an accepted job, and answer the request.
-    Job(JobId, RequestTag),
+    JobAccepted(JobId, RequestTag),
     /// Drop the times recorded for an ended job that the state has forgotten.
     JobForgotten(JobId),
     /// Answer waiting readers of a job with a newly listed result, and release the attempt: its
     /// gateway keeps the result until it is committed.
-    Result {
+    ResultListed {
         job: JobId,
         finished: Option<(GatewayId, AssignmentId)>,
     },
     /// Release the attempt whose unscored text is now durable; its gateway kept the text until
     /// then.
-    TextKept {
+    UnscoredTextStored {
         gateway: GatewayId,
         made_by: AssignmentId,
     },
@@ -39,24 +39,24 @@
         finished: (GatewayId, AssignmentId),
     },
     /// Release a scoring whose failures are now counted: its gateway kept them until then.
-    ScoringCounted {
+    ScoringFailuresCounted {
         gateway: GatewayId,
         scoring: AssignmentId,
     },
     /// Do nothing.
     Nothing,
     /// Start to give orders to engines: the claim to do so is committed.
-    Orders,
+    OrdersClaimed,
     /// Check whether these requests are to be rejected: more servers crashed during them.
-    CrashesNoted(Vec<RequestFingerprint>),
+    CrashesRecorded(Vec<RequestFingerprint>),
     /// Update the leader's data for requests whose evidence changed.
-    Evidence(Vec<RequestFingerprint>),
+    EvidenceChanged(Vec<RequestFingerprint>),
     /// Answer the request that named a version, and start the rollout.
-    Version(RequestTag),
+    VersionNamed(RequestTag),
     /// Send the report of a window whose counts are now committed.
     UsageClosed(UsageWindow),
     /// Order the number of servers that was committed for a pool.
-    CapacityWanted(CapacityPool),
+    CapacityCommitted(CapacityPool),
 }
 
 /// All proposals of this leader that are not applied yet.
--- a/crates/gateways/wingshore-coordination/src/leader/results.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/results.rs
@@ -12,7 +12,7 @@
 impl CoordinationLeader {
     /// Accepts the finished text of an item that has no result yet; it is listed, or first scored
     /// if the item has a scorer.
-    pub(crate) fn take_text(
+    pub(crate) fn accept_text(
         &mut self,
         item: &ItemKey,
         text: FinishedText,
@@ -20,7 +20,7 @@
         turn: &mut Turn<'_>,
     ) {
         if Self::scorer_of(item, turn.state).is_some() {
-            return self.keep_unscored(item, text, finished, turn);
+            return self.store_unscored_text(item, text, finished, turn);
         }
         let result = ListedResult {
             index: item.index,
@@ -29,7 +29,7 @@
             versions: text.versions,
             score: None,
         };
-        self.list(item, result, Some(finished), turn);
+        self.propose_result(item, result, Some(finished), turn);
     }
 
     /// Abandons an item: lists it without a text and releases its scorings.
@@ -49,11 +49,11 @@
         for (gateway, scoring) in self.scorings.remove_item(item) {
             turn.release_scoring(gateway, scoring);
         }
-        self.list(item, result, None, turn);
+        self.propose_result(item, result, None, turn);
     }
 
     /// Proposes to list a result. The gateway that produced it keeps it until it is committed.
-    fn list(
+    fn propose_result(
         &mut self,
         item: &ItemKey,
         result: ListedResult,
@@ -66,6 +66,6 @@
             job: job.clone(),
             result,
         };
-        self.propose(command, FollowUp::Result { job, finished }, turn);
+        self.propose(command, FollowUp::ResultListed { job, finished }, turn);
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -19,9 +19,9 @@
 /// Minimum time between two scans of all engines that are triggered by answers, for each engine
 /// beyond [`ENGINES_SCANNED_ALWAYS`]; ticks always scan. This limits the cost of answers to a
 /// tenth of a core, whatever their number.
-const SCAN_INTERVAL_OF_AN_ENGINE: Duration = Duration::from_micros(20);
+const SCAN_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(20);
 /// Up to this number of engines, every answer triggers a scan, because the scan is short.
-const ENGINES_SCANNED_ALWAYS: usize = 100;
+const ENGINES_SCANNED_UNTHROTTLED: usize = 100;
 
 /// Time after a load of weights until the pace of an engine's streams is steady again.
 const UNSTEADY_AFTER_LOAD: Duration = Duration::from_millis(500);
@@ -35,7 +35,7 @@
     }
 
     /// Starts to give orders after the claim to do so was committed.
-    pub(super) fn orders_held(&mut self, turn: &mut Turn<'_>) {
+    pub(super) fn on_orders_claimed(&mut self, turn: &mut Turn<'_>) {
         self.rollout
             .claimed(turn.now + self.settings.order_handover);
         self.drive_rollout(turn);
@@ -66,10 +66,13 @@
 
     /// Calls [`CoordinationLeader::drive_rollout`] after an answer of one engine, at a limited
     /// rate.
-    fn drive_rollout_soon(&mut self, turn: &mut Turn<'_>) {
-        let engines = self.engines.count().saturating_sub(ENGINES_SCANNED_ALWAYS);
+    fn drive_rollout_throttled(&mut self, turn: &mut Turn<'_>) {
+        let engines = self
+            .engines
+            .count()
+            .saturating_sub(ENGINES_SCANNED_UNTHROTTLED);
         let engines = u32::try_from(engines).unwrap_or(u32::MAX);
-        let interval = SCAN_INTERVAL_OF_AN_ENGINE.saturating_mul(engines);
+        let interval = SCAN_INTERVAL_PER_ENGINE.saturating_mul(engines);
         if self.rollout.since_scan(turn.now) >= interval {
             self.drive_rollout(turn);
         }
@@ -82,7 +85,7 @@
                 node: self.settings.node.clone(),
                 epoch: self.epoch,
             };
-            self.propose(Command::HoldOrders(holder), FollowUp::Orders, turn);
+            self.propose(Command::HoldOrders(holder), FollowUp::OrdersClaimed, turn);
         }
         self.settle_orders(turn);
         if !self.rollout.holds_orders() || turn.state.named_versions().is_empty() {
@@ -91,7 +94,7 @@
         self.rollout.scanned(turn.now);
         self.drop_finished_loads(turn.state);
         for instance in self.rollout.on_time(turn.now) {
-            self.ask_report(&instance, turn);
+            self.poll_engine(&instance, turn);
         }
         self.begin_loads(turn);
     }
@@ -113,7 +116,7 @@
     }
 
     /// Requests the status of an engine.
-    pub(super) fn ask_report(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
+    pub(super) fn poll_engine(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
         if let Some(engine) = self.engines.get(instance) {
             turn.effect(Effect::PollEngine {
                 instance: instance.clone(),
@@ -123,21 +126,21 @@
     }
 
     /// Handles an engine's answer to a status poll, or the lack of one.
-    pub(crate) fn on_reported(
+    pub(crate) fn on_engine_polled(
         &mut self,
         instance: &InstanceId,
         report: Option<EngineStatus>,
         turn: &mut Turn<'_>,
     ) {
         if let Some(report) = &report {
-            self.note_versions(instance, report, turn);
+            self.record_versions(instance, report, turn);
         }
         let Some(load) = self.rollout.loads.get_mut(instance) else {
             return;
         };
         match load.on_report(turn.now, report.as_ref()) {
             ReportVerdict::Wait => {}
-            ReportVerdict::Reached => self.drive_rollout_soon(turn),
+            ReportVerdict::Reached => self.drive_rollout_throttled(turn),
             ReportVerdict::Order { sequence } => self.order(instance, sequence, turn),
         }
     }
@@ -157,7 +160,7 @@
             holder: self.settings.node.clone(),
             fence: self.epoch,
             expected_sequence: sequence,
-            keep_running: !any_single_version(&engine.record.service, turn.state),
+            keep_running: !requires_single_version(&engine.record.service, turn.state),
         };
         let model = Some(order.model.clone());
         self.engines.set_loading(instance, model);
@@ -165,7 +168,7 @@
     }
 
     /// Handles an engine's answer to an order, or the lack of one.
-    pub(crate) fn on_ordered(
+    pub(crate) fn on_order_answered(
         &mut self,
         instance: &InstanceId,
         answer: OrderAnswer,
@@ -178,11 +181,16 @@
         if !answer.may_load() {
             self.engines.set_loading(instance, None);
         }
-        self.drive_rollout_soon(turn);
+        self.drive_rollout_throttled(turn);
     }
 
     /// Records the versions that an engine reports, and places the items that waited for them.
-    fn note_versions(&mut self, instance: &InstanceId, report: &EngineStatus, turn: &mut Turn<'_>) {
+    fn record_versions(
+        &mut self,
+        instance: &InstanceId,
+        report: &EngineStatus,
+        turn: &mut Turn<'_>,
+    ) {
         let risen = self.engines.raise_versions(instance, &report.models);
         let has_risen = !risen.is_empty();
         for ModelVersion { model, version } in risen {
@@ -203,7 +211,7 @@
 }
 
 /// Returns whether a route to this service requires each result to come from a single version.
-fn any_single_version(service: &ServiceName, state: &CoordinationState) -> bool {
+fn requires_single_version(service: &ServiceName, state: &CoordinationState) -> bool {
     state.configuration().is_some_and(|configuration| {
         configuration.routes.iter().any(|route| {
             let mut targets = route.targets.iter();
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -30,7 +30,7 @@
 
     /// Stores the finished text of an item that is to be scored. The text is made durable while the
     /// gateway that produced it already requests the score.
-    pub(crate) fn keep_unscored(
+    pub(crate) fn store_unscored_text(
         &mut self,
         item: &ItemKey,
         text: FinishedText,
@@ -50,7 +50,7 @@
             made_by,
             text,
         };
-        let follow_up = FollowUp::TextKept { gateway, made_by };
+        let follow_up = FollowUp::UnscoredTextStored { gateway, made_by };
         self.propose(command, follow_up, turn);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Records that a gateway still runs these scorings.
-    pub(crate) fn on_scoring(&mut self, now: Instant, scorings: &[AssignmentId]) {
+    pub(crate) fn on_scorings_running(&mut self, now: Instant, scorings: &[AssignmentId]) {
         for scoring in scorings {
             if let Some(running) = self.scorings.under_way.get_mut(scoring) {
                 running.heard = now;
@@ -99,16 +99,16 @@
     }
 
     /// Queues the scorings of a lost gateway again, for texts that are durable or about to be.
-    pub(crate) fn scoring_gateway_lost(&mut self, now: Instant, gateway: GatewayId) {
-        self.scorings_lost(now, |running| running.gateway == gateway);
+    pub(crate) fn requeue_scorings_of_gateway(&mut self, now: Instant, gateway: GatewayId) {
+        self.requeue_scorings(now, |running| running.gateway == gateway);
     }
 
     /// Ends the scorings that their gateways no longer report, and queues them again.
     pub(crate) fn end_silent_scorings(&mut self, now: Instant) {
-        self.scorings_lost(now, |running| is_silent(now, running.heard));
+        self.requeue_scorings(now, |running| is_silent(now, running.heard));
     }
 
-    fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
+    fn requeue_scorings(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
         for (_, running) in self.scorings.take_running(is_lost) {
             // If the text never arrived, the item itself runs again instead.
             let open_item = self.items.open_item(&running.item);
@@ -120,7 +120,7 @@
 
     /// Assigns waiting scorings that are due to gateways.
     pub(crate) fn place_scorings(&mut self, turn: &mut Turn<'_>) {
-        if self.scorings.waiting.is_empty() || turn.now < self.place_from {
+        if self.scorings.waiting.is_empty() || turn.now < self.placing_starts_at {
             return;
         }
         let due: Vec<(ItemKey, AssignmentId)> = self
@@ -204,7 +204,7 @@
         let OpenScoring { item, made_by, .. } = running;
         let reason = outcome.name();
         let known = Failures {
-            counted: kept_failures(&item, turn.state),
+            counted: committed_failures(&item, turn.state),
             max: self.max_scoring_failures(&item, turn.state),
             may_include_these: scoring.epoch != self.epoch,
         };
@@ -225,7 +225,7 @@
                         made_by,
                         failures,
                     };
-                    let follow_up = FollowUp::ScoringCounted { gateway, scoring };
+                    let follow_up = FollowUp::ScoringFailuresCounted { gateway, scoring };
                     self.propose(command, follow_up, turn);
                 }
             }
@@ -275,7 +275,7 @@
 
     /// Continues after a score was committed. The item is now listed, unless the stored text is
     /// from another attempt than the score; that text is then scored.
-    pub(crate) fn scored(
+    pub(crate) fn on_scored(
         &mut self,
         item: &ItemKey,
         (gateway, scoring): (GatewayId, AssignmentId),
@@ -286,8 +286,8 @@
             return;
         };
         if job.is_listed(item.index) {
-            self.log_listed(&item.job, turn);
-            return self.results_listed(&item.job, turn);
+            self.log_last_result(&item.job, turn);
+            return self.answer_readers_of(&item.job, turn);
         }
         if let Some(unscored) = job.unscored(item.index)
             && !self.scorings.is_in_hand(item)
@@ -304,7 +304,7 @@
 }
 
 /// Returns the number of failures of scoring servers that are committed for an item.
-fn kept_failures(item: &ItemKey, state: &CoordinationState) -> u32 {
+fn committed_failures(item: &ItemKey, state: &CoordinationState) -> u32 {
     let job = state.jobs().get(&item.job);
     let unscored = job.and_then(|job| job.unscored(item.index));
     unscored.map_or(0, |unscored| unscored.failures)
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -33,15 +33,15 @@
         }
         let heartbeats = &mut self.heartbeats;
         if !is_newest || !heartbeats.is_current(turn.now, &instance, turn.state) {
-            return self.acknowledge_older(tag, &instance, turn);
+            return self.acknowledge_stale_heartbeat(tag, &instance, turn);
         }
         let wanted = merged(heartbeat.server, turn.state);
         if turn.state.servers().get(&instance) == Some(&wanted) {
             return turn.reply(tag, Reply::Done);
         }
         if !is_known {
-            self.supersede_others(&wanted, turn);
-            self.end_earlier_incarnations(&instance, turn);
+            self.remove_servers_at_address_of(&wanted, turn);
+            self.remove_earlier_incarnations(&instance, turn);
         }
         let command = Command::Register(wanted);
         self.propose_server(command, instance, Some(tag), turn);
@@ -49,7 +49,12 @@
 
     /// Acknowledges a heartbeat that is not the newest of its server, once the changes by the newer
     /// ones are durable: the same state may have been reported through two coordinators.
-    fn acknowledge_older(&mut self, tag: RequestTag, instance: &InstanceId, turn: &mut Turn<'_>) {
+    fn acknowledge_stale_heartbeat(
+        &mut self,
+        tag: RequestTag,
+        instance: &InstanceId,
+        turn: &mut Turn<'_>,
+    ) {
         if !self.registrations.wait(instance, tag) {
             turn.reply(tag, Reply::Done);
         }
@@ -64,14 +69,14 @@
         turn: &mut Turn<'_>,
     ) {
         self.registrations.proposed(instance.clone());
-        self.propose(command, FollowUp::Server(instance, tag), turn);
+        self.propose(command, FollowUp::ServerChanged(instance, tag), turn);
     }
 
     /// Removes other servers that are registered at the address of a new one. Two servers cannot
     /// listen on one address, so the earlier one has ended. Otherwise it would be detected as
     /// silent only after [`LeaderSettings::server_expiry`](super::LeaderSettings::server_expiry),
     /// and until then would be sent items that the new server refuses.
-    fn supersede_others(&mut self, server: &ServerRecord, turn: &mut Turn<'_>) {
+    fn remove_servers_at_address_of(&mut self, server: &ServerRecord, turn: &mut Turn<'_>) {
         let others = turn.state.servers().values();
         let name = server.instance.name();
         let others = others.filter(|other| other.address == server.address);
@@ -85,7 +90,7 @@
     }
 
     /// Removes the earlier incarnations of a server that restarted under its name; they have ended.
-    fn end_earlier_incarnations(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
+    fn remove_earlier_incarnations(&mut self, instance: &InstanceId, turn: &mut Turn<'_>) {
         let incarnations = turn.state.incarnations_of(instance.name());
         let earlier = incarnations.map(|(incarnation, _)| incarnation);
         let earlier = earlier.filter(|incarnation| *incarnation < instance);
@@ -102,7 +107,7 @@
 
     /// Handles heartbeats that another coordinator answered because they changed nothing in the
     /// registry.
-    pub(crate) fn on_servers_heard(
+    pub(crate) fn on_servers_reported(
         &mut self,
         from: ReplicaId,
         servers: Vec<HeardServer>,
@@ -155,7 +160,7 @@
     }
 
     /// Continues after a change of a server's registry record was committed.
-    pub(crate) fn server_changed(
+    pub(crate) fn on_server_changed(
         &mut self,
         instance: InstanceId,
         tag: Option<RequestTag>,
--- a/crates/gateways/wingshore-coordination/src/leader/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/usage.rs
@@ -52,7 +52,7 @@
     }
 
     /// Continues after the counts of a window were committed.
-    pub(crate) fn usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
+    pub(crate) fn on_usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
         self.usage.closed(window);
         let counts = turn.state.usage().waiting().get(&window);
         turn.log(Decision::UsageClosed {
@@ -76,7 +76,7 @@
     }
 
     /// Proposes to store the counts of a lost gateway, so that they survive a change of leader.
-    pub(crate) fn keep_usage_of(&mut self, gateway: GatewayId, turn: &mut Turn<'_>) {
+    pub(crate) fn store_usage_of(&mut self, gateway: GatewayId, turn: &mut Turn<'_>) {
         let usage = self.usage.reported_by(gateway);
         if !usage.is_empty() {
             self.propose(
