--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -173,7 +173,9 @@
                 answer,
             } => self.on_capacity_answered(turn.now, &pool, count, answer),
             Event::UsageAnswered { window, answer } => self.on_usage_answered(window, answer, turn),
-            Event::Ordered { instance, answer } => self.on_order_answered(&instance, answer, turn),
+            Event::WeightOrderAnswered { instance, answer } => {
+                self.on_order_answered(&instance, answer, turn)
+            }
             Event::EnginePolled { instance, report } => {
                 self.on_engine_polled(&instance, report, turn)
             }
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -119,7 +119,7 @@
         answer: ProviderAnswer,
     },
     /// An engine answered an order to load weights, or the call got no answer.
-    Ordered {
+    WeightOrderAnswered {
         /// The engine.
         instance: InstanceId,
         /// The answer.
--- a/crates/gateways/wingshore-coordination/tests/rollout.rs
+++ b/crates/gateways/wingshore-coordination/tests/rollout.rs
@@ -88,7 +88,7 @@
     name_version(&mut group, 2);
     let first = asked(&mut group);
     report(&mut group, &first[0], 1, false);
-    group.event(Event::Ordered {
+    group.event(Event::WeightOrderAnswered {
         instance: first[0].clone(),
         answer: OrderAnswer::Accepted,
     });
@@ -186,7 +186,7 @@
     let looked_at = asked(&mut group);
     report(&mut group, &looked_at[0], 1, false);
     orders(&mut group);
-    group.event(Event::Ordered {
+    group.event(Event::WeightOrderAnswered {
         instance: looked_at[0].clone(),
         answer: OrderAnswer::Unknown,
     });
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -277,7 +277,8 @@
                         engine.loading = Some((order.model, order.version, LOAD));
                     }
                     let (instance, answer) = (order.instance, OrderAnswer::Accepted);
-                    self.group.event(Event::Ordered { instance, answer });
+                    self.group
+                        .event(Event::WeightOrderAnswered { instance, answer });
                 }
                 Effect::PollEngine { instance, .. } => {
                     let report = self.engines.get(&instance).map(|engine| EngineStatus {
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -314,7 +314,7 @@
     fn event(&self, question: Question, answer: Option<&WholeAnswer>) -> Event {
         let engines = &self.protocols.engines;
         match question {
-            Question::Load(instance) => Event::Ordered {
+            Question::Load(instance) => Event::WeightOrderAnswered {
                 instance,
                 answer: answer.map_or(OrderAnswer::Unknown, |answer| {
                     engines.order_answer(&answer.head)
--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -24,7 +24,7 @@
     pub(super) fn take_call_events(&mut self, events: impl IntoIterator<Item = Event>) {
         for event in events {
             match &event {
-                Event::Ordered { instance, answer } => {
+                Event::WeightOrderAnswered { instance, answer } => {
                     self.metrics.ordered(answer.name());
                     info!(self.logger, "order answered"; "engine" => %instance,
                         "answer" => answer.name());
@@ -67,7 +67,7 @@
             info!(self.logger, "order not given"; "engine" => %order.instance,
                 "reason" => "the lease is over", "fence" => order.fence.0);
             let (instance, answer) = (order.instance.clone(), OrderAnswer::Refused);
-            return Some(Event::Ordered { instance, answer });
+            return Some(Event::WeightOrderAnswered { instance, answer });
         }
         info!(self.logger, "order"; "engine" => %order.instance, "model" => %order.model,
             "version" => order.version, "fence" => order.fence.0);
--- a/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
@@ -313,7 +313,7 @@
             .as_ref()
             .is_some_and(|(host, _)| host.holds_lease(local));
         if !holds_lease {
-            let event = Event::Ordered {
+            let event = Event::WeightOrderAnswered {
                 instance: order.instance,
                 answer: OrderAnswer::Refused,
             };
@@ -435,7 +435,7 @@
             engine.loading = Some((load_until, order.version));
             OrderAnswer::Accepted
         };
-        let event = Event::Ordered {
+        let event = Event::WeightOrderAnswered {
             instance: order.instance.clone(),
             answer,
         };
