--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -134,7 +134,7 @@
                 items,
                 scorings,
             } => self.on_gateway_running(gateway, items, scorings, turn),
-            Event::ScoringsInHand(scorings) => self.on_scorings_running(turn.now, &scorings),
+            Event::ScoringsRunning(scorings) => self.on_scorings_running(turn.now, &scorings),
             Event::ScoringEnded {
                 gateway,
                 scoring,
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -47,7 +47,7 @@
     /// A gateway reports how many events its items have produced.
     ItemsProgressed(Vec<ItemProgress>),
     /// A gateway reports which scorings it is still running.
-    ScoringsInHand(Vec<AssignmentId>),
+    ScoringsRunning(Vec<AssignmentId>),
     /// A scoring ended at a gateway.
     ScoringEnded {
         /// Which gateway.
--- a/crates/gateways/wingshore-coordination/tests/scoring.rs
+++ b/crates/gateways/wingshore-coordination/tests/scoring.rs
@@ -271,7 +271,7 @@
         let again = scorings(&mut group);
         assert_that!(again, len(eq(1)));
         scoring = again[0].1.scoring;
-        group.event(Event::ScoringsInHand(vec![scoring]));
+        group.event(Event::ScoringsRunning(vec![scoring]));
     }
     expect_that!(results(&group), is_empty());
     end_scoring(&mut group, gateway, scoring, scored("stamp"));
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -126,7 +126,7 @@
             scorings,
         },
         GatewayMessage::Progress(progress) => Event::ItemsProgressed(progress),
-        GatewayMessage::Scoring(scorings) => Event::ScoringsInHand(scorings),
+        GatewayMessage::Scoring(scorings) => Event::ScoringsRunning(scorings),
         GatewayMessage::ScoringEnded { scoring, outcome } => Event::ScoringEnded {
             gateway,
             scoring,
