--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -140,7 +140,7 @@
                 scoring,
                 outcome,
             } => self.on_scoring_ended(gateway, scoring, outcome, turn),
-            Event::PartialTextStored {
+            Event::PartialTextUploaded {
                 assignment,
                 after_events,
                 text,
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -36,7 +36,7 @@
         scorings: Vec<RunningScoring>,
     },
     /// A gateway uploads the next events of a long item that is still running.
-    PartialTextStored {
+    PartialTextUploaded {
         /// Which attempt.
         assignment: AssignmentId,
         /// Number of the item's events that precede `text`.
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -178,7 +178,7 @@
 }
 
 fn keep(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: assignment.assignment,
         after_events: from,
         text: part(from, to),
@@ -359,7 +359,7 @@
 fn a_new_leader_says_how_much_of_a_text_it_holds() {
     let (mut group, gateway) = Group::with_job(1);
     let assignment = group.assignments().remove(0);
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: assignment.assignment,
         after_events: 0,
         text: text(2),
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -23,7 +23,7 @@
 }
 
 fn upload(assignment: AssignmentId, after: u64, through: u64) -> Event {
-    Event::PartialTextStored {
+    Event::PartialTextUploaded {
         assignment,
         after_events: after,
         text: events(after, through),
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -24,7 +24,7 @@
 }
 
 fn upload(group: &mut Group, assigned: &ItemAssignment, after: u64, through: u64) {
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: assigned.assignment,
         after_events: after,
         text: events(after, through),
@@ -111,7 +111,7 @@
     interrupt(&mut group, gateway, &second, of_version_2(0, 4));
     let third = group.assignments().remove(0);
     assert_that!(third.kept, eq(&of_version_2(0, 4)));
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: third.assignment,
         after_events: third.durable.events,
         text: of_version_2(third.durable.events, 6),
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -136,7 +136,7 @@
             assignment,
             after_events,
             text,
-        } => Event::PartialTextStored {
+        } => Event::PartialTextUploaded {
             assignment,
             after_events,
             text,
