--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -186,7 +186,7 @@
 
 /// Counts of the leader's open work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaderFigures {
+pub struct LeaderCounts {
     /// Items that wait for an engine.
     pub items_waiting: usize,
     /// Items that run on engines.
--- a/crates/gateways/wingshore-coordination/src/leader/machine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/machine.rs
@@ -6,7 +6,7 @@
 use super::decisions::crash_evidence::Evidence;
 use super::decisions::registration::Heartbeats;
 use super::decisions::usage_reports::UsageReporter;
-use super::interface::LeaderFigures;
+use super::interface::LeaderCounts;
 use super::proposals::{FollowUp, Proposals};
 use super::settings::LeaderSettings;
 use super::tables::capacity::Capacity;
@@ -86,9 +86,9 @@
     }
 
     /// Returns the counts of the leader's open work.
-    pub fn figures(&self) -> LeaderFigures {
+    pub fn counts(&self) -> LeaderCounts {
         let engines = self.engines.iter();
-        LeaderFigures {
+        LeaderCounts {
             items_waiting: self.items.waiting_count(),
             items_running: self.items.attempts().count(),
             engines_loading: engines
--- a/crates/gateways/wingshore-coordination/src/leader/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/mod.rs
@@ -44,7 +44,7 @@
 pub use decisions::crash_evidence::EVIDENCE_LIFETIME;
 pub use decisions::load_progress::{EngineStatus, OrderAnswer};
 pub use decisions::usage_reports::UsageDuty;
-pub use interface::{Effect, Event, LeaderFigures, WeightOrder};
+pub use interface::{Effect, Event, LeaderCounts, WeightOrder};
 pub use machine::CoordinationLeader;
 pub use policy::LeaderPolicy;
 pub use settings::LeaderSettings;
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -38,7 +38,7 @@
 pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
     CapacityDemand, CapacityPolicy, CoordinationLeader, Decision, EVIDENCE_LIFETIME, Effect,
-    EngineStatus, Event, LeaderFigures, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
+    EngineStatus, Event, LeaderCounts, LeaderPolicy, LeaderSettings, OrderAnswer, Peak, UsageDuty,
     WeightOrder, wanted_capacity,
 };
 pub use messages::{
--- a/crates/gateways/wingshore-coordinator/src/process/callers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/callers.rs
@@ -81,7 +81,7 @@
         let state = self.host.state();
         let membership = self.host.membership();
         let leader = self.host.leader_machine();
-        let figures = leader.map(CoordinationLeader::figures).unwrap_or_default();
+        let figures = leader.map(CoordinationLeader::counts).unwrap_or_default();
         let (suspect_requests, rejected_requests) = state.evidence().counts();
         let draining = state.servers().values().filter(|server| server.draining);
         Readings {
