--- a/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
@@ -10,7 +10,7 @@
 impl Decision {
     /// Returns the request that the decision is about if everything went well; log lines about such
     /// decisions may be sampled by it. `None` for decisions that are always logged.
-    pub fn sampled_by(&self) -> Option<&ItemId> {
+    pub fn sampling_id(&self) -> Option<&ItemId> {
         match self {
             Self::ItemAssigned { item, .. } | Self::ItemListed { item, .. } => Some(item),
             Self::Scoring(ScoringDecision::Assigned { id, .. }) => Some(id),
