--- a/crates/gateways/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/placement_properties.rs
@@ -241,7 +241,7 @@
         for _ in 0..10 {
             site.run(&Step::Wait(LONG.as_millis() as u64 / 10));
         }
-        let waiting = site.group.leader.figures().items_waiting;
+        let waiting = site.group.leader.counts().items_waiting;
         let open = site.group.state.jobs().values().map(|job| {
             let running = site.running.iter().filter(|item| item.item.job == job.submission.id);
             (job, job.open_items().count() - running.count())
