--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -64,7 +64,7 @@
 
 /// What gateways learned last of a request.
 fn told(group: &Group, request: RequestFingerprint) -> Option<Suspect> {
-    let mut changes = group.told.iter().rev();
+    let mut changes = group.announced.iter().rev();
     changes.find_map(|change| match change {
         ViewChange::Suspect(suspect) if suspect.fingerprint == request => {
             Some(Some(suspect.clone()))
--- a/crates/gateways/wingshore-coordination/tests/registry.rs
+++ b/crates/gateways/wingshore-coordination/tests/registry.rs
@@ -54,12 +54,12 @@
 fn gateways_get_a_draining_server_before_it_is_acknowledged() {
     let mut group = Group::new();
     group.heartbeat(engine("e", 1));
-    group.told.clear();
+    group.announced.clear();
     let mut leaving = engine("e", 1);
     leaving.draining = true;
     expect_that!(group.heartbeat(leaving.clone()), some(eq(&Reply::Done)));
     let told = group
-        .told
+        .announced
         .iter()
         .any(|change| matches!(change, ViewChange::Server(server) if server.draining));
     expect_that!(told, eq(true));
@@ -139,10 +139,10 @@
     let mut group = Group::new();
     group.heartbeat(run_at("first", "a"));
     group.heartbeat(run_at("other", "b"));
-    group.told.clear();
+    group.announced.clear();
     group.heartbeat(run_at("second", "a"));
     expect_that!(registered(&group), elements_are![eq("other"), eq("second")]);
-    let told = group.told.iter().any(|change| {
+    let told = group.announced.iter().any(|change| {
         matches!(change, ViewChange::Gone(instance) if instance.name().as_str() == "first")
     });
     expect_that!(told, eq(true));
--- a/crates/gateways/wingshore-coordination/tests/runs.rs
+++ b/crates/gateways/wingshore-coordination/tests/runs.rs
@@ -47,13 +47,13 @@
 fn a_server_that_starts_again_holds_nothing_of_before() {
     let mut group = Group::new();
     beat(&mut group, record("e", 100, 5), 9);
-    group.told.clear();
+    group.announced.clear();
     beat(&mut group, record("e", 200, 1), 1);
     expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
     let held = &group.state.servers()[&run("e", 200)];
     expect_that!(held.models[0].version, eq(1));
     let told_gone = group
-        .told
+        .announced
         .iter()
         .any(|change| matches!(change, ViewChange::Gone(gone) if *gone == run("e", 100)));
     expect_that!(told_gone, eq(true));
--- a/crates/gateways/wingshore-coordination/tests/support/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/support/mod.rs
@@ -29,7 +29,7 @@
     pub effects: Vec<Effect>,
     pub replies: Vec<(RequestTag, Reply)>,
     /// What is announced to gateways, in order: each entry's changes once it is applied.
-    pub told: Vec<ViewChange>,
+    pub announced: Vec<ViewChange>,
     pub settings: LeaderSettings,
     /// Whether proposals wait for [`Group::commit`].
     pub commits_later: bool,
@@ -61,7 +61,7 @@
             leader: CoordinationLeader::new(settings.clone()),
             effects: Vec::new(),
             replies: Vec::new(),
-            told: Vec::new(),
+            announced: Vec::new(),
             settings,
             commits_later: false,
             uncommitted: Vec::new(),
@@ -146,7 +146,7 @@
         let before = LogIndex(self.index - 1);
         self.state.apply(LogIndex(self.index), command);
         let changes = self.state.view_changes(before);
-        self.told
+        self.announced
             .extend(changes.expect("the entry before is remembered"));
         let mut out = Vec::new();
         self.leader
