--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -437,7 +437,7 @@
         gateway,
         silence: std::time::Duration::ZERO,
     });
-    group.start_gateway_anew(1, 7);
+    group.connect_restarted_gateway(1, 7);
     group.wait(std::time::Duration::from_millis(50));
     expect_that!(group.assignments(), len(eq(1)));
 }
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -77,7 +77,7 @@
 fn parts_that_are_not_committed_yet_count_as_held() {
     let (mut group, _) = Group::with_job(1);
     let assigned = group.assignments().remove(0);
-    group.commits_later = true;
+    group.defers_commits = true;
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 2, 5);
     report(&mut group, &assigned);
--- a/crates/gateways/wingshore-coordination/tests/registry.rs
+++ b/crates/gateways/wingshore-coordination/tests/registry.rs
@@ -177,7 +177,7 @@
 fn an_older_heartbeat_is_acknowledged_once_the_drain_is_durable() {
     let mut group = Group::new();
     group.heartbeat(engine("e1", 1));
-    group.commits_later = true;
+    group.defers_commits = true;
     let mut server = engine("e1", 1);
     server.draining = true;
     for sequence in [101, 100] {
--- a/crates/gateways/wingshore-coordination/tests/support/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/support/mod.rs
@@ -19,7 +19,7 @@
 use wingshore_types::{Epoch, Instant, LogIndex};
 
 /// Longer than a new leader waits for gateways.
-const INTRODUCTIONS: Duration = Duration::from_secs(1);
+const GATEWAY_REPORT_TIME: Duration = Duration::from_secs(1);
 
 /// A group of one member.
 pub struct Group {
@@ -32,7 +32,7 @@
     pub announced: Vec<ViewChange>,
     pub settings: LeaderSettings,
     /// Whether proposals wait for [`Group::commit`].
-    pub commits_later: bool,
+    pub defers_commits: bool,
     uncommitted: Vec<(ProposalTag, Command)>,
     index: u64,
     epoch: u64,
@@ -63,7 +63,7 @@
             replies: Vec::new(),
             announced: Vec::new(),
             settings,
-            commits_later: false,
+            defers_commits: false,
             uncommitted: Vec::new(),
             index: 0,
             epoch: 0,
@@ -131,7 +131,7 @@
         let mut queue = VecDeque::from(out);
         while let Some(output) = queue.pop_front() {
             match output {
-                LeaderOutput::Propose { tag, command } if self.commits_later => {
+                LeaderOutput::Propose { tag, command } if self.defers_commits => {
                     self.uncommitted.push((tag, command));
                 }
                 LeaderOutput::Propose { tag, command } => queue.extend(self.apply(tag, command)),
@@ -170,17 +170,17 @@
             items: Vec::new(),
             scorings: Vec::new(),
         });
-        self.wait(INTRODUCTIONS);
+        self.wait(GATEWAY_REPORT_TIME);
         gateway
     }
 
     /// A gateway connects, and has not reported yet what it runs.
     pub fn connect_gateway(&mut self, id: u64) -> GatewayId {
-        self.start_gateway_anew(id, id)
+        self.connect_restarted_gateway(id, id)
     }
 
     /// A process of another identity connects from the machine of gateway `machine`.
-    pub fn start_gateway_anew(&mut self, machine: u64, id: u64) -> GatewayId {
+    pub fn connect_restarted_gateway(&mut self, machine: u64, id: u64) -> GatewayId {
         let gateway = GatewayId(id);
         self.event(Event::GatewayConnected(GatewayHello {
             gateway,
--- a/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
+++ b/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
@@ -42,11 +42,11 @@
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
     let assigned = group.assignments().remove(0);
-    group.commits_later = true;
+    group.defers_commits = true;
     tell_end(group, gateway, &assigned);
     assert_that!(is_released(group, &assigned), eq(false));
     group.change_leader("coordinator-b");
-    group.commits_later = false;
+    group.defers_commits = false;
     group.connect_gateway(1);
     group.event(Event::GatewayRunning {
         gateway,
