--- a/crates/gateways/wingshore-coordination/tests/connections.rs
+++ b/crates/gateways/wingshore-coordination/tests/connections.rs
@@ -28,12 +28,12 @@
 fn site() -> (Group, GatewayId) {
     let mut group = Group::new();
     let gateway = group.add_gateway(1);
-    beat(&mut group);
+    send_heartbeats(&mut group);
     (group, gateway)
 }
 
 /// All engines are heard of.
-fn beat(group: &mut Group) {
+fn send_heartbeats(group: &mut Group) {
     for number in 0..ENGINES {
         group.heartbeat(engine(&format!("e{number:04}"), 1));
     }
@@ -65,7 +65,7 @@
         group.end_item(gateway, assignment, whole);
     }
     group.ask(Request::EndJob(name.into()));
-    beat(group);
+    send_heartbeats(group);
     group.assignments();
     assigned
 }
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -22,7 +22,7 @@
 }
 
 /// The connection of a gateway ends after a long silence: it is lost with all that it runs.
-fn gone(gateway: GatewayId) -> Event {
+fn gateway_lost(gateway: GatewayId) -> Event {
     Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::from_secs(2),
@@ -37,7 +37,7 @@
     }
 }
 
-fn told_running(gateway: GatewayId, items: Vec<RunningItem>) -> Event {
+fn gateway_running(gateway: GatewayId, items: Vec<RunningItem>) -> Event {
     Event::GatewayRunning {
         gateway,
         items,
@@ -92,7 +92,7 @@
     let second = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&second)]));
+    group.event(gateway_running(gateway, vec![running(&second)]));
     // The gateway continues from what the assignment carries.
     let mut whole = second.kept.clone();
     whole.text.push_str("\nevent 3");
@@ -110,7 +110,7 @@
     let first = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     for events in 1..=5 {
         group.wait(std::time::Duration::from_millis(400));
         let assignment = first.assignment;
@@ -125,13 +125,13 @@
 /// A gateway that was welcomed twice by a new leader was ordered to release what it had reported twice;
 /// the leader took it to be running all the same, and the item was never placed again.
 #[gtest]
-fn what_a_gateway_reports_twice_goes_on() {
+fn an_attempt_that_a_gateway_reports_twice_keeps_running() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     let released = group.effects.iter().any(|effect| {
         matches!(
             effect,
@@ -177,7 +177,7 @@
     text(to).after(text(from).extent())
 }
 
-fn keep(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
+fn upload(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
     group.event(Event::PartialTextUploaded {
         assignment: assignment.assignment,
         after_events: from,
@@ -189,8 +189,8 @@
 fn events_that_were_uploaded_survive_gateway_and_leader() {
     let (mut group, _) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
-    keep(&mut group, &first, 2, 4);
+    upload(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 2, 4);
     group.change_leader("coordinator-b");
     group.add_gateway(2);
     let second = group.assignments().remove(0);
@@ -199,13 +199,13 @@
 }
 
 #[gtest]
-fn events_that_do_not_follow_those_handed_in_are_dropped() {
+fn events_that_do_not_follow_the_uploaded_ones_are_dropped() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
-    keep(&mut group, &first, 3, 4);
-    keep(&mut group, &first, 0, 2);
-    group.event(gone(gateway));
+    upload(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 3, 4);
+    upload(&mut group, &first, 0, 2);
+    group.event(gateway_lost(gateway));
     group.add_gateway(2);
     let second = group.assignments().remove(0);
     expect_that!(second.kept, eq(&text(2)));
@@ -215,7 +215,7 @@
 fn a_broken_attempt_is_resumed_behind_more_than_was_uploaded() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 0, 2);
     let outcome = ItemOutcome::Interrupted {
         text: text(3),
         cause: BreakCause::Gateway,
@@ -225,8 +225,8 @@
     expect_that!(second.kept, eq(&text(3)));
     expect_that!(second.durable, eq(text(2).extent()));
     // What the second attempt uploads follows what the log holds.
-    keep(&mut group, &second, 2, 5);
-    group.event(gone(gateway));
+    upload(&mut group, &second, 2, 5);
+    group.event(gateway_lost(gateway));
     group.add_gateway(2);
     expect_that!(group.assignments().remove(0).kept, eq(&text(5)));
 }
@@ -237,7 +237,7 @@
     let first = group.assignments();
     assert_that!(first, len(eq(2)));
     group.add_gateway(2);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     expect_that!(group.assignments(), len(eq(2)));
 }
 
@@ -309,7 +309,7 @@
 }
 
 #[gtest]
-fn an_ended_job_keeps_its_results_and_lets_the_contents_of_its_items_go() {
+fn an_ended_job_keeps_its_results_and_drops_the_contents_of_its_items() {
     let (mut group, gateway) = Group::with_job(2);
     let first = group.assignments().remove(0);
     let outcome = ItemOutcome::Finished(text(3).into());
@@ -330,15 +330,15 @@
 /// A gateway that was cut off finishes what it runs; its text is as good as the one of the attempt
 /// that took its place, and earlier.
 #[gtest]
-fn a_result_of_a_gateway_that_was_out_of_touch_counts_when_it_is_back() {
+fn a_result_of_a_disconnected_gateway_counts_when_it_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     let other = group.add_gateway(2);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     group.wait(std::time::Duration::from_millis(100));
     let second = group.assignments().remove(0);
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     group.end_item(gateway, &first, ItemOutcome::Finished(text(3).into()));
     expect_that!(results(&group), len(eq(1)));
     let is_released = |effect: &Effect| {
@@ -366,7 +366,7 @@
     });
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&assignment)]));
+    group.event(gateway_running(gateway, vec![running(&assignment)]));
     let held = group.effects.iter().find_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
@@ -404,7 +404,7 @@
 /// Where only the connection of a gateway broke, its items run on: they are not begun again elsewhere
 /// unless it stays away.
 #[gtest]
-fn a_gateway_whose_connection_broke_keeps_its_items_if_it_is_back_soon() {
+fn a_gateway_whose_connection_broke_keeps_its_items_if_it_reconnects_soon() {
     let (mut group, gateway) = Group::with_job(2);
     let assignments = group.assignments();
     group.add_gateway(2);
@@ -416,7 +416,7 @@
     group.wait(std::time::Duration::from_millis(500));
     expect_that!(group.assignments(), is_empty());
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&assignments[0])]));
+    group.event(gateway_running(gateway, vec![running(&assignments[0])]));
     group.wait(std::time::Duration::from_millis(100));
     let again: Vec<_> = group.assignments();
     expect_that!(again, len(eq(1)), "what it does not speak of is lost");
@@ -429,7 +429,7 @@
 
 /// A process that begins on the machine of a gateway takes its place: nothing is left to wait for.
 #[gtest]
-fn a_gateway_that_was_started_anew_has_lost_its_items() {
+fn a_restarted_gateway_has_lost_its_items() {
     let (mut group, gateway) = Group::with_job(1);
     group.assignments();
     group.add_gateway(2);
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -31,12 +31,12 @@
 }
 
 /// What a leader has told of the text that the log holds, last of all.
-fn told_held(group: &Group) -> Option<HeldPrefix> {
-    let mut told = group.effects.iter().filter_map(|effect| match effect {
+fn last_held_prefix(group: &Group) -> Option<HeldPrefix> {
+    let mut prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
     });
-    told.next_back()
+    prefixes.next_back()
 }
 
 /// What is seen: the text of an item that ran on for long is made again from an early event on once its gateway is
@@ -47,7 +47,7 @@
 /// back where the attempt is known); and `keep` drops, without a word, each part that does not follow what it holds.
 /// Proof: after the break nothing is told, and of eight events that came afterwards none is kept.
 #[gtest]
-fn a_leader_says_what_it_holds_to_a_gateway_whose_connection_broke() {
+fn a_leader_sends_the_held_prefix_to_a_gateway_that_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
     let assigned = group.assignments().remove(0);
     let assignment = assigned.assignment;
@@ -67,7 +67,7 @@
         }],
         scorings: Vec::new(),
     });
-    let held = told_held(&group);
+    let held = last_held_prefix(&group);
     // Events 3 to 4 were lost with the connection. The gateway goes on behind what it was told, or else
     // behind what it has sent.
     let from = held.map_or(4, |held| held.extent.events);
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -46,12 +46,12 @@
 }
 
 /// What was told of the held texts, in order.
-fn told_held(group: &Group) -> Vec<HeldPrefix> {
-    let told = group.effects.iter().filter_map(|effect| match effect {
+fn held_prefixes(group: &Group) -> Vec<HeldPrefix> {
+    let prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
     });
-    told.collect()
+    prefixes.collect()
 }
 
 fn kept(group: &Group) -> Option<&ItemText> {
@@ -67,7 +67,10 @@
     let assigned = group.assignments().remove(0);
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 4, 6);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 2).held())]);
+    expect_that!(
+        held_prefixes(&group),
+        elements_are![eq(&events(0, 2).held())]
+    );
     upload(&mut group, &assigned, 2, 8);
     expect_that!(kept(&group), some(eq(&events(0, 8))));
 }
@@ -81,7 +84,10 @@
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 2, 5);
     report(&mut group, &assigned);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 5).held())]);
+    expect_that!(
+        held_prefixes(&group),
+        elements_are![eq(&events(0, 5).held())]
+    );
     upload(&mut group, &assigned, 5, 8);
     group.commit();
     expect_that!(kept(&group), some(eq(&events(0, 8))));
@@ -108,19 +114,19 @@
     interrupt(&mut group, gateway, &first, events(0, 2));
     let second = group.assignments().remove(0);
     assert_that!(second.kept.events, eq(0));
-    interrupt(&mut group, gateway, &second, of_version_2(0, 4));
+    interrupt(&mut group, gateway, &second, version_2_events(0, 4));
     let third = group.assignments().remove(0);
-    assert_that!(third.kept, eq(&of_version_2(0, 4)));
+    assert_that!(third.kept, eq(&version_2_events(0, 4)));
     group.event(Event::PartialTextUploaded {
         assignment: third.assignment,
         after_events: third.durable.events,
-        text: of_version_2(third.durable.events, 6),
+        text: version_2_events(third.durable.events, 6),
     });
     expect_that!(kept(&group), some(eq(&events(0, 2))));
     // The gateway learns that its text does not begin with what is held.
-    let told = told_held(&group);
-    let told = told.last().expect("it is told");
-    expect_that!(told.begins(&third.kept), eq(false));
+    let prefixes = held_prefixes(&group);
+    let last = prefixes.last().expect("a prefix was sent");
+    expect_that!(last.begins(&third.kept), eq(false));
 }
 
 fn interrupt(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment, text: ItemText) {
@@ -130,7 +136,7 @@
 }
 
 /// Events that another run made, at version 2.
-fn of_version_2(after: u64, through: u64) -> ItemText {
+fn version_2_events(after: u64, through: u64) -> ItemText {
     let made = events(after, through);
     ItemText {
         text: made.text.replace("event", "other"),
--- a/crates/gateways/wingshore-coordination/tests/registry.rs
+++ b/crates/gateways/wingshore-coordination/tests/registry.rs
@@ -8,11 +8,11 @@
 use support::{Group, address_of, configuration, engine};
 use wingshore_coordination::{Heartbeat, InstanceId, Reply, Request, ServerName, ViewChange};
 
-fn put(group: &mut Group, version: u64) -> Option<Reply> {
+fn put_configuration(group: &mut Group, version: u64) -> Option<Reply> {
     group.ask(Request::PutConfiguration(Arc::new(configuration(version))))
 }
 
-fn held(group: &mut Group) -> u64 {
+fn configured_version(group: &mut Group) -> u64 {
     match group.ask(Request::ReadConfiguration) {
         Some(Reply::Configuration(Some(configuration))) => configuration.version,
         _ => 0,
@@ -22,15 +22,15 @@
 #[gtest]
 fn the_highest_version_is_in_force_whatever_comes_after_it() {
     let mut group = Group::new();
-    expect_that!(put(&mut group, 7), some(eq(&Reply::Done)));
-    expect_that!(put(&mut group, 3), some(eq(&Reply::Done)));
-    expect_that!(held(&mut group), eq(7));
+    expect_that!(put_configuration(&mut group, 7), some(eq(&Reply::Done)));
+    expect_that!(put_configuration(&mut group, 3), some(eq(&Reply::Done)));
+    expect_that!(configured_version(&mut group), eq(7));
 }
 
 #[gtest]
 fn other_content_under_the_version_held_is_acknowledged_and_dropped() {
     let mut group = Group::new();
-    put(&mut group, 7);
+    put_configuration(&mut group, 7);
     let mut other = configuration(7);
     other.document = b"other".to_vec();
     let answer = group.ask(Request::PutConfiguration(Arc::new(other)));
@@ -47,7 +47,7 @@
     invalid.routes[0].timeout = Duration::ZERO;
     let answer = group.ask(Request::PutConfiguration(Arc::new(invalid)));
     expect_that!(answer, some(matches_pattern!(Reply::Refused(_))));
-    expect_that!(held(&mut group), eq(1));
+    expect_that!(configured_version(&mut group), eq(1));
 }
 
 #[gtest]
@@ -58,11 +58,11 @@
     let mut leaving = engine("e", 1);
     leaving.draining = true;
     expect_that!(group.heartbeat(leaving.clone()), some(eq(&Reply::Done)));
-    let told = group
+    let is_announced = group
         .announced
         .iter()
         .any(|change| matches!(change, ViewChange::Server(server) if server.draining));
-    expect_that!(told, eq(true));
+    expect_that!(is_announced, eq(true));
 }
 
 #[gtest]
@@ -120,7 +120,7 @@
 }
 
 /// An incarnation of a server at the address of another one.
-fn run_at(name: &str, address: &str) -> wingshore_coordination::ServerRecord {
+fn server_at(name: &str, address: &str) -> wingshore_coordination::ServerRecord {
     let mut server = engine(name, 1);
     server.address = address_of(address);
     server
@@ -137,34 +137,34 @@
 #[gtest]
 fn an_incarnation_that_registers_ends_the_one_before_at_its_address() {
     let mut group = Group::new();
-    group.heartbeat(run_at("first", "a"));
-    group.heartbeat(run_at("other", "b"));
+    group.heartbeat(server_at("first", "a"));
+    group.heartbeat(server_at("other", "b"));
     group.announced.clear();
-    group.heartbeat(run_at("second", "a"));
+    group.heartbeat(server_at("second", "a"));
     expect_that!(registered(&group), elements_are![eq("other"), eq("second")]);
-    let told = group.announced.iter().any(|change| {
+    let is_announced = group.announced.iter().any(|change| {
         matches!(change, ViewChange::Gone(instance) if instance.name().as_str() == "first")
     });
-    expect_that!(told, eq(true));
+    expect_that!(is_announced, eq(true));
 }
 
 #[gtest]
 fn a_late_heartbeat_of_the_incarnation_before_changes_nothing() {
     let mut group = Group::new();
-    group.heartbeat(run_at("first", "a"));
-    group.heartbeat(run_at("second", "a"));
-    group.heartbeat(run_at("first", "a"));
+    group.heartbeat(server_at("first", "a"));
+    group.heartbeat(server_at("second", "a"));
+    group.heartbeat(server_at("first", "a"));
     expect_that!(registered(&group), elements_are![eq("second")]);
 }
 
 #[gtest]
 fn an_incarnation_that_a_late_first_heartbeat_displaced_returns_with_its_second_one() {
     let mut group = Group::new();
-    group.heartbeat(run_at("alive", "a"));
+    group.heartbeat(server_at("alive", "a"));
     // This incarnation ended before the other began; its only heartbeat was under way since.
-    group.heartbeat(run_at("dead", "a"));
-    group.heartbeat(run_at("alive", "a"));
-    group.heartbeat(run_at("alive", "a"));
+    group.heartbeat(server_at("dead", "a"));
+    group.heartbeat(server_at("alive", "a"));
+    group.heartbeat(server_at("alive", "a"));
     expect_that!(registered(&group), elements_are![eq("alive")]);
 }
 
--- a/crates/gateways/wingshore-coordination/tests/rollout.rs
+++ b/crates/gateways/wingshore-coordination/tests/rollout.rs
@@ -17,7 +17,7 @@
     group.ask(Request::NameVersion { model, version });
 }
 
-fn orders(group: &mut Group) -> Vec<WeightOrder> {
+fn take_orders(group: &mut Group) -> Vec<WeightOrder> {
     let effects = std::mem::take(&mut group.effects);
     effects
         .into_iter()
@@ -28,7 +28,7 @@
         .collect()
 }
 
-fn asked(group: &mut Group) -> Vec<InstanceId> {
+fn take_polled_engines(group: &mut Group) -> Vec<InstanceId> {
     let effects = std::mem::take(&mut group.effects);
     effects
         .into_iter()
@@ -66,47 +66,47 @@
 fn an_engine_is_polled_before_it_is_ordered() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
-    let looked_at = asked(&mut group);
-    assert_that!(looked_at, len(eq(1)));
-    report(&mut group, &looked_at[0], 1, false);
-    let orders = orders(&mut group);
+    let polled = take_polled_engines(&mut group);
+    assert_that!(polled, len(eq(1)));
+    report(&mut group, &polled[0], 1, false);
+    let orders = take_orders(&mut group);
     assert_that!(orders, len(eq(1)));
     expect_that!(orders[0].expected_sequence, eq(7));
     expect_that!(orders[0].holder.as_str(), eq("coordinator-a"));
 }
 
 #[gtest]
-fn only_so_many_engines_load_at_once() {
+fn the_number_of_simultaneous_loads_is_limited() {
     let mut group = group_of_engines(5);
     name_version(&mut group, 3);
-    expect_that!(asked(&mut group), len(eq(2)));
+    expect_that!(take_polled_engines(&mut group), len(eq(2)));
 }
 
 #[gtest]
-fn an_engine_that_holds_the_version_makes_room_for_the_next_one() {
+fn an_engine_that_finished_loading_lets_the_next_one_start() {
     let mut group = group_of_engines(3);
     name_version(&mut group, 2);
-    let first = asked(&mut group);
+    let first = take_polled_engines(&mut group);
     report(&mut group, &first[0], 1, false);
     group.event(Event::WeightOrderAnswered {
         instance: first[0].clone(),
         answer: OrderAnswer::Accepted,
     });
     group.wait(Duration::from_millis(950));
-    asked(&mut group);
+    take_polled_engines(&mut group);
     report(&mut group, &first[0], 2, false);
-    expect_that!(asked(&mut group), len(ge(1)));
+    expect_that!(take_polled_engines(&mut group), len(ge(1)));
 }
 
 #[gtest]
-fn a_new_leader_on_another_machine_gives_no_order_before_the_time_of_the_old_one_is_over() {
+fn a_new_leader_on_another_machine_gives_no_order_before_the_handover_time_has_passed() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
     group.change_leader("coordinator-b");
     group.wait(Duration::from_secs(3));
-    expect_that!(asked(&mut group), is_empty());
+    expect_that!(take_polled_engines(&mut group), is_empty());
     group.wait(Duration::from_millis(500));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
 #[gtest]
@@ -121,9 +121,9 @@
     group.change_leader("coordinator-b");
     group.event(Event::CoordinatorsLost(vec!["coordinator-a".to_owned()]));
     group.wait(Duration::from_secs(3));
-    expect_that!(asked(&mut group), is_empty());
+    expect_that!(take_polled_engines(&mut group), is_empty());
     group.wait(Duration::from_millis(500));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
 #[gtest]
@@ -133,9 +133,13 @@
     group.change_leader("coordinator-b");
     group.wait(Duration::from_millis(200));
     group.event(Event::CoordinatorsLost(vec!["coordinator-c".to_owned()]));
-    expect_that!(asked(&mut group), is_empty(), "another machine was lost");
+    expect_that!(
+        take_polled_engines(&mut group),
+        is_empty(),
+        "another machine was lost"
+    );
     group.event(Event::CoordinatorsLost(vec!["coordinator-a".to_owned()]));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
 /// Machines that lead for a moment and fall, one after the other, must not take turns in giving
@@ -147,13 +151,13 @@
     group.change_leader("coordinator-b");
     group.event(Event::CoordinatorsLost(vec!["coordinator-a".to_owned()]));
     group.wait(Duration::from_millis(100));
-    expect_that!(asked(&mut group), len(eq(1)));
+    expect_that!(take_polled_engines(&mut group), len(eq(1)));
     group.change_leader("coordinator-c");
     group.event(Event::CoordinatorsLost(vec!["coordinator-b".to_owned()]));
     group.wait(Duration::from_millis(3000));
-    expect_that!(asked(&mut group), is_empty());
+    expect_that!(take_polled_engines(&mut group), is_empty());
     group.wait(Duration::from_millis(600));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
     // Once it has held them for that time, the next handover is quick again.
     group.heartbeat(engine("e0", 1));
     group.wait(Duration::from_millis(4000));
@@ -161,33 +165,33 @@
     group.change_leader("coordinator-d");
     group.event(Event::CoordinatorsLost(vec!["coordinator-c".to_owned()]));
     group.wait(Duration::from_millis(100));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
 #[gtest]
 fn fences_rise_with_each_leadership() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
-    let looked_at = asked(&mut group);
-    report(&mut group, &looked_at[0], 1, false);
-    let before = orders(&mut group).remove(0).fence;
+    let polled = take_polled_engines(&mut group);
+    report(&mut group, &polled[0], 1, false);
+    let before = take_orders(&mut group).remove(0).fence;
     // The same machine may go on at once.
     group.change_leader("coordinator-a");
     group.wait(Duration::from_millis(100));
-    let looked_at = asked(&mut group);
-    report(&mut group, &looked_at[0], 1, false);
-    expect_that!(orders(&mut group).remove(0).fence, gt(before));
+    let polled = take_polled_engines(&mut group);
+    report(&mut group, &polled[0], 1, false);
+    expect_that!(take_orders(&mut group).remove(0).fence, gt(before));
 }
 
 #[gtest]
 fn an_order_without_an_answer_is_followed_by_a_poll_and_not_by_an_order() {
     let mut group = group_of_engines(1);
     name_version(&mut group, 2);
-    let looked_at = asked(&mut group);
-    report(&mut group, &looked_at[0], 1, false);
-    orders(&mut group);
+    let polled = take_polled_engines(&mut group);
+    report(&mut group, &polled[0], 1, false);
+    take_orders(&mut group);
     group.event(Event::WeightOrderAnswered {
-        instance: looked_at[0].clone(),
+        instance: polled[0].clone(),
         answer: OrderAnswer::Unknown,
     });
     group.wait(Duration::from_millis(300));
@@ -213,7 +217,7 @@
     }]));
     name_version(&mut group, 2);
     group.wait(Duration::from_millis(200));
-    expect_that!(asked(&mut group), is_empty());
+    expect_that!(take_polled_engines(&mut group), is_empty());
 }
 
 #[gtest]
@@ -264,10 +268,10 @@
 
 /// Answers each question with the newest version of the model that the engine is to load, until no
 /// engine is asked any more; gives how many loads of each model began.
-fn load_all(group: &mut Group) -> (usize, usize) {
+fn simulate_loads(group: &mut Group) -> (usize, usize) {
     let mut begun = (0, 0);
     for _ in 0..50 {
-        for instance in asked(group) {
+        for instance in take_polled_engines(group) {
             group.event(Event::EnginePolled {
                 instance: instance.clone(),
                 report: Some(EngineStatus {
@@ -276,7 +280,7 @@
                     sequence: 1,
                 }),
             });
-            for order in orders(group) {
+            for order in take_orders(group) {
                 if order.model == ModelName::from("m") {
                     begun.0 += 1;
                 } else {
@@ -304,17 +308,17 @@
 /// them are needed than the model's share: the loads are needed by the other model, whose next job
 /// may ask for the version that no engine has yet.
 #[gtest]
-fn a_model_that_is_far_behind_does_not_take_all_loads() {
+fn a_model_that_is_many_versions_behind_does_not_take_all_loads() {
     let mut group = group_of_two_models(10);
     let model = ModelName::from("n");
     group.ask(Request::NameVersion { model, version: 4 });
     name_version(&mut group, 2);
-    expect_that!(load_all(&mut group), eq((5, 5)));
+    expect_that!(simulate_loads(&mut group), eq((5, 5)));
 }
 
 /// A stream goes on while its engine loads another model's weights.
 #[gtest]
-fn long_items_of_another_model_do_not_hold_a_load_back() {
+fn long_items_of_another_model_do_not_delay_a_load() {
     let mut group = group_of_two_models(1);
     let mut long = (*job("j", 2)).clone();
     long.items[0].expected_output = Some(1);
@@ -324,29 +328,29 @@
     name_version(&mut group, 2);
     group.wait(Duration::from_millis(200));
     expect_that!(
-        asked(&mut group),
+        take_polled_engines(&mut group),
         is_empty(),
         "its own model's long item runs"
     );
     let model = ModelName::from("n");
     group.ask(Request::NameVersion { model, version: 2 });
     group.wait(Duration::from_millis(200));
-    expect_that!(asked(&mut group), not(is_empty()));
+    expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
 #[gtest]
-fn where_there_are_many_engines_a_share_of_them_loads_at_once() {
+fn a_share_of_many_engines_loads_at_once() {
     let mut group = group_of_engines(20);
     name_version(&mut group, 3);
-    expect_that!(asked(&mut group), len(eq(4)));
+    expect_that!(take_polled_engines(&mut group), len(eq(4)));
 }
 
 /// Engines that were looked at to load within 1.5 s, each of which then reports what it holds; items that
 /// their gateway does not speak of for longer would be placed anew.
-fn engines_that_load(group: &mut Group, version: u64) -> usize {
+fn count_loading_engines(group: &mut Group, version: u64) -> usize {
     let mut loaded = 0;
     for _ in 0..30 {
-        for instance in asked(group) {
+        for instance in take_polled_engines(group) {
             loaded += 1;
             report(group, &instance, version, false);
         }
@@ -365,11 +369,11 @@
     group.wait(Duration::from_millis(100));
     name_version(&mut group, 2);
     // Sixteen items fill four engines of four slots.
-    expect_that!(engines_that_load(&mut group, 2), all![ge(8), le(16)]);
+    expect_that!(count_loading_engines(&mut group, 2), all![ge(8), le(16)]);
     // Nothing is known of the work of a model that had none: all engines take its version.
     let mut idle = group_of_engines(200);
     name_version(&mut idle, 2);
-    expect_that!(engines_that_load(&mut idle, 2), eq(200));
+    expect_that!(count_loading_engines(&mut idle, 2), eq(200));
 }
 
 /// Two models were named at once, and all loads went to the one whose engines come first.
@@ -391,13 +395,13 @@
     group.ask(Request::NameVersion { model, version: 5 });
     // The first loads are those of the model that was named first. Once they are over, the others
     // follow.
-    for instance in asked(&mut group) {
+    for instance in take_polled_engines(&mut group) {
         report(&mut group, &instance, 5, false);
     }
-    for instance in asked(&mut group) {
+    for instance in take_polled_engines(&mut group) {
         report(&mut group, &instance, 1, false);
     }
-    let ordered = orders(&mut group);
+    let ordered = take_orders(&mut group);
     assert_that!(ordered, not(is_empty()));
     for order in ordered {
         expect_that!(order.model.as_str(), eq("n"));
@@ -408,7 +412,7 @@
 /// engines. A job comes with the version that it needs, and as long as its items waited each scan
 /// began more loads, though those under way had room for all of them.
 #[gtest]
-fn items_that_wait_for_loads_under_way_bring_on_no_more() {
+fn items_that_wait_for_running_loads_start_no_further_loads() {
     let mut group = group_of_engines(600);
     for version in 2..=4 {
         name_version(&mut group, version);
@@ -417,7 +421,7 @@
         group.ask(Request::SubmitJob(Arc::new(submission)));
         // Longer than a load takes: no engine has reported yet that it is done.
         group.wait(Duration::from_millis(900));
-        let began: BTreeSet<InstanceId> = asked(&mut group).into_iter().collect();
+        let began: BTreeSet<InstanceId> = take_polled_engines(&mut group).into_iter().collect();
         // 80 items fill 20 engines of 4 slots; twice that is enough.
         expect_that!(began.len(), le(40), "version {version}");
         for instance in &began {
--- a/crates/gateways/wingshore-coordination/tests/scoring.rs
+++ b/crates/gateways/wingshore-coordination/tests/scoring.rs
@@ -13,7 +13,7 @@
 };
 
 /// Longer than any backoff between scorings.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 fn text() -> ItemText {
     ItemText {
@@ -43,7 +43,7 @@
 }
 
 /// The connection of a gateway ends after a long silence: it is lost with all that it runs.
-fn gone(gateway: GatewayId) -> Event {
+fn gateway_lost(gateway: GatewayId) -> Event {
     Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::from_secs(2),
@@ -76,7 +76,7 @@
     ScoringOutcome::Scored(score.to_owned())
 }
 
-fn running(group: &mut Group, gateway: GatewayId, scorings: Vec<RunningScoring>) {
+fn report_running(group: &mut Group, gateway: GatewayId, scorings: Vec<RunningScoring>) {
     group.event(Event::GatewayRunning {
         gateway,
         items: Vec::new(),
@@ -114,7 +114,7 @@
         .collect()
 }
 
-fn listed(score: &str) -> Vec<(ItemState, Option<String>)> {
+fn listed_with_score(score: &str) -> Vec<(ItemState, Option<String>)> {
     vec![(ItemState::Succeeded, Some(score.to_owned()))]
 }
 
@@ -124,7 +124,7 @@
     finish(&mut group, gateway, &assignment);
     expect_that!(results(&group), is_empty());
     end_scoring(&mut group, gateway, assignment.assignment, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
     expect_that!(is_released(&group, assignment.assignment), is_true());
 }
 
@@ -144,21 +144,21 @@
     let (mut group, gateway, assignment) = group_with_item();
     let other = group.add_gateway(2);
     finish(&mut group, gateway, &assignment);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     let again = scorings(&mut group);
     assert_that!(again, len(eq(1)));
     expect_that!(again[0].0, eq(other));
     expect_that!(again[0].1.made_by, eq(assignment.assignment));
     expect_that!(group.assignments(), is_empty());
     end_scoring(&mut group, other, again[0].1.scoring, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
 #[gtest]
 fn a_gateway_lost_before_its_text_arrived_costs_an_attempt() {
     let (mut group, gateway, _) = group_with_item();
     group.add_gateway(2);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     expect_that!(scorings(&mut group), is_empty());
     group.wait(Duration::from_secs(1));
     expect_that!(scorings(&mut group), is_empty());
@@ -174,7 +174,7 @@
     assert_that!(again, len(eq(1)));
     expect_that!(group.assignments(), is_empty());
     end_scoring(&mut group, other, again[0].1.scoring, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
 #[gtest]
@@ -188,11 +188,11 @@
         item: item(),
         made_by: assignment.assignment,
     };
-    running(&mut group, gateway, vec![own.clone(), own]);
+    report_running(&mut group, gateway, vec![own.clone(), own]);
     group.wait(Duration::from_secs(1));
     expect_that!(scorings(&mut group), is_empty());
     end_scoring(&mut group, gateway, assignment.assignment, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
 /// The leader before was gone before it had made the text durable: the gateway reports all again.
@@ -216,7 +216,7 @@
     });
     finish(&mut group, gateway, &assignment);
     end_scoring(&mut group, gateway, assignment.assignment, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
 #[gtest]
@@ -235,7 +235,7 @@
         item: item(),
         made_by: foreign,
     };
-    running(&mut group, other, vec![claimed]);
+    report_running(&mut group, other, vec![claimed]);
     expect_that!(is_released(&group, foreign), is_true());
     end_scoring(&mut group, other, foreign, scored("foreign"));
     expect_that!(results(&group), is_empty());
@@ -253,7 +253,7 @@
     let again = scorings(&mut group).remove(0).1;
     end_scoring(&mut group, other, again.scoring, ScoringOutcome::Failed(1));
     expect_that!(results(&group), is_empty());
-    group.wait(LONGEST_PAUSE);
+    group.wait(MAX_BACKOFF);
     let again = scorings(&mut group).remove(0).1;
     end_scoring(&mut group, other, again.scoring, ScoringOutcome::Failed(1));
     expect_that!(results(&group), eq(&vec![(ItemState::Abandoned, None)]));
@@ -267,7 +267,7 @@
     for _ in 0..20 {
         let outcome = ScoringOutcome::NotScored(NotScoredReason::Refused);
         end_scoring(&mut group, gateway, scoring, outcome);
-        group.wait(LONGEST_PAUSE);
+        group.wait(MAX_BACKOFF);
         let again = scorings(&mut group);
         assert_that!(again, len(eq(1)));
         scoring = again[0].1.scoring;
@@ -275,11 +275,11 @@
     }
     expect_that!(results(&group), is_empty());
     end_scoring(&mut group, gateway, scoring, scored("stamp"));
-    expect_that!(results(&group), eq(&listed("stamp")));
+    expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
 #[gtest]
-fn a_scoring_that_its_gateway_does_not_speak_of_begins_again() {
+fn a_scoring_that_its_gateway_does_not_report_is_assigned_again() {
     let (mut group, gateway, assignment) = group_with_item();
     finish(&mut group, gateway, &assignment);
     group.wait(Duration::from_secs(4));
@@ -293,7 +293,7 @@
     let answer = group.ask(Request::EndJob(JobId::from("j")));
     expect_that!(answer, some(eq(&Reply::Done)));
     expect_that!(is_released(&group, assignment.assignment), is_true());
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     group.add_gateway(2);
     expect_that!(scorings(&mut group), is_empty());
     end_scoring(&mut group, gateway, assignment.assignment, scored("late"));
@@ -301,7 +301,7 @@
 }
 
 #[gtest]
-fn an_end_that_crosses_a_text_ends_the_scoring_that_followed_it() {
+fn a_text_that_arrives_after_the_end_of_its_job_releases_its_scoring() {
     let (mut group, gateway, assignment) = group_with_item();
     group.ask(Request::EndJob(JobId::from("j")));
     group.effects.clear();
@@ -331,7 +331,7 @@
 }
 
 #[gtest]
-fn what_is_submitted_again_is_accepted_also_when_its_scorers_route_is_gone() {
+fn a_job_is_accepted_again_when_the_route_of_its_scorer_is_gone() {
     let (mut group, _, _) = group_with_item();
     let without_route = support::configuration(9);
     group.ask(Request::PutConfiguration(Arc::new(without_route)));
--- a/crates/gateways/wingshore-coordination/tests/step_time.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_time.rs
@@ -10,7 +10,7 @@
 mod support;
 
 use googletest::prelude::*;
-use step_world::{Outcome, SlowSpell, Work, World};
+use step_world::{Outcome, Simulation, SlowPeriod, Work};
 
 const WORK: [Work; 3] = [
     Work {
@@ -30,16 +30,16 @@
     },
 ];
 const SECONDS: f64 = 40.0;
-const STAYING: u32 = 45;
+const PERMANENT_ENGINES: u32 = 45;
 /// Four fifths more: what the plan orders at the most.
-const EXTRA: u32 = 36;
-const SLOW_SPELLS: [SlowSpell; 2] = [
-    SlowSpell {
+const RECLAIMABLE_ENGINES: u32 = 36;
+const SLOW_PERIODS: [SlowPeriod; 2] = [
+    SlowPeriod {
         from: 10.0,
         until: 18.0,
         which: 1,
     },
-    SlowSpell {
+    SlowPeriod {
         from: 25.0,
         until: 33.0,
         which: 3,
@@ -47,17 +47,17 @@
 ];
 
 /// Days of four seeds, played at once.
-fn play(extra: u32, spells: &'static [SlowSpell]) -> Outcome {
-    let days = (1..5).map(|seed| {
+fn simulate(extra: u32, periods: &'static [SlowPeriod]) -> Outcome {
+    let runs = (1..5).map(|seed| {
         std::thread::spawn(move || {
-            let world = World::new(seed, (STAYING, extra), &WORK);
-            world.with_slow_spells(spells).play(SECONDS)
+            let simulation = Simulation::new(seed, (PERMANENT_ENGINES, extra), &WORK);
+            simulation.with_slow_periods(periods).simulate(SECONDS)
         })
     });
-    let days: Vec<_> = days.collect();
+    let runs: Vec<_> = runs.collect();
     let mut all = Outcome::default();
-    for day in days {
-        let outcome = day.join().expect("a day is played to its end");
+    for run in runs {
+        let outcome = run.join().expect("the simulation ends without a panic");
         all.steps += outcome.steps;
         all.seconds += outcome.seconds;
     }
@@ -67,7 +67,7 @@
 /// Sixteen seeds of 60 s by hand: 7.39 s a step without, 7.22 s with them (standard error 0.012 s).
 #[gtest]
 fn more_engines_end_steps_earlier() {
-    let (without, with) = (play(0, &[]), play(EXTRA, &[]));
+    let (without, with) = (simulate(0, &[]), simulate(RECLAIMABLE_ENGINES, &[]));
     println!(
         "without: {:.3} s, with: {:.3} s",
         without.mean_seconds(),
@@ -80,7 +80,10 @@
 /// Sixteen seeds of 60 s by hand: 7.54 s a step without, 7.35 s with them (standard error 0.02 s).
 #[gtest]
 fn more_engines_help_while_some_are_slow() {
-    let (without, with) = (play(0, &SLOW_SPELLS), play(EXTRA, &SLOW_SPELLS));
+    let (without, with) = (
+        simulate(0, &SLOW_PERIODS),
+        simulate(RECLAIMABLE_ENGINES, &SLOW_PERIODS),
+    );
     println!(
         "without: {:.3} s, with: {:.3} s",
         without.mean_seconds(),
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -7,7 +7,7 @@
 
 mod work;
 
-pub use work::{Outcome, SlowSpell, Work};
+pub use work::{Outcome, SlowPeriod, Work};
 
 use crate::support::{Group, configuration, engine};
 use rand::{RngExt, SeedableRng};
@@ -26,8 +26,8 @@
 const TICK: Duration = Duration::from_millis(50);
 const EVENT_MS: f64 = 48.0;
 /// By how much each further text slows an engine's events down.
-const EACH_SLOWS: f64 = 0.006;
-const LOAD: f64 = 0.9;
+const SLOWDOWN_PER_ITEM: f64 = 0.006;
+const LOAD_SECONDS: f64 = 0.9;
 const LOADS_AT_FULL_SPEED: f64 = 9.0;
 const SLOTS: u32 = 8;
 const GATEWAYS: u64 = 8;
@@ -35,12 +35,12 @@
 const PROGRESS_TICKS: u64 = 8;
 const HEARTBEAT_TICKS: u64 = 24;
 /// From the last text that a step needs until its trainer has read it.
-const READING: f64 = 0.4;
+const READ_SECONDS: f64 = 0.4;
 /// The longest text, in events.
-const LONGEST: f64 = 145.0;
-const STEP_EVERY: f64 = 4.0;
+const MAX_EVENTS: f64 = 145.0;
+const STEP_INTERVAL_SECONDS: f64 = 4.0;
 
-struct ModelEngine {
+struct SimulatedEngine {
     number: u32,
     record: ServerRecord,
     slow: f64,
@@ -48,7 +48,7 @@
     loading: Option<(ModelName, u64, f64)>,
 }
 
-struct Run {
+struct SimulatedAttempt {
     assignment: ItemAssignment,
     gateway: GatewayId,
     events: f64,
@@ -71,24 +71,24 @@
     trained_at: Option<f64>,
 }
 
-pub struct World {
+pub struct Simulation {
     group: Group,
     random: ChaCha8Rng,
-    engines: BTreeMap<InstanceId, ModelEngine>,
-    runs: BTreeMap<AssignmentId, Run>,
+    engines: BTreeMap<InstanceId, SimulatedEngine>,
+    attempts: BTreeMap<AssignmentId, SimulatedAttempt>,
     lengths: BTreeMap<ItemId, f64>,
     /// While some engines are slow.
-    slow_spells: Vec<SlowSpell>,
+    slow_periods: Vec<SlowPeriod>,
     trainers: Vec<Trainer>,
     time: f64,
     ticks: u64,
     outcome: Outcome,
 }
 
-impl World {
+impl Simulation {
     /// A site with so many engines, `extra` more that may be taken away, and one trainer for each kind of
     /// work.
-    pub fn new(seed: u64, (staying, extra): (u32, u32), work: &[Work]) -> Self {
+    pub fn new(seed: u64, (permanent, extra): (u32, u32), work: &[Work]) -> Self {
         let mut group = Group::with_settings(LeaderSettings {
             engines_check_fences: true,
             load_time: Duration::from_millis(920),
@@ -107,11 +107,11 @@
             group.add_gateway(gateway);
         }
         let mut all = BTreeMap::new();
-        for number in 0..staying + extra {
+        for number in 0..permanent + extra {
             let mut record = engine(&format!("engine-{number:03}"), 1);
             record.address = ([10, 9, 0, number as u8], 9000).into();
             record.slots = SLOTS;
-            record.reclaimable = number >= staying;
+            record.reclaimable = number >= permanent;
             record.models = models
                 .iter()
                 .map(|model| ModelVersion {
@@ -121,7 +121,7 @@
                 .collect();
             group.heartbeat(record.clone());
             let slow = if number % 3 == 2 { 1.3 } else { 1.0 };
-            let known = ModelEngine {
+            let known = SimulatedEngine {
                 number,
                 record: record.clone(),
                 slow,
@@ -141,9 +141,9 @@
             group,
             random: ChaCha8Rng::seed_from_u64(seed),
             engines: all,
-            runs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             lengths: BTreeMap::new(),
-            slow_spells: Vec::new(),
+            slow_periods: Vec::new(),
             trainers: trainers.collect(),
             time: 0.0,
             ticks: 0,
@@ -152,22 +152,22 @@
     }
 
     /// The same with spells in which some engines are slow.
-    pub fn with_slow_spells(mut self, spells: &[SlowSpell]) -> Self {
-        self.slow_spells = spells.to_vec();
+    pub fn with_slow_periods(mut self, periods: &[SlowPeriod]) -> Self {
+        self.slow_periods = periods.to_vec();
         self
     }
 
     /// Plays so many seconds.
-    pub fn play(mut self, seconds: f64) -> Outcome {
+    pub fn simulate(mut self, seconds: f64) -> Outcome {
         while self.time < seconds {
-            self.ask_steps();
-            self.carry_out();
+            self.submit_due_steps();
+            self.apply_effects();
             self.group.wait(TICK);
             self.time += TICK.as_secs_f64();
             self.ticks += 1;
             self.load_weights();
             self.stream();
-            self.tell();
+            self.send_reports();
         }
         self.outcome
     }
@@ -180,7 +180,7 @@
         } else {
             1.0
         };
-        (14.0 * (0.84 * normal).exp() * tail).clamp(1.0, LONGEST)
+        (14.0 * (0.84 * normal).exp() * tail).clamp(1.0, MAX_EVENTS)
     }
 
     /// The caller's estimate of a length: right in the middle, often far off.
@@ -189,19 +189,19 @@
         (length * 75.0 * (0.5 * normal).exp()) as u64
     }
 
-    fn ask_steps(&mut self) {
+    fn submit_due_steps(&mut self) {
         for number in 0..self.trainers.len() {
             let trainer = &self.trainers[number];
             let step = trainer.next_step;
-            let is_time = self.time >= step as f64 * STEP_EVERY;
+            let is_time = self.time >= step as f64 * STEP_INTERVAL_SECONDS;
             if !is_time || trainer.named < step.max(1) || trainer.open.len() >= 2 {
                 continue;
             }
-            self.ask_step(number, step);
+            self.submit_step(number, step);
         }
     }
 
-    fn ask_step(&mut self, number: usize, step: u64) {
+    fn submit_step(&mut self, number: usize, step: u64) {
         let (model, work) = (
             self.trainers[number].model.clone(),
             self.trainers[number].work,
@@ -247,20 +247,20 @@
     }
 
     /// What the leader wants done.
-    fn carry_out(&mut self) {
+    fn apply_effects(&mut self) {
         for effect in std::mem::take(&mut self.group.effects) {
             match effect {
                 Effect::ToGateway(gateway, CoordinatorMessage::Assign(assignment)) => {
-                    let run = Run {
+                    let run = SimulatedAttempt {
                         gateway,
                         events: assignment.kept.events as f64,
                         versions: assignment.kept.versions.clone(),
                         assignment: *assignment,
                     };
-                    self.runs.insert(run.assignment.assignment, run);
+                    self.attempts.insert(run.assignment.assignment, run);
                 }
                 Effect::ToGateway(_, CoordinatorMessage::Interrupt { assignment }) => {
-                    if let Some(run) = self.runs.remove(&assignment) {
+                    if let Some(run) = self.attempts.remove(&assignment) {
                         let outcome = ItemOutcome::Interrupted {
                             text: text_of(&run),
                             cause: BreakCause::Gateway,
@@ -269,12 +269,12 @@
                     }
                 }
                 Effect::ToGateway(_, CoordinatorMessage::Release { assignment }) => {
-                    self.runs.remove(&assignment);
+                    self.attempts.remove(&assignment);
                 }
                 Effect::Order(order) => {
                     if let Some(engine) = self.engines.get_mut(&order.instance) {
                         engine.sequence += 1;
-                        engine.loading = Some((order.model, order.version, LOAD));
+                        engine.loading = Some((order.model, order.version, LOAD_SECONDS));
                     }
                     let (instance, answer) = (order.instance, OrderAnswer::Accepted);
                     self.group
@@ -315,7 +315,7 @@
     /// Texts go on, but for those whose weights are being loaded.
     fn stream(&mut self) {
         let mut running: BTreeMap<&InstanceId, usize> = BTreeMap::new();
-        for run in self.runs.values() {
+        for run in self.attempts.values() {
             *running.entry(&run.assignment.instance).or_default() += 1;
         }
         let running: BTreeMap<InstanceId, usize> = running
@@ -323,7 +323,7 @@
             .map(|(instance, count)| (instance.clone(), count))
             .collect();
         let mut finished = Vec::new();
-        for (id, run) in &mut self.runs {
+        for (id, run) in &mut self.attempts {
             let instance = &run.assignment.instance;
             let Some(engine) = self.engines.get(instance) else {
                 continue;
@@ -338,13 +338,13 @@
             }
             let count = running.get(instance).copied().unwrap_or(1) as f64;
             let time = self.time;
-            let is_slow = |spell: &SlowSpell| spell.slows(time, engine.number);
-            let spell = if self.slow_spells.iter().any(is_slow) {
+            let is_slow = |period: &SlowPeriod| period.slows(time, engine.number);
+            let slowdown = if self.slow_periods.iter().any(is_slow) {
                 3.0
             } else {
                 1.0
             };
-            let pace = EVENT_MS * engine.slow * spell * (1.0 + EACH_SLOWS * count);
+            let pace = EVENT_MS * engine.slow * slowdown * (1.0 + SLOWDOWN_PER_ITEM * count);
             run.events += TICK.as_millis() as f64 / pace;
             let version = engine.record.version_of(&model).unwrap_or(1);
             if run.versions.last() != Some(&version) {
@@ -355,7 +355,7 @@
             }
         }
         for id in finished {
-            if let Some(run) = self.runs.remove(&id) {
+            if let Some(run) = self.attempts.remove(&id) {
                 let text = FinishedText {
                     text: ResultText::pack("text"),
                     versions: run.versions.clone(),
@@ -397,7 +397,7 @@
             .count();
         let wanted = (work.groups as usize * 9).div_ceil(10);
         if whole >= wanted && open.trained_at.is_none() {
-            open.trained_at = Some(self.time + READING + work.training);
+            open.trained_at = Some(self.time + READ_SECONDS + work.training);
             self.outcome.steps += 1;
             self.outcome.seconds += self.time - open.asked;
         }
@@ -428,9 +428,9 @@
     }
 
     /// Gateways report how far texts are; servers send heartbeats.
-    fn tell(&mut self) {
+    fn send_reports(&mut self) {
         if self.ticks.is_multiple_of(PROGRESS_TICKS) {
-            let progress = self.runs.values().map(|run| ItemProgress {
+            let progress = self.attempts.values().map(|run| ItemProgress {
                 assignment: run.assignment.assignment,
                 events: run.events as u64,
             });
@@ -454,7 +454,7 @@
     id.split('-').next().unwrap_or_default()
 }
 
-fn text_of(run: &Run) -> ItemText {
+fn text_of(run: &SimulatedAttempt) -> ItemText {
     let events = run.events as u64;
     ItemText {
         text: vec!["e"; events as usize].join("\n"),
--- a/crates/gateways/wingshore-coordination/tests/step_world/work.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/work.rs
@@ -12,7 +12,7 @@
 
 /// One engine in five is three times slower for a while.
 #[derive(Clone, Copy)]
-pub struct SlowSpell {
+pub struct SlowPeriod {
     /// Seconds, from the first to the last.
     pub from: f64,
     pub until: f64,
@@ -20,7 +20,7 @@
     pub which: u32,
 }
 
-impl SlowSpell {
+impl SlowPeriod {
     /// Whether it slows this engine down at this time.
     pub fn slows(&self, time: f64, number: u32) -> bool {
         (self.from..self.until).contains(&time) && number % 5 == self.which
--- a/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
+++ b/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
@@ -24,7 +24,7 @@
 }
 
 /// The gateway tells the end of an attempt, with its whole text.
-fn tell_end(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment) {
+fn report_end(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment) {
     let outcome = ItemOutcome::Finished(whole_text().into());
     group.end_item(gateway, assigned, outcome);
 }
@@ -38,12 +38,12 @@
 
 /// A leader that got a whole text and is lost before it has committed it; another one follows, to which the gateway
 /// says what it runs.
-fn leader_lost_before_the_commit(group: &mut Group) -> (GatewayId, ItemAssignment) {
+fn lose_leader_before_commit(group: &mut Group) -> (GatewayId, ItemAssignment) {
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
     let assigned = group.assignments().remove(0);
     group.defers_commits = true;
-    tell_end(group, gateway, &assigned);
+    report_end(group, gateway, &assigned);
     assert_that!(is_released(group, &assigned), eq(false));
     group.change_leader("coordinator-b");
     group.defers_commits = false;
@@ -61,13 +61,13 @@
 }
 
 #[gtest]
-fn a_text_that_was_told_and_not_committed_is_listed_once_and_not_run_again() {
+fn a_text_that_was_reported_and_not_committed_is_listed_once_and_not_run_again() {
     let mut group = Group::new();
     group.ask(Request::SubmitJob(job("j", 1)));
-    let (gateway, assigned) = leader_lost_before_the_commit(&mut group);
+    let (gateway, assigned) = lose_leader_before_commit(&mut group);
     group.wait(Duration::from_secs(2));
     expect_that!(group.assignments(), is_empty());
-    tell_end(&mut group, gateway, &assigned);
+    report_end(&mut group, gateway, &assigned);
     let results = &group.state.jobs()[&JobId::from("j")].results;
     expect_that!(results, len(eq(1)));
     expect_that!(results[0].text.unpack(), ok(eq(&whole_text().text)));
@@ -79,10 +79,10 @@
     let mut group = Group::new();
     group.configure_with(support::scoring_route());
     group.ask(Request::SubmitJob(scored_job("j", 1)));
-    let (gateway, assigned) = leader_lost_before_the_commit(&mut group);
+    let (gateway, assigned) = lose_leader_before_commit(&mut group);
     group.wait(Duration::from_secs(2));
     expect_that!(group.assignments(), is_empty());
-    tell_end(&mut group, gateway, &assigned);
+    report_end(&mut group, gateway, &assigned);
     let unscored = group.state.jobs()[&JobId::from("j")].unscored(0);
     expect_that!(
         unscored.map(|text| text.made_by),
--- a/crates/gateways/wingshore-coordination/tests/usage.rs
+++ b/crates/gateways/wingshore-coordination/tests/usage.rs
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn a_window_is_told_by_the_time_of_day() {
+fn a_window_is_determined_by_the_time_of_day() {
     let window = UsageWindow::at(WallTime(START), DUTY.window);
     expect_that!(window, eq(UsageWindow(340_000_000)));
     expect_that!(
@@ -92,10 +92,10 @@
     meter.sent(window, name("a"));
     meter.sent(window, name("a"));
     meter.sent(window, name("b"));
-    let told = meter.take_changes();
+    let changes = meter.take_changes();
     let expected = counts(&[("a", 2), ("b", 1)]);
     expect_that!(
-        told,
+        changes,
         elements_are![eq(&WindowUsage {
             window,
             counts: expected
@@ -103,8 +103,8 @@
     );
     expect_that!(meter.take_changes(), is_empty());
     meter.not_run(window, &name("a"));
-    let told = meter.take_changes();
-    expect_that!(told[0].counts, eq(&counts(&[("a", 1), ("b", 1)])));
+    let changes = meter.take_changes();
+    expect_that!(changes[0].counts, eq(&counts(&[("a", 1), ("b", 1)])));
     meter.report_all();
     expect_that!(meter.take_changes(), len(eq(1)));
 }
@@ -142,7 +142,7 @@
     group
 }
 
-fn tell(group: &mut Group, gateway: u64, window: u64, of: &[(&str, u64)]) {
+fn report_usage(group: &mut Group, gateway: u64, window: u64, of: &[(&str, u64)]) {
     let usage = WindowUsage {
         window: UsageWindow(window),
         counts: counts(of),
@@ -181,9 +181,9 @@
 #[gtest]
 fn the_totals_of_all_gateways_are_reported_before_they_are_due() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    tell(&mut group, 2, WINDOW, &[("a", 1), ("b", 1)]);
-    tell(&mut group, 1, WINDOW, &[("a", 5)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 1), ("b", 1)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 5)]);
     group.wait(Duration::from_secs(8));
     expect_that!(reports_of_window(&mut group), is_empty());
     group.wait(Duration::from_secs(2));
@@ -196,11 +196,11 @@
 #[gtest]
 fn an_unanswered_report_is_sent_again_just_as_it_was_and_an_answered_one_is_not() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
     // What is reported late does not change it any more.
-    tell(&mut group, 1, WINDOW, &[("a", 4)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 4)]);
     answer(&mut group, UsageWindow(WINDOW), ProviderAnswer::Unknown);
     group.wait(Duration::from_secs(1));
     let second = reports_of_window(&mut group);
@@ -215,12 +215,12 @@
 #[gtest]
 fn a_successor_sends_the_very_report_that_was_committed() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
     group.change_leader("coordinator-b");
     group.event(Event::TimeAgreed(WallTime(START + 10_000)));
-    tell(&mut group, 1, WINDOW, &[("a", 9)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 9)]);
     // The time of the holder before is waited out.
     group.wait(Duration::from_secs(2));
     expect_that!(reports_of_window(&mut group), is_empty());
@@ -236,7 +236,7 @@
 #[gtest]
 fn a_holder_that_was_refused_by_its_token_stops() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let reports = take_reports(&mut group);
     expect_that!(reports, not(is_empty()));
@@ -253,15 +253,15 @@
     let mut group = group();
     group.add_gateway(1);
     group.add_gateway(2);
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    tell(&mut group, 2, WINDOW, &[("a", 2)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 2)]);
     group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
     group.change_leader("coordinator-b");
     group.event(Event::TimeAgreed(WallTime(START + 2_000)));
-    tell(&mut group, 2, WINDOW, &[("a", 4)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 4)]);
     group.wait(Duration::from_secs(10));
     let reports = reports_of_window(&mut group);
     expect_that!(reports, not(is_empty()));
@@ -270,16 +270,16 @@
 
 /// One that is back after a lost connection reports its totals again: they count once.
 #[gtest]
-fn a_gateway_that_is_back_counts_once() {
+fn a_reconnected_gateway_counts_once() {
     let mut group = group();
     group.add_gateway(1);
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
     group.connect_gateway(1);
-    tell(&mut group, 1, WINDOW, &[("a", 5)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 5)]);
     group.wait(Duration::from_secs(10));
     expect_that!(
         reports_of_window(&mut group)[0].counts,
@@ -317,16 +317,16 @@
 /// Seen beside load: requests of a site's first seconds were never reported. Cause: the first window to
 /// be closed was the one before the present one, whatever had been counted before.
 #[gtest]
-fn what_was_counted_before_the_first_window_is_closed_is_reported_too() {
+fn requests_counted_before_the_first_closed_window_are_reported() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     // Nobody closes windows for a while: leaders change.
     for _ in 0..14 {
         group.wait(Duration::from_secs(1));
         group.change_leader("coordinator-a");
         let now = START + i64::try_from(group.now.as_millis()).unwrap();
         group.event(Event::TimeAgreed(WallTime(now)));
-        tell(&mut group, 1, WINDOW, &[("a", 3)]);
+        report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     }
     group.wait(Duration::from_secs(5));
     let reports = reports_of_window(&mut group);
