--- a/crates/gateways/wingshore-coordination/tests/connections.rs
+++ b/crates/gateways/wingshore-coordination/tests/connections.rs
@@ -1,10 +1,10 @@
-//! A site with many more engines than items that run at once, as a fleet of 9,600 engines of which
-//! trainers fill some hundred.
+//! A site with many more engines than simultaneous items, such as a fleet of 9,600 engines of which
+//! trainers use a few hundred.
 //!
-//! Seen on such a site: 11,053 new connections for 11,192 items of a day. An engine of unknown pace
-//! counted as the best one known, so that each item went to another engine that had run none
-//! before. Here 40 items run at a time over 30 rounds: they reach no more engines than that needs,
-//! unless an engine is slower than others.
+//! Guards against a new connection for nearly every item: such a site opened 11,053 connections for
+//! 11,192 items in one run. An engine of unknown pace was ranked as the best known one, so that
+//! each item went to another engine that had run none before. Here 40 items run at a time over 30
+//! rounds: they use no more engines than necessary, unless an engine is slower than others.
 
 mod support;
 
@@ -21,7 +21,7 @@
 const ENGINES: usize = 500;
 const ITEMS: u32 = 40;
 const ROUNDS: usize = 30;
-/// Events of an item, and the time of a round in which they come.
+/// Number of events of an item; they arrive within one round.
 const EVENTS: u64 = 20;
 const ROUND: Duration = Duration::from_secs(1);
 
@@ -32,14 +32,15 @@
     (group, gateway)
 }
 
-/// All engines are heard of.
+/// Sends a heartbeat of each engine.
 fn send_heartbeats(group: &mut Group) {
     for number in 0..ENGINES {
         group.heartbeat(engine(&format!("e{number:04}"), 1));
     }
 }
 
-/// Items of a job run, at a pace that `events` gives for each engine, and end; gives where.
+/// Runs a job until its items end; on each engine they produce `events` events in a round. Returns
+/// the assignments.
 fn round(
     group: &mut Group,
     gateway: GatewayId,
@@ -89,7 +90,7 @@
     expect_that!(used.len(), le(2 * ITEMS as usize));
 }
 
-/// Items do not share an engine to save a connection.
+/// Items do not share an engine only to save a connection.
 #[gtest]
 fn items_of_a_round_run_apart_while_engines_are_idle() {
     let (mut group, gateway) = site();
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -1,4 +1,4 @@
-//! Items of batch jobs: placement, broken attempts, leaders that change.
+//! Items of batch jobs: placement, interrupted attempts, changes of leader.
 
 mod support;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The connection of a gateway ends after a long silence: it is lost with all that it runs.
+/// The connection of a gateway ends after a long silence: the gateway is lost with all its items.
 fn gateway_lost(gateway: GatewayId) -> Event {
     Event::GatewayDisconnected {
         gateway,
@@ -78,8 +78,8 @@
     expect_that!(second.kept, eq(&text(2)));
 }
 
-/// A leader that took over while a second attempt ran used to list only the events of that attempt: the
-/// text of the first one was with the old leader.
+/// Guards against a lost beginning: a leader that took over during a second attempt listed only the
+/// events of that attempt, because only the old leader held the text of the first one.
 #[gtest]
 fn a_new_leader_lists_the_whole_text_of_an_item_that_was_resumed() {
     let (mut group, gateway) = Group::with_job(1);
@@ -93,7 +93,7 @@
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
     group.event(gateway_running(gateway, vec![running(&second)]));
-    // The gateway continues from what the assignment carries.
+    // The gateway continues from the text in the assignment.
     let mut whole = second.kept.clone();
     whole.text.push_str("\nevent 3");
     whole.events += 1;
@@ -122,8 +122,9 @@
     expect_that!(group.assignments(), is_empty());
 }
 
-/// A gateway that was welcomed twice by a new leader was ordered to release what it had reported twice;
-/// the leader took it to be running all the same, and the item was never placed again.
+/// Guards against an item that never ends: a gateway to which a new leader was announced twice
+/// reported its attempts twice. The leader told it to release them, still counted them as running,
+/// and never placed the item again.
 #[gtest]
 fn an_attempt_that_a_gateway_reports_twice_keeps_running() {
     let (mut group, gateway) = Group::with_job(1);
@@ -172,7 +173,7 @@
     expect_that!(results(&group), len(eq(1)));
 }
 
-/// Parts of `text(6)` as a gateway hands them in.
+/// The events after `from` up to `to` of a text, as a gateway uploads them.
 fn part(from: u64, to: u64) -> ItemText {
     text(to).after(text(from).extent())
 }
@@ -224,7 +225,7 @@
     let second = group.assignments().remove(0);
     expect_that!(second.kept, eq(&text(3)));
     expect_that!(second.durable, eq(text(2).extent()));
-    // What the second attempt uploads follows what the log holds.
+    // The uploads of the second attempt continue after the events that the log holds.
     upload(&mut group, &second, 2, 5);
     group.event(gateway_lost(gateway));
     group.add_gateway(2);
@@ -327,8 +328,8 @@
     }
 }
 
-/// A gateway that was cut off finishes what it runs; its text is as good as the one of the attempt
-/// that took its place, and earlier.
+/// A disconnected gateway finishes its attempts. Its text is as valid as that of the attempt that
+/// replaced it, and complete earlier.
 #[gtest]
 fn a_result_of_a_disconnected_gateway_counts_when_it_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
@@ -348,13 +349,13 @@
         *to == other && *assignment == second.assignment
     };
     expect_that!(group.effects.iter().any(is_released), eq(true));
-    // The second one ends as well: nothing is listed twice.
+    // The second attempt ends as well: nothing is listed twice.
     group.end_item(other, &second, ItemOutcome::Finished(text(3).into()));
     expect_that!(results(&group), len(eq(1)));
 }
 
-/// Parts that were uploaded to a leader that fell may be lost: the gateway learns from which event
-/// on the next leader has none.
+/// Parts that were uploaded to a leader that failed may be lost: the gateway learns up to which
+/// event the next leader holds the text.
 #[gtest]
 fn a_new_leader_says_how_much_of_a_text_it_holds() {
     let (mut group, gateway) = Group::with_job(1);
@@ -380,8 +381,8 @@
     expect_that!(is_of(&text(1)), eq(false), "shorter than what is held");
 }
 
-/// A gateway keeps its connections to an engine: the engine's items go through it, so that not each
-/// of them opens a connection.
+/// A gateway keeps its connections to an engine. The items of an engine go through one gateway, so
+/// that not every item opens a connection.
 #[gtest]
 fn the_items_of_an_engine_go_through_one_gateway() {
     let mut group = Group::new();
@@ -401,8 +402,8 @@
     expect_that!(gateways, len(eq(1)));
 }
 
-/// Where only the connection of a gateway broke, its items run on: they are not begun again elsewhere
-/// unless it stays away.
+/// If only the connection of a gateway broke, its items keep running: they start again elsewhere
+/// only if the gateway does not reconnect.
 #[gtest]
 fn a_gateway_whose_connection_broke_keeps_its_items_if_it_reconnects_soon() {
     let (mut group, gateway) = Group::with_job(2);
@@ -427,7 +428,7 @@
     expect_that!(group.assignments().iter().any(is_first), eq(true));
 }
 
-/// A process that begins on the machine of a gateway takes its place: nothing is left to wait for.
+/// A new process on the machine of a gateway replaces it: the leader does not wait for the old one.
 #[gtest]
 fn a_restarted_gateway_has_lost_its_items() {
     let (mut group, gateway) = Group::with_job(1);
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -1,4 +1,4 @@
-//! Texts that gateways upload while an item runs, where a part of one is lost with a connection.
+//! Texts that gateways upload while an item runs, when a part is lost with a connection.
 
 mod support;
 
@@ -9,7 +9,7 @@
     AssignmentId, CoordinatorMessage, Effect, Event, HeldPrefix, ItemText, JobId, RunningItem,
 };
 
-/// The events behind the first `after` up to `through`.
+/// The events after number `after` up to `through`.
 fn events(after: u64, through: u64) -> ItemText {
     let data: Vec<String> = (after + 1..=through)
         .map(|number| format!("event {number}"))
@@ -30,7 +30,7 @@
     }
 }
 
-/// What a leader has told of the text that the log holds, last of all.
+/// The held prefix of the text that a leader sent last.
 fn last_held_prefix(group: &Group) -> Option<HeldPrefix> {
     let mut prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
@@ -39,13 +39,12 @@
     prefixes.next_back()
 }
 
-/// What is seen: the text of an item that ran on for long is made again from an early event on once its gateway is
-/// lost, though the gateway uploaded it all the time, and each part of it was committed.
-/// How it comes about: the connection between the gateway and the leader breaks for a moment, and a part that was under
-/// way is lost with it; the item is kept, and the leader is the same.
-/// Cause: the gateway counts a part as uploaded once it is sent. Only a new leader says how much it holds (`adopt` turns
-/// back where the attempt is known); and `keep` drops, without a word, each part that does not follow what it holds.
-/// Proof: after the break nothing is told, and of eight events that came afterwards none is kept.
+/// Guards against uploads that are dropped after a reconnect. The connection between a gateway and
+/// its leader broke briefly, and an upload in flight was lost; attempt and leader stayed the same.
+/// The gateway counted the part as uploaded once it was sent. Only a new leader reported how much
+/// it held (`adopt_attempt` returned early for known attempts), and every later part was dropped
+/// silently because it did not follow the held events: of eight later events none was stored. When
+/// the gateway was lost later, the text was generated again from an early event.
 #[gtest]
 fn a_leader_sends_the_held_prefix_to_a_gateway_that_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
@@ -68,8 +67,8 @@
         scorings: Vec::new(),
     });
     let held = last_held_prefix(&group);
-    // Events 3 to 4 were lost with the connection. The gateway goes on behind what it was told, or else
-    // behind what it has sent.
+    // Events 3 to 4 were lost with the connection. The gateway continues after the held prefix if
+    // it received one, otherwise after the events that it has sent.
     let from = held.map_or(4, |held| held.extent.events);
     group.event(upload(assignment, from, 8));
     group.event(upload(assignment, 8, 12));
--- a/crates/gateways/wingshore-coordination/tests/registry.rs
+++ b/crates/gateways/wingshore-coordination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Configuration and registry: what is acknowledged, in which order, and what never returns.
+//! Configuration and registry: acknowledgements, ordering, and records that must not return.
 
 mod support;
 
@@ -119,7 +119,7 @@
     expect_that!(group.state.servers()[&instance].models[0].version, eq(5));
 }
 
-/// An incarnation of a server at the address of another one.
+/// A server record at the address that belongs to the name `address`.
 fn server_at(name: &str, address: &str) -> wingshore_coordination::ServerRecord {
     let mut server = engine(name, 1);
     server.address = address_of(address);
@@ -131,9 +131,10 @@
     servers.map(ToString::to_string).collect()
 }
 
-/// Seen: after a crash, engines were sent items for the incarnation before for up to 6 s, which the new one
-/// refused: 900 to 1,600 of 2,600 to 3,200 attempts on a day of crashes in series. Cause: only
-/// silence ended an incarnation, though the next one at its address proves the end.
+/// Guards against items for a server that has crashed: for up to 6 s after a crash, items for the
+/// previous incarnation were sent to the new one, which refused them: 900 to 1,600 of 2,600 to
+/// 3,200 attempts in a run with serial crashes. Only silence ended an incarnation, although a new
+/// one at its address proves that it has ended.
 #[gtest]
 fn an_incarnation_that_registers_ends_the_one_before_at_its_address() {
     let mut group = Group::new();
@@ -161,18 +162,17 @@
 fn an_incarnation_that_a_late_first_heartbeat_displaced_returns_with_its_second_one() {
     let mut group = Group::new();
     group.heartbeat(server_at("alive", "a"));
-    // This incarnation ended before the other began; its only heartbeat was under way since.
+    // This server ended before the other one started; its only heartbeat was delayed until now.
     group.heartbeat(server_at("dead", "a"));
     group.heartbeat(server_at("alive", "a"));
     group.heartbeat(server_at("alive", "a"));
     expect_that!(registered(&group), elements_are![eq("alive")]);
 }
 
-/// What is seen: a server that drains is told so, and after a change of leaders it is given work again.
-/// How it comes about: its heartbeats go by two coordinators, and an older one, which says the same, comes while the drain
-/// of the newer one waits for its commit.
-/// Cause: a heartbeat that is not the newest was acknowledged at once, whatever was still to be committed.
-/// Proof: the older one is answered before the drain is durable.
+/// Guards against a lost drain: a draining server received an acknowledgement, and work again after
+/// a change of leader. Its heartbeats go through two coordinators, and an older one with the same
+/// state arrived while the drain of the newer one waited for its commit. A heartbeat that was not
+/// the newest was acknowledged at once, before the drain was durable.
 #[gtest]
 fn an_older_heartbeat_is_acknowledged_once_the_drain_is_durable() {
     let mut group = Group::new();
--- a/crates/gateways/wingshore-coordination/tests/rollout.rs
+++ b/crates/gateways/wingshore-coordination/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing engines to named versions: how many at once, which first, under whose orders.
+//! Rollout of named versions: how many engines load at once, which first, and which machine orders.
 
 mod support;
 
@@ -142,8 +142,9 @@
     expect_that!(take_polled_engines(&mut group), not(is_empty()));
 }
 
-/// Machines that lead for a moment and fall, one after the other, must not take turns in giving
-/// orders: only one handover is quick until its machine has held orders for a while.
+/// Machines that lead briefly and fail one after the other must not alternate in giving orders:
+/// after a quick handover the next one is quick only once its machine has held the right to order
+/// for the handover time.
 #[gtest]
 fn quick_handovers_do_not_follow_each_other() {
     let mut group = group_of_engines(1);
@@ -158,7 +159,7 @@
     expect_that!(take_polled_engines(&mut group), is_empty());
     group.wait(Duration::from_millis(600));
     expect_that!(take_polled_engines(&mut group), not(is_empty()));
-    // Once it has held them for that time, the next handover is quick again.
+    // Once the machine has held the right for the handover time, the next handover is quick again.
     group.heartbeat(engine("e0", 1));
     group.wait(Duration::from_millis(4000));
     group.effects.clear();
@@ -175,7 +176,7 @@
     let polled = take_polled_engines(&mut group);
     report(&mut group, &polled[0], 1, false);
     let before = take_orders(&mut group).remove(0).fence;
-    // The same machine may go on at once.
+    // The same machine may continue at once.
     group.change_leader("coordinator-a");
     group.wait(Duration::from_millis(100));
     let polled = take_polled_engines(&mut group);
@@ -251,7 +252,7 @@
     expect_that!(interrupted, eq(true));
 }
 
-/// Engines that serve two models; "n" was named three versions further, "m" one.
+/// A group of engines that serve the models "m" and "n", both at version 1.
 fn group_of_two_models(engines: u32) -> Group {
     let mut group = Group::new();
     group.add_gateway(1);
@@ -266,8 +267,8 @@
     group
 }
 
-/// Answers each question with the newest version of the model that the engine is to load, until no
-/// engine is asked any more; gives how many loads of each model began.
+/// Answers polls and completes each ordered load at once, until no engine is polled any more.
+/// Returns the numbers of ordered loads of "m" and of "n".
 fn simulate_loads(group: &mut Group) -> (usize, usize) {
     let mut begun = (0, 0);
     for _ in 0..50 {
@@ -304,9 +305,9 @@
     begun
 }
 
-/// Engines of a model that is many versions behind are of no use to its newest jobs, but no more of
-/// them are needed than the model's share: the loads are needed by the other model, whose next job
-/// may ask for the version that no engine has yet.
+/// Engines with a model that is many versions behind are useless for its newest jobs, but the model
+/// needs no more than its share of engines. The remaining loads go to the other model, whose next
+/// job may require the version that no engine has yet.
 #[gtest]
 fn a_model_that_is_many_versions_behind_does_not_take_all_loads() {
     let mut group = group_of_two_models(10);
@@ -316,7 +317,7 @@
     expect_that!(simulate_loads(&mut group), eq((5, 5)));
 }
 
-/// A stream goes on while its engine loads another model's weights.
+/// A stream continues while its engine loads the weights of another model.
 #[gtest]
 fn long_items_of_another_model_do_not_delay_a_load() {
     let mut group = group_of_two_models(1);
@@ -345,8 +346,9 @@
     expect_that!(take_polled_engines(&mut group), len(eq(4)));
 }
 
-/// Engines that were looked at to load within 1.5 s, each of which then reports what it holds; items that
-/// their gateway does not speak of for longer would be placed anew.
+/// Counts the engines that are polled for a load within 1.5 s; each then reports the version as
+/// loaded. The time is limited because items that their gateway does not report for longer are
+/// placed again.
 fn count_loading_engines(group: &mut Group, version: u64) -> usize {
     let mut loaded = 0;
     for _ in 0..30 {
@@ -359,9 +361,9 @@
     loaded
 }
 
-/// Seen at 3,000 engines: 947 to 3,234 orders a day for steps of some 250 items, nearly all for nothing, and the price of
-/// orders was the largest of all. Cause: each version was brought to all engines that a model could have, whatever
-/// was asked of it.
+/// Guards against loads without demand. A site of 3,000 engines gave 947 to 3,234 orders per run
+/// for steps of about 250 items, nearly all of them useless, and orders were its largest cost. Each
+/// version was loaded on all engines that could run its model, whatever the demand for it.
 #[gtest]
 fn loads_follow_the_work_and_not_the_number_of_engines() {
     let mut group = group_of_engines(200);
@@ -370,13 +372,14 @@
     name_version(&mut group, 2);
     // Sixteen items fill four engines of four slots.
     expect_that!(count_loading_engines(&mut group, 2), all![ge(8), le(16)]);
-    // Nothing is known of the work of a model that had none: all engines take its version.
+    // The demand for a model without past work is unknown: all engines load its version.
     let mut idle = group_of_engines(200);
     name_version(&mut idle, 2);
     expect_that!(count_loading_engines(&mut idle, 2), eq(200));
 }
 
-/// Two models were named at once, and all loads went to the one whose engines come first.
+/// Guards against a starved model: versions of two models were named at once, and all loads went to
+/// the model whose engines come first in order.
 #[gtest]
 fn the_model_that_fewer_engines_can_run_is_loaded_first() {
     let mut group = Group::new();
@@ -393,8 +396,8 @@
     name_version(&mut group, 5);
     let model = ModelName::from("n");
     group.ask(Request::NameVersion { model, version: 5 });
-    // The first loads are those of the model that was named first. Once they are over, the others
-    // follow.
+    // The first loads are those of the model that was named first. The others follow once these are
+    // finished.
     for instance in take_polled_engines(&mut group) {
         report(&mut group, &instance, 5, false);
     }
@@ -408,9 +411,10 @@
     }
 }
 
-/// Seen at a site of 9,600 engines: 144 orders for each version where the items of a step fill 35
-/// engines. A job comes with the version that it needs, and as long as its items waited each scan
-/// began more loads, though those under way had room for all of them.
+/// Guards against too many loads. A site of 9,600 engines gave 144 orders for each version although
+/// the items of a step fill 35 engines: a job arrives together with the version that it needs, and
+/// while its items waited, each scan started more loads although the running ones had room for all
+/// of them.
 #[gtest]
 fn items_that_wait_for_running_loads_start_no_further_loads() {
     let mut group = group_of_engines(600);
@@ -419,7 +423,7 @@
         let mut submission = JobSubmission::clone(&job(&format!("j{version}"), 80));
         submission.min_version = version;
         group.ask(Request::SubmitJob(Arc::new(submission)));
-        // Longer than a load takes: no engine has reported yet that it is done.
+        // As long as a load takes: no engine has reported yet that it has finished.
         group.wait(Duration::from_millis(900));
         let began: BTreeSet<InstanceId> = take_polled_engines(&mut group).into_iter().collect();
         // 80 items fill 20 engines of 4 slots; twice that is enough.
--- a/crates/gateways/wingshore-coordination/tests/runs.rs
+++ b/crates/gateways/wingshore-coordination/tests/runs.rs
@@ -1,8 +1,10 @@
-//! Incarnations of servers: a server may start again under its name, and then is another incarnation that holds nothing.
+//! Incarnations of servers: a server that restarts under its name is a new incarnation without any
+//! state.
 //!
-//! A server that starts again says so by the time of its start. Calls of the incarnation before may arrive late:
-//! heartbeats that a cut held up, and deregistrations, which do not say which incarnation they mean. Entries of other
-//! writers may name real servers. `histories_end_as_the_model_says` draws all of these against a plain model.
+//! The start time in its heartbeats identifies the incarnation. Calls of the previous incarnation
+//! may arrive late: heartbeats delayed by a network partition, and deregistrations, which do not
+//! identify an incarnation. Heartbeats of other senders may carry the name of a real server.
+//! `registry_matches_the_reference_model` generates all of these and compares with a simple model.
 
 mod support;
 
@@ -17,7 +19,8 @@
     ViewChange,
 };
 
-/// Longer than a deregistration may be a late one of the incarnation before.
+/// Longer than the time after a restart in which a deregistration may be a late one of the previous
+/// incarnation.
 const UNAMBIGUOUS: Duration = Duration::from_secs(6);
 
 fn incarnation(name: &str, born: u64) -> InstanceId {
@@ -78,7 +81,7 @@
         group.state.servers()[&incarnation("e", 200)].draining,
         eq(false)
     );
-    // By a leader that has heard nothing of it, too.
+    // The same holds for a leader that has not received any heartbeat of it.
     group.change_leader("coordinator-b");
     send_heartbeat(&mut group, record("e", 100, 5), 11);
     expect_that!(
@@ -87,7 +90,8 @@
     );
 }
 
-/// Where no incarnation says when it started, as before: a name is an incarnation.
+/// A server that does not report its start time is identified by its name alone, and is older than
+/// any incarnation with a start time.
 #[gtest]
 fn an_incarnation_that_says_its_start_follows_one_that_did_not() {
     let mut group = Group::new();
@@ -120,7 +124,7 @@
     group.wait(UNAMBIGUOUS);
     expect_that!(deregister(&mut group, "e"), some(eq(&Reply::Done)));
     expect_that!(registered(&group), is_empty());
-    // That incarnation has ended for good; the next one is another.
+    // That incarnation has ended and cannot return; the next one is a different one.
     send_heartbeat(&mut group, record("e", 200, 1), 99);
     expect_that!(registered(&group), is_empty());
     send_heartbeat(&mut group, record("e", 300, 1), 1);
@@ -130,7 +134,7 @@
     );
 }
 
-/// The heartbeat of before a deregistration may come behind it.
+/// A heartbeat that was sent before a deregistration may arrive after it.
 #[gtest]
 fn a_heartbeat_just_after_a_deregistration_registers_nothing() {
     let mut group = Group::new();
@@ -165,7 +169,7 @@
     );
 }
 
-/// An incarnation cannot become one of another service, or move to another address.
+/// An incarnation cannot change its service or its address.
 #[gtest]
 fn an_entry_under_the_name_of_a_real_server_does_not_take_its_place() {
     let mut group = Group::new();
@@ -190,18 +194,18 @@
     }
 }
 
-/// What may arrive of a server.
+/// An event in the history of a server.
 #[derive(Clone, Debug)]
 enum Call {
-    /// Its process starts again.
+    /// Its process restarts.
     Restart(u8),
-    /// Its present incarnation reports its state.
+    /// Its current incarnation sends a heartbeat.
     CurrentHeartbeat(u8),
-    /// An earlier incarnation reports its state late.
+    /// A heartbeat of an earlier incarnation arrives late.
     LateHeartbeat(u8, u8),
-    /// The last heartbeat once more.
+    /// The last heartbeat arrives again.
     Duplicate(u8),
-    /// An entry of another writer under its name.
+    /// Another sender sends a heartbeat under its name.
     Foreign(u8),
     /// Time passes.
     Wait(u16),
@@ -221,18 +225,19 @@
     ]
 }
 
-/// A server as it is.
+/// Expected state of a server in the reference model.
 #[derive(Default)]
 struct ModelServer {
     born: u64,
     sequence: u64,
-    /// The newest incarnation that has reported its state, and when.
+    /// The newest incarnation that has sent a heartbeat, and the time of its last one.
     heard: Option<(u64, Duration)>,
 }
 
 proptest! {
-    /// Whatever arrives late, twice or from others: the registry holds of each name the newest incarnation that was
-    /// heard of, unless it was silent for too long, and never another one.
+    /// Whatever arrives late, twice or from other senders: for each name, the registry contains the
+    /// newest incarnation that has sent a heartbeat, unless it was silent for too long, and never
+    /// another one.
     #[test]
     fn registry_matches_the_reference_model(history in vec(calls(), 1..60)) {
         let mut group = Group::new();
@@ -291,7 +296,7 @@
                     Some((born, heard)) if time < heard + expiry => {
                         prop_assert_eq!(incarnations, vec![incarnation(&name(*server), born)]);
                     }
-                    // It may have expired by now, or within the next scan.
+                    // It may have expired already, or expires at the next sweep.
                     Some((born, _)) => {
                         let newest = incarnation(&name(*server), born);
                         prop_assert!(incarnations.is_empty() || incarnations == vec![newest]);
--- a/crates/gateways/wingshore-coordination/tests/scoring.rs
+++ b/crates/gateways/wingshore-coordination/tests/scoring.rs
@@ -1,4 +1,4 @@
-//! Scorings: between a whole text and its score, whatever is lost.
+//! Scorings: from a finished text to its score, with losses of gateways, leaders and servers.
 
 mod support;
 
@@ -12,8 +12,8 @@
     RunningScoring, ScoringAssignment, ScoringOutcome,
 };
 
-/// Longer than any backoff between scorings.
-const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Longer than any backoff between two scorings of a text.
+const LONGER_THAN_ANY_BACKOFF: Duration = Duration::from_secs(2);
 
 fn text() -> ItemText {
     ItemText {
@@ -42,7 +42,7 @@
     (group, gateway, assignment)
 }
 
-/// The connection of a gateway ends after a long silence: it is lost with all that it runs.
+/// The connection of a gateway ends after a long silence: the gateway is lost with all its items.
 fn gateway_lost(gateway: GatewayId) -> Event {
     Event::GatewayDisconnected {
         gateway,
@@ -84,7 +84,7 @@
     });
 }
 
-/// Scorings given to gateways since the last call.
+/// Scorings that were assigned to gateways since the last call.
 fn scorings(group: &mut Group) -> Vec<(GatewayId, ScoringAssignment)> {
     let effects = std::mem::take(&mut group.effects);
     effects
@@ -195,7 +195,8 @@
     expect_that!(results(&group), eq(&listed_with_score("stamp")));
 }
 
-/// The leader before was gone before it had made the text durable: the gateway reports all again.
+/// The previous leader failed before it had made the text durable: the gateway reports everything
+/// again.
 #[gtest]
 fn a_text_and_its_score_that_no_leader_made_durable_are_taken_from_the_gateway() {
     let (mut group, gateway, assignment) = group_with_item();
@@ -253,7 +254,7 @@
     let again = scorings(&mut group).remove(0).1;
     end_scoring(&mut group, other, again.scoring, ScoringOutcome::Failed(1));
     expect_that!(results(&group), is_empty());
-    group.wait(MAX_BACKOFF);
+    group.wait(LONGER_THAN_ANY_BACKOFF);
     let again = scorings(&mut group).remove(0).1;
     end_scoring(&mut group, other, again.scoring, ScoringOutcome::Failed(1));
     expect_that!(results(&group), eq(&vec![(ItemState::Abandoned, None)]));
@@ -267,7 +268,7 @@
     for _ in 0..20 {
         let outcome = ScoringOutcome::NotScored(NotScoredReason::Refused);
         end_scoring(&mut group, gateway, scoring, outcome);
-        group.wait(MAX_BACKOFF);
+        group.wait(LONGER_THAN_ANY_BACKOFF);
         let again = scorings(&mut group);
         assert_that!(again, len(eq(1)));
         scoring = again[0].1.scoring;
--- a/crates/gateways/wingshore-coordination/tests/scoring_takeover.rs
+++ b/crates/gateways/wingshore-coordination/tests/scoring_takeover.rs
@@ -1,6 +1,8 @@
-//! Seen: an item was abandoned after three failures of its scoring servers, where its route allows four. Cause: a leader counted the three and was cut off before its
-//! word that they are counted reached the gateway; the gateway reported them to the next leader as well, which counted them once more. Proof: the report is repeated
-//! here to a new leader, with the first count committed, and without.
+//! Guards against scoring failures that are counted twice: an item was abandoned after three
+//! failures although its route allows four. A leader had counted the three failures and was
+//! disconnected before its confirmation reached the gateway; the gateway reported them to the next
+//! leader as well, which counted them again. The tests repeat the report to a new leader, with the
+//! first count committed and without.
 
 mod support;
 
@@ -27,7 +29,7 @@
     }
 }
 
-/// A group with one item whose text is made and whose scoring the gateway has in hand.
+/// A group with one item whose text is finished and whose scoring runs at the gateway.
 fn group_with_scoring() -> (Group, GatewayId, AssignmentId) {
     let mut group = Group::new();
     group.configure_with(scoring_route());
@@ -52,7 +54,7 @@
     });
 }
 
-/// Another machine leads, and the gateway reports to it what it still has in hand.
+/// Another machine becomes leader, and the gateway reports its running scoring to it.
 fn change_leader(group: &mut Group, gateway: GatewayId, scoring: AssignmentId, node: &str) {
     group.change_leader(node);
     group.connect_gateway(1);
--- a/crates/gateways/wingshore-coordination/tests/step_time.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_time.rs
@@ -1,10 +1,11 @@
-//! A pattern of load: steps whose longest texts take the whole time that a step may, on engines of which a
-//! third are slower, with versions that come as fast as the weight store can load them.
+//! A demanding load: the longest text of a step takes all the time that a step may take, a third of
+//! the engines are slower, and versions are named as fast as the weight store can load them.
 //!
-//! Seen on a deployment with these figures: two of three trainers fell 8 to 15 s behind in a minute, and two or
-//! three steps of each were lost at the end. Cause, by the same simulation with one figure changed at a time:
-//! of the 0.5 s that a step takes beyond its longest text, 0.3 s are texts slowed down by the others on
-//! their engine, 0.13 s the slower engines, 0.07 s estimates that are wrong; loads cost next to nothing.
+//! A deployment with these parameters fell behind: two of three trainers were 8 to 15 s late after
+//! a minute, and each lost two or three steps at the end. The simulation, with one parameter
+//! changed at a time, explains the 0.5 s that a step takes beyond its longest text: 0.3 s are texts
+//! slowed down by others on their engine, 0.13 s the slower engines, 0.07 s wrong estimates; loads
+//! cost almost nothing.
 
 mod step_world;
 mod support;
@@ -31,7 +32,7 @@
 ];
 const SECONDS: f64 = 40.0;
 const PERMANENT_ENGINES: u32 = 45;
-/// Four fifths more: what the plan orders at the most.
+/// Four fifths of the permanent engines: the maximum that the capacity plan orders.
 const RECLAIMABLE_ENGINES: u32 = 36;
 const SLOW_PERIODS: [SlowPeriod; 2] = [
     SlowPeriod {
@@ -46,7 +47,7 @@
     },
 ];
 
-/// Days of four seeds, played at once.
+/// Simulates four seeds in parallel, and returns their combined outcome.
 fn simulate(extra: u32, periods: &'static [SlowPeriod]) -> Outcome {
     let runs = (1..5).map(|seed| {
         std::thread::spawn(move || {
@@ -64,7 +65,8 @@
     all
 }
 
-/// Sixteen seeds of 60 s by hand: 7.39 s a step without, 7.22 s with them (standard error 0.012 s).
+/// A manual run of 16 seeds over 60 s: 7.39 s per step without the extra engines, 7.22 s with them
+/// (standard error 0.012 s).
 #[gtest]
 fn more_engines_end_steps_earlier() {
     let (without, with) = (simulate(0, &[]), simulate(RECLAIMABLE_ENGINES, &[]));
@@ -77,7 +79,8 @@
     expect_that!(with.steps, ge(without.steps));
 }
 
-/// Sixteen seeds of 60 s by hand: 7.54 s a step without, 7.35 s with them (standard error 0.02 s).
+/// A manual run of 16 seeds over 60 s: 7.54 s per step without the extra engines, 7.35 s with them
+/// (standard error 0.02 s).
 #[gtest]
 fn more_engines_help_while_some_are_slow() {
     let (without, with) = (
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -1,9 +1,9 @@
-//! Engines, a weight store and trainers around the real leader, without a network: what a day of steps is
-//! like whose longest texts take about as long as a step may.
+//! Simulation of engines, a weight store and trainers around the real leader, without a network,
+//! for steps whose longest texts take about as long as a step may.
 //!
-//! Figures are those of a deployment's sheet with 45 engines of eight slots, every third one 1.3 times slower, 48 ms from event to
-//! event, loads of 0.9 s that get longer while more than nine run, and three trainers whose next step but one
-//! waits for the training of the present one.
+//! The parameters are those of a deployment: 45 engines of eight slots, every third one 1.3 times
+//! slower, 48 ms between events, loads of 0.9 s that take longer while more than nine run, and
+//! three trainers whose next step but one waits for the training on the current one.
 
 mod work;
 
@@ -25,18 +25,19 @@
 
 const TICK: Duration = Duration::from_millis(50);
 const EVENT_MS: f64 = 48.0;
-/// By how much each further text slows an engine's events down.
+/// Fraction by which each text on an engine slows down all events of the engine.
 const SLOWDOWN_PER_ITEM: f64 = 0.006;
 const LOAD_SECONDS: f64 = 0.9;
 const LOADS_AT_FULL_SPEED: f64 = 9.0;
 const SLOTS: u32 = 8;
 const GATEWAYS: u64 = 8;
-/// Ticks between two words of gateways on how far texts are, and between two of servers.
+/// Ticks between two progress reports of gateways.
 const PROGRESS_TICKS: u64 = 8;
+/// Ticks between two heartbeats of a server.
 const HEARTBEAT_TICKS: u64 = 24;
-/// From the last text that a step needs until its trainer has read it.
+/// Time from the last text that a step needs until its trainer has read it.
 const READ_SECONDS: f64 = 0.4;
-/// The longest text, in events.
+/// Length of the longest text, in events.
 const MAX_EVENTS: f64 = 145.0;
 const STEP_INTERVAL_SECONDS: f64 = 4.0;
 
@@ -65,9 +66,9 @@
 
 struct OpenStep {
     asked: f64,
-    /// Texts that are missing, by group.
+    /// Number of unfinished texts of each group.
     missing: BTreeMap<String, u32>,
-    /// When its trainer is done with it.
+    /// When the trainer will have finished training on it.
     trained_at: Option<f64>,
 }
 
@@ -77,7 +78,7 @@
     engines: BTreeMap<InstanceId, SimulatedEngine>,
     attempts: BTreeMap<AssignmentId, SimulatedAttempt>,
     lengths: BTreeMap<ItemId, f64>,
-    /// While some engines are slow.
+    /// Periods in which some engines are slow.
     slow_periods: Vec<SlowPeriod>,
     trainers: Vec<Trainer>,
     time: f64,
@@ -86,9 +87,9 @@
 }
 
 impl Simulation {
-    /// A site with so many engines, `extra` more that may be taken away, and one trainer for each kind of
-    /// work.
-    pub fn new(seed: u64, (permanent, extra): (u32, u32), work: &[Work]) -> Self {
+    /// Creates a site with `staying` permanent engines, `extra` reclaimable ones, and one trainer
+    /// for each entry of `work`.
+    pub fn new(seed: u64, (staying, extra): (u32, u32), work: &[Work]) -> Self {
         let mut group = Group::with_settings(LeaderSettings {
             engines_check_fences: true,
             load_time: Duration::from_millis(920),
@@ -107,11 +108,11 @@
             group.add_gateway(gateway);
         }
         let mut all = BTreeMap::new();
-        for number in 0..permanent + extra {
+        for number in 0..staying + extra {
             let mut record = engine(&format!("engine-{number:03}"), 1);
             record.address = ([10, 9, 0, number as u8], 9000).into();
             record.slots = SLOTS;
-            record.reclaimable = number >= permanent;
+            record.reclaimable = number >= staying;
             record.models = models
                 .iter()
                 .map(|model| ModelVersion {
@@ -151,13 +152,13 @@
         }
     }
 
-    /// The same with spells in which some engines are slow.
+    /// Adds periods in which some engines are slow.
     pub fn with_slow_periods(mut self, periods: &[SlowPeriod]) -> Self {
         self.slow_periods = periods.to_vec();
         self
     }
 
-    /// Plays so many seconds.
+    /// Runs the simulation for this number of simulated seconds.
     pub fn simulate(mut self, seconds: f64) -> Outcome {
         while self.time < seconds {
             self.submit_due_steps();
@@ -172,7 +173,7 @@
         self.outcome
     }
 
-    /// A text's length in events: most are short, one in ten is five times as long.
+    /// Draws the length of a text in events: most are short, one in ten is five times as long.
     fn length(&mut self) -> f64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let tail = if self.random.random::<f64>() < 0.104 {
@@ -183,7 +184,7 @@
         (14.0 * (0.84 * normal).exp() * tail).clamp(1.0, MAX_EVENTS)
     }
 
-    /// The caller's estimate of a length: right in the middle, often far off.
+    /// Draws the caller's estimate of a length: right in the median, but often far off.
     fn estimate(&mut self, length: f64) -> u64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         (length * 75.0 * (0.5 * normal).exp()) as u64
@@ -246,7 +247,7 @@
         trainer.open.insert(step, open);
     }
 
-    /// What the leader wants done.
+    /// Carries out the leader's effects.
     fn apply_effects(&mut self) {
         for effect in std::mem::take(&mut self.group.effects) {
             match effect {
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Texts go on, but for those whose weights are being loaded.
+    /// Advances all texts except those of a model whose weights their engine is loading.
     fn stream(&mut self) {
         let mut running: BTreeMap<&InstanceId, usize> = BTreeMap::new();
         for run in self.attempts.values() {
@@ -368,7 +369,7 @@
         self.train();
     }
 
-    /// A text is whole.
+    /// Counts a finished text; a step with enough finished groups goes to training.
     fn finished(&mut self, assignment: &ItemAssignment) {
         let id = assignment.request.to_string();
         let parts: Vec<&str> = id.split('-').collect();
@@ -403,7 +404,7 @@
         }
     }
 
-    /// Trainers that are done with a step end its job and name a version.
+    /// Trainers that have finished training on a step end its job and name a version.
     fn train(&mut self) {
         for number in 0..self.trainers.len() {
             let trainer = &mut self.trainers[number];
@@ -427,7 +428,7 @@
         }
     }
 
-    /// Gateways report how far texts are; servers send heartbeats.
+    /// Sends the progress reports of gateways and the heartbeats of servers that are due.
     fn send_reports(&mut self) {
         if self.ticks.is_multiple_of(PROGRESS_TICKS) {
             let progress = self.attempts.values().map(|run| ItemProgress {
--- a/crates/gateways/wingshore-coordination/tests/step_world/work.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/work.rs
@@ -1,6 +1,6 @@
-//! What trainers ask, what slows engines down, and what came of a day.
+//! Work of trainers, slow periods of engines, and the outcome of a simulation.
 
-/// A trainer's work.
+/// The work of a trainer.
 #[derive(Clone, Copy)]
 pub struct Work {
     /// Groups of a step, and items of a group.
@@ -10,34 +10,34 @@
     pub training: f64,
 }
 
-/// One engine in five is three times slower for a while.
+/// A period in which one engine in five is three times slower.
 #[derive(Clone, Copy)]
 pub struct SlowPeriod {
-    /// Seconds, from the first to the last.
+    /// Start and end of the period, in simulated seconds.
     pub from: f64,
     pub until: f64,
-    /// Which of each five.
+    /// Which engine of each five: its number modulo five.
     pub which: u32,
 }
 
 impl SlowPeriod {
-    /// Whether it slows this engine down at this time.
+    /// Returns whether the engine of this number is slow at this time.
     pub fn slows(&self, time: f64, number: u32) -> bool {
         (self.from..self.until).contains(&time) && number % 5 == self.which
     }
 }
 
-/// What came of a day.
+/// Outcome of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Steps whose texts were read in time to train on them.
+    /// Number of steps that received enough texts to train on.
     pub steps: u32,
-    /// Seconds from asking a step to its last text that was needed, over all steps.
+    /// Seconds from submitting a step to the last text that it needed, summed over all steps.
     pub seconds: f64,
 }
 
 impl Outcome {
-    /// Mean seconds of a step.
+    /// Returns the mean duration of a step, in seconds.
     pub fn mean_seconds(&self) -> f64 {
         self.seconds / f64::from(self.steps.max(1))
     }
--- a/crates/gateways/wingshore-coordination/tests/support/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! A coordination group of one member whose proposals are committed at once, and the data that
-//! tests put into it.
+//! A coordination group of one member that commits its proposals at once, and test data for it.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::VecDeque;
@@ -18,7 +17,7 @@
 };
 use wingshore_types::{Epoch, Instant, LogIndex};
 
-/// Longer than a new leader waits for gateways.
+/// Longer than the time for which a new leader waits for reports of gateways.
 const GATEWAY_REPORT_TIME: Duration = Duration::from_secs(1);
 
 /// A group of one member.
@@ -28,7 +27,8 @@
     pub leader: CoordinationLeader,
     pub effects: Vec<Effect>,
     pub replies: Vec<(RequestTag, Reply)>,
-    /// What is announced to gateways, in order: each entry's changes once it is applied.
+    /// View changes that are announced to gateways, in order: those of each entry once it is
+    /// applied.
     pub announced: Vec<ViewChange>,
     pub settings: LeaderSettings,
     /// Whether proposals wait for [`Group::commit`].
@@ -41,7 +41,7 @@
 }
 
 impl Group {
-    /// A group with the usual configuration.
+    /// Creates a group with the default configuration of the tests.
     pub fn new() -> Self {
         Self::with_settings(LeaderSettings {
             engines_check_fences: true,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// A group whose leaders have these settings.
+    /// Creates a group whose leaders have these settings.
     pub fn with_settings(settings: LeaderSettings) -> Self {
         let settings = LeaderSettings {
             node: "coordinator-a".to_owned(),
@@ -75,14 +75,14 @@
         group
     }
 
-    /// Puts one more route in force.
+    /// Puts a configuration with one more route in force.
     pub fn configure_with(&mut self, route: Route) {
         let mut next = configuration(2);
         next.routes.push(route);
         self.ask(Request::PutConfiguration(Arc::new(next)));
     }
 
-    /// Another machine becomes leader; nothing volatile is left, and what was not committed is lost.
+    /// Makes another machine the leader. All volatile data and uncommitted proposals are lost.
     pub fn change_leader(&mut self, node: &str) {
         self.epoch += 1;
         self.uncommitted.clear();
@@ -96,7 +96,7 @@
         self.settle(out);
     }
 
-    /// Asks and gives the answer, if there is one at once.
+    /// Sends a request and returns the reply, if there is one at once.
     pub fn ask(&mut self, request: Request) -> Option<Reply> {
         self.next_tag += 1;
         let tag = RequestTag(self.next_tag);
@@ -108,14 +108,14 @@
         Some(self.replies.remove(position).1)
     }
 
-    /// Something happens outside.
+    /// Passes an event to the leader.
     pub fn event(&mut self, event: Event) {
         let mut out = Vec::new();
         self.leader.on_event(self.now, event, &self.state, &mut out);
         self.settle(out);
     }
 
-    /// Time passes, with a tick each 50 ms.
+    /// Advances the time, with a tick every 50 ms.
     pub fn wait(&mut self, duration: Duration) {
         const TICK: Duration = Duration::from_millis(50);
         let until = self.now + duration;
@@ -154,7 +154,7 @@
         out
     }
 
-    /// Commits what was proposed meanwhile.
+    /// Commits the proposals that were deferred.
     pub fn commit(&mut self) {
         for (tag, command) in std::mem::take(&mut self.uncommitted) {
             let out = self.apply(tag, command);
@@ -162,7 +162,8 @@
         }
     }
 
-    /// A gateway connects and runs nothing; a new leader waits for that.
+    /// Connects a gateway that reports that it runs nothing, and waits until a new leader places
+    /// items.
     pub fn add_gateway(&mut self, id: u64) -> GatewayId {
         let gateway = self.connect_gateway(id);
         self.event(Event::GatewayRunning {
@@ -174,12 +175,12 @@
         gateway
     }
 
-    /// A gateway connects, and has not reported yet what it runs.
+    /// Connects a gateway that has not reported yet what it runs.
     pub fn connect_gateway(&mut self, id: u64) -> GatewayId {
         self.connect_restarted_gateway(id, id)
     }
 
-    /// A process of another identity connects from the machine of gateway `machine`.
+    /// Connects a gateway process with identity `id` from the machine of gateway `machine`.
     pub fn connect_restarted_gateway(&mut self, machine: u64, id: u64) -> GatewayId {
         let gateway = GatewayId(id);
         self.event(Event::GatewayConnected(GatewayHello {
@@ -197,7 +198,7 @@
         gateway
     }
 
-    /// A group with a gateway, an engine, and a job of so many items.
+    /// Creates a group with a gateway, an engine, and a job with `items` items.
     pub fn with_job(items: u32) -> (Self, GatewayId) {
         let mut group = Self::new();
         let gateway = group.add_gateway(1);
@@ -206,7 +207,7 @@
         (group, gateway)
     }
 
-    /// An attempt at an item is over.
+    /// Reports the end of an attempt at an item.
     pub fn end_item(
         &mut self,
         gateway: GatewayId,
@@ -221,14 +222,14 @@
         });
     }
 
-    /// An engine registers, or reports its state again.
+    /// Sends a heartbeat of a server, with the next sequence number.
     pub fn heartbeat(&mut self, server: ServerRecord) -> Option<Reply> {
         self.sequence += 1;
         let sequence = self.sequence;
         self.ask(Request::Heartbeat(Heartbeat { server, sequence }))
     }
 
-    /// Items that were assigned since the last call.
+    /// Returns the items that were assigned since the last call.
     pub fn assignments(&mut self) -> Vec<ItemAssignment> {
         let effects = std::mem::take(&mut self.effects);
         let (assigned, others): (Vec<Effect>, Vec<Effect>) =
@@ -246,7 +247,7 @@
     }
 }
 
-/// A configuration with one engine service and one batch route.
+/// Returns a configuration with one engine service and one batch route.
 pub fn configuration(version: u64) -> SiteConfiguration {
     let service = ServiceName::from("llm");
     SiteConfiguration {
@@ -287,7 +288,7 @@
     }
 }
 
-/// An address of its own for each server.
+/// Returns an address derived from the name of a server.
 pub fn address_of(name: &str) -> SocketAddr {
     let number = name.bytes().fold(0_u16, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
@@ -296,7 +297,7 @@
     ([10, 2, high, low], 9000).into()
 }
 
-/// An engine of the service, with one model.
+/// Returns an engine of the service with one model.
 pub fn engine(name: &str, version: u64) -> ServerRecord {
     ServerRecord {
         instance: InstanceId::from(name),
@@ -313,7 +314,7 @@
     }
 }
 
-/// A batch job with `items` items in one group.
+/// Returns a batch job with `items` items in one group.
 pub fn job(id: &str, items: u32) -> Arc<JobSubmission> {
     Arc::new(JobSubmission {
         id: JobId::from(id),
@@ -337,7 +338,7 @@
     })
 }
 
-/// As [`job`], with a scorer for each item.
+/// Returns the same job as [`job`], with a scorer for each item.
 pub fn scored_job(id: &str, items: u32) -> Arc<JobSubmission> {
     let mut submission = JobSubmission::clone(&job(id, items));
     for item in &mut submission.items {
@@ -351,7 +352,7 @@
     Arc::new(submission)
 }
 
-/// The route of scorers; it allows four attempts.
+/// Returns the route to the scorers, which allows four attempts.
 pub fn scoring_route() -> Route {
     Route {
         name: "scores".to_owned(),
--- a/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
+++ b/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
@@ -1,8 +1,8 @@
-//! Whole texts that a gateway has told, and that the leader lost before it committed them.
+//! Finished texts that a gateway has reported and that the leader lost before it committed them.
 //!
-//! What is suspected: such a text is run twice, or is lost. These tests show that it is neither, as long as its gateway
-//! lives: the gateway keeps the end of an attempt until a leader releases it, and the next leader waits for what gateways
-//! run before it places anything.
+//! Such a text must neither be generated twice nor be lost while its gateway lives: the gateway
+//! keeps the outcome of an attempt until a leader releases it, and the next leader waits for the
+//! reports of gateways before it places anything.
 
 mod support;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The gateway tells the end of an attempt, with its whole text.
+/// The gateway reports the end of an attempt with its finished text.
 fn report_end(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment) {
     let outcome = ItemOutcome::Finished(whole_text().into());
     group.end_item(gateway, assigned, outcome);
@@ -36,8 +36,8 @@
     })
 }
 
-/// A leader that got a whole text and is lost before it has committed it; another one follows, to which the gateway
-/// says what it runs.
+/// A leader receives a finished text and fails before the commit; the gateway reports what it runs
+/// to the next leader.
 fn lose_leader_before_commit(group: &mut Group) -> (GatewayId, ItemAssignment) {
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
--- a/crates/gateways/wingshore-coordination/tests/usage.rs
+++ b/crates/gateways/wingshore-coordination/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage: what gateways count, when a window is closed, and that whoever sends its report sends the same.
+//! Usage: counts of gateways, closing of windows, and reports that stay the same across leaders.
 
 mod support;
 
@@ -39,8 +39,8 @@
     expect_that!(window.end(DUTY.window), eq(WallTime(START + 5000)));
 }
 
-/// Clocks of two machines of six jump by seconds, ahead and back, and one machine is silent: the agreed
-/// time stays among the right ones.
+/// The clocks of two of six machines jump by seconds, forward and back, and one machine is silent:
+/// the agreed time stays within the range of the correct clocks.
 #[gtest]
 fn the_agreed_time_does_not_follow_clocks_that_jump() {
     let mut clock = SiteClock::default();
@@ -130,7 +130,7 @@
     }
 }
 
-/// A group that owes reports, at the start of a window.
+/// A group that has to report usage, at the start of a window.
 fn group() -> Group {
     let mut group = Group::with_settings(LeaderSettings {
         usage: Some(DUTY),
@@ -167,10 +167,10 @@
     group.event(Event::UsageAnswered { window, answer });
 }
 
-/// The window that `START` begins.
+/// The window that starts at `START`.
 const WINDOW: u64 = 340_000_000;
 
-/// Reports of this window, sent again and again while the provider does not answer.
+/// Reports of `WINDOW`, which are sent repeatedly while the provider does not answer.
 fn reports_of_window(group: &mut Group) -> Vec<UsageReport> {
     let all = take_reports(group);
     all.into_iter()
@@ -199,7 +199,7 @@
     report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
-    // What is reported late does not change it any more.
+    // A late report of a gateway no longer changes the counts.
     report_usage(&mut group, 1, WINDOW, &[("a", 4)]);
     answer(&mut group, UsageWindow(WINDOW), ProviderAnswer::Unknown);
     group.wait(Duration::from_secs(1));
@@ -210,8 +210,8 @@
     expect_that!(reports_of_window(&mut group), is_empty());
 }
 
-/// The holder before may have sent it: a successor that sums up anew could send another one under the
-/// same window.
+/// The previous holder may already have sent the report: a successor that computed the sums again
+/// could send a different one for the same window.
 #[gtest]
 fn a_successor_sends_the_very_report_that_was_committed() {
     let mut group = group();
@@ -221,7 +221,7 @@
     group.change_leader("coordinator-b");
     group.event(Event::TimeAgreed(WallTime(START + 10_000)));
     report_usage(&mut group, 1, WINDOW, &[("a", 9)]);
-    // The time of the holder before is waited out.
+    // The new leader first waits for the handover time of the previous holder.
     group.wait(Duration::from_secs(2));
     expect_that!(reports_of_window(&mut group), is_empty());
     group.wait(Duration::from_secs(3));
@@ -232,7 +232,7 @@
     expect_that!(second[0].holder.fence, eq(Epoch(2)));
 }
 
-/// Another holder has acted under a higher token: this one does not call again.
+/// Another holder has acted with a higher fencing token: this one does not call again.
 #[gtest]
 fn a_holder_that_was_refused_by_its_token_stops() {
     let mut group = group();
@@ -247,7 +247,8 @@
     expect_that!(take_reports(&mut group), is_empty());
 }
 
-/// What a gateway that was killed had reported counts, also where the leader is lost after it.
+/// The reported counts of a gateway that was killed remain valid even if the leader fails
+/// afterwards.
 #[gtest]
 fn counts_of_a_gateway_that_is_gone_survive_the_leader() {
     let mut group = group();
@@ -268,7 +269,7 @@
     expect_that!(reports[0].counts, eq(&counts(&[("a", 7)])));
 }
 
-/// One that is back after a lost connection reports its totals again: they count once.
+/// A gateway that reconnects reports its totals again: they count once.
 #[gtest]
 fn a_reconnected_gateway_counts_once() {
     let mut group = group();
@@ -287,7 +288,8 @@
     );
 }
 
-/// A provider that is away for half a minute gets each window's report in the end, a few at once.
+/// A provider that is unreachable for half a minute finally receives the report of every window, a
+/// few at a time.
 #[gtest]
 fn reports_wait_while_the_provider_is_away() {
     let mut group = group();
@@ -299,7 +301,7 @@
             answer(&mut group, report.window, ProviderAnswer::Unknown);
         }
     }
-    // With backoffs of up to 2 s between calls.
+    // The backoff between two calls is up to 2 s.
     expect_that!(sent.len(), le(60));
     let mut reported = Vec::new();
     for _ in 0..40 {
@@ -314,13 +316,14 @@
     expect_that!(all.iter().all(|window| reported.contains(window)), eq(true));
 }
 
-/// Seen beside load: requests of a site's first seconds were never reported. Cause: the first window to
-/// be closed was the one before the present one, whatever had been counted before.
+/// Guards against unreported requests: under load, those of a site's first seconds were never
+/// reported, because the first window to be closed was the one before the current one, whatever had
+/// been counted earlier.
 #[gtest]
 fn requests_counted_before_the_first_closed_window_are_reported() {
     let mut group = group();
     report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
-    // Nobody closes windows for a while: leaders change.
+    // Leaders change so often that no window is closed for a while.
     for _ in 0..14 {
         group.wait(Duration::from_secs(1));
         group.change_leader("coordinator-a");
