--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -100,8 +100,8 @@
         let running: usize = engines.map(|(_, engine)| engine.running).sum();
         let waiting = self.items.waiting_by_job().map(|(job, count)| {
             let route = self.route_of_job(job, state);
-            let part = route.map_or(0.0, |route| route.part_of(service));
-            (count as f64 * part).ceil() as usize
+            let share = route.map_or(0.0, |route| route.part_of(service));
+            (count as f64 * share).ceil() as usize
         });
         running + waiting.sum::<usize>()
     }
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -102,7 +102,7 @@
         for request in requests {
             let suspect = turn.state.evidence().suspect(request);
             self.evidence
-                .note_news(turn.now, request, suspect.is_some_and(has_endings));
+                .note_news(turn.now, request, suspect.is_some_and(has_crashes));
             if let Some(suspect) = suspect.filter(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestRejected(suspect.clone()));
             }
@@ -111,11 +111,12 @@
 
     /// Proposes to reject those of these requests whose evidence reached the limit.
     fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
-        let is_over = |request: &&RequestFingerprint| {
+        let has_reached_limit = |request: &&RequestFingerprint| {
             let suspect = turn.state.evidence().suspect(**request);
             suspect.is_some_and(|suspect| self.evidence.is_to_be_rejected(suspect))
         };
-        let rejected: Vec<RequestFingerprint> = requests.iter().filter(is_over).copied().collect();
+        let rejected: Vec<RequestFingerprint> =
+            requests.iter().filter(has_reached_limit).copied().collect();
         if !rejected.is_empty() {
             let follow_up = FollowUp::EvidenceChanged(rejected.clone());
             self.propose(Command::RejectRequests(rejected), follow_up, turn);
@@ -125,11 +126,11 @@
     /// Drops the oldest evidence against requests whose evidence has not changed for too long;
     /// rejected requests may then run once more.
     pub(crate) fn expire_evidence(&mut self, turn: &mut Turn<'_>) {
-        let old = self.evidence.take_old(turn.now);
-        if old.is_empty() {
+        let expired = self.evidence.take_old(turn.now);
+        if expired.is_empty() {
             return;
         }
-        for request in &old {
+        for request in &expired {
             let suspect = turn.state.evidence().suspect(*request);
             if suspect.is_some_and(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestCleared {
@@ -138,11 +139,11 @@
                 });
             }
         }
-        let follow_up = FollowUp::EvidenceChanged(old.clone());
-        self.propose(Command::RelieveRequests(old), follow_up, turn);
+        let follow_up = FollowUp::EvidenceChanged(expired.clone());
+        self.propose(Command::RelieveRequests(expired), follow_up, turn);
     }
 }
 
-fn has_endings(suspect: &Suspect) -> bool {
+fn has_crashes(suspect: &Suspect) -> bool {
     !suspect.ended.is_empty()
 }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -214,13 +214,13 @@
             return;
         }
         let unscored = self.scorings.items().cloned();
-        let given_up: Vec<ItemKey> = self
+        let overdue: Vec<ItemKey> = self
             .items
             .waiting()
             .chain(unscored)
             .filter(|item| self.is_past_queue_time(turn.now, item, turn.state))
             .collect();
-        for item in given_up {
+        for item in overdue {
             self.abandon(
                 &item,
                 "its queue time is over or its route no longer exists",
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -191,9 +191,9 @@
         report: &EngineStatus,
         turn: &mut Turn<'_>,
     ) {
-        let risen = self.engines.raise_versions(instance, &report.models);
-        let has_risen = !risen.is_empty();
-        for ModelVersion { model, version } in risen {
+        let raised = self.engines.raise_versions(instance, &report.models);
+        let is_any_raised = !raised.is_empty();
+        for ModelVersion { model, version } in raised {
             turn.log(Decision::VersionReached {
                 instance: instance.clone(),
                 model,
@@ -204,7 +204,7 @@
             self.engines
                 .loaded(instance, turn.now + UNSTEADY_AFTER_LOAD);
         }
-        if has_risen {
+        if is_any_raised {
             self.place_items(turn);
         }
     }
@@ -215,8 +215,8 @@
     state.configuration().is_some_and(|configuration| {
         configuration.routes.iter().any(|route| {
             let mut targets = route.targets.iter();
-            let leads_there = targets.any(|target| target.service == *service);
-            leads_there && route.single_version
+            let is_target = targets.any(|target| target.service == *service);
+            is_target && route.single_version
         })
     })
 }
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -139,11 +139,11 @@
     }
 
     fn choose_scoring_gateway(&self) -> Option<GatewayId> {
-        let mut in_hand: BTreeMap<GatewayId, usize> = BTreeMap::new();
+        let mut running_counts: BTreeMap<GatewayId, usize> = BTreeMap::new();
         for running in self.scorings.under_way.values() {
-            *in_hand.entry(running.gateway).or_default() += 1;
+            *running_counts.entry(running.gateway).or_default() += 1;
         }
-        gateway_for_scoring(&self.gateways, &in_hand)
+        gateway_for_scoring(&self.gateways, &running_counts)
     }
 
     fn assign_scoring(
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -420,7 +420,11 @@
     group.event(gateway_running(gateway, vec![running(&assignments[0])]));
     group.wait(std::time::Duration::from_millis(100));
     let again: Vec<_> = group.assignments();
-    expect_that!(again, len(eq(1)), "what it does not speak of is lost");
+    expect_that!(
+        again,
+        len(eq(1)),
+        "items that the gateway does not report are lost"
+    );
     expect_that!(again[0].item, eq(&assignments[1].item));
     group.event(broken);
     group.wait(std::time::Duration::from_millis(1000));
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -75,8 +75,8 @@
     let kept = group.state.jobs()[&JobId::from("j")]
         .kept(0)
         .map_or(0, |text| text.events);
-    println!("told {held:?}, kept {kept} of 12 events");
-    expect_that!(group.assignments(), is_empty(), "it runs on");
+    println!("sent prefix: {held:?}; stored {kept} of 12 events");
+    expect_that!(group.assignments(), is_empty(), "the attempt keeps running");
     expect_that!(held, some(eq(events(0, 2).held())));
     expect_that!(kept, eq(12));
 }
--- a/crates/gateways/wingshore-coordination/tests/rollout.rs
+++ b/crates/gateways/wingshore-coordination/tests/rollout.rs
@@ -331,7 +331,7 @@
     expect_that!(
         take_polled_engines(&mut group),
         is_empty(),
-        "its own model's long item runs"
+        "a long item of the same model runs"
     );
     let model = ModelName::from("n");
     group.ask(Request::NameVersion { model, version: 2 });
