--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -65,7 +65,7 @@
 }
 
 struct OpenStep {
-    asked: f64,
+    submitted_at: f64,
     /// Number of unfinished texts of each group.
     missing: BTreeMap<String, u32>,
     /// When the trainer will have finished training on it.
@@ -240,7 +240,7 @@
         let trainer = &mut self.trainers[number];
         trainer.next_step += 1;
         let open = OpenStep {
-            asked: self.time,
+            submitted_at: self.time,
             missing,
             trained_at: None,
         };
@@ -400,7 +400,7 @@
         if whole >= wanted && open.trained_at.is_none() {
             open.trained_at = Some(self.time + READ_SECONDS + work.training);
             self.outcome.steps += 1;
-            self.outcome.seconds += self.time - open.asked;
+            self.outcome.seconds += self.time - open.submitted_at;
         }
     }
 
--- a/crates/gateways/wingshore-coordination/tests/support/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/support/mod.rs
@@ -93,7 +93,7 @@
         let epoch = Epoch(self.epoch);
         self.leader
             .on_leadership(self.now, epoch, &self.state, &mut out);
-        self.settle(out);
+        self.process_outputs(out);
     }
 
     /// Sends a request and returns the reply, if there is one at once.
@@ -103,7 +103,7 @@
         let mut out = Vec::new();
         self.leader
             .on_request(self.now, tag, request, &self.state, &mut out);
-        self.settle(out);
+        self.process_outputs(out);
         let position = self.replies.iter().position(|(known, _)| *known == tag)?;
         Some(self.replies.remove(position).1)
     }
@@ -112,7 +112,7 @@
     pub fn event(&mut self, event: Event) {
         let mut out = Vec::new();
         self.leader.on_event(self.now, event, &self.state, &mut out);
-        self.settle(out);
+        self.process_outputs(out);
     }
 
     /// Advances the time, with a tick every 50 ms.
@@ -123,11 +123,11 @@
             self.now = self.now + TICK;
             let mut out = Vec::new();
             self.leader.on_tick(self.now, &self.state, &mut out);
-            self.settle(out);
+            self.process_outputs(out);
         }
     }
 
-    fn settle(&mut self, out: LeaderOutputs<CoordinationLeader>) {
+    fn process_outputs(&mut self, out: LeaderOutputs<CoordinationLeader>) {
         let mut queue = VecDeque::from(out);
         while let Some(output) = queue.pop_front() {
             match output {
@@ -158,7 +158,7 @@
     pub fn commit(&mut self) {
         for (tag, command) in std::mem::take(&mut self.uncommitted) {
             let out = self.apply(tag, command);
-            self.settle(out);
+            self.process_outputs(out);
         }
     }
 
