--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -37,7 +37,7 @@
         } = reported;
         // The gateway may have reconnected, and uploaded parts of the text may have been lost.
         if self.items.is_under_way(assignment) {
-            return self.send_held_prefix(assignment, turn);
+            return self.send_logged_prefix(assignment, turn);
         }
         let job = turn.state.jobs().get(&item.job);
         let is_open = job
@@ -54,12 +54,12 @@
         let model = job.and_then(|job| job.submission.model.clone());
         let attempt = Attempt::new(turn.now, item, gateway, instance, model);
         self.start(assignment, attempt);
-        self.send_held_prefix(assignment, turn);
+        self.send_logged_prefix(assignment, turn);
     }
 
-    /// Tells the gateway of an attempt which prefix of the text is held, so that it uploads the
+    /// Tells the gateway of an attempt which prefix of the text the log holds, so that it uploads the
     /// rest.
-    pub(super) fn send_held_prefix(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
+    pub(super) fn send_logged_prefix(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
         let Some(attempt) = self.items.attempt(assignment) else {
             return;
         };
@@ -91,7 +91,7 @@
             return;
         };
         if open_item.held.extent.events != after_events {
-            return self.send_held_prefix(assignment, turn);
+            return self.send_logged_prefix(assignment, turn);
         }
         open_item.held = open_item.held.extended_by(&text);
         let command = Command::KeepText {
@@ -223,7 +223,7 @@
         retry: Retry,
         turn: &mut Turn<'_>,
     ) {
-        self.apply_engine_verdict(&attempt.instance, retry.engine, turn);
+        self.apply_engine_action(&attempt.instance, retry.engine, turn);
         if let Some(open_item) = self.items.open_item_mut(&attempt.item) {
             if let Some(backoff) = retry.backoff {
                 open_item.not_before = Some(turn.now + backoff);
@@ -243,7 +243,7 @@
         self.items.wait(attempt.item.clone());
     }
 
-    fn apply_engine_verdict(
+    fn apply_engine_action(
         &mut self,
         instance: &InstanceId,
         verdict: EngineVerdict,
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -256,7 +256,7 @@
         };
         self.start(assignment, attempt);
         if !extends_held {
-            self.send_held_prefix(assignment, turn);
+            self.send_logged_prefix(assignment, turn);
         }
         let job = &candidate.job.submission.id;
         self.items
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// The held prefix of the text that a leader sent last.
-fn last_held_prefix(group: &Group) -> Option<HeldPrefix> {
+/// The logged prefix of the text that a leader sent last.
+fn last_logged_prefix(group: &Group) -> Option<HeldPrefix> {
     let mut prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
@@ -46,7 +46,7 @@
 /// silently because it did not follow the held events: of eight later events none was stored. When
 /// the gateway was lost later, the text was generated again from an early event.
 #[gtest]
-fn a_leader_sends_the_held_prefix_to_a_gateway_that_reconnects() {
+fn a_leader_sends_the_logged_prefix_to_a_gateway_that_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
     let assigned = group.assignments().remove(0);
     let assignment = assigned.assignment;
@@ -66,8 +66,8 @@
         }],
         scorings: Vec::new(),
     });
-    let held = last_held_prefix(&group);
-    // Events 3 to 4 were lost with the connection. The gateway continues after the held prefix if
+    let held = last_logged_prefix(&group);
+    // Events 3 to 4 were lost with the connection. The gateway continues after the logged prefix if
     // it received one, otherwise after the events that it has sent.
     let from = held.map_or(4, |held| held.extent.events);
     group.event(upload(assignment, from, 8));
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -1,4 +1,4 @@
-//! Held prefixes of partial texts that a leader sends to gateways, while uploads are lost or in
+//! Logged prefixes of partial texts that a leader sends to gateways, while uploads are lost or in
 //! flight.
 
 mod support;
@@ -46,8 +46,8 @@
     });
 }
 
-/// The held prefixes that were sent to gateways, in order.
-fn held_prefixes(group: &Group) -> Vec<HeldPrefix> {
+/// The logged prefixes that were sent to gateways, in order.
+fn logged_prefixes(group: &Group) -> Vec<HeldPrefix> {
     let prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
@@ -61,7 +61,7 @@
 
 /// Guards against uploads that are dropped silently, as after a broken connection (`items_review`).
 /// The lost part also stayed missing if the gateway's next part overtook the leader's message about
-/// the held prefix: the gateway was not told again.
+/// the logged prefix: the gateway was not told again.
 #[gtest]
 fn a_part_that_does_not_follow_is_answered_with_what_is_held() {
     let (mut group, _) = Group::with_job(1);
@@ -69,7 +69,7 @@
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 4, 6);
     expect_that!(
-        held_prefixes(&group),
+        logged_prefixes(&group),
         elements_are![eq(&events(0, 2).held())]
     );
     upload(&mut group, &assigned, 2, 8);
@@ -86,7 +86,7 @@
     upload(&mut group, &assigned, 2, 5);
     report(&mut group, &assigned);
     expect_that!(
-        held_prefixes(&group),
+        logged_prefixes(&group),
         elements_are![eq(&events(0, 5).held())]
     );
     upload(&mut group, &assigned, 5, 8);
@@ -123,8 +123,8 @@
         text: version_2_events(third.durable.events, 6),
     });
     expect_that!(kept(&group), some(eq(&events(0, 2))));
-    // The gateway learns that its text does not begin with the held prefix.
-    let prefixes = held_prefixes(&group);
+    // The gateway learns that its text does not begin with the logged prefix.
+    let prefixes = logged_prefixes(&group);
     let last = prefixes.last().expect("a prefix was sent");
     expect_that!(last.begins(&third.kept), eq(false));
 }
