--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -57,8 +57,8 @@
         self.send_logged_prefix(assignment, turn);
     }
 
-    /// Tells the gateway of an attempt which prefix of the text the log holds, so that it uploads the
-    /// rest.
+    /// Tells the gateway of an attempt which prefix of the text the log holds, so that it uploads
+    /// the rest.
     pub(super) fn send_logged_prefix(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
         let Some(attempt) = self.items.attempt(assignment) else {
             return;
