--- a/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decision_log.rs
@@ -26,7 +26,7 @@
     JobAccepted {
         /// The job; its identifier names the tenant.
         job: JobId,
-        /// Its items.
+        /// Number of its items.
         items: usize,
         /// The trainer's step.
         step: u64,
@@ -52,7 +52,7 @@
     JobEnded {
         /// The job.
         job: JobId,
-        /// Its items.
+        /// Number of its items.
         items: usize,
         /// Number of its listed results.
         listed: usize,
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -28,7 +28,7 @@
     GatewayStatus(GatewayId, GatewayStatus),
     /// A gateway reports all attempts and scorings that it runs.
     GatewayRunning {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
         /// Its running attempts at items.
         items: Vec<RunningItem>,
@@ -37,7 +37,7 @@
     },
     /// A gateway uploads the next events of a long item that is still running.
     PartialTextUploaded {
-        /// Which attempt.
+        /// The attempt.
         assignment: AssignmentId,
         /// Number of the item's events that precede `text`.
         after_events: u64,
@@ -50,16 +50,16 @@
     ScoringsRunning(Vec<AssignmentId>),
     /// A scoring ended at a gateway.
     ScoringEnded {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
-        /// Which scoring.
+        /// The scoring.
         scoring: AssignmentId,
         /// Its outcome.
         outcome: ScoringOutcome,
     },
     /// A gateway reports servers that crashed while they processed requests.
     RequestsCrashed {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
         /// The observed crashes.
         seen: Vec<SeenCrash>,
@@ -68,16 +68,16 @@
     RequestsRan(Vec<RequestFingerprint>),
     /// The connection of a gateway closed.
     GatewayDisconnected {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
         /// Time since its last message.
         silence: Duration,
     },
     /// An attempt at an item ended at a gateway.
     ItemEnded {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
-        /// Which attempt.
+        /// The attempt.
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
@@ -97,7 +97,7 @@
     TimeAgreed(WallTime),
     /// A gateway reports totals of requests that started to run, by window and tenant.
     UsageReported {
-        /// Which gateway.
+        /// The gateway.
         gateway: GatewayId,
         /// Its totals.
         usage: Vec<WindowUsage>,
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -1,4 +1,4 @@
-//! Submitting, reading and ending batch jobs.
+//! Submits, reads and ends batch jobs.
 
 use super::decision_log::Decision;
 use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -49,11 +49,11 @@
 
     /// Interrupts the attempts whose items would continue much faster on another engine.
     fn move_items(&mut self, attempts: &[ItemProgress], turn: &mut Turn<'_>) {
-        let mut planned_moves: BTreeMap<InstanceId, usize> = BTreeMap::new();
+        let mut pending_moves: BTreeMap<InstanceId, usize> = BTreeMap::new();
         for ItemProgress { assignment, .. } in attempts {
-            let better = self.better_engine(turn.now, *assignment, &planned_moves, turn.state);
+            let better = self.better_engine(turn.now, *assignment, &pending_moves, turn.state);
             if let Some((gateway, target)) = better {
-                *planned_moves.entry(target).or_default() += 1;
+                *pending_moves.entry(target).or_default() += 1;
                 self.interrupt(*assignment, gateway, turn);
             }
         }
@@ -65,7 +65,7 @@
         &self,
         now: Instant,
         assignment: AssignmentId,
-        planned_moves: &BTreeMap<InstanceId, usize>,
+        pending_moves: &BTreeMap<InstanceId, usize>,
         state: &CoordinationState,
     ) -> Option<(GatewayId, InstanceId)> {
         let attempt = self.items.attempt(assignment)?;
@@ -82,7 +82,7 @@
             events,
             moves: open_item.moves,
         };
-        let better = better_engine(now, &item, &self.engines, planned_moves)?;
+        let better = better_engine(now, &item, &self.engines, pending_moves)?;
         Some((attempt.gateway, better))
     }
 
