--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -1,5 +1,5 @@
-//! The leader's part in what is learned of requests from failed attempts: makes durable what counts against a
-//! request, rejects it, and clears it. Gateways learn of both by the view.
+//! Evidence against requests during which servers crashed: commits it, rejects requests and clears
+//! them. Gateways learn of rejected and cleared requests through the view.
 
 use super::decision_log::Decision;
 use super::decisions::crash_evidence::Pending;
@@ -14,7 +14,7 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// A gateway has seen servers end under requests.
+    /// Handles a gateway's report of servers that crashed while they processed requests.
     pub(crate) fn on_requests_crashed(
         &mut self,
         now: Instant,
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Weighs the evidence that is due, and proposes what counts.
-    pub(crate) fn weigh_evidence(&mut self, turn: &mut Turn<'_>) {
+    /// Evaluates the evidence that is due, and proposes to record the part that counts.
+    pub(crate) fn evaluate_evidence(&mut self, turn: &mut Turn<'_>) {
         let mut counts = Vec::new();
         for Pending {
             evidence, gateway, ..
@@ -56,11 +56,11 @@
         }
         let requests = counts.iter().map(|evidence| evidence.fingerprint).collect();
         let command = Command::NoteCrashes(counts);
-        self.propose(command, FollowUp::CrashesNoted(requests), turn);
+        self.propose(command, FollowUp::CrashesRecorded(requests), turn);
     }
 
-    /// Requests under which servers had ended ran well.
-    pub(crate) fn on_requests_ran(
+    /// Clears requests that succeeded although servers had crashed during them before.
+    pub(crate) fn on_requests_succeeded(
         &mut self,
         requests: Vec<RequestFingerprint>,
         turn: &mut Turn<'_>,
@@ -75,21 +75,26 @@
         for request in &known {
             turn.log(Decision::RequestCleared {
                 request: *request,
-                reason: "a run of it went well",
+                reason: "the request succeeded",
             });
         }
-        let follow_up = FollowUp::Evidence(known.clone());
+        let follow_up = FollowUp::EvidenceChanged(known.clone());
         self.propose(Command::ClearRequests(known), follow_up, turn);
     }
 
-    /// More servers have ended under these requests: some are rejected.
-    pub(crate) fn crashes_noted(&mut self, requests: Vec<RequestFingerprint>, turn: &mut Turn<'_>) {
+    /// Rejects those of these requests that reached the limit after more crashes were committed.
+    pub(crate) fn on_crashes_recorded(
+        &mut self,
+        requests: Vec<RequestFingerprint>,
+        turn: &mut Turn<'_>,
+    ) {
         self.reject_requests(&requests, turn);
-        self.evidence_changed(requests, turn);
+        self.on_evidence_changed(requests, turn);
     }
 
-    /// Evidence against these requests has changed: notes when, and logs those that are rejected.
-    pub(crate) fn evidence_changed(
+    /// Records the time at which the evidence against these requests changed, and logs the rejected
+    /// ones.
+    pub(crate) fn on_evidence_changed(
         &mut self,
         requests: Vec<RequestFingerprint>,
         turn: &mut Turn<'_>,
@@ -97,46 +102,48 @@
         for request in requests {
             let suspect = turn.state.evidence().suspect(request);
             self.evidence
-                .note_news(turn.now, request, suspect.is_some_and(has_endings));
+                .note_news(turn.now, request, suspect.is_some_and(has_crashes));
             if let Some(suspect) = suspect.filter(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestRejected(suspect.clone()));
             }
         }
     }
 
-    /// Rejects those of these requests that are not to run any more.
+    /// Proposes to reject those of these requests whose evidence reached the limit.
     fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
-        let is_over = |request: &&RequestFingerprint| {
+        let has_reached_limit = |request: &&RequestFingerprint| {
             let suspect = turn.state.evidence().suspect(**request);
             suspect.is_some_and(|suspect| self.evidence.is_to_be_rejected(suspect))
         };
-        let rejected: Vec<RequestFingerprint> = requests.iter().filter(is_over).copied().collect();
+        let rejected: Vec<RequestFingerprint> =
+            requests.iter().filter(has_reached_limit).copied().collect();
         if !rejected.is_empty() {
-            let follow_up = FollowUp::Evidence(rejected.clone());
+            let follow_up = FollowUp::EvidenceChanged(rejected.clone());
             self.propose(Command::RejectRequests(rejected), follow_up, turn);
         }
     }
 
-    /// Evidence without news for too long counts no longer.
-    pub(crate) fn relieve_requests(&mut self, turn: &mut Turn<'_>) {
-        let old = self.evidence.take_old(turn.now);
-        if old.is_empty() {
+    /// Drops the oldest evidence against requests whose evidence has not changed for too long;
+    /// rejected requests may then run once more.
+    pub(crate) fn expire_evidence(&mut self, turn: &mut Turn<'_>) {
+        let expired = self.evidence.take_old(turn.now);
+        if expired.is_empty() {
             return;
         }
-        for request in &old {
+        for request in &expired {
             let suspect = turn.state.evidence().suspect(*request);
             if suspect.is_some_and(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestCleared {
                     request: *request,
-                    reason: "no news of it for long: it may run once more",
+                    reason: "no new evidence for a long time: the request may run once more",
                 });
             }
         }
-        let follow_up = FollowUp::Evidence(old.clone());
-        self.propose(Command::RelieveRequests(old), follow_up, turn);
+        let follow_up = FollowUp::EvidenceChanged(expired.clone());
+        self.propose(Command::RelieveRequests(expired), follow_up, turn);
     }
 }
 
-fn has_endings(suspect: &Suspect) -> bool {
+fn has_crashes(suspect: &Suspect) -> bool {
     !suspect.ended.is_empty()
 }
--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways that connect, report what they run, and go.
+//! Connects, reports and disconnects of gateways.
 
 use super::decisions::expiry::gateway_lost_at;
 use super::machine::CoordinationLeader;
@@ -10,39 +10,40 @@
 use wingshore_types::Instant;
 
 impl CoordinationLeader {
-    /// A gateway has connected: it is asked what it runs.
-    pub(super) fn on_gateway(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
+    /// Handles a gateway that connected: announces this leader, which asks the gateway to report
+    /// what it runs.
+    pub(super) fn on_gateway_connected(&mut self, hello: GatewayHello, turn: &mut Turn<'_>) {
         let gateway = hello.gateway;
         let epoch = self.epoch;
         turn.send(gateway, CoordinatorMessage::Leading { epoch });
         for lost in self.gateways.connect(hello) {
-            self.gateway_items_lost(lost);
+            self.requeue_items_of_gateway(lost);
         }
-        self.scoring_gateway_lost(turn.now, gateway);
+        self.requeue_scorings_of_gateway(turn.now, gateway);
     }
 
-    /// A gateway says how it is.
+    /// Records the status that a gateway reports.
     pub(super) fn on_gateway_status(&mut self, gateway: GatewayId, status: GatewayStatus) {
         if let Some(known) = self.gateways.get_mut(gateway) {
             known.status = status;
         }
     }
 
-    /// Gateways that were away for too long are lost with all that they ran.
-    pub(super) fn away_gateways_lost(&mut self, now: Instant) {
+    /// Gives up gateways that were disconnected for too long, with all attempts that they ran.
+    pub(super) fn expire_disconnected_gateways(&mut self, now: Instant) {
         for lost in self.gateways.take_lost(now) {
-            self.gateway_items_lost(lost);
+            self.requeue_items_of_gateway(lost);
         }
     }
 
-    fn gateway_items_lost(&mut self, gateway: GatewayId) {
+    fn requeue_items_of_gateway(&mut self, gateway: GatewayId) {
         for instance in self.items.gateway_lost(gateway) {
             self.engines.ended(&instance);
         }
     }
 
-    /// A gateway reports all that it runs.
-    pub(super) fn on_running(
+    /// Handles a gateway's report of everything that it runs.
+    pub(super) fn on_gateway_running(
         &mut self,
         gateway: GatewayId,
         items: Vec<RunningItem>,
@@ -52,12 +53,13 @@
         let Some(is_first) = self.gateways.introduce(gateway) else {
             return;
         };
-        // One that was welcomed twice reports twice, the second time without what it was given since.
+        // A gateway to which this leader was announced twice reports twice; the second report lacks
+        // the items assigned since the first.
         if is_first {
-            self.gateway_introduced(gateway, &items);
+            self.on_first_report(gateway, &items);
         }
         for item in items {
-            self.adopt(gateway, item, turn);
+            self.adopt_attempt(gateway, item, turn);
         }
         for scoring in scorings {
             self.adopt_scoring(gateway, scoring, turn);
@@ -65,8 +67,8 @@
         self.place_items(turn);
     }
 
-    /// What a gateway does not speak of in its first report waits again.
-    fn gateway_introduced(&mut self, gateway: GatewayId, items: &[RunningItem]) {
+    /// Queues those items of a gateway again that are missing in its first report.
+    fn on_first_report(&mut self, gateway: GatewayId, items: &[RunningItem]) {
         let reported = items.iter().map(|item| item.assignment).collect();
         let (kept, lost) = self.items.gateway_reports(gateway, &reported);
         for instance in lost {
@@ -77,8 +79,8 @@
         }
     }
 
-    /// The connection of a gateway has ended, after a silence.
-    pub(super) fn on_gateway_gone(
+    /// Handles the loss of a gateway's connection; `silence` is the time since its last message.
+    pub(super) fn on_gateway_disconnected(
         &mut self,
         gateway: GatewayId,
         silence: Duration,
@@ -88,9 +90,9 @@
         if !self.gateways.disconnect(gateway, lost_at) {
             return;
         }
-        self.keep_usage_of(gateway, turn);
-        self.away_gateways_lost(turn.now);
-        self.scoring_gateway_lost(turn.now, gateway);
+        self.store_usage_of(gateway, turn);
+        self.expire_disconnected_gateways(turn.now);
+        self.requeue_scorings_of_gateway(turn.now, gateway);
         self.place_items(turn);
         self.place_scorings(turn);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -1,4 +1,4 @@
-//! Submitting, reading and ending batch jobs.
+//! Submits, reads and ends batch jobs.
 
 use super::decision_log::Decision;
 use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
@@ -16,7 +16,7 @@
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
-/// Most bytes of results in one answer.
+/// Maximum size of the results in one reply, in bytes.
 const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 impl CoordinationLeader {
@@ -32,16 +32,20 @@
         if let Some(reason) = self.missing_scorer_route(&submission, turn.state) {
             return turn.reply(tag, Reply::Refused(reason));
         }
-        if self.refuse_for_want_of_room(tag, &submission, turn) {
+        if self.refuse_if_memory_is_full(tag, &submission, turn) {
             return;
         }
         let id = submission.id.clone();
         self.job_clock.note(turn.now, &id);
-        self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
+        self.propose(
+            Command::AcceptJob(submission),
+            FollowUp::JobAccepted(id, tag),
+            turn,
+        );
     }
 
-    /// Refuses a job for which there is no room; says whether it did.
-    fn refuse_for_want_of_room(
+    /// Refuses a job that does not fit into the memory for open jobs; returns whether it did.
+    fn refuse_if_memory_is_full(
         &self,
         tag: RequestTag,
         submission: &JobSubmission,
@@ -64,7 +68,7 @@
         true
     }
 
-    /// Says which item names a scorer that no route leads to.
+    /// Returns why a job is refused if one of its items names a scorer that no route leads to.
     fn missing_scorer_route(
         &self,
         submission: &JobSubmission,
@@ -83,7 +87,7 @@
         })
     }
 
-    pub(crate) fn job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
+    pub(crate) fn on_job_accepted(&mut self, job: JobId, tag: RequestTag, turn: &mut Turn<'_>) {
         turn.reply(tag, Reply::Done);
         self.items.add_job(&job, turn.state);
         if let Some(known) = turn.state.jobs().get(&job) {
@@ -129,8 +133,8 @@
         });
     }
 
-    /// Logs a result that was just listed, which is the last one of its job.
-    pub(crate) fn log_listed(&self, id: &JobId, turn: &mut Turn<'_>) {
+    /// Logs the most recently listed result of a job.
+    pub(crate) fn log_last_result(&self, id: &JobId, turn: &mut Turn<'_>) {
         let Some(job) = turn.state.jobs().get(id) else {
             return;
         };
@@ -148,28 +152,29 @@
         turn.log(decision);
     }
 
-    /// A result was listed: the gateway that made it need not keep it any more.
-    pub(super) fn result_listed(
+    /// Continues after a result was committed: its gateway may drop it, and waiting readers are
+    /// answered.
+    pub(super) fn on_result_listed(
         &mut self,
         job: &JobId,
         finished: Option<(GatewayId, AssignmentId)>,
         turn: &mut Turn<'_>,
     ) {
         if let Some((gateway, assignment)) = finished {
-            self.log_listed(job, turn);
+            self.log_last_result(job, turn);
             turn.release_attempt(gateway, assignment);
         }
-        self.results_listed(job, turn);
+        self.answer_readers_of(job, turn);
     }
 
-    /// Results of a job were listed: readers that wait for them are answered.
-    pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
+    /// Answers the readers that wait for results of a job.
+    pub(crate) fn answer_readers_of(&mut self, job: &JobId, turn: &mut Turn<'_>) {
         let readers = self.readers.take_of(job);
         answer_readers(readers, turn);
     }
 
-    /// Readers whose time is over are answered.
-    pub(crate) fn answer_waiting_readers(&mut self, turn: &mut Turn<'_>) {
+    /// Answers the readers whose wait time has elapsed.
+    pub(crate) fn answer_expired_readers(&mut self, turn: &mut Turn<'_>) {
         let readers = self.readers.take_due(turn.now);
         answer_readers(readers, turn);
     }
@@ -189,7 +194,7 @@
             turn.log(decision);
         }
         for (assignment, running) in ended {
-            self.note_end(&running);
+            self.count_attempt_end(&running);
             turn.release_attempt(running.gateway, assignment);
         }
         for (gateway, scoring) in self.scorings.remove_job(id) {
@@ -202,23 +207,23 @@
         self.propose(command, FollowUp::Request(tag), turn);
     }
 
-    /// Abandons items that have been queued for longer than their route allows, or whose route is
-    /// gone.
+    /// Abandons items that have been queued for longer than their route allows, or whose route no
+    /// longer exists.
     pub(crate) fn abandon_overdue_items(&mut self, turn: &mut Turn<'_>) {
         if turn.state.configuration().is_none() {
             return;
         }
         let unscored = self.scorings.items().cloned();
-        let given_up: Vec<ItemKey> = self
+        let overdue: Vec<ItemKey> = self
             .items
             .waiting()
             .chain(unscored)
             .filter(|item| self.is_past_queue_time(turn.now, item, turn.state))
             .collect();
-        for item in given_up {
+        for item in overdue {
             self.abandon(
                 &item,
-                "its time in the queue is over or its route is gone",
+                "its queue time is over or its route no longer exists",
                 turn,
             );
         }
@@ -236,7 +241,7 @@
         is_past_queue_time(now, known_since, route.map(Arc::as_ref))
     }
 
-    /// Forgets jobs that ended long ago.
+    /// Proposes to remove jobs whose retention time is over.
     pub(crate) fn forget_jobs(&mut self, turn: &mut Turn<'_>) {
         let (now, retention) = (turn.now, self.settings.job_retention);
         let is_forgotten = |id: &JobId| {
@@ -247,7 +252,8 @@
         let old = ended.map(|(id, _)| id).filter(|id| is_forgotten(id));
         let old: Vec<JobId> = old.cloned().collect();
         for id in old {
-            // Counted anew, so that the proposal is not made again before it is applied.
+            // Restarts the clock, so that the job is not proposed again before the command is
+            // applied.
             self.job_clock.restart(turn.now, &id);
             let follow_up = FollowUp::JobForgotten(id.clone());
             self.propose(Command::ForgetJob(id), follow_up, turn);
@@ -255,7 +261,7 @@
     }
 }
 
-/// Answers readers with what there is.
+/// Answers readers with the results listed so far.
 fn answer_readers(readers: Vec<Reader>, turn: &mut Turn<'_>) {
     for reader in readers {
         let job = turn.state.jobs().get(&reader.job);
@@ -266,7 +272,7 @@
     }
 }
 
-/// Answers with the body of an item that is not listed.
+/// Answers with the body of an item that has no listed result yet.
 pub(super) fn read_item(tag: RequestTag, job: &JobId, item: &ItemId, turn: &mut Turn<'_>) {
     let known = turn.state.find_job(job);
     let item = known.and_then(|(_, job)| {
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -1,4 +1,5 @@
-//! What a leader tells of the partial texts that the log holds, while parts of them are lost or on their way.
+//! Logged prefixes of partial texts that a leader sends to gateways, while uploads are lost or in
+//! flight.
 
 mod support;
 
@@ -10,7 +11,7 @@
     ItemOutcome, ItemText, JobId, Request, RunningItem,
 };
 
-/// The events behind the first `after` up to `through`.
+/// The events after number `after` up to `through`.
 fn events(after: u64, through: u64) -> ItemText {
     let data: Vec<String> = (after + 1..=through)
         .map(|number| format!("event {number}"))
@@ -24,14 +25,14 @@
 }
 
 fn upload(group: &mut Group, assigned: &ItemAssignment, after: u64, through: u64) {
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: assigned.assignment,
         after_events: after,
         text: events(after, through),
     });
 }
 
-/// The gateway of an attempt says that it runs it.
+/// The gateway of an attempt reconnects and reports that it runs the attempt.
 fn report(group: &mut Group, assigned: &ItemAssignment) {
     let gateway = group.connect_gateway(1);
     group.event(Event::GatewayRunning {
@@ -45,54 +46,59 @@
     });
 }
 
-/// What was told of the held texts, in order.
-fn told_held(group: &Group) -> Vec<HeldPrefix> {
-    let told = group.effects.iter().filter_map(|effect| match effect {
+/// The logged prefixes that were sent to gateways, in order.
+fn logged_prefixes(group: &Group) -> Vec<HeldPrefix> {
+    let prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
     });
-    told.collect()
+    prefixes.collect()
 }
 
 fn kept(group: &Group) -> Option<&ItemText> {
     group.state.jobs()[&JobId::from("j")].kept(0)
 }
 
-/// What is seen, cause: as where a connection breaks (`items_review`), and the part that was lost goes on missing
-/// where the gateway's next one overtakes the leader's word.
-/// Proof: a part is missing, and its gateway is told nothing.
+/// Guards against uploads that are dropped silently, as after a broken connection (`items_review`).
+/// The lost part also stayed missing if the gateway's next part overtook the leader's message about
+/// the logged prefix: the gateway was not told again.
 #[gtest]
 fn a_part_that_does_not_follow_is_answered_with_what_is_held() {
     let (mut group, _) = Group::with_job(1);
     let assigned = group.assignments().remove(0);
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 4, 6);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 2).held())]);
+    expect_that!(
+        logged_prefixes(&group),
+        elements_are![eq(&events(0, 2).held())]
+    );
     upload(&mut group, &assigned, 2, 8);
     expect_that!(kept(&group), some(eq(&events(0, 8))));
 }
 
-/// What it protects: parts that wait for their commit are not asked for again, and what follows them is kept.
+/// Parts that wait for their commit are not requested again, and the parts after them are stored.
 #[gtest]
 fn parts_that_are_not_committed_yet_count_as_held() {
     let (mut group, _) = Group::with_job(1);
     let assigned = group.assignments().remove(0);
-    group.commits_later = true;
+    group.defers_commits = true;
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 2, 5);
     report(&mut group, &assigned);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 5).held())]);
+    expect_that!(
+        logged_prefixes(&group),
+        elements_are![eq(&events(0, 5).held())]
+    );
     upload(&mut group, &assigned, 5, 8);
     group.commit();
     expect_that!(kept(&group), some(eq(&events(0, 8))));
 }
 
-/// What is seen: an item of a route that allows one version only is resumed from a text of two.
-/// How it comes about: events of version 1 are in the log; the next attempt begins anew at version 2 and breaks off
-/// with more events than those; the one after it goes on from there, and uploads.
-/// Cause: only the counts were compared. What follows the second run's events by number was added to those of the
-/// first.
-/// Proof: the kept text names both versions.
+/// Guards against a stored text that mixes two attempts: an item of a route that allows a single
+/// version was resumed from a text of two. Events of version 1 were in the log; the next attempt
+/// started over at version 2 and was interrupted with more events than those; the third attempt
+/// continued from there and uploaded. Only event counts were compared, so that events of the second
+/// attempt were appended to those of the first.
 #[gtest]
 fn events_of_another_run_are_not_added_to_those_held() {
     let mut group = Group::new();
@@ -108,19 +114,19 @@
     interrupt(&mut group, gateway, &first, events(0, 2));
     let second = group.assignments().remove(0);
     assert_that!(second.kept.events, eq(0));
-    interrupt(&mut group, gateway, &second, of_version_2(0, 4));
+    interrupt(&mut group, gateway, &second, version_2_events(0, 4));
     let third = group.assignments().remove(0);
-    assert_that!(third.kept, eq(&of_version_2(0, 4)));
-    group.event(Event::PartialTextStored {
+    assert_that!(third.kept, eq(&version_2_events(0, 4)));
+    group.event(Event::PartialTextUploaded {
         assignment: third.assignment,
         after_events: third.durable.events,
-        text: of_version_2(third.durable.events, 6),
+        text: version_2_events(third.durable.events, 6),
     });
     expect_that!(kept(&group), some(eq(&events(0, 2))));
-    // The gateway learns that its text does not begin with what is held.
-    let told = told_held(&group);
-    let told = told.last().expect("it is told");
-    expect_that!(told.begins(&third.kept), eq(false));
+    // The gateway learns that its text does not begin with the logged prefix.
+    let prefixes = logged_prefixes(&group);
+    let last = prefixes.last().expect("a prefix was sent");
+    expect_that!(last.begins(&third.kept), eq(false));
 }
 
 fn interrupt(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment, text: ItemText) {
@@ -129,8 +135,8 @@
     group.end_item(gateway, assigned, outcome);
 }
 
-/// Events that another run made, at version 2.
-fn of_version_2(after: u64, through: u64) -> ItemText {
+/// Events of another attempt, generated by version 2.
+fn version_2_events(after: u64, through: u64) -> ItemText {
     let made = events(after, through);
     ItemText {
         text: made.text.replace("event", "other"),
--- a/crates/gateways/wingshore-coordination/tests/runs.rs
+++ b/crates/gateways/wingshore-coordination/tests/runs.rs
@@ -1,8 +1,10 @@
-//! Incarnations of servers: a server may start again under its name, and then is another incarnation that holds nothing.
+//! Incarnations of servers: a server that restarts under its name is a new incarnation without any
+//! state.
 //!
-//! A server that starts again says so by the time of its start. Calls of the incarnation before may arrive late:
-//! heartbeats that a cut held up, and deregistrations, which do not say which incarnation they mean. Entries of other
-//! writers may name real servers. `histories_end_as_the_model_says` draws all of these against a plain model.
+//! The start time in its heartbeats identifies the incarnation. Calls of the previous incarnation
+//! may arrive late: heartbeats delayed by a network partition, and deregistrations, which do not
+//! identify an incarnation. Heartbeats of other senders may carry the name of a real server.
+//! `registry_matches_the_reference_model` generates all of these and compares with a simple model.
 
 mod support;
 
@@ -17,25 +19,26 @@
     ViewChange,
 };
 
-/// Longer than a deregistration may be a late one of the incarnation before.
+/// Longer than the time after a restart in which a deregistration may be a late one of the previous
+/// incarnation.
 const UNAMBIGUOUS: Duration = Duration::from_secs(6);
 
-fn run(name: &str, born: u64) -> InstanceId {
+fn incarnation(name: &str, born: u64) -> InstanceId {
     InstanceId::new(ServerName::from(name), Some(BornAt(born)))
 }
 
 fn record(name: &str, born: u64, version: u64) -> ServerRecord {
     ServerRecord {
-        instance: run(name, born),
+        instance: incarnation(name, born),
         ..engine(name, version)
     }
 }
 
-fn beat(group: &mut Group, server: ServerRecord, sequence: u64) -> Option<Reply> {
+fn send_heartbeat(group: &mut Group, server: ServerRecord, sequence: u64) -> Option<Reply> {
     group.ask(Request::Heartbeat(Heartbeat { server, sequence }))
 }
 
-fn leave(group: &mut Group, name: &str) -> Option<Reply> {
+fn deregister(group: &mut Group, name: &str) -> Option<Reply> {
     group.ask(Request::Deregister(ServerName::from(name)))
 }
 
@@ -44,78 +47,106 @@
 }
 
 #[gtest]
-fn a_server_that_starts_again_holds_nothing_of_before() {
+fn a_restarted_server_keeps_no_state_of_its_earlier_incarnation() {
     let mut group = Group::new();
-    beat(&mut group, record("e", 100, 5), 9);
-    group.told.clear();
-    beat(&mut group, record("e", 200, 1), 1);
-    expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
-    let held = &group.state.servers()[&run("e", 200)];
+    send_heartbeat(&mut group, record("e", 100, 5), 9);
+    group.announced.clear();
+    send_heartbeat(&mut group, record("e", 200, 1), 1);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 200))]
+    );
+    let held = &group.state.servers()[&incarnation("e", 200)];
     expect_that!(held.models[0].version, eq(1));
-    let told_gone = group
-        .told
+    let is_announced_gone = group
+        .announced
         .iter()
-        .any(|change| matches!(change, ViewChange::Gone(gone) if *gone == run("e", 100)));
-    expect_that!(told_gone, eq(true));
+        .any(|change| matches!(change, ViewChange::Gone(gone) if *gone == incarnation("e", 100)));
+    expect_that!(is_announced_gone, eq(true));
 }
 
 #[gtest]
 fn late_heartbeats_of_the_incarnation_before_change_nothing() {
     let mut group = Group::new();
-    beat(&mut group, record("e", 100, 5), 9);
-    beat(&mut group, record("e", 200, 1), 1);
+    send_heartbeat(&mut group, record("e", 100, 5), 9);
+    send_heartbeat(&mut group, record("e", 200, 1), 1);
     let mut late = record("e", 100, 5);
     late.draining = true;
-    expect_that!(beat(&mut group, late, 10), some(eq(&Reply::Done)));
-    expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
-    expect_that!(group.state.servers()[&run("e", 200)].draining, eq(false));
-    // By a leader that has heard nothing of it, too.
+    expect_that!(send_heartbeat(&mut group, late, 10), some(eq(&Reply::Done)));
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 200))]
+    );
+    expect_that!(
+        group.state.servers()[&incarnation("e", 200)].draining,
+        eq(false)
+    );
+    // The same holds for a leader that has not received any heartbeat of it.
     group.change_leader("coordinator-b");
-    beat(&mut group, record("e", 100, 5), 11);
-    expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
+    send_heartbeat(&mut group, record("e", 100, 5), 11);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 200))]
+    );
 }
 
-/// Where no incarnation says when it started, as before: a name is an incarnation.
+/// A server that does not report its start time is identified by its name alone, and is older than
+/// any incarnation with a start time.
 #[gtest]
 fn an_incarnation_that_says_its_start_follows_one_that_did_not() {
     let mut group = Group::new();
     group.heartbeat(engine("e", 5));
-    beat(&mut group, record("e", 100, 1), 1);
-    expect_that!(registered(&group), elements_are![eq(&run("e", 100))]);
+    send_heartbeat(&mut group, record("e", 100, 1), 1);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 100))]
+    );
     group.heartbeat(engine("e", 5));
-    expect_that!(registered(&group), elements_are![eq(&run("e", 100))]);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 100))]
+    );
 }
 
 #[gtest]
 fn a_deregistration_just_after_a_restart_may_be_late_and_is_not_acknowledged() {
     let mut group = Group::new();
-    beat(&mut group, record("e", 100, 1), 1);
-    beat(&mut group, record("e", 200, 1), 1);
+    send_heartbeat(&mut group, record("e", 100, 1), 1);
+    send_heartbeat(&mut group, record("e", 200, 1), 1);
     expect_that!(
-        leave(&mut group, "e"),
+        deregister(&mut group, "e"),
         some(matches_pattern!(Reply::ComeBack(_)))
     );
-    expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 200))]
+    );
     group.wait(UNAMBIGUOUS);
-    expect_that!(leave(&mut group, "e"), some(eq(&Reply::Done)));
+    expect_that!(deregister(&mut group, "e"), some(eq(&Reply::Done)));
     expect_that!(registered(&group), is_empty());
-    // That incarnation has ended for good; the next one is another.
-    beat(&mut group, record("e", 200, 1), 99);
+    // That incarnation has ended and cannot return; the next one is a different one.
+    send_heartbeat(&mut group, record("e", 200, 1), 99);
     expect_that!(registered(&group), is_empty());
-    beat(&mut group, record("e", 300, 1), 1);
-    expect_that!(registered(&group), elements_are![eq(&run("e", 300))]);
+    send_heartbeat(&mut group, record("e", 300, 1), 1);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 300))]
+    );
 }
 
-/// The heartbeat of before a deregistration may come behind it.
+/// A heartbeat that was sent before a deregistration may arrive after it.
 #[gtest]
-fn a_heartbeat_just_behind_a_deregistration_registers_nothing() {
+fn a_heartbeat_just_after_a_deregistration_registers_nothing() {
     let mut group = Group::new();
-    leave(&mut group, "e");
-    beat(&mut group, record("e", 100, 1), 7);
+    deregister(&mut group, "e");
+    send_heartbeat(&mut group, record("e", 100, 1), 7);
     expect_that!(registered(&group), is_empty());
     group.wait(UNAMBIGUOUS);
-    beat(&mut group, record("e", 200, 1), 1);
-    expect_that!(registered(&group), elements_are![eq(&run("e", 200))]);
+    send_heartbeat(&mut group, record("e", 200, 1), 1);
+    expect_that!(
+        registered(&group),
+        elements_are![eq(&incarnation("e", 200))]
+    );
 }
 
 #[gtest]
@@ -138,7 +169,7 @@
     );
 }
 
-/// An incarnation cannot become one of another service, or move to another address.
+/// An incarnation cannot change its service or its address.
 #[gtest]
 fn an_entry_under_the_name_of_a_real_server_does_not_take_its_place() {
     let mut group = Group::new();
@@ -157,24 +188,24 @@
 
 #[gtest]
 fn identities_are_the_same_after_the_codec() {
-    for id in [run("e", 7), InstanceId::from("e")] {
+    for id in [incarnation("e", 7), InstanceId::from("e")] {
         let bytes = postcard::to_allocvec(&id).unwrap();
         expect_that!(postcard::from_bytes::<InstanceId>(&bytes), ok(eq(&id)));
     }
 }
 
-/// What may arrive of a server.
+/// An event in the history of a server.
 #[derive(Clone, Debug)]
 enum Call {
-    /// Its process starts again.
+    /// Its process restarts.
     Restart(u8),
-    /// Its present incarnation reports its state.
-    Beat(u8),
-    /// An earlier incarnation reports its state late.
-    LateBeat(u8, u8),
-    /// The last heartbeat once more.
+    /// Its current incarnation sends a heartbeat.
+    CurrentHeartbeat(u8),
+    /// A heartbeat of an earlier incarnation arrives late.
+    LateHeartbeat(u8, u8),
+    /// The last heartbeat arrives again.
     Duplicate(u8),
-    /// An entry of another writer under its name.
+    /// Another sender sends a heartbeat under its name.
     Foreign(u8),
     /// Time passes.
     Wait(u16),
@@ -186,28 +217,29 @@
     let server = 0..SERVERS;
     prop_oneof![
         server.clone().prop_map(Call::Restart),
-        server.clone().prop_map(Call::Beat),
-        (server.clone(), 0_u8..4).prop_map(|(server, back)| Call::LateBeat(server, back)),
+        server.clone().prop_map(Call::CurrentHeartbeat),
+        (server.clone(), 0_u8..4).prop_map(|(server, back)| Call::LateHeartbeat(server, back)),
         server.clone().prop_map(Call::Duplicate),
         server.prop_map(Call::Foreign),
         (0_u16..3000).prop_map(Call::Wait),
     ]
 }
 
-/// A server as it is.
+/// Expected state of a server in the reference model.
 #[derive(Default)]
 struct ModelServer {
     born: u64,
     sequence: u64,
-    /// The newest incarnation that has reported its state, and when.
+    /// The newest incarnation that has sent a heartbeat, and the time of its last one.
     heard: Option<(u64, Duration)>,
 }
 
 proptest! {
-    /// Whatever arrives late, twice or from others: the registry holds of each name the newest incarnation that was
-    /// heard of, unless it was silent for too long, and never another one.
+    /// Whatever arrives late, twice or from other senders: for each name, the registry contains the
+    /// newest incarnation that has sent a heartbeat, unless it was silent for too long, and never
+    /// another one.
     #[test]
-    fn histories_end_as_the_model_says(history in vec(calls(), 1..60)) {
+    fn registry_matches_the_reference_model(history in vec(calls(), 1..60)) {
         let mut group = Group::new();
         let mut time = Duration::ZERO;
         let mut servers: BTreeMap<u8, ModelServer> = BTreeMap::new();
@@ -219,25 +251,25 @@
                     known.born += 1;
                     known.sequence = 0;
                 }
-                Call::Beat(server) => {
+                Call::CurrentHeartbeat(server) => {
                     let known = servers.entry(server).or_default();
                     known.sequence += 1;
                     known.heard = Some((known.born, time));
-                    beat(&mut group, record(&name(server), known.born, 1), known.sequence);
+                    send_heartbeat(&mut group, record(&name(server), known.born, 1), known.sequence);
                 }
-                Call::LateBeat(server, back) => {
+                Call::LateHeartbeat(server, back) => {
                     let known = servers.entry(server).or_default();
                     let born = known.born.saturating_sub(u64::from(back) + 1);
                     let newest = known.heard.map_or(0, |(born, _)| born);
                     if born < newest {
-                        beat(&mut group, record(&name(server), born, 9), 99);
+                        send_heartbeat(&mut group, record(&name(server), born, 9), 99);
                     }
                 }
                 Call::Duplicate(server) => {
                     let known = servers.entry(server).or_default();
                     if let Some((born, _)) = known.heard && born == known.born {
                         known.heard = Some((born, time));
-                        beat(&mut group, record(&name(server), born, 1), known.sequence);
+                        send_heartbeat(&mut group, record(&name(server), born, 1), known.sequence);
                     }
                 }
                 Call::Foreign(server) => {
@@ -245,7 +277,7 @@
                     let Some((born, _)) = known.heard else { continue };
                     let mut foreign = record(&name(server), born, 1);
                     foreign.service = ServiceName::from("nobody's");
-                    beat(&mut group, foreign, 1000);
+                    send_heartbeat(&mut group, foreign, 1000);
                 }
                 Call::Wait(millis) => {
                     let wait = Duration::from_millis(u64::from(millis) / 50 * 50);
@@ -254,20 +286,20 @@
                 }
             }
             for (server, known) in &servers {
-                let runs: Vec<InstanceId> = registered(&group)
+                let incarnations: Vec<InstanceId> = registered(&group)
                     .into_iter()
-                    .filter(|run| run.name().as_str() == name(*server))
+                    .filter(|incarnation| incarnation.name().as_str() == name(*server))
                     .collect();
                 let expiry = group.settings.server_expiry;
                 match known.heard {
-                    None => prop_assert!(runs.is_empty()),
+                    None => prop_assert!(incarnations.is_empty()),
                     Some((born, heard)) if time < heard + expiry => {
-                        prop_assert_eq!(runs, vec![run(&name(*server), born)]);
+                        prop_assert_eq!(incarnations, vec![incarnation(&name(*server), born)]);
                     }
-                    // It may have expired by now, or within the next scan.
+                    // It may have expired already, or expires at the next sweep.
                     Some((born, _)) => {
-                        let newest = run(&name(*server), born);
-                        prop_assert!(runs.is_empty() || runs == vec![newest]);
+                        let newest = incarnation(&name(*server), born);
+                        prop_assert!(incarnations.is_empty() || incarnations == vec![newest]);
                     }
                 }
             }
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -1,13 +1,13 @@
-//! Engines, a weight store and trainers around the real leader, without a network: what a day of steps is
-//! like whose longest texts take about as long as a step may.
+//! Simulation of engines, a weight store and trainers around the real leader, without a network,
+//! for steps whose longest texts take about as long as a step may.
 //!
-//! Figures are those of a deployment's sheet with 45 engines of eight slots, every third one 1.3 times slower, 48 ms from event to
-//! event, loads of 0.9 s that get longer while more than nine run, and three trainers whose next step but one
-//! waits for the training of the present one.
+//! The parameters are those of a deployment: 45 engines of eight slots, every third one 1.3 times
+//! slower, 48 ms between events, loads of 0.9 s that take longer while more than nine run, and
+//! three trainers whose next step but one waits for the training on the current one.
 
 mod work;
 
-pub use work::{Outcome, SlowSpell, Work};
+pub use work::{Outcome, SlowPeriod, Work};
 
 use crate::support::{Group, configuration, engine};
 use rand::{RngExt, SeedableRng};
@@ -25,22 +25,23 @@
 
 const TICK: Duration = Duration::from_millis(50);
 const EVENT_MS: f64 = 48.0;
-/// By how much each further text slows an engine's events down.
-const EACH_SLOWS: f64 = 0.006;
-const LOAD: f64 = 0.9;
+/// Fraction by which each text on an engine slows down all events of the engine.
+const SLOWDOWN_PER_ITEM: f64 = 0.006;
+const LOAD_SECONDS: f64 = 0.9;
 const LOADS_AT_FULL_SPEED: f64 = 9.0;
 const SLOTS: u32 = 8;
 const GATEWAYS: u64 = 8;
-/// Ticks between two words of gateways on how far texts are, and between two of servers.
+/// Ticks between two progress reports of gateways.
 const PROGRESS_TICKS: u64 = 8;
+/// Ticks between two heartbeats of a server.
 const HEARTBEAT_TICKS: u64 = 24;
-/// From the last text that a step needs until its trainer has read it.
-const READING: f64 = 0.4;
-/// The longest text, in events.
-const LONGEST: f64 = 145.0;
-const STEP_EVERY: f64 = 4.0;
+/// Time from the last text that a step needs until its trainer has read it.
+const READ_SECONDS: f64 = 0.4;
+/// Length of the longest text, in events.
+const MAX_EVENTS: f64 = 145.0;
+const STEP_INTERVAL_SECONDS: f64 = 4.0;
 
-struct ModelEngine {
+struct SimulatedEngine {
     number: u32,
     record: ServerRecord,
     slow: f64,
@@ -48,7 +49,7 @@
     loading: Option<(ModelName, u64, f64)>,
 }
 
-struct Run {
+struct SimulatedAttempt {
     assignment: ItemAssignment,
     gateway: GatewayId,
     events: f64,
@@ -64,30 +65,30 @@
 }
 
 struct OpenStep {
-    asked: f64,
-    /// Texts that are missing, by group.
+    submitted_at: f64,
+    /// Number of unfinished texts of each group.
     missing: BTreeMap<String, u32>,
-    /// When its trainer is done with it.
+    /// When the trainer will have finished training on it.
     trained_at: Option<f64>,
 }
 
-pub struct World {
+pub struct Simulation {
     group: Group,
     random: ChaCha8Rng,
-    engines: BTreeMap<InstanceId, ModelEngine>,
-    runs: BTreeMap<AssignmentId, Run>,
+    engines: BTreeMap<InstanceId, SimulatedEngine>,
+    attempts: BTreeMap<AssignmentId, SimulatedAttempt>,
     lengths: BTreeMap<ItemId, f64>,
-    /// While some engines are slow.
-    slow_spells: Vec<SlowSpell>,
+    /// Periods in which some engines are slow.
+    slow_periods: Vec<SlowPeriod>,
     trainers: Vec<Trainer>,
     time: f64,
     ticks: u64,
     outcome: Outcome,
 }
 
-impl World {
-    /// A site with so many engines, `extra` more that may be taken away, and one trainer for each kind of
-    /// work.
+impl Simulation {
+    /// Creates a site with `staying` permanent engines, `extra` reclaimable ones, and one trainer
+    /// for each entry of `work`.
     pub fn new(seed: u64, (staying, extra): (u32, u32), work: &[Work]) -> Self {
         let mut group = Group::with_settings(LeaderSettings {
             engines_check_fences: true,
@@ -121,7 +122,7 @@
                 .collect();
             group.heartbeat(record.clone());
             let slow = if number % 3 == 2 { 1.3 } else { 1.0 };
-            let known = ModelEngine {
+            let known = SimulatedEngine {
                 number,
                 record: record.clone(),
                 slow,
@@ -141,9 +142,9 @@
             group,
             random: ChaCha8Rng::seed_from_u64(seed),
             engines: all,
-            runs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             lengths: BTreeMap::new(),
-            slow_spells: Vec::new(),
+            slow_periods: Vec::new(),
             trainers: trainers.collect(),
             time: 0.0,
             ticks: 0,
@@ -151,28 +152,28 @@
         }
     }
 
-    /// The same with spells in which some engines are slow.
-    pub fn with_slow_spells(mut self, spells: &[SlowSpell]) -> Self {
-        self.slow_spells = spells.to_vec();
+    /// Adds periods in which some engines are slow.
+    pub fn with_slow_periods(mut self, periods: &[SlowPeriod]) -> Self {
+        self.slow_periods = periods.to_vec();
         self
     }
 
-    /// Plays so many seconds.
-    pub fn play(mut self, seconds: f64) -> Outcome {
+    /// Runs the simulation for this number of simulated seconds.
+    pub fn simulate(mut self, seconds: f64) -> Outcome {
         while self.time < seconds {
-            self.ask_steps();
-            self.carry_out();
+            self.submit_due_steps();
+            self.apply_effects();
             self.group.wait(TICK);
             self.time += TICK.as_secs_f64();
             self.ticks += 1;
             self.load_weights();
             self.stream();
-            self.tell();
+            self.send_reports();
         }
         self.outcome
     }
 
-    /// A text's length in events: most are short, one in ten is five times as long.
+    /// Draws the length of a text in events: most are short, one in ten is five times as long.
     fn length(&mut self) -> f64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let tail = if self.random.random::<f64>() < 0.104 {
@@ -180,28 +181,28 @@
         } else {
             1.0
         };
-        (14.0 * (0.84 * normal).exp() * tail).clamp(1.0, LONGEST)
+        (14.0 * (0.84 * normal).exp() * tail).clamp(1.0, MAX_EVENTS)
     }
 
-    /// The caller's estimate of a length: right in the middle, often far off.
+    /// Draws the caller's estimate of a length: right in the median, but often far off.
     fn estimate(&mut self, length: f64) -> u64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         (length * 75.0 * (0.5 * normal).exp()) as u64
     }
 
-    fn ask_steps(&mut self) {
+    fn submit_due_steps(&mut self) {
         for number in 0..self.trainers.len() {
             let trainer = &self.trainers[number];
             let step = trainer.next_step;
-            let is_time = self.time >= step as f64 * STEP_EVERY;
+            let is_time = self.time >= step as f64 * STEP_INTERVAL_SECONDS;
             if !is_time || trainer.named < step.max(1) || trainer.open.len() >= 2 {
                 continue;
             }
-            self.ask_step(number, step);
+            self.submit_step(number, step);
         }
     }
 
-    fn ask_step(&mut self, number: usize, step: u64) {
+    fn submit_step(&mut self, number: usize, step: u64) {
         let (model, work) = (
             self.trainers[number].model.clone(),
             self.trainers[number].work,
@@ -239,28 +240,28 @@
         let trainer = &mut self.trainers[number];
         trainer.next_step += 1;
         let open = OpenStep {
-            asked: self.time,
+            submitted_at: self.time,
             missing,
             trained_at: None,
         };
         trainer.open.insert(step, open);
     }
 
-    /// What the leader wants done.
-    fn carry_out(&mut self) {
+    /// Carries out the leader's effects.
+    fn apply_effects(&mut self) {
         for effect in std::mem::take(&mut self.group.effects) {
             match effect {
                 Effect::ToGateway(gateway, CoordinatorMessage::Assign(assignment)) => {
-                    let run = Run {
+                    let run = SimulatedAttempt {
                         gateway,
                         events: assignment.kept.events as f64,
                         versions: assignment.kept.versions.clone(),
                         assignment: *assignment,
                     };
-                    self.runs.insert(run.assignment.assignment, run);
+                    self.attempts.insert(run.assignment.assignment, run);
                 }
                 Effect::ToGateway(_, CoordinatorMessage::Interrupt { assignment }) => {
-                    if let Some(run) = self.runs.remove(&assignment) {
+                    if let Some(run) = self.attempts.remove(&assignment) {
                         let outcome = ItemOutcome::Interrupted {
                             text: text_of(&run),
                             cause: BreakCause::Gateway,
@@ -269,15 +270,16 @@
                     }
                 }
                 Effect::ToGateway(_, CoordinatorMessage::Release { assignment }) => {
-                    self.runs.remove(&assignment);
+                    self.attempts.remove(&assignment);
                 }
                 Effect::Order(order) => {
                     if let Some(engine) = self.engines.get_mut(&order.instance) {
                         engine.sequence += 1;
-                        engine.loading = Some((order.model, order.version, LOAD));
+                        engine.loading = Some((order.model, order.version, LOAD_SECONDS));
                     }
                     let (instance, answer) = (order.instance, OrderAnswer::Accepted);
-                    self.group.event(Event::Ordered { instance, answer });
+                    self.group
+                        .event(Event::WeightOrderAnswered { instance, answer });
                 }
                 Effect::PollEngine { instance, .. } => {
                     let report = self.engines.get(&instance).map(|engine| EngineStatus {
@@ -311,10 +313,10 @@
         }
     }
 
-    /// Texts go on, but for those whose weights are being loaded.
+    /// Advances all texts except those of a model whose weights their engine is loading.
     fn stream(&mut self) {
         let mut running: BTreeMap<&InstanceId, usize> = BTreeMap::new();
-        for run in self.runs.values() {
+        for run in self.attempts.values() {
             *running.entry(&run.assignment.instance).or_default() += 1;
         }
         let running: BTreeMap<InstanceId, usize> = running
@@ -322,7 +324,7 @@
             .map(|(instance, count)| (instance.clone(), count))
             .collect();
         let mut finished = Vec::new();
-        for (id, run) in &mut self.runs {
+        for (id, run) in &mut self.attempts {
             let instance = &run.assignment.instance;
             let Some(engine) = self.engines.get(instance) else {
                 continue;
@@ -337,13 +339,13 @@
             }
             let count = running.get(instance).copied().unwrap_or(1) as f64;
             let time = self.time;
-            let is_slow = |spell: &SlowSpell| spell.slows(time, engine.number);
-            let spell = if self.slow_spells.iter().any(is_slow) {
+            let is_slow = |period: &SlowPeriod| period.slows(time, engine.number);
+            let slowdown = if self.slow_periods.iter().any(is_slow) {
                 3.0
             } else {
                 1.0
             };
-            let pace = EVENT_MS * engine.slow * spell * (1.0 + EACH_SLOWS * count);
+            let pace = EVENT_MS * engine.slow * slowdown * (1.0 + SLOWDOWN_PER_ITEM * count);
             run.events += TICK.as_millis() as f64 / pace;
             let version = engine.record.version_of(&model).unwrap_or(1);
             if run.versions.last() != Some(&version) {
@@ -354,7 +356,7 @@
             }
         }
         for id in finished {
-            if let Some(run) = self.runs.remove(&id) {
+            if let Some(run) = self.attempts.remove(&id) {
                 let text = FinishedText {
                     text: ResultText::pack("text"),
                     versions: run.versions.clone(),
@@ -367,7 +369,7 @@
         self.train();
     }
 
-    /// A text is whole.
+    /// Counts a finished text; a step with enough finished groups goes to training.
     fn finished(&mut self, assignment: &ItemAssignment) {
         let id = assignment.request.to_string();
         let parts: Vec<&str> = id.split('-').collect();
@@ -396,13 +398,13 @@
             .count();
         let wanted = (work.groups as usize * 9).div_ceil(10);
         if whole >= wanted && open.trained_at.is_none() {
-            open.trained_at = Some(self.time + READING + work.training);
+            open.trained_at = Some(self.time + READ_SECONDS + work.training);
             self.outcome.steps += 1;
-            self.outcome.seconds += self.time - open.asked;
+            self.outcome.seconds += self.time - open.submitted_at;
         }
     }
 
-    /// Trainers that are done with a step end its job and name a version.
+    /// Trainers that have finished training on a step end its job and name a version.
     fn train(&mut self) {
         for number in 0..self.trainers.len() {
             let trainer = &mut self.trainers[number];
@@ -426,10 +428,10 @@
         }
     }
 
-    /// Gateways report how far texts are; servers send heartbeats.
-    fn tell(&mut self) {
+    /// Sends the progress reports of gateways and the heartbeats of servers that are due.
+    fn send_reports(&mut self) {
         if self.ticks.is_multiple_of(PROGRESS_TICKS) {
-            let progress = self.runs.values().map(|run| ItemProgress {
+            let progress = self.attempts.values().map(|run| ItemProgress {
                 assignment: run.assignment.assignment,
                 events: run.events as u64,
             });
@@ -453,7 +455,7 @@
     id.split('-').next().unwrap_or_default()
 }
 
-fn text_of(run: &Run) -> ItemText {
+fn text_of(run: &SimulatedAttempt) -> ItemText {
     let events = run.events as u64;
     ItemText {
         text: vec!["e"; events as usize].join("\n"),
--- a/crates/gateways/wingshore-coordination/tests/usage.rs
+++ b/crates/gateways/wingshore-coordination/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage: what gateways count, when a window is closed, and that whoever sends its report sends the same.
+//! Usage: counts of gateways, closing of windows, and reports that stay the same across leaders.
 
 mod support;
 
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn a_window_is_told_by_the_time_of_day() {
+fn a_window_is_determined_by_the_time_of_day() {
     let window = UsageWindow::at(WallTime(START), DUTY.window);
     expect_that!(window, eq(UsageWindow(340_000_000)));
     expect_that!(
@@ -39,8 +39,8 @@
     expect_that!(window.end(DUTY.window), eq(WallTime(START + 5000)));
 }
 
-/// Clocks of two machines of six jump by seconds, ahead and back, and one machine is silent: the agreed
-/// time stays among the right ones.
+/// The clocks of two of six machines jump by seconds, forward and back, and one machine is silent:
+/// the agreed time stays within the range of the correct clocks.
 #[gtest]
 fn the_agreed_time_does_not_follow_clocks_that_jump() {
     let mut clock = SiteClock::default();
@@ -92,10 +92,10 @@
     meter.sent(window, name("a"));
     meter.sent(window, name("a"));
     meter.sent(window, name("b"));
-    let told = meter.take_changes();
+    let changes = meter.take_changes();
     let expected = counts(&[("a", 2), ("b", 1)]);
     expect_that!(
-        told,
+        changes,
         elements_are![eq(&WindowUsage {
             window,
             counts: expected
@@ -103,8 +103,8 @@
     );
     expect_that!(meter.take_changes(), is_empty());
     meter.not_run(window, &name("a"));
-    let told = meter.take_changes();
-    expect_that!(told[0].counts, eq(&counts(&[("a", 1), ("b", 1)])));
+    let changes = meter.take_changes();
+    expect_that!(changes[0].counts, eq(&counts(&[("a", 1), ("b", 1)])));
     meter.report_all();
     expect_that!(meter.take_changes(), len(eq(1)));
 }
@@ -130,7 +130,7 @@
     }
 }
 
-/// A group that owes reports, at the start of a window.
+/// A group that has to report usage, at the start of a window.
 fn group() -> Group {
     let mut group = Group::with_settings(LeaderSettings {
         usage: Some(DUTY),
@@ -142,7 +142,7 @@
     group
 }
 
-fn tell(group: &mut Group, gateway: u64, window: u64, of: &[(&str, u64)]) {
+fn report_usage(group: &mut Group, gateway: u64, window: u64, of: &[(&str, u64)]) {
     let usage = WindowUsage {
         window: UsageWindow(window),
         counts: counts(of),
@@ -167,10 +167,10 @@
     group.event(Event::UsageAnswered { window, answer });
 }
 
-/// The window that `START` begins.
+/// The window that starts at `START`.
 const WINDOW: u64 = 340_000_000;
 
-/// Reports of this window, sent again and again while the provider does not answer.
+/// Reports of `WINDOW`, which are sent repeatedly while the provider does not answer.
 fn reports_of_window(group: &mut Group) -> Vec<UsageReport> {
     let all = take_reports(group);
     all.into_iter()
@@ -181,9 +181,9 @@
 #[gtest]
 fn the_totals_of_all_gateways_are_reported_before_they_are_due() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    tell(&mut group, 2, WINDOW, &[("a", 1), ("b", 1)]);
-    tell(&mut group, 1, WINDOW, &[("a", 5)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 1), ("b", 1)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 5)]);
     group.wait(Duration::from_secs(8));
     expect_that!(reports_of_window(&mut group), is_empty());
     group.wait(Duration::from_secs(2));
@@ -196,11 +196,11 @@
 #[gtest]
 fn an_unanswered_report_is_sent_again_just_as_it_was_and_an_answered_one_is_not() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
-    // What is reported late does not change it any more.
-    tell(&mut group, 1, WINDOW, &[("a", 4)]);
+    // A late report of a gateway no longer changes the counts.
+    report_usage(&mut group, 1, WINDOW, &[("a", 4)]);
     answer(&mut group, UsageWindow(WINDOW), ProviderAnswer::Unknown);
     group.wait(Duration::from_secs(1));
     let second = reports_of_window(&mut group);
@@ -210,18 +210,18 @@
     expect_that!(reports_of_window(&mut group), is_empty());
 }
 
-/// The holder before may have sent it: a successor that sums up anew could send another one under the
-/// same window.
+/// The previous holder may already have sent the report: a successor that computed the sums again
+/// could send a different one for the same window.
 #[gtest]
 fn a_successor_sends_the_very_report_that_was_committed() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let first = reports_of_window(&mut group);
     group.change_leader("coordinator-b");
     group.event(Event::TimeAgreed(WallTime(START + 10_000)));
-    tell(&mut group, 1, WINDOW, &[("a", 9)]);
-    // The time of the holder before is waited out.
+    report_usage(&mut group, 1, WINDOW, &[("a", 9)]);
+    // The new leader first waits for the handover time of the previous holder.
     group.wait(Duration::from_secs(2));
     expect_that!(reports_of_window(&mut group), is_empty());
     group.wait(Duration::from_secs(3));
@@ -232,11 +232,11 @@
     expect_that!(second[0].holder.fence, eq(Epoch(2)));
 }
 
-/// Another holder has acted under a higher token: this one does not call again.
+/// Another holder has acted with a higher fencing token: this one does not call again.
 #[gtest]
 fn a_holder_that_was_refused_by_its_token_stops() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.wait(Duration::from_secs(10));
     let reports = take_reports(&mut group);
     expect_that!(reports, not(is_empty()));
@@ -247,39 +247,40 @@
     expect_that!(take_reports(&mut group), is_empty());
 }
 
-/// What a gateway that was killed had reported counts, also where the leader is lost after it.
+/// The reported counts of a gateway that was killed remain valid even if the leader fails
+/// afterwards.
 #[gtest]
 fn counts_of_a_gateway_that_is_gone_survive_the_leader() {
     let mut group = group();
     group.add_gateway(1);
     group.add_gateway(2);
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    tell(&mut group, 2, WINDOW, &[("a", 2)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 2)]);
     group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
     group.change_leader("coordinator-b");
     group.event(Event::TimeAgreed(WallTime(START + 2_000)));
-    tell(&mut group, 2, WINDOW, &[("a", 4)]);
+    report_usage(&mut group, 2, WINDOW, &[("a", 4)]);
     group.wait(Duration::from_secs(10));
     let reports = reports_of_window(&mut group);
     expect_that!(reports, not(is_empty()));
     expect_that!(reports[0].counts, eq(&counts(&[("a", 7)])));
 }
 
-/// One that is back after a lost connection reports its totals again: they count once.
+/// A gateway that reconnects reports its totals again: they count once.
 #[gtest]
-fn a_gateway_that_is_back_counts_once() {
+fn a_reconnected_gateway_counts_once() {
     let mut group = group();
     group.add_gateway(1);
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     group.event(Event::GatewayDisconnected {
         gateway: GatewayId(1),
         silence: Duration::ZERO,
     });
     group.connect_gateway(1);
-    tell(&mut group, 1, WINDOW, &[("a", 5)]);
+    report_usage(&mut group, 1, WINDOW, &[("a", 5)]);
     group.wait(Duration::from_secs(10));
     expect_that!(
         reports_of_window(&mut group)[0].counts,
@@ -287,7 +288,8 @@
     );
 }
 
-/// A provider that is away for half a minute gets each window's report in the end, a few at once.
+/// A provider that is unreachable for half a minute finally receives the report of every window, a
+/// few at a time.
 #[gtest]
 fn reports_wait_while_the_provider_is_away() {
     let mut group = group();
@@ -299,7 +301,7 @@
             answer(&mut group, report.window, ProviderAnswer::Unknown);
         }
     }
-    // With backoffs of up to 2 s between calls.
+    // The backoff between two calls is up to 2 s.
     expect_that!(sent.len(), le(60));
     let mut reported = Vec::new();
     for _ in 0..40 {
@@ -314,19 +316,20 @@
     expect_that!(all.iter().all(|window| reported.contains(window)), eq(true));
 }
 
-/// Seen beside load: requests of a site's first seconds were never reported. Cause: the first window to
-/// be closed was the one before the present one, whatever had been counted before.
+/// Guards against unreported requests: under load, those of a site's first seconds were never
+/// reported, because the first window to be closed was the one before the current one, whatever had
+/// been counted earlier.
 #[gtest]
-fn what_was_counted_before_the_first_window_is_closed_is_reported_too() {
+fn requests_counted_before_the_first_closed_window_are_reported() {
     let mut group = group();
-    tell(&mut group, 1, WINDOW, &[("a", 3)]);
-    // Nobody closes windows for a while: leaders change.
+    report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
+    // Leaders change so often that no window is closed for a while.
     for _ in 0..14 {
         group.wait(Duration::from_secs(1));
         group.change_leader("coordinator-a");
         let now = START + i64::try_from(group.now.as_millis()).unwrap();
         group.event(Event::TimeAgreed(WallTime(now)));
-        tell(&mut group, 1, WINDOW, &[("a", 3)]);
+        report_usage(&mut group, 1, WINDOW, &[("a", 3)]);
     }
     group.wait(Duration::from_secs(5));
     let reports = reports_of_window(&mut group);
