--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -1,6 +1,6 @@
 //! What this gateway learns of requests that end servers, and what it reports to the leader.
 //!
-//! Relies on [`CrashWatch`](crate::crashes::CrashWatch) for what counts as evidence and on
+//! Relies on [`CrashDetector`](crate::crashes::CrashDetector) for what counts as evidence and on
 //! [`suspects`](crate::suspects) for what follows from it.
 
 use crate::environment::Environment;
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -61,7 +61,7 @@
 /// Invariant: no piece of evidence is found twice, and none about a server that was not seen to
 /// have ended.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
+pub struct CrashDetector {
     /// Lost connections that are not explained yet, by the incarnation of the server.
     lost: BTreeMap<InstanceId, LostConnections>,
     /// Incarnations that were seen to have ended, and when they did.
@@ -70,7 +70,7 @@
     found: Vec<Found>,
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// A connection was lost while a server ran a request. Gives the evidence, if the server is
     /// known to have ended.
     pub fn connection_lost(
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -61,7 +61,7 @@
 };
 pub use balance::Balancer;
 pub use call_policy::call_time_limit;
-pub use crashes::CrashWatch;
+pub use crashes::CrashDetector;
 pub use error::GatewayError;
 pub use event_stream::{EventReader, StreamEvent, take_whole_events};
 pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
--- a/crates/gateways/wingshore-gateway/src/servers.rs
+++ b/crates/gateways/wingshore-gateway/src/servers.rs
@@ -1,7 +1,7 @@
 //! The servers that requests and items are sent to.
 
 use crate::balance::Balancer;
-use crate::crashes::CrashWatch;
+use crate::crashes::CrashDetector;
 use crate::upstream::Upstreams;
 
 /// Connections to servers, and what is remembered of each.
@@ -12,5 +12,5 @@
     /// Their latencies, loads and failures, by which live requests are spread.
     pub(crate) balancer: Balancer,
     /// Which of them have ended, and under which requests.
-    pub(crate) crashes: CrashWatch,
+    pub(crate) crashes: CrashDetector,
 }
--- a/crates/gateways/wingshore-gateway/src/suspects.rs
+++ b/crates/gateways/wingshore-gateway/src/suspects.rs
@@ -18,7 +18,7 @@
 //! more ending is then reported. Before the site's key is known no request can be named: none is
 //! suspect.
 
-use crate::crashes::CrashWatch;
+use crate::crashes::CrashDetector;
 use crate::view::View;
 use std::time::Duration;
 use wingshore_coordination::{InstanceId, REJECTED_FROM, RequestFingerprint};
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Suspicions<'a> {
     pub(crate) view: &'a View,
-    pub(crate) crashes: &'a CrashWatch,
+    pub(crate) crashes: &'a CrashDetector,
     pub(crate) has_leader: bool,
 }
 
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -10,7 +10,7 @@
     Event, FingerprintKey, GatewayId, InstanceId, RequestContent, RequestFingerprint, SeenCrash,
     ServerRecord, ServiceName, Suspect, ViewChange,
 };
-use wingshore_gateway::CrashWatch;
+use wingshore_gateway::CrashDetector;
 use wingshore_types::Instant;
 
 const STEP: Duration = Duration::from_millis(20);
@@ -70,7 +70,7 @@
 }
 
 struct Gateway {
-    watch: CrashWatch,
+    watch: CrashDetector,
     told: BTreeMap<RequestFingerprint, Suspect>,
 }
 
@@ -123,7 +123,7 @@
             running: Vec::new(),
         });
         let gateways = (0..gateways).map(|_| Gateway {
-            watch: CrashWatch::default(),
+            watch: CrashDetector::default(),
             told: BTreeMap::new(),
         });
         let mut run = Self {
--- a/crates/gateways/wingshore-gateway/tests/crashes.rs
+++ b/crates/gateways/wingshore-gateway/tests/crashes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{FingerprintKey, InstanceId, RequestContent, RequestFingerprint};
-use wingshore_gateway::CrashWatch;
+use wingshore_gateway::CrashDetector;
 use wingshore_types::Instant;
 
 const NOW: Instant = Instant(1_000_000_000);
@@ -29,8 +29,8 @@
 }
 
 /// A connection to the server was lost under request 1.
-fn with_a_lost_connection() -> CrashWatch {
-    let mut watch = CrashWatch::default();
+fn with_a_lost_connection() -> CrashDetector {
+    let mut watch = CrashDetector::default();
     let seen = watch.connection_lost(NOW, &server(), address(1), request(1));
     assert!(seen.is_none(), "a lost connection alone is no evidence");
     watch
@@ -99,7 +99,7 @@
 
 #[gtest]
 fn what_is_kept_is_bounded() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     for number in 0..2000_u32 {
         let instance = InstanceId::from(format!("run-{number}"));
         watch.connection_lost(NOW, &instance, address(1), request(number as u8));
