--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -6,7 +6,7 @@
 use crate::environment::Environment;
 use crate::site::Site;
 use crate::suspects::is_possible_cause;
-use crate::upstream::LostSend;
+use crate::upstream::LostRequest;
 use slog::warn;
 use wingshore_coordination::{
     GatewayMessage, InstanceId, RequestFingerprint, SeenCrash, ViewChange,
@@ -16,7 +16,7 @@
 /// Servers that are leaving end by themselves.
 pub(crate) fn connection_lost(
     environment: &mut Environment,
-    lost: &LostSend,
+    lost: &LostRequest,
     request: Option<RequestFingerprint>,
 ) {
     let now = environment.runtime.now;
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -20,7 +20,7 @@
 use crate::split::ServiceSplit;
 use crate::streams::{self, StreamClient};
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, LostSend, Task};
+use crate::upstream::{ConnectionEnd, LostRequest, Task};
 use std::collections::HashMap;
 use wingshore_coordination::{InstanceId, Route, ServerRecord, ServiceName};
 use wingshore_net::ConnectionId;
@@ -222,9 +222,9 @@
         &mut self,
         environment: &mut Environment,
         id: ExchangeId,
-        lost: &LostSend,
+        lost: &LostRequest,
     ) -> Option<ExchangeEnd> {
-        let LostSend { instance, end, .. } = lost;
+        let LostRequest { instance, end, .. } = lost;
         environment.servers.balancer.ended(instance);
         let verdict = match end {
             ConnectionEnd::BrokeOff | ConnectionEnd::Silent => Verdict::MayHaveRun,
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -14,7 +14,7 @@
 use crate::item_policy::{CONNECT_TIMEOUT, ItemAnswer, STALL_TIMEOUT, classify_item_answer};
 use crate::protocol::HeaderNames;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, LostSend, Task, Upstream};
+use crate::upstream::{ConnectionEnd, LostRequest, Task, Upstream};
 use slog::info;
 use std::collections::BTreeMap;
 use wingshore_coordination::{
@@ -146,7 +146,7 @@
         &mut self,
         environment: &mut Environment,
         id: AssignmentId,
-        lost: &LostSend,
+        lost: &LostRequest,
     ) {
         let request = self.possible_cause(environment, id);
         if lost.end == ConnectionEnd::BrokeOff {
@@ -188,7 +188,7 @@
             let timers = &mut environment.runtime.timers;
             return timers.arm(deadline, TimerKey::Item(id));
         }
-        let lost = LostSend {
+        let lost = LostRequest {
             instance: attempt.assignment.instance.clone(),
             sent_at: attempt.begun,
             end,
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::crash_reports;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, Finished, LostSend, Task};
+use crate::upstream::{ConnectionEnd, Finished, LostRequest, Task};
 use wingshore_net::http::BodyStatus;
 use wingshore_net::{ConnectionId, ListenerId, NetEvent};
 
@@ -177,7 +177,7 @@
         if end == ConnectionEnd::Refused {
             crash_reports::server_ended(environment, &closed.instance);
         }
-        let lost = LostSend {
+        let lost = LostRequest {
             instance: closed.instance,
             sent_at: closed.since,
             end,
--- a/crates/gateways/wingshore-gateway/src/request_suspicion.rs
+++ b/crates/gateways/wingshore-gateway/src/request_suspicion.rs
@@ -5,7 +5,7 @@
 use crate::exchange::Exchange;
 use crate::fingerprints;
 use crate::site::Site;
-use crate::upstream::LostSend;
+use crate::upstream::LostRequest;
 use slog::warn;
 use wingshore_coordination::RequestFingerprint;
 
@@ -49,7 +49,7 @@
 pub(crate) fn connection_lost(
     environment: &mut Environment,
     exchange: Option<&Exchange>,
-    lost: &LostSend,
+    lost: &LostRequest,
 ) {
     let now = environment.runtime.now;
     let possible_cause = exchange.filter(|exchange| !exchange.has_streamed_long(now));
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -55,7 +55,7 @@
 
 /// A send whose connection ended without a whole answer.
 #[derive(Clone, Debug)]
-pub(crate) struct LostSend {
+pub(crate) struct LostRequest {
     /// The incarnation of the server.
     pub(crate) instance: InstanceId,
     /// When it was sent.
