--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -227,10 +227,10 @@
         let LostRequest { instance, end, .. } = lost;
         environment.servers.balancer.ended(instance);
         let verdict = match end {
-            ConnectionEnd::BrokeOff | ConnectionEnd::Silent => Verdict::MayHaveRun,
+            ConnectionEnd::Lost | ConnectionEnd::Silent => Verdict::MayHaveRun,
             ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
         };
-        if *end == ConnectionEnd::BrokeOff {
+        if *end == ConnectionEnd::Lost {
             let exchange = self.all.get(&id);
             request_suspicion::connection_lost(environment, exchange, lost);
         }
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -149,14 +149,14 @@
         lost: &LostRequest,
     ) {
         let request = self.possible_cause(environment, id);
-        if lost.end == ConnectionEnd::BrokeOff {
+        if lost.end == ConnectionEnd::Lost {
             crash_reports::connection_lost(environment, lost, request);
         }
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let outcome = match lost.end {
-            ConnectionEnd::BrokeOff | ConnectionEnd::Silent => {
+            ConnectionEnd::Lost | ConnectionEnd::Silent => {
                 attempt.interrupt(BreakCause::Engine(request))
             }
             ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -94,7 +94,7 @@
         match status {
             Ok(BodyStatus::Partial) => {}
             Ok(BodyStatus::Whole) => self.upstream_answered(connection, task, is_all_read),
-            Err(_) => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
+            Err(_) => self.upstream_ended(connection, ConnectionEnd::Lost),
         }
     }
 
@@ -140,7 +140,7 @@
             Some(task) if upstream.reader.is_whole_at_close() => {
                 self.upstream_answered(connection, task, false);
             }
-            _ => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
+            _ => self.upstream_ended(connection, ConnectionEnd::Lost),
         }
     }
 
@@ -151,7 +151,7 @@
         }
         match environment.servers.upstreams.get(connection) {
             Some(upstream) if upstream.up => {
-                self.upstream_ended(connection, ConnectionEnd::BrokeOff);
+                self.upstream_ended(connection, ConnectionEnd::Lost);
             }
             Some(_) => self.upstream_ended(connection, ConnectionEnd::NeverUp),
             None => self.close_client(connection),
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
     /// It was up: what was sent on it may have run.
-    BrokeOff,
+    Lost,
     /// It was up, and was closed here since the server was silent for too long.
     Silent,
     /// It never came up.
@@ -45,7 +45,7 @@
     /// In words, for logs and metrics.
     pub(crate) fn reason(self) -> &'static str {
         match self {
-            Self::BrokeOff => "connection ended",
+            Self::Lost => "connection ended",
             Self::Silent => "too slow",
             Self::NeverUp => "no connection",
             Self::Refused => "connection refused",
