--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -227,7 +227,7 @@
         let LostRequest { instance, end, .. } = lost;
         environment.servers.balancer.ended(instance);
         let verdict = match end {
-            ConnectionEnd::Lost | ConnectionEnd::Silent => Verdict::MayHaveRun,
+            ConnectionEnd::Lost | ConnectionEnd::TimedOut => Verdict::MayHaveRun,
             ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
         };
         if *end == ConnectionEnd::Lost {
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -156,7 +156,7 @@
             return;
         };
         let outcome = match lost.end {
-            ConnectionEnd::Lost | ConnectionEnd::Silent => {
+            ConnectionEnd::Lost | ConnectionEnd::TimedOut => {
                 attempt.interrupt(BreakCause::Engine(request))
             }
             ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
@@ -179,7 +179,7 @@
             .get(connection)
             .is_some_and(|upstream| upstream.up);
         let (limit, end) = if is_up {
-            (STALL_TIMEOUT, ConnectionEnd::Silent)
+            (STALL_TIMEOUT, ConnectionEnd::TimedOut)
         } else {
             (CONNECT_TIMEOUT, ConnectionEnd::NeverUp)
         };
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -34,7 +34,7 @@
     /// It was up: what was sent on it may have run.
     Lost,
     /// It was up, and was closed here since the server was silent for too long.
-    Silent,
+    TimedOut,
     /// It never came up.
     NeverUp,
     /// It never came up, since nobody listens at the address: the server's process has ended.
@@ -46,7 +46,7 @@
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::Lost => "connection ended",
-            Self::Silent => "too slow",
+            Self::TimedOut => "too slow",
             Self::NeverUp => "no connection",
             Self::Refused => "connection refused",
         }
