--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -228,7 +228,7 @@
         environment.servers.balancer.ended(instance);
         let verdict = match end {
             ConnectionEnd::Lost | ConnectionEnd::TimedOut => Verdict::MayHaveRun,
-            ConnectionEnd::NeverUp | ConnectionEnd::Refused => Verdict::NotRun,
+            ConnectionEnd::ConnectFailed | ConnectionEnd::Refused => Verdict::NotRun,
         };
         if *end == ConnectionEnd::Lost {
             let exchange = self.all.get(&id);
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -159,7 +159,7 @@
             ConnectionEnd::Lost | ConnectionEnd::TimedOut => {
                 attempt.interrupt(BreakCause::Engine(request))
             }
-            ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
+            ConnectionEnd::ConnectFailed => ItemOutcome::NotRun(NotRunReason::Unreachable),
             ConnectionEnd::Refused => ItemOutcome::NotRun(NotRunReason::Ended),
         };
         self.end(environment, id, outcome);
@@ -181,7 +181,7 @@
         let (limit, end) = if is_up {
             (STALL_TIMEOUT, ConnectionEnd::TimedOut)
         } else {
-            (CONNECT_TIMEOUT, ConnectionEnd::NeverUp)
+            (CONNECT_TIMEOUT, ConnectionEnd::ConnectFailed)
         };
         let deadline = attempt.heard + limit;
         if now < deadline {
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -153,7 +153,7 @@
             Some(upstream) if upstream.up => {
                 self.upstream_ended(connection, ConnectionEnd::Lost);
             }
-            Some(_) => self.upstream_ended(connection, ConnectionEnd::NeverUp),
+            Some(_) => self.upstream_ended(connection, ConnectionEnd::ConnectFailed),
             None => self.close_client(connection),
         }
     }
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -36,7 +36,7 @@
     /// It was up, and was closed here since the server was silent for too long.
     TimedOut,
     /// It never came up.
-    NeverUp,
+    ConnectFailed,
     /// It never came up, since nobody listens at the address: the server's process has ended.
     Refused,
 }
@@ -47,7 +47,7 @@
         match self {
             Self::Lost => "connection ended",
             Self::TimedOut => "too slow",
-            Self::NeverUp => "no connection",
+            Self::ConnectFailed => "no connection",
             Self::Refused => "connection refused",
         }
     }
