--- a/crates/gateways/wingshore-gateway/src/item_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/item_policy.rs
@@ -51,12 +51,16 @@
     Failed,
 }
 
-/// What an answer is that has this status; `ends_whole` if no part of an event is left over.
-pub fn classify_item_answer(status: u16, says_not_run: bool, ends_whole: bool) -> ItemAnswer {
+/// What an answer is that has this status; `ends_at_event_boundary` if no part of an event is left over.
+pub fn classify_item_answer(
+    status: u16,
+    says_not_run: bool,
+    ends_at_event_boundary: bool,
+) -> ItemAnswer {
     match status {
         MISDIRECTED => ItemAnswer::Mismatch,
         _ if says_not_run => ItemAnswer::NotRun,
-        200..=299 if ends_whole => ItemAnswer::Finished,
+        200..=299 if ends_at_event_boundary => ItemAnswer::Finished,
         200..=299 => ItemAnswer::CutShort,
         IMPOSSIBLE => ItemAnswer::Impossible,
         _ => ItemAnswer::Failed,
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// An engine's answer is whole; `ends_whole` if no part of an event is left over. Gives the scoring
+    /// An engine's answer is whole; `ends_at_event_boundary` if no part of an event is left over. Gives the scoring
     /// that is to follow.
     #[must_use]
     pub(crate) fn on_answer(
@@ -117,13 +117,14 @@
         environment: &mut Environment,
         id: AssignmentId,
         head: &AnswerHead,
-        ends_whole: bool,
+        ends_at_event_boundary: bool,
     ) -> Option<ScoringAssignment> {
         let names = environment.site.protocol.header_names();
         let says_not_run = head.headers.get(names.not_run).is_some();
         let attempt = self.attempts.get_mut(&id)?;
         let mut scoring = None;
-        let outcome = match classify_item_answer(head.status, says_not_run, ends_whole) {
+        let outcome = match classify_item_answer(head.status, says_not_run, ends_at_event_boundary)
+        {
             ItemAnswer::Finished => {
                 scoring = attempt.scoring();
                 let outcome = attempt.finish();
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -110,7 +110,7 @@
         let Finished {
             instance,
             answer,
-            ends_whole,
+            ends_at_event_boundary,
         } = finished;
         match task {
             Task::Exchange(id) => {
@@ -120,7 +120,8 @@
             }
             Task::Item(id) => {
                 let items = &mut self.items;
-                let scoring = items.on_answer(environment, id, &answer.head, ends_whole);
+                let scoring =
+                    items.on_answer(environment, id, &answer.head, ends_at_event_boundary);
                 if let Some(scoring) = scoring {
                     self.begin_scoring(scoring);
                 }
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -70,7 +70,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) answer: WholeAnswer,
     /// Whether no part of an event of a stream is left over.
-    pub(crate) ends_whole: bool,
+    pub(crate) ends_at_event_boundary: bool,
 }
 
 /// One connection to a server.
@@ -186,7 +186,7 @@
         Some(Finished {
             instance,
             answer,
-            ends_whole: !is_within_event,
+            ends_at_event_boundary: !is_within_event,
         })
     }
 
--- a/crates/gateways/wingshore-gateway/tests/policies.rs
+++ b/crates/gateways/wingshore-gateway/tests/policies.rs
@@ -21,9 +21,13 @@
         ((503, false, true), ItemAnswer::Failed),
         ((500, false, true), ItemAnswer::Failed),
     ];
-    for ((status, says_not_run, ends_whole), expected) in table {
-        let answer = classify_item_answer(status, says_not_run, ends_whole);
-        expect_that!(answer, eq(expected), "{status} {says_not_run} {ends_whole}");
+    for ((status, says_not_run, ends_at_event_boundary), expected) in table {
+        let answer = classify_item_answer(status, says_not_run, ends_at_event_boundary);
+        expect_that!(
+            answer,
+            eq(expected),
+            "{status} {says_not_run} {ends_at_event_boundary}"
+        );
     }
 }
 
