--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -24,7 +24,7 @@
 
 /// Who calls on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Purpose {
+pub(crate) enum ListenerKind {
     /// Clients.
     Front,
     /// The deployment's checks of readiness.
@@ -100,11 +100,11 @@
 }
 
 /// What is done about a whole request.
-pub(crate) fn admit(site: &Site, purpose: Purpose, head: &RequestHead) -> Admission {
+pub(crate) fn admit(site: &Site, purpose: ListenerKind, head: &RequestHead) -> Admission {
     match purpose {
-        Purpose::Ready => return Admission::Ready,
-        Purpose::Metrics => return Admission::Metrics,
-        Purpose::Front => {}
+        ListenerKind::Ready => return Admission::Ready,
+        ListenerKind::Metrics => return Admission::Metrics,
+        ListenerKind::Front => {}
     }
     if !site.view.is_configured() {
         return Admission::Refused(Refusal::UNCONFIGURED);
@@ -128,9 +128,13 @@
 }
 
 /// Why a request is refused whose head alone says that it cannot be let in.
-pub(crate) fn refuse_early(site: &Site, purpose: Purpose, head: &RequestHead) -> Option<Refusal> {
+pub(crate) fn refuse_early(
+    site: &Site,
+    purpose: ListenerKind,
+    head: &RequestHead,
+) -> Option<Refusal> {
     let is_call = || site.protocol.read_batch_call(head).is_some();
-    if purpose != Purpose::Front || !site.view.has_tenants() || is_call() {
+    if purpose != ListenerKind::Front || !site.view.has_tenants() || is_call() {
         return None;
     }
     let route = site.view.routes().find(host(head), head.path())?;
--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -3,7 +3,7 @@
 //! Owns the connections and what each waits for; what a request is for and how it is answered is not
 //! known here.
 
-use crate::admission::Purpose;
+use crate::admission::ListenerKind;
 use crate::ids::{CallId, ExchangeId};
 use crate::runtime::Runtime;
 use crate::timers::TimerKey;
@@ -74,7 +74,7 @@
     reader: RequestReader,
     state: ClientState,
     close_after: bool,
-    purpose: Purpose,
+    purpose: ListenerKind,
     used: Instant,
     is_answering: bool,
 }
@@ -98,7 +98,7 @@
         &mut self,
         runtime: &mut Runtime,
         connection: ConnectionId,
-        purpose: Purpose,
+        purpose: ListenerKind,
         idle_timeout: Duration,
     ) {
         let now = runtime.now;
@@ -157,7 +157,7 @@
     }
 
     /// Who calls on a connection.
-    pub(crate) fn purpose(&self, connection: ConnectionId) -> Option<Purpose> {
+    pub(crate) fn purpose(&self, connection: ConnectionId) -> Option<ListenerKind> {
         self.all.get(&connection).map(|client| client.purpose)
     }
 
--- a/crates/gateways/wingshore-gateway/src/process/listeners.rs
+++ b/crates/gateways/wingshore-gateway/src/process/listeners.rs
@@ -1,6 +1,6 @@
 //! The sockets that a gateway listens on.
 
-use crate::admission::Purpose;
+use crate::admission::ListenerKind;
 use crate::error::{GatewayError, NetSnafu};
 use crate::settings::GatewaySettings;
 use snafu::ResultExt;
@@ -39,13 +39,13 @@
     }
 
     /// Who calls on connections of a listener.
-    pub(super) fn purpose(&self, listener: ListenerId) -> Purpose {
+    pub(super) fn purpose(&self, listener: ListenerId) -> ListenerKind {
         if Some(listener) == self.ready {
-            Purpose::Ready
+            ListenerKind::Ready
         } else if Some(listener) == self.metrics {
-            Purpose::Metrics
+            ListenerKind::Metrics
         } else {
-            Purpose::Front
+            ListenerKind::Front
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -1,7 +1,7 @@
 //! Wiring of clients' requests: what each one is for, and how its answer goes out.
 
 use super::Gateway;
-use crate::admission::{self, Admission, Purpose, Refusal, tenant_of};
+use crate::admission::{self, Admission, ListenerKind, Refusal, tenant_of};
 use crate::attempt_timeouts;
 use crate::calls::{CallEnd, request_of};
 use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, Waiting};
@@ -32,7 +32,7 @@
     }
 
     fn on_request(&mut self, client: ConnectionId, request: WholeRequest) {
-        let purpose = self.clients.purpose(client).unwrap_or(Purpose::Front);
+        let purpose = self.clients.purpose(client).unwrap_or(ListenerKind::Front);
         match admission::admit(&self.environment.site, purpose, &request.head) {
             Admission::Ready => {
                 let is_ready = self.status().ready;
