--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -100,8 +100,8 @@
 }
 
 /// What is done about a whole request.
-pub(crate) fn admit(site: &Site, purpose: ListenerKind, head: &RequestHead) -> Admission {
-    match purpose {
+pub(crate) fn admit(site: &Site, listener_kind: ListenerKind, head: &RequestHead) -> Admission {
+    match listener_kind {
         ListenerKind::Ready => return Admission::Ready,
         ListenerKind::Metrics => return Admission::Metrics,
         ListenerKind::Front => {}
@@ -130,11 +130,11 @@
 /// Why a request is refused whose head alone says that it cannot be let in.
 pub(crate) fn refuse_early(
     site: &Site,
-    purpose: ListenerKind,
+    listener_kind: ListenerKind,
     head: &RequestHead,
 ) -> Option<Refusal> {
     let is_call = || site.protocol.read_batch_call(head).is_some();
-    if purpose != ListenerKind::Front || !site.view.has_tenants() || is_call() {
+    if listener_kind != ListenerKind::Front || !site.view.has_tenants() || is_call() {
         return None;
     }
     let route = site.view.routes().find(host(head), head.path())?;
--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -74,7 +74,7 @@
     reader: RequestReader,
     state: ClientState,
     close_after: bool,
-    purpose: ListenerKind,
+    listener_kind: ListenerKind,
     used: Instant,
     is_answering: bool,
 }
@@ -98,7 +98,7 @@
         &mut self,
         runtime: &mut Runtime,
         connection: ConnectionId,
-        purpose: ListenerKind,
+        listener_kind: ListenerKind,
         idle_timeout: Duration,
     ) {
         let now = runtime.now;
@@ -106,7 +106,7 @@
             reader: RequestReader::default(),
             state: ClientState::Reading { begun: None },
             close_after: false,
-            purpose,
+            listener_kind,
             used: now,
             is_answering: false,
         };
@@ -157,8 +157,8 @@
     }
 
     /// Who calls on a connection.
-    pub(crate) fn purpose(&self, connection: ConnectionId) -> Option<ListenerKind> {
-        self.all.get(&connection).map(|client| client.purpose)
+    pub(crate) fn listener_kind(&self, connection: ConnectionId) -> Option<ListenerKind> {
+        self.all.get(&connection).map(|client| client.listener_kind)
     }
 
     /// The head of the request that is arriving, once it is whole.
--- a/crates/gateways/wingshore-gateway/src/process/listeners.rs
+++ b/crates/gateways/wingshore-gateway/src/process/listeners.rs
@@ -39,7 +39,7 @@
     }
 
     /// Who calls on connections of a listener.
-    pub(super) fn purpose(&self, listener: ListenerId) -> ListenerKind {
+    pub(super) fn listener_kind(&self, listener: ListenerId) -> ListenerKind {
         if Some(listener) == self.ready {
             ListenerKind::Ready
         } else if Some(listener) == self.metrics {
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -38,11 +38,11 @@
     }
 
     fn on_accepted(&mut self, listener: ListenerId, connection: ConnectionId) {
-        let purpose = self.listeners.purpose(listener);
+        let listener_kind = self.listeners.listener_kind(listener);
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
         self.clients
-            .accept(runtime, connection, purpose, idle_timeout);
+            .accept(runtime, connection, listener_kind, idle_timeout);
     }
 
     fn on_connected(&mut self, connection: ConnectionId) {
--- a/crates/gateways/wingshore-gateway/src/process/refusals.rs
+++ b/crates/gateways/wingshore-gateway/src/process/refusals.rs
@@ -26,11 +26,14 @@
     /// Refuses a request whose head alone says that it cannot be let in; the rest of it is not
     /// read.
     pub(super) fn refuse_early(&mut self, client: ConnectionId) {
-        let (purpose, head) = (self.clients.purpose(client), self.clients.head(client));
-        let Some((purpose, head)) = purpose.zip(head) else {
+        let (listener_kind, head) = (
+            self.clients.listener_kind(client),
+            self.clients.head(client),
+        );
+        let Some((listener_kind, head)) = listener_kind.zip(head) else {
             return;
         };
-        let refusal = admission::refuse_early(&self.environment.site, purpose, head);
+        let refusal = admission::refuse_early(&self.environment.site, listener_kind, head);
         if let Some(refusal) = refusal {
             let head = head.clone();
             self.clients.close_after_answer(client);
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -32,8 +32,11 @@
     }
 
     fn on_request(&mut self, client: ConnectionId, request: WholeRequest) {
-        let purpose = self.clients.purpose(client).unwrap_or(ListenerKind::Front);
-        match admission::admit(&self.environment.site, purpose, &request.head) {
+        let listener_kind = self
+            .clients
+            .listener_kind(client)
+            .unwrap_or(ListenerKind::Front);
+        match admission::admit(&self.environment.site, listener_kind, &request.head) {
             Admission::Ready => {
                 let is_ready = self.status().ready;
                 let protocol = &self.environment.site.protocol;
