--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -92,7 +92,7 @@
 
 /// An attempt at a request went well: if servers had ended under it, it was not the cause. `name` says
 /// what it asks.
-pub(crate) fn ran_well(
+pub(crate) fn request_succeeded(
     environment: &mut Environment,
     name: impl FnOnce(&Site) -> Option<RequestFingerprint>,
 ) {
--- a/crates/gateways/wingshore-gateway/src/forward_ends.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_ends.rs
@@ -23,7 +23,7 @@
     let balancer = &mut environment.servers.balancer;
     balancer.answered(now, instance, latency);
     if answer.head.is_success() {
-        request_suspicion::ran_well(environment, &exchange);
+        request_suspicion::request_succeeded(environment, &exchange);
     }
     match exchange.origin {
         Origin::Client(client) => {
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -129,7 +129,9 @@
                 scoring = attempt.scoring();
                 let outcome = attempt.finish();
                 let item = &attempt.assignment;
-                crash_reports::ran_well(environment, |site| fingerprints::of_item(site, item));
+                crash_reports::request_succeeded(environment, |site| {
+                    fingerprints::of_item(site, item)
+                });
                 outcome
             }
             ItemAnswer::CutShort => attempt.interrupt(BreakCause::Gateway),
@@ -311,7 +313,7 @@
         };
         if attempt.clear() {
             let item = &attempt.assignment;
-            crash_reports::ran_well(environment, |site| fingerprints::of_item(site, item));
+            crash_reports::request_succeeded(environment, |site| fingerprints::of_item(site, item));
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/request_suspicion.rs
+++ b/crates/gateways/wingshore-gateway/src/request_suspicion.rs
@@ -58,8 +58,8 @@
 }
 
 /// A request went well.
-pub(crate) fn ran_well(environment: &mut Environment, exchange: &Exchange) {
-    crash_reports::ran_well(environment, |site| fingerprint_of(site, exchange));
+pub(crate) fn request_succeeded(environment: &mut Environment, exchange: &Exchange) {
+    crash_reports::request_succeeded(environment, |site| fingerprint_of(site, exchange));
 }
 
 /// A stream that has brought events for long enough is not what ends servers.
@@ -72,6 +72,6 @@
         return;
     };
     if !std::mem::replace(&mut stream.is_cleared, true) {
-        ran_well(environment, exchange);
+        request_succeeded(environment, exchange);
     }
 }
--- a/crates/gateways/wingshore-gateway/src/streams.rs
+++ b/crates/gateways/wingshore-gateway/src/streams.rs
@@ -104,7 +104,7 @@
     let time = now.since(exchange.begun);
     let metrics = &environment.runtime.metrics;
     metrics.request_ended(&exchange.route.name, "served", time);
-    request_suspicion::ran_well(environment, exchange);
+    request_suspicion::request_succeeded(environment, exchange);
     let mut last = Vec::new();
     write_last_chunk(&mut last);
     environment.runtime.reactor.send(client, &last);
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -336,7 +336,7 @@
                 continue;
             }
             for run in ended {
-                self.ran_well(run.gateway, run.request);
+                self.request_succeeded(run.gateway, run.request);
             }
         }
     }
@@ -355,11 +355,11 @@
             }
         }
         for (gateway, request) in cleared {
-            self.ran_well(gateway, request);
+            self.request_succeeded(gateway, request);
         }
     }
 
-    fn ran_well(&mut self, gateway: usize, request: RequestFingerprint) {
+    fn request_succeeded(&mut self, gateway: usize, request: RequestFingerprint) {
         let known = &mut self.gateways[gateway];
         let is_untold = known
             .watch
