--- a/crates/gateways/wingshore-gateway/src/answers.rs
+++ b/crates/gateways/wingshore-gateway/src/answers.rs
@@ -115,6 +115,6 @@
 }
 
 /// Whether a status counts as a failure of the server's own, against the attempts of a scoring.
-pub fn is_server_failure(status: u16) -> bool {
+pub fn is_internal_error(status: u16) -> bool {
     status == INTERNAL_ERROR
 }
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -52,7 +52,7 @@
 mod view_following;
 mod view_source;
 
-pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_server_failure};
+pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_internal_error};
 pub use attempt_timeouts::{
     StopProgress, answer_deadline, connect_deadline, is_stream_begun, request_timeout,
 };
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -5,7 +5,7 @@
 use wingshore_gateway::{
     AnswerFacts, AnswerKind, AttemptHistory, Circumstances, NextStep, OwnAnswer, RetryLimits,
     StopProgress, after_failure, answer_deadline, classify_answer, connect_deadline,
-    given_up_answer, is_server_failure, is_stream_begun, request_timeout,
+    given_up_answer, is_internal_error, is_stream_begun, request_timeout,
 };
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
@@ -247,8 +247,8 @@
         expect_that!(classify_answer(facts), eq(kind), "{facts:?}");
         expect_that!(kind.verdict(), eq(verdict), "{facts:?}");
     }
-    expect_that!(is_server_failure(500), eq(true));
-    expect_that!(is_server_failure(503), eq(false));
+    expect_that!(is_internal_error(500), eq(true));
+    expect_that!(is_internal_error(503), eq(false));
 }
 
 #[gtest]
