--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -70,7 +70,7 @@
     /// Attempts that a server refused or that reached none.
     pub refusals: u32,
     /// Attempts that a server ran and failed, by its own word.
-    pub server_failures: u32,
+    pub internal_errors: u32,
     /// Whether any attempt may have run.
     pub may_have_run: bool,
 }
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -369,6 +369,6 @@
     exchange.history.note(failure.verdict);
     let status = failure.answer.as_ref().map(|answer| answer.head.status);
     if status.is_some_and(answers::is_internal_error) {
-        exchange.history.server_failures += 1;
+        exchange.history.internal_errors += 1;
     }
 }
--- a/crates/gateways/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring_policy.rs
@@ -53,7 +53,7 @@
 
 /// The end of a scoring that no server has answered, or that all failed.
 pub fn given_up(history: AttemptHistory) -> ScoringEnd {
-    let (outcome, signal) = match history.server_failures {
+    let (outcome, signal) = match history.internal_errors {
         0 if history.may_have_run => (
             ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
             LoadSignal::Overload,
--- a/crates/gateways/wingshore-gateway/tests/policies.rs
+++ b/crates/gateways/wingshore-gateway/tests/policies.rs
@@ -56,7 +56,7 @@
     };
     let failed = AttemptHistory {
         attempts: 2,
-        server_failures: 2,
+        internal_errors: 2,
         may_have_run: true,
         ..fresh
     };
