--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -113,7 +113,7 @@
 }
 
 /// What follows when an attempt brought no usable answer; `history` accounts for that attempt.
-pub fn after_failure(
+pub fn next_step(
     limits: RetryLimits,
     history: AttemptHistory,
     circumstances: Circumstances,
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -293,7 +293,7 @@
             is_out_of_time: now >= exchange.until,
             has_server_answer: for_client.is_some(),
         };
-        let step = attempts::after_failure(exchange.limits(), exchange.history, circumstances);
+        let step = attempts::next_step(exchange.limits(), exchange.history, circumstances);
         match (step, for_client) {
             (NextStep::Retry, _) => self.send_to_server(environment, id, exchange),
             (NextStep::PassOn, Some((answer, client))) => {
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use wingshore_gateway::{
     AnswerFacts, AnswerKind, AttemptHistory, Circumstances, NextStep, OwnAnswer, RetryLimits,
-    StopProgress, after_failure, answer_deadline, classify_answer, connect_deadline,
-    given_up_answer, is_internal_error, is_stream_begun, request_timeout,
+    StopProgress, answer_deadline, classify_answer, connect_deadline, given_up_answer,
+    is_internal_error, is_stream_begun, next_step, request_timeout,
 };
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
@@ -162,7 +162,7 @@
         ),
     ];
     for (case, limits, verdicts, circumstances, expected) in table {
-        let step = after_failure(limits, history(verdicts), circumstances);
+        let step = next_step(limits, history(verdicts), circumstances);
         expect_that!(step, eq(expected), "{case}");
     }
 }
