--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -3,7 +3,7 @@
 //! Live requests and the requests of scorings go the same way. No I/O, no clock.
 //!
 //! **Inputs.** What the route allows ([`RetryLimits`]); how the attempts so far ended
-//! ([`AttemptHistory`], counts); and what holds now ([`Circumstances`]): whether servers have ended
+//! ([`AttemptHistory`], counts); and what holds now ([`RetryContext`]): whether servers have ended
 //! under the request, whether a server is left that it was not sent to, whether its time is over,
 //! whether the server's own answer can still be passed on.
 //!
@@ -89,7 +89,7 @@
 
 /// What holds when an attempt has brought no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Circumstances {
+pub struct RetryContext {
     /// Whether several servers have ended under the request.
     pub is_suspect: bool,
     /// Whether its service has a server that it was not sent to.
@@ -116,7 +116,7 @@
 pub fn next_step(
     limits: RetryLimits,
     history: AttemptHistory,
-    circumstances: Circumstances,
+    circumstances: RetryContext,
 ) -> NextStep {
     let may_end_another = history.may_have_run && circumstances.is_suspect;
     let may_retry = limits.may_retry(history) && !may_end_another;
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -7,7 +7,7 @@
 
 use crate::answers::{self, AnswerFacts, AnswerKind, MISDIRECTED};
 use crate::attempt_timeouts;
-use crate::attempts::{self, Circumstances, NextStep};
+use crate::attempts::{self, NextStep, RetryContext};
 use crate::crash_reports;
 use crate::encode::encode_request;
 use crate::environment::Environment;
@@ -287,7 +287,7 @@
         note_failure(environment, &mut exchange, &failure);
         let client = exchange.client().filter(|_| exchange.stream.is_none());
         let for_client = failure.answer.zip(client);
-        let circumstances = Circumstances {
+        let circumstances = RetryContext {
             is_suspect: request_suspicion::is_suspect(environment, &exchange),
             has_other_server: has_other_server(environment, &exchange),
             is_out_of_time: now >= exchange.until,
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use wingshore_gateway::{
-    AnswerFacts, AnswerKind, AttemptHistory, Circumstances, NextStep, OwnAnswer, RetryLimits,
+    AnswerFacts, AnswerKind, AttemptHistory, NextStep, OwnAnswer, RetryContext, RetryLimits,
     StopProgress, answer_deadline, classify_answer, connect_deadline, given_up_answer,
     is_internal_error, is_stream_begun, next_step, request_timeout,
 };
@@ -19,7 +19,7 @@
     max_attempts: 3,
 };
 /// Another server is left, there is time, and the server gave no answer.
-const FAVOURABLE: Circumstances = Circumstances {
+const FAVOURABLE: RetryContext = RetryContext {
     is_suspect: false,
     has_other_server: true,
     is_out_of_time: false,
@@ -37,24 +37,24 @@
 #[gtest]
 fn the_next_step_by_route_history_and_circumstances() {
     use Verdict::{MayHaveRun, NotRun, Ran};
-    let answered = Circumstances {
+    let answered = RetryContext {
         has_server_answer: true,
         ..FAVOURABLE
     };
-    let last_server = Circumstances {
+    let last_server = RetryContext {
         has_other_server: false,
         ..FAVOURABLE
     };
-    let late = Circumstances {
+    let late = RetryContext {
         is_out_of_time: true,
         ..FAVOURABLE
     };
-    let suspect = Circumstances {
+    let suspect = RetryContext {
         is_suspect: true,
         ..FAVOURABLE
     };
     let refused = [NotRun; 5];
-    let table: Vec<(&str, RetryLimits, &[Verdict], Circumstances, NextStep)> = vec![
+    let table: Vec<(&str, RetryLimits, &[Verdict], RetryContext, NextStep)> = vec![
         ("a refusal", UNSAFE, &[NotRun], FAVOURABLE, NextStep::Retry),
         (
             "three refusals",
@@ -144,7 +144,7 @@
             "failed by the last server",
             SAFE,
             &[Ran],
-            Circumstances {
+            RetryContext {
                 has_server_answer: true,
                 ..last_server
             },
@@ -154,7 +154,7 @@
             "failed late, with a server left",
             SAFE,
             &[Ran],
-            Circumstances {
+            RetryContext {
                 has_server_answer: true,
                 ..late
             },
