--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -19,7 +19,7 @@
 
 /// What a client waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Waiting {
+pub(crate) enum PendingAnswer {
     /// The answer of a server.
     Exchange(ExchangeId),
     /// The answer of the group.
@@ -34,7 +34,7 @@
         begun: Option<Instant>,
     },
     /// Waiting for an answer.
-    Waiting(Waiting),
+    PendingAnswer(PendingAnswer),
 }
 
 /// What has been read from a client.
@@ -173,9 +173,9 @@
     }
 
     /// A client waits for an answer.
-    pub(crate) fn set_waiting(&mut self, connection: ConnectionId, waiting: Waiting) {
+    pub(crate) fn set_waiting(&mut self, connection: ConnectionId, waiting: PendingAnswer) {
         if let Some(client) = self.all.get_mut(&connection) {
-            client.state = ClientState::Waiting(waiting);
+            client.state = ClientState::PendingAnswer(waiting);
         }
     }
 
@@ -294,11 +294,11 @@
         &mut self,
         runtime: &mut Runtime,
         connection: ConnectionId,
-    ) -> Option<Waiting> {
+    ) -> Option<PendingAnswer> {
         runtime.reactor.close(connection);
         match self.all.remove(&connection)?.state {
             ClientState::Reading { .. } => None,
-            ClientState::Waiting(waiting) => Some(waiting),
+            ClientState::PendingAnswer(waiting) => Some(waiting),
         }
     }
 
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -4,7 +4,7 @@
 use crate::admission::{self, Admission, ListenerKind, Refusal, tenant_of};
 use crate::attempt_timeouts;
 use crate::calls::{CallEnd, request_of};
-use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, Waiting};
+use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, PendingAnswer};
 use crate::exchange::{Exchange, NewExchange, Origin};
 use crate::ids::CallId;
 use crate::protocol::{BatchAnswer, OwnAnswer};
@@ -103,7 +103,8 @@
             until: now + limit,
         };
         let id = self.exchanges.next_id();
-        self.clients.set_waiting(client, Waiting::Exchange(id));
+        self.clients
+            .set_waiting(client, PendingAnswer::Exchange(id));
         let environment = &mut self.environment;
         let exchange = Exchange::new(now, new);
         let end = self.exchanges.begin(environment, id, exchange);
@@ -134,7 +135,7 @@
     fn begin_call(&mut self, client: ConnectionId, request: Request) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         match self.calls.begin(runtime, site, client, request) {
-            Ok(id) => self.clients.set_waiting(client, Waiting::Call(id)),
+            Ok(id) => self.clients.set_waiting(client, PendingAnswer::Call(id)),
             Err(answer) => self.answer_batch(client, &answer),
         }
     }
@@ -225,8 +226,8 @@
     pub(super) fn close_client(&mut self, client: ConnectionId) {
         match self.clients.close(&mut self.environment.runtime, client) {
             None => {}
-            Some(Waiting::Exchange(id)) => self.exchanges.abandon(&mut self.environment, id),
-            Some(Waiting::Call(id)) => self.calls.forget(id),
+            Some(PendingAnswer::Exchange(id)) => self.exchanges.abandon(&mut self.environment, id),
+            Some(PendingAnswer::Call(id)) => self.calls.forget(id),
         }
     }
 }
