--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -215,7 +215,7 @@
         client.used = now;
         client.close_after |= is_stopping;
         if client.close_after {
-            self.cut(runtime, connection);
+            self.close_after_flush(runtime, connection);
             return AfterAnswer::Nothing;
         }
         // Requests that came in one piece are answered in turn, without recursion.
@@ -303,7 +303,7 @@
     }
 
     /// Closes a connection once all that was sent on it has left.
-    pub(crate) fn cut(&mut self, runtime: &mut Runtime, connection: ConnectionId) {
+    pub(crate) fn close_after_flush(&mut self, runtime: &mut Runtime, connection: ConnectionId) {
         self.all.remove(&connection);
         self.leaving.push(connection);
         runtime.reactor.close_when_flushed(connection);
--- a/crates/gateways/wingshore-gateway/src/process/work.rs
+++ b/crates/gateways/wingshore-gateway/src/process/work.rs
@@ -21,7 +21,8 @@
             }
             Some(ExchangeEnd::StreamEnded(client)) => self.stream_ended(client),
             Some(ExchangeEnd::StreamBroken(client)) => {
-                self.clients.cut(&mut self.environment.runtime, client);
+                self.clients
+                    .close_after_flush(&mut self.environment.runtime, client);
             }
             Some(ExchangeEnd::ClientDoesNotRead(client)) => self.close_client(client),
             Some(ExchangeEnd::Scoring { scoring, end }) => {
