--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -285,7 +285,7 @@
     }
 
     /// Drops what is known of connections that have closed.
-    pub(crate) fn forget_left(&mut self, reactor: &Reactor) {
+    pub(crate) fn forget_closed(&mut self, reactor: &Reactor) {
         self.leaving.retain(|left| reactor.is_open(*left));
     }
 
--- a/crates/gateways/wingshore-gateway/src/process/mod.rs
+++ b/crates/gateways/wingshore-gateway/src/process/mod.rs
@@ -203,7 +203,8 @@
         self.dial_coordinators();
         self.follow_view();
         self.environment.forget_old_servers();
-        self.clients.forget_left(&self.environment.runtime.reactor);
+        self.clients
+            .forget_closed(&self.environment.runtime.reactor);
         self.start_scorings();
         self.reload();
         self.begin_stop();
