--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -226,7 +226,7 @@
     }
 
     /// The next request of a client that was answered has been read, as far as it has arrived.
-    pub(crate) fn next_read(
+    pub(crate) fn next_request_read(
         &mut self,
         runtime: &mut Runtime,
         connection: ConnectionId,
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -202,7 +202,8 @@
         }
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
-        self.clients.next_read(runtime, client, idle_timeout);
+        self.clients
+            .next_request_read(runtime, client, idle_timeout);
     }
 
     /// Bytes of a client that were not read yet.
