--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -305,7 +305,7 @@
     }
 
     /// Nobody waits for the answer any more: its server need not go on.
-    pub(crate) fn abandon(&mut self, environment: &mut Environment, id: ExchangeId) {
+    pub(crate) fn cancel(&mut self, environment: &mut Environment, id: ExchangeId) {
         let connection = self.all.remove(&id).and_then(|known| known.upstream);
         let servers = &mut environment.servers;
         let runtime = &mut environment.runtime;
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -227,7 +227,7 @@
     pub(super) fn close_client(&mut self, client: ConnectionId) {
         match self.clients.close(&mut self.environment.runtime, client) {
             None => {}
-            Some(PendingAnswer::Exchange(id)) => self.exchanges.abandon(&mut self.environment, id),
+            Some(PendingAnswer::Exchange(id)) => self.exchanges.cancel(&mut self.environment, id),
             Some(PendingAnswer::Call(id)) => self.calls.forget(id),
         }
     }
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -216,7 +216,7 @@
     ) {
         let now = environment.runtime.now;
         if let Some(exchange) = self.free_place(now, id, LoadSignal::None) {
-            exchanges.abandon(environment, exchange);
+            exchanges.cancel(environment, exchange);
         }
         self.all.remove(&id);
         self.queue.retain(|queued| *queued != id);
