--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -55,7 +55,7 @@
     }
 
     /// The service that the next request of a route goes to.
-    pub(crate) fn next_target(&mut self, route: &Route) -> Option<ServiceName> {
+    pub(crate) fn next_service(&mut self, route: &Route) -> Option<ServiceName> {
         self.split.next(route)
     }
 
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -89,7 +89,7 @@
         if route.kind == RouteKind::Streaming && !self.stop_progress().is_none_or(is_begun) {
             return self.refuse(client, &request.head, Refusal::STOPPING);
         }
-        let Some(service) = self.exchanges.next_target(&route) else {
+        let Some(service) = self.exchanges.next_service(&route) else {
             return self.refuse(client, &request.head, Refusal::NO_SERVICE);
         };
         let identity = headers.get(names.request_id).unwrap_or_default().to_vec();
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -140,7 +140,7 @@
         let scorer = &scoring.assignment.scorer;
         let routes = environment.site.view.routes();
         let route = routes.find(&scorer.host, &scorer.path).cloned();
-        let target = route.and_then(|route| Some((exchanges.next_target(&route)?, route)));
+        let target = route.and_then(|route| Some((exchanges.next_service(&route)?, route)));
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
             self.end(environment, id, outcome);
