--- a/crates/gateways/wingshore-gateway/src/attempt_timeouts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempt_timeouts.rs
@@ -45,7 +45,7 @@
 }
 
 /// Whether a stream that may take `limit` is begun while the gateway is stopping.
-pub fn is_stream_begun(limit: Duration, stop: StopProgress) -> bool {
+pub fn is_stream_admitted(limit: Duration, stop: StopProgress) -> bool {
     limit <= stop.left || stop.elapsed <= STREAMS_TAKEN_FOR
 }
 
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -54,7 +54,7 @@
 
 pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_internal_error};
 pub use attempt_timeouts::{
-    StopProgress, answer_deadline, connect_deadline, is_stream_begun, request_timeout,
+    StopProgress, answer_deadline, connect_deadline, is_stream_admitted, request_timeout,
 };
 pub use attempts::{
     AttemptHistory, NextStep, RetryContext, RetryLimits, given_up_answer, next_step,
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -85,7 +85,7 @@
         let headers = &request.head.headers;
         let deadline = headers.number(names.deadline).map(Duration::from_millis);
         let limit = attempt_timeouts::request_timeout(route.timeout, deadline);
-        let is_begun = |stop| attempt_timeouts::is_stream_begun(limit, stop);
+        let is_begun = |stop| attempt_timeouts::is_stream_admitted(limit, stop);
         if route.kind == RouteKind::Streaming && !self.stop_progress().is_none_or(is_begun) {
             return self.refuse(client, &request.head, Refusal::STOPPING);
         }
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -5,7 +5,7 @@
 use wingshore_gateway::{
     AnswerFacts, AnswerKind, AttemptHistory, NextStep, OwnAnswer, RetryContext, RetryLimits,
     StopProgress, answer_deadline, classify_answer, connect_deadline, given_up_answer,
-    is_internal_error, is_stream_begun, next_step, request_timeout,
+    is_internal_error, is_stream_admitted, next_step, request_timeout,
 };
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
@@ -297,7 +297,7 @@
             elapsed: Duration::from_millis(elapsed),
             left: Duration::from_millis(left),
         };
-        let is_begun = is_stream_begun(Duration::from_millis(limit), stop);
+        let is_begun = is_stream_admitted(Duration::from_millis(limit), stop);
         expect_that!(is_begun, eq(expected), "{stop:?} {limit}");
     }
 }
