--- a/crates/gateways/wingshore-gateway/src/encode.rs
+++ b/crates/gateways/wingshore-gateway/src/encode.rs
@@ -110,7 +110,7 @@
         name.eq_ignore_ascii_case(tenant.as_bytes())
             || (has_key && name.eq_ignore_ascii_case(authorization.as_bytes()))
     };
-    end_to_end(headers).filter(move |(name, _)| !is_own(name))
+    end_to_end_headers(headers).filter(move |(name, _)| !is_own(name))
 }
 
 /// Whether a header line is for one connection only, or frames what is sent there.
@@ -134,7 +134,7 @@
 }
 
 /// Header lines that are not for one connection only.
-pub(crate) fn end_to_end(headers: &Headers) -> impl Iterator<Item = (&[u8], &[u8])> {
+pub(crate) fn end_to_end_headers(headers: &Headers) -> impl Iterator<Item = (&[u8], &[u8])> {
     headers
         .iter()
         .filter(|(name, _)| !is_of_one_connection(name))
--- a/crates/gateways/wingshore-gateway/src/process/work.rs
+++ b/crates/gateways/wingshore-gateway/src/process/work.rs
@@ -1,7 +1,7 @@
 //! Wiring of what servers bring: the ends of forwarded requests, and scorings.
 
 use super::Gateway;
-use crate::encode::end_to_end;
+use crate::encode::end_to_end_headers;
 use crate::exchange::ExchangeEnd;
 use crate::scoring::Started;
 use wingshore_coordination::{AssignmentId, ScoringAssignment};
@@ -36,7 +36,7 @@
     /// Passes a server's answer on to a client.
     fn pass_on(&mut self, client: ConnectionId, answer: &WholeAnswer) {
         let mut writer = HeadWriter::answer(answer.head.status);
-        for (name, value) in end_to_end(&answer.head.headers) {
+        for (name, value) in end_to_end_headers(&answer.head.headers) {
             writer = writer.line(name, value);
         }
         self.answer(client, writer, &answer.body);
--- a/crates/gateways/wingshore-gateway/src/streams.rs
+++ b/crates/gateways/wingshore-gateway/src/streams.rs
@@ -4,7 +4,7 @@
 //! another server behind the last whole event, within the same answer.
 
 use crate::answers::AnswerFacts;
-use crate::encode::end_to_end;
+use crate::encode::end_to_end_headers;
 use crate::environment::Environment;
 use crate::exchange::Exchange;
 use crate::passed_stream::PassedStream;
@@ -84,7 +84,7 @@
 
 fn stream_head(head: &AnswerHead) -> Vec<u8> {
     let mut writer = HeadWriter::answer(head.status);
-    for (name, value) in end_to_end(&head.headers) {
+    for (name, value) in end_to_end_headers(&head.headers) {
         writer = writer.line(name, value);
     }
     writer.chunked()
