--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -130,7 +130,7 @@
         }
         exchange.upstream = Some(connection);
         let upstream = environment.servers.upstreams.get(connection);
-        exchange.attempt_until = if upstream.is_some_and(|upstream| upstream.up) {
+        exchange.attempt_until = if upstream.is_some_and(|upstream| upstream.is_connected) {
             exchange.answer_deadline(now)
         } else {
             attempt_timeouts::connect_deadline(now, exchange.until)
@@ -257,15 +257,15 @@
         let servers = &mut environment.servers;
         let runtime = &mut environment.runtime;
         let closed = servers.upstreams.close(runtime, connection)?;
-        let time = now.since(closed.since);
+        let time = now.since(closed.task_started_at);
         servers.balancer.ended(&closed.instance);
         servers.balancer.too_slow(now, &closed.instance, time);
-        let verdict = if closed.up {
+        let verdict = if closed.is_connected {
             Verdict::MayHaveRun
         } else {
             Verdict::NotRun
         };
-        let failure = Failure::new(verdict, !closed.up, "too slow");
+        let failure = Failure::new(verdict, !closed.is_connected, "too slow");
         self.attempt_failed(environment, id, &closed.instance, failure)
     }
 
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -180,7 +180,7 @@
         let upstreams = &mut environment.servers.upstreams;
         let is_up = upstreams
             .get(connection)
-            .is_some_and(|upstream| upstream.up);
+            .is_some_and(|upstream| upstream.is_connected);
         let (limit, end) = if is_up {
             (STALL_TIMEOUT, ConnectionEnd::TimedOut)
         } else {
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -151,7 +151,7 @@
             return self.on_link_ended(connection, address);
         }
         match environment.servers.upstreams.get(connection) {
-            Some(upstream) if upstream.up => {
+            Some(upstream) if upstream.is_connected => {
                 self.upstream_ended(connection, ConnectionEnd::Lost);
             }
             Some(_) => self.upstream_ended(connection, ConnectionEnd::ConnectFailed),
@@ -180,7 +180,7 @@
         }
         let lost = LostRequest {
             instance: closed.instance,
-            sent_at: closed.since,
+            sent_at: closed.task_started_at,
             end,
         };
         match closed.task {
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -77,14 +77,14 @@
 pub(crate) struct Upstream {
     pub(crate) instance: InstanceId,
     /// Whether it has come up: from then on bytes may have left.
-    pub(crate) up: bool,
+    pub(crate) is_connected: bool,
     /// Who uses it now; nobody while it is idle.
     pub(crate) task: Option<Task>,
     pub(crate) reader: AnswerReader,
     /// Reads the answer's events, where that is a stream of them.
     pub(crate) events: Option<EventReader>,
     /// When the task began.
-    pub(crate) since: Instant,
+    pub(crate) task_started_at: Instant,
     /// Until when it may be used again, while it is idle.
     idle_until: Instant,
     /// How long the server keeps it while it is idle.
@@ -116,7 +116,7 @@
         };
         let upstream = self.all.get_mut(&connection)?;
         upstream.task = Some(task);
-        upstream.since = now;
+        upstream.task_started_at = now;
         upstream.reader = AnswerReader::new(false);
         upstream.events = None;
         runtime.reactor.send(connection, bytes);
@@ -142,7 +142,7 @@
     /// is kept for that.
     pub(crate) fn on_connected(&mut self, now: Instant, connection: ConnectionId) -> Option<Task> {
         let upstream = self.all.get_mut(&connection)?;
-        upstream.up = true;
+        upstream.is_connected = true;
         if upstream.task.is_none() {
             self.keep_idle(now, connection);
             return None;
@@ -203,11 +203,11 @@
         let connection = runtime.reactor.connect(address, options)?;
         let upstream = Upstream {
             instance: instance.clone(),
-            up: false,
+            is_connected: false,
             task: None,
             reader: AnswerReader::new(false),
             events: None,
-            since: now,
+            task_started_at: now,
             idle_until: now,
             keep: DEFAULT_KEEP,
         };
