--- a/crates/gateways/wingshore-gateway/src/limit.rs
+++ b/crates/gateways/wingshore-gateway/src/limit.rs
@@ -62,12 +62,12 @@
     }
 
     /// One has begun.
-    pub fn begun(&mut self) {
+    pub fn acquire(&mut self) {
         self.in_flight += 1;
     }
 
     /// One is over.
-    pub fn ended(&mut self, now: Instant, signal: LoadSignal) {
+    pub fn release(&mut self, now: Instant, signal: LoadSignal) {
         let was_full = self.in_flight >= self.limit as usize;
         self.in_flight = self.in_flight.saturating_sub(1);
         match signal {
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -152,7 +152,7 @@
         if self.is_limited && !limit.allows(scoring_policy::max_scorings(slots)) {
             return Started::Waits;
         }
-        limit.begun();
+        limit.acquire();
         let names = environment.site.protocol.header_names();
         let until = now + route.timeout;
         let new = NewExchange {
@@ -239,7 +239,7 @@
     ) -> Option<ExchangeId> {
         let (exchange, service) = self.all.get_mut(&id)?.exchange.take()?;
         if let Some(limit) = self.limits.get_mut(&service) {
-            limit.ended(now, signal);
+            limit.release(now, signal);
         }
         Some(exchange)
     }
--- a/crates/gateways/wingshore-gateway/tests/limit.rs
+++ b/crates/gateways/wingshore-gateway/tests/limit.rs
@@ -12,7 +12,7 @@
     let mut limit = limit.clone();
     let mut count = 0;
     while limit.allows(most) {
-        limit.begun();
+        limit.acquire();
         count += 1;
     }
     count
@@ -22,11 +22,11 @@
 fn round(limit: &mut ConcurrencyLimit, now: Instant, signal: LoadSignal) {
     let mut begun = 0;
     while limit.allows(PLENTY) {
-        limit.begun();
+        limit.acquire();
         begun += 1;
     }
     for _ in 0..begun {
-        limit.ended(now, signal);
+        limit.release(now, signal);
     }
 }
 
@@ -49,8 +49,8 @@
     let mut limit = ConcurrencyLimit::default();
     let before = admitted(&limit, PLENTY);
     for second in 0..1000 {
-        limit.begun();
-        limit.ended(Instant::from_millis(second * 1000), LoadSignal::InTime);
+        limit.acquire();
+        limit.release(Instant::from_millis(second * 1000), LoadSignal::InTime);
     }
     expect_that!(admitted(&limit, PLENTY), eq(before));
 }
