--- a/crates/gateways/wingshore-gateway/src/encode.rs
+++ b/crates/gateways/wingshore-gateway/src/encode.rs
@@ -30,7 +30,7 @@
             writer = writer.line(name, value);
         }
     }
-    let left = exchange.until.since(now).as_millis();
+    let left = exchange.deadline.since(now).as_millis();
     writer = writer
         .header(names.deadline, left)
         .header(names.expected_instance, server.instance.name());
--- a/crates/gateways/wingshore-gateway/src/exchange.rs
+++ b/crates/gateways/wingshore-gateway/src/exchange.rs
@@ -37,7 +37,7 @@
     pub(crate) service: ServiceName,
     pub(crate) begun: Instant,
     /// By then it is answered, whatever has come.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     /// How the attempts so far have ended.
     pub(crate) history: AttemptHistory,
     /// The servers that it was sent to.
@@ -45,7 +45,7 @@
     /// The connection of the present attempt.
     pub(crate) upstream: Option<ConnectionId>,
     /// The present attempt is given up at this time.
-    pub(crate) attempt_until: Instant,
+    pub(crate) attempt_deadline: Instant,
     /// Whether so many servers have ended under it that no other one is to run it.
     pub(crate) is_rejected: bool,
     /// What has been passed on of a stream; set once its head has been.
@@ -62,7 +62,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
     /// By then it is answered.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl Exchange {
@@ -77,11 +77,11 @@
             route: new.route,
             service: new.service,
             begun: now,
-            until: new.until,
+            deadline: new.deadline,
             history: AttemptHistory::default(),
             sent_to: Vec::new(),
             upstream: None,
-            attempt_until: new.until,
+            attempt_deadline: new.deadline,
             is_rejected: false,
             stream: None,
         }
@@ -94,22 +94,22 @@
 
     /// It is answered by `end`, and sooner where its own time ends sooner.
     pub(crate) fn end_by(&mut self, end: Instant) {
-        self.until = self.until.min(end);
-        self.attempt_until = self.attempt_until.min(end);
+        self.deadline = self.deadline.min(end);
+        self.attempt_deadline = self.attempt_deadline.min(end);
     }
 
     /// Until when a server that has the request now may take before another one is asked.
     pub(crate) fn answer_deadline(&self, now: Instant) -> Instant {
         let (attempts, target) = (self.history.attempts, self.route.target_latency);
-        attempt_timeouts::answer_deadline(now, self.until, self.limits(), attempts, target)
+        attempt_timeouts::answer_deadline(now, self.deadline, self.limits(), attempts, target)
     }
 
     /// When the present attempt is over. A stream that has begun is not cut before the whole request
     /// is.
-    pub(crate) fn deadline(&self) -> Instant {
+    pub(crate) fn current_deadline(&self) -> Instant {
         match &self.stream {
-            Some(_) => self.until,
-            None => self.attempt_until,
+            Some(_) => self.deadline,
+            None => self.attempt_deadline,
         }
     }
 
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -71,7 +71,7 @@
             exchange.end_by(stop_at);
         }
         let timers = &mut environment.runtime.timers;
-        timers.arm(exchange.until, TimerKey::Exchange(id));
+        timers.arm(exchange.deadline, TimerKey::Exchange(id));
         self.send_to_server(environment, id, exchange)
     }
 
@@ -82,7 +82,7 @@
             exchange.end_by(stop_at);
             runtime
                 .timers
-                .arm(exchange.deadline(), TimerKey::Exchange(*id));
+                .arm(exchange.current_deadline(), TimerKey::Exchange(*id));
         }
     }
 
@@ -109,7 +109,7 @@
                 return None;
             }
             exchange.history.note(Verdict::NotRun);
-            if now >= exchange.until || !exchange.limits().may_retry(exchange.history) {
+            if now >= exchange.deadline || !exchange.limits().may_retry(exchange.history) {
                 return Some(give_up(environment, &exchange));
             }
         }
@@ -130,13 +130,13 @@
         }
         exchange.upstream = Some(connection);
         let upstream = environment.servers.upstreams.get(connection);
-        exchange.attempt_until = if upstream.is_some_and(|upstream| upstream.is_connected) {
+        exchange.attempt_deadline = if upstream.is_some_and(|upstream| upstream.is_connected) {
             exchange.answer_deadline(now)
         } else {
-            attempt_timeouts::connect_deadline(now, exchange.until)
+            attempt_timeouts::connect_deadline(now, exchange.deadline)
         };
         let timers = &mut environment.runtime.timers;
-        timers.arm(exchange.attempt_until, TimerKey::Exchange(id));
+        timers.arm(exchange.attempt_deadline, TimerKey::Exchange(id));
         self.all.insert(id, exchange);
     }
 
@@ -144,9 +144,9 @@
     pub(crate) fn on_connected(&mut self, environment: &mut Environment, id: ExchangeId) {
         let now = environment.runtime.now;
         if let Some(exchange) = self.all.get_mut(&id) {
-            exchange.attempt_until = exchange.answer_deadline(now);
+            exchange.attempt_deadline = exchange.answer_deadline(now);
             let timers = &mut environment.runtime.timers;
-            timers.arm(exchange.attempt_until, TimerKey::Exchange(id));
+            timers.arm(exchange.attempt_deadline, TimerKey::Exchange(id));
         }
     }
 
@@ -247,8 +247,8 @@
     ) -> Option<ExchangeEnd> {
         let now = environment.runtime.now;
         let exchange = self.all.get_mut(&id)?;
-        let deadline = exchange.deadline();
-        if now < exchange.until && now < deadline {
+        let deadline = exchange.current_deadline();
+        if now < exchange.deadline && now < deadline {
             let timers = &mut environment.runtime.timers;
             timers.arm(deadline, TimerKey::Exchange(id));
             return None;
@@ -290,7 +290,7 @@
         let circumstances = RetryContext {
             is_suspect: request_suspicion::is_suspect(environment, &exchange),
             has_other_server: has_other_server(environment, &exchange),
-            is_out_of_time: now >= exchange.until,
+            is_out_of_time: now >= exchange.deadline,
             has_server_answer: for_client.is_some(),
         };
         let step = attempts::next_step(exchange.limits(), exchange.history, circumstances);
--- a/crates/gateways/wingshore-gateway/src/forward_ends.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_ends.rs
@@ -44,7 +44,7 @@
 /// No server has answered, and none is asked any more.
 pub(crate) fn give_up(environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
     let now = environment.runtime.now;
-    let is_out_of_time = now >= exchange.until;
+    let is_out_of_time = now >= exchange.deadline;
     match exchange.origin {
         Origin::Client(client) if exchange.stream.is_some() => {
             streams::log_broken(environment, exchange);
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -100,7 +100,7 @@
             id: identity,
             route,
             service,
-            until: now + limit,
+            deadline: now + limit,
         };
         let id = self.exchanges.next_id();
         self.clients
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -154,7 +154,7 @@
         }
         limit.acquire();
         let names = environment.site.protocol.header_names();
-        let until = now + route.timeout;
+        let deadline = now + route.timeout;
         let new = NewExchange {
             origin: Origin::Scoring(id),
             tenant: scoring.assignment.item.job.tenant().cloned(),
@@ -162,7 +162,7 @@
             id: scorer.request.as_str().as_bytes().to_vec(),
             route,
             service: service.clone(),
-            until,
+            deadline,
         };
         let exchange = exchanges.next_id();
         scoring.exchange = Some((exchange, service));
