--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -1,19 +1,20 @@
-//! Decision: what is a client's request for, and is it let in?
+//! Decision: what does a client's request ask for, and is it admitted?
 //!
 //! No I/O, no clock.
 //!
-//! **Inputs.** The configuration in force (routes, tenants, keys), who calls on the connection, and the
-//! head of the request.
+//! **Inputs.** The configuration in force (routes, tenants, keys), the listener that the connection
+//! came in on, and the head of the request.
 //!
-//! **Rule.** Without a configuration nothing is let in. A call about a batch job is let in with a key in
-//! force, or where a batch route of its host is public; any other request needs a route for its host
-//! and path, and a key in force unless the route is public. A head that cannot be let in is refused
-//! before the rest of its request arrives.
+//! **Rule.** Without a configuration nothing is admitted. A call about a batch job needs a key in
+//! force, unless a batch route of its host is public. Any other request needs a route for its host
+//! and path, and a key in force unless the route is public. A request whose head shows that it
+//! cannot be admitted is refused before its body arrives.
 //!
-//! **Why.** What cannot be served is refused at once. A key goes to no server and into no log line.
+//! **Why.** A request that cannot be served is refused at once. Keys are never sent to servers or
+//! logged.
 //!
-//! **Old or missing inputs.** Routes and keys are those of the newest configuration that the gateway has:
-//! one that was taken back elsewhere counts until the view brings that.
+//! **Stale or missing inputs.** Routes and keys come from the newest configuration that the gateway
+//! has: a route or key that was revoked elsewhere stays valid until the view brings the change.
 
 use crate::attempts::RETRY_AFTER;
 use crate::protocol::{BatchCall, OwnAnswer};
@@ -22,69 +23,69 @@
 use wingshore_coordination::{Caller, Route, RouteKind, TenantName};
 use wingshore_net::http::{Headers, RequestHead};
 
-/// Who calls on a connection.
+/// The kind of listener that a connection came in on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerKind {
-    /// Clients.
+    /// For clients.
     Front,
-    /// The deployment's checks of readiness.
+    /// For readiness checks of the deployment.
     Ready,
-    /// Monitoring.
+    /// For monitoring.
     Metrics,
 }
 
-/// What is done about a request.
+/// The decision on a request.
 pub(crate) enum Admission {
-    /// It asks whether the gateway is ready.
+    /// Answer whether the gateway is ready.
     Ready,
-    /// It asks for the metrics.
+    /// Answer with the metrics.
     Metrics,
-    /// It is not let in.
+    /// Refuse the request.
     Refused(Refusal),
-    /// It is a call about a batch job.
+    /// Handle a call about a batch job.
     BatchCall(BatchCall, Option<Caller>),
-    /// It submits a batch job.
+    /// Handle the submission of a batch job.
     Submission(Option<Caller>),
-    /// It goes to servers.
+    /// Forward the request to a server.
     Forward(Arc<Route>, Option<Caller>),
 }
 
-/// Why a request is not let in.
+/// The answer to a request that is refused, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) answer: OwnAnswer,
-    /// In words, for logs.
+    /// The reason, as shown in logs.
     pub(crate) reason: &'static str,
 }
 
 impl Refusal {
-    /// No configuration is known.
+    /// The gateway has no configuration yet.
     const UNCONFIGURED: Self = Self {
         answer: OwnAnswer::NotRun(RETRY_AFTER),
         reason: "no configuration is known yet",
     };
-    /// No route leads it.
+    /// No route matches.
     const NO_ROUTE: Self = Self {
         answer: OwnAnswer::NoRoute,
-        reason: "no route of the configuration in force has this host and path",
+        reason: "no route of the configuration in force matches this host and path",
     };
-    /// Its route leads nowhere.
+    /// The route has no service to forward to.
     pub(crate) const NO_SERVICE: Self = Self {
         answer: OwnAnswer::NotRun(RETRY_AFTER),
-        reason: "its route has no service",
+        reason: "the route has no service",
     };
-    /// It may outlast a planned stop, and could only be broken off.
+    /// The stream may outlast a planned stop and would then have to be broken off.
     pub(crate) const STOPPING: Self = Self {
         answer: OwnAnswer::NotRun(RETRY_AFTER),
-        reason: "it is a stream that may outlast the planned stop",
+        reason: "the stream may outlast the planned stop",
     };
-    /// It did not arrive in time.
+    /// The request did not arrive in time.
     pub(crate) const TOO_SLOW: Self = Self {
         answer: OwnAnswer::TooSlow,
-        reason: "it did not arrive whole within the limits of the configuration",
+        reason: "the request did not arrive completely within the configured limits",
     };
 
-    /// Its caller is not let in.
+    /// The caller has no valid key.
     fn unauthorized(site: &Site, headers: &Headers) -> Self {
         let has_key = site.protocol.read_key(headers).is_some();
         let reason = if has_key {
@@ -99,7 +100,7 @@
     }
 }
 
-/// What is done about a whole request.
+/// Decides what to do with a complete request.
 pub(crate) fn admit(site: &Site, listener_kind: ListenerKind, head: &RequestHead) -> Admission {
     match listener_kind {
         ListenerKind::Ready => return Admission::Ready,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Why a request is refused whose head alone says that it cannot be let in.
+/// Returns why a request is refused if its head alone shows that it cannot be admitted.
 pub(crate) fn refuse_early(
     site: &Site,
     listener_kind: ListenerKind,
@@ -141,12 +142,12 @@
     route_caller(site, head, route).err()
 }
 
-/// The tenant that a request is run for.
+/// Returns the tenant on whose behalf a request runs.
 pub(crate) fn tenant_of(caller: Option<&Caller>) -> Option<TenantName> {
     caller.map(|caller| caller.tenant.clone())
 }
 
-/// The caller of a request on a route; `None` where it is not told apart from others.
+/// Returns the caller of a request on a route; `None` for an anonymous caller of a public route.
 fn route_caller(site: &Site, head: &RequestHead, route: &Route) -> Result<Option<Caller>, Refusal> {
     let caller = caller_of(site, &head.headers);
     if caller.is_none() && site.view.asks_for_key(route) {
@@ -155,7 +156,7 @@
     Ok(caller)
 }
 
-/// The caller of a call about a batch job; `None` where it is not told apart from others.
+/// Returns the caller of a call about a batch job; `None` for an anonymous caller.
 fn batch_caller(site: &Site, head: &RequestHead) -> Result<Option<Caller>, Refusal> {
     let caller = caller_of(site, &head.headers);
     if caller.is_none() && site.view.asks_for_key_of_jobs(host(head)) {
@@ -164,7 +165,7 @@
     Ok(caller)
 }
 
-/// The caller whose key a request shows, if that is in force.
+/// Returns the caller that the request's key belongs to, if the key is in force.
 fn caller_of(site: &Site, headers: &Headers) -> Option<Caller> {
     let key = site.protocol.read_key(headers)?;
     site.view.caller(&key).cloned()
--- a/crates/gateways/wingshore-gateway/src/clients.rs
+++ b/crates/gateways/wingshore-gateway/src/clients.rs
@@ -1,7 +1,7 @@
-//! Connections of clients: reading requests, writing answers, time limits.
+//! Connections of clients: reading requests, writing answers, enforcing time limits.
 //!
-//! Owns the connections and what each waits for; what a request is for and how it is answered is not
-//! known here.
+//! This module owns the connections and what each of them waits for. What a request asks for and
+//! how it is answered is decided elsewhere.
 
 use crate::admission::ListenerKind;
 use crate::ids::{CallId, ExchangeId};
@@ -14,68 +14,68 @@
 use wingshore_net::{ConnectionId, Reactor};
 use wingshore_types::Instant;
 
-/// How many times as long as a head a request with a body may take to arrive.
-const BODY_TIME_FACTOR: u32 = 3;
+/// Time limit for a request with a body to arrive, as a multiple of the time limit for its head.
+const BODY_TIMEOUT_FACTOR: u32 = 3;
 
-/// What a client waits for.
+/// The answer that a client waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PendingAnswer {
     /// The answer of a server.
     Exchange(ExchangeId),
-    /// The answer of the group.
+    /// The answer of the coordination group.
     Call(CallId),
 }
 
-/// What a client's connection is doing.
+/// The state of a client's connection.
 enum ClientState {
     /// Reading the next request.
     Reading {
-        /// When the first byte of a request that is not whole arrived.
-        begun: Option<Instant>,
+        /// When the first byte of the incomplete request arrived; `None` if there is none.
+        started_at: Option<Instant>,
     },
     /// Waiting for an answer.
     PendingAnswer(PendingAnswer),
 }
 
-/// What has been read from a client.
+/// The result of reading from a client.
 pub(crate) enum ClientInput {
-    /// Nothing that is to be acted on.
+    /// Nothing to act on.
     Nothing,
     /// Part of a request.
     Partial,
-    /// A whole request.
+    /// A complete request.
     Request(WholeRequest),
-    /// Bytes that are no request, or one over a limit.
+    /// Bytes that are not a valid request, or a request that exceeds a limit.
     Unreadable(RequestError),
 }
 
-/// What is to be done when a client's time may be over.
+/// The result of checking a client's time limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientTimeout {
-    /// Nothing.
+    /// No time limit has passed.
     None,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// Its request did not arrive whole in time.
+    /// The request did not arrive completely in time.
     TooSlow,
 }
 
-/// What follows when a client's answer is out.
+/// The next step after an answer was sent to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterAnswer {
-    /// Nothing: the connection closes, or its input is being read already.
+    /// None: the connection closes, or its input is already being read.
     Nothing,
-    /// Its next request may have arrived.
+    /// Read the next request, which may have arrived already.
     ReadNext,
 }
 
-/// One client's connection.
+/// A connection of a client.
 struct Client {
     reader: RequestReader,
     state: ClientState,
-    close_after: bool,
+    closes_after_answer: bool,
     listener_kind: ListenerKind,
-    used: Instant,
+    last_used_at: Instant,
     is_answering: bool,
 }
 
@@ -83,17 +83,17 @@
 #[derive(Default)]
 pub(crate) struct Clients {
     all: HashMap<ConnectionId, Client>,
-    /// Connections that close once all that was sent on them has left.
-    leaving: Vec<ConnectionId>,
+    /// Connections that close once all queued bytes have been sent.
+    closing: Vec<ConnectionId>,
 }
 
 impl Clients {
-    /// How many there are.
+    /// Returns the number of connections.
     pub(crate) fn count(&self) -> usize {
         self.all.len()
     }
 
-    /// A new connection.
+    /// Adds a new connection and arms its idle timer.
     pub(crate) fn accept(
         &mut self,
         runtime: &mut Runtime,
@@ -104,10 +104,10 @@
         let now = runtime.now;
         let client = Client {
             reader: RequestReader::default(),
-            state: ClientState::Reading { begun: None },
-            close_after: false,
+            state: ClientState::Reading { started_at: None },
+            closes_after_answer: false,
             listener_kind,
-            used: now,
+            last_used_at: now,
             is_answering: false,
         };
         self.all.insert(connection, client);
@@ -115,7 +115,7 @@
         timers.arm(now + idle_timeout, TimerKey::Client(connection));
     }
 
-    /// Bytes of a client have arrived, or its last answer has gone out.
+    /// Reads the next request of a client, after bytes have arrived or its last answer was sent.
     pub(crate) fn read(
         &mut self,
         runtime: &mut Runtime,
@@ -127,8 +127,8 @@
         let Some(client) = self.all.get_mut(&connection) else {
             return ClientInput::Nothing;
         };
-        client.used = now;
-        let ClientState::Reading { begun } = &mut client.state else {
+        client.last_used_at = now;
+        let ClientState::Reading { started_at } = &mut client.state else {
             return ClientInput::Nothing;
         };
         let Some(input) = runtime.reactor.input(connection) else {
@@ -140,46 +140,48 @@
         match next {
             Ok(None) => {
                 let has_begun = !input.is_empty() || client.reader.is_under_way();
-                if has_begun && begun.is_none() {
-                    *begun = Some(now);
+                if has_begun && started_at.is_none() {
+                    *started_at = Some(now);
                     let deadline = now + limits.head_timeout;
                     runtime.timers.arm(deadline, TimerKey::Client(connection));
                 }
                 ClientInput::Partial
             }
             Ok(Some(request)) => {
-                *begun = None;
-                client.close_after = request.head.wants_close() || is_stopping;
+                *started_at = None;
+                client.closes_after_answer = request.head.wants_close() || is_stopping;
                 ClientInput::Request(request)
             }
             Err(error) => ClientInput::Unreadable(error),
         }
     }
 
-    /// Who calls on a connection.
+    /// Returns the kind of listener that a connection came in on.
     pub(crate) fn listener_kind(&self, connection: ConnectionId) -> Option<ListenerKind> {
         self.all.get(&connection).map(|client| client.listener_kind)
     }
 
-    /// The head of the request that is arriving, once it is whole.
+    /// Returns the head of the request that is arriving, once the head is complete.
     pub(crate) fn head(&self, connection: ConnectionId) -> Option<&RequestHead> {
         self.all.get(&connection)?.reader.head()
     }
 
-    /// The connection is of no more use after the next answer; says whether it is there.
+    /// Marks a connection to be closed after its next answer; returns whether it is still open.
     pub(crate) fn close_after_answer(&mut self, connection: ConnectionId) -> bool {
         let client = self.all.get_mut(&connection);
-        client.map(|client| client.close_after = true).is_some()
+        client
+            .map(|client| client.closes_after_answer = true)
+            .is_some()
     }
 
-    /// A client waits for an answer.
+    /// Records that a client waits for an answer.
     pub(crate) fn set_waiting(&mut self, connection: ConnectionId, waiting: PendingAnswer) {
         if let Some(client) = self.all.get_mut(&connection) {
             client.state = ClientState::PendingAnswer(waiting);
         }
     }
 
-    /// Sends an answer whole.
+    /// Sends a complete answer.
     #[must_use]
     pub(crate) fn answer(
         &mut self,
@@ -191,15 +193,15 @@
         let Some(client) = self.all.get_mut(&connection) else {
             return AfterAnswer::Nothing;
         };
-        client.close_after |= is_stopping;
-        if client.close_after {
+        client.closes_after_answer |= is_stopping;
+        if client.closes_after_answer {
             writer = writer.header("Connection", "close");
         }
         runtime.reactor.send(connection, &writer.body(body));
         self.answered(runtime, connection, is_stopping)
     }
 
-    /// The answer to a client is out: goes on to its next request, or closes.
+    /// Handles a sent answer: continues with the client's next request, or closes the connection.
     #[must_use]
     pub(crate) fn answered(
         &mut self,
@@ -211,21 +213,22 @@
         let Some(client) = self.all.get_mut(&connection) else {
             return AfterAnswer::Nothing;
         };
-        client.state = ClientState::Reading { begun: None };
-        client.used = now;
-        client.close_after |= is_stopping;
-        if client.close_after {
+        client.state = ClientState::Reading { started_at: None };
+        client.last_used_at = now;
+        client.closes_after_answer |= is_stopping;
+        if client.closes_after_answer {
             self.close_after_flush(runtime, connection);
             return AfterAnswer::Nothing;
         }
-        // Requests that came in one piece are answered in turn, without recursion.
+        // Pipelined requests are answered one after the other, without recursion.
         if std::mem::replace(&mut client.is_answering, true) {
             return AfterAnswer::Nothing;
         }
         AfterAnswer::ReadNext
     }
 
-    /// The next request of a client that was answered has been read, as far as it has arrived.
+    /// Records that the next request of a client was read as far as it has arrived, and arms the
+    /// idle timer.
     pub(crate) fn next_request_read(
         &mut self,
         runtime: &mut Runtime,
@@ -240,7 +243,8 @@
         timers.arm(now + idle_timeout, TimerKey::Client(connection));
     }
 
-    /// A client's time may be over.
+    /// Handles a timer: checks whether a time limit of the client has passed, and re-arms the timer
+    /// if not.
     pub(crate) fn on_timer(
         &mut self,
         runtime: &mut Runtime,
@@ -251,16 +255,19 @@
         let Some(client) = self.all.get(&connection) else {
             return ClientTimeout::None;
         };
-        let ClientState::Reading { begun } = client.state else {
+        let ClientState::Reading { started_at } = client.state else {
             return ClientTimeout::None;
         };
-        let (deadline, timeout) = match begun {
-            None => (client.used + limits.idle_timeout, ClientTimeout::Idle),
-            Some(begun) if client.reader.is_under_way() => {
-                let time = limits.head_timeout * BODY_TIME_FACTOR;
-                (begun + time, ClientTimeout::TooSlow)
+        let (deadline, timeout) = match started_at {
+            None => (
+                client.last_used_at + limits.idle_timeout,
+                ClientTimeout::Idle,
+            ),
+            Some(started_at) if client.reader.is_under_way() => {
+                let time = limits.head_timeout * BODY_TIMEOUT_FACTOR;
+                (started_at + time, ClientTimeout::TooSlow)
             }
-            Some(begun) => (begun + limits.head_timeout, ClientTimeout::TooSlow),
+            Some(started_at) => (started_at + limits.head_timeout, ClientTimeout::TooSlow),
         };
         if now >= deadline {
             return timeout;
@@ -269,27 +276,30 @@
         ClientTimeout::None
     }
 
-    /// Those that wait for nothing, and have got all of their last answer as far as that is known here.
+    /// Returns the connections that wait for no answer and have no queued bytes left to send.
     pub(crate) fn idle(&self, reactor: &Reactor) -> Vec<ConnectionId> {
         let is_idle =
-            |client: &Client| matches!(client.state, ClientState::Reading { begun: None });
+            |client: &Client| matches!(client.state, ClientState::Reading { started_at: None });
         let idle = self.all.iter().filter(|(_, client)| is_idle(client));
         let idle = idle.map(|(connection, _)| *connection);
         idle.filter(|connection| reactor.queued(*connection) == 0)
             .collect()
     }
 
-    /// Whether part of an answer has not left yet on a connection that is to close.
+    /// Whether a connection that is closing still has bytes to send.
     pub(crate) fn has_unsent(&self, reactor: &Reactor) -> bool {
-        self.leaving.iter().any(|left| reactor.is_open(*left))
+        self.closing
+            .iter()
+            .any(|connection| reactor.is_open(*connection))
     }
 
-    /// Drops what is known of connections that have closed.
+    /// Forgets closing connections that have closed.
     pub(crate) fn forget_closed(&mut self, reactor: &Reactor) {
-        self.leaving.retain(|left| reactor.is_open(*left));
+        self.closing
+            .retain(|connection| reactor.is_open(*connection));
     }
 
-    /// Closes a connection; gives what it waited for.
+    /// Closes a connection; returns the answer that it waited for.
     pub(crate) fn close(
         &mut self,
         runtime: &mut Runtime,
@@ -302,10 +312,10 @@
         }
     }
 
-    /// Closes a connection once all that was sent on it has left.
+    /// Closes a connection once all queued bytes have been sent.
     pub(crate) fn close_after_flush(&mut self, runtime: &mut Runtime, connection: ConnectionId) {
         self.all.remove(&connection);
-        self.leaving.push(connection);
+        self.closing.push(connection);
         runtime.reactor.close_when_flushed(connection);
     }
 }
--- a/crates/gateways/wingshore-gateway/src/encode.rs
+++ b/crates/gateways/wingshore-gateway/src/encode.rs
@@ -1,5 +1,5 @@
-//! What goes to servers: heads of requests and items, with the lines that a gateway sets, and without
-//! those that concern only the caller and the gateway.
+//! Encoding of requests and batch items for servers: adds the header fields that a gateway sets,
+//! and removes those that concern only the caller and the gateway.
 
 use crate::exchange::Exchange;
 use crate::protocol::HeaderNames;
@@ -8,7 +8,7 @@
 use wingshore_net::http::{HeadWriter, Headers};
 use wingshore_types::Instant;
 
-/// A request as it goes to a server.
+/// Encodes a request for a server.
 pub(crate) fn encode_request(
     now: Instant,
     site: &Site,
@@ -20,10 +20,10 @@
     let mut writer = HeadWriter::request(&head.method, &head.target);
     let stream = exchange.stream.as_ref();
     let resumed_after = stream.and_then(|stream| stream.last_event);
-    let mut set_here = vec![names.deadline, names.expected_instance];
-    set_here.extend(resumed_after.map(|_| names.last_event));
-    for (name, value) in lines_for_servers(site, &head.headers) {
-        let is_set_here = set_here
+    let mut gateway_headers = vec![names.deadline, names.expected_instance];
+    gateway_headers.extend(resumed_after.map(|_| names.last_event));
+    for (name, value) in forwarded_headers(site, &head.headers) {
+        let is_set_here = gateway_headers
             .iter()
             .any(|own| name.eq_ignore_ascii_case(own.as_bytes()));
         if !is_set_here {
@@ -48,12 +48,12 @@
     }
 }
 
-/// An item as it goes to an engine.
+/// Encodes a batch item for an engine.
 pub(crate) fn encode_item(names: &HeaderNames, assignment: &ItemAssignment) -> Vec<u8> {
     let mut writer = HeadWriter::request("POST", &assignment.path)
         .header("Host", &assignment.host)
         .header(names.request_id, &assignment.request);
-    for (name, value) in item_lines(names, assignment) {
+    for (name, value) in item_headers(names, assignment) {
         writer = writer.header(name, value);
     }
     if let Some(tenant) = assignment.item.job.tenant() {
@@ -71,15 +71,15 @@
     writer.body(&assignment.body)
 }
 
-/// Header lines of an item as its caller gave them, without those that a gateway sets: a tenant or a
-/// key, where the site tells callers apart, and what frames or addresses the request.
-fn item_lines<'a>(
+/// Returns the header fields that the caller gave for an item, without those that the gateway sets:
+/// tenant and key if the site has tenants, and the fields for framing and addressing.
+fn item_headers<'a>(
     names: &HeaderNames,
     assignment: &'a ItemAssignment,
 ) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
     let has_tenant = assignment.item.job.tenant().is_some();
     let authorization = names.authorization;
-    let set_here = [
+    let gateway_headers = [
         "host",
         names.tenant,
         names.request_id,
@@ -88,35 +88,38 @@
         names.last_event,
         names.priority,
     ];
-    let is_own = move |name: &str| {
-        is_of_one_connection(name.as_bytes())
-            || set_here.iter().any(|own| name.eq_ignore_ascii_case(own))
+    let is_dropped = move |name: &str| {
+        is_hop_by_hop(name.as_bytes())
+            || gateway_headers
+                .iter()
+                .any(|own| name.eq_ignore_ascii_case(own))
             || (has_tenant && name.eq_ignore_ascii_case(authorization))
     };
     let lines = assignment.headers.iter();
     let lines = lines.map(|(name, value)| (name.as_str(), value.as_str()));
-    lines.filter(move |(name, _)| !is_own(name))
+    lines.filter(move |(name, _)| !is_dropped(name))
 }
 
-/// Header lines of a caller that go on to servers: not the key, nor a tenant that the caller names.
-fn lines_for_servers<'a>(
+/// Returns the caller's header fields that are forwarded to servers, without the key and without
+/// any tenant that the caller claims.
+fn forwarded_headers<'a>(
     site: &Site,
     headers: &'a Headers,
 ) -> impl Iterator<Item = (&'a [u8], &'a [u8])> + use<'a> {
     let names = site.protocol.header_names();
     let (tenant, authorization) = (names.tenant, names.authorization);
     let has_key = site.view.has_tenants() && site.protocol.read_key(headers).is_some();
-    let is_own = move |name: &[u8]| {
+    let is_dropped = move |name: &[u8]| {
         name.eq_ignore_ascii_case(tenant.as_bytes())
             || (has_key && name.eq_ignore_ascii_case(authorization.as_bytes()))
     };
-    end_to_end_headers(headers).filter(move |(name, _)| !is_own(name))
+    end_to_end_headers(headers).filter(move |(name, _)| !is_dropped(name))
 }
 
-/// Whether a header line is for one connection only, or frames what is sent there.
-fn is_of_one_connection(name: &[u8]) -> bool {
-    /// Names of header lines, in small letters.
-    const OF_ONE_CONNECTION: [&str; 10] = [
+/// Whether a header field is hop-by-hop: it applies to one connection only or frames the message.
+fn is_hop_by_hop(name: &[u8]) -> bool {
+    /// Header field names, in lower case.
+    const HOP_BY_HOP_HEADERS: [&str; 10] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -128,14 +131,12 @@
         "upgrade",
         "content-length",
     ];
-    OF_ONE_CONNECTION
+    HOP_BY_HOP_HEADERS
         .iter()
         .any(|other| name.eq_ignore_ascii_case(other.as_bytes()))
 }
 
-/// Header lines that are not for one connection only.
+/// Returns the header fields that are not hop-by-hop.
 pub(crate) fn end_to_end_headers(headers: &Headers) -> impl Iterator<Item = (&[u8], &[u8])> {
-    headers
-        .iter()
-        .filter(|(name, _)| !is_of_one_connection(name))
+    headers.iter().filter(|(name, _)| !is_hop_by_hop(name))
 }
--- a/crates/gateways/wingshore-gateway/src/event_stream.rs
+++ b/crates/gateways/wingshore-gateway/src/event_stream.rs
@@ -1,19 +1,20 @@
-//! Reading streams of events (`text/event-stream`) as their bytes arrive, in whatever pieces. No I/O.
+//! Incremental parser of event streams (`text/event-stream`), whose bytes may arrive in any pieces.
+//! No I/O.
 
-/// One event.
+/// One event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its identifier, where it is a number.
+    /// The event ID, if it is a number.
     pub id: Option<u64>,
-    /// Its data lines, joined by line feeds.
+    /// The data lines, joined by line feeds.
     pub data: String,
-    /// Whether it has data at all.
+    /// Whether the event has a data field, even an empty one.
     pub has_data: bool,
-    /// The weight version that makes this event and those behind it, where that changes.
+    /// The weight version that generates this event and the following ones, if it changes here.
     pub version: Option<u64>,
 }
 
-/// Reads the events of one stream. An event counts once the blank line behind it has come.
+/// Parses the events of one stream. An event is complete once the blank line after it has arrived.
 #[derive(Default)]
 pub struct EventReader {
     buffer: Vec<u8>,
@@ -23,7 +24,8 @@
 }
 
 impl EventReader {
-    /// A reader of a stream in which the field `version_field` (in lower case) names versions.
+    /// Creates a reader; `version_field` (matched in lower case) is the event field that holds a
+    /// weight version.
     pub fn new(version_field: &str) -> Self {
         Self {
             buffer: Vec::new(),
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Takes `bytes` and gives the events that are whole with them. Bytes that are not UTF-8 make
-    /// the stream unusable: `None`.
+    /// Adds `bytes` and returns the events that they complete. Returns `None` if a line is not
+    /// valid UTF-8: the stream is unusable then.
     pub fn read(&mut self, bytes: &[u8]) -> Option<Vec<StreamEvent>> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -56,7 +58,7 @@
         Some(events)
     }
 
-    /// Whether part of an event has come.
+    /// Whether part of an event has arrived.
     pub fn is_within_event(&self) -> bool {
         !self.is_empty || !self.buffer.is_empty()
     }
@@ -93,7 +95,7 @@
     }
 }
 
-/// Takes the whole events out of the front of `buffer`, as the bytes that they are.
+/// Removes the complete events from the front of `buffer` and returns their bytes.
 pub fn take_whole_events(buffer: &mut Vec<u8>) -> Vec<u8> {
     let mut end = 0;
     let mut line_start = 0;
--- a/crates/gateways/wingshore-gateway/src/fingerprints.rs
+++ b/crates/gateways/wingshore-gateway/src/fingerprints.rs
@@ -1,12 +1,15 @@
-//! Naming what requests and items ask, so that one can be known again under another identity.
+//! Fingerprints of the content of requests and batch items, which recognise the same content under
+//! another request ID.
 //!
-//! A caller is named by its tenant, or by the key that it shows where the site has no tenants.
+//! The fingerprint includes the caller: its tenant or, if the site has no tenants, the key that it
+//! presents.
 
 use crate::site::Site;
 use wingshore_coordination::{ItemAssignment, RequestContent, RequestFingerprint, TenantName};
 use wingshore_net::http::WholeRequest;
 
-/// What a request of `tenant` asks; `None` before the site's key is known.
+/// Returns the fingerprint of a request of `tenant`; `None` before the site's fingerprint key is
+/// known.
 pub(crate) fn of_request(
     site: &Site,
     tenant: Option<&TenantName>,
@@ -26,12 +29,12 @@
     Some(content.fingerprint(key))
 }
 
-/// What an item asks; `None` before the site's key is known.
+/// Returns the fingerprint of a batch item; `None` before the site's fingerprint key is known.
 pub(crate) fn of_item(site: &Site, item: &ItemAssignment) -> Option<RequestFingerprint> {
     let key = site.view.fingerprint_key()?;
     let name = site.protocol.header_names().authorization;
     let mut headers = item.headers.iter();
-    let shown = headers.find(|(known, _)| known.eq_ignore_ascii_case(name));
+    let shown = headers.find(|(header, _)| header.eq_ignore_ascii_case(name));
     let shown = shown.map(|(_, value)| value.as_str());
     let tenant = item.item.job.tenant().map(TenantName::as_str);
     let caller = tenant.or(shown).unwrap_or_default();
--- a/crates/gateways/wingshore-gateway/src/limit.rs
+++ b/crates/gateways/wingshore-gateway/src/limit.rs
@@ -1,43 +1,44 @@
-//! Decision: how many scorings may this gateway have at a service's servers at once?
+//! Decision: how many scorings may this gateway have in flight at the servers of a service?
 //!
 //! No I/O; `now` is passed in.
 //!
-//! **Inputs.** What each end of a scoring says about the load of the servers, and an upper bound from
-//! their slots.
+//! **Inputs.** The load signal of each scoring that ends, and an upper bound derived from the
+//! servers' slots.
 //!
-//! **Rule.** The limit grows by one in so many answers in time as it allows, while it is used, and
-//! falls to 0.6 of itself when a server refuses or is slow (additive increase, multiplicative
-//! decrease). It never falls below one.
+//! **Rule.** Additive increase, multiplicative decrease: while the limit is fully used, it grows by
+//! one per as many answers in time as the limit allows; when a server refuses or is slow, it falls
+//! to 0.6 of its value. It never falls below one.
 //!
-//! **Why.** What is above the limit waits here, where live requests to the same servers do not stand
-//! behind it.
+//! **Why.** Scorings above the limit wait in the gateway, where they do not delay live requests to
+//! the same servers.
 //!
-//! **Old or missing inputs.** Without answers the limit stays as it is.
+//! **Missing inputs.** Without answers the limit does not change.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// The limit before anything is known, in scorings.
+/// The initial limit, in scorings.
 const INITIAL_LIMIT: f64 = 6.0;
-/// The limit never falls below this, in scorings: each end of one says how the servers do.
+/// The lower bound of the limit, in scorings: at least one must run, since the limit adapts only
+/// when scorings end.
 const MIN_LIMIT: f64 = 1.0;
-/// What is left of the limit when it falls.
+/// Factor by which the limit decreases.
 const DECREASE_FACTOR: f64 = 0.6;
-/// Signals of overload within this time count once: they are of the same moment.
+/// Overload signals within this time count once, because they report the same overload.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an answer says about its service.
+/// What the end of a scoring indicates about the load of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// It came in time.
+    /// The answer came in time.
     InTime,
-    /// It came late, or not at all, or the servers refused.
+    /// The answer was late or missing, or servers refused the request.
     Overload,
-    /// Nothing.
+    /// No indication.
     None,
 }
 
-/// The adaptive limit of one service.
+/// The adaptive concurrency limit of scorings for one service.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -56,17 +57,17 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more may begin; `max` bounds the limit from above.
+    /// Whether one more scoring may start; `max` is an upper bound of the limit.
     pub fn allows(&self, max: usize) -> bool {
         self.in_flight < (self.limit as usize).min(max).max(1)
     }
 
-    /// One has begun.
+    /// Records the start of a scoring.
     pub fn acquire(&mut self) {
         self.in_flight += 1;
     }
 
-    /// One is over.
+    /// Records the end of a scoring, and adapts the limit.
     pub fn release(&mut self, now: Instant, signal: LoadSignal) {
         let was_full = self.in_flight >= self.limit as usize;
         self.in_flight = self.in_flight.saturating_sub(1);
--- a/crates/gateways/wingshore-gateway/src/servers.rs
+++ b/crates/gateways/wingshore-gateway/src/servers.rs
@@ -1,16 +1,16 @@
-//! The servers that requests and items are sent to.
+//! The servers that run requests and batch items.
 
 use crate::balance::Balancer;
 use crate::crashes::CrashDetector;
 use crate::upstream::Upstreams;
 
-/// Connections to servers, and what is remembered of each.
+/// The connections to servers and the state kept for each server.
 #[derive(Default)]
 pub(crate) struct Servers {
-    /// Connections to them.
+    /// Connections to servers.
     pub(crate) upstreams: Upstreams,
-    /// Their latencies, loads and failures, by which live requests are spread.
+    /// Latency, load and failures of each server, for load balancing of live requests.
     pub(crate) balancer: Balancer,
-    /// Which of them have ended, and under which requests.
+    /// Detected crashes of servers, and the requests that were running.
     pub(crate) crashes: CrashDetector,
 }
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: one request at a time on each, kept for the next one.
+//! Connections to servers: each carries one request at a time and is reused for the next one.
 
 use crate::event_stream::EventReader;
 use crate::ids::ExchangeId;
@@ -11,38 +11,38 @@
 use wingshore_net::{ConnectOptions, ConnectionId};
 use wingshore_types::Instant;
 
-/// Sent bytes may stay unacknowledged this long.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
-/// Idle connections are kept this long where the server does not say.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
-/// A connection is not used in the last part of the time that the server keeps it: a request must
-/// not meet its close.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+/// A connection is closed when sent bytes stay unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a server is assumed to keep an idle connection if it does not state a time.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// A connection is not reused in this last part of the server's keep-alive time, so that a request
+/// does not race with the server's close.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Who uses a connection.
+/// The user of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Task {
-    /// A request of a client, or a scoring's.
+    /// A request of a client or of a scoring.
     Exchange(ExchangeId),
-    /// An attempt at an item.
+    /// An attempt at a batch item.
     Item(AssignmentId),
 }
 
-/// How a connection to a server ended without a whole answer.
+/// How a connection to a server ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
-    /// It was up: what was sent on it may have run.
+    /// It was lost after it was established: a request sent on it may have run.
     Lost,
-    /// It was up, and was closed here since the server was silent for too long.
+    /// It was established, and the gateway closed it because the server was silent for too long.
     TimedOut,
-    /// It never came up.
+    /// It could not be established.
     ConnectFailed,
-    /// It never came up, since nobody listens at the address: the server's process has ended.
+    /// It was refused because nothing listens at the address: the server process has ended.
     Refused,
 }
 
 impl ConnectionEnd {
-    /// In words, for logs and metrics.
+    /// Returns the reason shown in logs and metrics.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::Lost => "connection ended",
@@ -53,54 +53,55 @@
     }
 }
 
-/// A send whose connection ended without a whole answer.
+/// A request whose connection ended without a complete answer.
 #[derive(Clone, Debug)]
 pub(crate) struct LostRequest {
     /// The incarnation of the server.
     pub(crate) instance: InstanceId,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) sent_at: Instant,
     /// How the connection ended.
     pub(crate) end: ConnectionEnd,
 }
 
-/// An answer that has come whole.
+/// A complete answer.
 pub(crate) struct Finished {
     /// The incarnation of the server.
     pub(crate) instance: InstanceId,
     pub(crate) answer: WholeAnswer,
-    /// Whether no part of an event of a stream is left over.
+    /// Whether the answer does not end inside an event of a stream.
     pub(crate) ends_at_event_boundary: bool,
 }
 
 /// One connection to a server.
 pub(crate) struct Upstream {
     pub(crate) instance: InstanceId,
-    /// Whether it has come up: from then on bytes may have left.
+    /// Whether the connection is established: bytes may have been sent from then on.
     pub(crate) is_connected: bool,
-    /// Who uses it now; nobody while it is idle.
+    /// The current user; `None` while the connection is idle.
     pub(crate) task: Option<Task>,
     pub(crate) reader: AnswerReader,
-    /// Reads the answer's events, where that is a stream of them.
+    /// Parses the events of the answer, if it is an event stream.
     pub(crate) events: Option<EventReader>,
-    /// When the task began.
+    /// When the current task started.
     pub(crate) task_started_at: Instant,
-    /// Until when it may be used again, while it is idle.
+    /// Until when the connection may be reused, while it is idle.
     idle_until: Instant,
-    /// How long the server keeps it while it is idle.
-    keep: Duration,
+    /// How long the server keeps the connection open while it is idle.
+    keep_alive: Duration,
 }
 
 /// All connections to servers.
 #[derive(Default)]
 pub(crate) struct Upstreams {
     all: HashMap<ConnectionId, Upstream>,
-    /// Those that wait for their next use, by the server that they lead to.
+    /// Idle connections, by server.
     idle: HashMap<InstanceId, Vec<ConnectionId>>,
 }
 
 impl Upstreams {
-    /// Sends a request on an idle connection, or a new one; `None` when the system refuses one.
+    /// Sends a request on an idle connection or a new one; returns `None` if the operating system
+    /// refuses a new connection.
     pub(crate) fn send(
         &mut self,
         runtime: &mut Runtime,
@@ -123,7 +124,7 @@
         Some(connection)
     }
 
-    /// Opens a connection for whatever comes next; it is kept once it is up.
+    /// Opens a connection without a task; it is idle once established.
     pub(crate) fn open(
         &mut self,
         runtime: &mut Runtime,
@@ -134,12 +135,12 @@
         let connection = self.connect(runtime, instance, address);
         let upstream = connection.and_then(|connection| self.all.get_mut(&connection));
         if let Some(upstream) = upstream {
-            upstream.idle_until = now + DEFAULT_KEEP;
+            upstream.idle_until = now + DEFAULT_KEEP_ALIVE;
         }
     }
 
-    /// A connection has come up; gives what it is used for. One that was opened for whatever comes next
-    /// is kept for that.
+    /// Handles an established connection and returns its task. A connection without a task becomes
+    /// idle.
     pub(crate) fn on_connected(&mut self, now: Instant, connection: ConnectionId) -> Option<Task> {
         let upstream = self.all.get_mut(&connection)?;
         upstream.is_connected = true;
@@ -150,17 +151,17 @@
         upstream.task
     }
 
-    /// A connection waits for its next use.
+    /// Makes a connection idle, for reuse by the next request.
     fn keep_idle(&mut self, now: Instant, connection: ConnectionId) {
         if let Some(upstream) = self.all.get_mut(&connection) {
-            upstream.idle_until = now + upstream.keep.saturating_sub(KEEP_MARGIN);
+            upstream.idle_until = now + upstream.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
             let idle = self.idle.entry(upstream.instance.clone()).or_default();
             idle.push(connection);
         }
     }
 
-    /// The answer on a connection is whole; `is_all_read` when nothing came behind it. The connection
-    /// waits for its next use, or closes.
+    /// Handles a complete answer: the connection becomes idle or is closed. `is_all_read` says that
+    /// no bytes followed the answer.
     pub(crate) fn finish(
         &mut self,
         runtime: &mut Runtime,
@@ -178,7 +179,7 @@
         let instance = upstream.instance.clone();
         if answer.reusable {
             upstream.task = None;
-            upstream.keep = keep_time(&answer.head).unwrap_or(upstream.keep);
+            upstream.keep_alive = keep_alive_timeout(&answer.head).unwrap_or(upstream.keep_alive);
             self.keep_idle(now, connection);
         } else {
             self.close(runtime, connection);
@@ -198,7 +199,7 @@
     ) -> Option<ConnectionId> {
         let now = runtime.now;
         let options = ConnectOptions {
-            unacknowledged_limit: UNACKNOWLEDGED_LIMIT,
+            unacknowledged_limit: UNACKNOWLEDGED_TIMEOUT,
         };
         let connection = runtime.reactor.connect(address, options)?;
         let upstream = Upstream {
@@ -209,7 +210,7 @@
             events: None,
             task_started_at: now,
             idle_until: now,
-            keep: DEFAULT_KEEP,
+            keep_alive: DEFAULT_KEEP_ALIVE,
         };
         self.all.insert(connection, upstream);
         Some(connection)
@@ -232,22 +233,22 @@
         None
     }
 
-    /// A connection and its use.
+    /// Returns the state of a connection, for modification.
     pub(crate) fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Upstream> {
         self.all.get_mut(&connection)
     }
 
-    /// A connection and its use.
+    /// Returns the state of a connection.
     pub(crate) fn get(&self, connection: ConnectionId) -> Option<&Upstream> {
         self.all.get(&connection)
     }
 
-    /// Whether a connection leads to a server.
+    /// Whether this is a connection to a server.
     pub(crate) fn owns(&self, connection: ConnectionId) -> bool {
         self.all.contains_key(&connection)
     }
 
-    /// The connection is of no more use.
+    /// Closes a connection and returns its last state.
     pub(crate) fn close(
         &mut self,
         runtime: &mut Runtime,
@@ -261,7 +262,7 @@
         Some(upstream)
     }
 
-    /// Closes connections that have been idle for too long, or whose server is not known any more.
+    /// Closes connections that have been idle for too long or whose server is no longer known.
     pub(crate) fn close_idle(
         &mut self,
         runtime: &mut Runtime,
@@ -282,8 +283,8 @@
     }
 }
 
-/// How long a server keeps an idle connection, as its answer says.
-fn keep_time(head: &AnswerHead) -> Option<Duration> {
+/// Returns the keep-alive timeout that the head of an answer states.
+fn keep_alive_timeout(head: &AnswerHead) -> Option<Duration> {
     let text = head.headers.text("keep-alive")?;
     let seconds = text
         .split(',')
