--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -1,46 +1,48 @@
-//! Decision: what follows when an attempt at a live request brought no usable answer?
+//! Decision: retry a live request after an attempt without a usable answer, or end it?
 //!
-//! Live requests and the requests of scorings go the same way. No I/O, no clock.
+//! The requests of scorings follow the same rules. No I/O, no clock.
 //!
-//! **Inputs.** What the route allows ([`RetryLimits`]); how the attempts so far ended
-//! ([`AttemptHistory`], counts); and what holds now ([`RetryContext`]): whether servers have ended
-//! under the request, whether a server is left that it was not sent to, whether its time is over,
-//! whether the server's own answer can still be passed on.
+//! **Inputs.** The limits of the route ([`RetryLimits`]), the counts of past outcomes
+//! ([`AttemptHistory`]), and the current state ([`RetryContext`]): whether servers have crashed
+//! while running the request, whether another server is left, whether the deadline has passed, and
+//! whether the server's error answer can still be forwarded.
 //!
-//! **Rule.** A request is sent to another server while its route's attempts, the refusals and its
-//! time last. One that may have run is repeated only where the route allows it to run twice, and not
-//! if servers have ended under it. Otherwise the caller gets what the server said, or, without that,
-//! an answer of the gateway's own that says whether the request may have run.
+//! **Rule.** A request goes to another server until its attempts, its refusals or its time are used
+//! up. A request that may have run is repeated only if the route allows it to run twice and no
+//! servers have crashed while running it. Otherwise the caller gets the server's error answer or,
+//! without one, an answer of the gateway that says whether the request may have run.
 //!
-//! **Why.** A refusal is no execution, so that it uses up no attempt of the route; it has a bound of its
-//! own, since each one costs a round trip while the caller waits. A request that may have ended a server
-//! is not given the next one until the leader has weighed the evidence.
+//! **Why.** A refused request was not executed, so a refusal does not use up an attempt of the
+//! route. Refusals have their own limit because each costs a round trip while the caller waits. A
+//! request that may have crashed a server is not sent to the next one before the leader has weighed
+//! the evidence.
 //!
-//! **Old or missing inputs.** A server that has left the registry unnoticed counts as left: its
-//! refusal of the connection is one more refusal. Without a view of suspects nothing is suspect.
+//! **Stale or missing inputs.** If the gateway has not learned yet that a server left the registry,
+//! the refused connection counts as one more refusal. Without a view of suspects no request is a
+//! suspect.
 
 use crate::protocol::OwnAnswer;
 use std::time::Duration;
 use wingshore_coordination::{EVIDENCE_LIFETIME, Route, RouteKind};
 use wingshore_types::verdict::Verdict;
 
-/// Refusals after which a request is given up, besides its attempts: it may meet one more than
-/// this. A bound for a service whose servers all refuse.
+/// A request is given up when it is refused more often than this, whatever attempts are left. This
+/// bounds the round trips to a service whose servers all refuse.
 const MAX_REFUSALS: u32 = 3;
-/// When a client may retry a request that was not run.
+/// The `Retry-After` time for a request that was not run.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// What a route allows.
+/// The limits that a route sets on retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryLimits {
     /// Whether a request may run more than once.
     pub is_repeatable: bool,
-    /// Attempts that may run; 0 counts as 1.
+    /// Maximum number of attempts that may have run; 0 counts as 1.
     pub max_attempts: u32,
 }
 
 impl RetryLimits {
-    /// Those of `route`.
+    /// Returns the limits of `route`.
     pub fn of(route: &Route) -> Self {
         let is_repeatable = match route.kind {
             RouteKind::Safe => true,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Whether the attempts and refusals so far allow one more attempt.
+    /// Whether one more attempt is allowed after those in `history`.
     pub fn may_retry(self, history: AttemptHistory) -> bool {
         let may_repeat = self.is_repeatable || !history.may_have_run;
         may_repeat
@@ -62,22 +64,22 @@
     }
 }
 
-/// How the attempts at one request have ended so far.
+/// Counts of the outcomes of one request's attempts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
     /// Attempts that may have run.
     pub attempts: u32,
-    /// Attempts that a server refused or that reached none.
+    /// Attempts that a server refused or that reached no server.
     pub refusals: u32,
-    /// Attempts that a server ran and failed, by its own word.
+    /// Attempts that a server ran and answered with status 500.
     pub internal_errors: u32,
     /// Whether any attempt may have run.
     pub may_have_run: bool,
 }
 
 impl AttemptHistory {
-    /// An attempt has ended without a usable answer.
-    pub fn note(&mut self, verdict: Verdict) {
+    /// Records an attempt that ended without a usable answer.
+    pub fn record(&mut self, verdict: Verdict) {
         if verdict == Verdict::NotRun {
             self.refusals += 1;
         } else {
@@ -87,41 +89,42 @@
     }
 }
 
-/// What holds when an attempt has brought no usable answer.
+/// The state of a request after an attempt that yielded no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryContext {
-    /// Whether several servers have ended under the request.
+    /// Whether several servers have crashed while running the request.
     pub is_suspect: bool,
-    /// Whether its service has a server that it was not sent to.
+    /// Whether the service has a server that the request was not sent to.
     pub has_other_server: bool,
-    /// Whether its time is over.
-    pub is_out_of_time: bool,
-    /// Whether the server's own answer can be passed on: there is one, and its caller has got no part
-    /// of a stream.
+    /// Whether the deadline of the request has passed.
+    pub is_past_deadline: bool,
+    /// Whether the server's error answer can be forwarded: there is one, and the caller has not
+    /// received any part of a stream.
     pub has_server_answer: bool,
 }
 
-/// What follows.
+/// The action after an attempt that yielded no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It is sent to another server.
+    /// Send the request to another server.
     Retry,
-    /// Its caller gets the server's own answer.
+    /// Forward the server's error answer to the caller.
     PassOn,
-    /// It is given up: its caller gets an answer of the gateway's own.
+    /// Give up: the caller gets an answer generated by the gateway.
     GiveUp,
 }
 
-/// What follows when an attempt brought no usable answer; `history` accounts for that attempt.
+/// Decides the action after an attempt that yielded no usable answer; `history` includes that
+/// attempt.
 pub fn next_step(
     limits: RetryLimits,
     history: AttemptHistory,
     circumstances: RetryContext,
 ) -> NextStep {
-    let may_end_another = history.may_have_run && circumstances.is_suspect;
-    let may_retry = limits.may_retry(history) && !may_end_another;
+    let may_crash_another = history.may_have_run && circumstances.is_suspect;
+    let may_retry = limits.may_retry(history) && !may_crash_another;
     if may_retry && circumstances.has_other_server {
-        return if circumstances.is_out_of_time {
+        return if circumstances.is_past_deadline {
             NextStep::GiveUp
         } else {
             NextStep::Retry
@@ -134,13 +137,13 @@
     }
 }
 
-/// What a client is told of a request that is given up.
+/// Returns the gateway's answer to the client of a request that is given up.
 pub fn given_up_answer(
     history: AttemptHistory,
     is_rejected: bool,
-    is_out_of_time: bool,
+    is_past_deadline: bool,
 ) -> OwnAnswer {
-    match (history.may_have_run, is_rejected, is_out_of_time) {
+    match (history.may_have_run, is_rejected, is_past_deadline) {
         (false, true, _) => OwnAnswer::Rejected(EVIDENCE_LIFETIME),
         (false, false, _) => OwnAnswer::NotRun(RETRY_AFTER),
         (true, _, true) => OwnAnswer::OutOfTime,
--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -1,7 +1,7 @@
-//! What this gateway learns of requests that end servers, and what it reports to the leader.
+//! Detects requests that crash servers, and reports them to the leader.
 //!
-//! Relies on [`CrashDetector`](crate::crashes::CrashDetector) for what counts as evidence and on
-//! [`suspects`](crate::suspects) for what follows from it.
+//! [`CrashDetector`](crate::crashes::CrashDetector) decides what counts as evidence, and
+//! [`suspects`](crate::suspects) what follows from it.
 
 use crate::environment::Environment;
 use crate::site::Site;
@@ -12,8 +12,8 @@
     GatewayMessage, InstanceId, RequestFingerprint, SeenCrash, ViewChange,
 };
 
-/// A connection was lost while a server ran a request: finds out whether the server has ended.
-/// Servers that are leaving end by themselves.
+/// Handles a connection that was lost while a server ran a request: probes whether the server has
+/// crashed. Draining servers are ignored, since they end on their own.
 pub(crate) fn connection_lost(
     environment: &mut Environment,
     lost: &LostRequest,
@@ -31,12 +31,12 @@
     };
     let crashes = &mut environment.servers.crashes;
     let evidence = crashes.connection_lost(now, instance, server.address, request);
-    take_evidence(environment, evidence.into_iter().collect());
+    report_evidence(environment, evidence.into_iter().collect());
     probe(environment, instance);
 }
 
-/// Opens a connection to a server whose connections were lost, unless it is known to have ended: it is
-/// refused if the server has, and kept for the next request otherwise.
+/// Opens a connection to a server whose connections were lost, unless it is known to have crashed.
+/// The connection is refused if the server has crashed; otherwise it is kept for the next request.
 pub(crate) fn probe(environment: &mut Environment, instance: &InstanceId) {
     let servers = &mut environment.servers;
     if let Some(address) = servers.crashes.probe(instance) {
@@ -45,14 +45,14 @@
     }
 }
 
-/// An incarnation of a server is seen to have ended.
+/// Handles the detected crash of a server's incarnation.
 pub(crate) fn server_ended(environment: &mut Environment, instance: &InstanceId) {
     let now = environment.runtime.now;
     let evidence = environment.servers.crashes.server_ended(now, instance);
-    take_evidence(environment, evidence);
+    report_evidence(environment, evidence);
 }
 
-/// The whole view has come: what is registered may explain lost connections.
+/// Handles a new complete view: its registered servers may explain lost connections.
 pub(crate) fn view_replaced(environment: &mut Environment) {
     let now = environment.runtime.now;
     let servers = environment.site.view.servers();
@@ -62,18 +62,18 @@
     for (instance, address) in servers {
         let crashes = &mut environment.servers.crashes;
         let evidence = crashes.registered(now, &instance, address);
-        take_evidence(environment, evidence);
+        report_evidence(environment, evidence);
     }
 }
 
-/// The view has changed.
+/// Handles a change of the view.
 pub(crate) fn view_changed(environment: &mut Environment, change: &ViewChange) {
     let now = environment.runtime.now;
     let crashes = &mut environment.servers.crashes;
     match change {
         ViewChange::Server(server) => {
             let evidence = crashes.registered(now, &server.instance, server.address);
-            take_evidence(environment, evidence);
+            report_evidence(environment, evidence);
         }
         ViewChange::Suspect(suspect) => crashes.announced(suspect.fingerprint, &suspect.ended),
         ViewChange::Cleared(request) => crashes.cleared(*request),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reports to a new leader what was found here.
+/// Reports to a new leader the evidence that it may not know.
 pub(crate) fn report_all(environment: &mut Environment) {
     let now = environment.runtime.now;
     let evidence = environment.servers.crashes.to_report(now);
@@ -90,8 +90,8 @@
     }
 }
 
-/// An attempt at a request went well: if servers had ended under it, it was not the cause. `name` says
-/// what it asks.
+/// Clears a request that ran successfully: if servers had crashed while running it, it was not the
+/// cause. `name` returns its fingerprint.
 pub(crate) fn request_succeeded(
     environment: &mut Environment,
     name: impl FnOnce(&Site) -> Option<RequestFingerprint>,
@@ -100,14 +100,14 @@
         return;
     };
     let request = name(&environment.site);
-    let request = request.filter(|request| !suspicions.ended_under(*request).is_empty());
+    let request = request.filter(|request| !suspicions.crashed_instances(*request).is_empty());
     if let Some(request) = request {
         environment.servers.crashes.cleared(request);
         environment.report(GatewayMessage::RequestsRan(vec![request]));
     }
 }
 
-fn take_evidence(environment: &mut Environment, seen: Vec<SeenCrash>) {
+fn report_evidence(environment: &mut Environment, seen: Vec<SeenCrash>) {
     if seen.is_empty() {
         return;
     }
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -1,21 +1,21 @@
-//! Decision: has a server ended, and under which requests, as far as this gateway has seen it?
+//! Decision: has a server crashed, and which requests was it running, as far as this gateway knows?
 //!
 //! No I/O; `now` is passed in.
 //!
-//! **Inputs.** Connections that were lost while a server ran a request; connections that were refused;
-//! incarnations that are registered; what the leader has announced.
+//! **Inputs.** Connections that were lost while a server ran a request, connections that were
+//! refused, incarnations that are registered, and the leader's announcements.
 //!
-//! **Rule.** A lost connection says little: it may have been reset, cut, or its answer lost. It counts
-//! against the requests on it only once the server itself is seen to have ended: nobody listens at
-//! its address any more, or another incarnation is there. So a few connections are opened to find
-//! out.
+//! **Rule.** A lost connection alone is no evidence: it may have been reset or cut off, or the
+//! answer may have been lost. It counts against the requests on it only once the server itself is
+//! known to have ended, because nothing listens at its address any more or another incarnation is
+//! there. To find out, the gateway opens a few connections.
 //!
-//! **Why.** Many requests may stand on a server that ends; which of them is the cause shows only when
-//! more servers end under it, and a request that is not the cause must not be rejected for resets and
-//! cuts.
+//! **Why.** Many requests may be running on a server that crashes. Which of them is the cause
+//! becomes clear only when more servers crash while running it, and an innocent request must not be
+//! rejected because of resets and network partitions.
 //!
-//! **Old or missing inputs.** A connection whose loss is not explained within 8 s is forgotten. What
-//! the leader may not know is reported to each new one for a minute.
+//! **Stale or missing inputs.** A lost connection that is not explained within 8 s is forgotten.
+//! Evidence that the leader may not know is reported to each new leader for one minute.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,56 +23,56 @@
 use wingshore_coordination::{CrashEvidence, InstanceId, RequestFingerprint, SeenCrash};
 use wingshore_types::Instant;
 
-/// A server that is not seen to have ended within this time after a connection was lost had not:
-/// a server that crashed is back, or missed by its heartbeats, within 6 s.
-const EXPLAINED_WITHIN: Duration = Duration::from_secs(8);
-/// Evidence is reported to each new leader for this long: a site without one for longer has lost
-/// more.
-const REPORTED_FOR: Duration = Duration::from_secs(60);
-/// Most pieces of evidence that are kept to be reported again; a piece has 60 bytes.
-const MAX_FOUND: usize = 512;
-/// Connections that are opened to find out whether one server has ended: the first one may still
-/// find its port open, and break with it.
+/// A server is presumed not to have crashed if no crash is detected within this time after a lost
+/// connection: a crashed server is back, or its heartbeats are missed, within 6 s.
+const LOST_CONNECTION_LIFETIME: Duration = Duration::from_secs(8);
+/// Evidence is reported to each new leader for this long. A site without a leader for longer has
+/// lost more than this evidence.
+const REPORT_LIFETIME: Duration = Duration::from_secs(60);
+/// Maximum number of pieces of evidence kept for reporting again; one takes 60 bytes.
+const MAX_RECORDED_EVIDENCE: usize = 512;
+/// Maximum number of connections opened to find out whether a server has crashed. The first one may
+/// still find the port open and then be lost as well.
 const MAX_PROBES: u32 = 3;
-/// Most requests that are remembered for one server whose connections were lost: more than it runs
-/// at once.
-const MAX_REQUESTS_OF_A_SERVER: usize = 64;
+/// Maximum number of requests recorded for one server whose connections were lost; a server runs
+/// fewer at once.
+const MAX_REQUESTS_PER_SERVER: usize = 64;
 
-/// Requests whose connections to one server were lost.
+/// Lost connections to one server, and the requests on them.
 #[derive(Debug)]
 struct LostConnections {
     address: SocketAddr,
     requests: Vec<RequestFingerprint>,
-    /// When the first connection was lost: the server ended then, if it did.
+    /// When the first connection was lost, which is also the time of the crash if there was one.
     since: Instant,
-    /// Connections that were opened to find out.
+    /// Number of connections opened to probe the server.
     probes: u32,
 }
 
 #[derive(Debug)]
-struct Found {
+struct RecordedEvidence {
     evidence: CrashEvidence,
-    /// When the server ended.
+    /// When the server crashed.
     at: Instant,
 }
 
-/// What this gateway has seen.
+/// Detects server crashes and records which requests the servers were running.
 ///
-/// Invariant: no piece of evidence is found twice, and none about a server that was not seen to
-/// have ended.
+/// Invariant: no piece of evidence is recorded twice, and none for a server whose crash was not
+/// detected.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    /// Lost connections that are not explained yet, by the incarnation of the server.
+    /// Lost connections without a known cause, by the incarnation of the server.
     lost: BTreeMap<InstanceId, LostConnections>,
-    /// Incarnations that were seen to have ended, and when they did.
-    ended: BTreeMap<InstanceId, Instant>,
-    /// Evidence that the leader has not announced to all gateways, the oldest first.
-    found: Vec<Found>,
+    /// Incarnations whose crash was detected, and when they crashed.
+    crashed_at: BTreeMap<InstanceId, Instant>,
+    /// Evidence that the leader has not announced to all gateways, oldest first.
+    recorded: Vec<RecordedEvidence>,
 }
 
 impl CrashDetector {
-    /// A connection was lost while a server ran a request. Gives the evidence, if the server is
-    /// known to have ended.
+    /// Records a connection that was lost while a server ran a request. Returns evidence if the
+    /// server is known to have crashed.
     pub fn connection_lost(
         &mut self,
         now: Instant,
@@ -80,8 +80,8 @@
         address: SocketAddr,
         request: RequestFingerprint,
     ) -> Option<SeenCrash> {
-        if let Some(at) = self.ended.get(instance).copied() {
-            return self.find(now, at, request, instance);
+        if let Some(at) = self.crashed_at.get(instance).copied() {
+            return self.record_evidence(now, at, request, instance);
         }
         let lost = self.lost.entry(instance.clone());
         let lost = lost.or_insert_with(|| LostConnections {
@@ -90,86 +90,91 @@
             since: now,
             probes: 0,
         });
-        let has_room = lost.requests.len() < MAX_REQUESTS_OF_A_SERVER;
+        let has_room = lost.requests.len() < MAX_REQUESTS_PER_SERVER;
         if has_room && !lost.requests.contains(&request) {
             lost.requests.push(request);
         }
         None
     }
 
-    /// Where to open a connection to find out whether a server has ended, if one is to be opened.
+    /// Returns the address to probe in order to find out whether a server has crashed; `None` if no
+    /// probe is due.
     pub fn probe(&mut self, instance: &InstanceId) -> Option<SocketAddr> {
         let lost = self.lost.get_mut(instance)?;
         lost.probes += 1;
         (lost.probes <= MAX_PROBES).then_some(lost.address)
     }
 
-    /// An incarnation of a server is seen to have ended. Gives the evidence that follows.
+    /// Records that an incarnation of a server has crashed. Returns the resulting evidence.
     pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<SeenCrash> {
         let lost = self.lost.remove(instance);
         let at = lost.as_ref().map_or(now, |lost| lost.since);
-        self.ended.entry(instance.clone()).or_insert(at);
+        self.crashed_at.entry(instance.clone()).or_insert(at);
         let requests = lost.map(|lost| lost.requests);
         let requests = requests.unwrap_or_default().into_iter();
         requests
-            .filter_map(|request| self.find(now, at, request, instance))
+            .filter_map(|request| self.record_evidence(now, at, request, instance))
             .collect()
     }
 
-    /// An incarnation is registered at an address: the one before it has ended.
+    /// Records that an incarnation is registered at an address: any other incarnation there has
+    /// crashed. Returns the resulting evidence.
     pub fn registered(
         &mut self,
         now: Instant,
         instance: &InstanceId,
         address: SocketAddr,
     ) -> Vec<SeenCrash> {
-        let is_before = |(other, lost): &(&InstanceId, &LostConnections)| {
+        let is_predecessor = |(other, lost): &(&InstanceId, &LostConnections)| {
             lost.address == address && *other != instance
         };
-        let before = self.lost.iter().filter(is_before);
-        let before: Vec<InstanceId> = before.map(|(other, _)| other.clone()).collect();
-        let ended = before.iter();
-        ended
+        let predecessors = self.lost.iter().filter(is_predecessor);
+        let predecessors: Vec<InstanceId> = predecessors.map(|(other, _)| other.clone()).collect();
+        let predecessors = predecessors.iter();
+        predecessors
             .flat_map(|instance| self.server_ended(now, instance))
             .collect()
     }
 
-    /// The leader has announced which servers ended under a request: what is among them need not be
-    /// reported again.
-    pub fn announced(&mut self, request: RequestFingerprint, ended: &[InstanceId]) {
-        self.found.retain(|found| {
-            let evidence = &found.evidence;
-            evidence.fingerprint != request || !ended.contains(&evidence.instance)
+    /// Records the leader's announcement of the servers that crashed while running a request:
+    /// evidence of these crashes need not be reported again.
+    pub fn announced(&mut self, request: RequestFingerprint, crashed: &[InstanceId]) {
+        self.recorded.retain(|recorded| {
+            let evidence = &recorded.evidence;
+            evidence.fingerprint != request || !crashed.contains(&evidence.instance)
         });
     }
 
-    /// A request is no suspect any more.
+    /// Discards the evidence against a request that was cleared of suspicion.
     pub fn cleared(&mut self, request: RequestFingerprint) {
-        self.found
-            .retain(|found| found.evidence.fingerprint != request);
+        self.recorded
+            .retain(|recorded| recorded.evidence.fingerprint != request);
     }
 
-    /// Evidence that the leader may not know.
+    /// Returns the evidence that the leader may not know.
     pub fn unreported(&self) -> impl Iterator<Item = &CrashEvidence> {
-        self.found.iter().map(|found| &found.evidence)
+        self.recorded.iter().map(|recorded| &recorded.evidence)
     }
 
-    /// The same, as it is reported to a leader.
+    /// Returns the evidence that the leader may not know, with the age of each crash.
     pub fn to_report(&self, now: Instant) -> Vec<SeenCrash> {
-        let found = self.found.iter();
-        found.map(|found| found.seen(now)).collect()
+        let recorded = self.recorded.iter();
+        recorded
+            .map(|recorded| recorded.to_seen_crash(now))
+            .collect()
     }
 
-    /// Forgets what is too old to count.
+    /// Forgets lost connections, crashes and evidence that are too old.
     pub fn expire(&mut self, now: Instant) {
         self.lost
-            .retain(|_, lost| now.since(lost.since) < EXPLAINED_WITHIN);
-        self.ended.retain(|_, at| now.since(*at) < EXPLAINED_WITHIN);
-        self.found
-            .retain(|found| now.since(found.at) < REPORTED_FOR);
+            .retain(|_, lost| now.since(lost.since) < LOST_CONNECTION_LIFETIME);
+        self.crashed_at
+            .retain(|_, at| now.since(*at) < LOST_CONNECTION_LIFETIME);
+        self.recorded
+            .retain(|recorded| now.since(recorded.at) < REPORT_LIFETIME);
     }
 
-    fn find(
+    fn record_evidence(
         &mut self,
         now: Instant,
         at: Instant,
@@ -180,21 +185,25 @@
             fingerprint,
             instance: instance.clone(),
         };
-        if self.found.iter().any(|found| found.evidence == evidence) {
+        if self
+            .recorded
+            .iter()
+            .any(|recorded| recorded.evidence == evidence)
+        {
             return None;
         }
-        if self.found.len() >= MAX_FOUND {
-            self.found.remove(0);
+        if self.recorded.len() >= MAX_RECORDED_EVIDENCE {
+            self.recorded.remove(0);
         }
-        let found = Found { evidence, at };
-        let seen = found.seen(now);
-        self.found.push(found);
-        Some(seen)
+        let recorded = RecordedEvidence { evidence, at };
+        let seen_crash = recorded.to_seen_crash(now);
+        self.recorded.push(recorded);
+        Some(seen_crash)
     }
 }
 
-impl Found {
-    fn seen(&self, now: Instant) -> SeenCrash {
+impl RecordedEvidence {
+    fn to_seen_crash(&self, now: Instant) -> SeenCrash {
         SeenCrash {
             evidence: self.evidence.clone(),
             ago: now.since(self.at),
--- a/crates/gateways/wingshore-gateway/src/exchange.rs
+++ b/crates/gateways/wingshore-gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on its way to servers: who it is made for, and what has come of it so far.
+//! A request that is being forwarded to servers: its originator, its deadlines and its attempts.
 
 use crate::attempt_timeouts;
 use crate::attempts::{AttemptHistory, RetryLimits};
@@ -14,69 +14,69 @@
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
-/// Who a request is made for.
+/// The originator of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// The client of a connection.
     Client(ConnectionId),
-    /// A scoring.
+    /// A scoring assignment.
     Scoring(AssignmentId),
 }
 
-/// A request on its way.
+/// A request that is being forwarded, and the state of its attempts.
 pub(crate) struct Exchange {
     pub(crate) origin: Origin,
-    /// The tenant that it is run for.
+    /// The tenant on whose behalf the request runs.
     pub(crate) tenant: Option<TenantName>,
-    /// The window of usage that the present attempt is counted in.
-    pub(crate) counted_in: Option<UsageWindow>,
+    /// The usage window in which the current attempt is counted.
+    pub(crate) usage_window: Option<UsageWindow>,
     pub(crate) request: WholeRequest,
-    /// Identity of the request.
+    /// The request ID.
     pub(crate) id: Vec<u8>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
-    pub(crate) begun: Instant,
-    /// By then it is answered, whatever has come.
+    pub(crate) started_at: Instant,
+    /// When the request must be answered, across all attempts.
     pub(crate) deadline: Instant,
-    /// How the attempts so far have ended.
+    /// Outcomes of the attempts so far.
     pub(crate) history: AttemptHistory,
-    /// The servers that it was sent to.
+    /// Servers that the request was sent to.
     pub(crate) sent_to: Vec<InstanceId>,
-    /// The connection of the present attempt.
+    /// The connection of the current attempt.
     pub(crate) upstream: Option<ConnectionId>,
-    /// The present attempt is given up at this time.
+    /// When the current attempt is given up.
     pub(crate) attempt_deadline: Instant,
-    /// Whether so many servers have ended under it that no other one is to run it.
+    /// Whether the request is rejected because too many servers crashed while running it.
     pub(crate) is_rejected: bool,
-    /// What has been passed on of a stream; set once its head has been.
+    /// The part of a stream already forwarded to the client; set once its head has been forwarded.
     pub(crate) stream: Option<PassedStream>,
 }
 
-/// A request that is to be sent to the servers of a service.
+/// The parameters of an [`Exchange`] that is about to start.
 pub(crate) struct NewExchange {
     pub(crate) origin: Origin,
     pub(crate) tenant: Option<TenantName>,
     pub(crate) request: WholeRequest,
-    /// Identity of the request.
+    /// The request ID.
     pub(crate) id: Vec<u8>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
-    /// By then it is answered.
+    /// When the request must be answered.
     pub(crate) deadline: Instant,
 }
 
 impl Exchange {
-    /// A request that no server has got yet.
+    /// Creates an exchange that has not been sent to any server.
     pub(crate) fn new(now: Instant, new: NewExchange) -> Self {
         Self {
             origin: new.origin,
             tenant: new.tenant,
-            counted_in: None,
+            usage_window: None,
             request: new.request,
             id: new.id,
             route: new.route,
             service: new.service,
-            begun: now,
+            started_at: now,
             deadline: new.deadline,
             history: AttemptHistory::default(),
             sent_to: Vec::new(),
@@ -87,25 +87,25 @@
         }
     }
 
-    /// What its route allows.
+    /// Returns the retry limits of the route.
     pub(crate) fn limits(&self) -> RetryLimits {
         RetryLimits::of(&self.route)
     }
 
-    /// It is answered by `end`, and sooner where its own time ends sooner.
-    pub(crate) fn end_by(&mut self, end: Instant) {
+    /// Shortens the deadlines to `end` if they are later than that.
+    pub(crate) fn shorten_deadline(&mut self, end: Instant) {
         self.deadline = self.deadline.min(end);
         self.attempt_deadline = self.attempt_deadline.min(end);
     }
 
-    /// Until when a server that has the request now may take before another one is asked.
+    /// Returns when a server that gets the request now is given up in favour of another one.
     pub(crate) fn answer_deadline(&self, now: Instant) -> Instant {
         let (attempts, target) = (self.history.attempts, self.route.target_latency);
         attempt_timeouts::answer_deadline(now, self.deadline, self.limits(), attempts, target)
     }
 
-    /// When the present attempt is over. A stream that has begun is not cut before the whole request
-    /// is.
+    /// Returns when the current attempt ends. A stream that has started keeps going until the
+    /// deadline of the whole request.
     pub(crate) fn current_deadline(&self) -> Instant {
         match &self.stream {
             Some(_) => self.deadline,
@@ -113,19 +113,19 @@
         }
     }
 
-    /// Whether the present server has made events of a stream for so long that the request is not
-    /// what ends the server.
+    /// Whether the current server has streamed events for so long that the request is not what
+    /// would crash it.
     pub(crate) fn has_streamed_long(&self, now: Instant) -> bool {
         let stream = self.stream.as_ref();
-        stream.is_some_and(|stream| suspects::is_cleared(now, stream.since))
+        stream.is_some_and(|stream| suspects::is_cleared(now, stream.source_started_at))
     }
 
-    /// Its identity as text.
+    /// Returns the request ID as text.
     pub(crate) fn id_text(&self) -> String {
         String::from_utf8_lossy(&self.id).into_owned()
     }
 
-    /// The connection of the client that it is made for.
+    /// Returns the client's connection; `None` for a scoring.
     pub(crate) fn client(&self) -> Option<ConnectionId> {
         match self.origin {
             Origin::Client(client) => Some(client),
@@ -134,19 +134,19 @@
     }
 }
 
-/// What became of an attempt that brought no usable answer.
-pub(crate) struct Failure {
+/// An attempt that yielded no usable answer.
+pub(crate) struct AttemptFailure {
     pub(crate) verdict: Verdict,
-    /// Whether the server is ejected: it gets nothing for a while.
+    /// Whether the server is ejected from load balancing for a while.
     pub(crate) ejects_server: bool,
-    /// In words, for logs and metrics.
+    /// The reason, as shown in logs and metrics.
     pub(crate) reason: &'static str,
-    /// The server's own answer, where there is one.
+    /// The server's own error answer, if there is one.
     pub(crate) answer: Option<WholeAnswer>,
 }
 
-impl Failure {
-    /// One without an answer.
+impl AttemptFailure {
+    /// Creates a failure without an answer of the server.
     pub(crate) fn new(verdict: Verdict, ejects_server: bool, reason: &'static str) -> Self {
         Self {
             verdict,
@@ -157,43 +157,43 @@
     }
 }
 
-/// The end of an exchange, for whoever waits for it.
+/// The result of an exchange, for its originator.
 pub(crate) enum ExchangeEnd {
-    /// A client gets a server's answer.
+    /// The client gets a server's answer.
     ServerAnswer {
         /// The client's connection.
         client: ConnectionId,
         /// The answer.
         answer: WholeAnswer,
     },
-    /// A client gets an answer of the gateway's own.
+    /// The client gets an answer generated by the gateway.
     OwnAnswer {
         /// The client's connection.
         client: ConnectionId,
         /// The answer.
         answer: OwnAnswer,
     },
-    /// A client has got a whole stream.
+    /// The client has received the complete stream.
     StreamEnded(ConnectionId),
-    /// A client's stream cannot be resumed: the answer must not look complete.
+    /// The stream cannot be resumed: the client must not take the answer for complete.
     StreamBroken(ConnectionId),
-    /// A client does not read its stream.
+    /// The client does not read its stream fast enough.
     ClientDoesNotRead(ConnectionId),
-    /// A scoring's request is over.
+    /// The request of a scoring has ended.
     Scoring {
-        /// The scoring.
+        /// The assignment of the scoring.
         scoring: AssignmentId,
-        /// What came of its request.
+        /// The result of its request.
         end: ScoringRequestEnd,
     },
 }
 
-/// What came of the request of a scoring.
+/// The result of a scoring's request.
 pub(crate) struct ScoringRequestEnd {
-    /// How its attempts ended that brought no usable answer.
+    /// Outcomes of the attempts that yielded no usable answer.
     pub(crate) history: AttemptHistory,
-    /// Whether it took no longer than its route's target latency.
+    /// Whether the request took no longer than the target latency of its route.
     pub(crate) is_in_time: bool,
-    /// The usable answer.
+    /// The usable answer, if there is one.
     pub(crate) answer: Option<WholeAnswer>,
 }
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -1,24 +1,24 @@
-//! Forwarding requests to servers, attempt by attempt. Live requests and scorings go the same way;
-//! only what follows from the end differs.
+//! Forwarding of requests to servers, attempt by attempt.
 //!
-//! Owns the requests on their way. Which server gets a request is decided in
-//! [`balance`](crate::balance), what an answer is in [`answers`], whether another attempt follows in
-//! [`attempts`], and how long each may take in [`attempt_timeouts`].
+//! Live requests and scorings take the same path; only the handling of the result differs. This
+//! module owns the exchanges in progress. [`balance`](crate::balance) selects the server,
+//! [`answers`] classifies an answer, [`attempts`] decides on another attempt, and
+//! [`attempt_timeouts`] sets the time limits.
 
-use crate::answers::{self, AnswerFacts, AnswerKind, MISDIRECTED};
+use crate::answers::{self, AnswerFacts, AnswerKind, MISDIRECTED_STATUS};
 use crate::attempt_timeouts;
 use crate::attempts::{self, NextStep, RetryContext};
 use crate::crash_reports;
 use crate::encode::encode_request;
 use crate::environment::Environment;
-use crate::exchange::{Exchange, ExchangeEnd, Failure, Origin};
+use crate::exchange::{AttemptFailure, Exchange, ExchangeEnd, Origin};
 use crate::forward_ends::{answered, give_up};
 use crate::forward_log as log;
 use crate::ids::ExchangeId;
 use crate::request_suspicion;
 use crate::runtime::Runtime;
 use crate::split::ServiceSplit;
-use crate::streams::{self, StreamClient};
+use crate::streams::{self, ClientQueue};
 use crate::timers::TimerKey;
 use crate::upstream::{ConnectionEnd, LostRequest, Task};
 use std::collections::HashMap;
@@ -28,38 +28,38 @@
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
 
-/// All requests on their way.
+/// All requests that are being forwarded.
 pub(crate) struct Exchanges {
     all: HashMap<ExchangeId, Exchange>,
-    next: u64,
+    last_id: u64,
     split: ServiceSplit,
-    /// By then every request is answered, once a planned stop has begun.
+    /// When every request must be answered; set when a planned stop begins.
     stop_at: Option<Instant>,
 }
 
 impl Exchanges {
-    /// None yet; `seed` differs from gateway to gateway.
+    /// Creates an empty set; `seed` must differ between gateways.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             all: HashMap::new(),
-            next: 0,
+            last_id: 0,
             split: ServiceSplit::new(seed),
             stop_at: None,
         }
     }
 
-    /// A name for a new exchange.
+    /// Returns an ID for a new exchange.
     pub(crate) fn next_id(&mut self) -> ExchangeId {
-        self.next += 1;
-        ExchangeId(self.next)
+        self.last_id += 1;
+        ExchangeId(self.last_id)
     }
 
-    /// The service that the next request of a route goes to.
+    /// Returns the service for the next request of a route.
     pub(crate) fn next_service(&mut self, route: &Route) -> Option<ServiceName> {
         self.split.next(route)
     }
 
-    /// Sends a request on its way.
+    /// Starts an exchange: arms its timer and sends the request to a server.
     #[must_use]
     pub(crate) fn begin(
         &mut self,
@@ -68,25 +68,25 @@
         mut exchange: Exchange,
     ) -> Option<ExchangeEnd> {
         if let Some(stop_at) = self.stop_at {
-            exchange.end_by(stop_at);
+            exchange.shorten_deadline(stop_at);
         }
         let timers = &mut environment.runtime.timers;
         timers.arm(exchange.deadline, TimerKey::Exchange(id));
         self.send_to_server(environment, id, exchange)
     }
 
-    /// A planned stop ends every request by `stop_at`, also those that come later.
+    /// Limits the deadline of all current and future requests to `stop_at`, for a planned stop.
     pub(crate) fn stop_by(&mut self, runtime: &mut Runtime, stop_at: Instant) {
         self.stop_at = Some(stop_at);
         for (id, exchange) in &mut self.all {
-            exchange.end_by(stop_at);
+            exchange.shorten_deadline(stop_at);
             runtime
                 .timers
                 .arm(exchange.current_deadline(), TimerKey::Exchange(*id));
         }
     }
 
-    /// Sends a request to the next server that takes it; gives it up if there is none.
+    /// Sends a request to the best server that accepts a connection; gives up if there is none.
     fn send_to_server(
         &mut self,
         environment: &mut Environment,
@@ -108,14 +108,14 @@
                 self.await_answer(environment, id, exchange, connection);
                 return None;
             }
-            exchange.history.note(Verdict::NotRun);
+            exchange.history.record(Verdict::NotRun);
             if now >= exchange.deadline || !exchange.limits().may_retry(exchange.history) {
                 return Some(give_up(environment, &exchange));
             }
         }
     }
 
-    /// A request was sent on a connection.
+    /// Records that a request was sent on a connection, and arms the timer of the attempt.
     fn await_answer(
         &mut self,
         environment: &mut Environment,
@@ -126,7 +126,7 @@
         let now = environment.runtime.now;
         if matches!(exchange.origin, Origin::Client(_)) {
             let usage = &mut environment.usage;
-            exchange.counted_in = usage.request_sent(now, exchange.tenant.as_ref());
+            exchange.usage_window = usage.request_sent(now, exchange.tenant.as_ref());
         }
         exchange.upstream = Some(connection);
         let upstream = environment.servers.upstreams.get(connection);
@@ -140,7 +140,7 @@
         self.all.insert(id, exchange);
     }
 
-    /// A connection to a server has come up with a request on it.
+    /// Handles an established connection with a request on it: the time for the answer starts.
     pub(crate) fn on_connected(&mut self, environment: &mut Environment, id: ExchangeId) {
         let now = environment.runtime.now;
         if let Some(exchange) = self.all.get_mut(&id) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Bytes of a server's answer have arrived: passes whole events of a stream on.
+    /// Handles bytes of a server's answer: forwards complete events of a stream.
     #[must_use]
     pub(crate) fn on_input(
         &mut self,
@@ -160,13 +160,13 @@
     ) -> Option<ExchangeEnd> {
         let exchange = self.all.get_mut(&id)?;
         let client = exchange.client()?;
-        match streams::pass_on(environment, exchange, connection, client) {
-            StreamClient::Reads => None,
-            StreamClient::DoesNotRead => Some(ExchangeEnd::ClientDoesNotRead(client)),
+        match streams::forward_events(environment, exchange, connection, client) {
+            ClientQueue::WithinLimit => None,
+            ClientQueue::OverLimit => Some(ExchangeEnd::ClientDoesNotRead(client)),
         }
     }
 
-    /// A server's answer is whole.
+    /// Handles a complete answer of a server.
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
@@ -179,8 +179,8 @@
         let balancer = &mut environment.servers.balancer;
         balancer.ended(instance);
         let names = environment.site.protocol.header_names();
-        if let Some(load) = answers::read_load(names, &answer.head) {
-            balancer.reported(now, instance, load);
+        if let Some(load) = answers::reported_load(names, &answer.head) {
+            balancer.load_reported(now, instance, load);
         }
         let exchange = self.all.get(&id)?;
         if exchange.stream.is_some() && answer.head.is_success() {
@@ -188,11 +188,11 @@
         }
         let facts = AnswerFacts::read(names, &exchange.id, &answer.head);
         let kind = answers::classify_answer(facts);
-        if answer.head.status == MISDIRECTED {
+        if answer.head.status == MISDIRECTED_STATUS {
             crash_reports::server_ended(environment, instance);
         }
         if let Some(verdict) = kind.verdict() {
-            let mut failure = Failure::new(verdict, false, kind.name());
+            let mut failure = AttemptFailure::new(verdict, false, kind.name());
             failure.answer = (kind == AnswerKind::ServerFailed).then_some(answer);
             return self.attempt_failed(environment, id, instance, failure);
         }
@@ -201,7 +201,7 @@
         Some(answered(environment, exchange, instance, answer))
     }
 
-    /// The server has ended a stream.
+    /// Handles the end of a stream.
     fn finish_stream(
         &mut self,
         environment: &mut Environment,
@@ -216,7 +216,8 @@
         }
     }
 
-    /// The connection of an attempt ended without a whole answer, or its bytes are no answer.
+    /// Handles the end of a connection before a complete answer, or bytes that are not a valid
+    /// answer.
     #[must_use]
     pub(crate) fn on_connection_ended(
         &mut self,
@@ -234,11 +235,11 @@
             let exchange = self.all.get(&id);
             request_suspicion::connection_lost(environment, exchange, lost);
         }
-        let failure = Failure::new(verdict, true, end.reason());
+        let failure = AttemptFailure::new(verdict, true, end.reason());
         self.attempt_failed(environment, id, instance, failure)
     }
 
-    /// The time of an attempt, or of the whole request, may be over.
+    /// Handles a timer: the deadline of the attempt or of the whole request may have passed.
     #[must_use]
     pub(crate) fn on_timer(
         &mut self,
@@ -259,23 +260,23 @@
         let closed = servers.upstreams.close(runtime, connection)?;
         let time = now.since(closed.task_started_at);
         servers.balancer.ended(&closed.instance);
-        servers.balancer.too_slow(now, &closed.instance, time);
+        servers.balancer.timed_out(now, &closed.instance, time);
         let verdict = if closed.is_connected {
             Verdict::MayHaveRun
         } else {
             Verdict::NotRun
         };
-        let failure = Failure::new(verdict, !closed.is_connected, "too slow");
+        let failure = AttemptFailure::new(verdict, !closed.is_connected, "too slow");
         self.attempt_failed(environment, id, &closed.instance, failure)
     }
 
-    /// An attempt brought no usable answer: another one follows, or the end.
+    /// Handles an attempt without a usable answer: retries, or ends the exchange.
     fn attempt_failed(
         &mut self,
         environment: &mut Environment,
         id: ExchangeId,
         instance: &InstanceId,
-        failure: Failure,
+        failure: AttemptFailure,
     ) -> Option<ExchangeEnd> {
         let now = environment.runtime.now;
         if failure.ejects_server {
@@ -284,13 +285,13 @@
         let mut exchange = self.all.remove(&id)?;
         log::attempt_failed(environment, &exchange, instance, &failure);
         exchange.upstream = None;
-        note_failure(environment, &mut exchange, &failure);
+        record_failure(environment, &mut exchange, &failure);
         let client = exchange.client().filter(|_| exchange.stream.is_none());
         let for_client = failure.answer.zip(client);
         let circumstances = RetryContext {
             is_suspect: request_suspicion::is_suspect(environment, &exchange),
             has_other_server: has_other_server(environment, &exchange),
-            is_out_of_time: now >= exchange.deadline,
+            is_past_deadline: now >= exchange.deadline,
             has_server_answer: for_client.is_some(),
         };
         let step = attempts::next_step(exchange.limits(), exchange.history, circumstances);
@@ -304,9 +305,10 @@
         }
     }
 
-    /// Nobody waits for the answer any more: its server need not go on.
+    /// Cancels an exchange whose originator no longer waits for the answer, and closes the
+    /// connection so that the server can stop working on it.
     pub(crate) fn cancel(&mut self, environment: &mut Environment, id: ExchangeId) {
-        let connection = self.all.remove(&id).and_then(|known| known.upstream);
+        let connection = self.all.remove(&id).and_then(|exchange| exchange.upstream);
         let servers = &mut environment.servers;
         let runtime = &mut environment.runtime;
         if let Some(connection) = connection
@@ -317,7 +319,7 @@
     }
 }
 
-/// The best server that the request was not sent to.
+/// Returns the best server that the request was not sent to yet.
 fn choose_server(environment: &Environment, exchange: &Exchange) -> Option<ServerRecord> {
     let now = environment.runtime.now;
     let site = &environment.site;
@@ -328,7 +330,7 @@
         .cloned()
 }
 
-/// Whether the service has a server that the request was not sent to.
+/// Whether the service has a server that the request was not sent to yet.
 fn has_other_server(environment: &Environment, exchange: &Exchange) -> bool {
     environment
         .site
@@ -337,7 +339,7 @@
         .any(|server| !exchange.sent_to.contains(&server.instance))
 }
 
-/// Sends a request to a server; `None` when the system refuses a connection.
+/// Sends a request to a server; returns `None` if the operating system refuses a connection.
 fn send(
     environment: &mut Environment,
     id: ExchangeId,
@@ -358,15 +360,19 @@
     Some(connection)
 }
 
-/// Counts an attempt that brought no usable answer.
-fn note_failure(environment: &mut Environment, exchange: &mut Exchange, failure: &Failure) {
+/// Records an attempt that yielded no usable answer.
+fn record_failure(
+    environment: &mut Environment,
+    exchange: &mut Exchange,
+    failure: &AttemptFailure,
+) {
     if failure.verdict == Verdict::NotRun
-        && let Some(window) = exchange.counted_in.take()
+        && let Some(window) = exchange.usage_window.take()
         && let Some(tenant) = &exchange.tenant
     {
         environment.usage.not_run(window, tenant);
     }
-    exchange.history.note(failure.verdict);
+    exchange.history.record(failure.verdict);
     let status = failure.answer.as_ref().map(|answer| answer.head.status);
     if status.is_some_and(answers::is_internal_error) {
         exchange.history.internal_errors += 1;
--- a/crates/gateways/wingshore-gateway/src/forward_ends.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_ends.rs
@@ -1,6 +1,6 @@
-//! The ends of forwarded requests: by a server's answer, or by none.
+//! The end of a forwarded request, with or without an answer of a server.
 //!
-//! Says what whoever waits for a request gets, and logs and counts that.
+//! Builds the result for the originator of the request, and logs and counts it.
 
 use crate::attempts;
 use crate::environment::Environment;
@@ -11,7 +11,7 @@
 use wingshore_coordination::InstanceId;
 use wingshore_net::http::WholeAnswer;
 
-/// A server has answered, and not with a failure.
+/// Handles a usable answer of a server.
 pub(crate) fn answered(
     environment: &mut Environment,
     exchange: Exchange,
@@ -19,7 +19,7 @@
     answer: WholeAnswer,
 ) -> ExchangeEnd {
     let now = environment.runtime.now;
-    let latency = now.since(exchange.begun);
+    let latency = now.since(exchange.started_at);
     let balancer = &mut environment.servers.balancer;
     balancer.answered(now, instance, latency);
     if answer.head.is_success() {
@@ -41,10 +41,10 @@
     }
 }
 
-/// No server has answered, and none is asked any more.
+/// Ends an exchange without a usable answer of a server.
 pub(crate) fn give_up(environment: &Environment, exchange: &Exchange) -> ExchangeEnd {
     let now = environment.runtime.now;
-    let is_out_of_time = now >= exchange.deadline;
+    let is_past_deadline = now >= exchange.deadline;
     match exchange.origin {
         Origin::Client(client) if exchange.stream.is_some() => {
             streams::log_broken(environment, exchange);
@@ -52,7 +52,7 @@
         }
         Origin::Client(client) => {
             let (history, is_rejected) = (exchange.history, exchange.is_rejected);
-            let answer = attempts::given_up_answer(history, is_rejected, is_out_of_time);
+            let answer = attempts::given_up_answer(history, is_rejected, is_past_deadline);
             log::given_up(environment, exchange, answer);
             ExchangeEnd::OwnAnswer { client, answer }
         }
--- a/crates/gateways/wingshore-gateway/src/forward_log.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_log.rs
@@ -1,13 +1,13 @@
-//! What is logged and counted of forwarded requests.
+//! Log lines and metrics of forwarded requests.
 
 use crate::environment::Environment;
-use crate::exchange::{Exchange, Failure};
+use crate::exchange::{AttemptFailure, Exchange};
 use crate::protocol::OwnAnswer;
 use crate::request_suspicion::fingerprint_text;
 use slog::{info, warn};
 use wingshore_coordination::InstanceId;
 
-/// A client's request was answered by a server.
+/// Logs and counts a client's request that a server answered.
 pub(crate) fn served(
     environment: &mut Environment,
     exchange: &Exchange,
@@ -16,7 +16,7 @@
 ) {
     let now = environment.runtime.now;
     let runtime = &mut environment.runtime;
-    let time = now.since(exchange.begun);
+    let time = now.since(exchange.started_at);
     runtime
         .metrics
         .request_ended(&exchange.route.name, "served", time);
@@ -32,40 +32,40 @@
     }
 }
 
-/// A client gets the answer of a server that failed.
+/// Counts a client's request that ends with a server's error answer.
 pub(crate) fn server_failed(environment: &Environment, exchange: &Exchange) {
     let now = environment.runtime.now;
-    let time = now.since(exchange.begun);
+    let time = now.since(exchange.started_at);
     let metrics = &environment.runtime.metrics;
     metrics.request_ended(&exchange.route.name, "server_error", time);
 }
 
-/// An attempt brought no usable answer.
+/// Logs and counts an attempt that yielded no usable answer.
 pub(crate) fn attempt_failed(
     environment: &Environment,
     exchange: &Exchange,
     instance: &InstanceId,
-    failure: &Failure,
+    failure: &AttemptFailure,
 ) {
     let now = environment.runtime.now;
     let runtime = &environment.runtime;
     warn!(runtime.logger, "attempt failed"; "request" => exchange.id_text(),
         "fingerprint" => fingerprint_text(&environment.site, exchange),
         "server" => %instance, "reason" => failure.reason, "verdict" => ?failure.verdict,
-        "after_ms" => now.since(exchange.begun).as_millis() as u64);
+        "after_ms" => now.since(exchange.started_at).as_millis() as u64);
     runtime.metrics.attempt_ended(failure.reason);
 }
 
-/// A client's request is given up.
+/// Logs and counts a client's request that is given up.
 pub(crate) fn given_up(environment: &Environment, exchange: &Exchange, answer: OwnAnswer) {
     let now = environment.runtime.now;
     let (runtime, site) = (&environment.runtime, &environment.site);
-    let time = now.since(exchange.begun);
+    let time = now.since(exchange.started_at);
     runtime
         .metrics
         .request_ended(&exchange.route.name, answer.name(), time);
-    let known = site.view.servers_of(&exchange.service).count();
-    warn!(runtime.logger, "given up"; "service" => %exchange.service, "servers" => known,
+    let server_count = site.view.servers_of(&exchange.service).count();
+    warn!(runtime.logger, "given up"; "service" => %exchange.service, "servers" => server_count,
         "epoch" => site.view.epoch().0, "request" => exchange.id_text(),
         "fingerprint" => fingerprint_text(site, exchange),
         "route" => &exchange.route.name, "answer" => answer.name(),
--- a/crates/gateways/wingshore-gateway/src/request_suspicion.rs
+++ b/crates/gateways/wingshore-gateway/src/request_suspicion.rs
@@ -1,4 +1,4 @@
-//! What is known and reported of one live request as the possible cause of the ends of servers.
+//! Whether one live request is suspected of crashing servers, and the reports about it.
 
 use crate::crash_reports;
 use crate::environment::Environment;
@@ -9,22 +9,24 @@
 use slog::warn;
 use wingshore_coordination::RequestFingerprint;
 
-/// What a request asks, whatever its identity; `None` before the site's key is known.
+/// Returns the fingerprint of a request's content, independent of its request ID; `None` before the
+/// site's fingerprint key is known.
 pub(crate) fn fingerprint_of(site: &Site, exchange: &Exchange) -> Option<RequestFingerprint> {
     fingerprints::of_request(site, exchange.tenant.as_ref(), &exchange.request)
 }
 
-/// The fingerprint as it is logged.
+/// Returns the fingerprint as it is logged.
 pub(crate) fn fingerprint_text(site: &Site, exchange: &Exchange) -> Option<String> {
-    fingerprint_of(site, exchange).map(|known| known.to_string())
+    fingerprint_of(site, exchange).map(|fingerprint| fingerprint.to_string())
 }
 
-/// Whether so many servers have ended under a request that no other one is to run it.
+/// Whether a request is rejected because too many servers crashed while running it.
 pub(crate) fn is_rejected(environment: &Environment, exchange: &Exchange) -> bool {
     environment.is_rejected(|site| fingerprint_of(site, exchange))
 }
 
-/// Whether so many servers have ended under a request that one attempt sends it to one server only.
+/// Whether several servers crashed while running a request, so that it must not be retried once it
+/// may have run.
 pub(crate) fn is_suspect(environment: &Environment, exchange: &Exchange) -> bool {
     let Some(suspicions) = environment.suspicions() else {
         return false;
@@ -33,19 +35,19 @@
     request.is_some_and(|request| suspicions.is_suspect(request))
 }
 
-/// One line for a request that is not sent to any server.
+/// Logs a rejected request, which is not sent to any server.
 pub(crate) fn log_rejected(environment: &Environment, exchange: &Exchange) {
     let request = fingerprint_of(&environment.site, exchange);
     let suspicions = environment.suspicions();
-    let ended = suspicions.zip(request);
-    let ended = ended.map(|(suspicions, request)| suspicions.ended_under(request));
-    let ended: Vec<String> = ended.iter().flatten().map(ToString::to_string).collect();
+    let crashed = suspicions.zip(request);
+    let crashed = crashed.map(|(suspicions, request)| suspicions.crashed_instances(request));
+    let crashed: Vec<String> = crashed.iter().flatten().map(ToString::to_string).collect();
     warn!(environment.runtime.logger, "request rejected"; "request" => exchange.id_text(),
-        "fingerprint" => request.map(|request| request.to_string()), "ended" => ended.join(","),
+        "fingerprint" => request.map(|request| request.to_string()), "ended" => crashed.join(","),
         "route" => &exchange.route.name, "service" => %exchange.service);
 }
 
-/// The connection of a request was lost while a server ran it.
+/// Handles a connection that was lost while a server ran the request on it.
 pub(crate) fn connection_lost(
     environment: &mut Environment,
     exchange: Option<&Exchange>,
@@ -57,13 +59,14 @@
     crash_reports::connection_lost(environment, lost, request);
 }
 
-/// A request went well.
+/// Handles a request that ran successfully: clears it of suspicion.
 pub(crate) fn request_succeeded(environment: &mut Environment, exchange: &Exchange) {
     crash_reports::request_succeeded(environment, |site| fingerprint_of(site, exchange));
 }
 
-/// A stream that has brought events for long enough is not what ends servers.
-pub(crate) fn clear_if_long(environment: &mut Environment, exchange: &mut Exchange) {
+/// Clears the request of a stream that has delivered events for long enough: it does not crash
+/// servers.
+pub(crate) fn clear_long_stream(environment: &mut Environment, exchange: &mut Exchange) {
     let now = environment.runtime.now;
     if environment.suspicions().is_none() || !exchange.has_streamed_long(now) {
         return;
--- a/crates/gateways/wingshore-gateway/src/streams.rs
+++ b/crates/gateways/wingshore-gateway/src/streams.rs
@@ -1,7 +1,7 @@
-//! Passing streams of events on to clients as they come.
+//! Forwarding of event streams to clients as the events arrive.
 //!
-//! Only whole events are passed on, so that a stream that breaks off inside one can be resumed at
-//! another server behind the last whole event, within the same answer.
+//! Only complete events are forwarded. A stream that breaks off inside an event can then be resumed
+//! at another server after the last complete event, within the same answer to the client.
 
 use crate::answers::AnswerFacts;
 use crate::encode::end_to_end_headers;
@@ -16,36 +16,36 @@
 use wingshore_net::ConnectionId;
 use wingshore_net::http::{AnswerHead, HeadWriter, write_chunk, write_last_chunk};
 
-/// A client that lets more bytes than this wait is cut off. This bounds the memory that a client
-/// which does not read can take.
+/// A client with more unsent bytes than this is disconnected. This bounds the memory that a client
+/// that does not read can take up.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
-/// What becomes of the client of a stream.
+/// The state of the send queue of a stream's client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StreamClient {
-    /// It reads.
-    Reads,
-    /// It lets too much wait.
-    DoesNotRead,
+pub(crate) enum ClientQueue {
+    /// The queue is within its limit.
+    WithinLimit,
+    /// The queue exceeds its limit: the client does not read.
+    OverLimit,
 }
 
-/// Passes on what has arrived of a server's answer, if that is a stream for `client`.
-pub(crate) fn pass_on(
+/// Forwards the complete events that have arrived, if the answer is a stream for `client`.
+pub(crate) fn forward_events(
     environment: &mut Environment,
     exchange: &mut Exchange,
     connection: ConnectionId,
     client: ConnectionId,
-) -> StreamClient {
+) -> ClientQueue {
     let now = environment.runtime.now;
     if exchange.route.kind != RouteKind::Streaming {
-        return StreamClient::Reads;
+        return ClientQueue::WithinLimit;
     }
     let names = environment.site.protocol.header_names();
     let Some(upstream) = environment.servers.upstreams.get_mut(connection) else {
-        return StreamClient::Reads;
+        return ClientQueue::WithinLimit;
     };
-    let Some((head, body)) = take_part(names, &exchange.id, upstream) else {
-        return StreamClient::Reads;
+    let Some((head, body)) = take_stream_body(names, &exchange.id, upstream) else {
+        return ClientQueue::WithinLimit;
     };
     let reactor = &mut environment.runtime.reactor;
     if exchange.stream.is_none() {
@@ -54,22 +54,22 @@
     let stream = exchange
         .stream
         .get_or_insert_with(|| PassedStream::new(now, connection, names.version));
-    let whole = stream.take(now, connection, &body);
+    let complete = stream.take(now, connection, &body);
     let mut chunk = Vec::new();
-    write_chunk(&mut chunk, &whole);
+    write_chunk(&mut chunk, &complete);
     reactor.send(client, &chunk);
-    request_suspicion::clear_if_long(environment, exchange);
+    request_suspicion::clear_long_stream(environment, exchange);
     if environment.runtime.reactor.queued(client) <= MAX_QUEUED_BYTES {
-        return StreamClient::Reads;
+        return ClientQueue::WithinLimit;
     }
     info!(environment.runtime.logger, "client does not read"; "request" => exchange.id_text(),
         "at_ms" => now.as_millis());
-    StreamClient::DoesNotRead
+    ClientQueue::OverLimit
 }
 
-/// Takes what has arrived of the stream that answers the request of this identity; `None` if what
-/// arrives is not that.
-fn take_part(
+/// Takes the bytes that have arrived of the stream that answers the request with this ID; `None` if
+/// the answer is not a stream for this request.
+fn take_stream_body(
     names: &HeaderNames,
     request: &[u8],
     upstream: &mut Upstream,
@@ -90,7 +90,8 @@
     writer.chunked()
 }
 
-/// The server has ended the stream; says whether it is whole, which it is not inside an event.
+/// Handles the end of the stream. Returns false if the stream ended inside an event and is
+/// therefore incomplete.
 pub(crate) fn finish(
     environment: &mut Environment,
     exchange: &Exchange,
@@ -101,7 +102,7 @@
     if stream.is_some_and(PassedStream::is_within_event) {
         return false;
     }
-    let time = now.since(exchange.begun);
+    let time = now.since(exchange.started_at);
     let metrics = &environment.runtime.metrics;
     metrics.request_ended(&exchange.route.name, "served", time);
     request_suspicion::request_succeeded(environment, exchange);
@@ -111,10 +112,10 @@
     true
 }
 
-/// No server resumes the stream.
+/// Logs and counts a stream that no server can resume.
 pub(crate) fn log_broken(environment: &Environment, exchange: &Exchange) {
     let now = environment.runtime.now;
-    let time = now.since(exchange.begun);
+    let time = now.since(exchange.started_at);
     let runtime = &environment.runtime;
     runtime
         .metrics
--- a/crates/gateways/wingshore-gateway/src/suspects.rs
+++ b/crates/gateways/wingshore-gateway/src/suspects.rs
@@ -1,22 +1,25 @@
-//! Decision: may a request be the cause of the ends of servers, and may another server run it?
+//! Decision: may a request be crashing servers, and may another server run it?
 //!
-//! No I/O; `now` is passed in. The leader weighs the evidence of all gateways; this module says what
-//! one gateway does with what it was sent and what it has seen itself.
+//! No I/O; `now` is passed in. The leader weighs the evidence of all gateways; this module decides
+//! what one gateway does with the leader's announcements and its own evidence.
 //!
-//! **Inputs.** The view's suspects (several servers ended under each), the endings seen here that the
-//! leader has not announced, whether there is a leader, and how long an attempt ran.
+//! **Inputs.** The suspects in the view (requests during which several servers crashed), the
+//! crashes detected here that the leader has not announced, whether there is a leader, and how long
+//! an attempt ran.
 //!
-//! **Rule.** A rejected request is sent to no server. A suspect is not repeated: one attempt sends it to
-//! one server. Without a leader a gateway rejects by what it knows, from as many endings on as the leader
-//! does. An attempt that ended within 2 ms of its sending, or after a second of events, was not the
-//! cause.
+//! **Rule.** A rejected request is sent to no server. A suspect that may have run is not retried:
+//! each attempt of the caller runs at one server only. Without a leader a gateway rejects requests
+//! by its own knowledge, from the same number of crashes on as the leader. An attempt was not the
+//! cause if its connection was lost within 2 ms after sending, or after it had streamed events for
+//! one second.
 //!
-//! **Why.** A request that ends its server would go on to the next one, attempt by attempt, until none
-//! is left. docs/design/0010-requests-that-end-servers.md has what was weighed.
+//! **Why.** A request that crashes its server would otherwise go on to the next one, attempt by
+//! attempt, until no server is left. See docs/design/0010-requests-that-end-servers.md for the
+//! alternatives considered.
 //!
-//! **Old or missing inputs.** A view that lags lets an attempt through that the leader has rejected; one
-//! more ending is then reported. Before the site's key is known no request can be named: none is
-//! suspect.
+//! **Stale or missing inputs.** With a stale view, an attempt may pass that the leader has already
+//! rejected; one more crash is then reported. Before the site's fingerprint key is known, requests
+//! have no fingerprint and none is a suspect.
 
 use crate::crashes::CrashDetector;
 use crate::view::View;
@@ -24,25 +27,25 @@
 use wingshore_coordination::{InstanceId, REJECTED_FROM, RequestFingerprint};
 use wingshore_types::Instant;
 
-/// An attempt that has brought events for this long is not what ends its server: such a request does
-/// that as it begins to run, far sooner than this.
+/// An attempt that has streamed events for this long does not crash its server: a request that does
+/// so crashes it when it starts to run, far sooner than this.
 const CLEARED_AFTER: Duration = Duration::from_secs(1);
-/// A request that was sent less than this long before the connection was lost did not bring it on:
-/// where several servers end at once, it was sent to the next one while word of its end was on
-/// the way. Request and reset alone need as long as this between two zones of one region.
+/// A request that was sent less than this long before its connection was lost is not the cause: if
+/// several servers crash at once, it was sent to the next one while the reset was still on its way.
+/// A round trip of request and reset between two zones of one region takes at least this long.
 const POSSIBLE_CAUSE_AFTER: Duration = Duration::from_millis(2);
 
-/// Whether an attempt that has brought events since `first_event` is not what ends its server.
+/// Whether an attempt that has streamed events since `first_event` is cleared of suspicion.
 pub(crate) fn is_cleared(now: Instant, first_event: Instant) -> bool {
     now.since(first_event) >= CLEARED_AFTER
 }
 
-/// Whether a request that was sent at `sent_at` may have brought on the end of its connection.
+/// Whether a request that was sent at `sent_at` may have caused the loss of its connection now.
 pub(crate) fn is_possible_cause(now: Instant, sent_at: Instant) -> bool {
     now.since(sent_at) >= POSSIBLE_CAUSE_AFTER
 }
 
-/// What a gateway knows of requests under which servers have ended.
+/// What a gateway knows about requests that may crash servers.
 #[derive(Clone, Copy)]
 pub(crate) struct Suspicions<'a> {
     pub(crate) view: &'a View,
@@ -51,32 +54,31 @@
 }
 
 impl Suspicions<'_> {
-    /// Incarnations of servers that ended under a request, by the leader's word and by what was seen
-    /// here.
-    pub(crate) fn ended_under(self, request: RequestFingerprint) -> Vec<InstanceId> {
+    /// Returns the server incarnations that crashed while running a request, as announced by the
+    /// leader or detected by this gateway.
+    pub(crate) fn crashed_instances(self, request: RequestFingerprint) -> Vec<InstanceId> {
         let announced = self.view.suspect(request);
-        let mut ended = announced.map_or_else(Vec::new, |suspect| suspect.ended.clone());
+        let mut crashed = announced.map_or_else(Vec::new, |suspect| suspect.ended.clone());
         let unreported = self.crashes.unreported();
         let unreported = unreported.filter(|evidence| evidence.fingerprint == request);
         for evidence in unreported {
-            if !ended.contains(&evidence.instance) {
-                ended.push(evidence.instance.clone());
+            if !crashed.contains(&evidence.instance) {
+                crashed.push(evidence.instance.clone());
             }
         }
-        ended
+        crashed
     }
 
-    /// Whether no other server is to run a request. The leader decides that, who knows more; where
-    /// there is none now, what was announced and what was seen here must do.
+    /// Whether a request is rejected. The leader decides this, because it knows more; without a
+    /// leader the announced crashes and those detected here decide.
     pub(crate) fn is_rejected(self, request: RequestFingerprint) -> bool {
         let announced = self.view.suspect(request);
         announced.is_some_and(|suspect| suspect.rejected)
-            || (!self.has_leader && self.ended_under(request).len() >= REJECTED_FROM)
+            || (!self.has_leader && self.crashed_instances(request).len() >= REJECTED_FROM)
     }
 
-    /// Whether so many servers have ended under a request that one attempt sends it to one server
-    /// only: if it is the cause, each more would end the next one before the leader could announce
-    /// it.
+    /// Whether a request is a suspect, which must not be retried once it may have run: if it is the
+    /// cause, each retry would crash another server before the leader could announce the crash.
     pub(crate) fn is_suspect(self, request: RequestFingerprint) -> bool {
         self.view.suspect(request).is_some()
     }
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -22,14 +22,14 @@
 const FAVOURABLE: RetryContext = RetryContext {
     is_suspect: false,
     has_other_server: true,
-    is_out_of_time: false,
+    is_past_deadline: false,
     has_server_answer: false,
 };
 
 fn history(verdicts: &[Verdict]) -> AttemptHistory {
     let mut history = AttemptHistory::default();
     for verdict in verdicts {
-        history.note(*verdict);
+        history.record(*verdict);
     }
     history
 }
@@ -46,7 +46,7 @@
         ..FAVOURABLE
     };
     let late = RetryContext {
-        is_out_of_time: true,
+        is_past_deadline: true,
         ..FAVOURABLE
     };
     let suspect = RetryContext {
@@ -200,7 +200,7 @@
     let own = AnswerFacts {
         status: 200,
         says_not_run: false,
-        is_own: true,
+        matches_request_id: true,
         is_signed: true,
     };
     let unsigned = AnswerFacts {
@@ -208,7 +208,7 @@
         ..own
     };
     let foreign = AnswerFacts {
-        is_own: false,
+        matches_request_id: false,
         ..own
     };
     let with_status = |status, facts: AnswerFacts| AnswerFacts { status, ..facts };
@@ -280,8 +280,8 @@
     expect_that!(connect_deadline(now, soon), eq(soon));
 }
 
-/// A stream that has begun can only be broken off at the end of a planned stop, which the users' rule allows for
-/// what was sent within 3 s after the SIGTERM.
+/// A stream that has begun can only be broken off at the end of a planned stop, which the users'
+/// rule allows for what was sent within 3 s after the SIGTERM.
 #[gtest]
 fn a_stream_that_may_outlast_a_stop_is_begun_early_in_it_only() {
     let table = [
--- a/crates/gateways/wingshore-gateway/tests/balance.rs
+++ b/crates/gateways/wingshore-gateway/tests/balance.rs
@@ -69,7 +69,7 @@
     let mut balancer = Balancer::default();
     let now = Instant::from_millis(10);
     let slow = InstanceId::from("a");
-    balancer.too_slow(now, &slow, Duration::from_secs(2));
+    balancer.timed_out(now, &slow, Duration::from_secs(2));
     balancer.started(&InstanceId::from("b"));
     expect_that!(chosen(&balancer, now, &[]), some(eq("b")));
     let later = now + Duration::from_secs(60);
