--- a/crates/gateways/wingshore-gateway/src/event_stream.rs
+++ b/crates/gateways/wingshore-gateway/src/event_stream.rs
@@ -96,7 +96,7 @@
 }
 
 /// Removes the complete events from the front of `buffer` and returns their bytes.
-pub fn take_whole_events(buffer: &mut Vec<u8>) -> Vec<u8> {
+pub fn take_complete_events(buffer: &mut Vec<u8>) -> Vec<u8> {
     let mut end = 0;
     let mut line_start = 0;
     for (position, byte) in buffer.iter().enumerate() {
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -63,7 +63,7 @@
 pub use call_policy::call_time_limit;
 pub use crashes::CrashDetector;
 pub use error::GatewayError;
-pub use event_stream::{EventReader, StreamEvent, take_whole_events};
+pub use event_stream::{EventReader, StreamEvent, take_complete_events};
 pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
 pub use limit::{ConcurrencyLimit, LoadSignal};
 pub use process::Gateway;
--- a/crates/gateways/wingshore-gateway/src/passed_stream.rs
+++ b/crates/gateways/wingshore-gateway/src/passed_stream.rs
@@ -1,6 +1,6 @@
 //! The part of an event stream that has been forwarded, so that the stream can be resumed.
 
-use crate::event_stream::{EventReader, take_whole_events};
+use crate::event_stream::{EventReader, take_complete_events};
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
@@ -44,7 +44,7 @@
             self.is_cleared = false;
         }
         self.partial.extend_from_slice(body);
-        let complete = take_whole_events(&mut self.partial);
+        let complete = take_complete_events(&mut self.partial);
         let events = self.events.read(&complete).unwrap_or_default();
         if let Some(id) = events.iter().rev().find_map(|event| event.id) {
             self.last_event = Some(id);
--- a/crates/gateways/wingshore-gateway/tests/event_stream.rs
+++ b/crates/gateways/wingshore-gateway/tests/event_stream.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use proptest::prelude::*;
-use wingshore_gateway::{EventReader, StreamEvent, take_whole_events};
+use wingshore_gateway::{EventReader, StreamEvent, take_complete_events};
 
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\nweight-versions: 7\nid: 2\ndata: two\ndata: more\n\nid: 3\r\ndata: three\r\n\r\n";
@@ -40,7 +40,7 @@
     #[test]
     fn whole_events_and_the_rest_are_all_the_bytes(cut in 0..STREAM.len()) {
         let mut buffer = STREAM[..cut].to_vec();
-        let whole = take_whole_events(&mut buffer);
+        let whole = take_complete_events(&mut buffer);
         prop_assert_eq!([whole.as_slice(), buffer.as_slice()].concat(), &STREAM[..cut]);
         let mut reader = EventReader::new("weight-versions");
         reader.read(&whole).unwrap();
