--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns the evidence that the leader may not know.
-    pub fn unreported(&self) -> impl Iterator<Item = &CrashEvidence> {
+    pub fn unannounced(&self) -> impl Iterator<Item = &CrashEvidence> {
         self.recorded.iter().map(|recorded| &recorded.evidence)
     }
 
--- a/crates/gateways/wingshore-gateway/src/environment.rs
+++ b/crates/gateways/wingshore-gateway/src/environment.rs
@@ -21,7 +21,7 @@
     /// usual, so that no request need be named.
     pub(crate) fn suspicions(&self) -> Option<Suspicions<'_>> {
         let (view, crashes) = (&self.site.view, &self.servers.crashes);
-        let are_any = view.has_suspects() || crashes.unreported().next().is_some();
+        let are_any = view.has_suspects() || crashes.unannounced().next().is_some();
         are_any.then(|| Suspicions {
             view,
             crashes,
--- a/crates/gateways/wingshore-gateway/src/suspects.rs
+++ b/crates/gateways/wingshore-gateway/src/suspects.rs
@@ -59,9 +59,9 @@
     pub(crate) fn crashed_instances(self, request: RequestFingerprint) -> Vec<InstanceId> {
         let announced = self.view.suspect(request);
         let mut crashed = announced.map_or_else(Vec::new, |suspect| suspect.ended.clone());
-        let unreported = self.crashes.unreported();
-        let unreported = unreported.filter(|evidence| evidence.fingerprint == request);
-        for evidence in unreported {
+        let unannounced = self.crashes.unannounced();
+        let unannounced = unannounced.filter(|evidence| evidence.fingerprint == request);
+        for evidence in unannounced {
             if !crashed.contains(&evidence.instance) {
                 crashed.push(evidence.instance.clone());
             }
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -363,7 +363,7 @@
         let known = &mut self.gateways[gateway];
         let is_untold = known
             .watch
-            .unreported()
+            .unannounced()
             .any(|found| found.fingerprint == request);
         if is_untold || known.told.contains_key(&request) {
             known.watch.cleared(request);
