--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::crash_reports;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, Finished, LostRequest, Task};
+use crate::upstream::{CompletedAnswer, ConnectionEnd, LostRequest, Task};
 use wingshore_net::http::BodyStatus;
 use wingshore_net::{ConnectionId, ListenerId, NetEvent};
 
@@ -107,7 +107,7 @@
         let Some(finished) = finished else {
             return;
         };
-        let Finished {
+        let CompletedAnswer {
             instance,
             answer,
             ends_at_event_boundary,
--- a/crates/gateways/wingshore-gateway/src/upstream.rs
+++ b/crates/gateways/wingshore-gateway/src/upstream.rs
@@ -65,7 +65,7 @@
 }
 
 /// A complete answer.
-pub(crate) struct Finished {
+pub(crate) struct CompletedAnswer {
     /// The incarnation of the server.
     pub(crate) instance: InstanceId,
     pub(crate) answer: WholeAnswer,
@@ -167,7 +167,7 @@
         runtime: &mut Runtime,
         connection: ConnectionId,
         is_all_read: bool,
-    ) -> Option<Finished> {
+    ) -> Option<CompletedAnswer> {
         let now = runtime.now;
         let upstream = self.all.get_mut(&connection)?;
         let reader = std::mem::replace(&mut upstream.reader, AnswerReader::new(false));
@@ -184,7 +184,7 @@
         } else {
             self.close(runtime, connection);
         }
-        Some(Finished {
+        Some(CompletedAnswer {
             instance,
             answer,
             ends_at_event_boundary: !is_within_event,
