--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -39,7 +39,7 @@
 /// The connection is refused if the server has crashed; otherwise it is kept for the next request.
 pub(crate) fn probe(environment: &mut Environment, instance: &InstanceId) {
     let servers = &mut environment.servers;
-    if let Some(address) = servers.crashes.probe(instance) {
+    if let Some(address) = servers.crashes.next_probe(instance) {
         let runtime = &mut environment.runtime;
         servers.upstreams.open(runtime, instance, address);
     }
@@ -91,15 +91,15 @@
 }
 
 /// Clears a request that ran successfully: if servers had crashed while running it, it was not the
-/// cause. `name` returns its fingerprint.
+/// cause. `fingerprint_of` returns its fingerprint.
 pub(crate) fn request_succeeded(
     environment: &mut Environment,
-    name: impl FnOnce(&Site) -> Option<RequestFingerprint>,
+    fingerprint_of: impl FnOnce(&Site) -> Option<RequestFingerprint>,
 ) {
     let Some(suspicions) = environment.suspicions() else {
         return;
     };
-    let request = name(&environment.site);
+    let request = fingerprint_of(&environment.site);
     let request = request.filter(|request| !suspicions.crashed_instances(*request).is_empty());
     if let Some(request) = request {
         environment.servers.crashes.cleared(request);
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -99,7 +99,7 @@
 
     /// Returns the address to probe in order to find out whether a server has crashed; `None` if no
     /// probe is due.
-    pub fn probe(&mut self, instance: &InstanceId) -> Option<SocketAddr> {
+    pub fn next_probe(&mut self, instance: &InstanceId) -> Option<SocketAddr> {
         let lost = self.lost.get_mut(instance)?;
         lost.probes += 1;
         (lost.probes <= MAX_PROBES).then_some(lost.address)
@@ -160,7 +160,7 @@
     pub fn to_report(&self, now: Instant) -> Vec<SeenCrash> {
         let recorded = self.recorded.iter();
         recorded
-            .map(|recorded| recorded.to_seen_crash(now))
+            .map(|recorded| recorded.to_observed_crash(now))
             .collect()
     }
 
@@ -196,14 +196,14 @@
             self.recorded.remove(0);
         }
         let recorded = RecordedEvidence { evidence, at };
-        let seen_crash = recorded.to_seen_crash(now);
+        let observed_crash = recorded.to_observed_crash(now);
         self.recorded.push(recorded);
-        Some(seen_crash)
+        Some(observed_crash)
     }
 }
 
 impl RecordedEvidence {
-    fn to_seen_crash(&self, now: Instant) -> SeenCrash {
+    fn to_observed_crash(&self, now: Instant) -> SeenCrash {
         SeenCrash {
             evidence: self.evidence.clone(),
             ago: now.since(self.at),
--- a/crates/gateways/wingshore-gateway/tests/crashes.rs
+++ b/crates/gateways/wingshore-gateway/tests/crashes.rs
@@ -77,9 +77,9 @@
 #[gtest]
 fn a_few_connections_are_opened_to_find_out() {
     let mut watch = with_a_lost_connection();
-    let looks = (0..10).filter_map(|_| watch.probe(&server()));
+    let looks = (0..10).filter_map(|_| watch.next_probe(&server()));
     expect_that!(looks.count(), eq(3));
-    expect_that!(watch.probe(&InstanceId::from("another")), none());
+    expect_that!(watch.next_probe(&InstanceId::from("another")), none());
 }
 
 #[gtest]
