--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows when an attempt at a live request brought no usable answer.
+//! Retry decisions, classification of answers, and time limits of live requests.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -18,8 +18,8 @@
     is_repeatable: false,
     max_attempts: 3,
 };
-/// Another server is left, there is time, and the server gave no answer.
-const FAVOURABLE: RetryContext = RetryContext {
+/// Another server is left, the deadline has not passed, and there is no answer of the server.
+const RETRY_POSSIBLE: RetryContext = RetryContext {
     is_suspect: false,
     has_other_server: true,
     is_past_deadline: false,
@@ -35,39 +35,45 @@
 }
 
 #[gtest]
-fn the_next_step_by_route_history_and_circumstances() {
+fn next_step_depends_on_route_history_and_context() {
     use Verdict::{MayHaveRun, NotRun, Ran};
     let answered = RetryContext {
         has_server_answer: true,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
     let last_server = RetryContext {
         has_other_server: false,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
     let late = RetryContext {
         is_past_deadline: true,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
     let suspect = RetryContext {
         is_suspect: true,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
     let refused = [NotRun; 5];
     let table: Vec<(&str, RetryLimits, &[Verdict], RetryContext, NextStep)> = vec![
-        ("a refusal", UNSAFE, &[NotRun], FAVOURABLE, NextStep::Retry),
+        (
+            "a refusal",
+            UNSAFE,
+            &[NotRun],
+            RETRY_POSSIBLE,
+            NextStep::Retry,
+        ),
         (
             "three refusals",
             UNSAFE,
             &refused[..3],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::Retry,
         ),
         (
             "four refusals",
             SAFE,
             &refused[..4],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -88,14 +94,14 @@
             "may have run, repeatable",
             SAFE,
             &[MayHaveRun],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::Retry,
         ),
         (
             "may have run, once only",
             UNSAFE,
             &[MayHaveRun],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -123,7 +129,7 @@
             "attempts used up, no answer",
             SAFE,
             &[MayHaveRun; 3],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -168,7 +174,7 @@
 }
 
 #[gtest]
-fn a_route_without_attempts_has_one() {
+fn zero_max_attempts_count_as_one() {
     let limits = RetryLimits {
         is_repeatable: true,
         max_attempts: 0,
@@ -178,7 +184,7 @@
 }
 
 #[gtest]
-fn a_client_is_told_whether_its_request_may_have_run() {
+fn the_answer_states_whether_the_request_may_have_run() {
     let (not_run, may_have_run) = (history(&[Verdict::NotRun]), history(&[Verdict::Ran]));
     let retry_after = Duration::from_millis(150);
     for is_late in [false, true] {
@@ -196,7 +202,7 @@
 }
 
 #[gtest]
-fn an_answer_is_what_its_head_shows() {
+fn answers_are_classified_by_their_head() {
     let own = AnswerFacts {
         status: 200,
         says_not_run: false,
@@ -263,7 +269,7 @@
 }
 
 #[gtest]
-fn only_a_request_that_may_go_elsewhere_is_taken_from_its_server() {
+fn only_a_repeatable_request_has_an_attempt_timeout() {
     let now = Instant::from_millis(1000);
     let until = Instant::from_millis(9000);
     let target = Duration::from_millis(400);
@@ -280,10 +286,10 @@
     expect_that!(connect_deadline(now, soon), eq(soon));
 }
 
-/// A stream that has begun can only be broken off at the end of a planned stop, which the users'
-/// rule allows for what was sent within 3 s after the SIGTERM.
+/// A stream that has started can only be broken off when a planned stop ends. The requirements
+/// allow this only for requests sent within 3 s after the SIGTERM.
 #[gtest]
-fn a_stream_that_may_outlast_a_stop_is_begun_early_in_it_only() {
+fn a_stream_that_may_outlast_a_stop_is_admitted_only_early_in_it() {
     let table = [
         (0, 7400, 60_000, true),
         (2500, 4900, 60_000, true),
@@ -297,7 +303,7 @@
             elapsed: Duration::from_millis(elapsed),
             left: Duration::from_millis(left),
         };
-        let is_begun = is_stream_admitted(Duration::from_millis(limit), stop);
-        expect_that!(is_begun, eq(expected), "{stop:?} {limit}");
+        let is_admitted = is_stream_admitted(Duration::from_millis(limit), stop);
+        expect_that!(is_admitted, eq(expected), "{stop:?} {limit}");
     }
 }
--- a/crates/gateways/wingshore-gateway/tests/balance.rs
+++ b/crates/gateways/wingshore-gateway/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which server a live request goes to.
+//! Server selection for live requests.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn a_server_at_fault_rests_and_comes_back() {
+fn a_failed_server_is_ejected_and_readmitted() {
     let mut balancer = Balancer::default();
     let now = Instant::from_millis(10);
     balancer.failed(now, &InstanceId::from("a"));
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn a_server_at_fault_is_better_than_none() {
+fn an_ejected_server_is_chosen_if_there_is_no_other() {
     let mut balancer = Balancer::default();
     let now = Instant::from_millis(10);
     balancer.failed(now, &InstanceId::from("a"));
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation.rs
@@ -1,20 +1,20 @@
-//! Requests that end their servers, among innocent ones, under crashes of other causes, resets,
-//! cuts that look like dead ports, releases and changes of the leader: the real watch of gateways
-//! and the real leader, with drawn faults.
+//! Simulation of requests that crash servers among innocent requests, with random faults: crashes
+//! of other causes, connection resets, partitions that look like a closed port, server drains and
+//! leader changes. The gateways' crash detector and the leader are the real ones.
 //!
-//! Two things are checked: no innocent request is ever rejected, and one that ends its servers
-//! reaches few of them after the third. `WINGSHORE_DRAWN_RUNS=100000` runs more by hand.
+//! Two properties are checked: no innocent request is ever rejected, and a crashing request reaches
+//! few servers after its third crash. `WINGSHORE_DRAWN_RUNS=100000` runs more simulations.
 
 mod crash_simulation {
     pub mod group;
     pub mod world;
 }
 
-use crash_simulation::world::{Chance, Run};
+use crash_simulation::world::{Scenario, Simulation};
 
-/// The users' bound on sends later than 3 s after the third ending.
-const MOST_LATE_SENDS: usize = 3;
-/// Runs of each kind in CI: some 3 s.
+/// Required maximum of sends later than 3 s after the third crash.
+const MAX_LATE_SENDS: usize = 3;
+/// Simulations per scenario in CI; they take about 3 s.
 const RUNS: u64 = 300;
 
 fn runs() -> u64 {
@@ -22,19 +22,20 @@
     wanted.and_then(|count| count.parse().ok()).unwrap_or(RUNS)
 }
 
-/// Plays all runs of a kind, prints their sums, and gives the seeds that broke something.
-fn play_all(chance: Chance) -> (Vec<u64>, Sums) {
+/// Runs all simulations of a scenario, prints the totals, and returns the failing seeds and the
+/// totals.
+fn run_all(scenario: Scenario) -> (Vec<u64>, Sums) {
     let mut sums = Sums::default();
     let mut broken = Vec::new();
     for seed in 0..runs() {
-        let end = Run::new(seed, chance).play();
-        sums.evidence += end.evidence;
-        sums.ended += end.ended_by_it;
-        sums.late_sends += end.late_sends;
-        if end.innocents_rejected > 0 || end.late_sends > MOST_LATE_SENDS {
+        let outcome = Simulation::new(seed, scenario).run_to_end();
+        sums.evidence += outcome.evidence;
+        sums.ended += outcome.crashes_by_request;
+        sums.late_sends += outcome.late_sends;
+        if outcome.rejected_innocents > 0 || outcome.late_sends > MAX_LATE_SENDS {
             println!(
                 "seed {seed}: {} innocent requests rejected, {} late sends",
-                end.innocents_rejected, end.late_sends
+                outcome.rejected_innocents, outcome.late_sends
             );
             broken.push(seed);
         }
@@ -43,47 +44,47 @@
     (broken, sums)
 }
 
-/// Over all runs.
+/// Totals over all simulations.
 #[derive(Debug, Default)]
 struct Sums {
-    /// Pieces of evidence that gateways told.
+    /// Pieces of evidence that gateways reported.
     evidence: u64,
-    /// Servers that ended under the request that ends them.
+    /// Server crashes caused by the crashing request.
     ended: u64,
-    /// Sends of it later than 3 s after the third.
+    /// Sends of the crashing request later than 3 s after its third crash.
     late_sends: usize,
 }
 
 #[test]
 fn crashes_of_other_causes_never_reject_a_request() {
-    let (broken, sums) = play_all(Chance::NoCrashingRequest);
+    let (broken, sums) = run_all(Scenario::NoCrashingRequest);
     assert_eq!(broken, [0_u64; 0]);
-    // Enough was seen for the check to mean something.
+    // The check is meaningful only if enough evidence was reported.
     assert!(sums.evidence > runs());
 }
 
 #[test]
 fn a_request_that_ends_its_servers_reaches_few_of_them() {
-    let (broken, sums) = play_all(Chance::OneCrashingRequest);
+    let (broken, sums) = run_all(Scenario::OneCrashingRequest);
     assert_eq!(broken, [0_u64; 0]);
     assert!(sums.ended > runs());
 }
 
-/// Plays one run without a request that ends servers, and checks that no innocent one is rejected.
+/// Runs one simulation without a crashing request, and checks that no innocent request is rejected.
 fn no_innocent_is_rejected_at(seed: u64) {
-    let end = Run::new(seed, Chance::NoCrashingRequest).play();
+    let outcome = Simulation::new(seed, Scenario::NoCrashingRequest).run_to_end();
     println!(
         "seed {seed}: {} innocent requests rejected",
-        end.innocents_rejected
+        outcome.rejected_innocents
     );
-    assert_eq!(end.innocents_rejected, 0);
+    assert_eq!(outcome.rejected_innocents, 0);
 }
 
-// What is seen in the runs of these seeds: a request that ends no server is rejected.
-// How it comes about: servers end of other causes, up to once a second, and by chance it stands on three of them.
-// Cause: three endings are taken for its doing where it alone stood on all three and on half of the servers that ended
-// meanwhile; what such a coincidence is worth where servers end often anyway is not asked.
-// Proof: 5 of 100,000 drawn runs.
+// At these seeds an innocent request is rejected. Servers crash for other reasons, up to once a
+// second, and by chance the request is running on three of them. The leader blames a request for
+// three crashes if it alone was running on all three servers and on half of the servers that
+// crashed in the meantime. It does not consider how likely this coincidence is when servers crash
+// often anyway. Of 100,000 simulations, 5 showed the fault.
 
 #[test]
 fn no_innocent_is_rejected_at_seed_43559() {
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/group.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/group.rs
@@ -1,4 +1,4 @@
-//! A coordination group of one member whose proposals are committed at once; its leader changes.
+//! A coordination group with one member, which commits proposals at once and can change its leader.
 
 use std::collections::VecDeque;
 use wingshore_coordination::{
@@ -14,8 +14,8 @@
     epoch: u64,
     index: u64,
     sequence: u64,
-    /// What gateways are told, in order.
-    pub told: Vec<ViewChange>,
+    /// View changes announced to the gateways, in order.
+    pub announced_changes: Vec<ViewChange>,
 }
 
 impl Group {
@@ -26,20 +26,20 @@
             epoch: 0,
             index: 0,
             sequence: 0,
-            told: Vec::new(),
+            announced_changes: Vec::new(),
         };
         group.change_leader(now);
         group
     }
 
-    /// Another member leads; what the one before held in memory is gone.
+    /// Makes another member the leader; the in-memory state of the previous leader is lost.
     pub fn change_leader(&mut self, now: Instant) {
         self.epoch += 1;
         self.leader = CoordinationLeader::new(LeaderSettings::default());
         let mut out = Vec::new();
         let epoch = Epoch(self.epoch);
         self.leader.on_leadership(now, epoch, &self.state, &mut out);
-        self.settle(now, out);
+        self.apply_outputs(now, out);
     }
 
     pub fn register(&mut self, now: Instant, server: ServerRecord) {
@@ -53,22 +53,22 @@
         let request = Request::Heartbeat(heartbeat);
         self.leader
             .on_request(now, tag, request, &self.state, &mut out);
-        self.settle(now, out);
+        self.apply_outputs(now, out);
     }
 
     pub fn event(&mut self, now: Instant, event: Event) {
         let mut out = Vec::new();
         self.leader.on_event(now, event, &self.state, &mut out);
-        self.settle(now, out);
+        self.apply_outputs(now, out);
     }
 
     pub fn tick(&mut self, now: Instant) {
         let mut out = Vec::new();
         self.leader.on_tick(now, &self.state, &mut out);
-        self.settle(now, out);
+        self.apply_outputs(now, out);
     }
 
-    fn settle(&mut self, now: Instant, out: Vec<LeaderOutput<Command, Reply, Effect>>) {
+    fn apply_outputs(&mut self, now: Instant, out: Vec<LeaderOutput<Command, Reply, Effect>>) {
         let mut queue = VecDeque::from(out);
         while let Some(output) = queue.pop_front() {
             match output {
@@ -77,8 +77,8 @@
                     let before = LogIndex(self.index - 1);
                     self.state.apply(LogIndex(self.index), command);
                     let changes = self.state.view_changes(before);
-                    self.told
-                        .extend(changes.expect("the entry before is remembered"));
+                    self.announced_changes
+                        .extend(changes.expect("the change log still holds the previous entry"));
                     let mut more = Vec::new();
                     self.leader.on_applied(now, tag, (), &self.state, &mut more);
                     queue.extend(more);
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -1,4 +1,4 @@
-//! Servers, gateways, callers and faults of one drawn run.
+//! The servers, gateways, callers and faults of one simulation.
 
 use super::group::Group;
 use rand::rngs::StdRng;
@@ -14,85 +14,87 @@
 use wingshore_types::Instant;
 
 const STEP: Duration = Duration::from_millis(20);
-const LENGTH: Duration = Duration::from_secs(20);
-/// A stream that has brought events for this long is innocent, as the gateway has it.
-const INNOCENT_AFTER: Duration = Duration::from_secs(1);
-/// One that was sent a moment before the connection was lost did not run, as the gateway has it.
-const GUILTY_FROM: Duration = Duration::from_millis(2);
-/// The users' bound: sends later than this after the third ending are counted.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Under way from a gateway to the leader, and back.
-const WAY: Duration = Duration::from_millis(20);
-/// The ending from which sends are counted.
-const THIRD: u64 = 3;
-/// Servers that one attempt of a caller reaches at the most.
-const SENDS_OF_AN_ATTEMPT: u32 = 2;
-/// An item is sent until it is whole.
-const SENDS_OF_AN_ITEM: u32 = u32::MAX;
-/// Between times at which the leader looks.
+const SIMULATED_TIME: Duration = Duration::from_secs(20);
+/// A stream that has run for this long is cleared of suspicion, as in the gateway.
+const CLEARED_AFTER: Duration = Duration::from_secs(1);
+/// A request sent less than this long before its connection was lost is not the cause, as in the
+/// gateway.
+const POSSIBLE_CAUSE_AFTER: Duration = Duration::from_millis(2);
+/// Sends of the crashing request later than this after the third crash are counted; the time is a
+/// requirement.
+const CONTAINMENT_TIME: Duration = Duration::from_secs(3);
+/// One-way delay of messages between gateways and the leader.
+const MESSAGE_DELAY: Duration = Duration::from_millis(20);
+/// The number of the crash from which late sends are counted.
+const CONTAINMENT_CRASH_COUNT: u64 = 3;
+/// Maximum number of servers that one attempt of a caller reaches.
+const MAX_SENDS_PER_ATTEMPT: u32 = 2;
+/// A batch item is sent until it is complete.
+const MAX_SENDS_PER_ITEM: u32 = u32::MAX;
+/// Steps between ticks of the leader.
 const TICK_STEPS: u64 = 3;
 
-/// What is drawn.
+/// The kind of simulation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Chance {
+pub enum Scenario {
     NoCrashingRequest,
     OneCrashingRequest,
 }
 
-/// What came of a run.
+/// The result of a simulation.
 #[derive(Default)]
-pub struct End {
-    pub innocents_rejected: usize,
-    pub ended_by_it: u64,
+pub struct Outcome {
+    pub rejected_innocents: usize,
+    pub crashes_by_request: u64,
     pub late_sends: usize,
     pub evidence: u64,
 }
 
 /// A request that a server runs.
-struct Running {
+struct RunningRequest {
     request: RequestFingerprint,
     gateway: usize,
-    begun: Instant,
-    until: Instant,
-    /// Whether it has run for so long that it cleared itself.
-    innocent: bool,
-    /// Sends of this attempt of the caller that are left.
+    started_at: Instant,
+    ends_at: Instant,
+    /// Whether it has run long enough to be cleared of suspicion.
+    is_cleared: bool,
+    /// Sends left in this attempt of the caller.
     sends_left: u32,
 }
 
 struct Server {
     address: SocketAddr,
-    run: u64,
+    incarnation: u64,
     up: bool,
     back_at: Instant,
     draining: bool,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
 }
 
 struct Gateway {
-    watch: CrashDetector,
-    told: BTreeMap<RequestFingerprint, Suspect>,
+    detector: CrashDetector,
+    suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
-pub struct Run {
+pub struct Simulation {
     random: StdRng,
     now: Instant,
-    chance: Chance,
+    scenario: Scenario,
     group: Group,
     servers: Vec<Server>,
     gateways: Vec<Gateway>,
-    /// Messages to the leader and when they arrive.
+    /// Messages to the leader, with their arrival times.
     to_leader: Vec<(Instant, Event)>,
-    /// Changes that gateways get, and when.
+    /// View changes for the gateways, with their arrival times.
     to_gateways: Vec<(Instant, ViewChange)>,
-    crashing: RequestFingerprint,
+    crashing_request: RequestFingerprint,
     next_request: u64,
     slots: usize,
     crash_rate: f64,
     fault_rate: f64,
-    crashing_at: Instant,
-    third_ending: Option<Instant>,
-    end: End,
+    next_crashing_send: Instant,
+    third_crash: Option<Instant>,
+    outcome: Outcome,
 }
 
 fn fingerprint(number: u64) -> RequestFingerprint {
@@ -106,8 +108,8 @@
     content.fingerprint(FingerprintKey::new([1; 16]))
 }
 
-impl Run {
-    pub fn new(seed: u64, chance: Chance) -> Self {
+impl Simulation {
+    pub fn new(seed: u64, scenario: Scenario) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let servers = random.random_range(3..12);
         let gateways = random.random_range(2..7);
@@ -116,42 +118,42 @@
         let fault_rate = random.random_range(0.0..0.02);
         let servers = (0..servers).map(|index: u8| Server {
             address: SocketAddr::from(([10, 0, 0, index + 1], 80)),
-            run: 0,
+            incarnation: 0,
             up: true,
             back_at: Instant::ZERO,
             draining: false,
             running: Vec::new(),
         });
         let gateways = (0..gateways).map(|_| Gateway {
-            watch: CrashDetector::default(),
-            told: BTreeMap::new(),
+            detector: CrashDetector::default(),
+            suspects: BTreeMap::new(),
         });
-        let mut run = Self {
+        let mut simulation = Self {
             now: Instant::ZERO,
-            chance,
+            scenario,
             group: Group::new(Instant::ZERO),
             servers: servers.collect(),
             gateways: gateways.collect(),
             to_leader: Vec::new(),
             to_gateways: Vec::new(),
-            crashing: fingerprint(0),
+            crashing_request: fingerprint(0),
             next_request: 1,
             slots,
             crash_rate,
             fault_rate,
-            crashing_at: Instant::ZERO + Duration::from_secs(1),
-            third_ending: None,
-            end: End::default(),
+            next_crashing_send: Instant::ZERO + Duration::from_secs(1),
+            third_crash: None,
+            outcome: Outcome::default(),
             random,
         };
-        for index in 0..run.servers.len() {
-            run.register(index);
+        for index in 0..simulation.servers.len() {
+            simulation.register(index);
         }
-        run
+        simulation
     }
 
     fn instance(&self, index: usize) -> InstanceId {
-        InstanceId::from(format!("s{index}-{}", self.servers[index].run))
+        InstanceId::from(format!("s{index}-{}", self.servers[index].incarnation))
     }
 
     fn register(&mut self, index: usize) {
@@ -168,27 +170,27 @@
         self.group.register(self.now, record);
     }
 
-    pub fn play(mut self) -> End {
-        let end = Instant::ZERO + LENGTH;
+    pub fn run_to_end(mut self) -> Outcome {
+        let end = Instant::ZERO + SIMULATED_TIME;
         let mut step = 0;
         while self.now < end {
             self.now = self.now + STEP;
             step += 1;
             self.restart_servers();
-            self.deliver();
+            self.deliver_to_leader();
             if step % TICK_STEPS == 0 {
                 self.group.tick(self.now);
             }
-            self.tell_gateways();
-            self.clear_long_runs();
-            self.end_runs();
-            self.begin_runs();
-            self.strike();
+            self.deliver_to_gateways();
+            self.clear_long_requests();
+            self.finish_requests();
+            self.start_requests();
+            self.inject_faults();
             for gateway in &mut self.gateways {
-                gateway.watch.expire(self.now);
+                gateway.detector.expire(self.now);
             }
         }
-        self.end
+        self.outcome
     }
 
     fn restart_servers(&mut self) {
@@ -197,13 +199,13 @@
             if !server.up && self.now >= server.back_at {
                 server.up = true;
                 server.draining = false;
-                server.run += 1;
+                server.incarnation += 1;
                 self.register(index);
             }
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_to_leader(&mut self) {
         let now = self.now;
         let due = self.to_leader.extract_if(.., |(at, _)| *at <= now);
         let due: Vec<Event> = due.map(|(_, event)| event).collect();
@@ -212,66 +214,70 @@
         }
     }
 
-    fn tell_gateways(&mut self) {
-        let arrives = self.now + WAY;
-        let told = std::mem::take(&mut self.group.told);
+    fn deliver_to_gateways(&mut self) {
+        let arrives = self.now + MESSAGE_DELAY;
+        let changes = std::mem::take(&mut self.group.announced_changes);
         self.to_gateways
-            .extend(told.into_iter().map(|change| (arrives, change)));
+            .extend(changes.into_iter().map(|change| (arrives, change)));
         let now = self.now;
         let due = self.to_gateways.extract_if(.., |(at, _)| *at <= now);
         let due: Vec<ViewChange> = due.map(|(_, change)| change).collect();
         for change in due {
             for gateway in 0..self.gateways.len() {
-                self.take_change(gateway, &change);
+                self.apply_change(gateway, &change);
             }
         }
     }
 
-    /// As the gateway's process does it.
-    fn take_change(&mut self, index: usize, change: &ViewChange) {
+    /// Applies a view change to a gateway, as the gateway process does.
+    fn apply_change(&mut self, index: usize, change: &ViewChange) {
         let now = self.now;
         let gateway = &mut self.gateways[index];
         match change {
             ViewChange::Server(server) => {
                 let seen = gateway
-                    .watch
+                    .detector
                     .registered(now, &server.instance, server.address);
-                self.tell_leader(index, seen);
+                self.report_to_leader(index, seen);
             }
             ViewChange::Suspect(suspect) => {
-                gateway.watch.announced(suspect.fingerprint, &suspect.ended);
-                gateway.told.insert(suspect.fingerprint, suspect.clone());
+                gateway
+                    .detector
+                    .announced(suspect.fingerprint, &suspect.ended);
+                gateway
+                    .suspects
+                    .insert(suspect.fingerprint, suspect.clone());
             }
             ViewChange::Cleared(request) => {
-                gateway.watch.cleared(*request);
-                gateway.told.remove(request);
+                gateway.detector.cleared(*request);
+                gateway.suspects.remove(request);
             }
             _ => {}
         }
     }
 
-    fn tell_leader(&mut self, gateway: usize, seen: Vec<SeenCrash>) {
+    fn report_to_leader(&mut self, gateway: usize, seen: Vec<SeenCrash>) {
         if seen.is_empty() {
             return;
         }
-        self.end.evidence += seen.len() as u64;
+        self.outcome.evidence += seen.len() as u64;
         let event = Event::RequestsCrashed {
             gateway: GatewayId(gateway as u64),
             seen,
         };
-        self.to_leader.push((self.now + WAY, event));
+        self.to_leader.push((self.now + MESSAGE_DELAY, event));
     }
 
     fn is_rejected(&self, gateway: usize, request: RequestFingerprint) -> bool {
-        let told = self.gateways[gateway].told.get(&request);
-        told.is_some_and(|suspect| suspect.rejected)
+        let suspect = self.gateways[gateway].suspects.get(&request);
+        suspect.is_some_and(|suspect| suspect.rejected)
     }
 
-    /// Sends a request to a server that is up, through any gateway.
+    /// Sends a request through a random gateway to a random server that is up and has a free slot.
     fn send(&mut self, request: RequestFingerprint, time: Duration, sends_left: u32) {
         let gateway = self.random.random_range(0..self.gateways.len());
         if self.is_rejected(gateway, request) {
-            self.end.innocents_rejected += usize::from(request != self.crashing);
+            self.outcome.rejected_innocents += usize::from(request != self.crashing_request);
             return;
         }
         let free = (0..self.servers.len()).filter(|index| {
@@ -283,24 +289,24 @@
             return;
         }
         let server = free[self.random.random_range(0..free.len())];
-        if request == self.crashing
+        if request == self.crashing_request
             && self
-                .third_ending
-                .is_some_and(|at| self.now.since(at) > CONTACT)
+                .third_crash
+                .is_some_and(|at| self.now.since(at) > CONTAINMENT_TIME)
         {
-            self.end.late_sends += 1;
+            self.outcome.late_sends += 1;
         }
-        self.servers[server].running.push(Running {
+        self.servers[server].running.push(RunningRequest {
             request,
             gateway,
-            begun: self.now,
-            until: self.now + time,
-            innocent: false,
+            started_at: self.now,
+            ends_at: self.now + time,
+            is_cleared: false,
             sends_left,
         });
     }
 
-    fn begin_runs(&mut self) {
+    fn start_requests(&mut self) {
         let wanted = self.servers.len() * self.slots / 2;
         let running: usize = self.servers.iter().map(|server| server.running.len()).sum();
         for _ in running..wanted {
@@ -308,50 +314,54 @@
                 let request = fingerprint(self.next_request);
                 self.next_request += 1;
                 let time = Duration::from_millis(self.random.random_range(30..6000));
-                self.send(request, time, SENDS_OF_AN_ITEM);
+                self.send(request, time, MAX_SENDS_PER_ITEM);
             }
         }
-        if self.chance == Chance::OneCrashingRequest && self.now >= self.crashing_at {
+        if self.scenario == Scenario::OneCrashingRequest && self.now >= self.next_crashing_send {
             let pause = Duration::from_millis(self.random.random_range(100..2500));
-            self.crashing_at = self.now + pause;
+            self.next_crashing_send = self.now + pause;
             let time = Duration::from_millis(self.random.random_range(20..200));
-            self.send(self.crashing, time, SENDS_OF_AN_ATTEMPT);
+            self.send(self.crashing_request, time, MAX_SENDS_PER_ATTEMPT);
         }
     }
 
-    fn end_runs(&mut self) {
+    fn finish_requests(&mut self) {
         for index in 0..self.servers.len() {
             let now = self.now;
             let ended = self.servers[index]
                 .running
-                .extract_if(.., |running| running.until <= now);
-            let ended: Vec<Running> = ended.collect();
-            if ended.iter().any(|run| run.request == self.crashing) {
+                .extract_if(.., |running| running.ends_at <= now);
+            let ended: Vec<RunningRequest> = ended.collect();
+            if ended
+                .iter()
+                .any(|running| running.request == self.crashing_request)
+            {
                 self.servers[index].running.extend(ended);
                 self.crash(index);
-                self.end.ended_by_it += 1;
-                if self.end.ended_by_it == THIRD {
-                    self.third_ending = Some(now);
+                self.outcome.crashes_by_request += 1;
+                if self.outcome.crashes_by_request == CONTAINMENT_CRASH_COUNT {
+                    self.third_crash = Some(now);
                 }
                 continue;
             }
-            for run in ended {
-                self.request_succeeded(run.gateway, run.request);
+            for running in ended {
+                self.request_succeeded(running.gateway, running.request);
             }
         }
     }
 
-    /// Streams that have brought events for long enough are innocent.
-    fn clear_long_runs(&mut self) {
+    /// Clears streams of suspicion that have run long enough.
+    fn clear_long_requests(&mut self) {
         let now = self.now;
         let mut cleared = Vec::new();
         for server in &mut self.servers {
             let running = server.running.iter_mut();
-            let long =
-                running.filter(|run| !run.innocent && now.since(run.begun) >= INNOCENT_AFTER);
-            for run in long {
-                run.innocent = true;
-                cleared.push((run.gateway, run.request));
+            let long = running.filter(|running| {
+                !running.is_cleared && now.since(running.started_at) >= CLEARED_AFTER
+            });
+            for running in long {
+                running.is_cleared = true;
+                cleared.push((running.gateway, running.request));
             }
         }
         for (gateway, request) in cleared {
@@ -361,18 +371,18 @@
 
     fn request_succeeded(&mut self, gateway: usize, request: RequestFingerprint) {
         let known = &mut self.gateways[gateway];
-        let is_untold = known
-            .watch
+        let is_unannounced = known
+            .detector
             .unannounced()
             .any(|found| found.fingerprint == request);
-        if is_untold || known.told.contains_key(&request) {
-            known.watch.cleared(request);
+        if is_unannounced || known.suspects.contains_key(&request) {
+            known.detector.cleared(request);
             let event = Event::RequestsRan(vec![request]);
-            self.to_leader.push((self.now + WAY, event));
+            self.to_leader.push((self.now + MESSAGE_DELAY, event));
         }
     }
 
-    /// Ends a server; what ran there is sent again.
+    /// Crashes a server; the requests that were running there are sent again.
     fn crash(&mut self, index: usize) {
         let down = Duration::from_millis(self.random.random_range(200..4000));
         let server = &mut self.servers[index];
@@ -381,44 +391,48 @@
         }
         server.up = false;
         server.back_at = self.now + down;
-        self.break_runs(index, None, true);
+        self.lose_connections(index, None, true);
     }
 
-    /// Connections to a server are lost; `refuses` says whether its port looks dead.
-    fn break_runs(&mut self, index: usize, of: Option<usize>, refuses: bool) {
+    /// Breaks the connections of `only_gateway`, or of all gateways, to a server; `refuses` says
+    /// whether the port appears closed.
+    fn lose_connections(&mut self, index: usize, only_gateway: Option<usize>, refuses: bool) {
         let now = self.now;
         let (instance, address) = (self.instance(index), self.servers[index].address);
         let was_draining = self.servers[index].draining;
-        let lost = self.servers[index]
-            .running
-            .extract_if(.., |run| of.is_none_or(|gateway| run.gateway == gateway));
-        let lost: Vec<Running> = lost.collect();
-        for run in &lost {
-            let ran_for = now.since(run.begun);
-            let is_suspect = (GUILTY_FROM..INNOCENT_AFTER).contains(&ran_for) && !was_draining;
-            let watch = &mut self.gateways[run.gateway].watch;
+        let lost = self.servers[index].running.extract_if(.., |running| {
+            only_gateway.is_none_or(|gateway| running.gateway == gateway)
+        });
+        let lost: Vec<RunningRequest> = lost.collect();
+        for running in &lost {
+            let ran_for = now.since(running.started_at);
+            let is_suspect =
+                (POSSIBLE_CAUSE_AFTER..CLEARED_AFTER).contains(&ran_for) && !was_draining;
+            let detector = &mut self.gateways[running.gateway].detector;
             if is_suspect {
-                let seen = watch.connection_lost(now, &instance, address, run.request);
-                self.tell_leader(run.gateway, seen.into_iter().collect());
+                let seen = detector.connection_lost(now, &instance, address, running.request);
+                self.report_to_leader(running.gateway, seen.into_iter().collect());
             }
         }
         if refuses {
             for gateway in 0..self.gateways.len() {
-                let seen = self.gateways[gateway].watch.server_ended(now, &instance);
-                self.tell_leader(gateway, seen);
+                let seen = self.gateways[gateway].detector.server_ended(now, &instance);
+                self.report_to_leader(gateway, seen);
             }
         }
-        for run in lost {
-            let time = run.until.since(now).max(Duration::from_millis(20));
-            let is_suspect = self.gateways[run.gateway].told.contains_key(&run.request);
-            let is_item = run.sends_left > SENDS_OF_AN_ATTEMPT;
-            if run.sends_left > 1 && (is_item || !is_suspect) {
-                self.send(run.request, time, run.sends_left - 1);
+        for running in lost {
+            let time = running.ends_at.since(now).max(Duration::from_millis(20));
+            let is_suspect = self.gateways[running.gateway]
+                .suspects
+                .contains_key(&running.request);
+            let is_item = running.sends_left > MAX_SENDS_PER_ATTEMPT;
+            if running.sends_left > 1 && (is_item || !is_suspect) {
+                self.send(running.request, time, running.sends_left - 1);
             }
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let server = self.random.random_range(0..self.servers.len());
         let gateway = self.random.random_range(0..self.gateways.len());
         if self.random.random_bool(self.crash_rate) {
@@ -438,10 +452,10 @@
             return;
         }
         match self.random.random_range(0..4) {
-            // Connections are reset, or answers lost: the server listens.
-            0 => self.break_runs(server, Some(gateway), false),
-            // The gateway is cut off from the server in a way that looks like a dead port.
-            1 => self.break_runs(server, Some(gateway), true),
+            // Connections are reset or answers are lost, while the server still listens.
+            0 => self.lose_connections(server, Some(gateway), false),
+            // The gateway is partitioned from the server in a way that looks like a closed port.
+            1 => self.lose_connections(server, Some(gateway), true),
             2 => {
                 self.servers[server].draining = true;
                 self.register(server);
@@ -449,8 +463,8 @@
             _ => {
                 self.group.change_leader(self.now);
                 for index in 0..self.gateways.len() {
-                    let seen = self.gateways[index].watch.to_report(self.now);
-                    self.tell_leader(index, seen);
+                    let seen = self.gateways[index].detector.to_report(self.now);
+                    self.report_to_leader(index, seen);
                 }
             }
         }
--- a/crates/gateways/wingshore-gateway/tests/event_stream.rs
+++ b/crates/gateways/wingshore-gateway/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Reading streams of events, however their bytes are cut.
+//! Parsing of event streams whose bytes arrive in arbitrary pieces.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
 
 proptest! {
     #[test]
-    fn any_cuts_give_the_same_events(cuts in proptest::collection::vec(0..STREAM.len(), 0..8)) {
+    fn bytes_split_anywhere_give_the_same_events(cuts in proptest::collection::vec(0..STREAM.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.sort_unstable();
         let mut reader = EventReader::new("Weight-Versions");
@@ -38,18 +38,18 @@
     }
 
     #[test]
-    fn whole_events_and_the_rest_are_all_the_bytes(cut in 0..STREAM.len()) {
+    fn complete_events_and_the_rest_are_all_the_bytes(cut in 0..STREAM.len()) {
         let mut buffer = STREAM[..cut].to_vec();
-        let whole = take_complete_events(&mut buffer);
-        prop_assert_eq!([whole.as_slice(), buffer.as_slice()].concat(), &STREAM[..cut]);
+        let complete = take_complete_events(&mut buffer);
+        prop_assert_eq!([complete.as_slice(), buffer.as_slice()].concat(), &STREAM[..cut]);
         let mut reader = EventReader::new("weight-versions");
-        reader.read(&whole).unwrap();
+        reader.read(&complete).unwrap();
         prop_assert!(!reader.is_within_event());
     }
 }
 
 #[gtest]
-fn an_event_without_the_line_behind_it_does_not_count() {
+fn an_event_without_its_blank_line_is_incomplete() {
     let mut reader = EventReader::new("v");
     expect_that!(
         reader.read(b"id: 1\ndata: cut").map(|events| events.len()),
--- a/crates/gateways/wingshore-gateway/tests/limit.rs
+++ b/crates/gateways/wingshore-gateway/tests/limit.rs
@@ -1,92 +1,92 @@
-//! The adaptive limit of scorings.
+//! The adaptive concurrency limit of scorings.
 
 use googletest::prelude::*;
 use wingshore_gateway::{ConcurrencyLimit, LoadSignal};
 use wingshore_types::Instant;
 
-/// Slots that are never the bound.
-const PLENTY: usize = 1000;
+/// An upper bound that is never reached, in scorings.
+const UNBOUNDED: usize = 1000;
 
-/// How many may begin at once.
-fn admitted(limit: &ConcurrencyLimit, most: usize) -> usize {
+/// Returns how many scorings may start at once.
+fn admitted(limit: &ConcurrencyLimit, max: usize) -> usize {
     let mut limit = limit.clone();
     let mut count = 0;
-    while limit.allows(most) {
+    while limit.allows(max) {
         limit.acquire();
         count += 1;
     }
     count
 }
 
-/// Fills the limit and ends all of them at `now`.
-fn round(limit: &mut ConcurrencyLimit, now: Instant, signal: LoadSignal) {
-    let mut begun = 0;
-    while limit.allows(PLENTY) {
+/// Starts as many scorings as the limit allows, and ends all of them at `now` with `signal`.
+fn fill_and_release(limit: &mut ConcurrencyLimit, now: Instant, signal: LoadSignal) {
+    let mut started = 0;
+    while limit.allows(UNBOUNDED) {
         limit.acquire();
-        begun += 1;
+        started += 1;
     }
-    for _ in 0..begun {
+    for _ in 0..started {
         limit.release(now, signal);
     }
 }
 
 #[gtest]
-fn it_grows_while_answers_are_in_time_and_it_is_used() {
+fn the_limit_grows_while_it_is_used_and_answers_are_in_time() {
     let mut limit = ConcurrencyLimit::default();
-    let before = admitted(&limit, PLENTY);
+    let before = admitted(&limit, UNBOUNDED);
     for second in 0..20 {
-        round(
+        fill_and_release(
             &mut limit,
             Instant::from_millis(second * 1000),
             LoadSignal::InTime,
         );
     }
-    expect_that!(admitted(&limit, PLENTY), gt(before));
+    expect_that!(admitted(&limit, UNBOUNDED), gt(before));
 }
 
 #[gtest]
-fn it_does_not_grow_without_use() {
+fn the_limit_does_not_grow_while_unused() {
     let mut limit = ConcurrencyLimit::default();
-    let before = admitted(&limit, PLENTY);
+    let before = admitted(&limit, UNBOUNDED);
     for second in 0..1000 {
         limit.acquire();
         limit.release(Instant::from_millis(second * 1000), LoadSignal::InTime);
     }
-    expect_that!(admitted(&limit, PLENTY), eq(before));
+    expect_that!(admitted(&limit, UNBOUNDED), eq(before));
 }
 
 #[gtest]
-fn it_falls_when_servers_are_overloaded_but_never_to_nothing() {
+fn the_limit_falls_on_overload_but_not_below_one() {
     let mut limit = ConcurrencyLimit::default();
     for second in 0..100 {
-        round(
+        fill_and_release(
             &mut limit,
             Instant::from_millis(second * 1000),
             LoadSignal::Overload,
         );
     }
-    expect_that!(admitted(&limit, PLENTY), eq(1));
+    expect_that!(admitted(&limit, UNBOUNDED), eq(1));
 }
 
 #[gtest]
-fn signs_that_come_together_count_once() {
+fn simultaneous_overload_signals_count_once() {
     let mut limit = ConcurrencyLimit::default();
-    round(&mut limit, Instant::from_millis(1), LoadSignal::Overload);
-    expect_that!(admitted(&limit, PLENTY), gt(1));
+    fill_and_release(&mut limit, Instant::from_millis(1), LoadSignal::Overload);
+    expect_that!(admitted(&limit, UNBOUNDED), gt(1));
 }
 
 #[gtest]
-fn the_servers_slots_bound_it_and_one_may_always_begin() {
+fn slots_bound_the_limit_and_one_scoring_is_always_allowed() {
     let limit = ConcurrencyLimit::default();
     expect_that!(admitted(&limit, 2), eq(2));
     expect_that!(admitted(&limit, 0), eq(1));
 }
 
 #[gtest]
-fn an_end_that_says_nothing_frees_a_place_and_leaves_the_limit() {
+fn an_end_without_a_signal_frees_a_place_and_keeps_the_limit() {
     let mut limit = ConcurrencyLimit::default();
-    let before = admitted(&limit, PLENTY);
-    round(&mut limit, Instant::from_millis(1), LoadSignal::None);
-    expect_that!(admitted(&limit, PLENTY), eq(before));
+    let before = admitted(&limit, UNBOUNDED);
+    fill_and_release(&mut limit, Instant::from_millis(1), LoadSignal::None);
+    expect_that!(admitted(&limit, UNBOUNDED), eq(before));
     expect_that!(limit.allows(1), is_true());
 }
--- a/crates/gateways/wingshore-gateway/tests/pipelining.rs
+++ b/crates/gateways/wingshore-gateway/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive in one piece are all answered.
+//! Pipelined requests that arrive in one piece are all answered.
 
 #[path = "bytes/protocol.rs"]
 mod protocol;
@@ -15,15 +15,15 @@
 use wingshore_net::Signals;
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-/// Longest wait for the gateway.
-const WAIT: Duration = Duration::from_secs(3);
+/// Maximum time to wait for the gateway.
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind((LOOPBACK, 0)).unwrap();
     listener.local_addr().unwrap()
 }
 
-/// A gateway without a configuration: it answers each request at once.
+/// Starts a gateway without a configuration, which answers each request at once.
 fn start_gateway() -> SocketAddr {
     let front = free_address();
     let settings = GatewaySettings {
@@ -56,7 +56,7 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let end = Instant::now() + WAIT;
+    let end = Instant::now() + TIMEOUT;
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => return stream,
@@ -70,7 +70,7 @@
 fn all_requests_that_arrive_in_one_piece_are_answered() {
     const REQUESTS: usize = 5;
     let mut client = connect(start_gateway());
-    client.set_read_timeout(Some(WAIT)).unwrap();
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
     let request = "GET /x HTTP/1.1\r\nHost: open.test\r\n\r\n";
     let part = "GET /x HTT";
     let bytes = request.repeat(REQUESTS) + part;
