--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Handles the detected crash of a server's incarnation.
+/// Handles an incarnation of a server that is known to have ended.
 pub(crate) fn server_ended(environment: &mut Environment, instance: &InstanceId) {
     let now = environment.runtime.now;
     let evidence = environment.servers.crashes.server_ended(now, instance);
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -43,8 +43,8 @@
 struct LostConnections {
     address: SocketAddr,
     requests: Vec<RequestFingerprint>,
-    /// When the first connection was lost, which is also the time of the crash if there was one.
-    since: Instant,
+    /// When the first connection was lost; if the server has ended, this counts as the time.
+    first_lost_at: Instant,
     /// Number of connections opened to probe the server.
     probes: u32,
 }
@@ -53,26 +53,26 @@
 struct RecordedEvidence {
     evidence: CrashEvidence,
     /// When the server crashed.
-    at: Instant,
+    crashed_at: Instant,
 }
 
 /// Detects server crashes and records which requests the servers were running.
 ///
-/// Invariant: no piece of evidence is recorded twice, and none for a server whose crash was not
-/// detected.
+/// Invariant: no piece of evidence is recorded twice, and none for a server that is not known to
+/// have ended.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
     /// Lost connections without a known cause, by the incarnation of the server.
     lost: BTreeMap<InstanceId, LostConnections>,
-    /// Incarnations whose crash was detected, and when they crashed.
-    crashed_at: BTreeMap<InstanceId, Instant>,
+    /// Incarnations that are known to have ended, and when they ended.
+    ended_at: BTreeMap<InstanceId, Instant>,
     /// Evidence that the leader has not announced to all gateways, oldest first.
     recorded: Vec<RecordedEvidence>,
 }
 
 impl CrashDetector {
     /// Records a connection that was lost while a server ran a request. Returns evidence if the
-    /// server is known to have crashed.
+    /// server is known to have ended.
     pub fn connection_lost(
         &mut self,
         now: Instant,
@@ -80,14 +80,14 @@
         address: SocketAddr,
         request: RequestFingerprint,
     ) -> Option<SeenCrash> {
-        if let Some(at) = self.crashed_at.get(instance).copied() {
+        if let Some(at) = self.ended_at.get(instance).copied() {
             return self.record_evidence(now, at, request, instance);
         }
         let lost = self.lost.entry(instance.clone());
         let lost = lost.or_insert_with(|| LostConnections {
             address,
             requests: Vec::new(),
-            since: now,
+            first_lost_at: now,
             probes: 0,
         });
         let has_room = lost.requests.len() < MAX_REQUESTS_PER_SERVER;
@@ -105,11 +105,12 @@
         (lost.probes <= MAX_PROBES).then_some(lost.address)
     }
 
-    /// Records that an incarnation of a server has crashed. Returns the resulting evidence.
+    /// Records that an incarnation of a server has ended. Returns the resulting evidence of a
+    /// crash.
     pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<SeenCrash> {
         let lost = self.lost.remove(instance);
-        let at = lost.as_ref().map_or(now, |lost| lost.since);
-        self.crashed_at.entry(instance.clone()).or_insert(at);
+        let at = lost.as_ref().map_or(now, |lost| lost.first_lost_at);
+        self.ended_at.entry(instance.clone()).or_insert(at);
         let requests = lost.map(|lost| lost.requests);
         let requests = requests.unwrap_or_default().into_iter();
         requests
@@ -118,7 +119,7 @@
     }
 
     /// Records that an incarnation is registered at an address: any other incarnation there has
-    /// crashed. Returns the resulting evidence.
+    /// ended. Returns the resulting evidence of crashes.
     pub fn registered(
         &mut self,
         now: Instant,
@@ -164,20 +165,20 @@
             .collect()
     }
 
-    /// Forgets lost connections, crashes and evidence that are too old.
+    /// Forgets lost connections, ended incarnations and evidence that are too old.
     pub fn expire(&mut self, now: Instant) {
         self.lost
-            .retain(|_, lost| now.since(lost.since) < LOST_CONNECTION_LIFETIME);
-        self.crashed_at
+            .retain(|_, lost| now.since(lost.first_lost_at) < LOST_CONNECTION_LIFETIME);
+        self.ended_at
             .retain(|_, at| now.since(*at) < LOST_CONNECTION_LIFETIME);
         self.recorded
-            .retain(|recorded| now.since(recorded.at) < REPORT_LIFETIME);
+            .retain(|recorded| now.since(recorded.crashed_at) < REPORT_LIFETIME);
     }
 
     fn record_evidence(
         &mut self,
         now: Instant,
-        at: Instant,
+        crashed_at: Instant,
         fingerprint: RequestFingerprint,
         instance: &InstanceId,
     ) -> Option<SeenCrash> {
@@ -195,7 +196,10 @@
         if self.recorded.len() >= MAX_RECORDED_EVIDENCE {
             self.recorded.remove(0);
         }
-        let recorded = RecordedEvidence { evidence, at };
+        let recorded = RecordedEvidence {
+            evidence,
+            crashed_at,
+        };
         let observed_crash = recorded.to_observed_crash(now);
         self.recorded.push(recorded);
         Some(observed_crash)
@@ -206,7 +210,7 @@
     fn to_observed_crash(&self, now: Instant) -> SeenCrash {
         SeenCrash {
             evidence: self.evidence.clone(),
-            ago: now.since(self.at),
+            ago: now.since(self.crashed_at),
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/encode.rs
+++ b/crates/gateways/wingshore-gateway/src/encode.rs
@@ -25,14 +25,14 @@
     for (name, value) in forwarded_headers(site, &head.headers) {
         let is_set_here = gateway_headers
             .iter()
-            .any(|own| name.eq_ignore_ascii_case(own.as_bytes()));
+            .any(|header| name.eq_ignore_ascii_case(header.as_bytes()));
         if !is_set_here {
             writer = writer.line(name, value);
         }
     }
-    let left = exchange.deadline.since(now).as_millis();
+    let remaining_ms = exchange.deadline.since(now).as_millis();
     writer = writer
-        .header(names.deadline, left)
+        .header(names.deadline, remaining_ms)
         .header(names.expected_instance, server.instance.name());
     if let Some(tenant) = &exchange.tenant {
         writer = writer.header(names.tenant, tenant);
@@ -92,12 +92,12 @@
         is_hop_by_hop(name.as_bytes())
             || gateway_headers
                 .iter()
-                .any(|own| name.eq_ignore_ascii_case(own))
+                .any(|header| name.eq_ignore_ascii_case(header))
             || (has_tenant && name.eq_ignore_ascii_case(authorization))
     };
-    let lines = assignment.headers.iter();
-    let lines = lines.map(|(name, value)| (name.as_str(), value.as_str()));
-    lines.filter(move |(name, _)| !is_dropped(name))
+    let headers = assignment.headers.iter();
+    let headers = headers.map(|(name, value)| (name.as_str(), value.as_str()));
+    headers.filter(move |(name, _)| !is_dropped(name))
 }
 
 /// Returns the caller's header fields that are forwarded to servers, without the key and without
--- a/crates/gateways/wingshore-gateway/src/exchange.rs
+++ b/crates/gateways/wingshore-gateway/src/exchange.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Whether the current server has streamed events for so long that the request is not what
-    /// would crash it.
+    /// Whether the current server has streamed events for so long that the request is not suspected
+    /// of crashing it.
     pub(crate) fn has_streamed_long(&self, now: Instant) -> bool {
         let stream = self.stream.as_ref();
         stream.is_some_and(|stream| suspects::is_cleared(now, stream.source_started_at))
--- a/crates/gateways/wingshore-gateway/src/forward.rs
+++ b/crates/gateways/wingshore-gateway/src/forward.rs
@@ -288,20 +288,22 @@
         record_failure(environment, &mut exchange, &failure);
         let client = exchange.client().filter(|_| exchange.stream.is_none());
         let for_client = failure.answer.zip(client);
-        let circumstances = RetryContext {
+        let context = RetryContext {
             is_suspect: request_suspicion::is_suspect(environment, &exchange),
             has_other_server: has_other_server(environment, &exchange),
             is_past_deadline: now >= exchange.deadline,
             has_server_answer: for_client.is_some(),
         };
-        let step = attempts::next_step(exchange.limits(), exchange.history, circumstances);
+        let step = attempts::next_step(exchange.limits(), exchange.history, context);
         match (step, for_client) {
             (NextStep::Retry, _) => self.send_to_server(environment, id, exchange),
-            (NextStep::PassOn, Some((answer, client))) => {
+            (NextStep::ForwardAnswer, Some((answer, client))) => {
                 log::server_failed(environment, &exchange);
                 Some(ExchangeEnd::ServerAnswer { client, answer })
             }
-            (NextStep::PassOn | NextStep::GiveUp, _) => Some(give_up(environment, &exchange)),
+            (NextStep::ForwardAnswer | NextStep::GiveUp, _) => {
+                Some(give_up(environment, &exchange))
+            }
         }
     }
 
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -109,7 +109,7 @@
             UNSAFE,
             &[Ran],
             answered,
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "failed, repeatable",
@@ -123,7 +123,7 @@
             SAFE,
             &[Ran, Ran, Ran],
             answered,
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "attempts used up, no answer",
@@ -154,7 +154,7 @@
                 has_server_answer: true,
                 ..last_server
             },
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "failed late, with a server left",
@@ -167,8 +167,8 @@
             NextStep::GiveUp,
         ),
     ];
-    for (case, limits, verdicts, circumstances, expected) in table {
-        let step = next_step(limits, history(verdicts), circumstances);
+    for (case, limits, verdicts, context, expected) in table {
+        let step = next_step(limits, history(verdicts), context);
         expect_that!(step, eq(expected), "{case}");
     }
 }
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -1,4 +1,4 @@
-//! The servers, gateways, callers and faults of one simulation.
+//! The servers, gateways, callers and faults of one run.
 
 use super::group::Group;
 use rand::rngs::StdRng;
@@ -34,14 +34,14 @@
 /// Steps between ticks of the leader.
 const TICK_STEPS: u64 = 3;
 
-/// The kind of simulation.
+/// The kind of run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     NoCrashingRequest,
     OneCrashingRequest,
 }
 
-/// The result of a simulation.
+/// The result of a run.
 #[derive(Default)]
 pub struct Outcome {
     pub rejected_innocents: usize,
@@ -128,7 +128,7 @@
             detector: CrashDetector::default(),
             suspects: BTreeMap::new(),
         });
-        let mut simulation = Self {
+        let mut run = Self {
             now: Instant::ZERO,
             scenario,
             group: Group::new(Instant::ZERO),
@@ -146,10 +146,10 @@
             outcome: Outcome::default(),
             random,
         };
-        for index in 0..simulation.servers.len() {
-            simulation.register(index);
+        for index in 0..run.servers.len() {
+            run.register(index);
         }
-        simulation
+        run
     }
 
     fn instance(&self, index: usize) -> InstanceId {
--- a/crates/gateways/wingshore-gateway/tests/limit.rs
+++ b/crates/gateways/wingshore-gateway/tests/limit.rs
@@ -20,12 +20,12 @@
 
 /// Starts as many scorings as the limit allows, and ends all of them at `now` with `signal`.
 fn fill_and_release(limit: &mut ConcurrencyLimit, now: Instant, signal: LoadSignal) {
-    let mut started = 0;
+    let mut begun = 0;
     while limit.allows(UNBOUNDED) {
         limit.acquire();
-        started += 1;
+        begun += 1;
     }
-    for _ in 0..started {
+    for _ in 0..begun {
         limit.release(now, signal);
     }
 }
