--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -1,4 +1,4 @@
-//! The servers, gateways, callers and faults of one run.
+//! The servers, gateways, callers and faults of one simulation.
 
 use super::group::Group;
 use rand::rngs::StdRng;
@@ -34,14 +34,14 @@
 /// Steps between ticks of the leader.
 const TICK_STEPS: u64 = 3;
 
-/// The kind of run.
+/// The kind of simulation.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     NoCrashingRequest,
     OneCrashingRequest,
 }
 
-/// The result of a run.
+/// The result of a simulation.
 #[derive(Default)]
 pub struct Outcome {
     pub rejected_innocents: usize,
