--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -52,18 +52,18 @@
 mod view_following;
 mod view_source;
 
-pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_server_failure};
+pub use answers::{AnswerFacts, AnswerKind, classify_answer, is_internal_error};
 pub use attempt_timeouts::{
-    StopProgress, answer_deadline, connect_deadline, is_stream_begun, request_timeout,
+    StopProgress, answer_deadline, connect_deadline, is_stream_admitted, request_timeout,
 };
 pub use attempts::{
-    AttemptHistory, Circumstances, NextStep, RetryLimits, after_failure, given_up_answer,
+    AttemptHistory, NextStep, RetryContext, RetryLimits, given_up_answer, next_step,
 };
 pub use balance::Balancer;
 pub use call_policy::call_time_limit;
-pub use crashes::CrashWatch;
+pub use crashes::CrashDetector;
 pub use error::GatewayError;
-pub use event_stream::{EventReader, StreamEvent, take_whole_events};
+pub use event_stream::{EventReader, StreamEvent, take_complete_events};
 pub use item_policy::{ItemAnswer, classify_item_answer, is_upload_due};
 pub use limit::{ConcurrencyLimit, LoadSignal};
 pub use process::Gateway;
--- a/crates/gateways/wingshore-gateway/src/process/mod.rs
+++ b/crates/gateways/wingshore-gateway/src/process/mod.rs
@@ -179,7 +179,7 @@
             scorings: self.scorings.count(),
             scorings_queued: self.scorings.queued(),
             suspects: site.view.suspect_count(),
-            evidence: servers.crashes.unreported().count(),
+            evidence: servers.crashes.unannounced().count(),
             coordinators: site.coordinators.connected().len(),
             leader_known: site.coordinators.leader().is_some(),
             ready: status.ready,
@@ -204,7 +204,8 @@
         self.dial_coordinators();
         self.follow_view();
         self.environment.forget_old_servers();
-        self.clients.forget_left(&self.environment.runtime.reactor);
+        self.clients
+            .forget_closed(&self.environment.runtime.reactor);
         self.start_scorings();
         self.reload_seeds();
         self.begin_stop();
--- a/crates/gateways/wingshore-gateway/src/process/work.rs
+++ b/crates/gateways/wingshore-gateway/src/process/work.rs
@@ -1,7 +1,7 @@
 //! Handling of results from servers: the ends of forwarded requests, and scorings.
 
 use super::Gateway;
-use crate::encode::end_to_end;
+use crate::encode::end_to_end_headers;
 use crate::exchange::ExchangeEnd;
 use crate::scoring::StartOutcome;
 use wingshore_coordination::{AssignmentId, ScoringAssignment};
@@ -22,7 +22,8 @@
             }
             Some(ExchangeEnd::StreamEnded(client)) => self.stream_ended(client),
             Some(ExchangeEnd::StreamBroken(client)) => {
-                self.clients.cut(&mut self.environment.runtime, client);
+                self.clients
+                    .close_after_flush(&mut self.environment.runtime, client);
             }
             Some(ExchangeEnd::ClientDoesNotRead(client)) => self.close_client(client),
             Some(ExchangeEnd::Scoring { scoring, end }) => {
@@ -36,7 +37,7 @@
     /// Sends a server's answer to a client.
     fn forward_answer(&mut self, client: ConnectionId, answer: &WholeAnswer) {
         let mut writer = HeadWriter::answer(answer.head.status);
-        for (name, value) in end_to_end(&answer.head.headers) {
+        for (name, value) in end_to_end_headers(&answer.head.headers) {
             writer = writer.line(name, value);
         }
         self.answer(client, writer, &answer.body);
--- a/crates/gateways/wingshore-gateway/src/scoring.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring.rs
@@ -140,7 +140,7 @@
         let scorer = &scoring.assignment.scorer;
         let routes = environment.site.view.routes();
         let route = routes.find(&scorer.host, &scorer.path).cloned();
-        let target = route.and_then(|route| Some((exchanges.next_target(&route)?, route)));
+        let target = route.and_then(|route| Some((exchanges.next_service(&route)?, route)));
         let Some((service, route)) = target else {
             let outcome = ScoringOutcome::NotScored(NotScoredReason::NoRoute);
             self.end(environment, id, outcome);
@@ -152,9 +152,9 @@
         if self.is_limited && !limit.allows(scoring_policy::max_scorings(slots)) {
             return StartOutcome::LimitReached;
         }
-        limit.begun();
+        limit.acquire();
         let names = environment.site.protocol.header_names();
-        let until = now + route.timeout;
+        let deadline = now + route.timeout;
         let new = NewExchange {
             origin: Origin::Scoring(id),
             tenant: scoring.assignment.item.job.tenant().cloned(),
@@ -162,7 +162,7 @@
             id: scorer.request.as_str().as_bytes().to_vec(),
             route,
             service: service.clone(),
-            until,
+            deadline,
         };
         let exchange = exchanges.next_id();
         scoring.exchange = Some((exchange, service));
@@ -216,7 +216,7 @@
     ) {
         let now = environment.runtime.now;
         if let Some(exchange) = self.release_slot(now, id, LoadSignal::None) {
-            exchanges.abandon(environment, exchange);
+            exchanges.cancel(environment, exchange);
         }
         self.by_id.remove(&id);
         self.queue.retain(|queued| *queued != id);
@@ -240,7 +240,7 @@
     ) -> Option<ExchangeId> {
         let (exchange, service) = self.by_id.get_mut(&id)?.exchange.take()?;
         if let Some(limit) = self.limits.get_mut(&service) {
-            limit.ended(now, signal);
+            limit.release(now, signal);
         }
         Some(exchange)
     }
