--- a/crates/gateways/wingshore-coordination/src/messages/formats.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/formats.rs
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// When there is none.
-    pub fn judge(&mut self, peer: SocketAddr, rest: &[u8]) -> Result<u16, Refusal> {
+    pub fn negotiate(&mut self, peer: SocketAddr, rest: &[u8]) -> Result<u16, Refusal> {
         let formats = FormatRange::after_hello(rest).ok();
         if let Some(common) = formats.and_then(|formats| FormatRange::OWN.common(formats)) {
             self.by_address.remove(&peer);
--- a/crates/gateways/wingshore-coordination/tests/formats.rs
+++ b/crates/gateways/wingshore-coordination/tests/formats.rs
@@ -57,15 +57,21 @@
 fn a_peer_is_news_once_for_what_it_says() {
     let mut refused = RefusedPeers::default();
     let refusal = |formats, is_news| Err(Refusal { formats, is_news });
-    expect_that!(refused.judge(peer(), &[]), eq(Ok(1)));
+    expect_that!(refused.negotiate(peer(), &[]), eq(Ok(1)));
     let (newer, newest) = (Some(range(2, 3)), Some(range(3, 3)));
-    expect_that!(refused.judge(peer(), &[2, 3]), eq(refusal(newer, true)));
-    expect_that!(refused.judge(peer(), &[2, 3]), eq(refusal(newer, false)));
-    expect_that!(refused.judge(peer(), &[3, 3]), eq(refusal(newest, true)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, true)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, false)));
-    expect_that!(refused.judge(peer(), &[1, 9]), eq(Ok(1)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, true)));
+    expect_that!(refused.negotiate(peer(), &[2, 3]), eq(refusal(newer, true)));
+    expect_that!(
+        refused.negotiate(peer(), &[2, 3]),
+        eq(refusal(newer, false))
+    );
+    expect_that!(
+        refused.negotiate(peer(), &[3, 3]),
+        eq(refusal(newest, true))
+    );
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, true)));
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, false)));
+    expect_that!(refused.negotiate(peer(), &[1, 9]), eq(Ok(1)));
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, true)));
 }
 
 #[gtest]
--- a/crates/gateways/wingshore-coordinator/src/process/formats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/formats.rs
@@ -12,7 +12,7 @@
     /// Whether a peer can be spoken with; `rest` is what came after its hello. One that cannot is
     /// counted, and named where that is news.
     pub(super) fn speaks_with(&mut self, peer: SocketAddr, rest: &[u8]) -> bool {
-        let Err(refusal) = self.refused_peers.judge(peer, rest) else {
+        let Err(refusal) = self.refused_peers.negotiate(peer, rest) else {
             return true;
         };
         self.metrics.peer_refused();
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -265,7 +265,7 @@
         if std::mem::replace(&mut link.introduced, true) {
             return true;
         }
-        let Err(refusal) = self.refused.judge(address, rest) else {
+        let Err(refusal) = self.refused.negotiate(address, rest) else {
             return true;
         };
         runtime.metrics.peer_refused();
