--- a/crates/gateways/wingshore-coordination/src/configuration.rs
+++ b/crates/gateways/wingshore-coordination/src/configuration.rs
@@ -242,7 +242,7 @@
     }
 
     /// Whether callers have to show a key on this route.
-    pub fn asks_for_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         !self.tenants.is_empty() && !route.public
     }
 
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -103,10 +103,10 @@
     let mut public = site.routes[0].clone();
     public.public = true;
     site.routes.push(public);
-    expect_that!(site.asks_for_key(&site.routes[0]), eq(true));
-    expect_that!(site.asks_for_key(&site.routes[1]), eq(false));
+    expect_that!(site.requires_key(&site.routes[0]), eq(true));
+    expect_that!(site.requires_key(&site.routes[1]), eq(false));
     site.tenants.clear();
-    expect_that!(site.asks_for_key(&site.routes[0]), eq(false));
+    expect_that!(site.requires_key(&site.routes[0]), eq(false));
 }
 
 fn read(group: &mut Group, id: JobId) -> Option<Reply> {
--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -145,7 +145,7 @@
 /// The caller of a request on a route; `None` where it is not told apart from others.
 fn route_caller(site: &Site, head: &RequestHead, route: &Route) -> Result<Option<Caller>, Refusal> {
     let caller = caller_of(site, &head.headers);
-    if caller.is_none() && site.view.asks_for_key(route) {
+    if caller.is_none() && site.view.requires_key(route) {
         return Err(Refusal::unauthorized(site, &head.headers));
     }
     Ok(caller)
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -173,9 +173,9 @@
     }
 
     /// Whether callers have to show a key on this route.
-    pub fn asks_for_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         let configuration = self.configuration.as_ref();
-        configuration.is_some_and(|held| held.asks_for_key(route))
+        configuration.is_some_and(|held| held.requires_key(route))
     }
 
     /// Whether callers have to show a key to ask for batch jobs at this host: calls about a job do
