--- a/crates/gateways/wingshore-coordination/src/configuration.rs
+++ b/crates/gateways/wingshore-coordination/src/configuration.rs
@@ -288,7 +288,7 @@
     }
 
     /// The part of its requests that goes to a service, from 0 to 1.
-    pub(crate) fn part_of(&self, service: &ServiceName) -> f64 {
+    pub(crate) fn traffic_share(&self, service: &ServiceName) -> f64 {
         let own = self.targets.iter();
         let own = own.filter(|target| target.service == *service);
         let own: u64 = own.map(|target| u64::from(target.weight)).sum();
--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -100,7 +100,7 @@
         let running: usize = engines.map(|(_, engine)| engine.running).sum();
         let waiting = self.items.waiting_by_job().map(|(job, count)| {
             let route = self.route_of_job(job, state);
-            let part = route.map_or(0.0, |route| route.part_of(service));
+            let part = route.map_or(0.0, |route| route.traffic_share(service));
             (count as f64 * part).ceil() as usize
         });
         running + waiting.sum::<usize>()
