--- a/crates/gateways/wingshore-coordination/src/messages/group.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/group.rs
@@ -99,7 +99,7 @@
     }
 
     /// Whether each answer is worth a line of the log: calls of people and trainers, which are few.
-    pub fn is_rare(&self) -> bool {
+    pub fn is_answer_logged(&self) -> bool {
         matches!(
             self,
             Self::PutConfiguration(_) | Self::NameVersion { .. } | Self::RetireMember { .. }
--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -19,7 +19,7 @@
 impl Coordinator {
     /// Asks the group something; the answer goes to whoever waits.
     pub(super) fn ask_group(&mut self, request: Request, waiting: Waiting) {
-        let subject = request.is_rare().then(|| request.subject());
+        let subject = request.is_answer_logged().then(|| request.subject());
         let tag = self.tag(waiting, request.kind(), subject);
         self.inputs.push(HostInput::Request { tag, request });
     }
