--- a/crates/gateways/wingshore-coordination/src/ids.rs
+++ b/crates/gateways/wingshore-coordination/src/ids.rs
@@ -169,7 +169,7 @@
 /// When a server started, as it reports itself: milliseconds since the start of 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BornAt(pub u64);
+pub struct StartTime(pub u64);
 
 /// One incarnation of a server: the life of its process. A server that starts again under its name is
 /// another incarnation: it holds nothing that the one before held, and its counts start anew.
@@ -181,13 +181,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: ServerName,
-    born: Option<BornAt>,
+    born: Option<StartTime>,
 }
 
 impl InstanceId {
     /// The incarnation of `name` that started at `born`; `None` where servers do not report that, and
     /// have a name of its own for each incarnation.
-    pub fn new(name: ServerName, born: Option<BornAt>) -> Self {
+    pub fn new(name: ServerName, born: Option<StartTime>) -> Self {
         Self { name, born }
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// When it started.
-    pub fn born(&self) -> Option<BornAt> {
+    pub fn born(&self) -> Option<StartTime> {
         self.born
     }
 }
@@ -218,7 +218,7 @@
         let text = String::deserialize(source)?;
         let (name, born) = parts(&text);
         let born = born.map(str::parse).transpose().map_err(D::Error::custom)?;
-        Ok(Self::new(ServerName::from(name), born.map(BornAt)))
+        Ok(Self::new(ServerName::from(name), born.map(StartTime)))
     }
 }
 
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -32,8 +32,8 @@
 pub use evidence::{CrashEvidence, Suspect};
 pub use fingerprint::{FingerprintKey, RequestContent, RequestFingerprint};
 pub use ids::{
-    AssignmentId, BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
-    ServiceName, TenantName,
+    AssignmentId, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
+    ServiceName, StartTime, TenantName,
 };
 pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_coordination::{
-    ApiKey, AssignmentId, BornAt, CrashEvidence, DurablePrefix, EngineProfile, FingerprintKey,
+    ApiKey, AssignmentId, CrashEvidence, DurablePrefix, EngineProfile, FingerprintKey,
     FinishedText, GatewayId, GatewayStatus, Heartbeat, HeldPrefix, IngressLimits, InstanceId,
     ItemId, ItemKey, ItemText, JobId, JobItem, JobSubmission, ModelName, ModelVersion,
     RequestContent, RequestFingerprint, ResultText, Route, RouteKind, RouteTarget, RunningScoring,
-    Scaling, Scorer, ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, Suspect,
-    Tenant, TenantName, UsageCounts, UsageWindow, WindowUsage,
+    Scaling, Scorer, ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, StartTime,
+    Suspect, Tenant, TenantName, UsageCounts, UsageWindow, WindowUsage,
 };
 use wingshore_types::Epoch;
 
@@ -27,7 +27,7 @@
 pub fn instance() -> InstanceId {
     InstanceId::new(
         ServerName::from("engine-1"),
-        Some(BornAt(1_700_000_000_000)),
+        Some(StartTime(1_700_000_000_000)),
     )
 }
 
--- a/crates/gateways/wingshore-coordination/tests/runs.rs
+++ b/crates/gateways/wingshore-coordination/tests/runs.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use support::{Group, address_of, engine};
 use wingshore_coordination::{
-    BornAt, Heartbeat, InstanceId, Reply, Request, ServerName, ServerRecord, ServiceName,
+    Heartbeat, InstanceId, Reply, Request, ServerName, ServerRecord, ServiceName, StartTime,
     ViewChange,
 };
 
@@ -21,7 +21,7 @@
 const UNAMBIGUOUS: Duration = Duration::from_secs(6);
 
 fn run(name: &str, born: u64) -> InstanceId {
-    InstanceId::new(ServerName::from(name), Some(BornAt(born)))
+    InstanceId::new(ServerName::from(name), Some(StartTime(born)))
 }
 
 fn record(name: &str, born: u64, version: u64) -> ServerRecord {
