--- a/crates/gateways/wingshore-coordination/src/ids.rs
+++ b/crates/gateways/wingshore-coordination/src/ids.rs
@@ -181,14 +181,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: ServerName,
-    born: Option<StartTime>,
+    start_time: Option<StartTime>,
 }
 
 impl InstanceId {
     /// The incarnation of `name` that started at `born`; `None` where servers do not report that, and
     /// have a name of its own for each incarnation.
-    pub fn new(name: ServerName, born: Option<StartTime>) -> Self {
-        Self { name, born }
+    pub fn new(name: ServerName, start_time: Option<StartTime>) -> Self {
+        Self { name, start_time }
     }
 
     /// What the server calls itself; requests address servers by this name.
@@ -197,16 +197,16 @@
     }
 
     /// When it started.
-    pub fn born(&self) -> Option<StartTime> {
-        self.born
+    pub fn start_time(&self) -> Option<StartTime> {
+        self.start_time
     }
 }
 
 impl Serialize for InstanceId {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        match self.born {
-            Some(born) => {
-                serializer.collect_str(&format_args!("{}{SEPARATOR}{}", self.name, born.0))
+        match self.start_time {
+            Some(start_time) => {
+                serializer.collect_str(&format_args!("{}{SEPARATOR}{}", self.name, start_time.0))
             }
             None => serializer.serialize_str(self.name.as_str()),
         }
@@ -216,9 +216,12 @@
 impl<'de> Deserialize<'de> for InstanceId {
     fn deserialize<D: Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
         let text = String::deserialize(source)?;
-        let (name, born) = parts(&text);
-        let born = born.map(str::parse).transpose().map_err(D::Error::custom)?;
-        Ok(Self::new(ServerName::from(name), born.map(StartTime)))
+        let (name, start_time) = parts(&text);
+        let start_time = start_time
+            .map(str::parse)
+            .transpose()
+            .map_err(D::Error::custom)?;
+        Ok(Self::new(ServerName::from(name), start_time.map(StartTime)))
     }
 }
 
@@ -236,8 +239,8 @@
 
 impl fmt::Display for InstanceId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(formatter, "{}@{}", self.name, born.0),
+        match self.start_time {
+            Some(start_time) => write!(formatter, "{}@{}", self.name, start_time.0),
             None => write!(formatter, "{}", self.name),
         }
     }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -148,7 +148,7 @@
     /// Whether a heartbeat of an incarnation that the registry does not hold may be one of before its end.
     fn may_be_outdated(&mut self, now: Instant, instance: &InstanceId) -> bool {
         let after_deregistration =
-            instance.born().is_some() && self.deregistered.has(now, instance.name());
+            instance.start_time().is_some() && self.deregistered.has(now, instance.name());
         after_deregistration || self.may_precede_superseding(instance)
     }
 
@@ -164,7 +164,7 @@
 
     /// Whether a deregistration may be a late one of the incarnation before `newest`.
     pub(crate) fn is_ambiguous(&self, now: Instant, newest: &InstanceId) -> bool {
-        newest.born().is_some() && self.restarted.has(now, newest.name())
+        newest.start_time().is_some() && self.restarted.has(now, newest.name())
     }
 
     /// Servers of the registry that are silent for longer than `expiry`. Their silence is counted anew,
