--- a/crates/gateways/wingshore-coordination/src/messages/formats.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/formats.rs
@@ -74,7 +74,7 @@
     /// The formats that it speaks; `None` where what came after its hello is no range.
     pub formats: Option<FormatRange>,
     /// Whether it was not refused for the same before: only then is it worth a line of the log.
-    pub is_news: bool,
+    pub is_first: bool,
 }
 
 impl fmt::Display for Refusal {
@@ -106,7 +106,7 @@
         if self.by_address.len() >= MAX_REMEMBERED {
             self.by_address.clear();
         }
-        let is_news = self.by_address.insert(peer, formats) != Some(formats);
-        Err(Refusal { formats, is_news })
+        let is_first = self.by_address.insert(peer, formats) != Some(formats);
+        Err(Refusal { formats, is_first })
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/formats.rs
+++ b/crates/gateways/wingshore-coordination/tests/formats.rs
@@ -56,7 +56,7 @@
 #[gtest]
 fn a_peer_is_news_once_for_what_it_says() {
     let mut refused = RefusedPeers::default();
-    let refusal = |formats, is_news| Err(Refusal { formats, is_news });
+    let refusal = |formats, is_first| Err(Refusal { formats, is_first });
     expect_that!(refused.negotiate(peer(), &[]), eq(Ok(1)));
     let (newer, newest) = (Some(range(2, 3)), Some(range(3, 3)));
     expect_that!(refused.negotiate(peer(), &[2, 3]), eq(refusal(newer, true)));
@@ -78,7 +78,7 @@
 fn a_refusal_says_what_the_peer_speaks() {
     let refusal = |formats| Refusal {
         formats,
-        is_news: true,
+        is_first: true,
     };
     expect_that!(refusal(Some(range(2, 3))).to_string(), eq("2 to 3"));
     expect_that!(refusal(None).to_string(), eq("unreadable"));
--- a/crates/gateways/wingshore-coordinator/src/process/formats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/formats.rs
@@ -16,7 +16,7 @@
             return true;
         };
         self.metrics.peer_refused();
-        if refusal.is_news {
+        if refusal.is_first {
             warn!(self.logger, "peer refused: no common format";
                 "address" => %peer, "peer_formats" => %refusal,
                 "own_formats" => %FormatRange::OWN);
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -269,7 +269,7 @@
             return true;
         };
         runtime.metrics.peer_refused();
-        if refusal.is_news {
+        if refusal.is_first {
             warn!(runtime.logger, "peer refused: no common format";
                 "address" => %address, "peer_formats" => %refusal,
                 "own_formats" => %FormatRange::OWN);
