--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -36,7 +36,7 @@
         {
             let known = turn.state.evidence();
             let weight = self.evidence.weight(&evidence);
-            let counted = weight.counts() && known.is_news(&evidence);
+            let counted = weight.counts() && known.is_new(&evidence);
             turn.log(Decision::RequestSuspected {
                 request: evidence.fingerprint,
                 instance: evidence.instance.clone(),
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether this is news: neither known nor about a request that is rejected already.
-    pub(crate) fn is_news(&self, evidence: &CrashEvidence) -> bool {
+    pub(crate) fn is_new(&self, evidence: &CrashEvidence) -> bool {
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
             !suspect.rejected
@@ -80,7 +80,7 @@
 
     /// A server has ended under a request.
     pub(super) fn note(&mut self, evidence: CrashEvidence) {
-        if !self.is_news(&evidence) {
+        if !self.is_new(&evidence) {
             return;
         }
         let CrashEvidence {
