--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -21,7 +21,7 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
-use crate::state::{CoordinationState, MAX_ENDINGS, REJECTED_FROM, REPORTED_FROM};
+use crate::state::{CoordinationState, MAX_ENDINGS, REJECTION_THRESHOLD, REPORTED_FROM};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -199,7 +199,7 @@
     /// or with enough that single it out.
     pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
-        let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
+        let is_enough = ended >= REJECTION_THRESHOLD && self.singles_out(suspect.fingerprint);
         !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
     }
 
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -57,7 +57,7 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, KnownChanges, MAX_SUSPECTS, OrderHolder, REJECTED_FROM,
+    Command, CoordinationState, KnownChanges, MAX_SUSPECTS, OrderHolder, REJECTION_THRESHOLD,
     RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -11,11 +11,11 @@
 
 /// A request may be rejected once so many servers have ended under it, and no attempt of it went well
 /// meanwhile. Two may be chance: an attempt and its repeat, while servers end for other reasons.
-pub const REJECTED_FROM: usize = 3;
+pub const REJECTION_THRESHOLD: usize = 3;
 /// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
 /// so that each attempt of it that goes well counts. With a single one most are not the cause: many
 /// requests run on each server that ends.
-pub(crate) const REPORTED_FROM: usize = REJECTED_FROM - 1;
+pub(crate) const REPORTED_FROM: usize = REJECTION_THRESHOLD - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
 pub(crate) const MAX_ENDINGS: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
--- a/crates/gateways/wingshore-coordination/src/state/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/state/mod.rs
@@ -18,7 +18,7 @@
 
 pub use command::Command;
 pub(crate) use evidence::{MAX_ENDINGS, REPORTED_FROM};
-pub use evidence::{MAX_SUSPECTS, REJECTED_FROM, RequestEvidence};
+pub use evidence::{MAX_SUSPECTS, REJECTION_THRESHOLD, RequestEvidence};
 pub use orders::OrderHolder;
 pub use site::CoordinationState;
 pub use usage::SiteUsage;
--- a/crates/gateways/wingshore-gateway/src/suspects.rs
+++ b/crates/gateways/wingshore-gateway/src/suspects.rs
@@ -21,7 +21,7 @@
 use crate::crashes::CrashWatch;
 use crate::view::View;
 use std::time::Duration;
-use wingshore_coordination::{InstanceId, REJECTED_FROM, RequestFingerprint};
+use wingshore_coordination::{InstanceId, REJECTION_THRESHOLD, RequestFingerprint};
 use wingshore_types::Instant;
 
 /// An attempt that has brought events for this long is not what ends its server: such a request does
@@ -71,7 +71,7 @@
     pub(crate) fn is_rejected(self, request: RequestFingerprint) -> bool {
         let announced = self.view.suspect(request);
         announced.is_some_and(|suspect| suspect.rejected)
-            || (!self.has_leader && self.ended_under(request).len() >= REJECTED_FROM)
+            || (!self.has_leader && self.ended_under(request).len() >= REJECTION_THRESHOLD)
     }
 
     /// Whether so many servers have ended under a request that one attempt sends it to one server
