--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -21,7 +21,7 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
-use crate::state::{CoordinationState, MAX_ENDINGS, REJECTION_THRESHOLD, REPORTED_FROM};
+use crate::state::{CoordinationState, MAX_ENDINGS, REJECTION_THRESHOLD, REPORTING_THRESHOLD};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -218,5 +218,5 @@
 /// Whether so many servers have ended under an item that it is suspected to be the cause. Such items run
 /// on engines apart from each other: the next ending then tells which of them it is.
 pub(crate) fn is_suspect(ended_under: usize) -> bool {
-    ended_under >= REPORTED_FROM
+    ended_under >= REPORTING_THRESHOLD
 }
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -15,7 +15,7 @@
 /// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
 /// so that each attempt of it that goes well counts. With a single one most are not the cause: many
 /// requests run on each server that ends.
-pub(crate) const REPORTED_FROM: usize = REJECTION_THRESHOLD - 1;
+pub(crate) const REPORTING_THRESHOLD: usize = REJECTION_THRESHOLD - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
 pub(crate) const MAX_ENDINGS: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
--- a/crates/gateways/wingshore-coordination/src/state/view.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view.rs
@@ -3,7 +3,7 @@
 //! Changes are known back to a bound of [`super::view_history`]; a gateway that has missed more is sent
 //! the whole view.
 
-use super::evidence::{REPORTED_FROM, RequestEvidence};
+use super::evidence::{REPORTING_THRESHOLD, RequestEvidence};
 use super::servers::ServerRegistry;
 use super::site::CoordinationState;
 use super::view_history::ViewPart;
@@ -124,7 +124,7 @@
 
 /// Whether it is part of the view.
 fn is_in_view(suspect: &Suspect) -> bool {
-    suspect.ended.len() >= REPORTED_FROM
+    suspect.ended.len() >= REPORTING_THRESHOLD
 }
 
 /// The configuration without the operator's document, which only coordinators read back.
