--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -21,7 +21,9 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
 use crate::messages::SeenCrash;
-use crate::state::{CoordinationState, MAX_ENDINGS, REJECTION_THRESHOLD, REPORTING_THRESHOLD};
+use crate::state::{
+    CoordinationState, MAX_CRASHES_PER_REQUEST, REJECTION_THRESHOLD, REPORTING_THRESHOLD,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -200,7 +202,7 @@
     pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
         let is_enough = ended >= REJECTION_THRESHOLD && self.singles_out(suspect.fingerprint);
-        !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
+        !suspect.rejected && (ended >= MAX_CRASHES_PER_REQUEST || is_enough)
     }
 
     /// Requests without news for too long; their time begins anew.
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -17,7 +17,7 @@
 /// requests run on each server that ends.
 pub(crate) const REPORTING_THRESHOLD: usize = REJECTION_THRESHOLD - 1;
 /// Servers that are remembered for each request: with so many it is rejected in any case.
-pub(crate) const MAX_ENDINGS: usize = 4;
+pub(crate) const MAX_CRASHES_PER_REQUEST: usize = 4;
 /// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
 /// a new such request each time ends three servers with each, so that the bound is met late.
 pub const MAX_SUSPECTS: usize = 1024;
@@ -56,7 +56,7 @@
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
             !suspect.rejected
-                && suspect.ended.len() < MAX_ENDINGS
+                && suspect.ended.len() < MAX_CRASHES_PER_REQUEST
                 && !suspect.ended.contains(&evidence.instance)
         })
     }
--- a/crates/gateways/wingshore-coordination/src/state/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/state/mod.rs
@@ -17,7 +17,7 @@
 mod view_history;
 
 pub use command::Command;
-pub(crate) use evidence::{MAX_ENDINGS, REPORTING_THRESHOLD};
+pub(crate) use evidence::{MAX_CRASHES_PER_REQUEST, REPORTING_THRESHOLD};
 pub use evidence::{MAX_SUSPECTS, REJECTION_THRESHOLD, RequestEvidence};
 pub use orders::OrderHolder;
 pub use site::CoordinationState;
