--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -165,7 +165,7 @@
     }
 
     fn has_ended_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
-        self.evidence.is_pending(request) || state.evidence().ended_under(request) > 0
+        self.evidence.is_pending(request) || state.evidence().crash_count(request) > 0
     }
 
     fn max_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -43,7 +43,7 @@
                 gateway,
                 ended_together: weight.together,
                 under_request: weight.under_request,
-                ended_before: known.ended_under(evidence.fingerprint),
+                ended_before: known.crash_count(evidence.fingerprint),
                 counted,
             });
             if counted {
@@ -67,7 +67,7 @@
     ) {
         self.evidence.clear(&requests);
         let held = turn.state.evidence();
-        let is_known = |request: &RequestFingerprint| held.ended_under(*request) > 0;
+        let is_known = |request: &RequestFingerprint| held.crash_count(*request) > 0;
         let known: Vec<RequestFingerprint> = requests.into_iter().filter(is_known).collect();
         if known.is_empty() {
             return;
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -301,5 +301,5 @@
 /// Whether several servers have ended under an item.
 fn is_suspected(open_item: &OpenItem, state: &CoordinationState) -> bool {
     let request = open_item.request;
-    request.is_some_and(|request| is_suspect(state.evidence().ended_under(request)))
+    request.is_some_and(|request| is_suspect(state.evidence().crash_count(request)))
 }
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -46,7 +46,7 @@
     }
 
     /// How many servers ended under a request.
-    pub fn ended_under(&self, request: RequestFingerprint) -> usize {
+    pub fn crash_count(&self, request: RequestFingerprint) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| suspect.ended.len())
     }
--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -94,7 +94,7 @@
     for _ in 0..5 {
         end_one_by_one(&mut group, &["a"], &[request(1)]);
     }
-    expect_that!(group.state.evidence().ended_under(request(1)), eq(1));
+    expect_that!(group.state.evidence().crash_count(request(1)), eq(1));
 }
 
 #[gtest]
@@ -110,7 +110,7 @@
         group.wait(WEIGHED + APART);
     }
     for number in 0..5 {
-        expect_that!(group.state.evidence().ended_under(request(number)), eq(0));
+        expect_that!(group.state.evidence().crash_count(request(number)), eq(0));
     }
 }
 
@@ -134,7 +134,7 @@
             end_one_by_one(&mut group, &[other], &[request(2 + number)]);
         }
     }
-    expect_that!(group.state.evidence().ended_under(request(1)), eq(3));
+    expect_that!(group.state.evidence().crash_count(request(1)), eq(3));
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
     end_one_by_one(&mut group, &["d"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
@@ -155,7 +155,7 @@
     end_one_by_one(&mut group, &["a", "b", "c"], &[request(1)]);
     group.wait(EVIDENCE_LIFETIME);
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
-    expect_that!(group.state.evidence().ended_under(request(1)), eq(2));
+    expect_that!(group.state.evidence().crash_count(request(1)), eq(2));
     end_one_by_one(&mut group, &["d"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
 }
