--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -9,7 +9,7 @@
     SeenCrash,
 };
 use crate::provider::{CapacityOrder, ProviderAnswer, UsageReport};
-use crate::registry::HeardServer;
+use crate::registry::UnchangedServer;
 use crate::scaling::CapacityPool;
 use crate::scoring::{RunningScoring, ScoringOutcome};
 use crate::site_time::WallTime;
@@ -89,7 +89,7 @@
         /// The coordinator.
         from: ReplicaId,
         /// The servers.
-        servers: Vec<HeardServer>,
+        servers: Vec<UnchangedServer>,
     },
     /// Connections to these coordinators' machines have ended lately, or are down.
     CoordinatorsLost(Vec<String>),
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -8,7 +8,7 @@
 use super::turn::Turn;
 use crate::ids::{InstanceId, ServerName};
 use crate::messages::Reply;
-use crate::registry::{HeardServer, Heartbeat, ServerRecord};
+use crate::registry::{Heartbeat, ServerRecord, UnchangedServer};
 use crate::state::Command;
 use wingshore_types::ReplicaId;
 use wingshore_types::machine::RequestTag;
@@ -104,11 +104,11 @@
     pub(crate) fn on_servers_heard(
         &mut self,
         from: ReplicaId,
-        servers: Vec<HeardServer>,
+        servers: Vec<UnchangedServer>,
         turn: &mut Turn<'_>,
     ) {
         let mut unknown = Vec::new();
-        for HeardServer { instance, sequence } in servers {
+        for UnchangedServer { instance, sequence } in servers {
             if turn.state.servers().contains_key(&instance) {
                 self.engines.heard(&instance);
                 self.heartbeats.note(turn.now, instance, sequence);
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -48,7 +48,7 @@
     RunningItem, SeenCrash, with_own_formats,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
-pub use registry::{HeardServer, Heartbeat, ModelVersion, ServerRecord};
+pub use registry::{Heartbeat, ModelVersion, ServerRecord, UnchangedServer};
 pub use routes::RouteTable;
 pub use scaling::{CapacityPool, Scaling};
 pub use scoring::{
--- a/crates/gateways/wingshore-coordination/src/messages/frames.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/frames.rs
@@ -2,7 +2,7 @@
 
 use super::gateway::{GatewayHello, GatewayMessage};
 use crate::ids::InstanceId;
-use crate::registry::{HeardServer, Heartbeat};
+use crate::registry::{Heartbeat, UnchangedServer};
 use crate::site_time::WallTime;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     /// A message of the replicated log.
     Consensus(#[serde(with = "byte_vector")] Vec<u8>),
     /// To the leader: servers whose heartbeats bring no news to the registry.
-    Heard(Vec<HeardServer>),
+    Heard(Vec<UnchangedServer>),
     /// From the leader: servers that the registry does not hold.
     UnknownServers(Vec<InstanceId>),
     /// To the leader: a heartbeat that differs from what the registry holds.
--- a/crates/gateways/wingshore-coordination/src/registry.rs
+++ b/crates/gateways/wingshore-coordination/src/registry.rs
@@ -45,7 +45,7 @@
 
 /// A server whose heartbeat a coordinator has received, and whose status is as the registry holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardServer {
+pub struct UnchangedServer {
     /// The server.
     pub instance: InstanceId,
     /// Of its newest heartbeat.
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use wingshore_coordination::{
     BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, DurablePrefix,
-    GatewayHello, GatewayMessage, HeardServer, HeartbeatAnswer, IncomingFrame, ItemAssignment,
-    ItemId, ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, Request,
-    RunningItem, ScoringAssignment, ScoringOutcome, SeenCrash, ViewChange, ViewContent, ViewUpdate,
-    WallTime,
+    GatewayHello, GatewayMessage, HeartbeatAnswer, IncomingFrame, ItemAssignment, ItemId,
+    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, Request, RunningItem,
+    ScoringAssignment, ScoringOutcome, SeenCrash, UnchangedServer, ViewChange, ViewContent,
+    ViewUpdate, WallTime,
 };
 use wingshore_types::{Epoch, LogIndex, ReplicaId};
 
@@ -292,7 +292,7 @@
     vec![
         CoordinatorFrame::Hello(coordinator_hello()),
         CoordinatorFrame::Consensus(vec![1, 2, 200]),
-        CoordinatorFrame::Heard(vec![HeardServer {
+        CoordinatorFrame::Heard(vec![UnchangedServer {
             instance: instance(),
             sequence: 77,
         }]),
--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 use wingshore_coordination::{
     AssignmentId, BreakCause, CoordinatorMessage, Effect, EngineStatus, Event, FinishedText,
-    GatewayId, HeardServer, InstanceId, ItemAssignment, ItemId, ItemOutcome, ItemProgress,
-    ItemText, JobId, JobItem, JobSubmission, LeaderSettings, ModelName, ModelVersion, OrderAnswer,
-    Request, ResultText, ServerRecord,
+    GatewayId, InstanceId, ItemAssignment, ItemId, ItemOutcome, ItemProgress, ItemText, JobId,
+    JobItem, JobSubmission, LeaderSettings, ModelName, ModelVersion, OrderAnswer, Request,
+    ResultText, ServerRecord, UnchangedServer,
 };
 use wingshore_types::ReplicaId;
 
@@ -437,7 +437,7 @@
             self.group.event(Event::ItemsProgressed(progress));
         }
         if self.ticks.is_multiple_of(HEARTBEAT_TICKS) {
-            let servers = self.engines.keys().map(|instance| HeardServer {
+            let servers = self.engines.keys().map(|instance| UnchangedServer {
                 instance: instance.clone(),
                 sequence: 1_000_000 + self.ticks,
             });
--- a/crates/gateways/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/heartbeats.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord};
+use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord, UnchangedServer};
 use wingshore_types::Instant;
 
 /// A server that is silent for this long is forgotten here; longer than servers stay registered, so
@@ -81,12 +81,12 @@
     }
 
     /// Servers that were heard of since the last call, to be reported to the leader.
-    pub fn take_heard(&mut self, now: Instant) -> Vec<HeardServer> {
+    pub fn take_heard(&mut self, now: Instant) -> Vec<UnchangedServer> {
         self.known
             .retain(|_, known| now.since(known.heard) < FORGET_AFTER);
         let heard = std::mem::take(&mut self.heard).into_iter();
         heard
-            .map(|(instance, sequence)| HeardServer { instance, sequence })
+            .map(|(instance, sequence)| UnchangedServer { instance, sequence })
             .collect()
     }
 }
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use std::time::Duration;
-use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord, ServiceName};
+use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord, ServiceName, UnchangedServer};
 use wingshore_coordinator::{HeartbeatRelay, HeartbeatVerdict};
 use wingshore_types::Instant;
 
@@ -36,7 +36,7 @@
         let verdict = relay.offer(NOW, &heartbeat(sequence, false));
         expect_that!(verdict, eq(HeartbeatVerdict::Known));
     }
-    let heard = HeardServer {
+    let heard = UnchangedServer {
         instance: InstanceId::from("i-1"),
         sequence: 4,
     };
