--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -229,7 +229,7 @@
         let single_version = candidate.route.single_version;
         let kept = starting_text(&candidate.partial_text, single_version, version);
         let open_item = self.items.open_item(&candidate.key);
-        let extends_held = open_item.is_none_or(|open_item| open_item.held.begins(&kept));
+        let extends_held = open_item.is_none_or(|open_item| open_item.held.is_prefix_of(&kept));
         let assignment = self.items.next_assignment();
         let decision = Decision::ItemAssigned {
             assignment,
--- a/crates/gateways/wingshore-coordination/src/text/item.rs
+++ b/crates/gateways/wingshore-coordination/src/text/item.rs
@@ -37,7 +37,7 @@
 
 impl HeldPrefix {
     /// Whether `text` begins with it.
-    pub fn begins(&self, text: &ItemText) -> bool {
+    pub fn is_prefix_of(&self, text: &ItemText) -> bool {
         let begin = text.text.as_bytes().get(..self.extent.bytes);
         begin.is_some_and(|begin| crc32fast::hash(begin) == self.checksum)
     }
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -372,7 +372,7 @@
         _ => None,
     });
     expect_that!(held, some(eq(text(2).held())));
-    let is_of = |text: &ItemText| held.is_some_and(|held| held.begins(text));
+    let is_of = |text: &ItemText| held.is_some_and(|held| held.is_prefix_of(text));
     expect_that!(is_of(&text(5)), eq(true));
     let mut other = text(5);
     other.text = other.text.replace("event 1", "evenT 1");
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -120,7 +120,7 @@
     // The gateway learns that its text does not begin with what is held.
     let told = told_held(&group);
     let told = told.last().expect("it is told");
-    expect_that!(told.begins(&third.kept), eq(false));
+    expect_that!(told.is_prefix_of(&third.kept), eq(false));
 }
 
 fn interrupt(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment, text: ItemText) {
--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -131,7 +131,7 @@
     /// The log holds this much of the text: what follows is uploaded again, unless the log has its
     /// events from another attempt.
     pub(crate) fn upload_from(&mut self, held: HeldPrefix) {
-        self.may_upload = held.begins(&self.text);
+        self.may_upload = held.is_prefix_of(&self.text);
         self.uploaded = held.extent;
     }
 
