--- a/crates/gateways/wingshore-coordination/src/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/jobs.rs
@@ -274,7 +274,7 @@
     }
 
     /// The partial text of an item that is not listed.
-    pub fn kept(&self, index: u32) -> Option<&ItemText> {
+    pub fn partial_text(&self, index: u32) -> Option<&ItemText> {
         self.partial_texts.get(&index)
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -61,7 +61,7 @@
 
     /// How much of its text the log holds.
     fn durable(&self) -> DurablePrefix {
-        let durable = self.job.kept(self.key.index);
+        let durable = self.job.partial_text(self.key.index);
         durable.map(ItemText::extent).unwrap_or_default()
     }
 }
@@ -177,7 +177,11 @@
             item,
             route: Arc::clone(route),
             service,
-            partial_text: usable_text(&known.partial_text, job.kept(key.index), min_version),
+            partial_text: usable_text(
+                &known.partial_text,
+                job.partial_text(key.index),
+                min_version,
+            ),
             is_long: known.is_long,
             avoid: known.avoided(now).cloned(),
             is_suspect: is_suspected(known, state),
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -63,7 +63,10 @@
             let survived = contents.is_some_and(|item| self.surviving.contains(&item.id));
             let has_text = job.unscored(index).is_some();
             let open_item = OpenItem {
-                held: job.kept(index).map(ItemText::held).unwrap_or_default(),
+                held: job
+                    .partial_text(index)
+                    .map(ItemText::held)
+                    .unwrap_or_default(),
                 has_result: has_text,
                 expected_length: if survived { u64::MAX } else { expected },
                 is_long: survived || expected >= long_from,
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -74,7 +74,7 @@
     group.event(upload(assignment, from, 8));
     group.event(upload(assignment, 8, 12));
     let kept = group.state.jobs()[&JobId::from("j")]
-        .kept(0)
+        .partial_text(0)
         .map_or(0, |text| text.events);
     println!("told {held:?}, kept {kept} of 12 events");
     expect_that!(group.assignments(), is_empty(), "it runs on");
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -55,7 +55,7 @@
 }
 
 fn kept(group: &Group) -> Option<&ItemText> {
-    group.state.jobs()[&JobId::from("j")].kept(0)
+    group.state.jobs()[&JobId::from("j")].partial_text(0)
 }
 
 /// What is seen, cause: as where a connection breaks (`items_review`), and the part that was lost goes on missing
--- a/crates/gateways/wingshore-coordination/tests/state_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_properties.rs
@@ -174,7 +174,7 @@
             job.submission.items.len()
         );
         for index in 0..ITEMS {
-            let kept = job.kept(index);
+            let kept = job.partial_text(index);
             assert!(kept.is_none() || !job.is_listed(index));
             let unscored = job.unscored(index);
             assert!(unscored.is_none() || !job.is_listed(index));
