--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -123,7 +123,7 @@
         let is_reported =
             |gateway: &GatewayId| totals.is_some_and(|reported| reported.contains_key(gateway));
         let kept = durable
-            .kept(window)
+            .counts_of_lost_gateways(window)
             .filter(|(gateway, _)| !is_reported(gateway));
         let reported = totals.into_iter().flatten();
         for (_, counts) in kept.chain(reported) {
--- a/crates/gateways/wingshore-coordination/src/state/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/state/usage.rs
@@ -36,7 +36,10 @@
     }
 
     /// What gateways that are gone had counted in an open window.
-    pub fn kept(&self, window: UsageWindow) -> impl Iterator<Item = (&GatewayId, &UsageCounts)> {
+    pub fn counts_of_lost_gateways(
+        &self,
+        window: UsageWindow,
+    ) -> impl Iterator<Item = (&GatewayId, &UsageCounts)> {
         self.kept.get(&window).into_iter().flatten()
     }
 
