--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -178,7 +178,10 @@
     fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
         let before = UsageWindow(present.0.saturating_sub(1));
         let reported = self.totals.keys().next().copied();
-        let counted = reported.into_iter().chain(durable.first_kept()).min();
+        let counted = reported
+            .into_iter()
+            .chain(durable.first_window_of_lost_gateways())
+            .min();
         counted.map_or(before, |counted| counted.min(before))
     }
 
--- a/crates/gateways/wingshore-coordination/src/state/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/state/usage.rs
@@ -44,7 +44,7 @@
     }
 
     /// The first open window that a gateway which is gone had counted in.
-    pub(crate) fn first_kept(&self) -> Option<UsageWindow> {
+    pub(crate) fn first_window_of_lost_gateways(&self) -> Option<UsageWindow> {
         self.kept.keys().next().copied()
     }
 
