--- a/crates/gateways/wingshore-coordination/src/site_time.rs
+++ b/crates/gateways/wingshore-coordination/src/site_time.rs
@@ -49,7 +49,7 @@
 
 impl<S: Ord> SiteClock<S> {
     /// A machine's time of day was heard.
-    pub fn heard(&mut self, now: Instant, machine: S, wall: WallTime) {
+    pub fn record(&mut self, now: Instant, machine: S, wall: WallTime) {
         let reading = Reading {
             ahead_ms: wall.0 - now_ms(now),
             heard: now,
--- a/crates/gateways/wingshore-coordination/tests/usage.rs
+++ b/crates/gateways/wingshore-coordination/tests/usage.rs
@@ -56,7 +56,7 @@
             let is_silent = machine == 5 && step > 100;
             if !is_silent {
                 let error = i64::try_from(machine).unwrap() * 2 - 5;
-                clock.heard(now, machine, WallTime(right + error + jump));
+                clock.record(now, machine, WallTime(right + error + jump));
             }
         }
         let agreed = clock.now(now).unwrap();
@@ -68,7 +68,7 @@
 fn nothing_is_agreed_before_a_time_was_heard_or_when_all_are_silent() {
     let mut clock = SiteClock::default();
     expect_that!(clock.now(at(0)), none());
-    clock.heard(at(0), 1, WallTime(START));
+    clock.record(at(0), 1, WallTime(START));
     expect_that!(clock.now(at(2900)), some(eq(WallTime(START + 2900))));
     expect_that!(clock.now(at(3100)), none());
 }
--- a/crates/gateways/wingshore-gateway/src/usage.rs
+++ b/crates/gateways/wingshore-gateway/src/usage.rs
@@ -31,7 +31,7 @@
 
     /// A coordinator has sent its time of day.
     pub(crate) fn time_heard(&mut self, now: Instant, coordinator: SocketAddr, wall: WallTime) {
-        self.clock.heard(now, coordinator, wall);
+        self.clock.record(now, coordinator, wall);
     }
 
     /// A request leaves for a server, which begins to run it within a millisecond or two. Gives the
