--- a/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
@@ -44,7 +44,7 @@
         connection: ConnectionId,
         hello: CoordinatorHello,
     ) {
-        self.site_clock.heard(now, hello.id, hello.wall);
+        self.site_clock.record(now, hello.id, hello.wall);
         if self.peers.heard_on(now, connection, &hello) {
             info!(self.logger, "coordinator reached"; "member" => hello.id.0, "node" => &hello.node);
         }
--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -53,7 +53,7 @@
     /// Tells the leader machine the time of day that the site agrees on.
     pub(super) fn agree_on_time(&mut self, now: Instant) {
         let own = self.folder.identity().replica;
-        self.site_clock.heard(now, own, wall_time());
+        self.site_clock.record(now, own, wall_time());
         if self.host.is_leader()
             && let Some(wall) = self.site_clock.now(now)
         {
