--- a/crates/gateways/wingshore-coordination/src/configuration.rs
+++ b/crates/gateways/wingshore-coordination/src/configuration.rs
@@ -163,7 +163,7 @@
     #[snafu(display(
         "routes `{first}` and `{second}` have the same host and path prefix; allowed is one route for each"
     ))]
-    SamePlace {
+    DuplicateRoute {
         /// One route.
         first: String,
         /// The other.
@@ -171,13 +171,13 @@
     },
     /// No service of a route gets anything.
     #[snafu(display("route `{route}`: its weights sum to 0; allowed is a sum of at least 1"))]
-    NoWeight {
+    ZeroTotalWeight {
         /// The route.
         route: String,
     },
     /// A route that may hold nothing.
     #[snafu(display("route `{route}`: a time-out of 0; allowed is at least 1 ms"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
@@ -185,7 +185,7 @@
     #[snafu(display(
         "route `{route}`: path prefix `{prefix}`; allowed is one that starts and ends with a slash"
     ))]
-    Prefix {
+    InvalidPathPrefix {
         /// The route.
         route: String,
         /// What it has.
@@ -199,7 +199,7 @@
     },
     /// Two services of one name.
     #[snafu(display("service `{service}` stands twice; allowed is once"))]
-    SameService {
+    DuplicateService {
         /// The service.
         service: ServiceName,
     },
@@ -218,7 +218,7 @@
             route.check(&services)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
             if let Some(first) = places.insert(place, &route.name) {
-                return SamePlaceSnafu {
+                return DuplicateRouteSnafu {
                     first,
                     second: &route.name,
                 }
@@ -232,7 +232,7 @@
         let mut names = BTreeSet::new();
         for service in &self.services {
             if !names.insert(&service.name) {
-                return SameServiceSnafu {
+                return DuplicateServiceSnafu {
                     service: service.name.clone(),
                 }
                 .fail();
@@ -257,10 +257,10 @@
         let route = &self.name;
         let prefix = &self.path_prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            return PrefixSnafu { route, prefix }.fail();
+            return InvalidPathPrefixSnafu { route, prefix }.fail();
         }
         if self.timeout.is_zero() {
-            return NoTimeoutSnafu { route }.fail();
+            return ZeroTimeoutSnafu { route }.fail();
         }
         let unknown = self
             .targets
@@ -274,7 +274,7 @@
             .fail();
         }
         if self.total_weight() == 0 {
-            return NoWeightSnafu { route }.fail();
+            return ZeroTotalWeightSnafu { route }.fail();
         }
         Ok(())
     }
--- a/crates/gateways/wingshore-coordination/src/ids.rs
+++ b/crates/gateways/wingshore-coordination/src/ids.rs
@@ -14,7 +14,7 @@
 const SEPARATOR: char = '\n';
 
 /// The name of an encoded identifier, and what follows it.
-fn parts(text: &str) -> (&str, Option<&str>) {
+fn split_encoded(text: &str) -> (&str, Option<&str>) {
     match text.split_once(SEPARATOR) {
         Some((name, rest)) => (name, Some(rest)),
         None => (text, None),
@@ -122,7 +122,7 @@
 impl<'de> Deserialize<'de> for JobId {
     fn deserialize<D: Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
         let text = String::deserialize(source)?;
-        let (name, tenant) = parts(&text);
+        let (name, tenant) = split_encoded(&text);
         Ok(Self::from(name).of_tenant(tenant.map(TenantName::from)))
     }
 }
@@ -216,7 +216,7 @@
 impl<'de> Deserialize<'de> for InstanceId {
     fn deserialize<D: Deserializer<'de>>(source: D) -> Result<Self, D::Error> {
         let text = String::deserialize(source)?;
-        let (name, start_time) = parts(&text);
+        let (name, start_time) = split_encoded(&text);
         let start_time = start_time
             .map(str::parse)
             .transpose()
--- a/crates/gateways/wingshore-coordination/src/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/jobs.rs
@@ -14,9 +14,9 @@
 
 /// Bytes of memory of an item besides its headers, path and bodies. An estimate from the sizes of its
 /// fields.
-const ITEM_OVERHEAD: usize = 250;
+const ITEM_OVERHEAD_BYTES: usize = 250;
 /// Bytes of memory of a result besides its text. An estimate from the sizes of its fields.
-const RESULT_OVERHEAD: usize = 160;
+const RESULT_OVERHEAD_BYTES: usize = 160;
 
 /// A batch job as a caller submits it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,13 +44,13 @@
             let headers = item.headers.iter();
             let headers: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
             let scorer = item.scorer.as_ref().map_or(0, |scorer| scorer.body.len());
-            ITEM_OVERHEAD + headers + item.path.len() + item.body.len() + scorer
+            ITEM_OVERHEAD_BYTES + headers + item.path.len() + item.body.len() + scorer
         };
         self.items.iter().map(bytes_of).sum()
     }
 
     /// The same job with items that are only names.
-    fn without_contents(&self) -> Self {
+    fn without_item_contents(&self) -> Self {
         let name_of = |item: &JobItem| JobItem {
             id: item.id.clone(),
             path: String::new(),
@@ -263,7 +263,7 @@
     }
 
     /// Adds events to an item's partial text, if they follow those that it has; others are dropped.
-    pub(crate) fn keep(&mut self, index: u32, after_events: u64, text: ItemText) {
+    pub(crate) fn append_partial_text(&mut self, index: u32, after_events: u64, text: ItemText) {
         if self.is_listed(index) || self.ended || self.unscored.contains_key(&index) {
             return;
         }
@@ -284,7 +284,7 @@
         self.ended = true;
         self.partial_texts.clear();
         self.unscored.clear();
-        self.submission = Arc::new(self.submission.without_contents());
+        self.submission = Arc::new(self.submission.without_item_contents());
     }
 
     /// Results from a position on, as many as fit into `max_bytes`, at least one if there is one.
@@ -296,7 +296,7 @@
             .iter()
             .skip(start)
             .take_while(|result| {
-                let size = result.text.length() + RESULT_OVERHEAD;
+                let size = result.text.length() + RESULT_OVERHEAD_BYTES;
                 let fits = bytes == 0 || bytes + size <= max_bytes;
                 bytes += size;
                 fits
--- a/crates/gateways/wingshore-coordination/src/messages/formats.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/formats.rs
@@ -19,7 +19,7 @@
 
 /// Refused peers that are remembered; with more, all are forgotten, and named again. Far above the
 /// processes of a site.
-const MAX_REMEMBERED: usize = 16_384;
+const MAX_REMEMBERED_PEERS: usize = 16_384;
 
 /// The formats that a program speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
             self.by_address.remove(&peer);
             return Ok(common);
         }
-        if self.by_address.len() >= MAX_REMEMBERED {
+        if self.by_address.len() >= MAX_REMEMBERED_PEERS {
             self.by_address.clear();
         }
         let is_first = self.by_address.insert(peer, formats) != Some(formats);
--- a/crates/gateways/wingshore-coordination/src/site_time.rs
+++ b/crates/gateways/wingshore-coordination/src/site_time.rs
@@ -29,8 +29,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     /// What the boot-time clock lacks to that time of day, in milliseconds.
-    ahead_ms: i64,
-    heard: Instant,
+    offset_ms: i64,
+    received_at: Instant,
 }
 
 /// The time that the machines of a site agree on, as one of them knows it. `S` names a machine.
@@ -51,8 +51,8 @@
     /// A machine's time of day was heard.
     pub fn record(&mut self, now: Instant, machine: S, wall: WallTime) {
         let reading = Reading {
-            ahead_ms: wall.0 - now_ms(now),
-            heard: now,
+            offset_ms: wall.0 - now_ms(now),
+            received_at: now,
         };
         self.readings.insert(machine, reading);
     }
@@ -60,15 +60,15 @@
     /// The time of day; `None` before any was heard.
     pub fn now(&mut self, now: Instant) -> Option<WallTime> {
         self.readings
-            .retain(|_, reading| now.since(reading.heard) <= MAX_READING_AGE);
-        let mut ahead: Vec<i64> = self
+            .retain(|_, reading| now.since(reading.received_at) <= MAX_READING_AGE);
+        let mut offsets: Vec<i64> = self
             .readings
             .values()
-            .map(|reading| reading.ahead_ms)
+            .map(|reading| reading.offset_ms)
             .collect();
-        ahead.sort_unstable();
-        let middle = ahead.len().saturating_sub(1) / 2;
-        let median = ahead.get(middle)?;
+        offsets.sort_unstable();
+        let middle = offsets.len().saturating_sub(1) / 2;
+        let median = offsets.get(middle)?;
         Some(WallTime(now_ms(now) + median))
     }
 }
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -79,7 +79,7 @@
     }
 
     /// A server has ended under a request.
-    pub(super) fn note(&mut self, evidence: CrashEvidence) {
+    pub(super) fn record_crash(&mut self, evidence: CrashEvidence) {
         if !self.is_new(&evidence) {
             return;
         }
@@ -88,7 +88,7 @@
             instance,
         } = evidence;
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(fingerprint);
         }
         let suspect = self.suspects.entry(fingerprint).or_insert(Suspect {
@@ -107,7 +107,7 @@
     }
 
     /// The oldest evidence against a request counts no longer: it may run until there is more.
-    pub(super) fn relieve(&mut self, request: RequestFingerprint) {
+    pub(super) fn drop_oldest_crash(&mut self, request: RequestFingerprint) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
         };
@@ -126,7 +126,7 @@
     }
 
     /// Forgets the oldest request that is not rejected, or else the oldest one.
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
--- a/crates/gateways/wingshore-coordination/src/state/orders.rs
+++ b/crates/gateways/wingshore-coordination/src/state/orders.rs
@@ -22,7 +22,7 @@
 
 impl OrderState {
     /// Another leadership gives orders from here on.
-    pub(super) fn hold(&mut self, holder: OrderHolder) {
+    pub(super) fn set_holder(&mut self, holder: OrderHolder) {
         let before = self.holder.as_ref();
         // The first holder follows no other one, and one machine is one holder over all its terms.
         let is_same = before.is_some_and(|before| before.node == holder.node);
@@ -31,7 +31,7 @@
     }
 
     /// The holder of this leadership has held the orders for the time of a handover.
-    pub(super) fn settle(&mut self, epoch: Epoch) {
+    pub(super) fn mark_settled(&mut self, epoch: Epoch) {
         let holder = self.holder.as_ref();
         self.settled |= holder.is_some_and(|holder| holder.epoch == epoch);
     }
--- a/crates/gateways/wingshore-coordination/src/state/replicated.rs
+++ b/crates/gateways/wingshore-coordination/src/state/replicated.rs
@@ -23,7 +23,8 @@
         let held = self.configuration.as_ref().map(|held| held.version);
         if held.is_none_or(|held| configuration.version > held) {
             self.configuration = Some(configuration);
-            self.view_history.note(index, ViewPart::Configuration);
+            self.view_history
+                .record_change(index, ViewPart::Configuration);
         }
     }
 
@@ -88,30 +89,33 @@
 
     fn set_fingerprint_key(&mut self, index: LogIndex, key: FingerprintKey) {
         self.evidence.set_key(key);
-        self.view_history.note(index, ViewPart::FingerprintKey);
+        self.view_history
+            .record_change(index, ViewPart::FingerprintKey);
     }
 
     fn note_crashes(&mut self, index: LogIndex, crashes: Vec<CrashEvidence>) {
         let requests = crashes.iter().map(|crash| crash.fingerprint).collect();
         self.change_evidence(index, requests, |evidence| {
-            crashes.into_iter().for_each(|crash| evidence.note(crash));
+            crashes
+                .into_iter()
+                .for_each(|crash| evidence.record_crash(crash));
         });
     }
 
     fn reject_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::reject);
+        self.change_each_request(index, requests, RequestEvidence::reject);
     }
 
     fn relieve_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::relieve);
+        self.change_each_request(index, requests, RequestEvidence::drop_oldest_crash);
     }
 
     fn clear_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::clear);
+        self.change_each_request(index, requests, RequestEvidence::clear);
     }
 
     /// Changes what is known of each of these requests.
-    fn change_each(
+    fn change_each_request(
         &mut self,
         index: LogIndex,
         requests: Vec<RequestFingerprint>,
@@ -130,7 +134,7 @@
     type Reply = ();
 
     fn apply(&mut self, index: LogIndex, command: Command) {
-        self.view_history.begin(index);
+        self.view_history.begin_entry(index);
         match command {
             Command::ConfigureEarlier(earlier) => self.configure(index, earlier.upgrade()),
             Command::RegisterEarlier(earlier) => self.register(index, earlier.into()),
@@ -147,7 +151,9 @@
                 item,
                 after_events,
                 text,
-            } => self.change_job(&item.job, |job| job.keep(item.index, after_events, text)),
+            } => self.change_job(&item.job, |job| {
+                job.append_partial_text(item.index, after_events, text)
+            }),
             Command::KeepUnscored {
                 item,
                 made_by,
@@ -169,12 +175,12 @@
             }),
             Command::DescribeMember { member, node } => self.describe_member(member, node),
             Command::RetireMember { member, node } => self.retire_member(member, node),
-            Command::HoldOrders(holder) => self.orders.hold(holder),
-            Command::SettleOrders(epoch) => self.orders.settle(epoch),
+            Command::HoldOrders(holder) => self.orders.set_holder(holder),
+            Command::SettleOrders(epoch) => self.orders.mark_settled(epoch),
             Command::WantCapacity { pool, count } => self.want_capacity(pool, count),
-            Command::KeepUsage { gateway, usage } => self.usage.keep(gateway, usage),
-            Command::CloseUsageWindow { window, counts } => self.usage.close(window, counts),
-            Command::UsageReported(window) => self.usage.reported(window),
+            Command::KeepUsage { gateway, usage } => self.usage.store_lost_gateway(gateway, usage),
+            Command::CloseUsageWindow { window, counts } => self.usage.close_window(window, counts),
+            Command::UsageReported(window) => self.usage.acknowledge(window),
             Command::SetFingerprintKey(key) => self.set_fingerprint_key(index, key),
             Command::NoteCrashes(crashes) => self.note_crashes(index, crashes),
             Command::RejectRequests(requests) => self.reject_requests(index, requests),
--- a/crates/gateways/wingshore-coordination/src/state/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/state/servers.rs
@@ -7,7 +7,7 @@
 
 /// Departed incarnations that are remembered, so that a late heartbeat does not bring one back: some
 /// 100 bytes each. Heartbeats are late by seconds, in which few servers of any site depart.
-const MAX_DEPARTED: usize = 8192;
+const MAX_REMEMBERED_DEPARTURES: usize = 8192;
 
 /// Registered servers, and the incarnations that are gone for good.
 ///
@@ -59,7 +59,7 @@
             return;
         }
         self.departures.push_back(instance);
-        if self.departures.len() > MAX_DEPARTED
+        if self.departures.len() > MAX_REMEMBERED_DEPARTURES
             && let Some(oldest) = self.departures.pop_front()
         {
             self.departed.remove(&oldest);
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -1,8 +1,8 @@
 //! Restoring a state, record by record.
 
 use super::records::{
-    FIRST_FORMAT_OF_RECORDS, FORMAT, LAST_FIRST_BYTE_BEFORE, LENGTH_BYTES, Record, SavedResult,
-    SavedText,
+    FORMAT, LENGTH_BYTES, MAX_FIRST_BYTE_OF_SINGLE_VALUE, OLDEST_RECORD_FORMAT, Record,
+    SavedResult, SavedText,
 };
 use crate::jobs::{Job, ResultRecord};
 use crate::state::earlier::EarlierState;
@@ -27,8 +27,8 @@
         .read_exact(&mut format)
         .map_err(RestoreError::from_display)?;
     match format[0] {
-        FIRST_FORMAT_OF_RECORDS..=FORMAT => restore_records(texts, reader),
-        0..=LAST_FIRST_BYTE_BEFORE => restore_whole(texts, &format, reader),
+        OLDEST_RECORD_FORMAT..=FORMAT => restore_records(texts, reader),
+        0..=MAX_FIRST_BYTE_OF_SINGLE_VALUE => restore_single_value(texts, &format, reader),
         unknown => Err(RestoreError::from_display(format!(
             "the state has format {unknown}; this program knows formats up to {FORMAT}"
         ))),
@@ -135,7 +135,7 @@
 }
 
 /// Reads a state of the oldest format, whose bytes are in memory whole meanwhile.
-fn restore_whole(
+fn restore_single_value(
     texts: &TextStoreHandle,
     begin: &[u8],
     reader: &mut dyn Read,
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/records.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/records.rs
@@ -11,10 +11,10 @@
 /// First byte of the stream.
 pub(super) const FORMAT: u8 = 4;
 /// The oldest format of records: all besides jobs as [`Record::SiteEarlier`].
-pub(super) const FIRST_FORMAT_OF_RECORDS: u8 = 2;
+pub(super) const OLDEST_RECORD_FORMAT: u8 = 2;
 /// Largest first byte of the oldest format: the state encoded as one value, whose first byte says
 /// whether there is a configuration: 0 or 1.
-pub(super) const LAST_FIRST_BYTE_BEFORE: u8 = 1;
+pub(super) const MAX_FIRST_BYTE_OF_SINGLE_VALUE: u8 = 1;
 /// Bytes of a record's length, an integer in little-endian order, before the record.
 pub(super) const LENGTH_BYTES: usize = 4;
 
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -12,7 +12,7 @@
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
 
 /// Space for a record before its length is known: that of a result fits.
-const USUAL_RECORD_BYTES: usize = 128;
+const INITIAL_RECORD_CAPACITY: usize = 128;
 
 /// A state that is frozen: encoded when it is read.
 pub(in crate::state) struct FrozenCoordination {
@@ -38,7 +38,7 @@
             state,
             length: None,
         };
-        frozen.length = encoded_length(&frozen, &WithTexts).ok();
+        frozen.length = encoded_length(&frozen, &InlineTexts).ok();
         frozen
     }
 
@@ -60,12 +60,12 @@
         if self.length.is_none() {
             return Err(io::Error::other("the state does not encode"));
         }
-        Ok(Box::new(StateReader::new(self, WithTexts)))
+        Ok(Box::new(StateReader::new(self, InlineTexts)))
     }
 
     fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
         self.state.texts.0.as_ref()?;
-        let frozen = Arc::new(OnOwnDisk::of(self).ok()?);
+        let frozen = Arc::new(LocalSnapshot::of(self).ok()?);
         Some(SnapshotState::Frozen(frozen))
     }
 
@@ -78,17 +78,17 @@
 
 /// A frozen state in the form for this machine's own disk. The places of texts are those of one
 /// moment: texts go on moving to disk meanwhile, and each reading gives the same bytes.
-struct OnOwnDisk {
+struct LocalSnapshot {
     frozen: Arc<FrozenCoordination>,
-    places: Arc<FixedPlaces>,
+    places: Arc<CapturedPlaces>,
     length: u64,
 }
 
-impl OnOwnDisk {
+impl LocalSnapshot {
     fn of(frozen: Arc<FrozenCoordination>) -> io::Result<Self> {
         let jobs = frozen.jobs.iter();
         let places_of = |job: &Job| job.results.iter().map(|result| place_of(result)).collect();
-        let places = Arc::new(FixedPlaces(jobs.map(places_of).collect()));
+        let places = Arc::new(CapturedPlaces(jobs.map(places_of).collect()));
         let length = encoded_length(&frozen, &places)?;
         Ok(Self {
             frozen,
@@ -98,7 +98,7 @@
     }
 }
 
-impl FrozenState for OnOwnDisk {
+impl FrozenState for LocalSnapshot {
     fn length(&self) -> u64 {
         self.length
     }
@@ -114,19 +114,19 @@
 }
 
 /// How the texts of results are encoded.
-trait TextForm {
+trait TextEncoding {
     /// Where the text of a result is, by the places of its job and of itself.
     fn place(&self, job: usize, index: usize, result: &ResultRecord) -> TextPlace;
 
     /// Whether a text on disk is named rather than written.
-    const NAMES_DISK: bool;
+    const REFERENCES_DISK: bool;
 }
 
 /// All texts are in the stream.
-struct WithTexts;
+struct InlineTexts;
 
-impl TextForm for WithTexts {
-    const NAMES_DISK: bool = false;
+impl TextEncoding for InlineTexts {
+    const REFERENCES_DISK: bool = false;
 
     fn place(&self, _job: usize, _index: usize, result: &ResultRecord) -> TextPlace {
         place_of(result)
@@ -134,10 +134,10 @@
 }
 
 /// For each job and result, where its text was at one moment.
-struct FixedPlaces(Vec<Vec<TextPlace>>);
+struct CapturedPlaces(Vec<Vec<TextPlace>>);
 
-impl TextForm for Arc<FixedPlaces> {
-    const NAMES_DISK: bool = true;
+impl TextEncoding for Arc<CapturedPlaces> {
+    const REFERENCES_DISK: bool = true;
 
     fn place(&self, job: usize, index: usize, result: &ResultRecord) -> TextPlace {
         let fixed = self.0.get(job).and_then(|places| places.get(index));
@@ -156,7 +156,7 @@
 }
 
 /// What a place in the stream gives.
-struct Piece {
+struct StreamPart {
     /// The record, after its length.
     record: Vec<u8>,
     /// The text after it.
@@ -164,41 +164,41 @@
     next: Position,
 }
 
-fn piece_at<F: TextForm>(
+fn part_at<F: TextEncoding>(
     frozen: &FrozenCoordination,
     form: &F,
     position: Position,
-) -> io::Result<Option<Piece>> {
-    let piece = match position {
-        Position::Site => Piece {
+) -> io::Result<Option<StreamPart>> {
+    let part = match position {
+        Position::Site => StreamPart {
             record: encode(&Record::Site(Box::new(without_jobs(&frozen.state))))?,
             text: None,
             next: Position::Evidence,
         },
-        Position::Evidence => Piece {
+        Position::Evidence => StreamPart {
             record: encode(&Record::Evidence(Box::new(frozen.state.evidence.clone())))?,
             text: None,
             next: Position::Job(0),
         },
         Position::Job(job) => match frozen.job(job) {
-            Some(found) => Piece {
+            Some(found) => StreamPart {
                 record: encode(&Record::Job(Box::new(found.without_results())))?,
                 text: None,
                 next: Position::Result(job, 0),
             },
-            None => Piece {
+            None => StreamPart {
                 record: encode(&Record::End)?,
                 text: None,
                 next: Position::Done,
             },
         },
         Position::Result(job, index) => match frozen.result(job, index) {
-            Some(result) => result_piece::<F>(result, form.place(job, index, result), job, index)?,
-            None => return piece_at(frozen, form, Position::Job(job + 1)),
+            Some(result) => result_part::<F>(result, form.place(job, index, result), job, index)?,
+            None => return part_at(frozen, form, Position::Job(job + 1)),
         },
         Position::Done => return Ok(None),
     };
-    Ok(Some(piece))
+    Ok(Some(part))
 }
 
 /// All that the first record holds: jobs follow it, and what is not encoded is left out.
@@ -220,14 +220,14 @@
     }
 }
 
-fn result_piece<F: TextForm>(
+fn result_part<F: TextEncoding>(
     result: &ResultRecord,
     place: TextPlace,
     job: usize,
     index: usize,
-) -> io::Result<Piece> {
+) -> io::Result<StreamPart> {
     let text = match &place {
-        TextPlace::Disk(blob) if F::NAMES_DISK => SavedText::OnDisk(blob.place()),
+        TextPlace::Disk(blob) if F::REFERENCES_DISK => SavedText::OnDisk(blob.place()),
         _ => {
             let length = u32::try_from(place.length());
             SavedText::Follows(length.map_err(io::Error::other)?)
@@ -242,7 +242,7 @@
         text_length: result.text.length() as u64,
         text,
     }))?;
-    Ok(Piece {
+    Ok(StreamPart {
         record,
         text: follows.then_some(place),
         next: Position::Result(job, index + 1),
@@ -250,7 +250,7 @@
 }
 
 fn encode(record: &Record) -> io::Result<Vec<u8>> {
-    let mut start = Vec::with_capacity(USUAL_RECORD_BYTES);
+    let mut start = Vec::with_capacity(INITIAL_RECORD_CAPACITY);
     start.resize(LENGTH_BYTES, 0);
     let bytes = postcard::to_extend(record, start);
     let mut bytes = bytes.map_err(io::Error::other)?;
@@ -260,13 +260,13 @@
 }
 
 /// Bytes of the stream; texts are not read for it.
-fn encoded_length<F: TextForm>(frozen: &FrozenCoordination, form: &F) -> io::Result<u64> {
+fn encoded_length<F: TextEncoding>(frozen: &FrozenCoordination, form: &F) -> io::Result<u64> {
     let mut length = 1;
     let mut position = Position::Site;
-    while let Some(piece) = piece_at(frozen, form, position)? {
-        let text = piece.text.map_or(0, |place| place.length());
-        length += (piece.record.len() + text) as u64;
-        position = piece.next;
+    while let Some(part) = part_at(frozen, form, position)? {
+        let text = part.text.map_or(0, |place| place.length());
+        length += (part.record.len() + text) as u64;
+        position = part.next;
     }
     Ok(length)
 }
@@ -281,7 +281,7 @@
     read: usize,
 }
 
-impl<F: TextForm> StateReader<F> {
+impl<F: TextEncoding> StateReader<F> {
     fn new(frozen: Arc<FrozenCoordination>, form: F) -> Self {
         Self {
             frozen,
@@ -294,12 +294,12 @@
 
     /// Encodes the next record; says whether there was one.
     fn encode_next(&mut self) -> io::Result<bool> {
-        let Some(piece) = piece_at(&self.frozen, &self.form, self.position)? else {
+        let Some(part) = part_at(&self.frozen, &self.form, self.position)? else {
             return Ok(false);
         };
-        self.position = piece.next;
-        self.encoded = piece.record;
-        if let Some(place) = piece.text {
+        self.position = part.next;
+        self.encoded = part.record;
+        if let Some(place) = part.text {
             self.encoded.extend_from_slice(&place.read()?);
         }
         self.read = 0;
@@ -307,7 +307,7 @@
     }
 }
 
-impl<F: TextForm> Read for StateReader<F> {
+impl<F: TextEncoding> Read for StateReader<F> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let mut filled = 0;
         while filled < buffer.len() {
--- a/crates/gateways/wingshore-coordination/src/state/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/state/usage.rs
@@ -8,7 +8,7 @@
 
 /// Reports that wait to be sent; of more, the oldest are dropped. Five minutes of windows of 5 s; nobody
 /// waits for older ones.
-const MAX_WAITING: usize = 60;
+const MAX_UNACKNOWLEDGED_REPORTS: usize = 60;
 
 /// What is durable of the site's usage.
 ///
@@ -48,7 +48,7 @@
         self.kept.keys().next().copied()
     }
 
-    pub(super) fn keep(&mut self, gateway: GatewayId, usage: Vec<WindowUsage>) {
+    pub(super) fn store_lost_gateway(&mut self, gateway: GatewayId, usage: Vec<WindowUsage>) {
         for WindowUsage { window, counts } in usage {
             if self.closed.is_none_or(|closed| window > closed) {
                 self.kept.entry(window).or_default().insert(gateway, counts);
@@ -56,19 +56,19 @@
         }
     }
 
-    pub(super) fn close(&mut self, window: UsageWindow, counts: UsageCounts) {
+    pub(super) fn close_window(&mut self, window: UsageWindow, counts: UsageCounts) {
         if self.closed.is_some_and(|closed| window <= closed) {
             return;
         }
         self.closed = Some(window);
         self.kept = self.kept.split_off(&window.next());
         self.waiting.insert(window, counts);
-        if self.waiting.len() > MAX_WAITING {
+        if self.waiting.len() > MAX_UNACKNOWLEDGED_REPORTS {
             self.waiting.pop_first();
         }
     }
 
-    pub(super) fn reported(&mut self, window: UsageWindow) {
+    pub(super) fn acknowledge(&mut self, window: UsageWindow) {
         self.waiting.remove(&window);
     }
 }
--- a/crates/gateways/wingshore-coordination/src/state/view.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view.rs
@@ -94,7 +94,8 @@
         let before = self.registry.seen_by_gateways(&instance);
         change(&mut self.registry);
         if before != self.registry.seen_by_gateways(&instance) {
-            self.view_history.note(index, ViewPart::Server(instance));
+            self.view_history
+                .record_change(index, ViewPart::Server(instance));
         }
     }
 
@@ -116,7 +117,8 @@
         change(&mut self.evidence);
         for (request, was_visible) in requests.into_iter().zip(before) {
             if was_visible || is_visible(&self.evidence, &request) {
-                self.view_history.note(index, ViewPart::Suspect(request));
+                self.view_history
+                    .record_change(index, ViewPart::Suspect(request));
             }
         }
     }
--- a/crates/gateways/wingshore-coordination/src/state/view_history.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view_history.rs
@@ -8,7 +8,7 @@
 /// Parts that are remembered, 100 to 150 bytes each: all servers of a site of this size may change
 /// while a gateway is unreachable. A gateway that has missed more is sent the whole view, which is no
 /// longer than that.
-const MAX_PARTS: usize = 16_384;
+const MAX_TRACKED_PARTS: usize = 16_384;
 
 /// A part of the view that is sent by itself.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,18 +39,18 @@
 
 impl ViewHistory {
     /// An entry is about to be applied.
-    pub(crate) fn begin(&mut self, index: LogIndex) {
+    pub(crate) fn begin_entry(&mut self, index: LogIndex) {
         self.complete_from
             .get_or_insert(LogIndex(index.0.saturating_sub(1)));
     }
 
     /// An entry has changed a part.
-    pub(crate) fn note(&mut self, index: LogIndex, part: ViewPart) {
+    pub(crate) fn record_change(&mut self, index: LogIndex, part: ViewPart) {
         if let Some(before) = self.changed_at.insert(part.clone(), index) {
-            self.forget(before, &part);
+            self.remove_change(before, &part);
         }
         self.changes.entry(index).or_default().insert(part);
-        while self.changed_at.len() > MAX_PARTS {
+        while self.changed_at.len() > MAX_TRACKED_PARTS {
             let Some((oldest, parts)) = self.changes.pop_first() else {
                 return;
             };
@@ -61,7 +61,7 @@
         }
     }
 
-    fn forget(&mut self, index: LogIndex, part: &ViewPart) {
+    fn remove_change(&mut self, index: LogIndex, part: &ViewPart) {
         if let Some(parts) = self.changes.get_mut(&index) {
             parts.remove(part);
             if parts.is_empty() {
--- a/crates/gateways/wingshore-coordination/src/tenants.rs
+++ b/crates/gateways/wingshore-coordination/src/tenants.rs
@@ -60,7 +60,7 @@
     },
     /// Two tenants of one name.
     #[snafu(display("tenant `{tenant}` stands twice; allowed is once"))]
-    SameTenant {
+    DuplicateTenant {
         /// The tenant.
         tenant: TenantName,
     },
@@ -68,7 +68,7 @@
     #[snafu(display(
         "tenant {tenant:?}: its name; allowed is text that is not empty, without control characters"
     ))]
-    Name {
+    InvalidName {
         /// The name.
         tenant: String,
     },
@@ -90,13 +90,13 @@
     for tenant in tenants {
         let name = &tenant.name;
         if name.as_str().is_empty() || name.as_str().chars().any(char::is_control) {
-            return NameSnafu {
+            return InvalidNameSnafu {
                 tenant: name.as_str(),
             }
             .fail();
         }
         if !names.insert(name) {
-            return SameTenantSnafu {
+            return DuplicateTenantSnafu {
                 tenant: name.clone(),
             }
             .fail();
--- a/crates/gateways/wingshore-coordination/src/text/finished.rs
+++ b/crates/gateways/wingshore-coordination/src/text/finished.rs
@@ -1,6 +1,6 @@
 //! Whole texts of items.
 
-use super::item::{ItemText, are_since};
+use super::item::{ItemText, all_since};
 use super::packed::ResultText;
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
 impl FinishedText {
     /// Whether no event is of a version before `oldest`.
     pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
-        are_since(&self.versions, oldest)
+        all_since(&self.versions, oldest)
     }
 }
 
--- a/crates/gateways/wingshore-coordination/src/text/item.rs
+++ b/crates/gateways/wingshore-coordination/src/text/item.rs
@@ -100,7 +100,7 @@
 
     /// Whether no event is of a version before `oldest`.
     pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
-        are_since(&self.versions, oldest)
+        all_since(&self.versions, oldest)
     }
 
     /// All of it, as the log holds it.
@@ -121,6 +121,6 @@
 }
 
 /// Whether no event is of a version before `oldest`.
-pub(super) fn are_since(versions: &[u64], oldest: u64) -> bool {
+pub(super) fn all_since(versions: &[u64], oldest: u64) -> bool {
     versions.iter().all(|version| *version >= oldest)
 }
--- a/crates/gateways/wingshore-coordination/src/text/packed.rs
+++ b/crates/gateways/wingshore-coordination/src/text/packed.rs
@@ -182,7 +182,7 @@
 
 /// A text as it is sent: its length and its compressed bytes.
 #[derive(Serialize, Deserialize)]
-struct SentText {
+struct EncodedText {
     length: u64,
     #[serde(with = "byte_vector")]
     packed: Arc<[u8]>,
@@ -191,7 +191,7 @@
 impl Serialize for ResultText {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let packed = self.packed.place().read();
-        let sent = SentText {
+        let sent = EncodedText {
             length: self.length,
             packed: packed.map_err(serde::ser::Error::custom)?,
         };
@@ -201,7 +201,7 @@
 
 impl<'de> Deserialize<'de> for ResultText {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let SentText { length, packed } = SentText::deserialize(deserializer)?;
+        let EncodedText { length, packed } = EncodedText::deserialize(deserializer)?;
         Ok(Self::at(length, TextPlace::Memory(packed)))
     }
 }
--- a/crates/gateways/wingshore-coordination/src/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/usage.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Windows that a gateway goes on counting, besides the newest: their reports may not have been made.
-const WINDOWS_KEPT: u64 = 6;
+const RETAINED_WINDOWS: u64 = 6;
 
 /// A window of time, by its number since the start of 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
         let counts = self.windows.entry(window).or_default();
         *counts.0.entry(tenant).or_default() += 1;
         self.changed.insert(window);
-        let oldest = UsageWindow(window.0.saturating_sub(WINDOWS_KEPT));
+        let oldest = UsageWindow(window.0.saturating_sub(RETAINED_WINDOWS));
         self.windows = self.windows.split_off(&oldest);
         self.changed = self.changed.split_off(&oldest);
     }
--- a/crates/gateways/wingshore-coordination/tests/forgotten_jobs.rs
+++ b/crates/gateways/wingshore-coordination/tests/forgotten_jobs.rs
@@ -15,7 +15,7 @@
 /// A leader that had forgotten a job counted the time in the queue of a later one of the same name from then on, and
 /// abandoned its items at once.
 #[gtest]
-fn a_job_of_a_forgotten_name_has_its_whole_time_in_the_queue() {
+fn a_job_that_reuses_a_forgotten_name_gets_its_full_queue_time() {
     let mut group = Group::new();
     group.add_gateway(1);
     group.ask(Request::SubmitJob(job("j", 1)));
--- a/crates/gateways/wingshore-coordination/tests/formats.rs
+++ b/crates/gateways/wingshore-coordination/tests/formats.rs
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_range_that_is_none_has_no_format_in_common() {
+fn an_empty_range_has_no_common_format() {
     expect_that!(range(1, 3).common(range(3, 1)), none());
 }
 
@@ -49,12 +49,12 @@
 }
 
 #[gtest]
-fn half_a_range_is_none() {
+fn a_truncated_range_is_refused() {
     expect_that!(FormatRange::after_hello(&[2]), err(anything()));
 }
 
 #[gtest]
-fn a_peer_is_news_once_for_what_it_says() {
+fn a_refusal_is_first_once_per_format_range() {
     let mut refused = RefusedPeers::default();
     let refusal = |formats, is_first| Err(Refusal { formats, is_first });
     expect_that!(refused.negotiate(peer(), &[]), eq(Ok(1)));
--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -32,7 +32,7 @@
 }
 
 /// A server that does not say when it started.
-pub fn unborn() -> InstanceId {
+pub fn instance_without_start_time() -> InstanceId {
     InstanceId::from("engine-2")
 }
 
@@ -72,7 +72,7 @@
 pub fn suspect() -> Suspect {
     Suspect {
         fingerprint: fingerprint(1),
-        ended: vec![instance(), unborn()],
+        ended: vec![instance(), instance_without_start_time()],
         rejected: true,
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -5,8 +5,8 @@
 use golden::check;
 use golden::examples::{
     address, assignment, crash, fingerprint, finished_text, gateway_id, gateway_status, heartbeat,
-    held_prefix, instance, item_key, item_text, job_id, running_scoring, scorer, unborn,
-    window_usage,
+    held_prefix, instance, instance_without_start_time, item_key, item_text, job_id,
+    running_scoring, scorer, window_usage,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -206,7 +206,7 @@
             revision: LogIndex(401),
             content: ViewContent::Changes {
                 since: LogIndex(400),
-                changes: vec![ViewChange::Gone(unborn())],
+                changes: vec![ViewChange::Gone(instance_without_start_time())],
             },
         }),
         CoordinatorMessage::Reply {
@@ -296,7 +296,7 @@
             instance: instance(),
             sequence: 77,
         }]),
-        CoordinatorFrame::UnknownServers(vec![instance(), unborn()]),
+        CoordinatorFrame::UnknownServers(vec![instance(), instance_without_start_time()]),
         CoordinatorFrame::Heartbeat {
             id: 9,
             heartbeat: heartbeat(),
@@ -339,7 +339,9 @@
             status: gateway_status(),
         }),
         IncomingFrame::FromGateway(GatewayMessage::LeaveView),
-        IncomingFrame::Coordinator(CoordinatorFrame::UnknownServers(vec![unborn()])),
+        IncomingFrame::Coordinator(CoordinatorFrame::UnknownServers(vec![
+            instance_without_start_time(),
+        ])),
     ]
 }
 
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -4,7 +4,8 @@
 
 use golden::examples::{
     assignment, configuration, crash, fingerprint, fingerprint_key, finished_text, gateway_id,
-    instance, item_key, item_text, job_id, server, submission, unborn, usage_counts, window_usage,
+    instance, instance_without_start_time, item_key, item_text, job_id, server, submission,
+    usage_counts, window_usage,
 };
 use golden::{check, check_bytes};
 use googletest::prelude::*;
@@ -60,9 +61,9 @@
     vec![
         Command::Configure(Arc::new(configuration())),
         Command::Register(server(instance())),
-        Command::Register(server(unborn())),
-        Command::Depart(unborn()),
-        Command::Expire(unborn()),
+        Command::Register(server(instance_without_start_time())),
+        Command::Depart(instance_without_start_time()),
+        Command::Expire(instance_without_start_time()),
         Command::NameVersion {
             model: ModelName::from("model-1"),
             version: 131,
@@ -185,7 +186,7 @@
 
 /// A store of texts that holds one text, which it reads back for every place.
 #[derive(Debug)]
-struct OneText;
+struct SingleTextStore;
 
 const PLACE: BlobPlace = BlobPlace {
     file: 4,
@@ -194,7 +195,7 @@
     checksum: 0x1234_5678,
 };
 
-impl Blob for OneText {
+impl Blob for SingleTextStore {
     fn place(&self) -> BlobPlace {
         PLACE
     }
@@ -205,7 +206,7 @@
     }
 }
 
-impl TextStore for OneText {
+impl TextStore for SingleTextStore {
     fn hold(&self, text: &Arc<PackedText>) {
         if text.place().length() > 0 {
             text.move_to(Arc::new(Self));
@@ -240,7 +241,8 @@
 #[gtest]
 fn snapshots_keep_their_bytes() {
     let state = state_with(None);
-    let on_disk = SnapshotData::from(state_with(Some(Arc::new(OneText))).freeze()).for_own_disk();
+    let on_disk =
+        SnapshotData::from(state_with(Some(Arc::new(SingleTextStore))).freeze()).for_own_disk();
     let own = on_disk.to_bytes().unwrap().to_vec();
     let empty = CoordinationState::default().snapshot();
     let examples = [
@@ -253,7 +255,7 @@
     let restored = CoordinationState::restore(&state.snapshot()).unwrap();
     expect_that!(restored == state, eq(true));
     let mut restarted = CoordinationState::default();
-    restarted.keep_texts_in(Arc::new(OneText));
+    restarted.keep_texts_in(Arc::new(SingleTextStore));
     restarted.restore_from(&mut &own[..]).unwrap();
     expect_that!(restarted == state, eq(true));
 }
--- a/crates/gateways/wingshore-coordination/tests/golden_view.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_view.rs
@@ -4,7 +4,8 @@
 
 use golden::check;
 use golden::examples::{
-    configuration, fingerprint, fingerprint_key, instance, server, suspect, unborn,
+    configuration, fingerprint, fingerprint_key, instance, instance_without_start_time, server,
+    suspect,
 };
 use googletest::prelude::*;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
     vec![
         ViewChange::Configuration(Arc::new(configuration())),
         ViewChange::Server(server(instance())),
-        ViewChange::Gone(unborn()),
+        ViewChange::Gone(instance_without_start_time()),
         ViewChange::FingerprintKey(fingerprint_key()),
         ViewChange::Suspect(suspect()),
         ViewChange::Cleared(fingerprint(1)),
@@ -53,7 +54,7 @@
         })),
         update(ViewContent::Changes {
             since: LogIndex(400),
-            changes: vec![ViewChange::Gone(unborn())],
+            changes: vec![ViewChange::Gone(instance_without_start_time())],
         }),
     ]
 }
--- a/crates/gateways/wingshore-coordination/tests/peer_before_revisions.rs
+++ b/crates/gateways/wingshore-coordination/tests/peer_before_revisions.rs
@@ -76,7 +76,7 @@
 
 /// The index of the copy is read as the time of day.
 #[gtest]
-fn a_sign_of_life_is_misread_without_an_error() {
+fn a_status_message_is_misread_without_an_error() {
     let read: EarlierCoordinatorMessage = read_earlier(&alive(None, Some(LogIndex(400)))).unwrap();
     let expected = EarlierCoordinatorMessage::Alive {
         coordinators: Vec::new(),
@@ -89,7 +89,7 @@
 
 /// The first one on a link names the coordinators.
 #[gtest]
-fn a_first_sign_of_life_is_refused() {
+fn a_first_status_message_is_refused() {
     let coordinators = vec![([10, 0, 0, 2], 7000).into(), ([10, 0, 0, 3], 7000).into()];
     let message = alive(Some(coordinators), Some(LogIndex(400)));
     let read = read_earlier::<EarlierCoordinatorMessage>(&message);
@@ -111,7 +111,7 @@
 
 /// The leadership is believed, and the view after it is dropped.
 #[gtest]
-fn an_earlier_leader_is_believed_without_its_view() {
+fn the_epoch_of_an_earlier_leader_is_read_without_its_view() {
     let welcome = EarlierCoordinatorMessage::Welcome {
         epoch: Epoch(300),
         view: SiteView::default(),
--- a/crates/gateways/wingshore-coordination/tests/runs.rs
+++ b/crates/gateways/wingshore-coordination/tests/runs.rs
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn identities_are_the_same_after_the_codec() {
+fn job_ids_survive_the_codec() {
     for id in [run("e", 7), InstanceId::from("e")] {
         let bytes = postcard::to_allocvec(&id).unwrap();
         expect_that!(postcard::from_bytes::<InstanceId>(&bytes), ok(eq(&id)));
--- a/crates/gateways/wingshore-coordination/tests/state_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_properties.rs
@@ -191,7 +191,7 @@
 
 proptest! {
     #[test]
-    fn promises_hold_after_any_commands(commands in proptest::collection::vec(command(), 0..60)) {
+    fn invariants_hold_after_any_commands(commands in proptest::collection::vec(command(), 0..60)) {
         let mut state = CoordinationState::default();
         for (index, command) in (1..).zip(commands) {
             let before = state.clone();
@@ -212,7 +212,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_no_snapshot_that_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn restoring_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = CoordinationState::restore(&bytes);
     }
 
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn texts_on_disk_are_sent_whole_and_named_on_the_own_disk() {
+fn texts_on_disk_are_inlined_for_peers_and_referenced_locally() {
     let (state, store) = with_store();
     let in_memory = state.snapshot();
     store.move_half();
@@ -204,7 +204,7 @@
 
 /// A state as the releases before wrote it, as one value: it has three results.
 #[gtest]
-fn a_state_of_the_format_before_is_read_and_its_texts_are_held() {
+fn a_state_of_the_single_value_format_is_read_and_its_texts_are_stored() {
     let one_value = include_bytes!("fixtures/whole.bin");
     let store = TestStore::default();
     let mut restored = CoordinationState::default();
@@ -229,7 +229,7 @@
 }
 
 #[gtest]
-fn a_format_that_is_not_known_is_named() {
+fn an_unknown_format_is_named_in_the_error() {
     let error = CoordinationState::restore(&[9, 1, 2]).unwrap_err();
     expect_that!(error.message, contains_substring("format 9"));
 }
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn two_tenants_with_one_key_are_refused_without_telling_the_key() {
+fn a_shared_key_is_refused_without_printing_it() {
     let tenants = vec![
         tenant("a", &["one", "secret-key"], None),
         tenant("b", &["secret-key"], None),
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn a_key_that_stands_twice_at_one_tenant_is_taken() {
+fn a_key_listed_twice_by_one_tenant_is_accepted() {
     let tenants = vec![tenant("a", &["one", "one"], None)];
     expect_that!(with_tenants(2, tenants).check(), ok(anything()));
 }
@@ -74,13 +74,13 @@
 }
 
 #[gtest]
-fn a_key_shows_nothing_of_itself_where_it_is_printed() {
+fn debug_output_hides_keys() {
     let printed = format!("{:?}", tenant("a", &["secret-key"], None));
     expect_that!(printed, not(contains_substring("secret")));
 }
 
 #[gtest]
-fn each_key_of_a_tenant_opens_for_it_and_no_other_does() {
+fn each_key_identifies_its_tenant_only() {
     let keys = KeyTable::new(&[
         tenant("a", &["one", "two"], Some(0)),
         tenant("b", &["three"], None),
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn a_public_route_asks_for_no_key_and_others_do_where_there_are_tenants() {
+fn only_non_public_routes_require_a_key_where_there_are_tenants() {
     let mut site = with_tenants(2, vec![tenant("a", &["one"], None)]);
     let mut public = site.routes[0].clone();
     public.public = true;
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn one_name_under_two_tenants_is_two_jobs_and_under_one_a_single_one() {
+fn job_names_are_scoped_to_the_tenant() {
     let mut group = Group::new();
     for (tenant, items) in [("a", 2), ("b", 3), ("a", 2)] {
         let submission = job_of("j", Some(tenant), items);
@@ -154,7 +154,7 @@
 }
 
 #[gtest]
-fn a_job_of_before_the_site_had_tenants_stays_open() {
+fn a_job_without_a_tenant_stays_accessible() {
     let mut group = Group::new();
     group.ask(Request::SubmitJob(job_of("j", None, 2)));
     let of_a = of_tenant("j", Some("a"));
@@ -185,7 +185,7 @@
 /// Two jobs wait for four slots: the one of the more urgent tenant gets them, though it came later, and
 /// its rank takes the place of the route's.
 #[gtest]
-fn the_rank_of_a_tenant_comes_before_that_of_its_route() {
+fn the_priority_of_a_tenant_overrides_that_of_the_route() {
     let mut group = Group::new();
     let tenants = vec![
         tenant("usual", &["one"], None),
@@ -208,7 +208,7 @@
 
 /// Keys outlive jobs, and jobs outlive keys: whoever has a key of the tenant now may ask.
 #[gtest]
-fn identities_are_the_same_after_the_codec() {
+fn job_ids_survive_the_codec() {
     for id in [of_tenant("j", None), of_tenant("j", Some("a"))] {
         let bytes = postcard::to_allocvec(&id).unwrap();
         expect_that!(postcard::from_bytes::<JobId>(&bytes), ok(eq(&id)));
--- a/crates/gateways/wingshore-coordination/tests/text.rs
+++ b/crates/gateways/wingshore-coordination/tests/text.rs
@@ -8,7 +8,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
     #[test]
-    fn a_kept_text_comes_back_as_it_was(text in "(.|\n){0,400}") {
+    fn a_stored_text_round_trips(text in "(.|\n){0,400}") {
         let kept = ResultText::pack(&text);
         prop_assert_eq!(kept.length(), text.len());
         prop_assert_eq!(kept.unpack(), Ok(text));
--- a/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
+++ b/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
@@ -25,7 +25,7 @@
 const REQUESTS: &str = include_str!("golden/requests.txt");
 
 /// Bytes that nobody writes today, among them the marks of variants and long integers.
-const MORE: &[&[u8]] = &[&[0], &[1, 1], &[0xff; 12], b"a range or anything else"];
+const TRAILING_BYTES: &[&[u8]] = &[&[0], &[1, 1], &[0xff; 12], b"a range or anything else"];
 
 /// Names and bytes of the lines of a golden file.
 fn lines(golden: &str) -> Vec<(&str, Vec<u8>)> {
@@ -41,10 +41,10 @@
 }
 
 /// Each line is read as the same value with more bytes after its end.
-fn ignores_more<T: DeserializeOwned + PartialEq + Debug>(golden: &str) {
+fn check_trailing_bytes_are_ignored<T: DeserializeOwned + PartialEq + Debug>(golden: &str) {
     for (name, bytes) in lines(golden) {
         let alone: T = postcard::from_bytes(&bytes).unwrap();
-        for more in MORE {
+        for more in TRAILING_BYTES {
             let longer = [&bytes, *more].concat();
             let (read, rest): (T, &[u8]) = postcard::take_from_bytes(&longer).unwrap();
             expect_that!(read == alone, eq(true), "{name}: {read:?}");
@@ -56,7 +56,7 @@
 }
 
 /// No beginning of a line is read as a value.
-fn refuses_less<T: DeserializeOwned + Debug>(golden: &str) {
+fn check_truncations_are_refused<T: DeserializeOwned + Debug>(golden: &str) {
     for (name, bytes) in lines(golden) {
         for length in 0..bytes.len() {
             let read = postcard::from_bytes::<T>(&bytes[..length]);
@@ -66,7 +66,7 @@
 }
 
 /// The variant after the last one is refused, whatever follows.
-fn refuses_next_variant<T: DeserializeOwned + Debug>(golden: &str) {
+fn check_next_variant_is_refused<T: DeserializeOwned + Debug>(golden: &str) {
     let last = lines(golden).iter().map(|(_, bytes)| bytes[0]).max();
     let mut bytes = vec![last.unwrap() + 1];
     bytes.extend([0; 200]);
@@ -76,33 +76,33 @@
 
 #[gtest]
 fn bytes_after_the_end_of_messages_are_ignored() {
-    ignores_more::<IncomingFrame>(INCOMING_FRAMES);
-    ignores_more::<CoordinatorFrame>(COORDINATOR_FRAMES);
-    ignores_more::<GatewayMessage>(GATEWAY_MESSAGES);
-    ignores_more::<CoordinatorMessage>(COORDINATOR_MESSAGES);
-    ignores_more::<CallReply>(CALL_REPLIES);
-    ignores_more::<Request>(REQUESTS);
-    ignores_more::<Reply>(REPLIES);
-    ignores_more::<ItemOutcome>(ITEM_OUTCOMES);
+    check_trailing_bytes_are_ignored::<IncomingFrame>(INCOMING_FRAMES);
+    check_trailing_bytes_are_ignored::<CoordinatorFrame>(COORDINATOR_FRAMES);
+    check_trailing_bytes_are_ignored::<GatewayMessage>(GATEWAY_MESSAGES);
+    check_trailing_bytes_are_ignored::<CoordinatorMessage>(COORDINATOR_MESSAGES);
+    check_trailing_bytes_are_ignored::<CallReply>(CALL_REPLIES);
+    check_trailing_bytes_are_ignored::<Request>(REQUESTS);
+    check_trailing_bytes_are_ignored::<Reply>(REPLIES);
+    check_trailing_bytes_are_ignored::<ItemOutcome>(ITEM_OUTCOMES);
 }
 
 #[gtest]
 fn messages_that_end_too_early_are_refused() {
-    refuses_less::<IncomingFrame>(INCOMING_FRAMES);
-    refuses_less::<CoordinatorFrame>(COORDINATOR_FRAMES);
-    refuses_less::<GatewayMessage>(GATEWAY_MESSAGES);
-    refuses_less::<CoordinatorMessage>(COORDINATOR_MESSAGES);
+    check_truncations_are_refused::<IncomingFrame>(INCOMING_FRAMES);
+    check_truncations_are_refused::<CoordinatorFrame>(COORDINATOR_FRAMES);
+    check_truncations_are_refused::<GatewayMessage>(GATEWAY_MESSAGES);
+    check_truncations_are_refused::<CoordinatorMessage>(COORDINATOR_MESSAGES);
 }
 
 #[gtest]
 fn unknown_variants_of_messages_are_refused() {
-    refuses_next_variant::<IncomingFrame>(INCOMING_FRAMES);
-    refuses_next_variant::<CoordinatorFrame>(COORDINATOR_FRAMES);
-    refuses_next_variant::<GatewayMessage>(GATEWAY_MESSAGES);
-    refuses_next_variant::<CoordinatorMessage>(COORDINATOR_MESSAGES);
-    refuses_next_variant::<CallReply>(CALL_REPLIES);
-    refuses_next_variant::<Request>(REQUESTS);
-    refuses_next_variant::<Reply>(REPLIES);
+    check_next_variant_is_refused::<IncomingFrame>(INCOMING_FRAMES);
+    check_next_variant_is_refused::<CoordinatorFrame>(COORDINATOR_FRAMES);
+    check_next_variant_is_refused::<GatewayMessage>(GATEWAY_MESSAGES);
+    check_next_variant_is_refused::<CoordinatorMessage>(COORDINATOR_MESSAGES);
+    check_next_variant_is_refused::<CallReply>(CALL_REPLIES);
+    check_next_variant_is_refused::<Request>(REQUESTS);
+    check_next_variant_is_refused::<Reply>(REPLIES);
 }
 
 /// A hello of a coordinator stands in an envelope, and ends with it.
@@ -116,7 +116,7 @@
     const COORDINATOR: u8 = 2;
     let alone = [&[COORDINATOR], hello.as_slice()].concat();
     let expected: IncomingFrame = postcard::from_bytes(&alone).unwrap();
-    for more in MORE {
+    for more in TRAILING_BYTES {
         let longer = [&alone, *more].concat();
         let read: IncomingFrame = postcard::from_bytes(&longer).unwrap();
         expect_that!(read, eq(&expected));
@@ -130,7 +130,7 @@
     for (name, bytes) in lines(COMMANDS) {
         let alone = stored::decode::<Command>(&bytes);
         expect_that!(alone, ok(anything()), "{name}");
-        for more in MORE {
+        for more in TRAILING_BYTES {
             let longer = [&bytes, *more].concat();
             let refused = stored::decode::<Command>(&longer);
             let expected = StoredError::GoesOn {
@@ -144,8 +144,8 @@
 
 #[gtest]
 fn unknown_commands_and_cut_ones_are_refused() {
-    refuses_next_variant::<Command>(COMMANDS);
-    refuses_less::<Command>(COMMANDS);
+    check_next_variant_is_refused::<Command>(COMMANDS);
+    check_truncations_are_refused::<Command>(COMMANDS);
 }
 
 fn state() -> CoordinationState {
--- a/crates/gateways/wingshore-coordination/tests/upgrade.rs
+++ b/crates/gateways/wingshore-coordination/tests/upgrade.rs
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn a_log_of_the_release_before_is_applied_as_it_was_meant() {
+fn a_log_of_the_previous_release_is_applied_correctly() {
     let bytes = include_bytes!("fixtures/commands.bin");
     let read: Vec<Command> = postcard::from_bytes(bytes).unwrap();
     expect_that!(read.len(), eq(commands_of_fixture().len()));
@@ -33,14 +33,14 @@
 }
 
 #[gtest]
-fn a_snapshot_of_the_release_before_is_read_whole() {
+fn a_snapshot_of_the_previous_release_is_restored_fully() {
     let restored = CoordinationState::restore(include_bytes!("fixtures/snapshot.bin")).unwrap();
     expect_that!(restored == state_of(commands_of_fixture()), eq(true));
 }
 
 /// The oldest form has no evidence: all else is read.
 #[gtest]
-fn a_state_that_was_written_as_one_value_is_read_whole() {
+fn a_state_written_as_one_value_is_restored() {
     let restored = CoordinationState::restore(include_bytes!("fixtures/whole.bin")).unwrap();
     let expected = state_of(commands_of_fixture());
     expect_that!(restored.configuration(), eq(expected.configuration()));
