--- a/crates/gateways/wingshore-coordination/src/configuration.rs
+++ b/crates/gateways/wingshore-coordination/src/configuration.rs
@@ -1,9 +1,9 @@
-//! The configuration of a site: routes, services, tenants and limits, under a version that its operators
-//! choose.
+//! Site configuration: routes, services, tenants and limits, under a version number chosen by the
+//! operators.
 //!
-//! Owns the types and the check that refuses a configuration that cannot be in force. What operators
-//! send is parsed where the platform is spoken to; which configuration is in force is decided by
-//! [`crate::CoordinationState`].
+//! Defines the types and validates a configuration before it takes effect. Parsing of the
+//! operators' documents belongs to the control API; [`crate::CoordinationState`] decides which
+//! configuration is in force.
 
 use crate::ids::{ModelName, ServiceName};
 use crate::scaling::Scaling;
@@ -14,124 +14,125 @@
 use std::time::Duration;
 use wingshore_types::protocol::byte_vector;
 
-/// Maximal bytes of a request's head, where a configuration names none.
+/// Default maximum size of a request's head, in bytes.
 const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
-/// Maximal bytes of a request's body, where a configuration names none.
+/// Default maximum size of a request's body, in bytes.
 const DEFAULT_BODY_BYTES: usize = 32 * 1024 * 1024;
-/// Longest time for a request to arrive whole, where a configuration names none.
+/// Default time limit for receiving a complete request.
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time that a connection may be idle, where a configuration names none.
+/// Default idle timeout of a connection.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A whole configuration. The one with the highest version is in force.
+/// A complete site configuration. The one with the highest version is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfiguration {
-    /// Chosen by the operator; grows in uneven steps.
+    /// Version chosen by the operator; it increases, not necessarily by 1.
     pub version: u64,
-    /// How requests find a service.
+    /// Routes from hosts and paths to services.
     pub routes: Vec<Route>,
-    /// What can be routed to.
+    /// Services that routes can refer to.
     pub services: Vec<Service>,
-    /// What callers may send, and how long they may take.
+    /// Size limits and timeouts of client requests.
     pub limits: IngressLimits,
-    /// Who may call; empty where a site does not distinguish its callers.
+    /// Tenants that may call; empty if the site does not distinguish its callers.
     pub tenants: Vec<Tenant>,
-    /// The document as the operator sent it, for reading it back.
+    /// The operator's original document, returned when the configuration is read back.
     #[serde(with = "byte_vector")]
     pub document: Vec<u8>,
 }
 
-/// How requests of one host and path prefix are handled.
+/// Handling of requests for one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Names it in logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// The host that requests name, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// Begins the path; starts and ends with a slash.
+    /// Prefix of the request path; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of traffic, which decides what may be retried.
     pub kind: RouteKind,
-    /// Longest time that a request may be held before it is answered.
+    /// Maximum time that a request may be held before it is answered.
     pub timeout: Duration,
-    /// Time within which an answer counts as in time.
+    /// Latency up to which an answer counts as on time.
     pub target_latency: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services and their shares of the requests.
+    /// Services and their weights.
     pub targets: Vec<RouteTarget>,
-    /// Maximal number of servers to which one request may be sent.
+    /// Maximum number of servers to which one request may be sent.
     pub max_attempts: u32,
-    /// Time after a batch job's first attempt from which on its items may be abandoned.
+    /// Time after a batch job's first attempt from which its items may be abandoned.
     pub max_queue: Option<Duration>,
-    /// Time after a batch job's first attempt by which its results are due.
+    /// Deadline of a batch job's results, counted from its first attempt.
     pub due: Option<Duration>,
     /// Whether all events of a result must come from one weight version.
     pub single_version: bool,
-    /// Whether a stream may be continued at another server.
+    /// Whether a stream may be resumed on another server.
     pub resumable: bool,
-    /// Whether it is open to all, where a site has tenants.
+    /// Whether callers need no key, on a site with tenants.
     pub public: bool,
 }
 
-/// What may be repeated.
+/// Kind of traffic, which decides what may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A request may run more than once.
     Safe,
     /// A request runs at most once.
     Unsafe,
-    /// The answer is a stream of events; runs at most once unless it may be resumed.
+    /// The response is a stream of events; a request runs at most once unless the route is
+    /// resumable.
     Streaming,
     /// Batch jobs of token requests.
     Batch,
 }
 
-/// One service of a route and its share.
+/// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the sum of the route's weights.
+    /// Weight of the service, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// A set of servers that stand in for each other.
+/// A set of interchangeable servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path at which servers report their health.
+    /// Path of the servers' health check.
     pub health_path: String,
-    /// Maximal number of connections that one server accepts from all callers together.
+    /// Maximum number of connections that one server accepts from all callers together.
     pub max_connections: u32,
-    /// Set where the servers are model engines.
+    /// Set if the servers are model engines.
     pub engine: Option<EngineProfile>,
-    /// Set where the number of servers can be ordered.
+    /// Set if the number of servers can be ordered from the provider.
     pub scaling: Option<Scaling>,
 }
 
-/// What the engines of a service have in common.
+/// Properties that all engines of a service share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineProfile {
-    /// Requests that run at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's cache memory.
+    /// Number of tokens that fit into an engine's KV cache.
     pub cache_tokens: u64,
     /// Models that each engine serves.
     pub models: Vec<ModelName>,
 }
 
-/// What callers may send, and how long they may take.
+/// Size limits and timeouts of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IngressLimits {
-    /// Maximal bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Maximal bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request to arrive whole, counted from its first byte.
+    /// Time limit for receiving a complete request, counted from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
@@ -146,58 +147,58 @@
     }
 }
 
-/// Why a configuration is refused.
+/// Reason why a configuration is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigurationError {
-    /// A route names a service that is not in the configuration.
+    /// A route refers to a service that is not in the configuration.
     #[snafu(display(
         "route `{route}`: unknown service `{service}`; allowed are the services of the same configuration"
     ))]
     UnknownService {
         /// The route.
         route: String,
-        /// What it names.
+        /// The unknown service.
         service: ServiceName,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[snafu(display(
         "routes `{first}` and `{second}` have the same host and path prefix; allowed is one route for each"
     ))]
     DuplicateRoute {
-        /// One route.
+        /// The first route.
         first: String,
-        /// The other.
+        /// The second route.
         second: String,
     },
-    /// No service of a route gets anything.
+    /// The weights of a route sum to 0, so that no service would get requests.
     #[snafu(display("route `{route}`: its weights sum to 0; allowed is a sum of at least 1"))]
     ZeroTotalWeight {
         /// The route.
         route: String,
     },
-    /// A route that may hold nothing.
+    /// The timeout of a route is 0.
     #[snafu(display("route `{route}`: a time-out of 0; allowed is at least 1 ms"))]
     ZeroTimeout {
         /// The route.
         route: String,
     },
-    /// A prefix that is no prefix.
+    /// The path prefix of a route does not start and end with a slash.
     #[snafu(display(
         "route `{route}`: path prefix `{prefix}`; allowed is one that starts and ends with a slash"
     ))]
     InvalidPathPrefix {
         /// The route.
         route: String,
-        /// What it has.
+        /// The invalid prefix.
         prefix: String,
     },
-    /// Something is wrong with the tenants.
+    /// The tenants are invalid.
     #[snafu(display("{source}"), context(false))]
     Tenants {
-        /// What.
+        /// The underlying error.
         source: TenantError,
     },
-    /// Two services of one name.
+    /// Two services have the same name.
     #[snafu(display("service `{service}` stands twice; allowed is once"))]
     DuplicateService {
         /// The service.
@@ -206,10 +207,10 @@
 }
 
 impl SiteConfiguration {
-    /// Whether it can be in force.
+    /// Checks that the configuration is valid.
     ///
     /// # Errors
-    /// Says the first thing that is wrong, where, and what is allowed.
+    /// Returns the first violation: where it is, and which values are allowed.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         check_tenants(&self.tenants)?;
         let services = self.service_names()?;
@@ -241,12 +242,12 @@
         Ok(names)
     }
 
-    /// Whether callers have to show a key on this route.
+    /// Returns whether callers of this route must present an API key.
     pub fn requires_key(&self, route: &Route) -> bool {
         !self.tenants.is_empty() && !route.public
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
@@ -279,7 +280,7 @@
         Ok(())
     }
 
-    /// Sum of the weights.
+    /// Returns the sum of the weights.
     fn total_weight(&self) -> u64 {
         self.targets
             .iter()
@@ -287,7 +288,7 @@
             .sum()
     }
 
-    /// The part of its requests that goes to a service, from 0 to 1.
+    /// Returns the share of the route's requests that goes to a service, from 0 to 1.
     pub(crate) fn traffic_share(&self, service: &ServiceName) -> f64 {
         let own = self.targets.iter();
         let own = own.filter(|target| target.service == *service);
@@ -295,8 +296,8 @@
         own as f64 / self.total_weight().max(1) as f64
     }
 
-    /// The service for a request with this number; numbers spread evenly give each service its
-    /// share.
+    /// Returns the service for the request with this number; evenly distributed numbers give each
+    /// service its share.
     pub fn target_for(&self, number: u64) -> Option<&ServiceName> {
         let mut place = number % self.total_weight().max(1);
         for target in &self.targets {
--- a/crates/gateways/wingshore-coordination/src/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/evidence.rs
@@ -1,25 +1,25 @@
-//! What failed attempts say of requests: under which of them servers ended.
+//! Evidence from failed attempts: which requests were running when servers crashed.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// A server has ended while it ran a request.
+/// A server crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashEvidence {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The incarnation of the server.
+    /// Incarnation of the server.
     pub instance: InstanceId,
 }
 
-/// A request under which servers have ended.
+/// A request suspected of crashing the servers that run it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The incarnations of servers that ended under it, the oldest first.
+    /// Incarnations of servers that crashed while they ran the request, oldest first.
     pub ended: Vec<InstanceId>,
-    /// Whether no other server is to run it.
+    /// Whether the request is rejected, so that no other server runs it.
     pub rejected: bool,
 }
--- a/crates/gateways/wingshore-coordination/src/fingerprint.rs
+++ b/crates/gateways/wingshore-coordination/src/fingerprint.rs
@@ -1,19 +1,19 @@
-//! Naming requests by what they ask, so that one can be known again under another identity.
+//! Fingerprints of requests by their content, to recognize a request under another identity.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::fmt;
 use std::hash::Hasher;
 
-/// Key of a site's fingerprints; the same at all of its processes.
+/// Key of a site's fingerprints, shared by all of its processes.
 ///
-/// It is drawn once at each site: a caller that does not know it can neither make two requests
-/// with one fingerprint nor guess the fingerprint of another caller's request.
+/// The key is drawn at random once per site: a caller that does not know the key can neither craft
+/// two requests with the same fingerprint nor guess the fingerprint of another caller's request.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FingerprintKey([u8; 16]);
 
 impl FingerprintKey {
-    /// A key of these bytes, which must be drawn at random.
+    /// Creates a key from these bytes, which must be drawn at random.
     pub fn new(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
@@ -25,8 +25,8 @@
     }
 }
 
-/// What a request asks, as a number: the same for each repeat of it, whatever its identity and
-/// wherever it arrives.
+/// Fingerprint of a request's content: the same for each repetition of the request, whatever its
+/// identity and wherever it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(u128);
 
@@ -36,23 +36,23 @@
     }
 }
 
-/// What a request asks.
+/// Content of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// Its method.
+    /// Request method.
     pub method: &'a str,
-    /// The host that it names.
+    /// Host that the request names.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// What the caller names itself by; empty where callers do not.
+    /// Identification that the caller sends; empty if callers send none.
     pub caller: &'a [u8],
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl RequestContent<'_> {
-    /// Its fingerprint under a site's key.
+    /// Computes the fingerprint with a site's key.
     pub fn fingerprint(&self, key: FingerprintKey) -> RequestFingerprint {
         let parts = [
             self.method.as_bytes(),
@@ -63,7 +63,7 @@
         ];
         let mut hasher = SipHasher24::new_with_key(&key.0);
         for part in parts {
-            // The length keeps neighbours apart: "ab" and "c" are not "a" and "bc".
+            // The length prefix separates adjacent parts: "ab", "c" must differ from "a", "bc".
             hasher.write_u64(part.len() as u64);
             hasher.write(part);
         }
--- a/crates/gateways/wingshore-coordination/src/ids.rs
+++ b/crates/gateways/wingshore-coordination/src/ids.rs
@@ -1,7 +1,8 @@
 //! Identifiers of servers, services, models, jobs, items, tenants, gateways and attempts.
 //!
-//! Each is a type of its own, cheap to clone. Those with an optional second part are encoded as one
-//! text: the first part alone where there is no second one, which is what earlier releases wrote.
+//! Each identifier is a separate type that is cheap to clone. Identifiers with an optional second
+//! part are encoded as one string: the first part alone if there is no second one, as earlier
+//! releases wrote it.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -9,11 +10,11 @@
 use std::sync::Arc;
 use wingshore_types::Epoch;
 
-/// Separates the parts of an encoded identifier. Names of servers and jobs come from targets of
-/// requests, whose reader takes no control characters; those of tenants are checked.
+/// Separator between the parts of an encoded identifier. Server and job names come from request
+/// targets, whose parser rejects control characters; tenant names are validated.
 const SEPARATOR: char = '\n';
 
-/// The name of an encoded identifier, and what follows it.
+/// Splits an encoded identifier into its name and the optional second part.
 fn split_encoded(text: &str) -> (&str, Option<&str>) {
     match text.split_once(SEPARATOR) {
         Some((name, rest)) => (name, Some(rest)),
@@ -21,7 +22,7 @@
     }
 }
 
-/// Declares a cheap-to-clone text identifier.
+/// Declares a string identifier that is cheap to clone.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -30,7 +31,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -57,15 +58,15 @@
 }
 
 text_id! {
-    /// What a server calls itself. It may start again under the same name.
+    /// Name of a server, chosen by the server. It may restart under the same name.
     ServerName
 }
 text_id! {
-    /// A tenant: callers that share their keys.
+    /// A tenant: the callers that share a set of keys.
     TenantName
 }
 text_id! {
-    /// A service: a set of servers that stand in for each other.
+    /// A service: a set of interchangeable servers.
     ServiceName
 }
 text_id! {
@@ -73,19 +74,20 @@
     ModelName
 }
 text_id! {
-    /// An item of a batch job; chosen by the caller, unique within its job.
+    /// An item of a batch job; the identifier is chosen by the caller and unique within its job.
     ItemId
 }
 
-/// One incarnation of a gateway process; drawn at random at its start.
+/// One incarnation of a gateway process; drawn at random at process start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GatewayId(pub u64);
 
-/// A batch job. Its name is chosen by the caller that submits it, and belongs to the caller's
+/// A batch job. The name is chosen by the caller that submits the job and is scoped to the caller's
 /// tenant: the same name of another tenant is another job.
 ///
-/// Encoded as one text, the name alone where it belongs to nobody: as releases before wrote it.
+/// Encoded as one string: the name alone if the job belongs to no tenant, as earlier releases wrote
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId {
     tenant: Option<TenantName>,
@@ -93,7 +95,7 @@
 }
 
 impl JobId {
-    /// The job of this name that belongs to a tenant, or to nobody.
+    /// Returns the job of the same name that belongs to `tenant`, or to no tenant.
     #[must_use]
     pub fn of_tenant(self, tenant: Option<TenantName>) -> Self {
         Self {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Whose job it is; `None` where callers are not distinguished.
+    /// Returns the owning tenant; `None` if callers are not distinguished.
     pub fn tenant(&self) -> Option<&TenantName> {
         self.tenant.as_ref()
     }
@@ -148,36 +150,37 @@
     }
 }
 
-/// An item by its job and its place in the submission.
+/// An item, identified by its job and its index in the submission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
     /// The job.
     pub job: JobId,
-    /// The item's place in the submission, from 0.
+    /// Index of the item in the submission, from 0.
     pub index: u32,
 }
 
-/// Names one attempt at an item, or one scoring, over all leaderships.
+/// Identifies one attempt at an item, or one scoring, across all leaderships.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AssignmentId {
-    /// The leadership that made it.
+    /// Epoch of the leadership that created it.
     pub epoch: Epoch,
-    /// Its number within the leadership.
+    /// Sequence number within the leadership.
     pub number: u64,
 }
 
-/// When a server started, as it reports itself: milliseconds since the start of 1970.
+/// Start time of a server as it reports it: milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartTime(pub u64);
 
-/// One incarnation of a server: the life of its process. A server that starts again under its name is
-/// another incarnation: it holds nothing that the one before held, and its counts start anew.
+/// One incarnation of a server, that is, one run of its process. A server that restarts under its
+/// name is another incarnation: it holds no state of the previous one, and its counters start
+/// again.
 ///
-/// Incarnations of one name are in the order of their starts; one that does not report its start comes
-/// before all that do.
+/// Incarnations of one name are ordered by start time; one that does not report its start time
+/// sorts before all others.
 ///
-/// Encoded as one text, the name alone where there is no start: as releases before wrote it.
+/// Encoded as one string: the name alone if there is no start time, as earlier releases wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: ServerName,
@@ -185,18 +188,18 @@
 }
 
 impl InstanceId {
-    /// The incarnation of `name` that started at `born`; `None` where servers do not report that, and
-    /// have a name of its own for each incarnation.
+    /// Creates the identifier of the incarnation of `name` that started at `start_time`; `None` for
+    /// servers that do not report a start time and use a new name for each incarnation.
     pub fn new(name: ServerName, start_time: Option<StartTime>) -> Self {
         Self { name, start_time }
     }
 
-    /// What the server calls itself; requests address servers by this name.
+    /// Returns the name of the server; requests address servers by this name.
     pub fn name(&self) -> &ServerName {
         &self.name
     }
 
-    /// When it started.
+    /// Returns the start time of this incarnation.
     pub fn start_time(&self) -> Option<StartTime> {
         self.start_time
     }
--- a/crates/gateways/wingshore-coordination/src/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/jobs.rs
@@ -1,8 +1,8 @@
-//! Batch jobs: what was submitted, and the results listed so far.
+//! Batch jobs: submissions, and the results listed so far.
 //!
-//! A [`Job`] is part of the replicated state. It owns the rule of what counts: the first result of an
-//! item is listed, the first whole text is scored, and a partial text only grows at its end. Which item
-//! runs where is decided by the leader.
+//! A [`Job`] is part of the replicated state and decides what counts: the first result of an item
+//! is listed, the first complete text is scored, and a partial text is only appended to. The leader
+//! decides which item runs where.
 
 use crate::ids::{AssignmentId, ItemId, JobId, ModelName};
 use crate::scoring::{Scorer, UnscoredText};
@@ -12,33 +12,33 @@
 use std::sync::Arc;
 use wingshore_types::protocol::byte_vector;
 
-/// Bytes of memory of an item besides its headers, path and bodies. An estimate from the sizes of its
-/// fields.
+/// Estimated memory of an item besides its headers, path and bodies, in bytes; derived from the
+/// sizes of its fields.
 const ITEM_OVERHEAD_BYTES: usize = 250;
-/// Bytes of memory of a result besides its text. An estimate from the sizes of its fields.
+/// Estimated memory of a result besides its text, in bytes; derived from the sizes of its fields.
 const RESULT_OVERHEAD_BYTES: usize = 160;
 
-/// A batch job as a caller submits it.
+/// A batch job as submitted by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// Chosen by the caller; the same job may be submitted again.
+    /// Identifier of the job, chosen by the caller; the same job may be submitted again.
     pub id: JobId,
-    /// The host that the caller named; its items are routed by it.
+    /// Host that the caller named; the items are routed by it.
     pub host: String,
-    /// Step of the trainer.
+    /// Training step of the trainer.
     pub step: u64,
-    /// The model that makes the tokens; `None` where each item names its own.
+    /// Model that generates the tokens; `None` if each item names its own.
     pub model: Option<ModelName>,
-    /// The oldest version that may make them.
+    /// Oldest weight version that may generate the tokens.
     pub min_version: u64,
-    /// Groups that the trainer waits for.
+    /// Number of groups that the trainer waits for.
     pub desired: u32,
-    /// What is to be run.
+    /// Items to run.
     pub items: Vec<JobItem>,
 }
 
 impl JobSubmission {
-    /// Bytes of memory that its items take, roughly.
+    /// Returns the estimated memory of the items, in bytes.
     pub fn bytes(&self) -> usize {
         let bytes_of = |item: &JobItem| {
             let headers = item.headers.iter();
@@ -49,7 +49,7 @@
         self.items.iter().map(bytes_of).sum()
     }
 
-    /// The same job with items that are only names.
+    /// Returns a copy whose items keep their identifiers but not their requests.
     fn without_item_contents(&self) -> Self {
         let name_of = |item: &JobItem| JobItem {
             id: item.id.clone(),
@@ -71,7 +71,7 @@
 /// One item of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobItem {
-    /// Unique within the job.
+    /// Identifier of the item, unique within the job.
     pub id: ItemId,
     /// Path of the request.
     pub path: String,
@@ -80,87 +80,88 @@
     /// Body of the request.
     #[serde(with = "byte_vector")]
     pub body: Vec<u8>,
-    /// Tokens of its prompt and the most that it may generate, together.
+    /// Tokens of the prompt plus the maximum number of generated tokens.
     pub tokens: u64,
-    /// The caller's estimate of the tokens that it generates; often far off.
+    /// The caller's estimate of the number of generated tokens; often far off.
     pub expected_output: Option<u64>,
-    /// Items of one group share their prompt and count only together.
+    /// Group of the item; the items of a group share their prompt and count only together.
     pub group: String,
-    /// What scores its text; `None` where texts have no score. Most have none: it takes no room then.
+    /// Scoring request for the text; `None` if the text is not scored. Boxed because most items
+    /// have none.
     pub scorer: Option<Box<Scorer>>,
 }
 
-/// How an item ended.
+/// Final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemState {
-    /// Its text is whole.
+    /// The text is complete.
     Succeeded,
-    /// It was abandoned.
+    /// The item was abandoned.
     Abandoned,
 }
 
-/// An item's result as it is to be listed.
+/// A result of an item that is to be listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedResult {
-    /// The item's place in the submission.
+    /// Index of the item in the submission.
     pub index: u32,
-    /// How it ended.
+    /// Final state of the item.
     pub state: ItemState,
-    /// The data of all events, separated by line feeds.
+    /// Data of all events, separated by line feeds.
     pub text: ResultText,
-    /// The weight versions that made them, in the order of their first event.
+    /// Weight versions that generated the events, in the order of their first event.
     pub versions: Vec<u64>,
-    /// Its score; `None` without a scorer.
+    /// Score; `None` without a scorer.
     pub score: Option<String>,
 }
 
 /// A listed result; its position in the job never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultRecord {
-    /// The item.
+    /// Identifier of the item.
     pub id: ItemId,
-    /// How it ended.
+    /// Final state of the item.
     pub state: ItemState,
-    /// The data of all events, separated by line feeds.
+    /// Data of all events, separated by line feeds.
     pub text: ResultText,
-    /// The weight versions that made them.
+    /// Weight versions that generated the events.
     pub versions: Vec<u64>,
-    /// Its score; `None` without a scorer.
+    /// Score; `None` without a scorer.
     pub score: Option<String>,
 }
 
-/// Results of a job from a position on.
+/// A page of a job's results, starting at a position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u64,
-    /// Position of the first result here.
+    /// Position of the first result of this page.
     pub from: u64,
-    /// Results in order.
+    /// Results in the order of their listing.
     pub results: Vec<Arc<ResultRecord>>,
 }
 
 /// An accepted batch job.
 ///
-/// Invariant: each item is listed at most once, and what is listed is never changed or moved.
+/// Invariant: each item is listed at most once, and a listed result is never changed or moved.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was submitted.
+    /// The submission.
     pub submission: Arc<JobSubmission>,
     /// Results in the order of their listing.
     pub results: Vec<Arc<ResultRecord>>,
-    /// For each item, whether it is listed.
+    /// For each item, whether its result is listed.
     listed: Vec<bool>,
-    /// Partial texts of items that are not listed.
+    /// Partial texts of items that are not listed, by item index.
     partial_texts: BTreeMap<u32, ItemText>,
-    /// Whole texts that wait for their scores; of items that are not listed.
+    /// Complete texts of unlisted items that wait for their scores, by item index.
     unscored: BTreeMap<u32, UnscoredText>,
-    /// Whether the caller has ended it.
+    /// Whether the caller has ended the job.
     pub ended: bool,
 }
 
 impl Job {
-    /// A job without results.
+    /// Creates a job without results.
     pub(crate) fn new(submission: Arc<JobSubmission>) -> Self {
         let listed = vec![false; submission.items.len()];
         Self {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// All of it but its results.
+    /// Returns a copy without the results.
     pub(crate) fn without_results(&self) -> Self {
         Self {
             submission: Arc::clone(&self.submission),
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lists a result, unless its item is listed already or does not exist.
+    /// Lists a result and returns true, unless the item is already listed or does not exist.
     pub(crate) fn list(&mut self, result: ListedResult) -> bool {
         let index = result.index as usize;
         let Some(item) = self.submission.items.get(index) else {
@@ -206,7 +207,7 @@
         true
     }
 
-    /// Keeps the whole text of an item until it has a score; the first one counts.
+    /// Stores the complete text of an item until it has a score; the first text of an item counts.
     pub(crate) fn keep_unscored(&mut self, index: u32, made_by: AssignmentId, text: FinishedText) {
         if self.ended || self.is_listed(index) || self.unscored.contains_key(&index) {
             return;
@@ -220,7 +221,7 @@
         self.unscored.insert(index, unscored);
     }
 
-    /// Lists an item with its score, if its text is the one that was scored.
+    /// Lists an item with its score and returns true, if the scored text is the stored one.
     pub(crate) fn list_scored(&mut self, index: u32, made_by: AssignmentId, score: String) -> bool {
         let is_scored_text = |unscored: &UnscoredText| unscored.made_by == made_by;
         if !self.unscored.get(&index).is_some_and(is_scored_text) {
@@ -238,7 +239,7 @@
         })
     }
 
-    /// Scoring servers have failed for an item, `failures` times.
+    /// Adds `failures` failed scoring requests to the count of an item.
     pub(crate) fn count_scoring_failures(
         &mut self,
         index: u32,
@@ -252,17 +253,18 @@
         }
     }
 
-    /// The whole text of an item that waits for its score.
+    /// Returns the complete text of an item that waits for its score.
     pub fn unscored(&self, index: u32) -> Option<&UnscoredText> {
         self.unscored.get(&index)
     }
 
-    /// All items whose texts wait for their scores.
+    /// Returns all items whose texts wait for their scores.
     pub(crate) fn unscored_items(&self) -> impl Iterator<Item = (u32, &UnscoredText)> {
         self.unscored.iter().map(|(index, text)| (*index, text))
     }
 
-    /// Adds events to an item's partial text, if they follow those that it has; others are dropped.
+    /// Appends events to an item's partial text if they directly follow the stored ones; drops them
+    /// otherwise.
     pub(crate) fn append_partial_text(&mut self, index: u32, after_events: u64, text: ItemText) {
         if self.is_listed(index) || self.ended || self.unscored.contains_key(&index) {
             return;
@@ -273,13 +275,13 @@
         }
     }
 
-    /// The partial text of an item that is not listed.
+    /// Returns the partial text of an item that is not listed.
     pub fn partial_text(&self, index: u32) -> Option<&ItemText> {
         self.partial_texts.get(&index)
     }
 
-    /// The caller has ended the job: nothing more of it is run, so that the contents of its items are
-    /// not needed any more.
+    /// Ends the job on behalf of the caller: nothing more of it is run, so the contents of its
+    /// items are dropped.
     pub(crate) fn end(&mut self) {
         self.ended = true;
         self.partial_texts.clear();
@@ -287,7 +289,8 @@
         self.submission = Arc::new(self.submission.without_item_contents());
     }
 
-    /// Results from a position on, as many as fit into `max_bytes`, at least one if there is one.
+    /// Returns results starting at a position: as many as fit into `max_bytes`, but at least one if
+    /// there is one.
     pub fn page(&self, from: u64, max_bytes: usize) -> JobPage {
         let start = usize::try_from(from).unwrap_or(usize::MAX);
         let mut bytes = 0;
@@ -310,24 +313,24 @@
         }
     }
 
-    /// As [`Job::page`]; `None` without any result from that position on.
+    /// As [`Job::page`]; `None` if there is no result at or after that position.
     pub fn page_if_any(&self, from: u64, max_bytes: usize) -> Option<JobPage> {
         let has_some = self.results.len() as u64 > from;
         has_some.then(|| self.page(from, max_bytes))
     }
 
-    /// Bytes that the texts of its results take in memory.
+    /// Returns the memory of the result texts, in bytes.
     pub fn text_bytes(&self) -> usize {
         let texts = self.results.iter().map(|result| &result.text);
         texts.map(ResultText::bytes_in_memory).sum()
     }
 
-    /// Whether the item at `index` is listed.
+    /// Returns whether the item at `index` is listed.
     pub fn is_listed(&self, index: u32) -> bool {
         self.listed.get(index as usize).copied().unwrap_or(true)
     }
 
-    /// Places of the items that are not listed.
+    /// Returns the indexes of the items that are not listed.
     pub fn open_items(&self) -> impl Iterator<Item = u32> + '_ {
         (0_u32..)
             .zip(&self.listed)
@@ -335,7 +338,7 @@
             .map(|(index, _)| index)
     }
 
-    /// The item with this identifier and its place.
+    /// Returns the item with this identifier and its index.
     pub(crate) fn find_item(&self, id: &ItemId) -> Option<(u32, &JobItem)> {
         (0_u32..)
             .zip(&self.submission.items)
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of a site whose callers share gateways: the configuration, the registry of servers,
+//! Coordination of a site whose callers share gateways: the configuration, the registry of servers,
 //! batch jobs and the weight versions of models.
 //!
-//! One replicated group holds all of it. [`CoordinationState`] is the replicated part;
-//! [`CoordinationLeader`] runs on the group's leader only: it places items of batch jobs on
-//! engines, and brings engines to the versions that trainers named.
-//! Neither reads a clock, opens a socket or a file, or draws randomness.
+//! One replicated group holds all of this state. [`CoordinationState`] is the replicated part;
+//! [`CoordinationLeader`] runs only on the group's leader: it assigns items of batch jobs to
+//! engines and moves engines to the versions that trainers publish. Neither reads a clock, opens a
+//! socket or file, or uses randomness.
 
 mod configuration;
 mod evidence;
--- a/crates/gateways/wingshore-coordination/src/provider.rs
+++ b/crates/gateways/wingshore-coordination/src/provider.rs
@@ -1,58 +1,59 @@
-//! Calls to the provider of a site's machines, made by one coordinator at a time: reports of usage, and
-//! orders for servers.
+//! Calls to the provider of a site's machines: usage reports and orders for servers. Only one
+//! coordinator makes them at a time.
 
 use crate::scaling::CapacityPool;
 use crate::usage::{UsageCounts, UsageWindow};
 use wingshore_types::Epoch;
 
-/// Who acts: one machine, under a token that only rises.
+/// The coordinator that makes the calls: a machine and its fencing token, which only increases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyHolder {
-    /// Name of its machine.
+    /// Name of the machine.
     pub node: String,
-    /// Its leadership: no two holders have the same.
+    /// Fencing token: the epoch of the leadership, which no two holders share.
     pub fence: Epoch,
 }
 
-/// The report of one window's usage. All windows together are one subject of a holder.
+/// Usage report of one window. For fencing, the reports of all windows are one resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// The window.
+    /// The reported window.
     pub window: UsageWindow,
-    /// What is reported; the same whoever sends it.
+    /// Counts of the window; the same whoever sends the report.
     pub counts: UsageCounts,
-    /// Who sends it.
+    /// Sender of the report.
     pub holder: DutyHolder,
 }
 
-/// An order for the number of servers of one kind in one zone. A pool is a subject of a holder.
+/// An order for the number of servers of one kind in one zone. For fencing, each pool is a resource
+/// of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOrder {
-    /// Of which servers.
+    /// Pool of servers.
     pub pool: CapacityPool,
-    /// How many.
+    /// Number of servers.
     pub count: u32,
-    /// Who gives it.
+    /// Sender of the order.
     pub holder: DutyHolder,
 }
 
-/// What the provider answered.
+/// Answer of the provider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProviderAnswer {
-    /// It is done.
+    /// The call was carried out.
     Done,
-    /// Another holder has acted under a higher token, or what was ordered cannot be had now.
+    /// Another holder has acted under a higher token, or the ordered servers are not available now.
     Conflict,
-    /// Too many calls: not done.
+    /// Too many calls; the call was not carried out.
     Busy,
-    /// Refused for another reason; not done.
+    /// Refused for another reason; the call was not carried out.
     Refused,
-    /// No answer: it may be done, or be done later.
+    /// No answer; the call may have been carried out, or may be carried out later.
     Unknown,
 }
 
 impl ProviderAnswer {
-    /// The answer's name in logs.
+    /// Returns the name of the answer in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/gateways/wingshore-coordination/src/registry.rs
+++ b/crates/gateways/wingshore-coordination/src/registry.rs
@@ -1,59 +1,59 @@
-//! Servers as they register themselves: the registry's record of a server, and its heartbeats.
+//! Server records of the registry, and the heartbeats that servers send.
 
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One model of an engine, and the weights it holds.
+/// A model of an engine, and the version of its loaded weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelVersion {
     /// The model.
     pub model: ModelName,
-    /// The version of its weights.
+    /// Version of the weights.
     pub version: u64,
 }
 
-/// A server as the registry holds it.
+/// The registry's record of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Which incarnation of the server.
+    /// Incarnation of the server.
     pub instance: InstanceId,
-    /// Of which service.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that the server handles concurrently.
     pub slots: u32,
-    /// Whether it is leaving: it finishes what it has and gets nothing new.
+    /// Whether the server is draining: it finishes its requests and gets no new ones.
     pub draining: bool,
-    /// Whether its provider may take it away at short notice.
+    /// Whether the provider may reclaim the server at short notice.
     pub reclaimable: bool,
-    /// Models and versions; for engines.
+    /// Models and their weight versions; engines only.
     pub models: Vec<ModelVersion>,
 }
 
-/// The status that a server reports again and again.
+/// The status that a server reports periodically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The server.
     pub server: ServerRecord,
-    /// Rises with each heartbeat of this incarnation, so that a late one is recognised.
+    /// Increases with each heartbeat of this incarnation, so that a late heartbeat is recognized.
     pub sequence: u64,
 }
 
-/// A server whose heartbeat a coordinator has received, and whose status is as the registry holds it.
+/// A server that has sent a heartbeat to a coordinator without any change to its registered status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnchangedServer {
     /// The server.
     pub instance: InstanceId,
-    /// Of its newest heartbeat.
+    /// Sequence number of the newest heartbeat.
     pub sequence: u64,
 }
 
 impl ServerRecord {
-    /// The same server without its models, which change with each load of weights.
+    /// Returns the record without its models, which change with each load of weights.
     pub(crate) fn without_models(&self) -> Self {
         Self {
             models: Vec::new(),
@@ -61,13 +61,14 @@
         }
     }
 
-    /// The version of `model` it holds; `None` when it does not serve the model.
+    /// Returns the version of `model` that the server holds; `None` if it does not serve the model.
     pub fn version_of(&self, model: &ModelName) -> Option<u64> {
         let known = self.models.iter().find(|entry| entry.model == *model)?;
         Some(known.version)
     }
 
-    /// Notes that it holds at least `version` of `model`; versions of one incarnation never fall.
+    /// Raises the recorded version of `model` to at least `version` and returns whether it changed;
+    /// versions of one incarnation never decrease.
     pub fn raise_version(&mut self, model: &ModelName, version: u64) -> bool {
         match self.models.iter_mut().find(|entry| entry.model == *model) {
             Some(entry) if entry.version < version => {
--- a/crates/gateways/wingshore-coordination/src/routes.rs
+++ b/crates/gateways/wingshore-coordination/src/routes.rs
@@ -1,8 +1,8 @@
-//! Which route does a request take?
+//! Decision: which route does a request take?
 //!
-//! Inputs: the host and the path that it names, and the routes of one configuration. Of the routes of
-//! the host, the one with the longest prefix that begins the path counts; hosts are compared without
-//! port and case. Without a route the request is refused as not run.
+//! Inputs: the host and path of the request, and the routes of one configuration. Among the routes
+//! of the host, the one with the longest matching path prefix is chosen; hosts are compared without
+//! port and case. A request without a route is refused as not run.
 
 use crate::configuration::{Route, SiteConfiguration};
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 }
 
 impl RouteTable {
-    /// The routes of `configuration`.
+    /// Builds the table from the routes of `configuration`.
     pub fn new(configuration: &SiteConfiguration) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -28,20 +28,20 @@
         Self { hosts }
     }
 
-    /// The route of `host` with the longest prefix that begins `path`. A port after the host
-    /// counts for nothing.
+    /// Returns the route of `host` with the longest prefix of `path`. A port after the host is
+    /// ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.of_host(host)
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The routes of `host`.
+    /// Returns the routes of `host`.
     pub fn of_host(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.get(&host_name(host)).into_iter().flatten()
     }
 }
 
-/// The name of a host without its port, in lower case.
+/// Returns the host name without its port, in lower case.
 fn host_name(host: &str) -> String {
     host.split(':').next().unwrap_or(host).to_ascii_lowercase()
 }
--- a/crates/gateways/wingshore-coordination/src/scaling.rs
+++ b/crates/gateways/wingshore-coordination/src/scaling.rs
@@ -5,29 +5,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How the number of a service's servers can be chosen.
+/// Limits and costs by which the number of a service's servers is chosen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// Minimal number of servers in a zone.
+    /// Minimum number of servers in a zone.
     pub min: u32,
-    /// Maximal number of servers in a zone, of both kinds together.
+    /// Maximum number of servers in a zone, reclaimable and other servers together.
     pub max: u32,
-    /// Time from an order until a new server serves.
+    /// Time from an order until a new server is ready.
     pub boot: Duration,
-    /// What a server that may be taken away costs, as a part of another one's cost; `None` where
-    /// there are none.
+    /// Price of a reclaimable server as a fraction of the price of another server; `None` if the
+    /// service has no reclaimable servers.
     pub reclaimable_price: Option<f64>,
-    /// What a second of a server costs in each zone, in relation to the others.
+    /// Price of a server-second in each zone, relative to the other zones.
     pub zone_prices: BTreeMap<String, f64>,
 }
 
-/// What one order is about: the servers of a service in one zone, of one kind.
+/// The subject of an order: the servers of a service in one zone, of one kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CapacityPool {
     /// The service.
     pub service: ServiceName,
     /// The zone.
     pub zone: String,
-    /// Whether the provider may take its servers away, all of the zone at once.
+    /// Whether the provider may reclaim the servers, all servers of the zone at once.
     pub reclaimable: bool,
 }
