--- a/crates/gateways/wingshore-coordination/src/messages/coordinator.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/coordinator.rs
@@ -11,75 +11,78 @@
 use std::net::SocketAddr;
 use wingshore_types::{Epoch, LogIndex};
 
-/// From a coordinator to a gateway.
+/// A message from a coordinator to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoordinatorMessage {
-    /// The coordinator leads: it gives out items, and answers calls.
+    /// The coordinator is the leader: it assigns items and answers calls.
     Leading {
-        /// The leadership.
+        /// Epoch of the leadership.
         epoch: Epoch,
     },
-    /// An update for a gateway that follows the view here.
+    /// A view update for a gateway that follows the view on this link.
     View(ViewUpdate),
-    /// Answer to a call.
+    /// Answer to a call of the gateway.
     Reply {
-        /// Which call.
+        /// Identifier of the call.
         id: u64,
         /// The answer.
         reply: CallReply,
     },
     /// An item to run.
     Assign(Box<ItemAssignment>),
-    /// An attempt is to be broken off: the item is resumed elsewhere.
+    /// Aborts an attempt: the item is resumed on another engine.
     Interrupt {
-        /// Which attempt.
+        /// Identifier of the attempt.
         assignment: AssignmentId,
     },
-    /// An attempt is of no more use: one that runs is ended, one that has ended is forgotten.
+    /// Releases an attempt that is no longer needed: a running one is aborted, a finished one is
+    /// forgotten.
     Release {
-        /// Which attempt.
+        /// Identifier of the attempt.
         assignment: AssignmentId,
     },
-    /// How much of an item's text the group's log holds, or is about to: the gateway uploads the text
-    /// of the attempt from there on. Said where parts may be lost, which is at each report of what the
-    /// gateway runs and for each part that does not follow the one before.
+    /// How much of an item's text the group's log contains, or is about to: the gateway uploads the
+    /// text of the attempt from that point. Sent when parts may be lost: on each report of the
+    /// attempts that the gateway runs, and for each part that does not directly follow the previous
+    /// one.
     HandInFrom {
-        /// Which attempt.
+        /// Identifier of the attempt.
         assignment: AssignmentId,
-        /// What the log holds.
+        /// Prefix of the text that the log contains.
         held: HeldPrefix,
     },
-    /// A text to be scored.
+    /// A text to score.
     Score(ScoringAssignment),
-    /// A scoring is of no more use: one that is under way is ended, one that has ended is forgotten.
+    /// Releases a scoring that is no longer needed: a running one is aborted, a finished one is
+    /// forgotten.
     ReleaseScoring {
-        /// Which one.
+        /// Identifier of the scoring.
         scoring: AssignmentId,
     },
-    /// The status of the coordinator, sent again and again.
+    /// Status of the coordinator, sent periodically.
     Alive {
-        /// Where coordinators listen for the site's own processes, as far as this one knows; `None`
-        /// if that is as it was sent before on this link.
+        /// Addresses of the known coordinators for the site's internal traffic; `None` if unchanged
+        /// since the last message on this link.
         coordinators: Option<Vec<SocketAddr>>,
-        /// Zone of this one.
+        /// Zone of this coordinator.
         zone: String,
-        /// The last entry of the log in its copy of the state, which results and the view can be
-        /// read from; `None` without a copy, or while it knows no leader.
+        /// Index of the last log entry in this coordinator's copy of the state, from which results
+        /// and the view can be read; `None` without a copy, or while it knows no leader.
         copy: Option<LogIndex>,
-        /// Its time of day.
+        /// Wall-clock time of the coordinator.
         wall: WallTime,
     },
 }
 
-/// Answer to a call.
+/// Answer of a coordinator to a gateway's call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallReply {
     /// The group's answer.
     Reply(Reply),
-    /// This coordinator does not lead; the call had no effect.
+    /// This coordinator is not the leader; the call had no effect.
     NotLeader,
-    /// Leadership was lost meanwhile; the call may or may not take effect.
+    /// Leadership was lost during the call; the call may or may not take effect.
     Unknown,
-    /// This copy holds nothing that answers the call; the leader may.
+    /// This copy of the state has no answer to the call; the leader may have one.
     Nothing,
 }
--- a/crates/gateways/wingshore-coordination/src/messages/formats.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/formats.rs
@@ -1,54 +1,55 @@
-//! Decision: which format do two processes of the site speak, and do they speak at all?
+//! Decision: which message format do two processes of the site use, and are they compatible at all?
 //!
-//! No I/O. A format numbers the forms of all frames on a link. Inputs: the range of formats that this
-//! program speaks, and the one that the peer says in its hello, after the hello's last field.
+//! No I/O. A format is a version number for the encoding of all frames on a link. Inputs: the range
+//! of formats that this program supports, and the range of the peer, which follows the last field
+//! of its hello.
 //!
-//! **Rule.** The newest format that both ranges hold; without one the peer is refused.
+//! **Rule.** The newest format in both ranges is used; if there is none, the peer is refused.
 //!
-//! **Why.** The codec knows neither names nor lengths of fields, so that a frame of another form fails
-//! to decode, or is read as something else. It ignores what comes after the end of a message, so that
-//! a program that knows no ranges reads a hello with one as it reads a hello without.
+//! **Reason.** The codec stores neither names nor lengths of fields, so a frame of another format
+//! fails to decode or is decoded as something else. It ignores bytes after the end of a message, so a
+//! program that does not know format ranges can read a hello that carries one.
 //!
-//! **Old or missing inputs.** A hello without a range is one of the first format. What follows a range
-//! is ignored: later programs may say more there.
+//! **Old or missing inputs.** A hello without a range implies the first format. Bytes after a range
+//! are ignored, so that later versions can append to it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Refused peers that are remembered; with more, all are forgotten, and named again. Far above the
-/// processes of a site.
+/// Maximum number of refused peers to remember, far above the number of processes of a site. When
+/// it is reached, all are forgotten and reported again.
 const MAX_REMEMBERED_PEERS: usize = 16_384;
 
-/// The formats that a program speaks.
+/// The range of formats that a program supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRange {
-    /// The oldest one.
+    /// Oldest supported format.
     pub oldest: u16,
-    /// The newest one.
+    /// Newest supported format.
     pub newest: u16,
 }
 
 impl FormatRange {
-    /// That of programs that say none.
+    /// Range of programs that announce none.
     pub const FIRST: Self = Self {
         oldest: 1,
         newest: 1,
     };
-    /// That of this program.
+    /// Range of this program.
     pub const OWN: Self = Self::FIRST;
 
-    /// The newest format of both ranges; `None` if they have none in common.
+    /// Returns the newest format in both ranges; `None` if they do not overlap.
     pub fn common(self, other: Self) -> Option<u16> {
         let newest = self.newest.min(other.newest);
         (newest >= self.oldest.max(other.oldest)).then_some(newest)
     }
 
-    /// What a peer says after the end of its hello.
+    /// Decodes the range that a peer announces after the end of its hello.
     ///
     /// # Errors
-    /// When there are bytes that are no range.
+    /// Returns an error if there are bytes that do not encode a range.
     pub fn after_hello(rest: &[u8]) -> Result<Self, postcard::Error> {
         if rest.is_empty() {
             return Ok(Self::FIRST);
@@ -63,17 +64,17 @@
     }
 }
 
-/// A hello as it is sent: with the formats of this program after its end.
+/// Returns a hello in the form in which it is sent, followed by the format range of this program.
 pub fn with_own_formats<M: Serialize>(hello: &M) -> (&M, FormatRange) {
     (hello, FormatRange::OWN)
 }
 
-/// Why a peer is refused.
+/// Reason why a peer is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The formats that it speaks; `None` where what came after its hello is no range.
+    /// Formats that the peer supports; `None` if the bytes after its hello are not a range.
     pub formats: Option<FormatRange>,
-    /// Whether it was not refused for the same before: only then is it worth a line of the log.
+    /// Whether this is the first refusal of the peer for this reason; only the first one is logged.
     pub is_first: bool,
 }
 
@@ -86,17 +87,17 @@
     }
 }
 
-/// Peers that were refused, so that each is named once for what it says.
+/// Refused peers, so that each is logged once per announced range.
 #[derive(Debug, Default)]
 pub struct RefusedPeers {
     by_address: BTreeMap<SocketAddr, Option<FormatRange>>,
 }
 
 impl RefusedPeers {
-    /// The format to speak with a peer; `rest` is what came after its hello.
+    /// Negotiates the format to use with a peer; `rest` are the bytes after its hello.
     ///
     /// # Errors
-    /// When there is none.
+    /// Returns the refusal if there is no common format.
     pub fn negotiate(&mut self, peer: SocketAddr, rest: &[u8]) -> Result<u16, Refusal> {
         let formats = FormatRange::after_hello(rest).ok();
         if let Some(common) = formats.and_then(|formats| FormatRange::OWN.common(formats)) {
--- a/crates/gateways/wingshore-coordination/src/messages/frames.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between the site's own processes: introductions, and the envelopes of messages.
+//! Frames between the site's own processes: hellos, and the envelopes of messages.
 
 use super::gateway::{GatewayHello, GatewayMessage};
 use crate::ids::InstanceId;
@@ -10,45 +10,45 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::byte_vector;
 
-/// A coordinator introduces itself.
+/// First message of a coordinator on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorHello {
-    /// Its identity, bound to its data folder.
+    /// Replica identifier, bound to the data directory.
     pub id: ReplicaId,
-    /// Name of its machine.
+    /// Name of the coordinator's machine.
     pub node: String,
-    /// Its zone.
+    /// Zone of the coordinator.
     pub zone: String,
-    /// Where it listens for the site's own processes.
+    /// Listen address for the site's own processes.
     pub internal: SocketAddr,
-    /// Where it listens for operators, trainers and servers.
+    /// Listen address for operators, trainers and servers.
     pub control: SocketAddr,
-    /// Its time of day.
+    /// Wall-clock time of the coordinator.
     pub wall: WallTime,
-    /// How long its process has been running.
+    /// Uptime of the process.
     pub up: Duration,
-    /// Where the members that it knows listen for the site's own processes: one that is to join
-    /// may know only some of them.
+    /// Addresses of the known members for the site's own processes; a joining member may know only
+    /// some of them.
     pub members: Vec<SocketAddr>,
-    /// Whom it knows to lead the group.
+    /// Leader of the group, if known.
     pub leader: Option<KnownLeader>,
 }
 
-/// A leadership as a member knows it; the one with the highest term is the newest.
+/// A leadership as known to a member; the one with the highest term is the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownLeader {
-    /// The term.
+    /// Term of the group.
     pub term: u64,
-    /// Its leader.
+    /// Leader of the term.
     pub leader: ReplicaId,
 }
 
-/// What arrives at a coordinator's internal port.
+/// A frame received on a coordinator's internal port.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum IncomingFrame {
     /// First frame of a gateway.
     Gateway(GatewayHello),
-    /// A later frame of a gateway.
+    /// Subsequent frame of a gateway.
     FromGateway(GatewayMessage),
     /// A frame of another coordinator.
     Coordinator(CoordinatorFrame),
@@ -57,37 +57,37 @@
 /// Frames between coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoordinatorFrame {
-    /// First frame on a connection, and again from time to time.
+    /// First frame on a connection; repeated periodically.
     Hello(CoordinatorHello),
     /// A message of the replicated log.
     Consensus(#[serde(with = "byte_vector")] Vec<u8>),
-    /// To the leader: servers whose heartbeats bring no news to the registry.
+    /// To the leader: servers whose heartbeats change nothing in the registry.
     Heard(Vec<UnchangedServer>),
-    /// From the leader: servers that the registry does not hold.
+    /// From the leader: servers that are not in the registry.
     UnknownServers(Vec<InstanceId>),
-    /// To the leader: a heartbeat that differs from what the registry holds.
+    /// To the leader: a heartbeat that differs from the registry's record.
     Heartbeat {
-        /// Returned with the reply.
+        /// Request identifier, returned with the reply.
         id: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// From the leader: what came of a heartbeat that was passed on.
+    /// From the leader: the outcome of a forwarded heartbeat.
     HeartbeatReply {
-        /// Which one.
+        /// Request identifier of the heartbeat.
         id: u64,
-        /// What came of it.
+        /// Outcome of the heartbeat.
         answer: HeartbeatAnswer,
     },
 }
 
-/// What came of a heartbeat.
+/// Outcome of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatAnswer {
-    /// What it reports is durable.
+    /// The reported status is durable.
     Durable,
-    /// It names no server to use; says why.
+    /// The heartbeat describes no usable server; contains the reason.
     Refused(String),
-    /// It may or may not take effect.
+    /// The heartbeat may or may not take effect.
     Unknown,
 }
--- a/crates/gateways/wingshore-coordination/src/messages/gateway.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/gateway.rs
@@ -16,111 +16,112 @@
 /// First message of a gateway on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayHello {
-    /// The gateway's incarnation.
+    /// Incarnation of the gateway.
     pub gateway: GatewayId,
-    /// Name of its machine.
+    /// Name of the gateway's machine.
     pub node: String,
-    /// Where clients reach it.
+    /// Address on which clients reach the gateway.
     pub front: SocketAddr,
-    /// Its zone.
+    /// Zone of the gateway.
     pub zone: String,
-    /// Region of that zone.
+    /// Region of the zone.
     pub region: String,
-    /// As of now.
+    /// Current status.
     pub status: GatewayStatus,
 }
 
-/// The status that a gateway reports again and again.
+/// The status that a gateway reports periodically.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayStatus {
-    /// Whether clients may be sent to it.
+    /// Whether clients may be directed to the gateway.
     pub ready: bool,
-    /// Whether it takes items to run.
+    /// Whether the gateway accepts items to run.
     pub takes_items: bool,
-    /// Version of the configuration it acts by; 0 without one.
+    /// Version of the configuration that the gateway uses; 0 without one.
     pub configuration: u64,
 }
 
-/// A gateway has seen a server end under a request.
+/// A server crash that a gateway observed while the server ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenCrash {
     /// The request and the server.
     pub evidence: CrashEvidence,
-    /// How long ago its connection was lost.
+    /// Time since the connection to the server was lost.
     pub ago: Duration,
 }
 
-/// From a gateway to a coordinator.
+/// A message from a gateway to a coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GatewayMessage {
-    /// As of now.
+    /// Current status.
     Status(GatewayStatus),
-    /// Answer to [`crate::CoordinatorMessage::Leading`]: all that the gateway carries out, or whose end it
-    /// has not reported yet.
+    /// Answer to [`crate::CoordinatorMessage::Leading`]: all attempts and scorings that the gateway
+    /// is running, or whose end it has not reported yet.
     Running {
         /// Attempts at items.
         items: Vec<RunningItem>,
         /// Scorings.
         scorings: Vec<RunningScoring>,
     },
-    /// Progress of the items that run.
+    /// Progress of the running items.
     Progress(Vec<ItemProgress>),
-    /// The scorings that it carries out.
+    /// Scorings that the gateway is running.
     Scoring(Vec<AssignmentId>),
-    /// Events of a long item that are to survive the loss of this gateway and of the leader.
+    /// Events of a long item, uploaded so that they survive the loss of this gateway and of the
+    /// leader.
     Keep {
         /// The attempt.
         assignment: AssignmentId,
-        /// Events of the item that were uploaded before.
+        /// Number of the item's events that were uploaded before.
         after_events: u64,
         /// The events after them.
         text: ItemText,
     },
-    /// A request to the group, made for a caller.
+    /// A request to the group on behalf of a caller.
     Call {
-        /// Returned with the reply.
+        /// Request identifier, returned with the reply.
         id: u64,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// An attempt at an item is over.
+    /// An attempt at an item has ended.
     ItemEnded {
-        /// Which attempt.
+        /// Identifier of the attempt.
         assignment: AssignmentId,
         /// The item.
         item: ItemKey,
-        /// What came of it.
+        /// Outcome of the attempt.
         outcome: ItemOutcome,
     },
-    /// A scoring is over.
+    /// A scoring has ended.
     ScoringEnded {
-        /// Which one.
+        /// Identifier of the scoring.
         scoring: AssignmentId,
-        /// What came of it.
+        /// Outcome of the scoring.
         outcome: ScoringOutcome,
     },
-    /// Servers have ended while they ran requests.
+    /// Servers crashed while they ran requests.
     RequestsCrashed(Vec<SeenCrash>),
-    /// Requests that began to run, as totals of this gateway for windows that are open.
+    /// Requests that started, as this gateway's totals of the open windows.
     Usage(Vec<WindowUsage>),
-    /// Attempts of requests under which servers had ended went well.
+    /// Requests whose attempts succeeded, although servers had crashed while running them before.
     RequestsRan(Vec<RequestFingerprint>),
-    /// Asks the receiver to send the view, and each change of it from here on.
+    /// Subscribes to the view: the receiver sends the view and each later change of it.
     FollowView {
-        /// The last entry of the log that the view of this gateway accounts for.
+        /// Index of the last log entry that this gateway's view reflects.
         since: Option<LogIndex>,
     },
-    /// The receiver need not send the view any more.
+    /// Unsubscribes from the view.
     LeaveView,
     /// Reads results of a job from the receiver's own copy of the state.
     ReadCopy {
-        /// Returned with the reply.
+        /// Request identifier, returned with the reply.
         id: u64,
         /// The job.
         job: JobId,
-        /// The first position to be read.
+        /// First position to read.
         from: u64,
-        /// How long the answer may wait for a result.
+        /// Maximum time that the answer may wait for a result.
         wait: Duration,
     },
 }
--- a/crates/gateways/wingshore-coordination/src/messages/group.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/group.rs
@@ -1,4 +1,4 @@
-//! What callers ask of the group, and its answers.
+//! Requests of callers to the group, and the group's replies.
 
 use crate::configuration::SiteConfiguration;
 use crate::ids::{ItemId, JobId, ModelName, ServerName};
@@ -10,36 +10,37 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::byte_vector;
 
-/// A request to the group; only its leader answers.
+/// A request to the group; only the leader answers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Puts a configuration in force, if its version is the highest.
+    /// Puts a configuration in force if its version is the highest.
     PutConfiguration(Arc<SiteConfiguration>),
-    /// The configuration in force.
+    /// Reads the configuration in force.
     ReadConfiguration,
-    /// A server reports its status.
+    /// Status report of a server.
     Heartbeat(Heartbeat),
-    /// A server is gone, or about to end. It does not say which of its incarnations.
+    /// A server has stopped or is about to stop. The request does not say which of its
+    /// incarnations.
     Deregister(ServerName),
-    /// A trainer has published a version.
+    /// A trainer has published a weight version.
     NameVersion {
-        /// Of which model.
+        /// Model of the version.
         model: ModelName,
         /// The version.
         version: u64,
     },
-    /// Accepts a batch job durably.
+    /// Submits a batch job; it is durable once accepted.
     SubmitJob(Arc<JobSubmission>),
-    /// Results of a batch job from a position on.
+    /// Reads results of a batch job from a position on.
     ReadJob {
         /// The job.
         job: JobId,
-        /// The first position to be read.
+        /// First position to read.
         from: u64,
-        /// How long the answer may wait for a result.
+        /// Maximum time that the answer may wait for a result.
         wait: Duration,
     },
-    /// The body of an item that is not listed.
+    /// Reads the body of an item that is not listed.
     ReadItem {
         /// The job.
         job: JobId,
@@ -48,24 +49,24 @@
     },
     /// Ends a batch job.
     EndJob(JobId),
-    /// Notes the name of a coordinator's machine.
+    /// Records the name of a coordinator's machine.
     DescribeMember {
         /// The coordinator.
         member: ReplicaId,
-        /// Its machine.
+        /// Name of its machine.
         node: String,
     },
-    /// Notes that a coordinator is to leave the group for good.
+    /// Records that a coordinator is to leave the group permanently.
     RetireMember {
         /// The coordinator.
         member: ReplicaId,
-        /// Its machine.
+        /// Name of its machine.
         node: String,
     },
 }
 
 impl Request {
-    /// The kind of request, as a name for logs and metrics.
+    /// Returns the kind of the request, as a name for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::PutConfiguration(_) => "put_configuration",
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What the request concerns, for logs.
+    /// Returns the subject of the request, for logs.
     pub fn subject(&self) -> String {
         match self {
             Self::PutConfiguration(configuration) => format!("version {}", configuration.version),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Whether each answer is worth a line of the log: calls of people and trainers, which are few.
+    /// Returns whether each answer is logged: calls of operators and trainers, which are rare.
     pub fn is_answer_logged(&self) -> bool {
         matches!(
             self,
@@ -107,21 +108,21 @@
     }
 }
 
-/// The group's answer.
+/// The group's reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// What was asked is durable, or was so before.
+    /// The requested change is durable, or was already.
     Done,
     /// The configuration in force; `None` before the first one.
     Configuration(Option<Arc<SiteConfiguration>>),
-    /// Results of a job.
+    /// A page of results of a job.
     Page(JobPage),
     /// The body of an item.
     Item(#[serde(with = "byte_vector")] Vec<u8>),
-    /// There is no such job, or no such item that is not listed.
+    /// There is no such job, or no such unlisted item.
     Unknown,
-    /// The request cannot be carried out by anybody; says why.
+    /// The request cannot be carried out; contains the reason.
     Refused(String),
-    /// The request had no effect, for want of room; retry after this time.
+    /// The request had no effect for lack of space; retry after this time.
     ComeBack(Duration),
 }
--- a/crates/gateways/wingshore-coordination/src/messages/items.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/items.rs
@@ -1,4 +1,4 @@
-//! Attempts at items of batch jobs: what a gateway is given, and what it reports of them.
+//! Attempts at items of batch jobs: assignments to gateways, and their reports.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, InstanceId, ItemId, ItemKey};
@@ -13,7 +13,7 @@
 pub struct ItemProgress {
     /// The attempt.
     pub assignment: AssignmentId,
-    /// Events of the item so far, also those of earlier attempts.
+    /// Number of the item's events so far, including those of earlier attempts.
     pub events: u64,
 }
 
@@ -24,24 +24,24 @@
     pub assignment: AssignmentId,
     /// The item.
     pub item: ItemKey,
-    /// The engine that runs it.
+    /// Engine that runs the item.
     pub instance: InstanceId,
 }
 
-/// An attempt at an item: everything that the gateway needs.
+/// An attempt at an item, with everything that the gateway needs to run it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemAssignment {
-    /// Names the attempt.
+    /// Identifier of the attempt.
     pub assignment: AssignmentId,
     /// The item.
     pub item: ItemKey,
-    /// The item's own identifier, sent to the engine as the request's.
+    /// Identifier of the item within its job, sent to the engine as the request identifier.
     pub request: ItemId,
-    /// The engine.
+    /// Engine that runs the attempt.
     pub instance: InstanceId,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// The host that the job named.
+    /// Host that the job named.
     pub host: String,
     /// Path of the request.
     pub path: String,
@@ -52,68 +52,68 @@
     pub body: Vec<u8>,
     /// Partial text of earlier attempts; the engine continues after it.
     pub kept: ItemText,
-    /// How much of the item's text the group's log holds. Where that is more than `kept`, the
-    /// attempt begins anew, and its events do not belong after those of the log.
+    /// Length of the item's text in the group's log. If that is longer than `kept`, the attempt
+    /// starts over, and its events must not be appended to those in the log.
     pub durable: DurablePrefix,
-    /// The only version that may make the events; set where versions must not mix.
+    /// The only weight version that may generate the events; set if versions must not mix.
     pub expected_version: Option<u64>,
-    /// Rank at the engine; 0 is the most urgent.
+    /// Priority at the engine; 0 is the most urgent.
     pub priority: u8,
-    /// What scores the text once it is whole.
+    /// Scoring request for the complete text.
     pub scorer: Option<Scorer>,
-    /// Whether it is expected to be one of the longest of its job.
+    /// Whether the item is expected to be one of the longest of its job.
     pub is_long: bool,
 }
 
 /// Outcome of an attempt at an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
-    /// The stream has ended whole.
+    /// The stream ended with a complete text.
     Finished(FinishedText),
-    /// The stream broke off; what came before counts.
+    /// The stream was interrupted; the events before that count.
     Interrupted {
-        /// All events so far, also those of earlier attempts.
+        /// All events so far, including those of earlier attempts.
         text: ItemText,
-        /// What broke it off.
+        /// Cause of the interruption.
         cause: BreakCause,
     },
-    /// The engine has not run it.
+    /// The engine did not run the item.
     NotRun(NotRunReason),
-    /// The engine has run it and failed.
+    /// The engine ran the item and failed.
     Failed,
-    /// The engine says that the item can never be done.
+    /// The engine reports that the item can never be completed.
     Impossible,
 }
 
-/// What broke off an attempt at an item.
+/// Cause of an interrupted attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BreakCause {
-    /// The gateway, which stops or was ordered to break off.
+    /// The gateway, which is stopping or was told to abort the attempt.
     Gateway,
-    /// The engine, or the connection to it. Names what the item asks, unless it ran for so long that it is
-    /// not what ends engines.
+    /// The engine, or the connection to it. Contains the fingerprint of the request, unless the
+    /// request had run for so long that it cannot be the cause of a crash.
     Engine(Option<RequestFingerprint>),
 }
 
-/// Why an item was not run.
+/// Reason why an item was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The engine is full or loads weights.
+    /// The engine is at capacity or loading weights.
     Full,
     /// The address belongs to another incarnation of a server, or the version differs.
     Mismatch,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// Nobody listens at its address.
+    /// Nothing listens at the engine's address.
     Ended,
-    /// The gateway takes no items.
+    /// The gateway does not accept items.
     Stopping,
-    /// Servers have ended under what the item asks.
+    /// The request is rejected because servers crashed while running it.
     Rejected,
 }
 
 impl ItemOutcome {
-    /// The outcome in words, for logs.
+    /// Returns a description of the outcome for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Finished(_) => "finished",
--- a/crates/gateways/wingshore-coordination/src/messages/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between the site's own processes, and what callers ask of the group.
+//! Messages between the site's own processes, and the requests of callers to the group.
 //!
-//! They travel as `postcard` values, which hold neither names nor lengths of fields: fields and
-//! variants keep their order for good, and new variants come last. A variant that a peer may not know
-//! is sent only on links of a format that has it ([`FormatRange`]).
+//! Messages are encoded with `postcard`, which stores neither names nor lengths of fields: fields
+//! and variants keep their order permanently, and new variants are appended. A variant that a peer
+//! may not know is sent only on links whose format includes it ([`FormatRange`]).
 
 mod coordinator;
 mod formats;
--- a/crates/gateways/wingshore-coordination/src/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/scoring.rs
@@ -1,8 +1,8 @@
-//! Scoring: the call to a service whose answer is the score of a whole text, and the messages of
-//! gateways and the leader about it.
+//! Scoring: requests to a service whose response is the score of a complete text, and the messages
+//! of gateways and the leader about them.
 //!
-//! A score belongs to the text of one attempt: it is taken only for the text that the group holds, so
-//! that a call made for another attempt's text never becomes its score.
+//! A score belongs to the text of one attempt: it is accepted only for the text that the group has
+//! stored, so that the score of another attempt's text is never recorded for it.
 
 use crate::ids::{AssignmentId, GatewayId, ItemId, ItemKey};
 use crate::text::FinishedText;
@@ -13,82 +13,82 @@
 /// The request that scores an item's text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scorer {
-    /// Identity of the request, chosen by the caller.
+    /// Identifier of the request, chosen by the caller.
     pub request: ItemId,
-    /// The host whose routes lead it.
+    /// Host by which the request is routed.
     pub host: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// Its body.
+    /// Body of the request.
     #[serde(with = "byte_vector")]
     pub body: Vec<u8>,
 }
 
-/// A whole text that has no score yet.
+/// A complete text that has no score yet.
 ///
 /// Invariant: `made_by` never changes while the item has this text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnscoredText {
-    /// The attempt that made the text.
+    /// Attempt that generated the text.
     pub made_by: AssignmentId,
     /// The text.
     pub text: FinishedText,
-    /// Answers of scoring servers that they failed, over all processes and leaders.
+    /// Number of failures reported by scoring servers, across all processes and leaders.
     pub failures: u32,
 }
 
-/// A scoring for a gateway to carry out.
+/// A scoring assigned to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoringAssignment {
-    /// Names the scoring.
+    /// Identifier of the scoring.
     pub scoring: AssignmentId,
     /// The item.
     pub item: ItemKey,
-    /// The item's own identifier.
+    /// Identifier of the item within its job.
     pub id: ItemId,
-    /// The attempt whose text is scored.
+    /// Attempt whose text is scored.
     pub made_by: AssignmentId,
-    /// What is to be asked.
+    /// Request to send.
     pub scorer: Scorer,
 }
 
-/// A scoring that a gateway carries out, or whose end it has not reported yet.
+/// A scoring that a gateway is running, or whose result the gateway has not reported yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningScoring {
     /// The scoring.
     pub scoring: AssignmentId,
     /// The item.
     pub item: ItemKey,
-    /// The attempt whose text is scored.
+    /// Attempt whose text is scored.
     pub made_by: AssignmentId,
 }
 
-/// What came of a scoring.
+/// Outcome of a scoring.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ScoringOutcome {
     /// The score.
     Scored(String),
-    /// Scoring servers have run it and failed, this many times.
+    /// Scoring servers ran the request and failed, this many times.
     Failed(u32),
-    /// There is no score, and no server reported that it failed.
+    /// There is no score, and no server reported a failure.
     NotScored(NotScoredReason),
 }
 
 /// Why there is no score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotScoredReason {
-    /// No route leads the request.
+    /// No route matches the request.
     NoRoute,
-    /// No server took it.
+    /// No server accepted the request.
     Refused,
-    /// A server may have run it; no whole answer came in time.
+    /// A server may have run the request; no complete response arrived in time.
     NoAnswer,
-    /// The gateway stops.
+    /// The gateway is stopping.
     Stopping,
 }
 
 impl ScoringOutcome {
-    /// What came of it, in words.
+    /// Returns a description of the outcome for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Scored(_) => "scored",
@@ -101,33 +101,33 @@
     }
 }
 
-/// A decision about a scoring, as it is logged.
+/// A decision about a scoring, for the decision log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScoringDecision {
-    /// A gateway carries a scoring out.
+    /// A scoring is assigned to a gateway.
     Assigned {
         /// The scoring.
         scoring: AssignmentId,
         /// The item.
         item: ItemKey,
-        /// The item's own identifier.
+        /// Identifier of the item within its job.
         id: ItemId,
-        /// Identity of the request to the scoring service.
+        /// Identifier of the request to the scoring service.
         request: ItemId,
         /// The gateway.
         gateway: GatewayId,
     },
-    /// A scoring is over without a score.
+    /// A scoring ended without a score and will be retried.
     Retried {
         /// The scoring.
         scoring: AssignmentId,
         /// The item.
         item: ItemKey,
-        /// What came of it.
+        /// Why there is no score.
         reason: &'static str,
-        /// Failures of scoring servers so far.
+        /// Number of failures of scoring servers so far.
         failures: u32,
-        /// Until the next one.
+        /// Delay before the next scoring.
         pause: Duration,
     },
 }
--- a/crates/gateways/wingshore-coordination/src/site_time.rs
+++ b/crates/gateways/wingshore-coordination/src/site_time.rs
@@ -1,39 +1,40 @@
-//! Which time of day do the machines of a site agree on?
+//! Decision: which wall-clock time do the machines of a site agree on?
 //!
-//! A machine's time of day may jump by seconds; its boot-time clock does not.
+//! A machine's wall clock may jump by seconds; its boot-time clock does not.
 //!
-//! - Inputs: times of day of the coordinators, a coordinator's own among them, in milliseconds since 1970,
-//!   and when each was heard by the boot-time clock.
-//! - Rule: each reading is kept as its difference to this machine's boot-time clock, and the median of
-//!   the differences counts; of an even number, the lower one of the two in the middle.
-//! - Why: as long as the clocks of fewer than half of the machines are wrong, the median is among the
-//!   right ones. Machines that are right disagree by milliseconds, and so does the median from one
-//!   reading to the next: it is not slewed, since nothing here measures short times by it.
-//! - Old or missing inputs: a reading older than [`MAX_READING_AGE`] does not count; without any there is
-//!   no time, and what needs one waits.
+//! - Inputs: wall-clock times of the coordinators, including the local one, in milliseconds since
+//!   the Unix epoch, and the boot-time clock's time at which each was received.
+//! - Rule: each reading is stored as its offset from this machine's boot-time clock, and the median
+//!   of the offsets is used; of an even number of offsets, the lower one of the two in the middle.
+//! - Reason: as long as the clocks of fewer than half of the machines are wrong, the median lies
+//!   among the correct ones. Correct clocks differ by milliseconds, and so does the median from one
+//!   reading to the next; it is not slewed, since nothing here measures short intervals with it.
+//! - Old or missing inputs: readings older than [`MAX_READING_AGE`] are ignored; without any
+//!   reading there is no time, and operations that need one wait.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// A time of day, in milliseconds since the start of 1970.
+/// A wall-clock time, in milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WallTime(pub i64);
 
-/// A machine that is silent for longer does not count: ten introductions of a coordinator.
+/// Maximum age of a reading; ten times the interval of a coordinator's hello messages.
 const MAX_READING_AGE: Duration = Duration::from_secs(3);
 
-/// A time of day as it was heard.
+/// A reading of a machine's wall clock.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    /// What the boot-time clock lacks to that time of day, in milliseconds.
+    /// Offset of the wall clock from the local boot-time clock, in milliseconds.
     offset_ms: i64,
     received_at: Instant,
 }
 
-/// The time that the machines of a site agree on, as one of them knows it. `S` names a machine.
+/// The wall-clock time that the machines of a site agree on, as seen by one of them. `S` identifies
+/// a machine.
 #[derive(Clone, Debug)]
 pub struct SiteClock<S> {
     readings: BTreeMap<S, Reading>,
@@ -48,7 +49,7 @@
 }
 
 impl<S: Ord> SiteClock<S> {
-    /// A machine's time of day was heard.
+    /// Records a reading of a machine's wall clock, received at `now`.
     pub fn record(&mut self, now: Instant, machine: S, wall: WallTime) {
         let reading = Reading {
             offset_ms: wall.0 - now_ms(now),
@@ -57,7 +58,7 @@
         self.readings.insert(machine, reading);
     }
 
-    /// The time of day; `None` before any was heard.
+    /// Returns the agreed wall-clock time; `None` without a recent reading.
     pub fn now(&mut self, now: Instant) -> Option<WallTime> {
         self.readings
             .retain(|_, reading| now.since(reading.received_at) <= MAX_READING_AGE);
--- a/crates/gateways/wingshore-coordination/src/tenants.rs
+++ b/crates/gateways/wingshore-coordination/src/tenants.rs
@@ -1,7 +1,7 @@
-//! Tenants: who calls, known by the keys that the configuration gives them.
+//! Tenants: the callers of a site, identified by the API keys of the configuration.
 //!
-//! Owns the check of tenants, the table by which gateways look keys up, and the ranks of tenants. Keys
-//! never appear in debug output.
+//! Validates tenants, and provides the key table of the gateways and the priorities of tenants.
+//! Keys never appear in debug output.
 
 use crate::ids::TenantName;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The key by which a caller names its tenant. It is a secret: it is in no log, no metric and no
-/// error, and is sent to no server.
+/// API key that identifies the tenant of a caller. It is a secret: it is in no log, metric or error
+/// message, and is not forwarded to servers.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(Arc<str>);
@@ -34,42 +34,42 @@
     }
 }
 
-/// Callers that share their keys.
+/// A tenant: the callers that share a set of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, as it is sent to servers.
+    /// Name of the tenant, as sent to servers.
     pub name: TenantName,
-    /// Keys that open for it; a tenant without any is shut out.
+    /// Keys of the tenant; a tenant without keys has no access.
     pub keys: Vec<ApiKey>,
-    /// Its rank, which replaces that of a route; 0 is the most urgent. `None` where it has none.
+    /// Priority that replaces the one of a route; 0 is the most urgent. `None` to use the route's.
     pub priority: Option<u8>,
 }
 
-/// Why tenants cannot be in force.
+/// Reason why a list of tenants is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TenantError {
-    /// One key would open for two.
+    /// Two tenants have the same key.
     #[snafu(display(
         "tenants `{first}` and `{second}` share a key; allowed is a key of one tenant only"
     ))]
     SharedKey {
-        /// One tenant.
+        /// The first tenant.
         first: TenantName,
-        /// The other.
+        /// The second tenant.
         second: TenantName,
     },
-    /// Two tenants of one name.
+    /// Two tenants have the same name.
     #[snafu(display("tenant `{tenant}` stands twice; allowed is once"))]
     DuplicateTenant {
         /// The tenant.
         tenant: TenantName,
     },
-    /// A name that cannot be sent to servers.
+    /// A tenant's name cannot be sent to servers.
     #[snafu(display(
         "tenant {tenant:?}: its name; allowed is text that is not empty, without control characters"
     ))]
     InvalidName {
-        /// The name.
+        /// The invalid name.
         tenant: String,
     },
     /// A tenant has an empty key.
@@ -80,10 +80,10 @@
     },
 }
 
-/// Whether tenants can be in force.
+/// Checks that a list of tenants is valid.
 ///
 /// # Errors
-/// Says the first thing that is wrong, without any key.
+/// Returns the first violation, without any key.
 pub(crate) fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantError> {
     let mut names = HashSet::new();
     let mut owners: HashMap<&ApiKey, &TenantName> = HashMap::new();
@@ -121,23 +121,23 @@
     Ok(())
 }
 
-/// A caller whose key is in force.
+/// A caller with a valid key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// Its tenant.
+    /// Tenant of the caller.
     pub tenant: TenantName,
-    /// The rank of its tenant.
+    /// Priority of the tenant; `None` to use the route's.
     pub priority: Option<u8>,
 }
 
-/// Ranks of the tenants that have one.
+/// Priorities of the tenants that have one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TenantRanks {
     ranks: HashMap<TenantName, u8>,
 }
 
 impl TenantRanks {
-    /// The ranks of `tenants`.
+    /// Collects the priorities of `tenants`.
     pub(crate) fn new(tenants: &[Tenant]) -> Self {
         let ranks = tenants.iter();
         let ranks = ranks.filter_map(|tenant| Some((tenant.name.clone(), tenant.priority?)));
@@ -146,22 +146,23 @@
         }
     }
 
-    /// Whether no tenant has one.
+    /// Returns whether no tenant has a priority.
     pub(crate) fn is_empty(&self) -> bool {
         self.ranks.is_empty()
     }
 
-    /// The rank of what a tenant asks on a route of the rank `of_route`; 0 is the most urgent.
+    /// Returns the priority of a tenant's request on a route with the priority `of_route`; 0 is the
+    /// most urgent.
     pub(crate) fn rank(&self, tenant: Option<&TenantName>, of_route: u8) -> u8 {
         let own = tenant.and_then(|tenant| self.ranks.get(tenant));
         own.copied().unwrap_or(of_route)
     }
 }
 
-/// The keys of one configuration.
+/// The API keys of one configuration, for lookup.
 ///
-/// They are looked up by the standard library's hash, whose key is drawn at random in each process:
-/// a caller can neither choose keys that collide nor learn one from the time that a look-up takes.
+/// The map uses the standard library's hasher, whose key is random in each process: a caller can
+/// neither choose colliding keys nor learn a key from the duration of a lookup.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     callers: Vec<Caller>,
@@ -169,7 +170,7 @@
 }
 
 impl KeyTable {
-    /// The keys of `tenants`.
+    /// Builds the table from the keys of `tenants`.
     pub fn new(tenants: &[Tenant]) -> Self {
         let callers = tenants.iter().map(|tenant| Caller {
             tenant: tenant.name.clone(),
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The caller that a key opens for.
+    /// Returns the caller that a key identifies.
     pub fn find(&self, key: &ApiKey) -> Option<&Caller> {
         let number = self.keys.get(key)?;
         self.callers.get(*number as usize)
--- a/crates/gateways/wingshore-coordination/src/text/finished.rs
+++ b/crates/gateways/wingshore-coordination/src/text/finished.rs
@@ -1,20 +1,20 @@
-//! Whole texts of items.
+//! Complete texts of items.
 
 use super::item::{ItemText, all_since};
 use super::packed::ResultText;
 use serde::{Deserialize, Serialize};
 
-/// The whole text of an item whose stream has ended, as it is listed.
+/// The complete text of an item whose stream has ended, as it is listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedText {
     /// The text.
     pub text: ResultText,
-    /// The weight versions that made it, in the order of their first event.
+    /// Weight versions that generated the text, in the order of their first event.
     pub versions: Vec<u64>,
 }
 
 impl FinishedText {
-    /// Whether no event is of a version before `oldest`.
+    /// Returns whether all events come from the version `oldest` or newer ones.
     pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
         all_since(&self.versions, oldest)
     }
--- a/crates/gateways/wingshore-coordination/src/text/item.rs
+++ b/crates/gateways/wingshore-coordination/src/text/item.rs
@@ -1,48 +1,49 @@
-//! Texts of items while they grow: how they are extended, and what the group's log holds of them.
+//! Partial texts of items: how they are extended, and how much of them the group's log contains.
 
 use serde::{Deserialize, Serialize};
 
-/// Text of an item from its first event on, over all attempts that made it.
+/// Text of an item from its first event on, across all attempts that generated it.
 ///
-/// It travels with the item, so that a change of leaders loses nothing of it.
+/// The text is sent along with the item, so that a change of leader loses none of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemText {
-    /// The data of the events, separated by line feeds.
+    /// Data of the events, separated by line feeds.
     pub text: String,
-    /// How many events.
+    /// Number of events.
     pub events: u64,
-    /// Identifier of the last one.
+    /// Identifier of the last event.
     pub last_event: Option<u64>,
-    /// The versions that made them, in the order of their first event.
+    /// Weight versions that generated the events, in the order of their first event.
     pub versions: Vec<u64>,
 }
 
-/// How much of an item's text the group's log holds.
+/// Length of the part of an item's text that is in the group's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurablePrefix {
-    /// In events.
+    /// Number of events.
     pub events: u64,
-    /// In bytes of text.
+    /// Length of the text in bytes.
     pub bytes: usize,
 }
 
-/// The first events of an item as the group's log holds them, sent to a gateway that runs the item.
+/// Identifies the prefix of an item's text that is in the group's log; sent to a gateway that runs
+/// the item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldPrefix {
-    /// How much it is.
+    /// Length of the prefix.
     pub extent: DurablePrefix,
-    /// CRC-32 of its text: another attempt may have made other events.
+    /// CRC-32 of the prefix, since another attempt may have generated other events.
     pub checksum: u32,
 }
 
 impl HeldPrefix {
-    /// Whether `text` begins with it.
+    /// Returns whether `text` starts with this prefix.
     pub fn is_prefix_of(&self, text: &ItemText) -> bool {
         let begin = text.text.as_bytes().get(..self.extent.bytes);
         begin.is_some_and(|begin| crc32fast::hash(begin) == self.checksum)
     }
 
-    /// What is held once the events of `more` have been added, as [`ItemText::extend`] adds them.
+    /// Returns the prefix after the events of `more` are appended, as [`ItemText::extend`] does.
     #[must_use]
     pub fn extended_by(self, more: &ItemText) -> Self {
         if more.events == 0 {
@@ -64,10 +65,10 @@
 }
 
 impl ItemText {
-    /// The events after `prefix`, as a text of their own.
+    /// Returns the events after `prefix` as a separate text.
     pub fn after(&self, prefix: DurablePrefix) -> Self {
         let rest = self.text.get(prefix.bytes..).unwrap_or_default();
-        // The line feed between two events belongs to neither.
+        // The line feed between two events belongs to neither of them.
         let rest = match prefix.events {
             0 => rest,
             _ => rest.strip_prefix('\n').unwrap_or(rest),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Adds the events of `more` at the end.
+    /// Appends the events of `more`.
     pub fn extend(&mut self, more: Self) {
         if more.events == 0 {
             return;
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Whether no event is of a version before `oldest`.
+    /// Returns whether all events come from the version `oldest` or newer ones.
     pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
         all_since(&self.versions, oldest)
     }
 
-    /// All of it, as the log holds it.
+    /// Returns the prefix that covers the complete text.
     pub fn held(&self) -> HeldPrefix {
         HeldPrefix {
             extent: self.extent(),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// All of it, as a prefix.
+    /// Returns the length of the complete text.
     pub fn extent(&self) -> DurablePrefix {
         DurablePrefix {
             events: self.events,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether no event is of a version before `oldest`.
+/// Returns whether all events come from the version `oldest` or newer ones.
 pub(super) fn all_since(versions: &[u64], oldest: u64) -> bool {
     versions.iter().all(|version| *version >= oldest)
 }
--- a/crates/gateways/wingshore-coordination/src/text/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/text/mod.rs
@@ -1,8 +1,8 @@
-//! Texts of items: while they grow ([`ItemText`]), and whole and compressed as they are listed
-//! ([`ResultText`]).
+//! Texts of items: partial texts that still grow ([`ItemText`]), and complete, compressed texts as
+//! they are listed ([`ResultText`]).
 //!
-//! A listed text is in memory or on this machine's disk; a [`TextStore`] moves it, and readers do not
-//! notice.
+//! A listed text is in memory or on the local disk; a [`TextStore`] moves it transparently to
+//! readers.
 
 mod finished;
 mod item;
--- a/crates/gateways/wingshore-coordination/src/text/packed.rs
+++ b/crates/gateways/wingshore-coordination/src/text/packed.rs
@@ -1,4 +1,4 @@
-//! Compressed texts: in memory, or on this machine's disk.
+//! Compressed texts, in memory or on the local disk.
 
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
@@ -11,11 +11,11 @@
 use wingshore_types::blob::Blob;
 use wingshore_types::protocol::byte_vector;
 
-/// A text that is kept for long and read seldom: compressed (DEFLATE, RFC 1951), in memory or on
-/// disk. Clones share it.
+/// A text that is stored for long and read rarely: compressed (DEFLATE, RFC 1951), in memory or on
+/// disk. Clones share the compressed bytes.
 #[derive(Clone, Debug, Default)]
 pub struct ResultText {
-    /// Bytes of the text itself.
+    /// Length of the uncompressed text in bytes.
     length: u64,
     packed: Arc<PackedText>,
 }
@@ -26,28 +26,28 @@
     place: RwLock<TextPlace>,
 }
 
-/// Where the compressed bytes of a text are.
+/// Location of the compressed bytes of a text.
 #[derive(Clone)]
 pub enum TextPlace {
-    /// In memory; none for an empty text.
+    /// In memory; no bytes for an empty text.
     Memory(Arc<[u8]>),
-    /// On this machine's disk.
+    /// On the local disk.
     Disk(Arc<dyn Blob>),
 }
 
-/// A stored text cannot be read.
+/// Error while reading a stored text.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TextError {
-    /// Its bytes are not those of a text.
+    /// The stored bytes do not decompress to a text of the expected length.
     #[snafu(display("a kept text of {length} bytes is damaged"))]
     Damaged {
-        /// Bytes that it should have.
+        /// Expected length of the text in bytes.
         length: u64,
     },
-    /// Its bytes cannot be read.
+    /// The stored bytes cannot be read.
     #[snafu(display("a kept text cannot be read: {reason}"))]
     Unreadable {
-        /// From the disk.
+        /// Error of the disk.
         reason: String,
     },
 }
@@ -68,10 +68,10 @@
 }
 
 impl TextPlace {
-    /// The compressed bytes.
+    /// Returns the compressed bytes.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns the error of the disk if reading fails.
     pub fn read(&self) -> io::Result<Arc<[u8]>> {
         match self {
             Self::Memory(bytes) => Ok(Arc::clone(bytes)),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Compressed bytes.
+    /// Returns the number of compressed bytes.
     pub fn length(&self) -> usize {
         match self {
             Self::Memory(bytes) => bytes.len(),
@@ -94,7 +94,7 @@
         Arc::new(Self { place })
     }
 
-    /// Where the bytes are now.
+    /// Returns the current location of the bytes.
     pub fn place(&self) -> TextPlace {
         self.place
             .read()
@@ -102,7 +102,7 @@
             .clone()
     }
 
-    /// The same bytes are on disk from now on.
+    /// Replaces the location by a copy of the same bytes on disk.
     pub fn move_to(&self, blob: Arc<dyn Blob>) {
         let mut place = self.place.write().unwrap_or_else(PoisonError::into_inner);
         *place = TextPlace::Disk(blob);
@@ -110,28 +110,28 @@
 }
 
 impl ResultText {
-    /// Keeps `text`.
+    /// Compresses `text`.
     pub fn pack(text: &str) -> Self {
         if text.is_empty() {
             return Self::default();
         }
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        // A vector takes all that is written to it.
+        // Writing to a vector never fails.
         let written = encoder.write_all(text.as_bytes());
         let packed = written.and_then(|()| encoder.finish()).unwrap_or_default();
         Self::at(text.len() as u64, TextPlace::Memory(packed.into()))
     }
 
-    /// A text of `length` bytes whose compressed bytes are at `place`.
+    /// Creates a text of `length` bytes whose compressed bytes are at `place`.
     pub(crate) fn at(length: u64, place: TextPlace) -> Self {
         let packed = PackedText::at(place);
         Self { length, packed }
     }
 
-    /// The text.
+    /// Returns the decompressed text.
     ///
     /// # Errors
-    /// When the stored bytes are damaged, or cannot be read.
+    /// Returns an error if the stored bytes are damaged or cannot be read.
     pub fn unpack(&self) -> Result<String, TextError> {
         let length = self.length;
         if length == 0 {
@@ -150,17 +150,17 @@
         }
     }
 
-    /// Bytes of the text itself.
+    /// Returns the length of the uncompressed text in bytes.
     pub fn length(&self) -> usize {
         self.length as usize
     }
 
-    /// Its compressed bytes.
+    /// Returns the compressed bytes.
     pub fn packed(&self) -> &Arc<PackedText> {
         &self.packed
     }
 
-    /// Bytes of memory that its compressed bytes take.
+    /// Returns the memory of the compressed bytes; 0 if they are on disk.
     pub fn bytes_in_memory(&self) -> usize {
         match self.packed.place() {
             TextPlace::Memory(bytes) => bytes.len(),
@@ -170,7 +170,7 @@
 }
 
 impl PartialEq for ResultText {
-    /// Texts that cannot be read are equal to none.
+    /// A text that cannot be read is equal to no other.
     fn eq(&self, other: &Self) -> bool {
         let places = (self.packed.place(), other.packed.place());
         let bytes = (places.0.read(), places.1.read());
@@ -180,7 +180,7 @@
 
 impl Eq for ResultText {}
 
-/// A text as it is sent: its length and its compressed bytes.
+/// Serialized form of a text: its length and its compressed bytes.
 #[derive(Serialize, Deserialize)]
 struct EncodedText {
     length: u64,
--- a/crates/gateways/wingshore-coordination/src/text/store.rs
+++ b/crates/gateways/wingshore-coordination/src/text/store.rs
@@ -1,4 +1,4 @@
-//! The store for texts of results that memory has no room for.
+//! Storage for result texts that exceed the memory budget.
 
 use super::packed::PackedText;
 use std::fmt::Debug;
@@ -6,34 +6,35 @@
 use std::sync::Arc;
 use wingshore_types::blob::{Blob, BlobPlace};
 
-/// Keeps the texts that a state holds within a budget of memory: the oldest ones move to disk. How
-/// much of a site's results is in memory follows from that budget, not from their number.
+/// Keeps the texts of a state within a memory budget by moving the oldest ones to disk. The memory
+/// used by a site's results follows from that budget, not from the number of results.
 pub trait TextStore: Debug + Send + Sync {
-    /// The state holds a text from now on.
+    /// Adds a text that the state has started to hold.
     fn hold(&self, text: &Arc<PackedText>);
 
-    /// Waits until the texts in memory are within the budget, or cannot be brought there.
+    /// Waits until the texts in memory fit into the budget, or cannot be moved to disk.
     fn wait_for_room(&self);
 
-    /// The text that a snapshot on this machine's disk names.
+    /// Returns the stored text that a snapshot on the local disk references.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns the error of the disk if the text cannot be opened.
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>>;
 
-    /// A snapshot of the state is taken; gives its number.
+    /// Starts a snapshot of the state and returns its number.
     fn begin_snapshot(&self) -> u64;
 
-    /// The snapshot of this number is durable: what only earlier ones refer to may be removed.
+    /// Marks the snapshot with this number as durable: texts referenced only by earlier snapshots
+    /// may be removed.
     fn snapshot_durable(&self, number: u64);
 }
 
-/// The store of a state, where it has one: without one, all texts stay in memory.
+/// Optional text store of a state; without one, all texts stay in memory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TextStoreHandle(pub(crate) Option<Arc<dyn TextStore>>);
 
 impl PartialEq for TextStoreHandle {
-    /// Where a state keeps its texts is no part of it.
+    /// All handles are equal: where a state stores its texts is not part of the state.
     fn eq(&self, _: &Self) -> bool {
         true
     }
--- a/crates/gateways/wingshore-coordination/src/view.rs
+++ b/crates/gateways/wingshore-coordination/src/view.rs
@@ -1,9 +1,9 @@
-//! The view of the site that gateways are sent: the configuration and the servers, without the parts
+//! The view of the site that gateways receive: the configuration and the servers, without the parts
 //! that only the leader and operators use.
 //!
-//! Every member of the group can send it, since it follows from the log: a [`ViewUpdate`] names the
-//! entry that it accounts for and the one that it continues from. So after a change of leader nothing
-//! is sent that a gateway holds already.
+//! Every member of the group can send the view, since it is derived from the log: a [`ViewUpdate`]
+//! contains the log index that it reflects and the one that it continues from. After a change of
+//! leader, nothing is sent that a gateway already has.
 
 use crate::configuration::SiteConfiguration;
 use crate::evidence::Suspect;
@@ -14,56 +14,56 @@
 use std::sync::Arc;
 use wingshore_types::LogIndex;
 
-/// All that a gateway must know.
+/// The state that gateways need.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteView {
     /// The configuration in force.
     pub configuration: Option<Arc<SiteConfiguration>>,
     /// All servers, without their models.
     pub servers: Vec<ServerRecord>,
-    /// Key of the site's fingerprints of requests.
+    /// Key of the site's request fingerprints; `None` until it is drawn.
     pub fingerprint_key: Option<FingerprintKey>,
-    /// Requests under which servers have ended, more than one each.
+    /// Requests that were running on more than one server when the server crashed.
     pub suspects: Vec<Suspect>,
 }
 
-/// A change of the view. It holds the changed part as it is now, not how it differs, so that applying it
-/// twice does no harm.
+/// A change of the view. It contains the new value of the changed part rather than a difference, so
+/// that applying a change twice is harmless.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewChange {
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     Configuration(Arc<SiteConfiguration>),
-    /// A server is new or has changed.
+    /// A server was added or has changed.
     Server(ServerRecord),
-    /// A server is gone.
+    /// A server was removed.
     Gone(InstanceId),
-    /// The key of the site's fingerprints of requests was drawn.
+    /// The key of the site's request fingerprints was drawn.
     FingerprintKey(FingerprintKey),
-    /// More servers have ended under a request, or less evidence against it counts.
+    /// The evidence against a request has changed: more servers crashed, or older evidence expired.
     Suspect(Suspect),
-    /// A request is no suspect any more.
+    /// A request is no longer suspect.
     Cleared(RequestFingerprint),
 }
 
-/// The view as of an entry of the log.
+/// The view as of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ViewUpdate {
-    /// The last entry that it accounts for.
+    /// Index of the last log entry that the update reflects.
     pub revision: LogIndex,
-    /// The view, or its changes.
+    /// The complete view, or the changes to it.
     pub content: ViewContent,
 }
 
-/// The content of an update of the view.
+/// The content of a view update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewContent {
-    /// All of it.
+    /// The complete view.
     Whole(SiteView),
-    /// The parts that have changed; none, where only the revision is news.
+    /// The changed parts; empty if only the revision has advanced.
     Changes {
-        /// Changes after this entry.
+        /// The changes are those after this log index.
         since: LogIndex,
-        /// Each changed part once, as of the update's revision.
+        /// Each changed part once, with its value as of the update's revision.
         changes: Vec<ViewChange>,
     },
 }
