--- a/crates/gateways/wingshore-coordination/src/state/command.rs
+++ b/crates/gateways/wingshore-coordination/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicated state, as the log holds them.
+//! Commands that change the replicated state, as stored in the log.
 
 use super::earlier::{EarlierConfiguration, EarlierServer};
 use super::orders::OrderHolder;
@@ -15,27 +15,28 @@
 use std::sync::Arc;
 use wingshore_types::{Epoch, ReplicaId};
 
-/// A change of the replicated state. New kinds are added at the end: the codec counts them.
+/// A change of the replicated state. New variants are appended, since the codec identifies variants
+/// by their position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// As [`Command::Configure`], as the release before wrote it.
+    /// [`Command::Configure`] in the form written by the previous release.
     ConfigureEarlier(Arc<EarlierConfiguration>),
-    /// As [`Command::Register`], as the release before wrote it.
+    /// [`Command::Register`] in the form written by the previous release.
     RegisterEarlier(EarlierServer),
-    /// An incarnation of a server is over for good.
+    /// An incarnation of a server has ended permanently.
     Depart(InstanceId),
-    /// A server has sent no heartbeat for too long; it may register again.
+    /// A server has missed its heartbeats for too long; it may register again.
     Expire(InstanceId),
-    /// A trainer has published a version.
+    /// A trainer has published a weight version.
     NameVersion {
-        /// Of which model.
+        /// Model of the version.
         model: ModelName,
         /// The version.
         version: u64,
     },
-    /// Accepts a batch job; one that is known already stays as it is.
+    /// Accepts a batch job; a job that is already known stays unchanged.
     AcceptJob(Arc<JobSubmission>),
-    /// Lists a result; the first one of an item counts.
+    /// Lists a result; the first result of an item counts.
     ListResult {
         /// The job.
         job: JobId,
@@ -44,47 +45,47 @@
     },
     /// Ends a batch job.
     EndJob(JobId),
-    /// Removes an ended job that nobody may ask for any more.
+    /// Removes an ended job whose retention is over.
     ForgetJob(JobId),
-    /// Names who gives orders to engines from here on.
+    /// Sets the holder that gives orders to engines from this entry on.
     HoldOrders(OrderHolder),
-    /// Notes the name of a coordinator's machine.
+    /// Records the name of a coordinator's machine.
     DescribeMember {
         /// The coordinator.
         member: ReplicaId,
-        /// Its machine.
+        /// Name of its machine.
         node: String,
     },
-    /// A coordinator is to leave the group for good.
+    /// A coordinator is to leave the group permanently.
     RetireMember {
         /// The coordinator.
         member: ReplicaId,
-        /// Its machine.
+        /// Name of its machine.
         node: String,
     },
-    /// Keeps the partial text of an item that is not listed yet.
+    /// Stores a part of the partial text of an unlisted item.
     KeepText {
         /// The item.
         item: ItemKey,
-        /// Events that it had before.
+        /// Number of events stored before.
         after_events: u64,
         /// The events after them.
         text: ItemText,
     },
-    /// Keeps the whole text of an item until it has a score; the first one of an item counts.
+    /// Stores the complete text of an item until it has a score; the first text of an item counts.
     KeepUnscored {
         /// The item.
         item: ItemKey,
-        /// The attempt that made the text.
+        /// Attempt that generated the text.
         made_by: AssignmentId,
         /// The text.
         text: FinishedText,
     },
-    /// Lists an item with its score, if its text is the one of that attempt.
+    /// Lists an item with its score, if the stored text is the one of that attempt.
     ListScored {
         /// The item.
         item: ItemKey,
-        /// The attempt whose text was scored.
+        /// Attempt whose text was scored.
         made_by: AssignmentId,
         /// The score.
         score: String,
@@ -93,48 +94,48 @@
     CountScoringFailures {
         /// The item.
         item: ItemKey,
-        /// The attempt whose text was to be scored.
+        /// Attempt whose text was to be scored.
         made_by: AssignmentId,
-        /// How many.
+        /// Number of failures.
         failures: u32,
     },
-    /// The leadership that gives orders has held them for the time of a handover.
+    /// The leadership that gives orders has been the holder for the duration of a handover.
     SettleOrders(Epoch),
-    /// Sets the key of the site's fingerprints, unless there is one.
+    /// Sets the key of the site's fingerprints, unless one is set.
     SetFingerprintKey(FingerprintKey),
-    /// Servers have ended under requests.
+    /// Servers crashed while they ran requests.
     NoteCrashes(Vec<CrashEvidence>),
-    /// No other server is to run these requests.
+    /// Rejects these requests: no other server runs them.
     RejectRequests(Vec<RequestFingerprint>),
-    /// The oldest evidence against these requests counts no longer.
+    /// Expires the oldest evidence against each of these requests.
     RelieveRequests(Vec<RequestFingerprint>),
-    /// No evidence against these requests counts any longer.
+    /// Clears all evidence against these requests.
     ClearRequests(Vec<RequestFingerprint>),
-    /// Keeps what a gateway that is gone had counted.
+    /// Stores the counts of a gateway that is gone.
     KeepUsage {
         /// The gateway.
         gateway: GatewayId,
-        /// Its totals.
+        /// Totals of the gateway.
         usage: Vec<WindowUsage>,
     },
-    /// Fixes the report of a window; the first one counts.
+    /// Closes a window with its final counts; the first command for a window counts.
     CloseUsageWindow {
         /// The window.
         window: UsageWindow,
-        /// What is reported.
+        /// Counts to report.
         counts: UsageCounts,
     },
     /// The provider has acknowledged the report of a window.
     UsageReported(UsageWindow),
     /// Sets the target number of servers of a pool.
     WantCapacity {
-        /// Of which servers.
+        /// Pool of servers.
         pool: CapacityPool,
-        /// How many.
+        /// Number of servers.
         count: u32,
     },
-    /// Puts a configuration in force, if its version is the highest.
+    /// Puts a configuration in force if its version is the highest.
     Configure(Arc<SiteConfiguration>),
-    /// A server is new, or what the registry holds of it has changed.
+    /// Registers a server, or changes its record.
     Register(ServerRecord),
 }
--- a/crates/gateways/wingshore-coordination/src/state/earlier.rs
+++ b/crates/gateways/wingshore-coordination/src/state/earlier.rs
@@ -1,10 +1,11 @@
-//! What the release before wrote into the log and into snapshots, where this one writes more.
+//! Forms that the previous release wrote into the log and into snapshots, of structures that have
+//! since gained fields.
 //!
-//! The codec tells fields by their order only, so a structure that has grown is read by its earlier
-//! form, and takes what that lacks from the defaults. These forms look like those in use, and share
-//! none of their code on purpose: they stay as they were written while the others grow. They cannot
-//! go while any log or snapshot holds them, and a group that applies little takes no snapshot for
-//! many releases.
+//! The codec identifies fields by their order only, so the earlier form of a structure is decoded
+//! as such, and missing fields get default values. These types deliberately share no code with the
+//! current ones: they must stay as they were written while the current ones change. They have to
+//! remain as long as any log or snapshot contains them, and a group with few commands takes no
+//! snapshot for many releases.
 
 use super::orders::OrderState;
 use super::servers::ServerRegistry;
@@ -23,7 +24,7 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::byte_vector;
 
-/// A configuration before there were tenants.
+/// A configuration without tenants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EarlierConfiguration {
     version: u64,
@@ -59,7 +60,7 @@
     engine: Option<EngineProfile>,
 }
 
-/// A server before some could be taken away.
+/// A server record without the `reclaimable` field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EarlierServer {
     instance: InstanceId,
@@ -71,7 +72,8 @@
     models: Vec<ModelVersion>,
 }
 
-/// All besides evidence, and besides jobs where those stand in records of their own.
+/// The complete state except the evidence, and except the jobs where those have records of their
+/// own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EarlierState {
     configuration: Option<Arc<EarlierConfiguration>>,
@@ -86,7 +88,7 @@
 }
 
 impl EarlierConfiguration {
-    /// The same as this release holds it.
+    /// Converts the configuration to the current form.
     pub(super) fn upgrade(self: Arc<Self>) -> Arc<SiteConfiguration> {
         Arc::new(Arc::unwrap_or_clone(self).into())
     }
--- a/crates/gateways/wingshore-coordination/src/state/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/state/evidence.rs
@@ -1,32 +1,35 @@
-//! The record of requests under which servers ended, as the group holds it.
+//! The replicated record of requests that were running when servers crashed.
 //!
-//! It notes which incarnations of servers ended under which request, forgets what a successful attempt
-//! or time has cleared, and stays within a bound. What counts as evidence, and when a request is
-//! rejected, the leader decides; the thresholds are here, since the gateways' view depends on them too.
+//! The record stores which server incarnations crashed while running which request, removes
+//! evidence that a successful attempt or time has cleared, and is bounded in size. The leader
+//! decides what counts as evidence and when a request is rejected; the thresholds are defined here
+//! because the gateways' view depends on them too.
 
 use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::{FingerprintKey, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request may be rejected once so many servers have ended under it, and no attempt of it went well
-/// meanwhile. Two may be chance: an attempt and its repeat, while servers end for other reasons.
+/// Number of crashed servers from which a request may be rejected, if none of its attempts
+/// succeeded in the meantime. Two crashes may be a coincidence: an attempt and its retry, while
+/// servers crash for other reasons.
 pub const REJECTION_THRESHOLD: usize = 3;
-/// A request is part of the gateways' view from so many ended servers on: the next one may be the last,
-/// so that each attempt of it that goes well counts. With a single one most are not the cause: many
-/// requests run on each server that ends.
+/// Number of crashed servers from which a request is part of the gateways' view: the next crash may
+/// be the last before rejection, so each successful attempt matters. With a single crash most
+/// requests are not the cause, since many requests run on each server that crashes.
 pub(crate) const REPORTING_THRESHOLD: usize = REJECTION_THRESHOLD - 1;
-/// Servers that are remembered for each request: with so many it is rejected in any case.
+/// Maximum number of crashed servers remembered per request; with this many, the request is
+/// rejected in any case.
 pub(crate) const MAX_CRASHES_PER_REQUEST: usize = 4;
-/// Requests under which servers have ended that are remembered: 200 bytes each. A caller that sends
-/// a new such request each time ends three servers with each, so that the bound is met late.
+/// Maximum number of requests in the record, at 200 bytes each. A caller that sends new crashing
+/// requests crashes three servers with each, so the limit is reached late.
 pub const MAX_SUSPECTS: usize = 1024;
 
-/// What the site has learned of requests from failed attempts; it survives requests, processes
-/// and leaderships.
+/// Evidence against requests from failed attempts; it outlives requests, processes and leaderships.
 ///
-/// Invariants: at most [`MAX_SUSPECTS`] requests, each with one to `MAX_ENDINGS` distinct
-/// servers; `order` names exactly these, in the order in which they were first noted.
+/// Invariants: at most [`MAX_SUSPECTS`] requests, each with one to `MAX_CRASHES_PER_REQUEST`
+/// distinct servers; `order` contains exactly these requests, in the order in which they were first
+/// recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestEvidence {
     key: Option<FingerprintKey>,
@@ -35,23 +38,24 @@
 }
 
 impl RequestEvidence {
-    /// The key of the site's fingerprints; `None` until the first leader has drawn it.
+    /// Returns the key of the site's fingerprints; `None` until the first leader has drawn it.
     pub fn key(&self) -> Option<FingerprintKey> {
         self.key
     }
 
-    /// A request under which servers have ended.
+    /// Returns the evidence against a request.
     pub fn suspect(&self, request: RequestFingerprint) -> Option<&Suspect> {
         self.suspects.get(&request)
     }
 
-    /// How many servers ended under a request.
+    /// Returns the number of servers that crashed while running a request.
     pub fn crash_count(&self, request: RequestFingerprint) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| suspect.ended.len())
     }
 
-    /// Whether this is news: neither known nor about a request that is rejected already.
+    /// Returns whether the evidence is new: not recorded yet, and not about a request that is
+    /// already rejected.
     pub(crate) fn is_new(&self, evidence: &CrashEvidence) -> bool {
         let known = self.suspects.get(&evidence.fingerprint);
         known.is_none_or(|suspect| {
@@ -61,24 +65,25 @@
         })
     }
 
-    /// All requests under which servers have ended.
+    /// Returns all requests with evidence against them.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &Suspect> {
         self.suspects.values()
     }
 
-    /// How many requests there are under which servers have ended, and how many of them are
+    /// Returns the number of requests with evidence against them, and how many of them are
     /// rejected.
     pub fn counts(&self) -> (usize, usize) {
         let rejected = self.suspects.values().filter(|suspect| suspect.rejected);
         (self.suspects.len(), rejected.count())
     }
 
-    /// Sets the key, unless there is one: fingerprints under another key would name nothing known.
+    /// Sets the key unless one is set: fingerprints under another key would match no recorded
+    /// request.
     pub(super) fn set_key(&mut self, key: FingerprintKey) {
         self.key.get_or_insert(key);
     }
 
-    /// A server has ended under a request.
+    /// Records that a server crashed while running a request.
     pub(super) fn record_crash(&mut self, evidence: CrashEvidence) {
         if !self.is_new(&evidence) {
             return;
@@ -99,14 +104,14 @@
         suspect.ended.push(instance);
     }
 
-    /// No other server is to run a request.
+    /// Rejects a request: no other server runs it.
     pub(super) fn reject(&mut self, request: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.rejected = true;
         }
     }
 
-    /// The oldest evidence against a request counts no longer: it may run until there is more.
+    /// Removes the oldest evidence against a request, which may run until there is more.
     pub(super) fn drop_oldest_crash(&mut self, request: RequestFingerprint) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
@@ -118,14 +123,15 @@
         }
     }
 
-    /// An attempt of the request went well: it was not what ended servers.
+    /// Removes a request from the record, since an attempt of it succeeded: it was not the cause of
+    /// the crashes.
     pub(super) fn clear(&mut self, request: RequestFingerprint) {
         if self.suspects.remove(&request).is_some() {
             self.order.retain(|known| *known != request);
         }
     }
 
-    /// Forgets the oldest request that is not rejected, or else the oldest one.
+    /// Evicts the oldest request that is not rejected, or the oldest one if all are rejected.
     fn evict_oldest(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
--- a/crates/gateways/wingshore-coordination/src/state/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! The replicated state: what every member of the group holds alike.
+//! The replicated state, which is identical on all members of the group.
 //!
-//! [`CoordinationState`] changes by [`Command`]s only, in the order of the group's log; equal logs give
-//! equal states on all members. It reads no clock, and what it encodes, in the log and in snapshots,
-//! is read by the next release too.
+//! [`CoordinationState`] changes only by [`Command`]s, in the order of the group's log; equal logs
+//! produce equal states on all members. It reads no clock, and its encodings, in the log and in
+//! snapshots, must be readable by the next release.
 
 mod command;
 mod earlier;
--- a/crates/gateways/wingshore-coordination/src/state/replicated.rs
+++ b/crates/gateways/wingshore-coordination/src/state/replicated.rs
@@ -1,4 +1,5 @@
-//! The state as a member of the group drives it: commands are applied, snapshots taken and restored.
+//! The interface of the state to the replicated group: commands are applied, snapshots taken and
+//! restored.
 
 use super::command::Command;
 use super::evidence::RequestEvidence;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Changes a job by `list`, which says whether it has listed a result.
+    /// Changes a job with `list`, which returns whether it has listed a result.
     fn list(&mut self, job: &JobId, list: impl FnOnce(&mut Job) -> bool) {
         let Some(job) = self.jobs.get_mut(job) else {
             return;
@@ -114,7 +115,7 @@
         self.change_each_request(index, requests, RequestEvidence::clear);
     }
 
-    /// Changes what is known of each of these requests.
+    /// Applies `change` to the evidence of each of these requests.
     fn change_each_request(
         &mut self,
         index: LogIndex,
@@ -190,7 +191,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // Only a disk that fails keeps a state from being encoded.
+        // Encoding fails only if the disk fails.
         let bytes = self.freeze().to_bytes();
         bytes.map(Into::into).unwrap_or_default()
     }
--- a/crates/gateways/wingshore-coordination/src/state/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/state/servers.rs
@@ -1,28 +1,30 @@
-//! The registry of servers, as the group holds it.
+//! The replicated registry of servers.
 
 use crate::ids::{InstanceId, ServerName};
 use crate::registry::ServerRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Departed incarnations that are remembered, so that a late heartbeat does not bring one back: some
-/// 100 bytes each. Heartbeats are late by seconds, in which few servers of any site depart.
+/// Maximum number of departed incarnations to remember, about 100 bytes each, so that a late
+/// heartbeat does not bring one back. Heartbeats are late by seconds, in which few servers of any
+/// site depart.
 const MAX_REMEMBERED_DEPARTURES: usize = 8192;
 
-/// Registered servers, and the incarnations that are gone for good.
+/// Registered servers, and the incarnations that have departed permanently.
 ///
-/// Invariants: a departed incarnation is not registered again while it is remembered; an incarnation
-/// that is leaving goes on leaving, and the versions it holds never fall.
+/// Invariants: a departed incarnation is not registered again while it is remembered; a draining
+/// incarnation stays draining, and its weight versions never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct ServerRegistry {
     pub(super) servers: BTreeMap<InstanceId, ServerRecord>,
     pub(super) departed: BTreeSet<InstanceId>,
-    /// In the order of departure, oldest first.
+    /// Departed incarnations in the order of departure, oldest first.
     pub(super) departures: VecDeque<InstanceId>,
 }
 
 impl ServerRegistry {
-    /// All registered incarnations of a server, in the order of their starts: usually one.
+    /// Returns all registered incarnations of a server in the order of their start times: usually
+    /// one.
     pub(super) fn incarnations_of<'a>(
         &'a self,
         name: &'a ServerName,
@@ -32,13 +34,13 @@
         incarnations.take_while(move |(instance, _)| instance.name() == name)
     }
 
-    /// The server as gateways see it.
+    /// Returns the server's record as it appears in the gateways' view.
     pub(super) fn seen_by_gateways(&self, instance: &InstanceId) -> Option<ServerRecord> {
         let server = self.servers.get(instance);
         server.map(ServerRecord::without_models)
     }
 
-    /// Takes what a server says of itself, unless it has departed.
+    /// Stores the record that a server reports, unless the incarnation has departed.
     pub(super) fn register(&mut self, mut server: ServerRecord) {
         if self.departed.contains(&server.instance) {
             return;
@@ -52,7 +54,7 @@
         self.servers.insert(server.instance.clone(), server);
     }
 
-    /// An incarnation is over for good.
+    /// Removes an incarnation permanently.
     pub(super) fn depart(&mut self, instance: InstanceId) {
         self.servers.remove(&instance);
         if !self.departed.insert(instance.clone()) {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// An incarnation was not heard of for too long; it may register again.
+    /// Removes an incarnation that has missed its heartbeats for too long; it may register again.
     pub(super) fn expire(&mut self, instance: &InstanceId) {
         self.servers.remove(instance);
     }
--- a/crates/gateways/wingshore-coordination/src/state/site.rs
+++ b/crates/gateways/wingshore-coordination/src/state/site.rs
@@ -1,4 +1,4 @@
-//! The replicated state as a whole, and what it answers.
+//! The replicated state as a whole, and its queries.
 
 use super::evidence::RequestEvidence;
 use super::orders::{OrderHolder, OrderState};
@@ -16,12 +16,12 @@
 use std::sync::Arc;
 use wingshore_types::ReplicaId;
 
-/// Configuration, registry, batch jobs and named versions of a site.
+/// Configuration, registry, batch jobs and published weight versions of a site.
 ///
-/// Snapshots hold its fields in this order, without their names.
+/// Snapshots contain the fields in this order, without their names.
 ///
-/// Invariants: the configuration's version never falls; a departed incarnation of a server never comes
-/// back; named versions never fall; results of jobs are only added to.
+/// Invariants: the configuration's version never decreases; a departed incarnation of a server
+/// never returns; published weight versions never decrease; results of jobs are only appended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CoordinationState {
     pub(super) configuration: Option<Arc<SiteConfiguration>>,
@@ -29,57 +29,58 @@
     pub(super) named_versions: BTreeMap<ModelName, u64>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) orders: OrderState,
-    /// Machines of coordinators, as they named themselves.
+    /// Machine names of coordinators, as they report them.
     pub(super) member_nodes: BTreeMap<ReplicaId, String>,
-    /// Coordinators that are to leave, or have left, for good; the newest of each machine.
+    /// Coordinators that are to leave, or have left, permanently; the newest one of each machine.
     pub(super) retired_members: BTreeMap<String, ReplicaId>,
-    /// Requests that began to run, for the provider's bill.
+    /// Counts of started requests, for billing by the provider.
     pub(super) usage: SiteUsage,
-    /// Target numbers of servers.
+    /// Target number of servers of each pool.
     pub(super) capacity: BTreeMap<CapacityPool, u32>,
-    /// What failed attempts say of requests; a record of its own in snapshots.
+    /// Evidence against requests from failed attempts; a separate record in snapshots.
     #[serde(skip)]
     pub(super) evidence: RequestEvidence,
-    /// Where texts of results go that memory has no room for.
+    /// Store for result texts that exceed the memory budget.
     #[serde(skip)]
     pub(super) texts: TextStoreHandle,
-    /// Which parts of the gateways' view changed when.
+    /// History of changes to the gateways' view.
     #[serde(skip)]
     pub(super) view_history: ViewHistory,
 }
 
 impl CoordinationState {
-    /// Gives the state a store for the texts of its results.
+    /// Sets the store for the texts of results.
     pub fn keep_texts_in(&mut self, store: Arc<dyn TextStore>) {
         self.texts = TextStoreHandle(Some(store));
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<&Arc<SiteConfiguration>> {
         self.configuration.as_ref()
     }
 
-    /// What failed attempts say of requests.
+    /// Returns the evidence against requests from failed attempts.
     pub fn evidence(&self) -> &RequestEvidence {
         &self.evidence
     }
 
-    /// Target numbers of servers.
+    /// Returns the target number of servers of each pool.
     pub fn capacity(&self) -> &BTreeMap<CapacityPool, u32> {
         &self.capacity
     }
 
-    /// Requests that began to run, for the provider's bill.
+    /// Returns the counts of started requests, for billing by the provider.
     pub fn usage(&self) -> &SiteUsage {
         &self.usage
     }
 
-    /// All registered servers.
+    /// Returns all registered servers.
     pub fn servers(&self) -> &BTreeMap<InstanceId, ServerRecord> {
         &self.registry.servers
     }
 
-    /// All registered incarnations of a server, in the order of their starts: usually one.
+    /// Returns all registered incarnations of a server in the order of their start times: usually
+    /// one.
     pub(crate) fn incarnations_of<'a>(
         &'a self,
         name: &'a ServerName,
@@ -87,46 +88,46 @@
         self.registry.incarnations_of(name)
     }
 
-    /// Whether this incarnation of a server has departed.
+    /// Returns whether this incarnation of a server has departed.
     pub fn has_departed(&self, instance: &InstanceId) -> bool {
         self.registry.departed.contains(instance)
     }
 
-    /// The newest named version of each model.
+    /// Returns the newest published version of each model.
     pub fn named_versions(&self) -> &BTreeMap<ModelName, u64> {
         &self.named_versions
     }
 
-    /// All jobs that are remembered.
+    /// Returns all jobs that have not been forgotten.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
 
-    /// The job that a caller means. One that was submitted before the site had tenants belongs to
-    /// nobody: it stays open to all that know its name.
+    /// Returns the job that a caller refers to. A job submitted before the site had tenants belongs
+    /// to no tenant and stays accessible to all callers that know its name.
     pub fn find_job(&self, id: &JobId) -> Option<(&JobId, &Job)> {
         let own = self.jobs.get_key_value(id);
         own.or_else(|| self.jobs.get_key_value(&id.clone().of_tenant(None)))
     }
 
-    /// Machines of coordinators, as they named themselves.
+    /// Returns the machine names of coordinators, as they report them.
     pub fn member_nodes(&self) -> &BTreeMap<ReplicaId, String> {
         &self.member_nodes
     }
 
-    /// Coordinators that are to leave, or have left, for good, by their machines.
+    /// Returns the coordinators that are to leave, or have left, permanently, by machine name.
     pub fn retired_members(&self) -> &BTreeMap<String, ReplicaId> {
         &self.retired_members
     }
 
-    /// Who gave the last orders to engines.
+    /// Returns the holder that gave the latest orders to engines.
     pub fn order_holder(&self) -> Option<&OrderHolder> {
         self.orders.holder.as_ref()
     }
 
-    /// Whether the machine that gives orders has held them for the time of a handover: if it is
-    /// lost now, no other machine's orders are so young that engines could see three machines take
-    /// turns.
+    /// Returns whether the machine that gives orders has been the holder for the duration of a
+    /// handover: if it is lost now, no orders of a third machine are recent enough that engines
+    /// could see orders of three machines alternate.
     pub(crate) fn orders_are_settled(&self) -> bool {
         self.orders.settled
     }
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/mod.rs
@@ -1,8 +1,8 @@
-//! The replicated state as a snapshot: a stream of records, written and read one at a time.
+//! Snapshots of the replicated state: a stream of records that are written and read one at a time.
 //!
-//! A result's compressed text follows its record as it is, or, in the form for this machine's own
-//! disk, only its place there. So neither the texts of a state of many megabytes nor its encoding have
-//! to be in memory, and texts that are on disk are not written again.
+//! A result's compressed text follows its record; in the form for the local disk, the record may
+//! contain the text's location there instead. So neither the texts nor the encoding of a large
+//! state have to fit into memory, and texts that are already on disk are not written again.
 
 mod read;
 mod records;
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -1,4 +1,4 @@
-//! Restoring a state, record by record.
+//! Restores a state from a snapshot, record by record.
 
 use super::records::{
     FORMAT, LENGTH_BYTES, MAX_FIRST_BYTE_OF_SINGLE_VALUE, OLDEST_RECORD_FORMAT, Record,
@@ -13,11 +13,11 @@
 use wingshore_types::machine::RestoreError;
 use wingshore_types::stored;
 
-/// Largest record, in bytes: far above any submission, which is at most as large as a caller's body
-/// ([`crate::IngressLimits`]); a damaged length is found by it.
+/// Maximum size of a record in bytes, to detect a damaged length: far above any submission, which
+/// is at most as large as a request's body ([`crate::IngressLimits`]).
 const MAX_RECORD_BYTES: usize = 256 << 20;
 
-/// Reads a state; texts go to its store as they come.
+/// Reads a state; texts are added to its store as they are read.
 pub(in crate::state) fn restore(
     texts: &TextStoreHandle,
     reader: &mut dyn Read,
@@ -134,7 +134,7 @@
     })
 }
 
-/// Reads a state of the oldest format, whose bytes are in memory whole meanwhile.
+/// Reads a state of the oldest format, whose encoding is completely in memory during the restore.
 fn restore_single_value(
     texts: &TextStoreHandle,
     begin: &[u8],
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/records.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/records.rs
@@ -1,4 +1,4 @@
-//! The records of a snapshot's stream, and the formats that tell them apart.
+//! Records of a snapshot's stream, and the format versions.
 
 use crate::ids::ItemId;
 use crate::jobs::{ItemState, Job};
@@ -8,30 +8,30 @@
 use serde::{Deserialize, Serialize};
 use wingshore_types::blob::BlobPlace;
 
-/// First byte of the stream.
+/// Current format version; the first byte of the stream.
 pub(super) const FORMAT: u8 = 4;
-/// The oldest format of records: all besides jobs as [`Record::SiteEarlier`].
+/// Oldest format that consists of records: everything but jobs is in [`Record::SiteEarlier`].
 pub(super) const OLDEST_RECORD_FORMAT: u8 = 2;
-/// Largest first byte of the oldest format: the state encoded as one value, whose first byte says
-/// whether there is a configuration: 0 or 1.
+/// Largest first byte of the oldest format, which encodes the state as one value; the first byte is
+/// 0 or 1 and tells whether there is a configuration.
 pub(super) const MAX_FIRST_BYTE_OF_SINGLE_VALUE: u8 = 1;
-/// Bytes of a record's length, an integer in little-endian order, before the record.
+/// Size of the length that precedes each record, in bytes; a little-endian integer.
 pub(super) const LENGTH_BYTES: usize = 4;
 
 /// One record of the stream.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
-    /// All besides jobs and evidence, as the release before wrote it; comes first.
+    /// Everything but jobs and evidence in the form of the previous release; the first record.
     SiteEarlier(Box<EarlierState>),
-    /// A job without its results, which follow.
+    /// A job without its results, which follow as separate records.
     Job(Box<Job>),
-    /// A result of the job before; its text follows unless it is empty or on disk.
+    /// A result of the preceding job; its text follows unless the text is empty or on disk.
     Result(SavedResult),
-    /// Nothing follows.
+    /// End of the stream.
     End,
-    /// What failed attempts say of requests; comes before the jobs.
+    /// Evidence against requests; precedes the jobs.
     Evidence(Box<RequestEvidence>),
-    /// All besides jobs and evidence; comes first.
+    /// Everything but jobs and evidence; the first record.
     Site(Box<CoordinationState>),
 }
 
@@ -42,16 +42,16 @@
     pub(super) state: ItemState,
     pub(super) versions: Vec<u64>,
     pub(super) score: Option<String>,
-    /// Bytes of the text itself.
+    /// Length of the uncompressed text in bytes.
     pub(super) text_length: u64,
     pub(super) text: SavedText,
 }
 
-/// Where a result's compressed text is.
+/// Location of a result's compressed text.
 #[derive(Serialize, Deserialize)]
 pub(super) enum SavedText {
-    /// After the record: so many bytes.
+    /// The text follows the record, with this number of bytes.
     Follows(u32),
-    /// On the disk of the machine that the snapshot is for.
+    /// The text is on the disk of the machine that the snapshot is for.
     OnDisk(BlobPlace),
 }
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -1,4 +1,4 @@
-//! A frozen state, encoded while it is read.
+//! Writes a frozen state, which is encoded while it is read.
 
 use super::records::{FORMAT, LENGTH_BYTES, Record, SavedResult, SavedText};
 use crate::jobs::{Job, ResultRecord};
@@ -11,23 +11,24 @@
 use std::sync::Arc;
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
 
-/// Space for a record before its length is known: that of a result fits.
+/// Initial capacity of a record's buffer in bytes; the record of a result fits.
 const INITIAL_RECORD_CAPACITY: usize = 128;
 
-/// A state that is frozen: encoded when it is read.
+/// An immutable copy of a state that is encoded when it is read.
 pub(in crate::state) struct FrozenCoordination {
-    /// All of it but its jobs.
+    /// The state without its jobs.
     state: CoordinationState,
-    /// Its jobs in their order: each result is found by the place of its job.
+    /// Jobs in their order, so that a result is found by the index of its job.
     jobs: Vec<Job>,
-    /// Number of the snapshot at the store of texts; 0 without a store.
+    /// Number of the snapshot in the text store; 0 without a store.
     number: u64,
-    /// `None` where the state does not encode; then it cannot be read either.
+    /// Length of the encoded stream in bytes; `None` if the state cannot be encoded and therefore
+    /// not be read.
     length: Option<u64>,
 }
 
 impl FrozenCoordination {
-    /// Of a state whose large parts are shared with the copy.
+    /// Freezes a state; its large parts are shared with the copy, not cloned.
     pub(in crate::state) fn of(state: &CoordinationState) -> Self {
         let store = state.texts.0.as_ref();
         let number = store.map_or(0, |store| store.begin_snapshot());
@@ -76,8 +77,8 @@
     }
 }
 
-/// A frozen state in the form for this machine's own disk. The places of texts are those of one
-/// moment: texts go on moving to disk meanwhile, and each reading gives the same bytes.
+/// A frozen state in the form for the local disk. The locations of texts are captured once: texts
+/// continue to be moved to disk meanwhile, and every reader must produce the same bytes.
 struct LocalSnapshot {
     frozen: Arc<FrozenCoordination>,
     places: Arc<CapturedPlaces>,
@@ -113,16 +114,17 @@
     result.text.packed().place()
 }
 
-/// How the texts of results are encoded.
+/// Encoding of result texts in the stream.
 trait TextEncoding {
-    /// Where the text of a result is, by the places of its job and of itself.
+    /// Returns the location of a result's text; `job` and `index` are the indexes of its job and of
+    /// the result within the job.
     fn place(&self, job: usize, index: usize, result: &ResultRecord) -> TextPlace;
 
-    /// Whether a text on disk is named rather than written.
+    /// Whether a text on disk is referenced by its location instead of being included.
     const REFERENCES_DISK: bool;
 }
 
-/// All texts are in the stream.
+/// Includes all texts in the stream.
 struct InlineTexts;
 
 impl TextEncoding for InlineTexts {
@@ -133,7 +135,7 @@
     }
 }
 
-/// For each job and result, where its text was at one moment.
+/// Locations of texts by job and result, captured when the snapshot was created.
 struct CapturedPlaces(Vec<Vec<TextPlace>>);
 
 impl TextEncoding for Arc<CapturedPlaces> {
@@ -145,7 +147,7 @@
     }
 }
 
-/// A place in the stream of records.
+/// Position in the stream of records.
 #[derive(Clone, Copy)]
 enum Position {
     Site,
@@ -155,11 +157,11 @@
     Done,
 }
 
-/// What a place in the stream gives.
+/// The part of the stream at a position.
 struct StreamPart {
-    /// The record, after its length.
+    /// The record, preceded by its length.
     record: Vec<u8>,
-    /// The text after it.
+    /// The text that follows the record.
     text: Option<TextPlace>,
     next: Position,
 }
@@ -201,7 +203,7 @@
     Ok(Some(part))
 }
 
-/// All that the first record holds: jobs follow it, and what is not encoded is left out.
+/// Returns the content of the first record, which excludes jobs and whatever is not encoded.
 fn without_jobs(state: &CoordinationState) -> CoordinationState {
     CoordinationState {
         configuration: state.configuration.clone(),
@@ -213,7 +215,7 @@
         retired_members: state.retired_members.clone(),
         usage: state.usage.clone(),
         capacity: state.capacity.clone(),
-        // Each field is named here, so that none is left out of snapshots unnoticed.
+        // All fields are listed, so that a new field cannot be left out of snapshots by accident.
         evidence: RequestEvidence::default(),
         texts: TextStoreHandle::default(),
         view_history: ViewHistory::default(),
@@ -259,7 +261,7 @@
     Ok(bytes)
 }
 
-/// Bytes of the stream; texts are not read for it.
+/// Returns the length of the stream in bytes, without reading the texts.
 fn encoded_length<F: TextEncoding>(frozen: &FrozenCoordination, form: &F) -> io::Result<u64> {
     let mut length = 1;
     let mut position = Position::Site;
@@ -271,12 +273,12 @@
     Ok(length)
 }
 
-/// Reads a frozen state as a stream.
+/// Reads a frozen state as a byte stream.
 struct StateReader<F> {
     frozen: Arc<FrozenCoordination>,
     form: F,
     position: Position,
-    /// Bytes of the stream that were encoded, and how many of them were read.
+    /// Part of the stream that was encoded last, and how many bytes of it have been read.
     encoded: Vec<u8>,
     read: usize,
 }
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Encodes the next record; says whether there was one.
+    /// Encodes the next record; returns false at the end of the stream.
     fn encode_next(&mut self) -> io::Result<bool> {
         let Some(part) = part_at(&self.frozen, &self.form, self.position)? else {
             return Ok(false);
--- a/crates/gateways/wingshore-coordination/src/state/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/state/usage.rs
@@ -1,41 +1,41 @@
-//! Usage as the group holds it: what gateways that are gone had counted, and the reports that the
-//! provider has not acknowledged.
+//! Replicated usage: counts of gateways that are gone, and reports that the provider has not
+//! acknowledged.
 
 use crate::ids::GatewayId;
 use crate::usage::{UsageCounts, UsageWindow, WindowUsage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Reports that wait to be sent; of more, the oldest are dropped. Five minutes of windows of 5 s; nobody
-/// waits for older ones.
+/// Maximum number of unacknowledged reports; beyond that, the oldest are dropped. This covers five
+/// minutes with windows of 5 s; older reports are no longer needed.
 const MAX_UNACKNOWLEDGED_REPORTS: usize = 60;
 
-/// What is durable of the site's usage.
+/// The durable part of the site's usage.
 ///
-/// Invariants: a window is closed once, in order, and its counts never change after that: whoever
-/// leads, and however often, sends the same report.
+/// Invariants: windows are closed once and in order, and the counts of a closed window never
+/// change, so every leader sends the same report, however often.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteUsage {
-    /// The newest window that is closed.
+    /// Newest closed window.
     closed: Option<UsageWindow>,
-    /// Reports that the provider has not acknowledged.
+    /// Reports that the provider has not acknowledged, by window.
     waiting: BTreeMap<UsageWindow, UsageCounts>,
-    /// What gateways that are gone had counted in windows that are open.
+    /// Counts of gateways that are gone, by open window.
     kept: BTreeMap<UsageWindow, BTreeMap<GatewayId, UsageCounts>>,
 }
 
 impl SiteUsage {
-    /// The newest window that is closed.
+    /// Returns the newest closed window.
     pub fn closed(&self) -> Option<UsageWindow> {
         self.closed
     }
 
-    /// Reports that the provider has not acknowledged.
+    /// Returns the reports that the provider has not acknowledged, by window.
     pub fn waiting(&self) -> &BTreeMap<UsageWindow, UsageCounts> {
         &self.waiting
     }
 
-    /// What gateways that are gone had counted in an open window.
+    /// Returns the counts of gateways that are gone for an open window.
     pub fn counts_of_lost_gateways(
         &self,
         window: UsageWindow,
@@ -43,7 +43,7 @@
         self.kept.get(&window).into_iter().flatten()
     }
 
-    /// The first open window that a gateway which is gone had counted in.
+    /// Returns the first open window with counts of a gateway that is gone.
     pub(crate) fn first_window_of_lost_gateways(&self) -> Option<UsageWindow> {
         self.kept.keys().next().copied()
     }
--- a/crates/gateways/wingshore-coordination/src/state/view.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view.rs
@@ -1,7 +1,7 @@
-//! The gateways' view of the state: the whole, and its changes after an entry of the log.
+//! The gateways' view of the state: the complete view, and its changes after a log entry.
 //!
-//! Changes are known back to a bound of [`super::view_history`]; a gateway that has missed more is sent
-//! the whole view.
+//! Changes are kept up to a limit of [`super::view_history`]; a gateway that has missed more
+//! receives the complete view.
 
 use super::evidence::{REPORTING_THRESHOLD, RequestEvidence};
 use super::servers::ServerRegistry;
@@ -16,17 +16,17 @@
 use std::sync::Arc;
 use wingshore_types::LogIndex;
 
-/// How far the changes of a state's view are known.
+/// The range of log entries for which changes of the view are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownChanges {
-    /// Changes after this entry are known; `None` for a state that was just restored.
+    /// All changes after this log index are known; `None` for a state that was just restored.
     pub complete_from: Option<LogIndex>,
-    /// The last entry that is known to have changed anything.
+    /// Index of the last entry that is known to have changed the view.
     pub newest: Option<LogIndex>,
 }
 
 impl CoordinationState {
-    /// The whole view.
+    /// Returns the complete view.
     pub fn view(&self) -> SiteView {
         let servers = self.registry.servers.values();
         let suspects = self.evidence.suspects().filter(|known| is_in_view(known));
@@ -38,7 +38,7 @@
         }
     }
 
-    /// How far the changes of the view are known.
+    /// Returns the range of entries for which changes of the view are known.
     pub fn known_view_changes(&self) -> KnownChanges {
         KnownChanges {
             complete_from: self.view_history.complete_from(),
@@ -46,14 +46,14 @@
         }
     }
 
-    /// How many parts of the view have changed after `since`; `None` where that is not known.
+    /// Returns how many parts of the view have changed after `since`; `None` if that is not known.
     pub fn view_change_count(&self, since: LogIndex) -> Option<usize> {
         let from = self.view_history.complete_from()?;
         (since >= from).then(|| self.view_history.parts_since(since).count())
     }
 
-    /// What has changed in the view after `since`, each part as it is now; `None` where that is
-    /// not known any more.
+    /// Returns the changes of the view after `since`, each part with its current value; `None` if
+    /// they are no longer known.
     pub fn view_changes(&self, since: LogIndex) -> Option<Vec<ViewChange>> {
         let from = self.view_history.complete_from()?;
         if since < from {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Applies `change` to the registry, and notes whether gateways see a server differently after it.
+    /// Applies `change` to the registry, and records a view change if the server's record in the
+    /// gateways' view differs afterwards.
     pub(super) fn change_server(
         &mut self,
         index: LogIndex,
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Applies `change` to what is known of requests, and notes those that are or were part of the
-    /// view.
+    /// Applies `change` to the evidence, and records a view change for each request that is or was
+    /// part of the view.
     pub(super) fn change_evidence(
         &mut self,
         index: LogIndex,
@@ -124,12 +125,12 @@
     }
 }
 
-/// Whether it is part of the view.
+/// Returns whether a suspect request is part of the gateways' view.
 fn is_in_view(suspect: &Suspect) -> bool {
     suspect.ended.len() >= REPORTING_THRESHOLD
 }
 
-/// The configuration without the operator's document, which only coordinators read back.
+/// Returns the configuration without the operator's document, which only coordinators serve.
 fn for_gateways(configuration: &Arc<SiteConfiguration>) -> Arc<SiteConfiguration> {
     Arc::new(SiteConfiguration {
         version: configuration.version,
--- a/crates/gateways/wingshore-coordination/src/state/view_history.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view_history.rs
@@ -1,16 +1,16 @@
-//! Which parts of the gateways' view have changed after which entry of the log.
+//! History of the gateways' view: the log index at which each part last changed.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::InstanceId;
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::LogIndex;
 
-/// Parts that are remembered, 100 to 150 bytes each: all servers of a site of this size may change
-/// while a gateway is unreachable. A gateway that has missed more is sent the whole view, which is no
-/// longer than that.
+/// Maximum number of tracked parts, 100 to 150 bytes each: all servers of a site of this size may
+/// change while a gateway is unreachable. A gateway that has missed more receives the complete
+/// view, which is no longer than that.
 const MAX_TRACKED_PARTS: usize = 16_384;
 
-/// A part of the view that is sent by itself.
+/// A part of the view that can be sent separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ViewPart {
     Configuration,
@@ -19,10 +19,11 @@
     Suspect(RequestFingerprint),
 }
 
-/// The history. Each member makes its own while it applies the log; it is no part of snapshots.
+/// Changes of the view. Each member records its own history while it applies the log; snapshots do
+/// not contain it.
 ///
-/// Invariants: each part is in `changes` once, at the last entry that changed it; every part that has
-/// changed after `complete_from` is in it.
+/// Invariants: each part is in `changes` once, at the last entry that changed it; `changes`
+/// contains every part that has changed after `complete_from`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ViewHistory {
     complete_from: Option<LogIndex>,
@@ -31,20 +32,20 @@
 }
 
 impl PartialEq for ViewHistory {
-    /// How a state came about is no part of it.
+    /// All histories are equal: how a state was reached is not part of the state.
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
 impl ViewHistory {
-    /// An entry is about to be applied.
+    /// Starts the history at the first entry that is applied.
     pub(crate) fn begin_entry(&mut self, index: LogIndex) {
         self.complete_from
             .get_or_insert(LogIndex(index.0.saturating_sub(1)));
     }
 
-    /// An entry has changed a part.
+    /// Records that an entry has changed a part.
     pub(crate) fn record_change(&mut self, index: LogIndex, part: ViewPart) {
         if let Some(before) = self.changed_at.insert(part.clone(), index) {
             self.remove_change(before, &part);
@@ -70,17 +71,17 @@
         }
     }
 
-    /// The entry after which all changes are known; `None` while no entry was applied.
+    /// Returns the log index after which all changes are known; `None` while no entry was applied.
     pub(crate) fn complete_from(&self) -> Option<LogIndex> {
         self.complete_from
     }
 
-    /// The last entry that has changed anything, as far as is known.
+    /// Returns the index of the last entry that is known to have changed the view.
     pub(crate) fn newest(&self) -> Option<LogIndex> {
         self.changes.keys().next_back().copied()
     }
 
-    /// Parts that have changed after `since`, in the order of their last changes.
+    /// Returns the parts that have changed after `since`, in the order of their last changes.
     pub(crate) fn parts_since(&self, since: LogIndex) -> impl Iterator<Item = &ViewPart> {
         let first = LogIndex(since.0 + 1);
         self.changes.range(first..).flat_map(|(_, parts)| parts)
--- a/crates/gateways/wingshore-coordination/src/view.rs
+++ b/crates/gateways/wingshore-coordination/src/view.rs
@@ -23,7 +23,7 @@
     pub servers: Vec<ServerRecord>,
     /// Key of the site's request fingerprints; `None` until it is drawn.
     pub fingerprint_key: Option<FingerprintKey>,
-    /// Requests that were running on more than one server when the server crashed.
+    /// Suspect requests: more than one server crashed while running each of them.
     pub suspects: Vec<Suspect>,
 }
 
