--- a/crates/gateways/wingshore-coordination/src/messages/items.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/items.rs
@@ -121,12 +121,16 @@
                 BreakCause::Gateway => "the gateway broke off",
                 BreakCause::Engine(_) => "the engine broke off",
             },
-            Self::NotRun(NotRunReason::Full) => "the engine is full or loads weights",
-            Self::NotRun(NotRunReason::Mismatch) => "another server or version is there",
-            Self::NotRun(NotRunReason::Unreachable) => "no connection to the engine",
-            Self::NotRun(NotRunReason::Ended) => "nobody listens at the engine's address",
-            Self::NotRun(NotRunReason::Stopping) => "the gateway stops",
-            Self::NotRun(NotRunReason::Rejected) => "servers have ended under it",
+            Self::NotRun(NotRunReason::Full) => "the engine is at capacity or loading weights",
+            Self::NotRun(NotRunReason::Mismatch) => {
+                "the address belongs to another server incarnation or weight version"
+            }
+            Self::NotRun(NotRunReason::Unreachable) => "cannot connect to the engine",
+            Self::NotRun(NotRunReason::Ended) => "nothing listens at the engine's address",
+            Self::NotRun(NotRunReason::Stopping) => "the gateway is stopping",
+            Self::NotRun(NotRunReason::Rejected) => {
+                "rejected: servers crashed while running the request"
+            }
             Self::Failed => "the engine failed",
             Self::Impossible => "the engine says that it can never be done",
         }
--- a/crates/gateways/wingshore-coordination/src/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/scoring.rs
@@ -96,7 +96,7 @@
             Self::NotScored(NotScoredReason::NoRoute) => "no route leads to a scoring service",
             Self::NotScored(NotScoredReason::Refused) => "no scoring server took it",
             Self::NotScored(NotScoredReason::NoAnswer) => "no scoring server answered in time",
-            Self::NotScored(NotScoredReason::Stopping) => "the gateway stops",
+            Self::NotScored(NotScoredReason::Stopping) => "the gateway is stopping",
         }
     }
 }
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -43,7 +43,7 @@
         Record::Site(state) => state,
         Record::SiteEarlier(earlier) => Box::new((*earlier).into()),
         _ => {
-            let message = "the first record is not the site's";
+            let message = "the first record of the snapshot does not contain the site state";
             return Err(RestoreError::from_display(message));
         }
     };
@@ -54,7 +54,9 @@
             Record::Job(next) => add_job(&mut state, job.replace(next)),
             Record::Result(saved) => {
                 let Some(job) = &mut job else {
-                    return Err(RestoreError::from_display("a result without a job"));
+                    return Err(RestoreError::from_display(
+                        "result record without a preceding job record",
+                    ));
                 };
                 job.results
                     .push(Arc::new(read_result(texts, saved, reader)?));
@@ -65,7 +67,9 @@
             }
             Record::Evidence(evidence) => state.evidence = *evidence,
             Record::Site(_) | Record::SiteEarlier(_) => {
-                return Err(RestoreError::from_display("a second site"));
+                return Err(RestoreError::from_display(
+                    "more than one record with the site state",
+                ));
             }
         }
     }
@@ -89,7 +93,7 @@
 fn read_bytes(reader: &mut dyn Read, length: u32) -> Result<Vec<u8>, RestoreError> {
     let length = length as usize;
     if length > MAX_RECORD_BYTES {
-        let message = format!("a record of {length} bytes; allowed are {MAX_RECORD_BYTES}");
+        let message = format!("record of {length} bytes exceeds the limit of {MAX_RECORD_BYTES}");
         return Err(RestoreError::from_display(message));
     }
     let mut bytes = Vec::new();
@@ -98,7 +102,9 @@
         .read_to_end(&mut bytes)
         .map_err(RestoreError::from_display)?;
     if bytes.len() < length {
-        return Err(RestoreError::from_display("the state is cut short"));
+        return Err(RestoreError::from_display(
+            "the snapshot ends within a record or text",
+        ));
     }
     Ok(bytes)
 }
@@ -114,7 +120,7 @@
             let store = texts
                 .0
                 .as_ref()
-                .ok_or("a text on disk, and no store of texts");
+                .ok_or("the snapshot references a text on disk, but there is no text store");
             let store = store.map_err(RestoreError::from_display)?;
             TextPlace::Disk(store.find(place).map_err(RestoreError::from_display)?)
         }
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -59,7 +59,7 @@
 
     fn reader(self: Arc<Self>) -> io::Result<Box<dyn Read + Send>> {
         if self.length.is_none() {
-            return Err(io::Error::other("the state does not encode"));
+            return Err(io::Error::other("the state cannot be encoded"));
         }
         Ok(Box::new(StateReader::new(self, InlineTexts)))
     }
--- a/crates/gateways/wingshore-coordination/src/text/packed.rs
+++ b/crates/gateways/wingshore-coordination/src/text/packed.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TextError {
     /// The stored bytes do not decompress to a text of the expected length.
-    #[snafu(display("a kept text of {length} bytes is damaged"))]
+    #[snafu(display("the stored text of {length} bytes is damaged"))]
     Damaged {
         /// Expected length of the text in bytes.
         length: u64,
     },
     /// The stored bytes cannot be read.
-    #[snafu(display("a kept text cannot be read: {reason}"))]
+    #[snafu(display("the stored text cannot be read: {reason}"))]
     Unreadable {
         /// Error of the disk.
         reason: String,
