--- a/crates/gateways/wingshore-coordination/tests/fingerprint.rs
+++ b/crates/gateways/wingshore-coordination/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of requests: what makes two requests the same one.
+//! Fingerprints of requests: which parts of a request they depend on.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
     content.fingerprint(FingerprintKey::new(key))
 }
 
-/// Short parts of few letters, so that neighbours often join to the same text.
+/// Short parts from a small alphabet, so that adjacent parts often concatenate to the same text.
 fn parts() -> impl Strategy<Value = Parts> {
     let bytes = || prop::collection::vec(97..99_u8, 0..3);
     ("[ab]{0,2}", "[ab]{0,2}", "[ab]{0,2}", bytes(), bytes())
@@ -26,7 +26,7 @@
 
 proptest! {
     #[test]
-    fn requests_have_one_fingerprint_only_if_all_parts_are_equal(left in parts(), right in parts()) {
+    fn requests_share_a_fingerprint_only_if_all_parts_are_equal(left in parts(), right in parts()) {
         let key = [7; 16];
         let same = fingerprint(key, &left) == fingerprint(key, &right);
         prop_assert_eq!(same, left == right);
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn the_key_does_not_show_in_debug_output() {
+fn debug_output_hides_the_key() {
     let shown = format!("{:?}", FingerprintKey::new([0xab; 16]));
     expect_that!(shown, eq("FingerprintKey"));
 }
--- a/crates/gateways/wingshore-coordination/tests/forgotten_jobs.rs
+++ b/crates/gateways/wingshore-coordination/tests/forgotten_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that ended long ago are forgotten, and nothing of them counts for later ones.
+//! Jobs that ended long ago are forgotten, and none of their state affects later jobs.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use support::{Group, job};
 use wingshore_coordination::{JobId, Request};
 
-/// Longer than an ended job is remembered.
+/// Longer than the retention of an ended job.
 const RETENTION: Duration = Duration::from_secs(140);
-/// Longer than the route of the tests allows an item to wait.
+/// Longer than the test route's limit for the queue time of an item.
 const QUEUE_TIME: Duration = Duration::from_secs(50);
 
-/// A leader that had forgotten a job counted the time in the queue of a later one of the same name from then on, and
-/// abandoned its items at once.
+/// Guards against queue times that survive their job: once a leader had forgotten a job, a later
+/// job of the same name inherited its queue time, and its items were abandoned at once.
 #[gtest]
 fn a_job_that_reuses_a_forgotten_name_gets_its_full_queue_time() {
     let mut group = Group::new();
--- a/crates/gateways/wingshore-coordination/tests/formats.rs
+++ b/crates/gateways/wingshore-coordination/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Which format two processes speak, and what a hello with formats looks like.
+//! Negotiation of message formats, and the encoding of a hello with a format range.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -18,9 +18,9 @@
 }
 
 proptest! {
-    /// Both sides find the same, without a word more.
+    /// Both sides pick the same format without a further message.
     #[test]
-    fn the_newest_format_of_both_is_spoken(one in any_range(), other in any_range()) {
+    fn the_newest_common_format_is_chosen(one in any_range(), other in any_range()) {
         let of_both = |format: &u16| {
             (one.oldest..=one.newest).contains(format)
                 && (other.oldest..=other.newest).contains(format)
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn what_follows_a_range_is_ignored() {
+fn bytes_after_a_range_are_ignored() {
     expect_that!(
         FormatRange::after_hello(&[2, 3, 200, 7]),
         ok(eq(&range(2, 3)))
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn a_refusal_says_what_the_peer_speaks() {
+fn a_refusal_displays_the_formats_of_the_peer() {
     let refusal = |formats| Refusal {
         formats,
         is_first: true,
--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -1,4 +1,4 @@
-//! Parts that the examples share. Each field has a value of its own where its type allows it.
+//! Values that the examples share. Each field has a distinct value if its type allows it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     )
 }
 
-/// A server that does not say when it started.
+/// A server that does not report its start time.
 pub fn instance_without_start_time() -> InstanceId {
     InstanceId::from("engine-2")
 }
--- a/crates/gateways/wingshore-coordination/tests/golden/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/mod.rs
@@ -1,9 +1,9 @@
-//! Encoded examples of everything that leaves a process, compared byte by byte with golden files.
+//! Encoded examples of all data that leaves a process, compared byte by byte with golden files.
 //!
-//! A golden file has one line for each example: its name and its bytes in hexadecimal digits. The
-//! files were written by a release that is in use. A line of them never changes: processes of two
-//! releases talk to each other during an upgrade, and logs and snapshots of one release are read by
-//! the next one. A new kind adds a line, which the failing test prints.
+//! A golden file has one line per example: its name and its bytes in hexadecimal. The files were
+//! written by a release that is in use. Their lines never change, since processes of two releases
+//! communicate during an upgrade, and the logs and snapshots of one release are read by the next
+//! one. A new kind of message adds a line, which the failing test prints.
 
 #[allow(dead_code, reason = "each test file uses its own part")]
 pub mod examples;
@@ -14,7 +14,7 @@
 use std::fmt::Debug;
 use std::fmt::Write;
 
-/// Compares each example, in the codec's bytes, with its line, and reads each line back.
+/// Compares the encoding of each example with its line, and decodes each line.
 pub fn check<T>(golden: &str, examples: &[T], name: fn(&T) -> &'static str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Compares named bytes with the lines of a golden file.
+/// Compares named byte strings with the lines of a golden file.
 pub fn check_bytes(golden: &str, examples: &[(&str, Vec<u8>)]) {
     let mut expected = String::new();
     for (name, bytes) in examples {
--- a/crates/gateways/wingshore-coordination/tests/golden_calls.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_calls.rs
@@ -1,4 +1,4 @@
-//! Bytes of requests to the group and their replies.
+//! Golden bytes of requests to the group and their replies.
 
 mod golden;
 
--- a/crates/gateways/wingshore-coordination/tests/golden_hellos.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_hellos.rs
@@ -1,6 +1,6 @@
-//! Bytes of the first message on each kind of link, with the formats that its sender speaks.
+//! Golden bytes of the first message on each kind of link, with the format range of its sender.
 
-#[allow(dead_code, reason = "one of its checks is for other files")]
+#[allow(dead_code, reason = "`check` is used by other test files")]
 mod golden;
 
 use golden::check_bytes;
@@ -67,8 +67,9 @@
     check_bytes(include_str!("golden/hellos.txt"), &examples);
 }
 
-/// A program that knows no formats reads the same message; one that does reads both.
-fn is_read_by_both<M>(hello: &M)
+/// Checks that a program without format ranges reads the same message, and one with them reads
+/// both.
+fn check_both_releases_decode<M>(hello: &M)
 where
     M: Serialize + DeserializeOwned + PartialEq + Debug,
 {
@@ -83,8 +84,8 @@
 }
 
 #[gtest]
-fn programs_that_know_no_formats_read_hellos_with_them() {
-    is_read_by_both(&gateway());
-    is_read_by_both(&coordinator());
-    is_read_by_both(&answer_to_a_gateway());
+fn programs_without_format_ranges_decode_hellos_with_them() {
+    check_both_releases_decode(&gateway());
+    check_both_releases_decode(&coordinator());
+    check_both_releases_decode(&answer_to_a_gateway());
 }
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -1,4 +1,4 @@
-//! Bytes of all messages between gateways and coordinators, and between coordinators.
+//! Golden bytes of all messages between gateways and coordinators, and between coordinators.
 
 mod golden;
 
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -1,4 +1,4 @@
-//! Bytes of the replicated log's commands, and of snapshots.
+//! Golden bytes of the replicated log's commands, and of snapshots.
 
 mod golden;
 
@@ -20,7 +20,7 @@
 use wingshore_types::snapshot_data::SnapshotData;
 use wingshore_types::{Epoch, LogIndex, ReplicaId};
 
-/// Commands that only earlier releases wrote: taken from a log that one of them wrote.
+/// Commands that only earlier releases write, taken from a log written by one of them.
 fn commands_of_earlier_releases() -> Vec<Command> {
     let log = include_bytes!("fixtures/commands.bin");
     let commands: Vec<Command> = postcard::from_bytes(log).unwrap();
@@ -184,7 +184,7 @@
     check(golden, &commands(), name_of_command);
 }
 
-/// A store of texts that holds one text, which it reads back for every place.
+/// A text store that contains a single text and returns it for every location.
 #[derive(Debug)]
 struct SingleTextStore;
 
--- a/crates/gateways/wingshore-coordination/tests/golden_view.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_view.rs
@@ -1,4 +1,4 @@
-//! Bytes of what gateways are told of the site.
+//! Golden bytes of the view updates that gateways receive.
 
 mod golden;
 
--- a/crates/gateways/wingshore-coordination/tests/peer_before_revisions.rs
+++ b/crates/gateways/wingshore-coordination/tests/peer_before_revisions.rs
@@ -1,7 +1,8 @@
-//! What this program and a peer from before the view had revisions read in each other's messages.
+//! Compatibility with a peer that predates revisions of the view: how each side decodes the
+//! messages of the other.
 //!
-//! The earlier forms are written out here, as far as they differ. Both programs decode what they
-//! were never meant to: some of it fails, some of it is read as something else.
+//! The earlier message types are defined here as far as they differ. Both programs decode messages
+//! of an unknown form: some fail to decode, some are decoded as something else.
 
 use googletest::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -13,7 +14,8 @@
 };
 use wingshore_types::{Epoch, LogIndex};
 
-/// Messages to gateways as the peer knows them; those between are as they are now.
+/// Messages to gateways in the peer's release; the variants between those defined here have the
+/// current form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum EarlierCoordinatorMessage {
     Welcome {
@@ -39,7 +41,8 @@
     },
 }
 
-/// Messages of gateways as the peer knows them; those before the last are as they are now.
+/// Messages of gateways in the peer's release; the variants before the last one have the current
+/// form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum EarlierGatewayMessage {
     Status,
@@ -74,7 +77,7 @@
     }
 }
 
-/// The index of the copy is read as the time of day.
+/// The peer decodes the index of the copy as the wall-clock time.
 #[gtest]
 fn a_status_message_is_misread_without_an_error() {
     let read: EarlierCoordinatorMessage = read_earlier(&alive(None, Some(LogIndex(400)))).unwrap();
@@ -87,7 +90,7 @@
     expect_that!(read, eq(&expected));
 }
 
-/// The first one on a link names the coordinators.
+/// The first status message on a link contains the addresses of the coordinators.
 #[gtest]
 fn a_first_status_message_is_refused() {
     let coordinators = vec![([10, 0, 0, 2], 7000).into(), ([10, 0, 0, 3], 7000).into()];
@@ -97,7 +100,7 @@
 }
 
 #[gtest]
-fn a_leader_is_not_understood_by_an_earlier_gateway() {
+fn messages_of_a_leader_are_refused_by_an_earlier_gateway() {
     let leading = CoordinatorMessage::Leading { epoch: Epoch(300) };
     let read = read_earlier::<EarlierCoordinatorMessage>(&leading);
     expect_that!(read.is_err(), eq(true), "{read:?}");
@@ -109,7 +112,7 @@
     expect_that!(read.is_err(), eq(true), "{read:?}");
 }
 
-/// The leadership is believed, and the view after it is dropped.
+/// The epoch is decoded, and the view that follows it is ignored.
 #[gtest]
 fn the_epoch_of_an_earlier_leader_is_read_without_its_view() {
     let welcome = EarlierCoordinatorMessage::Welcome {
@@ -121,7 +124,7 @@
 }
 
 #[gtest]
-fn following_the_view_is_not_understood_by_an_earlier_coordinator() {
+fn view_subscriptions_are_refused_by_an_earlier_coordinator() {
     for since in [None, Some(LogIndex(400))] {
         let read = read_earlier::<EarlierGatewayMessage>(&GatewayMessage::FollowView { since });
         expect_that!(read.is_err(), eq(true), "{read:?}");
--- a/crates/gateways/wingshore-coordination/tests/state_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_properties.rs
@@ -1,5 +1,5 @@
-//! Whatever commands are applied in whatever order, the promises of the replicated state hold, and
-//! a snapshot holds all of it.
+//! Property tests: the invariants of the replicated state hold after any sequence of commands, and
+//! a snapshot contains the complete state.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::{Epoch, LogIndex};
 
-/// Items of each job.
+/// Number of items of each job.
 const ITEMS: u32 = 4;
 
 fn instance() -> impl Strategy<Value = String> {
@@ -38,7 +38,7 @@
     })
 }
 
-/// The attempt, out of a few, that made or scored a text.
+/// One of a few attempts that generated or scored a text.
 fn made_by() -> impl Strategy<Value = AssignmentId> {
     (0..3_u64).prop_map(|number| AssignmentId {
         epoch: Epoch(1),
@@ -46,9 +46,9 @@
     })
 }
 
-/// The text that an attempt made; its score is the same.
+/// The text that an attempt generated; its score is the same string.
 fn text_of(made_by: AssignmentId) -> String {
-    format!("text of try {}", made_by.number)
+    format!("text of attempt {}", made_by.number)
 }
 
 fn item_key(job: &str, index: u32) -> ItemKey {
@@ -58,7 +58,7 @@
     }
 }
 
-fn kept_text() -> impl Strategy<Value = ItemText> {
+fn partial_text_strategy() -> impl Strategy<Value = ItemText> {
     (1..4_u64, "[a-z]{1,4}").prop_map(|(events, text)| ItemText {
         text,
         events,
@@ -86,16 +86,18 @@
             job: JobId::from(id),
             result,
         }),
-        (job_id(), 0..ITEMS + 1, 0..6_u64, kept_text()).prop_map(|(id, index, after, text)| {
-            Command::KeepText {
-                item: ItemKey {
-                    job: JobId::from(id),
-                    index,
-                },
-                after_events: after,
-                text,
+        (job_id(), 0..ITEMS + 1, 0..6_u64, partial_text_strategy()).prop_map(
+            |(id, index, after, text)| {
+                Command::KeepText {
+                    item: ItemKey {
+                        job: JobId::from(id),
+                        index,
+                    },
+                    after_events: after,
+                    text,
+                }
             }
-        }),
+        ),
         (job_id(), 0..ITEMS + 1, made_by()).prop_map(|(id, index, made_by)| {
             Command::KeepUnscored {
                 item: item_key(&id, index),
@@ -124,28 +126,34 @@
     ]
 }
 
-/// What must not change from one state to a later one.
+/// Checks the invariants between a state and a later one.
 fn check_step(before: &CoordinationState, after: &CoordinationState) {
     let version = |state: &CoordinationState| state.configuration().map(|held| held.version);
-    assert!(version(after) >= version(before), "the configuration fell");
+    assert!(
+        version(after) >= version(before),
+        "the version of the configuration decreased"
+    );
     for (model, named) in before.named_versions() {
         assert!(
             after.named_versions()[model] >= *named,
-            "a named version fell"
+            "a published version decreased"
         );
     }
     for (instance, server) in before.servers() {
         let Some(later) = after.servers().get(instance) else {
             continue;
         };
-        assert!(!server.draining || later.draining, "a drain was undone");
+        assert!(
+            !server.draining || later.draining,
+            "a draining server stopped draining"
+        );
         let model = ModelName::from("m");
         assert!(later.version_of(&model) >= server.version_of(&model));
     }
     for instance in after.servers().keys() {
         assert!(
             !before.has_departed(instance),
-            "a departed server came back"
+            "a departed server was registered again"
         );
     }
     for (id, job) in before.jobs() {
@@ -155,11 +163,11 @@
             job.results[..],
             "a listed result moved or changed"
         );
-        assert!(!job.ended || later.ended, "an ended job went on");
+        assert!(!job.ended || later.ended, "an ended job is no longer ended");
     }
 }
 
-fn check(state: &CoordinationState) {
+fn check_invariants(state: &CoordinationState) {
     for job in state.jobs().values() {
         let mut ids: Vec<&str> = job
             .results
@@ -183,7 +191,10 @@
         for result in &job.results {
             if let Some(score) = &result.score {
                 let text = result.text.unpack().unwrap();
-                assert_eq!(*score, text, "a score of another try's text");
+                assert_eq!(
+                    *score, text,
+                    "an item has the score of another attempt's text"
+                );
             }
         }
     }
@@ -197,12 +208,12 @@
             let before = state.clone();
             state.apply(LogIndex(index), command);
             check_step(&before, &state);
-            check(&state);
+            check_invariants(&state);
         }
     }
 
     #[test]
-    fn a_snapshot_holds_all_of_the_state(commands in proptest::collection::vec(command(), 0..60)) {
+    fn a_snapshot_restores_the_complete_state(commands in proptest::collection::vec(command(), 0..60)) {
         let mut state = CoordinationState::default();
         for (index, command) in (1..).zip(commands) {
             state.apply(LogIndex(index), command);
@@ -217,7 +228,7 @@
     }
 
     #[test]
-    fn a_text_is_its_prefix_and_what_follows(events in 1..8_u64, cut in 0..8_u64) {
+    fn a_text_equals_its_prefix_extended_by_the_rest(events in 1..8_u64, cut in 0..8_u64) {
         let data: Vec<String> = (1..=events).map(|number| format!("e{number}")).collect();
         let text = |count: u64| ItemText {
             text: data[..count as usize].join("\n"),
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -18,7 +18,7 @@
 const ITEMS: u32 = 5;
 const JOBS: usize = 4;
 
-/// A store whose disk is a list in memory; texts move there when the test says so.
+/// A text store whose disk is a list in memory; texts are moved there when the test requests it.
 #[derive(Clone, Default)]
 struct TestStore {
     shared: Arc<Mutex<Shared>>,
@@ -55,8 +55,8 @@
 }
 
 impl TestStore {
-    /// Moves every second text that is held.
-    fn move_half(&self) {
+    /// Moves every second stored text to the disk.
+    fn move_every_second_text(&self) {
         let held = self.shared.lock().unwrap().held.clone();
         for text in held.iter().step_by(2) {
             let TextPlace::Memory(bytes) = text.place() else {
@@ -110,7 +110,7 @@
     }
 }
 
-/// A state with results, some of them empty, partial texts and an ended job.
+/// Fills a state with results, some of them empty, partial texts and an ended job.
 fn fill(state: &mut CoordinationState) {
     for number in 0..JOBS {
         let job = support::job(&format!("job-{number}"), ITEMS);
@@ -125,7 +125,7 @@
     state.apply(LogIndex(3), Command::EndJob(JobId::from("job-1")));
 }
 
-fn with_store() -> (CoordinationState, TestStore) {
+fn state_with_store() -> (CoordinationState, TestStore) {
     let store = TestStore::default();
     let mut state = CoordinationState::default();
     state.keep_texts_in(Arc::new(store.clone()));
@@ -134,21 +134,21 @@
 }
 
 fn read_whole(data: &SnapshotData) -> Vec<u8> {
-    data.to_bytes().expect("it can be read").to_vec()
+    data.to_bytes().expect("the snapshot is readable").to_vec()
 }
 
 #[gtest]
 fn texts_on_disk_are_inlined_for_peers_and_referenced_locally() {
-    let (state, store) = with_store();
+    let (state, store) = state_with_store();
     let in_memory = state.snapshot();
-    store.move_half();
+    store.move_every_second_text();
     let data = SnapshotData::from(state.freeze());
     expect_that!(read_whole(&data), eq(&in_memory));
     let own = data.for_own_disk();
     expect_that!(own.length(), lt(data.length()));
     expect_that!(read_whole(&own).len() as u64, eq(own.length()));
 
-    // Another member, and this one after a restart.
+    // Restores at another member, and at this one after a restart.
     let restored = CoordinationState::restore(&in_memory).unwrap();
     expect_that!(restored == state, eq(true));
     let mut restarted = CoordinationState::default();
@@ -158,19 +158,19 @@
 }
 
 #[gtest]
-fn each_reading_gives_the_same_bytes_while_texts_move() {
-    let (state, store) = with_store();
+fn every_reader_returns_the_same_bytes_while_texts_move() {
+    let (state, store) = state_with_store();
     let data = SnapshotData::from(state.freeze());
     let own = data.for_own_disk();
     let (first, first_own) = (read_whole(&data), read_whole(&own));
-    store.move_half();
+    store.move_every_second_text();
     expect_that!(read_whole(&data), eq(&first));
     expect_that!(read_whole(&own), eq(&first_own));
 }
 
 #[gtest]
-fn parts_make_up_the_whole_in_any_order() {
-    let (state, _) = with_store();
+fn parts_read_in_any_order_match_the_complete_snapshot() {
+    let (state, _) = state_with_store();
     let data = SnapshotData::from(state.freeze());
     let whole = read_whole(&data);
     let mut parts = PartReader::new(data);
@@ -191,8 +191,8 @@
 }
 
 #[gtest]
-fn the_store_learns_which_snapshot_is_durable() {
-    let (state, store) = with_store();
+fn the_store_is_notified_of_durable_snapshots() {
+    let (state, store) = state_with_store();
     let first = SnapshotData::from(state.freeze());
     let second = SnapshotData::from(state.freeze());
     expect_that!(store.shared.lock().unwrap().durable, eq(0));
@@ -202,7 +202,7 @@
     expect_that!(store.shared.lock().unwrap().durable, eq(2));
 }
 
-/// A state as the releases before wrote it, as one value: it has three results.
+/// Reads a state in the form of earlier releases, encoded as one value; it has three results.
 #[gtest]
 fn a_state_of_the_single_value_format_is_read_and_its_texts_are_stored() {
     let one_value = include_bytes!("fixtures/whole.bin");
@@ -217,8 +217,8 @@
 }
 
 #[gtest]
-fn a_stream_that_is_cut_anywhere_is_refused() {
-    let (state, _) = with_store();
+fn a_truncated_stream_is_refused_at_any_length() {
+    let (state, _) = state_with_store();
     let whole = state.snapshot();
     for length in 0..whole.len() {
         expect_that!(
@@ -235,9 +235,9 @@
 }
 
 #[gtest]
-fn a_text_on_disk_reads_as_it_did_in_memory() {
-    let (state, store) = with_store();
-    store.move_half();
+fn a_text_on_disk_reads_the_same_as_in_memory() {
+    let (state, store) = state_with_store();
+    store.move_every_second_text();
     let job = &state.jobs()[&JobId::from("job-2")];
     for (index, result) in job.results.iter().enumerate() {
         expect_that!(result.text.unpack(), ok(eq(&"line\n".repeat(index * 100))));
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -1,8 +1,8 @@
-//! Tenants: which configurations of them are valid, what a key opens, and whose a job is.
+//! Tenants: validation of their configuration, lookup of keys, and ownership of jobs.
 //!
-//! Seen before: keys were passed on to servers (4,779 to 11,242 times a day), one that a version had
-//! taken away still opened, and a job could be read and ended by anybody who knew its name. Cause: nothing
-//! knew keys or tenants.
+//! These tests guard against failures of a version without tenants and keys: keys were forwarded to
+//! servers (4,779 to 11,242 times a day), a key that a configuration had removed was still
+//! accepted, and any caller that knew a job's name could read and end it.
 
 mod support;
 
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn names_and_keys_that_cannot_be_used_are_refused() {
+fn invalid_names_and_keys_are_refused() {
     for (tenants, reason) in [
         (vec![tenant("a", &[""], None)], "an empty key"),
         (vec![tenant("", &["one"], None)], "its name"),
@@ -118,7 +118,7 @@
 }
 
 #[gtest]
-fn a_job_of_another_tenant_does_not_exist() {
+fn jobs_of_other_tenants_are_not_visible() {
     let mut group = Group::new();
     let submitted = group.ask(Request::SubmitJob(job_of("j", Some("a"), 2)));
     expect_that!(submitted, some(eq(&Reply::Done)));
@@ -166,7 +166,7 @@
     expect_that!(group.ask(Request::EndJob(of_a)), some(eq(&Reply::Done)));
 }
 
-/// Each assignment names the tenant, also by a leader that came later.
+/// Each assignment contains the tenant, even from a leader elected later.
 #[gtest]
 fn items_name_their_tenant_after_a_change_of_leader() {
     let mut group = Group::new();
@@ -182,8 +182,8 @@
     expect_that!(tenants, elements_are![eq(&Some(TenantName::from("a")))]);
 }
 
-/// Two jobs wait for four slots: the one of the more urgent tenant gets them, though it came later, and
-/// its rank takes the place of the route's.
+/// Two jobs compete for four slots: the job of the more urgent tenant gets them although it was
+/// submitted later, because the tenant's priority replaces that of the route.
 #[gtest]
 fn the_priority_of_a_tenant_overrides_that_of_the_route() {
     let mut group = Group::new();
@@ -206,7 +206,8 @@
     expect_that!(items.iter().all(|item| item.priority == 0), eq(true));
 }
 
-/// Keys outlive jobs, and jobs outlive keys: whoever has a key of the tenant now may ask.
+/// A job identifier keeps its tenant when it is encoded. Jobs belong to tenants rather than to keys,
+/// since keys outlive jobs and jobs outlive keys: any caller with a current key may access the job.
 #[gtest]
 fn job_ids_survive_the_codec() {
     for id in [of_tenant("j", None), of_tenant("j", Some("a"))] {
@@ -215,7 +216,7 @@
     }
 }
 
-/// Usage has to do with tenants only: without any, no window is closed and nothing is sent.
+/// Usage is counted per tenant: without tenants, no window is closed and nothing is sent.
 #[gtest]
 fn a_site_without_tenants_reports_no_usage() {
     let mut group = Group::with_settings(LeaderSettings {
--- a/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
+++ b/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
@@ -1,7 +1,8 @@
-//! What the decoders of messages, commands and snapshots do with what a newer build may write.
+//! Behaviour of the decoders of messages, commands and snapshots on data that a newer build may
+//! write.
 //!
-//! The rules of formats stand on this: bytes after the end of a value are ignored, whatever they
-//! mean; a variant that is not known, and a value that ends too early, are refused.
+//! The rules for message formats depend on it: bytes after the end of a message are ignored,
+//! whatever they mean; an unknown variant and a truncated value are refused.
 
 use googletest::prelude::*;
 use serde::de::DeserializeOwned;
@@ -24,10 +25,10 @@
 const REPLIES: &str = include_str!("golden/replies.txt");
 const REQUESTS: &str = include_str!("golden/requests.txt");
 
-/// Bytes that nobody writes today, among them the marks of variants and long integers.
+/// Trailing bytes that no current build writes, among them variant tags and long integers.
 const TRAILING_BYTES: &[&[u8]] = &[&[0], &[1, 1], &[0xff; 12], b"a range or anything else"];
 
-/// Names and bytes of the lines of a golden file.
+/// Returns the names and bytes of the lines of a golden file.
 fn lines(golden: &str) -> Vec<(&str, Vec<u8>)> {
     let named = golden.lines().map(|line| line.split_once(' ').unwrap());
     named.map(|(name, digits)| (name, unhex(digits))).collect()
@@ -40,7 +41,7 @@
         .collect()
 }
 
-/// Each line is read as the same value with more bytes after its end.
+/// Checks that each line decodes to the same value if more bytes follow it.
 fn check_trailing_bytes_are_ignored<T: DeserializeOwned + PartialEq + Debug>(golden: &str) {
     for (name, bytes) in lines(golden) {
         let alone: T = postcard::from_bytes(&bytes).unwrap();
@@ -55,7 +56,7 @@
     }
 }
 
-/// No beginning of a line is read as a value.
+/// Checks that no truncated line decodes to a value.
 fn check_truncations_are_refused<T: DeserializeOwned + Debug>(golden: &str) {
     for (name, bytes) in lines(golden) {
         for length in 0..bytes.len() {
@@ -65,7 +66,7 @@
     }
 }
 
-/// The variant after the last one is refused, whatever follows.
+/// Checks that the variant after the last one is refused, whatever follows.
 fn check_next_variant_is_refused<T: DeserializeOwned + Debug>(golden: &str) {
     let last = lines(golden).iter().map(|(_, bytes)| bytes[0]).max();
     let mut bytes = vec![last.unwrap() + 1];
@@ -87,7 +88,7 @@
 }
 
 #[gtest]
-fn messages_that_end_too_early_are_refused() {
+fn truncated_messages_are_refused() {
     check_truncations_are_refused::<IncomingFrame>(INCOMING_FRAMES);
     check_truncations_are_refused::<CoordinatorFrame>(COORDINATOR_FRAMES);
     check_truncations_are_refused::<GatewayMessage>(GATEWAY_MESSAGES);
@@ -105,14 +106,14 @@
     check_next_variant_is_refused::<Reply>(REPLIES);
 }
 
-/// A hello of a coordinator stands in an envelope, and ends with it.
+/// A coordinator's hello is inside an envelope and is its last field.
 #[gtest]
 fn bytes_after_a_hello_of_a_coordinator_are_ignored_in_its_envelope() {
     let hello = lines(COORDINATOR_FRAMES)
         .into_iter()
         .find(|(name, _)| *name == "hello");
     let (_, hello) = hello.unwrap();
-    /// The variant of frames between coordinators.
+    /// Variant tag of frames between coordinators.
     const COORDINATOR: u8 = 2;
     let alone = [&[COORDINATOR], hello.as_slice()].concat();
     let expected: IncomingFrame = postcard::from_bytes(&alone).unwrap();
@@ -123,8 +124,8 @@
     }
 }
 
-/// A field that another build has appended to a command is no command of this build: members of the two would hold
-/// different states. What any build has written is taken.
+/// A command with a field that another build has appended must be refused: members that ignored the
+/// field would diverge from those that know it. Everything that any build has written is accepted.
 #[gtest]
 fn bytes_after_the_end_of_commands_are_refused() {
     for (name, bytes) in lines(COMMANDS) {
@@ -143,7 +144,7 @@
 }
 
 #[gtest]
-fn unknown_commands_and_cut_ones_are_refused() {
+fn unknown_and_truncated_commands_are_refused() {
     check_next_variant_is_refused::<Command>(COMMANDS);
     check_truncations_are_refused::<Command>(COMMANDS);
 }
@@ -170,13 +171,14 @@
     );
 }
 
-/// Bytes of the first record of a snapshot, after the format and the record's length.
+/// Returns the byte range of the first record of a snapshot, after the format and the record's
+/// length.
 fn first_record(snapshot: &[u8]) -> std::ops::Range<usize> {
     let length = u32::from_le_bytes(snapshot[1..5].try_into().unwrap());
     5..5 + length as usize
 }
 
-/// As with a command: a member that drops a field goes on with another state.
+/// As with commands: a member that ignored a field would continue with a different state.
 #[gtest]
 fn bytes_after_the_end_of_a_record_of_a_snapshot_are_refused() {
     let state = state();
@@ -194,7 +196,7 @@
 #[gtest]
 fn an_unknown_record_of_a_snapshot_is_refused() {
     let mut bytes = state().snapshot();
-    /// The variant after the last one.
+    /// Tag of the variant after the last one.
     const UNKNOWN: u8 = 6;
     let record = first_record(&bytes);
     bytes[record.start] = UNKNOWN;
--- a/crates/gateways/wingshore-coordination/tests/upgrade.rs
+++ b/crates/gateways/wingshore-coordination/tests/upgrade.rs
@@ -1,10 +1,10 @@
-//! Upgrades: logs and snapshots of the release before are read as what they said.
+//! Upgrades: logs and snapshots of the previous release are decoded correctly.
 //!
-//! The fixtures were written by the program of the release before this one's tenants, runs of servers and
-//! reports of usage, from the same entries as `upgrade/commands.rs` lists: its log (`commands.bin`), its
-//! snapshot (`snapshot.bin`), and the whole state as one value (`whole.bin`), the form of the releases
-//! before that. Without the earlier forms of what has grown since, each of the three is misread: the
-//! codec tells fields by their order only.
+//! The fixtures were written by the release before tenants, server incarnations and usage reports,
+//! from the entries that `upgrade/commands.rs` lists: its log (`commands.bin`), its snapshot
+//! (`snapshot.bin`), and the complete state as one value (`whole.bin`), the form of the releases
+//! before that. Without the earlier forms of the structures that have gained fields, each of the
+//! three is misread, since the codec identifies fields by their order only.
 
 #[path = "upgrade/commands.rs"]
 mod commands;
@@ -38,7 +38,7 @@
     expect_that!(restored == state_of(commands_of_fixture()), eq(true));
 }
 
-/// The oldest form has no evidence: all else is read.
+/// The oldest form contains no evidence; everything else is restored.
 #[gtest]
 fn a_state_written_as_one_value_is_restored() {
     let restored = CoordinationState::restore(include_bytes!("fixtures/whole.bin")).unwrap();
@@ -52,7 +52,7 @@
     expect_that!(restored.retired_members(), eq(expected.retired_members()));
 }
 
-/// What this release writes is read back by itself, with what only it knows.
+/// This release restores its own snapshots, including state that earlier releases do not have.
 #[gtest]
 fn a_snapshot_of_this_release_is_read_back() {
     let state = state_of(commands_of_fixture());
--- a/crates/gateways/wingshore-coordination/tests/upgrade/commands.rs
+++ b/crates/gateways/wingshore-coordination/tests/upgrade/commands.rs
@@ -1,4 +1,4 @@
-//! Entries of a log, as the release before wrote them into `fixtures/`.
+//! Log entries of the previous release, as in `fixtures/`.
 
 use super::support;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 };
 use wingshore_types::{Epoch, ReplicaId};
 
-/// What a small site writes into its log: each kind of entry that the release before knew.
+/// Log of a small site, with each kind of entry that the previous release knew.
 pub fn commands_of_fixture() -> Vec<Command> {
     let item = |index| ItemKey {
         job: JobId::from("job-0"),
