--- a/crates/gateways/wingshore-coordination/src/leader/configuring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/configuring.rs
@@ -9,7 +9,7 @@
 use crate::messages::Reply;
 use crate::routes::RouteTable;
 use crate::state::{Command, CoordinationState};
-use crate::tenants::TenantRanks;
+use crate::tenants::TenantPriorities;
 use std::sync::Arc;
 use wingshore_types::machine::RequestTag;
 
@@ -47,7 +47,7 @@
     pub(super) fn take_configuration(&mut self, state: &CoordinationState) {
         if let Some(configuration) = state.configuration() {
             self.routes = RouteTable::new(configuration);
-            self.ranks = TenantRanks::new(&configuration.tenants);
+            self.ranks = TenantPriorities::new(&configuration.tenants);
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/machine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/machine.rs
@@ -20,7 +20,7 @@
 use super::turn::Turn;
 use crate::routes::RouteTable;
 use crate::state::Command;
-use crate::tenants::TenantRanks;
+use crate::tenants::TenantPriorities;
 use wingshore_types::{Epoch, Instant};
 
 /// The leader machine of the coordination group.
@@ -50,7 +50,7 @@
     /// The routes of the configuration in force.
     pub(super) routes: RouteTable,
     /// Ranks of tenants in the configuration in force.
-    pub(super) ranks: TenantRanks,
+    pub(super) ranks: TenantPriorities,
 }
 
 impl Default for CoordinationLeader {
@@ -81,7 +81,7 @@
             usage: UsageReporter::default(),
             capacity: Capacity::default(),
             routes: RouteTable::default(),
-            ranks: TenantRanks::default(),
+            ranks: TenantPriorities::default(),
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/tenants.rs
+++ b/crates/gateways/wingshore-coordination/src/tenants.rs
@@ -132,11 +132,11 @@
 
 /// Priorities of the tenants that have one.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TenantRanks {
+pub(crate) struct TenantPriorities {
     ranks: HashMap<TenantName, u8>,
 }
 
-impl TenantRanks {
+impl TenantPriorities {
     /// Collects the priorities of `tenants`.
     pub(crate) fn new(tenants: &[Tenant]) -> Self {
         let ranks = tenants.iter();
