--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -93,7 +93,7 @@
     fn job_rank(&self, id: &JobId, state: &CoordinationState) -> u8 {
         let route = self.route_of_job(id, state);
         let of_route = route.map_or(u8::MAX, |route| route.priority);
-        self.ranks.rank(id.tenant(), of_route)
+        self.ranks.priority_for(id.tenant(), of_route)
     }
 
     /// The route of a job's first item.
@@ -288,7 +288,7 @@
             kept,
             durable: candidate.durable(),
             expected_version: expected_version.filter(|_| route.single_version),
-            priority: self.ranks.rank(job.id.tenant(), route.priority),
+            priority: self.ranks.priority_for(job.id.tenant(), route.priority),
             scorer: item.scorer.as_deref().cloned(),
             is_long: candidate.is_long,
         }
--- a/crates/gateways/wingshore-coordination/src/tenants.rs
+++ b/crates/gateways/wingshore-coordination/src/tenants.rs
@@ -153,7 +153,7 @@
 
     /// Returns the priority of a tenant's request on a route with the priority `of_route`; 0 is the
     /// most urgent.
-    pub(crate) fn rank(&self, tenant: Option<&TenantName>, of_route: u8) -> u8 {
+    pub(crate) fn priority_for(&self, tenant: Option<&TenantName>, of_route: u8) -> u8 {
         let own = tenant.and_then(|tenant| self.ranks.get(tenant));
         own.copied().unwrap_or(of_route)
     }
