--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -308,7 +308,7 @@
 fn is_too_old(text: &FinishedText, item: &ItemKey, state: &CoordinationState) -> bool {
     let job = state.jobs().get(&item.job);
     let oldest = job.map_or(0, |job| job.submission.min_version);
-    !text.is_made_since(oldest)
+    !text.all_versions_since(oldest)
 }
 
 fn log_retry(
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/continuation.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/continuation.rs
@@ -23,7 +23,7 @@
 ) -> ItemText {
     let longer = durable.filter(|durable| durable.events > reported.events);
     let text = longer.unwrap_or(reported);
-    if text.is_made_since(min_version) {
+    if text.all_versions_since(min_version) {
         text.clone()
     } else {
         ItemText::default()
--- a/crates/gateways/wingshore-coordination/src/text/finished.rs
+++ b/crates/gateways/wingshore-coordination/src/text/finished.rs
@@ -15,7 +15,7 @@
 
 impl FinishedText {
     /// Returns whether all events come from the version `oldest` or newer ones.
-    pub(crate) fn is_made_since(&self, oldest: u64) -> bool {
+    pub(crate) fn all_versions_since(&self, oldest: u64) -> bool {
         all_since(&self.versions, oldest)
     }
 }
