--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -20,7 +20,7 @@
 use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
-use crate::messages::SeenCrash;
+use crate::messages::ObservedCrash;
 use crate::state::{
     CoordinationState, MAX_CRASHES_PER_REQUEST, REJECTION_THRESHOLD, REPORTING_THRESHOLD,
 };
@@ -98,10 +98,10 @@
         &mut self,
         now: Instant,
         gateway: GatewayId,
-        seen: SeenCrash,
+        seen: ObservedCrash,
         state: &CoordinationState,
     ) {
-        let SeenCrash { evidence, ago } = seen;
+        let ObservedCrash { evidence, ago } = seen;
         let server = state.servers().get(&evidence.instance);
         let ending = self.endings.entry(evidence.instance.clone());
         let ending = ending.or_insert_with(|| Ending {
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -9,7 +9,7 @@
 use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::GatewayId;
-use crate::messages::SeenCrash;
+use crate::messages::ObservedCrash;
 use crate::state::{Command, CoordinationState};
 use wingshore_types::Instant;
 
@@ -19,7 +19,7 @@
         &mut self,
         now: Instant,
         gateway: GatewayId,
-        seen: Vec<SeenCrash>,
+        seen: Vec<ObservedCrash>,
         state: &CoordinationState,
     ) {
         for seen in seen {
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -5,8 +5,8 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
-    CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress, RunningItem,
-    SeenCrash,
+    CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress, ObservedCrash,
+    RunningItem,
 };
 use crate::provider::{CapacityOrder, ProviderAnswer, UsageReport};
 use crate::registry::UnchangedServer;
@@ -62,7 +62,7 @@
         /// Which gateway.
         gateway: GatewayId,
         /// What it has seen.
-        seen: Vec<SeenCrash>,
+        seen: Vec<ObservedCrash>,
     },
     /// Requests under which servers had ended ran well at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -44,8 +44,8 @@
 pub use messages::{
     BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, FormatRange,
     GatewayHello, GatewayMessage, GatewayStatus, HeartbeatAnswer, IncomingFrame, ItemAssignment,
-    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, Refusal, RefusedPeers, Reply, Request,
-    RunningItem, SeenCrash, with_own_formats,
+    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, ObservedCrash, Refusal, RefusedPeers,
+    Reply, Request, RunningItem, with_own_formats,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
 pub use registry::{Heartbeat, ModelVersion, ServerRecord, UnchangedServer};
--- a/crates/gateways/wingshore-coordination/src/messages/gateway.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/gateway.rs
@@ -43,7 +43,7 @@
 
 /// A server crash that a gateway observed while the server ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenCrash {
+pub struct ObservedCrash {
     /// The request and the server.
     pub evidence: CrashEvidence,
     /// Time since the connection to the server was lost.
@@ -101,7 +101,7 @@
         outcome: ScoringOutcome,
     },
     /// Servers crashed while they ran requests.
-    RequestsCrashed(Vec<SeenCrash>),
+    RequestsCrashed(Vec<ObservedCrash>),
     /// Requests that started, as this gateway's totals of the open windows.
     Usage(Vec<WindowUsage>),
     /// Requests whose attempts succeeded, although servers had crashed while running them before.
--- a/crates/gateways/wingshore-coordination/src/messages/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/mod.rs
@@ -14,6 +14,6 @@
 pub use coordinator::{CallReply, CoordinatorMessage};
 pub use formats::{FormatRange, Refusal, RefusedPeers, with_own_formats};
 pub use frames::{CoordinatorFrame, CoordinatorHello, HeartbeatAnswer, IncomingFrame, KnownLeader};
-pub use gateway::{GatewayHello, GatewayMessage, GatewayStatus, SeenCrash};
+pub use gateway::{GatewayHello, GatewayMessage, GatewayStatus, ObservedCrash};
 pub use group::{Reply, Request};
 pub use items::{BreakCause, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason, RunningItem};
--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -7,8 +7,8 @@
 use support::{Group, engine};
 use wingshore_coordination::{
     BreakCause, CoordinationState, CrashEvidence, EVIDENCE_LIFETIME, Event, FingerprintKey,
-    GatewayId, InstanceId, ItemOutcome, ItemText, MAX_SUSPECTS, RequestContent, RequestFingerprint,
-    SeenCrash, Suspect, ViewChange,
+    GatewayId, InstanceId, ItemOutcome, ItemText, MAX_SUSPECTS, ObservedCrash, RequestContent,
+    RequestFingerprint, Suspect, ViewChange,
 };
 use wingshore_types::machine::ReplicatedState;
 
@@ -28,8 +28,8 @@
     content.fingerprint(FingerprintKey::new([1; 16]))
 }
 
-fn seen(request: RequestFingerprint, server: &str) -> SeenCrash {
-    SeenCrash {
+fn seen(request: RequestFingerprint, server: &str) -> ObservedCrash {
+    ObservedCrash {
         evidence: CrashEvidence {
             fingerprint: request,
             instance: InstanceId::from(server),
@@ -38,7 +38,7 @@
     }
 }
 
-fn tell(group: &mut Group, seen: Vec<SeenCrash>) {
+fn tell(group: &mut Group, seen: Vec<ObservedCrash>) {
     let gateway = GatewayId(1);
     group.event(Event::RequestsCrashed { gateway, seen });
 }
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -13,8 +13,8 @@
 use wingshore_coordination::{
     BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, DurablePrefix,
     GatewayHello, GatewayMessage, HeartbeatAnswer, IncomingFrame, ItemAssignment, ItemId,
-    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, Request, RunningItem,
-    ScoringAssignment, ScoringOutcome, SeenCrash, UnchangedServer, ViewChange, ViewContent,
+    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, ObservedCrash, Request,
+    RunningItem, ScoringAssignment, ScoringOutcome, UnchangedServer, ViewChange, ViewContent,
     ViewUpdate, WallTime,
 };
 use wingshore_types::{Epoch, LogIndex, ReplicaId};
@@ -132,7 +132,7 @@
             scoring: assignment(8),
             outcome: ScoringOutcome::Failed(2),
         },
-        GatewayMessage::RequestsCrashed(vec![SeenCrash {
+        GatewayMessage::RequestsCrashed(vec![ObservedCrash {
             evidence: crash(),
             ago: WAIT,
         }]),
--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -9,7 +9,7 @@
 use crate::upstream::LostSend;
 use slog::warn;
 use wingshore_coordination::{
-    GatewayMessage, InstanceId, RequestFingerprint, SeenCrash, ViewChange,
+    GatewayMessage, InstanceId, ObservedCrash, RequestFingerprint, ViewChange,
 };
 
 /// A connection was lost while a server ran a request: finds out whether the server has ended.
@@ -107,11 +107,11 @@
     }
 }
 
-fn take_evidence(environment: &mut Environment, seen: Vec<SeenCrash>) {
+fn take_evidence(environment: &mut Environment, seen: Vec<ObservedCrash>) {
     if seen.is_empty() {
         return;
     }
-    for SeenCrash { evidence, ago } in &seen {
+    for ObservedCrash { evidence, ago } in &seen {
         warn!(environment.runtime.logger, "server ended under request";
             "fingerprint" => %evidence.fingerprint, "server" => %evidence.instance,
             "ago_ms" => ago.as_millis() as u64);
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordination::{CrashEvidence, InstanceId, RequestFingerprint, SeenCrash};
+use wingshore_coordination::{CrashEvidence, InstanceId, ObservedCrash, RequestFingerprint};
 use wingshore_types::Instant;
 
 /// A server that is not seen to have ended within this time after a connection was lost had not:
@@ -79,7 +79,7 @@
         instance: &InstanceId,
         address: SocketAddr,
         request: RequestFingerprint,
-    ) -> Option<SeenCrash> {
+    ) -> Option<ObservedCrash> {
         if let Some(at) = self.ended.get(instance).copied() {
             return self.find(now, at, request, instance);
         }
@@ -105,7 +105,7 @@
     }
 
     /// An incarnation of a server is seen to have ended. Gives the evidence that follows.
-    pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<SeenCrash> {
+    pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<ObservedCrash> {
         let lost = self.lost.remove(instance);
         let at = lost.as_ref().map_or(now, |lost| lost.since);
         self.ended.entry(instance.clone()).or_insert(at);
@@ -122,7 +122,7 @@
         now: Instant,
         instance: &InstanceId,
         address: SocketAddr,
-    ) -> Vec<SeenCrash> {
+    ) -> Vec<ObservedCrash> {
         let is_before = |(other, lost): &(&InstanceId, &LostConnections)| {
             lost.address == address && *other != instance
         };
@@ -155,7 +155,7 @@
     }
 
     /// The same, as it is reported to a leader.
-    pub fn to_report(&self, now: Instant) -> Vec<SeenCrash> {
+    pub fn to_report(&self, now: Instant) -> Vec<ObservedCrash> {
         let found = self.found.iter();
         found.map(|found| found.seen(now)).collect()
     }
@@ -175,7 +175,7 @@
         at: Instant,
         fingerprint: RequestFingerprint,
         instance: &InstanceId,
-    ) -> Option<SeenCrash> {
+    ) -> Option<ObservedCrash> {
         let evidence = CrashEvidence {
             fingerprint,
             instance: instance.clone(),
@@ -194,8 +194,8 @@
 }
 
 impl Found {
-    fn seen(&self, now: Instant) -> SeenCrash {
-        SeenCrash {
+    fn seen(&self, now: Instant) -> ObservedCrash {
+        ObservedCrash {
             evidence: self.evidence.clone(),
             ago: now.since(self.at),
         }
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{
-    Event, FingerprintKey, GatewayId, InstanceId, RequestContent, RequestFingerprint, SeenCrash,
-    ServerRecord, ServiceName, Suspect, ViewChange,
+    Event, FingerprintKey, GatewayId, InstanceId, ObservedCrash, RequestContent,
+    RequestFingerprint, ServerRecord, ServiceName, Suspect, ViewChange,
 };
 use wingshore_gateway::CrashWatch;
 use wingshore_types::Instant;
@@ -250,7 +250,7 @@
         }
     }
 
-    fn tell_leader(&mut self, gateway: usize, seen: Vec<SeenCrash>) {
+    fn tell_leader(&mut self, gateway: usize, seen: Vec<ObservedCrash>) {
         if seen.is_empty() {
             return;
         }
