--- a/crates/gateways/wingshore-coordination/src/state/site.rs
+++ b/crates/gateways/wingshore-coordination/src/state/site.rs
@@ -50,7 +50,7 @@
 
 impl CoordinationState {
     /// Sets the store for the texts of results.
-    pub fn keep_texts_in(&mut self, store: Arc<dyn TextStore>) {
+    pub fn set_text_store(&mut self, store: Arc<dyn TextStore>) {
         self.texts = TextStoreHandle(Some(store));
     }
 
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -230,7 +230,7 @@
 fn state_with(texts: Option<Arc<dyn TextStore>>) -> CoordinationState {
     let mut state = CoordinationState::default();
     if let Some(texts) = texts {
-        state.keep_texts_in(texts);
+        state.set_text_store(texts);
     }
     for (index, command) in (1..).zip(commands_of_this_release()) {
         state.apply(LogIndex(index), command);
@@ -255,7 +255,7 @@
     let restored = CoordinationState::restore(&state.snapshot()).unwrap();
     expect_that!(restored == state, eq(true));
     let mut restarted = CoordinationState::default();
-    restarted.keep_texts_in(Arc::new(SingleTextStore));
+    restarted.set_text_store(Arc::new(SingleTextStore));
     restarted.restore_from(&mut &own[..]).unwrap();
     expect_that!(restarted == state, eq(true));
 }
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -128,7 +128,7 @@
 fn state_with_store() -> (CoordinationState, TestStore) {
     let store = TestStore::default();
     let mut state = CoordinationState::default();
-    state.keep_texts_in(Arc::new(store.clone()));
+    state.set_text_store(Arc::new(store.clone()));
     fill(&mut state);
     (state, store)
 }
@@ -152,7 +152,7 @@
     let restored = CoordinationState::restore(&in_memory).unwrap();
     expect_that!(restored == state, eq(true));
     let mut restarted = CoordinationState::default();
-    restarted.keep_texts_in(Arc::new(store));
+    restarted.set_text_store(Arc::new(store));
     restarted.restore_from(&mut own.reader().unwrap()).unwrap();
     expect_that!(restarted == state, eq(true));
 }
@@ -208,7 +208,7 @@
     let one_value = include_bytes!("fixtures/whole.bin");
     let store = TestStore::default();
     let mut restored = CoordinationState::default();
-    restored.keep_texts_in(Arc::new(store.clone()));
+    restored.set_text_store(Arc::new(store.clone()));
     restored.restore_from(&mut &one_value[..]).unwrap();
     let jobs = restored.jobs().values();
     let results: usize = jobs.map(|job| job.results.len()).sum();
--- a/crates/gateways/wingshore-coordinator/src/process/host.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/host.rs
@@ -83,7 +83,7 @@
     let machines = MachineFactory {
         leader: Box::new(move || CoordinationLeader::new(leader_settings.clone())),
         prepare: Box::new(move |state: &mut CoordinationState| {
-            state.keep_texts_in(Arc::clone(&texts) as Arc<dyn TextStore>);
+            state.set_text_store(Arc::clone(&texts) as Arc<dyn TextStore>);
         }),
     };
     Host::with_machines(now, config, recovered, machines).context(GroupSnafu)
--- a/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
@@ -127,7 +127,7 @@
             applied: 0,
         };
         let store = Arc::clone(&member.store) as Arc<dyn TextStore>;
-        member.state.keep_texts_in(store);
+        member.state.set_text_store(store);
         if let Some(snapshot) = recovered.snapshot {
             let mut reader = snapshot.data.reader().map_err(|error| error.to_string())?;
             let restored = member.state.restore_from(&mut reader);
