--- a/crates/gateways/wingshore-coordination/src/state/replicated.rs
+++ b/crates/gateways/wingshore-coordination/src/state/replicated.rs
@@ -72,7 +72,7 @@
         if list(job)
             && let Some(result) = job.results.last()
         {
-            self.texts.hold(result.text.packed());
+            self.texts.track(result.text.packed());
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -128,7 +128,7 @@
     let is_in_memory = matches!(place, TextPlace::Memory(_));
     let text = ResultText::at(saved.text_length, place);
     if is_in_memory {
-        texts.hold(text.packed());
+        texts.track(text.packed());
         texts.wait_for_room();
     }
     Ok(ResultRecord {
@@ -155,7 +155,7 @@
     drop(bytes);
     state.texts = texts.clone();
     for result in state.jobs.values().flat_map(|job| &job.results) {
-        texts.hold(result.text.packed());
+        texts.track(result.text.packed());
     }
     texts.wait_for_room();
     Ok(state)
--- a/crates/gateways/wingshore-coordination/src/text/store.rs
+++ b/crates/gateways/wingshore-coordination/src/text/store.rs
@@ -10,7 +10,7 @@
 /// used by a site's results follows from that budget, not from the number of results.
 pub trait TextStore: Debug + Send + Sync {
     /// Adds a text that the state has started to hold.
-    fn hold(&self, text: &Arc<PackedText>);
+    fn track(&self, text: &Arc<PackedText>);
 
     /// Waits until the texts in memory fit into the budget, or cannot be moved to disk.
     fn wait_for_room(&self);
@@ -41,9 +41,9 @@
 }
 
 impl TextStoreHandle {
-    pub(crate) fn hold(&self, text: &Arc<PackedText>) {
+    pub(crate) fn track(&self, text: &Arc<PackedText>) {
         if let Some(store) = &self.0 {
-            store.hold(text);
+            store.track(text);
         }
     }
 
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -207,7 +207,7 @@
 }
 
 impl TextStore for SingleTextStore {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         if text.place().length() > 0 {
             text.move_to(Arc::new(Self));
         }
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -78,7 +78,7 @@
 }
 
 impl TextStore for TestStore {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         self.shared.lock().unwrap().held.push(Arc::clone(text));
     }
 
--- a/crates/gateways/wingshore-coordinator/src/texts.rs
+++ b/crates/gateways/wingshore-coordinator/src/texts.rs
@@ -132,7 +132,7 @@
 }
 
 impl TextStore for TextArchive {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         let TextPlace::Memory(bytes) = text.place() else {
             return;
         };
--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -35,7 +35,7 @@
 
 fn hold(archive: &TextArchive, number: usize) -> ResultText {
     let packed = ResultText::pack(&text(number));
-    archive.hold(packed.packed());
+    archive.track(packed.packed());
     packed
 }
 
@@ -189,7 +189,7 @@
         .collect();
     let begun = Instant::now();
     for text in &texts {
-        archive.hold(text.packed());
+        archive.track(text.packed());
     }
     expect_that!(begun.elapsed(), le(Duration::from_secs(2)));
     hanging.hangs.store(false, Ordering::SeqCst);
--- a/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
@@ -77,7 +77,7 @@
 }
 
 impl TextStore for Store {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         self.held.lock().unwrap().push(Arc::clone(text));
     }
 
