--- a/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
@@ -2,7 +2,7 @@
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
-use crate::text::{HeldPrefix, ItemText};
+use crate::text::{ItemText, LoggedPrefix};
 use wingshore_types::Instant;
 
 /// An attempt that is under way.
@@ -63,7 +63,7 @@
     /// All events of earlier attempts.
     pub(crate) partial_text: ItemText,
     /// What the log holds of its text once all that this leader has proposed is applied.
-    pub(crate) held: HeldPrefix,
+    pub(crate) held: LoggedPrefix,
     /// Attempts that engines ran and failed.
     pub(crate) failures: u32,
     /// Not placed before this time.
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -62,7 +62,7 @@
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
-    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError,
+    DurablePrefix, FinishedText, ItemText, LoggedPrefix, PackedText, ResultText, TextError,
     TextPlace, TextStore,
 };
 pub use usage::{UsageCounts, UsageMeter, UsageWindow, WindowUsage};
--- a/crates/gateways/wingshore-coordination/src/messages/coordinator.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/coordinator.rs
@@ -5,7 +5,7 @@
 use crate::ids::AssignmentId;
 use crate::scoring::ScoringAssignment;
 use crate::site_time::WallTime;
-use crate::text::HeldPrefix;
+use crate::text::LoggedPrefix;
 use crate::view::ViewUpdate;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
         /// Identifier of the attempt.
         assignment: AssignmentId,
         /// Prefix of the text that the log contains.
-        held: HeldPrefix,
+        held: LoggedPrefix,
     },
     /// A text to score.
     Score(ScoringAssignment),
--- a/crates/gateways/wingshore-coordination/src/text/item.rs
+++ b/crates/gateways/wingshore-coordination/src/text/item.rs
@@ -29,14 +29,14 @@
 /// Identifies the prefix of an item's text that is in the group's log; sent to a gateway that runs
 /// the item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldPrefix {
+pub struct LoggedPrefix {
     /// Length of the prefix.
     pub extent: DurablePrefix,
     /// CRC-32 of the prefix, since another attempt may have generated other events.
     pub checksum: u32,
 }
 
-impl HeldPrefix {
+impl LoggedPrefix {
     /// Returns whether `text` starts with this prefix.
     pub fn is_prefix_of(&self, text: &ItemText) -> bool {
         let begin = text.text.as_bytes().get(..self.extent.bytes);
@@ -105,8 +105,8 @@
     }
 
     /// Returns the prefix that covers the complete text.
-    pub fn held(&self) -> HeldPrefix {
-        HeldPrefix {
+    pub fn held(&self) -> LoggedPrefix {
+        LoggedPrefix {
             extent: self.extent(),
             checksum: crc32fast::hash(self.text.as_bytes()),
         }
--- a/crates/gateways/wingshore-coordination/src/text/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/text/mod.rs
@@ -10,7 +10,7 @@
 mod store;
 
 pub use finished::FinishedText;
-pub use item::{DurablePrefix, HeldPrefix, ItemText};
+pub use item::{DurablePrefix, ItemText, LoggedPrefix};
 pub use packed::{PackedText, ResultText, TextError, TextPlace};
 pub use store::TextStore;
 pub(crate) use store::TextStoreHandle;
--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 use wingshore_coordination::{
     ApiKey, AssignmentId, CrashEvidence, DurablePrefix, EngineProfile, FingerprintKey,
-    FinishedText, GatewayId, GatewayStatus, Heartbeat, HeldPrefix, IngressLimits, InstanceId,
-    ItemId, ItemKey, ItemText, JobId, JobItem, JobSubmission, ModelName, ModelVersion,
-    RequestContent, RequestFingerprint, ResultText, Route, RouteKind, RouteTarget, RunningScoring,
-    Scaling, Scorer, ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, StartTime,
-    Suspect, Tenant, TenantName, UsageCounts, UsageWindow, WindowUsage,
+    FinishedText, GatewayId, GatewayStatus, Heartbeat, IngressLimits, InstanceId, ItemId, ItemKey,
+    ItemText, JobId, JobItem, JobSubmission, LoggedPrefix, ModelName, ModelVersion, RequestContent,
+    RequestFingerprint, ResultText, Route, RouteKind, RouteTarget, RunningScoring, Scaling, Scorer,
+    ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, StartTime, Suspect, Tenant,
+    TenantName, UsageCounts, UsageWindow, WindowUsage,
 };
 use wingshore_types::Epoch;
 
@@ -93,8 +93,8 @@
     }
 }
 
-pub fn held_prefix() -> HeldPrefix {
-    HeldPrefix {
+pub fn held_prefix() -> LoggedPrefix {
+    LoggedPrefix {
         extent: DurablePrefix {
             events: 2,
             bytes: 300,
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use support::Group;
 use wingshore_coordination::{
-    AssignmentId, CoordinatorMessage, Effect, Event, HeldPrefix, ItemText, JobId, RunningItem,
+    AssignmentId, CoordinatorMessage, Effect, Event, ItemText, JobId, LoggedPrefix, RunningItem,
 };
 
 /// The events behind the first `after` up to `through`.
@@ -31,7 +31,7 @@
 }
 
 /// What a leader has told of the text that the log holds, last of all.
-fn told_held(group: &Group) -> Option<HeldPrefix> {
+fn told_held(group: &Group) -> Option<LoggedPrefix> {
     let mut told = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use support::{Group, configuration, engine, job};
 use wingshore_coordination::{
-    BreakCause, CoordinatorMessage, Effect, Event, GatewayId, HeldPrefix, ItemAssignment,
-    ItemOutcome, ItemText, JobId, Request, RunningItem,
+    BreakCause, CoordinatorMessage, Effect, Event, GatewayId, ItemAssignment, ItemOutcome,
+    ItemText, JobId, LoggedPrefix, Request, RunningItem,
 };
 
 /// The events behind the first `after` up to `through`.
@@ -46,7 +46,7 @@
 }
 
 /// What was told of the held texts, in order.
-fn told_held(group: &Group) -> Vec<HeldPrefix> {
+fn told_held(group: &Group) -> Vec<LoggedPrefix> {
     let told = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -4,8 +4,8 @@
 use crate::item_policy;
 use crate::suspects;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, HeldPrefix, ItemAssignment,
-    ItemOutcome, ItemProgress, ItemText, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, ItemAssignment, ItemOutcome,
+    ItemProgress, ItemText, LoggedPrefix, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
@@ -130,7 +130,7 @@
 
     /// The log holds this much of the text: what follows is uploaded again, unless the log has its
     /// events from another attempt.
-    pub(crate) fn upload_from(&mut self, held: HeldPrefix) {
+    pub(crate) fn upload_from(&mut self, held: LoggedPrefix) {
         self.may_upload = held.is_prefix_of(&self.text);
         self.uploaded = held.extent;
     }
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -18,8 +18,8 @@
 use slog::info;
 use std::collections::BTreeMap;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, HeldPrefix, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason,
-    RequestFingerprint, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, ItemAssignment, ItemOutcome, ItemProgress, LoggedPrefix,
+    NotRunReason, RequestFingerprint, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::AnswerHead;
@@ -198,7 +198,7 @@
     }
 
     /// The log holds this much of an item's text.
-    pub(crate) fn upload_from(&mut self, id: AssignmentId, held: HeldPrefix) {
+    pub(crate) fn upload_from(&mut self, id: AssignmentId, held: LoggedPrefix) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.upload_from(held);
         }
