--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -65,7 +65,7 @@
             let open_item = OpenItem {
                 held: job
                     .partial_text(index)
-                    .map(ItemText::held)
+                    .map(ItemText::logged_prefix)
                     .unwrap_or_default(),
                 has_result: has_text,
                 expected_length: if survived { u64::MAX } else { expected },
--- a/crates/gateways/wingshore-coordination/src/text/item.rs
+++ b/crates/gateways/wingshore-coordination/src/text/item.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the prefix that covers the complete text.
-    pub fn held(&self) -> LoggedPrefix {
+    pub fn logged_prefix(&self) -> LoggedPrefix {
         LoggedPrefix {
             extent: self.extent(),
             checksum: crc32fast::hash(self.text.as_bytes()),
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -371,7 +371,7 @@
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
     });
-    expect_that!(held, some(eq(text(2).held())));
+    expect_that!(held, some(eq(text(2).logged_prefix())));
     let is_of = |text: &ItemText| held.is_some_and(|held| held.is_prefix_of(text));
     expect_that!(is_of(&text(5)), eq(true));
     let mut other = text(5);
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -78,6 +78,6 @@
         .map_or(0, |text| text.events);
     println!("told {held:?}, kept {kept} of 12 events");
     expect_that!(group.assignments(), is_empty(), "it runs on");
-    expect_that!(held, some(eq(events(0, 2).held())));
+    expect_that!(held, some(eq(events(0, 2).logged_prefix())));
     expect_that!(kept, eq(12));
 }
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -67,7 +67,10 @@
     let assigned = group.assignments().remove(0);
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 4, 6);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 2).held())]);
+    expect_that!(
+        told_held(&group),
+        elements_are![eq(&events(0, 2).logged_prefix())]
+    );
     upload(&mut group, &assigned, 2, 8);
     expect_that!(kept(&group), some(eq(&events(0, 8))));
 }
@@ -81,7 +84,10 @@
     upload(&mut group, &assigned, 0, 2);
     upload(&mut group, &assigned, 2, 5);
     report(&mut group, &assigned);
-    expect_that!(told_held(&group), elements_are![eq(&events(0, 5).held())]);
+    expect_that!(
+        told_held(&group),
+        elements_are![eq(&events(0, 5).logged_prefix())]
+    );
     upload(&mut group, &assigned, 5, 8);
     group.commit();
     expect_that!(kept(&group), some(eq(&events(0, 8))));
