--- a/crates/gateways/wingshore-coordination/src/messages/items.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/items.rs
@@ -88,7 +88,7 @@
 /// Cause of an interrupted attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BreakCause {
-    /// The gateway, which is stopping or was told to abort the attempt.
+    /// The gateway, which is stopping or was ordered to abort the attempt.
     Gateway,
     /// The engine, or the connection to it. Contains the fingerprint of the request, unless the
     /// request had run for so long that it cannot be the cause of a crash.
--- a/crates/gateways/wingshore-coordination/src/state/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/state/servers.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the server's record as it appears in the gateways' view.
-    pub(super) fn seen_by_gateways(&self, instance: &InstanceId) -> Option<ServerRecord> {
+    pub(super) fn record_for_gateways(&self, instance: &InstanceId) -> Option<ServerRecord> {
         let server = self.servers.get(instance);
         server.map(ServerRecord::without_models)
     }
--- a/crates/gateways/wingshore-coordination/src/state/view.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view.rs
@@ -31,7 +31,7 @@
         let servers = self.registry.servers.values();
         let suspects = self.evidence.suspects().filter(|known| is_in_view(known));
         SiteView {
-            configuration: self.configuration.as_ref().map(for_gateways),
+            configuration: self.configuration.as_ref().map(without_document),
             servers: servers.map(ServerRecord::without_models).collect(),
             fingerprint_key: self.evidence.key(),
             suspects: suspects.cloned().collect(),
@@ -67,9 +67,9 @@
         match part {
             ViewPart::Configuration => {
                 let configuration = self.configuration.as_ref()?;
-                Some(ViewChange::Configuration(for_gateways(configuration)))
+                Some(ViewChange::Configuration(without_document(configuration)))
             }
-            ViewPart::Server(instance) => Some(match self.registry.seen_by_gateways(instance) {
+            ViewPart::Server(instance) => Some(match self.registry.record_for_gateways(instance) {
                 Some(server) => ViewChange::Server(server),
                 None => ViewChange::Gone(instance.clone()),
             }),
@@ -92,9 +92,9 @@
         instance: InstanceId,
         change: impl FnOnce(&mut ServerRegistry),
     ) {
-        let before = self.registry.seen_by_gateways(&instance);
+        let before = self.registry.record_for_gateways(&instance);
         change(&mut self.registry);
-        if before != self.registry.seen_by_gateways(&instance) {
+        if before != self.registry.record_for_gateways(&instance) {
             self.view_history
                 .record_change(index, ViewPart::Server(instance));
         }
@@ -131,7 +131,7 @@
 }
 
 /// Returns the configuration without the operator's document, which only coordinators serve.
-fn for_gateways(configuration: &Arc<SiteConfiguration>) -> Arc<SiteConfiguration> {
+fn without_document(configuration: &Arc<SiteConfiguration>) -> Arc<SiteConfiguration> {
     Arc::new(SiteConfiguration {
         version: configuration.version,
         routes: configuration.routes.clone(),
