--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -93,7 +93,7 @@
     }
 }
 
-pub fn held_prefix() -> LoggedPrefix {
+pub fn logged_prefix() -> LoggedPrefix {
     LoggedPrefix {
         extent: DurablePrefix {
             events: 2,
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -5,7 +5,7 @@
 use golden::check;
 use golden::examples::{
     address, assignment, crash, fingerprint, finished_text, gateway_id, gateway_status, heartbeat,
-    held_prefix, instance, instance_without_start_time, item_key, item_text, job_id,
+    logged_prefix, instance, instance_without_start_time, item_key, item_text, job_id,
     running_scoring, scorer, window_usage,
 };
 use googletest::prelude::*;
@@ -222,7 +222,7 @@
         },
         CoordinatorMessage::HandInFrom {
             assignment: assignment(7),
-            held: held_prefix(),
+            held: logged_prefix(),
         },
         CoordinatorMessage::Score(ScoringAssignment {
             scoring: assignment(8),
