--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -5,7 +5,7 @@
 use golden::check;
 use golden::examples::{
     address, assignment, crash, fingerprint, finished_text, gateway_id, gateway_status, heartbeat,
-    logged_prefix, instance, instance_without_start_time, item_key, item_text, job_id,
+    instance, instance_without_start_time, item_key, item_text, job_id, logged_prefix,
     running_scoring, scorer, window_usage,
 };
 use googletest::prelude::*;
