--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -129,7 +129,7 @@
     let text = ResultText::at(saved.text_length, place);
     if is_in_memory {
         texts.track(text.packed());
-        texts.wait_for_room();
+        texts.wait_for_memory();
     }
     Ok(ResultRecord {
         id: saved.id,
@@ -157,6 +157,6 @@
     for result in state.jobs.values().flat_map(|job| &job.results) {
         texts.track(result.text.packed());
     }
-    texts.wait_for_room();
+    texts.wait_for_memory();
     Ok(state)
 }
--- a/crates/gateways/wingshore-coordination/src/text/store.rs
+++ b/crates/gateways/wingshore-coordination/src/text/store.rs
@@ -13,7 +13,7 @@
     fn track(&self, text: &Arc<PackedText>);
 
     /// Waits until the texts in memory fit into the budget, or cannot be moved to disk.
-    fn wait_for_room(&self);
+    fn wait_for_memory(&self);
 
     /// Returns the stored text that a snapshot on the local disk references.
     ///
@@ -47,9 +47,9 @@
         }
     }
 
-    pub(crate) fn wait_for_room(&self) {
+    pub(crate) fn wait_for_memory(&self) {
         if let Some(store) = &self.0 {
-            store.wait_for_room();
+            store.wait_for_memory();
         }
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -213,7 +213,7 @@
         }
     }
 
-    fn wait_for_room(&self) {}
+    fn wait_for_memory(&self) {}
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
         assert_eq!(place, PLACE);
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -82,7 +82,7 @@
         self.shared.lock().unwrap().held.push(Arc::clone(text));
     }
 
-    fn wait_for_room(&self) {}
+    fn wait_for_memory(&self) {}
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
         let store = self.clone();
--- a/crates/gateways/wingshore-coordinator/src/texts.rs
+++ b/crates/gateways/wingshore-coordinator/src/texts.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    fn wait_for_room(&self) {
+    fn wait_for_memory(&self) {
         let is_crowded = |state: &mut State| state.is_crowded();
         let state = self.shared.state();
         drop(self.shared.changed.wait_while(state, is_crowded));
--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -91,7 +91,7 @@
     };
     disk.set_faults(full);
     let texts: Vec<ResultText> = (0..100).map(|number| hold(&archive, number)).collect();
-    archive.wait_for_room();
+    archive.wait_for_memory();
     expect_that!(texts.iter().any(is_on_disk), eq(false));
     disk.set_faults(Faults::default());
     wait_until("the budget is kept", || archive.bytes_in_memory() <= BUDGET);
--- a/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
@@ -81,7 +81,7 @@
         self.held.lock().unwrap().push(Arc::clone(text));
     }
 
-    fn wait_for_room(&self) {}
+    fn wait_for_memory(&self) {}
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
         Ok(Arc::new(self.files.find(place)?))
