--- a/crates/gateways/wingshore-coordination/src/routes.rs
+++ b/crates/gateways/wingshore-coordination/src/routes.rs
@@ -31,12 +31,12 @@
     /// Returns the route of `host` with the longest prefix of `path`. A port after the host is
     /// ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        self.of_host(host)
+        self.routes_of_host(host)
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
     /// Returns the routes of `host`.
-    pub fn of_host(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
+    pub fn routes_of_host(&self, host: &str) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.get(&host_name(host)).into_iter().flatten()
     }
 }
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -182,7 +182,7 @@
     /// not say by which route it was submitted.
     pub fn asks_for_key_of_jobs(&self, host: &str) -> bool {
         let is_public = |route: &Arc<Route>| route.kind == RouteKind::Batch && route.public;
-        self.has_tenants() && !self.routes.of_host(host).any(is_public)
+        self.has_tenants() && !self.routes.routes_of_host(host).any(is_public)
     }
 
     /// The caller that a key opens for.
