--- a/crates/gateways/wingshore-coordination/src/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/jobs.rs
@@ -314,7 +314,7 @@
     }
 
     /// As [`Job::page`]; `None` if there is no result at or after that position.
-    pub fn page_if_any(&self, from: u64, max_bytes: usize) -> Option<JobPage> {
+    pub fn non_empty_page(&self, from: u64, max_bytes: usize) -> Option<JobPage> {
         let has_some = self.results.len() as u64 > from;
         has_some.then(|| self.page(from, max_bytes))
     }
--- a/crates/gateways/wingshore-coordinator/src/process/copies.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/copies.rs
@@ -48,7 +48,7 @@
     /// Answers a reader; says whether it need not wait any more.
     fn answer_copy_reader(&mut self, now: Instant, reader: &CopyReader) -> bool {
         let job = self.host.state().find_job(&reader.job);
-        let page = job.and_then(|(_, job)| job.page_if_any(reader.from, PAGE_BYTES));
+        let page = job.and_then(|(_, job)| job.non_empty_page(reader.from, PAGE_BYTES));
         let reply = match page {
             Some(page) => CallReply::Reply(Reply::Page(page)),
             None if now >= reader.until => CallReply::Nothing,
