--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -187,7 +187,7 @@
 
     /// Windows whose reports are to be sent now.
     pub(crate) fn take_due(&mut self, now: Instant, durable: &SiteUsage) -> Vec<UsageWindow> {
-        let waiting = durable.waiting();
+        let waiting = durable.unacknowledged();
         self.sending
             .retain(|window, _| waiting.contains_key(window));
         if self.is_fenced {
--- a/crates/gateways/wingshore-coordination/src/leader/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/usage.rs
@@ -32,7 +32,7 @@
 
     fn send_reports(&mut self, turn: &mut Turn<'_>) {
         for window in self.usage.take_due(turn.now, turn.state.usage()) {
-            let Some(counts) = turn.state.usage().waiting().get(&window) else {
+            let Some(counts) = turn.state.usage().unacknowledged().get(&window) else {
                 continue;
             };
             turn.effect(Effect::ReportUsage(UsageReport {
@@ -54,7 +54,7 @@
     /// The counts of a window are committed.
     pub(crate) fn usage_closed(&mut self, window: UsageWindow, turn: &mut Turn<'_>) {
         self.usage.closed(window);
-        let counts = turn.state.usage().waiting().get(&window);
+        let counts = turn.state.usage().unacknowledged().get(&window);
         turn.log(Decision::UsageClosed {
             window,
             tenants: counts.map_or(0, |counts| counts.0.len()),
--- a/crates/gateways/wingshore-coordination/src/state/usage.rs
+++ b/crates/gateways/wingshore-coordination/src/state/usage.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the reports that the provider has not acknowledged, by window.
-    pub fn waiting(&self) -> &BTreeMap<UsageWindow, UsageCounts> {
+    pub fn unacknowledged(&self) -> &BTreeMap<UsageWindow, UsageCounts> {
         &self.waiting
     }
 
