--- a/crates/gateways/wingshore-coordination/src/messages/formats.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/formats.rs
@@ -7,8 +7,8 @@
 //! **Rule.** The newest format in both ranges is used; if there is none, the peer is refused.
 //!
 //! **Reason.** The codec stores neither names nor lengths of fields, so a frame of another format
-//! fails to decode or is decoded as something else. It ignores bytes after the end of a message, so a
-//! program that does not know format ranges can read a hello that carries one.
+//! fails to decode or is decoded as something else. It ignores bytes after the end of a message, so
+//! a program that does not know format ranges can read a hello that carries one.
 //!
 //! **Old or missing inputs.** A hello without a range implies the first format. Bytes after a range
 //! are ignored, so that later versions can append to it.
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -206,8 +206,9 @@
     expect_that!(items.iter().all(|item| item.priority == 0), eq(true));
 }
 
-/// A job identifier keeps its tenant when it is encoded. Jobs belong to tenants rather than to keys,
-/// since keys outlive jobs and jobs outlive keys: any caller with a current key may access the job.
+/// A job identifier keeps its tenant when it is encoded. Jobs belong to tenants rather than to
+/// keys, since keys outlive jobs and jobs outlive keys: any caller with a current key of the tenant
+/// may access the job.
 #[gtest]
 fn job_ids_survive_the_codec() {
     for id in [of_tenant("j", None), of_tenant("j", Some("a"))] {
