--- a/crates/gateways/wingshore-coordination/src/messages/gateway.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/gateway.rs
@@ -74,7 +74,7 @@
         assignment: AssignmentId,
         /// Number of the item's events that were uploaded before.
         after_events: u64,
-        /// The events after them.
+        /// Events that follow `after_events`.
         text: ItemText,
     },
     /// A request to the group on behalf of a caller.
--- a/crates/gateways/wingshore-coordination/src/state/command.rs
+++ b/crates/gateways/wingshore-coordination/src/state/command.rs
@@ -69,7 +69,7 @@
         item: ItemKey,
         /// Number of events stored before.
         after_events: u64,
-        /// The events after them.
+        /// Events that follow `after_events`.
         text: ItemText,
     },
     /// Stores the complete text of an item until it has a score; the first text of an item counts.
