--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -173,7 +173,7 @@
     }
 
     fn has_crashed_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
-        self.evidence.is_pending(request) || state.evidence().ended_under(request) > 0
+        self.evidence.is_pending(request) || state.evidence().crash_count(request) > 0
     }
 
     fn max_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
@@ -327,7 +327,7 @@
 fn is_too_old(text: &FinishedText, item: &ItemKey, state: &CoordinationState) -> bool {
     let job = state.jobs().get(&item.job);
     let oldest = job.map_or(0, |job| job.submission.min_version);
-    !text.is_made_since(oldest)
+    !text.all_versions_since(oldest)
 }
 
 fn log_retry(
--- a/crates/gateways/wingshore-coordination/src/leader/interface.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/interface.rs
@@ -5,11 +5,11 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::messages::{
-    CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress, RunningItem,
-    SeenCrash,
+    CoordinatorMessage, GatewayHello, GatewayStatus, ItemOutcome, ItemProgress, ObservedCrash,
+    RunningItem,
 };
 use crate::provider::{CapacityOrder, ProviderAnswer, UsageReport};
-use crate::registry::HeardServer;
+use crate::registry::UnchangedServer;
 use crate::scaling::CapacityPool;
 use crate::scoring::{RunningScoring, ScoringOutcome};
 use crate::site_time::WallTime;
@@ -62,7 +62,7 @@
         /// The gateway.
         gateway: GatewayId,
         /// The observed crashes.
-        seen: Vec<SeenCrash>,
+        seen: Vec<ObservedCrash>,
     },
     /// Requests during which servers had crashed before succeeded at a gateway.
     RequestsRan(Vec<RequestFingerprint>),
@@ -89,7 +89,7 @@
         /// The coordinator.
         from: ReplicaId,
         /// The servers.
-        servers: Vec<HeardServer>,
+        servers: Vec<UnchangedServer>,
     },
     /// Connections to the machines of these coordinators closed recently, or are down.
     CoordinatorsLost(Vec<String>),
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -62,7 +62,7 @@
 
     /// Returns how much of the text is stored in the replicated state.
     fn durable(&self) -> DurablePrefix {
-        let durable = self.job.kept(self.key.index);
+        let durable = self.job.partial_text(self.key.index);
         durable.map(ItemText::extent).unwrap_or_default()
     }
 }
@@ -94,7 +94,7 @@
     fn job_rank(&self, id: &JobId, state: &CoordinationState) -> u8 {
         let route = self.route_of_job(id, state);
         let of_route = route.map_or(u8::MAX, |route| route.priority);
-        self.ranks.rank(id.tenant(), of_route)
+        self.ranks.priority_for(id.tenant(), of_route)
     }
 
     /// Returns the route of a job's first item.
@@ -178,7 +178,11 @@
             item,
             route: Arc::clone(route),
             service,
-            partial_text: usable_text(&known.partial_text, job.kept(key.index), min_version),
+            partial_text: usable_text(
+                &known.partial_text,
+                job.partial_text(key.index),
+                min_version,
+            ),
             is_long: known.is_long,
             avoid: known.avoided(now).cloned(),
             is_suspect: is_suspected(known, state),
@@ -230,7 +234,7 @@
         let single_version = candidate.route.single_version;
         let kept = starting_text(&candidate.partial_text, single_version, version);
         let open_item = self.items.open_item(&candidate.key);
-        let extends_held = open_item.is_none_or(|open_item| open_item.held.begins(&kept));
+        let extends_held = open_item.is_none_or(|open_item| open_item.held.is_prefix_of(&kept));
         let assignment = self.items.next_assignment();
         let decision = Decision::ItemAssigned {
             assignment,
@@ -287,7 +291,7 @@
             kept,
             durable: candidate.durable(),
             expected_version: expected_version.filter(|_| route.single_version),
-            priority: self.ranks.rank(job.id.tenant(), route.priority),
+            priority: self.ranks.priority_for(job.id.tenant(), route.priority),
             scorer: item.scorer.as_deref().cloned(),
             is_long: candidate.is_long,
         }
@@ -304,5 +308,5 @@
 /// Returns whether several servers crashed while they processed an item.
 fn is_suspected(open_item: &OpenItem, state: &CoordinationState) -> bool {
     let request = open_item.request;
-    request.is_some_and(|request| is_suspect(state.evidence().ended_under(request)))
+    request.is_some_and(|request| is_suspect(state.evidence().crash_count(request)))
 }
--- a/crates/gateways/wingshore-coordination/tests/golden/examples.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden/examples.rs
@@ -1,15 +1,15 @@
-//! Parts that the examples share. Each field has a value of its own where its type allows it.
+//! Values that the examples share. Each field has a distinct value if its type allows it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use wingshore_coordination::{
-    ApiKey, AssignmentId, BornAt, CrashEvidence, DurablePrefix, EngineProfile, FingerprintKey,
-    FinishedText, GatewayId, GatewayStatus, Heartbeat, HeldPrefix, IngressLimits, InstanceId,
-    ItemId, ItemKey, ItemText, JobId, JobItem, JobSubmission, ModelName, ModelVersion,
-    RequestContent, RequestFingerprint, ResultText, Route, RouteKind, RouteTarget, RunningScoring,
-    Scaling, Scorer, ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, Suspect,
-    Tenant, TenantName, UsageCounts, UsageWindow, WindowUsage,
+    ApiKey, AssignmentId, CrashEvidence, DurablePrefix, EngineProfile, FingerprintKey,
+    FinishedText, GatewayId, GatewayStatus, Heartbeat, IngressLimits, InstanceId, ItemId, ItemKey,
+    ItemText, JobId, JobItem, JobSubmission, LoggedPrefix, ModelName, ModelVersion, RequestContent,
+    RequestFingerprint, ResultText, Route, RouteKind, RouteTarget, RunningScoring, Scaling, Scorer,
+    ServerName, ServerRecord, Service, ServiceName, SiteConfiguration, StartTime, Suspect, Tenant,
+    TenantName, UsageCounts, UsageWindow, WindowUsage,
 };
 use wingshore_types::Epoch;
 
@@ -27,12 +27,12 @@
 pub fn instance() -> InstanceId {
     InstanceId::new(
         ServerName::from("engine-1"),
-        Some(BornAt(1_700_000_000_000)),
+        Some(StartTime(1_700_000_000_000)),
     )
 }
 
-/// A server that does not say when it started.
-pub fn unborn() -> InstanceId {
+/// A server that does not report its start time.
+pub fn instance_without_start_time() -> InstanceId {
     InstanceId::from("engine-2")
 }
 
@@ -72,7 +72,7 @@
 pub fn suspect() -> Suspect {
     Suspect {
         fingerprint: fingerprint(1),
-        ended: vec![instance(), unborn()],
+        ended: vec![instance(), instance_without_start_time()],
         rejected: true,
     }
 }
@@ -93,8 +93,8 @@
     }
 }
 
-pub fn held_prefix() -> HeldPrefix {
-    HeldPrefix {
+pub fn logged_prefix() -> LoggedPrefix {
+    LoggedPrefix {
         extent: DurablePrefix {
             events: 2,
             bytes: 300,
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -267,11 +267,11 @@
         if std::mem::replace(&mut link.formats_checked, true) {
             return true;
         }
-        let Err(refusal) = self.refused.judge(address, rest) else {
+        let Err(refusal) = self.refused.negotiate(address, rest) else {
             return true;
         };
         runtime.metrics.peer_refused();
-        if refusal.is_news {
+        if refusal.is_first {
             warn!(runtime.logger, "peer refused: no common format";
                 "address" => %address, "peer_formats" => %refusal,
                 "own_formats" => %FormatRange::OWN);
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordination::{CrashEvidence, InstanceId, RequestFingerprint, SeenCrash};
+use wingshore_coordination::{CrashEvidence, InstanceId, ObservedCrash, RequestFingerprint};
 use wingshore_types::Instant;
 
 /// A server is presumed not to have crashed if no crash is detected within this time after a lost
@@ -79,7 +79,7 @@
         instance: &InstanceId,
         address: SocketAddr,
         request: RequestFingerprint,
-    ) -> Option<SeenCrash> {
+    ) -> Option<ObservedCrash> {
         if let Some(at) = self.ended_at.get(instance).copied() {
             return self.record_evidence(now, at, request, instance);
         }
@@ -107,7 +107,7 @@
 
     /// Records that an incarnation of a server has ended. Returns the resulting evidence of a
     /// crash.
-    pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<SeenCrash> {
+    pub fn server_ended(&mut self, now: Instant, instance: &InstanceId) -> Vec<ObservedCrash> {
         let lost = self.lost.remove(instance);
         let at = lost.as_ref().map_or(now, |lost| lost.first_lost_at);
         self.ended_at.entry(instance.clone()).or_insert(at);
@@ -125,7 +125,7 @@
         now: Instant,
         instance: &InstanceId,
         address: SocketAddr,
-    ) -> Vec<SeenCrash> {
+    ) -> Vec<ObservedCrash> {
         let is_predecessor = |(other, lost): &(&InstanceId, &LostConnections)| {
             lost.address == address && *other != instance
         };
@@ -158,7 +158,7 @@
     }
 
     /// Returns the evidence that the leader may not know, with the age of each crash.
-    pub fn to_report(&self, now: Instant) -> Vec<SeenCrash> {
+    pub fn to_report(&self, now: Instant) -> Vec<ObservedCrash> {
         let recorded = self.recorded.iter();
         recorded
             .map(|recorded| recorded.to_observed_crash(now))
@@ -181,7 +181,7 @@
         crashed_at: Instant,
         fingerprint: RequestFingerprint,
         instance: &InstanceId,
-    ) -> Option<SeenCrash> {
+    ) -> Option<ObservedCrash> {
         let evidence = CrashEvidence {
             fingerprint,
             instance: instance.clone(),
@@ -207,8 +207,8 @@
 }
 
 impl RecordedEvidence {
-    fn to_observed_crash(&self, now: Instant) -> SeenCrash {
-        SeenCrash {
+    fn to_observed_crash(&self, now: Instant) -> ObservedCrash {
+        ObservedCrash {
             evidence: self.evidence.clone(),
             ago: now.since(self.crashed_at),
         }
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -19,8 +19,8 @@
 use slog::info;
 use std::collections::BTreeMap;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, HeldPrefix, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason,
-    RequestFingerprint, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, ItemAssignment, ItemOutcome, ItemProgress, LoggedPrefix,
+    NotRunReason, RequestFingerprint, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::AnswerHead;
@@ -202,7 +202,7 @@
     }
 
     /// Continues uploads of an item's text after the prefix that the log holds.
-    pub(crate) fn upload_after(&mut self, id: AssignmentId, held: HeldPrefix) {
+    pub(crate) fn upload_after(&mut self, id: AssignmentId, held: LoggedPrefix) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.upload_after(held);
         }
--- a/crates/gateways/wingshore-gateway/src/suspects.rs
+++ b/crates/gateways/wingshore-gateway/src/suspects.rs
@@ -24,7 +24,7 @@
 use crate::crashes::CrashDetector;
 use crate::view::View;
 use std::time::Duration;
-use wingshore_coordination::{InstanceId, REJECTED_FROM, RequestFingerprint};
+use wingshore_coordination::{InstanceId, REJECTION_THRESHOLD, RequestFingerprint};
 use wingshore_types::Instant;
 
 /// An attempt that has streamed events for this long does not crash its server: a request that does
@@ -74,7 +74,7 @@
     pub(crate) fn is_rejected(self, request: RequestFingerprint) -> bool {
         let announced = self.view.suspect(request);
         announced.is_some_and(|suspect| suspect.rejected)
-            || (!self.has_leader && self.crashed_instances(request).len() >= REJECTED_FROM)
+            || (!self.has_leader && self.crashed_instances(request).len() >= REJECTION_THRESHOLD)
     }
 
     /// Whether a request is a suspect, which must not be retried once it may have run: if it is the
--- a/crates/gateways/wingshore-gateway/src/usage.rs
+++ b/crates/gateways/wingshore-gateway/src/usage.rs
@@ -36,7 +36,7 @@
         coordinator: SocketAddr,
         wall: WallTime,
     ) {
-        self.clock.heard(now, coordinator, wall);
+        self.clock.record(now, coordinator, wall);
     }
 
     /// Counts a request that is sent to a server, which begins to run it within a millisecond or
--- a/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
+++ b/crates/gateways/wingshore-gateway/tests/crash_simulation/world.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_coordination::{
-    Event, FingerprintKey, GatewayId, InstanceId, RequestContent, RequestFingerprint, SeenCrash,
-    ServerRecord, ServiceName, Suspect, ViewChange,
+    Event, FingerprintKey, GatewayId, InstanceId, ObservedCrash, RequestContent,
+    RequestFingerprint, ServerRecord, ServiceName, Suspect, ViewChange,
 };
 use wingshore_gateway::CrashDetector;
 use wingshore_types::Instant;
@@ -256,7 +256,7 @@
         }
     }
 
-    fn report_to_leader(&mut self, gateway: usize, seen: Vec<SeenCrash>) {
+    fn report_to_leader(&mut self, gateway: usize, seen: Vec<ObservedCrash>) {
         if seen.is_empty() {
             return;
         }
