--- a/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
@@ -1,25 +1,26 @@
-//! Is a batch job taken now?
+//! Decides whether a batch job is accepted.
 //!
-//! Inputs: bytes of the job's contents, bytes of the contents of all open jobs, and how many they may
-//! have together (a setting: a part of the process's memory).
+//! Inputs: the size of the job's contents in bytes, the size of the contents of all open jobs, and
+//! the limit for their sum (a setting: a part of the process's memory).
 //!
-//! Rule: a job is taken where it fits beside the open ones; one that is alone is taken however large it
-//! is, since the body that brought it is bounded. Any other is refused, and may be submitted again after
-//! [`ROOM_RETRY_AFTER`].
+//! Rule: a job is accepted if the sum of its size and that of the open jobs is within the limit. If
+//! no other job is open, it is accepted whatever its size, since the size of the request body is
+//! limited. Any other job is refused and may be submitted again after [`ROOM_RETRY_AFTER`].
 //!
-//! Why: the contents of a job stand in the state of each member until its caller ends it. Without a
-//! bound, callers that submit faster than engines work would drive all members over their memory at
-//! once, and with them what was accepted before.
+//! Rationale: each member keeps the contents of a job in its state until the caller ends the job.
+//! Without a limit, callers that submit faster than engines work would exhaust the memory of all
+//! members at the same time, and jobs that were accepted before would be lost with them.
 //!
-//! Old or missing inputs: a job that is proposed and not applied yet is not counted, so that some more
-//! than the bound can be taken at one moment.
+//! Stale or missing inputs: a job that is proposed but not yet applied is not counted, so the limit
+//! can be exceeded briefly.
 
 use std::time::Duration;
 
-/// When a caller may submit a job again for which there was no room: jobs end after seconds.
+/// Time after which a caller may resubmit a job that was refused for lack of memory: jobs end
+/// within seconds.
 pub(crate) const ROOM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Whether a job of `bytes` is taken beside open ones of `open_bytes`.
+/// Returns whether a job of `bytes` fits beside open jobs of `open_bytes` in total.
 pub(crate) fn has_room(bytes: usize, open_bytes: usize, max_open_bytes: usize) -> bool {
     open_bytes == 0 || open_bytes.saturating_add(bytes) <= max_open_bytes
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
@@ -1,44 +1,47 @@
-//! When is the number of servers of a pool ordered from the provider?
+//! Decides when the number of servers of a pool is ordered from the provider.
 //!
-//! Inputs: the number that is committed; servers of the pool that are registered and not leaving; what
-//! the provider answered to the last order, and when; the time that a new server takes to serve.
+//! Inputs: the committed number of servers; the number of registered servers of the pool that are
+//! not draining; the provider's answer to the last order and its time; the boot time of a new
+//! server.
 //!
-//! Rule: until the provider acknowledges the number, with [`INITIAL_BACKOFF`] after a first failure,
-//! twice as long each time, [`MAX_BACKOFF`] at the most; and again while the registry shows another
-//! number [`BOOT_MARGIN`] after the servers should serve. Not any more once the provider has seen an
-//! order of a later holder.
+//! Rule: the number is ordered until the provider acknowledges it, with a backoff of
+//! [`INITIAL_BACKOFF`] after the first failure, doubled after each further one up to
+//! [`MAX_BACKOFF`]. It is ordered again if the registry still shows another number [`BOOT_MARGIN`]
+//! after the servers should be serving. No more orders are sent once the provider has seen an order
+//! of a later holder.
 //!
-//! Why: an older order may have been carried out late, or servers may be lost.
+//! Rationale: an older order may have been carried out late, and servers may be lost.
 //!
-//! Old or missing inputs: a new leader orders once what is committed, whatever its predecessor had done:
-//! numbers are absolute.
+//! Stale or missing inputs: a new leader orders the committed number once, whatever its predecessor
+//! did. This is safe because orders name absolute numbers.
 
 use crate::provider::ProviderAnswer;
 use std::time::Duration;
 use wingshore_types::{Instant, doubled_backoff};
 
-/// Backoff after a first order without success.
+/// Backoff after the first failed order.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest backoff.
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Servers that were ordered are missed this long after they should serve.
+/// Time after the expected boot time at which ordered servers that have not registered count as
+/// missing.
 const BOOT_MARGIN: Duration = Duration::from_secs(4);
 
-/// The status of a pool's order.
+/// State of the order for one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolOrder {
     is_under_way: bool,
     failures: u32,
     not_before: Instant,
-    /// The number that the provider has acknowledged, and when.
+    /// The number that the provider acknowledged last, and when.
     acknowledged: Option<(u32, Instant)>,
-    /// Whether another holder has acted on it: this one does not any more.
+    /// Whether the provider has seen an order of a later holder; this leader then sends no more.
     is_fenced: bool,
 }
 
 impl PoolOrder {
-    /// Whether `count` is to be ordered now, of which `present` are there; new servers take `boot` until
-    /// they serve.
+    /// Returns whether `count` servers are to be ordered now. `present` is the number of registered
+    /// servers, `boot` the time from an order until a new server serves.
     pub(crate) fn is_due(&self, now: Instant, count: u32, present: u32, boot: Duration) -> bool {
         if self.is_under_way || self.is_fenced || now < self.not_before {
             return false;
@@ -50,18 +53,19 @@
         !is_had
     }
 
-    /// The order is sent.
+    /// Records that an order was sent.
     pub(crate) fn sent(&mut self) {
         self.is_under_way = true;
     }
 
-    /// Another number is wanted: it need not wait for the backoff of the one before.
+    /// Ends the backoff of the previous number after the wanted number changed.
     pub(crate) fn number_changed(&mut self, now: Instant) {
         self.not_before = now;
     }
 
-    /// The provider has answered an order for `count` servers, or has not. Of `reclaimable` servers it
-    /// says by a conflict that there are none to be had.
+    /// Records the provider's answer to an order for `count` servers, or its absence. For
+    /// `reclaimable` servers a conflict means that none are available at present; for other servers
+    /// it means that a later holder has sent an order.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -1,17 +1,19 @@
-//! How many servers of a service are wanted in each zone?
+//! Decides how many servers of a service are wanted in each zone.
 //!
-//! Inputs: the most items that were open at once lately, items that one server runs at once, the servers
-//! in each zone that nobody takes away, the most that a zone may have, and a policy (a setting).
+//! Inputs: the recent peak of open items, the number of items that one server runs at once, the
+//! number of non-reclaimable servers in each zone, the maximum number of servers in a zone, and a
+//! policy (a setting).
 //!
-//! Rule: by demand, as many servers that may be taken away as the open items need beyond those that
-//! stay, at most [`MAX_EXTRA_PART`] of these, the same number in each zone. Those that stay are left as
-//! they are. A service without such a kind of server, or without any registered one, wants none.
+//! Rule: under the policy `ByDemand`, as many reclaimable servers are wanted as the open items need
+//! beyond the non-reclaimable ones, limited to [`MAX_EXTRA_PART`] of the latter and spread evenly
+//! over the zones. The number of non-reclaimable servers is never changed. No servers are wanted
+//! for a service that has no reclaimable price or no registered server.
 //!
-//! Why: servers that may be taken away cost a part of the others; all of a zone go at once, so they are
-//! spread.
+//! Rationale: reclaimable servers cost a fraction of the price of the others. A provider takes back
+//! all reclaimable servers of a zone at once, so they are spread over the zones.
 //!
-//! Old or missing inputs: a new leader counts the open items from its own beginning, so that it may want
-//! fewer for a while; the registry's servers may be some seconds old.
+//! Stale or missing inputs: a new leader counts open items from the start of its leadership, so it
+//! may want fewer servers for a while. The registry may be some seconds out of date.
 
 use crate::ids::ServiceName;
 use crate::scaling::{CapacityPool, Scaling};
@@ -19,38 +21,38 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// The most servers that are ordered besides those that stay, as a part of these. Items run faster on
-/// engines that run fewer of them, down to where the weight store, which is laid out for those that
-/// stay, brings each version to too small a part of all.
+/// Maximum number of reclaimable servers, as a fraction of the non-reclaimable ones. Fewer items
+/// per engine make each item faster, but the weight store is dimensioned for the non-reclaimable
+/// servers: with more engines, each version reaches too small a share of them.
 const MAX_EXTRA_PART: f64 = 0.8;
 
-/// The most items that were open at once count for this long at the least: some steps of a trainer.
+/// Minimum time for which a peak of open items counts: several steps of a trainer.
 pub(crate) const DEMAND_MEMORY: Duration = Duration::from_secs(15);
 
-/// How the number of servers is chosen.
+/// Policy for the number of servers to order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityPolicy {
-    /// No orders: the servers that are there.
+    /// No orders: the existing servers are used as they are.
     Fixed,
-    /// As many as what is open needs.
+    /// As many servers as the open items need.
     ByDemand,
-    /// As many as can be had.
+    /// As many servers as each zone allows.
     Most,
 }
 
-/// What is asked of a service, and what it has.
+/// Demand on a service, and its present capacity.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CapacityDemand {
-    /// The most items that were open at once lately.
+    /// Recent peak of open items.
     pub open_items: usize,
-    /// Items that one server runs at once.
+    /// Number of items that one server runs at once.
     pub slots: u32,
-    /// Servers in each zone that nobody takes away.
+    /// Number of non-reclaimable servers by zone.
     pub staying: BTreeMap<String, u32>,
 }
 
-/// The most of a number within a span of time: of the present span and the one before, so that it does
-/// not fall the moment that a span ends.
+/// Maximum of a value over the current time span and the previous one. Including the previous span
+/// keeps the peak from dropping at the moment a span ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Peak {
     present: usize,
@@ -59,7 +61,7 @@
 }
 
 impl Peak {
-    /// Notes a number; gives the most of the last one to two spans.
+    /// Records a value and returns the maximum of the last one to two spans.
     pub fn note(&mut self, now: Instant, number: usize, span: Duration) -> usize {
         if now.since(self.since) >= span {
             self.before = self.present;
@@ -71,7 +73,7 @@
     }
 }
 
-/// How many servers that may be taken away are wanted in each zone, besides those that stay.
+/// Returns the number of reclaimable servers wanted in each zone.
 pub fn wanted(
     service: &ServiceName,
     scaling: &Scaling,
@@ -102,7 +104,7 @@
     wanted
 }
 
-/// Servers that what is open needs besides those that stay.
+/// Returns the number of servers that the open items need beyond the non-reclaimable ones.
 fn extra_servers(demand: &CapacityDemand) -> u32 {
     let staying: u32 = demand.staying.values().sum();
     let needed = demand.open_items.div_ceil(demand.slots.max(1) as usize);
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/continuation.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/continuation.rs
@@ -1,21 +1,23 @@
-//! Behind which events does a new attempt at an item begin?
+//! Decides from which event on a new attempt at an item continues.
 //!
-//! Inputs: the partial text that this leader knows from gateways, the one that the replicated log holds,
-//! the oldest version that the job allows, whether the route wants all events from one version, and the
-//! engine's version.
+//! Inputs: the partial text that gateways reported to this leader, the partial text in the
+//! replicated log, the oldest version that the job allows, whether the route requires all events to
+//! come from one version, and the engine's version.
 //!
-//! Rule: behind the longer of the two texts. A text with events of a version that is too old counts as
-//! none; where versions must not mix, so does one of another version than the engine's.
+//! Rule: the attempt continues the longer of the two texts. A text that contains events of a
+//! version older than allowed is discarded. Where versions must not be mixed, a text of another
+//! version than the engine's is discarded too.
 //!
-//! Why: what was generated once need not be generated again. The log may hold more than this leader was
-//! told: what it had from a gateway that is gone.
+//! Rationale: text that was generated once need not be generated again. The log may hold more than
+//! was reported to this leader, such as text from a gateway that is gone.
 //!
-//! Old or missing inputs: an engine may hold a newer version than known. A route with one version names
-//! it to the engine, which then refuses.
+//! Stale or missing inputs: an engine may hold a newer version than is known here. For a route that
+//! requires a single version, the request to the engine names that version, and the engine refuses
+//! it if it holds another one.
 
 use crate::text::ItemText;
 
-/// The partial text of an item that a further attempt may continue.
+/// Returns the partial text of an item that a new attempt may continue; empty if there is none.
 pub(crate) fn usable_text(
     reported: &ItemText,
     durable: Option<&ItemText>,
@@ -30,7 +32,7 @@
     }
 }
 
-/// With which text an attempt begins on an engine at `version`.
+/// Returns the text that an attempt continues on an engine that holds `version`.
 pub(crate) fn starting_text(usable: &ItemText, single_version: bool, version: u64) -> ItemText {
     let last = usable.versions.last().copied();
     let would_mix = last.is_some_and(|last| last != version);
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -1,21 +1,24 @@
-//! Which requests are what ends servers, and are rejected?
+//! Decides which requests crash servers and are rejected for it.
 //!
-//! Inputs: which servers' connections gateways lost under which requests, and when, with the servers
-//! that nobody listens for since; which requests ran well; the time.
+//! Inputs: the reports of gateways on lost connections, with the requests that were running on the
+//! server, the time, and whether the server stopped listening; the requests that succeeded; the
+//! time.
 //!
-//! Rule: evidence is weighed [`WEIGHED_AFTER`] it was reported. An ending counts against a request if that
-//! stood on half of the servers of the service that ended with it, or on several of them. A request is
-//! rejected at the third ending that counts if its endings single it out, else at the fourth. A run that
-//! goes well clears it; without news for [`EVIDENCE_LIFETIME`] the oldest ending counts no longer.
+//! Rule: evidence is evaluated [`WEIGHED_AFTER`] it was reported. A crash counts against a request
+//! if the request was running on at least half of the servers of the service that crashed at the
+//! same time, or on more than one of them. A request is rejected at the third counted crash if its
+//! crashes single it out, otherwise at the fourth. A successful run clears the request. Without new
+//! evidence for [`EVIDENCE_LIFETIME`], the oldest crash no longer counts.
 //!
-//! Why: many requests stand on a server when it ends, and most are not the cause. Where many servers of
-//! a service end at one moment, no single request is; the cause was sent from one to the next. Where
-//! servers end that a request did not stand on, its own endings may be chance, and where several
-//! requests stood on the same servers, one of them may be the cause.
+//! Rationale: many requests run on a server when it crashes, and most are not the cause. If many
+//! servers of a service crash at once, no single request is the cause: a request that crashes its
+//! server is then sent to the next one, so its crashes follow each other. If servers crash that the
+//! request was not running on, its own crashes may be a coincidence. If several requests were
+//! running on the same servers, any of them may be the cause.
 //!
-//! Old or missing inputs: endings may be reported up to a minute late, after a change of leaders; evidence
-//! about a server whose ending is not known counts for itself. A new leader counts silence from its own
-//! beginning, so that nothing is let go too early.
+//! Stale or missing inputs: after a change of leaders, crashes may be reported up to a minute late.
+//! Evidence on a server whose crash is not recorded is evaluated on its own. A new leader measures
+//! the time without evidence from the start of its leadership, so no evidence expires too early.
 
 use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::RequestFingerprint;
@@ -26,35 +29,38 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// After this time without news the oldest evidence against a request counts no longer. A rejected
-/// request may then run once more, and costs one server if nothing was repaired: six an hour.
+/// Time without new evidence after which the oldest crash no longer counts against a request. A
+/// rejected request may then run once more, and crashes one server if the fault is not repaired:
+/// six servers an hour.
 pub const EVIDENCE_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Servers that end within this time of each other end together. A request that ends its server
+/// Crashes within this time of each other count as simultaneous. A request that crashes its server
 /// does so within 200 ms and is then sent to the next one.
 const TOGETHER: Duration = Duration::from_millis(300);
-/// Evidence is weighed this long after it was reported, so that other gateways have reported theirs: a lost
-/// connection shows at once, and the way to the leader takes some ms.
+/// Delay between report and evaluation of evidence, which lets other gateways report the same
+/// crash: a lost connection is noticed at once, and a message to the leader takes some
+/// milliseconds.
 const WEIGHED_AFTER: Duration = Duration::from_millis(300);
-/// Endings are remembered this long, for evidence that a gateway reports late, after a change of
-/// leaders.
+/// Time for which crashes are remembered, for evidence that a gateway reports late after a change
+/// of leaders.
 const ENDINGS_KEPT: Duration = Duration::from_secs(60);
-/// Most pieces of evidence that wait to be weighed, 100 bytes each: those of 400 servers with 16
-/// requests each that end at once. What is beyond is dropped: with so many no request is the cause.
+/// Maximum number of pieces of evidence that wait for evaluation, 100 bytes each: those of 400
+/// servers with 16 requests each that crash at once. Further evidence is dropped: in a failure of
+/// that size no single request is the cause.
 const MAX_PENDING: usize = 6400;
 
-/// What gateways have reported and was not weighed yet, and when servers ended.
+/// Reported evidence that has not been evaluated yet, and recent crashes.
 #[derive(Default)]
 pub(crate) struct Evidence {
     pending: Vec<Pending>,
-    /// Incarnations of servers that ended under requests.
+    /// Recent crashes under requests, by incarnation of the server.
     endings: BTreeMap<InstanceId, Ending>,
-    /// When there was news of each request last. A new leader counts from its beginning, so that
-    /// nothing is let go too early.
+    /// Time of the last change of the evidence against each request. A new leader counts from the
+    /// start of its leadership, so no evidence expires too early.
     news: BTreeMap<RequestFingerprint, Instant>,
 }
 
-/// Evidence that was reported and not weighed yet.
+/// A piece of evidence that has not been evaluated yet.
 pub(crate) struct Pending {
     pub(crate) evidence: CrashEvidence,
     pub(crate) gateway: GatewayId,
@@ -64,34 +70,34 @@
 struct Ending {
     service: Option<ServiceName>,
     at: Instant,
-    /// The requests that stood on the server.
+    /// The requests that were running on the server.
     requests: BTreeSet<RequestFingerprint>,
 }
 
-/// How an ending speaks against a request.
+/// Relation of a crash to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Weight {
-    /// Servers of the service that ended together.
+    /// Number of servers of the service that crashed at the same time.
     pub(crate) together: usize,
-    /// Those of them that the request stood on.
+    /// Number of these servers that the request was running on.
     pub(crate) under_request: usize,
 }
 
 impl Weight {
-    /// Whether the ending counts.
+    /// Returns whether the crash counts against the request.
     pub(crate) fn counts(self) -> bool {
         2 * self.under_request >= self.together || self.under_request > 1
     }
 }
 
 impl Evidence {
-    /// A new leadership.
+    /// Starts the expiry of the replicated evidence anew for a new leadership.
     pub(crate) fn begin(&mut self, now: Instant, state: &CoordinationState) {
         let suspects = state.evidence().suspects();
         self.news = suspects.map(|known| (known.fingerprint, now)).collect();
     }
 
-    /// A gateway reports what it has seen.
+    /// Records a crash that a gateway reports.
     pub(crate) fn take(
         &mut self,
         now: Instant,
@@ -117,13 +123,13 @@
         }
     }
 
-    /// Whether an ending under a request was reported and not weighed yet.
+    /// Returns whether a crash under the request was reported and not evaluated yet.
     pub(crate) fn is_pending(&self, request: RequestFingerprint) -> bool {
         let mut pending = self.pending.iter();
         pending.any(|pending| pending.evidence.fingerprint == request)
     }
 
-    /// How an ending speaks against a request.
+    /// Returns how the crash in `evidence` relates to its request.
     pub(crate) fn weight(&self, evidence: &CrashEvidence) -> Weight {
         let Some(ending) = self.endings.get(&evidence.instance) else {
             return Weight {
@@ -145,8 +151,9 @@
         }
     }
 
-    /// Whether the endings of a request single it out: it stood on half of the servers of its service
-    /// that ended since its first one, and no other request stood on all of its own.
+    /// Returns whether the crashes of a request single it out: it was running on at least half of
+    /// the servers of its service that crashed since its first crash, and no other request was
+    /// running on all the servers that crashed under it.
     fn singles_out(&self, request: RequestFingerprint) -> bool {
         let endings = self.endings.values();
         let own = endings.filter(|ending| ending.requests.contains(&request));
@@ -163,25 +170,26 @@
         explains_half && on_all == 1
     }
 
-    /// Takes the evidence whose time to be weighed has come.
+    /// Removes and returns the evidence that is due for evaluation.
     pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Pending> {
         let is_due = |pending: &mut Pending| now.since(pending.reported_at) >= WEIGHED_AFTER;
         self.pending.extract_if(.., is_due).collect()
     }
 
-    /// Forgets endings that no evidence can still be reported of.
+    /// Removes crashes for which no more evidence can be reported.
     pub(crate) fn forget_endings(&mut self, now: Instant) {
         self.endings
             .retain(|_, ending| now.since(ending.at) < ENDINGS_KEPT);
     }
 
-    /// These requests ran well: what was reported against them and not weighed counts for nothing.
+    /// Discards the evidence against `requests` that has not been evaluated yet, since they
+    /// succeeded.
     pub(crate) fn clear(&mut self, requests: &[RequestFingerprint]) {
         self.pending
             .retain(|pending| !requests.contains(&pending.evidence.fingerprint));
     }
 
-    /// Evidence against a request that the group holds has changed.
+    /// Records that the replicated evidence against a request has changed.
     pub(crate) fn note_news(
         &mut self,
         now: Instant,
@@ -195,15 +203,16 @@
         }
     }
 
-    /// Whether a suspect is rejected from now on: with so many endings that nothing else explains them,
-    /// or with enough that single it out.
+    /// Returns whether a suspect is to be rejected from now on: it has so many crashes that
+    /// coincidence is ruled out, or enough of them and they single it out.
     pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
         let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
         !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
     }
 
-    /// Requests without news for too long; their time begins anew.
+    /// Returns the requests whose evidence has not changed for [`EVIDENCE_LIFETIME`], and restarts
+    /// their time.
     pub(crate) fn take_old(&mut self, now: Instant) -> Vec<RequestFingerprint> {
         let is_old = |at: &Instant| now.since(*at) >= EVIDENCE_LIFETIME;
         let old = self.news.iter_mut().filter(|(_, at)| is_old(at));
@@ -215,8 +224,8 @@
     }
 }
 
-/// Whether so many servers have ended under an item that it is suspected to be the cause. Such items run
-/// on engines apart from each other: the next ending then tells which of them it is.
+/// Returns whether an item with so many crashes is suspected to be their cause. No two suspected
+/// items run on the same engine, so that the next crash identifies one of them.
 pub(crate) fn is_suspect(ended_under: usize) -> bool {
     ended_under >= REPORTED_FROM
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -1,42 +1,46 @@
-//! When is something that nobody speaks of any more over?
+//! Decides when something that is no longer reported has expired.
 //!
-//! Inputs: since when something is known or was last heard of, by this leader; for items the route's
-//! `max_queue`; for jobs and servers a setting.
+//! Inputs: the time at which this leader first learned of something or last received a report of
+//! it; for items the route's `max_queue`; for jobs and servers a setting.
 //!
-//! Rule: each has a limit of silence or age, as its function says.
+//! Rule: each kind has a limit of silence or age; see the functions.
 //!
-//! Why: what a lost process held must go on elsewhere, and what nobody asks for must not fill memory;
-//! but what was only cut off for a moment is cheaper to keep than to begin again.
+//! Rationale: work of a lost process must continue elsewhere, and data that nobody asks for must
+//! not fill the memory. On the other hand, keeping an attempt across a short disconnection is
+//! cheaper than starting it again.
 //!
-//! Old or missing inputs: a new leader counts from its own beginning, so that nothing is over too early.
+//! Stale or missing inputs: a new leader counts from the start of its leadership, so nothing
+//! expires too early.
 
 use crate::configuration::Route;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// An attempt or a scoring that its gateway does not speak of for this long is over. Gateways speak of
-/// all that they run each 400 ms.
+/// Time without a report after which an attempt or a scoring has expired. Gateways report
+/// everything that they run each 400 ms.
 const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// A gateway whose connection has ended keeps its items if it is back within this time, counted from
-/// when it was last heard of.
+/// Time within which a disconnected gateway must reconnect to keep its items, counted from its last
+/// message.
 const RETURN_GRACE: Duration = Duration::from_millis(900);
 
-/// A new leader places items only after this time, in which gateways report what they run.
+/// Time after the start of a leadership in which gateways report what they run; items are placed
+/// only after it.
 pub(crate) const INTRODUCTION_TIME: Duration = Duration::from_millis(300);
 
-/// Whether an attempt or a scoring that was last heard of at `heard` is over.
+/// Returns whether an attempt or a scoring that was last reported at `heard` has expired.
 pub(crate) fn is_silent(now: Instant, heard: Instant) -> bool {
     now.since(heard) > SILENCE_LIMIT
 }
 
-/// When a gateway is lost with all that it runs, whose connection has ended after `silence`.
+/// Returns the time at which a gateway counts as lost with everything that it runs. Its connection
+/// ended after `silence` without a message.
 pub(crate) fn gateway_lost_at(now: Instant, silence: Duration) -> Instant {
     now + RETURN_GRACE.saturating_sub(silence)
 }
 
-/// Whether an item without a result is abandoned whose job is known since `known_since`: its time in the
-/// queue is over, or no route leads to engines any more.
+/// Returns whether an item without a result is abandoned: its time in the queue has passed since
+/// `known_since`, or there is no route to engines any more.
 pub(crate) fn is_past_queue_time(
     now: Instant,
     known_since: Option<Instant>,
@@ -51,7 +55,7 @@
     }
 }
 
-/// Whether a job that its caller has ended is forgotten.
+/// Returns whether a job that its caller has ended is past its retention.
 pub(crate) fn is_job_forgotten(
     now: Instant,
     known_since: Option<Instant>,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
@@ -1,32 +1,35 @@
-//! Through which gateway does an item run, and which gateway asks for the score of a text?
+//! Decides through which gateway an item runs, and which gateway requests the score of a text.
 //!
-//! Inputs: of each gateway whether it has reported what it runs, whether it takes items, its zone, and
-//! how many items or scorings it has by this leader's word; the engine's zone and the gateway that ran
-//! its last item.
+//! Inputs: for each gateway whether it has reported what it runs, whether it takes items, its zone,
+//! and the number of items or scorings that this leader has assigned to it; the engine's zone and
+//! the gateway that ran its last item.
 //!
-//! Rule: an item goes through the gateway that ran the engine's last one, while that takes more; else
-//! through the one with fewest items, those of other zones counting [`OTHER_ZONE_ITEMS`] more. A scoring
-//! goes to the gateway with fewest. No gateway gets more than [`MAX_ITEMS_OF_A_GATEWAY`] items or
-//! [`MAX_SCORINGS_OF_A_GATEWAY`] scorings.
+//! Rule: an item goes through the gateway that ran the engine's last item, if that gateway takes
+//! more. Otherwise it goes through the gateway with the fewest items, where gateways of other zones
+//! count [`OTHER_ZONE_ITEMS`] more. A scoring goes to the gateway with the fewest scorings. No
+//! gateway gets more than [`MAX_ITEMS_OF_A_GATEWAY`] items or [`MAX_SCORINGS_OF_A_GATEWAY`]
+//! scorings.
 //!
-//! Why: a connection to an engine is kept; a new one costs time, and servers limit them.
+//! Rationale: gateways keep their connections to engines open. A new connection costs time, and
+//! servers limit their number.
 //!
-//! Old or missing inputs: a gateway gets nothing before it has reported what it runs; one whose status
-//! is old refuses, and the item is placed again.
+//! Stale or missing inputs: a gateway gets nothing before it has reported what it runs. A gateway
+//! whose status is out of date refuses the item, which is then placed again.
 
 use crate::ids::GatewayId;
 use crate::leader::tables::engine::Engine;
 use crate::leader::tables::gateways::{Gateway, Gateways};
 use std::collections::BTreeMap;
 
-/// Most items that one gateway runs at once.
+/// Maximum number of items that one gateway runs at once.
 const MAX_ITEMS_OF_A_GATEWAY: usize = 96;
-/// Most scorings that one gateway has in hand by this leader's word.
+/// Maximum number of scorings assigned to one gateway at once.
 const MAX_SCORINGS_OF_A_GATEWAY: usize = 256;
-/// Items by which a gateway in another zone than the engine must have less work.
+/// Number of items by which a gateway in another zone than the engine must have fewer to be
+/// preferred.
 const OTHER_ZONE_ITEMS: usize = 4;
 
-/// The gateway through which an item runs on `engine`; `None` where none takes it now.
+/// Returns the gateway through which an item runs on `engine`; `None` if no gateway takes it now.
 pub(crate) fn gateway_for_item(gateways: &Gateways, engine: Option<&Engine>) -> Option<GatewayId> {
     let takes_more =
         |gateway: &Gateway| is_in_use(gateway) && gateway.running < MAX_ITEMS_OF_A_GATEWAY;
@@ -45,8 +48,8 @@
         .map(|(id, _)| id)
 }
 
-/// The gateway that asks for the score of a text; `None` where none takes one now. `in_hand` holds the
-/// scorings of each.
+/// Returns the gateway that requests the score of a text; `None` if no gateway takes a scoring now.
+/// `in_hand` holds the number of scorings assigned to each gateway.
 pub(crate) fn gateway_for_scoring(
     gateways: &Gateways,
     in_hand: &BTreeMap<GatewayId, usize>,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -1,96 +1,99 @@
-//! What follows the end of an attempt at an item: is the result taken, is the item tried again and when,
-//! is it abandoned, and what becomes of the engine?
+//! Decides what follows the end of an attempt at an item: whether the result is accepted, whether
+//! and when the item is retried, whether it is abandoned, and what happens to the engine.
 //!
-//! Inputs: what the gateway says came of the attempt; whether the text is older than the job allows;
-//! attempts that engines ran and failed, and how many the route allows; whether servers have ended under
-//! what the item asks.
+//! Inputs: the outcome that the gateway reports; whether the text is older than the job allows; the
+//! number of attempts that engines ran and failed, and the limit of the route; whether servers have
+//! crashed under the item's request.
 //!
-//! Rule: the table in [`verdict`]. A whole text is taken. Whatever did not run, or broke off, is tried
-//! again, behind the events that there are; what an engine ran and failed is tried again as often as the
-//! route allows, and then abandoned; what can never be done is abandoned at once.
+//! Rule: see [`verdict`]. A complete text is accepted. An attempt that was not run or was
+//! interrupted is retried, continuing the events received so far. An attempt that an engine ran and
+//! failed is retried up to the limit of the route, after which the item is abandoned. An item that
+//! can never succeed is abandoned at once.
 //!
-//! Why: an item is abandoned only for what engines say of it, or when its time in the queue is over
-//! ([`super::expiry`]); everything else is a matter of where it was sent. An engine whose fault it was
-//! gets no items for a while, so that the next one does not meet the same.
+//! Rationale: an item is abandoned only because of what engines report of it, or because its time
+//! in the queue is over ([`super::expiry`]); all other outcomes depend on where it was sent. An
+//! engine at fault gets no items for a while, so that the next item does not meet the same fault.
 //!
-//! Old or missing inputs: the end of an attempt that this leader has already replaced counts if it is a
-//! whole text and the item has no result yet; else it is ignored.
+//! Stale or missing inputs: the end of an attempt that this leader has already replaced counts only
+//! if it delivers a complete text and the item has no result yet; otherwise it is ignored.
 
 use crate::messages::{BreakCause, ItemOutcome, NotRunReason};
 use std::time::Duration;
 
-/// An item that was not run is not placed again for this long.
+/// Time before an item that was not run is placed again.
 const NOT_RUN_BACKOFF: Duration = Duration::from_millis(30);
-/// An item that is rejected since servers have ended under it is offered to a gateway again after
-/// this time, for the case that it was cleared. It is abandoned when its route says so, not earlier.
+/// Time before an item that was rejected because servers crashed under it is offered to a gateway
+/// again, in case its request was cleared meanwhile. Such an item is abandoned only by the limits
+/// of its route.
 const REJECTED_BACKOFF: Duration = Duration::from_secs(2);
-/// An item that may be what ends engines waits this long, so that the last ending is weighed
-/// (300 ms, at the next tick) before it could end one more.
+/// Time before a suspected item is placed again. Its last crash is evaluated by then (300 ms after
+/// the report, at the next tick), before the item could crash another engine.
 const SUSPECT_BACKOFF: Duration = Duration::from_millis(450);
-/// An engine that did not take an item, being full or another one than expected, gets none for this long.
+/// Time for which an engine gets no items after it refused one because it was full or not the
+/// expected engine.
 const REFUSED_DEFERRAL: Duration = Duration::from_millis(90);
-/// An item that an engine ran and failed is not placed again for this long.
+/// Time before an item that an engine ran and failed is placed again.
 const FAILED_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why an item is abandoned that an engine ran and failed.
+/// Reason for abandoning an item that engines ran and failed.
 const FAILED_TOO_OFTEN: &str = "it failed as often as its route allows";
-/// Why an item is abandoned that cannot be done.
+/// Reason for abandoning an item that can never succeed.
 const IMPOSSIBLE: &str = "the engine says that it can never be done";
 
-/// What is known of an item whose attempt is over.
+/// State of an item whose attempt has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ItemHistory {
-    /// Whether the text of the attempt is of a version that its job does not allow.
+    /// Whether the attempt's text comes from a version that the job does not allow.
     pub(crate) is_too_old: bool,
-    /// Attempts that engines ran and failed, this one not counted.
+    /// Number of attempts that engines ran and failed, without this one.
     pub(crate) failures: u32,
-    /// How many of them its route allows.
+    /// Maximum number of such attempts that the route allows.
     pub(crate) max_failures: u32,
-    /// Whether a server has ended under what it asks, as far as is known.
+    /// Whether a server is known to have crashed under the item's request.
     pub(crate) may_end_engines: bool,
 }
 
-/// What becomes of the engine that an attempt was sent to.
+/// Action on the engine that ran the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineVerdict {
-    /// Nothing.
+    /// No action.
     Keep,
-    /// It gets no items for a while: see [`super::ejection`].
+    /// Ejects it: it gets no items for a while (see [`super::ejection`]).
     Eject,
-    /// The same, and none before its next heartbeat.
+    /// Ejects it, and gives it no items before its next heartbeat.
     EjectUntilHeartbeat,
-    /// The same as for `Eject`, and it is asked for its versions.
+    /// Ejects it, and polls it for its versions.
     EjectAndPoll,
-    /// It gets no items for this long.
+    /// Gives it no items for this time.
     Defer(Duration),
 }
 
-/// What becomes of an item's partial text.
+/// Action on an item's partial text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PartialText {
-    /// As before the attempt.
+    /// The text from before the attempt is kept.
     Keep,
-    /// That of the attempt takes its place.
+    /// The text of the attempt replaces it.
     Replace,
-    /// The item begins anew.
+    /// The text is discarded; the item starts from the beginning.
     Drop,
 }
 
-/// An item is tried again.
+/// How an item is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Retry {
-    /// Not before this time has passed; `None` leaves what held before.
+    /// Minimum time before the retry; `None` leaves an earlier backoff in force.
     pub(crate) backoff: Option<Duration>,
-    /// Behind which events.
+    /// The partial text that the retry continues.
     pub(crate) partial_text: PartialText,
-    /// What becomes of the engine.
+    /// Action on the engine.
     pub(crate) engine: EngineVerdict,
-    /// Whether the attempt counts as one that an engine ran and failed.
+    /// Whether the attempt counts towards the limit of attempts that engines ran and failed.
     pub(crate) is_failure: bool,
 }
 
 impl Retry {
-    /// At once, behind the same events.
+    /// Immediate retry that continues the same partial text.
     const NOW: Self = Self {
         backoff: None,
         partial_text: PartialText::Keep,
@@ -99,18 +102,18 @@
     };
 }
 
-/// What follows the end of an attempt.
+/// Consequence of the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Its text is the result.
+    /// The attempt's text is accepted as the result.
     Take,
-    /// The item is tried again.
+    /// The item is retried.
     Retry(Retry),
-    /// The item is abandoned, for this reason.
+    /// The item is abandoned for this reason.
     Abandon(&'static str),
 }
 
-/// What follows the end of an attempt at an item that has no result yet.
+/// Returns the consequence of the end of an attempt at an item that has no result yet.
 pub(crate) fn verdict(outcome: &ItemOutcome, item: ItemHistory) -> Verdict {
     match outcome {
         ItemOutcome::Finished(_) if item.is_too_old => Verdict::Retry(Retry {
@@ -133,8 +136,8 @@
     }
 }
 
-/// An attempt broke off. Where an engine has ended under the item a moment before, or a while ago, the
-/// item may be the cause: it waits until that is weighed.
+/// Returns how an interrupted item is retried. If an engine crashed under the item just now or
+/// earlier, the item may be the cause, so it waits until that crash is evaluated.
 fn after_break(cause: BreakCause, item: ItemHistory) -> Retry {
     let broken = Retry {
         partial_text: PartialText::Replace,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -1,23 +1,24 @@
-//! Which engine loads which model's weights next?
+//! Decides which engine loads which model's weights next.
 //!
-//! Inputs: of each model its newest named version, the items that wait and the most that were open
-//! lately; of each engine its versions, the items and the long items of the model that run on it, and
-//! whether gateways are connected to it; loads under way; the servers that their provider does not take
-//! away.
+//! Inputs: for each model its newest named version, its waiting items and its recent peak of open
+//! items; for each engine its versions, the items and the long items of the model that run on it,
+//! and whether gateways are connected to it; the loads in progress; the number of non-reclaimable
+//! servers.
 //!
-//! Rule: the model with the fewest engines at its newest version loads next, on the engine that is of
-//! least use to it. A model loads until what is enough for its open items, at most its share of the
-//! engines, holds the newest version; beyond that only for items that wait and find no place on the
-//! engines that load. An engine with long items of the model defers its load, unless it is two versions
-//! behind and others carry the model. One engine in [`ENGINES_PER_LOAD`] loads at a time.
+//! Rule: the model with the fewest engines at its newest version loads next, on the engine that is
+//! least useful to it. A model loads until enough engines for its open items hold the newest
+//! version, limited to its share of the engines. It loads on more engines only for waiting items
+//! that do not fit on the engines that are loading. An engine that runs long items of the model
+//! defers its load, unless it is two versions behind and other engines can run the model. At most
+//! one engine in [`ENGINES_PER_LOAD`] loads at a time.
 //!
-//! Why: loads are what a site with many engines is short of: the weight store serves a share of them at
-//! full speed. The next job of a trainer runs on the newest version or the one before, so what counts is
-//! that each model has engines at its newest version when that job comes. A load stops the model's
-//! streams on the engine for 0.9 s.
+//! Rationale: loads are the scarce resource of a site with many engines, since the weight store
+//! serves only a share of the engines at full speed. A trainer's next job runs on the newest
+//! version or the one before, so what matters is that each model has engines at its newest version
+//! when that job arrives. A load stops the model's streams on the engine for 0.9 s.
 //!
-//! Old or missing inputs: an engine may hold a newer version than known: the poll before an order shows
-//! it. A model without open items lately counts with its whole share.
+//! Stale or missing inputs: an engine may hold a newer version than is known here; the poll before
+//! an order shows it. A model without recent open items counts with its whole share.
 
 use super::capacity_plan::{DEMAND_MEMORY, Peak};
 use crate::ids::{InstanceId, ModelName};
@@ -28,47 +29,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::Instant;
 
-/// Most loads that begin in one scan of the engines: a scan comes each 50 ms, so that 600 of 0.9 s can
-/// be under way, one in five of 3,000 engines, and no scan holds up what else a leader does.
+/// Maximum number of loads started in one scan of the engines. A scan runs every 50 ms, so 600
+/// loads of 0.9 s each can be in progress, one in five of 3,000 engines, while no scan delays the
+/// leader's other work.
 pub(crate) const MAX_LOADS_OF_A_SCAN: usize = 32;
 
-/// Engines at a model's newest version that are enough, as a multiple of those that all its open items
-/// fill: long items stay on engines at the version before.
+/// Number of engines that should hold a model's newest version, as a multiple of the engines that
+/// all its open items fill: long items stay on engines at the version before.
 const ENOUGH_FACTOR: usize = 2;
 
-/// Where there are many engines, one in this many may load at once.
+/// At a large site, one engine in this many may load at once.
 const ENGINES_PER_LOAD: usize = 5;
 
-/// Engines that may load at once at any site, however few it has; loads slow each other down.
+/// Number of engines that may load at once at a site of any size. Concurrent loads slow each other
+/// down.
 const MIN_LOADS_AT_ONCE: usize = 2;
 
-/// Versions that an engine may be behind and still run work: jobs ask for the newest version or the one
-/// before.
+/// Number of versions that an engine may be behind and still run items: jobs ask for the newest
+/// version or the one before.
 const USABLE_LAG: u64 = 1;
 
-/// A load that would bring an engine to a named version.
+/// A possible load that would bring an engine to a named version.
 struct WantedLoad {
     instance: InstanceId,
-    /// How many versions the engine is behind.
+    /// Number of versions that the engine is behind.
     lag: u64,
-    /// Long items of the model that run on the engine.
+    /// Number of long items of the model that run on the engine.
     long_running: usize,
-    /// Slots of the engine that are taken, by items of any model.
+    /// Number of occupied slots of the engine, by items of any model.
     busy_slots: usize,
-    /// Whether no gateway has connections to it.
+    /// Whether no gateway has connections to the engine.
     is_unconnected: bool,
 }
 
 impl WantedLoad {
-    /// Work may run on the newest version and the one before.
+    /// Returns whether items may still run on the engine's version: the newest one or the one
+    /// before.
     fn is_still_usable(&self) -> bool {
         self.lag <= USABLE_LAG
     }
 
-    /// Order in which engines load a model's version: first those that are of no use to it any more,
-    /// of these the ones without long items of it, then those with the most room, then those that items
-    /// have run on: the next ones need no new connections. Slow ones do not come last: where a fifth of the
-    /// engines is slow for a while, too few would be left that hold a version.
+    /// Returns the sort key of the order in which engines load a model's version: first engines
+    /// whose version is no longer usable, then engines with the fewest long items of the model,
+    /// then with the fewest occupied slots, then engines with connections, since the next items
+    /// there need no new ones. Slow engines are not sorted last: while a fifth of the engines is
+    /// slow, too few others would be left to hold a version.
     fn rank(&self) -> (bool, usize, usize, bool, &InstanceId) {
         (
             self.is_still_usable(),
@@ -80,37 +85,38 @@
     }
 }
 
-/// The engines of one model, and what they could load.
+/// Counts of the engines of one model, and its possible loads.
 #[derive(Default)]
 pub(crate) struct ModelLoads {
-    /// The newest named version.
+    /// Newest named version.
     named: u64,
-    /// Engines that serve the model.
+    /// Number of engines that serve the model.
     engines: usize,
-    /// Those that can run what asks for the version before the newest.
+    /// Number of these engines that can run items that ask for the version before the newest.
     usable: usize,
-    /// Those that hold the newest version, or are loading it.
+    /// Number of these engines that hold or load the newest version.
     newest: usize,
-    /// Those that are loading it.
+    /// Number of these engines that are loading it.
     loading: usize,
-    /// Engines for each model where all share alike; at least one.
+    /// Number of engines per model if all models share alike; at least one.
     share: usize,
-    /// Items of the model that wait for an engine.
+    /// Number of items of the model that wait for an engine.
     waiting: usize,
-    /// The most items of the model that were open at once lately.
+    /// Recent peak of open items of the model.
     open: usize,
-    /// Slots of its engines.
+    /// Total number of slots of its engines.
     slots: usize,
     wanted: Vec<WantedLoad>,
 }
 
 impl ModelLoads {
-    /// Leaves the loads that may begin now, in the order in which they should, and no more of them
-    /// than one scan begins.
+    /// Reduces the possible loads to those that may start now, ordered by rank and limited to the
+    /// number of loads of one scan.
     ///
-    /// An engine one version behind is still of use: it does not load while long items of the model
-    /// would stand still for it; those of other models go on. An engine that is further behind
-    /// loads, unless it has such items and others carry the model meanwhile.
+    /// An engine that is one version behind is still useful, so it does not load while long items
+    /// of the model run on it and would be stopped; a load does not stop items of other models. An
+    /// engine that is further behind loads, unless it runs such items and other engines can run the
+    /// model meanwhile.
     fn rank_wanted(&mut self, defers_for_long_items: bool) {
         let others_carry = self.usable * 2 >= self.engines;
         self.wanted.retain(|load| {
@@ -123,13 +129,13 @@
                 .select_nth_unstable_by(MAX_LOADS_OF_A_SCAN, by_rank);
             self.wanted.truncate(MAX_LOADS_OF_A_SCAN);
         }
-        // The next one is taken from the end.
+        // `take` pops from the end, so the first one to load is sorted last.
         self.wanted.sort_by(|left, right| by_rank(right, left));
     }
 
-    /// Engines that are to hold the newest version, whatever waits: the model's share, or what its items
-    /// fill with room to spare, where that is less. Where it had none lately nothing is known of what is
-    /// to come.
+    /// Returns the number of engines that should hold the newest version, regardless of waiting
+    /// items: the model's share, or less if its open items need less, with room to spare. Without
+    /// recent items the demand is unknown, so the whole share is used.
     fn enough(&self) -> usize {
         if self.open == 0 {
             return self.share;
@@ -142,13 +148,13 @@
         (self.slots / self.engines.max(1)).max(1)
     }
 
-    /// Items that wait and find no place on the engines that are loading now.
+    /// Returns the number of waiting items that do not fit on the engines that are loading now.
     fn waiting_in_vain(&self) -> usize {
         self.waiting
             .saturating_sub(self.loading * self.slots_each())
     }
 
-    /// Notes how an engine that serves the model counts. `loading` is the model that it loads.
+    /// Counts an engine that serves the model. `loading` is the model that the engine is loading.
     fn count(&mut self, entry: &ModelVersion, engine: &Engine, loading: Option<&ModelName>) {
         let version = entry.version;
         let is_loading = loading == Some(&entry.model);
@@ -169,9 +175,9 @@
         }
     }
 
-    /// Takes the next load. Beyond what is enough engines load only for items that wait and that
-    /// those which load already will not take: a job often comes with its version, and its items
-    /// wait while that loads. What loads already is left out.
+    /// Removes and returns the next load. More engines than `enough` load only for waiting items
+    /// that do not fit on the engines that are loading already: a job often arrives together with
+    /// its version, and its items wait while that version loads. Engines in `loading` are skipped.
     fn take(&mut self, loading: &BTreeSet<InstanceId>) -> Option<WantedLoad> {
         if self.newest >= self.enough() && self.waiting_in_vain() == 0 {
             return None;
@@ -187,28 +193,28 @@
     }
 }
 
-/// Loads that could begin, by model.
+/// Possible loads by model.
 pub(crate) struct LoadChoice {
     models: BTreeMap<ModelName, ModelLoads>,
     policy: LeaderPolicy,
-    /// Engines that were chosen.
+    /// Engines chosen in this scan.
     chosen: BTreeSet<InstanceId>,
 }
 
-/// A load that begins.
+/// A load to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NextLoad {
-    /// The engine.
+    /// The engine that loads.
     pub(crate) instance: InstanceId,
-    /// What it loads.
+    /// The model to load.
     pub(crate) model: ModelName,
-    /// Which version.
+    /// The version to load.
     pub(crate) version: u64,
 }
 
 impl LoadChoice {
-    /// What could be loaded to bring engines to the named versions. `loading` says which model an engine
-    /// loads.
+    /// Collects the loads that would bring engines to the named versions. `loading` returns the
+    /// model that an engine is loading.
     pub(crate) fn new<'a>(
         named_versions: &BTreeMap<ModelName, u64>,
         engines: &Engines,
@@ -246,7 +252,7 @@
         }
     }
 
-    /// Items of a model wait for an engine.
+    /// Counts waiting items of a model.
     pub(crate) fn count_waiting(&mut self, model: &ModelName, items: usize) {
         if let Some(loads) = self.models.get_mut(model) {
             loads.waiting += items;
@@ -254,15 +260,15 @@
         }
     }
 
-    /// An item of a model runs.
+    /// Counts a running item of a model.
     pub(crate) fn count_running(&mut self, model: &ModelName) {
         if let Some(loads) = self.models.get_mut(model) {
             loads.open += 1;
         }
     }
 
-    /// Puts the most items that were open lately in place of those that are open now: between two steps
-    /// there are few.
+    /// Replaces the present numbers of open items by their recent peaks: few items are open between
+    /// two training steps.
     pub(crate) fn note_peaks(&mut self, now: Instant, peaks: &mut BTreeMap<ModelName, Peak>) {
         for (model, loads) in &mut self.models {
             let peak = peaks.entry(model.clone()).or_default();
@@ -270,7 +276,7 @@
         }
     }
 
-    /// Takes the next load; `None` where none is to begin now.
+    /// Removes and returns the next load; `None` if no load is to start now.
     pub(crate) fn take(&mut self) -> Option<NextLoad> {
         if self.chosen.len() >= MAX_LOADS_OF_A_SCAN {
             return None;
@@ -280,7 +286,7 @@
                 continue;
             };
             if let Some(load) = loads.take(&self.chosen) {
-                // One engine loads one model at a time.
+                // An engine loads one model at a time.
                 self.chosen.insert(load.instance.clone());
                 let version = loads.named;
                 let instance = load.instance;
@@ -303,8 +309,9 @@
     }
 }
 
-/// Engines that may load at once: the weight store serves a share of them at full speed. It is laid
-/// out for those that stay: others that were ordered for a while do not make it faster.
+/// Returns the number of engines that may load at once: a share of the non-reclaimable engines,
+/// since the weight store is dimensioned for these. Reclaimable engines that were added for a while
+/// do not make it faster.
 pub(crate) fn max_loads(engines: &Engines) -> usize {
     let share = engines.staying() / ENGINES_PER_LOAD;
     share.max(MIN_LOADS_AT_ONCE)
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
@@ -1,42 +1,45 @@
-//! What is the next step of an engine's load: poll it, order it, wait, or give it up for a while?
+//! Decides the next step of an engine's load: poll the engine, send the order, wait, or suspend the
+//! load.
 //!
-//! Inputs: the load's phase and attempts; the engine's reports of its versions, of an order under way
-//! and of the count of orders it has taken; its answers to orders; the time.
+//! Inputs: the load's phase and number of attempts; the engine's reports of its versions, of an
+//! order in progress and of the number of orders that it has taken; its answers to orders; the
+//! time.
 //!
-//! Rule: an engine is polled, and ordered where it neither is busy nor holds the version. After an order
-//! that it accepted it is polled after `load_time`, a setting, and then each [`POLL_INTERVAL`] until it
-//! holds the version. What stays without an answer is over after [`CALL_TIMEOUT`]. After
-//! [`MAX_ATTEMPTS`] polls without an answer or orders without effect the engine is left out for
-//! [`GIVE_UP_TIME`].
+//! Rule: an engine is polled, and gets an order if it is not busy and does not hold the version.
+//! After it accepts an order it is polled after `load_time`, a setting, and then every
+//! [`POLL_INTERVAL`] until it holds the version. A call without an answer times out after
+//! [`CALL_TIMEOUT`]. After [`MAX_ATTEMPTS`] polls without an answer or orders without effect, the
+//! load is suspended for [`GIVE_UP_TIME`].
 //!
-//! Why: an order may be lost, be carried out late, or meet another leader's; the poll before each one
-//! tells the count of orders under which it is carried out, so that a late one does nothing.
+//! Rationale: an order may be lost, be carried out late, or collide with an order of another
+//! leader. The poll before each order returns the number of orders that the engine has taken. The
+//! engine carries the order out only under that number, so a late order has no effect.
 //!
-//! Old or missing inputs: an answer that comes when it is no longer awaited changes nothing, but for the
-//! versions that it names.
+//! Stale or missing inputs: an answer that is no longer awaited has no effect, except that the
+//! versions it names are recorded.
 
 use crate::ids::ModelName;
 use crate::registry::ModelVersion;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Time between further polls of an engine that loads.
+/// Time between further polls of a loading engine.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// An order or a poll without an answer is over after this time.
+/// Time after which an order or a poll without an answer has failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Polls without an answer, or orders without effect, after which an engine is given up for a while.
+/// Number of polls without an answer, or orders without effect, after which a load is suspended.
 const MAX_ATTEMPTS: u32 = 6;
-/// How long an engine is left out then: twenty polls.
+/// Time for which the load of an engine is suspended: twenty polls.
 const GIVE_UP_TIME: Duration = Duration::from_secs(3);
 
-/// What an engine reports of itself.
+/// Status that an engine reports in answer to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStatus {
     /// Its models and their versions.
     pub models: Vec<ModelVersion>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders taken.
+    /// Number of orders that the engine has taken.
     pub sequence: u64,
 }
 
@@ -48,25 +51,25 @@
     }
 }
 
-/// What an engine answered to an order.
+/// Answer of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being done.
+    /// The order is being carried out.
     Accepted,
-    /// It holds already.
+    /// The engine holds the version already.
     AlreadyHeld,
-    /// Another order is under way, or the count of orders differs.
+    /// Another order is in progress, or the number of orders taken differs.
     Conflict,
-    /// A higher fence was seen.
+    /// The engine has seen an order with a higher fencing token.
     Fenced,
     /// Refused for another reason.
     Refused,
-    /// No answer: it may be done, or be done later.
+    /// There was no answer: the order may be carried out now, later or never.
     Unknown,
 }
 
 impl OrderAnswer {
-    /// The answer in a word.
+    /// Returns the name of the answer.
     pub fn name(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -78,26 +81,26 @@
         }
     }
 
-    /// Whether the engine may be loading weights by the order.
+    /// Returns whether the engine may be loading weights because of the order.
     pub(crate) fn may_load(self) -> bool {
         matches!(self, Self::Accepted | Self::Unknown)
     }
 }
 
-/// How far the loading of one engine is.
+/// Phase of the load of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It was polled, at this time.
+    /// The engine was polled at this time.
     Polled(Instant),
-    /// It was given an order, at this time.
+    /// The engine was sent an order at this time.
     Ordered(Instant),
-    /// It is to be polled from this time on.
+    /// The engine is to be polled from this time on.
     PollFrom(Instant),
-    /// It is left out until this time.
+    /// The load is suspended until this time.
     GivenUp(Instant),
 }
 
-/// The loading of one version by one engine.
+/// The load of one version by one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Load {
     pub(crate) model: ModelName,
@@ -106,22 +109,22 @@
     attempts: u32,
 }
 
-/// What follows a report of an engine that loads.
+/// Next step after a report of an engine that loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportVerdict {
-    /// Nothing now.
+    /// No step now.
     Wait,
-    /// It holds the version: the load is over.
+    /// The engine holds the version; the load is complete.
     Reached,
-    /// It is to be given the order, as the one behind those that it has taken.
+    /// The order is to be sent, with the number of orders that the engine has taken.
     Order {
-        /// Orders taken.
+        /// Number of orders that the engine has taken.
         sequence: u64,
     },
 }
 
 impl Load {
-    /// An engine that is polled now is to load a version.
+    /// Creates the load for an engine that is being polled now.
     pub(crate) fn begin(now: Instant, model: ModelName, version: u64) -> Self {
         Self {
             model,
@@ -131,17 +134,17 @@
         }
     }
 
-    /// Whether it takes one of the places of loads under way.
+    /// Returns whether the load counts towards the limit of concurrent loads.
     pub(crate) fn is_active(&self) -> bool {
         !matches!(self.phase, Phase::GivenUp(_))
     }
 
-    /// Whether the engine was left out for long enough.
+    /// Returns whether the suspension of the load is over.
     pub(crate) fn is_over(&self, now: Instant) -> bool {
         matches!(self.phase, Phase::GivenUp(until) if now >= until)
     }
 
-    /// Time has passed; says whether the engine is to be polled.
+    /// Advances the load to `now`; returns whether the engine is to be polled.
     pub(crate) fn on_time(&mut self, now: Instant) -> bool {
         let is_due = match self.phase {
             Phase::PollFrom(from) => now >= from,
@@ -162,7 +165,7 @@
         true
     }
 
-    /// The engine has answered a poll, or has not.
+    /// Processes the engine's answer to a poll; `None` if there was none.
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
@@ -189,7 +192,7 @@
         ReportVerdict::Order { sequence }
     }
 
-    /// The engine has answered an order, or has not; an order that it accepted takes `load_time`.
+    /// Processes the engine's answer to an order. An accepted order takes `load_time`.
     pub(crate) fn on_answer(&mut self, now: Instant, answer: OrderAnswer, load_time: Duration) {
         let wait = match answer {
             OrderAnswer::Accepted => load_time,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/mod.rs
@@ -1,6 +1,8 @@
-//! Rules by which a leader decides. Each module answers one question over plain data: no sockets, no
-//! clock of its own, no change of what others own. Its head says the question, its inputs, the rule,
-//! why, and what happens when an input is old or missing.
+//! Decision rules of a leader.
+//!
+//! Each module holds one rule as pure functions over plain data: it opens no sockets, reads no
+//! clock and changes no state that another module owns. The module documentation states what is
+//! decided, the inputs, the rule, the rationale, and the behaviour with stale or missing inputs.
 
 pub(crate) mod admission;
 pub(crate) mod capacity_orders;
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -1,16 +1,19 @@
-//! Does a running item go on at another engine, and at which?
+//! Decides whether a running item is moved to another engine, and to which one.
 //!
-//! Inputs: the item's events so far, as its gateway reports them each 400 ms; how often it was moved;
-//! the pace that one more item would have on either engine, in milliseconds an event.
+//! Inputs: the number of the item's events, which its gateway reports every 400 ms; the number of
+//! its earlier moves; the pace that one more item would have on either engine, in milliseconds per
+//! event.
 //!
-//! Rule: from [`MIN_EVENTS`] on an item moves where its events come [`MUCH_FASTER`] times faster, from
-//! [`LONG_EVENTS`] on where they come [`WORTH_MOVING`] times faster; [`MAX_MOVES`] times at the most,
-//! and only where a slot stays free. It does not go back for [`AVOIDED_FOR`].
+//! Rule: from [`MIN_EVENTS`] on, an item moves if its events would come [`MUCH_FASTER`] times
+//! faster, from [`LONG_EVENTS`] on if they would come [`WORTH_MOVING`] times faster. It moves
+//! [`MAX_MOVES`] times at the most, and only to an engine that keeps a free slot. It does not
+//! return for [`AVOIDED_FOR`].
 //!
-//! Why: a step waits for its longest texts, and an engine may become slow while they run. A move costs some
-//! milliseconds from the order to the end of the old attempt; what was generated is carried over.
+//! Rationale: a training step waits for its longest texts, and an engine may become slow while they
+//! run. A move takes some milliseconds from the order to the end of the old attempt; the text
+//! generated so far is carried over.
 //!
-//! Old or missing inputs: an item does not move where either pace is not known.
+//! Stale or missing inputs: an item does not move if either pace is unknown.
 
 use crate::ids::{InstanceId, ModelName};
 use crate::leader::tables::engines::Engines;
@@ -19,38 +22,39 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// A long item moves where its events come this many times faster.
+/// Minimum speed-up for which a long item moves.
 const WORTH_MOVING: f64 = 1.25;
-/// Where they come this many times faster, any item moves.
+/// Minimum speed-up for which any item moves.
 const MUCH_FASTER: f64 = 1.8;
-/// Events after which an item counts as a long one here.
+/// Number of events from which on an item counts as long here.
 const LONG_EVENTS: u64 = 20;
-/// Events after which an item may move at all.
+/// Number of events from which on an item may move.
 const MIN_EVENTS: u64 = 3;
-/// Most times that one item moves.
+/// Maximum number of moves of one item.
 const MAX_MOVES: u32 = 2;
-/// Slots that a move leaves free where it goes.
+/// Number of slots that stay free on the target engine.
 const FREE_SLOTS_LEFT: usize = 1;
-/// An item does not go back to the engine that it was moved away from for this long: a slot elsewhere
-/// comes sooner where there is one, and no item may stand still for long.
+/// Time for which an item does not return to the engine that it was moved away from. If there are
+/// other engines, one has a free slot sooner; if there are none, the item must not wait for long.
 pub(crate) const AVOIDED_FOR: Duration = Duration::from_millis(1500);
 
-/// A running item, as far as it matters here.
+/// A running item, as far as it matters for a move.
 pub(crate) struct MovableItem<'a> {
     /// The engine that runs it.
     pub(crate) instance: &'a InstanceId,
-    /// The model that makes its tokens.
+    /// The model that generates its tokens.
     pub(crate) model: Option<&'a ModelName>,
-    /// The oldest version that may make them.
+    /// The oldest version that may generate them.
     pub(crate) min_version: u64,
-    /// Its events so far, also those of earlier attempts.
+    /// Number of its events, including those of earlier attempts.
     pub(crate) events: u64,
-    /// Times that it was moved.
+    /// Number of its moves.
     pub(crate) moves: u32,
 }
 
-/// The engine at which the item goes on much faster; `None` where it stays. `promised` holds the items
-/// that were moved to each engine and are not there yet.
+/// Returns the engine that runs the item fastest and fast enough for a move; `None` if the item
+/// stays. `promised` holds the number of items that were moved to each engine and have not started
+/// there yet.
 pub(crate) fn better_engine(
     now: Instant,
     item: &MovableItem<'_>,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/order_rights.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/order_rights.rs
@@ -1,25 +1,26 @@
-//! From when on does this machine give orders to engines and to the provider?
+//! Decides from when on this machine sends orders to engines and to the provider.
 //!
-//! Inputs: which machine the log names as the holder of orders, and whether its orders are settled (it
-//! has held them for the time of a handover); the time of a handover, a setting; whether engines refuse
-//! orders with a lower fence; which machines the connections were lost to.
+//! Inputs: the machine that the log names as the holder of orders, and whether its claim is settled
+//! (it has held it for the handover time); the handover time, a setting; whether engines refuse
+//! orders with a lower fencing token; the machines to which connections were lost.
 //!
-//! Rule: a new leader claims orders in the log before its first one: at once where it held them before,
-//! else after the time of a handover. Only where engines refuse lower fences, the holder's machine is
-//! among those lost, and its orders were settled, it claims at once. It settles its own orders after the
-//! time of a handover.
+//! Rule: a new leader claims orders in the log before it sends the first one. It claims at once if
+//! its machine is the holder already, otherwise after the handover time. It may claim earlier only
+//! if engines refuse lower fencing tokens, the holder's machine is among the lost ones and the
+//! holder's claim was settled. A claim is settled after the handover time.
 //!
-//! Why: no two machines may give orders beside each other. A lost connection is seen by both sides, so
-//! that the holder gives no more; engines refuse its fence once they have seen a higher one. Without the
-//! settling, machines that fall one after the other, and return, would take turns.
+//! Rationale: no two machines may send orders at the same time. A lost connection is noticed on
+//! both sides, so the holder stops sending orders; engines refuse its fencing token once they have
+//! seen a higher one. Without settled claims, machines that fail and return one after the other
+//! would take turns as the holder.
 //!
-//! Old or missing inputs: an old report of lost machines delays a claim at the most. Without a holder in
-//! the log there is nobody to wait for.
+//! Stale or missing inputs: an outdated report of lost machines can only delay a claim. Without a
+//! holder in the log there is nothing to wait for.
 
 use crate::state::OrderHolder;
 use std::time::Duration;
 
-/// How long a new leader on `node` waits before it claims orders.
+/// Returns the time that a new leader on `node` waits before it claims orders.
 pub(crate) fn claim_delay(
     holder: Option<&OrderHolder>,
     node: &str,
@@ -29,7 +30,7 @@
     if is_own { Duration::ZERO } else { handover }
 }
 
-/// Whether a new leader claims at once, now that connections to machines were lost.
+/// Returns whether a new leader claims orders at once after connections to machines were lost.
 pub(crate) fn may_claim_at_once(
     holder: Option<&OrderHolder>,
     is_settled: bool,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/placement.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/placement.rs
@@ -1,19 +1,22 @@
-//! Which engine runs an item?
+//! Decides which engine runs an item.
 //!
-//! Inputs: what the item needs ([`ItemNeeds`]); of each engine the items that run on it, its versions,
-//! and its pace in milliseconds an event, as measured from the progress of its streams.
+//! Inputs: the requirements of the item ([`ItemNeeds`]); for each engine its running items, its
+//! versions, and its pace in milliseconds per event, measured from the progress of its streams.
 //!
-//! Rule: of the engines that take the item, the one with the lowest cost; costs have no unit, 1 is the
-//! pace of the service's fastest engine. A long item costs the time that it takes there, and more where
-//! a load is still to come; a short one mostly what it takes from others. An engine with another version
-//! than the item's partial text costs a little more.
+//! Rule: of the engines that take the item, the one with the lowest cost runs it. Costs have no
+//! unit; 1 is the pace of the fastest engine of the service. For a long item the cost is its time
+//! on the engine, and more if the engine still has to load newer weights. For a short item it is
+//! mostly the slowdown of the other items. An engine with another version than the item's partial
+//! text costs a little more.
 //!
-//! Why: a step waits for its longest texts, so these get the engines on which they end first; short ones
-//! end in time anywhere. A load stops all streams of its model on the engine.
+//! Rationale: a training step waits for its longest texts, so these get the engines that finish
+//! them first; short items finish in time on any engine. A load stops all streams of its model on
+//! the engine.
 //!
-//! Old or missing inputs: an engine of unknown pace counts as the fastest one known; where no pace is
-//! known, engines differ by their items only. Versions may be newer than known, never older, but for an
-//! engine that started again: its texts show it, and are dropped.
+//! Stale or missing inputs: an engine of unknown pace counts as the fastest known one. If no pace
+//! is known, engines differ only by their items. An engine may hold a newer version than is known
+//! here, but not an older one, unless it was restarted: its texts then name the older version and
+//! are discarded.
 
 use crate::ids::{InstanceId, ModelName, ServiceName};
 use crate::leader::tables::engine::Engine;
@@ -22,42 +25,43 @@
 use crate::leader::tables::pace::slow_down;
 use wingshore_types::Instant;
 
-/// What a load to come costs a long item: 0.9 s of the 7 to 9 s that the longest texts take.
+/// Cost of a pending load for a long item: 0.9 s of the 7 to 9 s that the longest texts take.
 const PENDING_LOAD_COST: f64 = 0.1;
-/// What each item that runs on an engine costs a short item that is to run there.
+/// Cost for a short item of each item that already runs on the engine.
 const COST_OF_A_RUNNING_ITEM: f64 = 0.04;
-/// What the shared part of a prompt is worth to a short item where it need not be read again.
+/// Gain for a short item if the shared part of its prompt need not be processed again.
 const AFFINITY_GAIN: f64 = 0.06;
-/// What it costs a short item to take a slot on an engine with newer weights than it needs: few engines
-/// have them yet, and the next job can run on no other. As much as three items that run there.
+/// Cost for a short item of a slot on an engine with newer weights than it needs: few engines have
+/// these yet, and the next job can run on no others. Equals three items that run there.
 const NEWER_THAN_NEEDED_COST: f64 = 0.12;
-/// What another version than that of the partial text costs: a little more than one item that runs
-/// there, so that it decides only between engines that are as good otherwise.
+/// Cost of another version than that of the partial text: slightly more than one running item, so
+/// it decides only between engines that are otherwise equal.
 const OTHER_VERSION_COST: f64 = 0.05;
-/// The best pace where none is known: any will do, since costs are in relation to it.
+/// Best pace if none is known. Any value will do, since costs are relative to it.
 const UNKNOWN_BEST_PACE: f64 = 1.0;
 
-/// What decides on which engine an item runs.
+/// Requirements of an item that decide which engine runs it.
 pub(crate) struct ItemNeeds<'a> {
-    /// The service whose engines can run it.
+    /// The service whose engines can run the item.
     pub(crate) service: &'a ServiceName,
-    /// The model that makes its tokens; any engine of the service where none is named.
+    /// The model that generates its tokens; any engine of the service if `None`.
     pub(crate) model: Option<&'a ModelName>,
-    /// The oldest version that may make them.
+    /// The oldest version that may generate them.
     pub(crate) min_version: u64,
-    /// The newest named version of the model; 0 where none is.
+    /// The newest named version of the model; 0 if there is none.
     pub(crate) newest_version: u64,
-    /// The version that made the end of its partial text.
+    /// The version that generated the end of its partial text.
     pub(crate) partial_version: Option<u64>,
-    /// The engine that it does not go back to for now.
+    /// The engine to which it must not return for now.
     pub(crate) avoid: Option<&'a InstanceId>,
-    /// The engine that read its shared prompt last.
+    /// The engine that processed its shared prompt last.
     pub(crate) affinity: Option<&'a InstanceId>,
-    /// Whether it is one of those that a step waits for.
+    /// Whether it is one of the long items that a training step waits for.
     pub(crate) is_long: bool,
 }
 
-/// The engine that is to run the item; `None` where none takes it now. `may_run_on` rules single engines out.
+/// Returns the engine that is to run the item; `None` if no engine takes it now. `may_run_on`
+/// excludes single engines.
 pub(crate) fn choose_engine(
     now: Instant,
     needs: &ItemNeeds<'_>,
@@ -102,16 +106,16 @@
     cost + version_cost(needs, version)
 }
 
-/// What a long item costs on an engine: the time that it takes there, and the standing still while
-/// the engine loads weights that it still lacks.
+/// Returns the cost of a long item on an engine: its time there, plus the pause of its stream if
+/// the engine still has to load the newest version.
 fn long_cost(engine: &Engine, best_pace: f64, is_newest: bool) -> f64 {
     let pace = engine.pace.unwrap_or(best_pace) / best_pace;
     let pending_load = if is_newest { 0.0 } else { PENDING_LOAD_COST };
     pace * slow_down(engine.running) + pending_load
 }
 
-/// What a short item costs on an engine: mostly that it slows others down. Its own time there counts by
-/// the square root of the pace.
+/// Returns the cost of a short item on an engine: mostly the slowdown of other items. Its own time
+/// there counts by the square root of the pace.
 fn short_cost(engine: &Engine, best_pace: f64, is_affine: bool, is_newer: bool) -> f64 {
     let pace = engine.pace.unwrap_or(best_pace) / best_pace;
     let gain = if is_affine { AFFINITY_GAIN } else { 0.0 };
@@ -123,7 +127,7 @@
     pace.sqrt() + COST_OF_A_RUNNING_ITEM * engine.running as f64 + newer - gain
 }
 
-/// What it costs to continue a partial text under another version.
+/// Returns the cost of continuing a partial text with another version.
 fn version_cost(needs: &ItemNeeds<'_>, version: u64) -> f64 {
     let is_same = needs
         .partial_version
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -1,22 +1,23 @@
-//! Which calls of servers change the registry, and when does a server leave it?
+//! Decides which calls of servers change the registry, and when a server leaves it.
 //!
-//! Inputs: heartbeats with their sequence, an incarnation's name and start, deregistrations (which do
-//! not say which incarnation they mean), what the registry holds, and when this leader last heard of
-//! each server.
+//! Inputs: heartbeats with their sequence numbers, the name and start time of an incarnation,
+//! deregistrations (which do not name an incarnation), the contents of the registry, and the time
+//! of the last heartbeat of each server.
 //!
-//! Rule: a heartbeat counts if it is the newest of its incarnation, and no later incarnation of the same
-//! server is known. One that may be of before its server's end does not: the first one of an incarnation
-//! that was superseded at its address, and any within [`LATE_CALLS`] of a deregistration of an
-//! incarnation that was not known. A new incarnation ends those before it under its name and at its
-//! address. A deregistration within [`LATE_CALLS`] of a restart is not acknowledged. A server that is
-//! silent for `server_expiry`, a setting, leaves.
+//! Rule: a heartbeat counts if it is the newest one of its incarnation and no later incarnation of
+//! the same server is known. A heartbeat that may have been sent before its server ended does not
+//! count: the first one of an incarnation that was superseded at its address, and any within
+//! [`LATE_CALLS`] of a deregistration of an unknown incarnation. A new incarnation ends the earlier
+//! ones of its name and those at its address. A deregistration within [`LATE_CALLS`] of a restart
+//! is not acknowledged. A server without a heartbeat for `server_expiry`, a setting, leaves the
+//! registry.
 //!
-//! Why: calls may arrive late, by seconds where links are cut. Two incarnations cannot listen at one
-//! address: the one before would else be known by its silence only, and be sent what the new one refuses
-//! until then.
+//! Rationale: calls may arrive late, by seconds if links are cut. Two incarnations cannot listen at
+//! one address. Without that rule the earlier one would leave the registry only after
+//! `server_expiry`, and until then be sent requests that the new one refuses.
 //!
-//! Old or missing inputs: a server that does not say when it started is one incarnation under its name.
-//! A new leader counts silence from its own beginning.
+//! Stale or missing inputs: a server that does not report its start time has a single incarnation.
+//! A new leader measures silence from the start of its leadership.
 
 use crate::ids::{InstanceId, ServerName};
 use crate::registry::ServerRecord;
@@ -26,32 +27,32 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Calls of an incarnation that has ended may arrive this long after the next one of its name: heartbeats and
-/// deregistrations are under way for seconds at the most where links are cut.
+/// Time for which calls of an ended incarnation may still arrive after the next one of its name has
+/// started: heartbeats and deregistrations are in transit for seconds at the most if links are cut.
 pub(crate) const LATE_CALLS: Duration = Duration::from_secs(5);
 
-/// A server that is not registered and silent for this long is forgotten.
+/// Time without a heartbeat after which an unregistered server is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// An incarnation that was superseded at its address is registered again by its second heartbeat: the
-/// first one may have been under way since before it ended, for seconds.
+/// Number of heartbeats after which an incarnation that was superseded at its address is registered
+/// again: the first one may have been in transit for seconds, since before the incarnation ended.
 const HEARTBEATS_TO_RETURN: u32 = 2;
 
-/// When each server was last heard of.
+/// Heartbeats, restarts and deregistrations that were received recently.
 #[derive(Default)]
 pub(crate) struct Heartbeats {
     last: BTreeMap<InstanceId, LastHeartbeat>,
-    /// Incarnations whose address another one has registered since, and heartbeats of them since then.
-    /// At most one for each server: one that is not heard of again is dropped when the next one at
-    /// its address is superseded.
+    /// Incarnations whose address was since registered by another one, and their heartbeats since
+    /// then. At most one entry per server: an incarnation that sends no more heartbeats is removed
+    /// when the next one at its address is superseded.
     superseded: BTreeMap<InstanceId, Superseded>,
-    /// Servers that have started again lately: a deregistration may be one of the incarnation before.
+    /// Servers that restarted recently: a deregistration may come from the previous incarnation.
     restarted: RecentNames,
-    /// Unknown servers that have deregistered lately: a heartbeat may be one of before that.
+    /// Unknown servers that deregistered recently: a heartbeat may have been sent before that.
     deregistered: RecentNames,
 }
 
-/// Servers whose late calls may still be under way.
+/// Servers whose late calls may still be in transit.
 #[derive(Default)]
 struct RecentNames {
     until: BTreeMap<ServerName, Instant>,
@@ -80,7 +81,7 @@
 }
 
 impl Heartbeats {
-    /// A new leadership counts from its beginning.
+    /// Measures silence from the start of a new leadership.
     pub(crate) fn begin<'a>(&mut self, now: Instant, known: impl Iterator<Item = &'a InstanceId>) {
         let heard = LastHeartbeat {
             at: now,
@@ -89,7 +90,7 @@
         self.last = known.map(|instance| (instance.clone(), heard)).collect();
     }
 
-    /// Notes a heartbeat; says whether it is newer than all before.
+    /// Records a heartbeat; returns whether it is not older than the last one of its incarnation.
     pub(crate) fn note(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
         let last = self.last.entry(instance).or_insert(LastHeartbeat {
             at: now,
@@ -102,7 +103,7 @@
         true
     }
 
-    /// An incarnation has registered at the address of these others.
+    /// Records that an incarnation has registered at the address of `others`.
     pub(crate) fn supersede(&mut self, address: SocketAddr, others: &[InstanceId]) {
         self.superseded.retain(|_, known| known.address != address);
         for instance in others {
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Whether a heartbeat may be one of before its server was superseded.
+    /// Counts a heartbeat of a superseded incarnation; returns whether it may have been sent before
+    /// the incarnation was superseded.
     fn may_precede_superseding(&mut self, instance: &InstanceId) -> bool {
         let Some(superseded) = self.superseded.get_mut(instance) else {
             return false;
@@ -123,7 +125,8 @@
         superseded.heartbeats < HEARTBEATS_TO_RETURN
     }
 
-    /// Whether a later incarnation of the same server is registered, or was heard of and has expired since.
+    /// Returns whether a later incarnation of the same server is registered, or was known and has
+    /// expired since.
     fn knows_later_incarnation(&self, instance: &InstanceId, state: &CoordinationState) -> bool {
         let heard = self.last.range(instance..).map(|(known, _)| known);
         let mut heard = heard.take_while(|known| known.name() == instance.name());
@@ -133,7 +136,8 @@
                 .any(|(known, _)| known > instance)
     }
 
-    /// Whether a heartbeat that is the newest of its incarnation tells what that is now.
+    /// Returns whether a heartbeat, the newest of its incarnation, describes the server's present
+    /// state.
     pub(crate) fn is_current(
         &mut self,
         now: Instant,
@@ -145,30 +149,31 @@
             && (state.servers().contains_key(instance) || !self.may_be_outdated(now, instance))
     }
 
-    /// Whether a heartbeat of an incarnation that the registry does not hold may be one of before its end.
+    /// Returns whether a heartbeat of an unregistered incarnation may have been sent before the
+    /// incarnation ended.
     fn may_be_outdated(&mut self, now: Instant, instance: &InstanceId) -> bool {
         let after_deregistration =
             instance.born().is_some() && self.deregistered.has(now, instance.name());
         after_deregistration || self.may_precede_superseding(instance)
     }
 
-    /// A server has started again under its name.
+    /// Records that a server has restarted under its name.
     pub(crate) fn note_restart(&mut self, now: Instant, name: &ServerName) {
         self.restarted.note(now, name);
     }
 
-    /// A server has deregistered that the registry does not hold.
+    /// Records the deregistration of a server that is not registered.
     pub(crate) fn note_deregistration(&mut self, now: Instant, name: &ServerName) {
         self.deregistered.note(now, name);
     }
 
-    /// Whether a deregistration may be a late one of the incarnation before `newest`.
+    /// Returns whether a deregistration may be a late one of the incarnation before `newest`.
     pub(crate) fn is_ambiguous(&self, now: Instant, newest: &InstanceId) -> bool {
         newest.born().is_some() && self.restarted.has(now, newest.name())
     }
 
-    /// Servers of the registry that are silent for longer than `expiry`. Their silence is counted anew,
-    /// so that none is named again before what follows is applied.
+    /// Returns the registered servers without a heartbeat for longer than `expiry`, and restarts
+    /// their time, so that none is returned again before its removal is applied.
     pub(crate) fn take_silent(
         &mut self,
         now: Instant,
@@ -189,21 +194,21 @@
         silent
     }
 
-    /// Forgets servers that are not registered and were silent since before `limit`.
+    /// Removes unregistered servers that have sent no heartbeat since `limit`.
     fn forget(&mut self, limit: Instant, state: &CoordinationState) {
         self.last
             .retain(|known, last| last.at >= limit || state.servers().contains_key(known));
     }
 
-    /// Whether the server has been silent since before `limit`.
+    /// Returns whether the server has sent no heartbeat since `limit`.
     fn silent_since(&self, instance: &InstanceId, limit: Instant) -> bool {
         self.last.get(instance).is_none_or(|last| last.at < limit)
     }
 }
 
-/// Why an entry names no server to use: it is of a service that the configuration does not have, or
-/// says what the incarnation that it names cannot have become. Such entries come from another writer, and
-/// are to disturb nobody.
+/// Returns the reason why a reported server is invalid: its service is not in the configuration, or
+/// it contradicts the registered data of the same incarnation, which cannot change. Such reports
+/// come from a foreign process and must not affect others.
 pub(crate) fn foreign(server: &ServerRecord, state: &CoordinationState) -> Option<String> {
     let service = &server.service;
     if let Some(held) = state.servers().get(&server.instance) {
@@ -221,7 +226,7 @@
     })
 }
 
-/// What the registry should hold after `server` has reported itself.
+/// Returns the record that the registry should hold after `server` has reported itself.
 pub(crate) fn merged(mut server: ServerRecord, state: &CoordinationState) -> ServerRecord {
     if let Some(held) = state.servers().get(&server.instance) {
         server.draining |= held.draining;
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -1,22 +1,23 @@
-//! What follows the end of a scoring: is the score taken, is it asked for again and when, is the item
-//! abandoned?
+//! Decides what follows the end of a scoring: whether the score is accepted, whether and when the
+//! scoring is retried, and whether the item is abandoned.
 //!
-//! Inputs: what the gateway says came of the scoring; failures of scoring servers that the group has
-//! counted for the item, over all gateways and leaders; how many the scorer's route allows; scorings in
-//! a row without a score.
+//! Inputs: the outcome that the gateway reports; the number of failures of scoring servers that the
+//! group has counted for the item, over all gateways and leaders; the limit of the scorer's route;
+//! the number of consecutive scorings without a score.
 //!
-//! Rule: a score is taken. Failures count; with as many as the route allows the item is abandoned.
-//! Everything else is asked for again, after [`INITIAL_BACKOFF`], twice as long each time,
-//! [`MAX_BACKOFF`] at the most. Failures of a scoring that an earlier leader assigned count only as far
-//! as they exceed those counted already.
+//! Rule: a score is accepted. Failures are counted, and the item is abandoned when their number
+//! reaches the limit of the route. Every other outcome is retried after [`INITIAL_BACKOFF`],
+//! doubled each time up to [`MAX_BACKOFF`]. Failures of a scoring that an earlier leader assigned
+//! are counted only as far as they exceed the number counted already.
 //!
-//! Why: a refusal or a lost answer says nothing about the text; only an answer that the scoring failed does.
-//! A gateway repeats its report to the next leader until one confirms it, and an earlier leader may have
-//! counted it: counted twice, an item is abandoned before its route says so. Where the earlier leader
-//! had counted another scoring, this counts too few, and the score is asked for once more at the most.
+//! Rationale: a refusal or a lost answer says nothing about the text; only the answer that the
+//! scoring failed does. A gateway repeats its report to the next leader until one confirms it, and
+//! an earlier leader may have counted it already. If failures were counted twice, an item would be
+//! abandoned before the limit of its route. If the earlier leader had counted another scoring, this
+//! rule counts too few failures, and the score is requested at most once more.
 //!
-//! Old or missing inputs: a new leader begins the backoff anew; failures stand in the log. The end of a
-//! scoring that this leader does not know is ignored.
+//! Stale or missing inputs: a new leader restarts the backoff; the number of failures is in the
+//! log. The end of a scoring that this leader does not know is ignored.
 
 use crate::scoring::ScoringOutcome;
 use std::time::Duration;
@@ -24,40 +25,41 @@
 
 /// Backoff after the first scoring without a score.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
-/// The longest backoff.
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Why an item is abandoned.
+/// Reason for abandoning an item.
 pub(crate) const FAILED_TOO_OFTEN: &str = "its scoring failed as often as the route allows";
 
-/// What follows the end of a scoring.
+/// Consequence of the end of a scoring.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// This is the score.
+    /// The score is accepted.
     Take(String),
-    /// It is asked for again.
+    /// The scoring is retried.
     Retry {
-        /// Failures that are to be counted, where scoring servers said that they failed.
+        /// Number of failures to be counted, if scoring servers reported any.
         counted: Option<u32>,
-        /// Failures over all, with these.
+        /// Total number of failures, including these.
         failures: u32,
     },
     /// The item is abandoned.
     Abandon,
 }
 
-/// Failures of scoring servers for an item.
+/// Number of failures of scoring servers for an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Failures {
-    /// Those that the group has counted so far.
+    /// Number of failures that the group has counted so far.
     pub(crate) counted: u32,
-    /// With as many the item is abandoned.
+    /// Number of failures at which the item is abandoned.
     pub(crate) max: u32,
-    /// Whether an earlier leader assigned the scoring that has ended, and may have counted its failures.
+    /// Whether an earlier leader assigned the scoring that has ended, so that its failures may be
+    /// counted already.
     pub(crate) may_include_these: bool,
 }
 
 impl Failures {
-    /// Of those that a scoring reports, the ones that are not counted yet.
+    /// Returns how many of the failures that a scoring reports are not counted yet.
     fn not_counted(self, reported: u32) -> u32 {
         if self.may_include_these {
             reported.saturating_sub(self.counted)
@@ -67,7 +69,7 @@
     }
 }
 
-/// What follows the end of a scoring.
+/// Returns the consequence of the end of a scoring.
 pub(crate) fn verdict(outcome: ScoringOutcome, known: Failures) -> Verdict {
     let reported = match outcome {
         ScoringOutcome::Scored(score) => return Verdict::Take(score),
@@ -89,7 +91,7 @@
     }
 }
 
-/// How long until a score is asked for again after so many scorings in a row without one.
+/// Returns the backoff after `scorings_before` consecutive scorings without a score.
 pub(crate) fn backoff(scorings_before: u32) -> Duration {
     doubled_backoff(INITIAL_BACKOFF, scorings_before, MAX_BACKOFF)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -1,19 +1,22 @@
-//! When are the counts of a usage window fixed, and when is its report sent to the provider?
+//! Decides when the counts of a usage window are fixed, and when its report is sent to the
+//! provider.
 //!
-//! Inputs: the site's agreed time of day; totals that gateways reported for open windows, and what the log
-//! keeps of gateways that are gone; the length of a window and the time in which its report is due; the
-//! provider's answers.
+//! Inputs: the agreed time of day of the site; the totals that gateways reported for open windows,
+//! and the counts that the log keeps of lost gateways; the length of a window and the time in which
+//! its report is due; the provider's answers.
 //!
-//! Rule: a window is closed after [`CLOSE_PART`] of the time in which its report is due, in order, at
-//! most [`MAX_WINDOWS_BEHIND`] late. Its counts are committed before the report is sent for the first
-//! time. Only the holder of orders sends, [`MAX_REPORTS_UNDER_WAY`] at a time, again and again until a
-//! report is acknowledged.
+//! Rule: a window is closed after [`CLOSE_PART`] of the time in which its report is due. Windows
+//! are closed in order, and those that ended more than [`MAX_WINDOWS_BEHIND`] windows ago are
+//! skipped. The counts of a window are committed before its report is sent for the first time. Only
+//! the holder of orders sends reports, [`MAX_REPORTS_UNDER_WAY`] at a time, and repeats each until
+//! it is acknowledged.
 //!
-//! Why: whoever leads, and however often, sends the same; and the claim of orders keeps the calls of two
-//! machines apart as it does for orders to engines.
+//! Rationale: every leader sends the same report, however often it is repeated. The claim of orders
+//! prevents two machines from calling the provider at the same time, as it does for orders to
+//! engines.
 //!
-//! Old or missing inputs: without an agreed time no window is closed. What a gateway tells after its
-//! window was closed is not counted.
+//! Stale or missing inputs: without an agreed time of day no window is closed. Counts that a
+//! gateway reports after their window was closed are ignored.
 
 use crate::ids::GatewayId;
 use crate::provider::ProviderAnswer;
@@ -24,30 +27,30 @@
 use std::time::Duration;
 use wingshore_types::{Instant, doubled_backoff};
 
-/// A window is closed after this part of the time in which its report is due: gateways report their
-/// counts each 400 ms, and the rest of the time is for calls that have to be made again.
+/// Fraction of the time in which a report is due after which its window is closed. Gateways report
+/// their counts every 400 ms; the rest of the time is for calls that must be repeated.
 const CLOSE_PART: f64 = 0.4;
-/// A new leader hears what gateways have counted before it closes a window.
+/// Time in which a new leader collects the counts of gateways before it closes a window.
 const INTRODUCTION_TIME: Duration = Duration::from_millis(1500);
-/// Windows that ended this many before the present one are not made up for.
+/// Number of windows before the present one that are still closed; older ones are skipped.
 const MAX_WINDOWS_BEHIND: u64 = 24;
-/// Reports under way at once.
+/// Maximum number of reports in flight.
 const MAX_REPORTS_UNDER_WAY: usize = 2;
-/// Backoff after a first call without success; twice as long after each further one.
+/// Backoff after the first failed call, doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
-/// The longest backoff.
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Reports of usage that a site owes its provider.
+/// Usage reports that the provider requires of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageDuty {
     /// Length of a window.
     pub window: Duration,
-    /// Time after the end of a window in which its report is due.
+    /// Time after the end of a window within which its report is due.
     pub due: Duration,
 }
 
-/// One report on its way.
+/// State of sending one report.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sending {
     is_under_way: bool,
@@ -55,28 +58,28 @@
     not_before: Instant,
 }
 
-/// What the leader knows of usage besides what is durable.
+/// Usage data of the leader that is not in the replicated state.
 #[derive(Default)]
 pub(crate) struct UsageReporter {
-    /// A time of day that the site agreed on, and when.
+    /// The agreed time of day of the site, and when it was agreed.
     agreed: Option<(WallTime, Instant)>,
-    /// Totals of gateways in windows that are open.
+    /// Totals of gateways by open window.
     totals: BTreeMap<UsageWindow, BTreeMap<GatewayId, UsageCounts>>,
     /// The window whose counts are being committed.
     closing: Option<UsageWindow>,
     sending: BTreeMap<UsageWindow, Sending>,
-    /// Whether another holder has acted: this one does not any more.
+    /// Whether the provider has seen a call of a later holder; this leader then sends no more.
     is_fenced: bool,
     close_from: Instant,
 }
 
 impl UsageReporter {
-    /// A new leadership.
+    /// Starts a new leadership.
     pub(crate) fn begin(&mut self, now: Instant) {
         self.close_from = now + INTRODUCTION_TIME;
     }
 
-    /// The site has agreed on its time of day.
+    /// Records the agreed time of day of the site.
     pub(crate) fn time_agreed(&mut self, now: Instant, wall: WallTime) {
         self.agreed = Some((wall, now));
     }
@@ -87,7 +90,7 @@
         Some(WallTime(wall.0.saturating_add(since)))
     }
 
-    /// A gateway has reported totals.
+    /// Records the totals that a gateway reports for open windows.
     pub(crate) fn reported(
         &mut self,
         gateway: GatewayId,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// What a gateway has reported of windows that are open.
+    /// Returns the totals that a gateway has reported for open windows.
     pub(crate) fn reported_by(&self, gateway: GatewayId) -> Vec<WindowUsage> {
         let totals = self.totals.iter();
         totals
@@ -116,7 +119,8 @@
             .collect()
     }
 
-    /// All that was counted in a window. What a gateway reported lately stands for what was kept of it.
+    /// Returns the sum of all counts of a window. The latest report of a gateway replaces the
+    /// counts that the log keeps of it.
     fn counts_of(&self, window: UsageWindow, durable: &SiteUsage) -> UsageCounts {
         let mut sum = UsageCounts::default();
         let totals = self.totals.get(&window);
@@ -132,7 +136,8 @@
         sum
     }
 
-    /// The window to be closed now, if one is, and its counts; no other is while these are being committed.
+    /// Returns the window to close now and its counts, if there is one. No further window is closed
+    /// while these counts are being committed.
     pub(crate) fn close_next(
         &mut self,
         now: Instant,
@@ -144,13 +149,13 @@
         Some((window, self.counts_of(window, durable)))
     }
 
-    /// The counts of a window are committed.
+    /// Records that the counts of a window are committed.
     pub(crate) fn closed(&mut self, window: UsageWindow) {
         self.closing = None;
         self.totals = self.totals.split_off(&window.next());
     }
 
-    /// The window to be closed next, if its time has come.
+    /// Returns the window to close next, if it is due.
     fn next_to_close(
         &self,
         now: Instant,
@@ -173,8 +178,8 @@
         (time.0 >= closes_at).then_some(next)
     }
 
-    /// The window to begin with: the first one that anything was counted in, or else the one before the
-    /// present one.
+    /// Returns the first window to close: the first one with any counts, but not later than the one
+    /// before the present window.
     fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
         let before = UsageWindow(present.0.saturating_sub(1));
         let reported = self.totals.keys().next().copied();
@@ -182,7 +187,7 @@
         counted.map_or(before, |counted| counted.min(before))
     }
 
-    /// Windows whose reports are to be sent now.
+    /// Returns the windows whose reports are to be sent now.
     pub(crate) fn take_due(&mut self, now: Instant, durable: &SiteUsage) -> Vec<UsageWindow> {
         let waiting = durable.waiting();
         self.sending
@@ -203,7 +208,8 @@
         due
     }
 
-    /// The provider has answered a window's report, or has not. Says whether the report is done.
+    /// Processes the provider's answer to the report of a window; returns whether the report is
+    /// complete.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
