--- a/crates/gateways/wingshore-coordination/src/leader/tables/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/capacity.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of servers ordered besides what is durable.
+//! The leader's table of server orders.
 
 use crate::ids::ServiceName;
 use crate::leader::decisions::capacity_orders::PoolOrder;
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::Instant;
 
-/// What the leader knows of servers ordered besides what is durable.
+/// State of server orders that is not in the replicated state.
 #[derive(Default)]
 pub(crate) struct Capacity {
     pub(crate) orders: BTreeMap<CapacityPool, PoolOrder>,
-    /// When it was last scanned what is wanted; `None` where that is to be done at once.
+    /// Time of the last scan of the wanted numbers; `None` requests a scan at once.
     pub(crate) scanned_at: Option<Instant>,
-    /// Pools whose number is being committed.
+    /// Pools whose number is proposed and not committed yet.
     pub(crate) proposed: BTreeSet<CapacityPool>,
-    /// Items that were open at once lately, by the service that runs them.
+    /// Recent peak of open items, by the service that runs them.
     pub(crate) open_items: BTreeMap<ServiceName, Peak>,
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, and what the leader knows of it besides its registration.
+//! An engine's registration and the leader's own knowledge of it.
 
 use super::pace::slow_down;
 use crate::ids::{GatewayId, InstanceId, ModelName};
@@ -6,40 +6,41 @@
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
 
-/// Names an engine within one leader's memory.
+/// Identifies an engine within one leader's memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EngineNumber(pub(crate) u32);
 
-/// One engine.
+/// An engine, as the leader knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) number: EngineNumber,
     pub(crate) record: ServerRecord,
-    /// Items that are assigned to it.
+    /// Number of items assigned to the engine.
     pub(crate) running: usize,
-    /// Gets no items before this time.
+    /// The engine gets no items before this time.
     pub(crate) ejected_until: Instant,
-    /// Nobody listened at its address: it gets no items before it is heard of again. A server
-    /// that crashed never is; one that was cut off is within its heartbeat interval.
+    /// Whether a connection to its address was refused: it then gets no items before its next
+    /// heartbeat. A crashed server sends none; one whose link was cut sends one within its
+    /// heartbeat interval.
     pub(crate) awaits_heartbeat: bool,
-    /// Faults in a row.
+    /// Number of consecutive faults.
     pub(crate) faults: u32,
     /// The model whose weights it is loading.
     pub(crate) loading: Option<ModelName>,
-    /// Items that run at once.
+    /// Number of items that it runs at once.
     pub(crate) slots: usize,
-    /// Time from event to event of a stream if it ran alone, in milliseconds, as measured lately.
+    /// Recently measured time between two events of a stream that runs alone, in milliseconds.
     pub(crate) pace: Option<f64>,
-    /// Until then streams may stand still: it loads weights, or has just done so.
+    /// Streams may pause until this time, because the engine loads weights or has just done so.
     pub(crate) unsteady_until: Instant,
-    /// The gateway that ran its last item: it has connections to it.
+    /// The gateway that ran its last item and so has connections to it.
     pub(crate) gateway: Option<GatewayId>,
-    /// Long items that run on it, by their model.
+    /// Number of long items that run on it, by model.
     pub(crate) long_running: BTreeMap<ModelName, usize>,
 }
 
 impl Engine {
-    /// An engine that was just registered.
+    /// Creates an engine that was just registered.
     pub(crate) fn new(number: EngineNumber, record: ServerRecord, slots: usize) -> Self {
         Self {
             number,
@@ -57,32 +58,35 @@
         }
     }
 
-    /// Which incarnation of a server it is.
+    /// Returns the incarnation of the server.
     pub(crate) fn instance(&self) -> &InstanceId {
         &self.record.instance
     }
 
-    /// Time from event to event for one more item, in milliseconds.
+    /// Returns the expected time between two events for one more item, in milliseconds; `None` if
+    /// the engine's pace is unknown.
     pub(crate) fn expected_pace(&self) -> Option<f64> {
         Some(self.pace? * slow_down(self.running + 1))
     }
 
-    /// The version of `model` it holds at least.
+    /// Returns the version of `model` that the engine is known to hold, which may be older than the
+    /// one it holds; 0 if unknown.
     pub(crate) fn version_of(&self, model: &ModelName) -> u64 {
         self.record.version_of(model).unwrap_or(0)
     }
 
-    /// The version of `model` it holds at least; 0 where no model is named.
+    /// Returns the same as [`Engine::version_of`]; 0 if `model` is `None`.
     pub(crate) fn version_of_any(&self, model: Option<&ModelName>) -> u64 {
         model.map_or(0, |model| self.version_of(model))
     }
 
-    /// Whether its streams tell its pace at `now`: it neither loads weights nor has just done so.
+    /// Returns whether the engine's streams show its pace at `now`: it neither loads weights nor
+    /// has just done so.
     pub(crate) fn is_steady(&self, now: Instant) -> bool {
         self.loading.is_none() && now >= self.unsteady_until
     }
 
-    /// Whether it takes an item of `model` at `now`.
+    /// Returns whether the engine takes an item of `model` at `now`.
     pub(crate) fn takes(&self, now: Instant, model: Option<&ModelName>, min_version: u64) -> bool {
         let loading = model.is_some() && self.loading.as_ref() == model;
         let holds = model.is_none_or(|model| self.version_of(model) >= min_version);
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -1,4 +1,4 @@
-//! All engines that the leader knows, and an index of those with free slots.
+//! All known engines, and an index of those with free slots.
 
 use super::engine::{Engine, EngineNumber};
 use super::free_slots::{EngineQuery, FreeSlots};
@@ -10,26 +10,27 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// All engines: servers of services that the configuration says are engines.
+/// All engines: servers of the services that the configuration defines as engines.
 ///
-/// Invariant: an engine stands in `free` as it is; so what decides its place there (see
-/// [`FreeSlots`]) is changed by [`Engines::change`] only.
+/// Invariant: `free` holds each engine with its current attributes. Attributes that determine its
+/// position there (see [`FreeSlots`]) are therefore changed only through [`Engines::change`].
 #[derive(Default)]
 pub(crate) struct Engines {
     all: BTreeMap<InstanceId, Engine>,
     by_number: HashMap<EngineNumber, InstanceId>,
-    /// How many nobody takes away.
+    /// Number of non-reclaimable engines.
     staying: usize,
-    /// How many are awaits_heartbeat of: usually none.
+    /// Number of engines with `awaits_heartbeat`; usually 0.
     awaits_heartbeat: usize,
     next_number: u32,
     free: FreeSlots,
-    /// Engines whose pace is known, the fastest first, by their service.
+    /// Engines of known pace by service, fastest first.
     paces: HashMap<ServiceName, BTreeSet<(PaceStep, EngineNumber)>>,
 }
 
 impl Engines {
-    /// Takes over what the state holds; keeps what is known of engines that are still there.
+    /// Loads the engines of the replicated state; keeps the data of engines that are still
+    /// registered.
     pub(crate) fn begin(&mut self, state: &CoordinationState) {
         let is_gone = |instance: &&InstanceId| !state.servers().contains_key(*instance);
         let gone: Vec<InstanceId> = self.all.keys().filter(is_gone).cloned().collect();
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The registry holds something else of this server.
+    /// Updates an engine after its registration changed.
     pub(crate) fn server_changed(&mut self, instance: &InstanceId, state: &CoordinationState) {
         let record = state.servers().get(instance);
         let Some(record) = record.filter(|record| is_engine(&record.service, state)) else {
@@ -83,7 +84,7 @@
         self.forget_pace(&engine);
     }
 
-    /// Changes what decides an engine's place among those with free slots.
+    /// Changes attributes that determine an engine's position in the index of free slots.
     fn change(&mut self, instance: &InstanceId, change: impl FnOnce(&mut Engine)) {
         let Some(engine) = self.all.get_mut(instance) else {
             return;
@@ -93,14 +94,14 @@
         self.free.add(engine);
     }
 
-    /// Whether any engine runs fewer items than it can.
+    /// Returns whether any engine has a free slot.
     pub(crate) fn has_free_slots(&self) -> bool {
         !self.free.is_empty()
     }
 
-    /// For each version from the lowest allowed on, and each number of items that run on an engine,
-    /// the fastest engine with a free slot that `accepts` takes: the best one is among them. Engines
-    /// whose pace is not known come first.
+    /// Returns, for each allowed version and each number of running items, the fastest engine with
+    /// a free slot that `accepts` admits. The best engine for an item is among them. Engines of
+    /// unknown pace come first.
     pub(crate) fn best_of_each(
         &self,
         query: EngineQuery<'_>,
@@ -120,31 +121,32 @@
         self.all.get_key_value(self.by_number.get(&number)?)
     }
 
-    /// How many services have engines with free slots.
+    /// Returns the number of services that have engines with free slots.
     pub(crate) fn services_with_free_slots(&self) -> usize {
         self.free.services()
     }
 
-    /// An engine.
+    /// Returns an engine.
     pub(crate) fn get(&self, instance: &InstanceId) -> Option<&Engine> {
         self.all.get(instance)
     }
 
-    /// It loads weights of a model, or none.
+    /// Records the model whose weights an engine loads; `None` if it loads none.
     pub(crate) fn set_loading(&mut self, instance: &InstanceId, model: Option<ModelName>) {
         if let Some(engine) = self.all.get_mut(instance) {
             engine.loading = model;
         }
     }
 
-    /// It gets no items before `until`.
+    /// Gives an engine no items before `until`.
     pub(crate) fn defer_until(&mut self, instance: &InstanceId, until: Instant) {
         if let Some(engine) = self.all.get_mut(instance) {
             engine.ejected_until = engine.ejected_until.max(until);
         }
     }
 
-    /// Nobody listens at its address: it gets no items before its next heartbeat.
+    /// Gives an engine no items before its next heartbeat, after a connection to its address was
+    /// refused.
     pub(crate) fn await_heartbeat(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.all.get_mut(instance) {
             let did_await = std::mem::replace(&mut engine.awaits_heartbeat, true);
@@ -152,7 +154,7 @@
         }
     }
 
-    /// It was heard of.
+    /// Records a heartbeat of an engine.
     pub(crate) fn heard(&mut self, instance: &InstanceId) {
         if self.awaits_heartbeat == 0 {
             return;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// It has reported its versions; gives those that are news.
+    /// Records the versions that an engine reports; returns those that are newer than known.
     pub(crate) fn raise_versions(
         &mut self,
         instance: &InstanceId,
@@ -190,7 +192,7 @@
         risen
     }
 
-    /// It has loaded what it was loading: its streams are steady again from `steady_from` on.
+    /// Records that an engine has finished loading; its streams are steady from `steady_from` on.
     pub(crate) fn loaded(&mut self, instance: &InstanceId, steady_from: Instant) {
         if let Some(engine) = self.all.get_mut(instance)
             && engine.loading.take().is_some()
@@ -199,28 +201,28 @@
         }
     }
 
-    /// All engines.
+    /// Iterates over all engines.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Engine)> {
         self.all.iter()
     }
 
-    /// How many there are that their provider does not take away.
+    /// Returns the number of non-reclaimable engines.
     pub(crate) fn staying(&self) -> usize {
         self.staying
     }
 
-    /// How many there are.
+    /// Returns the number of engines.
     pub(crate) fn count(&self) -> usize {
         self.all.len()
     }
 
-    /// The most models that one engine serves; at least one.
+    /// Returns the largest number of models that one engine serves; at least one.
     pub(crate) fn models_of_an_engine(&self) -> usize {
         let counts = self.all.values().map(|engine| engine.record.models.len());
         counts.max().unwrap_or(1).max(1)
     }
 
-    /// An item was assigned to it, through a gateway.
+    /// Records that an item was assigned to an engine through `gateway`.
     pub(crate) fn started(&mut self, instance: &InstanceId, gateway: GatewayId) {
         self.change(instance, |engine| {
             engine.running += 1;
@@ -228,14 +230,14 @@
         });
     }
 
-    /// An item that was assigned to it is over.
+    /// Records that an item assigned to an engine has ended.
     pub(crate) fn ended(&mut self, instance: &InstanceId) {
         self.change(instance, |engine| {
             engine.running = engine.running.saturating_sub(1);
         });
     }
 
-    /// A stream of it brought `events` in `time`.
+    /// Records that a stream of an engine delivered `events` in `time`.
     pub(crate) fn paced(&mut self, instance: &InstanceId, events: u64, time: Duration) {
         let Some(engine) = self.all.get_mut(instance) else {
             return;
@@ -262,14 +264,14 @@
         }
     }
 
-    /// Forgets which long items run on each.
+    /// Clears the numbers of long items of all engines.
     pub(crate) fn clear_long_running(&mut self) {
         for engine in self.all.values_mut() {
             engine.long_running.clear();
         }
     }
 
-    /// A long item of `model` runs on it.
+    /// Counts a long item of `model` that runs on an engine.
     pub(crate) fn add_long_running(&mut self, instance: &InstanceId, model: &ModelName) {
         let Some(engine) = self.all.get_mut(instance) else {
             return;
@@ -282,7 +284,8 @@
         }
     }
 
-    /// The best pace of any engine of a service, in milliseconds an event, within a step of paces.
+    /// Returns the best pace of the engines of a service, in milliseconds per event, accurate to
+    /// one [`PaceStep`]; `None` if no pace is known.
     pub(crate) fn best_pace(&self, service: &ServiceName) -> Option<f64> {
         let (_, fastest) = self.fastest(service)?;
         self.numbered(fastest)?.1.pace
@@ -292,14 +295,14 @@
         self.paces.get(service)?.first().copied()
     }
 
-    /// An item ran whole on it.
+    /// Resets the consecutive faults of an engine on which an item completed.
     pub(crate) fn succeeded(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.all.get_mut(instance) {
             engine.faults = 0;
         }
     }
 
-    /// It is at fault once more: it gets no items before `until`.
+    /// Counts a fault of an engine and gives it no items before `until`.
     pub(crate) fn eject(&mut self, instance: &InstanceId, until: Instant) {
         if let Some(engine) = self.all.get_mut(instance) {
             engine.ejected_until = until;
@@ -308,7 +311,8 @@
     }
 }
 
-/// Requests that an engine runs at once, by its own word and by the configuration.
+/// Returns the number of items that an engine runs at once: the smaller of its own number and the
+/// configured one, at least one.
 fn slots_of(record: &ServerRecord, state: &CoordinationState) -> usize {
     let profile = state
         .configuration()
--- a/crates/gateways/wingshore-coordination/src/leader/tables/free_slots.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/free_slots.rs
@@ -1,5 +1,5 @@
-//! Engines with free slots, in an order in which the best one for an item is found without a scan
-//! of all of them.
+//! Index of engines with free slots, ordered so that the best engine for an item is found without a
+//! scan of all engines.
 //!
 //! The cost of placing an item does not grow with the number of engines.
 
@@ -8,14 +8,14 @@
 use crate::ids::{ModelName, ServiceName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Whether the gateway through which an engine's items go has connections to it.
+/// Whether a gateway has connections to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Connected {
     Yes,
     No,
 }
 
-/// An engine's place among those that hold the same version of a model.
+/// Sort key of an engine among those that hold the same version of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     running: usize,
@@ -24,17 +24,17 @@
     number: EngineNumber,
 }
 
-/// Engines of one service that serve one model, or any item where none is named.
+/// Engines of one service that serve one model; all engines of the service if `model` is `None`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Group {
     service: ServiceName,
     model: Option<ModelName>,
 }
 
-/// Engines with free slots.
+/// Index of engines with free slots.
 ///
-/// Invariant: an engine stands in the group of each of its models, at the version that it holds, and
-/// in the group without a model; none that is draining or full is here.
+/// Invariant: an engine is in the group of each of its models, at the version that it holds, and in
+/// the group without a model. Draining and full engines are not in the index.
 #[derive(Default)]
 pub(crate) struct FreeSlots {
     groups: HashMap<Group, BTreeMap<u64, BTreeSet<Place>>>,
@@ -42,12 +42,12 @@
 }
 
 impl FreeSlots {
-    /// Whether no engine has a free slot.
+    /// Returns whether no engine has a free slot.
     pub(crate) fn is_empty(&self) -> bool {
         self.engines == 0
     }
 
-    /// How many services have an engine here.
+    /// Returns the number of services with an engine in the index.
     pub(crate) fn services(&self) -> usize {
         let groups = self.groups.iter();
         let any_model = groups.filter(|(group, _)| group.model.is_none());
@@ -56,7 +56,7 @@
             .count()
     }
 
-    /// Adds an engine, if it has a free slot.
+    /// Adds an engine if it has a free slot.
     pub(crate) fn add(&mut self, engine: &Engine) {
         if !is_free(engine) {
             return;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Removes an engine, which is as it was when it was added.
+    /// Removes an engine; its attributes must be those with which it was added.
     pub(crate) fn remove(&mut self, engine: &Engine) {
         if !is_free(engine) {
             return;
@@ -89,10 +89,10 @@
         }
     }
 
-    /// For each version from the lowest allowed on and each number of items that run on an engine, the
-    /// engine with the best pace of which `takes` holds: the best one for an item is among them,
-    /// since of two such engines that differ in pace only, the faster is better. One without a
-    /// connection is among them only where that is not similar to the `fastest` known pace.
+    /// Returns, for each allowed version and each number of running items, the fastest engine that
+    /// `takes` admits. The best engine for an item is among them, since of two engines that differ
+    /// only in pace the faster one is better. An engine without a connection is returned only if
+    /// the connected one is not similar in pace to the `fastest` known engine.
     pub(crate) fn best_of_each(
         &self,
         query: EngineQuery<'_>,
@@ -113,7 +113,7 @@
     }
 }
 
-/// For each number of items that run on engines at one version, adds the best of these engines.
+/// Adds to `best` the fastest engine at one version for each number of running items.
 fn best_of_version(
     places: &BTreeSet<Place>,
     scan: Scan,
@@ -140,14 +140,14 @@
     }
 }
 
-/// Engines that are asked for.
+/// Criteria of a search for engines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineQuery<'a> {
-    /// Of this service.
+    /// The service of the engines.
     pub(crate) service: &'a ServiceName,
-    /// That serve this model; any engine where none is named.
+    /// The model that they serve; any engine if `None`.
     pub(crate) model: Option<&'a ModelName>,
-    /// That hold this version of it, or a newer one.
+    /// The oldest version of the model that they may hold.
     pub(crate) min_version: u64,
     /// Which of them are examined.
     pub(crate) scan: Scan,
@@ -156,14 +156,15 @@
 /// Which engines are examined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scan {
-    /// All, until one takes the item: none is to be left out.
+    /// All of them until one takes the item, so that none is missed.
     Any,
-    /// Some of those whose pace is known, the fastest first: for what need not be done at all.
+    /// A few of known pace, fastest first; for optional actions.
     FastestKnown,
 }
 
 impl Scan {
-    /// Before the engines that run `running` items, and have connections or have none.
+    /// Returns the sort key at which the examined engines with `running` items and this connection
+    /// state begin.
     fn begin_of(self, running: usize, connected: Connected) -> Place {
         let pace = match self {
             Self::Any => PaceStep::UNKNOWN,
@@ -178,10 +179,11 @@
         }
     }
 
-    /// Engines with the same version and as many items that are examined.
+    /// Returns the maximum number of examined engines of the same version and number of running
+    /// items.
     fn max_scanned(self) -> usize {
-        /// With more, each item whose progress is reported, at a site of 3,000 servers, costs as much as
-        /// all engines that have no free slot left.
+        /// With a higher limit, each progress report of an item at a site of 3,000 servers costs as
+        /// much as examining all engines that have no free slot left.
         const MAX_FASTEST: usize = 8;
         match self {
             Self::Any => usize::MAX,
@@ -206,7 +208,7 @@
     }
 }
 
-/// The groups of an engine, and the version that it holds in each.
+/// Returns the groups of an engine, with the version that it holds in each.
 fn groups_of(engine: &Engine) -> impl Iterator<Item = (Group, u64)> + '_ {
     let service = &engine.record.service;
     let group = move |model: Option<&ModelName>| Group {
--- a/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways that are connected to this leader, and those that were a moment ago.
+//! Gateways that are connected to this leader, and those that disconnected recently.
 
 use crate::ids::GatewayId;
 use crate::messages::{GatewayHello, GatewayStatus};
@@ -8,25 +8,25 @@
 /// A gateway that is connected to this leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Gateway {
-    /// Name of its machine.
+    /// Name of the gateway's machine.
     node: String,
     pub(crate) zone: String,
     pub(crate) status: GatewayStatus,
-    /// Items that it runs.
+    /// Number of items that it runs.
     pub(crate) running: usize,
     /// Whether it has reported which items it runs.
     pub(crate) introduced: bool,
 }
 
-/// A gateway whose connection has ended a moment ago. Its items run on: where only the connection
-/// broke, it is back with them before they could be begun again elsewhere.
+/// A gateway that disconnected recently. Its items keep running: if only the connection broke, the
+/// gateway is back before they could be started again elsewhere.
 struct AwayGateway {
     gateway: GatewayId,
     node: String,
     lost_at: Instant,
 }
 
-/// All gateways that may run items by this leader's word.
+/// All gateways that may run items of this leader.
 #[derive(Default)]
 pub(crate) struct Gateways {
     connected: BTreeMap<GatewayId, Gateway>,
@@ -34,8 +34,8 @@
 }
 
 impl Gateways {
-    /// A gateway has connected. Gives those that were away and are lost by it: a process that begins
-    /// on a machine takes the place of the one before.
+    /// Records that a gateway has connected. Returns the disconnected gateways that it replaces: a
+    /// new process on a machine takes the place of the previous one.
     pub(crate) fn connect(&mut self, hello: GatewayHello) -> Vec<GatewayId> {
         let gateway = Gateway {
             node: hello.node,
@@ -50,7 +50,8 @@
         lost
     }
 
-    /// The connection of a gateway has ended: it is lost from `lost_at` on. Says whether it was connected.
+    /// Records that a gateway has disconnected and counts as lost from `lost_at` on. Returns
+    /// whether it was connected.
     pub(crate) fn disconnect(&mut self, gateway: GatewayId, lost_at: Instant) -> bool {
         let Some(known) = self.connected.remove(&gateway) else {
             return false;
@@ -63,8 +64,8 @@
         true
     }
 
-    /// A gateway reports what it runs. Says whether it is the first time; `None` where it is not
-    /// connected.
+    /// Records that a gateway has reported what it runs. Returns whether this was its first report;
+    /// `None` if it is not connected.
     pub(crate) fn introduce(&mut self, gateway: GatewayId) -> Option<bool> {
         let known = self.connected.get_mut(&gateway)?;
         let is_first = !std::mem::replace(&mut known.introduced, true);
@@ -74,7 +75,7 @@
         Some(is_first)
     }
 
-    /// Takes out gateways that were away for too long.
+    /// Removes and returns the gateways that have been disconnected for too long.
     pub(crate) fn take_lost(&mut self, now: Instant) -> Vec<GatewayId> {
         self.take_away(|away| now >= away.lost_at)
     }
@@ -84,34 +85,34 @@
         taken.map(|away| away.gateway).collect()
     }
 
-    /// Whether none is connected.
+    /// Returns whether no gateway is connected.
     pub(crate) fn is_empty(&self) -> bool {
         self.connected.is_empty()
     }
 
-    /// Those that are connected.
+    /// Iterates over the connected gateways.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (GatewayId, &Gateway)> {
         self.connected.iter().map(|(id, gateway)| (*id, gateway))
     }
 
-    /// A gateway that is connected.
+    /// Returns a connected gateway.
     pub(crate) fn get(&self, gateway: GatewayId) -> Option<&Gateway> {
         self.connected.get(&gateway)
     }
 
-    /// A gateway that is connected.
+    /// Returns a connected gateway for changes.
     pub(crate) fn get_mut(&mut self, gateway: GatewayId) -> Option<&mut Gateway> {
         self.connected.get_mut(&gateway)
     }
 
-    /// An item began to run at a gateway.
+    /// Counts an item that starts at a gateway.
     pub(crate) fn item_started(&mut self, gateway: GatewayId) {
         if let Some(known) = self.get_mut(gateway) {
             known.running += 1;
         }
     }
 
-    /// An item runs no longer at a gateway.
+    /// Counts an item that ended at a gateway.
     pub(crate) fn item_ended(&mut self, gateway: GatewayId) {
         if let Some(known) = self.get_mut(gateway) {
             known.running = known.running.saturating_sub(1);
--- a/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
@@ -1,33 +1,33 @@
-//! One item of a batch job that is not listed, and an attempt at it.
+//! An unlisted item of a batch job, and an attempt at it.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemKey, ModelName};
 use crate::text::{HeldPrefix, ItemText};
 use wingshore_types::Instant;
 
-/// An attempt that is under way.
+/// An attempt in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) item: ItemKey,
     pub(crate) gateway: GatewayId,
     pub(crate) instance: InstanceId,
-    /// The model that makes its tokens.
+    /// The model that generates its tokens.
     pub(crate) model: Option<ModelName>,
     /// Whether the item is expected to be one of the longest.
     pub(crate) is_long: bool,
-    /// Events at the last word of the gateway, and when that came.
+    /// Number of events in the gateway's last progress report, and the time of that report.
     pub(crate) seen: Option<(u64, Instant)>,
-    /// Whether the gateway was ordered to break it off.
+    /// Whether the gateway was ordered to interrupt it.
     pub(crate) interrupted: bool,
-    /// When the gateway last spoke of it.
+    /// Time of the gateway's last report of the attempt.
     pub(crate) heard: Instant,
-    /// Whether its text goes on behind what the log holds; otherwise it is another run of the item,
-    /// whose events must not be added there.
+    /// Whether its text continues the text in the log. Otherwise it is a separate run of the item,
+    /// whose events must not be appended there.
     pub(crate) extends_held: bool,
 }
 
 impl Attempt {
-    /// An attempt that begins, or that a gateway says it runs.
+    /// Creates an attempt that starts now, or that a gateway reports as running.
     pub(crate) fn new(
         now: Instant,
         item: ItemKey,
@@ -49,54 +49,55 @@
     }
 }
 
-/// An engine that an item does not go back to for a while. Only for a while: it may be the only one
-/// that takes the item.
+/// An engine to which an item does not return for a while. The time is limited because the engine
+/// may be the only one that takes the item.
 #[derive(Clone, Debug)]
 pub(crate) struct Avoided {
     pub(crate) instance: InstanceId,
     pub(crate) until: Instant,
 }
 
-/// What is known of an item that is not listed.
+/// State of an item that is not listed yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenItem {
-    /// All events of earlier attempts.
+    /// Text of all earlier attempts.
     pub(crate) partial_text: ItemText,
-    /// What the log holds of its text once all that this leader has proposed is applied.
+    /// The part of its text that the log holds once all proposals of this leader are applied.
     pub(crate) held: HeldPrefix,
-    /// Attempts that engines ran and failed.
+    /// Number of attempts that engines ran and failed.
     pub(crate) failures: u32,
-    /// Not placed before this time.
+    /// The item is not placed before this time.
     pub(crate) not_before: Option<Instant>,
-    /// The attempt under way.
+    /// The attempt in progress.
     pub(crate) assignment: Option<AssignmentId>,
-    /// A result is proposed.
+    /// Whether a result is proposed.
     pub(crate) has_result: bool,
-    /// Times that it was moved from one engine to another.
+    /// Number of its moves from one engine to another.
     pub(crate) moves: u32,
     /// The engine that it was moved away from.
     pub(crate) avoid: Option<Avoided>,
-    /// What it asks, once an engine broke it off early.
+    /// Fingerprint of its request, known once an engine interrupted it early.
     pub(crate) request: Option<RequestFingerprint>,
-    /// The caller's estimate of its length; longer ones are placed first.
+    /// The caller's estimate of its length, in tokens; longer items are placed first.
     pub(crate) expected_length: u64,
-    /// Whether it is one of the longest: by the estimate, or by an earlier job that it survived.
+    /// Whether it is a long item: by its estimate, or because it was still running when an earlier
+    /// job ended.
     pub(crate) is_long: bool,
 }
 
 impl OpenItem {
-    /// The engine that the item does not go to at `now`.
+    /// Returns the engine to which the item does not go at `now`.
     pub(crate) fn avoided(&self, now: Instant) -> Option<&InstanceId> {
         let avoid = self.avoid.as_ref().filter(|avoid| now < avoid.until);
         avoid.map(|avoid| &avoid.instance)
     }
 }
 
-/// Order in which the waiting items of a job are placed.
+/// Sort key of the order in which the waiting items of a job are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    /// The longest first.
+    /// Estimated length, longest first.
     pub(crate) length: std::cmp::Reverse<u64>,
-    /// Items in the order of the submission.
+    /// Position in the submission.
     pub(crate) index: u32,
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -1,4 +1,4 @@
-//! Items of batch jobs on their way: which wait, which run where, what they have so far.
+//! Unlisted items of batch jobs: which of them wait, where the others run, and their partial texts.
 
 use super::item::{Attempt, OpenItem, Rank};
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemId, ItemKey, JobId};
@@ -9,10 +9,10 @@
 use std::ops::Bound;
 use wingshore_types::Epoch;
 
-/// Items that have survived their jobs are remembered up to this many.
+/// Maximum number of remembered items that were still running when their job ended.
 const MAX_SURVIVING: usize = 4096;
 
-/// All items that are not listed.
+/// All items that are not listed yet.
 #[derive(Default)]
 pub(crate) struct Items {
     epoch: Epoch,
@@ -20,20 +20,20 @@
     longest_first: bool,
     next_assignment: u64,
     next_job: u64,
-    /// Open jobs with their numbers in the order of acceptance.
+    /// Open jobs, with their numbers in the order of acceptance.
     jobs: HashMap<JobId, u64>,
-    /// Jobs in the order of their acceptance; none is empty.
+    /// Waiting items by job, in the order of acceptance; no set is empty.
     waiting: BTreeMap<(u64, JobId), BTreeSet<Rank>>,
     attempts: BTreeMap<AssignmentId, Attempt>,
     open: BTreeMap<ItemKey, OpenItem>,
-    /// Items that were running when their job ended.
+    /// Items that were still running when their job ended.
     surviving: HashSet<ItemId>,
-    /// The engine that ran an item of a group last, by job.
+    /// Engine that ran the last item of each group, by job.
     affinities: HashMap<JobId, HashMap<String, InstanceId>>,
 }
 
 impl Items {
-    /// A new leadership: every item that is not listed waits, until a gateway says that it runs it.
+    /// Starts a new leadership: every unlisted item waits until a gateway reports that it runs it.
     pub(crate) fn begin(&mut self, epoch: Epoch, longest_first: bool, state: &CoordinationState) {
         self.epoch = epoch;
         self.longest_first = longest_first;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A job was accepted.
+    /// Adds the items of an accepted job.
     pub(crate) fn add_job(&mut self, id: &JobId, state: &CoordinationState) {
         let Some(job) = state.jobs().get(id).filter(|job| !job.ended) else {
             return;
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Forgets all items of a job; gives the attempts under way. What still runs has survived the
-    /// job, and may come again in another one.
+    /// Removes all items of a job and returns the attempts in progress. Their items are remembered
+    /// as long, since a later job may contain them again.
     pub(crate) fn remove_job(
         &mut self,
         id: &JobId,
@@ -105,7 +105,7 @@
         ended
     }
 
-    /// Puts an item among those that wait.
+    /// Adds an item to the waiting ones.
     pub(crate) fn wait(&mut self, item: ItemKey) {
         let Some(number) = self.jobs.get(&item.job) else {
             return;
@@ -125,12 +125,13 @@
         }
     }
 
-    /// Jobs with waiting items, in their order.
+    /// Returns the jobs with waiting items, in the order of acceptance.
     pub(crate) fn waiting_jobs(&self) -> Vec<JobId> {
         self.waiting.keys().map(|(_, job)| job.clone()).collect()
     }
 
-    /// The next waiting item of a job behind `last`, or the first one, in their order.
+    /// Returns the first waiting item of a job after `last` in placement order, or the first one of
+    /// all if `last` is `None`.
     pub(crate) fn next_waiting(&self, job: &JobId, last: Option<Rank>) -> Option<Rank> {
         let number = self.jobs.get(job).copied()?;
         let waiting = self.waiting.get(&(number, job.clone()))?;
@@ -138,7 +139,7 @@
         waiting.range((behind, Bound::Unbounded)).next().copied()
     }
 
-    /// All items that wait.
+    /// Iterates over all waiting items.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = ItemKey> + '_ {
         self.waiting.iter().flat_map(|((_, job), waiting)| {
             waiting.iter().map(|rank| ItemKey {
@@ -148,23 +149,23 @@
         })
     }
 
-    /// How many items of each job wait.
+    /// Iterates over the jobs with waiting items and the number of these.
     pub(crate) fn waiting_by_job(&self) -> impl Iterator<Item = (&JobId, usize)> {
         let waiting = self.waiting.iter();
         waiting.map(|((_, job), items)| (job, items.len()))
     }
 
-    /// How many wait.
+    /// Returns the number of waiting items.
     pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no item waits.
     pub(crate) fn none_waits(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes an item out of those that wait.
+    /// Removes an item from the waiting ones.
     pub(crate) fn take(&mut self, item: &ItemKey) {
         let Some(number) = self.jobs.get(&item.job) else {
             return;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// An identifier for a new attempt.
+    /// Returns an identifier for a new attempt.
     pub(crate) fn next_assignment(&mut self) -> AssignmentId {
         self.next_assignment += 1;
         AssignmentId {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// An attempt begins, or is known to be under way.
+    /// Records an attempt that starts, or that is known to be in progress.
     pub(crate) fn start(&mut self, assignment: AssignmentId, mut attempt: Attempt) {
         if let Some(open_item) = self.open.get_mut(&attempt.item) {
             open_item.assignment = Some(assignment);
@@ -197,7 +198,7 @@
         self.attempts.insert(assignment, attempt);
     }
 
-    /// An attempt is over.
+    /// Removes an attempt that has ended.
     pub(crate) fn end(&mut self, assignment: AssignmentId) -> Option<Attempt> {
         let attempt = self.attempts.remove(&assignment)?;
         if let Some(open_item) = self.open.get_mut(&attempt.item)
@@ -208,12 +209,12 @@
         Some(attempt)
     }
 
-    /// The attempts under way.
+    /// Iterates over the attempts in progress.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = (&AssignmentId, &Attempt)> {
         self.attempts.iter()
     }
 
-    /// Whether an item that `is_suspect` runs on an engine.
+    /// Returns whether an item for which `is_suspect` holds runs on an engine.
     pub(crate) fn has_suspect_on(
         &self,
         instance: &InstanceId,
@@ -226,39 +227,39 @@
         })
     }
 
-    /// The item of an attempt that is under way and has no result proposed.
+    /// Returns the item of an attempt in progress; `None` if a result is proposed already.
     pub(crate) fn item_of(&self, assignment: AssignmentId) -> Option<ItemKey> {
         let attempt = self.attempts.get(&assignment)?;
         let open_item = self.open.get(&attempt.item)?;
         (!open_item.has_result).then(|| attempt.item.clone())
     }
 
-    /// Whether an attempt is known to be under way.
+    /// Returns whether an attempt is known to be in progress.
     pub(crate) fn is_under_way(&self, assignment: AssignmentId) -> bool {
         self.attempts.contains_key(&assignment)
     }
 
-    /// An attempt under way.
+    /// Returns an attempt in progress.
     pub(crate) fn attempt(&self, assignment: AssignmentId) -> Option<&Attempt> {
         self.attempts.get(&assignment)
     }
 
-    /// An attempt under way.
+    /// Returns an attempt in progress for changes.
     pub(crate) fn attempt_mut(&mut self, assignment: AssignmentId) -> Option<&mut Attempt> {
         self.attempts.get_mut(&assignment)
     }
 
-    /// What is known of an item; `None` for one that is listed or forgotten.
+    /// Returns the state of an item; `None` if it is listed or its job has ended.
     pub(crate) fn open_item(&self, item: &ItemKey) -> Option<&OpenItem> {
         self.open.get(item)
     }
 
-    /// As [`Items::open_item`].
+    /// Returns the state of an item for changes; see [`Items::open_item`].
     pub(crate) fn open_item_mut(&mut self, item: &ItemKey) -> Option<&mut OpenItem> {
         self.open.get_mut(item)
     }
 
-    /// The item's result is proposed: it needs nothing more.
+    /// Records that the result of an item is proposed, so that it needs no further attempt.
     pub(crate) fn finish(&mut self, item: &ItemKey) {
         if let Some(open_item) = self.open.get_mut(item) {
             open_item.has_result = true;
@@ -267,15 +268,16 @@
         self.take(item);
     }
 
-    /// A gateway is gone with all it ran: its items wait again. Gives the engine of each attempt that is
-    /// over by that.
+    /// Ends all attempts of a lost gateway, so that their items wait again. Returns the engine of
+    /// each ended attempt.
     pub(crate) fn gateway_lost(&mut self, gateway: GatewayId) -> Vec<InstanceId> {
         let lost = self.attempts_of(gateway);
         self.end_and_wait(lost)
     }
 
-    /// A gateway that is back reports all that it runs: what it does not speak of waits again. Gives
-    /// how many of its attempts go on, and the engine of each that is over.
+    /// Processes the report of a gateway that has reconnected: items of attempts that are not in
+    /// `reported` wait again. Returns the number of attempts that continue, and the engine of each
+    /// ended one.
     pub(crate) fn gateway_reports(
         &mut self,
         gateway: GatewayId,
@@ -304,12 +306,12 @@
         engines
     }
 
-    /// The engine that ran an item of the group last.
+    /// Returns the engine that ran the last item of the group.
     pub(crate) fn affinity(&self, job: &JobId, group: &str) -> Option<&InstanceId> {
         self.affinities.get(job)?.get(group)
     }
 
-    /// An engine runs an item of the group.
+    /// Records the engine that runs an item of the group.
     pub(crate) fn set_affinity(&mut self, job: &JobId, group: &str, instance: &InstanceId) {
         let engines = self.affinities.entry(job.clone()).or_default();
         engines.insert(group.to_owned(), instance.clone());
--- a/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
@@ -1,72 +1,72 @@
-//! Since when jobs are known, and who waits for their results.
+//! The age of jobs, and the readers that wait for their results.
 
 use crate::ids::JobId;
 use std::collections::HashMap;
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
-/// Since when each job is known to this leader. A new leader counts from its beginning, so that
-/// nothing is abandoned or forgotten too early.
+/// The time from which this leader has known each job. A new leader counts from the start of its
+/// leadership, so no job is abandoned or forgotten too early.
 #[derive(Default)]
 pub(crate) struct JobClock {
     known_since: HashMap<JobId, Instant>,
 }
 
 impl JobClock {
-    /// A new leadership.
+    /// Starts a new leadership, in which all jobs are known from `now` on.
     pub(crate) fn begin<'a>(&mut self, now: Instant, jobs: impl Iterator<Item = &'a JobId>) {
         self.known_since = jobs.map(|id| (id.clone(), now)).collect();
     }
 
-    /// A job was submitted; what was known of it before counts.
+    /// Records a submitted job; a job that is known already keeps its time.
     pub(crate) fn note(&mut self, now: Instant, job: &JobId) {
         self.known_since.entry(job.clone()).or_insert(now);
     }
 
-    /// A job's time begins anew.
+    /// Restarts the time of a job.
     pub(crate) fn restart(&mut self, now: Instant, job: &JobId) {
         self.known_since.insert(job.clone(), now);
     }
 
-    /// A job is forgotten: a later one of its name begins anew.
+    /// Removes a job, so that a later one of the same name starts anew.
     pub(crate) fn forget(&mut self, job: &JobId) {
         self.known_since.remove(job);
     }
 
-    /// Since when a job is known.
+    /// Returns the time from which a job has been known.
     pub(crate) fn known_since(&self, job: &JobId) -> Option<Instant> {
         self.known_since.get(job).copied()
     }
 }
 
-/// Readers that wait for a result.
+/// Readers that wait for results.
 #[derive(Default)]
 pub(crate) struct Readers {
     waiting: Vec<Reader>,
 }
 
-/// One reader.
+/// A reader that waits for results of a job.
 pub(crate) struct Reader {
     pub(crate) tag: RequestTag,
     pub(crate) job: JobId,
-    /// The first position that it wants.
+    /// The first position that it requests.
     pub(crate) from: u64,
-    /// When it is answered without a result.
+    /// Time at which it is answered without a result.
     pub(crate) until: Instant,
 }
 
 impl Readers {
-    /// A reader waits.
+    /// Adds a reader.
     pub(crate) fn add(&mut self, reader: Reader) {
         self.waiting.push(reader);
     }
 
-    /// Takes out those that wait for results of a job.
+    /// Removes and returns the readers of a job.
     pub(crate) fn take_of(&mut self, job: &JobId) -> Vec<Reader> {
         self.take(|reader| reader.job == *job)
     }
 
-    /// Takes out those whose time is over.
+    /// Removes and returns the readers whose time is over.
     pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Reader> {
         self.take(|reader| now >= reader.until)
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/mod.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/mod.rs
@@ -1,5 +1,5 @@
-//! What a leader keeps in memory. All of it is built anew at each leadership, from the replicated
-//! state and from what gateways and servers report.
+//! In-memory tables of a leader. They are rebuilt for each leadership from the replicated state and
+//! the reports of gateways and servers.
 
 pub(crate) mod capacity;
 pub(crate) mod engine;
--- a/crates/gateways/wingshore-coordination/src/leader/tables/registrations.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/registrations.rs
@@ -1,30 +1,32 @@
-//! Changes of the registry that are proposed and not applied yet, and the heartbeats that wait for them.
+//! Registry changes that are proposed but not applied yet, and the heartbeats that wait for them.
 
 use crate::ids::InstanceId;
 use std::collections::BTreeMap;
 use wingshore_types::machine::RequestTag;
 
-/// The open changes of one server.
+/// Unapplied changes of one server.
 #[derive(Default)]
 struct OpenChanges {
     count: usize,
-    /// Heartbeats that say no more than what is proposed: their acknowledgement stands for it.
+    /// Heartbeats that add nothing to the proposed changes: they are acknowledged once these are
+    /// applied.
     waiting: Vec<RequestTag>,
 }
 
-/// All servers with open changes.
+/// All servers with unapplied changes.
 #[derive(Default)]
 pub(crate) struct Registrations {
     open: BTreeMap<InstanceId, OpenChanges>,
 }
 
 impl Registrations {
-    /// A change of a server is proposed.
+    /// Records that a change of a server is proposed.
     pub(crate) fn proposed(&mut self, instance: InstanceId) {
         self.open.entry(instance).or_default().count += 1;
     }
 
-    /// Lets a heartbeat wait until all that is proposed of its server is applied; `false` where nothing is.
+    /// Queues a heartbeat until all proposed changes of its server are applied; returns `false` if
+    /// there are none.
     pub(crate) fn wait(&mut self, instance: &InstanceId, tag: RequestTag) -> bool {
         let Some(changes) = self.open.get_mut(instance) else {
             return false;
@@ -33,7 +35,8 @@
         true
     }
 
-    /// A change of a server is applied. Gives the heartbeats that waited, once it was the last one.
+    /// Records that a change of a server is applied. Returns the queued heartbeats once no change
+    /// is left.
     pub(crate) fn applied(&mut self, instance: &InstanceId) -> Vec<RequestTag> {
         let Some(changes) = self.open.get_mut(instance) else {
             return Vec::new();
--- a/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
@@ -1,21 +1,21 @@
-//! Which texts wait for their scores, and which gateways have scorings in hand.
+//! Texts that wait for their scores, and scorings that are assigned to gateways.
 
 use crate::ids::{AssignmentId, GatewayId, ItemKey, JobId};
 use crate::state::CoordinationState;
 use std::collections::BTreeMap;
 use wingshore_types::Instant;
 
-/// A scoring that a gateway has in hand.
+/// A scoring that is assigned to a gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenScoring {
     pub(crate) item: ItemKey,
     pub(crate) made_by: AssignmentId,
     pub(crate) gateway: GatewayId,
-    /// When the gateway last spoke of it.
+    /// Time of the gateway's last report of the scoring.
     pub(crate) heard: Instant,
 }
 
-/// A text whose score nobody asks for at present.
+/// A text whose scoring is not assigned at present.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingText {
     pub(crate) made_by: AssignmentId,
@@ -24,18 +24,18 @@
 
 /// All scorings of this leadership.
 ///
-/// Invariant: an item is in at most one of `waiting` and `running`.
+/// Invariant: an item is in at most one of `waiting` and `under_way`.
 #[derive(Default)]
 pub(crate) struct Scorings {
     pub(crate) waiting: BTreeMap<ItemKey, WaitingText>,
     pub(crate) under_way: BTreeMap<AssignmentId, OpenScoring>,
-    /// Scorings in a row without a score, by item.
+    /// Number of consecutive scorings without a score, by item.
     pub(crate) retries: BTreeMap<ItemKey, u32>,
 }
 
 impl Scorings {
-    /// A new leadership: every text without a score waits, until a gateway says that it has it in
-    /// hand.
+    /// Starts a new leadership: every text without a score waits until a gateway reports its
+    /// scoring.
     pub(crate) fn begin(&mut self, now: Instant, state: &CoordinationState) {
         for (id, job) in state.jobs().iter().filter(|(_, job)| !job.ended) {
             for (index, unscored) in job.unscored_items() {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Scorings that gateways have in hand.
+    /// Returns the number of assigned scorings.
     pub(crate) fn running_count(&self) -> usize {
         self.under_way.len()
     }
 
-    /// Texts whose score nobody asks for at present.
+    /// Returns the number of texts whose scoring is not assigned at present.
     pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Items whose texts have no score yet.
+    /// Iterates over the items whose texts have no score yet.
     pub(crate) fn items(&self) -> impl Iterator<Item = &ItemKey> {
         let running = self.under_way.values().map(|running| &running.item);
         self.waiting.keys().chain(running)
@@ -77,7 +77,7 @@
         self.under_way.insert(scoring, running);
     }
 
-    /// Whether a gateway has this scoring in hand.
+    /// Returns whether this scoring is assigned to a gateway.
     pub(crate) fn has(&self, scoring: AssignmentId) -> bool {
         self.under_way.contains_key(&scoring)
     }
@@ -86,12 +86,12 @@
         self.under_way.values().any(|running| running.item == *item)
     }
 
-    /// Forgets an item; gives the gateways that have it in hand.
+    /// Removes an item; returns the gateways to which its scorings are assigned.
     pub(crate) fn remove_item(&mut self, item: &ItemKey) -> Vec<(GatewayId, AssignmentId)> {
         self.remove(|other| other == item)
     }
 
-    /// Forgets all items of a job; gives the gateways that have them in hand.
+    /// Removes all items of a job; returns the gateways to which their scorings are assigned.
     pub(crate) fn remove_job(&mut self, job: &JobId) -> Vec<(GatewayId, AssignmentId)> {
         self.remove(|item| item.job == *job)
     }
@@ -106,7 +106,7 @@
             .collect()
     }
 
-    /// Takes out those in hand that are meant.
+    /// Removes and returns the assigned scorings for which `is_meant` holds.
     pub(crate) fn take_running(
         &mut self,
         is_meant: impl Fn(&OpenScoring) -> bool,
@@ -121,7 +121,7 @@
         BTreeMap::into_iter(taken).collect()
     }
 
-    /// A score of an item is to be asked for again; says how often it was before, in a row.
+    /// Counts a retry of the scoring of an item; returns the number of consecutive earlier ones.
     pub(crate) fn count_retry(&mut self, item: &ItemKey) -> u32 {
         let retries = self.retries.entry(item.clone()).or_default();
         let before = *retries;
