--- a/crates/gateways/wingshore-coordination/tests/admission.rs
+++ b/crates/gateways/wingshore-coordination/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which batch jobs are taken.
+//! Tests of the admission of batch jobs.
 
 mod support;
 
@@ -6,7 +6,8 @@
 use support::{Group, job};
 use wingshore_coordination::{JobId, Reply, Request};
 
-/// Jobs of callers that submit faster than engines work would fill the memory of all members.
+/// Guards against jobs of callers that submit faster than engines work filling the memory of all
+/// members.
 #[gtest]
 fn a_job_waits_outside_while_memory_has_no_room_for_it() {
     let mut group = Group::new();
@@ -24,7 +25,7 @@
         group.state.jobs().contains_key(&JobId::from("l")),
         eq(false)
     );
-    // One that is known is not refused, and an end makes room.
+    // A job that is known already is not refused, and the end of a job frees memory.
     expect_that!(
         group.ask(Request::SubmitJob(job("k", 8))),
         some(eq(&Reply::Done))
--- a/crates/gateways/wingshore-coordination/tests/capacity.rs
+++ b/crates/gateways/wingshore-coordination/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! Servers that are ordered: how many, where, and when an order is given again.
+//! Tests of server orders: how many servers are ordered, in which zones, and when an order is
+//! repeated.
 
 mod support;
 
@@ -55,14 +56,14 @@
         counts(&demand(456, 15), &scaling(), by_demand),
         eq(&vec![4, 4, 4])
     );
-    // Not more than four fifths of those that stay.
+    // At most four fifths of the non-reclaimable servers.
     expect_that!(
         counts(&demand(9000, 15), &scaling(), by_demand),
         eq(&vec![12, 12, 12])
     );
 }
 
-/// The limit of a zone holds for both kinds together.
+/// The maximum of a zone limits the sum of reclaimable and other servers.
 #[gtest]
 fn the_limit_of_a_zone_is_kept() {
     let mut crowded = demand(9000, 15);
@@ -92,7 +93,8 @@
     );
 }
 
-/// Steps come each 4 s: between two of them less is open, which is no reason to give servers back.
+/// Training steps come every 4 s. Fewer items are open between two steps, which is no reason to
+/// release servers.
 #[gtest]
 fn a_peak_survives_the_lull_behind_it() {
     const SPAN: Duration = Duration::from_secs(15);
@@ -107,7 +109,7 @@
     expect_that!(peak.note(at(63), 20, SPAN), eq(20));
 }
 
-/// A group whose engines can be had, with four that stay.
+/// A group whose service may be scaled, with four non-reclaimable engines.
 fn group() -> Group {
     let mut group = Group::with_settings(LeaderSettings {
         orders_servers: true,
@@ -143,7 +145,7 @@
     });
 }
 
-/// A server of a pool that has come.
+/// The record of a server that was ordered for a pool and has started.
 fn ordered_server(pool: &CapacityPool, number: u32) -> ServerRecord {
     let name = format!("spot-{}-{number}", pool.zone);
     ServerRecord {
@@ -179,7 +181,7 @@
         }
     }
     expect_that!(take_orders(&mut group), is_empty());
-    // One is lost: the same number is ordered again.
+    // One server is lost, so the same number is ordered again.
     group.ask(Request::Deregister(
         ordered_server(&orders[0].pool, 0).instance.name().clone(),
     ));
@@ -195,7 +197,7 @@
     for _ in 0..40 {
         for order in take_orders(&mut group) {
             given += 1;
-            // There are none to be had now.
+            // The provider has no servers available.
             answer(&mut group, &order, ProviderAnswer::Conflict);
         }
         group.wait(Duration::from_millis(250));
@@ -204,7 +206,7 @@
     expect_that!(given, all![ge(12), le(24)]);
 }
 
-/// A successor continues with the number that is committed, under a token of its own.
+/// A new leader continues with the committed number, under its own fencing token.
 #[gtest]
 fn a_successor_orders_what_was_committed() {
     let mut group = group();
@@ -220,10 +222,9 @@
     }
 }
 
-/// A site with two services whose servers can be had, of which one runs items.
-///
-/// Seen by reading: the number of open items of the whole site was taken for what each service
-/// needs, so that servers of a service that runs none of them were ordered with each job.
+/// Guards against ordering servers for a service that runs no items. This happened when the number
+/// of open items of the whole site was taken as the demand of each service, so that each job caused
+/// orders for all of them.
 #[gtest]
 fn servers_are_ordered_for_the_service_that_runs_the_items_only() {
     let mut group = Group::with_settings(LeaderSettings {
--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! What the group learns of requests from servers that ended under them.
+//! Tests of the evidence against requests under which servers crashed.
 
 mod support;
 
@@ -12,9 +12,9 @@
 };
 use wingshore_types::machine::ReplicatedState;
 
-/// Longer than the leader waits for what other gateways have seen.
+/// Longer than the delay before the leader evaluates evidence.
 const WEIGHED: Duration = Duration::from_millis(400);
-/// Endings this far apart are not together.
+/// Crashes this far apart do not count as simultaneous.
 const APART: Duration = Duration::from_secs(1);
 
 fn request(number: u32) -> RequestFingerprint {
@@ -43,7 +43,7 @@
     group.event(Event::RequestsCrashed { gateway, seen });
 }
 
-/// Servers end one after the other under these requests.
+/// Reports crashes of `servers`, one after the other, under these requests.
 fn end_one_by_one(group: &mut Group, servers: &[&str], requests: &[RequestFingerprint]) {
     for server in servers {
         group.heartbeat(engine(server, 1));
@@ -62,7 +62,8 @@
     suspect.is_some_and(|suspect| suspect.rejected)
 }
 
-/// What gateways learned last of a request.
+/// Returns the suspect that the last view update to gateways contains for a request; `None` if it
+/// was cleared or never published.
 fn told(group: &Group, request: RequestFingerprint) -> Option<Suspect> {
     let mut changes = group.told.iter().rev();
     changes.find_map(|change| match change {
@@ -189,8 +190,9 @@
     expect_that!(is_rejected(&group.state, request(0)), eq(true));
 }
 
-/// Seen: an item that ends its engines took the others of its engine with it from one engine to the
-/// next, so that all stood on the same endings, and one more was rejected with it.
+/// Guards against the rejection of items that only shared an engine with the cause. An item that
+/// crashed its engines was retried together with the other items of its engine, so that all had the
+/// same crashes and another one was rejected with it.
 #[gtest]
 fn items_that_may_be_the_cause_run_on_engines_apart_from_each_other() {
     let (mut group, gateway) = Group::with_job(2);
--- a/crates/gateways/wingshore-coordination/tests/moves.rs
+++ b/crates/gateways/wingshore-coordination/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Items that move from slow engines to faster ones.
+//! Tests of moving items from slow engines to faster ones.
 
 mod support;
 
@@ -10,7 +10,7 @@
     ItemProgress, ItemText, Request,
 };
 
-/// Tells that an item has brought one event more each `pace`, twice.
+/// Reports the progress of an item to 4, 8 and 12 events, at `pace` per event.
 fn get_on(group: &mut Group, item: &ItemAssignment, pace: Duration) {
     for events in [4, 8, 12] {
         group.event(Event::ItemsProgressed(vec![ItemProgress {
@@ -21,8 +21,8 @@
     }
 }
 
-/// Seen as a loss of worth in paired plays of days on which servers are replaced: engines that are
-/// new, and whose pace is not known yet, hid the faster ones from items on a slow engine.
+/// Guards against new engines of unknown pace hiding the faster ones from items on a slow engine.
+/// This was observed as a lower score in paired runs of days on which servers are replaced.
 #[gtest]
 fn a_new_engine_does_not_hide_a_fast_one_from_an_item_on_a_slow_one() {
     let mut group = Group::new();
@@ -50,8 +50,9 @@
     expect_that!(group.effects.iter().any(interrupts), eq(true));
 }
 
-/// Seen in one of some 30,000 drawn runs of the placement properties: an item that was moved away from
-/// an engine, when the other engines had left, waited for ever beside the only engine that took it.
+/// Guards against an item that waits forever although an engine takes it: an item was moved away
+/// from an engine, the other engines left, and it did not return to the only one that remained.
+/// Seen in one of about 30,000 random runs of the placement properties.
 #[gtest]
 fn an_item_goes_back_to_the_engine_it_left_where_there_is_no_other() {
     let mut group = Group::new();
--- a/crates/gateways/wingshore-coordination/tests/not_run.rs
+++ b/crates/gateways/wingshore-coordination/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! Items that an engine or a gateway did not run: where they go next, and when.
+//! Tests of items that an engine or a gateway did not run: where they are placed next, and when.
 
 mod support;
 
@@ -7,8 +7,9 @@
 use support::{Group, engine, job};
 use wingshore_coordination::{ItemOutcome, JobId, NotRunReason, Request};
 
-/// Seen: an item was sent to one dead engine ten times in half a second. Cause: a refused connection
-/// ejected the engine for 250 ms, and it was tried again until it had been silent for 6 s.
+/// Guards against repeated attempts at a dead engine. An item was sent to one ten times in half a
+/// second: a refused connection ejected the engine for only 250 ms, and attempts went on until it
+/// had been silent for 6 s.
 #[gtest]
 fn an_engine_where_nobody_listens_gets_no_items_before_its_next_heartbeat() {
     let (mut group, gateway) = Group::with_job(1);
@@ -17,7 +18,7 @@
     group.end_item(gateway, &first, ended);
     group.wait(Duration::from_secs(4));
     expect_that!(group.assignments(), is_empty());
-    // Only the way of that gateway was cut.
+    // A heartbeat shows that only the link between that gateway and the engine was cut.
     group.heartbeat(engine("e1", 1));
     group.wait(Duration::from_millis(100));
     expect_that!(group.assignments(), len(eq(1)));
@@ -31,10 +32,10 @@
     group.end_item(gateway, &first, rejected);
     group.wait(Duration::from_secs(1));
     expect_that!(group.assignments(), is_empty());
-    // The engine is not ejected for it.
+    // The rejection does not eject the engine.
     group.ask(Request::SubmitJob(job("other", 1)));
     expect_that!(group.assignments(), len(eq(1)));
-    // Nor is the item abandoned early.
+    // The item is not abandoned early either.
     let job = &group.state.jobs()[&JobId::from("j")];
     expect_that!(job.results, is_empty());
 }
--- a/crates/gateways/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/placement_properties.rs
@@ -1,8 +1,9 @@
-//! Placement by the index of free slots, against a count of what runs where: nothing is placed where
-//! it does not fit, and nothing waits while an engine takes it.
+//! Property tests of placement through the index of free slots, compared with a count of the
+//! running items: no item is placed where it does not fit, and no item waits while an engine takes
+//! it.
 //!
-//! The index holds each engine under its versions, its items and its pace; an engine that is not
-//! moved in it when one of them changes would be given too much, or nothing any more.
+//! The index holds each engine under its versions, number of items and pace. An engine whose entry
+//! is not updated when one of these changes would get too many items, or none any more.
 
 mod support;
 
@@ -15,7 +16,7 @@
     ItemText, JobSubmission, ModelName, ModelVersion, NotRunReason, Request,
 };
 
-/// Slots of an engine, as the usual configuration and record say.
+/// Slots of an engine, as in the default configuration and server record.
 const SLOTS: usize = 4;
 /// Longer than any ejection of an engine or backoff of an item.
 const LONG: Duration = Duration::from_secs(5);
@@ -23,21 +24,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An engine registers that holds these versions of the two models.
+    /// Registers an engine that holds these versions of the two models.
     Add(u64, u64),
-    /// The engine of this place in the order of registration drains.
+    /// Sets the engine with this index, in the order of registration, to draining.
     Drain(usize),
-    /// It departs.
+    /// Deregisters the engine with this index.
     Depart(usize),
-    /// It reports newer versions.
+    /// The engine with this index reports newer versions.
     Raise(usize, u64),
-    /// A job for one of the models, with this oldest version.
+    /// Submits a job for a model, with a number of items and the oldest allowed version.
     Submit(usize, u32, u64),
-    /// An attempt ends whole.
+    /// Completes an attempt.
     Finish(usize),
-    /// An engine had no room for an attempt.
+    /// Ends an attempt because its engine was full.
     Full(usize),
-    /// Tries have got on, at different paces.
+    /// Reports the progress of all attempts, at different paces.
     Progress(u64),
     Wait(u64),
 }
@@ -161,7 +162,7 @@
         self.running.extend(assigned);
     }
 
-    /// Engines send heartbeats, and the gateway reports that all goes on.
+    /// Sends heartbeats of all engines and reports all attempts as running.
     fn hear_all(&mut self) {
         let servers: Vec<_> = self.group.state.servers().values().cloned().collect();
         for server in servers {
@@ -196,7 +197,7 @@
         counts
     }
 
-    /// Whether an engine of the registry takes an item of a job, by the count of what runs.
+    /// Returns whether a registered engine takes an item of a job, by the count of running items.
     fn takes(&self, submission: &JobSubmission) -> bool {
         let counts = self.running_on();
         let model = submission.model.as_ref().expect("jobs name a model");
@@ -237,7 +238,7 @@
                 prop_assert!(count <= SLOTS, "{} runs {}", instance, count);
             }
         }
-        // All ejections and backoffs pass.
+        // Wait until all ejections and backoffs are over.
         for _ in 0..10 {
             site.run(&Step::Wait(LONG.as_millis() as u64 / 10));
         }
