--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
@@ -46,11 +46,11 @@
         if self.is_under_way || self.is_fenced || now < self.not_before {
             return false;
         }
-        let is_had = self.acknowledged.is_some_and(|(acknowledged, at)| {
+        let is_fulfilled = self.acknowledged.is_some_and(|(acknowledged, at)| {
             let is_booting = now < at + boot + BOOT_MARGIN;
             acknowledged == count && (is_booting || present == count)
         });
-        !is_had
+        !is_fulfilled
     }
 
     /// Records that an order was sent.
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -5,9 +5,9 @@
 //! policy (a setting).
 //!
 //! Rule: under the policy `ByDemand`, as many reclaimable servers are wanted as the open items need
-//! beyond the non-reclaimable ones, limited to [`MAX_EXTRA_PART`] of the latter and spread evenly
-//! over the zones. The number of non-reclaimable servers is never changed. No servers are wanted
-//! for a service that has no reclaimable price or no registered server.
+//! beyond the non-reclaimable ones, limited to [`MAX_EXTRA_FRACTION`] of the latter and spread
+//! evenly over the zones. The number of non-reclaimable servers is never changed. No servers are
+//! wanted for a service that has no reclaimable price or no registered server.
 //!
 //! Rationale: reclaimable servers cost a fraction of the price of the others. A provider takes back
 //! all reclaimable servers of a zone at once, so they are spread over the zones.
@@ -24,7 +24,7 @@
 /// Maximum number of reclaimable servers, as a fraction of the non-reclaimable ones. Fewer items
 /// per engine make each item faster, but the weight store is dimensioned for the non-reclaimable
 /// servers: with more engines, each version reaches too small a share of them.
-const MAX_EXTRA_PART: f64 = 0.8;
+const MAX_EXTRA_FRACTION: f64 = 0.8;
 
 /// Minimum time for which a peak of open items counts: several steps of a trainer.
 pub(crate) const DEMAND_MEMORY: Duration = Duration::from_secs(15);
@@ -55,21 +55,21 @@
 /// keeps the peak from dropping at the moment a span ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Peak {
-    present: usize,
-    before: usize,
-    since: Instant,
+    current: usize,
+    previous: usize,
+    span_started_at: Instant,
 }
 
 impl Peak {
     /// Records a value and returns the maximum of the last one to two spans.
-    pub fn note(&mut self, now: Instant, number: usize, span: Duration) -> usize {
-        if now.since(self.since) >= span {
-            self.before = self.present;
-            self.present = 0;
-            self.since = now;
+    pub fn note(&mut self, now: Instant, number: usize, span_length: Duration) -> usize {
+        if now.since(self.span_started_at) >= span_length {
+            self.previous = self.current;
+            self.current = 0;
+            self.span_started_at = now;
         }
-        self.present = self.present.max(number);
-        self.present.max(self.before)
+        self.current = self.current.max(number);
+        self.current.max(self.previous)
     }
 }
 
@@ -86,7 +86,7 @@
         return wanted;
     }
     let zones = u32::try_from(scaling.zone_prices.len()).unwrap_or(u32::MAX);
-    let each = extra_servers(demand).div_ceil(zones.max(1));
+    let per_zone = extra_servers(demand).div_ceil(zones.max(1));
     for zone in scaling.zone_prices.keys() {
         let staying = demand.staying.get(zone).copied().unwrap_or(0);
         let room = scaling.max.saturating_sub(staying);
@@ -97,7 +97,7 @@
         };
         let count = match policy {
             CapacityPolicy::Most => room,
-            CapacityPolicy::Fixed | CapacityPolicy::ByDemand => each.min(room),
+            CapacityPolicy::Fixed | CapacityPolicy::ByDemand => per_zone.min(room),
         };
         wanted.insert(pool, count);
     }
@@ -109,6 +109,6 @@
     let staying: u32 = demand.staying.values().sum();
     let needed = demand.open_items.div_ceil(demand.slots.max(1) as usize);
     let needed = u32::try_from(needed).unwrap_or(u32::MAX);
-    let most = (f64::from(staying) * MAX_EXTRA_PART) as u32;
+    let most = (f64::from(staying) * MAX_EXTRA_FRACTION) as u32;
     needed.saturating_sub(staying).min(most)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -4,11 +4,11 @@
 //! server, the time, and whether the server stopped listening; the requests that succeeded; the
 //! time.
 //!
-//! Rule: evidence is evaluated [`WEIGHED_AFTER`] it was reported. A crash counts against a request
-//! if the request was running on at least half of the servers of the service that crashed at the
-//! same time, or on more than one of them. A request is rejected at the third counted crash if its
-//! crashes single it out, otherwise at the fourth. A successful run clears the request. Without new
-//! evidence for [`EVIDENCE_LIFETIME`], the oldest crash no longer counts.
+//! Rule: evidence is evaluated [`EVALUATION_DELAY`] after it was reported. A crash counts against a
+//! request if the request was running on at least half of the servers of the service that crashed
+//! at the same time, or on more than one of them. A request is rejected at the third counted crash
+//! if its crashes single it out, otherwise at the fourth. A successful run clears the request.
+//! Without new evidence for [`EVIDENCE_LIFETIME`], the oldest crash no longer counts.
 //!
 //! Rationale: many requests run on a server when it crashes, and most are not the cause. If many
 //! servers of a service crash at once, no single request is the cause: a request that crashes its
@@ -36,14 +36,14 @@
 
 /// Crashes within this time of each other count as simultaneous. A request that crashes its server
 /// does so within 200 ms and is then sent to the next one.
-const TOGETHER: Duration = Duration::from_millis(300);
+const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(300);
 /// Delay between report and evaluation of evidence, which lets other gateways report the same
 /// crash: a lost connection is noticed at once, and a message to the leader takes some
 /// milliseconds.
-const WEIGHED_AFTER: Duration = Duration::from_millis(300);
+const EVALUATION_DELAY: Duration = Duration::from_millis(300);
 /// Time for which crashes are remembered, for evidence that a gateway reports late after a change
 /// of leaders.
-const ENDINGS_KEPT: Duration = Duration::from_secs(60);
+const CRASH_RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of pieces of evidence that wait for evaluation, 100 bytes each: those of 400
 /// servers with 16 requests each that crash at once. Further evidence is dropped: in a failure of
 /// that size no single request is the cause.
@@ -54,10 +54,10 @@
 pub(crate) struct Evidence {
     pending: Vec<Pending>,
     /// Recent crashes under requests, by incarnation of the server.
-    endings: BTreeMap<InstanceId, Ending>,
+    crashes: BTreeMap<InstanceId, Crash>,
     /// Time of the last change of the evidence against each request. A new leader counts from the
     /// start of its leadership, so no evidence expires too early.
-    news: BTreeMap<RequestFingerprint, Instant>,
+    last_changes: BTreeMap<RequestFingerprint, Instant>,
 }
 
 /// A piece of evidence that has not been evaluated yet.
@@ -67,7 +67,7 @@
     reported_at: Instant,
 }
 
-struct Ending {
+struct Crash {
     service: Option<ServiceName>,
     at: Instant,
     /// The requests that were running on the server.
@@ -94,7 +94,7 @@
     /// Starts the expiry of the replicated evidence anew for a new leadership.
     pub(crate) fn begin(&mut self, now: Instant, state: &CoordinationState) {
         let suspects = state.evidence().suspects();
-        self.news = suspects.map(|known| (known.fingerprint, now)).collect();
+        self.last_changes = suspects.map(|known| (known.fingerprint, now)).collect();
     }
 
     /// Records a crash that a gateway reports.
@@ -107,14 +107,14 @@
     ) {
         let SeenCrash { evidence, ago } = seen;
         let server = state.servers().get(&evidence.instance);
-        let ending = self.endings.entry(evidence.instance.clone());
-        let ending = ending.or_insert_with(|| Ending {
+        let crash = self.crashes.entry(evidence.instance.clone());
+        let crash = crash.or_insert_with(|| Crash {
             service: server.map(|server| server.service.clone()),
             at: now - ago,
             requests: BTreeSet::new(),
         });
-        let is_news = ending.requests.insert(evidence.fingerprint);
-        if is_news && self.pending.len() < MAX_PENDING {
+        let is_first_report = crash.requests.insert(evidence.fingerprint);
+        if is_first_report && self.pending.len() < MAX_PENDING {
             self.pending.push(Pending {
                 evidence,
                 gateway,
@@ -131,17 +131,17 @@
 
     /// Returns how the crash in `evidence` relates to its request.
     pub(crate) fn weight(&self, evidence: &CrashEvidence) -> Weight {
-        let Some(ending) = self.endings.get(&evidence.instance) else {
+        let Some(crash) = self.crashes.get(&evidence.instance) else {
             return Weight {
                 together: 1,
                 under_request: 1,
             };
         };
-        let is_together = |other: &&Ending| {
-            let apart = other.at.since(ending.at).max(ending.at.since(other.at));
-            other.service == ending.service && apart <= TOGETHER
+        let is_simultaneous = |other: &&Crash| {
+            let apart = other.at.since(crash.at).max(crash.at.since(other.at));
+            other.service == crash.service && apart <= SIMULTANEITY_WINDOW
         };
-        let together = self.endings.values().filter(is_together);
+        let together = self.crashes.values().filter(is_simultaneous);
         let under_request = together.clone();
         Weight {
             together: together.count(),
@@ -155,31 +155,30 @@
     /// the servers of its service that crashed since its first crash, and no other request was
     /// running on all the servers that crashed under it.
     fn singles_out(&self, request: RequestFingerprint) -> bool {
-        let endings = self.endings.values();
-        let own = endings.filter(|ending| ending.requests.contains(&request));
-        let Some(first) = own.clone().min_by_key(|ending| ending.at) else {
+        let crashes = self.crashes.values();
+        let own = crashes.filter(|crash| crash.requests.contains(&request));
+        let Some(first) = own.clone().min_by_key(|crash| crash.at) else {
             return true;
         };
-        let since = self.endings.values();
-        let since = since.filter(|ending| ending.service == first.service && ending.at >= first.at);
+        let since = self.crashes.values();
+        let since = since.filter(|crash| crash.service == first.service && crash.at >= first.at);
         let explains_half = 2 * own.clone().count() >= since.count();
-        let stands_on_all = |other: &&RequestFingerprint| {
-            own.clone().all(|ending| ending.requests.contains(*other))
-        };
-        let on_all = first.requests.iter().filter(stands_on_all).count();
+        let runs_on_all =
+            |other: &&RequestFingerprint| own.clone().all(|crash| crash.requests.contains(*other));
+        let on_all = first.requests.iter().filter(runs_on_all).count();
         explains_half && on_all == 1
     }
 
     /// Removes and returns the evidence that is due for evaluation.
     pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Pending> {
-        let is_due = |pending: &mut Pending| now.since(pending.reported_at) >= WEIGHED_AFTER;
+        let is_due = |pending: &mut Pending| now.since(pending.reported_at) >= EVALUATION_DELAY;
         self.pending.extract_if(.., is_due).collect()
     }
 
     /// Removes crashes for which no more evidence can be reported.
     pub(crate) fn forget_endings(&mut self, now: Instant) {
-        self.endings
-            .retain(|_, ending| now.since(ending.at) < ENDINGS_KEPT);
+        self.crashes
+            .retain(|_, crash| now.since(crash.at) < CRASH_RETENTION);
     }
 
     /// Discards the evidence against `requests` that has not been evaluated yet, since they
@@ -197,9 +196,9 @@
         is_suspect: bool,
     ) {
         if is_suspect {
-            self.news.insert(request, now);
+            self.last_changes.insert(request, now);
         } else {
-            self.news.remove(&request);
+            self.last_changes.remove(&request);
         }
     }
 
@@ -215,7 +214,7 @@
     /// their time.
     pub(crate) fn take_old(&mut self, now: Instant) -> Vec<RequestFingerprint> {
         let is_old = |at: &Instant| now.since(*at) >= EVIDENCE_LIFETIME;
-        let old = self.news.iter_mut().filter(|(_, at)| is_old(at));
+        let old = self.last_changes.iter_mut().filter(|(_, at)| is_old(at));
         old.map(|(request, at)| {
             *at = now;
             *request
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -22,7 +22,7 @@
 
 /// Time within which a disconnected gateway must reconnect to keep its items, counted from its last
 /// message.
-const RETURN_GRACE: Duration = Duration::from_millis(900);
+const RECONNECT_GRACE: Duration = Duration::from_millis(900);
 
 /// Time after the start of a leadership in which gateways report what they run; items are placed
 /// only after it.
@@ -36,7 +36,7 @@
 /// Returns the time at which a gateway counts as lost with everything that it runs. Its connection
 /// ended after `silence` without a message.
 pub(crate) fn gateway_lost_at(now: Instant, silence: Duration) -> Instant {
-    now + RETURN_GRACE.saturating_sub(silence)
+    now + RECONNECT_GRACE.saturating_sub(silence)
 }
 
 /// Returns whether an item without a result is abandoned: its time in the queue has passed since
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
@@ -6,9 +6,8 @@
 //!
 //! Rule: an item goes through the gateway that ran the engine's last item, if that gateway takes
 //! more. Otherwise it goes through the gateway with the fewest items, where gateways of other zones
-//! count [`OTHER_ZONE_ITEMS`] more. A scoring goes to the gateway with the fewest scorings. No
-//! gateway gets more than [`MAX_ITEMS_OF_A_GATEWAY`] items or [`MAX_SCORINGS_OF_A_GATEWAY`]
-//! scorings.
+//! count [`OTHER_ZONE_PENALTY`] more. A scoring goes to the gateway with the fewest scorings. No
+//! gateway gets more than [`MAX_ITEMS_PER_GATEWAY`] items or [`MAX_SCORINGS_PER_GATEWAY`] scorings.
 //!
 //! Rationale: gateways keep their connections to engines open. A new connection costs time, and
 //! servers limit their number.
@@ -22,17 +21,17 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of items that one gateway runs at once.
-const MAX_ITEMS_OF_A_GATEWAY: usize = 96;
+const MAX_ITEMS_PER_GATEWAY: usize = 96;
 /// Maximum number of scorings assigned to one gateway at once.
-const MAX_SCORINGS_OF_A_GATEWAY: usize = 256;
+const MAX_SCORINGS_PER_GATEWAY: usize = 256;
 /// Number of items by which a gateway in another zone than the engine must have fewer to be
 /// preferred.
-const OTHER_ZONE_ITEMS: usize = 4;
+const OTHER_ZONE_PENALTY: usize = 4;
 
 /// Returns the gateway through which an item runs on `engine`; `None` if no gateway takes it now.
 pub(crate) fn gateway_for_item(gateways: &Gateways, engine: Option<&Engine>) -> Option<GatewayId> {
     let takes_more =
-        |gateway: &Gateway| is_in_use(gateway) && gateway.running < MAX_ITEMS_OF_A_GATEWAY;
+        |gateway: &Gateway| is_eligible(gateway) && gateway.running < MAX_ITEMS_PER_GATEWAY;
     let connected = engine.and_then(|engine| engine.gateway);
     if let Some(connected) = connected.filter(|id| gateways.get(*id).is_some_and(takes_more)) {
         return Some(connected);
@@ -43,26 +42,26 @@
         .filter(|(_, gateway)| takes_more(gateway))
         .min_by_key(|(_, gateway)| {
             let is_near = zone == Some(gateway.zone.as_str());
-            gateway.running + if is_near { 0 } else { OTHER_ZONE_ITEMS }
+            gateway.running + if is_near { 0 } else { OTHER_ZONE_PENALTY }
         })
         .map(|(id, _)| id)
 }
 
 /// Returns the gateway that requests the score of a text; `None` if no gateway takes a scoring now.
-/// `in_hand` holds the number of scorings assigned to each gateway.
+/// `assigned_scorings` holds the number of scorings assigned to each gateway.
 pub(crate) fn gateway_for_scoring(
     gateways: &Gateways,
-    in_hand: &BTreeMap<GatewayId, usize>,
+    assigned_scorings: &BTreeMap<GatewayId, usize>,
 ) -> Option<GatewayId> {
     gateways
         .iter()
-        .filter(|(_, gateway)| is_in_use(gateway))
-        .map(|(id, _)| (in_hand.get(&id).copied().unwrap_or(0), id))
-        .filter(|(count, _)| *count < MAX_SCORINGS_OF_A_GATEWAY)
+        .filter(|(_, gateway)| is_eligible(gateway))
+        .map(|(id, _)| (assigned_scorings.get(&id).copied().unwrap_or(0), id))
+        .filter(|(count, _)| *count < MAX_SCORINGS_PER_GATEWAY)
         .min()
         .map(|(_, id)| id)
 }
 
-fn is_in_use(gateway: &Gateway) -> bool {
+fn is_eligible(gateway: &Gateway) -> bool {
     gateway.introduced && gateway.status.takes_items
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_length.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_length.rs
@@ -5,7 +5,7 @@
 //!
 //! Rule: an item is long if its estimate is at least [`LONG_FACTOR`] times the mean of its job, or
 //! if it was still running when an earlier job ended. For loads of weights on its engine, an item
-//! with [`PROVED_LONG_EVENTS`] events is long whatever its estimate.
+//! with [`OBSERVED_LONG_EVENTS`] events is long whatever its estimate.
 //!
 //! Rationale: a few texts of a step are several times longer than the rest and determine when the
 //! step ends. Estimates are often far off, so the observed length counts more.
@@ -18,10 +18,10 @@
 /// Multiple of the mean estimate from which on an item is long.
 const LONG_FACTOR: u64 = 2;
 /// Number of events from which on a running item is long, whatever its estimate.
-const PROVED_LONG_EVENTS: u64 = 30;
+const OBSERVED_LONG_EVENTS: u64 = 30;
 
 /// Returns the estimate, in tokens, from which on an item of a job is long.
-pub(crate) fn long_from(items: &[JobItem]) -> u64 {
+pub(crate) fn long_threshold(items: &[JobItem]) -> u64 {
     let estimates = items.iter().filter_map(|item| item.expected_output);
     let (sum, count) = estimates.fold((0, 0), |(sum, count), estimate| (sum + estimate, count + 1));
     if count == 0 {
@@ -32,5 +32,5 @@
 
 /// Returns whether a running item counts as long for the loads of its engine.
 pub(crate) fn is_long_for_loads(is_long: bool, events: u64) -> bool {
-    is_long || events >= PROVED_LONG_EVENTS
+    is_long || events >= OBSERVED_LONG_EVENTS
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -122,7 +122,7 @@
             ..Retry::NOW
         }),
         ItemOutcome::Finished(_) => Verdict::Take,
-        ItemOutcome::Interrupted { cause, .. } => Verdict::Retry(after_break(*cause, item)),
+        ItemOutcome::Interrupted { cause, .. } => Verdict::Retry(after_interruption(*cause, item)),
         ItemOutcome::NotRun(reason) => Verdict::Retry(after_not_run(*reason)),
         ItemOutcome::Failed if item.failures + 1 >= item.max_failures => {
             Verdict::Abandon(FAILED_TOO_OFTEN)
@@ -138,17 +138,17 @@
 
 /// Returns how an interrupted item is retried. If an engine crashed under the item just now or
 /// earlier, the item may be the cause, so it waits until that crash is evaluated.
-fn after_break(cause: BreakCause, item: ItemHistory) -> Retry {
-    let broken = Retry {
+fn after_interruption(cause: BreakCause, item: ItemHistory) -> Retry {
+    let interrupted = Retry {
         partial_text: PartialText::Replace,
         ..Retry::NOW
     };
     match cause {
-        BreakCause::Gateway => broken,
+        BreakCause::Gateway => interrupted,
         BreakCause::Engine(request) => Retry {
             backoff: (request.is_some() && item.may_end_engines).then_some(SUSPECT_BACKOFF),
             engine: EngineVerdict::Eject,
-            ..broken
+            ..interrupted
         },
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -32,11 +32,11 @@
 /// Maximum number of loads started in one scan of the engines. A scan runs every 50 ms, so 600
 /// loads of 0.9 s each can be in progress, one in five of 3,000 engines, while no scan delays the
 /// leader's other work.
-pub(crate) const MAX_LOADS_OF_A_SCAN: usize = 32;
+pub(crate) const MAX_LOADS_PER_SCAN: usize = 32;
 
 /// Number of engines that should hold a model's newest version, as a multiple of the engines that
 /// all its open items fill: long items stay on engines at the version before.
-const ENOUGH_FACTOR: usize = 2;
+const TARGET_ENGINES_FACTOR: usize = 2;
 
 /// At a large site, one engine in this many may load at once.
 const ENGINES_PER_LOAD: usize = 5;
@@ -47,10 +47,10 @@
 
 /// Number of versions that an engine may be behind and still run items: jobs ask for the newest
 /// version or the one before.
-const USABLE_LAG: u64 = 1;
+const MAX_USABLE_LAG: u64 = 1;
 
 /// A possible load that would bring an engine to a named version.
-struct WantedLoad {
+struct LoadCandidate {
     instance: InstanceId,
     /// Number of versions that the engine is behind.
     lag: u64,
@@ -62,11 +62,11 @@
     is_unconnected: bool,
 }
 
-impl WantedLoad {
+impl LoadCandidate {
     /// Returns whether items may still run on the engine's version: the newest one or the one
     /// before.
     fn is_still_usable(&self) -> bool {
-        self.lag <= USABLE_LAG
+        self.lag <= MAX_USABLE_LAG
     }
 
     /// Returns the sort key of the order in which engines load a model's version: first engines
@@ -89,13 +89,13 @@
 #[derive(Default)]
 pub(crate) struct ModelLoads {
     /// Newest named version.
-    named: u64,
+    newest_version: u64,
     /// Number of engines that serve the model.
     engines: usize,
     /// Number of these engines that can run items that ask for the version before the newest.
     usable: usize,
     /// Number of these engines that hold or load the newest version.
-    newest: usize,
+    at_newest: usize,
     /// Number of these engines that are loading it.
     loading: usize,
     /// Number of engines per model if all models share alike; at least one.
@@ -106,7 +106,7 @@
     open: usize,
     /// Total number of slots of its engines.
     slots: usize,
-    wanted: Vec<WantedLoad>,
+    candidates: Vec<LoadCandidate>,
 }
 
 impl ModelLoads {
@@ -117,31 +117,31 @@
     /// of the model run on it and would be stopped; a load does not stop items of other models. An
     /// engine that is further behind loads, unless it runs such items and other engines can run the
     /// model meanwhile.
-    fn rank_wanted(&mut self, defers_for_long_items: bool) {
-        let others_carry = self.usable * 2 >= self.engines;
-        self.wanted.retain(|load| {
+    fn rank_candidates(&mut self, defers_for_long_items: bool) {
+        let others_suffice = self.usable * 2 >= self.engines;
+        self.candidates.retain(|load| {
             let has_long_items = defers_for_long_items && load.long_running > 0;
-            !has_long_items || !(load.is_still_usable() || others_carry)
+            !has_long_items || !(load.is_still_usable() || others_suffice)
         });
-        let by_rank = |left: &WantedLoad, right: &WantedLoad| left.rank().cmp(&right.rank());
-        if self.wanted.len() > MAX_LOADS_OF_A_SCAN {
-            self.wanted
-                .select_nth_unstable_by(MAX_LOADS_OF_A_SCAN, by_rank);
-            self.wanted.truncate(MAX_LOADS_OF_A_SCAN);
+        let by_rank = |left: &LoadCandidate, right: &LoadCandidate| left.rank().cmp(&right.rank());
+        if self.candidates.len() > MAX_LOADS_PER_SCAN {
+            self.candidates
+                .select_nth_unstable_by(MAX_LOADS_PER_SCAN, by_rank);
+            self.candidates.truncate(MAX_LOADS_PER_SCAN);
         }
         // `take` pops from the end, so the first one to load is sorted last.
-        self.wanted.sort_by(|left, right| by_rank(right, left));
+        self.candidates.sort_by(|left, right| by_rank(right, left));
     }
 
     /// Returns the number of engines that should hold the newest version, regardless of waiting
     /// items: the model's share, or less if its open items need less, with room to spare. Without
     /// recent items the demand is unknown, so the whole share is used.
-    fn enough(&self) -> usize {
+    fn target_engines(&self) -> usize {
         if self.open == 0 {
             return self.share;
         }
         let filled = self.open.div_ceil(self.slots_each());
-        self.share.min((filled * ENOUGH_FACTOR).max(1))
+        self.share.min((filled * TARGET_ENGINES_FACTOR).max(1))
     }
 
     fn slots_each(&self) -> usize {
@@ -149,7 +149,7 @@
     }
 
     /// Returns the number of waiting items that do not fit on the engines that are loading now.
-    fn waiting_in_vain(&self) -> usize {
+    fn waiting_without_slot(&self) -> usize {
         self.waiting
             .saturating_sub(self.loading * self.slots_each())
     }
@@ -160,14 +160,14 @@
         let is_loading = loading == Some(&entry.model);
         self.engines += 1;
         self.slots += engine.slots;
-        self.usable += usize::from(version + USABLE_LAG >= self.named && !is_loading);
-        self.newest += usize::from(version >= self.named || is_loading);
+        self.usable += usize::from(version + MAX_USABLE_LAG >= self.newest_version && !is_loading);
+        self.at_newest += usize::from(version >= self.newest_version || is_loading);
         self.loading += usize::from(is_loading);
-        if version < self.named && loading.is_none() {
+        if version < self.newest_version && loading.is_none() {
             let long_running = engine.long_running.get(&entry.model);
-            self.wanted.push(WantedLoad {
+            self.candidates.push(LoadCandidate {
                 instance: engine.instance().clone(),
-                lag: self.named - version,
+                lag: self.newest_version - version,
                 long_running: long_running.copied().unwrap_or(0),
                 busy_slots: engine.running,
                 is_unconnected: engine.gateway.is_none(),
@@ -175,16 +175,17 @@
         }
     }
 
-    /// Removes and returns the next load. More engines than `enough` load only for waiting items
-    /// that do not fit on the engines that are loading already: a job often arrives together with
-    /// its version, and its items wait while that version loads. Engines in `loading` are skipped.
-    fn take(&mut self, loading: &BTreeSet<InstanceId>) -> Option<WantedLoad> {
-        if self.newest >= self.enough() && self.waiting_in_vain() == 0 {
+    /// Removes and returns the next load. More engines than `target_engines` load only for waiting
+    /// items that do not fit on the engines that are loading already: a job often arrives together
+    /// with its version, and its items wait while that version loads. Engines in `loading` are
+    /// skipped.
+    fn take(&mut self, loading: &BTreeSet<InstanceId>) -> Option<LoadCandidate> {
+        if self.at_newest >= self.target_engines() && self.waiting_without_slot() == 0 {
             return None;
         }
-        while let Some(load) = self.wanted.pop() {
+        while let Some(load) = self.candidates.pop() {
             if !loading.contains(&load.instance) {
-                self.newest += 1;
+                self.at_newest += 1;
                 self.loading += 1;
                 return Some(load);
             }
@@ -221,9 +222,9 @@
         loading: impl Fn(&InstanceId) -> Option<&'a ModelName>,
         policy: LeaderPolicy,
     ) -> Self {
-        let models = named_versions.iter().map(|(model, named)| {
+        let models = named_versions.iter().map(|(model, newest_version)| {
             let loads = ModelLoads {
-                named: *named,
+                newest_version: *newest_version,
                 ..ModelLoads::default()
             };
             (model.clone(), loads)
@@ -240,10 +241,10 @@
                 }
             }
         }
-        let models_of_an_engine = engines.models_of_an_engine();
+        let max_models_per_engine = engines.max_models_per_engine();
         for loads in models.values_mut() {
-            loads.share = loads.engines.div_ceil(models_of_an_engine);
-            loads.rank_wanted(policy.loads_spare_long_items);
+            loads.share = loads.engines.div_ceil(max_models_per_engine);
+            loads.rank_candidates(policy.loads_spare_long_items);
         }
         Self {
             models,
@@ -278,17 +279,17 @@
 
     /// Removes and returns the next load; `None` if no load is to start now.
     pub(crate) fn take(&mut self) -> Option<NextLoad> {
-        if self.chosen.len() >= MAX_LOADS_OF_A_SCAN {
+        if self.chosen.len() >= MAX_LOADS_PER_SCAN {
             return None;
         }
-        for model in self.models_in_turn() {
+        for model in self.models_by_priority() {
             let Some(loads) = self.models.get_mut(&model) else {
                 continue;
             };
             if let Some(load) = loads.take(&self.chosen) {
                 // An engine loads one model at a time.
                 self.chosen.insert(load.instance.clone());
-                let version = loads.named;
+                let version = loads.newest_version;
                 let instance = load.instance;
                 return Some(NextLoad {
                     instance,
@@ -300,10 +301,10 @@
         None
     }
 
-    fn models_in_turn(&self) -> Vec<ModelName> {
+    fn models_by_priority(&self) -> Vec<ModelName> {
         let mut models: Vec<(&ModelName, &ModelLoads)> = self.models.iter().collect();
         if self.policy.scarce_models_first {
-            models.sort_by_key(|(_, loads)| loads.newest);
+            models.sort_by_key(|(_, loads)| loads.at_newest);
         }
         models.into_iter().map(|(model, _)| model.clone()).collect()
     }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
@@ -9,7 +9,7 @@
 //! After it accepts an order it is polled after `load_time`, a setting, and then every
 //! [`POLL_INTERVAL`] until it holds the version. A call without an answer times out after
 //! [`CALL_TIMEOUT`]. After [`MAX_ATTEMPTS`] polls without an answer or orders without effect, the
-//! load is suspended for [`GIVE_UP_TIME`].
+//! load is suspended for [`SUSPENSION_TIME`].
 //!
 //! Rationale: an order may be lost, be carried out late, or collide with an order of another
 //! leader. The poll before each order returns the number of orders that the engine has taken. The
@@ -30,7 +30,7 @@
 /// Number of polls without an answer, or orders without effect, after which a load is suspended.
 const MAX_ATTEMPTS: u32 = 6;
 /// Time for which the load of an engine is suspended: twenty polls.
-const GIVE_UP_TIME: Duration = Duration::from_secs(3);
+const SUSPENSION_TIME: Duration = Duration::from_secs(3);
 
 /// Status that an engine reports in answer to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
     /// The engine is to be polled from this time on.
     PollFrom(Instant),
     /// The load is suspended until this time.
-    GivenUp(Instant),
+    Suspended(Instant),
 }
 
 /// The load of one version by one engine.
@@ -136,12 +136,12 @@
 
     /// Returns whether the load counts towards the limit of concurrent loads.
     pub(crate) fn is_active(&self) -> bool {
-        !matches!(self.phase, Phase::GivenUp(_))
+        !matches!(self.phase, Phase::Suspended(_))
     }
 
     /// Returns whether the suspension of the load is over.
-    pub(crate) fn is_over(&self, now: Instant) -> bool {
-        matches!(self.phase, Phase::GivenUp(until) if now >= until)
+    pub(crate) fn is_suspension_over(&self, now: Instant) -> bool {
+        matches!(self.phase, Phase::Suspended(until) if now >= until)
     }
 
     /// Advances the load to `now`; returns whether the engine is to be polled.
@@ -149,7 +149,7 @@
         let is_due = match self.phase {
             Phase::PollFrom(from) => now >= from,
             Phase::Polled(at) | Phase::Ordered(at) => now.since(at) >= CALL_TIMEOUT,
-            Phase::GivenUp(_) => false,
+            Phase::Suspended(_) => false,
         };
         if !is_due {
             return false;
@@ -158,7 +158,7 @@
             self.attempts += 1;
         }
         if self.attempts > MAX_ATTEMPTS {
-            self.phase = Phase::GivenUp(now + GIVE_UP_TIME);
+            self.phase = Phase::Suspended(now + SUSPENSION_TIME);
             return false;
         }
         self.phase = Phase::Polled(now);
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -4,9 +4,9 @@
 //! its earlier moves; the pace that one more item would have on either engine, in milliseconds per
 //! event.
 //!
-//! Rule: from [`MIN_EVENTS`] on, an item moves if its events would come [`MUCH_FASTER`] times
-//! faster, from [`LONG_EVENTS`] on if they would come [`WORTH_MOVING`] times faster. It moves
-//! [`MAX_MOVES`] times at the most, and only to an engine that keeps a free slot. It does not
+//! Rule: from [`MIN_EVENTS`] on, an item moves if its events would come [`MIN_SPEEDUP`] times
+//! faster, from [`LONG_EVENTS`] on if they would come [`MIN_LONG_ITEM_SPEEDUP`] times faster. It
+//! moves [`MAX_MOVES`] times at the most, and only to an engine that keeps a free slot. It does not
 //! return for [`AVOIDED_FOR`].
 //!
 //! Rationale: a training step waits for its longest texts, and an engine may become slow while they
@@ -23,9 +23,9 @@
 use wingshore_types::Instant;
 
 /// Minimum speed-up for which a long item moves.
-const WORTH_MOVING: f64 = 1.25;
+const MIN_LONG_ITEM_SPEEDUP: f64 = 1.25;
 /// Minimum speed-up for which any item moves.
-const MUCH_FASTER: f64 = 1.8;
+const MIN_SPEEDUP: f64 = 1.8;
 /// Number of events from which on an item counts as long here.
 const LONG_EVENTS: u64 = 20;
 /// Number of events from which on an item may move.
@@ -33,7 +33,7 @@
 /// Maximum number of moves of one item.
 const MAX_MOVES: u32 = 2;
 /// Number of slots that stay free on the target engine.
-const FREE_SLOTS_LEFT: usize = 1;
+const MIN_FREE_SLOTS_LEFT: usize = 1;
 /// Time for which an item does not return to the engine that it was moved away from. If there are
 /// other engines, one has a free slot sooner; if there are none, the item must not wait for long.
 pub(crate) const AVOIDED_FOR: Duration = Duration::from_millis(1500);
@@ -67,23 +67,27 @@
     let engine = engines.get(item.instance)?;
     let pace = engine.expected_pace()?;
     let is_long = item.events >= LONG_EVENTS;
-    let gain = if is_long { WORTH_MOVING } else { MUCH_FASTER };
+    let min_speedup = if is_long {
+        MIN_LONG_ITEM_SPEEDUP
+    } else {
+        MIN_SPEEDUP
+    };
     let query = EngineQuery {
         service: &engine.record.service,
         model: item.model,
         min_version: item.min_version,
         scan: Scan::FastestKnown,
     };
-    let better = engines.best_of_each(query, |instance, other| {
+    let better = engines.fastest_candidates(query, |instance, other| {
         let promised = promised.get(instance).copied().unwrap_or(0);
         other.pace.is_some()
             && other.takes(now, item.model, item.min_version)
-            && other.running + promised + FREE_SLOTS_LEFT < other.slots
+            && other.running + promised + MIN_FREE_SLOTS_LEFT < other.slots
     });
     better
         .into_iter()
         .filter_map(|(instance, other)| Some((other.expected_pace()?, instance)))
-        .filter(|(other, _)| pace > other * gain)
+        .filter(|(other, _)| pace > other * min_speedup)
         .min_by(|(left, _), (right, _)| left.total_cmp(right))
         .map(|(_, instance)| instance.clone())
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/placement.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/placement.rs
@@ -22,18 +22,18 @@
 use crate::leader::tables::engine::Engine;
 use crate::leader::tables::engines::Engines;
 use crate::leader::tables::free_slots::{EngineQuery, Scan};
-use crate::leader::tables::pace::slow_down;
+use crate::leader::tables::pace::slowdown_factor;
 use wingshore_types::Instant;
 
 /// Cost of a pending load for a long item: 0.9 s of the 7 to 9 s that the longest texts take.
 const PENDING_LOAD_COST: f64 = 0.1;
 /// Cost for a short item of each item that already runs on the engine.
-const COST_OF_A_RUNNING_ITEM: f64 = 0.04;
+const RUNNING_ITEM_COST: f64 = 0.04;
 /// Gain for a short item if the shared part of its prompt need not be processed again.
 const AFFINITY_GAIN: f64 = 0.06;
 /// Cost for a short item of a slot on an engine with newer weights than it needs: few engines have
 /// these yet, and the next job can run on no others. Equals three items that run there.
-const NEWER_THAN_NEEDED_COST: f64 = 0.12;
+const NEWER_VERSION_COST: f64 = 0.12;
 /// Cost of another version than that of the partial text: slightly more than one running item, so
 /// it decides only between engines that are otherwise equal.
 const OTHER_VERSION_COST: f64 = 0.05;
@@ -87,7 +87,7 @@
         scan: Scan::Any,
     };
     engines
-        .best_of_each(query, takes)
+        .fastest_candidates(query, takes)
         .into_iter()
         .chain(affine)
         .map(|(instance, engine)| (cost(needs, instance, engine, best_pace), instance))
@@ -111,7 +111,7 @@
 fn long_cost(engine: &Engine, best_pace: f64, is_newest: bool) -> f64 {
     let pace = engine.pace.unwrap_or(best_pace) / best_pace;
     let pending_load = if is_newest { 0.0 } else { PENDING_LOAD_COST };
-    pace * slow_down(engine.running) + pending_load
+    pace * slowdown_factor(engine.running) + pending_load
 }
 
 /// Returns the cost of a short item on an engine: mostly the slowdown of other items. Its own time
@@ -119,12 +119,8 @@
 fn short_cost(engine: &Engine, best_pace: f64, is_affine: bool, is_newer: bool) -> f64 {
     let pace = engine.pace.unwrap_or(best_pace) / best_pace;
     let gain = if is_affine { AFFINITY_GAIN } else { 0.0 };
-    let newer = if is_newer {
-        NEWER_THAN_NEEDED_COST
-    } else {
-        0.0
-    };
-    pace.sqrt() + COST_OF_A_RUNNING_ITEM * engine.running as f64 + newer - gain
+    let newer = if is_newer { NEWER_VERSION_COST } else { 0.0 };
+    pace.sqrt() + RUNNING_ITEM_COST * engine.running as f64 + newer - gain
 }
 
 /// Returns the cost of continuing a partial text with another version.
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -41,7 +41,7 @@
 /// Heartbeats, restarts and deregistrations that were received recently.
 #[derive(Default)]
 pub(crate) struct Heartbeats {
-    last: BTreeMap<InstanceId, LastHeartbeat>,
+    last: BTreeMap<InstanceId, HeartbeatRecord>,
     /// Incarnations whose address was since registered by another one, and their heartbeats since
     /// then. At most one entry per server: an incarnation that sends no more heartbeats is removed
     /// when the next one at its address is superseded.
@@ -75,7 +75,7 @@
 }
 
 #[derive(Clone, Copy)]
-struct LastHeartbeat {
+struct HeartbeatRecord {
     at: Instant,
     sequence: u64,
 }
@@ -83,23 +83,23 @@
 impl Heartbeats {
     /// Measures silence from the start of a new leadership.
     pub(crate) fn begin<'a>(&mut self, now: Instant, known: impl Iterator<Item = &'a InstanceId>) {
-        let heard = LastHeartbeat {
+        let recorded = HeartbeatRecord {
             at: now,
             sequence: 0,
         };
-        self.last = known.map(|instance| (instance.clone(), heard)).collect();
+        self.last = known.map(|instance| (instance.clone(), recorded)).collect();
     }
 
     /// Records a heartbeat; returns whether it is not older than the last one of its incarnation.
     pub(crate) fn note(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
-        let last = self.last.entry(instance).or_insert(LastHeartbeat {
+        let last = self.last.entry(instance).or_insert(HeartbeatRecord {
             at: now,
             sequence: 0,
         });
         if sequence < last.sequence {
             return false;
         }
-        *last = LastHeartbeat { at: now, sequence };
+        *last = HeartbeatRecord { at: now, sequence };
         true
     }
 
@@ -128,9 +128,9 @@
     /// Returns whether a later incarnation of the same server is registered, or was known and has
     /// expired since.
     fn knows_later_incarnation(&self, instance: &InstanceId, state: &CoordinationState) -> bool {
-        let heard = self.last.range(instance..).map(|(known, _)| known);
-        let mut heard = heard.take_while(|known| known.name() == instance.name());
-        heard.any(|known| known > instance)
+        let recorded = self.last.range(instance..).map(|(known, _)| known);
+        let mut recorded = recorded.take_while(|known| known.name() == instance.name());
+        recorded.any(|known| known > instance)
             || state
                 .incarnations_of(instance.name())
                 .any(|(known, _)| known > instance)
@@ -183,13 +183,13 @@
         self.forget(now - FORGET_AFTER, state);
         let limit = now - expiry;
         let servers = state.servers().keys();
-        let silent = servers.filter(|instance| self.silent_since(instance, limit));
+        let silent = servers.filter(|instance| self.is_silent_since(instance, limit));
         let silent: Vec<InstanceId> = silent.cloned().collect();
-        let heard = LastHeartbeat {
+        let recorded = HeartbeatRecord {
             at: now,
             sequence: 0,
         };
-        let anew = silent.iter().map(|instance| (instance.clone(), heard));
+        let anew = silent.iter().map(|instance| (instance.clone(), recorded));
         self.last.extend(anew);
         silent
     }
@@ -201,7 +201,7 @@
     }
 
     /// Returns whether the server has sent no heartbeat since `limit`.
-    fn silent_since(&self, instance: &InstanceId, limit: Instant) -> bool {
+    fn is_silent_since(&self, instance: &InstanceId, limit: Instant) -> bool {
         self.last.get(instance).is_none_or(|last| last.at < limit)
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -60,7 +60,7 @@
 
 impl Failures {
     /// Returns how many of the failures that a scoring reports are not counted yet.
-    fn not_counted(self, reported: u32) -> u32 {
+    fn uncounted(self, reported: u32) -> u32 {
         if self.may_include_these {
             reported.saturating_sub(self.counted)
         } else {
@@ -79,7 +79,7 @@
                 failures: known.counted,
             };
         }
-        ScoringOutcome::Failed(reported) => known.not_counted(reported),
+        ScoringOutcome::Failed(reported) => known.uncounted(reported),
     };
     let failures = known.counted.saturating_add(reported);
     if failures >= known.max {
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -5,11 +5,11 @@
 //! and the counts that the log keeps of lost gateways; the length of a window and the time in which
 //! its report is due; the provider's answers.
 //!
-//! Rule: a window is closed after [`CLOSE_PART`] of the time in which its report is due. Windows
-//! are closed in order, and those that ended more than [`MAX_WINDOWS_BEHIND`] windows ago are
-//! skipped. The counts of a window are committed before its report is sent for the first time. Only
-//! the holder of orders sends reports, [`MAX_REPORTS_UNDER_WAY`] at a time, and repeats each until
-//! it is acknowledged.
+//! Rule: a window is closed after [`CLOSE_FRACTION`] of the time in which its report is due.
+//! Windows are closed in order, and those that ended more than [`MAX_WINDOWS_BEHIND`] windows ago
+//! are skipped. The counts of a window are committed before its report is sent for the first time.
+//! Only the holder of orders sends reports, [`MAX_REPORTS_IN_FLIGHT`] at a time, and repeats each
+//! until it is acknowledged.
 //!
 //! Rationale: every leader sends the same report, however often it is repeated. The claim of orders
 //! prevents two machines from calling the provider at the same time, as it does for orders to
@@ -29,13 +29,13 @@
 
 /// Fraction of the time in which a report is due after which its window is closed. Gateways report
 /// their counts every 400 ms; the rest of the time is for calls that must be repeated.
-const CLOSE_PART: f64 = 0.4;
+const CLOSE_FRACTION: f64 = 0.4;
 /// Time in which a new leader collects the counts of gateways before it closes a window.
-const INTRODUCTION_TIME: Duration = Duration::from_millis(1500);
+const COLLECTION_TIME: Duration = Duration::from_millis(1500);
 /// Number of windows before the present one that are still closed; older ones are skipped.
 const MAX_WINDOWS_BEHIND: u64 = 24;
 /// Maximum number of reports in flight.
-const MAX_REPORTS_UNDER_WAY: usize = 2;
+const MAX_REPORTS_IN_FLIGHT: usize = 2;
 /// Backoff after the first failed call, doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 /// Upper limit of the backoff.
@@ -52,8 +52,8 @@
 
 /// State of sending one report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sending {
-    is_under_way: bool,
+struct SendState {
+    is_in_flight: bool,
     failures: u32,
     not_before: Instant,
 }
@@ -67,7 +67,7 @@
     totals: BTreeMap<UsageWindow, BTreeMap<GatewayId, UsageCounts>>,
     /// The window whose counts are being committed.
     closing: Option<UsageWindow>,
-    sending: BTreeMap<UsageWindow, Sending>,
+    sending: BTreeMap<UsageWindow, SendState>,
     /// Whether the provider has seen a call of a later holder; this leader then sends no more.
     is_fenced: bool,
     close_from: Instant,
@@ -76,7 +76,7 @@
 impl UsageReporter {
     /// Starts a new leadership.
     pub(crate) fn begin(&mut self, now: Instant) {
-        self.close_from = now + INTRODUCTION_TIME;
+        self.close_from = now + COLLECTION_TIME;
     }
 
     /// Records the agreed time of day of the site.
@@ -173,7 +173,7 @@
             None => self.first_window(present, durable),
         };
         let next = next.max(oldest);
-        let wait = duty.due.mul_f64(CLOSE_PART);
+        let wait = duty.due.mul_f64(CLOSE_FRACTION);
         let closes_at = next.end(duty.window).0 + i64::try_from(wait.as_millis()).ok()?;
         (time.0 >= closes_at).then_some(next)
     }
@@ -195,13 +195,13 @@
         if self.is_fenced {
             return Vec::new();
         }
-        let under_way = self.sending.values().filter(|send| send.is_under_way);
-        let room = MAX_REPORTS_UNDER_WAY.saturating_sub(under_way.count());
+        let in_flight = self.sending.values().filter(|send| send.is_in_flight);
+        let room = MAX_REPORTS_IN_FLIGHT.saturating_sub(in_flight.count());
         let mut due = Vec::new();
         for window in waiting.keys() {
             let send = self.sending.entry(*window).or_default();
-            if due.len() < room && !send.is_under_way && now >= send.not_before {
-                send.is_under_way = true;
+            if due.len() < room && !send.is_in_flight && now >= send.not_before {
+                send.is_in_flight = true;
                 due.push(*window);
             }
         }
@@ -233,7 +233,7 @@
         if let Some(send) = self.sending.get_mut(&window) {
             send.not_before = now + doubled_backoff(INITIAL_BACKOFF, send.failures, MAX_BACKOFF);
             send.failures += 1;
-            send.is_under_way = false;
+            send.is_in_flight = false;
         }
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engine.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engine.rs
@@ -1,6 +1,6 @@
 //! An engine's registration and the leader's own knowledge of it.
 
-use super::pace::slow_down;
+use super::pace::slowdown_factor;
 use crate::ids::{GatewayId, InstanceId, ModelName};
 use crate::registry::ServerRecord;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// Returns the expected time between two events for one more item, in milliseconds; `None` if
     /// the engine's pace is unknown.
     pub(crate) fn expected_pace(&self) -> Option<f64> {
-        Some(self.pace? * slow_down(self.running + 1))
+        Some(self.pace? * slowdown_factor(self.running + 1))
     }
 
     /// Returns the version of `model` that the engine is known to hold, which may be older than the
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -2,7 +2,7 @@
 
 use super::engine::{Engine, EngineNumber};
 use super::free_slots::{EngineQuery, FreeSlots};
-use super::pace::{PaceStep, measured};
+use super::pace::{PaceStep, updated_pace};
 use crate::ids::{GatewayId, InstanceId, ModelName, ServiceName};
 use crate::registry::{ModelVersion, ServerRecord};
 use crate::state::CoordinationState;
@@ -102,7 +102,7 @@
     /// Returns, for each allowed version and each number of running items, the fastest engine with
     /// a free slot that `accepts` admits. The best engine for an item is among them. Engines of
     /// unknown pace come first.
-    pub(crate) fn best_of_each(
+    pub(crate) fn fastest_candidates(
         &self,
         query: EngineQuery<'_>,
         accepts: impl Fn(&InstanceId, &Engine) -> bool,
@@ -112,7 +112,7 @@
             known.is_some_and(|(instance, engine)| accepts(instance, engine))
         };
         let fastest = self.fastest(query.service).map(|(step, _)| step);
-        let best = self.free.best_of_each(query, fastest, takes);
+        let best = self.free.fastest_candidates(query, fastest, takes);
         let known = best.into_iter().filter_map(|number| self.numbered(number));
         known.collect()
     }
@@ -217,7 +217,7 @@
     }
 
     /// Returns the largest number of models that one engine serves; at least one.
-    pub(crate) fn models_of_an_engine(&self) -> usize {
+    pub(crate) fn max_models_per_engine(&self) -> usize {
         let counts = self.all.values().map(|engine| engine.record.models.len());
         counts.max().unwrap_or(1).max(1)
     }
@@ -245,7 +245,7 @@
         if events == 0 {
             return;
         }
-        let pace = Some(measured(engine.pace, engine.running, events, time));
+        let pace = Some(updated_pace(engine.pace, engine.running, events, time));
         let (before, after) = (PaceStep::of(engine.pace), PaceStep::of(pace));
         if before == after {
             engine.pace = pace;
--- a/crates/gateways/wingshore-coordination/src/leader/tables/free_slots.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/free_slots.rs
@@ -17,7 +17,7 @@
 
 /// Sort key of an engine among those that hold the same version of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct SortKey {
     running: usize,
     connected: Connected,
     pace: PaceStep,
@@ -37,7 +37,7 @@
 /// the group without a model. Draining and full engines are not in the index.
 #[derive(Default)]
 pub(crate) struct FreeSlots {
-    groups: HashMap<Group, BTreeMap<u64, BTreeSet<Place>>>,
+    groups: HashMap<Group, BTreeMap<u64, BTreeSet<SortKey>>>,
     engines: usize,
 }
 
@@ -62,10 +62,10 @@
             return;
         }
         self.engines += 1;
-        let place = place_of(engine);
+        let key = sort_key_of(engine);
         for (group, version) in groups_of(engine) {
             let versions = self.groups.entry(group).or_default();
-            versions.entry(version).or_default().insert(place);
+            versions.entry(version).or_default().insert(key);
         }
     }
 
@@ -75,14 +75,14 @@
             return;
         }
         self.engines -= 1;
-        let place = place_of(engine);
+        let key = sort_key_of(engine);
         for (group, version) in groups_of(engine) {
             let Some(versions) = self.groups.get_mut(&group) else {
                 continue;
             };
-            if let Some(places) = versions.get_mut(&version) {
-                places.remove(&place);
-                if places.is_empty() {
+            if let Some(keys) = versions.get_mut(&version) {
+                keys.remove(&key);
+                if keys.is_empty() {
                     versions.remove(&version);
                 }
             }
@@ -93,7 +93,7 @@
     /// `takes` admits. The best engine for an item is among them, since of two engines that differ
     /// only in pace the faster one is better. An engine without a connection is returned only if
     /// the connected one is not similar in pace to the `fastest` known engine.
-    pub(crate) fn best_of_each(
+    pub(crate) fn fastest_candidates(
         &self,
         query: EngineQuery<'_>,
         fastest: Option<PaceStep>,
@@ -105,8 +105,8 @@
         };
         let mut best = Vec::new();
         if let Some(versions) = self.groups.get(&group) {
-            for (_, places) in versions.range(query.min_version..) {
-                best_of_version(places, query.scan, fastest, &takes, &mut best);
+            for (_, keys) in versions.range(query.min_version..) {
+                add_fastest_of_version(keys, query.scan, fastest, &takes, &mut best);
             }
         }
         best
@@ -114,29 +114,29 @@
 }
 
 /// Adds to `best` the fastest engine at one version for each number of running items.
-fn best_of_version(
-    places: &BTreeSet<Place>,
+fn add_fastest_of_version(
+    keys: &BTreeSet<SortKey>,
     scan: Scan,
     fastest: Option<PaceStep>,
     takes: &impl Fn(EngineNumber) -> bool,
     best: &mut Vec<EngineNumber>,
 ) {
-    let mut next = places.first().copied();
+    let mut next = keys.first().copied();
     while let Some(first) = next {
         let found = |connected: Connected| {
-            let alike = places.range(scan.begin_of(first.running, connected)..);
-            let alike = alike
-                .take_while(|place| place.running == first.running && place.connected == connected);
+            let alike = keys.range(scan.start_key(first.running, connected)..);
+            let alike =
+                alike.take_while(|key| key.running == first.running && key.connected == connected);
             let mut scanned = alike.take(scan.max_scanned());
-            scanned.find(|place| takes(place.number)).copied()
+            scanned.find(|key| takes(key.number)).copied()
         };
         let connected = found(Connected::Yes);
-        best.extend(connected.map(|place| place.number));
-        if !connected.is_some_and(|place| place.pace.is_similar(fastest)) {
-            best.extend(found(Connected::No).map(|place| place.number));
+        best.extend(connected.map(|key| key.number));
+        if !connected.is_some_and(|key| key.pace.is_similar(fastest)) {
+            best.extend(found(Connected::No).map(|key| key.number));
         }
-        let with_more_items = Scan::Any.begin_of(first.running + 1, Connected::Yes);
-        next = places.range(with_more_items..).next().copied();
+        let with_more_items = Scan::Any.start_key(first.running + 1, Connected::Yes);
+        next = keys.range(with_more_items..).next().copied();
     }
 }
 
@@ -165,13 +165,13 @@
 impl Scan {
     /// Returns the sort key at which the examined engines with `running` items and this connection
     /// state begin.
-    fn begin_of(self, running: usize, connected: Connected) -> Place {
+    fn start_key(self, running: usize, connected: Connected) -> SortKey {
         let pace = match self {
             Self::Any => PaceStep::UNKNOWN,
             Self::FastestKnown => PaceStep::FASTEST,
         };
         let number = EngineNumber(0);
-        Place {
+        SortKey {
             running,
             connected,
             pace,
@@ -196,8 +196,8 @@
     !engine.record.draining && engine.running < engine.slots
 }
 
-fn place_of(engine: &Engine) -> Place {
-    Place {
+fn sort_key_of(engine: &Engine) -> SortKey {
+    SortKey {
         running: engine.running,
         connected: match engine.gateway {
             Some(_) => Connected::Yes,
--- a/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
@@ -80,8 +80,8 @@
         self.take_away(|away| now >= away.lost_at)
     }
 
-    fn take_away(&mut self, is_meant: impl Fn(&AwayGateway) -> bool) -> Vec<GatewayId> {
-        let taken = self.away.extract_if(.., |away| is_meant(away));
+    fn take_away(&mut self, is_selected: impl Fn(&AwayGateway) -> bool) -> Vec<GatewayId> {
+        let taken = self.away.extract_if(.., |away| is_selected(away));
         taken.map(|away| away.gateway).collect()
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -2,7 +2,7 @@
 
 use super::item::{Attempt, OpenItem, Rank};
 use crate::ids::{AssignmentId, GatewayId, InstanceId, ItemId, ItemKey, JobId};
-use crate::leader::decisions::item_length::long_from;
+use crate::leader::decisions::item_length::long_threshold;
 use crate::state::CoordinationState;
 use crate::text::ItemText;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -10,7 +10,7 @@
 use wingshore_types::Epoch;
 
 /// Maximum number of remembered items that were still running when their job ended.
-const MAX_SURVIVING: usize = 4096;
+const MAX_LEFT_RUNNING: usize = 4096;
 
 /// All items that are not listed yet.
 #[derive(Default)]
@@ -27,7 +27,7 @@
     attempts: BTreeMap<AssignmentId, Attempt>,
     open: BTreeMap<ItemKey, OpenItem>,
     /// Items that were still running when their job ended.
-    surviving: HashSet<ItemId>,
+    left_running: HashSet<ItemId>,
     /// Engine that ran the last item of each group, by job.
     affinities: HashMap<JobId, HashMap<String, InstanceId>>,
 }
@@ -52,7 +52,7 @@
         }
         self.jobs.insert(id.clone(), self.next_job);
         self.next_job += 1;
-        let long_from = long_from(&job.submission.items);
+        let long_threshold = long_threshold(&job.submission.items);
         for index in job.open_items() {
             let item = ItemKey {
                 job: id.clone(),
@@ -60,13 +60,14 @@
             };
             let contents = job.submission.items.get(index as usize);
             let expected = contents.and_then(|item| item.expected_output).unwrap_or(0);
-            let survived = contents.is_some_and(|item| self.surviving.contains(&item.id));
+            let was_left_running =
+                contents.is_some_and(|item| self.left_running.contains(&item.id));
             let has_text = job.unscored(index).is_some();
             let open_item = OpenItem {
                 held: job.kept(index).map(ItemText::held).unwrap_or_default(),
                 has_result: has_text,
-                expected_length: if survived { u64::MAX } else { expected },
-                is_long: survived || expected >= long_from,
+                expected_length: if was_left_running { u64::MAX } else { expected },
+                is_long: was_left_running || expected >= long_threshold,
                 ..OpenItem::default()
             };
             self.open.insert(item.clone(), open_item);
@@ -93,10 +94,10 @@
         let submission = state.jobs().get(id).map(|job| &job.submission);
         for (_, attempt) in &ended {
             let item = submission.and_then(|job| job.items.get(attempt.item.index as usize));
-            self.surviving.extend(item.map(|item| item.id.clone()));
+            self.left_running.extend(item.map(|item| item.id.clone()));
         }
-        if self.surviving.len() > MAX_SURVIVING {
-            self.surviving.clear();
+        if self.left_running.len() > MAX_LEFT_RUNNING {
+            self.left_running.clear();
         }
         self.jobs.remove(id);
         self.affinities.remove(id);
--- a/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
@@ -71,8 +71,8 @@
         self.take(|reader| now >= reader.until)
     }
 
-    fn take(&mut self, is_meant: impl Fn(&Reader) -> bool) -> Vec<Reader> {
-        let taken = self.waiting.extract_if(.., |reader| is_meant(reader));
+    fn take(&mut self, is_selected: impl Fn(&Reader) -> bool) -> Vec<Reader> {
+        let taken = self.waiting.extract_if(.., |reader| is_selected(reader));
         taken.collect()
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/pace.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/pace.rs
@@ -7,12 +7,12 @@
 
 /// Increase of the time between two events caused by each item on an engine, as a fraction of the
 /// time without other items.
-const SLOW_DOWN_OF_AN_ITEM: f64 = 0.009;
+const SLOWDOWN_PER_ITEM: f64 = 0.009;
 
 /// Number of steps per doubling of the pace; paces within one step compare as equal. Measurements
 /// change the pace all the time, and an engine's position in the index is updated only when it can
 /// matter.
-const STEPS_OF_A_DOUBLING: f64 = 64.0;
+const STEPS_PER_DOUBLING: f64 = 64.0;
 
 /// Lower limit of a pace, in milliseconds per event.
 const MIN_PACE_MS: f64 = 0.001;
@@ -25,15 +25,15 @@
 const SIMILAR_STEPS: u32 = 3;
 
 /// Returns the factor by which this many items lengthen the time between two events.
-pub(crate) fn slow_down(running: usize) -> f64 {
-    1.0 + SLOW_DOWN_OF_AN_ITEM * running as f64
+pub(crate) fn slowdown_factor(running: usize) -> f64 {
+    1.0 + SLOWDOWN_PER_ITEM * running as f64
 }
 
 /// Returns the updated pace of an engine in milliseconds per event of a single stream, after one of
 /// its `running` streams has delivered `events`, at least one, in `time`.
-pub(crate) fn measured(known: Option<f64>, running: usize, events: u64, time: Duration) -> f64 {
+pub(crate) fn updated_pace(known: Option<f64>, running: usize, events: u64, time: Duration) -> f64 {
     let measured = time.as_secs_f64() * 1000.0 / events as f64;
-    let sample = measured / slow_down(running);
+    let sample = measured / slowdown_factor(running);
     let known = known.unwrap_or(sample);
     known + (sample - known) * NEWEST_WEIGHT
 }
@@ -53,7 +53,7 @@
     pub(crate) fn of(pace: Option<f64>) -> Self {
         let steps = |pace: f64| {
             let doublings = (pace.max(MIN_PACE_MS) / MIN_PACE_MS).log2();
-            (doublings * STEPS_OF_A_DOUBLING) as u32
+            (doublings * STEPS_PER_DOUBLING) as u32
         };
         Self(pace.map(steps))
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/rollout.rs
@@ -80,7 +80,7 @@
         let loads = self.loads.iter_mut();
         let due = loads.filter_map(|(instance, load)| load.on_time(now).then(|| instance.clone()));
         let due = due.collect();
-        self.loads.retain(|_, load| !load.is_over(now));
+        self.loads.retain(|_, load| !load.is_suspension_over(now));
         due
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
@@ -96,27 +96,27 @@
         self.remove(|item| item.job == *job)
     }
 
-    fn remove(&mut self, is_meant: impl Fn(&ItemKey) -> bool) -> Vec<(GatewayId, AssignmentId)> {
-        self.waiting.retain(|item, _| !is_meant(item));
-        self.retries.retain(|item, _| !is_meant(item));
-        let removed = self.take_running(|running| is_meant(&running.item));
+    fn remove(&mut self, is_selected: impl Fn(&ItemKey) -> bool) -> Vec<(GatewayId, AssignmentId)> {
+        self.waiting.retain(|item, _| !is_selected(item));
+        self.retries.retain(|item, _| !is_selected(item));
+        let removed = self.take_running(|running| is_selected(&running.item));
         removed
             .into_iter()
             .map(|(scoring, running)| (running.gateway, scoring))
             .collect()
     }
 
-    /// Removes and returns the assigned scorings for which `is_meant` holds.
+    /// Removes and returns the assigned scorings for which `is_selected` holds.
     pub(crate) fn take_running(
         &mut self,
-        is_meant: impl Fn(&OpenScoring) -> bool,
+        is_selected: impl Fn(&OpenScoring) -> bool,
     ) -> Vec<(AssignmentId, OpenScoring)> {
-        if !self.under_way.values().any(&is_meant) {
+        if !self.under_way.values().any(&is_selected) {
             return Vec::new();
         }
         let (taken, left) = std::mem::take(&mut self.under_way)
             .into_iter()
-            .partition(|(_, running)| is_meant(running));
+            .partition(|(_, running)| is_selected(running));
         self.under_way = left;
         BTreeMap::into_iter(taken).collect()
     }
