--- a/crates/gateways/wingshore-coordination/tests/admission.rs
+++ b/crates/gateways/wingshore-coordination/tests/admission.rs
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn a_job_that_is_alone_is_taken_however_large_it_is() {
+fn a_job_of_any_size_is_accepted_if_no_other_is_open() {
     let mut group = Group::new();
     group.settings.max_open_job_bytes = 1;
     group.change_leader("coordinator-b");
--- a/crates/gateways/wingshore-coordination/tests/capacity.rs
+++ b/crates/gateways/wingshore-coordination/tests/capacity.rs
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn as_many_are_wanted_as_what_is_open_needs_spread_over_the_zones() {
+fn wanted_servers_follow_open_items_and_are_spread_over_zones() {
     let by_demand = CapacityPolicy::ByDemand;
     expect_that!(
         counts(&demand(300, 15), &scaling(), by_demand),
@@ -65,7 +65,7 @@
 
 /// The maximum of a zone limits the sum of reclaimable and other servers.
 #[gtest]
-fn the_limit_of_a_zone_is_kept() {
+fn the_maximum_of_a_zone_limits_reclaimable_and_other_servers() {
     let mut crowded = demand(9000, 15);
     crowded.staying.insert("b".to_owned(), 28);
     expect_that!(
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn nothing_is_ordered_where_there_is_nothing_to_choose() {
+fn no_servers_are_wanted_without_policy_registered_servers_or_reclaimable_price() {
     let fixed = counts(&demand(9000, 15), &scaling(), CapacityPolicy::Fixed);
     expect_that!(fixed, is_empty());
     let none_registered = CapacityDemand::default();
@@ -96,7 +96,7 @@
 /// Training steps come every 4 s. Fewer items are open between two steps, which is no reason to
 /// release servers.
 #[gtest]
-fn a_peak_survives_the_lull_behind_it() {
+fn a_peak_is_kept_between_two_training_steps() {
     const SPAN: Duration = Duration::from_secs(15);
     let at = |seconds: u64| Instant::ZERO + Duration::from_secs(seconds);
     let mut peak = Peak::default();
@@ -157,7 +157,7 @@
 }
 
 #[gtest]
-fn an_order_is_given_once_and_again_only_when_its_servers_are_missed() {
+fn an_order_is_repeated_only_after_servers_are_lost() {
     let mut group = group();
     let orders = take_orders(&mut group);
     expect_that!(orders, len(eq(3)));
@@ -191,7 +191,7 @@
 }
 
 #[gtest]
-fn an_order_without_success_is_given_again_with_growing_backoff() {
+fn a_failed_order_is_repeated_with_exponential_backoff() {
     let mut group = group();
     let mut given = 0;
     for _ in 0..40 {
@@ -208,7 +208,7 @@
 
 /// A new leader continues with the committed number, under its own fencing token.
 #[gtest]
-fn a_successor_orders_what_was_committed() {
+fn a_new_leader_orders_the_committed_numbers() {
     let mut group = group();
     let first = take_orders(&mut group);
     group.change_leader("coordinator-b");
--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -13,9 +13,9 @@
 use wingshore_types::machine::ReplicatedState;
 
 /// Longer than the delay before the leader evaluates evidence.
-const WEIGHED: Duration = Duration::from_millis(400);
+const EVALUATION_TIME: Duration = Duration::from_millis(400);
 /// Crashes this far apart do not count as simultaneous.
-const APART: Duration = Duration::from_secs(1);
+const CRASH_INTERVAL: Duration = Duration::from_secs(1);
 
 fn request(number: u32) -> RequestFingerprint {
     let content = RequestContent {
@@ -28,7 +28,7 @@
     content.fingerprint(FingerprintKey::new([1; 16]))
 }
 
-fn seen(request: RequestFingerprint, server: &str) -> SeenCrash {
+fn crash(request: RequestFingerprint, server: &str) -> SeenCrash {
     SeenCrash {
         evidence: CrashEvidence {
             fingerprint: request,
@@ -38,18 +38,18 @@
     }
 }
 
-fn tell(group: &mut Group, seen: Vec<SeenCrash>) {
+fn report_crashes(group: &mut Group, seen: Vec<SeenCrash>) {
     let gateway = GatewayId(1);
     group.event(Event::RequestsCrashed { gateway, seen });
 }
 
 /// Reports crashes of `servers`, one after the other, under these requests.
-fn end_one_by_one(group: &mut Group, servers: &[&str], requests: &[RequestFingerprint]) {
+fn crash_one_by_one(group: &mut Group, servers: &[&str], requests: &[RequestFingerprint]) {
     for server in servers {
         group.heartbeat(engine(server, 1));
-        let seen = requests.iter().map(|request| seen(*request, server));
-        tell(group, seen.collect());
-        group.wait(WEIGHED + APART);
+        let crashes = requests.iter().map(|request| crash(*request, server));
+        report_crashes(group, crashes.collect());
+        group.wait(EVALUATION_TIME + CRASH_INTERVAL);
     }
 }
 
@@ -64,7 +64,7 @@
 
 /// Returns the suspect that the last view update to gateways contains for a request; `None` if it
 /// was cleared or never published.
-fn told(group: &Group, request: RequestFingerprint) -> Option<Suspect> {
+fn published_suspect(group: &Group, request: RequestFingerprint) -> Option<Suspect> {
     let mut changes = group.told.iter().rev();
     changes.find_map(|change| match change {
         ViewChange::Suspect(suspect) if suspect.fingerprint == request => {
@@ -76,39 +76,39 @@
 }
 
 #[gtest]
-fn the_third_ending_rejects_a_request_that_stood_on_all() {
+fn the_third_crash_rejects_a_request_that_ran_on_every_crashed_server() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b"], &[request(1)]);
+    crash_one_by_one(&mut group, &["a", "b"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
-    expect_that!(told(&group, request(1)), some(anything()));
-    end_one_by_one(&mut group, &["c"], &[request(1)]);
+    expect_that!(published_suspect(&group, request(1)), some(anything()));
+    crash_one_by_one(&mut group, &["c"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
     expect_that!(
-        told(&group, request(1)).map(|known| known.rejected),
+        published_suspect(&group, request(1)).map(|known| known.rejected),
         some(eq(true))
     );
 }
 
 #[gtest]
-fn one_ending_reported_by_several_gateways_counts_once() {
+fn a_crash_that_is_reported_repeatedly_counts_once() {
     let mut group = group();
     for _ in 0..5 {
-        end_one_by_one(&mut group, &["a"], &[request(1)]);
+        crash_one_by_one(&mut group, &["a"], &[request(1)]);
     }
     expect_that!(group.state.evidence().ended_under(request(1)), eq(1));
 }
 
 #[gtest]
-fn where_many_servers_end_at_once_no_request_is_the_cause() {
+fn simultaneous_crashes_of_many_servers_count_against_no_request() {
     let mut group = group();
     for round in 0..6 {
         let servers = ["a", "b", "c", "d", "e"];
-        let seen = servers
+        let crashes = servers
             .iter()
             .zip(0..)
-            .map(|(server, number)| seen(request(number), &format!("{server}-{round}")));
-        tell(&mut group, seen.collect());
-        group.wait(WEIGHED + APART);
+            .map(|(server, number)| crash(request(number), &format!("{server}-{round}")));
+        report_crashes(&mut group, crashes.collect());
+        group.wait(EVALUATION_TIME + CRASH_INTERVAL);
     }
     for number in 0..5 {
         expect_that!(group.state.evidence().ended_under(request(number)), eq(0));
@@ -116,57 +116,57 @@
 }
 
 #[gtest]
-fn requests_with_the_same_endings_are_told_apart_by_the_next_one() {
+fn the_next_crash_distinguishes_requests_with_the_same_crashes() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b", "c"], &[request(1), request(2)]);
+    crash_one_by_one(&mut group, &["a", "b", "c"], &[request(1), request(2)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
-    end_one_by_one(&mut group, &["d"], &[request(2)]);
+    crash_one_by_one(&mut group, &["d"], &[request(2)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
     expect_that!(is_rejected(&group.state, request(2)), eq(true));
 }
 
 #[gtest]
-fn endings_beside_many_others_do_not_reject_at_the_third() {
+fn the_third_crash_among_many_others_does_not_reject() {
     let mut group = group();
     for (server, number) in ["a", "b", "c"].iter().zip(0..) {
-        end_one_by_one(&mut group, &[server], &[request(1)]);
+        crash_one_by_one(&mut group, &[server], &[request(1)]);
         let others = [format!("x{number}"), format!("y{number}")];
         for other in &others {
-            end_one_by_one(&mut group, &[other], &[request(2 + number)]);
+            crash_one_by_one(&mut group, &[other], &[request(2 + number)]);
         }
     }
     expect_that!(group.state.evidence().ended_under(request(1)), eq(3));
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
-    end_one_by_one(&mut group, &["d"], &[request(1)]);
+    crash_one_by_one(&mut group, &["d"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
 }
 
 #[gtest]
-fn an_attempt_that_goes_well_clears_a_request() {
+fn a_successful_attempt_clears_a_request() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b"], &[request(1)]);
+    crash_one_by_one(&mut group, &["a", "b"], &[request(1)]);
     group.event(Event::RequestsRan(vec![request(1)]));
     expect_that!(group.state.evidence().suspect(request(1)), none());
-    expect_that!(told(&group, request(1)), none());
+    expect_that!(published_suspect(&group, request(1)), none());
 }
 
 #[gtest]
-fn a_rejected_request_is_let_off_after_a_while_and_rejected_again_by_the_next_ending() {
+fn a_rejection_expires_and_the_next_crash_renews_it() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b", "c"], &[request(1)]);
+    crash_one_by_one(&mut group, &["a", "b", "c"], &[request(1)]);
     group.wait(EVIDENCE_LIFETIME);
     expect_that!(is_rejected(&group.state, request(1)), eq(false));
     expect_that!(group.state.evidence().ended_under(request(1)), eq(2));
-    end_one_by_one(&mut group, &["d"], &[request(1)]);
+    crash_one_by_one(&mut group, &["d"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
 }
 
 #[gtest]
-fn a_change_of_leaders_and_a_snapshot_forget_nothing() {
+fn evidence_is_kept_across_a_change_of_leaders_and_a_snapshot() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b"], &[request(1)]);
+    crash_one_by_one(&mut group, &["a", "b"], &[request(1)]);
     group.change_leader("coordinator-b");
-    end_one_by_one(&mut group, &["c"], &[request(1)]);
+    crash_one_by_one(&mut group, &["c"], &[request(1)]);
     expect_that!(is_rejected(&group.state, request(1)), eq(true));
     let restored = CoordinationState::restore(&group.state.snapshot()).expect("a state");
     expect_that!(is_rejected(&restored, request(1)), eq(true));
@@ -174,15 +174,15 @@
 }
 
 #[gtest]
-fn a_caller_with_a_new_such_request_each_time_displaces_no_rejected_one() {
+fn new_suspects_displace_no_rejected_request() {
     let mut group = group();
-    end_one_by_one(&mut group, &["a", "b", "c"], &[request(0)]);
+    crash_one_by_one(&mut group, &["a", "b", "c"], &[request(0)]);
     for number in 1..=MAX_SUSPECTS as u32 + 20 {
-        tell(
+        report_crashes(
             &mut group,
-            vec![seen(request(number), &format!("s-{number}"))],
+            vec![crash(request(number), &format!("s-{number}"))],
         );
-        group.wait(WEIGHED);
+        group.wait(EVALUATION_TIME);
     }
     let (suspects, rejected) = group.state.evidence().counts();
     expect_that!(suspects, eq(MAX_SUSPECTS));
@@ -194,22 +194,22 @@
 /// crashed its engines was retried together with the other items of its engine, so that all had the
 /// same crashes and another one was rejected with it.
 #[gtest]
-fn items_that_may_be_the_cause_run_on_engines_apart_from_each_other() {
+fn suspected_items_run_on_different_engines() {
     let (mut group, gateway) = Group::with_job(2);
     let both = group.assignments();
     assert_that!(both, len(eq(2)));
     let requests = [request(1), request(2)];
     for server in ["e1", "e2"] {
-        let seen = requests.iter().map(|request| seen(*request, server));
-        tell(&mut group, seen.collect());
-        group.wait(WEIGHED);
+        let crashes = requests.iter().map(|request| crash(*request, server));
+        report_crashes(&mut group, crashes.collect());
+        group.wait(EVALUATION_TIME);
     }
     for (assignment, request) in both.iter().zip(requests) {
-        let broke_off = ItemOutcome::Interrupted {
+        let interrupted = ItemOutcome::Interrupted {
             text: ItemText::default(),
             cause: BreakCause::Engine(Some(request)),
         };
-        group.end_item(gateway, assignment, broke_off);
+        group.end_item(gateway, assignment, interrupted);
     }
     group.heartbeat(engine("e3", 1));
     group.heartbeat(engine("e4", 1));
@@ -218,8 +218,8 @@
         is_empty(),
         "the last ending is weighed first"
     );
-    group.wait(APART);
-    let again = group.assignments();
-    assert_that!(again, len(eq(2)));
-    expect_that!(again[0].instance, not(eq(&again[1].instance)));
+    group.wait(CRASH_INTERVAL);
+    let retried = group.assignments();
+    assert_that!(retried, len(eq(2)));
+    expect_that!(retried[0].instance, not(eq(&retried[1].instance)));
 }
--- a/crates/gateways/wingshore-coordination/tests/moves.rs
+++ b/crates/gateways/wingshore-coordination/tests/moves.rs
@@ -11,7 +11,7 @@
 };
 
 /// Reports the progress of an item to 4, 8 and 12 events, at `pace` per event.
-fn get_on(group: &mut Group, item: &ItemAssignment, pace: Duration) {
+fn report_progress(group: &mut Group, item: &ItemAssignment, pace: Duration) {
     for events in [4, 8, 12] {
         group.event(Event::ItemsProgressed(vec![ItemProgress {
             assignment: item.assignment,
@@ -24,7 +24,7 @@
 /// Guards against new engines of unknown pace hiding the faster ones from items on a slow engine.
 /// This was observed as a lower score in paired runs of days on which servers are replaced.
 #[gtest]
-fn a_new_engine_does_not_hide_a_fast_one_from_an_item_on_a_slow_one() {
+fn an_item_moves_to_a_fast_engine_beside_an_engine_of_unknown_pace() {
     let mut group = Group::new();
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
@@ -33,7 +33,7 @@
     group.ask(Request::SubmitJob(job("k", 1)));
     let items = group.assignments();
     expect_that!(items[0].instance, not(eq(&items[1].instance)));
-    get_on(&mut group, &items[1], Duration::from_millis(10));
+    report_progress(&mut group, &items[1], Duration::from_millis(10));
     group.event(Event::ItemEnded {
         gateway,
         assignment: items[1].assignment,
@@ -42,7 +42,7 @@
     });
     group.heartbeat(engine("e3", 1));
     group.effects.clear();
-    get_on(&mut group, &items[0], Duration::from_millis(100));
+    report_progress(&mut group, &items[0], Duration::from_millis(100));
     let interrupts = |effect: &Effect| {
         matches!(effect, Effect::ToGateway(_, CoordinatorMessage::Interrupt { assignment })
             if *assignment == items[0].assignment)
@@ -54,7 +54,7 @@
 /// from an engine, the other engines left, and it did not return to the only one that remained.
 /// Seen in one of about 30,000 random runs of the placement properties.
 #[gtest]
-fn an_item_goes_back_to_the_engine_it_left_where_there_is_no_other() {
+fn an_item_returns_to_the_engine_it_left_if_there_is_no_other() {
     let mut group = Group::new();
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
@@ -62,14 +62,14 @@
     group.ask(Request::SubmitJob(job("j", 1)));
     group.ask(Request::SubmitJob(job("k", 1)));
     let items = group.assignments();
-    get_on(&mut group, &items[1], Duration::from_millis(10));
+    report_progress(&mut group, &items[1], Duration::from_millis(10));
     group.event(Event::ItemEnded {
         gateway,
         assignment: items[1].assignment,
         item: items[1].item.clone(),
         outcome: ItemOutcome::Finished(FinishedText::default()),
     });
-    get_on(&mut group, &items[0], Duration::from_millis(100));
+    report_progress(&mut group, &items[0], Duration::from_millis(100));
     group.ask(Request::Deregister(items[1].instance.name().clone()));
     group.event(Event::ItemEnded {
         gateway,
--- a/crates/gateways/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/placement_properties.rs
@@ -19,7 +19,7 @@
 /// Slots of an engine, as in the default configuration and server record.
 const SLOTS: usize = 4;
 /// Longer than any ejection of an engine or backoff of an item.
-const LONG: Duration = Duration::from_secs(5);
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 const MODELS: [&str; 2] = ["m", "n"];
 
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
         1 => any::<usize>().prop_map(Step::Drain),
         1 => any::<usize>().prop_map(Step::Depart),
         2 => (any::<usize>(), 1..5_u64).prop_map(|(which, version)| Step::Raise(which, version)),
-        2 => (0..2_usize, 1..9_u32, 1..4_u64).prop_map(|(model, items, least)| Step::Submit(model, items, least)),
+        2 => (0..2_usize, 1..9_u32, 1..4_u64).prop_map(|(model, items, oldest_version)| Step::Submit(model, items, oldest_version)),
         8 => any::<usize>().prop_map(Step::Finish),
         2 => any::<usize>().prop_map(Step::Full),
         3 => (1..30_u64).prop_map(Step::Progress),
@@ -122,11 +122,11 @@
                 }
                 self.group.heartbeat(record);
             }
-            Step::Submit(model, items, least) => {
+            Step::Submit(model, items, oldest_version) => {
                 self.events += 1;
                 let submission = JobSubmission {
                     model: Some(ModelName::from(MODELS[*model])),
-                    min_version: *least,
+                    min_version: *oldest_version,
                     ..JobSubmission::clone(&job(&format!("j{}", self.events), *items))
                 };
                 self.group.ask(Request::SubmitJob(submission.into()));
@@ -143,37 +143,37 @@
             Step::Full(which) => {
                 self.end(*which, ItemOutcome::NotRun(NotRunReason::Full));
             }
-            Step::Progress(most) => {
-                let told = self
+            Step::Progress(max_lead) => {
+                let progress = self
                     .running
                     .iter()
                     .enumerate()
                     .map(|(place, item)| ItemProgress {
                         assignment: item.assignment,
-                        events: self.group.now.as_millis() / 20 + (place as u64 % most),
+                        events: self.group.now.as_millis() / 20 + (place as u64 % max_lead),
                     });
-                let told = told.collect();
-                self.group.event(Event::ItemsProgressed(told));
+                let progress = progress.collect();
+                self.group.event(Event::ItemsProgressed(progress));
             }
             Step::Wait(millis) => self.group.wait(Duration::from_millis(*millis)),
         }
-        self.hear_all();
+        self.report_all_alive();
         let assigned = self.group.assignments();
         self.running.extend(assigned);
     }
 
     /// Sends heartbeats of all engines and reports all attempts as running.
-    fn hear_all(&mut self) {
+    fn report_all_alive(&mut self) {
         let servers: Vec<_> = self.group.state.servers().values().cloned().collect();
         for server in servers {
             self.group.heartbeat(server);
         }
-        let told = self.running.iter().map(|item| ItemProgress {
+        let progress = self.running.iter().map(|item| ItemProgress {
             assignment: item.assignment,
             events: 0,
         });
-        let told = told.collect();
-        self.group.event(Event::ItemsProgressed(told));
+        let progress = progress.collect();
+        self.group.event(Event::ItemsProgressed(progress));
     }
 
     fn end(&mut self, which: usize, outcome: ItemOutcome) {
@@ -218,7 +218,7 @@
     })]
 
     #[test]
-    fn items_run_only_where_they_fit_and_wait_only_where_nothing_takes_them(
+    fn items_run_only_where_they_fit_and_wait_only_if_no_engine_takes_them(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut site = Site::new();
@@ -240,7 +240,7 @@
         }
         // Wait until all ejections and backoffs are over.
         for _ in 0..10 {
-            site.run(&Step::Wait(LONG.as_millis() as u64 / 10));
+            site.run(&Step::Wait(SETTLING_TIME.as_millis() as u64 / 10));
         }
         let waiting = site.group.leader.figures().items_waiting;
         let open = site.group.state.jobs().values().map(|job| {
