--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -81,12 +81,15 @@
         let mut demand = CapacityDemand {
             open_items: peak.note(now, open_now, DEMAND_MEMORY),
             slots: service.engine.as_ref().map_or(1, |engine| engine.slots),
-            staying: BTreeMap::new(),
+            non_reclaimable: BTreeMap::new(),
         };
         let servers = state.servers().values();
         for server in servers.filter(|server| server.service == service.name) {
             if !server.draining && !server.reclaimable {
-                *demand.staying.entry(server.zone.clone()).or_default() += 1;
+                *demand
+                    .non_reclaimable
+                    .entry(server.zone.clone())
+                    .or_default() += 1;
             }
         }
         demand
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -48,7 +48,7 @@
     /// Number of items that one server runs at once.
     pub slots: u32,
     /// Number of non-reclaimable servers by zone.
-    pub staying: BTreeMap<String, u32>,
+    pub non_reclaimable: BTreeMap<String, u32>,
 }
 
 /// Maximum of a value over the current time span and the previous one. Including the previous span
@@ -82,14 +82,14 @@
 ) -> BTreeMap<CapacityPool, u32> {
     let mut wanted = BTreeMap::new();
     let has_kind = scaling.reclaimable_price.is_some();
-    if policy == CapacityPolicy::Fixed || demand.staying.is_empty() || !has_kind {
+    if policy == CapacityPolicy::Fixed || demand.non_reclaimable.is_empty() || !has_kind {
         return wanted;
     }
     let zones = u32::try_from(scaling.zone_prices.len()).unwrap_or(u32::MAX);
     let per_zone = extra_servers(demand).div_ceil(zones.max(1));
     for zone in scaling.zone_prices.keys() {
-        let staying = demand.staying.get(zone).copied().unwrap_or(0);
-        let room = scaling.max.saturating_sub(staying);
+        let non_reclaimable = demand.non_reclaimable.get(zone).copied().unwrap_or(0);
+        let room = scaling.max.saturating_sub(non_reclaimable);
         let pool = CapacityPool {
             service: service.clone(),
             zone: zone.clone(),
@@ -106,9 +106,9 @@
 
 /// Returns the number of servers that the open items need beyond the non-reclaimable ones.
 fn extra_servers(demand: &CapacityDemand) -> u32 {
-    let staying: u32 = demand.staying.values().sum();
+    let non_reclaimable: u32 = demand.non_reclaimable.values().sum();
     let needed = demand.open_items.div_ceil(demand.slots.max(1) as usize);
     let needed = u32::try_from(needed).unwrap_or(u32::MAX);
-    let most = (f64::from(staying) * MAX_EXTRA_FRACTION) as u32;
-    needed.saturating_sub(staying).min(most)
+    let most = (f64::from(non_reclaimable) * MAX_EXTRA_FRACTION) as u32;
+    needed.saturating_sub(non_reclaimable).min(most)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -314,6 +314,6 @@
 /// since the weight store is dimensioned for these. Reclaimable engines that were added for a while
 /// do not make it faster.
 pub(crate) fn max_loads(engines: &Engines) -> usize {
-    let share = engines.staying() / ENGINES_PER_LOAD;
+    let share = engines.non_reclaimable() / ENGINES_PER_LOAD;
     share.max(MIN_LOADS_AT_ONCE)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -19,7 +19,7 @@
     all: BTreeMap<InstanceId, Engine>,
     by_number: HashMap<EngineNumber, InstanceId>,
     /// Number of non-reclaimable engines.
-    staying: usize,
+    non_reclaimable: usize,
     /// Number of engines with `awaits_heartbeat`; usually 0.
     awaits_heartbeat: usize,
     next_number: u32,
@@ -67,7 +67,7 @@
         self.next_number += 1;
         let instance = record.instance.clone();
         let engine = Engine::new(number, record, slots);
-        self.staying += usize::from(!engine.record.reclaimable);
+        self.non_reclaimable += usize::from(!engine.record.reclaimable);
         self.free.add(&engine);
         self.by_number.insert(number, instance.clone());
         self.all.insert(instance, engine);
@@ -77,7 +77,7 @@
         let Some(engine) = self.all.remove(instance) else {
             return;
         };
-        self.staying -= usize::from(!engine.record.reclaimable);
+        self.non_reclaimable -= usize::from(!engine.record.reclaimable);
         self.awaits_heartbeat -= usize::from(engine.awaits_heartbeat);
         self.free.remove(&engine);
         self.by_number.remove(&engine.number);
@@ -207,8 +207,8 @@
     }
 
     /// Returns the number of non-reclaimable engines.
-    pub(crate) fn staying(&self) -> usize {
-        self.staying
+    pub(crate) fn non_reclaimable(&self) -> usize {
+        self.non_reclaimable
     }
 
     /// Returns the number of engines.
--- a/crates/gateways/wingshore-coordination/tests/capacity.rs
+++ b/crates/gateways/wingshore-coordination/tests/capacity.rs
@@ -29,12 +29,12 @@
     }
 }
 
-fn demand(open_items: usize, staying: u32) -> CapacityDemand {
-    let zones = ["a", "b", "c"].map(|zone| (zone.to_owned(), staying));
+fn demand(open_items: usize, non_reclaimable: u32) -> CapacityDemand {
+    let zones = ["a", "b", "c"].map(|zone| (zone.to_owned(), non_reclaimable));
     CapacityDemand {
         open_items,
         slots: 8,
-        staying: BTreeMap::from(zones),
+        non_reclaimable: BTreeMap::from(zones),
     }
 }
 
@@ -67,7 +67,7 @@
 #[gtest]
 fn the_maximum_of_a_zone_limits_reclaimable_and_other_servers() {
     let mut crowded = demand(9000, 15);
-    crowded.staying.insert("b".to_owned(), 28);
+    crowded.non_reclaimable.insert("b".to_owned(), 28);
     expect_that!(
         counts(&crowded, &scaling(), CapacityPolicy::Most),
         eq(&vec![15, 2, 15])
