--- a/crates/gateways/wingshore-coordination/src/leader/loading.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/loading.rs
@@ -36,7 +36,7 @@
     fn count_long_items(&mut self) {
         self.engines.clear_long_running();
         for (_, attempt) in self.items.attempts() {
-            let events = attempt.seen.map_or(0, |(events, _)| events);
+            let events = attempt.last_progress.map_or(0, |(events, _)| events);
             if let Some(model) = &attempt.model
                 && is_long_for_loads(attempt.is_long, events)
             {
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -34,15 +34,15 @@
         attempt.heard = now;
         let engine = self.engines.get(&attempt.instance);
         let is_steady = engine.is_some_and(|engine| engine.is_steady(now));
-        let Some((before, at)) = attempt.seen.filter(|_| is_steady) else {
-            attempt.seen = Some((events, now));
+        let Some((before, at)) = attempt.last_progress.filter(|_| is_steady) else {
+            attempt.last_progress = Some((events, now));
             return;
         };
         let new = events.saturating_sub(before);
         if new < MIN_MEASURED_EVENTS {
             return;
         }
-        attempt.seen = Some((events, now));
+        attempt.last_progress = Some((events, now));
         let instance = attempt.instance.clone();
         self.engines.paced(&instance, new, now.since(at));
     }
@@ -72,7 +72,7 @@
         if attempt.interrupted || open_item.has_result {
             return None;
         }
-        let (events, _) = attempt.seen?;
+        let (events, _) = attempt.last_progress?;
         let submission = &state.jobs().get(&attempt.item.job)?.submission;
         let item = MovableItem {
             instance: &attempt.instance,
--- a/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
@@ -16,7 +16,7 @@
     /// Whether the item is expected to be one of the longest.
     pub(crate) is_long: bool,
     /// Number of events in the gateway's last progress report, and the time of that report.
-    pub(crate) seen: Option<(u64, Instant)>,
+    pub(crate) last_progress: Option<(u64, Instant)>,
     /// Whether the gateway was ordered to interrupt it.
     pub(crate) interrupted: bool,
     /// Time of the gateway's last report of the attempt.
@@ -41,7 +41,7 @@
             instance,
             model,
             is_long: false,
-            seen: None,
+            last_progress: None,
             interrupted: false,
             heard: now,
             extends_held: true,
