--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -29,7 +29,7 @@
             .note(turn.now, instance.clone(), heartbeat.sequence);
         let is_known = turn.state.servers().contains_key(&instance);
         if is_newest {
-            self.engines.heard(&instance);
+            self.engines.heartbeat_received(&instance);
         }
         let heartbeats = &mut self.heartbeats;
         if !is_newest || !heartbeats.is_current(turn.now, &instance, turn.state) {
@@ -110,7 +110,7 @@
         let mut unknown = Vec::new();
         for HeardServer { instance, sequence } in servers {
             if turn.state.servers().contains_key(&instance) {
-                self.engines.heard(&instance);
+                self.engines.heartbeat_received(&instance);
                 self.heartbeats.note(turn.now, instance, sequence);
             } else if !turn.state.has_departed(&instance) {
                 unknown.push(instance);
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -155,7 +155,7 @@
     }
 
     /// Records a heartbeat of an engine.
-    pub(crate) fn heard(&mut self, instance: &InstanceId) {
+    pub(crate) fn heartbeat_received(&mut self, instance: &InstanceId) {
         if self.awaits_heartbeat == 0 {
             return;
         }
