--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -100,7 +100,7 @@
         let silent: Vec<AssignmentId> = self
             .items
             .attempts()
-            .filter(|(_, attempt)| is_silent(turn.now, attempt.heard))
+            .filter(|(_, attempt)| is_silent(turn.now, attempt.last_reported_at))
             .map(|(assignment, _)| *assignment)
             .collect();
         for assignment in silent {
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -29,8 +29,8 @@
 pub(crate) const INTRODUCTION_TIME: Duration = Duration::from_millis(300);
 
 /// Returns whether an attempt or a scoring that was last reported at `heard` has expired.
-pub(crate) fn is_silent(now: Instant, heard: Instant) -> bool {
-    now.since(heard) > SILENCE_LIMIT
+pub(crate) fn is_silent(now: Instant, last_reported_at: Instant) -> bool {
+    now.since(last_reported_at) > SILENCE_LIMIT
 }
 
 /// Returns the time at which a gateway counts as lost with everything that it runs. Its connection
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -31,7 +31,7 @@
         let Some(attempt) = self.items.attempt_mut(assignment) else {
             return;
         };
-        attempt.heard = now;
+        attempt.last_reported_at = now;
         let engine = self.engines.get(&attempt.instance);
         let is_steady = engine.is_some_and(|engine| engine.is_steady(now));
         let Some((before, at)) = attempt.last_progress.filter(|_| is_steady) else {
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -41,7 +41,7 @@
             item: item.clone(),
             made_by,
             gateway,
-            heard: turn.now,
+            last_reported_at: turn.now,
         };
         self.scorings.start(made_by, running);
         let command = Command::KeepUnscored {
@@ -83,7 +83,7 @@
             item,
             made_by,
             gateway,
-            heard: turn.now,
+            last_reported_at: turn.now,
         };
         self.scorings.start(scoring, running);
     }
@@ -92,7 +92,7 @@
     pub(crate) fn on_scoring(&mut self, now: Instant, scorings: &[AssignmentId]) {
         for scoring in scorings {
             if let Some(running) = self.scorings.under_way.get_mut(scoring) {
-                running.heard = now;
+                running.last_reported_at = now;
             }
         }
     }
@@ -104,7 +104,7 @@
 
     /// Scorings that their gateways do not speak of any more are over.
     pub(crate) fn end_silent_scorings(&mut self, now: Instant) {
-        self.scorings_lost(now, |running| is_silent(now, running.heard));
+        self.scorings_lost(now, |running| is_silent(now, running.last_reported_at));
     }
 
     fn scorings_lost(&mut self, now: Instant, is_lost: impl Fn(&OpenScoring) -> bool) {
@@ -184,7 +184,7 @@
             item,
             made_by,
             gateway,
-            heard: turn.now,
+            last_reported_at: turn.now,
         };
         self.scorings.start(scoring, running);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
@@ -20,7 +20,7 @@
     /// Whether the gateway was ordered to interrupt it.
     pub(crate) interrupted: bool,
     /// Time of the gateway's last report of the attempt.
-    pub(crate) heard: Instant,
+    pub(crate) last_reported_at: Instant,
     /// Whether its text continues the text in the log. Otherwise it is a separate run of the item,
     /// whose events must not be appended there.
     pub(crate) extends_held: bool,
@@ -43,7 +43,7 @@
             is_long: false,
             last_progress: None,
             interrupted: false,
-            heard: now,
+            last_reported_at: now,
             extends_held: true,
         }
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
@@ -12,7 +12,7 @@
     pub(crate) made_by: AssignmentId,
     pub(crate) gateway: GatewayId,
     /// Time of the gateway's last report of the scoring.
-    pub(crate) heard: Instant,
+    pub(crate) last_reported_at: Instant,
 }
 
 /// A text whose scoring is not assigned at present.
