--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -49,7 +49,7 @@
         scorings: Vec<RunningScoring>,
         turn: &mut Turn<'_>,
     ) {
-        let Some(is_first) = self.gateways.introduce(gateway) else {
+        let Some(is_first) = self.gateways.record_report(gateway) else {
             return;
         };
         // One that was welcomed twice reports twice, the second time without what it was given since.
--- a/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
@@ -66,7 +66,7 @@
 
     /// Records that a gateway has reported what it runs. Returns whether this was its first report;
     /// `None` if it is not connected.
-    pub(crate) fn introduce(&mut self, gateway: GatewayId) -> Option<bool> {
+    pub(crate) fn record_report(&mut self, gateway: GatewayId) -> Option<bool> {
         let known = self.connected.get_mut(&gateway)?;
         let is_first = !std::mem::replace(&mut known.introduced, true);
         if is_first {
