--- a/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/gateway_choice.rs
@@ -63,5 +63,5 @@
 }
 
 fn is_eligible(gateway: &Gateway) -> bool {
-    gateway.introduced && gateway.status.takes_items
+    gateway.has_reported && gateway.status.takes_items
 }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
@@ -15,7 +15,7 @@
     /// Number of items that it runs.
     pub(crate) running: usize,
     /// Whether it has reported which items it runs.
-    pub(crate) introduced: bool,
+    pub(crate) has_reported: bool,
 }
 
 /// A gateway that disconnected recently. Its items keep running: if only the connection broke, the
@@ -42,7 +42,7 @@
             zone: hello.zone,
             status: hello.status,
             running: 0,
-            introduced: false,
+            has_reported: false,
         };
         let lost =
             self.take_away(|away| away.node == gateway.node && away.gateway != hello.gateway);
@@ -68,7 +68,7 @@
     /// `None` if it is not connected.
     pub(crate) fn record_report(&mut self, gateway: GatewayId) -> Option<bool> {
         let known = self.connected.get_mut(&gateway)?;
-        let is_first = !std::mem::replace(&mut known.introduced, true);
+        let is_first = !std::mem::replace(&mut known.has_reported, true);
         if is_first {
             self.away.retain(|away| away.gateway != gateway);
         }
