--- a/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -26,7 +26,7 @@
 
 /// Time after the start of a leadership in which gateways report what they run; items are placed
 /// only after it.
-pub(crate) const INTRODUCTION_TIME: Duration = Duration::from_millis(300);
+pub(crate) const GATEWAY_REPORT_PERIOD: Duration = Duration::from_millis(300);
 
 /// Returns whether an attempt or a scoring that was last reported at `heard` has expired.
 pub(crate) fn is_silent(now: Instant, last_reported_at: Instant) -> bool {
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -1,6 +1,6 @@
 //! Inputs of the leader machine: which part of the leader each goes to.
 
-use super::decisions::expiry::INTRODUCTION_TIME;
+use super::decisions::expiry::GATEWAY_REPORT_PERIOD;
 use super::interface::{Effect, Event};
 use super::jobs;
 use super::machine::CoordinationLeader;
@@ -32,7 +32,7 @@
     ) {
         let turn = &mut Turn { now, state, out };
         self.epoch = epoch;
-        self.place_from = turn.now + INTRODUCTION_TIME;
+        self.place_from = turn.now + GATEWAY_REPORT_PERIOD;
         self.heartbeats.begin(turn.now, turn.state.servers().keys());
         self.engines.begin(turn.state);
         self.take_configuration(turn.state);
