--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -4,7 +4,7 @@
 use super::decisions::ejection::eject_until;
 use super::decisions::expiry::is_silent;
 use super::decisions::item_outcome::{
-    EngineVerdict, ItemHistory, PartialText, Retry, Verdict, verdict,
+    EngineAction, ItemHistory, PartialText, Retry, Verdict, verdict,
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -235,19 +235,19 @@
         self.items.wait(attempt.item.clone());
     }
 
-    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineVerdict, turn: &mut Turn<'_>) {
+    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineAction, turn: &mut Turn<'_>) {
         match verdict {
-            EngineVerdict::Keep => {}
-            EngineVerdict::Eject => self.eject(turn.now, instance),
-            EngineVerdict::EjectUntilHeartbeat => {
+            EngineAction::Keep => {}
+            EngineAction::Eject => self.eject(turn.now, instance),
+            EngineAction::EjectUntilHeartbeat => {
                 self.eject(turn.now, instance);
                 self.engines.await_heartbeat(instance);
             }
-            EngineVerdict::EjectAndPoll => {
+            EngineAction::EjectAndPoll => {
                 self.eject(turn.now, instance);
                 self.ask_report(instance, turn);
             }
-            EngineVerdict::Defer(duration) => {
+            EngineAction::Defer(duration) => {
                 self.engines.defer_until(instance, turn.now + duration);
             }
         }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -55,7 +55,7 @@
 
 /// Action on the engine that ran the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EngineVerdict {
+pub(crate) enum EngineAction {
     /// No action.
     Keep,
     /// Ejects it: it gets no items for a while (see [`super::ejection`]).
@@ -87,7 +87,7 @@
     /// The partial text that the retry continues.
     pub(crate) partial_text: PartialText,
     /// Action on the engine.
-    pub(crate) engine: EngineVerdict,
+    pub(crate) engine: EngineAction,
     /// Whether the attempt counts towards the limit of attempts that engines ran and failed.
     pub(crate) is_failure: bool,
 }
@@ -97,7 +97,7 @@
     const NOW: Self = Self {
         backoff: None,
         partial_text: PartialText::Keep,
-        engine: EngineVerdict::Keep,
+        engine: EngineAction::Keep,
         is_failure: false,
     };
 }
@@ -118,7 +118,7 @@
     match outcome {
         ItemOutcome::Finished(_) if item.is_too_old => Verdict::Retry(Retry {
             partial_text: PartialText::Drop,
-            engine: EngineVerdict::EjectAndPoll,
+            engine: EngineAction::EjectAndPoll,
             ..Retry::NOW
         }),
         ItemOutcome::Finished(_) => Verdict::Take,
@@ -147,7 +147,7 @@
         BreakCause::Gateway => interrupted,
         BreakCause::Engine(request) => Retry {
             backoff: (request.is_some() && item.may_end_engines).then_some(SUSPECT_BACKOFF),
-            engine: EngineVerdict::Eject,
+            engine: EngineAction::Eject,
             ..interrupted
         },
     }
@@ -155,10 +155,10 @@
 
 fn after_not_run(reason: NotRunReason) -> Retry {
     let engine = match reason {
-        NotRunReason::Unreachable => EngineVerdict::Eject,
-        NotRunReason::Ended => EngineVerdict::EjectUntilHeartbeat,
-        NotRunReason::Full | NotRunReason::Mismatch => EngineVerdict::Defer(REFUSED_DEFERRAL),
-        NotRunReason::Stopping | NotRunReason::Rejected => EngineVerdict::Keep,
+        NotRunReason::Unreachable => EngineAction::Eject,
+        NotRunReason::Ended => EngineAction::EjectUntilHeartbeat,
+        NotRunReason::Full | NotRunReason::Mismatch => EngineAction::Defer(REFUSED_DEFERRAL),
+        NotRunReason::Stopping | NotRunReason::Rejected => EngineAction::Keep,
     };
     let backoff = match reason {
         NotRunReason::Rejected => REJECTED_BACKOFF,
