--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_progress.rs
@@ -111,7 +111,7 @@
 
 /// Next step after a report of an engine that loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReportVerdict {
+pub(crate) enum LoadStep {
     /// No step now.
     Wait,
     /// The engine holds the version; the load is complete.
@@ -166,30 +166,26 @@
     }
 
     /// Processes the engine's answer to a poll; `None` if there was none.
-    pub(crate) fn on_report(
-        &mut self,
-        now: Instant,
-        report: Option<&EngineStatus>,
-    ) -> ReportVerdict {
+    pub(crate) fn on_report(&mut self, now: Instant, report: Option<&EngineStatus>) -> LoadStep {
         if !matches!(self.phase, Phase::Polled(_)) {
-            return ReportVerdict::Wait;
+            return LoadStep::Wait;
         }
         let Some(report) = report else {
             self.attempts += 1;
             self.phase = Phase::PollFrom(now + POLL_INTERVAL);
-            return ReportVerdict::Wait;
+            return LoadStep::Wait;
         };
         if report.busy {
             self.phase = Phase::PollFrom(now + POLL_INTERVAL);
-            return ReportVerdict::Wait;
+            return LoadStep::Wait;
         }
         if report.version_of(&self.model) >= self.version {
-            return ReportVerdict::Reached;
+            return LoadStep::Reached;
         }
         self.phase = Phase::Ordered(now);
         self.attempts += 1;
         let sequence = report.sequence;
-        ReportVerdict::Order { sequence }
+        LoadStep::Order { sequence }
     }
 
     /// Processes the engine's answer to an order. An accepted order takes `load_time`.
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -4,7 +4,7 @@
 //! as their fence and the engine's count of orders, so that one that is carried out late does nothing.
 
 use super::decision_log::Decision;
-use super::decisions::load_progress::{EngineStatus, OrderAnswer, ReportVerdict};
+use super::decisions::load_progress::{EngineStatus, LoadStep, OrderAnswer};
 use super::decisions::order_rights::{claim_delay, may_claim_at_once};
 use super::interface::{Effect, WeightOrder};
 use super::machine::CoordinationLeader;
@@ -132,9 +132,9 @@
             return;
         };
         match load.on_report(turn.now, report.as_ref()) {
-            ReportVerdict::Wait => {}
-            ReportVerdict::Reached => self.drive_rollout_soon(turn),
-            ReportVerdict::Order { sequence } => self.order(instance, sequence, turn),
+            LoadStep::Wait => {}
+            LoadStep::Reached => self.drive_rollout_soon(turn),
+            LoadStep::Order { sequence } => self.order(instance, sequence, turn),
         }
     }
 
