--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -4,7 +4,7 @@
 use super::decisions::ejection::eject_until;
 use super::decisions::expiry::is_silent;
 use super::decisions::item_outcome::{
-    EngineAction, ItemHistory, PartialText, Retry, Verdict, verdict,
+    EngineAction, ItemHistory, NextStep, PartialText, Retry, verdict,
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -187,7 +187,7 @@
     ) {
         let (gateway, assignment) = finished;
         let verdict = verdict(&outcome, history);
-        if verdict != Verdict::Take {
+        if verdict != NextStep::Take {
             self.release_unknown(gateway, assignment, turn);
             let reason = if history.is_too_old {
                 TOO_OLD
@@ -197,13 +197,13 @@
             log_retry(assignment, attempt, reason, turn);
         }
         match (verdict, outcome) {
-            (Verdict::Take, ItemOutcome::Finished(text)) => {
+            (NextStep::Take, ItemOutcome::Finished(text)) => {
                 self.engines.succeeded(&attempt.instance);
                 self.take_text(&attempt.item, text, finished, turn);
             }
-            (Verdict::Take, _) => {}
-            (Verdict::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
-            (Verdict::Abandon(reason), _) => self.abandon(&attempt.item, reason, turn),
+            (NextStep::Take, _) => {}
+            (NextStep::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
+            (NextStep::Abandon(reason), _) => self.abandon(&attempt.item, reason, turn),
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -104,7 +104,7 @@
 
 /// Consequence of the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum NextStep {
     /// The attempt's text is accepted as the result.
     Take,
     /// The item is retried.
@@ -114,25 +114,25 @@
 }
 
 /// Returns the consequence of the end of an attempt at an item that has no result yet.
-pub(crate) fn verdict(outcome: &ItemOutcome, item: ItemHistory) -> Verdict {
+pub(crate) fn verdict(outcome: &ItemOutcome, item: ItemHistory) -> NextStep {
     match outcome {
-        ItemOutcome::Finished(_) if item.is_too_old => Verdict::Retry(Retry {
+        ItemOutcome::Finished(_) if item.is_too_old => NextStep::Retry(Retry {
             partial_text: PartialText::Drop,
             engine: EngineAction::EjectAndPoll,
             ..Retry::NOW
         }),
-        ItemOutcome::Finished(_) => Verdict::Take,
-        ItemOutcome::Interrupted { cause, .. } => Verdict::Retry(after_interruption(*cause, item)),
-        ItemOutcome::NotRun(reason) => Verdict::Retry(after_not_run(*reason)),
+        ItemOutcome::Finished(_) => NextStep::Take,
+        ItemOutcome::Interrupted { cause, .. } => NextStep::Retry(after_interruption(*cause, item)),
+        ItemOutcome::NotRun(reason) => NextStep::Retry(after_not_run(*reason)),
         ItemOutcome::Failed if item.failures + 1 >= item.max_failures => {
-            Verdict::Abandon(FAILED_TOO_OFTEN)
+            NextStep::Abandon(FAILED_TOO_OFTEN)
         }
-        ItemOutcome::Failed => Verdict::Retry(Retry {
+        ItemOutcome::Failed => NextStep::Retry(Retry {
             backoff: Some(FAILED_BACKOFF),
             is_failure: true,
             ..Retry::NOW
         }),
-        ItemOutcome::Impossible => Verdict::Abandon(IMPOSSIBLE),
+        ItemOutcome::Impossible => NextStep::Abandon(IMPOSSIBLE),
     }
 }
 
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -32,7 +32,7 @@
 
 /// Consequence of the end of a scoring.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum NextStep {
     /// The score is accepted.
     Take(String),
     /// The scoring is retried.
@@ -70,11 +70,11 @@
 }
 
 /// Returns the consequence of the end of a scoring.
-pub(crate) fn verdict(outcome: ScoringOutcome, known: Failures) -> Verdict {
+pub(crate) fn verdict(outcome: ScoringOutcome, known: Failures) -> NextStep {
     let reported = match outcome {
-        ScoringOutcome::Scored(score) => return Verdict::Take(score),
+        ScoringOutcome::Scored(score) => return NextStep::Take(score),
         ScoringOutcome::NotScored(_) => {
-            return Verdict::Retry {
+            return NextStep::Retry {
                 counted: None,
                 failures: known.counted,
             };
@@ -83,9 +83,9 @@
     };
     let failures = known.counted.saturating_add(reported);
     if failures >= known.max {
-        return Verdict::Abandon;
+        return NextStep::Abandon;
     }
-    Verdict::Retry {
+    NextStep::Retry {
         counted: (reported > 0).then_some(reported),
         failures,
     }
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -3,7 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::expiry::is_silent;
 use super::decisions::gateway_choice::gateway_for_scoring;
-use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Failures, Verdict, backoff, verdict};
+use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Failures, NextStep, backoff, verdict};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::scorings::OpenScoring;
@@ -208,12 +208,12 @@
             may_include_these: scoring.epoch != self.epoch,
         };
         match verdict(outcome, known) {
-            Verdict::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
-            Verdict::Abandon => {
+            NextStep::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
+            NextStep::Abandon => {
                 turn.release_scoring(gateway, scoring);
                 self.abandon(&item, FAILED_TOO_OFTEN, turn);
             }
-            Verdict::Retry { counted, failures } => {
+            NextStep::Retry { counted, failures } => {
                 if counted.is_none() {
                     turn.release_scoring(gateway, scoring);
                 }
