--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -4,7 +4,7 @@
 use super::decisions::ejection::eject_until;
 use super::decisions::expiry::is_silent;
 use super::decisions::item_outcome::{
-    EngineAction, ItemHistory, NextStep, PartialText, Retry, verdict,
+    EngineAction, ItemHistory, NextStep, PartialText, Retry, next_step,
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -186,8 +186,8 @@
         turn: &mut Turn<'_>,
     ) {
         let (gateway, assignment) = finished;
-        let verdict = verdict(&outcome, history);
-        if verdict != NextStep::Take {
+        let next_step = next_step(&outcome, history);
+        if next_step != NextStep::Take {
             self.release_unknown(gateway, assignment, turn);
             let reason = if history.is_too_old {
                 TOO_OLD
@@ -196,7 +196,7 @@
             };
             log_retry(assignment, attempt, reason, turn);
         }
-        match (verdict, outcome) {
+        match (next_step, outcome) {
             (NextStep::Take, ItemOutcome::Finished(text)) => {
                 self.engines.succeeded(&attempt.instance);
                 self.take_text(&attempt.item, text, finished, turn);
@@ -235,8 +235,13 @@
         self.items.wait(attempt.item.clone());
     }
 
-    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineAction, turn: &mut Turn<'_>) {
-        match verdict {
+    fn judge_engine(
+        &mut self,
+        instance: &InstanceId,
+        next_step: EngineAction,
+        turn: &mut Turn<'_>,
+    ) {
+        match next_step {
             EngineAction::Keep => {}
             EngineAction::Eject => self.eject(turn.now, instance),
             EngineAction::EjectUntilHeartbeat => {
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -5,7 +5,7 @@
 //! number of attempts that engines ran and failed, and the limit of the route; whether servers have
 //! crashed under the item's request.
 //!
-//! Rule: see [`verdict`]. A complete text is accepted. An attempt that was not run or was
+//! Rule: see [`next_step`]. A complete text is accepted. An attempt that was not run or was
 //! interrupted is retried, continuing the events received so far. An attempt that an engine ran and
 //! failed is retried up to the limit of the route, after which the item is abandoned. An item that
 //! can never succeed is abandoned at once.
@@ -114,7 +114,7 @@
 }
 
 /// Returns the consequence of the end of an attempt at an item that has no result yet.
-pub(crate) fn verdict(outcome: &ItemOutcome, item: ItemHistory) -> NextStep {
+pub(crate) fn next_step(outcome: &ItemOutcome, item: ItemHistory) -> NextStep {
     match outcome {
         ItemOutcome::Finished(_) if item.is_too_old => NextStep::Retry(Retry {
             partial_text: PartialText::Drop,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the consequence of the end of a scoring.
-pub(crate) fn verdict(outcome: ScoringOutcome, known: Failures) -> NextStep {
+pub(crate) fn next_step(outcome: ScoringOutcome, known: Failures) -> NextStep {
     let reported = match outcome {
         ScoringOutcome::Scored(score) => return NextStep::Take(score),
         ScoringOutcome::NotScored(_) => {
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -3,7 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::expiry::is_silent;
 use super::decisions::gateway_choice::gateway_for_scoring;
-use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Failures, NextStep, backoff, verdict};
+use super::decisions::scoring_outcome::{FAILED_TOO_OFTEN, Failures, NextStep, backoff, next_step};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::tables::scorings::OpenScoring;
@@ -207,7 +207,7 @@
             max: self.max_scoring_failures(&item, turn.state),
             may_include_these: scoring.epoch != self.epoch,
         };
-        match verdict(outcome, known) {
+        match next_step(outcome, known) {
             NextStep::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
             NextStep::Abandon => {
                 turn.release_scoring(gateway, scoring);
