--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -209,7 +209,10 @@
 /// Returns the reason why a reported server is invalid: its service is not in the configuration, or
 /// it contradicts the registered data of the same incarnation, which cannot change. Such reports
 /// come from a foreign process and must not affect others.
-pub(crate) fn foreign(server: &ServerRecord, state: &CoordinationState) -> Option<String> {
+pub(crate) fn registration_error(
+    server: &ServerRecord,
+    state: &CoordinationState,
+) -> Option<String> {
     let service = &server.service;
     if let Some(held) = state.servers().get(&server.instance) {
         let is_same = held.service == *service && held.address == server.address;
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -1,7 +1,7 @@
 //! The registry's leader side: heartbeats, drains, departures, expiry.
 
 use super::decision_log::Decision;
-use super::decisions::registration::{LATE_CALLS, foreign, merged};
+use super::decisions::registration::{LATE_CALLS, merged, registration_error};
 use super::interface::Effect;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -20,7 +20,7 @@
         heartbeat: Heartbeat,
         turn: &mut Turn<'_>,
     ) {
-        if let Some(reason) = foreign(&heartbeat.server, turn.state) {
+        if let Some(reason) = registration_error(&heartbeat.server, turn.state) {
             return turn.reply(tag, Reply::Refused(reason));
         }
         let instance = heartbeat.server.instance.clone();
