--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -230,7 +230,7 @@
 }
 
 /// Returns the record that the registry should hold after `server` has reported itself.
-pub(crate) fn merged(mut server: ServerRecord, state: &CoordinationState) -> ServerRecord {
+pub(crate) fn merged_record(mut server: ServerRecord, state: &CoordinationState) -> ServerRecord {
     if let Some(held) = state.servers().get(&server.instance) {
         server.draining |= held.draining;
         for entry in &held.models {
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -1,7 +1,7 @@
 //! The registry's leader side: heartbeats, drains, departures, expiry.
 
 use super::decision_log::Decision;
-use super::decisions::registration::{LATE_CALLS, merged, registration_error};
+use super::decisions::registration::{LATE_CALLS, merged_record, registration_error};
 use super::interface::Effect;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -35,7 +35,7 @@
         if !is_newest || !heartbeats.is_current(turn.now, &instance, turn.state) {
             return self.acknowledge_older(tag, &instance, turn);
         }
-        let wanted = merged(heartbeat.server, turn.state);
+        let wanted = merged_record(heartbeat.server, turn.state);
         if turn.state.servers().get(&instance) == Some(&wanted) {
             return turn.reply(tag, Reply::Done);
         }
