--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -189,7 +189,7 @@
     }
 
     /// Records that the replicated evidence against a request has changed.
-    pub(crate) fn note_news(
+    pub(crate) fn record_change(
         &mut self,
         now: Instant,
         request: RequestFingerprint,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/expiry.rs
@@ -28,7 +28,8 @@
 /// only after it.
 pub(crate) const GATEWAY_REPORT_PERIOD: Duration = Duration::from_millis(300);
 
-/// Returns whether an attempt or a scoring that was last reported at `heard` has expired.
+/// Returns whether an attempt or a scoring that was last reported at `last_reported_at` has
+/// expired.
 pub(crate) fn is_silent(now: Instant, last_reported_at: Instant) -> bool {
     now.since(last_reported_at) > SILENCE_LIMIT
 }
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -97,7 +97,7 @@
         for request in requests {
             let suspect = turn.state.evidence().suspect(request);
             self.evidence
-                .note_news(turn.now, request, suspect.is_some_and(has_endings));
+                .record_change(turn.now, request, suspect.is_some_and(has_endings));
             if let Some(suspect) = suspect.filter(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestRejected(suspect.clone()));
             }
