--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -212,7 +212,7 @@
 
     /// Returns the requests whose evidence has not changed for [`EVIDENCE_LIFETIME`], and restarts
     /// their time.
-    pub(crate) fn take_old(&mut self, now: Instant) -> Vec<RequestFingerprint> {
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<RequestFingerprint> {
         let is_old = |at: &Instant| now.since(*at) >= EVIDENCE_LIFETIME;
         let old = self.last_changes.iter_mut().filter(|(_, at)| is_old(at));
         old.map(|(request, at)| {
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -119,7 +119,7 @@
 
     /// Evidence without news for too long counts no longer.
     pub(crate) fn relieve_requests(&mut self, turn: &mut Turn<'_>) {
-        let old = self.evidence.take_old(turn.now);
+        let old = self.evidence.take_expired(turn.now);
         if old.is_empty() {
             return;
         }
