--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -204,7 +204,7 @@
 
     /// Returns whether a suspect is to be rejected from now on: it has so many crashes that
     /// coincidence is ruled out, or enough of them and they single it out.
-    pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
+    pub(crate) fn should_reject(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
         let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
         !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -108,7 +108,7 @@
     fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
         let is_over = |request: &&RequestFingerprint| {
             let suspect = turn.state.evidence().suspect(**request);
-            suspect.is_some_and(|suspect| self.evidence.is_to_be_rejected(suspect))
+            suspect.is_some_and(|suspect| self.evidence.should_reject(suspect))
         };
         let rejected: Vec<RequestFingerprint> = requests.iter().filter(is_over).copied().collect();
         if !rejected.is_empty() {
