--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -176,7 +176,7 @@
     }
 
     /// Removes crashes for which no more evidence can be reported.
-    pub(crate) fn forget_endings(&mut self, now: Instant) {
+    pub(crate) fn forget_crashes(&mut self, now: Instant) {
         self.crashes
             .retain(|_, crash| now.since(crash.at) < CRASH_RETENTION);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -50,7 +50,7 @@
                 counts.push(evidence);
             }
         }
-        self.evidence.forget_endings(turn.now);
+        self.evidence.forget_crashes(turn.now);
         if counts.is_empty() {
             return;
         }
