--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Weight {
     /// Number of servers of the service that crashed at the same time.
-    pub(crate) together: usize,
+    pub(crate) simultaneous: usize,
     /// Number of these servers that the request was running on.
     pub(crate) under_request: usize,
 }
@@ -86,7 +86,7 @@
 impl Weight {
     /// Returns whether the crash counts against the request.
     pub(crate) fn counts(self) -> bool {
-        2 * self.under_request >= self.together || self.under_request > 1
+        2 * self.under_request >= self.simultaneous || self.under_request > 1
     }
 }
 
@@ -133,7 +133,7 @@
     pub(crate) fn weight(&self, evidence: &CrashEvidence) -> Weight {
         let Some(crash) = self.crashes.get(&evidence.instance) else {
             return Weight {
-                together: 1,
+                simultaneous: 1,
                 under_request: 1,
             };
         };
@@ -141,10 +141,10 @@
             let apart = other.at.since(crash.at).max(crash.at.since(other.at));
             other.service == crash.service && apart <= SIMULTANEITY_WINDOW
         };
-        let together = self.crashes.values().filter(is_simultaneous);
-        let under_request = together.clone();
+        let simultaneous = self.crashes.values().filter(is_simultaneous);
+        let under_request = simultaneous.clone();
         Weight {
-            together: together.count(),
+            simultaneous: simultaneous.count(),
             under_request: under_request
                 .filter(|other| other.requests.contains(&evidence.fingerprint))
                 .count(),
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -41,7 +41,7 @@
                 request: evidence.fingerprint,
                 instance: evidence.instance.clone(),
                 gateway,
-                ended_together: weight.together,
+                ended_together: weight.simultaneous,
                 under_request: weight.under_request,
                 ended_before: known.ended_under(evidence.fingerprint),
                 counted,
