--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records a crash that a gateway reports.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         now: Instant,
         gateway: GatewayId,
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -23,7 +23,7 @@
         state: &CoordinationState,
     ) {
         for seen in seen {
-            self.evidence.take(now, gateway, seen, state);
+            self.evidence.record(now, gateway, seen, state);
         }
     }
 
