--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -44,7 +44,7 @@
         }
         attempt.last_progress = Some((events, now));
         let instance = attempt.instance.clone();
-        self.engines.paced(&instance, new, now.since(at));
+        self.engines.record_pace(&instance, new, now.since(at));
     }
 
     /// Breaks off those of the attempts whose items go on faster elsewhere.
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -238,7 +238,7 @@
     }
 
     /// Records that a stream of an engine delivered `events` in `time`.
-    pub(crate) fn paced(&mut self, instance: &InstanceId, events: u64, time: Duration) {
+    pub(crate) fn record_pace(&mut self, instance: &InstanceId, events: u64, time: Duration) {
         let Some(engine) = self.all.get_mut(instance) else {
             return;
         };
