--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -149,7 +149,7 @@
             ItemOutcome::Finished(text) => is_too_old(text, item, state),
             _ => false,
         };
-        let may_end_engines = match outcome {
+        let is_crash_suspected = match outcome {
             ItemOutcome::Interrupted {
                 cause: BreakCause::Engine(Some(request)),
                 ..
@@ -160,7 +160,7 @@
             is_too_old,
             failures: open_item.failures,
             max_failures: self.max_failures(item, state),
-            may_end_engines,
+            is_crash_suspected,
         })
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -50,7 +50,7 @@
     /// Maximum number of such attempts that the route allows.
     pub(crate) max_failures: u32,
     /// Whether a server is known to have crashed under the item's request.
-    pub(crate) may_end_engines: bool,
+    pub(crate) is_crash_suspected: bool,
 }
 
 /// Action on the engine that ran the attempt.
@@ -146,7 +146,7 @@
     match cause {
         BreakCause::Gateway => interrupted,
         BreakCause::Engine(request) => Retry {
-            backoff: (request.is_some() && item.may_end_engines).then_some(SUSPECT_BACKOFF),
+            backoff: (request.is_some() && item.is_crash_suspected).then_some(SUSPECT_BACKOFF),
             engine: EngineAction::Eject,
             ..interrupted
         },
