--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -29,7 +29,7 @@
 
 /// Time for which calls of an ended incarnation may still arrive after the next one of its name has
 /// started: heartbeats and deregistrations are in transit for seconds at the most if links are cut.
-pub(crate) const LATE_CALLS: Duration = Duration::from_secs(5);
+pub(crate) const LATE_CALL_WINDOW: Duration = Duration::from_secs(5);
 
 /// Time without a heartbeat after which an unregistered server is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
@@ -61,7 +61,7 @@
 impl RecentNames {
     fn note(&mut self, now: Instant, name: &ServerName) {
         self.until.retain(|_, until| now < *until);
-        self.until.insert(name.clone(), now + LATE_CALLS);
+        self.until.insert(name.clone(), now + LATE_CALL_WINDOW);
     }
 
     fn has(&self, now: Instant, name: &ServerName) -> bool {
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -1,7 +1,7 @@
 //! The registry's leader side: heartbeats, drains, departures, expiry.
 
 use super::decision_log::Decision;
-use super::decisions::registration::{LATE_CALLS, merged_record, registration_error};
+use super::decisions::registration::{LATE_CALL_WINDOW, merged_record, registration_error};
 use super::interface::Effect;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -135,7 +135,7 @@
             return self.deregister_unknown(tag, name, turn);
         };
         if self.heartbeats.is_ambiguous(turn.now, &newest) {
-            return turn.reply(tag, Reply::ComeBack(LATE_CALLS));
+            return turn.reply(tag, Reply::ComeBack(LATE_CALL_WINDOW));
         }
         let command = Command::Depart(newest.clone());
         self.propose_server(command, newest, Some(tag), turn);
