--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -36,7 +36,7 @@
 const MIN_FREE_SLOTS_LEFT: usize = 1;
 /// Time for which an item does not return to the engine that it was moved away from. If there are
 /// other engines, one has a free slot sooner; if there are none, the item must not wait for long.
-pub(crate) const AVOIDED_FOR: Duration = Duration::from_millis(1500);
+pub(crate) const AVOIDANCE_TIME: Duration = Duration::from_millis(1500);
 
 /// A running item, as far as it matters for a move.
 pub(crate) struct MovableItem<'a> {
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -1,7 +1,7 @@
 //! Progress of items that run, and moving them to faster engines.
 
 use super::decision_log::Decision;
-use super::decisions::moves::{AVOIDED_FOR, MovableItem, better_engine};
+use super::decisions::moves::{AVOIDANCE_TIME, MovableItem, better_engine};
 use super::machine::CoordinationLeader;
 use super::tables::item::Avoided;
 use super::turn::Turn;
@@ -95,7 +95,7 @@
             open_item.moves += 1;
             open_item.avoid = Some(Avoided {
                 instance: instance.clone(),
-                until: turn.now + AVOIDED_FOR,
+                until: turn.now + AVOIDANCE_TIME,
             });
         }
         turn.log(Decision::ItemMoved {
