--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -3,7 +3,7 @@
 use super::decision_log::Decision;
 use super::decisions::moves::{AVOIDANCE_TIME, MovableItem, better_engine};
 use super::machine::CoordinationLeader;
-use super::tables::item::Avoided;
+use super::tables::item::AvoidedEngine;
 use super::turn::Turn;
 use crate::ids::{AssignmentId, GatewayId, InstanceId};
 use crate::messages::{CoordinatorMessage, ItemProgress};
@@ -93,7 +93,7 @@
         let (item, instance) = (attempt.item.clone(), attempt.instance.clone());
         if let Some(open_item) = self.items.open_item_mut(&item) {
             open_item.moves += 1;
-            open_item.avoid = Some(Avoided {
+            open_item.avoid = Some(AvoidedEngine {
                 instance: instance.clone(),
                 until: turn.now + AVOIDANCE_TIME,
             });
--- a/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/item.rs
@@ -52,7 +52,7 @@
 /// An engine to which an item does not return for a while. The time is limited because the engine
 /// may be the only one that takes the item.
 #[derive(Clone, Debug)]
-pub(crate) struct Avoided {
+pub(crate) struct AvoidedEngine {
     pub(crate) instance: InstanceId,
     pub(crate) until: Instant,
 }
@@ -75,7 +75,7 @@
     /// Number of its moves from one engine to another.
     pub(crate) moves: u32,
     /// The engine that it was moved away from.
-    pub(crate) avoid: Option<Avoided>,
+    pub(crate) avoid: Option<AvoidedEngine>,
     /// Fingerprint of its request, known once an engine interrupted it early.
     pub(crate) request: Option<RequestFingerprint>,
     /// The caller's estimate of its length, in tokens; longer items are placed first.
