--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -59,7 +59,7 @@
     now: Instant,
     item: &MovableItem<'_>,
     engines: &Engines,
-    promised: &BTreeMap<InstanceId, usize>,
+    pending_moves: &BTreeMap<InstanceId, usize>,
 ) -> Option<InstanceId> {
     if item.events < MIN_EVENTS || item.moves >= MAX_MOVES {
         return None;
@@ -79,10 +79,10 @@
         scan: Scan::FastestKnown,
     };
     let better = engines.fastest_candidates(query, |instance, other| {
-        let promised = promised.get(instance).copied().unwrap_or(0);
+        let pending_moves = pending_moves.get(instance).copied().unwrap_or(0);
         other.pace.is_some()
             && other.takes(now, item.model, item.min_version)
-            && other.running + promised + MIN_FREE_SLOTS_LEFT < other.slots
+            && other.running + pending_moves + MIN_FREE_SLOTS_LEFT < other.slots
     });
     better
         .into_iter()
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -49,11 +49,11 @@
 
     /// Breaks off those of the attempts whose items go on faster elsewhere.
     fn move_items(&mut self, attempts: &[ItemProgress], turn: &mut Turn<'_>) {
-        let mut promised: BTreeMap<InstanceId, usize> = BTreeMap::new();
+        let mut pending_moves: BTreeMap<InstanceId, usize> = BTreeMap::new();
         for ItemProgress { assignment, .. } in attempts {
-            let better = self.better_engine(turn.now, *assignment, &promised, turn.state);
+            let better = self.better_engine(turn.now, *assignment, &pending_moves, turn.state);
             if let Some((gateway, target)) = better {
-                *promised.entry(target).or_default() += 1;
+                *pending_moves.entry(target).or_default() += 1;
                 self.interrupt(*assignment, gateway, turn);
             }
         }
@@ -64,7 +64,7 @@
         &self,
         now: Instant,
         assignment: AssignmentId,
-        promised: &BTreeMap<InstanceId, usize>,
+        pending_moves: &BTreeMap<InstanceId, usize>,
         state: &CoordinationState,
     ) -> Option<(GatewayId, InstanceId)> {
         let attempt = self.items.attempt(assignment)?;
@@ -81,7 +81,7 @@
             events,
             moves: open_item.moves,
         };
-        let better = better_engine(now, &item, &self.engines, promised)?;
+        let better = better_engine(now, &item, &self.engines, pending_moves)?;
         Some((attempt.gateway, better))
     }
 
