--- a/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/scoring_outcome.rs
@@ -55,13 +55,13 @@
     pub(crate) max: u32,
     /// Whether an earlier leader assigned the scoring that has ended, so that its failures may be
     /// counted already.
-    pub(crate) may_include_these: bool,
+    pub(crate) may_include_reported: bool,
 }
 
 impl Failures {
     /// Returns how many of the failures that a scoring reports are not counted yet.
     fn uncounted(self, reported: u32) -> u32 {
-        if self.may_include_these {
+        if self.may_include_reported {
             reported.saturating_sub(self.counted)
         } else {
             reported
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -205,7 +205,7 @@
         let known = Failures {
             counted: kept_failures(&item, turn.state),
             max: self.max_scoring_failures(&item, turn.state),
-            may_include_these: scoring.epoch != self.epoch,
+            may_include_reported: scoring.epoch != self.epoch,
         };
         match next_step(outcome, known) {
             NextStep::Take(score) => self.list_scored(gateway, scoring, item, made_by, score, turn),
