--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -136,7 +136,7 @@
         self.capacity.proposed.remove(pool);
         self.capacity.scanned_at = None;
         if let Some(order) = self.capacity.orders.get_mut(pool) {
-            order.number_changed(turn.now);
+            order.count_changed(turn.now);
         }
         self.drive_capacity(turn);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
@@ -59,7 +59,7 @@
     }
 
     /// Ends the backoff of the previous number after the wanted number changed.
-    pub(crate) fn number_changed(&mut self, now: Instant) {
+    pub(crate) fn count_changed(&mut self, now: Instant) {
         self.not_before = now;
     }
 
