--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -270,7 +270,7 @@
 
     /// Replaces the present numbers of open items by their recent peaks: few items are open between
     /// two training steps.
-    pub(crate) fn note_peaks(&mut self, now: Instant, peaks: &mut BTreeMap<ModelName, Peak>) {
+    pub(crate) fn apply_peaks(&mut self, now: Instant, peaks: &mut BTreeMap<ModelName, Peak>) {
         for (model, loads) in &mut self.models {
             let peak = peaks.entry(model.clone()).or_default();
             loads.open = peak.note(now, loads.open, DEMAND_MEMORY);
--- a/crates/gateways/wingshore-coordination/src/leader/loading.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/loading.rs
@@ -63,7 +63,7 @@
                 choice.count_running(model);
             }
         }
-        choice.note_peaks(now, &mut self.rollout.peaks);
+        choice.apply_peaks(now, &mut self.rollout.peaks);
         choice
     }
 }
