--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -164,7 +164,7 @@
 
     /// Results of a job were listed: readers that wait for them are answered.
     pub(crate) fn results_listed(&mut self, job: &JobId, turn: &mut Turn<'_>) {
-        let readers = self.readers.take_of(job);
+        let readers = self.readers.take_job(job);
         answer_readers(readers, turn);
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
@@ -62,7 +62,7 @@
     }
 
     /// Removes and returns the readers of a job.
-    pub(crate) fn take_of(&mut self, job: &JobId) -> Vec<Reader> {
+    pub(crate) fn take_job(&mut self, job: &JobId) -> Vec<Reader> {
         self.take(|reader| reader.job == *job)
     }
 
