--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records the agreed time of day of the site.
-    pub(crate) fn time_agreed(&mut self, now: Instant, wall: WallTime) {
+    pub(crate) fn set_agreed_time(&mut self, now: Instant, wall: WallTime) {
         self.agreed = Some((wall, now));
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -159,7 +159,7 @@
             } => self.on_item_ended(gateway, assignment, &item, outcome, turn),
             Event::ServersReported { from, servers } => self.on_servers_heard(from, servers, turn),
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
-            Event::TimeAgreed(wall) => self.usage.time_agreed(turn.now, wall),
+            Event::TimeAgreed(wall) => self.usage.set_agreed_time(turn.now, wall),
             Event::UsageReported { gateway, usage } => {
                 self.usage.reported(gateway, usage, turn.state.usage())
             }
