--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records the totals that a gateway reports for open windows.
-    pub(crate) fn reported(
+    pub(crate) fn record_totals(
         &mut self,
         gateway: GatewayId,
         usage: Vec<WindowUsage>,
--- a/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/dispatch.rs
@@ -161,7 +161,7 @@
             Event::CoordinatorsLost(nodes) => self.on_coordinators_lost(&nodes, turn),
             Event::TimeAgreed(wall) => self.usage.set_agreed_time(turn.now, wall),
             Event::UsageReported { gateway, usage } => {
-                self.usage.reported(gateway, usage, turn.state.usage())
+                self.usage.record_totals(gateway, usage, turn.state.usage())
             }
             Event::CapacityAnswered {
                 pool,
