--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -108,7 +108,7 @@
                 self.note_end(&attempt);
                 turn.release_attempt(attempt.gateway, assignment);
                 log_retry(assignment, &attempt, SILENT, turn);
-                self.items.wait(attempt.item);
+                self.items.enqueue(attempt.item);
             }
         }
     }
@@ -232,7 +232,7 @@
                 _ => {}
             }
         }
-        self.items.wait(attempt.item.clone());
+        self.items.enqueue(attempt.item.clone());
     }
 
     fn judge_engine(
--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -112,7 +112,7 @@
             // Where the text never arrived, its item runs again.
             let open_item = self.items.open_item(&running.item);
             if open_item.is_some_and(|open_item| open_item.has_result) {
-                self.scorings.wait(running.item, running.made_by, now);
+                self.scorings.enqueue(running.item, running.made_by, now);
             }
         }
     }
@@ -261,7 +261,8 @@
         turn: &mut Turn<'_>,
     ) {
         let pause = backoff(self.scorings.count_retry(item));
-        self.scorings.wait(item.clone(), made_by, turn.now + pause);
+        self.scorings
+            .enqueue(item.clone(), made_by, turn.now + pause);
         let decision = ScoringDecision::Retried {
             scoring,
             item: item.clone(),
@@ -291,7 +292,8 @@
         if let Some(unscored) = job.unscored(item.index)
             && !self.scorings.is_in_hand(item)
         {
-            self.scorings.wait(item.clone(), unscored.made_by, turn.now);
+            self.scorings
+                .enqueue(item.clone(), unscored.made_by, turn.now);
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -72,7 +72,7 @@
             };
             self.open.insert(item.clone(), open_item);
             if !has_text {
-                self.wait(item);
+                self.enqueue(item);
             }
         }
     }
@@ -107,7 +107,7 @@
     }
 
     /// Adds an item to the waiting ones.
-    pub(crate) fn wait(&mut self, item: ItemKey) {
+    pub(crate) fn enqueue(&mut self, item: ItemKey) {
         let Some(number) = self.jobs.get(&item.job) else {
             return;
         };
@@ -301,7 +301,7 @@
         for assignment in lost {
             if let Some(attempt) = self.end(assignment) {
                 engines.push(attempt.instance);
-                self.wait(attempt.item);
+                self.enqueue(attempt.item);
             }
         }
         engines
--- a/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
@@ -43,7 +43,7 @@
                     job: id.clone(),
                     index,
                 };
-                self.wait(item, unscored.made_by, now);
+                self.enqueue(item, unscored.made_by, now);
             }
         }
     }
@@ -64,7 +64,7 @@
         self.waiting.keys().chain(running)
     }
 
-    pub(crate) fn wait(&mut self, item: ItemKey, made_by: AssignmentId, not_before: Instant) {
+    pub(crate) fn enqueue(&mut self, item: ItemKey, made_by: AssignmentId, not_before: Instant) {
         let waiting = WaitingText {
             made_by,
             not_before,
