--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -45,7 +45,7 @@
         if !is_open || !is_free {
             return turn.release_attempt(gateway, assignment);
         }
-        self.items.take(&item);
+        self.items.dequeue(&item);
         let model = job.and_then(|job| job.submission.model.clone());
         let attempt = Attempt::new(turn.now, item, gateway, instance, model);
         self.start(assignment, attempt);
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -149,7 +149,7 @@
         };
         let engine = self.engines.get(&instance);
         let gateway = gateway_for_item(&self.gateways, engine).ok_or(NotPlaced::NotNow)?;
-        self.items.take(&candidate.key);
+        self.items.dequeue(&candidate.key);
         self.assign(gateway, &instance, &candidate, turn);
         Ok(())
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -167,7 +167,7 @@
     }
 
     /// Removes an item from the waiting ones.
-    pub(crate) fn take(&mut self, item: &ItemKey) {
+    pub(crate) fn dequeue(&mut self, item: &ItemKey) {
         let Some(number) = self.jobs.get(&item.job) else {
             return;
         };
@@ -266,7 +266,7 @@
             open_item.has_result = true;
             open_item.partial_text = ItemText::default();
         }
-        self.take(item);
+        self.dequeue(item);
     }
 
     /// Ends all attempts of a lost gateway, so that their items wait again. Returns the engine of
