--- a/crates/gateways/wingshore-coordination/src/leader/scoring.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/scoring.rs
@@ -76,7 +76,7 @@
             None => scoring == made_by && self.items.is_under_way(made_by),
         };
         let is_open = job.is_some_and(|job| !job.is_listed(item.index));
-        if !is_open || !is_own_text || self.scorings.is_in_hand(&item) {
+        if !is_open || !is_own_text || self.scorings.is_assigned(&item) {
             return turn.release_scoring(gateway, scoring);
         }
         let running = OpenScoring {
@@ -290,7 +290,7 @@
             return self.results_listed(&item.job, turn);
         }
         if let Some(unscored) = job.unscored(item.index)
-            && !self.scorings.is_in_hand(item)
+            && !self.scorings.is_assigned(item)
         {
             self.scorings
                 .enqueue(item.clone(), unscored.made_by, turn.now);
--- a/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/scorings.rs
@@ -82,7 +82,7 @@
         self.under_way.contains_key(&scoring)
     }
 
-    pub(crate) fn is_in_hand(&self, item: &ItemKey) -> bool {
+    pub(crate) fn is_assigned(&self, item: &ItemKey) -> bool {
         self.under_way.values().any(|running| running.item == *item)
     }
 
