--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -68,7 +68,7 @@
     /// What a gateway does not speak of in its first report waits again.
     fn gateway_introduced(&mut self, gateway: GatewayId, items: &[RunningItem]) {
         let reported = items.iter().map(|item| item.assignment).collect();
-        let (kept, lost) = self.items.gateway_reports(gateway, &reported);
+        let (kept, lost) = self.items.reconcile_gateway(gateway, &reported);
         for instance in lost {
             self.engines.ended(&instance);
         }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -279,7 +279,7 @@
     /// Processes the report of a gateway that has reconnected: items of attempts that are not in
     /// `reported` wait again. Returns the number of attempts that continue, and the engine of each
     /// ended one.
-    pub(crate) fn gateway_reports(
+    pub(crate) fn reconcile_gateway(
         &mut self,
         gateway: GatewayId,
         reported: &BTreeSet<AssignmentId>,
