--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -36,7 +36,7 @@
     }
 
     fn gateway_items_lost(&mut self, gateway: GatewayId) {
-        for instance in self.items.gateway_lost(gateway) {
+        for instance in self.items.remove_gateway(gateway) {
             self.engines.ended(&instance);
         }
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/items.rs
@@ -271,7 +271,7 @@
 
     /// Ends all attempts of a lost gateway, so that their items wait again. Returns the engine of
     /// each ended attempt.
-    pub(crate) fn gateway_lost(&mut self, gateway: GatewayId) -> Vec<InstanceId> {
+    pub(crate) fn remove_gateway(&mut self, gateway: GatewayId) -> Vec<InstanceId> {
         let lost = self.attempts_of(gateway);
         self.end_and_wait(lost)
     }
