--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -292,7 +292,8 @@
 
     /// An attempt begins, or is known to be under way.
     pub(crate) fn start(&mut self, assignment: AssignmentId, attempt: Attempt) {
-        self.engines.started(&attempt.instance, attempt.gateway);
+        self.engines
+            .item_started(&attempt.instance, attempt.gateway);
         self.gateways.item_started(attempt.gateway);
         self.items.start(assignment, attempt);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -223,7 +223,7 @@
     }
 
     /// Records that an item was assigned to an engine through `gateway`.
-    pub(crate) fn started(&mut self, instance: &InstanceId, gateway: GatewayId) {
+    pub(crate) fn item_started(&mut self, instance: &InstanceId, gateway: GatewayId) {
         self.change(instance, |engine| {
             engine.running += 1;
             engine.gateway = Some(gateway);
