--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -304,7 +304,7 @@
 
     /// Its engine and its gateway have one item less.
     pub(crate) fn note_end(&mut self, attempt: &Attempt) {
-        self.engines.ended(&attempt.instance);
+        self.engines.item_ended(&attempt.instance);
         self.gateways.item_ended(attempt.gateway);
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/gateways.rs
@@ -37,7 +37,7 @@
 
     fn gateway_items_lost(&mut self, gateway: GatewayId) {
         for instance in self.items.remove_gateway(gateway) {
-            self.engines.ended(&instance);
+            self.engines.item_ended(&instance);
         }
     }
 
@@ -70,7 +70,7 @@
         let reported = items.iter().map(|item| item.assignment).collect();
         let (kept, lost) = self.items.reconcile_gateway(gateway, &reported);
         for instance in lost {
-            self.engines.ended(&instance);
+            self.engines.item_ended(&instance);
         }
         if let Some(known) = self.gateways.get_mut(gateway) {
             known.running = kept;
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -231,7 +231,7 @@
     }
 
     /// Records that an item assigned to an engine has ended.
-    pub(crate) fn ended(&mut self, instance: &InstanceId) {
+    pub(crate) fn item_ended(&mut self, instance: &InstanceId) {
         self.change(instance, |engine| {
             engine.running = engine.running.saturating_sub(1);
         });
