--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -198,7 +198,7 @@
         }
         match (next_step, outcome) {
             (NextStep::Take, ItemOutcome::Finished(text)) => {
-                self.engines.succeeded(&attempt.instance);
+                self.engines.item_completed(&attempt.instance);
                 self.take_text(&attempt.item, text, finished, turn);
             }
             (NextStep::Take, _) => {}
--- a/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/engines.rs
@@ -296,7 +296,7 @@
     }
 
     /// Resets the consecutive faults of an engine on which an item completed.
-    pub(crate) fn succeeded(&mut self, instance: &InstanceId) {
+    pub(crate) fn item_completed(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.all.get_mut(instance) {
             engine.faults = 0;
         }
