--- a/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
@@ -18,7 +18,7 @@
 
 /// Time after which a caller may resubmit a job that was refused for lack of memory: jobs end
 /// within seconds.
-pub(crate) const ROOM_RETRY_AFTER: Duration = Duration::from_secs(1);
+pub(crate) const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Returns whether a job of `bytes` fits beside open jobs of `open_bytes` in total.
 pub(crate) fn has_room(bytes: usize, open_bytes: usize, max_open_bytes: usize) -> bool {
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -1,7 +1,7 @@
 //! Submitting, reading and ending batch jobs.
 
 use super::decision_log::Decision;
-use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
+use super::decisions::admission::{MEMORY_RETRY_AFTER, has_room};
 use super::decisions::expiry::{is_job_forgotten, is_past_queue_time};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -60,7 +60,7 @@
             open_bytes,
             most_bytes,
         });
-        turn.reply(tag, Reply::ComeBack(ROOM_RETRY_AFTER));
+        turn.reply(tag, Reply::ComeBack(MEMORY_RETRY_AFTER));
         true
     }
 
