--- a/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/gateways.rs
@@ -20,7 +20,7 @@
 
 /// A gateway that disconnected recently. Its items keep running: if only the connection broke, the
 /// gateway is back before they could be started again elsewhere.
-struct AwayGateway {
+struct DisconnectedGateway {
     gateway: GatewayId,
     node: String,
     lost_at: Instant,
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub(crate) struct Gateways {
     connected: BTreeMap<GatewayId, Gateway>,
-    away: Vec<AwayGateway>,
+    away: Vec<DisconnectedGateway>,
 }
 
 impl Gateways {
@@ -56,7 +56,7 @@
         let Some(known) = self.connected.remove(&gateway) else {
             return false;
         };
-        self.away.push(AwayGateway {
+        self.away.push(DisconnectedGateway {
             gateway,
             node: known.node,
             lost_at,
@@ -80,7 +80,7 @@
         self.take_away(|away| now >= away.lost_at)
     }
 
-    fn take_away(&mut self, is_selected: impl Fn(&AwayGateway) -> bool) -> Vec<GatewayId> {
+    fn take_away(&mut self, is_selected: impl Fn(&DisconnectedGateway) -> bool) -> Vec<GatewayId> {
         let taken = self.away.extract_if(.., |away| is_selected(away));
         taken.map(|away| away.gateway).collect()
     }
