--- a/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/admission.rs
@@ -5,7 +5,7 @@
 //!
 //! Rule: a job is accepted if the sum of its size and that of the open jobs is within the limit. If
 //! no other job is open, it is accepted whatever its size, since the size of the request body is
-//! limited. Any other job is refused and may be submitted again after [`ROOM_RETRY_AFTER`].
+//! limited. Any other job is refused and may be submitted again after [`MEMORY_RETRY_AFTER`].
 //!
 //! Rationale: each member keeps the contents of a job in its state until the caller ends the job.
 //! Without a limit, callers that submit faster than engines work would exhaust the memory of all
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -7,7 +7,7 @@
 //! Rule: from [`MIN_EVENTS`] on, an item moves if its events would come [`MIN_SPEEDUP`] times
 //! faster, from [`LONG_EVENTS`] on if they would come [`MIN_LONG_ITEM_SPEEDUP`] times faster. It
 //! moves [`MAX_MOVES`] times at the most, and only to an engine that keeps a free slot. It does not
-//! return for [`AVOIDED_FOR`].
+//! return for [`AVOIDANCE_TIME`].
 //!
 //! Rationale: a training step waits for its longest texts, and an engine may become slow while they
 //! run. A move takes some milliseconds from the order to the end of the old attempt; the text
@@ -53,8 +53,8 @@
 }
 
 /// Returns the engine that runs the item fastest and fast enough for a move; `None` if the item
-/// stays. `promised` holds the number of items that were moved to each engine and have not started
-/// there yet.
+/// stays. `pending_moves` holds the number of items that were moved to each engine and have not
+/// started there yet.
 pub(crate) fn better_engine(
     now: Instant,
     item: &MovableItem<'_>,
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -7,10 +7,10 @@
 //! Rule: a heartbeat counts if it is the newest one of its incarnation and no later incarnation of
 //! the same server is known. A heartbeat that may have been sent before its server ended does not
 //! count: the first one of an incarnation that was superseded at its address, and any within
-//! [`LATE_CALLS`] of a deregistration of an unknown incarnation. A new incarnation ends the earlier
-//! ones of its name and those at its address. A deregistration within [`LATE_CALLS`] of a restart
-//! is not acknowledged. A server without a heartbeat for `server_expiry`, a setting, leaves the
-//! registry.
+//! [`LATE_CALL_WINDOW`] of a deregistration of an unknown incarnation. A new incarnation ends the
+//! earlier ones of its name and those at its address. A deregistration within [`LATE_CALL_WINDOW`]
+//! of a restart is not acknowledged. A server without a heartbeat for `server_expiry`, a setting,
+//! leaves the registry.
 //!
 //! Rationale: calls may arrive late, by seconds if links are cut. Two incarnations cannot listen at
 //! one address. Without that rule the earlier one would leave the registry only after
