--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -235,13 +235,8 @@
         self.items.enqueue(attempt.item.clone());
     }
 
-    fn judge_engine(
-        &mut self,
-        instance: &InstanceId,
-        next_step: EngineAction,
-        turn: &mut Turn<'_>,
-    ) {
-        match next_step {
+    fn judge_engine(&mut self, instance: &InstanceId, action: EngineAction, turn: &mut Turn<'_>) {
+        match action {
             EngineAction::Keep => {}
             EngineAction::Eject => self.eject(turn.now, instance),
             EngineAction::EjectUntilHeartbeat => {
