--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -79,7 +79,7 @@
         let peaks = &mut self.capacity.open_items;
         let peak = peaks.entry(service.name.clone()).or_default();
         let mut demand = CapacityDemand {
-            open_items: peak.note(now, open_now, DEMAND_MEMORY),
+            open_items: peak.record(now, open_now, DEMAND_MEMORY),
             slots: service.engine.as_ref().map_or(1, |engine| engine.slots),
             non_reclaimable: BTreeMap::new(),
         };
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -62,7 +62,7 @@
 
 impl Peak {
     /// Records a value and returns the maximum of the last one to two spans.
-    pub fn note(&mut self, now: Instant, number: usize, span_length: Duration) -> usize {
+    pub fn record(&mut self, now: Instant, number: usize, span_length: Duration) -> usize {
         if now.since(self.span_started_at) >= span_length {
             self.previous = self.current;
             self.current = 0;
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -273,7 +273,7 @@
     pub(crate) fn apply_peaks(&mut self, now: Instant, peaks: &mut BTreeMap<ModelName, Peak>) {
         for (model, loads) in &mut self.models {
             let peak = peaks.entry(model.clone()).or_default();
-            loads.open = peak.note(now, loads.open, DEMAND_MEMORY);
+            loads.open = peak.record(now, loads.open, DEMAND_MEMORY);
         }
     }
 
--- a/crates/gateways/wingshore-coordination/tests/capacity.rs
+++ b/crates/gateways/wingshore-coordination/tests/capacity.rs
@@ -100,13 +100,13 @@
     const SPAN: Duration = Duration::from_secs(15);
     let at = |seconds: u64| Instant::ZERO + Duration::from_secs(seconds);
     let mut peak = Peak::default();
-    expect_that!(peak.note(at(1), 600, SPAN), eq(600));
+    expect_that!(peak.record(at(1), 600, SPAN), eq(600));
     for seconds in 2..30 {
         let open = if seconds % 4 == 0 { 500 } else { 20 };
-        expect_that!(peak.note(at(seconds), open, SPAN), ge(500));
+        expect_that!(peak.record(at(seconds), open, SPAN), ge(500));
     }
-    expect_that!(peak.note(at(47), 20, SPAN), le(500));
-    expect_that!(peak.note(at(63), 20, SPAN), eq(20));
+    expect_that!(peak.record(at(47), 20, SPAN), le(500));
+    expect_that!(peak.record(at(63), 20, SPAN), eq(20));
 }
 
 /// A group whose service may be scaled, with four non-reclaimable engines.
