--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_orders.rs
@@ -30,7 +30,7 @@
 /// State of the order for one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolOrder {
-    is_under_way: bool,
+    is_in_flight: bool,
     failures: u32,
     not_before: Instant,
     /// The number that the provider acknowledged last, and when.
@@ -43,7 +43,7 @@
     /// Returns whether `count` servers are to be ordered now. `present` is the number of registered
     /// servers, `boot` the time from an order until a new server serves.
     pub(crate) fn is_due(&self, now: Instant, count: u32, present: u32, boot: Duration) -> bool {
-        if self.is_under_way || self.is_fenced || now < self.not_before {
+        if self.is_in_flight || self.is_fenced || now < self.not_before {
             return false;
         }
         let is_fulfilled = self.acknowledged.is_some_and(|(acknowledged, at)| {
@@ -55,7 +55,7 @@
 
     /// Records that an order was sent.
     pub(crate) fn sent(&mut self) {
-        self.is_under_way = true;
+        self.is_in_flight = true;
     }
 
     /// Ends the backoff of the previous number after the wanted number changed.
@@ -73,7 +73,7 @@
         reclaimable: bool,
         answer: ProviderAnswer,
     ) {
-        self.is_under_way = false;
+        self.is_in_flight = false;
         match answer {
             ProviderAnswer::Done => {
                 self.acknowledged = Some((count, now));
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/capacity_plan.rs
@@ -81,8 +81,11 @@
     policy: CapacityPolicy,
 ) -> BTreeMap<CapacityPool, u32> {
     let mut wanted = BTreeMap::new();
-    let has_kind = scaling.reclaimable_price.is_some();
-    if policy == CapacityPolicy::Fixed || demand.non_reclaimable.is_empty() || !has_kind {
+    let has_reclaimable_price = scaling.reclaimable_price.is_some();
+    if policy == CapacityPolicy::Fixed
+        || demand.non_reclaimable.is_empty()
+        || !has_reclaimable_price
+    {
         return wanted;
     }
     let zones = u32::try_from(scaling.zone_prices.len()).unwrap_or(u32::MAX);
@@ -109,6 +112,6 @@
     let non_reclaimable: u32 = demand.non_reclaimable.values().sum();
     let needed = demand.open_items.div_ceil(demand.slots.max(1) as usize);
     let needed = u32::try_from(needed).unwrap_or(u32::MAX);
-    let most = (f64::from(non_reclaimable) * MAX_EXTRA_FRACTION) as u32;
-    needed.saturating_sub(non_reclaimable).min(most)
+    let max_extra = (f64::from(non_reclaimable) * MAX_EXTRA_FRACTION) as u32;
+    needed.saturating_sub(non_reclaimable).min(max_extra)
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -205,9 +205,9 @@
     /// Returns whether a suspect is to be rejected from now on: it has so many crashes that
     /// coincidence is ruled out, or enough of them and they single it out.
     pub(crate) fn should_reject(&self, suspect: &Suspect) -> bool {
-        let ended = suspect.ended.len();
-        let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
-        !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
+        let crash_count = suspect.ended.len();
+        let is_enough = crash_count >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
+        !suspect.rejected && (crash_count >= MAX_ENDINGS || is_enough)
     }
 
     /// Returns the requests whose evidence has not changed for [`EVIDENCE_LIFETIME`], and restarts
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/load_choice.rs
@@ -103,7 +103,7 @@
     /// Number of items of the model that wait for an engine.
     waiting: usize,
     /// Recent peak of open items of the model.
-    open: usize,
+    open_items: usize,
     /// Total number of slots of its engines.
     slots: usize,
     candidates: Vec<LoadCandidate>,
@@ -137,21 +137,21 @@
     /// items: the model's share, or less if its open items need less, with room to spare. Without
     /// recent items the demand is unknown, so the whole share is used.
     fn target_engines(&self) -> usize {
-        if self.open == 0 {
+        if self.open_items == 0 {
             return self.share;
         }
-        let filled = self.open.div_ceil(self.slots_each());
+        let filled = self.open_items.div_ceil(self.slots_per_engine());
         self.share.min((filled * TARGET_ENGINES_FACTOR).max(1))
     }
 
-    fn slots_each(&self) -> usize {
+    fn slots_per_engine(&self) -> usize {
         (self.slots / self.engines.max(1)).max(1)
     }
 
     /// Returns the number of waiting items that do not fit on the engines that are loading now.
     fn waiting_without_slot(&self) -> usize {
         self.waiting
-            .saturating_sub(self.loading * self.slots_each())
+            .saturating_sub(self.loading * self.slots_per_engine())
     }
 
     /// Counts an engine that serves the model. `loading` is the model that the engine is loading.
@@ -257,14 +257,14 @@
     pub(crate) fn count_waiting(&mut self, model: &ModelName, items: usize) {
         if let Some(loads) = self.models.get_mut(model) {
             loads.waiting += items;
-            loads.open += items;
+            loads.open_items += items;
         }
     }
 
     /// Counts a running item of a model.
     pub(crate) fn count_running(&mut self, model: &ModelName) {
         if let Some(loads) = self.models.get_mut(model) {
-            loads.open += 1;
+            loads.open_items += 1;
         }
     }
 
@@ -273,7 +273,7 @@
     pub(crate) fn apply_peaks(&mut self, now: Instant, peaks: &mut BTreeMap<ModelName, Peak>) {
         for (model, loads) in &mut self.models {
             let peak = peaks.entry(model.clone()).or_default();
-            loads.open = peak.record(now, loads.open, DEMAND_MEMORY);
+            loads.open_items = peak.record(now, loads.open_items, DEMAND_MEMORY);
         }
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -41,7 +41,7 @@
 /// Heartbeats, restarts and deregistrations that were received recently.
 #[derive(Default)]
 pub(crate) struct Heartbeats {
-    last: BTreeMap<InstanceId, HeartbeatRecord>,
+    last_heartbeats: BTreeMap<InstanceId, HeartbeatRecord>,
     /// Incarnations whose address was since registered by another one, and their heartbeats since
     /// then. At most one entry per server: an incarnation that sends no more heartbeats is removed
     /// when the next one at its address is superseded.
@@ -87,15 +87,18 @@
             at: now,
             sequence: 0,
         };
-        self.last = known.map(|instance| (instance.clone(), recorded)).collect();
+        self.last_heartbeats = known.map(|instance| (instance.clone(), recorded)).collect();
     }
 
     /// Records a heartbeat; returns whether it is not older than the last one of its incarnation.
     pub(crate) fn note(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
-        let last = self.last.entry(instance).or_insert(HeartbeatRecord {
-            at: now,
-            sequence: 0,
-        });
+        let last = self
+            .last_heartbeats
+            .entry(instance)
+            .or_insert(HeartbeatRecord {
+                at: now,
+                sequence: 0,
+            });
         if sequence < last.sequence {
             return false;
         }
@@ -128,7 +131,10 @@
     /// Returns whether a later incarnation of the same server is registered, or was known and has
     /// expired since.
     fn knows_later_incarnation(&self, instance: &InstanceId, state: &CoordinationState) -> bool {
-        let recorded = self.last.range(instance..).map(|(known, _)| known);
+        let recorded = self
+            .last_heartbeats
+            .range(instance..)
+            .map(|(known, _)| known);
         let mut recorded = recorded.take_while(|known| known.name() == instance.name());
         recorded.any(|known| known > instance)
             || state
@@ -190,19 +196,21 @@
             sequence: 0,
         };
         let anew = silent.iter().map(|instance| (instance.clone(), recorded));
-        self.last.extend(anew);
+        self.last_heartbeats.extend(anew);
         silent
     }
 
     /// Removes unregistered servers that have sent no heartbeat since `limit`.
     fn forget(&mut self, limit: Instant, state: &CoordinationState) {
-        self.last
+        self.last_heartbeats
             .retain(|known, last| last.at >= limit || state.servers().contains_key(known));
     }
 
     /// Returns whether the server has sent no heartbeat since `limit`.
     fn is_silent_since(&self, instance: &InstanceId, limit: Instant) -> bool {
-        self.last.get(instance).is_none_or(|last| last.at < limit)
+        self.last_heartbeats
+            .get(instance)
+            .is_none_or(|last| last.at < limit)
     }
 }
 
