--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -52,7 +52,7 @@
 /// Reported evidence that has not been evaluated yet, and recent crashes.
 #[derive(Default)]
 pub(crate) struct Evidence {
-    pending: Vec<Pending>,
+    pending: Vec<PendingEvidence>,
     /// Recent crashes under requests, by incarnation of the server.
     crashes: BTreeMap<InstanceId, Crash>,
     /// Time of the last change of the evidence against each request. A new leader counts from the
@@ -61,7 +61,7 @@
 }
 
 /// A piece of evidence that has not been evaluated yet.
-pub(crate) struct Pending {
+pub(crate) struct PendingEvidence {
     pub(crate) evidence: CrashEvidence,
     pub(crate) gateway: GatewayId,
     reported_at: Instant,
@@ -115,7 +115,7 @@
         });
         let is_first_report = crash.requests.insert(evidence.fingerprint);
         if is_first_report && self.pending.len() < MAX_PENDING {
-            self.pending.push(Pending {
+            self.pending.push(PendingEvidence {
                 evidence,
                 gateway,
                 reported_at: now,
@@ -170,8 +170,9 @@
     }
 
     /// Removes and returns the evidence that is due for evaluation.
-    pub(crate) fn take_due(&mut self, now: Instant) -> Vec<Pending> {
-        let is_due = |pending: &mut Pending| now.since(pending.reported_at) >= EVALUATION_DELAY;
+    pub(crate) fn take_due(&mut self, now: Instant) -> Vec<PendingEvidence> {
+        let is_due =
+            |pending: &mut PendingEvidence| now.since(pending.reported_at) >= EVALUATION_DELAY;
         self.pending.extract_if(.., is_due).collect()
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -2,7 +2,7 @@
 //! request, rejects it, and clears it. Gateways learn of both by the view.
 
 use super::decision_log::Decision;
-use super::decisions::crash_evidence::Pending;
+use super::decisions::crash_evidence::PendingEvidence;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::turn::Turn;
@@ -30,7 +30,7 @@
     /// Weighs the evidence that is due, and proposes what counts.
     pub(crate) fn weigh_evidence(&mut self, turn: &mut Turn<'_>) {
         let mut counts = Vec::new();
-        for Pending {
+        for PendingEvidence {
             evidence, gateway, ..
         } in self.evidence.take_due(turn.now)
         {
