--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -13,8 +13,8 @@
 //! leaves the registry.
 //!
 //! Rationale: calls may arrive late, by seconds if links are cut. Two incarnations cannot listen at
-//! one address. Without that rule the earlier one would leave the registry only after
-//! `server_expiry`, and until then be sent requests that the new one refuses.
+//! one address. If a new incarnation did not end the earlier one, that would leave the registry
+//! only after `server_expiry`, and until then be sent requests that the new one refuses.
 //!
 //! Stale or missing inputs: a server that does not report its start time has a single incarnation.
 //! A new leader measures silence from the start of its leadership.
@@ -90,7 +90,8 @@
         self.last_heartbeats = known.map(|instance| (instance.clone(), recorded)).collect();
     }
 
-    /// Records a heartbeat; returns whether it is not older than the last one of its incarnation.
+    /// Records a heartbeat unless it is older than the last one of its incarnation; returns whether
+    /// it was recorded.
     pub(crate) fn note(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
         let last = self
             .last_heartbeats
