--- a/crates/gateways/wingshore-coordination/tests/evidence.rs
+++ b/crates/gateways/wingshore-coordination/tests/evidence.rs
@@ -216,7 +216,7 @@
     expect_that!(
         group.assignments(),
         is_empty(),
-        "the last ending is weighed first"
+        "the last crash is evaluated first"
     );
     group.wait(CRASH_INTERVAL);
     let retried = group.assignments();
--- a/crates/gateways/wingshore-coordination/tests/moves.rs
+++ b/crates/gateways/wingshore-coordination/tests/moves.rs
@@ -22,7 +22,7 @@
 }
 
 /// Guards against new engines of unknown pace hiding the faster ones from items on a slow engine.
-/// This was observed as a lower score in paired runs of days on which servers are replaced.
+/// This was observed as a lower value in paired runs of days on which servers are replaced.
 #[gtest]
 fn an_item_moves_to_a_fast_engine_beside_an_engine_of_unknown_pace() {
     let mut group = Group::new();
--- a/crates/gateways/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/placement_properties.rs
@@ -231,7 +231,7 @@
                 };
                 let job = &site.group.state.jobs()[&item.item.job].submission;
                 let version = job.model.as_ref().and_then(|model| server.version_of(model));
-                prop_assert!(!server.draining, "placed on an engine that drains");
+                prop_assert!(!server.draining, "placed on a draining engine");
                 prop_assert!(version >= Some(job.min_version), "placed on older weights");
             }
             for (instance, count) in site.running_on() {
@@ -250,7 +250,7 @@
         let open: Vec<_> = open.filter(|(_, waiting)| *waiting > 0).collect();
         prop_assert_eq!(waiting, open.iter().map(|(_, waiting)| waiting).sum::<usize>());
         for (job, _) in open {
-            prop_assert!(!site.takes(&job.submission), "an item waits though an engine takes it");
+            prop_assert!(!site.takes(&job.submission), "an item waits although an engine takes it");
         }
     }
 }
