--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -36,7 +36,7 @@
             return;
         }
         let id = submission.id.clone();
-        self.job_clock.note(turn.now, &id);
+        self.job_clock.record(turn.now, &id);
         self.propose(Command::AcceptJob(submission), FollowUp::Job(id, tag), turn);
     }
 
--- a/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/tables/jobs.rs
@@ -19,7 +19,7 @@
     }
 
     /// Records a submitted job; a job that is known already keeps its time.
-    pub(crate) fn note(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn record(&mut self, now: Instant, job: &JobId) {
         self.known_since.entry(job.clone()).or_insert(now);
     }
 
