--- a/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/registration.rs
@@ -59,7 +59,7 @@
 }
 
 impl RecentNames {
-    fn note(&mut self, now: Instant, name: &ServerName) {
+    fn record(&mut self, now: Instant, name: &ServerName) {
         self.until.retain(|_, until| now < *until);
         self.until.insert(name.clone(), now + LATE_CALL_WINDOW);
     }
@@ -92,7 +92,7 @@
 
     /// Records a heartbeat unless it is older than the last one of its incarnation; returns whether
     /// it was recorded.
-    pub(crate) fn note(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
+    pub(crate) fn record(&mut self, now: Instant, instance: InstanceId, sequence: u64) -> bool {
         let last = self
             .last_heartbeats
             .entry(instance)
@@ -166,12 +166,12 @@
 
     /// Records that a server has restarted under its name.
     pub(crate) fn note_restart(&mut self, now: Instant, name: &ServerName) {
-        self.restarted.note(now, name);
+        self.restarted.record(now, name);
     }
 
     /// Records the deregistration of a server that is not registered.
     pub(crate) fn note_deregistration(&mut self, now: Instant, name: &ServerName) {
-        self.deregistered.note(now, name);
+        self.deregistered.record(now, name);
     }
 
     /// Returns whether a deregistration may be a late one of the incarnation before `newest`.
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -26,7 +26,7 @@
         let instance = heartbeat.server.instance.clone();
         let is_newest = self
             .heartbeats
-            .note(turn.now, instance.clone(), heartbeat.sequence);
+            .record(turn.now, instance.clone(), heartbeat.sequence);
         let is_known = turn.state.servers().contains_key(&instance);
         if is_newest {
             self.engines.heartbeat_received(&instance);
@@ -111,7 +111,7 @@
         for HeardServer { instance, sequence } in servers {
             if turn.state.servers().contains_key(&instance) {
                 self.engines.heartbeat_received(&instance);
-                self.heartbeats.note(turn.now, instance, sequence);
+                self.heartbeats.record(turn.now, instance, sequence);
             } else if !turn.state.has_departed(&instance) {
                 unknown.push(instance);
             }
