--- a/crates/gateways/wingshore-coordination/src/leader/capacity.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/capacity.rs
@@ -79,14 +79,17 @@
         let peaks = &mut self.capacity.open_items;
         let peak = peaks.entry(service.name.clone()).or_default();
         let mut demand = CapacityDemand {
-            open_items: peak.note(now, open_now, DEMAND_MEMORY),
+            open_items: peak.record(now, open_now, DEMAND_MEMORY),
             slots: service.engine.as_ref().map_or(1, |engine| engine.slots),
-            staying: BTreeMap::new(),
+            non_reclaimable: BTreeMap::new(),
         };
         let servers = state.servers().values();
         for server in servers.filter(|server| server.service == service.name) {
             if !server.draining && !server.reclaimable {
-                *demand.staying.entry(server.zone.clone()).or_default() += 1;
+                *demand
+                    .non_reclaimable
+                    .entry(server.zone.clone())
+                    .or_default() += 1;
             }
         }
         demand
@@ -133,7 +136,7 @@
         self.capacity.proposed.remove(pool);
         self.capacity.scanned_at = None;
         if let Some(order) = self.capacity.orders.get_mut(pool) {
-            order.number_changed(turn.now);
+            order.count_changed(turn.now);
         }
         self.drive_capacity(turn);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -2,7 +2,7 @@
 //! them. Gateways learn of rejected and cleared requests through the view.
 
 use super::decision_log::Decision;
-use super::decisions::crash_evidence::Pending;
+use super::decisions::crash_evidence::PendingEvidence;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
 use super::turn::Turn;
@@ -23,14 +23,14 @@
         state: &CoordinationState,
     ) {
         for seen in seen {
-            self.evidence.take(now, gateway, seen, state);
+            self.evidence.record(now, gateway, seen, state);
         }
     }
 
     /// Evaluates the evidence that is due, and proposes to record the part that counts.
     pub(crate) fn evaluate_evidence(&mut self, turn: &mut Turn<'_>) {
         let mut counts = Vec::new();
-        for Pending {
+        for PendingEvidence {
             evidence, gateway, ..
         } in self.evidence.take_due(turn.now)
         {
@@ -41,7 +41,7 @@
                 request: evidence.fingerprint,
                 instance: evidence.instance.clone(),
                 gateway,
-                ended_together: weight.together,
+                ended_together: weight.simultaneous,
                 under_request: weight.under_request,
                 ended_before: known.crash_count(evidence.fingerprint),
                 counted,
@@ -50,7 +50,7 @@
                 counts.push(evidence);
             }
         }
-        self.evidence.forget_endings(turn.now);
+        self.evidence.forget_crashes(turn.now);
         if counts.is_empty() {
             return;
         }
@@ -102,7 +102,7 @@
         for request in requests {
             let suspect = turn.state.evidence().suspect(request);
             self.evidence
-                .note_news(turn.now, request, suspect.is_some_and(has_crashes));
+                .record_change(turn.now, request, suspect.is_some_and(has_crashes));
             if let Some(suspect) = suspect.filter(|suspect| suspect.rejected) {
                 turn.log(Decision::RequestRejected(suspect.clone()));
             }
@@ -113,7 +113,7 @@
     fn reject_requests(&mut self, requests: &[RequestFingerprint], turn: &mut Turn<'_>) {
         let has_reached_limit = |request: &&RequestFingerprint| {
             let suspect = turn.state.evidence().suspect(**request);
-            suspect.is_some_and(|suspect| self.evidence.is_to_be_rejected(suspect))
+            suspect.is_some_and(|suspect| self.evidence.should_reject(suspect))
         };
         let rejected: Vec<RequestFingerprint> =
             requests.iter().filter(has_reached_limit).copied().collect();
@@ -126,7 +126,7 @@
     /// Drops the oldest evidence against requests whose evidence has not changed for too long;
     /// rejected requests may then run once more.
     pub(crate) fn expire_evidence(&mut self, turn: &mut Turn<'_>) {
-        let expired = self.evidence.take_old(turn.now);
+        let expired = self.evidence.take_expired(turn.now);
         if expired.is_empty() {
             return;
         }
--- a/crates/gateways/wingshore-coordination/src/leader/jobs.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/jobs.rs
@@ -1,7 +1,7 @@
 //! Submits, reads and ends batch jobs.
 
 use super::decision_log::Decision;
-use super::decisions::admission::{ROOM_RETRY_AFTER, has_room};
+use super::decisions::admission::{MEMORY_RETRY_AFTER, has_room};
 use super::decisions::expiry::{is_job_forgotten, is_past_queue_time};
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -36,7 +36,7 @@
             return;
         }
         let id = submission.id.clone();
-        self.job_clock.note(turn.now, &id);
+        self.job_clock.record(turn.now, &id);
         self.propose(
             Command::AcceptJob(submission),
             FollowUp::JobAccepted(id, tag),
@@ -64,7 +64,7 @@
             open_bytes,
             most_bytes,
         });
-        turn.reply(tag, Reply::ComeBack(ROOM_RETRY_AFTER));
+        turn.reply(tag, Reply::ComeBack(MEMORY_RETRY_AFTER));
         true
     }
 
@@ -169,7 +169,7 @@
 
     /// Answers the readers that wait for results of a job.
     pub(crate) fn answer_readers_of(&mut self, job: &JobId, turn: &mut Turn<'_>) {
-        let readers = self.readers.take_of(job);
+        let readers = self.readers.take_job(job);
         answer_readers(readers, turn);
     }
 
