--- a/crates/shared/wingshore-consensus/src/accessors.rs
+++ b/crates/shared/wingshore-consensus/src/accessors.rs
@@ -48,7 +48,7 @@
         match &self.role {
             Role::Leader(leader) => leader
                 .transfer
-                .is_some_and(|transfer| transfer.phase != TransferPhase::AwaitingStates),
+                .is_some_and(|transfer| transfer.phase != TransferPhase::AwaitingSnapshots),
             _ => false,
         }
     }
@@ -127,7 +127,7 @@
     /// case: a voter that does not know itself for a member cannot vote.
     pub(crate) fn caught_up_index(&self, id: ReplicaId) -> LogIndex {
         let settled = match &self.role {
-            Role::Leader(leader) => leader.commits.before(self.answered_round(id)),
+            Role::Leader(leader) => leader.recent_commits.before(self.answered_round(id)),
             _ => None,
         };
         let settled = settled.unwrap_or(self.commit_index);
--- a/crates/shared/wingshore-consensus/src/change.rs
+++ b/crates/shared/wingshore-consensus/src/change.rs
@@ -29,10 +29,10 @@
     },
     /// The leader has not committed an entry of its term yet.
     #[snafu(display("the leader has not committed an entry of its term yet; try again"))]
-    TooEarly,
+    LeaderNotReady,
     /// An earlier change is not committed yet: one of voters, or this very one.
     #[snafu(display("the change at index {index} is not committed yet; one change at a time"))]
-    ChangeUnderway {
+    ChangeInProgress {
         /// Index of the earlier change.
         index: LogIndex,
     },
@@ -42,7 +42,7 @@
         existing.id,
         existing.address
     ))]
-    Taken {
+    MemberConflict {
         /// The member that has it.
         existing: Member,
     },
@@ -113,7 +113,7 @@
             .find(|other| other.id == member.id || other.address == member.address);
         if let Some(existing) = clash {
             let existing = existing.clone();
-            return TakenSnafu { existing }.fail();
+            return MemberConflictSnafu { existing }.fail();
         }
         membership.learners.push(member);
         self.propose_membership(membership, out)
@@ -171,7 +171,7 @@
     /// of its own term.
     fn membership_to_change(&self) -> Result<Membership, ChangeError> {
         self.check_may_propose().context(ProposeSnafu)?;
-        ensure!(self.has_applied_own_term(), TooEarlySnafu);
+        ensure!(self.has_applied_own_term(), LeaderNotReadySnafu);
         Ok(self.members.current().clone())
     }
 
@@ -183,7 +183,7 @@
 
     /// The change at `index` is committed.
     fn check_committed(&self, index: LogIndex) -> Result<(), ChangeError> {
-        ensure!(index <= self.commit_index, ChangeUnderwaySnafu { index });
+        ensure!(index <= self.commit_index, ChangeInProgressSnafu { index });
         Ok(())
     }
 
--- a/crates/shared/wingshore-consensus/src/chunk_answers.rs
+++ b/crates/shared/wingshore-consensus/src/chunk_answers.rs
@@ -18,7 +18,7 @@
     outstanding: usize,
     /// Where the next chunk began at the last disorder: until the follower has more, some of what was sent
     /// may have been dropped for its order.
-    disordered_through: Option<u64>,
+    out_of_order_through: Option<u64>,
     /// Bytes the follower had when a gap was found last.
     gap_found_at: Option<u64>,
 }
@@ -35,15 +35,15 @@
     }
 
     /// An answer brought no news, or the leader goes back; the next chunk began at `next_offset`.
-    pub(crate) fn on_disorder(&mut self, next_offset: u64) {
-        self.disordered_through = Some(next_offset);
+    pub(crate) fn on_out_of_order(&mut self, next_offset: u64) {
+        self.out_of_order_through = Some(next_offset);
     }
 
     /// The follower has `received` bytes, and `unacknowledged` of the chunks that were sent are behind them. Once
     /// it has more than was sent at the last disorder, those are what is not answered.
     pub(crate) fn on_received(&mut self, received: u64, unacknowledged: usize) {
         let settled = self
-            .disordered_through
+            .out_of_order_through
             .take_if(|through| received > *through);
         if settled.is_some() {
             self.outstanding = unacknowledged;
@@ -52,8 +52,8 @@
 
     /// Whether the follower, which has `received` bytes of the first `sent`, lacks some for a gap that was not
     /// found before.
-    pub(crate) fn finds_gap(&mut self, received: u64, sent: u64) -> bool {
-        let is_answered = self.outstanding == 0 && self.disordered_through.is_some();
+    pub(crate) fn detect_gap(&mut self, received: u64, sent: u64) -> bool {
+        let is_answered = self.outstanding == 0 && self.out_of_order_through.is_some();
         let is_new = self.gap_found_at != Some(received);
         let has_gap = sent > received && is_answered && is_new;
         if has_gap {
--- a/crates/shared/wingshore-consensus/src/election.rs
+++ b/crates/shared/wingshore-consensus/src/election.rs
@@ -25,12 +25,12 @@
     /// Whether votes are refused because a leader was heard from too lately. The leader's lease
     /// rests on this, so it also holds for one election timeout after a start.
     fn has_recent_leader(&self, now: Instant) -> bool {
-        let heard_at = match &self.role {
+        let last_contact_at = match &self.role {
             Role::Leader(leader) if leader.rounds.is_released() => return false,
             Role::Leader(leader) => leader.rounds.quorum_sent_at(),
             _ => self.last_contact,
         };
-        now < heard_at + self.timing.election_timeout
+        now < last_contact_at + self.timing.election_timeout
     }
 
     /// Whether the candidate's log is at least as up to date as this one (section 5.4.1).
@@ -44,7 +44,7 @@
         if now >= self.election_deadline {
             self.start_pre_vote(now, out);
         } else {
-            self.ask_again(now, out);
+            self.retry_vote_requests(now, out);
         }
     }
 
@@ -55,8 +55,8 @@
         }
         self.role = Role::PreCandidate(self.new_ballot(now, false));
         self.set_leader(None, out);
-        self.ask_for_votes(out);
-        self.grant(now, self.id, out);
+        self.request_votes(out);
+        self.record_vote(now, self.id, out);
     }
 
     /// Campaigns in the next term. The requests leave once the own vote is durable: a restart
@@ -65,7 +65,7 @@
         self.become_follower(now, self.term + 1, None, out);
         self.vote = Some(self.id);
         self.role = Role::Candidate(self.new_ballot(now, transfer));
-        self.ask_for_votes(out);
+        self.request_votes(out);
     }
 
     fn new_ballot(&self, now: Instant, transfer: bool) -> Ballot {
@@ -77,7 +77,7 @@
     }
 
     /// Asks the voters that have not granted yet.
-    fn ask_for_votes(&mut self, out: &mut Vec<Output>) {
+    fn request_votes(&mut self, out: &mut Vec<Output>) {
         let (ballot, is_vote) = match &self.role {
             Role::PreCandidate(ballot) => (ballot, false),
             Role::Candidate(ballot) => (ballot, true),
@@ -102,7 +102,7 @@
         }
     }
 
-    fn ask_again(&mut self, now: Instant, out: &mut Vec<Output>) {
+    fn retry_vote_requests(&mut self, now: Instant, out: &mut Vec<Output>) {
         let next_retry = now + self.timing.heartbeat_interval;
         match &mut self.role {
             Role::PreCandidate(ballot) | Role::Candidate(ballot) if now >= ballot.next_retry => {
@@ -111,7 +111,7 @@
             _ => return,
         }
         if self.persistence.hard_state_is_durable() {
-            self.ask_for_votes(out);
+            self.request_votes(out);
         }
     }
 
@@ -177,7 +177,7 @@
     ) {
         let is_current = campaign_term == self.term + 1;
         if granted && is_current && matches!(self.role, Role::PreCandidate(_)) {
-            self.grant(now, from, out);
+            self.record_vote(now, from, out);
         }
     }
 
@@ -190,7 +190,7 @@
         out: &mut Vec<Output>,
     ) {
         if granted && matches!(self.role, Role::Candidate(_)) {
-            self.grant(now, from, out);
+            self.record_vote(now, from, out);
         }
     }
 
@@ -198,11 +198,11 @@
     pub(crate) fn count_own_vote(&mut self, now: Instant, out: &mut Vec<Output>) {
         let durable = self.persistence.hard_state_is_durable();
         if durable && matches!(self.role, Role::Candidate(_)) {
-            self.grant(now, self.id, out);
+            self.record_vote(now, self.id, out);
         }
     }
 
-    fn grant(&mut self, now: Instant, from: ReplicaId, out: &mut Vec<Output>) {
+    fn record_vote(&mut self, now: Instant, from: ReplicaId, out: &mut Vec<Output>) {
         let (ballot, is_vote) = match &mut self.role {
             Role::PreCandidate(ballot) => (ballot, false),
             Role::Candidate(ballot) => (ballot, true),
--- a/crates/shared/wingshore-consensus/src/follower.rs
+++ b/crates/shared/wingshore-consensus/src/follower.rs
@@ -31,7 +31,7 @@
             }
         }
         self.verified_index = self.verified_index.max(last_sent);
-        self.owes_acknowledgement = true;
+        self.acknowledgement_pending = true;
         self.advance_commit(request.commit_index.min(self.verified_index), out);
     }
 
@@ -120,8 +120,8 @@
     /// Acknowledges all entries taken since the last acknowledgement, if all are durable.
     pub(crate) fn acknowledge_when_complete(&mut self, out: &mut Vec<Output>) {
         let complete = self.durable_verified_index() == self.verified_index;
-        if self.owes_acknowledgement && complete && self.persistence.hard_state_is_durable() {
-            self.owes_acknowledgement = false;
+        if self.acknowledgement_pending && complete && self.persistence.hard_state_is_durable() {
+            self.acknowledgement_pending = false;
             self.send_acknowledgement(out);
         }
     }
@@ -129,7 +129,7 @@
     /// Acknowledges the entries that are durable by now.
     pub(crate) fn acknowledge_partly(&mut self, out: &mut Vec<Output>) {
         let complete = self.durable_verified_index() == self.verified_index;
-        if self.owes_acknowledgement && !complete && self.persistence.hard_state_is_durable() {
+        if self.acknowledgement_pending && !complete && self.persistence.hard_state_is_durable() {
             self.send_acknowledgement(out);
         }
     }
--- a/crates/shared/wingshore-consensus/src/leader.rs
+++ b/crates/shared/wingshore-consensus/src/leader.rs
@@ -33,7 +33,7 @@
     /// When this member does not lead, or hands leadership over.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(LogIndex, u64), ProposeError> {
         self.check_may_propose()?;
-        let index = self.append_own(EntryKind::Command, command.into());
+        let index = self.append_own_entry(EntryKind::Command, command.into());
         Ok((index, self.term))
     }
 
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    fn append_own(&mut self, kind: EntryKind, data: Arc<[u8]>) -> LogIndex {
+    fn append_own_entry(&mut self, kind: EntryKind, data: Arc<[u8]>) -> LogIndex {
         let index = LogIndex(self.log.last_index().0 + 1);
         self.log.append(Entry {
             index,
@@ -69,12 +69,12 @@
             rounds: HeartbeatRounds::new(now),
             first_index: next_index,
             transfer: None,
-            states_awaited_until: None,
+            snapshot_wait_deadline: None,
             next_heartbeat: now,
-            commits: RecentCommits::default(),
+            recent_commits: RecentCommits::default(),
         }));
         self.awaiting_snapshot.clear();
-        self.append_own(EntryKind::Empty, Arc::from([]));
+        self.append_own_entry(EntryKind::Empty, Arc::from([]));
         self.set_leader(Some(self.id), out);
         self.send_heartbeats(now, out);
     }
@@ -84,8 +84,8 @@
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let silent_at = leader.rounds.quorum_sent_at() + self.timing.election_timeout;
-        if now >= silent_at && self.members.voter_ids().any(|id| id != self.id) {
+        let step_down_at = leader.rounds.quorum_sent_at() + self.timing.election_timeout;
+        if now >= step_down_at && self.members.voter_ids().any(|id| id != self.id) {
             return self.become_follower(now, self.term, None, out);
         }
         if now >= leader.next_heartbeat {
@@ -100,8 +100,11 @@
         };
         leader.next_heartbeat = now + self.timing.heartbeat_interval;
         let round = leader.rounds.begin(now);
-        leader.commits.note(round, self.commit_index);
-        leader.progress.values_mut().for_each(Progress::on_round);
+        leader.recent_commits.record(round, self.commit_index);
+        leader
+            .progress
+            .values_mut()
+            .for_each(Progress::on_heartbeat_round);
         let mut requests = Vec::new();
         for (id, progress) in &leader.progress {
             let commit_index = self.commit_index.min(progress.match_index);
@@ -119,7 +122,7 @@
             };
             self.send(to, Body::Heartbeat(request), out);
         }
-        self.count_rounds();
+        self.update_acknowledged_rounds();
     }
 
     /// A member answered a heartbeat.
@@ -133,7 +136,7 @@
         let interval = self.timing.heartbeat_interval;
         if let Some(progress) = self.progress_mut(from) {
             progress.on_heartbeat_reply(now, interval, round, needs_log);
-            self.count_rounds();
+            self.update_acknowledged_rounds();
         }
     }
 
@@ -146,7 +149,7 @@
     }
 
     /// Extends the lease by the latest round that a quorum has answered.
-    fn count_rounds(&mut self) {
+    fn update_acknowledged_rounds(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
@@ -175,12 +178,12 @@
             return;
         };
         if progress.on_accepted(match_index.min(last_index)) {
-            self.note_caught_up(from);
+            self.record_caught_up(from);
             self.advance_commit_by_quorum(out);
         }
     }
 
-    fn note_caught_up(&mut self, id: ReplicaId) {
+    fn record_caught_up(&mut self, id: ReplicaId) {
         if !self.is_caught_up(id) {
             return;
         }
@@ -250,7 +253,7 @@
         let round = self.current_round();
         if let Some(progress) = self.progress_mut(to) {
             progress.on_sent(sent_through, bytes);
-            progress.on_sent_in(round);
+            progress.on_sent_in_round(round);
         }
         let request = AppendRequest {
             prev_index,
--- a/crates/shared/wingshore-consensus/src/outgoing.rs
+++ b/crates/shared/wingshore-consensus/src/outgoing.rs
@@ -35,20 +35,20 @@
 }
 
 /// The window grows up to this many times the usual one.
-const MAX_GROWTH: u64 = 4;
+const MAX_WINDOW_FACTOR: u64 = 4;
 /// The window does not grow where so many usual ones are acknowledged in a heartbeat round.
-const WINDOWS_IN_ROUND: u64 = 2;
+const FULL_PACE_WINDOWS_PER_ROUND: u64 = 2;
 /// Stalls after which a follower that has all of it is probed again at the latest.
 const MAX_STALLS_BETWEEN_PROBES: u32 = 7;
 
 /// A chunk that was sent and is not acknowledged.
 #[derive(Debug)]
-struct HeldChunk {
+struct UnacknowledgedChunk {
     offset: u64,
     data: Vec<u8>,
 }
 
-impl HeldChunk {
+impl UnacknowledgedChunk {
     fn end(&self) -> u64 {
         self.offset + self.data.len() as u64
     }
@@ -59,15 +59,15 @@
 #[derive(Debug, Default)]
 struct DurabilityProbe {
     stalls: u32,
-    next_at: u32,
+    next_stall: u32,
     is_due: bool,
 }
 
 impl DurabilityProbe {
     fn on_stall(&mut self) {
         self.stalls += 1;
-        if self.stalls > self.next_at {
-            self.next_at = self.stalls + self.stalls.min(MAX_STALLS_BETWEEN_PROBES);
+        if self.stalls > self.next_stall {
+            self.next_stall = self.stalls + self.stalls.min(MAX_STALLS_BETWEEN_PROBES);
             self.is_due = true;
         }
     }
@@ -88,37 +88,37 @@
     received: u64,
     /// Bytes by the follower's last acknowledgement: fewer where a later one overtook it, or where
     /// the follower has restarted.
-    reported: u64,
+    last_acknowledged: u64,
     /// At a stall the last acknowledgement was of fewer bytes than were received; until there are more.
     is_restart_suspected: bool,
     /// Bytes that may be under way where answers come soon.
-    usual_window: u64,
+    base_window: u64,
     /// How many usual windows may be under way.
-    growth: u64,
+    window_factor: u64,
     /// Bytes the follower had when the last heartbeat round began.
     received_before_round: u64,
     /// Heartbeat rounds in turn in which nothing was acknowledged.
-    silent_rounds: u32,
+    rounds_without_progress: u32,
     /// Answers without news that are expected since the leader went back.
-    expected_repeats: usize,
+    expected_duplicates: usize,
     /// Finds gaps once all that was sent is answered.
     answers: ChunkAnswers,
     /// Where the next chunk began when the leader last went back: once the follower has more, no
     /// repeat is expected any more.
-    went_back_from: u64,
+    rewound_from: u64,
     /// Reads the snapshot's bytes.
     parts: PartReader,
     /// The next chunk could not be read.
-    is_unreadable: bool,
+    read_failed: bool,
     /// Asks a follower that has all of it, and does not say that it is durable, whether it still has it.
     probe: DurabilityProbe,
     /// Chunks that the follower has not acknowledged, in order and without gap.
-    held: VecDeque<HeldChunk>,
+    unacknowledged_chunks: VecDeque<UnacknowledgedChunk>,
     /// Bytes that were sent, and those of them that were sent again.
     sent: u64,
     sent_again: u64,
     /// Up to here bytes were sent at least once.
-    furthest: u64,
+    sent_through: u64,
 }
 
 impl OutgoingSnapshot {
@@ -128,35 +128,35 @@
             snapshot,
             next_offset: 0,
             received: 0,
-            reported: 0,
+            last_acknowledged: 0,
             is_restart_suspected: false,
-            usual_window: 0,
-            growth: 1,
+            base_window: 0,
+            window_factor: 1,
             received_before_round: 0,
-            silent_rounds: 0,
-            expected_repeats: 0,
+            rounds_without_progress: 0,
+            expected_duplicates: 0,
             answers: ChunkAnswers::default(),
-            went_back_from: 0,
+            rewound_from: 0,
             parts,
-            is_unreadable: false,
+            read_failed: false,
             probe: DurabilityProbe::default(),
-            held: VecDeque::new(),
+            unacknowledged_chunks: VecDeque::new(),
             sent: 0,
             sent_again: 0,
-            furthest: 0,
+            sent_through: 0,
         }
     }
 
     /// The chunks of at most `length` bytes that go out now, with at most `usual_window` bytes under way
     /// where answers come soon.
-    pub(crate) fn next_chunks(&mut self, length: usize, usual_window: u64) -> Vec<SnapshotChunk> {
-        self.usual_window = usual_window;
+    pub(crate) fn next_chunks(&mut self, length: usize, base_window: u64) -> Vec<SnapshotChunk> {
+        self.base_window = base_window;
         let mut chunks = Vec::new();
         if let Some(first) = self.take_probe(length) {
             chunks.push(self.chunk(0, first));
         }
         let total = self.snapshot.data.length();
-        let window = usual_window.saturating_mul(self.growth);
+        let window = base_window.saturating_mul(self.window_factor);
         let limit = total.min(self.received.saturating_add(window));
         while self.next_offset < limit {
             let offset = self.next_offset;
@@ -184,8 +184,11 @@
     /// state that is sent logs why, and it is sent again once the follower is stalled.
     fn next_part(&mut self, length: usize) -> Vec<u8> {
         let offset = self.next_offset;
-        let held = self.held.iter().find(|chunk| chunk.offset == offset);
-        let part = match held {
+        let unacknowledged_chunks = self
+            .unacknowledged_chunks
+            .iter()
+            .find(|chunk| chunk.offset == offset);
+        let part = match unacknowledged_chunks {
             Some(chunk) => chunk.data.clone(),
             None => self.read_part(offset, length),
         };
@@ -195,18 +198,22 @@
     }
 
     fn read_part(&mut self, offset: u64, length: usize) -> Vec<u8> {
-        if self.is_unreadable {
+        if self.read_failed {
             return Vec::new();
         }
         let data = self.parts.part(offset, length).unwrap_or_default();
-        self.is_unreadable = data.is_empty();
-        let follows = self.held.back().is_none_or(|last| last.end() == offset);
+        self.read_failed = data.is_empty();
+        let follows = self
+            .unacknowledged_chunks
+            .back()
+            .is_none_or(|last| last.end() == offset);
         if !follows {
-            self.held.clear();
+            self.unacknowledged_chunks.clear();
         }
         if !data.is_empty() {
             let data = data.clone();
-            self.held.push_back(HeldChunk { offset, data });
+            self.unacknowledged_chunks
+                .push_back(UnacknowledgedChunk { offset, data });
         }
         data
     }
@@ -214,34 +221,34 @@
     fn count_sent(&mut self, offset: u64, bytes: u64) {
         let end = offset + bytes;
         self.sent += bytes;
-        self.sent_again += end.min(self.furthest).saturating_sub(offset);
-        self.furthest = self.furthest.max(end);
+        self.sent_again += end.min(self.sent_through).saturating_sub(offset);
+        self.sent_through = self.sent_through.max(end);
     }
 
     /// Sends again what is not acknowledged, since the follower is stalled. One that had all of it,
     /// and has not acknowledged its index, is still writing it, or has restarted before it was durable:
     /// it is probed with the first chunk, which only one that restarted answers.
     pub(crate) fn resend(&mut self) {
-        self.is_unreadable = false;
-        if self.has_restarted() {
-            self.received = self.reported;
+        self.read_failed = false;
+        if self.detect_restart() {
+            self.received = self.last_acknowledged;
         }
-        self.reported = self.received;
+        self.last_acknowledged = self.received;
         if self.received >= self.snapshot.data.length() {
             return self.probe.on_stall();
         }
         self.probe = DurabilityProbe::default();
-        self.go_back();
+        self.rewind();
     }
 
     /// Whether the follower has fewer bytes than it acknowledged. An acknowledgement that another one
     /// overtook says so too, but only by what may be under way, and not at two stalls.
-    fn has_restarted(&mut self) -> bool {
-        if self.reported >= self.received {
+    fn detect_restart(&mut self) -> bool {
+        if self.last_acknowledged >= self.received {
             return false;
         }
-        let under_way = self.usual_window.saturating_mul(MAX_GROWTH);
-        let may_be_overtaken = self.reported.saturating_add(under_way) >= self.received;
+        let under_way = self.base_window.saturating_mul(MAX_WINDOW_FACTOR);
+        let may_be_overtaken = self.last_acknowledged.saturating_add(under_way) >= self.received;
         let was_suspected = std::mem::replace(&mut self.is_restart_suspected, true);
         !may_be_overtaken || was_suspected
     }
@@ -258,80 +265,81 @@
 
     /// The next chunk is the first one that the follower lacks. Those under way may still be answered
     /// without news, and so may each of them that is sent again.
-    fn go_back(&mut self) {
-        self.growth = 1;
-        self.expected_repeats = 2 * self.held.len();
-        self.went_back_from = self.next_offset;
-        self.answers.on_disorder(self.next_offset);
+    fn rewind(&mut self) {
+        self.window_factor = 1;
+        self.expected_duplicates = 2 * self.unacknowledged_chunks.len();
+        self.rewound_from = self.next_offset;
+        self.answers.on_out_of_order(self.next_offset);
         self.next_offset = self.received;
     }
 
     /// A heartbeat round begins: the window grows where answers are late. One that gets none may be lost.
-    pub(crate) fn on_round(&mut self) {
+    pub(crate) fn on_heartbeat_round(&mut self) {
         let acknowledged = self.received.saturating_sub(self.received_before_round);
         self.received_before_round = self.received;
-        self.silent_rounds = if acknowledged > 0 {
+        self.rounds_without_progress = if acknowledged > 0 {
             0
         } else {
-            self.silent_rounds.saturating_add(1)
+            self.rounds_without_progress.saturating_add(1)
         };
-        let enough = self.usual_window.saturating_mul(WINDOWS_IN_ROUND);
+        let enough = self.base_window.saturating_mul(FULL_PACE_WINDOWS_PER_ROUND);
         if acknowledged > 0 && acknowledged < enough {
-            self.growth = MAX_GROWTH.min(self.growth * 2);
+            self.window_factor = MAX_WINDOW_FACTOR.min(self.window_factor * 2);
         }
     }
 
     /// Whether the follower lacks some of it, and has acknowledged something in the last `rounds`
     /// heartbeat rounds.
     pub(crate) fn is_progressing(&self, rounds: u32) -> bool {
-        self.received < self.snapshot.data.length() && self.silent_rounds < rounds
+        self.received < self.snapshot.data.length() && self.rounds_without_progress < rounds
     }
 
     /// The follower has `received` bytes; `true` when that is more than before.
-    pub(crate) fn acknowledge(&mut self, received: u64) -> bool {
-        self.reported = received;
+    pub(crate) fn on_acknowledged(&mut self, received: u64) -> bool {
+        self.last_acknowledged = received;
         self.answers.on_answer();
-        let is_news = received > self.received;
-        if is_news {
+        let is_progress = received > self.received;
+        if is_progress {
             self.advance(received);
         } else {
-            self.answer_without_news(received);
+            self.on_answer_without_progress(received);
         }
-        if self.answers.finds_gap(self.received, self.next_offset) {
-            self.go_back();
+        if self.answers.detect_gap(self.received, self.next_offset) {
+            self.rewind();
         }
-        is_news
+        is_progress
     }
 
     fn advance(&mut self, received: u64) {
         self.received = received;
         self.is_restart_suspected = false;
         self.next_offset = self.next_offset.max(received);
-        self.release_acknowledged();
-        if received > self.went_back_from {
-            self.expected_repeats = 0;
+        self.drop_acknowledged_chunks();
+        if received > self.rewound_from {
+            self.expected_duplicates = 0;
         }
-        self.answers.on_received(received, self.held.len());
+        self.answers
+            .on_received(received, self.unacknowledged_chunks.len());
     }
 
     /// An answer that another one overtook says nothing of what was dropped.
-    fn answer_without_news(&mut self, received: u64) {
-        self.answers.on_disorder(self.next_offset);
+    fn on_answer_without_progress(&mut self, received: u64) {
+        self.answers.on_out_of_order(self.next_offset);
         if received < self.received {
             return;
         }
-        if self.expected_repeats > 0 {
-            self.expected_repeats -= 1;
+        if self.expected_duplicates > 0 {
+            self.expected_duplicates -= 1;
         } else {
-            self.go_back();
+            self.rewind();
         }
     }
 
-    fn release_acknowledged(&mut self) {
-        while let Some(first) = self.held.front()
+    fn drop_acknowledged_chunks(&mut self) {
+        while let Some(first) = self.unacknowledged_chunks.front()
             && first.end() <= self.received
         {
-            self.held.pop_front();
+            self.unacknowledged_chunks.pop_front();
         }
     }
 
--- a/crates/shared/wingshore-consensus/src/persistence.rs
+++ b/crates/shared/wingshore-consensus/src/persistence.rs
@@ -11,7 +11,7 @@
 
 /// A write handed out and not yet reported durable.
 #[derive(Clone, Copy, Debug)]
-struct Underway {
+struct PendingWrite {
     token: u64,
     last_index: LogIndex,
 }
@@ -24,7 +24,7 @@
 pub(crate) struct Persistence {
     last_token: u64,
     persisted_token: u64,
-    underway: Option<Underway>,
+    pending_write: Option<PendingWrite>,
     hard_state_token: u64,
     hard_state_dirty: bool,
     snapshot: Option<Arc<StoredSnapshot>>,
@@ -80,20 +80,20 @@
         self.truncate_from = Some(earlier.min(index));
         self.written_index = kept;
         self.persisted_index = self.persisted_index.min(kept);
-        if let Some(underway) = &mut self.underway {
-            underway.last_index = underway.last_index.min(kept);
+        if let Some(pending_write) = &mut self.pending_write {
+            pending_write.last_index = pending_write.last_index.min(kept);
         }
     }
 
     /// A snapshot from the leader took the place of the whole log. A crash may leave the
     /// snapshot beside old records; recovery drops records that do not agree with it.
-    pub(crate) fn replaced_by(&mut self, snapshot: Arc<StoredSnapshot>) {
+    pub(crate) fn replaced_by_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) {
         self.truncate_from = Some(LogIndex(1));
         self.discard_through = Some(snapshot.index);
         self.written_index = snapshot.index;
         self.persisted_index = LogIndex(0);
-        if let Some(underway) = &mut self.underway {
-            underway.last_index = LogIndex(0);
+        if let Some(pending_write) = &mut self.pending_write {
+            pending_write.last_index = LogIndex(0);
         }
         self.snapshot = Some(snapshot);
     }
@@ -120,7 +120,7 @@
         log: &RaftLog,
         hard_state: &HardState,
     ) -> Result<Option<(u64, WriteBatch)>, CodecError> {
-        if self.underway.is_some() || !self.is_dirty(log) {
+        if self.pending_write.is_some() || !self.is_dirty(log) {
             return Ok(None);
         }
         let first = LogIndex(self.written_index.0.max(log.base_index().0) + 1);
@@ -134,7 +134,7 @@
         };
         self.last_token += 1;
         self.written_index = log.last_index();
-        self.underway = Some(Underway {
+        self.pending_write = Some(PendingWrite {
             token: self.last_token,
             last_index: self.written_index,
         });
@@ -143,11 +143,11 @@
 
     /// The write is durable; `false` when it was not the one under way.
     pub(crate) fn on_persisted(&mut self, token: u64) -> bool {
-        match self.underway {
-            Some(underway) if underway.token == token => {
+        match self.pending_write {
+            Some(pending_write) if pending_write.token == token => {
                 self.persisted_token = token;
-                self.persisted_index = underway.last_index;
-                self.underway = None;
+                self.persisted_index = pending_write.last_index;
+                self.pending_write = None;
                 true
             }
             _ => false,
--- a/crates/shared/wingshore-consensus/src/progress.rs
+++ b/crates/shared/wingshore-consensus/src/progress.rs
@@ -86,9 +86,9 @@
     /// The heartbeat round in which something was last sent.
     sent_round: u64,
     /// The first reply without progress to a heartbeat that was sent after that.
-    idle_since: Option<Instant>,
+    no_progress_since: Option<Instant>,
     /// It was sent a state, and has not caught up since.
-    is_behind_state: bool,
+    is_catching_up_from_snapshot: bool,
 }
 
 impl Progress {
@@ -100,8 +100,8 @@
             state: ProgressState::Probe { sent: false },
             acknowledged_round: 0,
             sent_round: 0,
-            idle_since: None,
-            is_behind_state: false,
+            no_progress_since: None,
+            is_catching_up_from_snapshot: false,
         }
     }
 
@@ -117,9 +117,9 @@
     }
 
     /// Something was sent in heartbeat round `round`.
-    pub(crate) fn on_sent_in(&mut self, round: u64) {
+    pub(crate) fn on_sent_in_round(&mut self, round: u64) {
         self.sent_round = round;
-        self.idle_since = None;
+        self.no_progress_since = None;
     }
 
     /// An append that ends at `last_index` was sent.
@@ -139,7 +139,7 @@
         let advanced = match_index > self.match_index;
         if advanced {
             self.match_index = match_index;
-            self.idle_since = None;
+            self.no_progress_since = None;
         }
         let probed = LogIndex(self.next_index.0.saturating_sub(1));
         self.next_index = self.next_index.max(LogIndex(self.match_index.0 + 1));
@@ -165,7 +165,7 @@
         agreed: LogIndex,
         last_index: LogIndex,
     ) {
-        let is_news = match &self.state {
+        let is_current = match &self.state {
             ProgressState::Probe { .. } => rejected.0 + 1 == self.next_index.0,
             ProgressState::Replicate(_) => rejected > self.match_index,
             ProgressState::Snapshot(_) => return,
@@ -177,16 +177,16 @@
             self.probe_from(LogIndex(last_index.0 + 1));
             return;
         }
-        if is_news {
+        if is_current {
             let next = LogIndex(agreed.0.min(rejected.0.saturating_sub(1)) + 1);
             self.probe_from(next.max(LogIndex(self.match_index.0 + 1)));
         }
     }
 
     /// A heartbeat round begins.
-    pub(crate) fn on_round(&mut self) {
+    pub(crate) fn on_heartbeat_round(&mut self) {
         if let ProgressState::Snapshot(outgoing) = &mut self.state {
-            outgoing.on_round();
+            outgoing.on_heartbeat_round();
         }
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Whether something is under way that is not acknowledged.
-    fn has_sent(&self) -> bool {
+    fn has_in_flight(&self) -> bool {
         match &self.state {
             ProgressState::Probe { sent } => *sent,
             ProgressState::Replicate(in_flight) => !in_flight.messages.is_empty(),
@@ -231,13 +231,13 @@
     /// Notes a reply without progress to a heartbeat that was sent after what is under way; `true`
     /// where the ones since the last progress, or since the last stall, tell of a loss.
     fn is_stalled(&mut self, now: Instant, heartbeat_interval: Duration) -> bool {
-        if !self.has_sent() {
+        if !self.has_in_flight() {
             return false;
         }
-        let since = *self.idle_since.get_or_insert(now);
+        let since = *self.no_progress_since.get_or_insert(now);
         let is_stalled = now.since(since) >= heartbeat_interval / STALL_DIVISOR;
         if is_stalled {
-            self.idle_since = None;
+            self.no_progress_since = None;
         }
         is_stalled
     }
@@ -247,13 +247,13 @@
         let ProgressState::Snapshot(outgoing) = &mut self.state else {
             return;
         };
-        if outgoing.snapshot.index == index && outgoing.acknowledge(received) {
-            self.idle_since = None;
+        if outgoing.snapshot.index == index && outgoing.on_acknowledged(received) {
+            self.no_progress_since = None;
         }
     }
 
     /// The last entry that it has, or will have once it has the snapshot that is being sent to it.
-    pub(crate) fn has_through(&self) -> LogIndex {
+    pub(crate) fn match_or_snapshot_index(&self) -> LogIndex {
         match &self.state {
             ProgressState::Snapshot(outgoing) => outgoing.snapshot.index,
             _ => self.match_index,
@@ -261,13 +261,13 @@
     }
 
     /// Whether it is being sent a snapshot, or has not caught up since it was.
-    pub(crate) fn is_behind_state(&self) -> bool {
-        self.is_behind_state
+    pub(crate) fn is_catching_up_from_snapshot(&self) -> bool {
+        self.is_catching_up_from_snapshot
     }
 
     /// It has caught up.
     pub(crate) fn on_caught_up(&mut self) {
-        self.is_behind_state = false;
+        self.is_catching_up_from_snapshot = false;
     }
 
     /// How far the sending of a snapshot to it, which is `id`, is.
@@ -280,7 +280,7 @@
 
     /// Whether a snapshot is on its way to it, of which it has acknowledged something in the last
     /// `rounds` heartbeat rounds.
-    pub(crate) fn is_receiving_state(&self, rounds: u32) -> bool {
+    pub(crate) fn is_receiving_snapshot(&self, rounds: u32) -> bool {
         match &self.state {
             ProgressState::Snapshot(outgoing) => outgoing.is_progressing(rounds),
             _ => false,
@@ -290,7 +290,7 @@
     /// Starts to send a snapshot.
     pub(crate) fn send_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) {
         self.state = ProgressState::Snapshot(Box::new(OutgoingSnapshot::new(snapshot)));
-        self.is_behind_state = true;
+        self.is_catching_up_from_snapshot = true;
     }
 
     /// Searches for the last entry in common from before `next_index`.
--- a/crates/shared/wingshore-consensus/src/raft.rs
+++ b/crates/shared/wingshore-consensus/src/raft.rs
@@ -23,7 +23,7 @@
 
 /// A message that waits for a write.
 #[derive(Debug)]
-pub(crate) struct Deferred {
+pub(crate) struct DeferredMessage {
     /// The write.
     pub(crate) token: u64,
     /// The receiver.
@@ -67,7 +67,7 @@
     /// Bytes of entries given out to be applied since the last flush.
     pub(crate) applied_since_flush: usize,
     pub(crate) verified_index: LogIndex,
-    pub(crate) owes_acknowledgement: bool,
+    pub(crate) acknowledgement_pending: bool,
     /// Where a snapshot is gathered that is being received.
     pub(crate) spool: Arc<dyn SnapshotSpool>,
     pub(crate) incoming: Option<IncomingSnapshot>,
@@ -75,7 +75,7 @@
     pub(crate) election_deadline: Instant,
 
     pub(crate) persistence: Persistence,
-    pub(crate) deferred: Vec<Deferred>,
+    pub(crate) deferred: Vec<DeferredMessage>,
 }
 
 impl Raft {
@@ -113,13 +113,14 @@
     /// nothing must not fill the memory.
     fn trim_log(&mut self) {
         /// Entries after a state that was sent may take this many times the usual space.
-        const HELD_BACK_FACTOR: usize = 4;
+        const SNAPSHOT_RETENTION_FACTOR: usize = 4;
         let kept = self.limits.cached_log_bytes;
         let through = self.last_applied.min(self.persistence.persisted_index());
-        let held = self.held_by_all_behind_state();
-        let forgotten = held.map_or(through, |held| held.min(through));
-        self.log.trim_through(forgotten, kept);
-        self.log.trim_through(through, kept * HELD_BACK_FACTOR);
+        let held = self.min_catching_up_index();
+        let trimmed_through = held.map_or(through, |held| held.min(through));
+        self.log.trim_through(trimmed_through, kept);
+        self.log
+            .trim_through(through, kept * SNAPSHOT_RETENTION_FACTOR);
         self.members.compact_through(self.log.base_index());
     }
 
@@ -169,7 +170,7 @@
         }
         if term < self.term {
             if body.is_from_leader() {
-                self.send_term(from, out);
+                self.send_newer_term(from, out);
             }
             return;
         }
@@ -227,7 +228,7 @@
         }
         self.role = Role::Follower;
         self.verified_index = LogIndex(0);
-        self.owes_acknowledgement = false;
+        self.acknowledgement_pending = false;
         self.reset_election_deadline(now);
         self.set_leader(leader, out);
     }
@@ -282,7 +283,7 @@
             term: self.term,
             body,
         };
-        self.deferred.push(Deferred {
+        self.deferred.push(DeferredMessage {
             token: self.persistence.hard_state_token(),
             to,
             message,
@@ -304,7 +305,7 @@
     }
 
     /// Lets the leader of an older term know that its term is over.
-    fn send_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
+    fn send_newer_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
         let body = Body::HeartbeatReply {
             round: 0,
             needs_log: false,
--- a/crates/shared/wingshore-consensus/src/recovery.rs
+++ b/crates/shared/wingshore-consensus/src/recovery.rs
@@ -100,7 +100,7 @@
             last_applied: base_index,
             applied_since_flush: 0,
             verified_index: LogIndex(0),
-            owes_acknowledgement: false,
+            acknowledgement_pending: false,
             spool: config.spool,
             incoming: None,
             last_contact: now,
--- a/crates/shared/wingshore-consensus/src/role.rs
+++ b/crates/shared/wingshore-consensus/src/role.rs
@@ -41,11 +41,11 @@
     /// The leadership transfer under way.
     pub(crate) transfer: Option<Transfer>,
     /// Until when a hand-over that was asked for waits for states that are being sent.
-    pub(crate) states_awaited_until: Option<Instant>,
+    pub(crate) snapshot_wait_deadline: Option<Instant>,
     /// When the next heartbeat round is due.
     pub(crate) next_heartbeat: Instant,
     /// What was committed at the last heartbeats.
-    pub(crate) commits: RecentCommits,
+    pub(crate) recent_commits: RecentCommits,
 }
 
 /// What was committed when the last heartbeat rounds began.
@@ -57,11 +57,11 @@
 
 impl RecentCommits {
     /// Rounds that are remembered; a member that has answered none of them is compared with the oldest.
-    const KEPT: usize = 16;
+    const MAX_ROUNDS: usize = 16;
 
     /// A heartbeat round begins.
-    pub(crate) fn note(&mut self, round: u64, commit_index: LogIndex) {
-        if self.rounds.len() == Self::KEPT {
+    pub(crate) fn record(&mut self, round: u64, commit_index: LogIndex) {
+        if self.rounds.len() == Self::MAX_ROUNDS {
             self.rounds.pop_front();
         }
         self.rounds.push_back((round, commit_index));
@@ -101,14 +101,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransferPhase {
     /// States are being sent that another leader would send anew. Proposals are taken.
-    AwaitingStates,
+    AwaitingSnapshots,
     /// The receiver lacks some of the log. No proposals are taken.
     CatchingUp {
         /// When the transfer is given up.
         deadline: Instant,
     },
     /// The receiver was asked to campaign. No proposals are taken.
-    Asked {
+    TimeoutNowSent {
         /// When this member steps down without another leader.
         deadline: Instant,
     },
@@ -118,8 +118,8 @@
     /// When the phase ends at the latest; the first one ends with a heartbeat.
     pub(crate) fn deadline(self) -> Option<Instant> {
         match self {
-            Self::AwaitingStates => None,
-            Self::CatchingUp { deadline } | Self::Asked { deadline } => Some(deadline),
+            Self::AwaitingSnapshots => None,
+            Self::CatchingUp { deadline } | Self::TimeoutNowSent { deadline } => Some(deadline),
         }
     }
 }
--- a/crates/shared/wingshore-consensus/src/snapshot.rs
+++ b/crates/shared/wingshore-consensus/src/snapshot.rs
@@ -38,10 +38,10 @@
             .log
             .compaction_point(snapshot.index, self.limits.retained_log_bytes);
         // A member that lacks what is forgotten needs a state; what memory has room for is kept for it.
-        let held = self.held_by_all();
-        let forgotten = held.map_or(through, |held| held.min(through));
-        self.log.compact_through(forgotten);
-        self.members.compact_through(forgotten);
+        let held = self.min_replicated_index();
+        let compacted_through = held.map_or(through, |held| held.min(through));
+        self.log.compact_through(compacted_through);
+        self.members.compact_through(compacted_through);
         self.snapshot_index = snapshot.index;
         self.persistence.compacted(snapshot, through);
         Ok(())
@@ -100,21 +100,25 @@
     }
 
     /// The last entry that all members have, or will have once they have the states that they are sent.
-    fn held_by_all(&self) -> Option<LogIndex> {
+    fn min_replicated_index(&self) -> Option<LogIndex> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
-        leader.progress.values().map(Progress::has_through).min()
+        leader
+            .progress
+            .values()
+            .map(Progress::match_or_snapshot_index)
+            .min()
     }
 
     /// As [`Raft::held_by_all`], of the members that are being sent a state, or have not caught up since.
-    pub(crate) fn held_by_all_behind_state(&self) -> Option<LogIndex> {
+    pub(crate) fn min_catching_up_index(&self) -> Option<LogIndex> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
         let behind = leader.progress.values();
-        let behind = behind.filter(|progress| progress.is_behind_state());
-        behind.map(Progress::has_through).min()
+        let behind = behind.filter(|progress| progress.is_catching_up_from_snapshot());
+        behind.map(Progress::match_or_snapshot_index).min()
     }
 
     /// Sends the next chunks that may be under way.
@@ -130,7 +134,7 @@
         };
         let chunks = outgoing.next_chunks(chunk_bytes, window);
         if !chunks.is_empty() {
-            progress.on_sent_in(round);
+            progress.on_sent_in_round(round);
         }
         for chunk in chunks {
             self.send(to, Body::SnapshotChunk(chunk), out);
@@ -157,23 +161,26 @@
             let is_old = |incoming: &mut IncomingSnapshot| incoming.index <= chunk.index;
             drop(self.incoming.take_if(is_old));
             self.verified_index = self.verified_index.max(chunk.index);
-            self.owes_acknowledgement = true;
+            self.acknowledgement_pending = true;
             return self.advance_commit(chunk.index, out);
         }
         let index = chunk.index;
-        let gathers_newer = |incoming: &IncomingSnapshot| incoming.index > index;
-        if self.incoming.as_ref().is_some_and(gathers_newer) {
+        let is_newer_incoming = |incoming: &IncomingSnapshot| incoming.index > index;
+        if self.incoming.as_ref().is_some_and(is_newer_incoming) {
             return;
         }
-        let received = self.collect(&chunk);
+        let received = self.store_chunk(&chunk);
         self.send(from, Body::SnapshotReceived { index, received }, out);
         self.install_when_complete(out);
     }
 
     /// Adds a chunk if it is the next one; gives how many bytes have come. What cannot be gathered is
     /// dropped, and its sender begins anew.
-    fn collect(&mut self, chunk: &SnapshotChunk) -> u64 {
-        let known = self.incoming.take().filter(|known| known.is_of(chunk));
+    fn store_chunk(&mut self, chunk: &SnapshotChunk) -> u64 {
+        let known = self
+            .incoming
+            .take()
+            .filter(|known| known.matches_chunk(chunk));
         let Some(mut incoming) = known.or_else(|| self.begin_incoming(chunk)) else {
             return 0;
         };
@@ -193,7 +200,7 @@
             term: chunk.term,
             total: chunk.total,
             received: 0,
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             data,
         })
     }
@@ -232,9 +239,9 @@
         self.commit_index = index;
         self.last_applied = index;
         self.verified_index = index;
-        self.owes_acknowledgement = true;
+        self.acknowledgement_pending = true;
         self.snapshot_index = index;
-        self.persistence.replaced_by(snapshot);
+        self.persistence.replaced_by_snapshot(snapshot);
         out.push(Output::Restore {
             index,
             state: contents.state,
--- a/crates/shared/wingshore-consensus/src/transfer.rs
+++ b/crates/shared/wingshore-consensus/src/transfer.rs
@@ -20,14 +20,14 @@
 use wingshore_types::{Instant, ReplicaId};
 
 /// Election timeouts that a hand-over waits at most for states that are being sent.
-const STATE_TIMEOUTS: u32 = 4;
+const SNAPSHOT_WAIT_ELECTION_TIMEOUTS: u32 = 4;
 
 /// Why leadership is not handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum TransferError {
     /// This member does not lead.
     #[snafu(display("this member does not lead"))]
-    NotLeading,
+    NotLeader,
     /// The receiver does not vote.
     #[snafu(display("member {target} is not a voter; leadership can go to voters only"))]
     NotAVoter {
@@ -36,7 +36,7 @@
     },
     /// Another transfer is under way.
     #[snafu(display("leadership is being handed over to member {target} already"))]
-    Underway {
+    TransferInProgress {
         /// Its receiver.
         target: ReplicaId,
     },
@@ -56,15 +56,15 @@
         let is_voter = self.members.is_voter(target);
         let own_id = self.id;
         let Role::Leader(leader) = &mut self.role else {
-            return NotLeadingSnafu.fail();
+            return NotLeaderSnafu.fail();
         };
         if let Some(transfer) = leader.transfer {
             let target = transfer.target;
-            return UnderwaySnafu { target }.fail();
+            return TransferInProgressSnafu { target }.fail();
         }
         ensure!(is_voter, NotAVoterSnafu { target });
         if target != own_id {
-            let phase = TransferPhase::AwaitingStates;
+            let phase = TransferPhase::AwaitingSnapshots;
             leader.transfer = Some(Transfer { target, phase });
             self.await_states(now);
             self.begin_catching_up(now);
@@ -74,9 +74,9 @@
 
     /// Begins the wait for states that are being sent, ahead of a hand-over, unless it has begun.
     pub fn await_states(&mut self, now: Instant) {
-        let until = now + self.timing.election_timeout * STATE_TIMEOUTS;
+        let until = now + self.timing.election_timeout * SNAPSHOT_WAIT_ELECTION_TIMEOUTS;
         if let Role::Leader(leader) = &mut self.role {
-            leader.states_awaited_until.get_or_insert(until);
+            leader.snapshot_wait_deadline.get_or_insert(until);
         }
     }
 
@@ -85,9 +85,11 @@
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let is_in_time = leader.states_awaited_until.is_some_and(|until| now < until);
+        let is_in_time = leader
+            .snapshot_wait_deadline
+            .is_some_and(|until| now < until);
         let rounds = self.timing.rounds_in_election_timeout();
-        let receives = |progress: &Progress| progress.is_receiving_state(rounds);
+        let receives = |progress: &Progress| progress.is_receiving_snapshot(rounds);
         is_in_time && leader.progress.values().any(receives)
     }
 
@@ -101,7 +103,7 @@
             return;
         };
         if let Some(transfer) = &mut leader.transfer
-            && transfer.phase == TransferPhase::AwaitingStates
+            && transfer.phase == TransferPhase::AwaitingSnapshots
         {
             transfer.phase = TransferPhase::CatchingUp { deadline };
         }
@@ -137,7 +139,7 @@
         if !matched {
             return;
         }
-        transfer.phase = TransferPhase::Asked { deadline };
+        transfer.phase = TransferPhase::TimeoutNowSent { deadline };
         let target = transfer.target;
         leader.rounds.release();
         self.send(target, Body::TimeoutNow, out);
@@ -155,10 +157,10 @@
         match transfer.phase {
             TransferPhase::CatchingUp { deadline } if now >= deadline => {
                 leader.transfer = None;
-                leader.states_awaited_until = None;
+                leader.snapshot_wait_deadline = None;
                 out.push(Output::TransferAborted);
             }
-            TransferPhase::Asked { deadline } if now >= deadline => {
+            TransferPhase::TimeoutNowSent { deadline } if now >= deadline => {
                 self.become_follower(now, self.term, None, out);
             }
             _ => {}
--- a/crates/shared/wingshore-consensus/tests/caught_up.rs
+++ b/crates/shared/wingshore-consensus/tests/caught_up.rs
@@ -12,7 +12,7 @@
 /// Cause: the leader, which answers no heartbeat of its own, was held to what is committed at the moment.
 /// Proof: an entry that was committed within a heartbeat interval, and is not on the leader's disk.
 #[gtest]
-fn a_leader_whose_disk_is_a_moment_behind_has_caught_up() -> Result<()> {
+fn leader_with_briefly_slow_disk_is_caught_up() -> Result<()> {
     let mut cluster = Cluster::new(3, 1);
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
     verify_that!(
@@ -21,7 +21,7 @@
     )?;
     let leader = cluster.ready_leader().or_fail()?;
     cluster.run(Duration::from_secs(1));
-    cluster.stuck_disks.insert(ReplicaId(leader));
+    cluster.stalled_disks.insert(ReplicaId(leader));
     let index = cluster.propose(leader, &[1; 16]).or_fail()?;
     let is_committed = |cluster: &Cluster| cluster.raft(leader).commit_index() >= index;
     let interval = support::timing().heartbeat_interval;
--- a/crates/shared/wingshore-consensus/tests/changing_members.rs
+++ b/crates/shared/wingshore-consensus/tests/changing_members.rs
@@ -21,40 +21,40 @@
 /// Founding members.
 const VOTERS: u64 = 5;
 /// All machines; those that are no founders can be taken in.
-const MACHINES: u64 = 9;
+const NODES: u64 = 9;
 /// Rounds of a run.
 const ROUNDS: u32 = 600;
 /// Time of a round.
 const ROUND: Duration = Duration::from_millis(20);
 /// Attempts of a healed group to commit something; a second or two each.
-const HEALED_ROUNDS: u32 = 20;
+const RECOVERY_ATTEMPTS: u32 = 20;
 /// Voters are removed down to so many.
-const FEWEST_VOTERS: usize = 3;
+const MIN_VOTERS: usize = 3;
 
 /// What runs did.
 #[derive(Default)]
 struct Counts {
     changes: u64,
     /// Changes that were appended while the one before was not committed.
-    beside: u64,
+    concurrent: u64,
     commits: usize,
 }
 
-fn draw_network(cluster: &mut Cluster) -> Network {
+fn random_network(cluster: &mut Cluster) -> Network {
     let random = &mut cluster.random;
     Network {
         loss: random.random_range(0.0..0.1),
         duplication: 0.05,
         min_delay: Duration::from_micros(200),
         max_delay: Duration::from_millis(random.random_range(2..60)),
-        stragglers: 0.03,
+        straggler_chance: 0.03,
         straggler_delay: Duration::from_millis(1500),
         sync: Duration::from_millis(random.random_range(1..200)),
     }
 }
 
-fn start_stopped(cluster: &mut Cluster) {
-    for id in 1..=MACHINES {
+fn restart_stopped(cluster: &mut Cluster) {
+    for id in 1..=NODES {
         if cluster.node(id).raft.is_none() {
             cluster.restart(id);
         }
@@ -68,18 +68,18 @@
         return false;
     };
     let asked = raft.add_learner(known, &mut Vec::new());
-    matches!(asked, Err(ChangeError::ChangeUnderway { .. }))
+    matches!(asked, Err(ChangeError::ChangeInProgress { .. }))
 }
 
 fn change_members(cluster: &mut Cluster, counts: &mut Counts) {
     let Some(leader) = cluster.leader() else {
         return;
     };
-    let id = cluster.random.random_range(1..=MACHINES);
+    let id = cluster.random.random_range(1..=NODES);
     let choice = cluster.random.random_range(0..3);
     cluster.act(leader, |raft, _, out| {
-        let is_beside = is_changing(raft);
-        let may_remove = raft.membership().voters.len() > FEWEST_VOTERS;
+        let is_concurrent = is_changing(raft);
+        let may_remove = raft.membership().voters.len() > MIN_VOTERS;
         let asked = match choice {
             0 => raft.add_learner(member(id), out),
             1 => raft.promote(ReplicaId(id), out),
@@ -88,13 +88,13 @@
         };
         if let Ok(ChangeOutcome::Proposed { .. }) = asked {
             counts.changes += 1;
-            counts.beside += u64::from(is_beside);
+            counts.concurrent += u64::from(is_concurrent);
         }
     });
 }
 
 fn act(cluster: &mut Cluster, counts: &mut Counts, round: u32) {
-    let id = cluster.random.random_range(1..=MACHINES);
+    let id = cluster.random.random_range(1..=NODES);
     match cluster.random.random_range(0..24) {
         0..8 => change_members(cluster, counts),
         8..14 => {
@@ -102,21 +102,21 @@
                 let _ = cluster.propose(leader, &round.to_be_bytes());
             }
         }
-        14 => cluster.crash_anywhere(id),
+        14 => cluster.crash_with_random_write(id),
         15 => cluster.isolate(id),
         16 => {
             let until = cluster.now + Duration::from_millis(700);
             cluster.node(id).frozen_until = until;
         }
-        17 | 18 => start_stopped(cluster),
-        19 | 20 => cluster.cut.clear(),
+        17 | 18 => restart_stopped(cluster),
+        19 | 20 => cluster.cut_links.clear(),
         _ => {}
     }
 }
 
 /// Whether a healed group commits something new.
-fn commits_again(cluster: &mut Cluster) -> bool {
-    for _ in 0..HEALED_ROUNDS {
+fn recovers(cluster: &mut Cluster) -> bool {
+    for _ in 0..RECOVERY_ATTEMPTS {
         if let Some(leader) = cluster.ready_leader()
             && let Ok(index) = cluster.propose(leader, b"healed")
         {
@@ -134,27 +134,27 @@
 
 fn run(seed: u64, counts: &mut Counts) -> Result<()> {
     let mut cluster = Cluster::new(VOTERS, seed);
-    for id in VOTERS + 1..=MACHINES {
+    for id in VOTERS + 1..=NODES {
         cluster.add_node(id, false, VOTERS);
     }
-    cluster.network = draw_network(&mut cluster);
+    cluster.network = random_network(&mut cluster);
     for round in 0..ROUNDS {
         act(&mut cluster, counts, round);
         cluster.run(ROUND);
         cluster.check_logs();
         verify_that!(cluster.checker.violation, none())?;
     }
-    start_stopped(&mut cluster);
-    cluster.cut.clear();
+    restart_stopped(&mut cluster);
+    cluster.cut_links.clear();
     cluster.network = Network::default();
-    verify_that!(commits_again(&mut cluster), eq(true))?;
+    verify_that!(recovers(&mut cluster), eq(true))?;
     verify_that!(cluster.checker.violation, none())?;
     counts.commits += cluster.checker.committed_entries();
     Ok(())
 }
 
 #[gtest]
-fn members_that_change_beside_each_other_lose_nothing() -> Result<()> {
+fn concurrent_membership_changes_lose_no_commits() -> Result<()> {
     let seeds = std::env::var(SEEDS_VARIABLE).ok();
     let seeds = seeds.and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
     let mut counts = Counts::default();
@@ -163,9 +163,11 @@
     }
     let Counts {
         changes,
-        beside,
+        concurrent,
         commits,
     } = counts;
-    println!("{seeds} seeds: {changes} changes, {beside} beside another, {commits} commits");
-    verify_that!(beside, gt(0))
+    println!(
+        "{seeds} seeds: {changes} changes, {concurrent} of them concurrent, {commits} commits"
+    );
+    verify_that!(concurrent, gt(0))
 }
--- a/crates/shared/wingshore-consensus/tests/golden/mod.rs
+++ b/crates/shared/wingshore-consensus/tests/golden/mod.rs
@@ -10,11 +10,11 @@
 pub fn check(golden: &str, examples: &[(&str, Vec<u8>)]) {
     let lines = examples
         .iter()
-        .map(|(name, bytes)| format!("{name} {}", hex(bytes)));
+        .map(|(name, bytes)| format!("{name} {}", encode_hex(bytes)));
     let stored: Vec<String> = golden.lines().map(str::to_owned).collect();
     expect_that!(stored, eq(&lines.collect::<Vec<_>>()));
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/shared/wingshore-consensus/tests/golden_members.rs
+++ b/crates/shared/wingshore-consensus/tests/golden_members.rs
@@ -86,7 +86,7 @@
     ]
 }
 
-fn name_of_body(body: &Body) -> &'static str {
+fn body_name(body: &Body) -> &'static str {
     match body {
         Body::PreVote(_) => "pre_vote",
         Body::PreVoteReply { .. } => "pre_vote_reply",
@@ -104,14 +104,14 @@
 }
 
 #[gtest]
-fn messages_between_members_keep_their_bytes() {
+fn message_encoding_is_stable() {
     let message = |body| Message { term: 7, body };
     let messages: Vec<Message> = bodies().into_iter().map(message).collect();
     let encoded = messages.iter().map(|message| {
         let bytes = postcard::to_allocvec(message).unwrap();
         let read: Message = postcard::from_bytes(&bytes).unwrap();
         expect_that!(&read, eq(message));
-        (name_of_body(&message.body), bytes)
+        (body_name(&message.body), bytes)
     });
     let encoded: Vec<_> = encoded.collect();
     golden::check(include_str!("golden/messages.txt"), &encoded);
@@ -144,13 +144,13 @@
 }
 
 /// The only member of a group, which leads it once it has campaigned.
-struct Single {
+struct SingleMember {
     raft: Raft,
     now: Instant,
     writes: Vec<WriteBatch>,
 }
 
-impl Single {
+impl SingleMember {
     fn start(recovered: RecoveredLog) -> Self {
         let raft = Raft::new(
             Instant::ZERO,
@@ -188,8 +188,8 @@
 }
 
 /// A member whose writes hold each form: hard states, an entry of each kind and a snapshot.
-fn member_that_wrote_each_form() -> Single {
-    let mut single = Single::start(RecoveredLog::default());
+fn member_with_all_record_kinds() -> SingleMember {
+    let mut single = SingleMember::start(RecoveredLog::default());
     single.run();
     single.raft.propose(vec![1, 2, 200]).unwrap();
     single.run();
@@ -205,8 +205,8 @@
 }
 
 #[gtest]
-fn what_storage_is_given_keeps_its_bytes() {
-    let single = member_that_wrote_each_form();
+fn stored_encoding_is_stable() {
+    let single = member_with_all_record_kinds();
     let mut examples = Vec::new();
     for batch in &single.writes {
         if let Some(hard_state) = &batch.hard_state {
@@ -223,14 +223,14 @@
 }
 
 #[gtest]
-fn what_storage_was_given_is_read_back() {
-    let written = member_that_wrote_each_form();
+fn stored_records_are_recovered() {
+    let written = member_with_all_record_kinds();
     let mut recovered = RecoveredLog::default();
     for batch in written.writes {
         recovered.hard_state = batch.hard_state.or(recovered.hard_state);
         recovered.records.extend(batch.append);
     }
-    let restarted = Single::start(recovered);
+    let restarted = SingleMember::start(recovered);
     expect_that!(restarted.raft.term(), eq(written.raft.term()));
     expect_that!(restarted.raft.last_index(), eq(written.raft.last_index()));
     expect_that!(restarted.raft.membership(), eq(written.raft.membership()));
@@ -238,17 +238,17 @@
 
 /// The form before this one has the length of the state before the state.
 #[gtest]
-fn both_forms_of_snapshots_are_read() {
+fn both_snapshot_formats_are_decoded() {
     let state = vec![9_u8, 8, 7];
     let with_length = postcard::to_allocvec(&(1_u8, founding(), &state)).unwrap();
-    let mut to_the_end = postcard::to_allocvec(&(2_u8, founding())).unwrap();
-    to_the_end.extend(&state);
+    let mut without_length = postcard::to_allocvec(&(2_u8, founding())).unwrap();
+    without_length.extend(&state);
     let examples = [
         ("with_length", with_length.clone()),
-        ("to_the_end", to_the_end.clone()),
+        ("to_the_end", without_length.clone()),
     ];
     golden::check(include_str!("golden/snapshots.txt"), &examples);
-    for data in [with_length, to_the_end] {
+    for data in [with_length, without_length] {
         let snapshot = StoredSnapshot {
             index: LogIndex(300),
             term: 7,
@@ -272,7 +272,7 @@
 /// A record that names no kind of entry is refused, not skipped.
 #[gtest]
 fn a_record_of_an_unknown_kind_is_refused() {
-    let hard_state = member_that_wrote_each_form().writes.remove(0).hard_state;
+    let hard_state = member_with_all_record_kinds().writes.remove(0).hard_state;
     let recovered = RecoveredLog {
         hard_state,
         snapshot: None,
--- a/crates/shared/wingshore-consensus/tests/hand_over.rs
+++ b/crates/shared/wingshore-consensus/tests/hand_over.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{Faults, Limits};
 use wingshore_types::ReplicaId;
 
@@ -16,10 +16,10 @@
 /// The member that is sent the state.
 const RECEIVER: u64 = 3;
 /// Election timeouts that a hand-over may wait for a state.
-const STATE_TIMEOUTS: u32 = 4;
+const SNAPSHOT_WAIT_ELECTION_TIMEOUTS: u32 = 4;
 
 /// A cluster whose leader is sending a state to its third member, `way` away; and the leader.
-fn sending_cluster(way: Duration) -> Result<(Cluster, u64)> {
+fn sending_cluster(one_way_delay: Duration) -> Result<(Cluster, u64)> {
     let limits = Limits {
         snapshot_chunk_bytes: CHUNK_BYTES,
         snapshot_chunks_in_flight: 1,
@@ -40,10 +40,12 @@
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(10));
     }
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
     cluster.node(leader).provided_state = Some(state.state());
-    cluster.far_members.insert(ReplicaId(RECEIVER), way);
-    cluster.cut.clear();
+    cluster
+        .extra_delays
+        .insert(ReplicaId(RECEIVER), one_way_delay);
+    cluster.cut_links.clear();
     let is_sending = |cluster: &Cluster| cluster.sent_snapshot_chunks > 10;
     verify_that!(
         cluster.run_until(Duration::from_secs(10), is_sending),
@@ -52,7 +54,7 @@
     Ok((cluster, leader))
 }
 
-fn hand_over(cluster: &mut Cluster, leader: u64) -> u64 {
+fn transfer_leadership_to_other(cluster: &mut Cluster, leader: u64) -> u64 {
     let other = 3 - leader;
     cluster.act(leader, |raft, now, _| {
         raft.transfer_leadership(now, ReplicaId(other)).unwrap();
@@ -63,34 +65,37 @@
 /// What it protects: callers are served while a hand-over waits, and it waits no longer than it may for a member that
 /// is far away.
 #[gtest]
-fn a_hand_over_waits_for_a_slow_member_for_a_while_and_takes_proposals() -> Result<()> {
+fn transfer_waits_a_limited_time_for_slow_member_and_accepts_proposals() -> Result<()> {
     let election_timeout = support::timing().election_timeout;
     let (mut cluster, leader) = sending_cluster(election_timeout / 4)?;
     let begin = cluster.now;
-    let other = hand_over(&mut cluster, leader);
+    let other = transfer_leadership_to_other(&mut cluster, leader);
     cluster.run(election_timeout);
     verify_that!(cluster.raft(leader).is_leader(), eq(true))?;
     verify_that!(cluster.propose(leader, &[1; 16]), ok(anything()))?;
-    let has_handed_over = |cluster: &Cluster| cluster.ready_leader() == Some(other);
+    let has_transferred = |cluster: &Cluster| cluster.ready_leader() == Some(other);
     verify_that!(
-        cluster.run_until(Duration::from_secs(30), has_handed_over),
+        cluster.run_until(Duration::from_secs(30), has_transferred),
         eq(true)
     )?;
     let took = cluster.now.since(begin);
     println!("handed over after {took:?}");
-    verify_that!(took, le((STATE_TIMEOUTS + 1) * election_timeout))
+    verify_that!(
+        took,
+        le((SNAPSHOT_WAIT_ELECTION_TIMEOUTS + 1) * election_timeout)
+    )
 }
 
 /// What it protects: a member that is gone is not waited for.
 #[gtest]
-fn a_hand_over_does_not_wait_for_a_member_that_is_gone() -> Result<()> {
+fn transfer_does_not_wait_for_unreachable_member() -> Result<()> {
     let (mut cluster, leader) = sending_cluster(Duration::from_millis(1))?;
     cluster.isolate(RECEIVER);
     let begin = cluster.now;
-    let other = hand_over(&mut cluster, leader);
-    let has_handed_over = |cluster: &Cluster| cluster.ready_leader() == Some(other);
+    let other = transfer_leadership_to_other(&mut cluster, leader);
+    let has_transferred = |cluster: &Cluster| cluster.ready_leader() == Some(other);
     verify_that!(
-        cluster.run_until(Duration::from_secs(30), has_handed_over),
+        cluster.run_until(Duration::from_secs(30), has_transferred),
         eq(true)
     )?;
     let took = cluster.now.since(begin);
--- a/crates/shared/wingshore-consensus/tests/late_answers.rs
+++ b/crates/shared/wingshore-consensus/tests/late_answers.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{AppendRejection, AppendRequest, Body, Faults, Input, Limits, Message};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
@@ -20,9 +20,9 @@
 /// The member that is sent the state.
 const RECEIVER: ReplicaId = ReplicaId(3);
 /// One way between the members.
-const WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 /// Windows that one sending of a state may send again.
-const WINDOWS_AGAIN: u64 = 4;
+const MAX_RESENT_WINDOWS: u64 = 4;
 
 /// What the member has.
 #[derive(Default)]
@@ -54,7 +54,7 @@
         Some(Message { term, body })
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.total > 0 && self.received >= self.total
     }
 }
@@ -81,19 +81,19 @@
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(10));
     }
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
     cluster.node(leader).provided_state = Some(state.state());
     Ok((cluster, leader))
 }
 
 /// The answer of the other voter: to heartbeats.
-fn answer_of_voter(from: ReplicaId, message: &Message) -> Option<Input> {
+fn voter_reply(from: ReplicaId, message: &Message) -> Option<Input> {
     let message = Receiver::default().answer(message)?;
     Some(Input::Message { from, message })
 }
 
 /// The receiver has nothing of the log.
-fn rejection_of(request: &AppendRequest, term: u64) -> Input {
+fn rejection_from_receiver(request: &AppendRequest, term: u64) -> Input {
     let rejection = AppendRejection {
         rejected_index: request.prev_index,
         hint_index: LogIndex(0),
@@ -107,33 +107,33 @@
 }
 
 /// Chunks that a state takes where the answers to what comes in the first `late_for` of the sending wait until that is over.
-fn chunks_sent(late_for: Duration) -> Result<u64> {
+fn count_sent_chunks(initial_answer_delay: Duration) -> Result<u64> {
     let (mut cluster, leader) = sending_cluster()?;
     let mut receiver = Receiver::default();
-    let mut under_way: BTreeMap<(Instant, u64), (bool, Message)> = BTreeMap::new();
+    let mut in_flight: BTreeMap<(Instant, u64), (bool, Message)> = BTreeMap::new();
     let (mut number, mut chunks) = (0, 0);
     let mut now = cluster.now;
-    let mut answers_from = None;
+    let mut first_answer_at = None;
     let mut inputs = Vec::new();
-    while !receiver.is_whole() {
+    while !receiver.is_complete() {
         verify_that!(now.since(cluster.now), lt(Duration::from_secs(60)))?;
         let node = cluster.nodes.get_mut(&ReplicaId(leader)).or_fail()?;
         let sends = node.step(now, std::mem::take(&mut inputs), &mut cluster.checker);
-        if let Some(underway) = node.underway.take() {
-            node.disk.write(&underway.batch);
-            let token = underway.token;
+        if let Some(pending_write) = node.pending_write.take() {
+            node.disk.write(&pending_write.batch);
+            let token = pending_write.token;
             inputs.push(Input::Persisted { token });
         }
         for (to, message) in sends {
             if to != RECEIVER {
-                inputs.extend(answer_of_voter(to, &message));
+                inputs.extend(voter_reply(to, &message));
             } else if let Body::Append(request) = &message.body {
-                inputs.push(rejection_of(request, message.term));
+                inputs.push(rejection_from_receiver(request, message.term));
             } else {
                 let is_chunk = matches!(message.body, Body::SnapshotChunk(_));
                 chunks += u64::from(is_chunk);
                 number += 1;
-                under_way.insert((now + WAY, number), (true, message));
+                in_flight.insert((now + ONE_WAY_DELAY, number), (true, message));
             }
         }
         if !inputs.is_empty() {
@@ -141,13 +141,13 @@
         }
         // The next message, or the next look at the clock.
         let tick_at = now + Duration::from_millis(5);
-        let next = under_way.first_key_value().map(|((at, _), _)| *at);
+        let next = in_flight.first_key_value().map(|((at, _), _)| *at);
         if next.is_none_or(|next| next > tick_at) {
             now = tick_at;
             inputs.push(Input::Tick);
             continue;
         }
-        let ((at, _), (is_to_receiver, message)) = under_way.pop_first().or_fail()?;
+        let ((at, _), (is_to_receiver, message)) = in_flight.pop_first().or_fail()?;
         now = now.max(at);
         if !is_to_receiver {
             let from = RECEIVER;
@@ -160,10 +160,10 @@
         };
         let mut answered_at = now;
         if is_chunk {
-            answered_at = now.max(*answers_from.get_or_insert(now + late_for));
+            answered_at = now.max(*first_answer_at.get_or_insert(now + initial_answer_delay));
         }
         number += 1;
-        under_way.insert((answered_at + WAY, number), (false, answer));
+        in_flight.insert((answered_at + ONE_WAY_DELAY, number), (false, answer));
     }
     Ok(chunks)
 }
@@ -175,13 +175,13 @@
 /// looked like a gap, and the answers to what was sent again kept it so.
 /// Proof: chunks sent again after the member has caught up with its answers.
 #[gtest]
-fn a_member_that_is_late_with_its_first_answers_is_sent_few_windows_again() -> Result<()> {
+fn late_first_answers_cause_few_resends() -> Result<()> {
     for late_ms in [0, 60, 80, 120, 200, 400] {
-        let chunks = chunks_sent(Duration::from_millis(late_ms))?;
+        let chunks = count_sent_chunks(Duration::from_millis(late_ms))?;
         println!("late by {late_ms} ms: {chunks} chunks");
         expect_that!(
             chunks,
-            le(CHUNKS + 1 + WINDOWS_AGAIN * WINDOW),
+            le(CHUNKS + 1 + MAX_RESENT_WINDOWS * WINDOW),
             "late by {late_ms} ms"
         );
     }
--- a/crates/shared/wingshore-consensus/tests/learners_beside_changes.rs
+++ b/crates/shared/wingshore-consensus/tests/learners_beside_changes.rs
@@ -19,19 +19,19 @@
 /// Machines with empty disks.
 const JOINERS: [u64; 2] = [12, 13];
 /// A member holds the state within this time of its start with an empty disk.
-const WHOLE_AGAIN: Duration = Duration::from_secs(6);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Five members, of which two have lost their disks.
-struct Scene {
+struct Fixture {
     cluster: Cluster,
     leader: u64,
-    lost: Vec<u64>,
+    failed_voters: Vec<u64>,
     /// Followers that are left.
-    others: Vec<u64>,
+    remaining_followers: Vec<u64>,
     committed: LogIndex,
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Result<Self> {
         let mut cluster = Cluster::new(VOTERS, 1);
         let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
@@ -44,9 +44,9 @@
             cluster.propose(leader, &number.to_be_bytes())?;
         }
         cluster.run(Duration::from_secs(1));
-        let mut others: Vec<u64> = (1..=VOTERS).filter(|id| *id != leader).collect();
-        let lost = others.split_off(2);
-        for id in &lost {
+        let mut remaining_followers: Vec<u64> = (1..=VOTERS).filter(|id| *id != leader).collect();
+        let failed_voters = remaining_followers.split_off(2);
+        for id in &failed_voters {
             cluster.crash(*id, 0);
         }
         for id in JOINERS {
@@ -56,17 +56,17 @@
         Ok(Self {
             cluster,
             leader,
-            lost,
-            others,
+            failed_voters,
+            remaining_followers,
             committed,
         })
     }
 
     /// From now on nothing is committed.
-    fn stick_disks(&mut self) {
+    fn stall_disks(&mut self) {
         self.cluster
-            .stuck_disks
-            .extend(self.others.iter().copied().map(ReplicaId));
+            .stalled_disks
+            .extend(self.remaining_followers.iter().copied().map(ReplicaId));
     }
 
     fn change(
@@ -88,63 +88,63 @@
         self.change(|raft| raft.add_learner(member(id), &mut Vec::new()))
     }
 
-    fn holds_state(&mut self, id: u64) -> bool {
+    fn receives_state(&mut self, id: u64) -> bool {
         let committed = self.committed;
-        self.cluster.run_until(WHOLE_AGAIN, |cluster| {
+        self.cluster.run_until(CATCH_UP_TIMEOUT, |cluster| {
             cluster.raft(id).last_applied() >= committed
         })
     }
 }
 
 #[gtest]
-fn a_joiner_gets_the_state_while_a_removal_is_not_committed() -> Result<()> {
-    let mut scene = Scene::new()?;
-    scene.stick_disks();
-    let lost = scene.lost.clone();
-    verify_that!(scene.remove(lost[0]), ok(anything()))?;
+fn joiner_receives_snapshot_while_a_removal_is_uncommitted() -> Result<()> {
+    let mut fixture = Fixture::new()?;
+    fixture.stall_disks();
+    let failed_voters = fixture.failed_voters.clone();
+    verify_that!(fixture.remove(failed_voters[0]), ok(anything()))?;
     for joiner in JOINERS {
-        verify_that!(scene.add(joiner), ok(anything()))?;
+        verify_that!(fixture.add(joiner), ok(anything()))?;
     }
     for joiner in JOINERS {
-        verify_that!(scene.holds_state(joiner), eq(true))?;
+        verify_that!(fixture.receives_state(joiner), eq(true))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_voter_is_removed_while_the_addition_of_a_learner_is_not_committed() -> Result<()> {
-    let mut scene = Scene::new()?;
-    let lost = scene.lost.clone();
-    verify_that!(scene.remove(lost[0]), ok(anything()))?;
-    scene.cluster.run(Duration::from_secs(1));
-    scene.stick_disks();
-    verify_that!(scene.add(JOINERS[0]), ok(anything()))?;
-    verify_that!(scene.remove(lost[1]), ok(anything()))
+fn voter_can_be_removed_while_a_learner_addition_is_uncommitted() -> Result<()> {
+    let mut fixture = Fixture::new()?;
+    let failed_voters = fixture.failed_voters.clone();
+    verify_that!(fixture.remove(failed_voters[0]), ok(anything()))?;
+    fixture.cluster.run(Duration::from_secs(1));
+    fixture.stall_disks();
+    verify_that!(fixture.add(JOINERS[0]), ok(anything()))?;
+    verify_that!(fixture.remove(failed_voters[1]), ok(anything()))
 }
 
 #[gtest]
-fn changes_of_voters_wait_for_each_other() -> Result<()> {
-    let mut scene = Scene::new()?;
-    scene.add(JOINERS[0])?;
-    scene.cluster.run(Duration::from_secs(1));
-    scene.stick_disks();
-    let lost = scene.lost.clone();
-    scene.remove(lost[0])?;
-    let underway = matches_pattern!(ChangeError::ChangeUnderway { .. });
-    verify_that!(scene.remove(lost[1]), err(underway))?;
-    let promoted = scene.change(|raft| raft.promote(ReplicaId(JOINERS[0]), &mut Vec::new()));
+fn voter_changes_are_serialized() -> Result<()> {
+    let mut fixture = Fixture::new()?;
+    fixture.add(JOINERS[0])?;
+    fixture.cluster.run(Duration::from_secs(1));
+    fixture.stall_disks();
+    let failed_voters = fixture.failed_voters.clone();
+    fixture.remove(failed_voters[0])?;
+    let underway = matches_pattern!(ChangeError::ChangeInProgress { .. });
+    verify_that!(fixture.remove(failed_voters[1]), err(underway))?;
+    let promoted = fixture.change(|raft| raft.promote(ReplicaId(JOINERS[0]), &mut Vec::new()));
     verify_that!(promoted, err(anything()))?;
     // Asked again it is not done yet, either.
-    let underway = matches_pattern!(ChangeError::ChangeUnderway { .. });
-    verify_that!(scene.remove(lost[0]), err(underway))
+    let underway = matches_pattern!(ChangeError::ChangeInProgress { .. });
+    verify_that!(fixture.remove(failed_voters[0]), err(underway))
 }
 
 #[gtest]
-fn an_addition_that_is_asked_again_is_done_once_it_is_committed() -> Result<()> {
-    let mut scene = Scene::new()?;
-    scene.add(JOINERS[0])?;
-    let underway = matches_pattern!(ChangeError::ChangeUnderway { .. });
-    verify_that!(scene.add(JOINERS[0]), err(underway))?;
-    scene.cluster.run(Duration::from_secs(1));
-    verify_that!(scene.add(JOINERS[0]), ok(eq(&ChangeOutcome::AlreadyDone)))
+fn repeated_addition_is_done_once_committed() -> Result<()> {
+    let mut fixture = Fixture::new()?;
+    fixture.add(JOINERS[0])?;
+    let underway = matches_pattern!(ChangeError::ChangeInProgress { .. });
+    verify_that!(fixture.add(JOINERS[0]), err(underway))?;
+    fixture.cluster.run(Duration::from_secs(1));
+    verify_that!(fixture.add(JOINERS[0]), ok(eq(&ChangeOutcome::AlreadyDone)))
 }
--- a/crates/shared/wingshore-consensus/tests/older_receiver.rs
+++ b/crates/shared/wingshore-consensus/tests/older_receiver.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{AppendRejection, AppendRequest, Body, Faults, Input, Limits, Message};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
@@ -42,12 +42,12 @@
 
 /// What an older receiver answers.
 #[derive(Default)]
-struct OlderReceiver {
+struct InOrderReceiver {
     received: u64,
     total: u64,
 }
 
-impl OlderReceiver {
+impl InOrderReceiver {
     fn answer(&mut self, message: &Message) -> Option<Message> {
         let body = match &message.body {
             Body::SnapshotChunk(chunk) => {
@@ -70,7 +70,7 @@
         Some(Message { term, body })
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.total > 0 && self.received >= self.total
     }
 }
@@ -97,19 +97,19 @@
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(10));
     }
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
     cluster.node(leader).provided_state = Some(state.state());
     Ok((cluster, leader))
 }
 
 /// The answer of the other voter: to heartbeats.
-fn answer_of_voter(from: ReplicaId, message: &Message) -> Option<Input> {
-    let message = OlderReceiver::default().answer(message)?;
+fn voter_reply(from: ReplicaId, message: &Message) -> Option<Input> {
+    let message = InOrderReceiver::default().answer(message)?;
     Some(Input::Message { from, message })
 }
 
 /// The receiver has nothing of the log.
-fn rejection_of(request: &AppendRequest, term: u64) -> Input {
+fn rejection_from_receiver(request: &AppendRequest, term: u64) -> Input {
     let rejection = AppendRejection {
         rejected_index: request.prev_index,
         hint_index: LogIndex(0),
@@ -126,28 +126,28 @@
 fn send(path: &Path, seed: u64) -> Result<Sending> {
     let (mut cluster, leader) = sending_cluster()?;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut receiver = OlderReceiver::default();
-    let mut under_way: BTreeMap<(Instant, u64), (bool, Message)> = BTreeMap::new();
+    let mut receiver = InOrderReceiver::default();
+    let mut in_flight: BTreeMap<(Instant, u64), (bool, Message)> = BTreeMap::new();
     let (mut number, mut chunks) = (0, 0);
     let begin = cluster.now;
     let mut now = begin;
     let mut inputs = Vec::new();
-    while !receiver.is_whole() {
+    while !receiver.is_complete() {
         verify_that!(now.since(begin), lt(Duration::from_secs(60)))?;
         let node = cluster.nodes.get_mut(&ReplicaId(leader)).or_fail()?;
         let sends = node.step(now, std::mem::take(&mut inputs), &mut cluster.checker);
-        if let Some(underway) = node.underway.take() {
-            node.disk.write(&underway.batch);
-            let token = underway.token;
+        if let Some(pending_write) = node.pending_write.take() {
+            node.disk.write(&pending_write.batch);
+            let token = pending_write.token;
             inputs.push(Input::Persisted { token });
         }
         for (to, message) in sends {
             if to != RECEIVER {
-                inputs.extend(answer_of_voter(to, &message));
+                inputs.extend(voter_reply(to, &message));
                 continue;
             }
             if let Body::Append(request) = &message.body {
-                inputs.push(rejection_of(request, message.term));
+                inputs.push(rejection_from_receiver(request, message.term));
                 continue;
             }
             let is_chunk = matches!(message.body, Body::SnapshotChunk(_));
@@ -157,37 +157,37 @@
             }
             let is_late = is_chunk && path.late.contains(&chunks);
             let late_by = Duration::from_micros(if is_late { 500 } else { 0 });
-            let at = now + way(&mut random, path) + late_by;
+            let at = now + random_delay(&mut random, path) + late_by;
             number += 1;
-            under_way.insert((at, number), (true, message));
+            in_flight.insert((at, number), (true, message));
         }
         if !inputs.is_empty() {
             continue;
         }
         // The next message, or the next look at the clock.
         let tick_at = now + Duration::from_millis(5);
-        let next = under_way.first_key_value().map(|((at, _), _)| *at);
+        let next = in_flight.first_key_value().map(|((at, _), _)| *at);
         if next.is_none_or(|next| next > tick_at) {
             now = tick_at;
             inputs.push(Input::Tick);
             continue;
         }
-        let ((at, _), (is_to_receiver, message)) = under_way.pop_first().or_fail()?;
+        let ((at, _), (is_to_receiver, message)) = in_flight.pop_first().or_fail()?;
         now = now.max(at);
         if !is_to_receiver {
             let from = RECEIVER;
             inputs.push(Input::Message { from, message });
         } else if let Some(answer) = receiver.answer(&message) {
             number += 1;
-            let at = now + way(&mut random, path);
-            under_way.insert((at, number), (false, answer));
+            let at = now + random_delay(&mut random, path);
+            in_flight.insert((at, number), (false, answer));
         }
     }
     let took = now.since(begin);
     Ok(Sending { chunks, took })
 }
 
-fn way(random: &mut ChaCha8Rng, path: &Path) -> Duration {
+fn random_delay(random: &mut ChaCha8Rng, path: &Path) -> Duration {
     let shortest = Duration::from_millis(1);
     let longest = path.longest.max(shortest);
     let nanos = random.random_range(shortest.as_nanos()..=longest.as_nanos());
@@ -196,7 +196,7 @@
 
 /// Each late or lost chunk costs a window and a stall at most.
 #[gtest]
-fn late_and_lost_chunks_cost_a_window_each() -> Result<()> {
+fn each_late_or_lost_chunk_costs_at_most_one_window() -> Result<()> {
     let numbers: BTreeSet<u64> = [10, 100, 300].into();
     let undisturbed = send(&Path::default(), 1)?;
     let late = send(
@@ -232,7 +232,7 @@
 /// them, those of the next gap too, for repeats: that gap waits for a stall.
 /// Proof: the mean of ten sendings, where 2 s are allowed to a newer receiver.
 #[gtest]
-fn on_a_path_that_reorders_no_window_waits_for_a_stall() -> Result<()> {
+fn reordering_with_in_order_receiver_needs_no_stalls() -> Result<()> {
     let path = Path {
         longest: Duration::from_millis(3),
         ..Path::default()
--- a/crates/shared/wingshore-consensus/tests/random_runs.rs
+++ b/crates/shared/wingshore-consensus/tests/random_runs.rs
@@ -26,7 +26,7 @@
     0..count.unwrap_or(SEEDS)
 }
 
-fn safe_and_live(profile: Profile, voters: u64) -> Result<()> {
+fn check_safety_and_progress(profile: Profile, voters: u64) -> Result<()> {
     let mut commits = 0;
     let mut reads = 0;
     let mut elections = 0;
@@ -58,26 +58,26 @@
 
 #[gtest]
 fn three_members_stay_safe_under_mixed_failures() -> Result<()> {
-    safe_and_live(Profile::Mixed, 3)
+    check_safety_and_progress(Profile::Mixed, 3)
 }
 
 #[gtest]
 fn five_members_stay_safe_under_mixed_failures() -> Result<()> {
-    safe_and_live(Profile::Mixed, 5)
+    check_safety_and_progress(Profile::Mixed, 5)
 }
 
 #[gtest]
-fn three_members_stay_safe_when_leaders_fall() -> Result<()> {
-    safe_and_live(Profile::Elections, 3)
+fn three_members_stay_safe_under_leader_failures() -> Result<()> {
+    check_safety_and_progress(Profile::Elections, 3)
 }
 
 #[gtest]
-fn five_members_stay_safe_when_leaders_fall() -> Result<()> {
-    safe_and_live(Profile::Elections, 5)
+fn five_members_stay_safe_under_leader_failures() -> Result<()> {
+    check_safety_and_progress(Profile::Elections, 5)
 }
 
 #[gtest]
-fn a_run_repeats_exactly() -> Result<()> {
+fn runs_are_deterministic() -> Result<()> {
     let chaos = Chaos {
         profile: Profile::Mixed,
         voters: 3,
@@ -89,7 +89,7 @@
 }
 
 /// The runs above must see each deliberate fault, else they prove nothing.
-fn is_caught(profile: Profile, voters: u64, faults: Faults) -> Result<()> {
+fn check_fault_is_detected(profile: Profile, voters: u64, faults: Faults) -> Result<()> {
     let first = FAULT_SEEDS.into_iter().find_map(|seed| {
         let chaos = Chaos {
             profile,
@@ -105,55 +105,55 @@
 }
 
 #[gtest]
-fn a_vote_that_is_not_durable_is_caught() -> Result<()> {
+fn non_durable_vote_is_detected() -> Result<()> {
     let faults = Faults {
         vote_without_persist: true,
         ..Faults::default()
     };
-    is_caught(Profile::Elections, 5, faults)
+    check_fault_is_detected(Profile::Elections, 5, faults)
 }
 
 #[gtest]
-fn an_acknowledgement_before_the_write_is_caught() -> Result<()> {
+fn acknowledgement_before_persistence_is_detected() -> Result<()> {
     let faults = Faults {
         acknowledge_without_persist: true,
         ..Faults::default()
     };
-    is_caught(Profile::Elections, 3, faults)
+    check_fault_is_detected(Profile::Elections, 3, faults)
 }
 
 #[gtest]
-fn a_leader_that_ignores_its_lease_is_caught() -> Result<()> {
+fn ignored_lease_is_detected() -> Result<()> {
     let faults = Faults {
         skip_lease_check: true,
         ..Faults::default()
     };
-    is_caught(Profile::Mixed, 5, faults)
+    check_fault_is_detected(Profile::Mixed, 5, faults)
 }
 
 #[gtest]
-fn a_vote_with_an_empty_disk_is_caught() -> Result<()> {
+fn vote_with_empty_disk_is_detected() -> Result<()> {
     let faults = Faults {
         empty_disk_votes: true,
         ..Faults::default()
     };
-    is_caught(Profile::Elections, 3, faults)
+    check_fault_is_detected(Profile::Elections, 3, faults)
 }
 
 #[gtest]
-fn a_commit_without_quorum_is_caught() -> Result<()> {
+fn commit_without_quorum_is_detected() -> Result<()> {
     let faults = Faults {
         commit_without_quorum: true,
         ..Faults::default()
     };
-    is_caught(Profile::Mixed, 3, faults)
+    check_fault_is_detected(Profile::Mixed, 3, faults)
 }
 
 #[gtest]
-fn a_commit_by_counting_earlier_terms_is_caught() -> Result<()> {
+fn commit_of_earlier_term_is_detected() -> Result<()> {
     let faults = Faults {
         commit_previous_term: true,
         ..Faults::default()
     };
-    is_caught(Profile::Elections, 5, faults)
+    check_fault_is_detected(Profile::Elections, 5, faults)
 }
--- a/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{Body, Faults, Input, Limits, Message, SnapshotChunk};
 use wingshore_types::ReplicaId;
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
@@ -38,7 +38,7 @@
 
 /// A cluster on a network that keeps the order, whose third member was away for long and is about to be
 /// sent `state`; and its leader.
-fn about_to_send(state: SnapshotState) -> Result<(Cluster, u64)> {
+fn cluster_before_snapshot(state: SnapshotState) -> Result<(Cluster, u64)> {
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits());
     cluster.network = Network {
         min_delay: Duration::from_millis(1),
@@ -57,12 +57,12 @@
         cluster.run(Duration::from_millis(10));
     }
     cluster.node(leader).provided_state = Some(state);
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     Ok((cluster, leader))
 }
 
 /// Runs until the receiver has the state; gives the milliseconds that took.
-fn finish(cluster: &mut Cluster, leader: u64) -> Result<u64> {
+fn run_until_caught_up(cluster: &mut Cluster, leader: u64) -> Result<u64> {
     let applied = cluster.raft(leader).last_applied();
     let begin = cluster.now;
     let has_caught_up = |cluster: &Cluster| {
@@ -82,9 +82,9 @@
 
 /// The time that a sending takes on which the receiver restarts after 380 chunks, where after that these
 /// chunks, counted from the restart, are lost.
-fn time_after_restart(restarts: bool, lost: &[u64]) -> Result<u64> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn transfer_time_with_restart(restarts: bool, lost: &[u64]) -> Result<u64> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     if restarts {
         cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(380));
         cluster.crash(RECEIVER, 0);
@@ -92,24 +92,24 @@
     }
     let sent = cluster.sent_snapshot_chunks;
     cluster.lost_chunks = lost.iter().map(|number| sent + number).collect();
-    finish(&mut cluster, leader)
+    run_until_caught_up(&mut cluster, leader)
 }
 
 /// outgoing.rs `go_back`: the mark up to which news are needed is the furthest byte ever sent, not what is
 /// under way. After a receiver has restarted, that is nearly the whole state, and each later gap waits for a stall.
 #[gtest]
-fn after_a_restart_of_the_receiver_gaps_are_found_by_acknowledgements() -> Result<()> {
+fn gaps_after_receiver_restart_are_found_by_acknowledgements() -> Result<()> {
     let lost = [40, 80, 120, 160, 200, 240, 280, 320];
     let control = (
-        time_after_restart(false, &[])?,
-        time_after_restart(false, &lost)?,
+        transfer_time_with_restart(false, &[])?,
+        transfer_time_with_restart(false, &lost)?,
     );
     println!(
         "no restart: without loss {} ms, with 8 lost chunks {} ms",
         control.0, control.1
     );
-    let undisturbed = time_after_restart(true, &[])?;
-    let disturbed = time_after_restart(true, &lost)?;
+    let undisturbed = transfer_time_with_restart(true, &[])?;
+    let disturbed = transfer_time_with_restart(true, &lost)?;
     println!("restart: without loss {undisturbed} ms, with 8 lost chunks {disturbed} ms");
     // Sent again, a window takes two ways and those before it: 5 ms are enough, and one stall is borne.
     verify_that!(disturbed, le(undisturbed + 8 * 5 + STALL_MS))
@@ -118,18 +118,18 @@
 /// outgoing.rs `resend`: an acknowledgement that was overtaken by a later one is taken for a receiver that has
 /// lost bytes; what it goes back to is not held any more, and is read again from the first byte on.
 #[gtest]
-fn overtaken_acknowledgements_do_not_let_all_be_read_again() -> Result<()> {
+fn reordered_acknowledgements_cause_no_second_read() -> Result<()> {
     let mut reads = Vec::new();
     for seed in 0..10 {
-        let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-        let (mut cluster, leader) = about_to_send(state.state())?;
+        let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+        let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
         cluster.random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         cluster.network = Network {
             loss: 0.03,
             max_delay: Duration::from_millis(4),
             ..Network::default()
         };
-        finish(&mut cluster, leader)?;
+        run_until_caught_up(&mut cluster, leader)?;
         let sent = cluster.sent_snapshot_chunks * CHUNK_BYTES as u64;
         reads.push((seed, state.bytes_read(), sent));
     }
@@ -142,18 +142,18 @@
 }
 
 /// Milliseconds that sendings take on a path that reorders and loses this part of messages; their mean.
-fn mean_time_where_reordered(loss: f64) -> Result<u64> {
+fn mean_transfer_time_with_reordering(loss: f64) -> Result<u64> {
     let mut times = Vec::new();
     for seed in 0..10 {
-        let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-        let (mut cluster, leader) = about_to_send(state.state())?;
+        let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+        let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
         cluster.random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         cluster.network = Network {
             loss,
             max_delay: Duration::from_millis(3),
             ..Network::default()
         };
-        times.push(finish(&mut cluster, leader)?);
+        times.push(run_until_caught_up(&mut cluster, leader)?);
     }
     let mean = times.iter().sum::<u64>() / times.len() as u64;
     println!("loss {loss}, ms: {times:?}, mean {mean}");
@@ -163,16 +163,16 @@
 /// outgoing.rs `acknowledge`: after each going back a window is without the quick way to find a gap, and
 /// the receiver drops what comes out of order: on a path that reorders, each window waits for a stall.
 #[gtest]
-fn on_a_path_that_only_reorders_no_window_waits_for_a_stall() -> Result<()> {
-    let mean = mean_time_where_reordered(0.0)?;
+fn reordering_without_loss_needs_no_stalls() -> Result<()> {
+    let mean = mean_transfer_time_with_reordering(0.0)?;
     verify_that!(mean, le(2_000))
 }
 
 /// The same where a fiftieth of the messages is lost too.
 #[gtest]
-fn on_a_path_that_reorders_a_loss_waits_for_a_stall_at_most() -> Result<()> {
+fn reordering_with_loss_needs_at_most_one_stall_per_loss() -> Result<()> {
     // Some 8 chunks and as many acknowledgements are lost.
-    let mean = mean_time_where_reordered(0.02)?;
+    let mean = mean_transfer_time_with_reordering(0.02)?;
     verify_that!(mean, le(2_000 + 16 * STALL_MS))
 }
 
@@ -225,7 +225,7 @@
 /// snapshot.rs `send_snapshot_chunks`: a part that cannot be read is asked for at each flush, not once the
 /// receiver is stalled, and each time all that is before it is read again.
 #[gtest]
-fn a_state_that_cannot_be_read_for_a_while_is_not_read_again_at_each_flush() -> Result<()> {
+fn unreadable_state_is_not_reread_at_each_flush() -> Result<()> {
     let length = CHUNKS * CHUNK_BYTES as u64;
     let state = UnreadableState {
         length,
@@ -234,7 +234,7 @@
         read: Arc::default(),
     };
     let frozen = SnapshotState::Frozen(Arc::new(state.clone()));
-    let (mut cluster, leader) = about_to_send(frozen)?;
+    let (mut cluster, leader) = cluster_before_snapshot(frozen)?;
     cluster.run_until(
         Duration::from_secs(5),
         chunks_sent_at_least(CHUNKS * 9 / 10),
@@ -258,12 +258,12 @@
 /// outgoing.rs `resend`: a receiver that has all of it and is still writing it is sent the beginning again at
 /// each stall, to no end but that.
 #[gtest]
-fn a_member_that_writes_what_it_has_is_sent_nothing_again() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn complete_snapshot_being_written_is_not_resent() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(100));
-    cluster.stuck_disks.insert(ReplicaId(RECEIVER));
-    finish(&mut cluster, leader)?;
+    cluster.stalled_disks.insert(ReplicaId(RECEIVER));
+    run_until_caught_up(&mut cluster, leader)?;
     let sent = cluster.sent_snapshot_chunks;
     cluster.run_until(Duration::from_secs(2), |_| false);
     let again = cluster.sent_snapshot_chunks - sent;
@@ -274,17 +274,17 @@
 /// snapshot.rs `on_snapshot_chunk`: a chunk of a state that the receiver has long had, come late, makes it
 /// drop what it has gathered of a newer one.
 #[gtest]
-fn a_late_chunk_of_an_older_state_does_not_undo_a_newer_one() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
-    finish(&mut cluster, leader)?;
+fn late_chunk_of_older_snapshot_keeps_newer_one() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
+    run_until_caught_up(&mut cluster, leader)?;
     let older = cluster.raft(RECEIVER).last_applied();
     cluster.isolate(RECEIVER);
     for _ in 0..60 {
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run_until(Duration::from_millis(10), |_| false);
     }
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     let before = cluster.sent_snapshot_chunks;
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(before + 300));
     let chunk = SnapshotChunk {
@@ -300,7 +300,7 @@
     };
     let from = ReplicaId(leader);
     cluster.feed(ReplicaId(RECEIVER), Input::Message { from, message });
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     let sent = cluster.sent_snapshot_chunks - before;
     println!("chunks sent of the newer state of {CHUNKS}: {sent}");
     verify_that!(sent, le(CHUNKS + 1 + WINDOW))
@@ -310,7 +310,7 @@
 /// under way (`trim_log` keeps it). Where one is taken more often than a sending takes, no sending leads
 /// to a member that has caught up.
 #[gtest]
-fn a_snapshot_of_the_leader_keeps_the_log_behind_a_state_under_way() -> Result<()> {
+fn leader_snapshot_keeps_log_after_snapshot_in_flight() -> Result<()> {
     let limits = Limits {
         snapshot_chunk_bytes: 1,
         snapshot_chunks_in_flight: 1,
@@ -345,7 +345,7 @@
         Ok(())
     };
     write(&mut cluster, 300)?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     // Ten seconds of writes; a state takes about a third of a second.
     write(&mut cluster, 1_000)?;
     verify_that!(cluster.checker.violation.is_none(), eq(true))?;
@@ -358,7 +358,7 @@
 /// A learner was measured by the commit index of the moment: one a little further away than a majority of the
 /// voters was never found caught up under usual writes. It is measured by the heartbeats that it answered.
 #[gtest]
-fn a_learner_that_follows_closely_can_be_promoted_under_writes() -> Result<()> {
+fn close_learner_can_be_promoted_under_writes() -> Result<()> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         in_flight_bytes: 1 << 20,
@@ -377,7 +377,7 @@
     let leader = cluster.ready_leader().or_fail()?;
     cluster.add_node(4, false, 3);
     cluster
-        .far_members
+        .extra_delays
         .insert(ReplicaId(4), Duration::from_millis(10));
     cluster.act(leader, |raft, _, out| {
         raft.add_learner(support::member(4), out).unwrap();
@@ -401,7 +401,7 @@
 /// A learner that lacks what was committed some heartbeats ago does not count as caught up, and is not
 /// promoted.
 #[gtest]
-fn a_learner_that_lags_by_some_heartbeats_is_not_promoted() -> Result<()> {
+fn learner_behind_by_some_heartbeats_is_not_promoted() -> Result<()> {
     let mut cluster = Cluster::new(3, 1);
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
     cluster.run_until(Duration::from_secs(5), has_leader);
@@ -412,7 +412,7 @@
     });
     cluster.run(Duration::from_secs(1));
     verify_that!(cluster.raft(leader).is_caught_up(ReplicaId(4)), eq(true))?;
-    cluster.stuck_disks.insert(ReplicaId(4));
+    cluster.stalled_disks.insert(ReplicaId(4));
     cluster.propose(leader, &[1; 16]).or_fail()?;
     cluster.run(4 * support::timing().heartbeat_interval);
     verify_that!(cluster.raft(leader).is_caught_up(ReplicaId(4)), eq(false))?;
--- a/crates/shared/wingshore-consensus/tests/snapshot_review.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_review.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{AppendRejection, Body, Faults, Input, Limits, Message};
 use wingshore_types::snapshot_data::SnapshotState;
 use wingshore_types::{LogIndex, ReplicaId};
@@ -22,7 +22,7 @@
 const RECEIVER: u64 = 3;
 
 /// Chunks of the whole with its head.
-fn chunks_of_all() -> u64 {
+fn total_chunks() -> u64 {
     CHUNKS + 1
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-fn ordered() -> Network {
+fn ordered_network() -> Network {
     Network {
         min_delay: Duration::from_millis(1),
         max_delay: Duration::from_millis(1),
@@ -46,7 +46,7 @@
 /// Three members on a network that keeps the order, and their leader.
 fn cluster_with(limits: Limits) -> Result<(Cluster, u64)> {
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits);
-    cluster.network = ordered();
+    cluster.network = ordered_network();
     // The receiver votes, but never leads: it is cut off until another does.
     cluster.isolate(RECEIVER);
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
@@ -68,16 +68,16 @@
 }
 
 /// A cluster whose third member was away for long and is about to be sent `state`; and its leader.
-fn about_to_send(state: SnapshotState) -> Result<(Cluster, u64)> {
+fn cluster_before_snapshot(state: SnapshotState) -> Result<(Cluster, u64)> {
     let (mut cluster, leader) = cluster_with(limits())?;
     write(&mut cluster, leader, 60)?;
     cluster.node(leader).provided_state = Some(state);
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     Ok((cluster, leader))
 }
 
 /// Runs until the receiver has applied what the leader has now.
-fn finish(cluster: &mut Cluster, leader: u64) -> Result<()> {
+fn run_until_caught_up(cluster: &mut Cluster, leader: u64) -> Result<()> {
     let applied = cluster.raft(leader).last_applied();
     let has_caught_up = |cluster: &Cluster| {
         let receiver = cluster.nodes[&ReplicaId(RECEIVER)].raft.as_ref();
@@ -102,7 +102,7 @@
 }
 
 /// Notes the indexes of the states that are being sent.
-fn note_sendings(cluster: &Cluster, leader: u64, sendings: &mut BTreeSet<LogIndex>) {
+fn record_sendings(cluster: &Cluster, leader: u64, sendings: &mut BTreeSet<LogIndex>) {
     let under_way = cluster.raft(leader).snapshots_under_way();
     sendings.extend(under_way.into_iter().map(|sending| sending.index));
 }
@@ -115,15 +115,15 @@
 /// same.
 /// Proof: what is lost is a window; nearly all is sent twice.
 #[gtest]
-fn a_receiver_that_was_cut_off_for_a_while_goes_on_where_it_was() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn snapshot_resumes_after_receiver_was_cut_off() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(360));
     let term = cluster.raft(leader).term();
     cluster.isolate(RECEIVER);
     cluster.run(2 * support::timing().election_timeout + Duration::from_millis(100));
-    cluster.cut.clear();
-    finish(&mut cluster, leader)?;
+    cluster.cut_links.clear();
+    run_until_caught_up(&mut cluster, leader)?;
     verify_that!(cluster.raft(leader).term(), eq(term))?;
     println!(
         "chunks {}, bytes read {}",
@@ -133,7 +133,7 @@
     let lost_windows = 4;
     expect_that!(
         cluster.sent_snapshot_chunks,
-        le(chunks_of_all() + lost_windows * WINDOW)
+        le(total_chunks() + lost_windows * WINDOW)
     );
     expect_that!(state.bytes_read(), le(CHUNKS * CHUNK_BYTES as u64));
     Ok(())
@@ -159,19 +159,19 @@
 /// kept for members that are behind; only states that are under way hold it back.
 /// Proof: no state needs to be sent, and one is.
 #[gtest]
-fn a_snapshot_of_the_leader_keeps_the_log_that_a_member_is_taking() -> Result<()> {
+fn leader_snapshot_keeps_log_needed_by_lagging_member() -> Result<()> {
     let (mut cluster, leader) = cluster_with(catching_up_limits())?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.run(Duration::from_secs(1));
     cluster.isolate(RECEIVER);
     write(&mut cluster, leader, 100)?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.run(Duration::from_millis(100));
     let behind = cluster.raft(leader).last_applied().0 - cluster.raft(RECEIVER).last_applied().0;
     let log_bytes = cluster.raft(leader).log_bytes();
     let state = cluster.node(leader).applied.encode();
     cluster.act(leader, |raft, _, _| raft.compact(state).unwrap());
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     println!(
         "behind {behind} entries, log in memory {log_bytes} bytes of 8192, chunks {}",
         cluster.sent_snapshot_chunks
@@ -188,7 +188,7 @@
 /// cut to `cached_log_bytes`, before the member has taken it, so that what was kept was kept for nothing.
 /// Proof: two or more sendings, where what is behind the state never exceeds what may be kept.
 #[gtest]
-fn the_log_behind_a_state_is_kept_until_the_member_has_taken_it() -> Result<()> {
+fn log_after_snapshot_is_kept_until_member_caught_up() -> Result<()> {
     let cached = 2 << 10;
     let limits = Limits {
         snapshot_chunk_bytes: 1,
@@ -201,14 +201,14 @@
     };
     let (mut cluster, leader) = cluster_with(limits)?;
     write(&mut cluster, leader, 200)?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     let mut sendings = BTreeSet::new();
     let mut most_bytes = 0;
     // Ten seconds of writes.
     for _ in 0..2_000 {
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(5));
-        note_sendings(&cluster, leader, &mut sendings);
+        record_sendings(&cluster, leader, &mut sendings);
         most_bytes = most_bytes.max(cluster.raft(leader).log_bytes());
     }
     let behind = cluster.raft(leader).last_applied().0 - cluster.raft(RECEIVER).last_applied().0;
@@ -227,12 +227,12 @@
 /// not held any more, and is read from the first byte on.
 /// Proof: nothing is lost, and all is read twice.
 #[gtest]
-fn an_overtaken_acknowledgement_at_the_end_lets_nothing_be_read_again() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn reordered_last_acknowledgement_causes_no_second_read() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(100));
-    cluster.stuck_disks.insert(ReplicaId(RECEIVER));
-    finish(&mut cluster, leader)?;
+    cluster.stalled_disks.insert(ReplicaId(RECEIVER));
+    run_until_caught_up(&mut cluster, leader)?;
     cluster.run_until(Duration::from_millis(5), |_| false);
     let sending = cluster.raft(leader).snapshots_under_way();
     let sending = sending.first().copied().or_fail()?;
@@ -264,33 +264,33 @@
 /// for an old message.
 /// Proof: nothing is lost, and the state is sent twice.
 #[gtest]
-fn a_late_rejection_leaves_a_state_under_way_alone() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
+fn late_rejection_does_not_abort_snapshot() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
     let (mut cluster, leader) = cluster_with(limits())?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     write(&mut cluster, leader, 10)?;
     cluster.run(Duration::from_millis(500));
-    let had = cluster.raft(RECEIVER).last_index();
+    let last_index_before = cluster.raft(RECEIVER).last_index();
     cluster.isolate(RECEIVER);
     write(&mut cluster, leader, 60)?;
     cluster.node(leader).provided_state = Some(state.state());
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     verify_that!(
         cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(360)),
         eq(true)
     )?;
     let rejection = AppendRejection {
-        rejected_index: LogIndex(had.0 - 1),
-        hint_index: LogIndex(had.0 - 2),
+        rejected_index: LogIndex(last_index_before.0 - 1),
+        hint_index: LogIndex(last_index_before.0 - 2),
         hint_term: cluster.raft(leader).term(),
-        last_index: LogIndex(had.0 - 2),
+        last_index: LogIndex(last_index_before.0 - 2),
     };
     feed_from_receiver(&mut cluster, leader, Body::AppendRejected(rejection));
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     println!("chunks {}", cluster.sent_snapshot_chunks);
     verify_that!(
         cluster.sent_snapshot_chunks,
-        le(chunks_of_all() + 2 * WINDOW)
+        le(total_chunks() + 2 * WINDOW)
     )
 }
 
@@ -301,7 +301,7 @@
 /// of stalls is for what is streamed, and for a state.
 /// Proof: entries that were sent more than twice.
 #[gtest]
-fn a_member_that_stood_still_is_sent_its_first_entries_once() -> Result<()> {
+fn frozen_member_is_sent_first_entries_once() -> Result<()> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         append_bytes: 1 << 10,
@@ -310,7 +310,7 @@
         ..limits()
     };
     let (mut cluster, leader) = cluster_with(limits)?;
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.run(Duration::from_secs(1));
     cluster.isolate(RECEIVER);
     write(&mut cluster, leader, 20)?;
@@ -318,14 +318,14 @@
     let before = cluster.sent_entries;
     // Longer than the steps of the simulation: the append is still on its way when it is seen.
     cluster
-        .far_members
+        .extra_delays
         .insert(ReplicaId(RECEIVER), Duration::from_millis(10));
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     let has_sent = |cluster: &Cluster| cluster.sent_entries > before;
     cluster.run_until(Duration::from_secs(5), has_sent);
     let until = cluster.now + 8 * support::timing().heartbeat_interval;
     cluster.node(RECEIVER).frozen_until = until;
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     cluster.run(Duration::from_secs(1));
     let sent = cluster.sent_entries - before;
     let lacked = cluster.raft(leader).last_index().0;
@@ -338,7 +338,7 @@
 /// How it comes about, cause: as above; answers to heartbeats come in while the append is on its way.
 /// Proof: entries that were sent more often than once.
 #[gtest]
-fn on_a_path_longer_than_a_heartbeat_the_first_entries_are_sent_once() -> Result<()> {
+fn slow_path_is_sent_first_entries_once() -> Result<()> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         append_bytes: 1 << 10,
@@ -350,10 +350,12 @@
     write(&mut cluster, leader, 20)?;
     cluster.run(Duration::from_secs(1));
     let before = cluster.sent_entries;
-    let way = support::timing().heartbeat_interval * 6 / 5;
-    cluster.far_members.insert(ReplicaId(RECEIVER), way);
-    cluster.cut.clear();
-    finish(&mut cluster, leader)?;
+    let one_way_delay = support::timing().heartbeat_interval * 6 / 5;
+    cluster
+        .extra_delays
+        .insert(ReplicaId(RECEIVER), one_way_delay);
+    cluster.cut_links.clear();
+    run_until_caught_up(&mut cluster, leader)?;
     cluster.run(Duration::from_secs(1));
     let sent = cluster.sent_entries - before;
     let lacked = cluster.raft(leader).last_index().0;
@@ -367,9 +369,9 @@
 /// another index; a leader that hands over does not wait for the end of a sending either.
 /// Proof: nothing is lost, and more than half of the chunks are sent twice.
 #[gtest]
-fn after_a_change_of_leader_what_was_sent_counts() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn leadership_transfer_does_not_restart_snapshot() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     let other = 3 - leader;
     cluster.node(other).provided_state = Some(state.state());
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(360));
@@ -379,16 +381,16 @@
     cluster.run_until(Duration::from_secs(5), |cluster| {
         cluster.ready_leader() == Some(other)
     });
-    finish(&mut cluster, other)?;
+    run_until_caught_up(&mut cluster, other)?;
     println!("chunks {}", cluster.sent_snapshot_chunks);
     verify_that!(
         cluster.sent_snapshot_chunks,
-        le(chunks_of_all() + chunks_of_all() / 2)
+        le(total_chunks() + total_chunks() / 2)
     )
 }
 
 /// Of a thousand looks in 5 s of writes, at how many a learner that is `way` further away counts as caught up.
-fn looks_caught_up(way: Duration) -> Result<u64> {
+fn count_caught_up_samples(one_way_delay: Duration) -> Result<u64> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         in_flight_bytes: 1 << 20,
@@ -397,12 +399,12 @@
         ..support::small_limits()
     };
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits);
-    cluster.network = ordered();
+    cluster.network = ordered_network();
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
     cluster.run_until(Duration::from_secs(5), has_leader);
     let leader = cluster.ready_leader().or_fail()?;
     cluster.add_node(4, false, 3);
-    cluster.far_members.insert(ReplicaId(4), way);
+    cluster.extra_delays.insert(ReplicaId(4), one_way_delay);
     cluster.act(leader, |raft, _, out| {
         raft.add_learner(support::member(4), out).unwrap();
     });
@@ -424,14 +426,14 @@
 /// answered: what it was sent before the round that it answered last does not count.
 /// Proof: of a thousand looks in 5 s hardly any finds it caught up, and those come from the first moments.
 #[gtest]
-fn a_learner_that_lags_steadily_by_less_than_an_election_timeout_can_be_promoted() -> Result<()> {
+fn steadily_lagging_learner_can_be_promoted() -> Result<()> {
     let interval = support::timing().heartbeat_interval;
-    let way = interval * 3 / 2;
-    verify_that!(2 * way, lt(support::timing().election_timeout))?;
-    let looks = looks_caught_up(way)?;
-    println!("of 1000 looks in 5 s caught up at {looks}");
+    let one_way_delay = interval * 3 / 2;
+    verify_that!(2 * one_way_delay, lt(support::timing().election_timeout))?;
+    let samples = count_caught_up_samples(one_way_delay)?;
+    println!("caught up at {samples} of 1000 samples in 5 s");
     // A planner that looks each two heartbeats finds it so within a second.
-    verify_that!(looks, ge(100))
+    verify_that!(samples, ge(100))
 }
 
 /// What is seen: on a path, or between machines so busy, that a chunk is answered after 0.2 s, a lost disk is not
@@ -441,7 +443,7 @@
 /// 1 MB for each of these times.
 /// Proof: a state of 56 MB with the usual limits, all of it a thousandth in size, with 0.1 s each way.
 #[gtest]
-fn a_state_of_usual_size_is_whole_in_time_on_a_path_of_a_heartbeat() -> Result<()> {
+fn usual_snapshot_completes_in_time_on_slow_path() -> Result<()> {
     let scale = 1_024;
     let usual = Limits::default();
     let limits = Limits {
@@ -451,14 +453,16 @@
     };
     let (mut cluster, leader) = cluster_with(limits)?;
     write(&mut cluster, leader, 60)?;
-    let state = CountedState::new(56 * 1_024 * 1_024 / scale as u64);
+    let state = CountingState::new(56 * 1_024 * 1_024 / scale as u64);
     cluster.node(leader).provided_state = Some(state.state());
     // Members of a site send heartbeats each 100 ms.
-    let way = Duration::from_millis(100);
-    cluster.far_members.insert(ReplicaId(RECEIVER), way);
-    cluster.cut.clear();
+    let one_way_delay = Duration::from_millis(100);
+    cluster
+        .extra_delays
+        .insert(ReplicaId(RECEIVER), one_way_delay);
+    cluster.cut_links.clear();
     let begin = cluster.now;
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     let took = cluster.now.since(begin);
     println!("took {took:?}, chunks {}", cluster.sent_snapshot_chunks);
     verify_that!(took, le(Duration::from_secs(6)))
@@ -467,22 +471,22 @@
 /// A member that had all of the state, was long in writing it and restarts before it is durable is sent it again
 /// in time, however seldom it is probed by then.
 #[gtest]
-fn a_member_that_restarts_while_it_writes_is_sent_the_state_again_soon() -> Result<()> {
-    let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
-    let (mut cluster, leader) = about_to_send(state.state())?;
+fn member_restarted_during_write_is_resent_the_snapshot() -> Result<()> {
+    let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
+    let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
     cluster.run_until(Duration::from_secs(5), chunks_sent_at_least(100));
-    cluster.stuck_disks.insert(ReplicaId(RECEIVER));
-    finish(&mut cluster, leader)?;
+    cluster.stalled_disks.insert(ReplicaId(RECEIVER));
+    run_until_caught_up(&mut cluster, leader)?;
     cluster.run_until(Duration::from_secs(5), |_| false);
     cluster.crash(RECEIVER, 0);
-    cluster.stuck_disks.clear();
+    cluster.stalled_disks.clear();
     cluster.restart(RECEIVER);
     let (begin, sent) = (cluster.now, cluster.sent_snapshot_chunks);
-    finish(&mut cluster, leader)?;
+    run_until_caught_up(&mut cluster, leader)?;
     let took = cluster.now.since(begin);
     let chunks = cluster.sent_snapshot_chunks - sent;
     println!("again after {took:?}, {chunks} chunks");
     expect_that!(took, le(Duration::from_secs(3)));
-    expect_that!(chunks, le(chunks_of_all() + 2 * WINDOW));
+    expect_that!(chunks, le(total_chunks() + 2 * WINDOW));
     Ok(())
 }
--- a/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use support::cluster::{Cluster, Network};
-use support::counted::CountedState;
+use support::counted::CountingState;
 use wingshore_consensus::{Faults, Limits};
 use wingshore_types::{LogIndex, ReplicaId};
 
@@ -54,13 +54,13 @@
 }
 
 /// A member that was away for long, and the leader that is to send it a state.
-struct Scene {
+struct Fixture {
     cluster: Cluster,
-    state: CountedState,
+    state: CountingState,
     applied: LogIndex,
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Result<Self> {
         let limits = Limits {
             snapshot_chunk_bytes: CHUNK_BYTES,
@@ -75,9 +75,9 @@
             cluster.propose(leader, &[1; 16]).or_fail()?;
             cluster.run(Duration::from_millis(10));
         }
-        let state = CountedState::new(CHUNKS * CHUNK_BYTES as u64);
+        let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
         cluster.node(leader).provided_state = Some(state.state());
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         let applied = cluster.raft(leader).last_applied();
         Ok(Self {
             cluster,
@@ -104,27 +104,27 @@
 
 /// Sends the state, with the chunks of these numbers late or twice.
 fn send_state(late: &[u64], doubled: &[u64]) -> Result<Sending> {
-    let mut scene = Scene::new()?;
-    scene.cluster.late_chunks = late.iter().copied().collect();
-    scene.cluster.doubled_chunks = doubled.iter().copied().collect();
-    scene.run()
+    let mut fixture = Fixture::new()?;
+    fixture.cluster.delayed_chunks = late.iter().copied().collect();
+    fixture.cluster.duplicated_chunks = doubled.iter().copied().collect();
+    fixture.run()
 }
 
 /// Chunks of the whole with its head.
-fn chunks_of_all() -> u64 {
+fn total_chunks() -> u64 {
     CHUNKS + 1
 }
 
 /// Each chunk that comes late lets at most a window be sent again: what is sent again comes twice, and must
 /// not be taken for the next gap.
 #[gtest]
-fn a_late_chunk_lets_one_window_be_sent_again() -> Result<()> {
+fn late_chunk_resends_one_window() -> Result<()> {
     for late in [&[10][..], &[100], &[10, 100, 300]] {
         let sending = send_state(late, &[])?;
-        let most = chunks_of_all() + WINDOW * late.len() as u64;
+        let most = total_chunks() + WINDOW * late.len() as u64;
         expect_that!(
             sending.chunks,
-            all![ge(chunks_of_all()), le(most)],
+            all![ge(total_chunks()), le(most)],
             "late: {late:?}"
         );
     }
@@ -133,13 +133,13 @@
 
 /// The same for a chunk that comes twice.
 #[gtest]
-fn a_doubled_chunk_lets_one_window_be_sent_again() -> Result<()> {
+fn duplicated_chunk_resends_one_window() -> Result<()> {
     for doubled in [&[10][..], &[100], &[10, 100, 300]] {
         let sending = send_state(&[], doubled)?;
-        let most = chunks_of_all() + WINDOW * doubled.len() as u64;
+        let most = total_chunks() + WINDOW * doubled.len() as u64;
         expect_that!(
             sending.chunks,
-            all![ge(chunks_of_all()), le(most)],
+            all![ge(total_chunks()), le(most)],
             "twice: {doubled:?}"
         );
     }
@@ -148,19 +148,19 @@
 
 /// To send a window again, only that window is read again, however much was sent before it.
 #[gtest]
-fn what_is_sent_again_costs_no_more_than_itself() -> Result<()> {
+fn resending_reads_only_the_resent_window() -> Result<()> {
     let late = [50, 200, 390];
     let sending = send_state(&late, &[])?;
     let windows = late.len() as u64 * WINDOW;
-    let most = (chunks_of_all() + windows) * CHUNK_BYTES as u64;
+    let most = (total_chunks() + windows) * CHUNK_BYTES as u64;
     verify_that!(sending.bytes_read, le(most))
 }
 
 /// Without any of it, each chunk is sent once and each byte read once.
 #[gtest]
-fn on_a_path_that_keeps_the_order_each_chunk_is_sent_once() -> Result<()> {
+fn ordered_path_sends_each_chunk_once() -> Result<()> {
     let sending = send_state(&[], &[])?;
-    expect_that!(sending.chunks, eq(chunks_of_all()));
+    expect_that!(sending.chunks, eq(total_chunks()));
     expect_that!(sending.bytes_read, eq(CHUNKS * CHUNK_BYTES as u64));
     Ok(())
 }
@@ -168,21 +168,21 @@
 /// A member that stood still answers all heartbeats at once that waited in its socket: nothing is lost, and
 /// nothing is sent again. A member with an empty disk does the same when its first write is durable.
 #[gtest]
-fn a_member_that_stood_still_is_sent_no_chunk_again() -> Result<()> {
-    let mut scene = Scene::new()?;
+fn frozen_member_is_resent_no_chunks() -> Result<()> {
+    let mut fixture = Fixture::new()?;
     let half = |cluster: &Cluster| cluster.sent_snapshot_chunks >= CHUNKS / 2;
     verify_that!(
-        scene.cluster.run_until(Duration::from_secs(5), half),
+        fixture.cluster.run_until(Duration::from_secs(5), half),
         eq(true)
     )?;
-    freeze(&mut scene.cluster, RECEIVER);
-    let sending = scene.run()?;
-    verify_that!(sending.chunks, eq(chunks_of_all()))
+    freeze(&mut fixture.cluster, RECEIVER);
+    let sending = fixture.run()?;
+    verify_that!(sending.chunks, eq(total_chunks()))
 }
 
 /// The same for entries of the log.
 #[gtest]
-fn a_member_that_stood_still_is_sent_no_entry_again() -> Result<()> {
+fn frozen_member_is_resent_no_entries() -> Result<()> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         ..support::small_limits()
@@ -205,7 +205,7 @@
 
 /// Entries that are sent now and then, with heartbeats answered between them, are sent once.
 #[gtest]
-fn an_answer_that_was_under_way_before_an_entry_says_nothing_of_it() -> Result<()> {
+fn heartbeat_reply_from_before_an_entry_causes_no_resend() -> Result<()> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
         ..support::small_limits()
@@ -228,12 +228,12 @@
 /// On a path that is longer than a heartbeat interval, heartbeats from before a chunk are answered while the
 /// chunk is on its way: each chunk and each entry is sent once.
 #[gtest]
-fn on_a_path_longer_than_a_heartbeat_nothing_is_sent_again() -> Result<()> {
-    let mut scene = Scene::new()?;
-    let way = support::timing().heartbeat_interval * 6 / 5;
-    scene.cluster.network.min_delay = way;
-    scene.cluster.network.max_delay = way;
-    let sending = scene.run()?;
-    expect_that!(sending.chunks, eq(chunks_of_all()));
+fn slow_path_causes_no_resend() -> Result<()> {
+    let mut fixture = Fixture::new()?;
+    let one_way_delay = support::timing().heartbeat_interval * 6 / 5;
+    fixture.cluster.network.min_delay = one_way_delay;
+    fixture.cluster.network.max_delay = one_way_delay;
+    let sending = fixture.run()?;
+    expect_that!(sending.chunks, eq(total_chunks()));
     Ok(())
 }
--- a/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
@@ -14,7 +14,7 @@
 const RECEIVER: u64 = 3;
 
 #[gtest]
-fn each_sending_ends_with_the_same_bytes() -> Result<()> {
+fn snapshot_transfers_complete_with_identical_bytes() -> Result<()> {
     let mut slowest = (Duration::ZERO, 0);
     let mut most = (0, 0);
     let mut times = Vec::new();
@@ -42,16 +42,16 @@
             loss: random.random_range(0.0..0.08),
             duplication: random.random_range(0.0..0.08),
             max_delay: Duration::from_millis(random.random_range(1..9)),
-            stragglers: random.random_range(0.0..0.02),
+            straggler_chance: random.random_range(0.0..0.02),
             straggler_delay: Duration::from_millis(60),
             ..Network::default()
         };
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         let begin = cluster.now;
         for _ in 0..random.random_range(0..3) {
             let wait = Duration::from_millis(random.random_range(1..900));
             cluster.run_until(wait, |_| false);
-            cluster.crash_anywhere(RECEIVER);
+            cluster.crash_with_random_write(RECEIVER);
             cluster.run_until(Duration::from_millis(random.random_range(0..40)), |_| false);
             cluster.restart(RECEIVER);
         }
--- a/crates/shared/wingshore-consensus/tests/snapshots.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshots.rs
@@ -43,7 +43,7 @@
         let state = vec![7; STATE_BYTES];
         cluster.node(leader).provided_state = Some(state.clone().into());
         cluster.act(leader, |raft, _, _| raft.compact(state).unwrap());
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         let applied = cluster.raft(leader).last_applied();
         let caught_up = |cluster: &Cluster| {
             let is_excessive =
@@ -112,7 +112,7 @@
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(10));
     }
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     let applied = cluster.raft(leader).last_applied();
     let is_back = |cluster: &Cluster| cluster.raft(away).last_applied() >= applied;
     verify_that!(cluster.run_until(Duration::from_secs(5), is_back), eq(true))?;
@@ -122,7 +122,7 @@
 /// A member that learns of a long committed log applies it in parts, and wants to be called again
 /// at once for the next one.
 #[gtest]
-fn a_long_log_is_applied_in_parts() -> Result<()> {
+fn long_log_is_applied_in_batches() -> Result<()> {
     let limits = Limits {
         apply_bytes: 64,
         cached_log_bytes: 1 << 20,
@@ -140,7 +140,7 @@
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(10));
     }
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     let mut largest = 0;
     let mut before = cluster.raft(away).last_applied().0;
     let applied = cluster.raft(leader).last_applied().0;
--- a/crates/shared/wingshore-consensus/tests/support/chaos.rs
+++ b/crates/shared/wingshore-consensus/tests/support/chaos.rs
@@ -57,9 +57,9 @@
 struct Run {
     cluster: Cluster,
     chaos: Chaos,
-    wiped: Option<u64>,
+    wiped_member: Option<u64>,
     elections_seen: u64,
-    command: u64,
+    last_command: u64,
 }
 
 /// Runs it.
@@ -71,13 +71,13 @@
     }
     let mut cluster = Cluster::with(chaos.voters, chaos.seed, chaos.faults, limits);
     cluster.add_node(JOINER, false, chaos.voters);
-    cluster.network = draw_network(&mut cluster.random, chaos.profile);
+    cluster.network = random_network(&mut cluster.random, chaos.profile);
     let mut run = Run {
         cluster,
         chaos,
-        wiped: None,
+        wiped_member: None,
         elections_seen: 0,
-        command: 0,
+        last_command: 0,
     };
     for _ in 0..chaos.rounds {
         run.act();
@@ -97,20 +97,20 @@
     }
 }
 
-fn draw_network(random: &mut ChaCha8Rng, profile: Profile) -> Network {
+fn random_network(random: &mut ChaCha8Rng, profile: Profile) -> Network {
     let mixed = Network {
         loss: random.random_range(0.0..0.1),
         duplication: 0.05,
         min_delay: Duration::from_micros(200),
         max_delay: Duration::from_millis(random.random_range(2..60)),
-        stragglers: 0.03,
+        straggler_chance: 0.03,
         straggler_delay: Duration::from_millis(2500),
         sync: Duration::from_millis(random.random_range(1..80)),
     };
     match profile {
         Profile::Mixed => mixed,
         Profile::Elections => Network {
-            stragglers: 0.2,
+            straggler_chance: 0.2,
             straggler_delay: Duration::from_millis(1500),
             sync: Duration::from_millis(random.random_range(1..200)),
             ..mixed
@@ -119,7 +119,7 @@
 }
 
 impl Run {
-    fn any_node(&mut self) -> u64 {
+    fn random_node(&mut self) -> u64 {
         let ids: Vec<u64> = self.cluster.nodes.keys().map(|id| id.0).collect();
         ids[self.cluster.random.random_range(0..ids.len())]
     }
@@ -127,15 +127,15 @@
     fn act(&mut self) {
         self.cluster.read_everywhere();
         self.propose_everywhere();
-        let id = self.any_node();
+        let id = self.random_node();
         if self.chaos.profile == Profile::Elections {
-            self.act_on_election();
+            self.disturb_election();
         }
         match self.cluster.random.random_range(0..1000) {
-            0..15 => self.cluster.crash_anywhere(id),
-            15..60 => self.start_stopped(),
-            60..75 => self.cut_some(),
-            75..95 => self.cluster.cut.clear(),
+            0..15 => self.cluster.crash_with_random_write(id),
+            15..60 => self.restart_stopped(),
+            60..75 => self.cut_random_links(),
+            75..95 => self.cluster.cut_links.clear(),
             95..105 => self.freeze(id),
             105..115 => self.cluster.isolate(id),
             115..130 => self.transfer(id),
@@ -165,15 +165,15 @@
         };
         for leader in leaders {
             if self.cluster.random.random_bool(chance) {
-                self.command += 1;
-                let command = self.command.to_le_bytes();
+                self.last_command += 1;
+                let last_command = self.last_command.to_le_bytes();
                 // Refused while leadership is handed over.
-                let _ = self.cluster.propose(leader, &command);
+                let _ = self.cluster.propose(leader, &last_command);
             }
         }
     }
 
-    fn start_stopped(&mut self) {
+    fn restart_stopped(&mut self) {
         let stopped: Vec<u64> = self
             .cluster
             .nodes
@@ -186,11 +186,11 @@
         }
     }
 
-    fn cut_some(&mut self) {
+    fn cut_random_links(&mut self) {
         for _ in 0..self.cluster.random.random_range(1..6) {
-            let from = ReplicaId(self.any_node());
-            let to = ReplicaId(self.any_node());
-            self.cluster.cut.insert((from, to));
+            let from = ReplicaId(self.random_node());
+            let to = ReplicaId(self.random_node());
+            self.cluster.cut_links.insert((from, to));
         }
     }
 
@@ -210,7 +210,7 @@
 
     fn change_members(&mut self) {
         let choice = self.cluster.random.random_range(0..4);
-        let removed = self.any_node();
+        let removed = self.random_node();
         let Some(leader) = self.cluster.leader() else {
             return;
         };
@@ -235,13 +235,13 @@
     fn cut_power(&mut self) {
         let ids: Vec<u64> = self.cluster.nodes.keys().map(|id| id.0).collect();
         for id in ids {
-            self.cluster.crash_anywhere(id);
+            self.cluster.crash_with_random_write(id);
         }
-        self.start_stopped();
+        self.restart_stopped();
     }
 
     /// Disturbs the first moments of a leadership.
-    fn act_on_election(&mut self) {
+    fn disturb_election(&mut self) {
         let elections = self.cluster.checker.elections;
         if elections == self.elections_seen {
             return;
@@ -251,7 +251,7 @@
             0 => self.cut_power(),
             3 => self.crash_leader_soon(),
             1 => self.cut_leader_and_crash(),
-            2 => self.cluster.cut.clear(),
+            2 => self.cluster.cut_links.clear(),
             _ => {}
         }
     }
@@ -261,7 +261,7 @@
         let delay = Duration::from_millis(self.cluster.random.random_range(5..300));
         self.cluster.run(delay);
         if let Some(leader) = self.cluster.leader() {
-            self.cluster.crash_anywhere(leader);
+            self.cluster.crash_with_random_write(leader);
         }
     }
 
@@ -271,18 +271,18 @@
             return;
         };
         self.cluster.isolate(leader);
-        let id = self.any_node();
-        self.cluster.crash_anywhere(id);
-        self.start_stopped();
+        let id = self.random_node();
+        self.cluster.crash_with_random_write(id);
+        self.restart_stopped();
     }
 
     /// A voter loses its disk and comes back under its old identity, once in a run.
     fn wipe(&mut self) {
-        if self.wiped.is_some() {
+        if self.wiped_member.is_some() {
             return;
         }
         let id = self.cluster.random.random_range(1..=self.chaos.voters);
-        self.wiped = Some(id);
+        self.wiped_member = Some(id);
         self.cluster.crash(id, 0);
         let node = self.cluster.node(id);
         node.disk = super::disk::Disk::default();
@@ -293,13 +293,13 @@
     /// Heals everything; a command must then be committed and applied by every member.
     fn recover(&mut self) -> bool {
         let cluster = &mut self.cluster;
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         cluster.network = Network::default();
         let now = cluster.now;
         for node in cluster.nodes.values_mut() {
             node.frozen_until = now;
         }
-        self.start_stopped();
+        self.restart_stopped();
         let cluster = &mut self.cluster;
         cluster.run(Duration::from_secs(4));
         if !cluster.run_until(Duration::from_secs(20), |cluster| {
--- a/crates/shared/wingshore-consensus/tests/support/checker.rs
+++ b/crates/shared/wingshore-consensus/tests/support/checker.rs
@@ -31,14 +31,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
     pub index: LogIndex,
-    pub chain: u64,
+    pub log_hash: u64,
 }
 
 impl Applied {
     /// As snapshot bytes, padded so that it takes several chunks.
     pub fn encode(self) -> Vec<u8> {
         let mut bytes = self.index.0.to_le_bytes().to_vec();
-        bytes.extend_from_slice(&self.chain.to_le_bytes());
+        bytes.extend_from_slice(&self.log_hash.to_le_bytes());
         bytes.extend_from_slice(&[0xA5; 200]);
         bytes
     }
@@ -48,7 +48,7 @@
         let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
         Self {
             index: LogIndex(word(0)),
-            chain: word(8),
+            log_hash: word(8),
         }
     }
 }
@@ -59,9 +59,9 @@
     /// Its term.
     term: u64,
     /// Hash over all entries up to it.
-    chain: u64,
+    log_hash: u64,
     /// The term in which it was first applied.
-    during: u64,
+    applied_in_term: u64,
 }
 
 /// Collects what members do.
@@ -105,7 +105,7 @@
         let lost = self
             .committed
             .range(raft.first_index()..)
-            .filter(|(_, committed)| committed.during < term)
+            .filter(|(_, committed)| committed.applied_in_term < term)
             .find(|(index, committed)| raft.term_at(**index) != Some(committed.term))
             .map(|(index, committed)| (*index, committed.term));
         if let Some((index, term)) = lost {
@@ -114,29 +114,29 @@
     }
 
     /// A member in term `during` applied an entry on top of `before`; answers its state after.
-    pub fn on_apply(&mut self, during: u64, before: Applied, entry: &Entry) -> Applied {
+    pub fn on_apply(&mut self, applied_in_term: u64, before: Applied, entry: &Entry) -> Applied {
         let index = entry.index;
         let mut hasher = DefaultHasher::new();
-        (before.chain, index.0, entry.term, &entry.data).hash(&mut hasher);
-        let chain = hasher.finish();
+        (before.log_hash, index.0, entry.term, &entry.data).hash(&mut hasher);
+        let log_hash = hasher.finish();
         let term = entry.term;
         let applied = Committed {
             term,
-            chain,
-            during,
+            log_hash,
+            applied_in_term,
         };
         let known = *self.committed.entry(index).or_insert(applied);
-        let is_equal = (known.term, known.chain) == (term, chain);
+        let is_equal = (known.term, known.log_hash) == (term, log_hash);
         if !is_equal || index.0 != before.index.0 + 1 {
             self.report(Violation::AppliedDiffers { index });
         }
-        Applied { index, chain }
+        Applied { index, log_hash }
     }
 
     /// A member restored a snapshot.
     pub fn on_restore(&mut self, index: LogIndex, applied: Applied) {
-        let known = self.committed.get(&index).map(|known| known.chain);
-        if applied.index != index || known != Some(applied.chain) {
+        let known = self.committed.get(&index).map(|known| known.log_hash);
+        if applied.index != index || known != Some(applied.log_hash) {
             self.report(Violation::AppliedDiffers { index });
         }
     }
--- a/crates/shared/wingshore-consensus/tests/support/cluster.rs
+++ b/crates/shared/wingshore-consensus/tests/support/cluster.rs
@@ -12,10 +12,10 @@
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
 /// Time between two looks at the clocks.
-const QUANTUM: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How much later than others a late chunk comes.
-const LATE_BY: Duration = Duration::from_micros(500);
+const LATE_CHUNK_DELAY: Duration = Duration::from_micros(500);
 
 /// Something that happens later.
 enum Event {
@@ -43,7 +43,7 @@
     /// Longest usual way.
     pub max_delay: Duration,
     /// Chance that it takes up to `straggler_delay`.
-    pub stragglers: f64,
+    pub straggler_chance: f64,
     /// Longest way of stragglers.
     pub straggler_delay: Duration,
     /// Longest time of a sync.
@@ -57,7 +57,7 @@
             duplication: 0.0,
             min_delay: Duration::from_millis(1),
             max_delay: Duration::from_millis(3),
-            stragglers: 0.0,
+            straggler_chance: 0.0,
             straggler_delay: Duration::ZERO,
             sync: Duration::from_millis(2),
         }
@@ -70,9 +70,9 @@
     pub nodes: BTreeMap<ReplicaId, Node>,
     pub network: Network,
     /// One-way links that lose everything.
-    pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
+    pub cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
     /// Members whose syncs do not end.
-    pub stuck_disks: BTreeSet<ReplicaId>,
+    pub stalled_disks: BTreeSet<ReplicaId>,
     pub checker: Checker,
     pub random: ChaCha8Rng,
     pub sent_snapshot_chunks: u64,
@@ -80,13 +80,13 @@
     pub sent_entries: u64,
     /// Numbers of snapshot chunks, counted from 1, that come after those sent next, as when the path
     /// between two members changes.
-    pub late_chunks: BTreeSet<u64>,
+    pub delayed_chunks: BTreeSet<u64>,
     /// Numbers of snapshot chunks that come twice.
-    pub doubled_chunks: BTreeSet<u64>,
+    pub duplicated_chunks: BTreeSet<u64>,
     /// Numbers of snapshot chunks that are lost.
     pub lost_chunks: BTreeSet<u64>,
     /// Members to and from which each way takes this much longer.
-    pub far_members: BTreeMap<ReplicaId, Duration>,
+    pub extra_delays: BTreeMap<ReplicaId, Duration>,
     pub faults: Faults,
     pub limits: Limits,
     events: BTreeMap<(Instant, u64), Event>,
@@ -106,16 +106,16 @@
             now: Instant::from_millis(10),
             nodes: BTreeMap::new(),
             network: Network::default(),
-            cut: BTreeSet::new(),
-            stuck_disks: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
+            stalled_disks: BTreeSet::new(),
             checker: Checker::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             sent_snapshot_chunks: 0,
             sent_entries: 0,
-            late_chunks: BTreeSet::new(),
-            doubled_chunks: BTreeSet::new(),
+            delayed_chunks: BTreeSet::new(),
+            duplicated_chunks: BTreeSet::new(),
             lost_chunks: BTreeSet::new(),
-            far_members: BTreeMap::new(),
+            extra_delays: BTreeMap::new(),
             faults,
             limits,
             events: BTreeMap::new(),
@@ -135,7 +135,7 @@
             id,
             raft: None,
             disk: super::disk::Disk::default(),
-            underway: None,
+            pending_write: None,
             incarnation: 0,
             bootstrap: is_founder.then(|| founders(voters)),
             applied: super::checker::Applied::default(),
@@ -166,10 +166,10 @@
     /// Whether `id` holds the lease now, by its own clock.
     pub fn holds_lease(&self, id: u64) -> bool {
         let node = &self.nodes[&ReplicaId(id)];
-        let local = node.local(self.now);
+        let local_time = node.local_time(self.now);
         node.raft
             .as_ref()
-            .is_some_and(|raft| raft.holds_lease(local))
+            .is_some_and(|raft| raft.holds_lease(local_time))
     }
 
     /// Stops a member; of a write under way the first `parts` parts reach its disk.
@@ -185,9 +185,9 @@
     }
 
     /// Stops a member with a random part of its write done.
-    pub fn crash_anywhere(&mut self, id: u64) {
-        let underway = self.node(id).underway.clone();
-        let most = underway.map_or(0, |underway| disk::parts(&underway.batch));
+    pub fn crash_with_random_write(&mut self, id: u64) {
+        let pending_write = self.node(id).pending_write.clone();
+        let most = pending_write.map_or(0, |pending_write| disk::parts(&pending_write.batch));
         let parts = self.random.random_range(0..=most);
         self.crash(id, parts);
     }
@@ -196,8 +196,8 @@
     pub fn isolate(&mut self, id: u64) {
         let others: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for other in others {
-            self.cut.insert((ReplicaId(id), other));
-            self.cut.insert((other, ReplicaId(id)));
+            self.cut_links.insert((ReplicaId(id), other));
+            self.cut_links.insert((other, ReplicaId(id)));
         }
     }
 
@@ -233,10 +233,10 @@
     pub fn act(&mut self, id: u64, action: impl FnOnce(&mut Raft, Instant, &mut Vec<Output>)) {
         let now = self.now;
         let node = self.nodes.get_mut(&ReplicaId(id)).unwrap();
-        let local = node.local(now);
+        let local_time = node.local_time(now);
         let mut out = Vec::new();
         if let Some(raft) = &mut node.raft {
-            action(raft, local, &mut out);
+            action(raft, local_time, &mut out);
         }
         let sends = node.finish(now, out, &mut self.checker);
         self.after_step(ReplicaId(id), sends);
@@ -261,13 +261,13 @@
 
     fn schedule_write(&mut self, id: ReplicaId) {
         let node = &self.nodes[&id];
-        let Some(underway) = &node.underway else {
+        let Some(pending_write) = &node.pending_write else {
             return;
         };
         let event = Event::Durable {
             node: id,
             incarnation: node.incarnation,
-            token: underway.token,
+            token: pending_write.token,
         };
         let sync = self.network.sync.as_nanos() as u64;
         let delay = Duration::from_nanos(self.random.random_range(0..=sync));
@@ -289,20 +289,26 @@
             _ => {}
         }
         let network = self.network;
-        if self.cut.contains(&(from, to)) || self.random.random_bool(network.loss) {
+        if self.cut_links.contains(&(from, to)) || self.random.random_bool(network.loss) {
             return;
         }
         let is_chunk = matches!(message.body, Body::SnapshotChunk(_));
         if is_chunk && self.lost_chunks.contains(&self.sent_snapshot_chunks) {
             return;
         }
-        let far = [from, to].map(|id| self.far_members.get(&id).copied().unwrap_or_default());
+        let far = [from, to].map(|id| self.extra_delays.get(&id).copied().unwrap_or_default());
         let far = far[0] + far[1];
-        let is_doubled = is_chunk && self.doubled_chunks.contains(&self.sent_snapshot_chunks);
-        let is_late = is_chunk && self.late_chunks.contains(&self.sent_snapshot_chunks);
-        let is_copied = self.random.random_bool(network.duplication) || is_doubled;
+        let is_duplicated = is_chunk && self.duplicated_chunks.contains(&self.sent_snapshot_chunks);
+        let is_late = is_chunk && self.delayed_chunks.contains(&self.sent_snapshot_chunks);
+        let is_copied = self.random.random_bool(network.duplication) || is_duplicated;
         for _ in 0..1 + u32::from(is_copied) {
-            let delay = self.draw_delay() + if is_late { LATE_BY } else { Duration::ZERO } + far;
+            let delay = self.draw_delay()
+                + if is_late {
+                    LATE_CHUNK_DELAY
+                } else {
+                    Duration::ZERO
+                }
+                + far;
             let message = message.clone();
             self.schedule(delay, Event::Deliver { from, to, message });
         }
@@ -310,7 +316,7 @@
 
     fn draw_delay(&mut self) -> Duration {
         let network = self.network;
-        let most = if self.random.random_bool(network.stragglers) {
+        let most = if self.random.random_bool(network.straggler_chance) {
             network.straggler_delay
         } else {
             network.max_delay
@@ -323,7 +329,7 @@
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end && self.checker.violation.is_none() {
-            self.run_quantum();
+            self.run_tick();
         }
     }
 
@@ -331,13 +337,13 @@
     pub fn run_until(&mut self, duration: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + duration;
         while self.now < end && !condition(self) {
-            self.run_quantum();
+            self.run_tick();
         }
         condition(self)
     }
 
-    fn run_quantum(&mut self) {
-        let until = self.now + QUANTUM;
+    fn run_tick(&mut self) {
+        let until = self.now + TICK_INTERVAL;
         while let Some(((at, _), _)) = self.events.first_key_value() {
             if *at > until {
                 break;
@@ -361,7 +367,7 @@
                 incarnation,
                 token,
             } => {
-                self.durable(node, incarnation, token);
+                self.complete_write(node, incarnation, token);
             }
         }
     }
@@ -376,14 +382,14 @@
         self.feed(to, Input::Message { from, message });
     }
 
-    fn durable(&mut self, id: ReplicaId, incarnation: u64, token: u64) {
-        if self.stuck_disks.contains(&id) {
+    fn complete_write(&mut self, id: ReplicaId, incarnation: u64, token: u64) {
+        if self.stalled_disks.contains(&id) {
             let event = Event::Durable {
                 node: id,
                 incarnation,
                 token,
             };
-            return self.schedule(QUANTUM, event);
+            return self.schedule(TICK_INTERVAL, event);
         }
         let frozen_until = self.nodes[&id].frozen_until;
         if frozen_until > self.now {
@@ -399,14 +405,14 @@
         };
         let is_current = node.incarnation == incarnation
             && node
-                .underway
+                .pending_write
                 .as_ref()
-                .is_some_and(|underway| underway.token == token);
+                .is_some_and(|pending_write| pending_write.token == token);
         if !is_current {
             return;
         }
-        if let Some(underway) = node.underway.take() {
-            node.disk.write(&underway.batch);
+        if let Some(pending_write) = node.pending_write.take() {
+            node.disk.write(&pending_write.batch);
             self.feed(id, Input::Persisted { token });
         }
     }
@@ -418,10 +424,10 @@
             .values()
             .filter(|node| node.is_running(now))
             .filter(|node| {
-                let local = node.local(now);
+                let local_time = node.local_time(now);
                 node.raft
                     .as_ref()
-                    .is_some_and(|raft| raft.next_deadline() <= local)
+                    .is_some_and(|raft| raft.next_deadline() <= local_time)
             })
             .map(|node| node.id)
             .collect();
@@ -443,11 +449,11 @@
     /// Reads at every running member that believes it may answer.
     pub fn read_everywhere(&mut self) {
         for node in self.nodes.values().filter(|node| node.is_running(self.now)) {
-            let local = node.local(self.now);
+            let local_time = node.local_time(self.now);
             let may_answer = node
                 .raft
                 .as_ref()
-                .is_some_and(|raft| raft.holds_lease(local) && raft.has_applied_own_term());
+                .is_some_and(|raft| raft.holds_lease(local_time) && raft.has_applied_own_term());
             if may_answer {
                 self.checker.on_read(node.applied.index);
             }
--- a/crates/shared/wingshore-consensus/tests/support/counted.rs
+++ b/crates/shared/wingshore-consensus/tests/support/counted.rs
@@ -7,12 +7,12 @@
 
 /// A state of equal bytes. Clones count together.
 #[derive(Clone)]
-pub struct CountedState {
+pub struct CountingState {
     length: u64,
     read: Arc<AtomicU64>,
 }
 
-impl CountedState {
+impl CountingState {
     /// Of `length` bytes, none of which is read.
     pub fn new(length: u64) -> Self {
         let read = Arc::default();
@@ -30,7 +30,7 @@
     }
 }
 
-impl FrozenState for CountedState {
+impl FrozenState for CountingState {
     fn length(&self) -> u64 {
         self.length
     }
@@ -38,16 +38,16 @@
     fn reader(self: Arc<Self>) -> io::Result<Box<dyn Read + Send>> {
         let bytes = io::repeat(7).take(self.length);
         let read = Arc::clone(&self.read);
-        Ok(Box::new(Counted { bytes, read }))
+        Ok(Box::new(CountingReader { bytes, read }))
     }
 }
 
-struct Counted {
+struct CountingReader {
     bytes: io::Take<io::Repeat>,
     read: Arc<AtomicU64>,
 }
 
-impl Read for Counted {
+impl Read for CountingReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = self.bytes.read(buffer)?;
         self.read.fetch_add(count as u64, Ordering::Relaxed);
--- a/crates/shared/wingshore-consensus/tests/support/node.rs
+++ b/crates/shared/wingshore-consensus/tests/support/node.rs
@@ -15,7 +15,7 @@
 
 /// A write that is under way.
 #[derive(Clone, Debug)]
-pub struct Underway {
+pub struct PendingWrite {
     pub token: u64,
     pub batch: WriteBatch,
 }
@@ -25,7 +25,7 @@
     pub id: ReplicaId,
     pub raft: Option<Raft>,
     pub disk: Disk,
-    pub underway: Option<Underway>,
+    pub pending_write: Option<PendingWrite>,
     pub incarnation: u64,
     pub bootstrap: Option<Membership>,
     pub applied: Applied,
@@ -47,7 +47,7 @@
 
 impl Node {
     /// The time its own clock shows.
-    pub fn local(&self, now: Instant) -> Instant {
+    pub fn local_time(&self, now: Instant) -> Instant {
         let ppm = i128::from(1_000_000 + self.drift_ppm);
         let nanos = i128::from(now.0) * ppm / 1_000_000;
         Instant(u64::try_from(nanos).unwrap() + 1_000_000_000 * self.id.0)
@@ -73,7 +73,7 @@
         self.commands.clear();
         let mut out = Vec::new();
         let recovered = self.disk.contents.clone();
-        let raft = Raft::new(self.local(now), config, recovered, &mut out).unwrap();
+        let raft = Raft::new(self.local_time(now), config, recovered, &mut out).unwrap();
         self.raft = Some(raft);
         for output in out {
             if let Output::Restore { index, state } = output {
@@ -88,8 +88,8 @@
         self.raft = None;
         self.incarnation += 1;
         self.proposed.clear();
-        if let Some(underway) = self.underway.take() {
-            self.disk.write_prefix(&underway.batch, parts);
+        if let Some(pending_write) = self.pending_write.take() {
+            self.disk.write_prefix(&pending_write.batch, parts);
         }
     }
 
@@ -100,13 +100,13 @@
         inputs: Vec<Input>,
         checker: &mut Checker,
     ) -> Vec<(ReplicaId, Message)> {
-        let local = self.local(now);
+        let local_time = self.local_time(now);
         let Some(raft) = &mut self.raft else {
             return Vec::new();
         };
         let mut out = Vec::new();
         for input in inputs {
-            raft.step(local, input, &mut out);
+            raft.step(local_time, input, &mut out);
         }
         self.finish(now, out, checker)
     }
@@ -118,22 +118,22 @@
         mut out: Vec<Output>,
         checker: &mut Checker,
     ) -> Vec<(ReplicaId, Message)> {
-        let local = self.local(now);
+        let local_time = self.local_time(now);
         if let Some(raft) = &mut self.raft {
-            raft.flush(local, &mut out).unwrap();
+            raft.flush(local_time, &mut out).unwrap();
         }
         let mut sends = Vec::new();
         for output in out {
-            self.carry_out(output, &mut sends, checker);
+            self.execute(output, &mut sends, checker);
         }
-        self.provide_snapshot_when_wanted(local, &mut sends, checker);
+        self.provide_needed_snapshot(local_time, &mut sends, checker);
         sends
     }
 
     /// Sends a snapshot of what is applied to members that need entries which are gone.
-    fn provide_snapshot_when_wanted(
+    fn provide_needed_snapshot(
         &mut self,
-        local: Instant,
+        local_time: Instant,
         sends: &mut Vec<(ReplicaId, Message)>,
         checker: &mut Checker,
     ) {
@@ -144,13 +144,13 @@
         let state = state.unwrap_or_else(|| self.applied.encode().into());
         raft.provide_snapshot(state).unwrap();
         let mut out = Vec::new();
-        raft.flush(local, &mut out).unwrap();
+        raft.flush(local_time, &mut out).unwrap();
         for output in out {
-            self.carry_out(output, sends, checker);
+            self.execute(output, sends, checker);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         output: Output,
         sends: &mut Vec<(ReplicaId, Message)>,
@@ -170,9 +170,9 @@
         match output {
             Output::Send { to, message } => sends.push((to, message)),
             Output::Write { token, batch } => {
-                assert!(self.underway.is_none(), "one write at a time");
+                assert!(self.pending_write.is_none(), "one write at a time");
                 self.writes += 1;
-                self.underway = Some(Underway { token, batch });
+                self.pending_write = Some(PendingWrite { token, batch });
             }
             Output::Apply(entry) => {
                 let term = self.raft.as_ref().map_or(0, Raft::term);
--- a/crates/shared/wingshore-consensus/tests/unknown_forms.rs
+++ b/crates/shared/wingshore-consensus/tests/unknown_forms.rs
@@ -21,10 +21,12 @@
 
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
     let named = MESSAGES.lines().map(|line| line.split_once(' ').unwrap());
-    named.map(|(name, digits)| (name, unhex(digits))).collect()
+    named
+        .map(|(name, digits)| (name, decode_hex(digits)))
+        .collect()
 }
 
-fn unhex(digits: &str) -> Vec<u8> {
+fn decode_hex(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2);
     pairs
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -72,7 +74,7 @@
 }
 
 /// What a member says that finds this on its disk when it starts.
-fn refusal(recovered: RecoveredLog) -> String {
+fn start_result(recovered: RecoveredLog) -> String {
     let config = RaftConfig {
         id: ReplicaId(1),
         bootstrap: None,
@@ -104,9 +106,9 @@
 
 #[gtest]
 fn a_snapshot_of_a_newer_format_is_refused_at_the_start() {
-    expect_that!(refusal(with_snapshot(2)), eq("it starts"));
+    expect_that!(start_result(with_snapshot(2)), eq("it starts"));
     expect_that!(
-        refusal(with_snapshot(3)),
+        start_result(with_snapshot(3)),
         eq("snapshot has format 3; this program knows 2")
     );
 }
@@ -118,7 +120,7 @@
         ..RecoveredLog::default()
     };
     expect_that!(
-        refusal(recovered),
+        start_result(recovered),
         eq("hard state has format 2; this program knows 1")
     );
 }
@@ -135,5 +137,8 @@
         records: vec![record],
         ..RecoveredLog::default()
     };
-    expect_that!(refusal(recovered), eq("log record 1 has no known kind"));
+    expect_that!(
+        start_result(recovered),
+        eq("log record 1 has no known kind")
+    );
 }
