--- a/crates/shared/wingshore-consensus/src/accessors.rs
+++ b/crates/shared/wingshore-consensus/src/accessors.rs
@@ -1,4 +1,4 @@
-//! What a member answers about itself, without any change.
+//! Read-only accessors of a member's state.
 
 use crate::outgoing::SnapshotSending;
 use crate::progress::Progress;
@@ -8,33 +8,33 @@
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
 impl Raft {
-    /// Who this member is.
+    /// Returns the id of this member.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Bytes of the log's entries that are in memory.
+    /// Returns the size of the log entries in memory, in bytes.
     pub fn log_bytes(&self) -> usize {
         self.log.bytes()
     }
 
-    /// The current term's leader, when known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Whether this member leads, as far as it knows.
+    /// Returns whether this member believes that it is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this member leads and has applied an entry of its own term, and so all that was
-    /// ever committed before.
+    /// Returns whether this member is the leader and has applied an entry of its own term, and with
+    /// it every entry committed before that term.
     pub fn has_applied_own_term(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => self.last_applied >= leader.first_index,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Whether this member is transferring leadership and takes no proposals. One that still waits for
-    /// states that are being sent takes some.
+    /// Returns whether this member is transferring leadership and rejects proposals. A transfer
+    /// that still waits for outgoing snapshots accepts proposals.
     pub fn is_transferring(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => leader
@@ -53,7 +53,7 @@
         }
     }
 
-    /// End of the leader lease, when there is one.
+    /// Returns the end of the leader lease, if there is one.
     fn lease_until(&self) -> Option<Instant> {
         match &self.role {
             Role::Leader(leader) => leader.rounds.lease_until(&self.timing),
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Whether this member leads under a lease at `now`: no other can have been elected.
+    /// Returns whether this member holds the leader lease at `now`, so that no other member can
+    /// have been elected.
     pub fn holds_lease(&self, now: Instant) -> bool {
         if self.faults.skip_lease_check {
             return self.is_leader();
@@ -69,38 +70,39 @@
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// The last entry known to be committed.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The last entry given out to be applied.
+    /// Returns the index of the last entry emitted for application.
     pub fn last_applied(&self) -> LogIndex {
         self.last_applied
     }
 
-    /// The last entry of the log.
+    /// Returns the index of the last entry of the log.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// The first entry that is not compacted away.
+    /// Returns the index of the first entry that is not compacted.
     pub fn first_index(&self) -> LogIndex {
         LogIndex(self.log.base_index().0 + 1)
     }
 
-    /// The term of the entry at `index`, unless it is compacted or not written yet.
+    /// Returns the term of the entry at `index`, or `None` if the entry is compacted or beyond the
+    /// end of the log.
     pub fn term_at(&self, index: LogIndex) -> Option<u64> {
         self.log.term_at(index)
     }
 
-    /// The newest membership, committed or not.
+    /// Returns the newest membership in the log, committed or not.
     pub fn membership(&self) -> &Membership {
         self.members.current()
     }
 
-    /// For each member, the last entry known to this leader to be durable there; empty on
-    /// others.
+    /// Returns, for each member, the last entry that the leader knows to be durable there. Empty
+    /// unless this member is the leader.
     pub fn match_indexes(&self) -> Vec<(ReplicaId, LogIndex)> {
         if !self.is_leader() {
             return Vec::new();
@@ -111,7 +113,8 @@
             .collect()
     }
 
-    /// The snapshots that this leader is sending; none on others.
+    /// Returns the progress of the snapshots that this leader is sending. Empty unless this member
+    /// is the leader.
     pub fn snapshots_under_way(&self) -> Vec<SnapshotSending> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
@@ -121,21 +124,23 @@
         sending.collect()
     }
 
-    /// The last entry that `id` has to hold to count as caught up: what was committed a heartbeat round
-    /// before the newest one that it has answered. What is committed now is on its way to each member, and
-    /// to one that is further away than a majority it always is. The newest change of members counts in any
-    /// case: a voter that does not know itself for a member cannot vote.
+    /// Returns the index that `id` must have durably to count as caught up: the commit index as of
+    /// one heartbeat round before the newest round that `id` has answered. The current commit index
+    /// would be too strict, since entries committed now are still in flight, and a member farther
+    /// away than a majority would never reach it. The newest membership change is always included:
+    /// a voter that does not know that it is a member cannot vote.
     pub(crate) fn caught_up_index(&self, id: ReplicaId) -> LogIndex {
-        let settled = match &self.role {
+        let answered_commit = match &self.role {
             Role::Leader(leader) => leader.recent_commits.before(self.answered_round(id)),
             _ => None,
         };
-        let settled = settled.unwrap_or(self.commit_index);
+        let answered_commit = answered_commit.unwrap_or(self.commit_index);
         let changed = self.members.last_change().max(self.log.base_index());
-        settled.max(changed)
+        answered_commit.max(changed)
     }
 
-    /// The newest heartbeat round that `id` has answered; the leader itself has answered each.
+    /// Returns the newest heartbeat round that `id` has answered. The leader counts as having
+    /// answered every round.
     fn answered_round(&self, id: ReplicaId) -> u64 {
         if id == self.id {
             return self.current_round();
@@ -144,13 +149,14 @@
             .map_or(0, |progress| progress.acknowledged_round)
     }
 
-    /// Whether this member leads and knows that `id` holds durably all that counts.
+    /// Returns whether this member is the leader and `id` is a member that has durably reached
+    /// `caught_up_index`.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
         let is_member = self.members.member_ids().any(|member| member == id);
         self.is_leader() && is_member && self.match_index(id) >= self.caught_up_index(id)
     }
 
-    /// The last entry known to be durable on `id`, as this leader knows it.
+    /// Returns the last entry that this leader knows to be durable on `id`.
     pub(crate) fn match_index(&self, id: ReplicaId) -> LogIndex {
         if id == self.id {
             return self.persistence.persisted_index();
@@ -159,7 +165,7 @@
             .map_or(LogIndex(0), |progress| progress.match_index)
     }
 
-    /// What this leader knows of `id`.
+    /// Returns the replication progress of `id`, if this member is the leader and `id` a follower.
     pub(crate) fn progress(&self, id: ReplicaId) -> Option<&Progress> {
         match &self.role {
             Role::Leader(leader) => leader.progress.get(&id),
@@ -167,7 +173,7 @@
         }
     }
 
-    /// What this leader knows of `id`.
+    /// Returns the replication progress of `id` for modification.
     pub(crate) fn progress_mut(&mut self, id: ReplicaId) -> Option<&mut Progress> {
         match &mut self.role {
             Role::Leader(leader) => leader.progress.get_mut(&id),
--- a/crates/shared/wingshore-consensus/src/change.rs
+++ b/crates/shared/wingshore-consensus/src/change.rs
@@ -1,12 +1,13 @@
-//! When may a leader change the membership, and how?
+//! Membership changes: when a leader may make one, and how.
 //!
-//! One voter at a time, and only once the change of voters before is committed, under a leader that has
-//! applied an entry of its own term: then each quorum before the change shares a member with each quorum
-//! after it. A learner belongs to no quorum, so that it is taken in, or removed, without waiting for another
-//! change: one that lacks the state is sent it at once. A learner becomes a voter once it holds durably
-//! what was committed before a heartbeat that it has answered, and the newest change of members, so that
-//! it lacks little of the log and knows itself for a voter. The leader cannot remove itself; it transfers
-//! leadership first. A refused change appends nothing.
+//! Voters change one at a time, only after the previous voter change is committed, and only under a
+//! leader that has applied an entry of its own term. Each quorum before the change then shares a
+//! member with each quorum after it. A learner belongs to no quorum, so learners are added and
+//! removed without waiting for another change, and a learner that lacks the state is sent a
+//! snapshot at once. A learner may be promoted once it durably holds the entries that were
+//! committed before a heartbeat that it has answered, and the newest membership change: it then
+//! lacks little of the log and knows that it is a voter. The leader cannot remove itself; it must
+//! transfer leadership first. A rejected change appends nothing.
 
 use crate::entry::{CodecError, Entry};
 use crate::interface::Output;
@@ -18,38 +19,38 @@
 use wingshore_types::protocol::membership::{Member, Membership};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Why a membership change is refused. Nothing was appended.
+/// Reason why a membership change was rejected. Nothing was appended.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ChangeError {
-    /// This member cannot propose.
+    /// This member cannot append entries.
     #[snafu(display("{source}"))]
     Propose {
-        /// Why.
+        /// The reason.
         source: ProposeError,
     },
     /// The leader has not committed an entry of its term yet.
     #[snafu(display("the leader has not committed an entry of its term yet; try again"))]
     LeaderNotReady,
-    /// An earlier change is not committed yet: one of voters, or this very one.
+    /// An earlier change is not committed yet: either a voter change, or this same change.
     #[snafu(display("the change at index {index} is not committed yet; one change at a time"))]
     ChangeInProgress {
         /// Index of the earlier change.
         index: LogIndex,
     },
-    /// The identity or the address is taken.
+    /// Another member has the same id or the same address.
     #[snafu(display(
         "member {} at {} has the same identity or address; remove it first",
         existing.id,
         existing.address
     ))]
     MemberConflict {
-        /// The member that has it.
+        /// The other member.
         existing: Member,
     },
-    /// Not a learner.
+    /// The member to promote is not a learner.
     #[snafu(display("{id} is not a learner; only learners can be promoted"))]
     NotALearner {
-        /// The identity.
+        /// Id of that member.
         id: ReplicaId,
     },
     /// The learner has not caught up.
@@ -59,9 +60,9 @@
     NotCaughtUp {
         /// The learner.
         id: ReplicaId,
-        /// How far it has come.
+        /// Last entry that is durable on the learner.
         synced: LogIndex,
-        /// How far it must have come.
+        /// Last entry that must be durable on the learner.
         needed: LogIndex,
     },
     /// The leader cannot remove itself.
@@ -70,30 +71,31 @@
         /// The leader.
         id: ReplicaId,
     },
-    /// The membership does not encode.
+    /// The membership cannot be encoded.
     #[snafu(display("{source}"))]
     Codec {
-        /// Why.
+        /// The encoding error.
         source: CodecError,
     },
 }
 
-/// What came of an accepted change.
+/// Result of an accepted membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Appended here; done when this index is applied in this term.
+    /// The change was appended. It is committed when the entry at this index is applied with this
+    /// term.
     Proposed {
         /// Index of the entry.
         index: LogIndex,
-        /// Its term.
+        /// Term of the entry.
         term: u64,
     },
-    /// The committed membership is as asked already.
+    /// The committed membership already includes the change.
     AlreadyDone,
 }
 
 impl Raft {
-    /// Takes a new member in as a learner.
+    /// Adds a new member as a learner.
     ///
     /// # Errors
     /// See [`ChangeError`].
@@ -106,12 +108,12 @@
         if membership.learners.contains(&member) || membership.voters.contains(&member) {
             return self.already_done();
         }
-        let clash = membership
+        let conflict = membership
             .voters
             .iter()
             .chain(&membership.learners)
             .find(|other| other.id == member.id || other.address == member.address);
-        if let Some(existing) = clash {
+        if let Some(existing) = conflict {
             let existing = existing.clone();
             return MemberConflictSnafu { existing }.fail();
         }
@@ -119,7 +121,7 @@
         self.propose_membership(membership, out)
     }
 
-    /// Makes a learner a voter, if it has caught up.
+    /// Promotes a learner to a voter, if it has caught up.
     ///
     /// # Errors
     /// See [`ChangeError`].
@@ -147,7 +149,7 @@
         self.propose_membership(membership, out)
     }
 
-    /// Removes a member.
+    /// Removes a voter or learner.
     ///
     /// # Errors
     /// See [`ChangeError`].
@@ -167,27 +169,29 @@
         self.propose_membership(membership, out)
     }
 
-    /// The membership a change may start from: the newest, under a leader that has committed an entry
-    /// of its own term.
+    /// Returns the newest membership, which a change starts from, if this leader has applied an
+    /// entry of its own term.
     fn membership_to_change(&self) -> Result<Membership, ChangeError> {
         self.check_may_propose().context(ProposeSnafu)?;
         ensure!(self.has_applied_own_term(), LeaderNotReadySnafu);
         Ok(self.members.current().clone())
     }
 
-    /// The newest membership is as asked: done if it is committed.
+    /// Returns `AlreadyDone` if the newest membership, which already includes the change, is
+    /// committed.
     fn already_done(&self) -> Result<ChangeOutcome, ChangeError> {
         self.check_committed(self.members.last_change())?;
         Ok(ChangeOutcome::AlreadyDone)
     }
 
-    /// The change at `index` is committed.
+    /// Checks that the change at `index` is committed.
     fn check_committed(&self, index: LogIndex) -> Result<(), ChangeError> {
         ensure!(index <= self.commit_index, ChangeInProgressSnafu { index });
         Ok(())
     }
 
-    /// Voters may be changed from a committed set only, so that quorums before and after overlap.
+    /// Checks that a change of the voters starts from a committed set of voters, so that quorums
+    /// before and after the change overlap.
     fn check_voters(&self, membership: &Membership) -> Result<(), ChangeError> {
         if membership.voters == self.members.current().voters {
             return Ok(());
@@ -210,7 +214,8 @@
         Ok(ChangeOutcome::Proposed { index, term })
     }
 
-    /// Begins to follow new members, from the beginning of the log, and forgets removed ones.
+    /// Starts tracking new members, which are sent the log from its beginning, and stops tracking
+    /// removed members.
     fn update_progress(&mut self) {
         let others: Vec<ReplicaId> = self
             .members
--- a/crates/shared/wingshore-consensus/src/chunk_answers.rs
+++ b/crates/shared/wingshore-consensus/src/chunk_answers.rs
@@ -1,57 +1,63 @@
-//! Answers to the chunks of a snapshot: when does a follower lack some of what was sent, although nothing is
-//! under way any more?
+//! Detection of gaps in a snapshot transfer: the follower lacks bytes that were sent, although no
+//! chunk is in flight any more.
 //!
-//! - Inputs: each chunk that is sent, each answer, how much the follower has.
-//! - Rule: once as many answers have come as chunks were sent, and one of them brought no news or the leader went
-//!   back, what the follower lacks is a gap. It is found once for each acknowledged byte.
-//! - Why: a follower of an older build drops each chunk that is not the next one, and answers each. One that has
-//!   restarted lacks all; without the bound it would be sent a window for each answer.
-//! - Old or missing inputs: where a chunk or an answer is lost the count does not fall to zero, and a stall lets the
-//!   leader go back; until the follower has more than was sent by then no gap is found. What seems lost at a stall may still be
-//!   answered, so that it stays counted: a count that is too low makes each window look like a gap. An answer that
-//!   comes twice does that for one chunk, until the follower has more than was sent by then.
+//! - Inputs: each sent chunk, each answer, and the number of bytes that the follower has.
+//! - Rule: once there are as many answers as sent chunks, and one of the answers acknowledged
+//!   nothing new or the leader resent chunks, the bytes that the follower lacks are a gap. A gap is
+//!   detected once per acknowledged byte count.
+//! - Reason: a follower of an older build drops and answers every chunk that is not the next one. A
+//!   follower that has restarted lacks everything; without the limit of one gap per byte count it
+//!   would be sent a window for each answer.
+//! - Missing or repeated inputs: if a chunk or an answer is lost, the count does not fall to zero,
+//!   and a stall makes the leader resend; no gap is detected until the follower has more bytes than
+//!   had been sent by then. Chunks that seem lost at a stall may still be answered, so they stay
+//!   counted: a count that is too low makes every window look like a gap. A duplicated answer makes
+//!   the count too low by one chunk, until the follower has more bytes than had been sent by then.
 
-/// Counts the answers to the chunks of one snapshot.
+/// ChunkAnswers counts the unanswered chunks of one snapshot transfer.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkAnswers {
-    /// Chunks that were sent and not answered.
+    /// Number of chunks that were sent and not answered.
     outstanding: usize,
-    /// Where the next chunk began at the last disorder: until the follower has more, some of what was sent
-    /// may have been dropped for its order.
+    /// Offset of the next chunk when an answer last acknowledged nothing new or the leader last
+    /// resent chunks. Until the follower has more bytes, it may have dropped chunks that arrived
+    /// out of order.
     out_of_order_through: Option<u64>,
-    /// Bytes the follower had when a gap was found last.
+    /// Bytes that the follower had when a gap was last detected.
     gap_found_at: Option<u64>,
 }
 
 impl ChunkAnswers {
-    /// A chunk is sent.
+    /// Records that a chunk was sent.
     pub(crate) fn on_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    /// An answer has come.
+    /// Records an answer to a chunk.
     pub(crate) fn on_answer(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// An answer brought no news, or the leader goes back; the next chunk began at `next_offset`.
+    /// Records that an answer acknowledged nothing new, or that the leader resends chunks. The next
+    /// chunk began at `next_offset`.
     pub(crate) fn on_out_of_order(&mut self, next_offset: u64) {
         self.out_of_order_through = Some(next_offset);
     }
 
-    /// The follower has `received` bytes, and `unacknowledged` of the chunks that were sent are behind them. Once
-    /// it has more than was sent at the last disorder, those are what is not answered.
+    /// Records that the follower has `received` bytes, and that `unacknowledged` of the sent chunks
+    /// lie beyond them. Once the follower has more bytes than had been sent at the last
+    /// `on_out_of_order`, the unacknowledged chunks are exactly the unanswered ones.
     pub(crate) fn on_received(&mut self, received: u64, unacknowledged: usize) {
-        let settled = self
+        let passed_offset = self
             .out_of_order_through
             .take_if(|through| received > *through);
-        if settled.is_some() {
+        if passed_offset.is_some() {
             self.outstanding = unacknowledged;
         }
     }
 
-    /// Whether the follower, which has `received` bytes of the first `sent`, lacks some for a gap that was not
-    /// found before.
+    /// Returns whether a gap that was not detected before separates the `received` bytes of the
+    /// follower from the first `sent` bytes, and records it.
     pub(crate) fn detect_gap(&mut self, received: u64, sent: u64) -> bool {
         let is_answered = self.outstanding == 0 && self.out_of_order_through.is_some();
         let is_new = self.gap_found_at != Some(received);
--- a/crates/shared/wingshore-consensus/src/config.rs
+++ b/crates/shared/wingshore-consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of one member.
+//! Configuration of one member.
 
 use crate::limits::Limits;
 use crate::timing::Timing;
@@ -8,38 +8,39 @@
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::snapshot_spool::SnapshotSpool;
 
-/// Deliberate faults, switched on only in tests, to prove that the checks there catch them.
+/// Injected faults, enabled only in tests to verify that the test checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The written hard state leaves the vote out, so that a restart forgets it.
+    /// The persisted hard state omits the vote, so that a restart forgets it.
     pub vote_without_persist: bool,
     /// A follower acknowledges entries before they are durable.
     pub acknowledge_without_persist: bool,
-    /// A leader takes itself to hold the lease for as long as it believes it leads.
+    /// A leader treats the lease as held for as long as it believes that it is the leader.
     pub skip_lease_check: bool,
-    /// A member that came back with an empty disk votes under its old identity.
+    /// A member that restarts with an empty disk votes under its old id.
     pub empty_disk_votes: bool,
-    /// A leader commits what is durable on itself alone.
+    /// A leader commits entries that are durable only on itself.
     pub commit_without_quorum: bool,
-    /// A leader commits entries of earlier terms by counting their copies.
+    /// A leader commits entries of earlier terms by counting replicas.
     pub commit_previous_term: bool,
 }
 
-/// Settings of one member.
+/// Configuration of one member.
 #[derive(Clone, Debug)]
 pub struct RaftConfig {
-    /// Who this member is.
+    /// Id of this member.
     pub id: ReplicaId,
-    /// The founding members; set only where the data folder was formatted as one of them.
+    /// The founding membership; set only if the data directory was formatted for one of these
+    /// members.
     pub bootstrap: Option<Membership>,
-    /// Draws election timeouts.
+    /// Random generator for election timeouts.
     pub random: ChaCha8Rng,
-    /// Timing of elections and leases.
+    /// Durations of elections and leases.
     pub timing: Timing,
-    /// Limits of messages.
+    /// Limits of message sizes, messages in flight, and memory.
     pub limits: Limits,
-    /// Deliberate faults; all off outside tests.
+    /// Injected faults; all disabled outside tests.
     pub faults: Faults,
-    /// Where snapshots are gathered while they are received.
+    /// Storage for partially received snapshots.
     pub spool: Arc<dyn SnapshotSpool>,
 }
--- a/crates/shared/wingshore-consensus/src/election.rs
+++ b/crates/shared/wingshore-consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, votes, and becoming a leader.
+//! Pre-votes, votes and campaigns.
 
 use crate::interface::Output;
 use crate::message::{Body, VoteRequest};
@@ -8,22 +8,23 @@
 use wingshore_types::{Instant, ReplicaId};
 
 impl Raft {
-    /// Whether this member may vote: never before a membership has named it, and never when it
-    /// lost the disk it voted with.
+    /// Returns whether this member may vote: only after a membership has named it, and never if it
+    /// has lost the disk that recorded its votes.
     ///
-    /// A learner may vote when it is asked: the entry that promotes it may have reached the
-    /// candidate only, and without its vote there may be no quorum for ever.
+    /// A learner may grant votes: the entry that promotes it may have reached only the candidate,
+    /// and without its vote there might never be a quorum.
     fn may_vote(&self) -> bool {
         self.faults.empty_disk_votes || self.enrolled
     }
 
-    /// Whether this member may stand for election.
+    /// Returns whether this member may campaign.
     pub(crate) fn may_campaign(&self) -> bool {
         self.enrolled && self.members.is_voter(self.id)
     }
 
-    /// Whether votes are refused because a leader was heard from too lately. The leader's lease
-    /// rests on this, so it also holds for one election timeout after a start.
+    /// Returns whether votes are refused because a leader was in contact within the election
+    /// timeout. The leader lease depends on this rule, so it also applies for one election timeout
+    /// after a start.
     fn has_recent_leader(&self, now: Instant) -> bool {
         let last_contact_at = match &self.role {
             Role::Leader(leader) if leader.rounds.is_released() => return false,
@@ -33,13 +34,14 @@
         now < last_contact_at + self.timing.election_timeout
     }
 
-    /// Whether the candidate's log is at least as up to date as this one (section 5.4.1).
+    /// Returns whether the candidate's log is at least as up to date as this one (section 5.4.1 of
+    /// the paper).
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         let own = (self.log.last_term(), self.log.last_index());
         (request.last_term, request.last_index) >= own
     }
 
-    /// Lets a follower or candidate whose time has come campaign.
+    /// Starts a campaign if the election timeout has passed; otherwise repeats due vote requests.
     pub(crate) fn election_tick(&mut self, now: Instant, out: &mut Vec<Output>) {
         if now >= self.election_deadline {
             self.start_pre_vote(now, out);
@@ -59,8 +61,8 @@
         self.record_vote(now, self.id, out);
     }
 
-    /// Campaigns in the next term. The requests leave once the own vote is durable: a restart
-    /// then cannot campaign in the same term with a shorter log.
+    /// Campaigns in the next term. The vote requests are sent once the own vote is durable:
+    /// otherwise this member could restart and campaign in the same term with a shorter log.
     fn start_election(&mut self, now: Instant, transfer: bool, out: &mut Vec<Output>) {
         self.become_follower(now, self.term + 1, None, out);
         self.vote = Some(self.id);
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Asks the voters that have not granted yet.
+    /// Sends vote or pre-vote requests to the voters that have not granted one.
     fn request_votes(&mut self, out: &mut Vec<Output>) {
         let (ballot, is_vote) = match &self.role {
             Role::PreCandidate(ballot) => (ballot, false),
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Answers a pre-vote; changes nothing here.
+    /// Answers a pre-vote request. Changes no state of this member.
     pub(crate) fn on_pre_vote(
         &mut self,
         now: Instant,
@@ -136,7 +138,7 @@
         self.send(from, body, out);
     }
 
-    /// Answers a vote request. A granted vote leaves once it is durable.
+    /// Answers a vote request. A granted vote is sent once it is durable.
     pub(crate) fn on_vote(
         &mut self,
         now: Instant,
@@ -166,7 +168,7 @@
         self.send_when_durable(from, Body::VoteReply { granted }, out);
     }
 
-    /// Counts a pre-vote.
+    /// Records a pre-vote.
     pub(crate) fn on_pre_vote_reply(
         &mut self,
         now: Instant,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Counts a vote.
+    /// Records a vote.
     pub(crate) fn on_vote_reply(
         &mut self,
         now: Instant,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Counts the own vote, once it is durable.
+    /// Records the own vote once it is durable.
     pub(crate) fn count_own_vote(&mut self, now: Instant, out: &mut Vec<Output>) {
         let durable = self.persistence.hard_state_is_durable();
         if durable && matches!(self.role, Role::Candidate(_)) {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// The leader hands over: campaigns at once.
+    /// Campaigns at once, as the leader transfers leadership to this member.
     pub(crate) fn on_timeout_now(&mut self, now: Instant, out: &mut Vec<Output>) {
         if self.may_campaign() {
             self.start_election(now, true, out);
--- a/crates/shared/wingshore-consensus/src/entry.rs
+++ b/crates/shared/wingshore-consensus/src/entry.rs
@@ -1,4 +1,4 @@
-//! Log entries, the hard state and snapshot contents, and how they are encoded.
+//! Log entries, the hard state and snapshot contents, and their encodings.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
@@ -11,73 +11,74 @@
 use wingshore_types::snapshot_data::{SnapshotData, SnapshotState};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Format of the encoded hard state.
+/// Format version of the encoded hard state.
 const HARD_STATE_FORMAT: u8 = 1;
-/// Format of the encoded snapshot contents.
+/// Format version of the encoded snapshot contents.
 const SNAPSHOT_FORMAT: u8 = 2;
-/// The format before: the length of the state comes before the state.
+/// The previous format version of snapshots, in which the length of the state precedes the state.
 const SNAPSHOT_FORMAT_WITH_LENGTH: u8 = 1;
-/// Maximal bytes before the state of a snapshot: some thousand members.
+/// Maximum size of the part of a snapshot that precedes the state, in bytes: enough for some
+/// thousand members.
 const MAX_HEAD_BYTES: u64 = 64 << 10;
 
-/// Bytes could not be encoded or decoded.
+/// CodecError reports that a value could not be encoded, decoded or read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CodecError {
-    /// A value does not encode.
+    /// A value cannot be encoded.
     #[snafu(display("{what} cannot be encoded: {source}"))]
     Encode {
-        /// Which kind of value.
+        /// Kind of the value.
         what: &'static str,
-        /// From the codec.
+        /// The codec's error.
         source: postcard::Error,
     },
-    /// Bytes do not decode.
+    /// The bytes cannot be decoded.
     #[snafu(display("{what} cannot be decoded: {source}"))]
     Decode {
-        /// Which kind of value.
+        /// Kind of the value.
         what: &'static str,
-        /// From the codec.
+        /// The codec's error.
         source: postcard::Error,
     },
-    /// Bytes cannot be read.
+    /// The bytes cannot be read.
     #[snafu(display("{what} cannot be read: {reason}"))]
     Unreadable {
-        /// Which kind of value.
+        /// Kind of the value.
         what: &'static str,
-        /// From the disk.
+        /// Text of the I/O error.
         reason: String,
     },
-    /// Bytes of another format version.
+    /// The value has another format version.
     #[snafu(display("{what} has format {found}; this program knows {known}"))]
     Format {
-        /// Which kind of value.
+        /// Kind of the value.
         what: &'static str,
-        /// The format found.
+        /// The format version found.
         found: u8,
-        /// The format this program knows.
+        /// The format version that this program supports.
         known: u8,
     },
-    /// A record of an unknown kind.
+    /// A log record has an unknown kind.
     #[snafu(display("log record {index} has no known kind"))]
     Kind {
-        /// The record.
+        /// Index of the record.
         index: LogIndex,
     },
 }
 
-/// What an entry is for.
+/// Kind of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// The first entry of a term; lets the leader commit what came before.
+    /// The first entry of a term, which lets the leader commit earlier entries.
     Empty,
-    /// A command for the replicated state.
+    /// A command for the replicated state machine.
     Command,
-    /// A new membership, effective from when it is appended.
+    /// A new membership, effective as soon as it is appended.
     Membership,
 }
 
 impl EntryKind {
-    /// The kind's byte on disk.
+    /// Returns the byte that stands for the kind on disk.
     fn code(self) -> u8 {
         match self {
             Self::Empty => 0,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The kind of a byte on disk.
+    /// Returns the kind that a byte on disk stands for.
     fn from_code(code: u8) -> Option<Self> {
         match code {
             0 => Some(Self::Empty),
@@ -100,11 +101,11 @@
 /// One log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// Index in the log.
     pub index: LogIndex,
-    /// The term of the leader that made it.
+    /// Term of the leader that appended the entry.
     pub term: u64,
-    /// What it is for.
+    /// Kind of the entry.
     pub kind: EntryKind,
     /// The command, or the encoded membership.
     #[serde(with = "byte_vector")]
@@ -112,7 +113,7 @@
 }
 
 impl Entry {
-    /// An entry that holds a membership.
+    /// Returns an entry that contains `membership`.
     pub(crate) fn membership(
         index: LogIndex,
         term: u64,
@@ -128,7 +129,7 @@
         })
     }
 
-    /// The membership it holds, when it holds one.
+    /// Returns the membership in this entry, or `None` for an entry of another kind.
     pub(crate) fn decode_membership(&self) -> Result<Option<Membership>, CodecError> {
         if self.kind != EntryKind::Membership {
             return Ok(None);
@@ -139,14 +140,14 @@
             .context(DecodeSnafu { what })
     }
 
-    /// Bytes it counts for in limits.
+    /// Returns the size of the entry that counts towards limits, in bytes.
     pub fn size(&self) -> usize {
-        /// Bytes of index and term, eight each.
+        /// Size of the index and the term: eight bytes each.
         const HEADER: usize = 16;
         HEADER + self.data.len()
     }
 
-    /// Its form on disk: the kind's byte, then the data.
+    /// Returns the log record: the kind byte, followed by the data.
     pub(crate) fn to_record(&self) -> LogRecord {
         let mut data = Vec::with_capacity(self.data.len() + 1);
         data.push(self.kind.code());
@@ -158,7 +159,7 @@
         }
     }
 
-    /// From disk.
+    /// Decodes a log record.
     pub(crate) fn from_record(record: &LogRecord) -> Result<Self, CodecError> {
         let index = record.index;
         let Some((code, data)) = record.data.split_first() else {
@@ -176,27 +177,27 @@
     }
 }
 
-/// What must survive a restart besides the log.
+/// HardState is the state that must survive a restart, besides the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HardState {
     /// The latest term seen.
     pub(crate) term: u64,
-    /// The candidate that got this member's vote in `term`.
+    /// The candidate that this member voted for in `term`.
     pub(crate) vote: Option<ReplicaId>,
-    /// Whether this member founded the group or was named a learner since its folder was empty.
-    /// One that is first named as a voter has lost an older disk, and its promises with it: it
-    /// must never vote.
+    /// Whether this member founded the group, or was named a learner since its data directory was
+    /// empty. A member that is first named as a voter has lost an earlier disk with the votes
+    /// recorded on it, and must never vote.
     pub(crate) enrolled: bool,
 }
 
 impl HardState {
-    /// As bytes.
+    /// Encodes the hard state.
     pub(crate) fn encode(&self) -> Result<Vec<u8>, CodecError> {
         let what = "hard state";
         postcard::to_allocvec(&(HARD_STATE_FORMAT, self)).context(EncodeSnafu { what })
     }
 
-    /// From bytes.
+    /// Decodes a hard state.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, CodecError> {
         let what = "hard state";
         check_format(bytes, what, HARD_STATE_FORMAT)?;
@@ -205,17 +206,17 @@
     }
 }
 
-/// What a snapshot's bytes hold.
+/// SnapshotContents is the decoded content of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SnapshotContents {
-    /// The members as of the snapshot's index.
+    /// The membership as of the snapshot's index.
     pub(crate) membership: Membership,
-    /// The replicated state, as it encodes itself; shares the snapshot's bytes.
+    /// The encoded replicated state, which shares the bytes of the snapshot.
     pub(crate) state: SnapshotState,
 }
 
 impl SnapshotContents {
-    /// The bytes of a snapshot: the format, the members, and the state to the end.
+    /// Encodes a snapshot: the format version, the membership, and the state up to the end.
     pub(crate) fn encode(
         membership: &Membership,
         state: SnapshotState,
@@ -225,10 +226,10 @@
         Ok(SnapshotData::new(head, state))
     }
 
-    /// The contents of a stored snapshot.
+    /// Decodes a stored snapshot.
     ///
     /// # Errors
-    /// When the bytes are damaged, of another format version, or cannot be read.
+    /// Returns an error if the bytes are damaged, have another format version, or cannot be read.
     pub(crate) fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
         let what = "snapshot";
         let head = snapshot.data.beginning(MAX_HEAD_BYTES);
@@ -259,7 +260,7 @@
     CodecError::Unreadable { what, reason }
 }
 
-/// Checks the format byte that leads encoded values.
+/// Checks the format version in the first byte of an encoded value.
 fn check_format(bytes: &[u8], what: &'static str, known: u8) -> Result<(), CodecError> {
     let found = bytes.first().copied().unwrap_or_default();
     ensure!(found == known, FormatSnafu { what, found, known });
--- a/crates/shared/wingshore-consensus/src/follower.rs
+++ b/crates/shared/wingshore-consensus/src/follower.rs
@@ -1,7 +1,7 @@
-//! What a follower does with appends and heartbeats.
+//! Handling of appends and heartbeats by a follower.
 //!
-//! It takes entries that continue its log, replaces a tail that conflicts with the leader's, and
-//! acknowledges only what is durable.
+//! A follower appends entries that continue its log, replaces a tail that conflicts with the
+//! leader's log, and acknowledges only durable entries.
 
 use crate::entry::{CodecError, Entry};
 use crate::interface::Output;
@@ -12,7 +12,7 @@
 use wingshore_types::{LogIndex, ReplicaId};
 
 impl Raft {
-    /// Takes entries from the current term's leader.
+    /// Handles an append request of the current term's leader.
     pub(crate) fn on_append(
         &mut self,
         from: ReplicaId,
@@ -48,7 +48,8 @@
         self.send(from, Body::AppendRejected(rejection), out);
     }
 
-    /// Takes one entry: skips it when the log has it, replaces a conflicting tail.
+    /// Appends one entry. Skips an entry that is already in the log, and truncates a conflicting
+    /// tail.
     fn accept_entry(&mut self, entry: Entry, out: &mut Vec<Output>) -> Result<(), CodecError> {
         if self.log.matches(entry.index, entry.term) || entry.index <= self.commit_index {
             return Ok(());
@@ -74,7 +75,7 @@
         }
     }
 
-    /// A membership takes effect as soon as it is in the log.
+    /// Applies a membership, which takes effect as soon as it is appended to the log.
     pub(crate) fn membership_appended(
         &mut self,
         index: LogIndex,
@@ -86,7 +87,8 @@
         out.push(Output::MembershipChanged(membership));
     }
 
-    /// A member named as a learner starts from nothing, and may vote once it is promoted.
+    /// Marks this member as enrolled if `membership` names it as a learner: a learner starts with
+    /// an empty log, so it may vote once it is promoted.
     pub(crate) fn enroll(&mut self, membership: &Membership) {
         let is_learner = membership
             .learners
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Answers a heartbeat, once the term it is answered in is durable.
+    /// Answers a heartbeat once the current term is durable.
     pub(crate) fn on_heartbeat(
         &mut self,
         from: ReplicaId,
@@ -117,7 +119,8 @@
         self.send_when_durable(from, body, out);
     }
 
-    /// Acknowledges all entries taken since the last acknowledgement, if all are durable.
+    /// Acknowledges the entries accepted since the last acknowledgement, if all of them are
+    /// durable.
     pub(crate) fn acknowledge_when_complete(&mut self, out: &mut Vec<Output>) {
         let complete = self.durable_verified_index() == self.verified_index;
         if self.acknowledgement_pending && complete && self.persistence.hard_state_is_durable() {
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Acknowledges the entries that are durable by now.
+    /// Acknowledges the accepted entries that are durable, if some are not durable yet.
     pub(crate) fn acknowledge_partly(&mut self, out: &mut Vec<Output>) {
         let complete = self.durable_verified_index() == self.verified_index;
         if self.acknowledgement_pending && !complete && self.persistence.hard_state_is_durable() {
@@ -144,7 +147,7 @@
         }
     }
 
-    /// The last entry that equals the leader's and is durable here.
+    /// Returns the last entry that is known to equal the leader's and is durable on this member.
     fn durable_verified_index(&self) -> LogIndex {
         if self.faults.acknowledge_without_persist {
             return self.verified_index;
@@ -153,8 +156,8 @@
     }
 }
 
-/// Index of the last entry of the request, or of the one before its first; `None` when the
-/// entries do not follow one another.
+/// Returns the index of the last entry of the request, or `prev_index` if the request has none.
+/// Returns `None` if the entries are not consecutive.
 fn last_consecutive(request: &AppendRequest) -> Option<LogIndex> {
     let mut last = request.prev_index;
     for entry in &request.entries {
--- a/crates/shared/wingshore-consensus/src/incoming.rs
+++ b/crates/shared/wingshore-consensus/src/incoming.rs
@@ -6,35 +6,35 @@
 use wingshore_types::LogIndex;
 use wingshore_types::snapshot_spool::SpooledSnapshot;
 
-/// Chunks after a gap that are kept until it is closed: a window of the usual size, grown as far as it may.
-/// What is more is dropped and sent again.
+/// Maximum number of chunks buffered behind a gap: one window of the default size at its maximum
+/// growth. Further chunks are dropped, and the leader sends them again.
 const MAX_OUT_OF_ORDER_CHUNKS: usize = 16;
 
-/// A snapshot that is being received. It belongs to one leadership: another leader's encoding of
-/// the same state need not be equal byte for byte.
+/// IncomingSnapshot is a partially received snapshot. It is valid for one leader and term only:
+/// another leader may encode the same state with different bytes.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
-    /// The last entry it contains.
+    /// Index of the last entry that the snapshot contains.
     pub(crate) index: LogIndex,
-    /// That entry's term.
+    /// Term of that entry.
     pub(crate) term: u64,
-    /// Bytes of the whole.
+    /// Total size, in bytes.
     pub(crate) total: u64,
-    /// Bytes that have come, without gap.
+    /// Number of bytes received without a gap.
     pub(crate) received: u64,
-    /// Chunks after a gap, by their offset.
+    /// Chunks received behind a gap, by offset.
     pub(crate) out_of_order: BTreeMap<u64, Vec<u8>>,
-    /// What has come.
+    /// The bytes received without a gap.
     pub(crate) data: Box<dyn SpooledSnapshot>,
 }
 
 impl IncomingSnapshot {
-    /// Whether a chunk belongs to it.
+    /// Returns whether `chunk` belongs to this snapshot.
     pub(crate) fn matches_chunk(&self, chunk: &SnapshotChunk) -> bool {
         (self.index, self.term, self.total) == (chunk.index, chunk.term, chunk.total)
     }
 
-    /// Adds a chunk, and those that were waiting for it.
+    /// Adds a chunk, and the buffered chunks that follow it.
     pub(crate) fn append(&mut self, chunk: &SnapshotChunk) -> io::Result<()> {
         if chunk.offset > self.received {
             self.buffer_out_of_order(chunk);
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// A path that changes lets chunks overtake each other.
+    /// Buffers a chunk that arrived out of order, as happens when the network path changes.
     fn buffer_out_of_order(&mut self, chunk: &SnapshotChunk) {
         if self.out_of_order.len() < MAX_OUT_OF_ORDER_CHUNKS {
             self.out_of_order.insert(chunk.offset, chunk.data.clone());
--- a/crates/shared/wingshore-consensus/src/interface.rs
+++ b/crates/shared/wingshore-consensus/src/interface.rs
@@ -7,12 +7,12 @@
 use wingshore_types::snapshot_data::SnapshotState;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// What a member reacts to.
+/// Input is an event that a member handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; due at the latest at [`crate::Raft::next_deadline`].
+    /// Time has passed. Required at [`crate::Raft::next_deadline`] at the latest.
     Tick,
-    /// A message of another member.
+    /// A message from another member arrived.
     Message {
         /// The sender.
         from: ReplicaId,
@@ -21,47 +21,48 @@
     },
     /// The write with this token is durable.
     Persisted {
-        /// Of [`Output::Write`].
+        /// Token of the [`Output::Write`].
         token: u64,
     },
 }
 
-/// What a member asks its host to do, in this order.
+/// Output is an action for the host. Outputs must be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message; it may be lost, repeated or overtaken.
+    /// Send a message, which may be lost, duplicated or reordered.
     Send {
         /// The receiver.
         to: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Make a batch durable, then feed [`Input::Persisted`]. At most one is under way.
+    /// Make a batch durable, then pass in [`Input::Persisted`]. At most one write is pending at a
+    /// time.
     Write {
-        /// Names the write.
+        /// Identifies the write.
         token: u64,
         /// What to write.
         batch: WriteBatch,
     },
-    /// The entry is committed: apply it.
+    /// Apply this committed entry.
     Apply(Entry),
-    /// Replace the replicated state by a snapshot's.
+    /// Replace the replicated state with that of a snapshot.
     Restore {
         /// The last entry the snapshot contains.
         index: LogIndex,
-        /// The replicated state, as it encoded itself.
+        /// The encoded replicated state.
         state: SnapshotState,
     },
-    /// Leadership as this member sees it has changed.
+    /// The term or leader known to this member has changed.
     Leadership {
         /// The current term.
         term: u64,
-        /// Its leader, when known; this member itself when it leads.
+        /// Leader of the term, if known; this member itself if it is the leader.
         leader: Option<ReplicaId>,
     },
     /// The newest membership in the log has changed.
     MembershipChanged(Membership),
-    /// A leadership transfer was given up before the receiver was asked to campaign; this member still
-    /// leads.
+    /// A leadership transfer was aborted before the target was asked to campaign. This member is
+    /// still the leader.
     TransferAborted,
 }
--- a/crates/shared/wingshore-consensus/src/leader.rs
+++ b/crates/shared/wingshore-consensus/src/leader.rs
@@ -1,7 +1,7 @@
-//! What a leader does: heartbeats, appends, commits.
+//! Heartbeats, appends and commits of a leader.
 //!
-//! An entry is committed once a quorum has it durably, and only by counting copies of an entry of the
-//! leader's own term (section 5.4.2 of the paper).
+//! An entry is committed once a quorum has it durably. Only entries of the leader's own term are
+//! committed by counting replicas (section 5.4.2 of the paper).
 
 use crate::entry::{Entry, EntryKind};
 use crate::interface::Output;
@@ -14,30 +14,30 @@
 use std::sync::Arc;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// Why a proposal is not taken. Nothing was appended.
+/// Reason why a proposal was rejected. Nothing was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// This member does not lead.
+    /// This member is not the leader.
     #[snafu(display("this member does not lead"))]
     NotLeader,
-    /// Leadership is being handed over.
+    /// Leadership is being transferred.
     #[snafu(display("leadership is being handed over"))]
     Transferring,
 }
 
 impl Raft {
-    /// Appends a command; it is committed when [`Output::Apply`] gives out this very index and
-    /// term.
+    /// Appends a command and returns its index and term. The command is committed when
+    /// [`Output::Apply`] emits an entry with this index and term.
     ///
     /// # Errors
-    /// When this member does not lead, or hands leadership over.
+    /// Returns an error if this member is not the leader or is transferring leadership.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(LogIndex, u64), ProposeError> {
         self.check_may_propose()?;
         let index = self.append_own_entry(EntryKind::Command, command.into());
         Ok((index, self.term))
     }
 
-    /// Whether this member may append entries of its own now.
+    /// Checks that this member is the leader and accepts proposals.
     pub(crate) fn check_may_propose(&self) -> Result<(), ProposeError> {
         ensure!(self.is_leader(), NotLeaderSnafu);
         ensure!(!self.is_transferring(), TransferringSnafu);
@@ -55,7 +55,7 @@
         index
     }
 
-    /// Begins a leadership with an empty entry, so that earlier entries can be committed.
+    /// Becomes the leader, and appends an empty entry, so that earlier entries can be committed.
     pub(crate) fn become_leader(&mut self, now: Instant, out: &mut Vec<Output>) {
         let next_index = LogIndex(self.log.last_index().0 + 1);
         let progress = self
@@ -79,7 +79,8 @@
         self.send_heartbeats(now, out);
     }
 
-    /// Sends heartbeats when they are due, and steps down when no quorum answers.
+    /// Sends heartbeats when they are due, and steps down if no quorum has answered for an election
+    /// timeout.
     pub(crate) fn leader_tick(&mut self, now: Instant, out: &mut Vec<Output>) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -125,7 +126,7 @@
         self.update_acknowledged_rounds();
     }
 
-    /// A member answered a heartbeat.
+    /// Handles the answer to a heartbeat.
     pub(crate) fn on_heartbeat_reply(
         &mut self,
         now: Instant,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The heartbeat round that was begun last; 0 on others than the leader.
+    /// Returns the latest heartbeat round, or 0 if this member is not the leader.
     pub(crate) fn current_round(&self) -> u64 {
         match &self.role {
             Role::Leader(leader) => leader.rounds.current(),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Extends the lease by the latest round that a quorum has answered.
+    /// Extends the lease to the latest round that a quorum has answered.
     fn update_acknowledged_rounds(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -166,7 +167,8 @@
         leader.rounds.acknowledged_through(answered.unwrap_or(0));
     }
 
-    /// A member's log matches, durably, up to `match_index`.
+    /// Handles an acknowledgement: the follower's log durably matches the leader's up to
+    /// `match_index`.
     pub(crate) fn on_append_accepted(
         &mut self,
         from: ReplicaId,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// A member's log does not have the entry before those sent.
+    /// Handles a rejection: the follower's log does not have the entry before those that were sent.
     pub(crate) fn on_append_rejected(&mut self, from: ReplicaId, rejection: AppendRejection) {
         let (agreed, _) = self
             .log
@@ -202,7 +204,8 @@
         }
     }
 
-    /// Commits what a quorum has durably, counting only entries of the own term (section 5.4.2).
+    /// Commits the entries that a quorum has durably, counting replicas only of entries of the
+    /// current term (section 5.4.2 of the paper).
     pub(crate) fn advance_commit_by_quorum(&mut self, out: &mut Vec<Output>) {
         if !self.is_leader() {
             return;
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Sends to each member what it can take now.
+    /// Sends appends and snapshot chunks to each follower, up to its flow-control limits.
     pub(crate) fn replicate(&mut self, out: &mut Vec<Output>) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Sends one append if `to` can take one; says whether it did.
+    /// Sends one append if the limits for `to` permit it. Returns whether one was sent.
     fn send_append(&mut self, to: ReplicaId, out: &mut Vec<Output>) -> bool {
         let last_index = self.log.last_index();
         let limits = self.limits;
--- a/crates/shared/wingshore-consensus/src/lease.rs
+++ b/crates/shared/wingshore-consensus/src/lease.rs
@@ -1,13 +1,15 @@
-//! Heartbeat rounds, and the leader lease that they carry; the rule is in [`crate::timing`].
+//! Heartbeat rounds and the leader lease that depends on them. The lease rule is in
+//! [`crate::timing`].
 
 use crate::timing::Timing;
 use std::collections::VecDeque;
 use wingshore_types::Instant;
 
-/// The heartbeat rounds of one leadership.
+/// HeartbeatRounds records the heartbeat rounds of one leader term.
 ///
-/// Invariant: each member of some quorum of voters heard from this leader at or after
-/// `quorum_sent_at`, and so votes for no other until its election timeout has passed since.
+/// Invariant: each member of some quorum of voters received a message from this leader at or after
+/// `quorum_sent_at`, and votes for no other member until its election timeout has passed since
+/// then.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatRounds {
     current: u64,
@@ -18,7 +20,7 @@
 }
 
 impl HeartbeatRounds {
-    /// Begins a leadership at `now`; there is no lease before a round is acknowledged.
+    /// Starts a leader term at `now`. There is no lease before a round is acknowledged.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             current: 0,
@@ -29,19 +31,19 @@
         }
     }
 
-    /// The latest round.
+    /// Returns the latest round.
     pub(crate) fn current(&self) -> u64 {
         self.current
     }
 
-    /// Begins a round that is sent at `now`.
+    /// Starts a round that is sent at `now`, and returns its number.
     pub(crate) fn begin(&mut self, now: Instant) -> u64 {
         self.current += 1;
         self.sent.push_back((self.current, now));
         self.current
     }
 
-    /// A quorum has acknowledged all rounds up to `round`.
+    /// Records that a quorum has acknowledged all rounds up to `round`.
     pub(crate) fn acknowledged_through(&mut self, round: u64) {
         while let Some((number, sent_at)) = self.sent.front().copied() {
             if number > round {
@@ -53,22 +55,22 @@
         }
     }
 
-    /// Gives the lease up for the rest of the term.
+    /// Releases the lease for the rest of the term.
     pub(crate) fn release(&mut self) {
         self.released = true;
     }
 
-    /// Whether the lease was given up.
+    /// Returns whether the lease was released.
     pub(crate) fn is_released(&self) -> bool {
         self.released
     }
 
-    /// Sending time of the latest round that a quorum acknowledged.
+    /// Returns when the latest round that a quorum has acknowledged was sent.
     pub(crate) fn quorum_sent_at(&self) -> Instant {
         self.quorum_sent_at
     }
 
-    /// The end of the lease, counted from when its round was sent.
+    /// Returns the end of the lease, which starts when the acknowledged round was sent.
     pub(crate) fn lease_until(&self, timing: &Timing) -> Option<Instant> {
         if self.released || !self.acknowledged {
             return None;
--- a/crates/shared/wingshore-consensus/src/lib.rs
+++ b/crates/shared/wingshore-consensus/src/lib.rs
@@ -1,16 +1,16 @@
-//! Replicated log as a pure state machine.
+//! Raft consensus as a deterministic state machine.
 //!
-//! [`Raft`] is one member of a group that agrees on a log by the Raft algorithm (Ongaro and
-//! Ousterhout, 2014; Ongaro's thesis), with pre-vote, a leader lease, learners, membership change
-//! one at a time, leadership transfer and snapshots in chunks. It reads no clock, does no I/O and
-//! draws randomness from a seeded generator it is handed.
+//! [`Raft`] is one member of a group that replicates a log with the Raft algorithm (Ongaro and
+//! Ousterhout, 2014; Ongaro's thesis), with pre-vote, a leader lease, learners, single-server
+//! membership changes, leadership transfer and chunked snapshots. It reads no clock, performs no
+//! I/O, and takes its randomness from a seeded generator in [`RaftConfig`].
 //!
-//! Its promises:
-//! - at most one leader in a term;
-//! - an entry that was given out by [`Output::Apply`] stays in the log of every later leader, and
-//!   every member applies the same entries in the same order;
-//! - while [`Raft::holds_lease`] is true, no other member leads, as long as no clock drifts by more
-//!   than [`Timing::drift`];
+//! Guarantees:
+//! - at most one leader per term;
+//! - an entry emitted by [`Output::Apply`] stays in the log of every later leader, and all members
+//!   apply the same entries in the same order;
+//! - while [`Raft::holds_lease`] is true, no other member is leader, provided that no clock drifts
+//!   by more than [`Timing::drift`];
 //! - nothing that depends on a write is sent before that write is reported durable.
 
 mod accessors;
--- a/crates/shared/wingshore-consensus/src/limits.rs
+++ b/crates/shared/wingshore-consensus/src/limits.rs
@@ -1,47 +1,51 @@
-//! How much of the log is sent, kept in memory and applied at once.
+//! Limits on how much of the log is sent, kept in memory and applied at once.
 //!
-//! Sizes are in bytes. The limits bound memory and the time that one step takes; none of them decides
-//! what is committed.
+//! Sizes are in bytes. The limits bound memory and the duration of one step; none of them affects
+//! which entries are committed.
 
-/// Bytes of entries in one append message.
+/// Maximum size of the entries in one append message, in bytes.
 const APPEND_BYTES: usize = 256 * 1024;
-/// Append messages under way to one follower; small ones reach it before [`IN_FLIGHT_BYTES`].
+/// Maximum number of append messages in flight to one follower. Small messages reach this limit
+/// before [`IN_FLIGHT_BYTES`].
 const IN_FLIGHT_MESSAGES: usize = 64;
-/// Bytes of entries under way to one follower: sixteen full messages.
+/// Maximum size of the entries in flight to one follower, in bytes: sixteen full messages.
 const IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of a snapshot chunk: as long as a full append message.
+/// Size of a snapshot chunk, in bytes: the same as a full append message.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
-/// Snapshot chunks under way to one follower.
+/// Number of snapshot chunks in flight to one follower.
 const SNAPSHOT_CHUNKS_IN_FLIGHT: usize = 4;
-/// Bytes of entries kept in the log behind a snapshot.
+/// Size of the entries that stay in the log when a snapshot is taken, in bytes.
 const RETAINED_LOG_BYTES: usize = 1024 * 1024;
-/// Bytes of applied entries kept in memory: what a follower lacks that was away for ten seconds in
-/// which 1 MB was written each second.
+/// Size of the applied entries kept in memory, in bytes: what a follower misses that was away for
+/// ten seconds at 1 MB of writes per second.
 const CACHED_LOG_BYTES: usize = 10 * 1024 * 1024;
-/// Bytes of entries applied between two flushes: a member answers nothing while it applies.
+/// Maximum size of the entries applied between two flushes, in bytes. A member answers nothing
+/// while it applies entries.
 const APPLY_BYTES: usize = 512 * 1024;
 
-/// Limits of messages and of what is under way to one follower.
+/// Limits of message sizes, messages in flight and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Maximal bytes of entries in one append message; a single larger entry goes alone.
+    /// Maximum size of the entries in one append message, in bytes. A single larger entry is sent
+    /// alone.
     pub append_bytes: usize,
-    /// Maximal number of append messages under way to one follower.
+    /// Maximum number of append messages in flight to one follower.
     pub in_flight_messages: usize,
-    /// Maximal bytes of entries under way to one follower.
+    /// Maximum size of the entries in flight to one follower, in bytes.
     pub in_flight_bytes: usize,
-    /// Bytes of a snapshot chunk.
+    /// Size of a snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Maximal number of snapshot chunks under way to one follower.
+    /// Number of snapshot chunks in flight to one follower. The window grows to a multiple of it on
+    /// slow paths.
     pub snapshot_chunks_in_flight: usize,
-    /// Bytes of entries kept in the log behind a snapshot, so that a follower that is a little
-    /// behind needs no snapshot.
+    /// Size of the entries that stay in the log when a snapshot is taken, in bytes, so that a
+    /// follower that is slightly behind needs no snapshot.
     pub retained_log_bytes: usize,
-    /// Bytes of applied entries kept in memory for followers that are behind; the disk keeps more.
-    /// A follower that needs older ones is sent the whole state.
+    /// Size of the applied entries kept in memory for followers that are behind, in bytes. The disk
+    /// keeps more. A follower that needs older entries is sent a snapshot.
     pub cached_log_bytes: usize,
-    /// Maximal bytes of entries given out to be applied between two flushes, so that a member that
-    /// applies a long log goes on answering meanwhile; a single larger entry goes alone.
+    /// Maximum size of the entries emitted for application between two flushes, in bytes, so that a
+    /// member that applies a long log keeps answering. A single larger entry is emitted alone.
     pub apply_bytes: usize,
 }
 
--- a/crates/shared/wingshore-consensus/src/members.rs
+++ b/crates/shared/wingshore-consensus/src/members.rs
@@ -1,10 +1,11 @@
-//! The membership at each point of the log, and quorums.
+//! The membership as of each log index, and quorums.
 
 use std::collections::VecDeque;
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Memberships by the entries that made them. The newest counts, committed or not.
+/// Members holds the memberships by the index of the entry that set them. The newest one is in
+/// effect, committed or not.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Members {
     base: Membership,
@@ -12,7 +13,7 @@
 }
 
 impl Members {
-    /// Starts from a snapshot's membership.
+    /// Returns a history that starts with a snapshot's membership.
     pub(crate) fn new(base: Membership) -> Self {
         Self {
             base,
@@ -20,14 +21,14 @@
         }
     }
 
-    /// The newest membership.
+    /// Returns the newest membership.
     pub(crate) fn current(&self) -> &Membership {
         self.changes
             .back()
             .map_or(&self.base, |(_, membership)| membership)
     }
 
-    /// The membership as of `index`.
+    /// Returns the membership as of `index`.
     pub(crate) fn as_of(&self, index: LogIndex) -> &Membership {
         self.changes
             .iter()
@@ -36,12 +37,12 @@
             .map_or(&self.base, |(_, membership)| membership)
     }
 
-    /// Index of the newest change after the base; 0 when there is none.
+    /// Returns the index of the newest change after the base, or 0 if there is none.
     pub(crate) fn last_change(&self) -> LogIndex {
         self.changes.back().map_or(LogIndex(0), |(index, _)| *index)
     }
 
-    /// Index of the newest change of voters after the base; 0 when there is none.
+    /// Returns the index of the newest change of voters after the base, or 0 if there is none.
     pub(crate) fn last_change_of_voters(&self) -> LogIndex {
         let before = std::iter::once(&self.base).chain(self.changes.iter().map(|(_, made)| made));
         let changes = self.changes.iter().zip(before);
@@ -51,12 +52,12 @@
             .map_or(LogIndex(0), |((index, _), _)| *index)
     }
 
-    /// A change was appended at `index`.
+    /// Records a change that was appended at `index`.
     pub(crate) fn append(&mut self, index: LogIndex, membership: Membership) {
         self.changes.push_back((index, membership));
     }
 
-    /// Forgets the changes from `index` on; `false` when there are none.
+    /// Removes the changes from `index` on. Returns `false` if there are none.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) -> bool {
         let before = self.changes.len();
         self.changes.retain(|(changed_at, _)| *changed_at < index);
@@ -75,23 +76,24 @@
         }
     }
 
-    /// Whether `id` votes.
+    /// Returns whether `id` is a voter.
     pub(crate) fn is_voter(&self, id: ReplicaId) -> bool {
         self.current().voters.iter().any(|member| member.id == id)
     }
 
-    /// Identities of the voters.
+    /// Returns the ids of the voters.
     pub(crate) fn voter_ids(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.current().voters.iter().map(|member| member.id)
     }
 
-    /// Identities of all members.
+    /// Returns the ids of all members.
     pub(crate) fn member_ids(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         let learners = self.current().learners.iter().map(|member| member.id);
         self.voter_ids().chain(learners)
     }
 
-    /// The highest value that a majority of the voters has reached; `None` without voters.
+    /// Returns the highest value that a majority of the voters has reached, or `None` without
+    /// voters.
     pub(crate) fn quorum_value(&self, value: impl Fn(ReplicaId) -> u64) -> Option<u64> {
         let mut values: Vec<u64> = self.voter_ids().map(value).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
@@ -99,7 +101,7 @@
         values.get(majority - 1).copied()
     }
 
-    /// Whether a majority of the voters satisfies `holds`.
+    /// Returns whether `holds` is true for a majority of the voters.
     pub(crate) fn is_quorum(&self, holds: impl Fn(ReplicaId) -> bool) -> bool {
         self.quorum_value(|id| u64::from(holds(id))) == Some(1)
     }
--- a/crates/shared/wingshore-consensus/src/message.rs
+++ b/crates/shared/wingshore-consensus/src/message.rs
@@ -1,73 +1,75 @@
 //! Messages between members.
 //!
-//! They travel as `postcard` values: fields and variants keep their order for good.
+//! Messages are encoded with `postcard`, so fields and variants must keep their order.
 
 use crate::entry::Entry;
 use serde::{Deserialize, Serialize};
 use wingshore_types::LogIndex;
 use wingshore_types::protocol::byte_vector;
 
-/// A message and the sender's term.
+/// Message is a message body with the sender's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender's current term.
     pub term: u64,
-    /// Its content.
+    /// The content.
     pub body: Body,
 }
 
-/// The content of a message.
+/// Body is the content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote would be granted in the term after the sender's. Changes nothing.
+    /// Asks whether the receiver would grant a vote in the term after the sender's. Changes no
+    /// state.
     PreVote(VoteRequest),
-    /// Answers a pre-vote.
+    /// Answers a pre-vote request.
     PreVoteReply {
-        /// The term that would be campaigned in.
+        /// The term that the candidate would campaign in.
         campaign_term: u64,
         /// Whether a vote would be granted.
         granted: bool,
     },
     /// Asks for a vote in the sender's term.
     Vote(VoteRequest),
-    /// Answers a vote request; a granted vote is durable.
+    /// Answers a vote request. A granted vote is durable.
     VoteReply {
         /// Whether the vote is granted.
         granted: bool,
     },
     /// Entries from the leader.
     Append(AppendRequest),
-    /// The receiver's log matches the leader's, durably, up to here.
+    /// Acknowledges that the follower's log durably matches the leader's up to `match_index`.
     AppendAccepted {
-        /// The last such index.
+        /// The last matching index.
         match_index: LogIndex,
     },
-    /// The receiver's log does not have the leader's previous entry.
+    /// Rejects an append: the follower's log does not have the entry before those that were sent.
     AppendRejected(AppendRejection),
-    /// Keeps leadership and its lease.
+    /// Maintains leadership and the leader lease.
     Heartbeat(HeartbeatRequest),
-    /// Answers a heartbeat: the sender will not vote for another until its election timeout.
+    /// Answers a heartbeat. The sender grants no vote to another member until its election timeout
+    /// has passed.
     HeartbeatReply {
-        /// The round answered; 0 answers a leader of an older term.
+        /// The heartbeat round that is answered; 0 informs the leader of an older term.
         round: u64,
-        /// The log does not have the entry that the heartbeat named.
+        /// The follower's log does not have the entry that the heartbeat names.
         needs_log: bool,
     },
-    /// Part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// How much of a snapshot has come.
+    /// Acknowledges a part of a snapshot.
     SnapshotReceived {
         /// The snapshot's index.
         index: LogIndex,
-        /// Bytes received without gap.
+        /// Number of bytes received without a gap.
         received: u64,
     },
-    /// Asks the receiver to campaign at once; the sender has released its lease.
+    /// Asks the receiver to campaign at once. The sender has released its lease.
     TimeoutNow,
 }
 
 impl Body {
-    /// Whether only a leader sends it.
+    /// Returns whether only a leader sends messages of this kind.
     pub(crate) fn is_from_leader(&self) -> bool {
         matches!(
             self,
@@ -76,66 +78,67 @@
     }
 }
 
-/// A candidate's claim to a vote.
+/// VoteRequest asks for a vote or a pre-vote, and describes the candidate's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
     /// Index of the candidate's last entry.
     pub last_index: LogIndex,
     /// Term of the candidate's last entry.
     pub last_term: u64,
-    /// The leader handed over: receivers need not wait for it to fall silent.
+    /// Whether the leader requested this campaign; receivers then vote without waiting for their
+    /// election timeout.
     pub transfer: bool,
 }
 
-/// Entries that follow one that the receiver should have.
+/// AppendRequest contains consecutive log entries, and identifies the entry before them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// Index of the entry before the first one sent.
+    /// Index of the entry before the first entry.
     pub prev_index: LogIndex,
-    /// Its term.
+    /// Term of that entry.
     pub prev_term: u64,
-    /// The entries; none in a probe.
+    /// The entries; may be empty.
     pub entries: Vec<Entry>,
     /// The leader's commit index.
     pub commit_index: LogIndex,
 }
 
-/// Where to look for the last entry in common.
+/// AppendRejection tells the leader where to look for the last common entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRejection {
     /// `prev_index` of the rejected append.
     pub rejected_index: LogIndex,
     /// The last index at which the logs may agree.
     pub hint_index: LogIndex,
-    /// The receiver's term there.
+    /// The receiver's term at `hint_index`.
     pub hint_term: u64,
     /// The receiver's last index.
     pub last_index: LogIndex,
 }
 
-/// A heartbeat.
+/// HeartbeatRequest is a leader's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatRequest {
-    /// Numbered within the term, from 1.
+    /// Number of the heartbeat round within the term, from 1.
     pub round: u64,
-    /// The lower one of the leader's commit index and what the receiver acknowledged.
+    /// The lower of the leader's commit index and the index that the receiver has acknowledged.
     pub commit_index: LogIndex,
-    /// Term of the entry there.
+    /// Term of the entry at `commit_index`.
     pub commit_term: u64,
 }
 
-/// Part of a snapshot.
+/// SnapshotChunk is a part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The last entry the snapshot contains.
+    /// Index of the last entry that the snapshot contains.
     pub index: LogIndex,
-    /// Its term.
+    /// Term of that entry.
     pub term: u64,
-    /// Bytes of the whole snapshot.
+    /// Total size of the snapshot, in bytes.
     pub total: u64,
-    /// Where the part begins.
+    /// Offset of the chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// The part.
+    /// The bytes of the chunk.
     #[serde(with = "byte_vector")]
     pub data: Vec<u8>,
 }
--- a/crates/shared/wingshore-consensus/src/outgoing.rs
+++ b/crates/shared/wingshore-consensus/src/outgoing.rs
@@ -1,13 +1,19 @@
-//! A snapshot that this leader is sending.
+//! Sending of a snapshot by the leader.
 //!
-//! Chunks go out in order, a window of them at a time, and each is answered by how much the follower has
-//! without gap. Where less than two windows are acknowledged in a heartbeat round, the answers are late, and the
-//! window grows, or else the pace would be a window for each way there and back; it is small again when
-//! something was lost. An answer without news comes of a chunk after a gap, and the leader goes back to what
-//! the follower has; or of a chunk that came twice. Two rules keep that cheap. As many
-//! answers without news as chunks are under way or sent again do not make the leader go back once more:
-//! to go back for each would send every window twice to the end; a gap among those is found by [`ChunkAnswers`].
-//! And what was sent is held until it is acknowledged, since to read it again means to read all that is before it.
+//! Chunks are sent in order, up to a window of unacknowledged bytes, and each chunk is answered
+//! with the number of bytes that the follower has received without a gap. If less than two windows
+//! are acknowledged in a heartbeat round, the round-trip time is long, and the window grows, since
+//! the throughput would otherwise be one window per round trip. The window shrinks to its base size
+//! after a loss.
+//!
+//! An answer without progress follows a chunk behind a gap, in which case the leader resends from
+//! the first byte that the follower lacks, or a duplicated chunk. Two rules limit the cost of
+//! resending:
+//! - After a rewind, as many answers without progress as chunks are in flight or resent cause no
+//!   further rewind. A rewind for each of them would send every window twice up to the end of the
+//!   snapshot. A gap behind those answers is detected by [`ChunkAnswers`].
+//! - Sent chunks are kept until they are acknowledged, since reading a chunk again requires reading
+//!   everything before it.
 
 use crate::chunk_answers::ChunkAnswers;
 use crate::message::SnapshotChunk;
@@ -17,31 +23,31 @@
 use wingshore_types::snapshot_data::PartReader;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// How far the sending of a snapshot to one member is.
+/// SnapshotSending is the progress of sending a snapshot to one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotSending {
     /// The member.
     pub to: ReplicaId,
-    /// The last entry that the snapshot contains.
+    /// Index of the last entry that the snapshot contains.
     pub index: LogIndex,
-    /// Bytes of the whole.
+    /// Total size of the snapshot, in bytes.
     pub total: u64,
-    /// Bytes the member has.
+    /// Number of bytes that the member has received without a gap.
     pub received: u64,
-    /// Bytes that were sent, those sent again among them.
+    /// Number of bytes sent, including resent bytes.
     pub sent: u64,
-    /// Bytes that were sent again.
+    /// Number of bytes resent.
     pub sent_again: u64,
 }
 
-/// The window grows up to this many times the usual one.
+/// Maximum size of the window, in multiples of the base window.
 const MAX_WINDOW_FACTOR: u64 = 4;
-/// The window does not grow where so many usual ones are acknowledged in a heartbeat round.
+/// The window does not grow if this many base windows are acknowledged in a heartbeat round.
 const FULL_PACE_WINDOWS_PER_ROUND: u64 = 2;
-/// Stalls after which a follower that has all of it is probed again at the latest.
+/// Maximum number of stalls between two probes of a follower that has received all bytes.
 const MAX_STALLS_BETWEEN_PROBES: u32 = 7;
 
-/// A chunk that was sent and is not acknowledged.
+/// A sent chunk that is not acknowledged.
 #[derive(Debug)]
 struct UnacknowledgedChunk {
     offset: u64,
@@ -54,8 +60,8 @@
     }
 }
 
-/// When a follower that had all of a snapshot is asked whether it still has it: at once, and then after
-/// twice as many stalls each time.
+/// Schedule for probing whether a follower that has received the whole snapshot still has it: at
+/// the first stall, and then after twice as many stalls each time.
 #[derive(Debug, Default)]
 struct DurabilityProbe {
     stalls: u32,
@@ -77,47 +83,48 @@
     }
 }
 
-/// A snapshot that is being sent in chunks.
+/// OutgoingSnapshot is a snapshot that is being sent to one follower in chunks.
 #[derive(Debug)]
 pub(crate) struct OutgoingSnapshot {
     /// The snapshot.
     pub(crate) snapshot: Arc<StoredSnapshot>,
-    /// Where the next chunk begins.
+    /// Offset of the next chunk.
     next_offset: u64,
-    /// Bytes the follower has.
+    /// Number of bytes that the follower has received without a gap.
     received: u64,
-    /// Bytes by the follower's last acknowledgement: fewer where a later one overtook it, or where
-    /// the follower has restarted.
+    /// Number of bytes in the follower's most recent acknowledgement: fewer than `received` if a
+    /// later acknowledgement overtook it, or if the follower has restarted.
     last_acknowledged: u64,
-    /// At a stall the last acknowledgement was of fewer bytes than were received; until there are more.
+    /// Whether the most recent acknowledgement at a stall covered fewer bytes than `received`.
+    /// Reset once `received` increases.
     is_restart_suspected: bool,
-    /// Bytes that may be under way where answers come soon.
+    /// Size of the window without growth, in bytes.
     base_window: u64,
-    /// How many usual windows may be under way.
+    /// Size of the window, in multiples of the base window.
     window_factor: u64,
-    /// Bytes the follower had when the last heartbeat round began.
+    /// Value of `received` at the start of the last heartbeat round.
     received_before_round: u64,
-    /// Heartbeat rounds in turn in which nothing was acknowledged.
+    /// Number of consecutive heartbeat rounds in which nothing was acknowledged.
     rounds_without_progress: u32,
-    /// Answers without news that are expected since the leader went back.
+    /// Number of answers without progress that are still expected after the last rewind.
     expected_duplicates: usize,
-    /// Finds gaps once all that was sent is answered.
+    /// Detects gaps once all sent chunks are answered.
     answers: ChunkAnswers,
-    /// Where the next chunk began when the leader last went back: once the follower has more, no
-    /// repeat is expected any more.
+    /// Value of `next_offset` at the last rewind. Once the follower has received more, no duplicate
+    /// is expected any more.
     rewound_from: u64,
-    /// Reads the snapshot's bytes.
+    /// Reader of the snapshot's bytes.
     parts: PartReader,
-    /// The next chunk could not be read.
+    /// Whether reading the next chunk failed.
     read_failed: bool,
-    /// Asks a follower that has all of it, and does not say that it is durable, whether it still has it.
+    /// Probes a follower that has received all bytes but does not report the snapshot as durable.
     probe: DurabilityProbe,
-    /// Chunks that the follower has not acknowledged, in order and without gap.
+    /// Chunks that the follower has not acknowledged, in order and without gaps.
     unacknowledged_chunks: VecDeque<UnacknowledgedChunk>,
-    /// Bytes that were sent, and those of them that were sent again.
+    /// Number of bytes sent, and how many of them were resent.
     sent: u64,
     sent_again: u64,
-    /// Up to here bytes were sent at least once.
+    /// Offset up to which bytes were sent at least once.
     sent_through: u64,
 }
 
@@ -147,8 +154,8 @@
         }
     }
 
-    /// The chunks of at most `length` bytes that go out now, with at most `usual_window` bytes under way
-    /// where answers come soon.
+    /// Returns the chunks to send now, of at most `length` bytes each. At most `base_window` bytes,
+    /// or a multiple of it on paths with a long round-trip time, are in flight.
     pub(crate) fn next_chunks(&mut self, length: usize, base_window: u64) -> Vec<SnapshotChunk> {
         self.base_window = base_window;
         let mut chunks = Vec::new();
@@ -180,8 +187,8 @@
         }
     }
 
-    /// At most `length` bytes from where the next chunk begins; none when they cannot be read: the
-    /// state that is sent logs why, and it is sent again once the follower is stalled.
+    /// Returns at most `length` bytes from `next_offset`. Returns no bytes if they cannot be read;
+    /// the snapshot's state logs the reason, and the chunk is retried after the next stall.
     fn next_part(&mut self, length: usize) -> Vec<u8> {
         let offset = self.next_offset;
         let unacknowledged_chunks = self
@@ -225,9 +232,10 @@
         self.sent_through = self.sent_through.max(end);
     }
 
-    /// Sends again what is not acknowledged, since the follower is stalled. One that had all of it,
-    /// and has not acknowledged its index, is still writing it, or has restarted before it was durable:
-    /// it is probed with the first chunk, which only one that restarted answers.
+    /// Resends the unacknowledged bytes to a stalled follower. A follower that has received
+    /// everything but has not acknowledged the snapshot's index is either still writing it, or has
+    /// restarted before it was durable. It is probed with the first chunk, which only a restarted
+    /// follower answers.
     pub(crate) fn resend(&mut self) {
         self.read_failed = false;
         if self.detect_restart() {
@@ -241,8 +249,9 @@
         self.rewind();
     }
 
-    /// Whether the follower has fewer bytes than it acknowledged. An acknowledgement that another one
-    /// overtook says so too, but only by what may be under way, and not at two stalls.
+    /// Returns whether the follower has fewer bytes than it acknowledged earlier. A reordered
+    /// acknowledgement looks the same, but differs by no more than the bytes in flight, and not at
+    /// two consecutive stalls.
     fn detect_restart(&mut self) -> bool {
         if self.last_acknowledged >= self.received {
             return false;
@@ -253,7 +262,7 @@
         !may_be_overtaken || was_suspected
     }
 
-    /// The first chunk, if the follower is to be probed with it now.
+    /// Returns the first chunk if the follower is to be probed now.
     fn take_probe(&mut self, length: usize) -> Option<Vec<u8>> {
         if !self.probe.take() {
             return None;
@@ -263,8 +272,8 @@
         Some(part)
     }
 
-    /// The next chunk is the first one that the follower lacks. Those under way may still be answered
-    /// without news, and so may each of them that is sent again.
+    /// Continues with the first byte that the follower lacks. Chunks in flight may still be
+    /// answered without progress, and so may each of them that is resent.
     fn rewind(&mut self) {
         self.window_factor = 1;
         self.expected_duplicates = 2 * self.unacknowledged_chunks.len();
@@ -273,7 +282,9 @@
         self.next_offset = self.received;
     }
 
-    /// A heartbeat round begins: the window grows where answers are late. One that gets none may be lost.
+    /// Handles the start of a heartbeat round: grows the window if few bytes were acknowledged in
+    /// the last round. The window does not grow if nothing was acknowledged, since the chunks may
+    /// be lost.
     pub(crate) fn on_heartbeat_round(&mut self) {
         let acknowledged = self.received.saturating_sub(self.received_before_round);
         self.received_before_round = self.received;
@@ -282,19 +293,20 @@
         } else {
             self.rounds_without_progress.saturating_add(1)
         };
-        let enough = self.base_window.saturating_mul(FULL_PACE_WINDOWS_PER_ROUND);
-        if acknowledged > 0 && acknowledged < enough {
+        let full_pace_bytes = self.base_window.saturating_mul(FULL_PACE_WINDOWS_PER_ROUND);
+        if acknowledged > 0 && acknowledged < full_pace_bytes {
             self.window_factor = MAX_WINDOW_FACTOR.min(self.window_factor * 2);
         }
     }
 
-    /// Whether the follower lacks some of it, and has acknowledged something in the last `rounds`
-    /// heartbeat rounds.
+    /// Returns whether the follower lacks some bytes and has acknowledged progress in the last
+    /// `rounds` heartbeat rounds.
     pub(crate) fn is_progressing(&self, rounds: u32) -> bool {
         self.received < self.snapshot.data.length() && self.rounds_without_progress < rounds
     }
 
-    /// The follower has `received` bytes; `true` when that is more than before.
+    /// Handles an acknowledgement of `received` bytes. Returns whether it acknowledges more than
+    /// before.
     pub(crate) fn on_acknowledged(&mut self, received: u64) -> bool {
         self.last_acknowledged = received;
         self.answers.on_answer();
@@ -322,7 +334,8 @@
             .on_received(received, self.unacknowledged_chunks.len());
     }
 
-    /// An answer that another one overtook says nothing of what was dropped.
+    /// Handles an acknowledgement without progress. One with fewer bytes than `received` was
+    /// reordered, and says nothing about dropped chunks.
     fn on_answer_without_progress(&mut self, received: u64) {
         self.answers.on_out_of_order(self.next_offset);
         if received < self.received {
@@ -343,7 +356,7 @@
         }
     }
 
-    /// How far it is.
+    /// Returns the progress of the transfer to `to`.
     pub(crate) fn report(&self, to: ReplicaId) -> SnapshotSending {
         SnapshotSending {
             to,
--- a/crates/shared/wingshore-consensus/src/persistence.rs
+++ b/crates/shared/wingshore-consensus/src/persistence.rs
@@ -1,7 +1,7 @@
-//! What of a member's state is durable, and the one write under way.
+//! Tracking of the durable state and of the pending write.
 //!
-//! Changes made while a write is under way are collected and go out together as the next one. What
-//! depends on a write is sent only once its token is durable.
+//! At most one write is pending. Changes made meanwhile are collected and written together as the
+//! next write. Messages that depend on a write are sent only once its token is durable.
 
 use crate::entry::{CodecError, Entry, HardState};
 use crate::log::RaftLog;
@@ -9,14 +9,14 @@
 use wingshore_types::LogIndex;
 use wingshore_types::log::{StoredSnapshot, WriteBatch};
 
-/// A write handed out and not yet reported durable.
+/// A write that was emitted and is not yet reported durable.
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
     token: u64,
     last_index: LogIndex,
 }
 
-/// Tracks durability.
+/// Persistence tracks which part of the log and of the hard state is durable.
 ///
 /// Invariants: `persisted_index <= written_index`; every entry up to `persisted_index` that is in
 /// the log in memory is durable; tokens become durable in order.
@@ -35,7 +35,7 @@
 }
 
 impl Persistence {
-    /// Starts with a log that is durable through `last_index`.
+    /// Returns the state after recovery of a log that is durable through `last_index`.
     pub(crate) fn recovered(last_index: LogIndex) -> Self {
         Self {
             written_index: last_index,
@@ -44,49 +44,49 @@
         }
     }
 
-    /// The last durable entry.
+    /// Returns the index of the last durable entry.
     pub(crate) fn persisted_index(&self) -> LogIndex {
         self.persisted_index
     }
 
-    /// The hard state has changed.
+    /// Records that the hard state has changed and must be written.
     pub(crate) fn hard_state_changed(&mut self) {
         self.hard_state_dirty = true;
         self.hard_state_token = self.last_token + 1;
     }
 
-    /// Whether the hard state is durable as it is now.
+    /// Returns whether the current hard state is durable.
     pub(crate) fn hard_state_is_durable(&self) -> bool {
         self.hard_state_token <= self.persisted_token
     }
 
-    /// Whether the write that carries the hard state as it was at `token` is durable.
+    /// Returns whether the write with this token is durable.
     pub(crate) fn is_durable(&self, token: u64) -> bool {
         token <= self.persisted_token
     }
 
-    /// The write that makes the hard state durable.
+    /// Returns the token of the write that makes the current hard state durable.
     pub(crate) fn hard_state_token(&self) -> u64 {
         self.hard_state_token
     }
 
-    /// The log was truncated in memory.
+    /// Records that the log in memory was truncated from `index` on.
     pub(crate) fn truncated_from(&mut self, index: LogIndex) {
         if index > self.written_index {
             return;
         }
-        let kept = LogIndex(index.0.saturating_sub(1));
+        let last_kept = LogIndex(index.0.saturating_sub(1));
         let earlier = self.truncate_from.unwrap_or(index);
         self.truncate_from = Some(earlier.min(index));
-        self.written_index = kept;
-        self.persisted_index = self.persisted_index.min(kept);
+        self.written_index = last_kept;
+        self.persisted_index = self.persisted_index.min(last_kept);
         if let Some(pending_write) = &mut self.pending_write {
-            pending_write.last_index = pending_write.last_index.min(kept);
+            pending_write.last_index = pending_write.last_index.min(last_kept);
         }
     }
 
-    /// A snapshot from the leader took the place of the whole log. A crash may leave the
-    /// snapshot beside old records; recovery drops records that do not agree with it.
+    /// Records that a snapshot from the leader replaced the whole log. A crash may leave the
+    /// snapshot next to old records; recovery drops the records that do not match it.
     pub(crate) fn replaced_by_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) {
         self.truncate_from = Some(LogIndex(1));
         self.discard_through = Some(snapshot.index);
@@ -98,23 +98,24 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A snapshot of the own state was taken; records through `discard_through` may go after it.
+    /// Records that a snapshot of the own state was taken. Records through `discard_through` may be
+    /// deleted after it is written.
     pub(crate) fn compacted(&mut self, snapshot: Arc<StoredSnapshot>, discard_through: LogIndex) {
         self.snapshot = Some(snapshot);
         self.discard(discard_through);
     }
 
-    /// Records through `index` may go; a durable snapshot covers them.
+    /// Records that a durable snapshot covers the records through `index`, which may be deleted.
     pub(crate) fn discard(&mut self, index: LogIndex) {
         self.discard_through = Some(self.discard_through.map_or(index, |old| old.max(index)));
     }
 
-    /// Every record on disk must go.
+    /// Requests the deletion of every record on disk.
     pub(crate) fn discard_all_records(&mut self) {
         self.truncate_from = Some(LogIndex(1));
     }
 
-    /// The next write, unless one is under way or there is nothing to write.
+    /// Returns the next write, or `None` if a write is pending or there is nothing to write.
     pub(crate) fn next_write(
         &mut self,
         log: &RaftLog,
@@ -141,7 +142,8 @@
         Ok(Some((self.last_token, batch)))
     }
 
-    /// The write is durable; `false` when it was not the one under way.
+    /// Records that the write with this token is durable. Returns `false` if it is not the pending
+    /// write.
     pub(crate) fn on_persisted(&mut self, token: u64) -> bool {
         match self.pending_write {
             Some(pending_write) if pending_write.token == token => {
--- a/crates/shared/wingshore-consensus/src/progress.rs
+++ b/crates/shared/wingshore-consensus/src/progress.rs
@@ -1,20 +1,22 @@
-//! What is sent to a follower next, and when does something under way count as lost?
+//! Replication progress of a follower: what is sent next, and when in-flight data counts as lost.
 //!
-//! - Inputs: acknowledgements and rejections of appends, answers to heartbeats, acknowledged bytes of a
-//!   snapshot; the limits of what may be under way ([`Limits`]).
-//! - Rule: a follower whose log is not known is probed with one append at a time until one is accepted;
-//!   from then on entries are streamed up to the limits. A follower that answers heartbeats which were
-//!   sent after what is under way, without any progress, the last of them half a heartbeat interval or
-//!   more after the first, is stalled: what is under way counts as lost and is sent again, a probe as it
-//!   was, entries from the last acknowledged one, a snapshot from its last acknowledged byte.
-//! - Why: messages may be lost, repeated and overtaken, and each heartbeat is answered, so that answers
-//!   without progress are the sign of a loss. An answer to an earlier heartbeat says nothing of what was
-//!   sent after it, and answers that come at once are one answer: a follower that
-//!   stood still, or waited for its first write, gives them together.
-//! - Old or missing inputs: an acknowledgement that is older than what is known changes nothing. A
-//!   rejection from a log that is shorter than what was acknowledged is old, or the follower has lost its
-//!   log: it is probed anew, which is right in the second case and harmless in the first. While a snapshot
-//!   is under way each rejection is old, since no append is sent then.
+//! - Inputs: acknowledgements and rejections of appends, heartbeat replies, acknowledged bytes of a
+//!   snapshot, and the limits on data in flight ([`Limits`]).
+//! - Rule: a follower whose log is unknown is probed with one append at a time until one is
+//!   accepted; from then on entries are streamed up to the limits. A follower is stalled if it
+//!   answers heartbeats that were sent after the data in flight without acknowledging any progress,
+//!   and the last of these replies arrives at least half a heartbeat interval after the first. The
+//!   data in flight then counts as lost and is resent: a probe as it was, entries from the last
+//!   acknowledged one, a snapshot from the last acknowledged byte.
+//! - Reason: messages may be lost, duplicated and reordered, and every heartbeat is answered, so
+//!   replies without progress indicate a loss. A reply to an earlier heartbeat says nothing about
+//!   data that was sent after it. Replies that arrive at the same time count as one: a follower
+//!   that was paused, or was waiting for its first write, sends them together.
+//! - Stale inputs: an acknowledgement that is older than the known state changes nothing. A
+//!   rejection from a log that is shorter than what was acknowledged is either stale, or the
+//!   follower has lost its log. The follower is probed again, which is required in the second case
+//!   and harmless in the first. While a snapshot is being sent every rejection is stale, since no
+//!   append is sent meanwhile.
 
 use crate::limits::Limits;
 use crate::outgoing::{OutgoingSnapshot, SnapshotSending};
@@ -24,25 +26,26 @@
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// The heartbeat interval divided by this lies at least between two replies that count as two: more than
-/// between those that waited together, less than between those to heartbeats that were sent in turn.
+/// Heartbeat replies count separately if they are at least the heartbeat interval divided by this
+/// apart: more than the distance of replies that were delayed together, and less than that of
+/// replies to consecutive heartbeats.
 const STALL_DIVISOR: u32 = 2;
 
-/// How entries are sent to a follower.
+/// ProgressState is the mode in which a follower is sent entries.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
-    /// Searching for the last entry in common, one message at a time.
+    /// Searching for the last common entry, one append at a time.
     Probe {
-        /// A probe is under way.
+        /// Whether a probe is in flight.
         sent: bool,
     },
-    /// Streaming, with a limit on what is under way.
+    /// Streaming entries, with a limit on the data in flight.
     Replicate(InFlight),
     /// Sending a snapshot.
     Snapshot(Box<OutgoingSnapshot>),
 }
 
-/// Appends sent and not yet acknowledged: the last index and the bytes of each.
+/// InFlight holds the unacknowledged appends: the last index and the size in bytes of each.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlight {
     messages: VecDeque<(LogIndex, usize)>,
@@ -70,29 +73,30 @@
     }
 }
 
-/// One follower.
+/// Progress is the replication state of one follower.
 ///
 /// Invariant: `match_index < next_index`.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// The last entry known to be durable there and equal to the leader's.
+    /// The last entry known to be durable on the follower and equal to the leader's.
     pub(crate) match_index: LogIndex,
     /// The next entry to send.
     pub(crate) next_index: LogIndex,
-    /// How entries are sent to it.
+    /// The current mode.
     pub(crate) state: ProgressState,
-    /// The last heartbeat round it answered.
+    /// The latest heartbeat round that the follower has answered.
     pub(crate) acknowledged_round: u64,
-    /// The heartbeat round in which something was last sent.
+    /// The heartbeat round in which an append or a chunk was last sent.
     sent_round: u64,
-    /// The first reply without progress to a heartbeat that was sent after that.
+    /// Time of the first reply without progress to a heartbeat that was sent after `sent_round`.
     no_progress_since: Option<Instant>,
-    /// It was sent a state, and has not caught up since.
+    /// Whether the follower was sent a snapshot and has not caught up since.
     is_catching_up_from_snapshot: bool,
 }
 
 impl Progress {
-    /// A follower of unknown log; the first append goes from `next_index`.
+    /// Returns the progress of a follower whose log is unknown. The first append starts at
+    /// `next_index`.
     pub(crate) fn new(next_index: LogIndex) -> Self {
         Self {
             match_index: LogIndex(0),
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Whether an append may be sent when the log ends at `last_index`.
+    /// Returns whether an append may be sent, if the log ends at `last_index`.
     pub(crate) fn may_send(&self, last_index: LogIndex, limits: &Limits) -> bool {
         match &self.state {
             ProgressState::Probe { sent } => !sent,
@@ -116,13 +120,13 @@
         }
     }
 
-    /// Something was sent in heartbeat round `round`.
+    /// Records that an append or a chunk was sent in heartbeat round `round`.
     pub(crate) fn on_sent_in_round(&mut self, round: u64) {
         self.sent_round = round;
         self.no_progress_since = None;
     }
 
-    /// An append that ends at `last_index` was sent.
+    /// Records that an append that ends at `last_index` was sent.
     pub(crate) fn on_sent(&mut self, last_index: LogIndex, bytes: usize) {
         match &mut self.state {
             ProgressState::Probe { sent } => *sent = true,
@@ -134,7 +138,8 @@
         }
     }
 
-    /// The follower acknowledged `match_index`; `true` when that is more than before.
+    /// Handles an acknowledgement of `match_index`. Returns whether it acknowledges more than
+    /// before.
     pub(crate) fn on_accepted(&mut self, match_index: LogIndex) -> bool {
         let advanced = match_index > self.match_index;
         if advanced {
@@ -157,8 +162,8 @@
         advanced
     }
 
-    /// The follower rejected an append after `rejected`; `agreed` is the last index at which the
-    /// logs may agree, and `last_index` the follower's last.
+    /// Handles the rejection of an append whose previous entry is `rejected`. `agreed` is the last
+    /// index at which the logs may agree, and `last_index` is the follower's last index.
     pub(crate) fn on_rejected(
         &mut self,
         rejected: LogIndex,
@@ -171,8 +176,8 @@
             ProgressState::Snapshot(_) => return,
         };
         if last_index < self.match_index {
-            // The follower lost what it had acknowledged, or the message is old. Sending again
-            // is right in the first case and harmless in the second.
+            // Either the follower has lost entries that it had acknowledged, or the message is
+            // stale. Resending is required in the first case and harmless in the second.
             self.match_index = LogIndex(0);
             self.probe_from(LogIndex(last_index.0 + 1));
             return;
@@ -183,14 +188,14 @@
         }
     }
 
-    /// A heartbeat round begins.
+    /// Handles the start of a heartbeat round.
     pub(crate) fn on_heartbeat_round(&mut self) {
         if let ProgressState::Snapshot(outgoing) = &mut self.state {
             outgoing.on_heartbeat_round();
         }
     }
 
-    /// The follower answered heartbeat `round` at `now`; what seems lost is sent again.
+    /// Handles the reply to heartbeat `round` at `now`. Resends data that seems lost.
     pub(crate) fn on_heartbeat_reply(
         &mut self,
         now: Instant,
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Whether something is under way that is not acknowledged.
+    /// Returns whether unacknowledged data is in flight.
     fn has_in_flight(&self) -> bool {
         match &self.state {
             ProgressState::Probe { sent } => *sent,
@@ -228,8 +233,8 @@
         }
     }
 
-    /// Notes a reply without progress to a heartbeat that was sent after what is under way; `true`
-    /// where the ones since the last progress, or since the last stall, tell of a loss.
+    /// Records a reply without progress to a heartbeat that was sent after the data in flight.
+    /// Returns whether the replies since the last progress or stall indicate a loss.
     fn is_stalled(&mut self, now: Instant, heartbeat_interval: Duration) -> bool {
         if !self.has_in_flight() {
             return false;
@@ -242,7 +247,7 @@
         is_stalled
     }
 
-    /// The follower has `received` bytes of the snapshot at `index`.
+    /// Handles an acknowledgement of `received` bytes of the snapshot at `index`.
     pub(crate) fn on_snapshot_received(&mut self, index: LogIndex, received: u64) {
         let ProgressState::Snapshot(outgoing) = &mut self.state else {
             return;
@@ -252,7 +257,8 @@
         }
     }
 
-    /// The last entry that it has, or will have once it has the snapshot that is being sent to it.
+    /// Returns the last entry that the follower has, or will have after the snapshot that it is
+    /// being sent.
     pub(crate) fn match_or_snapshot_index(&self) -> LogIndex {
         match &self.state {
             ProgressState::Snapshot(outgoing) => outgoing.snapshot.index,
@@ -260,17 +266,17 @@
         }
     }
 
-    /// Whether it is being sent a snapshot, or has not caught up since it was.
+    /// Returns whether the follower is being sent a snapshot, or has not caught up since.
     pub(crate) fn is_catching_up_from_snapshot(&self) -> bool {
         self.is_catching_up_from_snapshot
     }
 
-    /// It has caught up.
+    /// Records that the follower has caught up.
     pub(crate) fn on_caught_up(&mut self) {
         self.is_catching_up_from_snapshot = false;
     }
 
-    /// How far the sending of a snapshot to it, which is `id`, is.
+    /// Returns the progress of the snapshot that is being sent to this follower, whose id is `id`.
     pub(crate) fn snapshot_sending(&self, id: ReplicaId) -> Option<SnapshotSending> {
         match &self.state {
             ProgressState::Snapshot(outgoing) => Some(outgoing.report(id)),
@@ -278,8 +284,8 @@
         }
     }
 
-    /// Whether a snapshot is on its way to it, of which it has acknowledged something in the last
-    /// `rounds` heartbeat rounds.
+    /// Returns whether the follower is being sent a snapshot and has acknowledged progress in the
+    /// last `rounds` heartbeat rounds.
     pub(crate) fn is_receiving_snapshot(&self, rounds: u32) -> bool {
         match &self.state {
             ProgressState::Snapshot(outgoing) => outgoing.is_progressing(rounds),
@@ -287,13 +293,13 @@
         }
     }
 
-    /// Starts to send a snapshot.
+    /// Starts sending a snapshot.
     pub(crate) fn send_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) {
         self.state = ProgressState::Snapshot(Box::new(OutgoingSnapshot::new(snapshot)));
         self.is_catching_up_from_snapshot = true;
     }
 
-    /// Searches for the last entry in common from before `next_index`.
+    /// Starts probing for the last common entry before `next_index`.
     fn probe_from(&mut self, next_index: LogIndex) {
         self.next_index = next_index;
         self.state = ProgressState::Probe { sent: false };
--- a/crates/shared/wingshore-consensus/src/raft.rs
+++ b/crates/shared/wingshore-consensus/src/raft.rs
@@ -1,6 +1,6 @@
-//! One member: its state, and the dispatch of inputs.
+//! State of a member and dispatch of its inputs.
 //!
-//! What a follower, a candidate and a leader do with them is in modules of their own.
+//! The behavior of followers, candidates and leaders is in modules of their own.
 
 use crate::config::Faults;
 use crate::entry::{CodecError, HardState};
@@ -21,23 +21,24 @@
 use wingshore_types::snapshot_spool::SnapshotSpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// A message that waits for a write.
+/// DeferredMessage is a message that is sent once a write is durable.
 #[derive(Debug)]
 pub(crate) struct DeferredMessage {
-    /// The write.
+    /// Token of the write.
     pub(crate) token: u64,
     /// The receiver.
     pub(crate) to: ReplicaId,
-    /// The message; dropped when the term has moved on.
+    /// The message; dropped if the term changes first.
     pub(crate) message: Message,
 }
 
-/// One member of a group.
+/// Raft is one member of a group.
 ///
-/// Invariants, in the names of the paper:
-/// - `term` never falls; `vote` changes at most once in a term;
+/// Invariants, with the names of the paper:
+///
+/// - `term` never decreases; `vote` changes at most once per term;
 /// - `last_applied <= commit_index <= last index of the log`;
-/// - `verified_index` is the highest index at which this log is known to equal that of the
+/// - `verified_index` is the highest index up to which this log is known to equal the log of the
 ///   leader of `term`;
 /// - entries up to `commit_index` are never truncated.
 #[derive(Debug)]
@@ -53,22 +54,23 @@
     pub(crate) enrolled: bool,
     pub(crate) log: RaftLog,
     pub(crate) members: Members,
-    /// The last entry that the snapshot on disk contains, or is to contain; 0 without one.
+    /// The last entry that the snapshot on disk, or the one being written, contains; 0 without a
+    /// snapshot.
     pub(crate) snapshot_index: LogIndex,
-    /// The snapshot that was made last, while something still holds it: a write or a transfer.
+    /// The most recent snapshot, while a write or a transfer still references it.
     pub(crate) recent_snapshot: Weak<StoredSnapshot>,
-    /// Members that need a snapshot while none is at hand.
+    /// Members that need a snapshot while none is available.
     pub(crate) awaiting_snapshot: BTreeSet<ReplicaId>,
 
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) commit_index: LogIndex,
     pub(crate) last_applied: LogIndex,
-    /// Bytes of entries given out to be applied since the last flush.
+    /// Size of the entries emitted for application since the last flush, in bytes.
     pub(crate) applied_since_flush: usize,
     pub(crate) verified_index: LogIndex,
     pub(crate) acknowledgement_pending: bool,
-    /// Where a snapshot is gathered that is being received.
+    /// Storage for the snapshot that is being received.
     pub(crate) spool: Arc<dyn SnapshotSpool>,
     pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) last_contact: Instant,
@@ -79,7 +81,7 @@
 }
 
 impl Raft {
-    /// Handles one input at `now`. Follow it, or several, by [`Raft::flush`].
+    /// Handles one input at `now`. Call [`Raft::flush`] after one or several inputs.
     pub fn step(&mut self, now: Instant, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => self.on_tick(now, out),
@@ -88,11 +90,11 @@
         }
     }
 
-    /// Gives out what the steps since the last call collected: appends to followers, the
+    /// Emits the collected results of the steps since the last call: appends to followers, the
     /// acknowledgement to the leader, and one write.
     ///
     /// # Errors
-    /// When the hard state does not encode; the member must not go on.
+    /// Returns an error if the hard state cannot be encoded; the member must then stop.
     pub fn flush(&mut self, now: Instant, out: &mut Vec<Output>) -> Result<(), CodecError> {
         self.applied_since_flush = 0;
         self.apply_committed(out);
@@ -107,24 +109,24 @@
         Ok(())
     }
 
-    /// Drops entries from memory that are applied and durable, beyond what followers that are a
-    /// little behind may need. A state that is being sent holds the entries after it back until its
-    /// receiver has them, or else it needs another state; but not without limit: a receiver that takes
-    /// nothing must not fill the memory.
+    /// Removes applied and durable entries from memory, except for those that followers that are
+    /// slightly behind may need. Entries after a snapshot that is being sent are retained until the
+    /// receiver has them, since it would otherwise need another snapshot. The retention is limited,
+    /// so that a receiver that makes no progress cannot exhaust the memory.
     fn trim_log(&mut self) {
-        /// Entries after a state that was sent may take this many times the usual space.
+        /// Limit for the entries after a snapshot that was sent, in multiples of the usual limit.
         const SNAPSHOT_RETENTION_FACTOR: usize = 4;
-        let kept = self.limits.cached_log_bytes;
+        let max_cached_bytes = self.limits.cached_log_bytes;
         let through = self.last_applied.min(self.persistence.persisted_index());
         let held = self.min_catching_up_index();
         let trimmed_through = held.map_or(through, |held| held.min(through));
-        self.log.trim_through(trimmed_through, kept);
+        self.log.trim_through(trimmed_through, max_cached_bytes);
         self.log
-            .trim_through(through, kept * SNAPSHOT_RETENTION_FACTOR);
+            .trim_through(through, max_cached_bytes * SNAPSHOT_RETENTION_FACTOR);
         self.members.compact_through(self.log.base_index());
     }
 
-    /// When [`Input::Tick`] is due at the latest.
+    /// Returns the latest time at which [`Input::Tick`] is due.
     pub fn next_deadline(&self) -> Instant {
         if self.last_applied < self.commit_index {
             return Instant::ZERO;
@@ -223,7 +225,8 @@
             self.vote = None;
             self.persistence.hard_state_changed();
             self.deferred.clear();
-            // It came from the leader of a term; that one goes on where it was while the term lasts.
+            // The partial snapshot came from the leader of the old term. Within a term the same
+            // leader resumes it where it was.
             self.incoming = None;
         }
         self.role = Role::Follower;
@@ -233,7 +236,7 @@
         self.set_leader(leader, out);
     }
 
-    /// Notes who leads the current term, and reports it.
+    /// Sets the leader of the current term, and emits the change.
     pub(crate) fn set_leader(&mut self, leader: Option<ReplicaId>, out: &mut Vec<Output>) {
         self.leader = leader;
         out.push(Output::Leadership {
@@ -242,7 +245,8 @@
         });
     }
 
-    /// Notes a message of the current term's leader; `false` when it must be ignored.
+    /// Handles the sender of a message from the current term's leader. Returns `false` if the
+    /// message must be ignored.
     fn accept_leader(&mut self, now: Instant, from: ReplicaId, out: &mut Vec<Output>) -> bool {
         if self.is_leader() {
             return false;
@@ -255,7 +259,7 @@
         true
     }
 
-    /// Draws the next election timeout.
+    /// Draws a random election timeout and sets the next election deadline.
     pub(crate) fn reset_election_deadline(&mut self, now: Instant) {
         let spread = self.timing.election_spread.as_nanos();
         let extra = self
@@ -274,7 +278,7 @@
         out.push(Output::Send { to, message });
     }
 
-    /// Sends a message once the hard state as it is now is durable.
+    /// Sends a message once the current hard state is durable.
     pub(crate) fn send_when_durable(&mut self, to: ReplicaId, body: Body, out: &mut Vec<Output>) {
         if self.persistence.hard_state_is_durable() {
             return self.send(to, body, out);
@@ -304,7 +308,7 @@
         }
     }
 
-    /// Lets the leader of an older term know that its term is over.
+    /// Informs the leader of an older term of the current term.
     fn send_newer_term(&self, to: ReplicaId, out: &mut Vec<Output>) {
         let body = Body::HeartbeatReply {
             round: 0,
@@ -313,7 +317,7 @@
         self.send(to, body, out);
     }
 
-    /// The hard state as it is to be written.
+    /// Returns the hard state to write.
     pub(crate) fn hard_state(&self) -> HardState {
         let vote = if self.faults.vote_without_persist {
             None
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Commits up to `index`, giving out what is to be applied.
+    /// Commits entries up to `index`, and emits them for application.
     pub(crate) fn advance_commit(&mut self, index: LogIndex, out: &mut Vec<Output>) {
         let index = index.min(self.log.last_index());
         if index <= self.commit_index {
@@ -337,8 +341,9 @@
         self.apply_committed(out);
     }
 
-    /// Gives out committed entries to be applied, as many as fit between two flushes. A leader that
-    /// answers reads never lags behind what is committed.
+    /// Emits committed entries for application, up to the limit between two flushes. The limit does
+    /// not apply to a leader that has applied an entry of its own term, since its reads must
+    /// include every committed entry.
     fn apply_committed(&mut self, out: &mut Vec<Output>) {
         while self.last_applied < self.commit_index {
             let next = LogIndex(self.last_applied.0 + 1);
--- a/crates/shared/wingshore-consensus/src/recovery.rs
+++ b/crates/shared/wingshore-consensus/src/recovery.rs
@@ -1,7 +1,7 @@
-//! Starting a member from what storage recovered.
+//! Start of a member from recovered storage.
 //!
-//! Records that a snapshot overrides are dropped; a gap, a damaged value, or a record of a term that the
-//! hard state does not know stops the start.
+//! Records that a snapshot replaces are dropped. A gap, a damaged value, or a record with a term
+//! above the term of the hard state prevents the start.
 
 use crate::config::RaftConfig;
 use crate::entry::{CodecError, Entry, HardState, SnapshotContents};
@@ -19,36 +19,36 @@
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{Instant, LogIndex};
 
-/// Term of the entry that holds the founding membership, equal on every founding member.
+/// Term of the entry that contains the founding membership; the same on every founding member.
 const BOOTSTRAP_TERM: u64 = 1;
 
-/// Why a member cannot start.
+/// Reason why a member cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RecoveryError {
-    /// A setting does not fit.
+    /// A setting is invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Which.
+        /// The invalid setting.
         source: ConfigError,
     },
-    /// Recovered bytes do not decode.
+    /// Recovered bytes cannot be decoded.
     #[snafu(display("{source}"))]
     Damaged {
-        /// Which.
+        /// The decoding error.
         source: CodecError,
     },
-    /// Records do not follow one another, or the snapshot.
+    /// The records are not consecutive, or do not continue the snapshot.
     #[snafu(display("log record {found} follows {last}; allowed is the next index"))]
     Gap {
         /// The last index before the gap.
         last: LogIndex,
-        /// The record after the gap.
+        /// Index of the record after the gap.
         found: LogIndex,
     },
-    /// A record without the hard state that is always written before it.
+    /// A record has a term above that of the hard state, which is always written before the record.
     #[snafu(display("log record {index} has term {term}, above the recovered term {known}"))]
     Term {
-        /// The record.
+        /// Index of the record.
         index: LogIndex,
         /// Its term.
         term: u64,
@@ -58,13 +58,12 @@
 }
 
 impl Raft {
-    /// Starts a member at `now` from what storage recovered; pushes the state to restore.
+    /// Starts a member at `now` from recovered storage, and emits the state to restore.
     ///
-    /// A founding member with nothing recovered begins with the founding membership as its first
-    /// entry. A member with neither waits to be taken in as a learner.
+    /// A founding member with empty storage starts its log with the founding membership. A member
+    /// with neither waits until it is added as a learner.
     ///
-    /// # Errors
-    /// When a setting does not fit, or what was recovered cannot be used.
+    /// # Errors Returns an error if a setting is invalid, or the recovered data cannot be used.
     pub fn new(
         now: Instant,
         config: RaftConfig,
@@ -78,7 +77,7 @@
         let (base_index, base_term) = snapshot
             .as_ref()
             .map_or((LogIndex(0), 0), |snapshot| (snapshot.index, snapshot.term));
-        // Its bytes are not needed any more, and may be many.
+        // The snapshot's bytes are not needed any more, and may take much memory.
         drop(snapshot);
         let mut raft = Self {
             id: config.id,
@@ -124,8 +123,8 @@
         Ok(raft)
     }
 
-    /// Takes over the records after the snapshot. Records that do not agree with the snapshot
-    /// are from before it replaced the log, and go.
+    /// Appends the recovered records after the snapshot to the log. Records that do not match the
+    /// snapshot were written before it replaced the log, and are discarded.
     fn recover_records(&mut self, records: Vec<LogRecord>) -> Result<(), RecoveryError> {
         let base_index = self.log.base_index();
         let agrees = agrees_with_snapshot(&records, base_index, self.log.last_term());
@@ -167,7 +166,7 @@
         Ok(())
     }
 
-    /// Begins a founding member's log, unless it has begun.
+    /// Starts a founding member's log, unless it already has entries or a snapshot.
     fn bootstrap(&mut self, founding: &Membership) -> Result<(), RecoveryError> {
         if self.snapshot_index > LogIndex(0) || self.log.last_index() > LogIndex(0) {
             return Ok(());
@@ -195,8 +194,8 @@
     decoded.context(DamagedSnafu)
 }
 
-/// Whether the records continue the snapshot at `index`: they hold its last entry with its term,
-/// or begin right after it, or there are none.
+/// Returns whether the records continue the snapshot at `index`: they contain its last entry with
+/// the same term, start right after it, or are empty.
 fn agrees_with_snapshot(records: &[LogRecord], index: LogIndex, term: u64) -> bool {
     let Some(first) = records.first() else {
         return true;
@@ -205,7 +204,7 @@
         return true;
     }
     if first.index > index {
-        // A gap, which the caller reports.
+        // The caller reports the gap.
         return true;
     }
     records
--- a/crates/shared/wingshore-consensus/src/role.rs
+++ b/crates/shared/wingshore-consensus/src/role.rs
@@ -1,65 +1,66 @@
-//! What a member does in its term, and what it knows for that.
+//! Roles of a member, and the state of each role.
 
 use crate::lease::HeartbeatRounds;
 use crate::progress::Progress;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// What a member does in its term.
+/// Role is the role of a member in its current term.
 #[derive(Debug)]
 pub(crate) enum Role {
-    /// Follows the leader, or waits for one.
+    /// Follows the leader, or waits for an election.
     Follower,
-    /// Asks whether it would be elected, before it disturbs anyone.
+    /// Asks whether it would be elected, without raising the term of other members.
     PreCandidate(Ballot),
-    /// Asks for votes.
+    /// Requests votes.
     Candidate(Ballot),
-    /// Leads.
+    /// Is the leader.
     Leader(Box<LeaderState>),
 }
 
-/// The votes, or pre-votes, of one campaign.
+/// Ballot collects the votes or pre-votes of one campaign.
 #[derive(Debug)]
 pub(crate) struct Ballot {
-    /// Who granted.
+    /// Members that granted a vote.
     pub(crate) granted: BTreeSet<ReplicaId>,
-    /// The leader handed over.
+    /// Whether the leader requested this campaign.
     pub(crate) transfer: bool,
-    /// When to ask those again who have not granted.
+    /// When to repeat the requests to the members that have not granted a vote.
     pub(crate) next_retry: Instant,
 }
 
-/// What only a leader has.
+/// LeaderState is the state of a leader.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// The other members.
+    /// Replication progress of the other members.
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     /// Heartbeat rounds and the lease.
     pub(crate) rounds: HeartbeatRounds,
-    /// Index of the first entry of this leadership.
+    /// Index of the first entry of this leader's term.
     pub(crate) first_index: LogIndex,
-    /// The leadership transfer under way.
+    /// The leadership transfer in progress.
     pub(crate) transfer: Option<Transfer>,
-    /// Until when a hand-over that was asked for waits for states that are being sent.
+    /// Time until which a requested leadership transfer waits for outgoing snapshots.
     pub(crate) snapshot_wait_deadline: Option<Instant>,
     /// When the next heartbeat round is due.
     pub(crate) next_heartbeat: Instant,
-    /// What was committed at the last heartbeats.
+    /// Commit indexes at the most recent heartbeat rounds.
     pub(crate) recent_commits: RecentCommits,
 }
 
-/// What was committed when the last heartbeat rounds began.
+/// RecentCommits records the commit indexes at the start of the most recent heartbeat rounds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentCommits {
-    /// Rounds and what was committed at the begin of each, oldest first.
+    /// Rounds with the commit index at the start of each, oldest first.
     rounds: VecDeque<(u64, LogIndex)>,
 }
 
 impl RecentCommits {
-    /// Rounds that are remembered; a member that has answered none of them is compared with the oldest.
+    /// Number of rounds recorded. A member that has answered none of them is compared with the
+    /// oldest.
     const MAX_ROUNDS: usize = 16;
 
-    /// A heartbeat round begins.
+    /// Records the commit index at the start of a heartbeat round.
     pub(crate) fn record(&mut self, round: u64, commit_index: LogIndex) {
         if self.rounds.len() == Self::MAX_ROUNDS {
             self.rounds.pop_front();
@@ -67,7 +68,8 @@
         self.rounds.push_back((round, commit_index));
     }
 
-    /// What was committed one round before `answered` began; `None` before the second round.
+    /// Returns the commit index at the start of the round before `answered`, or `None` before the
+    /// second round.
     pub(crate) fn before(&self, answered: u64) -> Option<LogIndex> {
         if self.rounds.len() < 2 {
             return None;
@@ -79,7 +81,7 @@
 }
 
 impl LeaderState {
-    /// When something is to be done at the latest.
+    /// Returns the earliest deadline of the leader.
     pub(crate) fn next_deadline(&self) -> Instant {
         let deadline = self.transfer.and_then(|transfer| transfer.phase.deadline());
         deadline.map_or(self.next_heartbeat, |deadline| {
@@ -88,34 +90,36 @@
     }
 }
 
-/// A leadership transfer under way.
+/// Transfer is a leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
-    /// The receiver.
+    /// The member that is to become leader.
     pub(crate) target: ReplicaId,
-    /// How far it is.
+    /// The current phase.
     pub(crate) phase: TransferPhase,
 }
 
-/// How far a leadership transfer is.
+/// TransferPhase is the phase of a leadership transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransferPhase {
-    /// States are being sent that another leader would send anew. Proposals are taken.
+    /// Waits for outgoing snapshots, which another leader would send again from the beginning.
+    /// Proposals are accepted.
     AwaitingSnapshots,
-    /// The receiver lacks some of the log. No proposals are taken.
+    /// Waits until the target has the whole log. Proposals are rejected.
     CatchingUp {
-        /// When the transfer is given up.
+        /// When the transfer is aborted.
         deadline: Instant,
     },
-    /// The receiver was asked to campaign. No proposals are taken.
+    /// The target was asked to campaign. Proposals are rejected.
     TimeoutNowSent {
-        /// When this member steps down without another leader.
+        /// When this member steps down if no other member has become leader.
         deadline: Instant,
     },
 }
 
 impl TransferPhase {
-    /// When the phase ends at the latest; the first one ends with a heartbeat.
+    /// Returns the deadline of the phase. The first phase has none; it is checked at each
+    /// heartbeat.
     pub(crate) fn deadline(self) -> Option<Instant> {
         match self {
             Self::AwaitingSnapshots => None,
--- a/crates/shared/wingshore-consensus/src/snapshot.rs
+++ b/crates/shared/wingshore-consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, sending them in chunks, and receiving them.
+//! Taking, sending and receiving snapshots.
 
 use crate::entry::{CodecError, SnapshotContents};
 use crate::incoming::IncomingSnapshot;
@@ -16,17 +16,18 @@
 use wingshore_types::{LogIndex, ReplicaId};
 
 impl Raft {
-    /// Whether a snapshot can be taken now: what it would cover is durable in the log.
+    /// Returns whether a snapshot can be taken now: the entries that it would cover are durable in
+    /// the log.
     pub fn can_compact(&self) -> bool {
         self.last_applied > self.snapshot_index
             && self.last_applied <= self.persistence.persisted_index()
     }
 
-    /// Takes `state`, as of the last applied entry, as the snapshot, and compacts the log behind
-    /// it. Does nothing unless [`Raft::can_compact`].
+    /// Takes a snapshot of `state`, as of the last applied entry, and compacts the log. Does
+    /// nothing unless [`Raft::can_compact`] returns true.
     ///
     /// # Errors
-    /// When the snapshot does not encode.
+    /// Returns an error if the snapshot cannot be encoded.
     pub fn compact(&mut self, state: impl Into<SnapshotState>) -> Result<(), CodecError> {
         if !self.can_compact() {
             return Ok(());
@@ -37,7 +38,8 @@
         let through = self
             .log
             .compaction_point(snapshot.index, self.limits.retained_log_bytes);
-        // A member that lacks what is forgotten needs a state; what memory has room for is kept for it.
+        // A member that lacks a removed entry needs a snapshot, so entries that such a member needs
+        // stay in memory as long as there is room.
         let held = self.min_replicated_index();
         let compacted_through = held.map_or(through, |held| held.min(through));
         self.log.compact_through(compacted_through);
@@ -47,16 +49,17 @@
         Ok(())
     }
 
-    /// Whether a member needs a snapshot and none is at hand: [`Raft::provide_snapshot`] is to be called.
+    /// Returns whether a member needs a snapshot and none is available, so that the host must call
+    /// [`Raft::provide_snapshot`].
     pub fn wants_snapshot(&self) -> bool {
         self.is_leader() && !self.awaiting_snapshot.is_empty()
     }
 
-    /// Takes `state`, as of the last applied entry, to be sent to the members that need a
-    /// snapshot. Nothing is written: it is held only until they have it.
+    /// Sends `state`, as of the last applied entry, to the members that need a snapshot. It is not
+    /// persisted, and is kept in memory only until they have it.
     ///
     /// # Errors
-    /// When the snapshot does not encode.
+    /// Returns an error if the snapshot cannot be encoded.
     pub fn provide_snapshot(&mut self, state: impl Into<SnapshotState>) -> Result<(), CodecError> {
         let Some(snapshot) = self.snapshot_of(state.into())? else {
             return Ok(());
@@ -69,8 +72,8 @@
         Ok(())
     }
 
-    /// `state` as the snapshot of the last applied entry; `None` when the log does not know its
-    /// term.
+    /// Returns a snapshot of `state` at the last applied entry, or `None` if the log does not know
+    /// the term of that entry.
     fn snapshot_of(
         &mut self,
         state: SnapshotState,
@@ -85,8 +88,8 @@
         Ok(Some(snapshot))
     }
 
-    /// Starts to send a snapshot to a member that needs entries which are compacted away: the
-    /// recent one if the log continues from it, or else one that the host is asked for.
+    /// Starts sending a snapshot to a member that needs compacted entries: the recent snapshot if
+    /// the log continues from it, or else one that is requested from the host.
     pub(crate) fn start_snapshot(&mut self, to: ReplicaId) {
         let base = self.log.base_index();
         let recent = self.recent_snapshot.upgrade();
@@ -99,7 +102,8 @@
         }
     }
 
-    /// The last entry that all members have, or will have once they have the states that they are sent.
+    /// Returns the last entry that all members have, or will have after the snapshots that they are
+    /// being sent.
     fn min_replicated_index(&self) -> Option<LogIndex> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -111,7 +115,8 @@
             .min()
     }
 
-    /// As [`Raft::held_by_all`], of the members that are being sent a state, or have not caught up since.
+    /// Returns the same as [`Raft::min_replicated_index`], but only over the members that are being
+    /// sent a snapshot or have not caught up since.
     pub(crate) fn min_catching_up_index(&self) -> Option<LogIndex> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -121,7 +126,7 @@
         behind.map(Progress::match_or_snapshot_index).min()
     }
 
-    /// Sends the next chunks that may be under way.
+    /// Sends the next snapshot chunks that the window permits.
     pub(crate) fn send_snapshot_chunks(&mut self, to: ReplicaId, out: &mut Vec<Output>) {
         let chunk_bytes = self.limits.snapshot_chunk_bytes.max(1);
         let window = (chunk_bytes * self.limits.snapshot_chunks_in_flight.max(1)) as u64;
@@ -141,14 +146,14 @@
         }
     }
 
-    /// A member has some of the snapshot.
+    /// Handles the acknowledgement of a part of a snapshot.
     pub(crate) fn on_snapshot_received(&mut self, from: ReplicaId, index: LogIndex, received: u64) {
         if let Some(progress) = self.progress_mut(from) {
             progress.on_snapshot_received(index, received);
         }
     }
 
-    /// Takes part of a snapshot from the leader. A late part of an older one changes nothing.
+    /// Handles a snapshot chunk from the leader. A late chunk of an older snapshot changes nothing.
     pub(crate) fn on_snapshot_chunk(
         &mut self,
         from: ReplicaId,
@@ -174,8 +179,8 @@
         self.install_when_complete(out);
     }
 
-    /// Adds a chunk if it is the next one; gives how many bytes have come. What cannot be gathered is
-    /// dropped, and its sender begins anew.
+    /// Adds a chunk, and returns the number of bytes received without a gap. If the chunk cannot be
+    /// stored, the partial snapshot is dropped, and the leader starts from the beginning.
     fn store_chunk(&mut self, chunk: &SnapshotChunk) -> u64 {
         let known = self
             .incoming
@@ -192,7 +197,7 @@
         received
     }
 
-    /// `None` when the spool has no place; it logs why.
+    /// Returns `None` if the spool cannot store a snapshot; the spool logs the reason.
     fn begin_incoming(&self, chunk: &SnapshotChunk) -> Option<IncomingSnapshot> {
         let data = self.spool.begin().ok()?;
         Some(IncomingSnapshot {
@@ -210,7 +215,7 @@
         let Some(incoming) = self.incoming.take_if(is_complete) else {
             return;
         };
-        // The spool logs why; the leader sends the snapshot again.
+        // The spool logs the reason, and the leader sends the snapshot again.
         let Ok(data) = incoming.data.finish() else {
             return;
         };
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Replaces log and state by a snapshot that is ahead of both.
+    /// Replaces the log and the state with a snapshot that is ahead of both.
     fn install(
         &mut self,
         snapshot: Arc<StoredSnapshot>,
--- a/crates/shared/wingshore-consensus/src/timing.rs
+++ b/crates/shared/wingshore-consensus/src/timing.rs
@@ -1,48 +1,51 @@
-//! When may a member campaign, and for how long may a leader act without asking the others?
+//! Election timeouts and the leader lease: when a member may campaign, and how long a leader may
+//! act without contacting the others.
 //!
-//! - Inputs, all by the member's own clock: when it last heard from a leader; for each heartbeat round,
-//!   when it was *sent*, and whether a quorum has acknowledged it; the durations of [`Timing`].
-//! - Rule: a member campaigns, and grants votes, only once it has heard from no leader for
-//!   `election_timeout`, and waits up to `election_spread` longer before it campaigns itself. A leader
-//!   acts, and answers reads, until `lease`, shortened by twice the drift of clocks, has passed since it
-//!   sent the newest round that a quorum has acknowledged. Without such a round for a whole
-//!   `election_timeout` it steps down.
-//! - Why: each member of that quorum heard the round after it was sent, and refuses votes for longer
-//!   than the lease lasts. So the lease is over before another leader can be elected, as long as no
-//!   clock drifts by more than `drift`. The timeout has to bear the lease, and machines that stall;
-//!   what a spread adds to it is time without a leader.
-//! - Old or missing inputs: a member that has just started takes itself to have heard from a leader at
-//!   that moment; a leader without an acknowledged round has no lease.
+//! - Inputs, all by the member's own clock: the time of the last message from a leader; for each
+//!   heartbeat round, when it was *sent*, and whether a quorum has acknowledged it; the durations
+//!   in [`Timing`].
+//! - Rule: a member campaigns and grants votes only if it has received nothing from a leader for
+//!   `election_timeout`, and waits up to `election_spread` longer before it campaigns itself. A
+//!   leader acts and answers reads until `lease`, shortened by twice the clock drift, has passed
+//!   since it sent the newest round that a quorum has acknowledged. Without such a round for a
+//!   whole `election_timeout` it steps down.
+//! - Reason: each member of that quorum received the round after it was sent, and refuses votes for
+//!   longer than the lease lasts. The lease therefore ends before another leader can be elected, as
+//!   long as no clock drifts by more than `drift`. The election timeout must cover the lease and
+//!   pauses of the machines; a longer spread only adds time without a leader.
+//! - Missing inputs: a member that has just started behaves as if it had received a message from a
+//!   leader at that moment; a leader without an acknowledged round has no lease.
 
 use snafu::Snafu;
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
 
-/// Election timeout where the settings name none: ten heartbeats.
+/// Default election timeout: ten heartbeat intervals.
 const DEFAULT_ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
-/// The default spread is this part of the election timeout.
+/// The election timeout divided by this is the default election spread.
 const ELECTION_SPREAD_PART: u32 = 4;
-/// Time between heartbeat rounds where the settings name none: a lost round or two is no reason for an
-/// election.
+/// Default time between heartbeat rounds. The loss of one or two rounds must not cause an election.
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Lease where the settings name none: the election timeout less a heartbeat.
+/// Default lease: the election timeout less one heartbeat interval.
 const DEFAULT_LEASE: Duration = Duration::from_millis(450);
-/// Drift of clocks where the settings name none: far above that of quartz clocks (below 1 permille).
+/// Default limit of the clock drift: far above the drift of quartz clocks (below 1 permille).
 const DEFAULT_DRIFT: Permille = Permille(20);
 
-/// Timing of elections and leases; the same on all members of a group.
+/// Timing holds the durations of elections and leases. It must be the same on all members of a
+/// group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Shortest time without a leader before an election.
+    /// Minimum time without contact to a leader before an election.
     pub election_timeout: Duration,
-    /// Maximal time by which a member waits longer, drawn anew each time. Long against the time that a
-    /// vote takes, so that members seldom campaign at once; beyond that it is time without a leader.
+    /// Maximum random time added to `election_timeout`, drawn for each campaign. It should be long
+    /// compared with the time that a vote takes, so that members seldom campaign at the same time;
+    /// any more only adds time without a leader.
     pub election_spread: Duration,
     /// Time between a leader's heartbeat rounds.
     pub heartbeat_interval: Duration,
-    /// Length of the leader lease before the drift margin; at most `election_timeout`.
+    /// Length of the leader lease without the drift margin; at most `election_timeout`.
     pub lease: Duration,
-    /// The maximum by which any member's clock runs faster or slower than true time.
+    /// Maximum rate by which any member's clock runs faster or slower than true time.
     pub drift: Permille,
 }
 
@@ -59,23 +62,24 @@
 }
 
 impl Timing {
-    /// The lease less the drift margin: safe as long as no clock drifts more than `drift`.
+    /// Returns the lease less the drift margin, which is safe as long as no clock drifts by more
+    /// than `drift`.
     pub fn safe_lease(&self) -> Duration {
         let margin = u32::from(self.drift.0).saturating_mul(2);
-        let kept = u32::from(Permille::WHOLE.0).saturating_sub(margin);
-        self.lease * kept / u32::from(Permille::WHOLE.0)
+        let remaining_permille = u32::from(Permille::WHOLE.0).saturating_sub(margin);
+        self.lease * remaining_permille / u32::from(Permille::WHOLE.0)
     }
 
-    /// Whole heartbeat rounds in an election timeout.
+    /// Returns the number of whole heartbeat rounds in an election timeout.
     pub(crate) fn rounds_in_election_timeout(&self) -> u32 {
         let interval = self.heartbeat_interval.as_nanos().max(1);
         u32::try_from(self.election_timeout.as_nanos() / interval).unwrap_or(u32::MAX)
     }
 
-    /// Checks that the values fit together.
+    /// Checks that the durations are consistent.
     ///
     /// # Errors
-    /// Says which value does not fit, and what is allowed.
+    /// Returns an error that names the invalid value and the allowed range.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.heartbeat_interval.is_zero() || self.heartbeat_interval * 2 > self.safe_lease() {
             return HeartbeatSnafu { timing: *self }.fail();
@@ -87,7 +91,7 @@
     }
 }
 
-/// A setting that does not fit.
+/// ConfigError reports an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigError {
     /// The heartbeat interval is zero or too long for the lease.
@@ -101,7 +105,7 @@
         /// The timing.
         timing: Timing,
     },
-    /// The lease is longer than followers wait.
+    /// The lease is longer than the election timeout.
     #[snafu(display(
         "lease is {:?}; allowed is at most election_timeout ({:?})",
         timing.lease,
--- a/crates/shared/wingshore-consensus/src/transfer.rs
+++ b/crates/shared/wingshore-consensus/src/transfer.rs
@@ -1,15 +1,16 @@
-//! When does a leader transfer its leadership?
+//! Leadership transfer.
 //!
-//! - Inputs: the request of the host, for a voter; which members are being sent a state, and when each last
-//!   acknowledged some of it; how far the receiver's log is.
-//! - Rule: a hand-over waits for states that are being sent, four election timeouts at most, and takes
-//!   proposals meanwhile. Then it takes none, waits until the receiver has durably the whole log, releases the
-//!   lease, and asks the receiver to campaign at once. After one election timeout of that the transfer is
-//!   given up: before the receiver was asked, the leader goes on leading; after that it steps down, since its
-//!   lease cannot return in this term.
-//! - Why: another leader's state has another index, so that it sends all of it anew, and members that lack a
-//!   state cannot be counted on until they have it.
-//! - Old or missing inputs: a member that has acknowledged nothing for an election timeout is not waited for.
+//! - Inputs: the host's request, which names a voter; which members are being sent a snapshot, and
+//!   when each last acknowledged progress; the target's match index.
+//! - Rule: a transfer first waits for outgoing snapshots, for at most four election timeouts, and
+//!   accepts proposals meanwhile. Then it rejects proposals, waits until the target durably has the
+//!   whole log, releases the lease, and asks the target to campaign at once. This second part is
+//!   aborted after one election timeout: if the target was not asked yet, the leader remains
+//!   leader; otherwise it steps down, since its lease cannot be regained in this term.
+//! - Reason: another leader's snapshot has another index, so it would be sent from the beginning,
+//!   and members that lack a snapshot cannot be relied on until they have it.
+//! - Missing inputs: a transfer does not wait for a member that has acknowledged nothing for an
+//!   election timeout.
 
 use crate::interface::Output;
 use crate::message::Body;
@@ -19,35 +20,36 @@
 use snafu::{Snafu, ensure};
 use wingshore_types::{Instant, ReplicaId};
 
-/// Election timeouts that a hand-over waits at most for states that are being sent.
+/// Maximum time that a leadership transfer waits for outgoing snapshots, in election timeouts.
 const SNAPSHOT_WAIT_ELECTION_TIMEOUTS: u32 = 4;
 
-/// Why leadership is not handed over.
+/// Reason why leadership cannot be transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum TransferError {
-    /// This member does not lead.
+    /// This member is not the leader.
     #[snafu(display("this member does not lead"))]
     NotLeader,
-    /// The receiver does not vote.
+    /// The target is not a voter.
     #[snafu(display("member {target} is not a voter; leadership can go to voters only"))]
     NotAVoter {
-        /// The receiver.
+        /// The target.
         target: ReplicaId,
     },
-    /// Another transfer is under way.
+    /// Another transfer is in progress.
     #[snafu(display("leadership is being handed over to member {target} already"))]
     TransferInProgress {
-        /// Its receiver.
+        /// The target of that transfer.
         target: ReplicaId,
     },
 }
 
 impl Raft {
-    /// Transfers leadership to `target`, once it has the whole log. [`Output::Leadership`] or
-    /// [`Output::TransferAborted`] reports the end.
+    /// Transfers leadership to `target` once it has the whole log. [`Output::Leadership`] or
+    /// [`Output::TransferAborted`] reports the result.
     ///
     /// # Errors
-    /// When this member does not lead, or `target` does not vote.
+    /// Returns an error if this member is not the leader, `target` is not a voter, or another
+    /// transfer is in progress.
     pub fn transfer_leadership(
         &mut self,
         now: Instant,
@@ -72,7 +74,8 @@
         Ok(())
     }
 
-    /// Begins the wait for states that are being sent, ahead of a hand-over, unless it has begun.
+    /// Starts the wait for outgoing snapshots before a leadership transfer, unless it has started
+    /// already.
     pub fn await_states(&mut self, now: Instant) {
         let until = now + self.timing.election_timeout * SNAPSHOT_WAIT_ELECTION_TIMEOUTS;
         if let Role::Leader(leader) = &mut self.role {
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Whether a hand-over still waits for a state that is being sent.
+    /// Returns whether a leadership transfer still has to wait for an outgoing snapshot.
     pub fn is_awaiting_states(&self, now: Instant) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
@@ -89,11 +92,11 @@
             .snapshot_wait_deadline
             .is_some_and(|until| now < until);
         let rounds = self.timing.rounds_in_election_timeout();
-        let receives = |progress: &Progress| progress.is_receiving_snapshot(rounds);
-        is_in_time && leader.progress.values().any(receives)
+        let is_receiving = |progress: &Progress| progress.is_receiving_snapshot(rounds);
+        is_in_time && leader.progress.values().any(is_receiving)
     }
 
-    /// Once no state is waited for any more, the receiver is to have the whole log.
+    /// Moves the transfer to the catch-up phase once it need not wait for snapshots.
     fn begin_catching_up(&mut self, now: Instant) {
         if self.is_awaiting_states(now) {
             return;
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The voter that has most of the log, apart from this member: the best receiver.
+    /// Returns the best target for a transfer: the other voter with the highest match index.
     pub fn transfer_candidate(&self) -> Option<ReplicaId> {
         self.members
             .voter_ids()
@@ -117,9 +120,9 @@
             .max_by_key(|id| self.match_index(*id))
     }
 
-    /// Asks the receiver to campaign, once it has the whole log. The lease is released first, for
-    /// the rest of the term: the receiver's campaign does not wait for followers to miss this
-    /// leader, however late the message arrives.
+    /// Asks the target to campaign once it has the whole log. The lease is released first, for the
+    /// rest of the term: the target's campaign does not wait for the followers' election timeouts,
+    /// however late the message arrives.
     pub(crate) fn continue_transfer(&mut self, now: Instant, out: &mut Vec<Output>) {
         self.begin_catching_up(now);
         let last_index = self.log.last_index();
@@ -145,8 +148,8 @@
         self.send(target, Body::TimeoutNow, out);
     }
 
-    /// Gives up a transfer that takes too long. Once the receiver was asked to campaign, the
-    /// lease cannot come back in this term, so this member steps down.
+    /// Aborts a transfer that takes too long. Once the target was asked to campaign, the lease
+    /// cannot be regained in this term, so this member steps down.
     pub(crate) fn check_transfer_deadline(&mut self, now: Instant, out: &mut Vec<Output>) {
         let Role::Leader(leader) = &mut self.role else {
             return;
--- a/crates/shared/wingshore-consensus/tests/changing_members.rs
+++ b/crates/shared/wingshore-consensus/tests/changing_members.rs
@@ -27,7 +27,7 @@
 /// Time of a round.
 const ROUND: Duration = Duration::from_millis(20);
 /// Attempts of a healed group to commit something; a second or two each.
-const RECOVERY_ATTEMPTS: u32 = 20;
+const HEALED_ROUNDS: u32 = 20;
 /// Voters are removed down to so many.
 const MIN_VOTERS: usize = 3;
 
@@ -116,7 +116,7 @@
 
 /// Whether a healed group commits something new.
 fn recovers(cluster: &mut Cluster) -> bool {
-    for _ in 0..RECOVERY_ATTEMPTS {
+    for _ in 0..HEALED_ROUNDS {
         if let Some(leader) = cluster.ready_leader()
             && let Ok(index) = cluster.propose(leader, b"healed")
         {
