--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -69,7 +69,7 @@
 
     /// Says how far the sending of the state to members is that lack too much of the log.
     pub(super) fn report_sent_states(&mut self, now: Instant) {
-        let sendings = self.host.snapshots_under_way();
+        let sendings = self.host.outgoing_snapshots();
         let look = self.sent_states.look(now, &sendings);
         self.metrics.state_sent(look.sent, look.sent_again);
         for report in look.reports {
--- a/crates/shared/wingshore-consensus/src/accessors.rs
+++ b/crates/shared/wingshore-consensus/src/accessors.rs
@@ -115,7 +115,7 @@
 
     /// Returns the progress of the snapshots that this leader is sending. Empty unless this member
     /// is the leader.
-    pub fn snapshots_under_way(&self) -> Vec<SnapshotSending> {
+    pub fn outgoing_snapshots(&self) -> Vec<SnapshotSending> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
         };
--- a/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
@@ -339,7 +339,7 @@
                 let state = cluster.node(leader).applied.encode();
                 cluster.act(leader, |raft, _, _| raft.compact(state).unwrap());
             }
-            let under_way = cluster.raft(leader).snapshots_under_way();
+            let under_way = cluster.raft(leader).outgoing_snapshots();
             sendings.extend(under_way.into_iter().map(|sending| sending.index));
         }
         Ok(())
--- a/crates/shared/wingshore-consensus/tests/snapshot_review.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_review.rs
@@ -103,7 +103,7 @@
 
 /// Notes the indexes of the states that are being sent.
 fn record_sendings(cluster: &Cluster, leader: u64, sendings: &mut BTreeSet<LogIndex>) {
-    let under_way = cluster.raft(leader).snapshots_under_way();
+    let under_way = cluster.raft(leader).outgoing_snapshots();
     sendings.extend(under_way.into_iter().map(|sending| sending.index));
 }
 
@@ -234,7 +234,7 @@
     cluster.stalled_disks.insert(ReplicaId(RECEIVER));
     run_until_caught_up(&mut cluster, leader)?;
     cluster.run_until(Duration::from_millis(5), |_| false);
-    let sending = cluster.raft(leader).snapshots_under_way();
+    let sending = cluster.raft(leader).outgoing_snapshots();
     let sending = sending.first().copied().or_fail()?;
     verify_that!(sending.received, eq(sending.total))?;
     let late = Body::SnapshotReceived {
--- a/crates/shared/wingshore-group/src/host.rs
+++ b/crates/shared/wingshore-group/src/host.rs
@@ -317,8 +317,8 @@
     }
 
     /// The states that this replica, as leader, is sending to members; none on others.
-    pub fn snapshots_under_way(&self) -> Vec<SnapshotSending> {
-        self.raft.snapshots_under_way()
+    pub fn outgoing_snapshots(&self) -> Vec<SnapshotSending> {
+        self.raft.outgoing_snapshots()
     }
 
     /// The members, as of the newest entry that changes them.
--- a/crates/shared/wingshore-group/tests/stop_beside_states.rs
+++ b/crates/shared/wingshore-group/tests/stop_beside_states.rs
@@ -18,7 +18,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn is_sending(cluster: &Cluster, leader: u64) -> bool {
-    let sendings = cluster.host(leader).snapshots_under_way();
+    let sendings = cluster.host(leader).outgoing_snapshots();
     sendings.iter().any(|sending| sending.received > 0)
 }
 
