--- a/crates/shared/wingshore-consensus/src/snapshot.rs
+++ b/crates/shared/wingshore-consensus/src/snapshot.rs
@@ -51,7 +51,7 @@
 
     /// Returns whether a member needs a snapshot and none is available, so that the host must call
     /// [`Raft::provide_snapshot`].
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.is_leader() && !self.awaiting_snapshot.is_empty()
     }
 
--- a/crates/shared/wingshore-consensus/tests/support/node.rs
+++ b/crates/shared/wingshore-consensus/tests/support/node.rs
@@ -137,7 +137,7 @@
         sends: &mut Vec<(ReplicaId, Message)>,
         checker: &mut Checker,
     ) {
-        let Some(raft) = self.raft.as_mut().filter(|raft| raft.wants_snapshot()) else {
+        let Some(raft) = self.raft.as_mut().filter(|raft| raft.needs_snapshot()) else {
             return;
         };
         let state = self.provided_state.clone();
--- a/crates/shared/wingshore-group/src/host.rs
+++ b/crates/shared/wingshore-group/src/host.rs
@@ -170,7 +170,7 @@
         self.propose_held();
         self.continue_stop(now, out);
         self.take_snapshot_when_due()?;
-        if self.raft.wants_snapshot() {
+        if self.raft.needs_snapshot() {
             self.raft.provide_snapshot(self.state.freeze())?;
         }
         let mut outputs = Vec::new();
