--- a/crates/shared/wingshore-consensus/src/transfer.rs
+++ b/crates/shared/wingshore-consensus/src/transfer.rs
@@ -68,7 +68,7 @@
         if target != own_id {
             let phase = TransferPhase::AwaitingSnapshots;
             leader.transfer = Some(Transfer { target, phase });
-            self.await_states(now);
+            self.await_snapshots(now);
             self.begin_catching_up(now);
         }
         Ok(())
@@ -76,7 +76,7 @@
 
     /// Starts the wait for outgoing snapshots before a leadership transfer, unless it has started
     /// already.
-    pub fn await_states(&mut self, now: Instant) {
+    pub fn await_snapshots(&mut self, now: Instant) {
         let until = now + self.timing.election_timeout * SNAPSHOT_WAIT_ELECTION_TIMEOUTS;
         if let Role::Leader(leader) = &mut self.role {
             leader.snapshot_wait_deadline.get_or_insert(until);
--- a/crates/shared/wingshore-group/src/stop.rs
+++ b/crates/shared/wingshore-group/src/stop.rs
@@ -16,7 +16,7 @@
     pub(crate) fn begin_stop(&mut self, now: Instant) {
         if self.stop == StopPhase::Running {
             self.stop = StopPhase::AwaitingStates;
-            self.raft.await_states(now);
+            self.raft.await_snapshots(now);
         }
     }
 
