--- a/crates/shared/wingshore-consensus/src/transfer.rs
+++ b/crates/shared/wingshore-consensus/src/transfer.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether a leadership transfer still has to wait for an outgoing snapshot.
-    pub fn is_awaiting_states(&self, now: Instant) -> bool {
+    pub fn is_awaiting_snapshots(&self, now: Instant) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
@@ -98,7 +98,7 @@
 
     /// Moves the transfer to the catch-up phase once it need not wait for snapshots.
     fn begin_catching_up(&mut self, now: Instant) {
-        if self.is_awaiting_states(now) {
+        if self.is_awaiting_snapshots(now) {
             return;
         }
         let deadline = now + self.timing.election_timeout;
--- a/crates/shared/wingshore-group/src/stop.rs
+++ b/crates/shared/wingshore-group/src/stop.rs
@@ -22,7 +22,7 @@
 
     /// A stop goes on once no state that is being sent is waited for any more.
     fn end_wait_for_states(&mut self, now: Instant) {
-        if self.stop == StopPhase::AwaitingStates && !self.raft.is_awaiting_states(now) {
+        if self.stop == StopPhase::AwaitingStates && !self.raft.is_awaiting_snapshots(now) {
             self.stop = StopPhase::begin(now, self.election_timeout);
         }
     }
