--- a/crates/shared/wingshore-consensus/tests/caught_up.rs
+++ b/crates/shared/wingshore-consensus/tests/caught_up.rs
@@ -1,4 +1,4 @@
-//! Whether the leader itself counts as caught up.
+//! Tests whether the leader itself counts as caught up.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use support::cluster::Cluster;
 use wingshore_types::ReplicaId;
 
-/// What is seen: a group under writes is not whole, at one look or at each, though all of its voters follow.
-/// How it comes about: what the others have made durable is committed before the leader's own disk has it.
-/// Cause: the leader, which answers no heartbeat of its own, was held to what is committed at the moment.
-/// Proof: an entry that was committed within a heartbeat interval, and is not on the leader's disk.
+/// Guards against a leader under writes that does not count as caught up although all voters
+/// follow. The other voters can commit an entry before the leader's own disk has it, and the
+/// leader, which answers none of its own heartbeats, was compared with the current commit index.
+/// Here an entry is committed within a heartbeat interval while the leader's disk does not have it.
 #[gtest]
 fn leader_with_briefly_slow_disk_is_caught_up() -> Result<()> {
     let mut cluster = Cluster::new(3, 1);
--- a/crates/shared/wingshore-consensus/tests/changing_members.rs
+++ b/crates/shared/wingshore-consensus/tests/changing_members.rs
@@ -1,8 +1,9 @@
-//! Random runs in which voters and learners change beside each other, with losses, crashes, cut links and
-//! slow disks: nothing that was committed is lost, and the group goes on once all is healed.
+//! Random runs with concurrent changes of voters and learners, message loss, crashes, cut links and
+//! slow disks. No committed entry may be lost, and the group must make progress once all faults are
+//! healed.
 //!
-//! Further seeds by hand: `WINGSHORE_CONSENSUS_SEEDS=2000 cargo test -p wingshore-consensus
-//! --test changing_members -- --nocapture`.
+//! To run more seeds: `WINGSHORE_CONSENSUS_SEEDS=2000 cargo test -p wingshore-consensus --test
+//! changing_members -- --nocapture`.
 
 mod support;
 
@@ -14,28 +15,28 @@
 use wingshore_consensus::{ChangeError, ChangeOutcome, Raft};
 use wingshore_types::ReplicaId;
 
-/// Environment variable with the number of seeds, for runs by hand.
+/// Environment variable that overrides the number of seeds.
 const SEEDS_VARIABLE: &str = "WINGSHORE_CONSENSUS_SEEDS";
-/// Seeds of each run of the test.
+/// Default number of seeds.
 const SEEDS: u64 = 40;
-/// Founding members.
+/// Number of founding members.
 const VOTERS: u64 = 5;
-/// All machines; those that are no founders can be taken in.
+/// Number of nodes; nodes that are not founding members can be added.
 const NODES: u64 = 9;
-/// Rounds of a run.
+/// Number of rounds in a run.
 const ROUNDS: u32 = 600;
-/// Time of a round.
+/// Duration of a round.
 const ROUND: Duration = Duration::from_millis(20);
-/// Attempts of a healed group to commit something; a second or two each.
+/// Number of attempts of a healed group to commit an entry; each takes one or two seconds.
 const HEALED_ROUNDS: u32 = 20;
-/// Voters are removed down to so many.
+/// Voters are removed only while there are more than this many.
 const MIN_VOTERS: usize = 3;
 
-/// What runs did.
+/// Counts of what the runs did.
 #[derive(Default)]
 struct Counts {
     changes: u64,
-    /// Changes that were appended while the one before was not committed.
+    /// Changes that were appended while the previous change was not committed.
     concurrent: u64,
     commits: usize,
 }
@@ -61,9 +62,9 @@
     }
 }
 
-/// Whether the newest membership of the leader is not committed.
+/// Returns whether the leader's newest membership is not committed.
 fn is_changing(raft: &mut Raft) -> bool {
-    // An addition that is there already is refused until it is committed.
+    // Adding an existing member is rejected until the newest change is committed.
     let Some(known) = raft.membership().voters.first().cloned() else {
         return false;
     };
@@ -114,7 +115,7 @@
     }
 }
 
-/// Whether a healed group commits something new.
+/// Returns whether a healed group commits a new entry.
 fn recovers(cluster: &mut Cluster) -> bool {
     for _ in 0..HEALED_ROUNDS {
         if let Some(leader) = cluster.ready_leader()
--- a/crates/shared/wingshore-consensus/tests/golden/mod.rs
+++ b/crates/shared/wingshore-consensus/tests/golden/mod.rs
@@ -1,12 +1,12 @@
-//! Encoded examples, compared byte by byte with golden files.
+//! Comparison of encoded examples with golden files.
 //!
-//! A golden file has one line for each example: its name, and its bytes in hexadecimal digits. The
-//! files were written by a release that is in use, and a line of them never changes. A new kind adds
-//! a line, which the failing test prints.
+//! A golden file has one line per example: its name, and its bytes in hexadecimal. The files were
+//! written by a release that is in use, so existing lines must never change. A new kind of value
+//! adds a line, which the failing test prints.
 
 use googletest::prelude::*;
 
-/// Compares named bytes with the lines of a golden file.
+/// Compares the encoded examples with the lines of a golden file.
 pub fn check(golden: &str, examples: &[(&str, Vec<u8>)]) {
     let lines = examples
         .iter()
--- a/crates/shared/wingshore-consensus/tests/golden_members.rs
+++ b/crates/shared/wingshore-consensus/tests/golden_members.rs
@@ -1,4 +1,5 @@
-//! Bytes of all messages between members, and of what a member gives to storage.
+//! Tests of the encodings of all messages between members and of everything that a member writes to
+//! storage.
 
 mod golden;
 
@@ -143,7 +144,7 @@
     }
 }
 
-/// The only member of a group, which leads it once it has campaigned.
+/// A single-member group; the member becomes leader after it has campaigned.
 struct SingleMember {
     raft: Raft,
     now: Instant,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Lets time pass, and reports each write as durable.
+    /// Advances the time, and reports each write as durable.
     fn run(&mut self) {
         for _ in 0..4 {
             self.now = self.now + Duration::from_millis(500);
@@ -187,7 +188,7 @@
     }
 }
 
-/// A member whose writes hold each form: hard states, an entry of each kind and a snapshot.
+/// Returns a member whose writes contain hard states, an entry of each kind, and a snapshot.
 fn member_with_all_record_kinds() -> SingleMember {
     let mut single = SingleMember::start(RecoveredLog::default());
     single.run();
@@ -236,7 +237,7 @@
     expect_that!(restarted.raft.membership(), eq(written.raft.membership()));
 }
 
-/// The form before this one has the length of the state before the state.
+/// In the previous snapshot format the length of the state precedes the state.
 #[gtest]
 fn both_snapshot_formats_are_decoded() {
     let state = vec![9_u8, 8, 7];
@@ -269,7 +270,7 @@
     }
 }
 
-/// A record that names no kind of entry is refused, not skipped.
+/// A log record of an unknown kind must be rejected, not skipped.
 #[gtest]
 fn a_record_of_an_unknown_kind_is_refused() {
     let hard_state = member_with_all_record_kinds().writes.remove(0).hard_state;
--- a/crates/shared/wingshore-consensus/tests/hand_over.rs
+++ b/crates/shared/wingshore-consensus/tests/hand_over.rs
@@ -1,4 +1,4 @@
-//! Leadership that is handed over while a state is being sent.
+//! Leadership transfers while a snapshot is being sent.
 
 mod support;
 
@@ -9,16 +9,17 @@
 use wingshore_consensus::{Faults, Limits};
 use wingshore_types::ReplicaId;
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// The member that is sent the state.
+/// The member that is sent the snapshot.
 const RECEIVER: u64 = 3;
-/// Election timeouts that a hand-over may wait for a state.
+/// Maximum time that a transfer waits for a snapshot, in election timeouts.
 const SNAPSHOT_WAIT_ELECTION_TIMEOUTS: u32 = 4;
 
-/// A cluster whose leader is sending a state to its third member, `way` away; and the leader.
+/// Returns a cluster and its leader, which is sending a snapshot to the third member, at a one-way
+/// delay of `one_way_delay`.
 fn sending_cluster(one_way_delay: Duration) -> Result<(Cluster, u64)> {
     let limits = Limits {
         snapshot_chunk_bytes: CHUNK_BYTES,
@@ -62,8 +63,8 @@
     other
 }
 
-/// What it protects: callers are served while a hand-over waits, and it waits no longer than it may for a member that
-/// is far away.
+/// A leader must accept proposals while a transfer waits for a snapshot, and must not wait longer
+/// than the limit for a member with a long network delay.
 #[gtest]
 fn transfer_waits_a_limited_time_for_slow_member_and_accepts_proposals() -> Result<()> {
     let election_timeout = support::timing().election_timeout;
@@ -78,15 +79,15 @@
         cluster.run_until(Duration::from_secs(30), has_transferred),
         eq(true)
     )?;
-    let took = cluster.now.since(begin);
-    println!("handed over after {took:?}");
+    let elapsed = cluster.now.since(begin);
+    println!("leadership transferred after {elapsed:?}");
     verify_that!(
-        took,
+        elapsed,
         le((SNAPSHOT_WAIT_ELECTION_TIMEOUTS + 1) * election_timeout)
     )
 }
 
-/// What it protects: a member that is gone is not waited for.
+/// A leader must not wait for a member that is unreachable.
 #[gtest]
 fn transfer_does_not_wait_for_unreachable_member() -> Result<()> {
     let (mut cluster, leader) = sending_cluster(Duration::from_millis(1))?;
@@ -98,7 +99,7 @@
         cluster.run_until(Duration::from_secs(30), has_transferred),
         eq(true)
     )?;
-    let took = cluster.now.since(begin);
-    println!("handed over after {took:?}");
-    verify_that!(took, le(2 * support::timing().election_timeout))
+    let elapsed = cluster.now.since(begin);
+    println!("leadership transferred after {elapsed:?}");
+    verify_that!(elapsed, le(2 * support::timing().election_timeout))
 }
--- a/crates/shared/wingshore-consensus/tests/late_answers.rs
+++ b/crates/shared/wingshore-consensus/tests/late_answers.rs
@@ -1,5 +1,6 @@
-//! The sending of a state to a member that answers heartbeats at once, and its first chunks late, as one that has
-//! just begun to write: nothing is lost, and what is sent again must stay a few windows.
+//! Sending of a snapshot to a member that answers heartbeats at once but its first chunks late,
+//! like one that has just started to write. Nothing is lost, and at most a few windows may be
+//! resent.
 
 mod support;
 
@@ -11,20 +12,20 @@
 use wingshore_consensus::{AppendRejection, AppendRequest, Body, Faults, Input, Limits, Message};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// Chunks that may be under way.
+/// Window size, in chunks.
 const WINDOW: u64 = 4;
-/// The member that is sent the state.
+/// The member that is sent the snapshot.
 const RECEIVER: ReplicaId = ReplicaId(3);
-/// One way between the members.
+/// One-way delay between the members.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
-/// Windows that one sending of a state may send again.
+/// Maximum number of windows that one transfer may resend.
 const MAX_RESENT_WINDOWS: u64 = 4;
 
-/// What the member has.
+/// Simulated receiver: the bytes received in order, and the total size.
 #[derive(Default)]
 struct Receiver {
     received: u64,
@@ -59,7 +60,8 @@
     }
 }
 
-/// A cluster whose leader is sending a state to its third member, whose messages are lost so far.
+/// Returns a cluster and its leader, which is about to send a snapshot to the third member, which
+/// is isolated.
 fn sending_cluster() -> Result<(Cluster, u64)> {
     let limits = Limits {
         snapshot_chunk_bytes: CHUNK_BYTES,
@@ -86,13 +88,13 @@
     Ok((cluster, leader))
 }
 
-/// The answer of the other voter: to heartbeats.
+/// Returns the reply of the other voter, which answers heartbeats only.
 fn voter_reply(from: ReplicaId, message: &Message) -> Option<Input> {
     let message = Receiver::default().answer(message)?;
     Some(Input::Message { from, message })
 }
 
-/// The receiver has nothing of the log.
+/// Returns the receiver's rejection of an append; its log is empty.
 fn rejection_from_receiver(request: &AppendRequest, term: u64) -> Input {
     let rejection = AppendRejection {
         rejected_index: request.prev_index,
@@ -106,7 +108,8 @@
     Input::Message { from, message }
 }
 
-/// Chunks that a state takes where the answers to what comes in the first `late_for` of the sending wait until that is over.
+/// Returns how many chunks are sent until the snapshot is complete. Answers to chunks that arrive
+/// within `initial_answer_delay` of the first one are delayed until that time is over.
 fn count_sent_chunks(initial_answer_delay: Duration) -> Result<u64> {
     let (mut cluster, leader) = sending_cluster()?;
     let mut receiver = Receiver::default();
@@ -139,7 +142,7 @@
         if !inputs.is_empty() {
             continue;
         }
-        // The next message, or the next look at the clock.
+        // Deliver the next message, or advance to the next tick.
         let tick_at = now + Duration::from_millis(5);
         let next = in_flight.first_key_value().map(|((at, _), _)| *at);
         if next.is_none_or(|next| next > tick_at) {
@@ -168,17 +171,17 @@
     Ok(chunks)
 }
 
-/// What is seen: a member that is late only with its first answers is sent each window twice, to the end of the state.
-/// How it comes about: heartbeats are answered meanwhile, so that the leader takes the first window for lost and sends it again; then
-/// both are answered.
-/// Cause: a stall let the leader forget what may still be answered. Its count of answers was too low by a window, each window
-/// looked like a gap, and the answers to what was sent again kept it so.
-/// Proof: chunks sent again after the member has caught up with its answers.
+/// Guards against every window being sent twice, up to the end of the snapshot, to a member that
+/// only answers its first chunks late. The heartbeats are answered meanwhile, so the leader takes
+/// the first window for lost and resends it, and both copies are answered. A stall used to reset
+/// the count of unanswered chunks. The count was then too low by one window, so every window looked
+/// like a gap, and the answers to resent chunks kept the count too low. The test limits the chunks
+/// that are sent in total.
 #[gtest]
 fn late_first_answers_cause_few_resends() -> Result<()> {
     for late_ms in [0, 60, 80, 120, 200, 400] {
         let chunks = count_sent_chunks(Duration::from_millis(late_ms))?;
-        println!("late by {late_ms} ms: {chunks} chunks");
+        println!("answers delayed by {late_ms} ms: {chunks} chunks");
         expect_that!(
             chunks,
             le(CHUNKS + 1 + MAX_RESENT_WINDOWS * WINDOW),
--- a/crates/shared/wingshore-consensus/tests/learners_beside_changes.rs
+++ b/crates/shared/wingshore-consensus/tests/learners_beside_changes.rs
@@ -1,9 +1,10 @@
-//! A member that lacks the state is taken in while a change of voters waits to be committed.
+//! Adding a learner that lacks the state while a change of voters is uncommitted.
 //!
-//! Seen: a coordinator with an empty disk held the state only seconds after its start, on a machine with
-//! slow disks. It came about by the changes of members before its own: each one waited until the one
-//! before was committed. Cause: a learner's addition waited like a change of voters, though it leaves
-//! each quorum as it is. Proof: here nothing is committed any more, and the joiner gets the state.
+//! Guards against a slow start of a member with an empty disk: it once received the state only
+//! seconds after its start on a machine with slow disks, because the addition of a learner waited,
+//! like a change of voters, until each previous membership change was committed. A learner changes
+//! no quorum, so it need not wait. In these tests nothing is committed any more, and the new member
+//! still receives the state.
 
 mod support;
 
@@ -14,19 +15,19 @@
 use wingshore_consensus::{ChangeError, ChangeOutcome, Raft};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Founding members.
+/// Number of founding members.
 const VOTERS: u64 = 5;
-/// Machines with empty disks.
+/// Nodes with empty disks.
 const JOINERS: [u64; 2] = [12, 13];
-/// A member holds the state within this time of its start with an empty disk.
+/// A member must have the state within this time of its start with an empty disk.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Five members, of which two have lost their disks.
+/// A cluster of five members, of which two have lost their disks.
 struct Fixture {
     cluster: Cluster,
     leader: u64,
     failed_voters: Vec<u64>,
-    /// Followers that are left.
+    /// The followers that still run.
     remaining_followers: Vec<u64>,
     committed: LogIndex,
 }
@@ -62,7 +63,7 @@
         })
     }
 
-    /// From now on nothing is committed.
+    /// Stalls the disks of the followers, so that nothing is committed any more.
     fn stall_disks(&mut self) {
         self.cluster
             .stalled_disks
@@ -77,7 +78,7 @@
         self.cluster.act(self.leader, |raft, _, _| {
             outcome = Some(ask(raft));
         });
-        outcome.expect("the leader runs")
+        outcome.expect("the leader is running")
     }
 
     fn remove(&mut self, id: u64) -> std::result::Result<ChangeOutcome, ChangeError> {
@@ -134,7 +135,7 @@
     verify_that!(fixture.remove(failed_voters[1]), err(underway))?;
     let promoted = fixture.change(|raft| raft.promote(ReplicaId(JOINERS[0]), &mut Vec::new()));
     verify_that!(promoted, err(anything()))?;
-    // Asked again it is not done yet, either.
+    // A repeated request is not done yet, either.
     let underway = matches_pattern!(ChangeError::ChangeInProgress { .. });
     verify_that!(fixture.remove(failed_voters[0]), err(underway))
 }
--- a/crates/shared/wingshore-consensus/tests/older_receiver.rs
+++ b/crates/shared/wingshore-consensus/tests/older_receiver.rs
@@ -1,5 +1,6 @@
-//! The sending of a state to a member of an older build, which drops each chunk that is not the next one, and
-//! answers it: it must end at the pace of the path, as it does where both are of one build.
+//! Sending of a snapshot to a member of an older build, which drops and answers each chunk that is
+//! not the next one. The transfer must be as fast as the network path permits, as between members
+//! of the same build.
 
 mod support;
 
@@ -13,34 +14,34 @@
 use wingshore_consensus::{AppendRejection, AppendRequest, Body, Faults, Input, Limits, Message};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// Chunks that may be under way.
+/// Window size, in chunks.
 const WINDOW: u64 = 4;
 /// The member of the older build.
 const RECEIVER: ReplicaId = ReplicaId(3);
 
-/// The path between the leader and the receiver.
+/// Properties of the network path between the leader and the receiver.
 #[derive(Clone, Default)]
 struct Path {
-    /// The longest way; the shortest takes 1 ms.
+    /// Maximum one-way delay; the minimum is 1 ms.
     longest: Duration,
-    /// Numbers of chunks that come after those sent next.
+    /// Numbers of chunks that arrive after the chunks sent next.
     late: BTreeSet<u64>,
     /// Numbers of chunks that are lost.
     lost: BTreeSet<u64>,
 }
 
-/// What a sending took.
+/// Number of chunks and duration of a snapshot transfer.
 #[derive(Debug)]
-struct Sending {
+struct TransferStats {
     chunks: u64,
-    took: Duration,
+    elapsed: Duration,
 }
 
-/// What an older receiver answers.
+/// Simulated receiver of an older build.
 #[derive(Default)]
 struct InOrderReceiver {
     received: u64,
@@ -75,7 +76,8 @@
     }
 }
 
-/// A cluster whose leader is sending a state to its third member, whose messages are lost so far.
+/// Returns a cluster and its leader, which is about to send a snapshot to the third member, which
+/// is isolated.
 fn sending_cluster() -> Result<(Cluster, u64)> {
     let limits = Limits {
         snapshot_chunk_bytes: CHUNK_BYTES,
@@ -102,13 +104,13 @@
     Ok((cluster, leader))
 }
 
-/// The answer of the other voter: to heartbeats.
+/// Returns the reply of the other voter, which answers heartbeats only.
 fn voter_reply(from: ReplicaId, message: &Message) -> Option<Input> {
     let message = InOrderReceiver::default().answer(message)?;
     Some(Input::Message { from, message })
 }
 
-/// The receiver has nothing of the log.
+/// Returns the receiver's rejection of an append; its log is empty.
 fn rejection_from_receiver(request: &AppendRequest, term: u64) -> Input {
     let rejection = AppendRejection {
         rejected_index: request.prev_index,
@@ -122,8 +124,8 @@
     Input::Message { from, message }
 }
 
-/// The leader alone with the older receiver; the other voter answers its heartbeats at once.
-fn send(path: &Path, seed: u64) -> Result<Sending> {
+/// Runs the leader with the older receiver; the other voter answers heartbeats at once.
+fn send(path: &Path, seed: u64) -> Result<TransferStats> {
     let (mut cluster, leader) = sending_cluster()?;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut receiver = InOrderReceiver::default();
@@ -164,7 +166,7 @@
         if !inputs.is_empty() {
             continue;
         }
-        // The next message, or the next look at the clock.
+        // Deliver the next message, or advance to the next tick.
         let tick_at = now + Duration::from_millis(5);
         let next = in_flight.first_key_value().map(|((at, _), _)| *at);
         if next.is_none_or(|next| next > tick_at) {
@@ -183,8 +185,8 @@
             in_flight.insert((at, number), (false, answer));
         }
     }
-    let took = now.since(begin);
-    Ok(Sending { chunks, took })
+    let elapsed = now.since(begin);
+    Ok(TransferStats { chunks, elapsed })
 }
 
 fn random_delay(random: &mut ChaCha8Rng, path: &Path) -> Duration {
@@ -194,7 +196,7 @@
     Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
 }
 
-/// Each late or lost chunk costs a window and a stall at most.
+/// Each late or lost chunk may cost at most one resent window and one stall.
 #[gtest]
 fn each_late_or_lost_chunk_costs_at_most_one_window() -> Result<()> {
     let numbers: BTreeSet<u64> = [10, 100, 300].into();
@@ -218,19 +220,20 @@
     for sending in [late, lost] {
         expect_that!(sending.chunks, le(undisturbed.chunks + 3 * WINDOW));
         expect_that!(
-            sending.took,
-            le(undisturbed.took + 3 * Duration::from_millis(110))
+            sending.elapsed,
+            le(undisturbed.elapsed + 3 * Duration::from_millis(110))
         );
     }
     Ok(())
 }
 
-/// What is seen: beside an older receiver, on a path that reorders, a sending takes 20 s that takes half a second where both
-/// are of one build, the older one too.
-/// How it comes about: a chunk is out of order in each window; the older receiver drops it.
-/// Cause: after each going back `go_back` expects two answers without news for each chunk that it holds, and takes so many of
-/// them, those of the next gap too, for repeats: that gap waits for a stall.
-/// Proof: the mean of ten sendings, where 2 s are allowed to a newer receiver.
+/// Guards against a transfer over a path that reorders taking 20 s to an older receiver, where half
+/// a second suffices between members of the same build, also if both are older. On such a path each
+/// window contains a chunk that is out of order and that the older receiver drops. After each
+/// `rewind` the leader expected two answers without progress per unacknowledged chunk, and took
+/// that many answers, including those that followed the next gap, for duplicates, so that the next
+/// gap waited for a stall. The test limits the mean of ten transfers to 2 s, the limit for newer
+/// receivers.
 #[gtest]
 fn reordering_with_in_order_receiver_needs_no_stalls() -> Result<()> {
     let path = Path {
@@ -239,7 +242,7 @@
     };
     let mut total = Duration::ZERO;
     for seed in 0..10 {
-        total += send(&path, seed)?.took;
+        total += send(&path, seed)?.elapsed;
     }
     let mean = total / 10;
     println!("mean {mean:?}");
--- a/crates/shared/wingshore-consensus/tests/random_runs.rs
+++ b/crates/shared/wingshore-consensus/tests/random_runs.rs
@@ -1,7 +1,8 @@
-//! Random runs with everything failing: safety in each, and progress once all is healed.
+//! Random runs with faults of every kind: safety in each run, and progress once all faults are
+//! healed.
 //!
-//! Further seeds by hand: `WINGSHORE_CONSENSUS_SEEDS=2000 cargo test -p wingshore-consensus
-//! --test random_runs -- --nocapture`.
+//! To run more seeds: `WINGSHORE_CONSENSUS_SEEDS=2000 cargo test -p wingshore-consensus --test
+//! random_runs -- --nocapture`.
 
 mod support;
 
@@ -10,13 +11,13 @@
 use support::chaos::{Chaos, Profile, run};
 use wingshore_consensus::Faults;
 
-/// Environment variable with the number of seeds, for runs by hand.
+/// Environment variable that overrides the number of seeds.
 const SEEDS_VARIABLE: &str = "WINGSHORE_CONSENSUS_SEEDS";
-/// Seeds of each run of the tests.
+/// Default number of seeds.
 const SEEDS: u64 = 40;
-/// Rounds of 20 ms in a run.
+/// Number of rounds in a run, 20 ms each.
 const ROUNDS: u32 = 1500;
-/// Seeds within which each deliberate fault must be caught.
+/// Each injected fault must be detected within these seeds.
 const FAULT_SEEDS: Range<u64> = 0..2000;
 
 fn seeds() -> Range<u64> {
@@ -88,7 +89,7 @@
     verify_that!(run(chaos), eq(&run(chaos)))
 }
 
-/// The runs above must see each deliberate fault, else they prove nothing.
+/// Checks that the runs above detect an injected fault; otherwise their success would mean nothing.
 fn check_fault_is_detected(profile: Profile, voters: u64, faults: Faults) -> Result<()> {
     let first = FAULT_SEEDS.into_iter().find_map(|seed| {
         let chaos = Chaos {
--- a/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
@@ -1,6 +1,6 @@
-//! The sending of a state where the path reorders and loses, the receiver restarts or writes slowly, the
-//! state cannot be read, and the leader compacts its log: it must go on at the pace of the path, and send
-//! and read little more than the state.
+//! Sending of snapshots with disturbances: the path reorders or loses messages, the receiver
+//! restarts or writes slowly, the state cannot be read, or the leader compacts its log. The
+//! transfer must proceed at the speed of the path, and send and read little more than the state.
 
 mod support;
 
@@ -16,15 +16,16 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// Chunks that may be under way.
+/// Window size, in chunks.
 const WINDOW: u64 = 4;
-/// The member that is sent the state.
+/// The member that is sent the snapshot.
 const RECEIVER: u64 = 3;
-/// Heartbeat replies that make a stall, and the time between two heartbeats: see `support::timing`.
+/// Time until a stall is detected, in milliseconds: the time between the heartbeat replies that
+/// indicate it, and one heartbeat interval; see `support::timing`.
 const STALL_MS: u64 = 100;
 
 fn limits() -> Limits {
@@ -36,8 +37,8 @@
     }
 }
 
-/// A cluster on a network that keeps the order, whose third member was away for long and is about to be
-/// sent `state`; and its leader.
+/// Returns a cluster and its leader, which is about to send `state` to the third member, which was
+/// isolated for long. The network keeps the order of messages.
 fn cluster_before_snapshot(state: SnapshotState) -> Result<(Cluster, u64)> {
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits());
     cluster.network = Network {
@@ -61,7 +62,7 @@
     Ok((cluster, leader))
 }
 
-/// Runs until the receiver has the state; gives the milliseconds that took.
+/// Runs until the receiver has the state. Returns the duration in milliseconds.
 fn run_until_caught_up(cluster: &mut Cluster, leader: u64) -> Result<u64> {
     let applied = cluster.raft(leader).last_applied();
     let begin = cluster.now;
@@ -80,8 +81,9 @@
     move |cluster| cluster.sent_snapshot_chunks >= count
 }
 
-/// The time that a sending takes on which the receiver restarts after 380 chunks, where after that these
-/// chunks, counted from the restart, are lost.
+/// Returns the duration of a transfer, in milliseconds, in which the receiver restarts after 380
+/// chunks if `restarts` is set. Of the chunks sent from then on, those with the numbers in `lost`
+/// are lost.
 fn transfer_time_with_restart(restarts: bool, lost: &[u64]) -> Result<u64> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
     let (mut cluster, leader) = cluster_before_snapshot(state.state())?;
@@ -95,8 +97,10 @@
     run_until_caught_up(&mut cluster, leader)
 }
 
-/// outgoing.rs `go_back`: the mark up to which news are needed is the furthest byte ever sent, not what is
-/// under way. After a receiver has restarted, that is nearly the whole state, and each later gap waits for a stall.
+/// Guards against gaps that are found only by stalls after a restart of the receiver. `rewind` must
+/// remember the offset up to which chunks are in flight, not the furthest offset that was ever
+/// sent: after a restart the latter is nearly the whole state, and each later gap would wait for a
+/// stall.
 #[gtest]
 fn gaps_after_receiver_restart_are_found_by_acknowledgements() -> Result<()> {
     let lost = [40, 80, 120, 160, 200, 240, 280, 320];
@@ -111,12 +115,14 @@
     let undisturbed = transfer_time_with_restart(true, &[])?;
     let disturbed = transfer_time_with_restart(true, &lost)?;
     println!("restart: without loss {undisturbed} ms, with 8 lost chunks {disturbed} ms");
-    // Sent again, a window takes two ways and those before it: 5 ms are enough, and one stall is borne.
+    // Resending a window takes two one-way delays and those before it: 5 ms suffice. One stall is
+    // allowed.
     verify_that!(disturbed, le(undisturbed + 8 * 5 + STALL_MS))
 }
 
-/// outgoing.rs `resend`: an acknowledgement that was overtaken by a later one is taken for a receiver that has
-/// lost bytes; what it goes back to is not held any more, and is read again from the first byte on.
+/// Guards against rereading the state after reordered acknowledgements. `resend` must not take an
+/// acknowledgement that a later one overtook for a receiver that has lost bytes: the bytes before
+/// it are not kept any more, and would be read again from the first byte on.
 #[gtest]
 fn reordered_acknowledgements_cause_no_second_read() -> Result<()> {
     let mut reads = Vec::new();
@@ -134,14 +140,15 @@
         reads.push((seed, state.bytes_read(), sent));
     }
     println!("(seed, read, sent): {reads:?}");
-    // What is not acknowledged is held, and nobody restarts: nothing needs to be read twice.
+    // Unacknowledged chunks are kept, and no member restarts, so nothing needs to be read twice.
     for (seed, read, _) in reads {
         expect_that!(read, le(CHUNKS * CHUNK_BYTES as u64), "seed {seed}");
     }
     Ok(())
 }
 
-/// Milliseconds that sendings take on a path that reorders and loses this part of messages; their mean.
+/// Returns the mean duration of ten transfers, in milliseconds, on a path that reorders messages
+/// and loses them with the probability `loss`.
 fn mean_transfer_time_with_reordering(loss: f64) -> Result<u64> {
     let mut times = Vec::new();
     for seed in 0..10 {
@@ -160,23 +167,24 @@
     Ok(mean)
 }
 
-/// outgoing.rs `acknowledge`: after each going back a window is without the quick way to find a gap, and
-/// the receiver drops what comes out of order: on a path that reorders, each window waits for a stall.
+/// Guards against stalls in each window on a path that reorders. After each rewind the quick
+/// detection of gaps was disabled for one window, and the receiver drops chunks that arrive out of
+/// order.
 #[gtest]
 fn reordering_without_loss_needs_no_stalls() -> Result<()> {
     let mean = mean_transfer_time_with_reordering(0.0)?;
     verify_that!(mean, le(2_000))
 }
 
-/// The same where a fiftieth of the messages is lost too.
+/// The same with a loss of 2 % of the messages.
 #[gtest]
 fn reordering_with_loss_needs_at_most_one_stall_per_loss() -> Result<()> {
-    // Some 8 chunks and as many acknowledgements are lost.
+    // About 8 chunks and as many acknowledgements are lost.
     let mean = mean_transfer_time_with_reordering(0.02)?;
     verify_that!(mean, le(2_000 + 16 * STALL_MS))
 }
 
-/// A state that cannot be read beyond a place while a switch is on.
+/// A state that cannot be read beyond an offset while `is_broken` is set.
 #[derive(Clone)]
 struct UnreadableState {
     length: u64,
@@ -212,7 +220,7 @@
         };
         let left = end.saturating_sub(self.position);
         if left == 0 && is_broken {
-            return Err(io::Error::other("the disk fails"));
+            return Err(io::Error::other("simulated disk failure"));
         }
         let count = buffer.len().min(left as usize);
         buffer[..count].fill(7);
@@ -222,8 +230,8 @@
     }
 }
 
-/// snapshot.rs `send_snapshot_chunks`: a part that cannot be read is asked for at each flush, not once the
-/// receiver is stalled, and each time all that is before it is read again.
+/// Guards against rereading a state that cannot be read. A chunk that cannot be read must be
+/// retried once per stall, not at each flush: each attempt reads everything before it again.
 #[gtest]
 fn unreadable_state_is_not_reread_at_each_flush() -> Result<()> {
     let length = CHUNKS * CHUNK_BYTES as u64;
@@ -240,14 +248,14 @@
         chunks_sent_at_least(CHUNKS * 9 / 10),
     );
     let before = state.read.load(Ordering::Relaxed);
-    // A second of usual writes.
+    // One second of normal writes.
     for _ in 0..200 {
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(5));
     }
     let read = state.read.load(Ordering::Relaxed) - before;
     println!(
-        "read in a second: {read} bytes, {} times the state",
+        "read in one second: {read} bytes, {} times the state",
         read / length
     );
     state.is_broken.store(false, Ordering::Relaxed);
@@ -255,8 +263,8 @@
     verify_that!(read, le(stalls * length))
 }
 
-/// outgoing.rs `resend`: a receiver that has all of it and is still writing it is sent the beginning again at
-/// each stall, to no end but that.
+/// Guards against resending the beginning of the snapshot at each stall, without limit, to a
+/// receiver that has all of it and is still writing it.
 #[gtest]
 fn complete_snapshot_being_written_is_not_resent() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -266,13 +274,13 @@
     run_until_caught_up(&mut cluster, leader)?;
     let sent = cluster.sent_snapshot_chunks;
     cluster.run_until(Duration::from_secs(2), |_| false);
-    let again = cluster.sent_snapshot_chunks - sent;
-    println!("chunks sent in 2 s to a member that is writing: {again}");
-    verify_that!(again, le(WINDOW))
+    let resent = cluster.sent_snapshot_chunks - sent;
+    println!("chunks sent in 2 s to a member that is still writing: {resent}");
+    verify_that!(resent, le(WINDOW))
 }
 
-/// snapshot.rs `on_snapshot_chunk`: a chunk of a state that the receiver has long had, come late, makes it
-/// drop what it has gathered of a newer one.
+/// Guards against a late chunk of an older snapshot, which the receiver already has, making it drop
+/// the received part of a newer one.
 #[gtest]
 fn late_chunk_of_older_snapshot_keeps_newer_one() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -302,13 +310,13 @@
     cluster.feed(ReplicaId(RECEIVER), Input::Message { from, message });
     run_until_caught_up(&mut cluster, leader)?;
     let sent = cluster.sent_snapshot_chunks - before;
-    println!("chunks sent of the newer state of {CHUNKS}: {sent}");
+    println!("chunks sent of the newer snapshot ({CHUNKS} in total): {sent}");
     verify_that!(sent, le(CHUNKS + 1 + WINDOW))
 }
 
-/// snapshot.rs `compact`: a snapshot for the leader's own disk drops the log that follows the state which is
-/// under way (`trim_log` keeps it). Where one is taken more often than a sending takes, no sending leads
-/// to a member that has caught up.
+/// Guards against the leader's own snapshot removing the log after a snapshot that is being sent,
+/// which `trim_log` keeps. If the leader takes snapshots more often than a transfer lasts, no
+/// transfer would ever let the member catch up.
 #[gtest]
 fn leader_snapshot_keeps_log_after_snapshot_in_flight() -> Result<()> {
     let limits = Limits {
@@ -330,7 +338,7 @@
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
     cluster.run_until(Duration::from_secs(5), has_leader);
     let leader = cluster.ready_leader().or_fail()?;
-    let mut sendings = std::collections::BTreeSet::new();
+    let mut sent_snapshots = std::collections::BTreeSet::new();
     let mut write = |cluster: &mut Cluster, count: u64| -> Result<()> {
         for number in 0..count {
             cluster.propose(leader, &[1; 16]).or_fail()?;
@@ -339,24 +347,29 @@
                 let state = cluster.node(leader).applied.encode();
                 cluster.act(leader, |raft, _, _| raft.compact(state).unwrap());
             }
-            let under_way = cluster.raft(leader).outgoing_snapshots();
-            sendings.extend(under_way.into_iter().map(|sending| sending.index));
+            let outgoing = cluster.raft(leader).outgoing_snapshots();
+            sent_snapshots.extend(outgoing.into_iter().map(|sending| sending.index));
         }
         Ok(())
     };
     write(&mut cluster, 300)?;
     cluster.cut_links.clear();
-    // Ten seconds of writes; a state takes about a third of a second.
+    // Ten seconds of writes; a transfer takes about a third of a second.
     write(&mut cluster, 1_000)?;
     verify_that!(cluster.checker.violation.is_none(), eq(true))?;
     let behind = cluster.raft(leader).last_applied().0 - cluster.raft(RECEIVER).last_applied().0;
-    println!("sendings {}, entries behind {behind}", sendings.len());
+    println!(
+        "snapshots sent {}, entries behind {behind}",
+        sent_snapshots.len()
+    );
     expect_that!(behind, le(20));
-    verify_that!(sendings.len(), le(2))
+    verify_that!(sent_snapshots.len(), le(2))
 }
 
-/// A learner was measured by the commit index of the moment: one a little further away than a majority of the
-/// voters was never found caught up under usual writes. It is measured by the heartbeats that it answered.
+/// Guards against a learner that follows closely but is never caught up: compared with the current
+/// commit index, a learner that is slightly farther away than a majority of the voters never
+/// counted as caught up under normal writes. It must be compared according to the heartbeats that
+/// it answered.
 #[gtest]
 fn close_learner_can_be_promoted_under_writes() -> Result<()> {
     let limits = Limits {
@@ -389,7 +402,7 @@
         cluster.run(Duration::from_millis(5));
         caught_up += u64::from(cluster.raft(leader).is_caught_up(ReplicaId(4)));
     }
-    println!("of 1000 looks in 5 s caught up at {caught_up}");
+    println!("caught up at {caught_up} of 1000 samples in 5 s");
     verify_that!(caught_up, eq(1_000))?;
     let mut outcome = None;
     cluster.act(leader, |raft, _, out| {
@@ -398,8 +411,8 @@
     verify_that!(outcome, some(ok(anything())))
 }
 
-/// A learner that lacks what was committed some heartbeats ago does not count as caught up, and is not
-/// promoted.
+/// A learner that lacks entries that were committed some heartbeats ago does not count as caught up
+/// and is not promoted.
 #[gtest]
 fn learner_behind_by_some_heartbeats_is_not_promoted() -> Result<()> {
     let mut cluster = Cluster::new(3, 1);
--- a/crates/shared/wingshore-consensus/tests/snapshot_review.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_review.rs
@@ -1,5 +1,6 @@
-//! What follows the sending of a state, and what breaks into it: the log behind the state, a link that is
-//! cut for a while, and messages that come late. What was sent must count, and what was not lost must not be sent again.
+//! Interruptions during and after the sending of a snapshot: the log after the snapshot, a link
+//! that is cut for a while, and late messages. Progress must not be discarded, and nothing that was
+//! not lost may be resent.
 
 mod support;
 
@@ -12,16 +13,16 @@
 use wingshore_types::snapshot_data::SnapshotState;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// Chunks that may be under way.
+/// Window size, in chunks.
 const WINDOW: u64 = 4;
-/// The member that is sent the state.
+/// The member that is sent the snapshot.
 const RECEIVER: u64 = 3;
 
-/// Chunks of the whole with its head.
+/// Returns the number of chunks of the state and of the snapshot's header.
 fn total_chunks() -> u64 {
     CHUNKS + 1
 }
@@ -43,11 +44,12 @@
     }
 }
 
-/// Three members on a network that keeps the order, and their leader.
+/// Returns a cluster of three members on a network that keeps the order of messages, and its
+/// leader.
 fn cluster_with(limits: Limits) -> Result<(Cluster, u64)> {
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits);
     cluster.network = ordered_network();
-    // The receiver votes, but never leads: it is cut off until another does.
+    // The receiver is a voter, but must not become leader: it is isolated until another member is.
     cluster.isolate(RECEIVER);
     let has_leader = |cluster: &Cluster| cluster.ready_leader().is_some();
     verify_that!(
@@ -58,7 +60,7 @@
     Ok((cluster, leader))
 }
 
-/// Writes `count` entries of 16 bytes, one each 10 ms.
+/// Proposes `count` entries of 16 bytes, one every 10 ms.
 fn write(cluster: &mut Cluster, leader: u64, count: u64) -> Result<()> {
     for _ in 0..count {
         cluster.propose(leader, &[1; 16]).or_fail()?;
@@ -67,7 +69,8 @@
     Ok(())
 }
 
-/// A cluster whose third member was away for long and is about to be sent `state`; and its leader.
+/// Returns a cluster and its leader, which is about to send `state` to the third member, which was
+/// isolated for long.
 fn cluster_before_snapshot(state: SnapshotState) -> Result<(Cluster, u64)> {
     let (mut cluster, leader) = cluster_with(limits())?;
     write(&mut cluster, leader, 60)?;
@@ -76,7 +79,7 @@
     Ok((cluster, leader))
 }
 
-/// Runs until the receiver has applied what the leader has now.
+/// Runs until the receiver has applied the entries that the leader has applied now.
 fn run_until_caught_up(cluster: &mut Cluster, leader: u64) -> Result<()> {
     let applied = cluster.raft(leader).last_applied();
     let has_caught_up = |cluster: &Cluster| {
@@ -93,7 +96,7 @@
     move |cluster| cluster.sent_snapshot_chunks >= count
 }
 
-/// Feeds the leader a message of its term from the receiver.
+/// Delivers a message from the receiver to the leader, in the leader's term.
 fn feed_from_receiver(cluster: &mut Cluster, leader: u64, body: Body) {
     let term = cluster.raft(leader).term();
     let message = Message { term, body };
@@ -101,19 +104,17 @@
     cluster.feed(ReplicaId(leader), Input::Message { from, message });
 }
 
-/// Notes the indexes of the states that are being sent.
-fn record_sendings(cluster: &Cluster, leader: u64, sendings: &mut BTreeSet<LogIndex>) {
-    let under_way = cluster.raft(leader).outgoing_snapshots();
-    sendings.extend(under_way.into_iter().map(|sending| sending.index));
+/// Adds the indexes of the snapshots that are being sent to `sent_snapshots`.
+fn record_sent_snapshots(cluster: &Cluster, leader: u64, sent_snapshots: &mut BTreeSet<LogIndex>) {
+    let outgoing = cluster.raft(leader).outgoing_snapshots();
+    sent_snapshots.extend(outgoing.into_iter().map(|sending| sending.index));
 }
 
-/// What is seen: a voter that is cut off in the middle of a sending for longer than an election timeout is
-/// sent the whole state again by the same leader in the same term.
-/// How it comes about: it asks whether it would be elected; the next message of its leader makes it a
-/// follower again.
-/// Cause: `become_follower` drops what was gathered, though what it belongs to, the leader and the term, are the
-/// same.
-/// Proof: what is lost is a window; nearly all is sent twice.
+/// Guards against sending the whole snapshot again, by the same leader in the same term, to a voter
+/// that was cut off in the middle for longer than an election timeout. The voter starts a pre-vote,
+/// and the next message of its leader makes it a follower again. `become_follower` used to drop the
+/// partial snapshot then, although the leader and the term are the same. Only one window is lost,
+/// but nearly everything was sent twice.
 #[gtest]
 fn snapshot_resumes_after_receiver_was_cut_off() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -139,7 +140,8 @@
     Ok(())
 }
 
-/// Limits with room in memory for 8 KiB of log, of which a snapshot for the own disk keeps an eighth.
+/// Returns limits that keep 8 KiB of log in memory, of which an eighth is kept when the leader
+/// takes a snapshot.
 fn catching_up_limits() -> Limits {
     Limits {
         retained_log_bytes: 1 << 10,
@@ -151,13 +153,11 @@
     }
 }
 
-/// What is seen: a member that is away for a moment, or that takes the log behind a state, is sent a whole state
-/// though the log in memory would reach back to what it lacks.
-/// How it comes about: the leader takes a snapshot for its own disk while the member is further behind than
-/// `retained_log_bytes`.
-/// Cause: `compact` drops the log from memory too, down to `retained_log_bytes`, where `cached_log_bytes` is what is
-/// kept for members that are behind; only states that are under way hold it back.
-/// Proof: no state needs to be sent, and one is.
+/// Guards against sending a snapshot to a member that was away for a moment, or that is receiving
+/// the log after a snapshot, although the log in memory reaches back far enough. It came about when
+/// the leader took a snapshot while the member was further behind than `retained_log_bytes`:
+/// `compact` reduced the log in memory to `retained_log_bytes` instead of `cached_log_bytes`, and
+/// only snapshots being sent prevented that. No snapshot is needed here, so none may be sent.
 #[gtest]
 fn leader_snapshot_keeps_log_needed_by_lagging_member() -> Result<()> {
     let (mut cluster, leader) = cluster_with(catching_up_limits())?;
@@ -181,19 +181,18 @@
     verify_that!(cluster.sent_snapshot_chunks, eq(0))
 }
 
-/// What is seen: a member that has been sent a whole state is sent another one at once.
-/// How it comes about: while the state is under way, more log gathers behind it than `cached_log_bytes`; it is
-/// kept, up to four times as much.
-/// Cause: `trim_log` holds the log back for states that are under way only. With the acknowledgement of the state it is
-/// cut to `cached_log_bytes`, before the member has taken it, so that what was kept was kept for nothing.
-/// Proof: two or more sendings, where what is behind the state never exceeds what may be kept.
+/// Guards against sending a second snapshot right after the first. While the first one is being
+/// sent, more log than `cached_log_bytes` accumulates after it; up to four times as much is kept.
+/// `trim_log` used to keep it only until the snapshot was acknowledged, and then cut it to
+/// `cached_log_bytes` before the member had received it. Here the log after the snapshot never
+/// exceeds the limit, so one transfer must suffice.
 #[gtest]
 fn log_after_snapshot_is_kept_until_member_caught_up() -> Result<()> {
-    let cached = 2 << 10;
+    let cached_log_limit = 2 << 10;
     let limits = Limits {
         snapshot_chunk_bytes: 1,
         snapshot_chunks_in_flight: 1,
-        cached_log_bytes: cached,
+        cached_log_bytes: cached_log_limit,
         append_bytes: 1 << 10,
         in_flight_messages: 64,
         in_flight_bytes: 64 << 10,
@@ -202,30 +201,30 @@
     let (mut cluster, leader) = cluster_with(limits)?;
     write(&mut cluster, leader, 200)?;
     cluster.cut_links.clear();
-    let mut sendings = BTreeSet::new();
+    let mut sent_snapshots = BTreeSet::new();
     let mut most_bytes = 0;
     // Ten seconds of writes.
     for _ in 0..2_000 {
         cluster.propose(leader, &[1; 16]).or_fail()?;
         cluster.run(Duration::from_millis(5));
-        record_sendings(&cluster, leader, &mut sendings);
+        record_sent_snapshots(&cluster, leader, &mut sent_snapshots);
         most_bytes = most_bytes.max(cluster.raft(leader).log_bytes());
     }
     let behind = cluster.raft(leader).last_applied().0 - cluster.raft(RECEIVER).last_applied().0;
     println!(
-        "sendings {}, most log in memory {most_bytes} bytes where {cached} are cached, behind {behind}",
-        sendings.len()
+        "snapshots sent {}, at most {most_bytes} bytes of log in memory (limit {cached_log_limit}), entries behind {behind}",
+        sent_snapshots.len()
     );
-    verify_that!(most_bytes, lt(4 * cached))?;
-    verify_that!(sendings.len(), eq(1))
+    verify_that!(most_bytes, lt(4 * cached_log_limit))?;
+    verify_that!(sent_snapshots.len(), eq(1))
 }
 
-/// What is seen: the whole state is read again, and its end sent again at each stall, though the member has all.
-/// How it comes about: the last acknowledgement overtakes the one before it, as when the path between two members
-/// changes, and the member takes longer than a stall to make the state durable.
-/// Cause: at a stall, `resend` takes the acknowledgement that came last for what the member has; the chunk that it names is
-/// not held any more, and is read from the first byte on.
-/// Proof: nothing is lost, and all is read twice.
+/// Guards against rereading the whole state, and resending its end at each stall, although the
+/// member has everything. It came about when the last acknowledgement overtook the previous one, as
+/// happens when the network path changes, and the member took longer than a stall to make the
+/// snapshot durable. `resend` took the most recently received acknowledgement for the member's
+/// progress; the chunk at that offset was not kept any more and was read from the first byte on.
+/// Nothing is lost here, and everything was read twice.
 #[gtest]
 fn reordered_last_acknowledgement_causes_no_second_read() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -244,25 +243,23 @@
     feed_from_receiver(&mut cluster, leader, late);
     let sent = cluster.sent_snapshot_chunks;
     cluster.run_until(Duration::from_secs(2), |_| false);
-    let again = cluster.sent_snapshot_chunks - sent;
+    let resent = cluster.sent_snapshot_chunks - sent;
     println!(
-        "bytes read {}, chunks sent again {again}",
+        "bytes read {}, chunks sent again {resent}",
         state.bytes_read()
     );
     expect_that!(
         state.bytes_read(),
         le((CHUNKS + WINDOW) * CHUNK_BYTES as u64)
     );
-    expect_that!(again, le(WINDOW));
+    expect_that!(resent, le(WINDOW));
     Ok(())
 }
 
-/// What is seen: a sending that was nearly through begins anew, with another state.
-/// How it comes about: a rejection from before the sending comes late, from a log that was shorter than what the member
-/// acknowledged since.
-/// Cause: `on_rejected` looks at the last index before it looks at the state, so that a state under way is given up
-/// for an old message.
-/// Proof: nothing is lost, and the state is sent twice.
+/// Guards against a late rejection that aborts a nearly complete transfer, which then starts again
+/// with another snapshot. The rejection was sent before the transfer, when the follower's log was
+/// shorter than what it has acknowledged since. `on_rejected` used to compare the last index before
+/// it checked that a snapshot is being sent. Nothing is lost here, and the snapshot was sent twice.
 #[gtest]
 fn late_rejection_does_not_abort_snapshot() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -294,12 +291,12 @@
     )
 }
 
-/// What is seen: the first entries to a member are sent again and again though nothing is lost.
-/// How it comes about: the member stands still for some heartbeats when they have just been sent; it answers the
-/// heartbeats at once when it goes on, and the entries once they are durable.
-/// Cause: in the state Probe each answer to a heartbeat, also to one from before the append, permits the next append; the rule
-/// of stalls is for what is streamed, and for a state.
-/// Proof: entries that were sent more than twice.
+/// Guards against resending the first entries to a member repeatedly although nothing is lost. The
+/// member is paused for some heartbeats just after the entries were sent; when it continues, it
+/// answers the heartbeats at once, and the entries once they are durable. In the state `Probe`,
+/// each heartbeat reply, even to a heartbeat sent before the append, used to permit another append;
+/// the rule for stalls applied only to streamed entries and snapshots. The test fails if entries
+/// are sent more than twice.
 #[gtest]
 fn frozen_member_is_sent_first_entries_once() -> Result<()> {
     let limits = Limits {
@@ -316,7 +313,8 @@
     write(&mut cluster, leader, 20)?;
     cluster.run(Duration::from_secs(1));
     let before = cluster.sent_entries;
-    // Longer than the steps of the simulation: the append is still on its way when it is seen.
+    // Longer than a step of the simulation, so that the append is still in flight when it is
+    // observed.
     cluster
         .extra_delays
         .insert(ReplicaId(RECEIVER), Duration::from_millis(10));
@@ -328,15 +326,14 @@
     run_until_caught_up(&mut cluster, leader)?;
     cluster.run(Duration::from_secs(1));
     let sent = cluster.sent_entries - before;
-    let lacked = cluster.raft(leader).last_index().0;
-    println!("entries sent {sent}, lacked {lacked}");
-    verify_that!(sent, le(2 * lacked))
+    let missing = cluster.raft(leader).last_index().0;
+    println!("entries sent {sent}, entries missing {missing}");
+    verify_that!(sent, le(2 * missing))
 }
 
-/// What is seen: on a path that is longer than a heartbeat interval the first entries behind a state are sent
-/// several times.
-/// How it comes about, cause: as above; answers to heartbeats come in while the append is on its way.
-/// Proof: entries that were sent more often than once.
+/// Guards against sending the first entries after a snapshot several times on a path whose delay
+/// exceeds a heartbeat interval. Heartbeat replies arrive while the append is in flight, and each
+/// of them used to permit another append. Each entry must be sent once.
 #[gtest]
 fn slow_path_is_sent_first_entries_once() -> Result<()> {
     let limits = Limits {
@@ -358,16 +355,16 @@
     run_until_caught_up(&mut cluster, leader)?;
     cluster.run(Duration::from_secs(1));
     let sent = cluster.sent_entries - before;
-    let lacked = cluster.raft(leader).last_index().0;
-    println!("entries sent {sent}, lacked {lacked}");
-    verify_that!(sent, le(lacked))
+    let missing = cluster.raft(leader).last_index().0;
+    println!("entries sent {sent}, entries missing {missing}");
+    verify_that!(sent, le(missing))
 }
 
-/// What is seen: a member that had nine tenths of the state is sent all of it again.
-/// How it comes about: the leadership is handed over meanwhile, as at a planned stop of the leader.
-/// Cause: `become_follower` drops what was gathered, since another leader's state need not be equal byte for byte, and has
-/// another index; a leader that hands over does not wait for the end of a sending either.
-/// Proof: nothing is lost, and more than half of the chunks are sent twice.
+/// Guards against sending the whole snapshot again to a member that had nine tenths of it when
+/// leadership was transferred, as at a planned stop of the leader. `become_follower` drops the
+/// partial snapshot, since another leader's snapshot has another index and may differ in its bytes,
+/// so the leader must finish the transfer of the snapshot first. Nothing is lost here, and less
+/// than half of the chunks may be sent twice.
 #[gtest]
 fn leadership_transfer_does_not_restart_snapshot() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -389,7 +386,8 @@
     )
 }
 
-/// Of a thousand looks in 5 s of writes, at how many a learner that is `way` further away counts as caught up.
+/// Returns in how many of 1000 samples during 5 s of writes a learner with an extra one-way delay
+/// of `one_way_delay` counts as caught up.
 fn count_caught_up_samples(one_way_delay: Duration) -> Result<u64> {
     let limits = Limits {
         cached_log_bytes: 1 << 20,
@@ -418,13 +416,12 @@
     Ok(caught_up)
 }
 
-/// What is seen: a learner that follows without a pause is never promoted, so that nobody takes a lost voter's
-/// place.
-/// How it comes about: the way to it and back, with its sync, takes longer than two heartbeat intervals, as on a
-/// busy machine or a slow disk; writes go on.
-/// Cause: `caught_up_index` is what was committed one to two rounds before now, whatever the learner has
-/// answered: what it was sent before the round that it answered last does not count.
-/// Proof: of a thousand looks in 5 s hardly any finds it caught up, and those come from the first moments.
+/// Guards against a learner that follows steadily but is never promoted, so that nobody replaces a
+/// lost voter. The round trip to the learner, including its sync, takes longer than two heartbeat
+/// intervals, as on a busy machine or a slow disk, while writes continue. `caught_up_index` used to
+/// be the commit index of one to two rounds before now, whatever the learner had answered, so
+/// entries sent before the last answered round did not count. Of 1000 samples in 5 s hardly any
+/// counted as caught up, and those were from the first moments.
 #[gtest]
 fn steadily_lagging_learner_can_be_promoted() -> Result<()> {
     let interval = support::timing().heartbeat_interval;
@@ -432,16 +429,15 @@
     verify_that!(2 * one_way_delay, lt(support::timing().election_timeout))?;
     let samples = count_caught_up_samples(one_way_delay)?;
     println!("caught up at {samples} of 1000 samples in 5 s");
-    // A planner that looks each two heartbeats finds it so within a second.
+    // A planner that samples every two heartbeats finds the learner caught up within a second.
     verify_that!(samples, ge(100))
 }
 
-/// What is seen: on a path, or between machines so busy, that a chunk is answered after 0.2 s, a lost disk is not
-/// whole again within 6 s, though nothing is lost and the link stands idle.
-/// How it comes about: the leader sends 1 MB and waits for its answer.
-/// Cause: what may be under way is fixed, four chunks of 256 KiB, whatever the time that an answer takes: the pace is
-/// 1 MB for each of these times.
-/// Proof: a state of 56 MB with the usual limits, all of it a thousandth in size, with 0.1 s each way.
+/// Guards against a slow recovery of a lost disk on a path, or between busy machines, where a chunk
+/// is answered after 0.2 s: the state was not complete within 6 s, although nothing was lost and
+/// the link was idle. The leader sent 1 MB and waited for the answer: with a fixed window of four
+/// chunks of 256 KiB the throughput is 1 MB per round trip. The test sends a state of 56 MB with
+/// the default limits, all scaled down by 1024, with a one-way delay of 0.1 s.
 #[gtest]
 fn usual_snapshot_completes_in_time_on_slow_path() -> Result<()> {
     let scale = 1_024;
@@ -455,7 +451,7 @@
     write(&mut cluster, leader, 60)?;
     let state = CountingState::new(56 * 1_024 * 1_024 / scale as u64);
     cluster.node(leader).provided_state = Some(state.state());
-    // Members of a site send heartbeats each 100 ms.
+    // Members of a site send heartbeats every 100 ms.
     let one_way_delay = Duration::from_millis(100);
     cluster
         .extra_delays
@@ -463,13 +459,13 @@
     cluster.cut_links.clear();
     let begin = cluster.now;
     run_until_caught_up(&mut cluster, leader)?;
-    let took = cluster.now.since(begin);
-    println!("took {took:?}, chunks {}", cluster.sent_snapshot_chunks);
-    verify_that!(took, le(Duration::from_secs(6)))
+    let elapsed = cluster.now.since(begin);
+    println!("took {elapsed:?}, chunks {}", cluster.sent_snapshot_chunks);
+    verify_that!(elapsed, le(Duration::from_secs(6)))
 }
 
-/// A member that had all of the state, was long in writing it and restarts before it is durable is sent it again
-/// in time, however seldom it is probed by then.
+/// A member that received everything, took long to write it, and restarts before it is durable must
+/// be sent the snapshot again in time, even if the intervals between probes have grown by then.
 #[gtest]
 fn member_restarted_during_write_is_resent_the_snapshot() -> Result<()> {
     let state = CountingState::new(CHUNKS * CHUNK_BYTES as u64);
@@ -483,10 +479,10 @@
     cluster.restart(RECEIVER);
     let (begin, sent) = (cluster.now, cluster.sent_snapshot_chunks);
     run_until_caught_up(&mut cluster, leader)?;
-    let took = cluster.now.since(begin);
+    let elapsed = cluster.now.since(begin);
     let chunks = cluster.sent_snapshot_chunks - sent;
-    println!("again after {took:?}, {chunks} chunks");
-    expect_that!(took, le(Duration::from_secs(3)));
+    println!("sent again after {elapsed:?}, {chunks} chunks");
+    expect_that!(elapsed, le(Duration::from_secs(3)));
     expect_that!(chunks, le(total_chunks() + 2 * WINDOW));
     Ok(())
 }
--- a/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
@@ -1,7 +1,8 @@
-//! What sending the state to a member costs when chunks of it come late or twice.
+//! Cost of sending a snapshot when chunks arrive late or twice.
 //!
-//! Seen: two coordinators with empty disks were sent the state for 12 s and did not get it; when two
-//! more were lost, no majority was left, and batch jobs that had been accepted could not be read.
+//! Guards against transfers that do not end: two coordinators with empty disks were sent the state
+//! for 12 s without receiving it. When two more members were lost, there was no majority, and
+//! accepted batch jobs could not be read.
 
 mod support;
 
@@ -12,22 +13,22 @@
 use wingshore_consensus::{Faults, Limits};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// Bytes of a chunk.
+/// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64;
-/// Chunks of the state.
+/// Number of chunks of the state.
 const CHUNKS: u64 = 400;
-/// Chunks that may be under way.
+/// Window size, in chunks.
 const WINDOW: u64 = 4;
-/// The member that is sent the state.
+/// The member that is sent the snapshot.
 const RECEIVER: u64 = 3;
 
-/// What the sending of the state took.
-struct Sending {
+/// Number of chunks sent and bytes read during a snapshot transfer.
+struct TransferStats {
     chunks: u64,
     bytes_read: u64,
 }
 
-/// Three members on a network that keeps the order.
+/// Returns a cluster of three members on a network that keeps the order of messages.
 fn ordered_cluster(limits: Limits) -> Cluster {
     let mut cluster = Cluster::with(3, 1, Faults::default(), limits);
     cluster.network = Network {
@@ -47,13 +48,13 @@
     cluster.ready_leader().or_fail()
 }
 
-/// A member stands still for eight heartbeats.
+/// Pauses a member for eight heartbeat intervals.
 fn freeze(cluster: &mut Cluster, id: u64) {
     let until = cluster.now + 8 * support::timing().heartbeat_interval;
     cluster.node(id).frozen_until = until;
 }
 
-/// A member that was away for long, and the leader that is to send it a state.
+/// A cluster whose leader is about to send a snapshot to a member that was isolated for long.
 struct Fixture {
     cluster: Cluster,
     state: CountingState,
@@ -86,8 +87,8 @@
         })
     }
 
-    /// Runs until the member has the state and what follows it.
-    fn run(mut self) -> Result<Sending> {
+    /// Runs until the member has the snapshot and the entries after it.
+    fn run(mut self) -> Result<TransferStats> {
         let applied = self.applied;
         let has_caught_up = |cluster: &Cluster| {
             let receiver = cluster.nodes[&ReplicaId(RECEIVER)].raft.as_ref();
@@ -95,68 +96,68 @@
         };
         let duration = Duration::from_secs(20);
         verify_that!(self.cluster.run_until(duration, has_caught_up), eq(true))?;
-        Ok(Sending {
+        Ok(TransferStats {
             chunks: self.cluster.sent_snapshot_chunks,
             bytes_read: self.state.bytes_read(),
         })
     }
 }
 
-/// Sends the state, with the chunks of these numbers late or twice.
-fn send_state(late: &[u64], doubled: &[u64]) -> Result<Sending> {
+/// Sends the snapshot, with the chunks of these numbers delayed or duplicated.
+fn send_state(late: &[u64], doubled: &[u64]) -> Result<TransferStats> {
     let mut fixture = Fixture::new()?;
     fixture.cluster.delayed_chunks = late.iter().copied().collect();
     fixture.cluster.duplicated_chunks = doubled.iter().copied().collect();
     fixture.run()
 }
 
-/// Chunks of the whole with its head.
+/// Returns the number of chunks of the state and of the snapshot's header.
 fn total_chunks() -> u64 {
     CHUNKS + 1
 }
 
-/// Each chunk that comes late lets at most a window be sent again: what is sent again comes twice, and must
-/// not be taken for the next gap.
+/// Each late chunk may cause at most one window to be resent: the resent chunks arrive twice, and
+/// must not be taken for the next gap.
 #[gtest]
 fn late_chunk_resends_one_window() -> Result<()> {
     for late in [&[10][..], &[100], &[10, 100, 300]] {
         let sending = send_state(late, &[])?;
-        let most = total_chunks() + WINDOW * late.len() as u64;
+        let max_chunks = total_chunks() + WINDOW * late.len() as u64;
         expect_that!(
             sending.chunks,
-            all![ge(total_chunks()), le(most)],
+            all![ge(total_chunks()), le(max_chunks)],
             "late: {late:?}"
         );
     }
     Ok(())
 }
 
-/// The same for a chunk that comes twice.
+/// The same for a duplicated chunk.
 #[gtest]
 fn duplicated_chunk_resends_one_window() -> Result<()> {
     for doubled in [&[10][..], &[100], &[10, 100, 300]] {
         let sending = send_state(&[], doubled)?;
-        let most = total_chunks() + WINDOW * doubled.len() as u64;
+        let max_chunks = total_chunks() + WINDOW * doubled.len() as u64;
         expect_that!(
             sending.chunks,
-            all![ge(total_chunks()), le(most)],
+            all![ge(total_chunks()), le(max_chunks)],
             "twice: {doubled:?}"
         );
     }
     Ok(())
 }
 
-/// To send a window again, only that window is read again, however much was sent before it.
+/// Resending a window must read only that window again, however much was sent before it.
 #[gtest]
 fn resending_reads_only_the_resent_window() -> Result<()> {
     let late = [50, 200, 390];
     let sending = send_state(&late, &[])?;
     let windows = late.len() as u64 * WINDOW;
-    let most = (total_chunks() + windows) * CHUNK_BYTES as u64;
-    verify_that!(sending.bytes_read, le(most))
+    let max_chunks = (total_chunks() + windows) * CHUNK_BYTES as u64;
+    verify_that!(sending.bytes_read, le(max_chunks))
 }
 
-/// Without any of it, each chunk is sent once and each byte read once.
+/// Without disturbances, each chunk must be sent once and each byte read once.
 #[gtest]
 fn ordered_path_sends_each_chunk_once() -> Result<()> {
     let sending = send_state(&[], &[])?;
@@ -165,8 +166,9 @@
     Ok(())
 }
 
-/// A member that stood still answers all heartbeats at once that waited in its socket: nothing is lost, and
-/// nothing is sent again. A member with an empty disk does the same when its first write is durable.
+/// A member that was paused answers all the heartbeats that waited in its socket at once: nothing
+/// is lost, and nothing may be resent. A member with an empty disk does the same when its first
+/// write becomes durable.
 #[gtest]
 fn frozen_member_is_resent_no_chunks() -> Result<()> {
     let mut fixture = Fixture::new()?;
@@ -180,7 +182,7 @@
     verify_that!(sending.chunks, eq(total_chunks()))
 }
 
-/// The same for entries of the log.
+/// The same for log entries.
 #[gtest]
 fn frozen_member_is_resent_no_entries() -> Result<()> {
     let limits = Limits {
@@ -203,7 +205,7 @@
     verify_that!(cluster.sent_entries - before, eq(others * proposed))
 }
 
-/// Entries that are sent now and then, with heartbeats answered between them, are sent once.
+/// Entries that are sent at intervals, with heartbeats answered in between, must be sent once.
 #[gtest]
 fn heartbeat_reply_from_before_an_entry_causes_no_resend() -> Result<()> {
     let limits = Limits {
@@ -225,8 +227,8 @@
     verify_that!(cluster.sent_entries - before, eq(others * proposed))
 }
 
-/// On a path that is longer than a heartbeat interval, heartbeats from before a chunk are answered while the
-/// chunk is on its way: each chunk and each entry is sent once.
+/// On a path whose delay exceeds a heartbeat interval, heartbeats sent before a chunk are answered
+/// while the chunk is in flight. Each chunk and each entry must be sent once.
 #[gtest]
 fn slow_path_causes_no_resend() -> Result<()> {
     let mut fixture = Fixture::new()?;
--- a/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
@@ -1,5 +1,5 @@
-//! A soak: states are sent over networks that lose, double and reorder, to a member that
-//! restarts midway; each sending ends, with the very bytes.
+//! Soak test: snapshots are sent over networks that lose, duplicate and reorder messages, to a
+//! member that restarts during the transfer. Each transfer must complete with identical bytes.
 
 mod support;
 
@@ -16,7 +16,7 @@
 #[gtest]
 fn snapshot_transfers_complete_with_identical_bytes() -> Result<()> {
     let mut slowest = (Duration::ZERO, 0);
-    let mut most = (0, 0);
+    let mut highest_cost = (0, 0);
     let mut times = Vec::new();
     for seed in 0..300 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -75,7 +75,7 @@
         times.push(cluster.now.since(begin));
         slowest = slowest.max((cluster.now.since(begin), seed));
         let chunks = (state.len() / limits.snapshot_chunk_bytes) as u64;
-        most = most.max((cluster.sent_snapshot_chunks * 100 / chunks, seed));
+        highest_cost = highest_cost.max((cluster.sent_snapshot_chunks * 100 / chunks, seed));
     }
     times.sort();
     println!(
@@ -83,6 +83,6 @@
         times[times.len() / 2],
         times[times.len() * 9 / 10]
     );
-    println!("slowest {slowest:?}; most sent, in % of the state {most:?}");
+    println!("slowest {slowest:?}; most sent, in % of the state {highest_cost:?}");
     Ok(())
 }
--- a/crates/shared/wingshore-consensus/tests/support/chaos.rs
+++ b/crates/shared/wingshore-consensus/tests/support/chaos.rs
@@ -1,4 +1,4 @@
-//! Random runs: everything that may fail does, at any moment, from one seed.
+//! Random runs in which faults of every kind occur at any moment, determined by one seed.
 
 use super::checker::Violation;
 use super::cluster::{Cluster, Network};
@@ -9,48 +9,48 @@
 use wingshore_consensus::Faults;
 use wingshore_types::ReplicaId;
 
-/// A machine outside the founding members, to be taken in.
+/// A node that is not a founding member and can be added.
 const JOINER: u64 = 9;
 
-/// What a run is rich in.
+/// Mix of faults in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// A bit of everything.
+    /// All kinds of faults.
     Mixed,
-    /// Leaders that fall right after their election, power cuts, messages that come very late,
-    /// and one entry in a message.
+    /// Leaders that fail right after their election, power failures, very late messages, and one
+    /// entry per message.
     Elections,
 }
 
-/// One random run.
+/// Parameters of a random run.
 #[derive(Clone, Copy, Debug)]
 pub struct Chaos {
-    /// What it is rich in.
+    /// Mix of faults.
     pub profile: Profile,
-    /// Founding members.
+    /// Number of founding members.
     pub voters: u64,
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Deliberate faults.
+    /// Injected faults.
     pub faults: Faults,
-    /// Rounds of actions, 20 ms each.
+    /// Number of rounds of actions, 20 ms each.
     pub rounds: u32,
 }
 
-/// What a run did.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The first broken promise.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// Whether the healed group committed on all members at the end.
+    /// Whether all members of the healed group committed an entry at the end.
     pub recovered: bool,
-    /// Entries committed.
+    /// Number of committed entries.
     pub committed: usize,
-    /// Reads answered under a lease.
+    /// Number of reads answered under a lease.
     pub reads: u64,
-    /// Elections won.
+    /// Number of elections won.
     pub elections: u64,
-    /// Snapshot chunks sent.
+    /// Number of snapshot chunks sent.
     pub snapshot_chunks: u64,
 }
 
@@ -62,7 +62,7 @@
     last_command: u64,
 }
 
-/// Runs it.
+/// Executes a random run.
 pub fn run(chaos: Chaos) -> Report {
     let mut limits = small_limits();
     if chaos.profile == Profile::Elections {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Proposes at every member that believes it leads.
+    /// Proposes a command on every member that believes it is the leader.
     fn propose_everywhere(&mut self) {
         let leaders: Vec<u64> = self
             .cluster
@@ -167,7 +167,7 @@
             if self.cluster.random.random_bool(chance) {
                 self.last_command += 1;
                 let last_command = self.last_command.to_le_bytes();
-                // Refused while leadership is handed over.
+                // Rejected while leadership is being transferred.
                 let _ = self.cluster.propose(leader, &last_command);
             }
         }
@@ -231,7 +231,7 @@
             .act(id, |raft, _, _| raft.compact(state).unwrap());
     }
 
-    /// Every member stops at the same moment, and starts again.
+    /// Crashes all members at the same moment and restarts them.
     fn cut_power(&mut self) {
         let ids: Vec<u64> = self.cluster.nodes.keys().map(|id| id.0).collect();
         for id in ids {
@@ -240,7 +240,7 @@
         self.restart_stopped();
     }
 
-    /// Disturbs the first moments of a leadership.
+    /// Injects a fault right after an election.
     fn disturb_election(&mut self) {
         let elections = self.cluster.checker.elections;
         if elections == self.elections_seen {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// The leader falls when it has sent a little.
+    /// Crashes the leader after it has sent some messages.
     fn crash_leader_soon(&mut self) {
         let delay = Duration::from_millis(self.cluster.random.random_range(5..300));
         self.cluster.run(delay);
@@ -265,7 +265,7 @@
         }
     }
 
-    /// The leader is cut off; a follower restarts in the middle of it.
+    /// Isolates the leader and restarts a random member meanwhile.
     fn cut_leader_and_crash(&mut self) {
         let Some(leader) = self.cluster.leader() else {
             return;
@@ -276,7 +276,7 @@
         self.restart_stopped();
     }
 
-    /// A voter loses its disk and comes back under its old identity, once in a run.
+    /// Wipes the disk of a voter, which restarts under its old id; once per run.
     fn wipe(&mut self) {
         if self.wiped_member.is_some() {
             return;
@@ -290,7 +290,7 @@
         self.cluster.restart(id);
     }
 
-    /// Heals everything; a command must then be committed and applied by every member.
+    /// Heals all faults. Returns whether a command is then committed and applied by every member.
     fn recover(&mut self) -> bool {
         let cluster = &mut self.cluster;
         cluster.cut_links.clear();
--- a/crates/shared/wingshore-consensus/tests/support/checker.rs
+++ b/crates/shared/wingshore-consensus/tests/support/checker.rs
@@ -1,33 +1,34 @@
-//! What must hold over a whole run, kept apart from the code it checks.
+//! Checks of the safety properties over a whole run, independent of the code under test.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wingshore_consensus::{Entry, Raft};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// A broken promise.
+/// A violated safety property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two members led the same term.
+    /// Two members were leader in the same term.
     TwoLeaders { term: u64 },
-    /// A member voted for two candidates in a term.
+    /// A member voted for two candidates in one term.
     VotedTwice { term: u64, voter: ReplicaId },
-    /// Two members applied different entries at one index, or one out of order.
+    /// Two members applied different entries at the same index, or a member applied entries out of
+    /// order.
     AppliedDiffers { index: LogIndex },
     /// A new leader lacks a committed entry.
     CommittedLost { index: LogIndex, term: u64 },
-    /// Two logs agree at one index and differ before it.
+    /// Two logs agree at an index but differ before it.
     LogMatching { index: LogIndex },
-    /// A read under lease missed an acknowledged write.
+    /// A read under a lease missed an acknowledged write.
     StaleRead {
         applied: LogIndex,
         acknowledged: LogIndex,
     },
-    /// Two members held the lease at one moment.
+    /// Two members held the lease at the same time.
     TwoLeases { first: ReplicaId, second: ReplicaId },
 }
 
-/// The applied state of one member: the index and a hash over all entries up to it.
+/// The applied state of one member: the last index, and a hash over all entries up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
     pub index: LogIndex,
@@ -35,7 +36,7 @@
 }
 
 impl Applied {
-    /// As snapshot bytes, padded so that it takes several chunks.
+    /// Encodes the state as snapshot bytes, padded so that it takes several chunks.
     pub fn encode(self) -> Vec<u8> {
         let mut bytes = self.index.0.to_le_bytes().to_vec();
         bytes.extend_from_slice(&self.log_hash.to_le_bytes());
@@ -43,7 +44,7 @@
         bytes
     }
 
-    /// From snapshot bytes.
+    /// Decodes snapshot bytes.
     pub fn decode(bytes: &[u8]) -> Self {
         let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
         Self {
@@ -53,18 +54,18 @@
     }
 }
 
-/// An entry that some member applied.
+/// An entry that a member has applied.
 #[derive(Clone, Copy, Debug)]
 struct Committed {
-    /// Its term.
+    /// Term of the entry.
     term: u64,
-    /// Hash over all entries up to it.
+    /// Hash over all entries up to this one.
     log_hash: u64,
     /// The term in which it was first applied.
     applied_in_term: u64,
 }
 
-/// Collects what members do.
+/// Records the actions of the members, and checks them.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub violation: Option<Violation>,
@@ -81,12 +82,12 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// The number of entries known to be committed.
+    /// Returns the number of entries known to be committed.
     pub fn committed_entries(&self) -> usize {
         self.committed.len()
     }
 
-    /// A member granted its vote.
+    /// Records that a member granted its vote.
     pub fn on_vote(&mut self, term: u64, voter: ReplicaId, candidate: ReplicaId) {
         let first = *self.votes.entry((term, voter)).or_insert(candidate);
         if first != candidate {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// A member became leader.
+    /// Records that a member became leader.
     pub fn on_leader(&mut self, raft: &Raft) {
         let term = raft.term();
         let first = *self.leaders.entry(term).or_insert(raft.id());
@@ -113,7 +114,8 @@
         }
     }
 
-    /// A member in term `during` applied an entry on top of `before`; answers its state after.
+    /// Records that a member in term `applied_in_term` applied an entry to the state `before`.
+    /// Returns the new state.
     pub fn on_apply(&mut self, applied_in_term: u64, before: Applied, entry: &Entry) -> Applied {
         let index = entry.index;
         let mut hasher = DefaultHasher::new();
@@ -133,7 +135,7 @@
         Applied { index, log_hash }
     }
 
-    /// A member restored a snapshot.
+    /// Records that a member restored a snapshot.
     pub fn on_restore(&mut self, index: LogIndex, applied: Applied) {
         let known = self.committed.get(&index).map(|known| known.log_hash);
         if applied.index != index || known != Some(applied.log_hash) {
@@ -141,12 +143,12 @@
         }
     }
 
-    /// A leader told a client that its write at `index` is done.
+    /// Records that a leader acknowledged the write at `index` to a client.
     pub fn on_acknowledged(&mut self, index: LogIndex) {
         self.acknowledged = self.acknowledged.max(index);
     }
 
-    /// A leader answered a read from its applied state.
+    /// Records that a leader answered a read from its applied state.
     pub fn on_read(&mut self, applied: LogIndex) {
         self.reads += 1;
         let acknowledged = self.acknowledged;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// These members hold a lease right now.
+    /// Records which members hold a lease at the same time.
     pub fn on_lease_holders(&mut self, holders: &[ReplicaId]) {
         if let [first, second, ..] = holders {
             self.report(Violation::TwoLeases {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Compares the logs of two members: below the last index at which their terms agree, all
+    /// Compares the logs of two members: before the last index at which their terms agree, all
     /// terms must agree.
     pub fn on_logs(&mut self, left: &Raft, right: &Raft) {
         let first = left.first_index().max(right.first_index()).0;
--- a/crates/shared/wingshore-consensus/tests/support/cluster.rs
+++ b/crates/shared/wingshore-consensus/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Members on a simulated network, with simulated disks, driven by one seed.
+//! A cluster on a simulated network with simulated disks, determined by one seed.
 
 use super::checker::Checker;
 use super::disk;
@@ -11,13 +11,13 @@
 use wingshore_consensus::{Body, Faults, Input, Limits, Message, Output, ProposeError, Raft};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// Time between two looks at the clocks.
+/// Time between two ticks of the simulation.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How much later than others a late chunk comes.
+/// Extra delay of a chunk that is sent late.
 const LATE_CHUNK_DELAY: Duration = Duration::from_micros(500);
 
-/// Something that happens later.
+/// A scheduled event.
 enum Event {
     Deliver {
         from: ReplicaId,
@@ -31,22 +31,22 @@
     },
 }
 
-/// How the network treats messages.
+/// Properties of the simulated network and disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// Chance that a message is lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Chance that it comes twice.
+    /// Probability that a message is duplicated.
     pub duplication: f64,
-    /// Shortest way.
+    /// Minimum delay.
     pub min_delay: Duration,
-    /// Longest usual way.
+    /// Maximum delay of normal messages.
     pub max_delay: Duration,
-    /// Chance that it takes up to `straggler_delay`.
+    /// Probability that a message takes up to `straggler_delay`.
     pub straggler_chance: f64,
-    /// Longest way of stragglers.
+    /// Maximum delay of stragglers.
     pub straggler_delay: Duration,
-    /// Longest time of a sync.
+    /// Maximum duration of a sync.
     pub sync: Duration,
 }
 
@@ -64,28 +64,28 @@
     }
 }
 
-/// A cluster.
+/// A simulated cluster.
 pub struct Cluster {
     pub now: Instant,
     pub nodes: BTreeMap<ReplicaId, Node>,
     pub network: Network,
-    /// One-way links that lose everything.
+    /// One-way links that lose all messages.
     pub cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
-    /// Members whose syncs do not end.
+    /// Members whose syncs do not complete.
     pub stalled_disks: BTreeSet<ReplicaId>,
     pub checker: Checker,
     pub random: ChaCha8Rng,
     pub sent_snapshot_chunks: u64,
-    /// Entries in appends, each as often as it was sent.
+    /// Number of entries in sent appends; an entry counts each time it is sent.
     pub sent_entries: u64,
-    /// Numbers of snapshot chunks, counted from 1, that come after those sent next, as when the path
-    /// between two members changes.
+    /// Numbers of snapshot chunks, counted from 1, that arrive after those sent next, as when the
+    /// network path changes.
     pub delayed_chunks: BTreeSet<u64>,
-    /// Numbers of snapshot chunks that come twice.
+    /// Numbers of snapshot chunks that are duplicated.
     pub duplicated_chunks: BTreeSet<u64>,
     /// Numbers of snapshot chunks that are lost.
     pub lost_chunks: BTreeSet<u64>,
-    /// Members to and from which each way takes this much longer.
+    /// Extra one-way delay of messages to and from each member.
     pub extra_delays: BTreeMap<ReplicaId, Duration>,
     pub faults: Faults,
     pub limits: Limits,
@@ -95,12 +95,12 @@
 }
 
 impl Cluster {
-    /// `voters` founding members, started.
+    /// Returns a cluster of `voters` founding members, all running.
     pub fn new(voters: u64, seed: u64) -> Self {
         Self::with(voters, seed, Faults::default(), small_limits())
     }
 
-    /// `voters` founding members with these settings, started.
+    /// Returns a cluster of `voters` founding members with these faults and limits, all running.
     pub fn with(voters: u64, seed: u64, faults: Faults, limits: Limits) -> Self {
         let mut cluster = Self {
             now: Instant::from_millis(10),
@@ -128,7 +128,7 @@
         cluster
     }
 
-    /// Adds a machine and starts it, as a founder or with an empty disk.
+    /// Adds a node and starts it, as a founding member or with an empty disk.
     pub fn add_node(&mut self, id: u64, is_founder: bool, voters: u64) {
         let id = ReplicaId(id);
         let mut node = Node {
@@ -153,17 +153,17 @@
         self.nodes.insert(id, node);
     }
 
-    /// The machine of a running member.
+    /// Returns the state machine of a running member.
     pub fn raft(&self, id: u64) -> &Raft {
         self.nodes[&ReplicaId(id)].raft.as_ref().unwrap()
     }
 
-    /// A member.
+    /// Returns a member.
     pub fn node(&mut self, id: u64) -> &mut Node {
         self.nodes.get_mut(&ReplicaId(id)).unwrap()
     }
 
-    /// Whether `id` holds the lease now, by its own clock.
+    /// Returns whether `id` holds the lease now by its own clock.
     pub fn holds_lease(&self, id: u64) -> bool {
         let node = &self.nodes[&ReplicaId(id)];
         let local_time = node.local_time(self.now);
@@ -172,7 +172,7 @@
             .is_some_and(|raft| raft.holds_lease(local_time))
     }
 
-    /// Stops a member; of a write under way the first `parts` parts reach its disk.
+    /// Crashes a member. The first `parts` parts of a pending write reach its disk.
     pub fn crash(&mut self, id: u64, parts: usize) {
         self.node(id).crash(parts);
     }
@@ -184,7 +184,7 @@
         node.start(now, &mut self.checker);
     }
 
-    /// Stops a member with a random part of its write done.
+    /// Crashes a member with a random part of its pending write on disk.
     pub fn crash_with_random_write(&mut self, id: u64) {
         let pending_write = self.node(id).pending_write.clone();
         let most = pending_write.map_or(0, |pending_write| disk::parts(&pending_write.batch));
@@ -192,7 +192,7 @@
         self.crash(id, parts);
     }
 
-    /// Cuts both ways between `id` and all others.
+    /// Cuts the links in both directions between `id` and all others.
     pub fn isolate(&mut self, id: u64) {
         let others: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for other in others {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The member with the highest term that believes it leads.
+    /// Returns the member with the highest term that believes it is the leader.
     pub fn leader(&self) -> Option<u64> {
         self.nodes
             .values()
@@ -211,13 +211,13 @@
             .map(|raft| raft.id().0)
     }
 
-    /// A leader that has committed an entry of its term and holds the lease.
+    /// Returns the leader, if it has committed an entry of its term and holds the lease.
     pub fn ready_leader(&self) -> Option<u64> {
         self.leader()
             .filter(|leader| self.raft(*leader).has_applied_own_term() && self.holds_lease(*leader))
     }
 
-    /// Proposes a command at `id`.
+    /// Proposes a command on `id`.
     pub fn propose(&mut self, id: u64, command: &[u8]) -> Result<LogIndex, ProposeError> {
         let node = self.nodes.get_mut(&ReplicaId(id)).unwrap();
         let Some(raft) = &mut node.raft else {
@@ -229,7 +229,7 @@
         Ok(index)
     }
 
-    /// Does something with a member's machine and carries out what follows.
+    /// Runs `action` on a member's state machine, and executes its outputs.
     pub fn act(&mut self, id: u64, action: impl FnOnce(&mut Raft, Instant, &mut Vec<Output>)) {
         let now = self.now;
         let node = self.nodes.get_mut(&ReplicaId(id)).unwrap();
@@ -242,7 +242,7 @@
         self.after_step(ReplicaId(id), sends);
     }
 
-    /// Feeds one input to a member.
+    /// Passes one input to a member.
     pub fn feed(&mut self, id: ReplicaId, input: Input) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -299,11 +299,11 @@
         let far = [from, to].map(|id| self.extra_delays.get(&id).copied().unwrap_or_default());
         let far = far[0] + far[1];
         let is_duplicated = is_chunk && self.duplicated_chunks.contains(&self.sent_snapshot_chunks);
-        let is_late = is_chunk && self.delayed_chunks.contains(&self.sent_snapshot_chunks);
+        let is_delayed = is_chunk && self.delayed_chunks.contains(&self.sent_snapshot_chunks);
         let is_copied = self.random.random_bool(network.duplication) || is_duplicated;
         for _ in 0..1 + u32::from(is_copied) {
             let delay = self.draw_delay()
-                + if is_late {
+                + if is_delayed {
                     LATE_CHUNK_DELAY
                 } else {
                     Duration::ZERO
@@ -321,11 +321,11 @@
         } else {
             network.max_delay
         };
-        let least = network.min_delay.as_nanos() as u64;
-        Duration::from_nanos(self.random.random_range(least..=most.as_nanos() as u64))
+        let min_nanos = network.min_delay.as_nanos() as u64;
+        Duration::from_nanos(self.random.random_range(min_nanos..=most.as_nanos() as u64))
     }
 
-    /// Runs for `duration`.
+    /// Runs the simulation for `duration`.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end && self.checker.violation.is_none() {
@@ -333,7 +333,8 @@
         }
     }
 
-    /// Runs until `condition` holds, at most `duration`; says whether it does.
+    /// Runs the simulation until `condition` is true, for at most `duration`. Returns whether it
+    /// is.
     pub fn run_until(&mut self, duration: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + duration;
         while self.now < end && !condition(self) {
@@ -375,7 +376,7 @@
     fn deliver(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
         let frozen_until = self.nodes.get(&to).map(|node| node.frozen_until);
         if let Some(until) = frozen_until.filter(|until| *until > self.now) {
-            // It waits in the socket.
+            // The message waits in the socket.
             let delay = until.since(self.now);
             return self.schedule(delay, Event::Deliver { from, to, message });
         }
@@ -446,7 +447,7 @@
         self.checker.on_lease_holders(&holders);
     }
 
-    /// Reads at every running member that believes it may answer.
+    /// Reads on every running member that believes it may answer.
     pub fn read_everywhere(&mut self) {
         for node in self.nodes.values().filter(|node| node.is_running(self.now)) {
             let local_time = node.local_time(self.now);
--- a/crates/shared/wingshore-consensus/tests/support/counted.rs
+++ b/crates/shared/wingshore-consensus/tests/support/counted.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use wingshore_types::snapshot_data::{FrozenState, SnapshotState};
 
-/// A state of equal bytes. Clones count together.
+/// A state of identical bytes. Clones share the counter.
 #[derive(Clone)]
 pub struct CountingState {
     length: u64,
@@ -13,18 +13,18 @@
 }
 
 impl CountingState {
-    /// Of `length` bytes, none of which is read.
+    /// Returns a state of `length` bytes.
     pub fn new(length: u64) -> Self {
         let read = Arc::default();
         Self { length, read }
     }
 
-    /// Bytes that were read, over all readers.
+    /// Returns the number of bytes read by all readers.
     pub fn bytes_read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
     }
 
-    /// As a state that can be sent.
+    /// Returns the state in the form that can be sent.
     pub fn state(&self) -> SnapshotState {
         SnapshotState::Frozen(Arc::new(self.clone()))
     }
--- a/crates/shared/wingshore-consensus/tests/support/disk.rs
+++ b/crates/shared/wingshore-consensus/tests/support/disk.rs
@@ -1,9 +1,10 @@
-//! A disk that makes batches durable field by field.
+//! A simulated disk that persists batches field by field.
 
 use wingshore_types::LogIndex;
 use wingshore_types::log::{RecoveredLog, WriteBatch};
 
-/// Number of parts a crash can separate: each field, with the appended records one by one.
+/// Returns the number of parts of a batch that a crash can separate: each field, and each appended
+/// record.
 pub fn parts(batch: &WriteBatch) -> usize {
     4 + batch.append.len()
 }
@@ -41,7 +42,7 @@
                 .records
                 .last()
                 .map_or(snapshot_index, |last| last.index);
-            assert_eq!(record.index.0, last.0 + 1, "records without gap");
+            assert_eq!(record.index.0, last.0 + 1, "records must be consecutive");
             contents.records.push(record.clone());
         }
         if let Some(through) = batch.discard_through.filter(|_| count >= parts(batch)) {
--- a/crates/shared/wingshore-consensus/tests/support/mod.rs
+++ b/crates/shared/wingshore-consensus/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory cluster for tests: network, disks, clocks and checks.
+//! An in-memory test cluster with a simulated network, disks, clocks and checks.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,7 +16,7 @@
 use wingshore_types::configuration::Permille;
 use wingshore_types::protocol::membership::{Member, Membership};
 
-/// Timing of all test clusters.
+/// Returns the timing of all test clusters.
 pub fn timing() -> Timing {
     Timing {
         election_timeout: Duration::from_millis(500),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Limits so small that every one of them is reached.
+/// Returns limits so small that tests reach every one of them.
 pub fn small_limits() -> Limits {
     Limits {
         append_bytes: 64,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A member with an address of its own.
+/// Returns a member with a unique address.
 pub fn member(id: u64) -> Member {
     let port = u16::try_from(10_000 + id % 1_000).unwrap();
     Member {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Members 1 to `voters`, all voting.
+/// Returns a membership with the voters 1 to `voters`.
 pub fn founders(voters: u64) -> Membership {
     Membership {
         voters: (1..=voters).map(member).collect(),
--- a/crates/shared/wingshore-consensus/tests/support/node.rs
+++ b/crates/shared/wingshore-consensus/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! One member of a test cluster: its machine, disk and clock.
+//! One member of a test cluster: its state machine, disk and clock.
 
 use super::checker::{Applied, Checker};
 use super::disk::Disk;
@@ -13,7 +13,7 @@
 use wingshore_types::snapshot_spool::MemorySpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// A write that is under way.
+/// A write that is not yet durable.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
     pub token: u64,
@@ -29,11 +29,11 @@
     pub incarnation: u64,
     pub bootstrap: Option<Membership>,
     pub applied: Applied,
-    /// Parts per million by which its clock runs fast.
+    /// Rate by which the clock runs fast, in parts per million.
     pub drift_ppm: i64,
-    /// Frozen until then: handles nothing, its clock runs on.
+    /// Time until which the member is paused: it handles no input, but its clock runs on.
     pub frozen_until: Instant,
-    /// Proposals of this incarnation: term and index.
+    /// Term and index of the proposals of this incarnation.
     pub proposed: Vec<(u64, LogIndex)>,
     pub writes: u64,
     pub seed: u64,
@@ -41,24 +41,24 @@
     pub limits: Limits,
     /// Commands applied by this incarnation.
     pub commands: Vec<Vec<u8>>,
-    /// What it provides as a snapshot in place of what it has applied.
+    /// State that the member provides as a snapshot instead of its applied state.
     pub provided_state: Option<SnapshotState>,
 }
 
 impl Node {
-    /// The time its own clock shows.
+    /// Returns the time of the member's own clock.
     pub fn local_time(&self, now: Instant) -> Instant {
         let ppm = i128::from(1_000_000 + self.drift_ppm);
         let nanos = i128::from(now.0) * ppm / 1_000_000;
         Instant(u64::try_from(nanos).unwrap() + 1_000_000_000 * self.id.0)
     }
 
-    /// Whether it handles inputs now.
+    /// Returns whether the member handles inputs now.
     pub fn is_running(&self, now: Instant) -> bool {
         self.raft.is_some() && now >= self.frozen_until
     }
 
-    /// Starts it from its disk.
+    /// Starts the member from its disk.
     pub fn start(&mut self, now: Instant, checker: &mut Checker) {
         let config = RaftConfig {
             id: self.id,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ends it; of a write under way the first `parts` parts reach the disk.
+    /// Crashes the member. The first `parts` parts of a pending write reach the disk.
     pub fn crash(&mut self, parts: usize) {
         self.raft = None;
         self.incarnation += 1;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Feeds inputs, then collects what they led to.
+    /// Passes inputs to the member, and executes the outputs.
     pub fn step(
         &mut self,
         now: Instant,
@@ -111,7 +111,7 @@
         self.finish(now, out, checker)
     }
 
-    /// Carries outputs out, after those of a flush.
+    /// Flushes the member, and executes all outputs. Returns the messages to send.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -130,7 +130,7 @@
         sends
     }
 
-    /// Sends a snapshot of what is applied to members that need entries which are gone.
+    /// Provides a snapshot of the applied state if members need entries that are compacted.
     fn provide_needed_snapshot(
         &mut self,
         local_time: Instant,
@@ -157,20 +157,20 @@
         checker: &mut Checker,
     ) {
         if std::env::var("TRACE").is_ok() && !matches!(output, Output::Send { .. }) {
-            let r = self.raft.as_ref().unwrap();
+            let raft = self.raft.as_ref().unwrap();
             println!(
                 "n{} t{} com{:?} last{:?} {}",
                 self.id,
-                r.term(),
-                r.commit_index(),
-                r.last_index(),
+                raft.term(),
+                raft.commit_index(),
+                raft.last_index(),
                 format!("{output:?}").chars().take(400).collect::<String>()
             );
         }
         match output {
             Output::Send { to, message } => sends.push((to, message)),
             Output::Write { token, batch } => {
-                assert!(self.pending_write.is_none(), "one write at a time");
+                assert!(self.pending_write.is_none(), "a write is already pending");
                 self.writes += 1;
                 self.pending_write = Some(PendingWrite { token, batch });
             }
--- a/crates/shared/wingshore-consensus/tests/unknown_forms.rs
+++ b/crates/shared/wingshore-consensus/tests/unknown_forms.rs
@@ -1,8 +1,8 @@
-//! What a member does with messages and stored bytes that a newer build may write.
+//! Handling of messages and stored bytes that a newer build may write.
 //!
-//! Bytes after the end of a message are ignored; an unknown variant, and a message that ends too
-//! early, are refused. What is stored begins with its format, and an unknown one is refused at the
-//! start.
+//! Bytes after the end of a message are ignored. An unknown variant and a truncated message are
+//! rejected. Stored values start with their format version, and an unknown version is rejected at
+//! the start.
 
 use googletest::prelude::*;
 use rand::SeedableRng;
@@ -14,7 +14,7 @@
 use wingshore_types::snapshot_spool::MemorySpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// The format, the term, no vote, enrolled.
+/// Encoded hard state: format version, term 1, no vote, enrolled.
 const HARD_STATE_OF_TERM_1: &[u8] = &[1, 1, 0, 1];
 
 const MESSAGES: &str = include_str!("golden/messages.txt");
@@ -73,7 +73,7 @@
     }
 }
 
-/// What a member says that finds this on its disk when it starts.
+/// Returns the error of a member that starts with this recovered storage, or "it starts".
 fn start_result(recovered: RecoveredLog) -> String {
     let config = RaftConfig {
         id: ReplicaId(1),
