--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at items that gateways run: taken over from an earlier leader, heard of, ended.
+//! Attempts at items that run at gateways: adoption from an earlier leader, partial texts, ends.
 
 use super::decision_log::Decision;
 use super::decisions::ejection::eject_until;
@@ -17,22 +17,27 @@
 use crate::text::{FinishedText, ItemText};
 use wingshore_types::Instant;
 
-/// What a log line says of an attempt whose text is not taken.
-const TOO_OLD: &str = "its text is of an older version than its job allows";
-/// What a log line says of an attempt that its gateway does not speak of.
-const SILENT: &str = "the gateway does not speak of it any more";
+/// Logged reason for a retry after an attempt whose finished text is discarded.
+const TEXT_TOO_OLD: &str = "the text was made by an older model version than the job allows";
+/// Logged reason for a retry after an attempt that its gateway no longer reports.
+const NO_LONGER_REPORTED: &str = "the gateway no longer reports the attempt";
 
 impl CoordinationLeader {
-    /// A gateway runs an item that an earlier leader assigned.
-    pub(crate) fn adopt(&mut self, gateway: GatewayId, reported: RunningItem, turn: &mut Turn<'_>) {
+    /// Adopts an attempt that a gateway reports and that an earlier leader assigned.
+    pub(crate) fn adopt_attempt(
+        &mut self,
+        gateway: GatewayId,
+        reported: RunningItem,
+        turn: &mut Turn<'_>,
+    ) {
         let RunningItem {
             assignment,
             item,
             instance,
         } = reported;
-        // The connection of its gateway may have broken, and parts of the text been lost with it.
+        // The gateway may have reconnected, and uploaded parts of the text may have been lost.
         if self.items.is_under_way(assignment) {
-            return self.tell_held(assignment, turn);
+            return self.send_logged_prefix(assignment, turn);
         }
         let job = turn.state.jobs().get(&item.job);
         let is_open = job
@@ -49,11 +54,12 @@
         let model = job.and_then(|job| job.submission.model.clone());
         let attempt = Attempt::new(turn.now, item, gateway, instance, model);
         self.start(assignment, attempt);
-        self.tell_held(assignment, turn);
+        self.send_logged_prefix(assignment, turn);
     }
 
-    /// Tells the gateway of an attempt from where on it is to upload the text.
-    pub(super) fn tell_held(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
+    /// Tells the gateway of an attempt which prefix of the text the log holds, so that it uploads
+    /// the rest.
+    pub(super) fn send_logged_prefix(&self, assignment: AssignmentId, turn: &mut Turn<'_>) {
         let Some(attempt) = self.items.attempt(assignment) else {
             return;
         };
@@ -64,9 +70,10 @@
         }
     }
 
-    /// Makes events of a long item durable. Where they do not follow what the log is to hold, a part
-    /// before them was lost: the gateway is told from where on to upload.
-    pub(crate) fn keep_partial_text(
+    /// Proposes to store uploaded events of a long item. If they do not directly follow the events
+    /// stored or proposed so far, an earlier upload was lost: the gateway is told from where to
+    /// upload again.
+    pub(crate) fn store_partial_text(
         &mut self,
         assignment: AssignmentId,
         after_events: u64,
@@ -84,7 +91,7 @@
             return;
         };
         if open_item.held.extent.events != after_events {
-            return self.tell_held(assignment, turn);
+            return self.send_logged_prefix(assignment, turn);
         }
         open_item.held = open_item.held.extended_by(&text);
         let command = Command::KeepText {
@@ -95,8 +102,8 @@
         self.propose(command, FollowUp::Nothing, turn);
     }
 
-    /// Attempts that their gateways do not speak of any more are over.
-    pub(crate) fn end_silent_items(&mut self, turn: &mut Turn<'_>) {
+    /// Ends the attempts that their gateways no longer report, and queues their items again.
+    pub(crate) fn end_silent_attempts(&mut self, turn: &mut Turn<'_>) {
         let silent: Vec<AssignmentId> = self
             .items
             .attempts()
@@ -105,15 +112,15 @@
             .collect();
         for assignment in silent {
             if let Some(attempt) = self.items.end(assignment) {
-                self.note_end(&attempt);
+                self.count_attempt_end(&attempt);
                 turn.release_attempt(attempt.gateway, assignment);
-                log_retry(assignment, &attempt, SILENT, turn);
+                log_retry(assignment, &attempt, NO_LONGER_REPORTED, turn);
                 self.items.wait(attempt.item);
             }
         }
     }
 
-    /// An attempt at an item is over.
+    /// Handles the end of an attempt at an item.
     pub(crate) fn on_item_ended(
         &mut self,
         gateway: GatewayId,
@@ -124,17 +131,18 @@
     ) {
         let finished = (gateway, assignment);
         let Some(attempt) = self.items.end(assignment) else {
-            return self.on_forgotten_end(finished, item, outcome, turn);
+            return self.on_unknown_attempt_ended(finished, item, outcome, turn);
         };
-        self.note_end(&attempt);
+        self.count_attempt_end(&attempt);
         match self.history_of(&attempt.item, &outcome, turn.state) {
             Some(history) => self.attempt_ended(finished, &attempt, outcome, history, turn),
-            None => self.release_unknown(gateway, assignment, turn),
+            None => self.release_attempt_and_scoring(gateway, assignment, turn),
         }
         self.place_items(turn);
     }
 
-    /// What is known of an item that has no result yet.
+    /// Collects the data by which the outcome of an attempt is judged; `None` if the item is not
+    /// open or already has a result.
     fn history_of(
         &self,
         item: &ItemKey,
@@ -153,7 +161,7 @@
             ItemOutcome::Interrupted {
                 cause: BreakCause::Engine(Some(request)),
                 ..
-            } => self.has_ended_servers(*request, state),
+            } => self.has_crashed_servers(*request, state),
             _ => false,
         };
         Some(ItemHistory {
@@ -164,8 +172,8 @@
         })
     }
 
-    fn has_ended_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
-        self.evidence.is_pending(request) || state.evidence().ended_under(request) > 0
+    fn has_crashed_servers(&self, request: RequestFingerprint, state: &CoordinationState) -> bool {
+        self.evidence.is_pending(request) || state.evidence().crash_count(request) > 0
     }
 
     fn max_failures(&self, item: &ItemKey, state: &CoordinationState) -> u32 {
@@ -176,7 +184,7 @@
         attempts.unwrap_or(1).max(1)
     }
 
-    /// An attempt at an item without a result is over.
+    /// Handles the end of an attempt at an item that has no result yet.
     fn attempt_ended(
         &mut self,
         finished: (GatewayId, AssignmentId),
@@ -188,9 +196,9 @@
         let (gateway, assignment) = finished;
         let verdict = verdict(&outcome, history);
         if verdict != Verdict::Take {
-            self.release_unknown(gateway, assignment, turn);
+            self.release_attempt_and_scoring(gateway, assignment, turn);
             let reason = if history.is_too_old {
-                TOO_OLD
+                TEXT_TOO_OLD
             } else {
                 outcome.name()
             };
@@ -199,7 +207,7 @@
         match (verdict, outcome) {
             (Verdict::Take, ItemOutcome::Finished(text)) => {
                 self.engines.succeeded(&attempt.instance);
-                self.take_text(&attempt.item, text, finished, turn);
+                self.accept_text(&attempt.item, text, finished, turn);
             }
             (Verdict::Take, _) => {}
             (Verdict::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
@@ -207,7 +215,7 @@
         }
     }
 
-    /// An item waits again.
+    /// Queues an item again after a failed attempt.
     fn retry(
         &mut self,
         attempt: &Attempt,
@@ -215,7 +223,7 @@
         retry: Retry,
         turn: &mut Turn<'_>,
     ) {
-        self.judge_engine(&attempt.instance, retry.engine, turn);
+        self.apply_engine_action(&attempt.instance, retry.engine, turn);
         if let Some(open_item) = self.items.open_item_mut(&attempt.item) {
             if let Some(backoff) = retry.backoff {
                 open_item.not_before = Some(turn.now + backoff);
@@ -235,7 +243,12 @@
         self.items.wait(attempt.item.clone());
     }
 
-    fn judge_engine(&mut self, instance: &InstanceId, verdict: EngineVerdict, turn: &mut Turn<'_>) {
+    fn apply_engine_action(
+        &mut self,
+        instance: &InstanceId,
+        verdict: EngineVerdict,
+        turn: &mut Turn<'_>,
+    ) {
         match verdict {
             EngineVerdict::Keep => {}
             EngineVerdict::Eject => self.eject(turn.now, instance),
@@ -245,7 +258,7 @@
             }
             EngineVerdict::EjectAndPoll => {
                 self.eject(turn.now, instance);
-                self.ask_report(instance, turn);
+                self.poll_engine(instance, turn);
             }
             EngineVerdict::Defer(duration) => {
                 self.engines.defer_until(instance, turn.now + duration);
@@ -262,9 +275,10 @@
         }
     }
 
-    /// An attempt is over that this leader took to be over, because its gateway was unreachable. A whole
-    /// text is a result all the same, whatever runs for the item meanwhile: the first one counts.
-    fn on_forgotten_end(
+    /// Handles the end of an attempt that this leader had already ended because its gateway was
+    /// unreachable. A finished text is accepted nevertheless, and ends any attempt that replaced
+    /// it: the first finished text counts.
+    fn on_unknown_attempt_ended(
         &mut self,
         (gateway, assignment): (GatewayId, AssignmentId),
         item: &ItemKey,
@@ -274,41 +288,46 @@
         let open_item = self.items.open_item(item);
         let open = open_item.filter(|open_item| !open_item.has_result);
         let (Some(open_item), ItemOutcome::Finished(text)) = (open, outcome) else {
-            return self.release_unknown(gateway, assignment, turn);
+            return self.release_attempt_and_scoring(gateway, assignment, turn);
         };
         if is_too_old(&text, item, turn.state) {
-            return self.release_unknown(gateway, assignment, turn);
+            return self.release_attempt_and_scoring(gateway, assignment, turn);
         }
         if let Some(other) = open_item.assignment
             && let Some(attempt) = self.items.end(other)
         {
-            self.note_end(&attempt);
+            self.count_attempt_end(&attempt);
             turn.release_attempt(attempt.gateway, other);
         }
-        self.take_text(item, text, (gateway, assignment), turn);
+        self.accept_text(item, text, (gateway, assignment), turn);
         self.place_items(turn);
     }
 
-    /// An attempt is of no use, and neither is the scoring that may have followed it.
-    fn release_unknown(&self, gateway: GatewayId, assignment: AssignmentId, turn: &mut Turn<'_>) {
+    /// Releases an attempt, and the scoring that its gateway may have started for its text.
+    fn release_attempt_and_scoring(
+        &self,
+        gateway: GatewayId,
+        assignment: AssignmentId,
+        turn: &mut Turn<'_>,
+    ) {
         turn.release_attempt(gateway, assignment);
         if !self.scorings.has(assignment) {
             turn.release_scoring(gateway, assignment);
         }
     }
 
-    /// Its engine and its gateway have one item less.
-    pub(crate) fn note_end(&mut self, attempt: &Attempt) {
+    /// Updates the counts of running items of an ended attempt's engine and gateway.
+    pub(crate) fn count_attempt_end(&mut self, attempt: &Attempt) {
         self.engines.ended(&attempt.instance);
         self.gateways.item_ended(attempt.gateway);
     }
 }
 
-/// Whether a text is of a version that its job does not allow.
+/// Returns whether a text was made by an older model version than its job allows.
 fn is_too_old(text: &FinishedText, item: &ItemKey, state: &CoordinationState) -> bool {
     let job = state.jobs().get(&item.job);
     let oldest = job.map_or(0, |job| job.submission.min_version);
-    !text.is_made_since(oldest)
+    !text.all_versions_since(oldest)
 }
 
 fn log_retry(
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -123,7 +123,7 @@
         let is_reported =
             |gateway: &GatewayId| totals.is_some_and(|reported| reported.contains_key(gateway));
         let kept = durable
-            .kept(window)
+            .counts_of_lost_gateways(window)
             .filter(|(gateway, _)| !is_reported(gateway));
         let reported = totals.into_iter().flatten();
         for (_, counts) in kept.chain(reported) {
@@ -178,13 +178,16 @@
     fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
         let before = UsageWindow(present.0.saturating_sub(1));
         let reported = self.totals.keys().next().copied();
-        let counted = reported.into_iter().chain(durable.first_kept()).min();
+        let counted = reported
+            .into_iter()
+            .chain(durable.first_window_of_lost_gateways())
+            .min();
         counted.map_or(before, |counted| counted.min(before))
     }
 
     /// Windows whose reports are to be sent now.
     pub(crate) fn take_due(&mut self, now: Instant, durable: &SiteUsage) -> Vec<UsageWindow> {
-        let waiting = durable.waiting();
+        let waiting = durable.unacknowledged();
         self.sending
             .retain(|window, _| waiting.contains_key(window));
         if self.is_fenced {
--- a/crates/gateways/wingshore-coordination/src/leader/rollout.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/rollout.rs
@@ -1,7 +1,8 @@
-//! Bringing engines to the versions that trainers named.
+//! Rollout of the model versions that trainers named to the engines.
 //!
-//! One machine gives orders at a time ([`super::decisions::order_rights`]). Orders carry the leadership
-//! as their fence and the engine's count of orders, so that one that is carried out late does nothing.
+//! Only one machine at a time gives orders ([`super::decisions::order_rights`]). Each order carries
+//! the leader's epoch as its fencing token and the number of orders that the engine has accepted,
+//! so that an order that arrives late has no effect.
 
 use super::decision_log::Decision;
 use super::decisions::load_progress::{EngineStatus, OrderAnswer, ReportVerdict};
@@ -15,14 +16,14 @@
 use crate::state::{Command, CoordinationState, OrderHolder};
 use std::time::Duration;
 
-/// After a scan of all engines for loads, answers of single ones bring on the next scan only after
-/// this time for each engine beyond [`ENGINES_SCANNED_ALWAYS`]; a tick always does. So answers cost
-/// at most a tenth of a core, whatever their number.
-const SCAN_INTERVAL_OF_AN_ENGINE: Duration = Duration::from_micros(20);
-/// So many engines are scanned after each answer: their scan is short.
-const ENGINES_SCANNED_ALWAYS: usize = 100;
+/// Minimum time between two scans of all engines that are triggered by answers, for each engine
+/// beyond [`ENGINES_SCANNED_ALWAYS`]; ticks always scan. This limits the cost of answers to a
+/// tenth of a core, whatever their number.
+const SCAN_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(20);
+/// Up to this number of engines, every answer triggers a scan, because the scan is short.
+const ENGINES_SCANNED_UNTHROTTLED: usize = 100;
 
-/// Streams of an engine that has loaded weights are steady again after this time.
+/// Time after a load of weights until the pace of an engine's streams is steady again.
 const UNSTEADY_AFTER_LOAD: Duration = Duration::from_millis(500);
 
 impl CoordinationLeader {
@@ -33,21 +34,23 @@
         self.drive_rollout(turn);
     }
 
-    /// The claim is committed: this machine gives orders from here on.
-    pub(super) fn orders_held(&mut self, turn: &mut Turn<'_>) {
+    /// Starts to give orders after the claim to do so was committed.
+    pub(super) fn on_orders_claimed(&mut self, turn: &mut Turn<'_>) {
         self.rollout
             .claimed(turn.now + self.settings.order_handover);
         self.drive_rollout(turn);
     }
 
-    /// Notes in the log that this machine has held orders for the time of a handover.
+    /// Proposes to record that this machine has held the right to give orders for the handover
+    /// time.
     fn settle_orders(&mut self, turn: &mut Turn<'_>) {
         if self.rollout.take_settled(turn.now) && !turn.state.orders_are_settled() {
             self.propose(Command::SettleOrders(self.epoch), FollowUp::Nothing, turn);
         }
     }
 
-    /// Connections to machines were lost.
+    /// Claims the right to give orders at once if the machine that held it is among the lost ones
+    /// and the handover time need not be waited for.
     pub(crate) fn on_coordinators_lost(&mut self, nodes: &[String], turn: &mut Turn<'_>) {
         let state = turn.state;
         let may_claim = may_claim_at_once(
@@ -61,24 +64,28 @@
         }
     }
 
-    /// As [`CoordinationLeader::drive_rollout`], after the answer of one engine; not too often.
-    fn drive_rollout_soon(&mut self, turn: &mut Turn<'_>) {
-        let engines = self.engines.count().saturating_sub(ENGINES_SCANNED_ALWAYS);
+    /// Calls [`CoordinationLeader::drive_rollout`] after an answer of one engine, at a limited
+    /// rate.
+    fn drive_rollout_throttled(&mut self, turn: &mut Turn<'_>) {
+        let engines = self
+            .engines
+            .count()
+            .saturating_sub(ENGINES_SCANNED_UNTHROTTLED);
         let engines = u32::try_from(engines).unwrap_or(u32::MAX);
-        let interval = SCAN_INTERVAL_OF_AN_ENGINE.saturating_mul(engines);
+        let interval = SCAN_INTERVAL_PER_ENGINE.saturating_mul(engines);
         if self.rollout.since_scan(turn.now) >= interval {
             self.drive_rollout(turn);
         }
     }
 
-    /// Claims, polls and orders what is due.
+    /// Claims the right to give orders, polls engines and starts loads, each when it is due.
     pub(crate) fn drive_rollout(&mut self, turn: &mut Turn<'_>) {
         if self.rollout.take_claim(turn.now) {
             let holder = OrderHolder {
                 node: self.settings.node.clone(),
                 epoch: self.epoch,
             };
-            self.propose(Command::HoldOrders(holder), FollowUp::Orders, turn);
+            self.propose(Command::HoldOrders(holder), FollowUp::OrdersClaimed, turn);
         }
         self.settle_orders(turn);
         if !self.rollout.holds_orders() || turn.state.named_versions().is_empty() {
@@ -87,7 +94,7 @@
         self.rollout.scanned(turn.now);
         self.drop_finished_loads(turn.state);
         for instance in self.rollout.on_time(turn.now) {
-            self.ask_report(&instance, turn);
+            self.poll_engine(&instance, turn);
         }
         self.begin_loads(turn);
     }
@@ -108,8 +115,8 @@
         });
     }
 
-    /// Polls an engine.
-    pub(super) fn ask_report(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
+    /// Requests the status of an engine.
+    pub(super) fn poll_engine(&self, instance: &InstanceId, turn: &mut Turn<'_>) {
         if let Some(engine) = self.engines.get(instance) {
             turn.effect(Effect::PollEngine {
                 instance: instance.clone(),
@@ -118,22 +125,22 @@
         }
     }
 
-    /// An engine has answered a poll, or has not.
-    pub(crate) fn on_reported(
+    /// Handles an engine's answer to a status poll, or the lack of one.
+    pub(crate) fn on_engine_polled(
         &mut self,
         instance: &InstanceId,
         report: Option<EngineStatus>,
         turn: &mut Turn<'_>,
     ) {
         if let Some(report) = &report {
-            self.note_versions(instance, report, turn);
+            self.record_versions(instance, report, turn);
         }
         let Some(load) = self.rollout.loads.get_mut(instance) else {
             return;
         };
         match load.on_report(turn.now, report.as_ref()) {
             ReportVerdict::Wait => {}
-            ReportVerdict::Reached => self.drive_rollout_soon(turn),
+            ReportVerdict::Reached => self.drive_rollout_throttled(turn),
             ReportVerdict::Order { sequence } => self.order(instance, sequence, turn),
         }
     }
@@ -153,15 +160,15 @@
             holder: self.settings.node.clone(),
             fence: self.epoch,
             expected_sequence: sequence,
-            keep_running: !any_single_version(&engine.record.service, turn.state),
+            keep_running: !requires_single_version(&engine.record.service, turn.state),
         };
         let model = Some(order.model.clone());
         self.engines.set_loading(instance, model);
         turn.effect(Effect::Order(order));
     }
 
-    /// An engine has answered an order, or has not.
-    pub(crate) fn on_ordered(
+    /// Handles an engine's answer to an order, or the lack of one.
+    pub(crate) fn on_order_answered(
         &mut self,
         instance: &InstanceId,
         answer: OrderAnswer,
@@ -174,14 +181,19 @@
         if !answer.may_load() {
             self.engines.set_loading(instance, None);
         }
-        self.drive_rollout_soon(turn);
+        self.drive_rollout_throttled(turn);
     }
 
-    /// An engine has reported its versions: they are noted, and what waits for them is placed.
-    fn note_versions(&mut self, instance: &InstanceId, report: &EngineStatus, turn: &mut Turn<'_>) {
-        let risen = self.engines.raise_versions(instance, &report.models);
-        let has_risen = !risen.is_empty();
-        for ModelVersion { model, version } in risen {
+    /// Records the versions that an engine reports, and places the items that waited for them.
+    fn record_versions(
+        &mut self,
+        instance: &InstanceId,
+        report: &EngineStatus,
+        turn: &mut Turn<'_>,
+    ) {
+        let raised = self.engines.raise_versions(instance, &report.models);
+        let is_any_raised = !raised.is_empty();
+        for ModelVersion { model, version } in raised {
             turn.log(Decision::VersionReached {
                 instance: instance.clone(),
                 model,
@@ -192,19 +204,19 @@
             self.engines
                 .loaded(instance, turn.now + UNSTEADY_AFTER_LOAD);
         }
-        if has_risen {
+        if is_any_raised {
             self.place_items(turn);
         }
     }
 }
 
-/// Whether a route to this service wants all events of a result from one version.
-fn any_single_version(service: &ServiceName, state: &CoordinationState) -> bool {
+/// Returns whether a route to this service requires each result to come from a single version.
+fn requires_single_version(service: &ServiceName, state: &CoordinationState) -> bool {
     state.configuration().is_some_and(|configuration| {
         configuration.routes.iter().any(|route| {
             let mut targets = route.targets.iter();
-            let leads_there = targets.any(|target| target.service == *service);
-            leads_there && route.single_version
+            let is_target = targets.any(|target| target.service == *service);
+            is_target && route.single_version
         })
     })
 }
--- a/crates/gateways/wingshore-coordination/src/state/view.rs
+++ b/crates/gateways/wingshore-coordination/src/state/view.rs
@@ -1,9 +1,9 @@
-//! The gateways' view of the state: the whole, and its changes after an entry of the log.
+//! The gateways' view of the state: the complete view, and its changes after a log entry.
 //!
-//! Changes are known back to a bound of [`super::view_history`]; a gateway that has missed more is sent
-//! the whole view.
+//! Changes are kept up to a limit of [`super::view_history`]; a gateway that has missed more
+//! receives the complete view.
 
-use super::evidence::{REPORTED_FROM, RequestEvidence};
+use super::evidence::{REPORTING_THRESHOLD, RequestEvidence};
 use super::servers::ServerRegistry;
 use super::site::CoordinationState;
 use super::view_history::ViewPart;
@@ -16,29 +16,29 @@
 use std::sync::Arc;
 use wingshore_types::LogIndex;
 
-/// How far the changes of a state's view are known.
+/// The range of log entries for which changes of the view are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownChanges {
-    /// Changes after this entry are known; `None` for a state that was just restored.
+    /// All changes after this log index are known; `None` for a state that was just restored.
     pub complete_from: Option<LogIndex>,
-    /// The last entry that is known to have changed anything.
+    /// Index of the last entry that is known to have changed the view.
     pub newest: Option<LogIndex>,
 }
 
 impl CoordinationState {
-    /// The whole view.
+    /// Returns the complete view.
     pub fn view(&self) -> SiteView {
         let servers = self.registry.servers.values();
         let suspects = self.evidence.suspects().filter(|known| is_in_view(known));
         SiteView {
-            configuration: self.configuration.as_ref().map(for_gateways),
+            configuration: self.configuration.as_ref().map(without_document),
             servers: servers.map(ServerRecord::without_models).collect(),
             fingerprint_key: self.evidence.key(),
             suspects: suspects.cloned().collect(),
         }
     }
 
-    /// How far the changes of the view are known.
+    /// Returns the range of entries for which changes of the view are known.
     pub fn known_view_changes(&self) -> KnownChanges {
         KnownChanges {
             complete_from: self.view_history.complete_from(),
@@ -46,14 +46,14 @@
         }
     }
 
-    /// How many parts of the view have changed after `since`; `None` where that is not known.
+    /// Returns how many parts of the view have changed after `since`; `None` if that is not known.
     pub fn view_change_count(&self, since: LogIndex) -> Option<usize> {
         let from = self.view_history.complete_from()?;
         (since >= from).then(|| self.view_history.parts_since(since).count())
     }
 
-    /// What has changed in the view after `since`, each part as it is now; `None` where that is
-    /// not known any more.
+    /// Returns the changes of the view after `since`, each part with its current value; `None` if
+    /// they are no longer known.
     pub fn view_changes(&self, since: LogIndex) -> Option<Vec<ViewChange>> {
         let from = self.view_history.complete_from()?;
         if since < from {
@@ -67,9 +67,9 @@
         match part {
             ViewPart::Configuration => {
                 let configuration = self.configuration.as_ref()?;
-                Some(ViewChange::Configuration(for_gateways(configuration)))
+                Some(ViewChange::Configuration(without_document(configuration)))
             }
-            ViewPart::Server(instance) => Some(match self.registry.seen_by_gateways(instance) {
+            ViewPart::Server(instance) => Some(match self.registry.record_for_gateways(instance) {
                 Some(server) => ViewChange::Server(server),
                 None => ViewChange::Gone(instance.clone()),
             }),
@@ -84,22 +84,24 @@
         }
     }
 
-    /// Applies `change` to the registry, and notes whether gateways see a server differently after it.
+    /// Applies `change` to the registry, and records a view change if the server's record in the
+    /// gateways' view differs afterwards.
     pub(super) fn change_server(
         &mut self,
         index: LogIndex,
         instance: InstanceId,
         change: impl FnOnce(&mut ServerRegistry),
     ) {
-        let before = self.registry.seen_by_gateways(&instance);
+        let before = self.registry.record_for_gateways(&instance);
         change(&mut self.registry);
-        if before != self.registry.seen_by_gateways(&instance) {
-            self.view_history.note(index, ViewPart::Server(instance));
+        if before != self.registry.record_for_gateways(&instance) {
+            self.view_history
+                .record_change(index, ViewPart::Server(instance));
         }
     }
 
-    /// Applies `change` to what is known of requests, and notes those that are or were part of the
-    /// view.
+    /// Applies `change` to the evidence, and records a view change for each request that is or was
+    /// part of the view.
     pub(super) fn change_evidence(
         &mut self,
         index: LogIndex,
@@ -116,19 +118,20 @@
         change(&mut self.evidence);
         for (request, was_visible) in requests.into_iter().zip(before) {
             if was_visible || is_visible(&self.evidence, &request) {
-                self.view_history.note(index, ViewPart::Suspect(request));
+                self.view_history
+                    .record_change(index, ViewPart::Suspect(request));
             }
         }
     }
 }
 
-/// Whether it is part of the view.
+/// Returns whether a suspect request is part of the gateways' view.
 fn is_in_view(suspect: &Suspect) -> bool {
-    suspect.ended.len() >= REPORTED_FROM
+    suspect.ended.len() >= REPORTING_THRESHOLD
 }
 
-/// The configuration without the operator's document, which only coordinators read back.
-fn for_gateways(configuration: &Arc<SiteConfiguration>) -> Arc<SiteConfiguration> {
+/// Returns the configuration without the operator's document, which only coordinators serve.
+fn without_document(configuration: &Arc<SiteConfiguration>) -> Arc<SiteConfiguration> {
     Arc::new(SiteConfiguration {
         version: configuration.version,
         routes: configuration.routes.clone(),
--- a/crates/gateways/wingshore-coordination/tests/golden_messages.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_messages.rs
@@ -1,21 +1,21 @@
-//! Bytes of all messages between gateways and coordinators, and between coordinators.
+//! Golden bytes of all messages between gateways and coordinators, and between coordinators.
 
 mod golden;
 
 use golden::check;
 use golden::examples::{
     address, assignment, crash, fingerprint, finished_text, gateway_id, gateway_status, heartbeat,
-    held_prefix, instance, item_key, item_text, job_id, running_scoring, scorer, unborn,
-    window_usage,
+    instance, instance_without_start_time, item_key, item_text, job_id, logged_prefix,
+    running_scoring, scorer, window_usage,
 };
 use googletest::prelude::*;
 use std::time::Duration;
 use wingshore_coordination::{
     BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, DurablePrefix,
-    GatewayHello, GatewayMessage, HeardServer, HeartbeatAnswer, IncomingFrame, ItemAssignment,
-    ItemId, ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, Request,
-    RunningItem, ScoringAssignment, ScoringOutcome, SeenCrash, ViewChange, ViewContent, ViewUpdate,
-    WallTime,
+    GatewayHello, GatewayMessage, HeartbeatAnswer, IncomingFrame, ItemAssignment, ItemId,
+    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, NotScoredReason, ObservedCrash, Request,
+    RunningItem, ScoringAssignment, ScoringOutcome, UnchangedServer, ViewChange, ViewContent,
+    ViewUpdate, WallTime,
 };
 use wingshore_types::{Epoch, LogIndex, ReplicaId};
 
@@ -132,7 +132,7 @@
             scoring: assignment(8),
             outcome: ScoringOutcome::Failed(2),
         },
-        GatewayMessage::RequestsCrashed(vec![SeenCrash {
+        GatewayMessage::RequestsCrashed(vec![ObservedCrash {
             evidence: crash(),
             ago: WAIT,
         }]),
@@ -206,7 +206,7 @@
             revision: LogIndex(401),
             content: ViewContent::Changes {
                 since: LogIndex(400),
-                changes: vec![ViewChange::Gone(unborn())],
+                changes: vec![ViewChange::Gone(instance_without_start_time())],
             },
         }),
         CoordinatorMessage::Reply {
@@ -222,7 +222,7 @@
         },
         CoordinatorMessage::HandInFrom {
             assignment: assignment(7),
-            held: held_prefix(),
+            held: logged_prefix(),
         },
         CoordinatorMessage::Score(ScoringAssignment {
             scoring: assignment(8),
@@ -292,11 +292,11 @@
     vec![
         CoordinatorFrame::Hello(coordinator_hello()),
         CoordinatorFrame::Consensus(vec![1, 2, 200]),
-        CoordinatorFrame::Heard(vec![HeardServer {
+        CoordinatorFrame::Heard(vec![UnchangedServer {
             instance: instance(),
             sequence: 77,
         }]),
-        CoordinatorFrame::UnknownServers(vec![instance(), unborn()]),
+        CoordinatorFrame::UnknownServers(vec![instance(), instance_without_start_time()]),
         CoordinatorFrame::Heartbeat {
             id: 9,
             heartbeat: heartbeat(),
@@ -339,7 +339,9 @@
             status: gateway_status(),
         }),
         IncomingFrame::FromGateway(GatewayMessage::LeaveView),
-        IncomingFrame::Coordinator(CoordinatorFrame::UnknownServers(vec![unborn()])),
+        IncomingFrame::Coordinator(CoordinatorFrame::UnknownServers(vec![
+            instance_without_start_time(),
+        ])),
     ]
 }
 
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -1,10 +1,11 @@
-//! Bytes of the replicated log's commands, and of snapshots.
+//! Golden bytes of the replicated log's commands, and of snapshots.
 
 mod golden;
 
 use golden::examples::{
     assignment, configuration, crash, fingerprint, fingerprint_key, finished_text, gateway_id,
-    instance, item_key, item_text, job_id, server, submission, unborn, usage_counts, window_usage,
+    instance, instance_without_start_time, item_key, item_text, job_id, server, submission,
+    usage_counts, window_usage,
 };
 use golden::{check, check_bytes};
 use googletest::prelude::*;
@@ -19,7 +20,7 @@
 use wingshore_types::snapshot_data::SnapshotData;
 use wingshore_types::{Epoch, LogIndex, ReplicaId};
 
-/// Commands that only earlier releases wrote: taken from a log that one of them wrote.
+/// Commands that only earlier releases write, taken from a log written by one of them.
 fn commands_of_earlier_releases() -> Vec<Command> {
     let log = include_bytes!("fixtures/commands.bin");
     let commands: Vec<Command> = postcard::from_bytes(log).unwrap();
@@ -60,9 +61,9 @@
     vec![
         Command::Configure(Arc::new(configuration())),
         Command::Register(server(instance())),
-        Command::Register(server(unborn())),
-        Command::Depart(unborn()),
-        Command::Expire(unborn()),
+        Command::Register(server(instance_without_start_time())),
+        Command::Depart(instance_without_start_time()),
+        Command::Expire(instance_without_start_time()),
         Command::NameVersion {
             model: ModelName::from("model-1"),
             version: 131,
@@ -183,9 +184,9 @@
     check(golden, &commands(), name_of_command);
 }
 
-/// A store of texts that holds one text, which it reads back for every place.
+/// A text store that contains a single text and returns it for every location.
 #[derive(Debug)]
-struct OneText;
+struct SingleTextStore;
 
 const PLACE: BlobPlace = BlobPlace {
     file: 4,
@@ -194,7 +195,7 @@
     checksum: 0x1234_5678,
 };
 
-impl Blob for OneText {
+impl Blob for SingleTextStore {
     fn place(&self) -> BlobPlace {
         PLACE
     }
@@ -205,14 +206,14 @@
     }
 }
 
-impl TextStore for OneText {
-    fn hold(&self, text: &Arc<PackedText>) {
+impl TextStore for SingleTextStore {
+    fn track(&self, text: &Arc<PackedText>) {
         if text.place().length() > 0 {
             text.move_to(Arc::new(Self));
         }
     }
 
-    fn wait_for_room(&self) {}
+    fn wait_for_memory(&self) {}
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
         assert_eq!(place, PLACE);
@@ -229,7 +230,7 @@
 fn state_with(texts: Option<Arc<dyn TextStore>>) -> CoordinationState {
     let mut state = CoordinationState::default();
     if let Some(texts) = texts {
-        state.keep_texts_in(texts);
+        state.set_text_store(texts);
     }
     for (index, command) in (1..).zip(commands_of_this_release()) {
         state.apply(LogIndex(index), command);
@@ -240,7 +241,8 @@
 #[gtest]
 fn snapshots_keep_their_bytes() {
     let state = state_with(None);
-    let on_disk = SnapshotData::from(state_with(Some(Arc::new(OneText))).freeze()).for_own_disk();
+    let on_disk =
+        SnapshotData::from(state_with(Some(Arc::new(SingleTextStore))).freeze()).for_own_disk();
     let own = on_disk.to_bytes().unwrap().to_vec();
     let empty = CoordinationState::default().snapshot();
     let examples = [
@@ -253,7 +255,7 @@
     let restored = CoordinationState::restore(&state.snapshot()).unwrap();
     expect_that!(restored == state, eq(true));
     let mut restarted = CoordinationState::default();
-    restarted.keep_texts_in(Arc::new(OneText));
+    restarted.set_text_store(Arc::new(SingleTextStore));
     restarted.restore_from(&mut &own[..]).unwrap();
     expect_that!(restarted == state, eq(true));
 }
--- a/crates/gateways/wingshore-coordination/tests/items.rs
+++ b/crates/gateways/wingshore-coordination/tests/items.rs
@@ -1,4 +1,4 @@
-//! Items of batch jobs: placement, broken attempts, leaders that change.
+//! Items of batch jobs: placement, interrupted attempts, changes of leader.
 
 mod support;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// The connection of a gateway ends after a long silence: it is lost with all that it runs.
-fn gone(gateway: GatewayId) -> Event {
+/// The connection of a gateway ends after a long silence: the gateway is lost with all its items.
+fn gateway_lost(gateway: GatewayId) -> Event {
     Event::GatewayDisconnected {
         gateway,
         silence: std::time::Duration::from_secs(2),
@@ -37,7 +37,7 @@
     }
 }
 
-fn told_running(gateway: GatewayId, items: Vec<RunningItem>) -> Event {
+fn gateway_running(gateway: GatewayId, items: Vec<RunningItem>) -> Event {
     Event::GatewayRunning {
         gateway,
         items,
@@ -78,8 +78,8 @@
     expect_that!(second.kept, eq(&text(2)));
 }
 
-/// A leader that took over while a second attempt ran used to list only the events of that attempt: the
-/// text of the first one was with the old leader.
+/// Guards against a lost beginning: a leader that took over during a second attempt listed only the
+/// events of that attempt, because only the old leader held the text of the first one.
 #[gtest]
 fn a_new_leader_lists_the_whole_text_of_an_item_that_was_resumed() {
     let (mut group, gateway) = Group::with_job(1);
@@ -92,8 +92,8 @@
     let second = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&second)]));
-    // The gateway continues from what the assignment carries.
+    group.event(gateway_running(gateway, vec![running(&second)]));
+    // The gateway continues from the text in the assignment.
     let mut whole = second.kept.clone();
     whole.text.push_str("\nevent 3");
     whole.events += 1;
@@ -110,7 +110,7 @@
     let first = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     for events in 1..=5 {
         group.wait(std::time::Duration::from_millis(400));
         let assignment = first.assignment;
@@ -122,16 +122,17 @@
     expect_that!(group.assignments(), is_empty());
 }
 
-/// A gateway that was welcomed twice by a new leader was ordered to release what it had reported twice;
-/// the leader took it to be running all the same, and the item was never placed again.
+/// Guards against an item that never ends: a gateway to which a new leader was announced twice
+/// reported its attempts twice. The leader told it to release them, still counted them as running,
+/// and never placed the item again.
 #[gtest]
-fn what_a_gateway_reports_twice_goes_on() {
+fn an_attempt_that_a_gateway_reports_twice_keeps_running() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     let released = group.effects.iter().any(|effect| {
         matches!(
             effect,
@@ -172,13 +173,13 @@
     expect_that!(results(&group), len(eq(1)));
 }
 
-/// Parts of `text(6)` as a gateway hands them in.
+/// The events after `from` up to `to` of a text, as a gateway uploads them.
 fn part(from: u64, to: u64) -> ItemText {
     text(to).after(text(from).extent())
 }
 
-fn keep(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
-    group.event(Event::PartialTextStored {
+fn upload(group: &mut Group, assignment: &ItemAssignment, from: u64, to: u64) {
+    group.event(Event::PartialTextUploaded {
         assignment: assignment.assignment,
         after_events: from,
         text: part(from, to),
@@ -189,8 +190,8 @@
 fn events_that_were_uploaded_survive_gateway_and_leader() {
     let (mut group, _) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
-    keep(&mut group, &first, 2, 4);
+    upload(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 2, 4);
     group.change_leader("coordinator-b");
     group.add_gateway(2);
     let second = group.assignments().remove(0);
@@ -199,13 +200,13 @@
 }
 
 #[gtest]
-fn events_that_do_not_follow_those_handed_in_are_dropped() {
+fn events_that_do_not_follow_the_uploaded_ones_are_dropped() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
-    keep(&mut group, &first, 3, 4);
-    keep(&mut group, &first, 0, 2);
-    group.event(gone(gateway));
+    upload(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 3, 4);
+    upload(&mut group, &first, 0, 2);
+    group.event(gateway_lost(gateway));
     group.add_gateway(2);
     let second = group.assignments().remove(0);
     expect_that!(second.kept, eq(&text(2)));
@@ -215,7 +216,7 @@
 fn a_broken_attempt_is_resumed_behind_more_than_was_uploaded() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
-    keep(&mut group, &first, 0, 2);
+    upload(&mut group, &first, 0, 2);
     let outcome = ItemOutcome::Interrupted {
         text: text(3),
         cause: BreakCause::Gateway,
@@ -224,9 +225,9 @@
     let second = group.assignments().remove(0);
     expect_that!(second.kept, eq(&text(3)));
     expect_that!(second.durable, eq(text(2).extent()));
-    // What the second attempt uploads follows what the log holds.
-    keep(&mut group, &second, 2, 5);
-    group.event(gone(gateway));
+    // The uploads of the second attempt continue after the events that the log holds.
+    upload(&mut group, &second, 2, 5);
+    group.event(gateway_lost(gateway));
     group.add_gateway(2);
     expect_that!(group.assignments().remove(0).kept, eq(&text(5)));
 }
@@ -237,7 +238,7 @@
     let first = group.assignments();
     assert_that!(first, len(eq(2)));
     group.add_gateway(2);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     expect_that!(group.assignments(), len(eq(2)));
 }
 
@@ -309,7 +310,7 @@
 }
 
 #[gtest]
-fn an_ended_job_keeps_its_results_and_lets_the_contents_of_its_items_go() {
+fn an_ended_job_keeps_its_results_and_drops_the_contents_of_its_items() {
     let (mut group, gateway) = Group::with_job(2);
     let first = group.assignments().remove(0);
     let outcome = ItemOutcome::Finished(text(3).into());
@@ -327,18 +328,18 @@
     }
 }
 
-/// A gateway that was cut off finishes what it runs; its text is as good as the one of the attempt
-/// that took its place, and earlier.
+/// A disconnected gateway finishes its attempts. Its text is as valid as that of the attempt that
+/// replaced it, and complete earlier.
 #[gtest]
-fn a_result_of_a_gateway_that_was_out_of_touch_counts_when_it_is_back() {
+fn a_result_of_a_disconnected_gateway_counts_when_it_reconnects() {
     let (mut group, gateway) = Group::with_job(1);
     let first = group.assignments().remove(0);
     let other = group.add_gateway(2);
-    group.event(gone(gateway));
+    group.event(gateway_lost(gateway));
     group.wait(std::time::Duration::from_millis(100));
     let second = group.assignments().remove(0);
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&first)]));
+    group.event(gateway_running(gateway, vec![running(&first)]));
     group.end_item(gateway, &first, ItemOutcome::Finished(text(3).into()));
     expect_that!(results(&group), len(eq(1)));
     let is_released = |effect: &Effect| {
@@ -348,31 +349,31 @@
         *to == other && *assignment == second.assignment
     };
     expect_that!(group.effects.iter().any(is_released), eq(true));
-    // The second one ends as well: nothing is listed twice.
+    // The second attempt ends as well: nothing is listed twice.
     group.end_item(other, &second, ItemOutcome::Finished(text(3).into()));
     expect_that!(results(&group), len(eq(1)));
 }
 
-/// Parts that were uploaded to a leader that fell may be lost: the gateway learns from which event
-/// on the next leader has none.
+/// Parts that were uploaded to a leader that failed may be lost: the gateway learns up to which
+/// event the next leader holds the text.
 #[gtest]
 fn a_new_leader_says_how_much_of_a_text_it_holds() {
     let (mut group, gateway) = Group::with_job(1);
     let assignment = group.assignments().remove(0);
-    group.event(Event::PartialTextStored {
+    group.event(Event::PartialTextUploaded {
         assignment: assignment.assignment,
         after_events: 0,
         text: text(2),
     });
     group.change_leader("coordinator-b");
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&assignment)]));
+    group.event(gateway_running(gateway, vec![running(&assignment)]));
     let held = group.effects.iter().find_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
     });
-    expect_that!(held, some(eq(text(2).held())));
-    let is_of = |text: &ItemText| held.is_some_and(|held| held.begins(text));
+    expect_that!(held, some(eq(text(2).logged_prefix())));
+    let is_of = |text: &ItemText| held.is_some_and(|held| held.is_prefix_of(text));
     expect_that!(is_of(&text(5)), eq(true));
     let mut other = text(5);
     other.text = other.text.replace("event 1", "evenT 1");
@@ -380,8 +381,8 @@
     expect_that!(is_of(&text(1)), eq(false), "shorter than what is held");
 }
 
-/// A gateway keeps its connections to an engine: the engine's items go through it, so that not each
-/// of them opens a connection.
+/// A gateway keeps its connections to an engine. The items of an engine go through one gateway, so
+/// that not every item opens a connection.
 #[gtest]
 fn the_items_of_an_engine_go_through_one_gateway() {
     let mut group = Group::new();
@@ -401,10 +402,10 @@
     expect_that!(gateways, len(eq(1)));
 }
 
-/// Where only the connection of a gateway broke, its items run on: they are not begun again elsewhere
-/// unless it stays away.
+/// If only the connection of a gateway broke, its items keep running: they start again elsewhere
+/// only if the gateway does not reconnect.
 #[gtest]
-fn a_gateway_whose_connection_broke_keeps_its_items_if_it_is_back_soon() {
+fn a_gateway_whose_connection_broke_keeps_its_items_if_it_reconnects_soon() {
     let (mut group, gateway) = Group::with_job(2);
     let assignments = group.assignments();
     group.add_gateway(2);
@@ -416,10 +417,14 @@
     group.wait(std::time::Duration::from_millis(500));
     expect_that!(group.assignments(), is_empty());
     group.connect_gateway(1);
-    group.event(told_running(gateway, vec![running(&assignments[0])]));
+    group.event(gateway_running(gateway, vec![running(&assignments[0])]));
     group.wait(std::time::Duration::from_millis(100));
     let again: Vec<_> = group.assignments();
-    expect_that!(again, len(eq(1)), "what it does not speak of is lost");
+    expect_that!(
+        again,
+        len(eq(1)),
+        "items that the gateway does not report are lost"
+    );
     expect_that!(again[0].item, eq(&assignments[1].item));
     group.event(broken);
     group.wait(std::time::Duration::from_millis(1000));
@@ -427,9 +432,9 @@
     expect_that!(group.assignments().iter().any(is_first), eq(true));
 }
 
-/// A process that begins on the machine of a gateway takes its place: nothing is left to wait for.
+/// A new process on the machine of a gateway replaces it: the leader does not wait for the old one.
 #[gtest]
-fn a_gateway_that_was_started_anew_has_lost_its_items() {
+fn a_restarted_gateway_has_lost_its_items() {
     let (mut group, gateway) = Group::with_job(1);
     group.assignments();
     group.add_gateway(2);
@@ -437,7 +442,7 @@
         gateway,
         silence: std::time::Duration::ZERO,
     });
-    group.start_gateway_anew(1, 7);
+    group.connect_restarted_gateway(1, 7);
     group.wait(std::time::Duration::from_millis(50));
     expect_that!(group.assignments(), len(eq(1)));
 }
--- a/crates/gateways/wingshore-coordination/tests/tenants.rs
+++ b/crates/gateways/wingshore-coordination/tests/tenants.rs
@@ -1,8 +1,8 @@
-//! Tenants: which configurations of them are valid, what a key opens, and whose a job is.
+//! Tenants: validation of their configuration, lookup of keys, and ownership of jobs.
 //!
-//! Seen before: keys were passed on to servers (4,779 to 11,242 times a day), one that a version had
-//! taken away still opened, and a job could be read and ended by anybody who knew its name. Cause: nothing
-//! knew keys or tenants.
+//! These tests guard against failures of a version without tenants and keys: keys were forwarded to
+//! servers (4,779 to 11,242 times a day), a key that a configuration had removed was still
+//! accepted, and any caller that knew a job's name could read and end it.
 
 mod support;
 
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn two_tenants_with_one_key_are_refused_without_telling_the_key() {
+fn a_shared_key_is_refused_without_printing_it() {
     let tenants = vec![
         tenant("a", &["one", "secret-key"], None),
         tenant("b", &["secret-key"], None),
@@ -52,13 +52,13 @@
 }
 
 #[gtest]
-fn a_key_that_stands_twice_at_one_tenant_is_taken() {
+fn a_key_listed_twice_by_one_tenant_is_accepted() {
     let tenants = vec![tenant("a", &["one", "one"], None)];
     expect_that!(with_tenants(2, tenants).check(), ok(anything()));
 }
 
 #[gtest]
-fn names_and_keys_that_cannot_be_used_are_refused() {
+fn invalid_names_and_keys_are_refused() {
     for (tenants, reason) in [
         (vec![tenant("a", &[""], None)], "an empty key"),
         (vec![tenant("", &["one"], None)], "its name"),
@@ -74,13 +74,13 @@
 }
 
 #[gtest]
-fn a_key_shows_nothing_of_itself_where_it_is_printed() {
+fn debug_output_hides_keys() {
     let printed = format!("{:?}", tenant("a", &["secret-key"], None));
     expect_that!(printed, not(contains_substring("secret")));
 }
 
 #[gtest]
-fn each_key_of_a_tenant_opens_for_it_and_no_other_does() {
+fn each_key_identifies_its_tenant_only() {
     let keys = KeyTable::new(&[
         tenant("a", &["one", "two"], Some(0)),
         tenant("b", &["three"], None),
@@ -98,15 +98,15 @@
 }
 
 #[gtest]
-fn a_public_route_asks_for_no_key_and_others_do_where_there_are_tenants() {
+fn only_non_public_routes_require_a_key_where_there_are_tenants() {
     let mut site = with_tenants(2, vec![tenant("a", &["one"], None)]);
     let mut public = site.routes[0].clone();
     public.public = true;
     site.routes.push(public);
-    expect_that!(site.asks_for_key(&site.routes[0]), eq(true));
-    expect_that!(site.asks_for_key(&site.routes[1]), eq(false));
+    expect_that!(site.requires_key(&site.routes[0]), eq(true));
+    expect_that!(site.requires_key(&site.routes[1]), eq(false));
     site.tenants.clear();
-    expect_that!(site.asks_for_key(&site.routes[0]), eq(false));
+    expect_that!(site.requires_key(&site.routes[0]), eq(false));
 }
 
 fn read(group: &mut Group, id: JobId) -> Option<Reply> {
@@ -118,7 +118,7 @@
 }
 
 #[gtest]
-fn a_job_of_another_tenant_does_not_exist() {
+fn jobs_of_other_tenants_are_not_visible() {
     let mut group = Group::new();
     let submitted = group.ask(Request::SubmitJob(job_of("j", Some("a"), 2)));
     expect_that!(submitted, some(eq(&Reply::Done)));
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn one_name_under_two_tenants_is_two_jobs_and_under_one_a_single_one() {
+fn job_names_are_scoped_to_the_tenant() {
     let mut group = Group::new();
     for (tenant, items) in [("a", 2), ("b", 3), ("a", 2)] {
         let submission = job_of("j", Some(tenant), items);
@@ -154,7 +154,7 @@
 }
 
 #[gtest]
-fn a_job_of_before_the_site_had_tenants_stays_open() {
+fn a_job_without_a_tenant_stays_accessible() {
     let mut group = Group::new();
     group.ask(Request::SubmitJob(job_of("j", None, 2)));
     let of_a = of_tenant("j", Some("a"));
@@ -166,7 +166,7 @@
     expect_that!(group.ask(Request::EndJob(of_a)), some(eq(&Reply::Done)));
 }
 
-/// Each assignment names the tenant, also by a leader that came later.
+/// Each assignment contains the tenant, even from a leader elected later.
 #[gtest]
 fn items_name_their_tenant_after_a_change_of_leader() {
     let mut group = Group::new();
@@ -182,10 +182,10 @@
     expect_that!(tenants, elements_are![eq(&Some(TenantName::from("a")))]);
 }
 
-/// Two jobs wait for four slots: the one of the more urgent tenant gets them, though it came later, and
-/// its rank takes the place of the route's.
+/// Two jobs compete for four slots: the job of the more urgent tenant gets them although it was
+/// submitted later, because the tenant's priority replaces that of the route.
 #[gtest]
-fn the_rank_of_a_tenant_comes_before_that_of_its_route() {
+fn the_priority_of_a_tenant_overrides_that_of_the_route() {
     let mut group = Group::new();
     let tenants = vec![
         tenant("usual", &["one"], None),
@@ -206,16 +206,18 @@
     expect_that!(items.iter().all(|item| item.priority == 0), eq(true));
 }
 
-/// Keys outlive jobs, and jobs outlive keys: whoever has a key of the tenant now may ask.
+/// A job identifier keeps its tenant when it is encoded. Jobs belong to tenants rather than to
+/// keys, since keys outlive jobs and jobs outlive keys: any caller with a current key of the tenant
+/// may access the job.
 #[gtest]
-fn identities_are_the_same_after_the_codec() {
+fn job_ids_survive_the_codec() {
     for id in [of_tenant("j", None), of_tenant("j", Some("a"))] {
         let bytes = postcard::to_allocvec(&id).unwrap();
         expect_that!(postcard::from_bytes::<JobId>(&bytes), ok(eq(&id)));
     }
 }
 
-/// Usage has to do with tenants only: without any, no window is closed and nothing is sent.
+/// Usage is counted per tenant: without tenants, no window is closed and nothing is sent.
 #[gtest]
 fn a_site_without_tenants_reports_no_usage() {
     let mut group = Group::with_settings(LeaderSettings {
--- a/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
+++ b/crates/gateways/wingshore-coordination/tests/texts_before_commit.rs
@@ -1,8 +1,8 @@
-//! Whole texts that a gateway has told, and that the leader lost before it committed them.
+//! Finished texts that a gateway has reported and that the leader lost before it committed them.
 //!
-//! What is suspected: such a text is run twice, or is lost. These tests show that it is neither, as long as its gateway
-//! lives: the gateway keeps the end of an attempt until a leader releases it, and the next leader waits for what gateways
-//! run before it places anything.
+//! Such a text must neither be generated twice nor be lost while its gateway lives: the gateway
+//! keeps the outcome of an attempt until a leader releases it, and the next leader waits for the
+//! reports of gateways before it places anything.
 
 mod support;
 
@@ -23,8 +23,8 @@
     }
 }
 
-/// The gateway tells the end of an attempt, with its whole text.
-fn tell_end(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment) {
+/// The gateway reports the end of an attempt with its finished text.
+fn report_end(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment) {
     let outcome = ItemOutcome::Finished(whole_text().into());
     group.end_item(gateway, assigned, outcome);
 }
@@ -36,17 +36,17 @@
     })
 }
 
-/// A leader that got a whole text and is lost before it has committed it; another one follows, to which the gateway
-/// says what it runs.
-fn leader_lost_before_the_commit(group: &mut Group) -> (GatewayId, ItemAssignment) {
+/// A leader receives a finished text and fails before the commit; the gateway reports what it runs
+/// to the next leader.
+fn lose_leader_before_commit(group: &mut Group) -> (GatewayId, ItemAssignment) {
     let gateway = group.add_gateway(1);
     group.heartbeat(engine("e1", 1));
     let assigned = group.assignments().remove(0);
-    group.commits_later = true;
-    tell_end(group, gateway, &assigned);
+    group.defers_commits = true;
+    report_end(group, gateway, &assigned);
     assert_that!(is_released(group, &assigned), eq(false));
     group.change_leader("coordinator-b");
-    group.commits_later = false;
+    group.defers_commits = false;
     group.connect_gateway(1);
     group.event(Event::GatewayRunning {
         gateway,
@@ -61,13 +61,13 @@
 }
 
 #[gtest]
-fn a_text_that_was_told_and_not_committed_is_listed_once_and_not_run_again() {
+fn a_text_that_was_reported_and_not_committed_is_listed_once_and_not_run_again() {
     let mut group = Group::new();
     group.ask(Request::SubmitJob(job("j", 1)));
-    let (gateway, assigned) = leader_lost_before_the_commit(&mut group);
+    let (gateway, assigned) = lose_leader_before_commit(&mut group);
     group.wait(Duration::from_secs(2));
     expect_that!(group.assignments(), is_empty());
-    tell_end(&mut group, gateway, &assigned);
+    report_end(&mut group, gateway, &assigned);
     let results = &group.state.jobs()[&JobId::from("j")].results;
     expect_that!(results, len(eq(1)));
     expect_that!(results[0].text.unpack(), ok(eq(&whole_text().text)));
@@ -79,10 +79,10 @@
     let mut group = Group::new();
     group.configure_with(support::scoring_route());
     group.ask(Request::SubmitJob(scored_job("j", 1)));
-    let (gateway, assigned) = leader_lost_before_the_commit(&mut group);
+    let (gateway, assigned) = lose_leader_before_commit(&mut group);
     group.wait(Duration::from_secs(2));
     expect_that!(group.assignments(), is_empty());
-    tell_end(&mut group, gateway, &assigned);
+    report_end(&mut group, gateway, &assigned);
     let unscored = group.state.jobs()[&JobId::from("j")].unscored(0);
     expect_that!(
         unscored.map(|text| text.made_by),
--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -24,7 +24,7 @@
     pub(super) fn take_call_events(&mut self, events: impl IntoIterator<Item = Event>) {
         for event in events {
             match &event {
-                Event::Ordered { instance, answer } => {
+                Event::WeightOrderAnswered { instance, answer } => {
                     self.metrics.ordered(answer.name());
                     info!(self.logger, "order answered"; "engine" => %instance,
                         "answer" => answer.name());
@@ -53,7 +53,7 @@
     /// Tells the leader machine the time of day that the site agrees on.
     pub(super) fn agree_on_time(&mut self, now: Instant) {
         let own = self.folder.identity().replica;
-        self.site_clock.heard(now, own, wall_time());
+        self.site_clock.record(now, own, wall_time());
         if self.host.is_leader()
             && let Some(wall) = self.site_clock.now(now)
         {
@@ -67,7 +67,7 @@
             info!(self.logger, "order not given"; "engine" => %order.instance,
                 "reason" => "the lease is over", "fence" => order.fence.0);
             let (instance, answer) = (order.instance.clone(), OrderAnswer::Refused);
-            return Some(Event::Ordered { instance, answer });
+            return Some(Event::WeightOrderAnswered { instance, answer });
         }
         info!(self.logger, "order"; "engine" => %order.instance, "model" => %order.model,
             "version" => order.version, "fence" => order.fence.0);
--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -35,7 +35,7 @@
 
 fn hold(archive: &TextArchive, number: usize) -> ResultText {
     let packed = ResultText::pack(&text(number));
-    archive.hold(packed.packed());
+    archive.track(packed.packed());
     packed
 }
 
@@ -91,7 +91,7 @@
     };
     disk.set_faults(full);
     let texts: Vec<ResultText> = (0..100).map(|number| hold(&archive, number)).collect();
-    archive.wait_for_room();
+    archive.wait_for_memory();
     expect_that!(texts.iter().any(is_on_disk), eq(false));
     disk.set_faults(Faults::default());
     wait_until("the budget is kept", || archive.bytes_in_memory() <= BUDGET);
@@ -189,7 +189,7 @@
         .collect();
     let begun = Instant::now();
     for text in &texts {
-        archive.hold(text.packed());
+        archive.track(text.packed());
     }
     expect_that!(begun.elapsed(), le(Duration::from_secs(2)));
     hanging.hangs.store(false, Ordering::SeqCst);
--- a/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
@@ -77,11 +77,11 @@
 }
 
 impl TextStore for Store {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         self.held.lock().unwrap().push(Arc::clone(text));
     }
 
-    fn wait_for_room(&self) {}
+    fn wait_for_memory(&self) {}
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
         Ok(Arc::new(self.files.find(place)?))
@@ -127,7 +127,7 @@
             applied: 0,
         };
         let store = Arc::clone(&member.store) as Arc<dyn TextStore>;
-        member.state.keep_texts_in(store);
+        member.state.set_text_store(store);
         if let Some(snapshot) = recovered.snapshot {
             let mut reader = snapshot.data.reader().map_err(|error| error.to_string())?;
             let restored = member.state.restore_from(&mut reader);
--- a/crates/gateways/wingshore-gateway/src/environment.rs
+++ b/crates/gateways/wingshore-gateway/src/environment.rs
@@ -22,7 +22,7 @@
     /// fingerprint.
     pub(crate) fn suspicions(&self) -> Option<Suspicions<'_>> {
         let (view, crashes) = (&self.site.view, &self.servers.crashes);
-        let has_any = view.has_suspects() || crashes.unreported().next().is_some();
+        let has_any = view.has_suspects() || crashes.unannounced().next().is_some();
         has_any.then(|| Suspicions {
             view,
             crashes,
--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -4,8 +4,8 @@
 use crate::item_policy;
 use crate::suspects;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, HeldPrefix, ItemAssignment,
-    ItemOutcome, ItemProgress, ItemText, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, DurablePrefix, GatewayMessage, ItemAssignment, ItemOutcome,
+    ItemProgress, ItemText, LoggedPrefix, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
@@ -133,8 +133,8 @@
 
     /// Continues uploads after the prefix that the log holds, unless the log's events come from
     /// another attempt.
-    pub(crate) fn upload_after(&mut self, held: HeldPrefix) {
-        self.may_upload = held.begins(&self.text);
+    pub(crate) fn upload_after(&mut self, held: LoggedPrefix) {
+        self.may_upload = held.is_prefix_of(&self.text);
         self.uploaded = held.extent;
     }
 
--- a/crates/gateways/wingshore-gateway/src/item_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/item_policy.rs
@@ -51,13 +51,17 @@
     Failed,
 }
 
-/// Classifies an answer by its status; `ends_whole` if the answer has no incomplete event at its
+/// Classifies an answer by its status; `ends_at_event_boundary` if the answer has no incomplete event at its
 /// end.
-pub fn classify_item_answer(status: u16, says_not_run: bool, ends_whole: bool) -> ItemAnswer {
+pub fn classify_item_answer(
+    status: u16,
+    says_not_run: bool,
+    ends_at_event_boundary: bool,
+) -> ItemAnswer {
     match status {
         MISDIRECTED_STATUS => ItemAnswer::Mismatch,
         _ if says_not_run => ItemAnswer::NotRun,
-        200..=299 if ends_whole => ItemAnswer::Finished,
+        200..=299 if ends_at_event_boundary => ItemAnswer::Finished,
         200..=299 => ItemAnswer::CutShort,
         IMPOSSIBLE_STATUS => ItemAnswer::Impossible,
         _ => ItemAnswer::Failed,
--- a/crates/gateways/wingshore-gateway/src/process/network.rs
+++ b/crates/gateways/wingshore-gateway/src/process/network.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::crash_reports;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, Finished, LostSend, Task};
+use crate::upstream::{CompletedAnswer, ConnectionEnd, LostRequest, Task};
 use wingshore_net::http::BodyStatus;
 use wingshore_net::{ConnectionId, ListenerId, NetEvent};
 
@@ -38,11 +38,11 @@
     }
 
     fn on_accepted(&mut self, listener: ListenerId, connection: ConnectionId) {
-        let purpose = self.listeners.purpose(listener);
+        let listener_kind = self.listeners.listener_kind(listener);
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
         self.clients
-            .accept(runtime, connection, purpose, idle_timeout);
+            .accept(runtime, connection, listener_kind, idle_timeout);
     }
 
     fn on_connected(&mut self, connection: ConnectionId) {
@@ -95,7 +95,7 @@
         match status {
             Ok(BodyStatus::Partial) => {}
             Ok(BodyStatus::Whole) => self.upstream_answered(connection, task, is_all_read),
-            Err(_) => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
+            Err(_) => self.upstream_ended(connection, ConnectionEnd::Lost),
         }
     }
 
@@ -108,10 +108,10 @@
         let Some(finished) = finished else {
             return;
         };
-        let Finished {
+        let CompletedAnswer {
             instance,
             answer,
-            ends_whole,
+            ends_at_event_boundary,
         } = finished;
         match task {
             Task::Exchange(id) => {
@@ -121,7 +121,8 @@
             }
             Task::Item(id) => {
                 let items = &mut self.items;
-                let scoring = items.on_answer(environment, id, &answer.head, ends_whole);
+                let scoring =
+                    items.on_answer(environment, id, &answer.head, ends_at_event_boundary);
                 if let Some(scoring) = scoring {
                     self.begin_scoring(scoring);
                 }
@@ -141,7 +142,7 @@
             Some(task) if upstream.reader.is_whole_at_close() => {
                 self.upstream_answered(connection, task, false);
             }
-            _ => self.upstream_ended(connection, ConnectionEnd::BrokeOff),
+            _ => self.upstream_ended(connection, ConnectionEnd::Lost),
         }
     }
 
@@ -151,10 +152,10 @@
             return self.on_link_ended(connection, address);
         }
         match environment.servers.upstreams.get(connection) {
-            Some(upstream) if upstream.up => {
-                self.upstream_ended(connection, ConnectionEnd::BrokeOff);
+            Some(upstream) if upstream.is_connected => {
+                self.upstream_ended(connection, ConnectionEnd::Lost);
             }
-            Some(_) => self.upstream_ended(connection, ConnectionEnd::NeverUp),
+            Some(_) => self.upstream_ended(connection, ConnectionEnd::ConnectFailed),
             None => self.close_client(connection),
         }
     }
@@ -178,9 +179,9 @@
         if end == ConnectionEnd::Refused {
             crash_reports::server_ended(environment, &closed.instance);
         }
-        let lost = LostSend {
+        let lost = LostRequest {
             instance: closed.instance,
-            sent_at: closed.since,
+            sent_at: closed.task_started_at,
             end,
         };
         match closed.task {
--- a/crates/gateways/wingshore-gateway/src/process/requests.rs
+++ b/crates/gateways/wingshore-gateway/src/process/requests.rs
@@ -1,10 +1,10 @@
 //! Handling of clients' requests: dispatch by purpose, and delivery of the answers.
 
 use super::Gateway;
-use crate::admission::{self, Admission, Purpose, Refusal, tenant_of};
+use crate::admission::{self, Admission, ListenerKind, Refusal, tenant_of};
 use crate::attempt_timeouts;
 use crate::calls::{CallEnd, group_request};
-use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, Waiting};
+use crate::clients::{AfterAnswer, ClientInput, ClientTimeout, PendingAnswer};
 use crate::exchange::{Exchange, NewExchange, Origin};
 use crate::ids::CallId;
 use crate::protocol::{BatchAnswer, OwnAnswer};
@@ -32,8 +32,11 @@
     }
 
     fn on_request(&mut self, client: ConnectionId, request: WholeRequest) {
-        let purpose = self.clients.purpose(client).unwrap_or(Purpose::Front);
-        match admission::admit(&self.environment.site, purpose, &request.head) {
+        let listener_kind = self
+            .clients
+            .listener_kind(client)
+            .unwrap_or(ListenerKind::Front);
+        match admission::admit(&self.environment.site, listener_kind, &request.head) {
             Admission::Ready => {
                 let is_ready = self.status().ready;
                 let protocol = &self.environment.site.protocol;
@@ -82,11 +85,11 @@
         let headers = &request.head.headers;
         let deadline = headers.number(names.deadline).map(Duration::from_millis);
         let limit = attempt_timeouts::request_timeout(route.timeout, deadline);
-        let may_begin = |stop| attempt_timeouts::is_stream_begun(limit, stop);
+        let may_begin = |stop| attempt_timeouts::is_stream_admitted(limit, stop);
         if route.kind == RouteKind::Streaming && !self.stop_progress().is_none_or(may_begin) {
             return self.refuse(client, &request.head, Refusal::STOPPING);
         }
-        let Some(service) = self.exchanges.next_target(&route) else {
+        let Some(service) = self.exchanges.next_service(&route) else {
             return self.refuse(client, &request.head, Refusal::NO_SERVICE);
         };
         let identity = headers.get(names.request_id).unwrap_or_default().to_vec();
@@ -97,10 +100,11 @@
             id: identity,
             route,
             service,
-            until: now + limit,
+            deadline: now + limit,
         };
         let id = self.exchanges.next_id();
-        self.clients.set_waiting(client, Waiting::Exchange(id));
+        self.clients
+            .set_waiting(client, PendingAnswer::Exchange(id));
         let environment = &mut self.environment;
         let exchange = Exchange::new(now, new);
         let end = self.exchanges.begin(environment, id, exchange);
@@ -131,7 +135,7 @@
     fn begin_call(&mut self, client: ConnectionId, request: Request) {
         let (runtime, site) = (&mut self.environment.runtime, &self.environment.site);
         match self.calls.begin(runtime, site, client, request) {
-            Ok(id) => self.clients.set_waiting(client, Waiting::Call(id)),
+            Ok(id) => self.clients.set_waiting(client, PendingAnswer::Call(id)),
             Err(answer) => self.answer_batch(client, &answer),
         }
     }
@@ -198,7 +202,8 @@
         }
         let idle_timeout = self.environment.site.view.limits().idle_timeout;
         let runtime = &mut self.environment.runtime;
-        self.clients.next_read(runtime, client, idle_timeout);
+        self.clients
+            .next_request_read(runtime, client, idle_timeout);
     }
 
     /// Returns the number of unread bytes of a client.
@@ -222,8 +227,8 @@
     pub(super) fn close_client(&mut self, client: ConnectionId) {
         match self.clients.close(&mut self.environment.runtime, client) {
             None => {}
-            Some(Waiting::Exchange(id)) => self.exchanges.abandon(&mut self.environment, id),
-            Some(Waiting::Call(id)) => self.calls.forget(id),
+            Some(PendingAnswer::Exchange(id)) => self.exchanges.cancel(&mut self.environment, id),
+            Some(PendingAnswer::Call(id)) => self.calls.forget(id),
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/scoring_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/scoring_policy.rs
@@ -58,7 +58,7 @@
 /// Returns the end of a scoring that no server answered, or that failed at every server that
 /// answered.
 pub fn end_without_answer(history: AttemptHistory) -> ScoringEnd {
-    let (outcome, signal) = match history.server_failures {
+    let (outcome, signal) = match history.internal_errors {
         0 if history.may_have_run => (
             ScoringOutcome::NotScored(NotScoredReason::NoAnswer),
             LoadSignal::Overload,
--- a/crates/gateways/wingshore-gateway/tests/policies.rs
+++ b/crates/gateways/wingshore-gateway/tests/policies.rs
@@ -22,9 +22,13 @@
         ((503, false, true), ItemAnswer::Failed),
         ((500, false, true), ItemAnswer::Failed),
     ];
-    for ((status, says_not_run, ends_whole), expected) in table {
-        let answer = classify_item_answer(status, says_not_run, ends_whole);
-        expect_that!(answer, eq(expected), "{status} {says_not_run} {ends_whole}");
+    for ((status, says_not_run, ends_at_event_boundary), expected) in table {
+        let answer = classify_item_answer(status, says_not_run, ends_at_event_boundary);
+        expect_that!(
+            answer,
+            eq(expected),
+            "{status} {says_not_run} {ends_at_event_boundary}"
+        );
     }
 }
 
@@ -53,7 +57,7 @@
     };
     let failed = AttemptHistory {
         attempts: 2,
-        server_failures: 2,
+        internal_errors: 2,
         may_have_run: true,
         ..fresh
     };
