--- a/crates/shared/wingshore-consensus/src/outgoing.rs
+++ b/crates/shared/wingshore-consensus/src/outgoing.rs
@@ -6,9 +6,9 @@
 //! the throughput would otherwise be one window per round trip. The window shrinks to its base size
 //! after a loss.
 //!
-//! An answer without progress follows a chunk behind a gap, in which case the leader resends from
-//! the first byte that the follower lacks, or a duplicated chunk. Two rules limit the cost of
-//! resending:
+//! An answer without progress has one of two causes: a chunk behind a gap, in which case the leader
+//! resends from the first byte that the follower lacks, or a duplicated chunk. Two rules limit the
+//! cost of resending:
 //! - After a rewind, as many answers without progress as chunks are in flight or resent cause no
 //!   further rewind. A rewind for each of them would send every window twice up to the end of the
 //!   snapshot. A gap behind those answers is detected by [`ChunkAnswers`].
@@ -256,8 +256,9 @@
         if self.last_acknowledged >= self.received {
             return false;
         }
-        let under_way = self.base_window.saturating_mul(MAX_WINDOW_FACTOR);
-        let may_be_overtaken = self.last_acknowledged.saturating_add(under_way) >= self.received;
+        let max_in_flight = self.base_window.saturating_mul(MAX_WINDOW_FACTOR);
+        let may_be_overtaken =
+            self.last_acknowledged.saturating_add(max_in_flight) >= self.received;
         let was_suspected = std::mem::replace(&mut self.is_restart_suspected, true);
         !may_be_overtaken || was_suspected
     }
@@ -357,7 +358,7 @@
     }
 
     /// Returns the progress of the transfer to `to`.
-    pub(crate) fn report(&self, to: ReplicaId) -> SnapshotSending {
+    pub(crate) fn sending_progress(&self, to: ReplicaId) -> SnapshotSending {
         SnapshotSending {
             to,
             index: self.snapshot.index,
--- a/crates/shared/wingshore-consensus/src/progress.rs
+++ b/crates/shared/wingshore-consensus/src/progress.rs
@@ -279,7 +279,7 @@
     /// Returns the progress of the snapshot that is being sent to this follower, whose id is `id`.
     pub(crate) fn snapshot_sending(&self, id: ReplicaId) -> Option<SnapshotSending> {
         match &self.state {
-            ProgressState::Snapshot(outgoing) => Some(outgoing.report(id)),
+            ProgressState::Snapshot(outgoing) => Some(outgoing.sending_progress(id)),
             _ => None,
         }
     }
--- a/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_disturbances.rs
@@ -115,8 +115,8 @@
     let undisturbed = transfer_time_with_restart(true, &[])?;
     let disturbed = transfer_time_with_restart(true, &lost)?;
     println!("restart: without loss {undisturbed} ms, with 8 lost chunks {disturbed} ms");
-    // Resending a window takes two one-way delays and those before it: 5 ms suffice. One stall is
-    // allowed.
+    // Resending a window takes two one-way delays, plus those of the preceding messages: 5 ms
+    // suffice. One stall is allowed.
     verify_that!(disturbed, le(undisturbed + 8 * 5 + STALL_MS))
 }
 
