--- a/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
@@ -153,8 +153,8 @@
     let late = [50, 200, 390];
     let sending = send_state(&late, &[])?;
     let windows = late.len() as u64 * WINDOW;
-    let max_chunks = (total_chunks() + windows) * CHUNK_BYTES as u64;
-    verify_that!(sending.bytes_read, le(max_chunks))
+    let max_bytes = (total_chunks() + windows) * CHUNK_BYTES as u64;
+    verify_that!(sending.bytes_read, le(max_bytes))
 }
 
 /// Without disturbances, each chunk must be sent once and each byte read once.
