--- a/crates/shared/wingshore-consensus/src/outgoing.rs
+++ b/crates/shared/wingshore-consensus/src/outgoing.rs
@@ -1,13 +1,19 @@
-//! A snapshot that this leader is sending.
+//! Sending of a snapshot by the leader.
 //!
-//! Chunks go out in order, a window of them at a time, and each is answered by how much the follower has
-//! without gap. Where less than two windows are acknowledged in a heartbeat round, the answers are late, and the
-//! window grows, or else the pace would be a window for each way there and back; it is small again when
-//! something was lost. An answer without news comes of a chunk after a gap, and the leader goes back to what
-//! the follower has; or of a chunk that came twice. Two rules keep that cheap. As many
-//! answers without news as chunks are under way or sent again do not make the leader go back once more:
-//! to go back for each would send every window twice to the end; a gap among those is found by [`ChunkAnswers`].
-//! And what was sent is held until it is acknowledged, since to read it again means to read all that is before it.
+//! Chunks are sent in order, up to a window of unacknowledged bytes, and each chunk is answered
+//! with the number of bytes that the follower has received without a gap. If less than two windows
+//! are acknowledged in a heartbeat round, the round-trip time is long, and the window grows, since
+//! the throughput would otherwise be one window per round trip. The window shrinks to its base size
+//! after a loss.
+//!
+//! An answer without progress has one of two causes: a chunk behind a gap, in which case the leader
+//! resends from the first byte that the follower lacks, or a duplicated chunk. Two rules limit the
+//! cost of resending:
+//! - After a rewind, as many answers without progress as chunks are in flight or resent cause no
+//!   further rewind. A rewind for each of them would send every window twice up to the end of the
+//!   snapshot. A gap behind those answers is detected by [`ChunkAnswers`].
+//! - Sent chunks are kept until they are acknowledged, since reading a chunk again requires reading
+//!   everything before it.
 
 use crate::chunk_answers::ChunkAnswers;
 use crate::message::SnapshotChunk;
@@ -17,57 +23,57 @@
 use wingshore_types::snapshot_data::PartReader;
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// How far the sending of a snapshot to one member is.
+/// SnapshotSending is the progress of sending a snapshot to one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotSending {
     /// The member.
     pub to: ReplicaId,
-    /// The last entry that the snapshot contains.
+    /// Index of the last entry that the snapshot contains.
     pub index: LogIndex,
-    /// Bytes of the whole.
+    /// Total size of the snapshot, in bytes.
     pub total: u64,
-    /// Bytes the member has.
+    /// Number of bytes that the member has received without a gap.
     pub received: u64,
-    /// Bytes that were sent, those sent again among them.
+    /// Number of bytes sent, including resent bytes.
     pub sent: u64,
-    /// Bytes that were sent again.
+    /// Number of bytes resent.
     pub sent_again: u64,
 }
 
-/// The window grows up to this many times the usual one.
-const MAX_GROWTH: u64 = 4;
-/// The window does not grow where so many usual ones are acknowledged in a heartbeat round.
-const WINDOWS_IN_ROUND: u64 = 2;
-/// Stalls after which a follower that has all of it is probed again at the latest.
+/// Maximum size of the window, in multiples of the base window.
+const MAX_WINDOW_FACTOR: u64 = 4;
+/// The window does not grow if this many base windows are acknowledged in a heartbeat round.
+const FULL_PACE_WINDOWS_PER_ROUND: u64 = 2;
+/// Maximum number of stalls between two probes of a follower that has received all bytes.
 const MAX_STALLS_BETWEEN_PROBES: u32 = 7;
 
-/// A chunk that was sent and is not acknowledged.
+/// A sent chunk that is not acknowledged.
 #[derive(Debug)]
-struct HeldChunk {
+struct UnacknowledgedChunk {
     offset: u64,
     data: Vec<u8>,
 }
 
-impl HeldChunk {
+impl UnacknowledgedChunk {
     fn end(&self) -> u64 {
         self.offset + self.data.len() as u64
     }
 }
 
-/// When a follower that had all of a snapshot is asked whether it still has it: at once, and then after
-/// twice as many stalls each time.
+/// Schedule for probing whether a follower that has received the whole snapshot still has it: at
+/// the first stall, and then after twice as many stalls each time.
 #[derive(Debug, Default)]
 struct DurabilityProbe {
     stalls: u32,
-    next_at: u32,
+    next_stall: u32,
     is_due: bool,
 }
 
 impl DurabilityProbe {
     fn on_stall(&mut self) {
         self.stalls += 1;
-        if self.stalls > self.next_at {
-            self.next_at = self.stalls + self.stalls.min(MAX_STALLS_BETWEEN_PROBES);
+        if self.stalls > self.next_stall {
+            self.next_stall = self.stalls + self.stalls.min(MAX_STALLS_BETWEEN_PROBES);
             self.is_due = true;
         }
     }
@@ -77,48 +83,49 @@
     }
 }
 
-/// A snapshot that is being sent in chunks.
+/// OutgoingSnapshot is a snapshot that is being sent to one follower in chunks.
 #[derive(Debug)]
 pub(crate) struct OutgoingSnapshot {
     /// The snapshot.
     pub(crate) snapshot: Arc<StoredSnapshot>,
-    /// Where the next chunk begins.
+    /// Offset of the next chunk.
     next_offset: u64,
-    /// Bytes the follower has.
+    /// Number of bytes that the follower has received without a gap.
     received: u64,
-    /// Bytes by the follower's last acknowledgement: fewer where a later one overtook it, or where
-    /// the follower has restarted.
-    reported: u64,
-    /// At a stall the last acknowledgement was of fewer bytes than were received; until there are more.
+    /// Number of bytes in the follower's most recent acknowledgement: fewer than `received` if a
+    /// later acknowledgement overtook it, or if the follower has restarted.
+    last_acknowledged: u64,
+    /// Whether the most recent acknowledgement at a stall covered fewer bytes than `received`.
+    /// Reset once `received` increases.
     is_restart_suspected: bool,
-    /// Bytes that may be under way where answers come soon.
-    usual_window: u64,
-    /// How many usual windows may be under way.
-    growth: u64,
-    /// Bytes the follower had when the last heartbeat round began.
+    /// Size of the window without growth, in bytes.
+    base_window: u64,
+    /// Size of the window, in multiples of the base window.
+    window_factor: u64,
+    /// Value of `received` at the start of the last heartbeat round.
     received_before_round: u64,
-    /// Heartbeat rounds in turn in which nothing was acknowledged.
-    silent_rounds: u32,
-    /// Answers without news that are expected since the leader went back.
-    expected_repeats: usize,
-    /// Finds gaps once all that was sent is answered.
+    /// Number of consecutive heartbeat rounds in which nothing was acknowledged.
+    rounds_without_progress: u32,
+    /// Number of answers without progress that are still expected after the last rewind.
+    expected_duplicates: usize,
+    /// Detects gaps once all sent chunks are answered.
     answers: ChunkAnswers,
-    /// Where the next chunk began when the leader last went back: once the follower has more, no
-    /// repeat is expected any more.
-    went_back_from: u64,
-    /// Reads the snapshot's bytes.
+    /// Value of `next_offset` at the last rewind. Once the follower has received more, no duplicate
+    /// is expected any more.
+    rewound_from: u64,
+    /// Reader of the snapshot's bytes.
     parts: PartReader,
-    /// The next chunk could not be read.
-    is_unreadable: bool,
-    /// Asks a follower that has all of it, and does not say that it is durable, whether it still has it.
+    /// Whether reading the next chunk failed.
+    read_failed: bool,
+    /// Probes a follower that has received all bytes but does not report the snapshot as durable.
     probe: DurabilityProbe,
-    /// Chunks that the follower has not acknowledged, in order and without gap.
-    held: VecDeque<HeldChunk>,
-    /// Bytes that were sent, and those of them that were sent again.
+    /// Chunks that the follower has not acknowledged, in order and without gaps.
+    unacknowledged_chunks: VecDeque<UnacknowledgedChunk>,
+    /// Number of bytes sent, and how many of them were resent.
     sent: u64,
     sent_again: u64,
-    /// Up to here bytes were sent at least once.
-    furthest: u64,
+    /// Offset up to which bytes were sent at least once.
+    sent_through: u64,
 }
 
 impl OutgoingSnapshot {
@@ -128,35 +135,35 @@
             snapshot,
             next_offset: 0,
             received: 0,
-            reported: 0,
+            last_acknowledged: 0,
             is_restart_suspected: false,
-            usual_window: 0,
-            growth: 1,
+            base_window: 0,
+            window_factor: 1,
             received_before_round: 0,
-            silent_rounds: 0,
-            expected_repeats: 0,
+            rounds_without_progress: 0,
+            expected_duplicates: 0,
             answers: ChunkAnswers::default(),
-            went_back_from: 0,
+            rewound_from: 0,
             parts,
-            is_unreadable: false,
+            read_failed: false,
             probe: DurabilityProbe::default(),
-            held: VecDeque::new(),
+            unacknowledged_chunks: VecDeque::new(),
             sent: 0,
             sent_again: 0,
-            furthest: 0,
+            sent_through: 0,
         }
     }
 
-    /// The chunks of at most `length` bytes that go out now, with at most `usual_window` bytes under way
-    /// where answers come soon.
-    pub(crate) fn next_chunks(&mut self, length: usize, usual_window: u64) -> Vec<SnapshotChunk> {
-        self.usual_window = usual_window;
+    /// Returns the chunks to send now, of at most `length` bytes each. At most `base_window` bytes,
+    /// or a multiple of it on paths with a long round-trip time, are in flight.
+    pub(crate) fn next_chunks(&mut self, length: usize, base_window: u64) -> Vec<SnapshotChunk> {
+        self.base_window = base_window;
         let mut chunks = Vec::new();
         if let Some(first) = self.take_probe(length) {
             chunks.push(self.chunk(0, first));
         }
         let total = self.snapshot.data.length();
-        let window = usual_window.saturating_mul(self.growth);
+        let window = base_window.saturating_mul(self.window_factor);
         let limit = total.min(self.received.saturating_add(window));
         while self.next_offset < limit {
             let offset = self.next_offset;
@@ -180,12 +187,15 @@
         }
     }
 
-    /// At most `length` bytes from where the next chunk begins; none when they cannot be read: the
-    /// state that is sent logs why, and it is sent again once the follower is stalled.
+    /// Returns at most `length` bytes from `next_offset`. Returns no bytes if they cannot be read;
+    /// the snapshot's state logs the reason, and the chunk is retried after the next stall.
     fn next_part(&mut self, length: usize) -> Vec<u8> {
         let offset = self.next_offset;
-        let held = self.held.iter().find(|chunk| chunk.offset == offset);
-        let part = match held {
+        let unacknowledged_chunks = self
+            .unacknowledged_chunks
+            .iter()
+            .find(|chunk| chunk.offset == offset);
+        let part = match unacknowledged_chunks {
             Some(chunk) => chunk.data.clone(),
             None => self.read_part(offset, length),
         };
@@ -195,18 +205,22 @@
     }
 
     fn read_part(&mut self, offset: u64, length: usize) -> Vec<u8> {
-        if self.is_unreadable {
+        if self.read_failed {
             return Vec::new();
         }
         let data = self.parts.part(offset, length).unwrap_or_default();
-        self.is_unreadable = data.is_empty();
-        let follows = self.held.back().is_none_or(|last| last.end() == offset);
+        self.read_failed = data.is_empty();
+        let follows = self
+            .unacknowledged_chunks
+            .back()
+            .is_none_or(|last| last.end() == offset);
         if !follows {
-            self.held.clear();
+            self.unacknowledged_chunks.clear();
         }
         if !data.is_empty() {
             let data = data.clone();
-            self.held.push_back(HeldChunk { offset, data });
+            self.unacknowledged_chunks
+                .push_back(UnacknowledgedChunk { offset, data });
         }
         data
     }
@@ -214,39 +228,42 @@
     fn count_sent(&mut self, offset: u64, bytes: u64) {
         let end = offset + bytes;
         self.sent += bytes;
-        self.sent_again += end.min(self.furthest).saturating_sub(offset);
-        self.furthest = self.furthest.max(end);
+        self.sent_again += end.min(self.sent_through).saturating_sub(offset);
+        self.sent_through = self.sent_through.max(end);
     }
 
-    /// Sends again what is not acknowledged, since the follower is stalled. One that had all of it,
-    /// and has not acknowledged its index, is still writing it, or has restarted before it was durable:
-    /// it is probed with the first chunk, which only one that restarted answers.
+    /// Resends the unacknowledged bytes to a stalled follower. A follower that has received
+    /// everything but has not acknowledged the snapshot's index is either still writing it, or has
+    /// restarted before it was durable. It is probed with the first chunk, which only a restarted
+    /// follower answers.
     pub(crate) fn resend(&mut self) {
-        self.is_unreadable = false;
-        if self.has_restarted() {
-            self.received = self.reported;
+        self.read_failed = false;
+        if self.detect_restart() {
+            self.received = self.last_acknowledged;
         }
-        self.reported = self.received;
+        self.last_acknowledged = self.received;
         if self.received >= self.snapshot.data.length() {
             return self.probe.on_stall();
         }
         self.probe = DurabilityProbe::default();
-        self.go_back();
+        self.rewind();
     }
 
-    /// Whether the follower has fewer bytes than it acknowledged. An acknowledgement that another one
-    /// overtook says so too, but only by what may be under way, and not at two stalls.
-    fn has_restarted(&mut self) -> bool {
-        if self.reported >= self.received {
+    /// Returns whether the follower has fewer bytes than it acknowledged earlier. A reordered
+    /// acknowledgement looks the same, but differs by no more than the bytes in flight, and not at
+    /// two consecutive stalls.
+    fn detect_restart(&mut self) -> bool {
+        if self.last_acknowledged >= self.received {
             return false;
         }
-        let under_way = self.usual_window.saturating_mul(MAX_GROWTH);
-        let may_be_overtaken = self.reported.saturating_add(under_way) >= self.received;
+        let max_in_flight = self.base_window.saturating_mul(MAX_WINDOW_FACTOR);
+        let may_be_overtaken =
+            self.last_acknowledged.saturating_add(max_in_flight) >= self.received;
         let was_suspected = std::mem::replace(&mut self.is_restart_suspected, true);
         !may_be_overtaken || was_suspected
     }
 
-    /// The first chunk, if the follower is to be probed with it now.
+    /// Returns the first chunk if the follower is to be probed now.
     fn take_probe(&mut self, length: usize) -> Option<Vec<u8>> {
         if !self.probe.take() {
             return None;
@@ -256,87 +273,92 @@
         Some(part)
     }
 
-    /// The next chunk is the first one that the follower lacks. Those under way may still be answered
-    /// without news, and so may each of them that is sent again.
-    fn go_back(&mut self) {
-        self.growth = 1;
-        self.expected_repeats = 2 * self.held.len();
-        self.went_back_from = self.next_offset;
-        self.answers.on_disorder(self.next_offset);
+    /// Continues with the first byte that the follower lacks. Chunks in flight may still be
+    /// answered without progress, and so may each of them that is resent.
+    fn rewind(&mut self) {
+        self.window_factor = 1;
+        self.expected_duplicates = 2 * self.unacknowledged_chunks.len();
+        self.rewound_from = self.next_offset;
+        self.answers.on_out_of_order(self.next_offset);
         self.next_offset = self.received;
     }
 
-    /// A heartbeat round begins: the window grows where answers are late. One that gets none may be lost.
-    pub(crate) fn on_round(&mut self) {
+    /// Handles the start of a heartbeat round: grows the window if few bytes were acknowledged in
+    /// the last round. The window does not grow if nothing was acknowledged, since the chunks may
+    /// be lost.
+    pub(crate) fn on_heartbeat_round(&mut self) {
         let acknowledged = self.received.saturating_sub(self.received_before_round);
         self.received_before_round = self.received;
-        self.silent_rounds = if acknowledged > 0 {
+        self.rounds_without_progress = if acknowledged > 0 {
             0
         } else {
-            self.silent_rounds.saturating_add(1)
+            self.rounds_without_progress.saturating_add(1)
         };
-        let enough = self.usual_window.saturating_mul(WINDOWS_IN_ROUND);
-        if acknowledged > 0 && acknowledged < enough {
-            self.growth = MAX_GROWTH.min(self.growth * 2);
+        let full_pace_bytes = self.base_window.saturating_mul(FULL_PACE_WINDOWS_PER_ROUND);
+        if acknowledged > 0 && acknowledged < full_pace_bytes {
+            self.window_factor = MAX_WINDOW_FACTOR.min(self.window_factor * 2);
         }
     }
 
-    /// Whether the follower lacks some of it, and has acknowledged something in the last `rounds`
-    /// heartbeat rounds.
+    /// Returns whether the follower lacks some bytes and has acknowledged progress in the last
+    /// `rounds` heartbeat rounds.
     pub(crate) fn is_progressing(&self, rounds: u32) -> bool {
-        self.received < self.snapshot.data.length() && self.silent_rounds < rounds
+        self.received < self.snapshot.data.length() && self.rounds_without_progress < rounds
     }
 
-    /// The follower has `received` bytes; `true` when that is more than before.
-    pub(crate) fn acknowledge(&mut self, received: u64) -> bool {
-        self.reported = received;
+    /// Handles an acknowledgement of `received` bytes. Returns whether it acknowledges more than
+    /// before.
+    pub(crate) fn on_acknowledged(&mut self, received: u64) -> bool {
+        self.last_acknowledged = received;
         self.answers.on_answer();
-        let is_news = received > self.received;
-        if is_news {
+        let is_progress = received > self.received;
+        if is_progress {
             self.advance(received);
         } else {
-            self.answer_without_news(received);
+            self.on_answer_without_progress(received);
         }
-        if self.answers.finds_gap(self.received, self.next_offset) {
-            self.go_back();
+        if self.answers.detect_gap(self.received, self.next_offset) {
+            self.rewind();
         }
-        is_news
+        is_progress
     }
 
     fn advance(&mut self, received: u64) {
         self.received = received;
         self.is_restart_suspected = false;
         self.next_offset = self.next_offset.max(received);
-        self.release_acknowledged();
-        if received > self.went_back_from {
-            self.expected_repeats = 0;
+        self.drop_acknowledged_chunks();
+        if received > self.rewound_from {
+            self.expected_duplicates = 0;
         }
-        self.answers.on_received(received, self.held.len());
+        self.answers
+            .on_received(received, self.unacknowledged_chunks.len());
     }
 
-    /// An answer that another one overtook says nothing of what was dropped.
-    fn answer_without_news(&mut self, received: u64) {
-        self.answers.on_disorder(self.next_offset);
+    /// Handles an acknowledgement without progress. One with fewer bytes than `received` was
+    /// reordered, and says nothing about dropped chunks.
+    fn on_answer_without_progress(&mut self, received: u64) {
+        self.answers.on_out_of_order(self.next_offset);
         if received < self.received {
             return;
         }
-        if self.expected_repeats > 0 {
-            self.expected_repeats -= 1;
+        if self.expected_duplicates > 0 {
+            self.expected_duplicates -= 1;
         } else {
-            self.go_back();
+            self.rewind();
         }
     }
 
-    fn release_acknowledged(&mut self) {
-        while let Some(first) = self.held.front()
+    fn drop_acknowledged_chunks(&mut self) {
+        while let Some(first) = self.unacknowledged_chunks.front()
             && first.end() <= self.received
         {
-            self.held.pop_front();
+            self.unacknowledged_chunks.pop_front();
         }
     }
 
-    /// How far it is.
-    pub(crate) fn report(&self, to: ReplicaId) -> SnapshotSending {
+    /// Returns the progress of the transfer to `to`.
+    pub(crate) fn sending_progress(&self, to: ReplicaId) -> SnapshotSending {
         SnapshotSending {
             to,
             index: self.snapshot.index,
--- a/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_soak.rs
@@ -1,5 +1,5 @@
-//! A soak: states are sent over networks that lose, double and reorder, to a member that
-//! restarts midway; each sending ends, with the very bytes.
+//! Soak test: snapshots are sent over networks that lose, duplicate and reorder messages, to a
+//! member that restarts during the transfer. Each transfer must complete with identical bytes.
 
 mod support;
 
@@ -14,9 +14,9 @@
 const RECEIVER: u64 = 3;
 
 #[gtest]
-fn each_sending_ends_with_the_same_bytes() -> Result<()> {
+fn snapshot_transfers_complete_with_identical_bytes() -> Result<()> {
     let mut slowest = (Duration::ZERO, 0);
-    let mut most = (0, 0);
+    let mut highest_cost = (0, 0);
     let mut times = Vec::new();
     for seed in 0..300 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -42,16 +42,16 @@
             loss: random.random_range(0.0..0.08),
             duplication: random.random_range(0.0..0.08),
             max_delay: Duration::from_millis(random.random_range(1..9)),
-            stragglers: random.random_range(0.0..0.02),
+            straggler_chance: random.random_range(0.0..0.02),
             straggler_delay: Duration::from_millis(60),
             ..Network::default()
         };
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         let begin = cluster.now;
         for _ in 0..random.random_range(0..3) {
             let wait = Duration::from_millis(random.random_range(1..900));
             cluster.run_until(wait, |_| false);
-            cluster.crash_anywhere(RECEIVER);
+            cluster.crash_with_random_write(RECEIVER);
             cluster.run_until(Duration::from_millis(random.random_range(0..40)), |_| false);
             cluster.restart(RECEIVER);
         }
@@ -75,7 +75,7 @@
         times.push(cluster.now.since(begin));
         slowest = slowest.max((cluster.now.since(begin), seed));
         let chunks = (state.len() / limits.snapshot_chunk_bytes) as u64;
-        most = most.max((cluster.sent_snapshot_chunks * 100 / chunks, seed));
+        highest_cost = highest_cost.max((cluster.sent_snapshot_chunks * 100 / chunks, seed));
     }
     times.sort();
     println!(
@@ -83,6 +83,6 @@
         times[times.len() / 2],
         times[times.len() * 9 / 10]
     );
-    println!("slowest {slowest:?}; most sent, in % of the state {most:?}");
+    println!("slowest {slowest:?}; most sent, in % of the state {highest_cost:?}");
     Ok(())
 }
--- a/crates/shared/wingshore-consensus/tests/support/node.rs
+++ b/crates/shared/wingshore-consensus/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! One member of a test cluster: its machine, disk and clock.
+//! One member of a test cluster: its state machine, disk and clock.
 
 use super::checker::{Applied, Checker};
 use super::disk::Disk;
@@ -13,9 +13,9 @@
 use wingshore_types::snapshot_spool::MemorySpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// A write that is under way.
+/// A write that is not yet durable.
 #[derive(Clone, Debug)]
-pub struct Underway {
+pub struct PendingWrite {
     pub token: u64,
     pub batch: WriteBatch,
 }
@@ -25,15 +25,15 @@
     pub id: ReplicaId,
     pub raft: Option<Raft>,
     pub disk: Disk,
-    pub underway: Option<Underway>,
+    pub pending_write: Option<PendingWrite>,
     pub incarnation: u64,
     pub bootstrap: Option<Membership>,
     pub applied: Applied,
-    /// Parts per million by which its clock runs fast.
+    /// Rate by which the clock runs fast, in parts per million.
     pub drift_ppm: i64,
-    /// Frozen until then: handles nothing, its clock runs on.
+    /// Time until which the member is paused: it handles no input, but its clock runs on.
     pub frozen_until: Instant,
-    /// Proposals of this incarnation: term and index.
+    /// Term and index of the proposals of this incarnation.
     pub proposed: Vec<(u64, LogIndex)>,
     pub writes: u64,
     pub seed: u64,
@@ -41,24 +41,24 @@
     pub limits: Limits,
     /// Commands applied by this incarnation.
     pub commands: Vec<Vec<u8>>,
-    /// What it provides as a snapshot in place of what it has applied.
+    /// State that the member provides as a snapshot instead of its applied state.
     pub provided_state: Option<SnapshotState>,
 }
 
 impl Node {
-    /// The time its own clock shows.
-    pub fn local(&self, now: Instant) -> Instant {
+    /// Returns the time of the member's own clock.
+    pub fn local_time(&self, now: Instant) -> Instant {
         let ppm = i128::from(1_000_000 + self.drift_ppm);
         let nanos = i128::from(now.0) * ppm / 1_000_000;
         Instant(u64::try_from(nanos).unwrap() + 1_000_000_000 * self.id.0)
     }
 
-    /// Whether it handles inputs now.
+    /// Returns whether the member handles inputs now.
     pub fn is_running(&self, now: Instant) -> bool {
         self.raft.is_some() && now >= self.frozen_until
     }
 
-    /// Starts it from its disk.
+    /// Starts the member from its disk.
     pub fn start(&mut self, now: Instant, checker: &mut Checker) {
         let config = RaftConfig {
             id: self.id,
@@ -73,7 +73,7 @@
         self.commands.clear();
         let mut out = Vec::new();
         let recovered = self.disk.contents.clone();
-        let raft = Raft::new(self.local(now), config, recovered, &mut out).unwrap();
+        let raft = Raft::new(self.local_time(now), config, recovered, &mut out).unwrap();
         self.raft = Some(raft);
         for output in out {
             if let Output::Restore { index, state } = output {
@@ -83,96 +83,96 @@
         }
     }
 
-    /// Ends it; of a write under way the first `parts` parts reach the disk.
+    /// Crashes the member. The first `parts` parts of a pending write reach the disk.
     pub fn crash(&mut self, parts: usize) {
         self.raft = None;
         self.incarnation += 1;
         self.proposed.clear();
-        if let Some(underway) = self.underway.take() {
-            self.disk.write_prefix(&underway.batch, parts);
+        if let Some(pending_write) = self.pending_write.take() {
+            self.disk.write_prefix(&pending_write.batch, parts);
         }
     }
 
-    /// Feeds inputs, then collects what they led to.
+    /// Passes inputs to the member, and executes the outputs.
     pub fn step(
         &mut self,
         now: Instant,
         inputs: Vec<Input>,
         checker: &mut Checker,
     ) -> Vec<(ReplicaId, Message)> {
-        let local = self.local(now);
+        let local_time = self.local_time(now);
         let Some(raft) = &mut self.raft else {
             return Vec::new();
         };
         let mut out = Vec::new();
         for input in inputs {
-            raft.step(local, input, &mut out);
+            raft.step(local_time, input, &mut out);
         }
         self.finish(now, out, checker)
     }
 
-    /// Carries outputs out, after those of a flush.
+    /// Flushes the member, and executes all outputs. Returns the messages to send.
     pub fn finish(
         &mut self,
         now: Instant,
         mut out: Vec<Output>,
         checker: &mut Checker,
     ) -> Vec<(ReplicaId, Message)> {
-        let local = self.local(now);
+        let local_time = self.local_time(now);
         if let Some(raft) = &mut self.raft {
-            raft.flush(local, &mut out).unwrap();
+            raft.flush(local_time, &mut out).unwrap();
         }
         let mut sends = Vec::new();
         for output in out {
-            self.carry_out(output, &mut sends, checker);
+            self.execute(output, &mut sends, checker);
         }
-        self.provide_snapshot_when_wanted(local, &mut sends, checker);
+        self.provide_needed_snapshot(local_time, &mut sends, checker);
         sends
     }
 
-    /// Sends a snapshot of what is applied to members that need entries which are gone.
-    fn provide_snapshot_when_wanted(
+    /// Provides a snapshot of the applied state if members need entries that are compacted.
+    fn provide_needed_snapshot(
         &mut self,
-        local: Instant,
+        local_time: Instant,
         sends: &mut Vec<(ReplicaId, Message)>,
         checker: &mut Checker,
     ) {
-        let Some(raft) = self.raft.as_mut().filter(|raft| raft.wants_snapshot()) else {
+        let Some(raft) = self.raft.as_mut().filter(|raft| raft.needs_snapshot()) else {
             return;
         };
         let state = self.provided_state.clone();
         let state = state.unwrap_or_else(|| self.applied.encode().into());
         raft.provide_snapshot(state).unwrap();
         let mut out = Vec::new();
-        raft.flush(local, &mut out).unwrap();
+        raft.flush(local_time, &mut out).unwrap();
         for output in out {
-            self.carry_out(output, sends, checker);
+            self.execute(output, sends, checker);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         output: Output,
         sends: &mut Vec<(ReplicaId, Message)>,
         checker: &mut Checker,
     ) {
         if std::env::var("TRACE").is_ok() && !matches!(output, Output::Send { .. }) {
-            let r = self.raft.as_ref().unwrap();
+            let raft = self.raft.as_ref().unwrap();
             println!(
                 "n{} t{} com{:?} last{:?} {}",
                 self.id,
-                r.term(),
-                r.commit_index(),
-                r.last_index(),
+                raft.term(),
+                raft.commit_index(),
+                raft.last_index(),
                 format!("{output:?}").chars().take(400).collect::<String>()
             );
         }
         match output {
             Output::Send { to, message } => sends.push((to, message)),
             Output::Write { token, batch } => {
-                assert!(self.underway.is_none(), "one write at a time");
+                assert!(self.pending_write.is_none(), "a write is already pending");
                 self.writes += 1;
-                self.underway = Some(Underway { token, batch });
+                self.pending_write = Some(PendingWrite { token, batch });
             }
             Output::Apply(entry) => {
                 let term = self.raft.as_ref().map_or(0, Raft::term);
--- a/crates/shared/wingshore-group/src/host.rs
+++ b/crates/shared/wingshore-group/src/host.rs
@@ -170,7 +170,7 @@
         self.propose_held();
         self.continue_stop(now, out);
         self.take_snapshot_when_due()?;
-        if self.raft.wants_snapshot() {
+        if self.raft.needs_snapshot() {
             self.raft.provide_snapshot(self.state.freeze())?;
         }
         let mut outputs = Vec::new();
@@ -317,8 +317,8 @@
     }
 
     /// The states that this replica, as leader, is sending to members; none on others.
-    pub fn snapshots_under_way(&self) -> Vec<SnapshotSending> {
-        self.raft.snapshots_under_way()
+    pub fn outgoing_snapshots(&self) -> Vec<SnapshotSending> {
+        self.raft.outgoing_snapshots()
     }
 
     /// The members, as of the newest entry that changes them.
