--- a/crates/gateways/wingshore-coordinator/src/process/callers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/callers.rs
@@ -1,6 +1,6 @@
-//! Calls of operators, trainers, servers and clients.
+//! HTTP calls of operators, trainers, servers and clients.
 
-use super::{Coordinator, Role, Waiting};
+use super::{Coordinator, ReplyTarget, Role};
 use crate::control;
 use crate::membership::losses_borne_by;
 use crate::metrics::Readings;
@@ -13,14 +13,16 @@
 use wingshore_net::http::{HttpAnswer, WholeRequest};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A gateway is shown to clients only if it was heard of within this time: three status reports.
-const GATEWAY_FRESH: Duration = Duration::from_millis(1300);
+/// Maximum age of a gateway's last status report for it to be listed to clients: time for three
+/// reports.
+const MAX_GATEWAY_REPORT_AGE: Duration = Duration::from_millis(1300);
 /// Idle connections of callers are closed after this time.
-const CALLER_IDLE: Duration = Duration::from_secs(30);
-/// Type of the text that monitoring reads.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Content type of the metrics text.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 impl Coordinator {
+    /// Reads the next request of a caller, unless its previous request is not answered yet.
     pub(super) fn on_control_input(&mut self, now: Instant, connection: ConnectionId) {
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
             return;
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Monitoring asks: all metrics are answered, whatever the path.
+    /// Answers a request on the metrics listener with all metrics, whatever its path.
     pub(super) fn on_metrics_input(&mut self, connection: ConnectionId) {
         let Some(input) = self.reactor.input(connection) else {
             return;
@@ -65,7 +67,7 @@
             Ok(None) => return,
             Ok(Some(_)) => HttpAnswer {
                 status: 200,
-                headers: vec![("Content-Type".to_owned(), METRICS_TYPE.to_owned())],
+                headers: vec![("Content-Type".to_owned(), METRICS_CONTENT_TYPE.to_owned())],
                 body: self.metrics.text(&self.readings()).into_bytes(),
             },
             Err(error) => HttpAnswer::plain(error.status(), error.to_string()),
@@ -76,12 +78,12 @@
         self.reactor.close_when_flushed(connection);
     }
 
-    /// What the gauges are set to.
+    /// Returns the current values of the gauges.
     fn readings(&self) -> Readings {
         let state = self.host.state();
         let membership = self.host.membership();
         let leader = self.host.leader_machine();
-        let figures = leader.map(CoordinationLeader::counts).unwrap_or_default();
+        let counts = leader.map(CoordinationLeader::counts).unwrap_or_default();
         let (suspect_requests, rejected_requests) = state.evidence().counts();
         let draining = state.servers().values().filter(|server| server.draining);
         Readings {
@@ -99,11 +101,11 @@
             servers: state.servers().len(),
             servers_draining: draining.count(),
             jobs_open: state.jobs().values().filter(|job| !job.ended).count(),
-            items_waiting: figures.items_waiting,
-            items_running: figures.items_running,
-            engines_loading: figures.engines_loading,
-            scorings_waiting: figures.scorings_waiting,
-            scorings_running: figures.scorings_running,
+            items_waiting: counts.items_waiting,
+            items_running: counts.items_running,
+            engines_loading: counts.engines_loading,
+            scorings_waiting: counts.scorings_waiting,
+            scorings_running: counts.scorings_running,
             suspect_requests,
             rejected_requests,
             configuration_version: state.configuration().map_or(0, |held| held.version),
@@ -121,7 +123,7 @@
             ControlCall::Group(Request::Heartbeat(heartbeat)) if !self.host.is_leader() => {
                 self.forward_heartbeat(now, connection, heartbeat);
             }
-            ControlCall::Group(request) => self.ask_group(request, Waiting::Caller(connection)),
+            ControlCall::Group(request) => self.submit(request, ReplyTarget::Caller(connection)),
             ControlCall::Local(LocalQuestion::Retire { node }) if self.host.is_leader() => {
                 self.begin_retirement(now, connection, &node);
             }
@@ -151,7 +153,7 @@
     fn answer_locally(&self, now: Instant, question: &LocalQuestion) -> ControlAnswer {
         match question {
             LocalQuestion::Gateways { zone } => {
-                let gateways = self.directory.for_client(now, zone, GATEWAY_FRESH);
+                let gateways = self.directory.for_client(now, zone, MAX_GATEWAY_REPORT_AGE);
                 if gateways.is_empty() {
                     return ControlAnswer::Unavailable;
                 }
@@ -165,6 +167,7 @@
         }
     }
 
+    /// Sends the group's reply to the caller whose call it answers.
     pub(super) fn answer_caller(&mut self, connection: ConnectionId, reply: HostReply<Reply>) {
         let answer = match reply {
             HostReply::Reply(reply) => ControlAnswer::Reply(reply),
@@ -175,6 +178,7 @@
         self.answer(connection, &answer);
     }
 
+    /// Returns a redirect to the leader, or `Unavailable` when no leader can be reached.
     fn redirect(&self, connection: ConnectionId, leader: Option<ReplicaId>) -> ControlAnswer {
         let leader = leader
             .or_else(|| self.known_leader().map(|known| known.leader))
@@ -190,6 +194,7 @@
         }
     }
 
+    /// Sends an answer on a caller's connection, then closes it or reads the next request.
     pub(super) fn answer(&mut self, connection: ConnectionId, answer: &HttpAnswer) {
         let now = self.clock.now();
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
@@ -205,24 +210,25 @@
             self.roles.remove(&connection);
             return;
         }
-        // Another request may have arrived meanwhile.
+        // Another request may have arrived while this one was handled.
         self.on_control_input(now, connection);
     }
 
+    /// Closes connections of callers that were idle for longer than [`CALLER_IDLE_TIMEOUT`].
     pub(super) fn close_idle_callers(&mut self, now: Instant) {
         let idle: Vec<ConnectionId> = self
             .roles
             .iter()
             .filter(|(_, role)| match role {
                 Role::Control(control) => {
-                    control.waiting.is_none() && now.since(control.used) > CALLER_IDLE
+                    control.waiting.is_none() && now.since(control.used) > CALLER_IDLE_TIMEOUT
                 }
                 _ => false,
             })
             .map(|(connection, _)| *connection)
             .collect();
         for connection in idle {
-            self.on_ended(now, connection);
+            self.close_connection(now, connection);
         }
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/process/connections.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/connections.rs
@@ -1,4 +1,4 @@
-//! What the events of each connection mean, by its role.
+//! Dispatches socket events by the role of their connection.
 
 use super::{Coordinator, Link, Role};
 use crate::control::ControlConnection;
@@ -6,7 +6,7 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
-    /// Something has happened on a socket.
+    /// Handles one event of the reactor.
     pub(super) fn on_net_event(&mut self, now: Instant, event: NetEvent) {
         match event {
             NetEvent::Accepted {
@@ -20,7 +20,7 @@
             NetEvent::Received(connection) => self.on_received(now, connection),
             NetEvent::EndOfInput(connection) => self.on_end_of_input(now, connection),
             NetEvent::Broken(connection) | NetEvent::Refused(connection) => {
-                self.on_ended(now, connection);
+                self.close_connection(now, connection);
             }
         }
     }
@@ -38,31 +38,31 @@
         }
     }
 
-    /// A connection has ended, or is to end at once.
-    pub(super) fn on_ended(&mut self, now: Instant, connection: ConnectionId) {
+    /// Closes a connection that has ended or is to end, and drops all that refers to it.
+    pub(super) fn close_connection(&mut self, now: Instant, connection: ConnectionId) {
         if self.calls.owns(connection) {
             let event = self.calls.on_ended(&mut self.reactor, connection);
             return self.take_call_events(event);
         }
         self.reactor.close(connection);
-        self.forget(now, connection);
+        self.remove_connection(now, connection);
     }
 
-    /// Ends what a link or a dialled connection was for.
-    pub(super) fn forget(&mut self, now: Instant, connection: ConnectionId) {
+    /// Removes a connection's role, and marks its gateway or coordinator as disconnected.
+    pub(super) fn remove_connection(&mut self, now: Instant, connection: ConnectionId) {
         self.view_feed.leave(connection);
         match self.roles.remove(&connection) {
             Some(Role::Link(Link {
                 gateway: Some(gateway),
                 ..
-            })) => self.on_gateway_ended(now, gateway, connection),
+            })) => self.on_gateway_disconnected(now, gateway, connection),
             Some(Role::Dialed(address)) => self.dials.ended(now, address),
             _ => {}
         }
-        self.on_coordinator_ended(now, connection);
+        self.on_coordinator_disconnected(now, connection);
     }
 
-    /// The role of a connection that was accepted.
+    /// Returns the role of an accepted connection, by its listener.
     fn accepted_role(&self, now: Instant, listener: ListenerId) -> Role {
         if listener == self.listeners.internal {
             Role::Link(Link::default())
@@ -73,13 +73,14 @@
         }
     }
 
-    /// The peer will send no more. A caller that has ended its side still waits for its answer.
+    /// Handles the end of a peer's input. A caller that shut down its side of the connection may
+    /// still wait for an answer, so its connection is closed only after the answer.
     fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
         match self.roles.get_mut(&connection) {
             Some(Role::Control(control)) if control.waiting.is_some() => {
                 control.close_after = true;
             }
-            _ => self.on_ended(now, connection),
+            _ => self.close_connection(now, connection),
         }
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
@@ -1,6 +1,6 @@
-//! Other coordinators: introductions, connections to them, and what is sent to them.
+//! Other coordinators: hello messages, connections to them, and frames sent to them.
 
-use super::{Coordinator, LINK_LIMIT, Role};
+use super::{Coordinator, LINK_UNACKNOWLEDGED_LIMIT, Role};
 use crate::dials::DialStep;
 use crate::membership::members;
 use slog::info;
@@ -13,16 +13,17 @@
 use wingshore_types::{Instant, ReplicaId};
 
 impl Coordinator {
-    /// A connection that was made to another coordinator is up.
+    /// Sends a hello on an outgoing connection that has been established.
     pub(super) fn on_connected(&mut self, connection: ConnectionId) {
         let Some(Role::Dialed(address)) = self.roles.get(&connection) else {
             return;
         };
         self.dials.connected(*address);
-        self.introduce(connection);
+        self.send_hello(connection);
     }
 
-    pub(super) fn introduce(&mut self, connection: ConnectionId) {
+    /// Sends a hello, which introduces this coordinator to the peer of a connection.
+    pub(super) fn send_hello(&mut self, connection: ConnectionId) {
         let hello = CoordinatorHello {
             id: self.folder.identity().replica,
             node: self.settings.node.clone(),
@@ -38,6 +39,8 @@
         self.send_frame(connection, &with_own_formats(&frame));
     }
 
+    /// Handles a coordinator's hello; answers the first one on an accepted link with a hello of its
+    /// own.
     pub(super) fn on_coordinator_hello(
         &mut self,
         now: Instant,
@@ -52,7 +55,7 @@
             && link.coordinator.is_none()
         {
             link.coordinator = Some(hello.id);
-            self.introduce(connection);
+            self.send_hello(connection);
         }
         let window = self.settings.order_handover();
         let node = hello.node.clone();
@@ -62,9 +65,9 @@
         }
     }
 
-    /// A connection has ended that may have led to a coordinator.
-    pub(super) fn on_coordinator_ended(&mut self, now: Instant, connection: ConnectionId) {
-        let led_to_coordinator = self.peers.at(connection).is_some();
+    /// Handles the end of a connection, in case its peer was a coordinator.
+    pub(super) fn on_coordinator_disconnected(&mut self, now: Instant, connection: ConnectionId) {
+        let was_coordinator = self.peers.at(connection).is_some();
         let lost = self.peers.disconnected(now, connection);
         for peer in &lost {
             info!(self.logger, "coordinator lost"; "member" => peer.member.0);
@@ -74,28 +77,29 @@
             let event = Event::CoordinatorsLost(nodes);
             self.inputs.push(HostInput::Event(event));
         }
-        if led_to_coordinator {
+        if was_coordinator {
             self.answer_lost_heartbeats(connection);
         }
     }
 
-    /// Introduces this coordinator again to all others, and sends gateways an `Alive` message.
-    pub(super) fn introduce_to_all(&mut self) {
+    /// Sends a hello to all other coordinators and an `Alive` message to all gateways.
+    pub(super) fn send_periodic_hellos(&mut self) {
         let others: Vec<ReplicaId> = self.peers.ids().collect();
         let links = others.into_iter().filter_map(|other| self.route_to(other));
         let links: Vec<ConnectionId> = links.collect();
         for connection in links {
-            self.introduce(connection);
+            self.send_hello(connection);
         }
         self.send_alive();
     }
 
-    /// A connection that leads to a coordinator.
+    /// Returns an open connection to a coordinator.
     pub(super) fn route_to(&self, to: ReplicaId) -> Option<ConnectionId> {
         let is_open = |connection| self.reactor.is_open(connection);
         self.peers.route_to(to, is_open)
     }
 
+    /// Sends a consensus message; drops it when there is no connection to its recipient.
     pub(super) fn send_consensus(&mut self, to: ReplicaId, message: Vec<u8>) {
         let Some(connection) = self.route_to(to) else {
             return;
@@ -104,14 +108,15 @@
         self.send_frame(connection, &frame);
     }
 
-    /// Whether this coordinator is a member of the group, rather than one on standby.
+    /// Whether this coordinator is a member of the group rather than on standby.
     pub(super) fn is_member(&self) -> bool {
         let own = self.folder.identity().replica;
         members(self.host.membership()).any(|member| member.id == own)
     }
 
-    /// Whom this coordinator knows to lead: by the log, or by what others say where it is on standby or
-    /// was removed from the group without learning of it.
+    /// Returns the leader that this coordinator knows: from consensus, or else from the hellos of
+    /// other coordinators, when this one is on standby or was removed from the group without
+    /// learning of it.
     pub(super) fn known_leader(&self) -> Option<KnownLeader> {
         if let Some(leader) = self.host.leader() {
             let term = self.host.term();
@@ -120,7 +125,7 @@
         self.peers.reported_leader(self.clock.now())
     }
 
-    /// Where members and coordinators on standby listen for the site's own processes.
+    /// Returns the internal addresses of the members and of coordinators on standby.
     pub(super) fn coordinator_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = self.member_addresses();
         addresses.extend(self.peers.fresh_addresses(self.clock.now()));
@@ -129,17 +134,18 @@
         addresses
     }
 
-    /// Where the members listen for the site's own processes.
+    /// Returns the internal addresses of the members.
     fn member_addresses(&self) -> Vec<SocketAddr> {
         let members = members(self.host.membership());
         members.map(|member| member.address).collect()
     }
 
-    /// Connects to all members and seeds there is no connection to.
+    /// Connects to all members and seeds that it has no connection to, and closes outgoing
+    /// connections to other addresses.
     pub(super) fn dial_members(&mut self, now: Instant) {
         let wanted = self.addresses_to_dial();
         for connection in self.dials.forget_others(&wanted) {
-            self.on_ended(now, connection);
+            self.close_connection(now, connection);
         }
         for address in wanted {
             self.dial(now, address);
@@ -150,7 +156,7 @@
         let own = self.settings.internal_address();
         let mut wanted = self.member_addresses();
         if !wanted.contains(&own) {
-            // The leader must hear of this one before it can be a member.
+            // The leader can add this coordinator as a member only after it received its hello.
             wanted.extend(self.peers.member_addresses());
         }
         wanted.extend(self.settings.seed_addresses());
@@ -163,10 +169,10 @@
     fn dial(&mut self, now: Instant, address: SocketAddr) {
         match self.dials.next_step(now, address) {
             DialStep::Wait => {}
-            DialStep::Abandon(connection) => self.on_ended(now, connection),
+            DialStep::Abandon(connection) => self.close_connection(now, connection),
             DialStep::Connect => {
                 let options = ConnectOptions {
-                    unacknowledged_limit: LINK_LIMIT,
+                    unacknowledged_limit: LINK_UNACKNOWLEDGED_LIMIT,
                 };
                 let connection = self.reactor.connect(address, options);
                 if let Some(connection) = connection {
--- a/crates/gateways/wingshore-coordinator/src/process/copy_readers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/copy_readers.rs
@@ -1,17 +1,17 @@
-//! Gateways that read results from the copy of the state here.
+//! Gateways that read results from this member's copy of the state.
 
 use wingshore_coordination::JobId;
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// A gateway that reads, and waits for a result.
+/// A gateway's pending read of the results of a job.
 pub(super) struct CopyReader {
     pub(super) connection: ConnectionId,
-    /// Number of its call, which the answer carries.
+    /// Number of the gateway's call, which the answer repeats.
     pub(super) id: u64,
     pub(super) job: JobId,
-    /// The first position that it asks for.
+    /// Position of the first result to return.
     pub(super) from: u64,
-    /// When it is answered at the latest, with or without a result.
-    pub(super) until: Instant,
+    /// When the read is answered even without a result.
+    pub(super) deadline: Instant,
 }
--- a/crates/gateways/wingshore-coordinator/src/process/disk.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/disk.rs
@@ -1,4 +1,4 @@
-//! What a coordinator has on its disk, opened at the start.
+//! Opens a coordinator's storage at the start of the process.
 
 use crate::error::{CoordinatorError, StorageSnafu};
 use crate::identity;
@@ -15,7 +15,7 @@
 use wingshore_types::GroupId;
 use wingshore_types::log::RecoveredLog;
 
-/// The parts of an open data folder.
+/// An open data folder and the stores in it.
 pub(super) struct OpenedDisk {
     pub(super) folder: DataFolder,
     pub(super) store: PatientStore,
@@ -24,10 +24,10 @@
     pub(super) spool: FileSpool,
 }
 
-/// Opens the data folder; waits while the disk is full.
+/// Opens the data folder and its stores; waits while the disk is full.
 ///
 /// # Errors
-/// When the disk fails, or something that was durable is damaged.
+/// When an operation on the disk fails, or durable data is damaged.
 pub(super) fn open(
     settings: &CoordinatorSettings,
     logger: &Logger,
@@ -58,7 +58,8 @@
     })
 }
 
-/// What a start has to hold at once: the state of the snapshot, and all of the log behind it.
+/// Logs the size of the snapshot and of the log after it, which a start holds in memory at the same
+/// time.
 fn log_recovered(logger: &Logger, recovered: &RecoveredLog) {
     let snapshot = recovered.snapshot.as_ref();
     let records = recovered.records.iter();
--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -1,5 +1,5 @@
-//! What only the holder of orders does outside the group: calls to engines and to the provider, under
-//! the lease; and the time of day that its reports go by.
+//! Calls to engines and to the provider, which only the leader makes and only under its lease, and
+//! the agreed wall-clock time that its usage reports use.
 
 use super::Coordinator;
 use slog::info;
@@ -10,8 +10,8 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
-    /// Orders and calls to the provider that could still leave after the lease are not to: another
-    /// machine may count on that.
+    /// Cancels orders and calls to the provider that could still be sent after the lease has
+    /// expired: a new leader may rely on their not being sent.
     pub(super) fn drop_orders_without_lease(&mut self) {
         if self.host.holds_lease(self.clock.now()) {
             return;
@@ -20,7 +20,7 @@
         self.take_call_events(events);
     }
 
-    /// Engines or the provider have answered, or have not.
+    /// Logs the outcomes of calls to engines and to the provider, and passes them to the host.
     pub(super) fn take_call_events(&mut self, events: impl IntoIterator<Item = Event>) {
         for event in events {
             match &event {
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Tells the leader machine the time of day that the site agrees on.
-    pub(super) fn agree_on_time(&mut self, now: Instant) {
+    /// Records this machine's wall-clock time and, on the leader, passes the agreed time to its
+    /// state machine.
+    pub(super) fn update_agreed_time(&mut self, now: Instant) {
         let own = self.folder.identity().replica;
         self.site_clock.record(now, own, wall_time());
         if self.host.is_leader()
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Orders an engine to load weights, unless the lease is over by now.
+    /// Orders an engine to load weights, unless the lease has expired.
     pub(super) fn order_load(&mut self, now: Instant, order: &WeightOrder) -> Option<Event> {
         if !self.host.holds_lease(self.clock.now()) {
             info!(self.logger, "order not given"; "engine" => %order.instance,
@@ -74,7 +75,8 @@
         self.calls.order(now, &mut self.reactor, order)
     }
 
-    /// Reports usage, unless the lease is over by now: another machine may count on that.
+    /// Reports usage to the provider, unless the lease has expired: a new leader may rely on no
+    /// report being sent after that.
     pub(super) fn report_usage(&mut self, now: Instant, report: &UsageReport) -> Option<Event> {
         let UsageReport { window, holder, .. } = report;
         if !self.host.holds_lease(self.clock.now()) {
@@ -87,7 +89,7 @@
         self.calls.report_usage(now, &mut self.reactor, report)
     }
 
-    /// Orders servers, unless the lease is over by now.
+    /// Orders servers from the provider, unless the lease has expired.
     pub(super) fn order_capacity(&mut self, now: Instant, order: &CapacityOrder) -> Option<Event> {
         let CapacityOrder {
             pool,
@@ -109,7 +111,7 @@
     }
 }
 
-/// This machine's time of day.
+/// Returns this machine's wall-clock time.
 pub(super) fn wall_time() -> WallTime {
     WallTime(wingshore_clock::wall_ms())
 }
--- a/crates/gateways/wingshore-coordinator/src/process/formats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/formats.rs
@@ -1,5 +1,5 @@
-//! Peers that introduce themselves: whether there is a format that both sides speak, and the refusal
-//! of those without.
+//! Negotiation of the message format with peers that introduce themselves, and refusal of peers
+//! without a common format.
 
 use super::{Coordinator, Role};
 use slog::warn;
@@ -9,9 +9,9 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
-    /// Whether a peer can be spoken with; `rest` is what came after its hello. One that cannot is
-    /// counted, and named where that is news.
-    pub(super) fn speaks_with(&mut self, peer: SocketAddr, rest: &[u8]) -> bool {
+    /// Returns whether a peer shares a message format with this build; `rest` holds the bytes after
+    /// its hello message. A peer that shares none is counted, and logged unless it already was.
+    pub(super) fn shares_format(&mut self, peer: SocketAddr, rest: &[u8]) -> bool {
         let Err(refusal) = self.refused_peers.negotiate(peer, rest) else {
             return true;
         };
@@ -24,26 +24,26 @@
         false
     }
 
-    /// Ends the link of a gateway that cannot be spoken with, and tells it which formats are spoken
-    /// here.
+    /// Closes the link of a gateway without a common format, after sending it the formats of this
+    /// build.
     pub(super) fn refuse_gateway(&mut self, now: Instant, connection: ConnectionId) {
         let alive = self.alive_message(None);
         self.send_frame(connection, &with_own_formats(&alive));
         self.close_refused(now, connection);
     }
 
-    /// Ends the link of a coordinator that cannot be spoken with. One that dialled does not know yet
-    /// which formats are spoken here.
+    /// Closes the link of a coordinator without a common format. If the coordinator opened the
+    /// connection, it is first sent a hello, since it does not know the formats of this build yet.
     pub(super) fn refuse_coordinator(&mut self, now: Instant, connection: ConnectionId) {
         if let Some(Role::Link(_)) = self.roles.get(&connection) {
-            self.introduce(connection);
+            self.send_hello(connection);
         }
         self.close_refused(now, connection);
     }
 
-    /// What still comes on the connection concerns nobody.
+    /// Closes a refused connection once its output is sent; further input on it is ignored.
     fn close_refused(&mut self, now: Instant, connection: ConnectionId) {
         self.reactor.close_when_flushed(connection);
-        self.forget(now, connection);
+        self.remove_connection(now, connection);
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -1,6 +1,7 @@
-//! Gateways that are connected here: their introductions, their reports, and `Alive` messages to them.
+//! Gateways that are connected to this coordinator: their hellos, their reports, and `Alive`
+//! messages to them.
 
-use super::{Coordinator, Role, Waiting};
+use super::{Coordinator, ReplyTarget, Role};
 use slog::info;
 use std::net::SocketAddr;
 use wingshore_coordination::{
@@ -11,6 +12,7 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
+    /// Registers a gateway; a new connection of a registered gateway replaces its earlier one.
     pub(super) fn on_gateway_hello(
         &mut self,
         now: Instant,
@@ -23,10 +25,10 @@
         info!(self.logger, "gateway connected"; "gateway" => hello.gateway.0,
             "node" => &hello.node, "zone" => &hello.zone);
         let event = Event::GatewayConnected(hello.clone());
-        if let Some(before) = self.directory.connected(now, hello, connection) {
-            self.reactor.close(before);
-            self.view_feed.leave(before);
-            self.roles.remove(&before);
+        if let Some(replaced) = self.directory.connected(now, hello, connection) {
+            self.reactor.close(replaced);
+            self.view_feed.leave(replaced);
+            self.roles.remove(&replaced);
         }
         let coordinators = self.coordinator_addresses();
         let alive = self.alive_message(Some(coordinators));
@@ -34,6 +36,7 @@
         self.inputs.push(HostInput::Event(event));
     }
 
+    /// Handles a message of a connected gateway.
     pub(super) fn on_gateway_message(
         &mut self,
         now: Instant,
@@ -51,22 +54,22 @@
                 wait,
             } => self.read_copy(now, connection, (id, job, from, wait)),
             GatewayMessage::Call { id, request } => {
-                self.ask_group(request, Waiting::Gateway(connection, id));
+                self.submit(request, ReplyTarget::Gateway(connection, id));
             }
             report => {
                 if let GatewayMessage::Status(status) = &report {
                     self.directory.heard(now, gateway, *status);
                 }
-                self.count_ends(&report);
-                if let Some(event) = event_of(gateway, report) {
+                self.count_outcomes(&report);
+                if let Some(event) = leader_event(gateway, report) {
                     self.inputs.push(HostInput::Event(event));
                 }
             }
         }
     }
 
-    /// Counts attempts and scorings that a gateway reports the end of.
-    fn count_ends(&self, report: &GatewayMessage) {
+    /// Counts the outcomes of attempts and scorings that a gateway reports as ended.
+    fn count_outcomes(&self, report: &GatewayMessage) {
         match report {
             GatewayMessage::ItemEnded { outcome, .. } => self.metrics.attempt_ended(outcome.name()),
             GatewayMessage::ScoringEnded { outcome, .. } => {
@@ -76,16 +79,18 @@
         }
     }
 
-    /// Sends all gateways an `Alive` message. Addresses are in it only when they have changed: at a
-    /// large site they would be most of what crosses between zones at rest.
+    /// Sends all gateways an `Alive` message. It holds the coordinators' addresses only when they
+    /// have changed: at a large idle site they would be most of the traffic between zones.
     pub(super) fn send_alive(&mut self) {
         let coordinators = self.coordinator_addresses();
-        let is_news = coordinators != self.announced_coordinators;
-        let alive = self.alive_message(is_news.then(|| coordinators.clone()));
+        let has_changed = coordinators != self.announced_coordinators;
+        let alive = self.alive_message(has_changed.then(|| coordinators.clone()));
         self.announced_coordinators = coordinators;
         self.send_to_all_gateways(&alive);
     }
 
+    /// Returns an `Alive` message, which states up to which index this member's copy of the state
+    /// is applied, if it has a copy and knows a leader.
     pub(super) fn alive_message(
         &self,
         coordinators: Option<Vec<SocketAddr>>,
@@ -99,8 +104,8 @@
         }
     }
 
-    /// The connection of a gateway has ended.
-    pub(super) fn on_gateway_ended(
+    /// Handles the end of a gateway's connection.
+    pub(super) fn on_gateway_disconnected(
         &mut self,
         now: Instant,
         gateway: GatewayId,
@@ -116,8 +121,9 @@
     }
 }
 
-/// What a report of a gateway means to the leader; `None` for calls, which are no reports.
-fn event_of(gateway: GatewayId, report: GatewayMessage) -> Option<Event> {
+/// Converts a gateway's report to an event for the leader; `None` for messages that are not
+/// reports.
+fn leader_event(gateway: GatewayId, report: GatewayMessage) -> Option<Event> {
     let event = match report {
         GatewayMessage::Status(status) => Event::GatewayStatus(gateway, status),
         GatewayMessage::Running { items, scorings } => Event::GatewayRunning {
--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -1,7 +1,7 @@
-//! The group's host: calls to it, what it wants done, and its answers on their way to whoever asked.
+//! The group's host: requests to it, its outputs, and the delivery of its replies.
 
 use super::pending::PendingCall;
-use super::{Coordinator, Waiting};
+use super::{Coordinator, ReplyTarget};
 use crate::decision_log;
 use crate::error::{CoordinatorError, GroupSnafu};
 use slog::info;
@@ -17,29 +17,29 @@
 use wingshore_types::protocol::membership::MembershipReply;
 
 impl Coordinator {
-    /// Asks the group something; the answer goes to whoever waits.
-    pub(super) fn ask_group(&mut self, request: Request, waiting: Waiting) {
+    /// Submits a request to the group; its reply goes to `reply_target`.
+    pub(super) fn submit(&mut self, request: Request, reply_target: ReplyTarget) {
         let subject = request.is_answer_logged().then(|| request.subject());
-        let tag = self.tag(waiting, request.kind(), subject);
+        let tag = self.register_call(reply_target, request.kind(), subject);
         self.inputs.push(HostInput::Request { tag, request });
     }
 
-    /// Notes who waits for a call.
-    pub(super) fn tag(
+    /// Registers a call and the target of its reply; returns the call's tag.
+    pub(super) fn register_call(
         &mut self,
-        waiting: Waiting,
-        call: &'static str,
+        reply_target: ReplyTarget,
+        kind: &'static str,
         subject: Option<String>,
     ) -> RequestTag {
         self.pending.add(PendingCall {
-            waiting,
-            call,
+            reply_target,
+            kind,
             subject,
-            since: self.clock.now(),
+            started_at: self.clock.now(),
         })
     }
 
-    /// Steps the group once with all inputs that have gathered, and carries out what it wants.
+    /// Steps the group once with all collected inputs, and carries out its outputs.
     pub(super) fn step_host(
         &mut self,
         now: Instant,
@@ -51,12 +51,12 @@
         }
         self.host.step_all(now, inputs, outputs);
         for output in outputs.drain(..) {
-            self.carry_out(now, output)?;
+            self.handle_output(now, output)?;
         }
         Ok(())
     }
 
-    fn carry_out(
+    fn handle_output(
         &mut self,
         now: Instant,
         output: HostOutput<CoordinationLeader>,
@@ -71,15 +71,16 @@
                 self.dial_members(now);
             }
             HostOutput::Leadership(leadership) => self.on_leadership(now, leadership),
-            HostOutput::Stopped => self.stop.is_over = true,
+            HostOutput::Stopped => self.stop.is_done = true,
             HostOutput::Failed(source) => return Err(source).context(GroupSnafu),
         }
         Ok(())
     }
 
-    /// Leads from now on, or follows: a leader is told what this machine knows of the site.
+    /// Handles a change of leadership. A new leader gets the lost coordinators and connected
+    /// gateways that this process knows.
     fn on_leadership(&mut self, now: Instant, leadership: Leadership) {
-        self.members.is_changing = false;
+        self.members.is_change_pending = false;
         match leadership {
             Leadership::Leading { epoch } => {
                 info!(self.logger, "leading"; "node" => &self.settings.node, "epoch" => epoch.0);
@@ -98,7 +99,7 @@
                     "leader" => leader.map(|leader| leader.0));
             }
         }
-        // Gateways need a copy of the view that knows its leader.
+        // Gateways follow the view only at a coordinator whose copy has a known leader.
         self.send_alive();
     }
 
@@ -132,7 +133,7 @@
         self.take_call_events(event);
     }
 
-    /// Voters that there is a connection to, and this one.
+    /// Counts the voters that this coordinator has a connection to, and itself if it is a voter.
     fn reachable_voters(&self) -> usize {
         let voters = self.host.membership().voters.iter();
         let own = self.folder.identity().replica;
@@ -155,20 +156,20 @@
         let Some(pending) = self.pending.take(tag) else {
             return;
         };
-        let time = self.clock.now().since(pending.since);
+        let time = self.clock.now().since(pending.started_at);
         let outcome = outcome_name(&reply);
-        self.metrics.call_ended(pending.call, outcome, time);
+        self.metrics.call_ended(pending.kind, outcome, time);
         if let Some(subject) = pending.subject {
             let leader = self.host.leader().map(|leader| leader.0);
-            info!(self.logger, "call answered"; "call" => pending.call, "subject" => subject,
+            info!(self.logger, "call answered"; "call" => pending.kind, "subject" => subject,
                 "outcome" => outcome, "after_ms" => time.as_millis() as u64,
                 "term" => self.host.term(), "leader" => leader,
                 "members_in_touch" => self.reachable_voters(),
                 "voters" => self.host.membership().voters.len());
         }
-        match pending.waiting {
-            Waiting::Caller(connection) => self.answer_caller(connection, reply),
-            Waiting::Gateway(connection, id) => {
+        match pending.reply_target {
+            ReplyTarget::Caller(connection) => self.answer_caller(connection, reply),
+            ReplyTarget::Gateway(connection, id) => {
                 let reply = match reply {
                     HostReply::Reply(reply) => CallReply::Reply(reply),
                     HostReply::NotLeader { .. } => CallReply::NotLeader,
@@ -176,7 +177,7 @@
                 };
                 self.send_frame(connection, &CoordinatorMessage::Reply { id, reply });
             }
-            Waiting::Coordinator(connection, id) => {
+            ReplyTarget::Coordinator(connection, id) => {
                 let answer = match reply {
                     HostReply::Reply(Reply::Done) => HeartbeatAnswer::Durable,
                     HostReply::Reply(Reply::Refused(reason)) => HeartbeatAnswer::Refused(reason),
@@ -185,17 +186,18 @@
                 let reply = CoordinatorFrame::HeartbeatReply { id, answer };
                 self.send_frame(connection, &IncomingFrame::Coordinator(reply));
             }
-            Waiting::Planner => {
-                self.members.is_changing = false;
+            ReplyTarget::Planner => {
+                self.members.is_change_pending = false;
                 if let HostReply::Membership(MembershipReply::Refused { message }) = reply {
                     info!(self.logger, "member change refused"; "reason" => message);
                 }
             }
-            Waiting::Nobody => {}
+            ReplyTarget::Nobody => {}
         }
     }
 }
 
+/// Name of a reply's outcome in logs and metrics.
 fn outcome_name(reply: &HostReply<Reply>) -> &'static str {
     match reply {
         HostReply::Reply(Reply::Unknown) => "nothing_there",
--- a/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of servers at a coordinator that does not lead.
+//! Heartbeats of servers that arrive at a coordinator other than the leader.
 
 use super::Coordinator;
 use crate::forwarded_heartbeats::{ForwardStep, LeaderRoute};
@@ -9,8 +9,8 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
-    /// Acknowledges a heartbeat that says nothing new; forwards any other one to the leader, unless the
-    /// same is under way.
+    /// Acknowledges a heartbeat that contains no change. Forwards any other to the leader, unless
+    /// the same heartbeat was already forwarded and is not answered yet.
     pub(super) fn forward_heartbeat(
         &mut self,
         now: Instant,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The leader has answered a heartbeat that was forwarded.
+    /// Handles the leader's answer to a forwarded heartbeat.
     pub(super) fn on_heartbeat_reply(&mut self, now: Instant, id: u64, answer: HeartbeatAnswer) {
         let Some(forwarded) = self.forwarded.answered(id) else {
             return;
@@ -52,20 +52,20 @@
         self.answer_heartbeats(&forwarded.callers, &answer);
     }
 
-    /// Answers heartbeats that the leader has not acknowledged in time.
+    /// Answers forwarded heartbeats that the leader has not answered in time.
     pub(super) fn answer_late_heartbeats(&mut self, now: Instant) {
         let late = self.forwarded.take_late(now);
         self.answer_heartbeats(&late, &ControlAnswer::Unavailable);
     }
 
-    /// Answers heartbeats that were forwarded over a link that has ended.
+    /// Answers heartbeats that were forwarded over a link that was closed.
     pub(super) fn answer_lost_heartbeats(&mut self, link: ConnectionId) {
         let lost = self.forwarded.link_ended(link);
         self.answer_heartbeats(&lost, &ControlAnswer::Unavailable);
     }
 
-    /// Reports to the leader which servers were heard of here.
-    pub(super) fn report_heard(&mut self, now: Instant) {
+    /// Reports to the leader the servers whose unchanged heartbeats were acknowledged here.
+    pub(super) fn report_unchanged_servers(&mut self, now: Instant) {
         let Some(LeaderRoute { link, .. }) = self.leader_route() else {
             return;
         };
--- a/crates/gateways/wingshore-coordinator/src/process/host.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/host.rs
@@ -1,4 +1,4 @@
-//! The group's host, as the settings want it.
+//! Creation of the group's host from the settings.
 
 use crate::error::{CoordinatorError, GroupSnafu};
 use crate::settings::CoordinatorSettings;
@@ -16,24 +16,25 @@
 use wingshore_types::configuration::Permille;
 use wingshore_types::log::RecoveredLog;
 
-/// Time between a leader's heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// Silence after which a member campaigns: six heartbeats.
+/// Interval at which a leader sends heartbeats to the other members.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest time without a message of the leader after which a member starts an election: six
+/// heartbeat intervals.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(600);
-/// Length of the leader's lease, before the margin for drift: shorter than the election timeout, so
-/// that it is over before another member can lead.
-const LEASE: Duration = Duration::from_millis(550);
-/// Time from an order to load weights to the first question how it went: what an engine takes to
-/// load.
-const LOAD_TIME: Duration = Duration::from_millis(920);
-/// Election timeouts differ by up to this part of the shortest one, so that members seldom campaign at
-/// once.
-const ELECTION_SPREAD_PART: u32 = 2;
-/// The most by which any clock runs fast or slow, in thousandths: far above what clocks of machines
-/// drift.
-const CLOCK_DRIFT: Permille = Permille(20);
+/// Duration of the leader's lease, before the margin for clock drift: shorter than the election
+/// timeout, so that the lease expires before another member can become the leader.
+const LEASE_DURATION: Duration = Duration::from_millis(550);
+/// Delay from an order to load weights to the first poll of its progress: the time that an engine
+/// takes to load.
+const EXPECTED_LOAD_TIME: Duration = Duration::from_millis(920);
+/// Divisor of the election timeout that gives the range of its random extension, which makes
+/// simultaneous candidacies rare.
+const ELECTION_SPREAD_DIVISOR: u32 = 2;
+/// Upper bound on how much any clock runs fast or slow, in thousandths: far above the actual drift
+/// of machine clocks.
+const MAX_CLOCK_DRIFT: Permille = Permille(20);
 
-/// Opens the host with what the disk held.
+/// Creates the host from the log and snapshot that were recovered from disk.
 pub(super) fn open(
     settings: &CoordinatorSettings,
     folder: &DataFolder,
@@ -46,10 +47,10 @@
     let config = HostConfig {
         timing: Timing {
             election_timeout: ELECTION_TIMEOUT,
-            election_spread: ELECTION_TIMEOUT / ELECTION_SPREAD_PART,
-            heartbeat_interval: HEARTBEAT,
-            lease: LEASE,
-            drift: CLOCK_DRIFT,
+            election_spread: ELECTION_TIMEOUT / ELECTION_SPREAD_DIVISOR,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            lease: LEASE_DURATION,
+            drift: MAX_CLOCK_DRIFT,
         },
         snapshot_every_bytes: settings.memory.log_between_snapshots(),
         max_log_bytes: settings.memory.log_between_snapshots(),
@@ -66,7 +67,7 @@
         server_expiry: settings.server_expiry(),
         order_handover: settings.order_handover(),
         engines_check_fences: settings.engines_check_fences,
-        load_time: LOAD_TIME,
+        load_time: EXPECTED_LOAD_TIME,
         usage: settings
             .provider
             .as_ref()
--- a/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a coordinator does by time: introductions, connections, time-outs, members, reload and stop.
+//! Periodic work of a coordinator: hellos, connections, timeouts, membership, reload and stop.
 
 use super::Coordinator;
 use slog::{info, warn};
@@ -6,24 +6,24 @@
 use wingshore_group::HostInput;
 use wingshore_types::Instant;
 
-/// Between introductions on a link, and `Alive` messages to gateways; the limits of silence count
-/// in it.
+/// Interval of hellos on a link and of `Alive` messages to gateways. The timeouts for silent peers
+/// are chosen relative to it.
 const HELLO_INTERVAL: Duration = Duration::from_millis(300);
-/// Between checks for what has become due.
+/// Interval of the housekeeping checks.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
-/// A gateway that is silent for this long is disconnected, and what it ran is begun elsewhere: two
-/// and a half of the intervals in which it reports its status. While a gateway is cut off its items
-/// make no progress for this time; a step that waits for one of them is over as much later.
-const GATEWAY_SILENCE: Duration = Duration::from_millis(1000);
+/// Time without a status report after which a gateway is disconnected and its items are started
+/// elsewhere: two and a half intervals of its status reports. The items of an unreachable gateway
+/// make no progress for this time, which delays every step that waits for one of them by as much.
+const GATEWAY_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl Coordinator {
-    /// Does what is due by time: introductions, connections, time-outs, members, reload and stop.
+    /// Runs the periodic work that is due.
     pub(super) fn run_housekeeping(&mut self, now: Instant) {
         if now >= self.schedule.next_hello {
             self.schedule.next_hello = now + HELLO_INTERVAL;
-            self.introduce_to_all();
+            self.send_periodic_hellos();
             self.send_view_revision();
-            self.report_heard(now);
+            self.report_unchanged_servers(now);
         }
         if now < self.schedule.next_housekeeping {
             return;
@@ -32,10 +32,10 @@
         self.dial_members(now);
         let events = self.calls.expire(now, &mut self.reactor);
         self.take_call_events(events);
-        self.agree_on_time(now);
+        self.update_agreed_time(now);
         if self.schedule.silence_judge.silence_counts(now) {
-            for connection in self.directory.silent(now, GATEWAY_SILENCE) {
-                self.on_ended(now, connection);
+            for connection in self.directory.silent(now, GATEWAY_TIMEOUT) {
+                self.close_connection(now, connection);
             }
         }
         self.close_idle_callers(now);
@@ -44,11 +44,11 @@
         self.report_shortage(now);
         self.report_sent_states(now);
         self.reload();
-        self.begin_stop(now);
+        self.update_stop(now);
     }
 
-    /// Reads the seeds again where the settings have changed. Seeds that cannot be read leave
-    /// those before in force.
+    /// Reloads the seeds after a reload signal. If they cannot be read, the previous ones stay in
+    /// force.
     fn reload(&mut self) {
         if !self.signals.take_reload() {
             return;
@@ -62,17 +62,19 @@
         }
     }
 
-    fn begin_stop(&mut self, now: Instant) {
+    /// Starts a planned stop after a stop signal, and completes it when the time limit of the
+    /// settings has passed.
+    fn update_stop(&mut self, now: Instant) {
         if !self.signals.is_stopping() {
             return;
         }
-        match self.stop.since {
+        match self.stop.started_at {
             None => {
                 info!(self.logger, "planned stop"; "node" => &self.settings.node);
-                self.stop.since = Some(now);
+                self.stop.started_at = Some(now);
                 self.inputs.push(HostInput::Stop);
             }
-            Some(since) if now.since(since) >= self.settings.stop_limit => self.stop.is_over = true,
+            Some(start) if now.since(start) >= self.settings.stop_limit => self.stop.is_done = true,
             Some(_) => {}
         }
     }
--- a/crates/gateways/wingshore-coordinator/src/process/links.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/links.rs
@@ -1,6 +1,6 @@
-//! Frames on links of the site's own processes: decoded and handed to the part that they concern.
+//! Frames on links between the site's processes: decoding, dispatch and sending.
 
-use super::{Coordinator, Link, Role, Waiting};
+use super::{Coordinator, Link, ReplyTarget, Role};
 use slog::warn;
 use wingshore_coordination::{CoordinatorFrame, CoordinatorMessage, Event, IncomingFrame, Request};
 use wingshore_group::HostInput;
@@ -8,7 +8,7 @@
 use wingshore_types::Instant;
 
 impl Coordinator {
-    /// Takes all whole frames that have arrived on a link.
+    /// Handles all complete frames that have arrived on a link; closes the link at an invalid one.
     pub(super) fn on_link_input(&mut self, now: Instant, connection: ConnectionId) {
         loop {
             let Some(input) = self.reactor.input(connection) else {
@@ -19,13 +19,13 @@
                 Ok(None) => return,
                 Err(error) => {
                     warn!(self.logger, "link closed"; "error" => %error);
-                    return self.on_ended(now, connection);
+                    return self.close_connection(now, connection);
                 }
             }
         }
     }
 
-    /// Takes one frame. `rest` is what it holds after the message's end, as a newer sender adds it.
+    /// Handles one frame. `rest` holds the bytes after the message, which newer builds may append.
     fn on_frame(
         &mut self,
         now: Instant,
@@ -35,7 +35,7 @@
     ) {
         match frame {
             IncomingFrame::Gateway(hello) => {
-                if self.speaks_with(hello.front, rest) {
+                if self.shares_format(hello.front, rest) {
                     self.on_gateway_hello(now, connection, hello);
                 } else {
                     self.refuse_gateway(now, connection);
@@ -66,7 +66,7 @@
     ) {
         match frame {
             CoordinatorFrame::Hello(hello) => {
-                if self.speaks_with(hello.internal, rest) {
+                if self.shares_format(hello.internal, rest) {
                     self.on_coordinator_hello(now, connection, hello);
                 } else {
                     self.refuse_coordinator(now, connection);
@@ -80,8 +80,8 @@
             }
             CoordinatorFrame::UnknownServers(instances) => self.heartbeats.unknown(&instances),
             CoordinatorFrame::Heartbeat { id, heartbeat } => {
-                let waiting = Waiting::Coordinator(connection, id);
-                self.ask_group(Request::Heartbeat(heartbeat), waiting);
+                let reply_target = ReplyTarget::Coordinator(connection, id);
+                self.submit(Request::Heartbeat(heartbeat), reply_target);
             }
             CoordinatorFrame::HeartbeatReply { id, answer } => {
                 self.on_heartbeat_reply(now, id, answer);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Queues a frame for each gateway that is connected.
+    /// Queues a frame for each connected gateway.
     pub(super) fn send_to_all_gateways(&mut self, message: &CoordinatorMessage) {
         match frame::encode(message) {
             Ok(bytes) => {
--- a/crates/gateways/wingshore-coordinator/src/process/listeners.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/listeners.rs
@@ -1,4 +1,4 @@
-//! Where a coordinator listens.
+//! Listening sockets of a coordinator.
 
 use crate::error::{CoordinatorError, NetSnafu};
 use crate::settings::CoordinatorSettings;
@@ -6,17 +6,18 @@
 use std::time::Duration;
 use wingshore_net::{ListenerId, Reactor};
 
-/// Sent bytes may stay unacknowledged this long on links of the site.
-pub(super) const LINK_LIMIT: Duration = Duration::from_millis(1500);
-/// Sent bytes may stay unacknowledged this long on connections of callers.
-const CALLER_LIMIT: Duration = Duration::from_secs(5);
-/// Connections at a time at most.
+/// Longest time that sent bytes may stay unacknowledged on links between the site's processes.
+pub(super) const LINK_UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
+/// Longest time that sent bytes may stay unacknowledged on connections of callers.
+const CALLER_UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 6000;
+
 /// Listeners other than those of callers.
 pub(super) struct Listeners {
-    /// For the site's own processes.
+    /// Listener for the site's own processes.
     pub(super) internal: ListenerId,
-    /// For monitoring.
+    /// Listener for metrics, if the settings give its address.
     pub(super) metrics: Option<ListenerId>,
 }
 
@@ -31,17 +32,17 @@
                 .listen(address, limit, MAX_CONNECTIONS)
                 .context(NetSnafu)
         };
-        listen(reactor, settings.control, CALLER_LIMIT)?;
+        listen(reactor, settings.control, CALLER_UNACKNOWLEDGED_LIMIT)?;
         if let Some(address) = settings.directory {
-            listen(reactor, address, CALLER_LIMIT)?;
+            listen(reactor, address, CALLER_UNACKNOWLEDGED_LIMIT)?;
         }
         let internal = settings
             .internal_bind
             .unwrap_or_else(|| settings.internal_address());
-        let internal = listen(reactor, internal, LINK_LIMIT)?;
+        let internal = listen(reactor, internal, LINK_UNACKNOWLEDGED_LIMIT)?;
         let metrics = settings
             .metrics
-            .map(|address| listen(reactor, address, CALLER_LIMIT))
+            .map(|address| listen(reactor, address, CALLER_UNACKNOWLEDGED_LIMIT))
             .transpose()?;
         Ok(Self { internal, metrics })
     }
--- a/crates/gateways/wingshore-coordinator/src/process/member_changes.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/member_changes.rs
@@ -1,14 +1,14 @@
-//! The changes of members that the leader makes.
+//! State of the leader's membership changes.
 
 use crate::membership::{MembershipPlanner, Shortage};
 
-/// The changes of members that the leader makes.
+/// State of the leader's membership changes.
 #[derive(Default)]
 pub(super) struct MemberChanges {
-    /// Chooses the changes.
+    /// Decides which change is made next.
     pub(super) planner: MembershipPlanner,
-    /// Whether a change other than an addition was asked for and is not answered yet.
-    pub(super) is_changing: bool,
-    /// The shortage of coordinators that was logged last.
+    /// Whether a change other than an addition was requested and is not answered yet.
+    pub(super) is_change_pending: bool,
+    /// The shortage of coordinators that was last logged.
     pub(super) reported_shortage: Option<Shortage>,
 }
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -1,7 +1,7 @@
-//! Members of the group: changes that the leader asks for, and machines that are to be emptied.
-//! What is to be done is decided by [`MembershipPlanner`](crate::MembershipPlanner).
+//! Membership of the group: changes that the leader requests, and the retirement of machines.
+//! [`MembershipPlanner`](crate::MembershipPlanner) decides which changes are made.
 
-use super::{Coordinator, Waiting};
+use super::{Coordinator, ReplyTarget};
 use crate::membership::{MembershipView, Shortage, losses_borne_by, members};
 use crate::protocol::ControlAnswer;
 use crate::sent_states::SendingPhase;
@@ -14,18 +14,18 @@
 use wingshore_types::{Instant, ReplicaId};
 
 impl Coordinator {
-    /// Lets the leader change the members where that is needed.
+    /// On the leader, requests the next membership change that is needed.
     pub(super) fn plan_members(&mut self, now: Instant) {
         if !self.host.is_leader() {
             return;
         }
-        if !self.members.is_changing {
+        if !self.members.is_change_pending {
             self.describe_members();
         }
         let retired = self.retired_members();
         let view = self.membership_view(&retired);
         let planner = &self.members.planner;
-        let planned = if self.members.is_changing {
+        let planned = if self.members.is_change_pending {
             planner.plan_beside(now, &view)
         } else {
             planner.plan(now, &view)
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Says so where there are too few coordinators for the losses that the settings ask for; once
-    /// until it changes.
+    /// Logs when there are too few coordinators to tolerate the losses that the settings ask for,
+    /// and when there are enough again. The same shortage is logged once.
     pub(super) fn report_shortage(&mut self, now: Instant) {
         if !self.host.is_leader() || !self.members.planner.has_heard_all(now) {
             return;
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Says how far the sending of the state to members is that lack too much of the log.
+    /// Logs and counts the progress of sending the state to members that lag too far behind the
+    /// log.
     pub(super) fn report_sent_states(&mut self, now: Instant) {
         let sendings = self.host.snapshots_under_way();
         let look = self.sent_states.look(now, &sendings);
@@ -107,28 +108,29 @@
         retired.values().copied().collect()
     }
 
-    /// Notes the machines of coordinators that are not noted yet.
+    /// Records the nodes of coordinators in the group's state where it does not have them yet.
     fn describe_members(&mut self) {
         let own = (self.folder.identity().replica, self.settings.node.clone());
         let nodes = self.peers.nodes();
         let others = nodes.map(|(id, node)| (id, node.to_owned()));
         let known = self.host.state().member_nodes();
-        let news: Vec<(ReplicaId, String)> = others
+        let unrecorded: Vec<(ReplicaId, String)> = others
             .chain([own])
             .filter(|(id, node)| known.get(id) != Some(node))
             .collect();
-        for (member, node) in news {
+        for (member, node) in unrecorded {
             let request = Request::DescribeMember { member, node };
-            self.ask_group(request, Waiting::Nobody);
+            self.submit(request, ReplyTarget::Nobody);
         }
     }
 
-    /// A machine is to be emptied: answers at once, or once the group has noted it.
+    /// Handles a call to retire a machine: answers at once, or after the group has recorded the
+    /// retirement.
     pub(super) fn begin_retirement(&mut self, now: Instant, connection: ConnectionId, node: &str) {
         let retired = self.retired_members();
         let view = self.membership_view(&retired);
         let own = (view.own, self.settings.node.as_str());
-        let known = member_of(&self.host, own, node).or_else(|| self.peers.on_node(node));
+        let known = coordinator_on_node(&self.host, own, node).or_else(|| self.peers.on_node(node));
         let answer = match known {
             _ if !self.host.holds_lease(now) => ControlAnswer::Unavailable,
             None => ControlAnswer::NoSuchMachine,
@@ -140,13 +142,15 @@
                 info!(self.logger, "retirement"; "node" => node, "member" => member.0);
                 let node = node.to_owned();
                 let request = Request::RetireMember { member, node };
-                return self.ask_group(request, Waiting::Caller(connection));
+                return self.submit(request, ReplyTarget::Caller(connection));
             }
         };
         let answer = self.protocol.write(&answer);
         self.answer(connection, &answer);
     }
 
+    /// Returns whether the retirement of a machine is complete: its coordinator is not a member any
+    /// more, and the group tolerates a loss without it.
     pub(super) fn retirement_progress(&self, now: Instant, node: &str) -> ControlAnswer {
         if !self.host.holds_lease(now) {
             return ControlAnswer::Unavailable;
@@ -165,21 +169,22 @@
         }
     }
 
-    /// Asks for a change. No other one waits for an addition.
+    /// Requests a membership change. Further changes need not wait for the reply to an addition.
     fn request_change(&mut self, request: MembershipRequest) {
-        let waiting = if matches!(request, MembershipRequest::AddLearner(_)) {
-            Waiting::Nobody
+        let reply_target = if matches!(request, MembershipRequest::AddLearner(_)) {
+            ReplyTarget::Nobody
         } else {
-            self.members.is_changing = true;
-            Waiting::Planner
+            self.members.is_change_pending = true;
+            ReplyTarget::Planner
         };
-        let tag = self.tag(waiting, "change_members", None);
+        let tag = self.register_call(reply_target, "change_members", None);
         self.inputs.push(HostInput::Membership { tag, request });
     }
 }
 
-/// The coordinator on a machine: a member of the group, or one that has introduced itself.
-fn member_of(
+/// Returns the coordinator on a node: this one, a member of the group, or one whose retirement is
+/// recorded.
+fn coordinator_on_node(
     host: &Host<CoordinationLeader>,
     own: (ReplicaId, &str),
     node: &str,
--- a/crates/gateways/wingshore-coordinator/src/process/mod.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/mod.rs
@@ -1,8 +1,10 @@
-//! One coordinator process from start to end: the loop that owns sockets and the group's host.
+//! The event loop of a coordinator process, which owns its sockets and the host of its consensus
+//! group.
 //!
-//! Each turn takes what sockets and the disk bring, does what is due by time, steps the group once with
-//! all inputs, carries out what it wants, then sends what has changed. The parts of [`Coordinator`] keep
-//! their own state; the modules here wire them to sockets and to the group.
+//! Each iteration handles socket events and completed writes, runs the timers that are due, steps
+//! the group once with all collected inputs, carries out the outputs of that step, and sends
+//! changes of the view to gateways. The parts of [`Coordinator`] keep their own state; the modules
+//! here connect them to sockets and to the group.
 
 mod callers;
 mod connections;
@@ -28,9 +30,9 @@
 mod views;
 
 use self::copy_readers::CopyReader;
-use self::listeners::{LINK_LIMIT, Listeners};
+use self::listeners::{LINK_UNACKNOWLEDGED_LIMIT, Listeners};
 use self::member_changes::MemberChanges;
-use self::pending::{PendingCalls, Waiting};
+use self::pending::{PendingCalls, ReplyTarget};
 use self::roles::{Link, Role};
 use self::schedule::{PlannedStop, Schedule};
 use crate::dials::Dials;
@@ -59,7 +61,8 @@
 use wingshore_storage::DataFolder;
 use wingshore_types::ReplicaId;
 
-/// Longest wait for sockets in one turn. What is due ends it earlier.
+/// Longest wait for socket events in one iteration of the loop. A timer that is due ends it
+/// earlier.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
 
 /// A running coordinator.
@@ -74,57 +77,57 @@
     log_counts: LogCounts,
     sampler: RequestSampler,
     protocol: Box<dyn ControlProtocol>,
-    /// The member of the group that runs here: the log, the state and, on the leader, its decisions.
+    /// This process's replica of the group: the log, the state and, on the leader, its decisions.
     host: Host<CoordinationLeader>,
-    /// Makes what the host writes durable, on a thread of its own.
+    /// Writes the host's log to disk on a separate thread.
     writer: Writer,
     signals: Signals,
-    /// Reads the seeds from the settings again.
+    /// Reloads the seed addresses from the settings.
     seed_source: SeedSource,
     stop: PlannedStop,
-    /// What each connection is for; calls to engines and to the provider are in `calls`.
+    /// Role of each connection, except those of calls to engines and to the provider (see `calls`).
     roles: HashMap<ConnectionId, Role>,
-    /// Connections made to other coordinators.
+    /// Outgoing connections to other coordinators.
     dials: Dials<ConnectionId>,
     peers: Peers,
-    /// Peers that speak no format that is spoken here, as far as they were logged.
+    /// Peers that were logged as refused, since they share no message format with this build.
     refused_peers: RefusedPeers,
-    /// Gateways that are connected here.
+    /// Gateways that are connected to this coordinator.
     directory: Directory,
-    /// Calls to engines and to the provider.
+    /// Outgoing calls to engines and to the provider.
     calls: OutgoingCalls,
-    /// The time of day that the site agrees on.
+    /// The wall-clock time that the coordinators agree on.
     site_clock: SiteClock<ReplicaId>,
-    /// Who waits for which answer of the group.
+    /// Requests to the group that are not answered yet, with the recipients of their answers.
     pending: PendingCalls,
-    /// Gateways that wait for a result in this member's copy of the state.
+    /// Gateways that wait for further results in this member's copy of the state.
     copy_readers: Vec<CopyReader>,
-    /// What each gateway that follows the view here has of it.
+    /// How much of the view each subscribed gateway has received.
     view_feed: ViewFeed<ConnectionId>,
-    /// The coordinators that gateways were sent last.
+    /// The coordinator addresses that were last sent to gateways.
     announced_coordinators: Vec<SocketAddr>,
-    /// Servers whose heartbeats are acknowledged here, without the leader.
+    /// Servers whose heartbeats this coordinator acknowledges without asking the leader.
     heartbeats: HeartbeatRelay,
-    /// Heartbeats that the leader is to acknowledge and has not answered yet.
+    /// Heartbeats that were forwarded to the leader and are not answered yet.
     forwarded: ForwardedHeartbeats<ConnectionId>,
     members: MemberChanges,
     sent_states: SentStates,
     schedule: Schedule,
-    /// Inputs of the host, for its next step.
+    /// Inputs for the host's next step.
     inputs: Vec<HostInput<CoordinationLeader>>,
 }
 
 impl Coordinator {
-    /// Serves until a planned stop.
+    /// Runs the event loop until a planned stop is complete.
     ///
     /// # Errors
-    /// When the group cannot go on: a failed write, damaged storage.
+    /// When the group cannot continue: a write failed, or storage is damaged.
     pub fn run(mut self) -> Result<(), CoordinatorError> {
         let mut events = Vec::new();
         let mut outputs = Vec::new();
-        while !self.stop.is_over {
-            let wait = self.time_to_wait();
-            self.reactor.poll(wait, &mut events).context(NetSnafu)?;
+        while !self.stop.is_done {
+            let timeout = self.poll_timeout();
+            self.reactor.poll(timeout, &mut events).context(NetSnafu)?;
             let now = self.clock.now();
             for event in events.drain(..) {
                 self.on_net_event(now, event);
@@ -143,17 +146,18 @@
         Ok(())
     }
 
-    /// Until something is due, if no socket has anything before.
-    fn time_to_wait(&self) -> Duration {
+    /// Returns the time until the next timer is due, at most [`MAX_POLL_WAIT`]; zero when inputs
+    /// wait for the host.
+    fn poll_timeout(&self) -> Duration {
         if !self.inputs.is_empty() {
             return Duration::ZERO;
         }
         let now = self.clock.now();
-        let due = self.host.next_tick().min(self.schedule.next());
+        let due = self.host.next_tick().min(self.schedule.next_due());
         due.since(now).min(MAX_POLL_WAIT)
     }
 
-    /// Tells the host what has become durable.
+    /// Reports completed writes to the host.
     fn take_write_events(&mut self) -> Result<(), CoordinatorError> {
         for event in self.writer.events() {
             match event {
--- a/crates/gateways/wingshore-coordinator/src/process/pending.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/pending.rs
@@ -1,36 +1,36 @@
-//! Calls to the group that wait for its answer, and who gets that answer.
+//! Requests to the group that are not answered yet, and the targets of their replies.
 
 use std::collections::HashMap;
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 use wingshore_types::machine::RequestTag;
 
-/// Who waits for the group's answer.
-pub(super) enum Waiting {
-    /// An operator, trainer or server.
+/// Where the group's reply to a request goes.
+pub(super) enum ReplyTarget {
+    /// The connection of an operator, trainer or server.
     Caller(ConnectionId),
-    /// A gateway, with the number of its call.
+    /// A gateway's connection, with the number of its call.
     Gateway(ConnectionId, u64),
-    /// A coordinator that has forwarded a heartbeat.
+    /// The connection of a coordinator that forwarded a heartbeat, with the number of its call.
     Coordinator(ConnectionId, u64),
-    /// The change of members that is under way.
+    /// The membership planner of this process, which waits for the reply to its change.
     Planner,
-    /// The process itself, which asks again if it does not come about.
+    /// Nobody: this process ignores the reply and repeats the request if it had no effect.
     Nobody,
 }
 
-/// A call that waits for the group's answer.
+/// A request to the group that is not answered yet.
 pub(super) struct PendingCall {
-    pub(super) waiting: Waiting,
-    /// Kind of the call, as logs and metrics name it.
-    pub(super) call: &'static str,
-    /// What it is about; only of calls whose answers are logged each.
+    pub(super) reply_target: ReplyTarget,
+    /// Kind of the call, as in logs and metrics.
+    pub(super) kind: &'static str,
+    /// Subject of the call, for calls whose every answer is logged.
     pub(super) subject: Option<String>,
-    /// When it was made.
-    pub(super) since: Instant,
+    /// When the request was submitted.
+    pub(super) started_at: Instant,
 }
 
-/// Calls that wait for the group's answer, by the tag that it answers with.
+/// Requests to the group that are not answered yet, by the tag that their replies carry.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     by_tag: HashMap<RequestTag, PendingCall>,
@@ -38,7 +38,7 @@
 }
 
 impl PendingCalls {
-    /// A call is made; gives its tag.
+    /// Adds a call and returns its tag.
     pub(super) fn add(&mut self, call: PendingCall) -> RequestTag {
         let tag = RequestTag(self.next_tag);
         self.next_tag += 1;
@@ -46,7 +46,7 @@
         tag
     }
 
-    /// A call is answered.
+    /// Removes and returns the call with a tag.
     pub(super) fn take(&mut self, tag: RequestTag) -> Option<PendingCall> {
         self.by_tag.remove(&tag)
     }
--- a/crates/gateways/wingshore-coordinator/src/process/roles.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/roles.rs
@@ -1,23 +1,23 @@
-//! What a connection of a coordinator is for.
+//! Roles of a coordinator's connections.
 
 use crate::control::ControlConnection;
 use std::net::SocketAddr;
 use wingshore_coordination::GatewayId;
 use wingshore_types::ReplicaId;
 
-/// What a connection is for.
+/// Role of a connection.
 pub(super) enum Role {
     /// Calls of operators, trainers, servers or clients.
     Control(ControlConnection),
-    /// Monitoring reads metrics.
+    /// Requests of monitoring for metrics.
     Metrics(ControlConnection),
-    /// A process of the site has connected to the internal port.
+    /// A link that a process of the site opened to the internal port.
     Link(Link),
-    /// Made from here to this address of another coordinator.
+    /// A connection that this process opened to this address of another coordinator.
     Dialed(SocketAddr),
 }
 
-/// Who is at the other end of a link; nobody until it has introduced itself.
+/// Peer of an accepted link; both fields are `None` until its hello arrives.
 #[derive(Default)]
 pub(super) struct Link {
     pub(super) gateway: Option<GatewayId>,
--- a/crates/gateways/wingshore-coordinator/src/process/schedule.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/schedule.rs
@@ -1,31 +1,32 @@
-//! When the duties that go by time are due, and how far the planned stop is.
+//! Due times of periodic work, and progress of the planned stop.
 
 use crate::silence::SilenceJudge;
 use wingshore_types::Instant;
 
-/// When the duties that go by time are due.
+/// Due times of periodic work.
 #[derive(Default)]
 pub(super) struct Schedule {
-    /// When housekeeping is due.
+    /// When the next housekeeping check is due.
     pub(super) next_housekeeping: Instant,
-    /// When introductions are due.
+    /// When the next hellos are due.
     pub(super) next_hello: Instant,
-    /// Whether silence of others counts.
+    /// Decides whether the silence of a peer counts, which it does not after a stall of this
+    /// process.
     pub(super) silence_judge: SilenceJudge,
 }
 
 impl Schedule {
-    /// When the next of them is due.
-    pub(super) fn next(&self) -> Instant {
+    /// Returns the earliest due time.
+    pub(super) fn next_due(&self) -> Instant {
         self.next_housekeeping.min(self.next_hello)
     }
 }
 
-/// How far the planned stop of this process is.
+/// Progress of this process's planned stop.
 #[derive(Default)]
 pub(super) struct PlannedStop {
-    /// Since when it has been under way.
-    pub(super) since: Option<Instant>,
-    /// Whether nothing is left to do.
-    pub(super) is_over: bool,
+    /// When the stop started; `None` before.
+    pub(super) started_at: Option<Instant>,
+    /// Whether the process can exit.
+    pub(super) is_done: bool,
 }
--- a/crates/gateways/wingshore-coordinator/src/process/start.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/start.rs
@@ -1,4 +1,4 @@
-//! The start of a coordinator: what it has on its disk, where it listens, its threads.
+//! Start of a coordinator: opens its storage and listeners, and starts its threads.
 
 use super::listeners::Listeners;
 use super::member_changes::MemberChanges;
@@ -29,8 +29,8 @@
 use wingshore_net::{Reactor, SeedSource, Signals};
 use wingshore_storage::DataFolder;
 
-/// What is open once the start has succeeded.
-struct Opened {
+/// Storage, sockets and threads that the start opens.
+struct Resources {
     clock: Clock,
     folder: DataFolder,
     reactor: Reactor,
@@ -39,7 +39,7 @@
     host: Host<CoordinationLeader>,
 }
 
-impl Opened {
+impl Resources {
     fn open(settings: &CoordinatorSettings, logger: &Logger) -> Result<Self, CoordinatorError> {
         let clock = Clock::start();
         let disk::OpenedDisk {
@@ -71,10 +71,10 @@
 }
 
 impl Coordinator {
-    /// Opens the data folder and listens.
+    /// Opens the data folder and the listeners, and creates the coordinator.
     ///
     /// # Errors
-    /// When the folder or an address cannot be used.
+    /// When the folder or an address cannot be used, or the writer's thread cannot be started.
     pub fn start(
         settings: CoordinatorSettings,
         protocol: Box<dyn ControlProtocol>,
@@ -84,7 +84,7 @@
         logger: Logger,
         log_counts: LogCounts,
     ) -> Result<Self, CoordinatorError> {
-        let opened = Opened::open(&settings, &logger)?;
+        let opened = Resources::open(&settings, &logger)?;
         Ok(Self {
             logger,
             clock: opened.clock,
--- a/crates/gateways/wingshore-coordinator/src/process/views.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/views.rs
@@ -1,4 +1,4 @@
-//! The view of the site, sent to the gateways that follow it here.
+//! Sending the view of the site to the gateways that follow it at this coordinator.
 
 use super::Coordinator;
 use crate::view_feed::{FeedLinks, FeedSource};
@@ -17,7 +17,7 @@
 }
 
 impl Coordinator {
-    /// Sends gateways what has changed since the last turn of the loop.
+    /// Sends gateways the changes of the view since the last iteration of the loop.
     pub(super) fn send_view(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sends gateways that lack nothing how far the log is.
+    /// Sends the current log index to gateways whose view is up to date.
     pub(super) fn send_view_revision(&mut self) {
         let source = FeedSource {
             state: self.host.state(),
