--- a/crates/gateways/wingshore-net/src/connection.rs
+++ b/crates/gateways/wingshore-net/src/connection.rs
@@ -1,14 +1,14 @@
-//! One connection of the reactor: its buffers, and one turn of reading or writing.
+//! One connection of the reactor: its socket, its buffers, and reading and writing within one poll.
 
 use crate::output::{OutputQueue, release_if_large};
 use bytes::BytesMut;
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Bytes taken from one connection before others get their turn.
-const MAX_READ_PER_TURN: usize = 256 * 1024;
+/// Bytes read from one connection before the other connections are served.
+const MAX_READ_BYTES_PER_TURN: usize = 256 * 1024;
 
-/// One socket and its buffers.
+/// A connected or connecting socket, its buffers and its state.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) generation: u64,
@@ -16,8 +16,8 @@
     pub(crate) output: OutputQueue,
     pub(crate) connecting: bool,
     pub(crate) input_ended: bool,
-    /// The peer has ended its side, or the connection failed: the end comes behind what can be read,
-    /// and no further event reports it.
+    /// Whether the kernel has reported the end of the input or a failure. The end follows the bytes
+    /// that can still be read, and no further event reports it.
     pub(crate) end_signalled: bool,
     pub(crate) close_when_flushed: bool,
     pub(crate) writable: bool,
@@ -25,21 +25,26 @@
     pub(crate) read_pending: bool,
 }
 
-/// How a turn of reading ended.
+/// Why [`read_available`] stopped.
 pub(crate) enum ReadEnd {
+    /// All received bytes were read.
     Drained,
-    MoreLater,
+    /// [`MAX_READ_BYTES_PER_TURN`] bytes were read, and more may be available.
+    LimitReached,
+    /// The peer has ended its side of the connection.
     EndOfInput,
+    /// The connection failed.
     Broken,
 }
 
-/// What a turn of reading brought.
+/// Result of [`read_available`]: the number of bytes read, and why it stopped.
 pub(crate) struct ReadOutcome {
     pub(crate) received: usize,
     pub(crate) end: ReadEnd,
 }
 
-/// Reads what has arrived, up to a turn.
+/// Reads the received bytes into the input buffer, at most about [`MAX_READ_BYTES_PER_TURN`]. Drops
+/// them when the connection is only being flushed.
 pub(crate) fn read_available(connection: &mut Connection, scratch: &mut [u8]) -> ReadOutcome {
     let mut received = 0;
     loop {
@@ -51,14 +56,14 @@
                     release_if_large(&mut connection.input);
                     connection.input.extend_from_slice(&scratch[..count]);
                 }
-                // A short read has taken all there was; what comes later has an event of its own.
+                // A short read has drained the socket; an event reports bytes that arrive later.
                 let is_drained = count < scratch.len() && !connection.end_signalled;
                 if is_drained {
                     ReadEnd::Drained
-                } else if received < MAX_READ_PER_TURN {
+                } else if received < MAX_READ_BYTES_PER_TURN {
                     continue;
                 } else {
-                    ReadEnd::MoreLater
+                    ReadEnd::LimitReached
                 }
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => ReadEnd::Drained,
@@ -69,7 +74,7 @@
     }
 }
 
-/// Writes queued bytes, as many as the system takes.
+/// Writes queued bytes until the queue is empty or the socket would block.
 pub(crate) fn write_queued(connection: &mut Connection) -> io::Result<()> {
     while connection.writable && !connection.output.is_empty() {
         match connection.stream.write(connection.output.front()) {
--- a/crates/gateways/wingshore-net/src/connection_table.rs
+++ b/crates/gateways/wingshore-net/src/connection_table.rs
@@ -1,7 +1,8 @@
-//! All connections of a reactor, by identities that are never used twice.
+//! The connections of a reactor, by identifiers that are never reused.
 //!
-//! Owns the sockets and their buffers. A slot is used again for another connection; the generation in
-//! the identity distinguishes the two, so that what refers to a connection that is gone finds nothing.
+//! The table owns the sockets and their buffers. Its slots are reused; the generation in an
+//! identifier distinguishes the connections of one slot, so that a stale identifier finds no
+//! connection.
 
 use crate::connection::Connection;
 use crate::id::ConnectionId;
@@ -12,7 +13,7 @@
 use slab::Slab;
 use std::time::Duration;
 
-/// The connections.
+/// The connections of a reactor by [`ConnectionId`].
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     slots: Slab<Connection>,
@@ -20,7 +21,8 @@
 }
 
 impl ConnectionTable {
-    /// Adds a socket and registers it under its slot; `None` when the system does not take it.
+    /// Adds a socket and registers it with its slot as the token; `None` when the registration
+    /// fails.
     pub(crate) fn add(
         &mut self,
         registry: &Registry,
@@ -28,7 +30,7 @@
         connecting: bool,
         unacknowledged_limit: Duration,
     ) -> Option<ConnectionId> {
-        // Neither option is needed for correctness on systems that lack it.
+        // Both options are optional: systems that lack them still work correctly.
         let _ = stream.set_nodelay(true);
         let socket = socket2::SockRef::from(&stream);
         let _ = socket.set_tcp_user_timeout(Some(unacknowledged_limit));
@@ -54,7 +56,7 @@
         Some(ConnectionId { slot, generation })
     }
 
-    /// The identity of a connection that never had a socket.
+    /// Returns a new identifier for a connection that never gets a socket.
     pub(crate) fn id_without_socket(&mut self) -> ConnectionId {
         self.generation += 1;
         ConnectionId {
@@ -63,32 +65,32 @@
         }
     }
 
-    /// The connection in a slot, with its identity.
+    /// Returns the connection in a slot, with its identifier.
     pub(crate) fn in_slot(&mut self, slot: usize) -> Option<(ConnectionId, &mut Connection)> {
         let connection = self.slots.get_mut(slot)?;
         let generation = connection.generation;
         Some((ConnectionId { slot, generation }, connection))
     }
 
-    /// A connection that is there.
+    /// Returns a connection; `None` if it was removed.
     pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         let connection = self.slots.get(id.slot)?;
         (connection.generation == id.generation).then_some(connection)
     }
 
-    /// As [`ConnectionTable::get`], to change it.
+    /// Returns a mutable reference to a connection; `None` if it was removed.
     pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         let connection = self.slots.get_mut(id.slot)?;
         (connection.generation == id.generation).then_some(connection)
     }
 
-    /// Takes a connection out.
+    /// Removes and returns a connection.
     pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         self.get(id)?;
         Some(self.slots.remove(id.slot))
     }
 
-    /// How many there are.
+    /// Returns the number of connections.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
--- a/crates/gateways/wingshore-net/src/event.rs
+++ b/crates/gateways/wingshore-net/src/event.rs
@@ -1,4 +1,4 @@
-//! What a reactor reports, and how it is asked to connect.
+//! Events and errors of a reactor, and options for outgoing connections.
 
 use crate::id::{ConnectionId, ListenerId};
 use snafu::Snafu;
@@ -6,39 +6,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What has happened.
+/// A change of a connection that [`Reactor::poll`](crate::Reactor::poll) reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetEvent {
-    /// A peer has connected.
+    /// A connection was accepted.
     Accepted {
-        /// At which listener.
+        /// The listener that accepted it.
         listener: ListenerId,
         /// The new connection.
         connection: ConnectionId,
     },
-    /// A connection that was asked for is up.
+    /// An outgoing connection was established.
     Connected(ConnectionId),
-    /// Bytes were added to the input buffer.
+    /// Bytes were appended to the connection's input buffer.
     Received(ConnectionId),
-    /// The peer will send no more; all it sent is in the input buffer. The connection stays
-    /// until it is closed.
+    /// The peer has ended its side of the connection; all that it sent is in the input buffer. The
+    /// connection stays open until [`Reactor::close`](crate::Reactor::close).
     EndOfInput(ConnectionId),
-    /// The connection broke or never came up; its input buffer is gone.
+    /// The connection failed or could not be established; its input buffer was dropped.
     Broken(ConnectionId),
-    /// The connection never came up: nobody listens at the address.
+    /// An outgoing connection was refused: nothing listens at the address.
     Refused(ConnectionId),
 }
 
-/// Why a socket cannot be used.
+/// Why the reactor or one of its listeners cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum NetError {
-    /// The readiness facility of the system failed.
+    /// A call of the system's readiness API (epoll or similar) failed.
     #[snafu(display("cannot {action}: {source}"))]
     System {
-        /// What was tried.
+        /// The action that failed.
         action: &'static str,
-        /// From the system.
+        /// The error of the system.
         source: io::Error,
     },
     /// An address cannot be listened on.
@@ -46,14 +46,15 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// From the system.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// How a connection is made.
+/// Options of an outgoing connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectOptions {
-    /// Longest time that sent bytes may stay unacknowledged before the connection counts as broken.
+    /// Longest time that sent bytes may stay unacknowledged before the connection fails (the TCP
+    /// user timeout).
     pub unacknowledged_limit: Duration,
 }
--- a/crates/gateways/wingshore-net/src/frame.rs
+++ b/crates/gateways/wingshore-net/src/frame.rs
@@ -1,75 +1,76 @@
-//! Length-prefixed `postcard` frames in buffers.
+//! Encoding and decoding of length-prefixed `postcard` frames in buffers.
 
 use bytes::{Buf, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Bytes of the length before each frame.
-const PREFIX: usize = 4;
-/// Largest frame, in bytes; a longer one is a fault of the peer. Above the largest batch job, which is
-/// one frame.
+/// Bytes of the little-endian length before each frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Maximum length of a frame in bytes; a longer one is an error of the peer. Larger than the
+/// largest batch job, which is sent as one frame.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Why a frame cannot be read.
+/// Why a frame cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum FrameError {
-    /// Longer than any frame is.
-    #[snafu(display("a frame of {length} bytes; allowed are {MAX_FRAME_BYTES}"))]
+    /// The frame is longer than the maximum.
+    #[snafu(display("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"))]
     TooLong {
-        /// Its length.
+        /// Length of the frame in bytes.
         length: usize,
     },
-    /// Not of the type that is expected.
-    #[snafu(display("a frame that cannot be decoded: {source}"))]
+    /// The frame does not hold a message of the expected type.
+    #[snafu(display("cannot decode the frame: {source}"))]
     Malformed {
-        /// From the codec.
+        /// The error of the codec.
         source: postcard::Error,
     },
 }
 
-/// `message` as a frame.
+/// Encodes `message` as a frame.
 ///
 /// # Errors
 /// When the codec cannot encode the message.
 pub fn encode<M: Serialize>(message: &M) -> Result<Vec<u8>, postcard::Error> {
-    let mut bytes = postcard::to_extend(message, vec![0; PREFIX])?;
-    let length = u32::try_from(bytes.len() - PREFIX).unwrap_or(u32::MAX);
-    bytes[..PREFIX].copy_from_slice(&length.to_le_bytes());
+    let mut bytes = postcard::to_extend(message, vec![0; LENGTH_PREFIX_BYTES])?;
+    let length = u32::try_from(bytes.len() - LENGTH_PREFIX_BYTES).unwrap_or(u32::MAX);
+    bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_le_bytes());
     Ok(bytes)
 }
 
-/// Takes the next whole frame out of `input`; `None` when there is none yet.
+/// Removes the next frame from `input` and decodes it; `None` while the frame is incomplete.
 ///
 /// # Errors
-/// When the bytes are no frame of this type; the connection is of no more use.
+/// When the bytes are not a frame of this type. Later frames cannot be decoded either, so the
+/// connection has to be closed.
 pub fn decode<M: DeserializeOwned>(input: &mut BytesMut) -> Result<Option<M>, FrameError> {
     let decoded = decode_with_rest(input)?;
     Ok(decoded.map(|(message, _)| message))
 }
 
-/// As [`decode`], with the bytes that the frame holds after the message's end.
+/// Does the same as [`decode`], and returns the bytes of the frame after the message as well.
 ///
 /// # Errors
-/// As for [`decode`].
+/// The same as for [`decode`].
 pub fn decode_with_rest<M: DeserializeOwned>(
     input: &mut BytesMut,
 ) -> Result<Option<(M, Vec<u8>)>, FrameError> {
-    let Some(prefix) = input.first_chunk::<PREFIX>() else {
+    let Some(prefix) = input.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*prefix) as usize;
     if length > MAX_FRAME_BYTES {
         return TooLongSnafu { length }.fail();
     }
-    if input.len() < PREFIX + length {
-        input.reserve(PREFIX + length - input.len());
+    if input.len() < LENGTH_PREFIX_BYTES + length {
+        input.reserve(LENGTH_PREFIX_BYTES + length - input.len());
         return Ok(None);
     }
-    let frame = &input[PREFIX..PREFIX + length];
+    let frame = &input[LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length];
     let decoded = postcard::take_from_bytes(frame);
     let (message, rest) = decoded.map_err(|source| FrameError::Malformed { source })?;
     let rest = rest.to_vec();
-    input.advance(PREFIX + length);
+    input.advance(LENGTH_PREFIX_BYTES + length);
     Ok(Some((message, rest)))
 }
--- a/crates/gateways/wingshore-net/src/id.rs
+++ b/crates/gateways/wingshore-net/src/id.rs
@@ -1,12 +1,12 @@
-//! Identities of sockets.
+//! Identifiers of sockets.
 
-/// One connection in the life of one reactor; never used for a second connection.
+/// Identifier of a connection; a reactor never reuses it for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId {
     pub(crate) slot: usize,
     pub(crate) generation: u64,
 }
 
-/// One listening socket of a reactor.
+/// Identifier of a reactor's listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerId(pub(crate) usize);
--- a/crates/gateways/wingshore-net/src/lib.rs
+++ b/crates/gateways/wingshore-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Readiness loop, HTTP/1.1 framing and frames, for processes that serve many peers on one thread.
+//! Reactor, HTTP/1.1 parsing and binary frames, for processes that serve many peers on one thread.
 //!
-//! [`Reactor`] owns sockets and their buffers and knows no protocol. [`http`] reads and writes
-//! HTTP/1.1 messages in buffers and knows no sockets. [`frame`] does the same for the
-//! length-prefixed `postcard` frames that a site's own processes exchange.
+//! [`Reactor`] owns sockets and their buffers, independent of any protocol. [`http`] reads and
+//! writes HTTP/1.1 messages in buffers, independent of sockets. [`frame`] does the same for the
+//! length-prefixed `postcard` frames that the processes of a site exchange.
 
 mod connection;
 mod connection_table;
--- a/crates/gateways/wingshore-net/src/output.rs
+++ b/crates/gateways/wingshore-net/src/output.rs
@@ -1,19 +1,20 @@
-//! Bytes that wait to leave on one connection.
+//! Queue of bytes to be sent on one connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::VecDeque;
 
-/// Shared bytes from this length on are queued as they are. Shorter ones are copied behind what
-/// waits already, so that they leave with it in one system call.
-const SHARED_FROM: usize = 4 * 1024;
-/// An empty buffer that has grown beyond this many bytes is freed: a process with hundreds of
-/// connections that each carried one large message must not hold on to all of them.
-const MAX_IDLE_BUFFER: usize = 32 * 1024;
+/// Minimum length in bytes from which shared bytes are queued without a copy. Shorter ones are
+/// copied to the end of the queued bytes, so that one system call sends both.
+const MIN_SHARED_BYTES: usize = 4 * 1024;
+/// Capacity in bytes above which an empty buffer is freed: otherwise a process with hundreds of
+/// connections that each carried one large message would keep all of these buffers.
+const MAX_IDLE_BUFFER_BYTES: usize = 32 * 1024;
 
-/// The queue: whole pieces first, then what is still being gathered.
+/// Queue of bytes to be sent: complete pieces first, then the tail, to which further bytes are
+/// appended.
 ///
-/// Long pieces that many connections are sent are held once: copies for each could exceed the
-/// memory of the process.
+/// Long pieces that are sent to many connections are shared, since a copy for each connection could
+/// exceed the memory of the process.
 #[derive(Default)]
 pub(crate) struct OutputQueue {
     pieces: VecDeque<Bytes>,
@@ -26,9 +27,9 @@
         self.tail.extend_from_slice(bytes);
     }
 
-    /// Queues `bytes`, which other queues may hold as well.
+    /// Queues `bytes`, which other queues may share.
     pub(crate) fn push_shared(&mut self, bytes: &Bytes) {
-        if bytes.len() < SHARED_FROM {
+        if bytes.len() < MIN_SHARED_BYTES {
             return self.push(bytes);
         }
         if !self.tail.is_empty() {
@@ -37,12 +38,12 @@
         self.pieces.push_back(bytes.clone());
     }
 
-    /// The bytes that leave next; empty when none wait.
+    /// Returns the next bytes to send; empty when the queue is empty.
     pub(crate) fn front(&self) -> &[u8] {
         self.pieces.front().map_or(&self.tail, |piece| piece)
     }
 
-    /// The first `count` bytes of [`OutputQueue::front`] have left.
+    /// Removes the first `count` bytes of [`OutputQueue::front`], which were sent.
     pub(crate) fn advance(&mut self, count: usize) {
         match self.pieces.front_mut() {
             Some(piece) => {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Bytes that wait.
+    /// Returns the number of queued bytes.
     pub(crate) fn len(&self) -> usize {
         self.pieces.iter().map(Bytes::len).sum::<usize>() + self.tail.len()
     }
@@ -64,15 +65,15 @@
         self.pieces.is_empty() && self.tail.is_empty()
     }
 
-    /// Frees the buffer if it is empty and large.
+    /// Frees the tail's buffer if it is empty and large.
     pub(crate) fn release_if_large(&mut self) {
         release_if_large(&mut self.tail);
     }
 }
 
-/// Frees a buffer that is empty and large.
+/// Frees a buffer that is empty and has a capacity above [`MAX_IDLE_BUFFER_BYTES`].
 pub(crate) fn release_if_large(buffer: &mut BytesMut) {
-    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_BUFFER {
+    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
         *buffer = BytesMut::new();
     }
 }
--- a/crates/gateways/wingshore-net/src/reactor.rs
+++ b/crates/gateways/wingshore-net/src/reactor.rs
@@ -1,8 +1,8 @@
-//! Sockets, their buffers, and what becomes ready on them: one wait for all of them on one thread.
+//! Reactor: waits for events of all sockets on one thread, and reads and writes their buffers.
 //!
-//! Owns the system's readiness facility, the listeners and, in [`ConnectionTable`], the connections.
-//! Sockets are edge-triggered: what was not read to its end in a turn is noted here and read in the
-//! next one. Knows no protocol.
+//! Owns the system's readiness API, the listeners and, in [`ConnectionTable`], the connections.
+//! Sockets are edge-triggered, so a socket that was not drained in one poll is recorded and read in
+//! the next one. Independent of any protocol.
 
 use crate::connection::{ReadEnd, read_available, write_queued};
 use crate::connection_table::ConnectionTable;
@@ -18,61 +18,65 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Events taken from the kernel at a time; what is more comes with the next poll.
+/// Maximum number of events taken from the kernel in one poll; the rest is taken in the next one.
 const MAX_EVENTS_PER_POLL: usize = 256;
-/// Bytes read from a socket at a time.
-const READ_CHUNK: usize = 16 * 1024;
-/// The token of the waker; connections and listeners count from 0.
+/// Maximum bytes read from a socket in one system call.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Token of the waker, above the tokens of all connections and listeners.
 const WAKER_TOKEN: Token = Token(usize::MAX - 1);
-/// Tokens from here on are listeners.
-const LISTENER_BASE: usize = 1 << 40;
+/// Token of the first listener. The tokens of connections, which are their slots, are below it.
+const FIRST_LISTENER_TOKEN: usize = 1 << 40;
 
 /// Wakes a reactor from another thread.
 #[derive(Clone, Debug)]
 pub struct ReactorWaker(Arc<Waker>);
 
 impl ReactorWaker {
-    /// Ends the wait that is under way, or the next one.
+    /// Makes the current call of [`Reactor::poll`] return, or else the next one.
     pub fn wake(&self) {
-        // It fails only when the reactor is gone.
+        // The call fails only after the reactor was dropped.
         let _ = self.0.wake();
     }
 }
 
+/// A listening socket, with the limits for the connections that it accepts.
 struct Listener {
     socket: TcpListener,
     unacknowledged_limit: Duration,
     max_connections: usize,
 }
 
-/// All sockets of a process, and the wait for any of them.
+/// The sockets of a process, and the wait for events on any of them.
 ///
-/// Invariant: a [`ConnectionId`] refers to a live connection or to none; after
-/// [`NetEvent::Broken`], [`NetEvent::Refused`] or [`Reactor::close`] nothing more is reported for it.
+/// Invariant: a [`ConnectionId`] refers to an open connection or to none. After
+/// [`NetEvent::Broken`], [`NetEvent::Refused`] or [`Reactor::close`] no further event is reported
+/// for it.
 pub struct Reactor {
     poll: Poll,
     events: Events,
     waker: Arc<Waker>,
     connections: ConnectionTable,
     listeners: Vec<Listener>,
+    /// Connections to flush in the next poll.
     needs_flush: Vec<ConnectionId>,
-    unread: Vec<ConnectionId>,
-    /// Connections that were refused before they had a socket, and are not reported yet.
+    /// Connections that were not drained and are read again in the next poll.
+    pending_reads: Vec<ConnectionId>,
+    /// Connections that were refused before they had a socket and are not reported yet.
     refused: Vec<ConnectionId>,
     scratch: Box<[u8]>,
     ready: Vec<Ready>,
 }
 
 impl Reactor {
-    /// A reactor without sockets.
+    /// Creates a reactor without sockets.
     ///
     /// # Errors
-    /// When the system gives no readiness facility.
+    /// When the readiness API of the system is not available.
     pub fn new() -> Result<Self, NetError> {
         let poll = Poll::new().context(SystemSnafu { action: "poll" })?;
         let waker = Waker::new(poll.registry(), WAKER_TOKEN);
         let waker = waker.context(SystemSnafu {
-            action: "make a waker",
+            action: "create a waker",
         })?;
         Ok(Self {
             poll,
@@ -81,22 +85,23 @@
             connections: ConnectionTable::default(),
             listeners: Vec::new(),
             needs_flush: Vec::new(),
-            unread: Vec::new(),
+            pending_reads: Vec::new(),
             refused: Vec::new(),
-            scratch: vec![0; READ_CHUNK].into_boxed_slice(),
+            scratch: vec![0; READ_CHUNK_BYTES].into_boxed_slice(),
             ready: Vec::new(),
         })
     }
 
-    /// Wakes this reactor from other threads.
+    /// Returns a handle that wakes this reactor from other threads.
     pub fn waker(&self) -> ReactorWaker {
         ReactorWaker(Arc::clone(&self.waker))
     }
 
-    /// Listens on `address`. Beyond `max_connections` over all listeners, new ones are closed.
+    /// Listens on `address`. New connections are closed at once when the reactor already has
+    /// `max_connections` connections, counted over all listeners and outgoing connections.
     ///
     /// # Errors
-    /// When the address cannot be used.
+    /// When the address cannot be listened on.
     pub fn listen(
         &mut self,
         address: SocketAddr,
@@ -105,7 +110,7 @@
     ) -> Result<ListenerId, NetError> {
         let mut socket = TcpListener::bind(address).context(ListenSnafu { address })?;
         let id = ListenerId(self.listeners.len());
-        let token = Token(LISTENER_BASE + id.0);
+        let token = Token(FIRST_LISTENER_TOKEN + id.0);
         self.poll
             .registry()
             .register(&mut socket, token, Interest::READABLE)
@@ -120,13 +125,13 @@
         Ok(id)
     }
 
-    /// Where a listener listens.
+    /// Returns the address of a listener.
     pub fn local_address(&self, listener: ListenerId) -> Option<SocketAddr> {
         self.listeners.get(listener.0)?.socket.local_addr().ok()
     }
 
-    /// Begins to connect. [`NetEvent::Connected`], [`NetEvent::Broken`] or [`NetEvent::Refused`]
-    /// follows; `None` when the system has no socket for it.
+    /// Starts to connect to `address`. [`NetEvent::Connected`], [`NetEvent::Broken`] or
+    /// [`NetEvent::Refused`] follows. Returns `None` when the system cannot provide a socket.
     pub fn connect(
         &mut self,
         address: SocketAddr,
@@ -143,19 +148,19 @@
                 self.refused.push(id);
                 Some(id)
             }
-            // No descriptor or port is left: the caller does without a connection.
+            // The system has no file descriptor or local port left.
             Err(_) => None,
         }
     }
 
-    /// Waits until something happens, `timeout` at most, and pushes what did.
+    /// Flushes queued output, waits for events for at most `timeout`, and appends them to `out`.
     ///
     /// # Errors
-    /// When the readiness facility fails.
+    /// When the readiness API of the system fails.
     pub fn poll(&mut self, timeout: Duration, out: &mut Vec<NetEvent>) -> Result<(), NetError> {
         self.flush(out);
         out.extend(self.refused.drain(..).map(NetEvent::Refused));
-        let timeout = if self.unread.is_empty() && out.is_empty() {
+        let timeout = if self.pending_reads.is_empty() && out.is_empty() {
             timeout
         } else {
             Duration::ZERO
@@ -174,18 +179,19 @@
             self.on_ready(event, out);
         }
         self.ready = ready;
-        for id in std::mem::take(&mut self.unread) {
+        for id in std::mem::take(&mut self.pending_reads) {
             self.read(id, out);
         }
         Ok(())
     }
 
+    /// Handles one event of the kernel.
     fn on_ready(&mut self, event: Ready, out: &mut Vec<NetEvent>) {
         if event.token == WAKER_TOKEN {
             return;
         }
-        if event.token.0 >= LISTENER_BASE {
-            self.accept(ListenerId(event.token.0 - LISTENER_BASE), out);
+        if event.token.0 >= FIRST_LISTENER_TOKEN {
+            self.accept(ListenerId(event.token.0 - FIRST_LISTENER_TOKEN), out);
             return;
         }
         let Some((id, connection)) = self.connections.in_slot(event.token.0) else {
@@ -202,7 +208,7 @@
                 || !matches!(error, Ok(None))
                 || connection.stream.peer_addr().is_err();
             if failed {
-                return self.break_off(id, out);
+                return self.fail(id, out);
             }
             connection.connecting = false;
             out.push(NetEvent::Connected(id));
@@ -225,7 +231,7 @@
             let stream = match entry.socket.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                // A connection that was reset before it was taken leaves the others to take.
+                // This connection was reset before it was accepted; others may still be waiting.
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(_) => return,
             };
@@ -262,14 +268,14 @@
         }
         match outcome.end {
             ReadEnd::Drained => {}
-            ReadEnd::MoreLater => self.schedule_read(id),
+            ReadEnd::LimitReached => self.schedule_read(id),
             ReadEnd::EndOfInput => {
                 if let Some(connection) = self.connections.get_mut(id) {
                     connection.input_ended = true;
                 }
                 out.push(NetEvent::EndOfInput(id));
             }
-            ReadEnd::Broken => self.break_off(id, out),
+            ReadEnd::Broken => self.fail(id, out),
         }
     }
 
@@ -280,7 +286,7 @@
             .filter(|connection| !connection.read_pending)
         {
             connection.read_pending = true;
-            self.unread.push(id);
+            self.pending_reads.push(id);
         }
     }
 
@@ -295,7 +301,7 @@
         }
     }
 
-    /// Queues bytes; they leave at the next [`Reactor::poll`].
+    /// Queues bytes, which the next [`Reactor::poll`] starts to send.
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.output.push(bytes);
@@ -303,7 +309,7 @@
         }
     }
 
-    /// Queues bytes that many connections are sent: long ones are held once, not copied for each.
+    /// Queues bytes that are sent to many connections: long ones are shared rather than copied.
     pub fn send_shared(&mut self, id: ConnectionId, bytes: &Bytes) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.output.push_shared(bytes);
@@ -311,7 +317,8 @@
         }
     }
 
-    /// Closes once all queued bytes have left; what the peer sends meanwhile is read and dropped.
+    /// Closes the connection once all queued bytes are sent. Bytes that the peer sends until then
+    /// are read and dropped.
     pub fn close_when_flushed(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.close_when_flushed = true;
@@ -319,35 +326,36 @@
         }
     }
 
-    /// Closes at once; queued bytes are dropped.
+    /// Closes the connection at once and drops its queued bytes.
     pub fn close(&mut self, id: ConnectionId) {
         if let Some(mut connection) = self.connections.remove(id) {
-            // Both only free what the system frees at the close anyway.
+            // Errors are ignored: closing the socket releases the same resources.
             let _ = self.poll.registry().deregister(&mut connection.stream);
             let _ = connection.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Received bytes that were not taken yet.
+    /// Returns the buffer of received bytes, from which the caller removes what it has handled;
+    /// `None` if the connection was closed.
     pub fn input(&mut self, id: ConnectionId) -> Option<&mut BytesMut> {
         self.connections
             .get_mut(id)
             .map(|connection| &mut connection.input)
     }
 
-    /// Bytes that wait to leave.
+    /// Returns the number of bytes that are queued and not sent yet.
     pub fn queued(&self, id: ConnectionId) -> usize {
         self.connections
             .get(id)
             .map_or(0, |connection| connection.output.len())
     }
 
-    /// Whether the connection is there.
+    /// Returns whether the connection exists, which it does until it is closed or fails.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.connections.get(id).is_some()
     }
 
-    /// Connections that are open, on their way up or being flushed.
+    /// Returns the number of connections that are open, connecting or being flushed.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
@@ -363,17 +371,18 @@
             }
             match write_queued(connection) {
                 Ok(()) if connection.output.is_empty() && connection.close_when_flushed => {
-                    self.end_output(id);
+                    self.close_flushed(id);
                 }
                 Ok(()) => {}
-                Err(_) => self.break_off(id, out),
+                Err(_) => self.fail(id, out),
             }
         }
     }
 
-    /// All is sent: closes. Unread input would turn the close into a reset, which may overtake
-    /// the last bytes, so that the peer gets an orderly end first.
-    fn end_output(&mut self, id: ConnectionId) {
+    /// Closes a connection whose output is all sent. Its write side is shut down first, so that the
+    /// peer gets an orderly end: with unread input the close alone would send a reset, which may
+    /// overtake the last bytes.
+    fn close_flushed(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
@@ -381,7 +390,8 @@
         self.close(id);
     }
 
-    fn break_off(&mut self, id: ConnectionId, out: &mut Vec<NetEvent>) {
+    /// Closes a connection that failed and reports it as broken.
+    fn fail(&mut self, id: ConnectionId, out: &mut Vec<NetEvent>) {
         self.close(id);
         out.push(NetEvent::Broken(id));
     }
--- a/crates/gateways/wingshore-net/src/ready.rs
+++ b/crates/gateways/wingshore-net/src/ready.rs
@@ -1,15 +1,15 @@
-//! What the kernel reports about one socket.
+//! Readiness of one socket, as the kernel reports it.
 
 use mio::Token;
 use mio::event::Event as ReadyEvent;
 
-/// An event of the kernel, copied out of its buffer.
+/// A readiness event, copied from the kernel's event buffer.
 #[derive(Clone, Copy)]
 pub(crate) struct Ready {
     pub(crate) token: Token,
     pub(crate) readable: bool,
     pub(crate) writable: bool,
-    /// The peer has ended its side.
+    /// The peer has ended its side of the connection.
     pub(crate) ended: bool,
     /// The connection failed.
     pub(crate) failed: bool,
--- a/crates/gateways/wingshore-net/src/signals.rs
+++ b/crates/gateways/wingshore-net/src/signals.rs
@@ -1,4 +1,4 @@
-//! What signals ask of a process.
+//! Stop and reload requests that a process gets by signals.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -7,23 +7,24 @@
 /// Flags that signal handlers set and an event loop reads.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Set by a planned stop.
+    /// Set when a planned stop is requested.
     pub stop: Arc<AtomicBool>,
-    /// Set when the settings file has changed.
+    /// Set when the settings file has changed and is to be reloaded.
     pub reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Whether a planned stop was asked for.
+    /// Returns whether a planned stop was requested.
     pub fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether the settings were to be read again since the last call.
+    /// Returns whether a reload was requested since the last call.
     pub fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 }
 
-/// Reads the addresses of seeds again from where the settings came from; says why it cannot.
+/// Reloads the addresses of seeds from the source of the settings; returns the reason when it
+/// fails.
 pub type SeedSource = Box<dyn Fn() -> Result<Vec<IpAddr>, String>>;
