--- a/crates/gateways/wingshore-net/src/http/body.rs
+++ b/crates/gateways/wingshore-net/src/http/body.rs
@@ -1,45 +1,46 @@
-//! Bodies of messages.
+//! Bodies of HTTP messages: their framing, and reading them.
 
 use super::head::{AnswerHead, Headers, HttpError, RequestHead};
 use bytes::{Buf, BytesMut};
 
-/// Longest line that gives the size of a chunk, in bytes.
-const MAX_CHUNK_LINE: usize = 1024;
+/// Maximum length in bytes of a line of the chunked coding.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// When the connection ends.
+    /// The body ends with the connection.
     UntilClose,
 }
 
 impl Framing {
-    /// How a request's body ends.
+    /// Returns the framing of a request's body.
     ///
     /// # Errors
-    /// When the headers contradict themselves.
+    /// When the headers contradict each other or cannot be used.
     pub(super) fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
-        Ok(declared(&head.headers)?.unwrap_or(Self::Length(0)))
+        Ok(declared_framing(&head.headers)?.unwrap_or(Self::Length(0)))
     }
 
-    /// How an answer's body ends.
+    /// Returns the framing of an answer's body. An answer to a HEAD request has no body.
     ///
     /// # Errors
-    /// When the headers contradict themselves.
+    /// When the headers contradict each other or cannot be used.
     pub(super) fn of_answer(head: &AnswerHead, to_head_request: bool) -> Result<Self, HttpError> {
         let has_none = to_head_request || matches!(head.status, 100..=199 | 204 | 304);
         if has_none {
             return Ok(Self::Length(0));
         }
-        Ok(declared(&head.headers)?.unwrap_or(Self::UntilClose))
+        Ok(declared_framing(&head.headers)?.unwrap_or(Self::UntilClose))
     }
 }
 
-fn declared(headers: &Headers) -> Result<Option<Framing>, HttpError> {
+/// Returns the framing that the headers declare, if any.
+fn declared_framing(headers: &Headers) -> Result<Option<Framing>, HttpError> {
     let length = declared_length(headers)?;
     let mut codings = headers.all("transfer-encoding");
     let Some(coding) = codings.next() else {
@@ -47,10 +48,10 @@
     };
     let is_chunked = coding.trim_ascii().eq_ignore_ascii_case(b"chunked");
     if !is_chunked || codings.next().is_some() {
-        return refuse("an unknown transfer coding");
+        return framing_error("an unknown transfer coding");
     }
     if length.is_some() {
-        return refuse("both a length and chunks");
+        return framing_error("both a length and chunks");
     }
     Ok(Some(Framing::Chunked))
 }
@@ -62,58 +63,59 @@
         let is_number = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(digits).ok().filter(|_| is_number);
         let Some(parsed) = text.and_then(|text| text.parse().ok()) else {
-            return refuse("a content length that is no number");
+            return framing_error("a content length that is no number");
         };
         if length.is_some_and(|earlier| earlier != parsed) {
-            return refuse("two different content lengths");
+            return framing_error("two different content lengths");
         }
         length = Some(parsed);
     }
     Ok(length)
 }
 
-fn refuse<T>(reason: &'static str) -> Result<T, HttpError> {
+fn framing_error<T>(reason: &'static str) -> Result<T, HttpError> {
     Err(HttpError::Framing { reason })
 }
 
 /// How far a body has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyStatus {
-    /// More must come.
+    /// The body is not complete yet.
     Partial,
-    /// All of it was read.
+    /// The whole body was read.
     Whole,
 }
 
+/// Where a [`BodyReader`] is in the body.
 enum Position {
-    /// Within a run of bytes with this many to come.
+    /// In a chunk or a body of known length, with this many bytes left.
     Bytes(u64),
-    /// Before the size of a chunk.
+    /// Before the line with a chunk's size.
     ChunkSize,
-    /// Before the line end behind a chunk.
+    /// Before the line end after a chunk.
     ChunkEnd,
-    /// In the lines behind the last chunk.
+    /// In the trailer lines after the last chunk.
     Trailer,
-    /// Bytes until the connection ends.
-    Open,
-    /// At the end.
+    /// In a body that ends with the connection.
+    UntilClose,
+    /// At the end of the body.
     Done,
 }
 
-/// Reads one body as its bytes arrive.
+/// Reads one body incrementally as its bytes arrive.
 pub(super) struct BodyReader {
     position: Position,
     chunked: bool,
 }
 
 impl BodyReader {
-    /// A body that has not begun.
+    /// Creates a reader at the start of a body.
     pub(super) fn new(framing: Framing) -> Self {
         let position = match framing {
             Framing::Length(0) => Position::Done,
             Framing::Length(length) => Position::Bytes(length),
             Framing::Chunked => Position::ChunkSize,
-            Framing::UntilClose => Position::Open,
+            Framing::UntilClose => Position::UntilClose,
         };
         Self {
             position,
@@ -121,10 +123,10 @@
         }
     }
 
-    /// Moves what is there of the body from `input` to the end of `body`.
+    /// Moves the available bytes of the body from `input` to the end of `body`.
     ///
     /// # Errors
-    /// When the bytes are no chunks.
+    /// When the chunked coding is invalid.
     pub(super) fn read(
         &mut self,
         input: &mut BytesMut,
@@ -133,7 +135,7 @@
         loop {
             match self.position {
                 Position::Done => return Ok(BodyStatus::Whole),
-                Position::Open => {
+                Position::UntilClose => {
                     body.extend_from_slice(input);
                     input.clear();
                     return Ok(BodyStatus::Partial);
@@ -145,15 +147,15 @@
                     let count = input.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     body.extend_from_slice(&input[..count]);
                     input.advance(count);
-                    self.bytes_read(left - count as u64);
+                    self.set_bytes_left(left - count as u64);
                 }
                 Position::ChunkSize => match take_line(input)? {
-                    Some(line) => self.position = chunk_start(&line)?,
+                    Some(line) => self.position = parse_chunk_size(&line)?,
                     None => return Ok(BodyStatus::Partial),
                 },
                 Position::ChunkEnd => match take_line(input)? {
                     Some(line) if line.is_empty() => self.position = Position::ChunkSize,
-                    Some(_) => return refuse("bytes behind a chunk"),
+                    Some(_) => return framing_error("bytes behind a chunk"),
                     None => return Ok(BodyStatus::Partial),
                 },
                 Position::Trailer => match take_line(input)? {
@@ -165,7 +167,8 @@
         }
     }
 
-    fn bytes_read(&mut self, left: u64) {
+    /// Sets the number of bytes left of the current chunk or of the body.
+    fn set_bytes_left(&mut self, left: u64) {
         self.position = match (left, self.chunked) {
             (0, true) => Position::ChunkEnd,
             (0, false) => Position::Done,
@@ -173,16 +176,18 @@
         };
     }
 
-    /// Whether the body is whole when the connection ends in order here.
+    /// Returns whether the body is complete if the connection ends in an orderly way now.
     pub(super) fn ends_at_close(&self) -> bool {
-        matches!(self.position, Position::Open | Position::Done)
+        matches!(self.position, Position::UntilClose | Position::Done)
     }
 }
 
+/// Removes the next line from `input` and returns it without its line end; `None` while it is
+/// incomplete.
 fn take_line(input: &mut BytesMut) -> Result<Option<Vec<u8>>, HttpError> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        if input.len() > MAX_CHUNK_LINE {
-            return refuse("a chunk's line without an end");
+        if input.len() > MAX_CHUNK_LINE_BYTES {
+            return framing_error("a chunk's line without an end");
         }
         return Ok(None);
     };
@@ -191,7 +196,8 @@
     Ok(Some(line.strip_suffix(b"\r").unwrap_or(line).to_vec()))
 }
 
-fn chunk_start(line: &[u8]) -> Result<Position, HttpError> {
+/// Parses the line with a chunk's size, without its extensions; a size of 0 starts the trailer.
+fn parse_chunk_size(line: &[u8]) -> Result<Position, HttpError> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or(line);
     let size = size.trim_ascii();
     let is_hex = !size.is_empty() && size.iter().all(u8::is_ascii_hexdigit);
@@ -199,6 +205,6 @@
     match text.and_then(|text| u64::from_str_radix(text, 16).ok()) {
         Some(0) => Ok(Position::Trailer),
         Some(size) => Ok(Position::Bytes(size)),
-        None => refuse("a chunk size that is no number"),
+        None => framing_error("a chunk size that is no number"),
     }
 }
--- a/crates/gateways/wingshore-net/src/http/encode.rs
+++ b/crates/gateways/wingshore-net/src/http/encode.rs
@@ -1,15 +1,15 @@
-//! Writing messages.
+//! Encoding of HTTP messages.
 
 use std::fmt::Display;
 use std::io::Write;
 
-/// Builds the head of a message, then its body.
+/// Encodes the head of a message and, at the end, its body.
 pub struct HeadWriter {
     bytes: Vec<u8>,
 }
 
 impl HeadWriter {
-    /// Begins a request.
+    /// Starts the head of a request.
     pub fn request(method: &str, target: &str) -> Self {
         let mut bytes = Vec::with_capacity(512);
         bytes.extend_from_slice(method.as_bytes());
@@ -19,15 +19,15 @@
         Self { bytes }
     }
 
-    /// Begins an answer.
+    /// Starts the head of an answer.
     pub fn answer(status: u16) -> Self {
         let mut bytes = Vec::with_capacity(256);
         // Writing to a vector does not fail.
-        let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", reason(status));
+        let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
         Self { bytes }
     }
 
-    /// Adds a line as it is.
+    /// Adds a header line from raw bytes.
     #[must_use]
     pub fn line(mut self, name: &[u8], value: &[u8]) -> Self {
         self.bytes.extend_from_slice(name);
@@ -37,14 +37,14 @@
         self
     }
 
-    /// Adds a line with a value that can be printed.
+    /// Adds a header line with the printed form of `value`.
     #[must_use]
     pub fn header(mut self, name: &str, value: impl Display) -> Self {
         let _ = write!(self.bytes, "{name}: {value}\r\n");
         self
     }
 
-    /// Ends the head and adds a body of known length.
+    /// Ends the head, adds the body and returns the whole message.
     pub fn body(self, body: &[u8]) -> Vec<u8> {
         let mut bytes = self.header("Content-Length", body.len()).bytes;
         bytes.extend_from_slice(b"\r\n");
@@ -52,19 +52,19 @@
         bytes
     }
 
-    /// Ends the head; the body follows in chunks.
+    /// Ends the head of a message whose body follows in chunks, and returns it.
     pub fn chunked(self) -> Vec<u8> {
         self.header("Transfer-Encoding", "chunked").end()
     }
 
-    /// Ends the head as it is.
+    /// Ends the head without framing a body, and returns it.
     pub fn end(mut self) -> Vec<u8> {
         self.bytes.extend_from_slice(b"\r\n");
         self.bytes
     }
 }
 
-/// Adds a chunk to `out`; an empty one is left out, since it would end the body.
+/// Appends a chunk to `out`. Empty data is left out, since an empty chunk would end the body.
 pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -74,12 +74,13 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a body in chunks.
+/// Appends the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
 
-fn reason(status: u16) -> &'static str {
+/// Returns the reason phrase of a status code; `-` for codes that are not listed.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
--- a/crates/gateways/wingshore-net/src/http/exchange.rs
+++ b/crates/gateways/wingshore-net/src/http/exchange.rs
@@ -1,38 +1,38 @@
-//! Whole messages, read as their bytes arrive.
+//! Incremental reading of requests and answers as their bytes arrive.
 
 use super::body::{BodyReader, BodyStatus, Framing};
 use super::head::{AnswerHead, HttpError, RequestHead, read_answer_head, read_request_head};
 use bytes::BytesMut;
 use snafu::Snafu;
 
-/// Bytes of an answer's head at most.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
+/// Maximum length of an answer's head in bytes.
+const MAX_ANSWER_HEAD_BYTES: usize = 64 * 1024;
 
-/// Why a request is refused before it is whole.
+/// Why a request is refused while it is being read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RequestError {
-    /// Not an HTTP/1.1 request.
+    /// The bytes are not a valid HTTP/1.1 request.
     #[snafu(display("{source}"))]
     Malformed {
-        /// Why.
+        /// The error of the parser.
         source: HttpError,
     },
     /// The head is longer than allowed.
     #[snafu(display("a head of more than {limit} bytes"))]
     HeadTooLong {
-        /// What is allowed.
+        /// The maximum length in bytes.
         limit: usize,
     },
     /// The body is longer than allowed.
     #[snafu(display("a body of more than {limit} bytes"))]
     BodyTooLong {
-        /// What is allowed.
+        /// The maximum length in bytes.
         limit: usize,
     },
 }
 
 impl RequestError {
-    /// The status that says so.
+    /// Returns the HTTP status code of the answer that refuses the request.
     pub fn status(&self) -> u16 {
         match self {
             Self::Malformed { .. } => 400,
@@ -54,44 +54,48 @@
 /// A request with its whole body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WholeRequest {
-    /// Its head.
+    /// The head of the request.
     pub head: RequestHead,
-    /// Its body, without any transfer coding.
+    /// The body of the request, with any transfer coding removed.
     pub body: Vec<u8>,
 }
 
 /// Reads the requests of one connection.
 #[derive(Default)]
 pub struct RequestReader {
-    under_way: Option<(RequestHead, BodyReader, Vec<u8>)>,
-    /// Head of a request that cannot be read on.
-    unreadable: Option<RequestHead>,
+    /// Head and incomplete body of the request that is being read.
+    current: Option<(RequestHead, BodyReader, Vec<u8>)>,
+    /// Head of the request whose body was refused.
+    failed_head: Option<RequestHead>,
 }
 
 impl RequestReader {
-    /// Takes the next whole request out of `input`; `None` when it is not whole yet.
+    /// Removes the next request from `input` and returns it; `None` while it is incomplete.
+    ///
+    /// `max_head` and `max_body` are limits in bytes.
     ///
     /// # Errors
-    /// When the bytes are no request, or one that is too large; the connection is of no more use.
+    /// When the bytes are not a valid request, or the request is too large. Later requests cannot
+    /// be read either, so the connection has to be closed.
     pub fn next(
         &mut self,
         input: &mut BytesMut,
         max_head: usize,
         max_body: usize,
     ) -> Result<Option<WholeRequest>, RequestError> {
-        if self.under_way.is_none() {
+        if self.current.is_none() {
             let Some(head) = read_request_head(input, max_head)? else {
                 return Ok(None);
             };
             match body_reader(&head, max_body) {
-                Ok(reader) => self.under_way = Some((head, reader, Vec::new())),
+                Ok(reader) => self.current = Some((head, reader, Vec::new())),
                 Err(error) => {
-                    self.unreadable = Some(head);
+                    self.failed_head = Some(head);
                     return Err(error);
                 }
             }
         }
-        let Some((head, mut reader, mut body)) = self.under_way.take() else {
+        let Some((head, mut reader, mut body)) = self.current.take() else {
             return Ok(None);
         };
         let status = reader.read(input, &mut body).map_err(RequestError::from);
@@ -101,30 +105,30 @@
         };
         match status {
             Err(error) => {
-                self.unreadable = Some(head);
+                self.failed_head = Some(head);
                 Err(error)
             }
             Ok(BodyStatus::Whole) => Ok(Some(WholeRequest { head, body })),
             Ok(BodyStatus::Partial) => {
-                self.under_way = Some((head, reader, body));
+                self.current = Some((head, reader, body));
                 Ok(None)
             }
         }
     }
 
-    /// Head of the request that is being read, or that could not be read on.
+    /// Returns the head of the request that is being read, or whose body was refused.
     pub fn head(&self) -> Option<&RequestHead> {
-        let under_way = self.under_way.as_ref().map(|(head, _, _)| head);
-        under_way.or(self.unreadable.as_ref())
+        let current = self.current.as_ref().map(|(head, _, _)| head);
+        current.or(self.failed_head.as_ref())
     }
 
-    /// Whether part of a request was read.
+    /// Returns whether a request's head was read and its body is incomplete.
     pub fn is_under_way(&self) -> bool {
-        self.under_way.is_some()
+        self.current.is_some()
     }
 }
 
-/// Reads the body of a request, unless it is known to be too long.
+/// Creates the reader of a request's body, unless its declared length exceeds the limit.
 fn body_reader(head: &RequestHead, max_body: usize) -> Result<BodyReader, RequestError> {
     let framing = Framing::of_request(head)?;
     if matches!(framing, Framing::Length(length) if length > max_body as u64) {
@@ -136,72 +140,77 @@
 /// Reads the answer to one request.
 pub struct AnswerReader {
     to_head_request: bool,
-    under_way: Option<(AnswerHead, BodyReader)>,
+    /// Head of the answer and the reader of its body, once the head was read.
+    current: Option<(AnswerHead, BodyReader)>,
+    /// Bytes of the body that were read and not taken yet.
     body: Vec<u8>,
 }
 
 /// An answer with its whole body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WholeAnswer {
-    /// Its head.
+    /// The head of the answer.
     pub head: AnswerHead,
-    /// Its body, without any transfer coding.
+    /// The body of the answer, with any transfer coding removed.
     pub body: Vec<u8>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be used for another request.
     pub reusable: bool,
 }
 
 impl AnswerReader {
-    /// Reads the answer to a request; one with the method HEAD gets no body.
+    /// Creates a reader for the answer to a request. `to_head_request` states that the request's
+    /// method is HEAD, whose answers have no body.
     pub fn new(to_head_request: bool) -> Self {
         Self {
             to_head_request,
-            under_way: None,
+            current: None,
             body: Vec::new(),
         }
     }
 
-    /// The head, once it was read.
+    /// Returns the head, once it was read.
     pub fn head(&self) -> Option<&AnswerHead> {
-        self.under_way.as_ref().map(|(head, _)| head)
+        self.current.as_ref().map(|(head, _)| head)
     }
 
-    /// Takes what has arrived of the body.
+    /// Returns the bytes of the body that arrived since the last call.
     pub fn take_body(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.body)
     }
 
-    /// Reads on; says whether the answer is whole.
+    /// Reads the available bytes from `input`; returns whether the answer is complete.
     ///
     /// # Errors
-    /// When the bytes are no answer.
+    /// When the bytes are not a valid answer.
     pub fn read(&mut self, input: &mut BytesMut) -> Result<BodyStatus, HttpError> {
-        while self.under_way.is_none() {
-            let Some(head) = read_answer_head(input, MAX_ANSWER_HEAD)? else {
+        while self.current.is_none() {
+            let Some(head) = read_answer_head(input, MAX_ANSWER_HEAD_BYTES)? else {
                 return Ok(BodyStatus::Partial);
             };
-            // Interim answers come before the one that counts.
+            // Interim (1xx) answers precede the final one and are skipped.
             if (100..200).contains(&head.status) {
                 continue;
             }
             let framing = Framing::of_answer(&head, self.to_head_request)?;
-            self.under_way = Some((head, BodyReader::new(framing)));
+            self.current = Some((head, BodyReader::new(framing)));
         }
-        match &mut self.under_way {
+        match &mut self.current {
             Some((_, reader)) => reader.read(input, &mut self.body),
             None => Ok(BodyStatus::Partial),
         }
     }
 
-    /// The peer has ended the connection in order: whether the answer is whole with that.
+    /// Returns whether the answer is complete if the peer ends the connection in an orderly way
+    /// now.
     pub fn is_whole_at_close(&self) -> bool {
-        let reader = self.under_way.as_ref().map(|(_, reader)| reader);
+        let reader = self.current.as_ref().map(|(_, reader)| reader);
         reader.is_some_and(BodyReader::ends_at_close)
     }
 
-    /// The answer, once it is whole.
+    /// Returns the answer, whose body the caller knows to be complete; `None` without a head. It is
+    /// reusable if `reusable` is set and the peer does not ask to close the connection.
     pub fn into_answer(self, reusable: bool) -> Option<WholeAnswer> {
-        let (head, _) = self.under_way?;
+        let (head, _) = self.current?;
         let reusable = reusable && !head.wants_close();
         Some(WholeAnswer {
             head,
--- a/crates/gateways/wingshore-net/src/http/head.rs
+++ b/crates/gateways/wingshore-net/src/http/head.rs
@@ -1,42 +1,42 @@
-//! Heads of requests and answers.
+//! Heads of HTTP requests and answers, and parsing them.
 
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// Header lines of a message at most.
+/// Maximum number of header lines of a message.
 const MAX_HEADERS: usize = 96;
 
-/// Why bytes are not an HTTP/1.1 message.
+/// Why bytes cannot be read as an HTTP/1.1 message.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum HttpError {
     /// The head is longer than allowed.
     #[snafu(display("a head of more than {limit} bytes"))]
     HeadTooLong {
-        /// What is allowed.
+        /// The maximum length in bytes.
         limit: usize,
     },
-    /// Not a head.
+    /// The bytes are not a valid head.
     #[snafu(display("not an HTTP head: {reason}"))]
     Malformed {
-        /// From the parser.
+        /// The error of the parser.
         reason: String,
     },
-    /// The end of the body cannot be found.
+    /// The headers or the chunks do not determine the end of the body.
     #[snafu(display("unusable framing: {reason}"))]
     Framing {
-        /// Why.
+        /// What is wrong with the framing.
         reason: &'static str,
     },
 }
 
-/// Header lines, in order.
+/// Header lines of a message, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     lines: Vec<(Bytes, Bytes)>,
 }
 
 impl Headers {
-    /// These lines, in their order.
+    /// Creates headers from lines of name and value, in their order.
     pub fn from_lines<'a>(lines: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let copy = |text: &str| Bytes::copy_from_slice(text.as_bytes());
         let lines = lines.into_iter();
@@ -47,22 +47,23 @@
         }
     }
 
-    /// The first value of `name`, whatever its case.
+    /// Returns the first value of the header `name`, which is compared without regard to case.
     pub fn get<'a>(&'a self, name: &str) -> Option<&'a [u8]> {
         self.all(name).next()
     }
 
-    /// The first value of `name` as text without blanks around it.
+    /// Returns the first value of `name` as text, without surrounding whitespace; `None` if it is
+    /// not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().map(str::trim)
     }
 
-    /// The first value of `name` as a number.
+    /// Returns the first value of `name` as a number; `None` if it is not one.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.text(name)?.parse().ok()
     }
 
-    /// All values of `name`.
+    /// Returns all values of `name`, one for each header line.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'n> {
         self.lines
             .iter()
@@ -70,7 +71,7 @@
             .map(|(_, value)| value.as_ref())
     }
 
-    /// Whether a comma-separated header holds `token`.
+    /// Returns whether the comma-separated header `name` contains `token`, without regard to case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             value
@@ -79,7 +80,7 @@
         })
     }
 
-    /// All lines.
+    /// Returns all lines as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.lines
             .iter()
@@ -90,23 +91,23 @@
 /// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method, as sent.
+    /// The method, as received.
     pub method: String,
-    /// Path and query, as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Whether the peer speaks HTTP/1.1 rather than 1.0.
+    /// Whether the version is HTTP/1.1 rather than 1.0.
     pub is_http11: bool,
     /// The header lines.
     pub headers: Headers,
 }
 
 impl RequestHead {
-    /// The target without its query.
+    /// Returns the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or(&self.target)
     }
 
-    /// A parameter of the query, as sent.
+    /// Returns the first value of a parameter of the query, as received (not percent-decoded).
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query
@@ -116,7 +117,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Whether the connection is to be closed after this exchange.
+    /// Returns whether the connection is to be closed after this exchange.
     pub fn wants_close(&self) -> bool {
         self.headers.has_token("connection", "close") || !self.is_http11
     }
@@ -127,35 +128,35 @@
 pub struct AnswerHead {
     /// The status code.
     pub status: u16,
-    /// Whether the peer speaks HTTP/1.1 rather than 1.0.
+    /// Whether the version is HTTP/1.1 rather than 1.0.
     pub is_http11: bool,
     /// The header lines.
     pub headers: Headers,
 }
 
 impl AnswerHead {
-    /// Whether the connection is to be closed after this exchange.
+    /// Returns whether the connection is to be closed after this exchange.
     pub fn wants_close(&self) -> bool {
         self.headers.has_token("connection", "close") || !self.is_http11
     }
 
-    /// Whether the status says success.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Takes a request's head out of `input`; `None` when it is not whole yet.
+/// Removes a request's head from `input` and parses it; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are no head, or one longer than `max_bytes`.
+/// When the bytes are not a valid head, or the head is longer than `max_bytes`.
 pub(super) fn read_request_head(
     input: &mut BytesMut,
     max_bytes: usize,
 ) -> Result<Option<RequestHead>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
-    let Some(length) = parse_status(parsed.parse(input), input.len(), max_bytes)? else {
+    let Some(length) = head_length(parsed.parse(input), input.len(), max_bytes)? else {
         return Ok(None);
     };
     let method = parsed.method.unwrap_or_default().to_owned();
@@ -171,17 +172,17 @@
     }))
 }
 
-/// Takes an answer's head out of `input`; `None` when it is not whole yet.
+/// Removes an answer's head from `input` and parses it; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are no head, or one longer than `max_bytes`.
+/// When the bytes are not a valid head, or the head is longer than `max_bytes`.
 pub(super) fn read_answer_head(
     input: &mut BytesMut,
     max_bytes: usize,
 ) -> Result<Option<AnswerHead>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
-    let Some(length) = parse_status(parsed.parse(input), input.len(), max_bytes)? else {
+    let Some(length) = head_length(parsed.parse(input), input.len(), max_bytes)? else {
         return Ok(None);
     };
     let status = parsed.code.unwrap_or_default();
@@ -195,7 +196,8 @@
     }))
 }
 
-fn parse_status(
+/// Returns the length of a parsed head in bytes; `None` while the head is incomplete.
+fn head_length(
     result: httparse::Result<usize>,
     available: usize,
     max_bytes: usize,
@@ -213,9 +215,10 @@
     }
 }
 
-/// Where name and value of a header line stand in the buffer.
+/// Positions of a header line's name and value in the buffer.
 type HeaderRange = (std::ops::Range<usize>, std::ops::Range<usize>);
 
+/// Returns the positions of the parsed header lines in `input`.
 fn header_ranges(input: &BytesMut, headers: &[httparse::Header<'_>]) -> Vec<HeaderRange> {
     let start = input.as_ptr() as usize;
     let range = |part: &[u8]| {
@@ -228,6 +231,8 @@
         .collect()
 }
 
+/// Removes a head of `length` bytes from `input` and returns its header lines, which share the
+/// buffer.
 fn take_headers(input: &mut BytesMut, length: usize, ranges: Vec<HeaderRange>) -> Headers {
     let head = input.split_to(length).freeze();
     let lines = ranges
--- a/crates/gateways/wingshore-net/src/http/mod.rs
+++ b/crates/gateways/wingshore-net/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages in buffers.
+//! Reading and writing of HTTP/1.1 messages in buffers.
 
 mod answer;
 mod body;
