--- a/crates/gateways/wingshore-net/tests/frames.rs
+++ b/crates/gateways/wingshore-net/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames in buffers.
+//! Encoding and decoding of frames, whatever the pieces in which their bytes arrive.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 
 proptest! {
     #[test]
-    fn any_cuts_give_the_same_messages(
+    fn any_split_gives_the_same_messages(
         messages in proptest::collection::vec(any::<Option<String>>(), 1..6),
         step in 1_usize..20,
     ) {
@@ -26,7 +26,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut input = BytesMut::from(bytes.as_slice());
         let _ = frame::decode::<(u64, String)>(&mut input);
     }
--- a/crates/gateways/wingshore-net/tests/frames_of_other_builds.rs
+++ b/crates/gateways/wingshore-net/tests/frames_of_other_builds.rs
@@ -1,4 +1,5 @@
-//! What the decoder of frames does with a frame of a build that writes more, or less, than it knows.
+//! Decoding of frames from other builds, whose messages have more or fewer bytes than this build
+//! knows.
 
 use bytes::BytesMut;
 use googletest::prelude::*;
@@ -6,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 use wingshore_net::frame::{self, FrameError};
 
-/// What the receiver knows.
+/// The message type of the receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Known {
     First(u64),
     Second { name: String, count: u32 },
 }
 
-/// The same, with a variant after the last one.
+/// The message type of a newer sender, with a variant added at the end.
 #[derive(Serialize, Deserialize)]
 enum Grown {
     First(u64),
@@ -28,7 +29,7 @@
     }
 }
 
-/// Bytes of `message`, with `more` after its end, as one frame.
+/// Returns a frame with `message` and the bytes of `more` after it.
 fn frame_with(message: &impl Serialize, more: &[u8]) -> Vec<u8> {
     let mut bytes = frame::encode(message).unwrap();
     bytes.extend(more);
@@ -37,8 +38,8 @@
     bytes
 }
 
-/// `message` without its last byte, as one frame.
-fn cut_frame(message: &impl Serialize) -> Vec<u8> {
+/// Returns a frame with `message` without its last byte.
+fn truncated_frame(message: &impl Serialize) -> Vec<u8> {
     let mut bytes = frame::encode(message).unwrap();
     bytes.pop();
     let length = u32::try_from(bytes.len() - 4).unwrap();
@@ -47,7 +48,7 @@
 }
 
 proptest! {
-    /// Neither the message nor the frame after it is changed.
+    /// Bytes after the message affect neither the message nor the next frame.
     #[test]
     fn bytes_after_the_end_of_a_message_are_ignored(
         more in proptest::collection::vec(any::<u8>(), 0..40),
@@ -77,7 +78,7 @@
 
 #[gtest]
 fn a_message_that_ends_too_early_is_refused() {
-    let mut input = BytesMut::from(cut_frame(&second()).as_slice());
+    let mut input = BytesMut::from(truncated_frame(&second()).as_slice());
     let read = frame::decode::<Known>(&mut input);
     expect_that!(
         matches!(read, Err(FrameError::Malformed { .. })),
@@ -86,10 +87,10 @@
     );
 }
 
-/// The bytes after the frame do not stand in for those that it lacks.
+/// The decoder must not take the bytes that a frame lacks from the next frame.
 #[gtest]
-fn a_message_does_not_go_on_in_the_next_frame() {
-    let mut input = BytesMut::from(cut_frame(&second()).as_slice());
+fn a_message_does_not_continue_in_the_next_frame() {
+    let mut input = BytesMut::from(truncated_frame(&second()).as_slice());
     input.extend_from_slice(&frame::encode(&Known::First(7)).unwrap());
     let read = frame::decode::<Known>(&mut input);
     expect_that!(
@@ -99,9 +100,9 @@
     );
 }
 
-/// A receiver that asks for them gets the bytes after the end, and nothing of the next frame.
+/// `decode_with_rest` returns the bytes after the message, and none of the next frame.
 #[gtest]
-fn bytes_after_the_end_are_given_to_who_asks() {
+fn decode_with_rest_returns_the_bytes_after_the_message() {
     let mut input = BytesMut::from(frame_with(&second(), &[1, 2, 3]).as_slice());
     input.extend_from_slice(&frame::encode(&Known::First(7)).unwrap());
     let read = frame::decode_with_rest::<Known>(&mut input).unwrap();
--- a/crates/gateways/wingshore-net/tests/http.rs
+++ b/crates/gateways/wingshore-net/tests/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 in buffers: whole messages only, however their bytes are cut, and nothing smuggled.
+//! Reading of HTTP/1.1 messages: only complete messages are returned, whatever the pieces in which
+//! their bytes arrive, and ambiguous framing, which allows request smuggling, is refused.
 
 use bytes::BytesMut;
 use googletest::prelude::*;
@@ -19,7 +20,7 @@
 
 proptest! {
     #[test]
-    fn any_cuts_give_the_same_requests(cuts in proptest::collection::vec(0_usize..150, 0..10)) {
+    fn any_split_gives_the_same_requests(cuts in proptest::collection::vec(0_usize..150, 0..10)) {
         let stream = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello\
             POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n\
             GET /c HTTP/1.1\r\n\r\n";
@@ -45,7 +46,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = read(&bytes);
         let mut reader = AnswerReader::new(false);
         let _ = reader.read(&mut BytesMut::from(bytes.as_slice()));
@@ -53,7 +54,7 @@
 }
 
 #[gtest]
-fn requests_whose_end_cannot_be_told_are_refused() {
+fn requests_with_ambiguous_framing_are_refused() {
     let heads = [
         "Content-Length: -1",
         "Content-Length: 5\r\nContent-Length: 6",
@@ -69,7 +70,7 @@
 }
 
 #[gtest]
-fn what_is_too_large_is_refused_with_its_own_status() {
+fn heads_and_bodies_over_the_limit_are_refused_with_their_status() {
     let long_head = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(LIMIT));
     let status = read(long_head.as_bytes()).map_err(|error| error.status());
     expect_that!(status, err(eq(&431)));
@@ -93,7 +94,7 @@
 }
 
 #[gtest]
-fn an_answer_cut_short_is_not_whole() {
+fn a_truncated_answer_is_not_complete() {
     let (reader, _, status) = answer(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhell");
     expect_that!(status, eq(BodyStatus::Partial));
     expect_that!(reader.is_whole_at_close(), eq(false));
@@ -113,7 +114,7 @@
 }
 
 #[gtest]
-fn bytes_behind_an_answer_are_left_for_its_reader_to_see() {
+fn bytes_after_an_answer_stay_in_the_input() {
     let (_, input, status) =
         answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n");
     expect_that!(status, eq(BodyStatus::Whole));
@@ -121,7 +122,7 @@
 }
 
 #[gtest]
-fn interim_answers_come_before_the_one_that_counts() {
+fn interim_answers_are_skipped() {
     let (reader, _, status) =
         answer(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n");
     expect_that!(status, eq(BodyStatus::Whole));
--- a/crates/gateways/wingshore-net/tests/reactor.rs
+++ b/crates/gateways/wingshore-net/tests/reactor.rs
@@ -1,4 +1,4 @@
-//! Real sockets on loopback.
+//! The reactor with real sockets on the loopback interface.
 
 use googletest::prelude::*;
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
     unacknowledged_limit: LIMIT,
 };
 
-/// Polls until an event is as wanted.
+/// Polls until `wanted` returns a value for an event, and returns that value.
 fn wait_for<T>(reactor: &mut Reactor, mut wanted: impl FnMut(NetEvent) -> Option<T>) -> T {
     let deadline = Instant::now() + LIMIT * 4;
     let mut events = Vec::new();
@@ -28,7 +28,7 @@
     }
 }
 
-fn listening() -> (Reactor, SocketAddr) {
+fn listening_reactor() -> (Reactor, SocketAddr) {
     let mut reactor = Reactor::new().expect("a reactor");
     let address = ([127, 0, 0, 1], 0).into();
     let listener = reactor.listen(address, LIMIT, 3).expect("it listens");
@@ -36,7 +36,7 @@
     (reactor, address)
 }
 
-fn accepted(reactor: &mut Reactor) -> ConnectionId {
+fn next_accepted(reactor: &mut Reactor) -> ConnectionId {
     wait_for(reactor, |event| match event {
         NetEvent::Accepted { connection, .. } => Some(connection),
         _ => None,
@@ -44,10 +44,10 @@
 }
 
 #[gtest]
-fn bytes_go_both_ways() {
-    let (mut reactor, address) = listening();
+fn bytes_are_received_and_sent() {
+    let (mut reactor, address) = listening_reactor();
     let mut peer = TcpStream::connect(address).expect("a connection");
-    let connection = accepted(&mut reactor);
+    let connection = next_accepted(&mut reactor);
     peer.write_all(b"question").expect("bytes leave");
     wait_for(&mut reactor, |event| {
         (event == NetEvent::Received(connection)).then_some(())
@@ -71,16 +71,16 @@
     expect_that!(reactor.is_open(connection), eq(false));
 }
 
-/// Bytes and the end behind them that arrive before one look used to be reported as bytes only:
-/// no second event follows for the end.
+/// Guards against a lost end of input: when bytes and the end after them arrived before one poll,
+/// only the bytes were reported, since no second event follows for the end.
 #[gtest]
-fn an_end_that_arrives_together_with_bytes_is_noticed() {
-    let (mut reactor, address) = listening();
+fn an_end_of_input_that_arrives_together_with_bytes_is_reported() {
+    let (mut reactor, address) = listening_reactor();
     let mut peer = TcpStream::connect(address).expect("a connection");
-    let connection = accepted(&mut reactor);
+    let connection = next_accepted(&mut reactor);
     peer.write_all(b"last words").expect("bytes leave");
     drop(peer);
-    // Both are there before the reactor looks.
+    // The bytes and the end arrive before the reactor polls.
     std::thread::sleep(Duration::from_millis(100));
     let mut received = false;
     wait_for(&mut reactor, |event| {
@@ -93,11 +93,11 @@
 }
 
 #[gtest]
-fn more_than_a_socket_takes_is_sent_in_the_end() {
+fn output_larger_than_the_socket_buffer_is_sent_completely() {
     const LENGTH: usize = 8 << 20;
-    let (mut reactor, address) = listening();
+    let (mut reactor, address) = listening_reactor();
     let mut peer = TcpStream::connect(address).expect("a connection");
-    let connection = accepted(&mut reactor);
+    let connection = next_accepted(&mut reactor);
     reactor.send(connection, &vec![7; LENGTH]);
     reactor.close_when_flushed(connection);
     let reading = std::thread::spawn(move || {
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn a_connection_that_was_asked_for_comes_up_or_is_refused() {
+fn an_outgoing_connection_is_established_or_refused() {
     let mut reactor = Reactor::new().expect("a reactor");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -133,8 +133,8 @@
 }
 
 #[gtest]
-fn beyond_the_limit_connections_are_closed() {
-    let (mut reactor, address) = listening();
+fn connections_over_the_limit_are_closed() {
+    let (mut reactor, address) = listening_reactor();
     let peers: Vec<TcpStream> = (0..3)
         .map(|_| TcpStream::connect(address).expect("a connection"))
         .collect();
@@ -162,21 +162,21 @@
 fn a_waker_ends_the_wait_of_another_thread() {
     let mut reactor = Reactor::new().expect("a reactor");
     let waker = reactor.waker();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::spawn(move || waker.wake());
     reactor
         .poll(LIMIT, &mut Vec::new())
         .expect("the reactor polls");
-    expect_that!(begun.elapsed(), lt(LIMIT));
+    expect_that!(started_at.elapsed(), lt(LIMIT));
 }
 
-/// What is queued by copy and what is shared with other connections leaves in its order, also where
-/// the peer reads slowly.
+/// Copied and shared bytes are sent in the order in which they were queued, even when the peer
+/// reads slowly.
 #[gtest]
-fn shared_bytes_leave_in_order_with_copied_ones() {
-    let (mut reactor, address) = listening();
+fn shared_and_copied_bytes_are_sent_in_order() {
+    let (mut reactor, address) = listening_reactor();
     let peer = TcpStream::connect(address).expect("a connection");
-    let connection = accepted(&mut reactor);
+    let connection = next_accepted(&mut reactor);
     let long = bytes::Bytes::from(vec![b'l'; 600_000]);
     let short = bytes::Bytes::from_static(b"short");
     let mut expected = Vec::new();
