--- a/crates/gateways/wingshore-coordination/src/leader/attempts.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/attempts.rs
@@ -4,7 +4,7 @@
 use super::decisions::ejection::eject_until;
 use super::decisions::expiry::is_silent;
 use super::decisions::item_outcome::{
-    EngineVerdict, ItemHistory, PartialText, Retry, Verdict, verdict,
+    EngineAction, ItemHistory, NextStep, PartialText, Retry, next_step,
 };
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -50,7 +50,7 @@
         if !is_open || !is_free {
             return turn.release_attempt(gateway, assignment);
         }
-        self.items.take(&item);
+        self.items.dequeue(&item);
         let model = job.and_then(|job| job.submission.model.clone());
         let attempt = Attempt::new(turn.now, item, gateway, instance, model);
         self.start(assignment, attempt);
@@ -107,7 +107,7 @@
         let silent: Vec<AssignmentId> = self
             .items
             .attempts()
-            .filter(|(_, attempt)| is_silent(turn.now, attempt.heard))
+            .filter(|(_, attempt)| is_silent(turn.now, attempt.last_reported_at))
             .map(|(assignment, _)| *assignment)
             .collect();
         for assignment in silent {
@@ -115,7 +115,7 @@
                 self.count_attempt_end(&attempt);
                 turn.release_attempt(attempt.gateway, assignment);
                 log_retry(assignment, &attempt, NO_LONGER_REPORTED, turn);
-                self.items.wait(attempt.item);
+                self.items.enqueue(attempt.item);
             }
         }
     }
@@ -157,7 +157,7 @@
             ItemOutcome::Finished(text) => is_too_old(text, item, state),
             _ => false,
         };
-        let may_end_engines = match outcome {
+        let is_crash_suspected = match outcome {
             ItemOutcome::Interrupted {
                 cause: BreakCause::Engine(Some(request)),
                 ..
@@ -168,7 +168,7 @@
             is_too_old,
             failures: open_item.failures,
             max_failures: self.max_failures(item, state),
-            may_end_engines,
+            is_crash_suspected,
         })
     }
 
@@ -194,8 +194,8 @@
         turn: &mut Turn<'_>,
     ) {
         let (gateway, assignment) = finished;
-        let verdict = verdict(&outcome, history);
-        if verdict != Verdict::Take {
+        let next_step = next_step(&outcome, history);
+        if next_step != NextStep::Take {
             self.release_attempt_and_scoring(gateway, assignment, turn);
             let reason = if history.is_too_old {
                 TEXT_TOO_OLD
@@ -204,14 +204,14 @@
             };
             log_retry(assignment, attempt, reason, turn);
         }
-        match (verdict, outcome) {
-            (Verdict::Take, ItemOutcome::Finished(text)) => {
-                self.engines.succeeded(&attempt.instance);
+        match (next_step, outcome) {
+            (NextStep::Take, ItemOutcome::Finished(text)) => {
+                self.engines.item_completed(&attempt.instance);
                 self.accept_text(&attempt.item, text, finished, turn);
             }
-            (Verdict::Take, _) => {}
-            (Verdict::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
-            (Verdict::Abandon(reason), _) => self.abandon(&attempt.item, reason, turn),
+            (NextStep::Take, _) => {}
+            (NextStep::Retry(retry), outcome) => self.retry(attempt, outcome, retry, turn),
+            (NextStep::Abandon(reason), _) => self.abandon(&attempt.item, reason, turn),
         }
     }
 
@@ -240,27 +240,27 @@
                 _ => {}
             }
         }
-        self.items.wait(attempt.item.clone());
+        self.items.enqueue(attempt.item.clone());
     }
 
     fn apply_engine_action(
         &mut self,
         instance: &InstanceId,
-        verdict: EngineVerdict,
+        action: EngineAction,
         turn: &mut Turn<'_>,
     ) {
-        match verdict {
-            EngineVerdict::Keep => {}
-            EngineVerdict::Eject => self.eject(turn.now, instance),
-            EngineVerdict::EjectUntilHeartbeat => {
+        match action {
+            EngineAction::Keep => {}
+            EngineAction::Eject => self.eject(turn.now, instance),
+            EngineAction::EjectUntilHeartbeat => {
                 self.eject(turn.now, instance);
                 self.engines.await_heartbeat(instance);
             }
-            EngineVerdict::EjectAndPoll => {
+            EngineAction::EjectAndPoll => {
                 self.eject(turn.now, instance);
                 self.poll_engine(instance, turn);
             }
-            EngineVerdict::Defer(duration) => {
+            EngineAction::Defer(duration) => {
                 self.engines.defer_until(instance, turn.now + duration);
             }
         }
@@ -318,7 +318,7 @@
 
     /// Updates the counts of running items of an ended attempt's engine and gateway.
     pub(crate) fn count_attempt_end(&mut self, attempt: &Attempt) {
-        self.engines.ended(&attempt.instance);
+        self.engines.item_ended(&attempt.instance);
         self.gateways.item_ended(attempt.gateway);
     }
 }
--- a/crates/gateways/wingshore-coordination/src/leader/moving.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/moving.rs
@@ -1,9 +1,9 @@
 //! Progress of running items, and moves of items to faster engines.
 
 use super::decision_log::Decision;
-use super::decisions::moves::{AVOIDED_FOR, MovableItem, better_engine};
+use super::decisions::moves::{AVOIDANCE_TIME, MovableItem, better_engine};
 use super::machine::CoordinationLeader;
-use super::tables::item::Avoided;
+use super::tables::item::AvoidedEngine;
 use super::turn::Turn;
 use crate::ids::{AssignmentId, GatewayId, InstanceId};
 use crate::messages::{CoordinatorMessage, ItemProgress};
@@ -31,20 +31,20 @@
         let Some(attempt) = self.items.attempt_mut(assignment) else {
             return;
         };
-        attempt.heard = now;
+        attempt.last_reported_at = now;
         let engine = self.engines.get(&attempt.instance);
         let is_steady = engine.is_some_and(|engine| engine.is_steady(now));
-        let Some((before, at)) = attempt.seen.filter(|_| is_steady) else {
-            attempt.seen = Some((events, now));
+        let Some((before, at)) = attempt.last_progress.filter(|_| is_steady) else {
+            attempt.last_progress = Some((events, now));
             return;
         };
         let new = events.saturating_sub(before);
         if new < MIN_MEASURED_EVENTS {
             return;
         }
-        attempt.seen = Some((events, now));
+        attempt.last_progress = Some((events, now));
         let instance = attempt.instance.clone();
-        self.engines.paced(&instance, new, now.since(at));
+        self.engines.record_pace(&instance, new, now.since(at));
     }
 
     /// Interrupts the attempts whose items would continue much faster on another engine.
@@ -73,7 +73,7 @@
         if attempt.interrupted || open_item.has_result {
             return None;
         }
-        let (events, _) = attempt.seen?;
+        let (events, _) = attempt.last_progress?;
         let submission = &state.jobs().get(&attempt.item.job)?.submission;
         let item = MovableItem {
             instance: &attempt.instance,
@@ -94,9 +94,9 @@
         let (item, instance) = (attempt.item.clone(), attempt.instance.clone());
         if let Some(open_item) = self.items.open_item_mut(&item) {
             open_item.moves += 1;
-            open_item.avoid = Some(Avoided {
+            open_item.avoid = Some(AvoidedEngine {
                 instance: instance.clone(),
-                until: turn.now + AVOIDED_FOR,
+                until: turn.now + AVOIDANCE_TIME,
             });
         }
         turn.log(Decision::ItemMoved {
--- a/crates/gateways/wingshore-coordination/src/leader/placing.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/placing.rs
@@ -150,7 +150,7 @@
         };
         let engine = self.engines.get(&instance);
         let gateway = gateway_for_item(&self.gateways, engine).ok_or(NotPlaced::NotNow)?;
-        self.items.take(&candidate.key);
+        self.items.dequeue(&candidate.key);
         self.assign(gateway, &instance, &candidate, turn);
         Ok(())
     }
@@ -299,7 +299,8 @@
 
     /// Records an attempt that starts, or that a gateway reports as running.
     pub(crate) fn start(&mut self, assignment: AssignmentId, attempt: Attempt) {
-        self.engines.started(&attempt.instance, attempt.gateway);
+        self.engines
+            .item_started(&attempt.instance, attempt.gateway);
         self.gateways.item_started(attempt.gateway);
         self.items.start(assignment, attempt);
     }
--- a/crates/gateways/wingshore-coordination/src/leader/servers.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/servers.rs
@@ -1,7 +1,7 @@
 //! The leader's side of the server registry: heartbeats, drains, deregistrations, expiry.
 
 use super::decision_log::Decision;
-use super::decisions::registration::{LATE_CALLS, foreign, merged};
+use super::decisions::registration::{LATE_CALL_WINDOW, merged_record, registration_error};
 use super::interface::Effect;
 use super::machine::CoordinationLeader;
 use super::proposals::FollowUp;
@@ -20,22 +20,22 @@
         heartbeat: Heartbeat,
         turn: &mut Turn<'_>,
     ) {
-        if let Some(reason) = foreign(&heartbeat.server, turn.state) {
+        if let Some(reason) = registration_error(&heartbeat.server, turn.state) {
             return turn.reply(tag, Reply::Refused(reason));
         }
         let instance = heartbeat.server.instance.clone();
         let is_newest = self
             .heartbeats
-            .note(turn.now, instance.clone(), heartbeat.sequence);
+            .record(turn.now, instance.clone(), heartbeat.sequence);
         let is_known = turn.state.servers().contains_key(&instance);
         if is_newest {
-            self.engines.heard(&instance);
+            self.engines.heartbeat_received(&instance);
         }
         let heartbeats = &mut self.heartbeats;
         if !is_newest || !heartbeats.is_current(turn.now, &instance, turn.state) {
             return self.acknowledge_stale_heartbeat(tag, &instance, turn);
         }
-        let wanted = merged(heartbeat.server, turn.state);
+        let wanted = merged_record(heartbeat.server, turn.state);
         if turn.state.servers().get(&instance) == Some(&wanted) {
             return turn.reply(tag, Reply::Done);
         }
@@ -116,8 +116,8 @@
         let mut unknown = Vec::new();
         for UnchangedServer { instance, sequence } in servers {
             if turn.state.servers().contains_key(&instance) {
-                self.engines.heard(&instance);
-                self.heartbeats.note(turn.now, instance, sequence);
+                self.engines.heartbeat_received(&instance);
+                self.heartbeats.record(turn.now, instance, sequence);
             } else if !turn.state.has_departed(&instance) {
                 unknown.push(instance);
             }
@@ -141,7 +141,7 @@
             return self.deregister_unknown(tag, name, turn);
         };
         if self.heartbeats.is_ambiguous(turn.now, &newest) {
-            return turn.reply(tag, Reply::ComeBack(LATE_CALLS));
+            return turn.reply(tag, Reply::ComeBack(LATE_CALL_WINDOW));
         }
         let command = Command::Depart(newest.clone());
         self.propose_server(command, newest, Some(tag), turn);
--- a/crates/gateways/wingshore-coordination/tests/capacity.rs
+++ b/crates/gateways/wingshore-coordination/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! Servers that are ordered: how many, where, and when an order is given again.
+//! Tests of server orders: how many servers are ordered, in which zones, and when an order is
+//! repeated.
 
 mod support;
 
@@ -28,12 +29,12 @@
     }
 }
 
-fn demand(open_items: usize, staying: u32) -> CapacityDemand {
-    let zones = ["a", "b", "c"].map(|zone| (zone.to_owned(), staying));
+fn demand(open_items: usize, non_reclaimable: u32) -> CapacityDemand {
+    let zones = ["a", "b", "c"].map(|zone| (zone.to_owned(), non_reclaimable));
     CapacityDemand {
         open_items,
         slots: 8,
-        staying: BTreeMap::from(zones),
+        non_reclaimable: BTreeMap::from(zones),
     }
 }
 
@@ -45,7 +46,7 @@
 }
 
 #[gtest]
-fn as_many_are_wanted_as_what_is_open_needs_spread_over_the_zones() {
+fn wanted_servers_follow_open_items_and_are_spread_over_zones() {
     let by_demand = CapacityPolicy::ByDemand;
     expect_that!(
         counts(&demand(300, 15), &scaling(), by_demand),
@@ -55,18 +56,18 @@
         counts(&demand(456, 15), &scaling(), by_demand),
         eq(&vec![4, 4, 4])
     );
-    // Not more than four fifths of those that stay.
+    // At most four fifths of the non-reclaimable servers.
     expect_that!(
         counts(&demand(9000, 15), &scaling(), by_demand),
         eq(&vec![12, 12, 12])
     );
 }
 
-/// The limit of a zone holds for both kinds together.
+/// The maximum of a zone limits the sum of reclaimable and other servers.
 #[gtest]
-fn the_limit_of_a_zone_is_kept() {
+fn the_maximum_of_a_zone_limits_reclaimable_and_other_servers() {
     let mut crowded = demand(9000, 15);
-    crowded.staying.insert("b".to_owned(), 28);
+    crowded.non_reclaimable.insert("b".to_owned(), 28);
     expect_that!(
         counts(&crowded, &scaling(), CapacityPolicy::Most),
         eq(&vec![15, 2, 15])
@@ -76,7 +77,7 @@
 }
 
 #[gtest]
-fn nothing_is_ordered_where_there_is_nothing_to_choose() {
+fn no_servers_are_wanted_without_policy_registered_servers_or_reclaimable_price() {
     let fixed = counts(&demand(9000, 15), &scaling(), CapacityPolicy::Fixed);
     expect_that!(fixed, is_empty());
     let none_registered = CapacityDemand::default();
@@ -92,22 +93,23 @@
     );
 }
 
-/// Steps come each 4 s: between two of them less is open, which is no reason to give servers back.
+/// Training steps come every 4 s. Fewer items are open between two steps, which is no reason to
+/// release servers.
 #[gtest]
-fn a_peak_survives_the_lull_behind_it() {
+fn a_peak_is_kept_between_two_training_steps() {
     const SPAN: Duration = Duration::from_secs(15);
     let at = |seconds: u64| Instant::ZERO + Duration::from_secs(seconds);
     let mut peak = Peak::default();
-    expect_that!(peak.note(at(1), 600, SPAN), eq(600));
+    expect_that!(peak.record(at(1), 600, SPAN), eq(600));
     for seconds in 2..30 {
         let open = if seconds % 4 == 0 { 500 } else { 20 };
-        expect_that!(peak.note(at(seconds), open, SPAN), ge(500));
+        expect_that!(peak.record(at(seconds), open, SPAN), ge(500));
     }
-    expect_that!(peak.note(at(47), 20, SPAN), le(500));
-    expect_that!(peak.note(at(63), 20, SPAN), eq(20));
+    expect_that!(peak.record(at(47), 20, SPAN), le(500));
+    expect_that!(peak.record(at(63), 20, SPAN), eq(20));
 }
 
-/// A group whose engines can be had, with four that stay.
+/// A group whose service may be scaled, with four non-reclaimable engines.
 fn group() -> Group {
     let mut group = Group::with_settings(LeaderSettings {
         orders_servers: true,
@@ -143,7 +145,7 @@
     });
 }
 
-/// A server of a pool that has come.
+/// The record of a server that was ordered for a pool and has started.
 fn ordered_server(pool: &CapacityPool, number: u32) -> ServerRecord {
     let name = format!("spot-{}-{number}", pool.zone);
     ServerRecord {
@@ -155,7 +157,7 @@
 }
 
 #[gtest]
-fn an_order_is_given_once_and_again_only_when_its_servers_are_missed() {
+fn an_order_is_repeated_only_after_servers_are_lost() {
     let mut group = group();
     let orders = take_orders(&mut group);
     expect_that!(orders, len(eq(3)));
@@ -179,7 +181,7 @@
         }
     }
     expect_that!(take_orders(&mut group), is_empty());
-    // One is lost: the same number is ordered again.
+    // One server is lost, so the same number is ordered again.
     group.ask(Request::Deregister(
         ordered_server(&orders[0].pool, 0).instance.name().clone(),
     ));
@@ -189,13 +191,13 @@
 }
 
 #[gtest]
-fn an_order_without_success_is_given_again_with_growing_backoff() {
+fn a_failed_order_is_repeated_with_exponential_backoff() {
     let mut group = group();
     let mut given = 0;
     for _ in 0..40 {
         for order in take_orders(&mut group) {
             given += 1;
-            // There are none to be had now.
+            // The provider has no servers available.
             answer(&mut group, &order, ProviderAnswer::Conflict);
         }
         group.wait(Duration::from_millis(250));
@@ -204,9 +206,9 @@
     expect_that!(given, all![ge(12), le(24)]);
 }
 
-/// A successor continues with the number that is committed, under a token of its own.
+/// A new leader continues with the committed number, under its own fencing token.
 #[gtest]
-fn a_successor_orders_what_was_committed() {
+fn a_new_leader_orders_the_committed_numbers() {
     let mut group = group();
     let first = take_orders(&mut group);
     group.change_leader("coordinator-b");
@@ -220,10 +222,9 @@
     }
 }
 
-/// A site with two services whose servers can be had, of which one runs items.
-///
-/// Seen by reading: the number of open items of the whole site was taken for what each service
-/// needs, so that servers of a service that runs none of them were ordered with each job.
+/// Guards against ordering servers for a service that runs no items. This happened when the number
+/// of open items of the whole site was taken as the demand of each service, so that each job caused
+/// orders for all of them.
 #[gtest]
 fn servers_are_ordered_for_the_service_that_runs_the_items_only() {
     let mut group = Group::with_settings(LeaderSettings {
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -70,7 +70,7 @@
     /// Logs and counts the progress of sending the state to members that lag too far behind the
     /// log.
     pub(super) fn report_sent_states(&mut self, now: Instant) {
-        let sendings = self.host.snapshots_under_way();
+        let sendings = self.host.outgoing_snapshots();
         let look = self.sent_states.look(now, &sendings);
         self.metrics.state_sent(look.sent, look.sent_again);
         for report in look.reports {
--- a/crates/shared/wingshore-consensus/tests/support/checker.rs
+++ b/crates/shared/wingshore-consensus/tests/support/checker.rs
@@ -1,70 +1,71 @@
-//! What must hold over a whole run, kept apart from the code it checks.
+//! Checks of the safety properties over a whole run, independent of the code under test.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wingshore_consensus::{Entry, Raft};
 use wingshore_types::{LogIndex, ReplicaId};
 
-/// A broken promise.
+/// A violated safety property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two members led the same term.
+    /// Two members were leader in the same term.
     TwoLeaders { term: u64 },
-    /// A member voted for two candidates in a term.
+    /// A member voted for two candidates in one term.
     VotedTwice { term: u64, voter: ReplicaId },
-    /// Two members applied different entries at one index, or one out of order.
+    /// Two members applied different entries at the same index, or a member applied entries out of
+    /// order.
     AppliedDiffers { index: LogIndex },
     /// A new leader lacks a committed entry.
     CommittedLost { index: LogIndex, term: u64 },
-    /// Two logs agree at one index and differ before it.
+    /// Two logs agree at an index but differ before it.
     LogMatching { index: LogIndex },
-    /// A read under lease missed an acknowledged write.
+    /// A read under a lease missed an acknowledged write.
     StaleRead {
         applied: LogIndex,
         acknowledged: LogIndex,
     },
-    /// Two members held the lease at one moment.
+    /// Two members held the lease at the same time.
     TwoLeases { first: ReplicaId, second: ReplicaId },
 }
 
-/// The applied state of one member: the index and a hash over all entries up to it.
+/// The applied state of one member: the last index, and a hash over all entries up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
     pub index: LogIndex,
-    pub chain: u64,
+    pub log_hash: u64,
 }
 
 impl Applied {
-    /// As snapshot bytes, padded so that it takes several chunks.
+    /// Encodes the state as snapshot bytes, padded so that it takes several chunks.
     pub fn encode(self) -> Vec<u8> {
         let mut bytes = self.index.0.to_le_bytes().to_vec();
-        bytes.extend_from_slice(&self.chain.to_le_bytes());
+        bytes.extend_from_slice(&self.log_hash.to_le_bytes());
         bytes.extend_from_slice(&[0xA5; 200]);
         bytes
     }
 
-    /// From snapshot bytes.
+    /// Decodes snapshot bytes.
     pub fn decode(bytes: &[u8]) -> Self {
         let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
         Self {
             index: LogIndex(word(0)),
-            chain: word(8),
+            log_hash: word(8),
         }
     }
 }
 
-/// An entry that some member applied.
+/// An entry that a member has applied.
 #[derive(Clone, Copy, Debug)]
 struct Committed {
-    /// Its term.
+    /// Term of the entry.
     term: u64,
-    /// Hash over all entries up to it.
-    chain: u64,
+    /// Hash over all entries up to this one.
+    log_hash: u64,
     /// The term in which it was first applied.
-    during: u64,
+    applied_in_term: u64,
 }
 
-/// Collects what members do.
+/// Records the actions of the members, and checks them.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub violation: Option<Violation>,
@@ -81,12 +82,12 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// The number of entries known to be committed.
+    /// Returns the number of entries known to be committed.
     pub fn committed_entries(&self) -> usize {
         self.committed.len()
     }
 
-    /// A member granted its vote.
+    /// Records that a member granted its vote.
     pub fn on_vote(&mut self, term: u64, voter: ReplicaId, candidate: ReplicaId) {
         let first = *self.votes.entry((term, voter)).or_insert(candidate);
         if first != candidate {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// A member became leader.
+    /// Records that a member became leader.
     pub fn on_leader(&mut self, raft: &Raft) {
         let term = raft.term();
         let first = *self.leaders.entry(term).or_insert(raft.id());
@@ -105,7 +106,7 @@
         let lost = self
             .committed
             .range(raft.first_index()..)
-            .filter(|(_, committed)| committed.during < term)
+            .filter(|(_, committed)| committed.applied_in_term < term)
             .find(|(index, committed)| raft.term_at(**index) != Some(committed.term))
             .map(|(index, committed)| (*index, committed.term));
         if let Some((index, term)) = lost {
@@ -113,40 +114,41 @@
         }
     }
 
-    /// A member in term `during` applied an entry on top of `before`; answers its state after.
-    pub fn on_apply(&mut self, during: u64, before: Applied, entry: &Entry) -> Applied {
+    /// Records that a member in term `applied_in_term` applied an entry to the state `before`.
+    /// Returns the new state.
+    pub fn on_apply(&mut self, applied_in_term: u64, before: Applied, entry: &Entry) -> Applied {
         let index = entry.index;
         let mut hasher = DefaultHasher::new();
-        (before.chain, index.0, entry.term, &entry.data).hash(&mut hasher);
-        let chain = hasher.finish();
+        (before.log_hash, index.0, entry.term, &entry.data).hash(&mut hasher);
+        let log_hash = hasher.finish();
         let term = entry.term;
         let applied = Committed {
             term,
-            chain,
-            during,
+            log_hash,
+            applied_in_term,
         };
         let known = *self.committed.entry(index).or_insert(applied);
-        let is_equal = (known.term, known.chain) == (term, chain);
+        let is_equal = (known.term, known.log_hash) == (term, log_hash);
         if !is_equal || index.0 != before.index.0 + 1 {
             self.report(Violation::AppliedDiffers { index });
         }
-        Applied { index, chain }
+        Applied { index, log_hash }
     }
 
-    /// A member restored a snapshot.
+    /// Records that a member restored a snapshot.
     pub fn on_restore(&mut self, index: LogIndex, applied: Applied) {
-        let known = self.committed.get(&index).map(|known| known.chain);
-        if applied.index != index || known != Some(applied.chain) {
+        let known = self.committed.get(&index).map(|known| known.log_hash);
+        if applied.index != index || known != Some(applied.log_hash) {
             self.report(Violation::AppliedDiffers { index });
         }
     }
 
-    /// A leader told a client that its write at `index` is done.
+    /// Records that a leader acknowledged the write at `index` to a client.
     pub fn on_acknowledged(&mut self, index: LogIndex) {
         self.acknowledged = self.acknowledged.max(index);
     }
 
-    /// A leader answered a read from its applied state.
+    /// Records that a leader answered a read from its applied state.
     pub fn on_read(&mut self, applied: LogIndex) {
         self.reads += 1;
         let acknowledged = self.acknowledged;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// These members hold a lease right now.
+    /// Records which members hold a lease at the same time.
     pub fn on_lease_holders(&mut self, holders: &[ReplicaId]) {
         if let [first, second, ..] = holders {
             self.report(Violation::TwoLeases {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Compares the logs of two members: below the last index at which their terms agree, all
+    /// Compares the logs of two members: before the last index at which their terms agree, all
     /// terms must agree.
     pub fn on_logs(&mut self, left: &Raft, right: &Raft) {
         let first = left.first_index().max(right.first_index()).0;
--- a/crates/shared/wingshore-group/src/stop.rs
+++ b/crates/shared/wingshore-group/src/stop.rs
@@ -16,13 +16,13 @@
     pub(crate) fn begin_stop(&mut self, now: Instant) {
         if self.stop == StopPhase::Running {
             self.stop = StopPhase::AwaitingStates;
-            self.raft.await_states(now);
+            self.raft.await_snapshots(now);
         }
     }
 
     /// A stop goes on once no state that is being sent is waited for any more.
     fn end_wait_for_states(&mut self, now: Instant) {
-        if self.stop == StopPhase::AwaitingStates && !self.raft.is_awaiting_states(now) {
+        if self.stop == StopPhase::AwaitingStates && !self.raft.is_awaiting_snapshots(now) {
             self.stop = StopPhase::begin(now, self.election_timeout);
         }
     }
