--- a/crates/shared/wingshore-group/src/applying.rs
+++ b/crates/shared/wingshore-group/src/applying.rs
@@ -15,17 +15,17 @@
     L: LeaderMachine + Default + 'static,
     L::State: Default,
 {
-    /// Applies a committed entry, and reports it to whoever proposed it.
+    /// Applies a committed entry and reports the result to its proposer.
     ///
-    /// Proposals are kept only for the leadership that made them, and a leader never overwrites
-    /// its own log: so the entry at a proposal's index is that proposal.
+    /// Proposals are kept only during the leadership that made them, and a leader never overwrites
+    /// its own log. The entry at the index of a proposal is therefore that proposal.
     pub(crate) fn apply(
         &mut self,
         now: Instant,
         entry: &Entry,
         out: &mut Vec<HostOutput<L>>,
     ) -> Result<(), HostError> {
-        self.snapshots.applied(entry.size());
+        self.snapshots.record_applied(entry.size());
         let proposal = self.proposals.remove(&entry.index);
         match entry.kind {
             EntryKind::Empty => {}
@@ -42,7 +42,7 @@
                 }
             }
         }
-        self.start_leading_when_ready(now, entry.term, out)
+        self.start_leader_when_ready(now, entry.term, out)
     }
 
     fn membership_applied(
@@ -59,13 +59,13 @@
         out.push(HostOutput::Reply { tag, reply });
     }
 
-    /// Replaces the state by a snapshot's.
+    /// Replaces the replicated state by the state in a snapshot.
     pub(crate) fn restore(
         &mut self,
         index: LogIndex,
         snapshot: &SnapshotState,
     ) -> Result<(), HostError> {
-        // The state before goes first: two whole ones may be too much.
+        // Drops the old state before reading the new one: memory may not suffice for both.
         self.state = L::State::default();
         (self.machines.prepare)(&mut self.state);
         let mut reader = snapshot.reader().map_err(|error| HostError::Restore {
@@ -78,7 +78,7 @@
             message: error.message,
         })?;
         (self.machines.prepare)(&mut self.state);
-        self.snapshots.taken(snapshot.length());
+        self.snapshots.record_snapshot(snapshot.length());
         Ok(())
     }
 }
--- a/crates/shared/wingshore-group/src/host.rs
+++ b/crates/shared/wingshore-group/src/host.rs
@@ -1,8 +1,8 @@
-//! The host of one replicated group: its state and the dispatch of inputs.
+//! [`Host`]: the state of one replicated group on one replica and the dispatch of its inputs.
 
 use crate::interface::{HostConfig, HostError, HostInput, HostOutput, HostReply, Leadership};
 use crate::machines::MachineFactory;
-use crate::pending::{Leading, PendingTransfer, Proposal};
+use crate::pending::{ActiveLeader, PendingTransfer, Proposal};
 use crate::snapshots::SnapshotSchedule;
 use crate::stop_phase::StopPhase;
 use rand::SeedableRng;
@@ -18,23 +18,25 @@
 /// machine.
 ///
 /// Invariant: the leader machine exists only while this replica leads and has applied an entry of
-/// its own term; each of its replies and effects passes the lease check of the very step.
+/// its own term. Each of its replies and effects passes a lease check in the step that emits it.
 pub struct Host<L: LeaderMachine> {
     pub(crate) id: ReplicaId,
     pub(crate) raft: Raft,
     pub(crate) state: L::State,
-    pub(crate) leading: Option<Leading<L>>,
-    /// What the leader machine or an operator proposed, by log index.
+    pub(crate) active_leader: Option<ActiveLeader<L>>,
+    /// Uncommitted proposals of the leader machine and of operators, by log index.
     pub(crate) proposals: BTreeMap<LogIndex, Proposal>,
-    /// Proposals that wait for a leadership transfer to end.
-    pub(crate) held: VecDeque<(ProposalTag, Vec<u8>)>,
-    /// Requests at the leader machine, with the count of proposals at their arrival.
+    /// Proposals deferred until the current leadership transfer ends, in the order they were made.
+    pub(crate) deferred_proposals: VecDeque<(ProposalTag, Vec<u8>)>,
+    /// Requests that the leader machine has not answered, with the value of `proposal_count` when
+    /// each one arrived.
     pub(crate) requests: BTreeMap<RequestTag, u64>,
-    /// Proposals the leader machine has made.
+    /// Number of proposals that the leader machine has made.
     pub(crate) proposal_count: u64,
     pub(crate) transfer: Option<PendingTransfer>,
     pub(crate) stop: StopPhase,
-    pub(crate) announced: Option<Leadership>,
+    /// The leadership last reported by [`HostOutput::Leadership`].
+    pub(crate) announced_leadership: Option<Leadership>,
     pub(crate) election_timeout: std::time::Duration,
     pub(crate) machines: MachineFactory<L>,
     pub(crate) snapshots: SnapshotSchedule,
@@ -46,10 +48,10 @@
     L: LeaderMachine + Default + 'static,
     L::State: Default,
 {
-    /// Starts from what storage recovered.
+    /// Starts from the log that storage recovered.
     ///
     /// # Errors
-    /// When a setting does not fit, or the recovered log cannot be used.
+    /// If a setting is invalid or the recovered log cannot be used.
     pub fn new(
         now: Instant,
         config: HostConfig,
@@ -58,10 +60,10 @@
         Self::with_machines(now, config, recovered, MachineFactory::default())
     }
 
-    /// As [`Host::new`], with machines made by `machines`.
+    /// Like [`Host::new`], with machines created by `machines`.
     ///
     /// # Errors
-    /// As [`Host::new`].
+    /// Like [`Host::new`].
     pub fn with_machines(
         now: Instant,
         config: HostConfig,
@@ -86,14 +88,14 @@
             id: config.id,
             raft,
             state,
-            leading: None,
+            active_leader: None,
             proposals: BTreeMap::new(),
-            held: VecDeque::new(),
+            deferred_proposals: VecDeque::new(),
             requests: BTreeMap::new(),
             proposal_count: 0,
             transfer: None,
             stop: StopPhase::Running,
-            announced: None,
+            announced_leadership: None,
             election_timeout: config.timing.election_timeout,
             machines,
             snapshots: SnapshotSchedule::new(
@@ -109,13 +111,13 @@
         Ok(host)
     }
 
-    /// Handles one input at `now`, pushing what follows from it.
+    /// Handles one input at time `now` and appends the resulting outputs to `out`.
     pub fn step(&mut self, now: Instant, input: HostInput<L>, out: &mut Vec<HostOutput<L>>) {
         self.step_all(now, [input], out);
     }
 
-    /// Handles several inputs at `now`; what they write goes out as one batch, and what they
-    /// propose as one append to each member.
+    /// Handles several inputs at time `now`. All their writes form one batch, and all their
+    /// proposals form one append message to each member.
     pub fn step_all(
         &mut self,
         now: Instant,
@@ -147,7 +149,7 @@
                 self.tick_machine(now, out)
             }
             HostInput::Consensus { from, message } => {
-                // A message that does not decode counts as lost.
+                // A message that cannot be decoded is treated as lost.
                 let Ok(message) = postcard::from_bytes::<Message>(&message) else {
                     return Ok(());
                 };
@@ -167,7 +169,7 @@
     }
 
     fn finish_step(&mut self, now: Instant, out: &mut Vec<HostOutput<L>>) -> Result<(), HostError> {
-        self.propose_held();
+        self.propose_deferred();
         self.continue_stop(now, out);
         self.take_snapshot_when_due()?;
         if self.raft.wants_snapshot() {
@@ -189,7 +191,7 @@
         self.carry_out_all(now, outputs, out)
     }
 
-    /// Carries out the outputs of the log, in their order.
+    /// Carries out the outputs of the replicated log in order.
     pub(crate) fn carry_out_all(
         &mut self,
         now: Instant,
@@ -228,7 +230,7 @@
     fn take_snapshot_when_due(&mut self) -> Result<(), HostError> {
         if self.snapshots.is_due() && self.raft.can_compact() {
             let snapshot = self.state.freeze();
-            self.snapshots.taken(snapshot.length());
+            self.snapshots.record_snapshot(snapshot.length());
             self.raft.compact(snapshot)?;
         }
         Ok(())
@@ -241,23 +243,24 @@
         }
     }
 
-    /// Answers a request without any claim about the state.
+    /// Replies that this replica is not the leader; the reply states nothing about the replicated
+    /// state.
     pub(crate) fn reply_not_leader(&self, tag: RequestTag, out: &mut Vec<HostOutput<L>>) {
         let leader = self.other_leader();
         let reply = HostReply::NotLeader { leader };
         out.push(HostOutput::Reply { tag, reply });
     }
 
-    /// The leader, when it is another replica.
+    /// Returns the leader if it is another replica.
     pub(crate) fn other_leader(&self) -> Option<ReplicaId> {
         self.raft.leader().filter(|leader| *leader != self.id)
     }
 
-    /// When [`HostInput::Tick`] is due at the latest.
+    /// Returns the latest time at which the next [`HostInput::Tick`] must be fed.
     pub fn next_tick(&self) -> Instant {
         let mut next = self.raft.next_deadline();
-        if let Some(leading) = &self.leading {
-            next = next.min(leading.next_tick);
+        if let Some(leader) = &self.active_leader {
+            next = next.min(leader.next_tick);
         }
         if let Some(deadline) = self.stop.deadline() {
             next = next.min(deadline);
@@ -265,63 +268,64 @@
         next
     }
 
-    /// The replicated state as applied here.
+    /// Returns the replicated state as of the last entry applied on this replica.
     pub fn state(&self) -> &L::State {
         &self.state
     }
 
-    /// Whether this replica leads and its leader machine runs.
+    /// Returns whether this replica leads and its leader machine runs.
     pub fn is_leader(&self) -> bool {
-        self.leading.is_some()
+        self.active_leader.is_some()
     }
 
-    /// The leader machine, while it runs.
+    /// Returns the leader machine while it runs.
     pub fn leader_machine(&self) -> Option<&L> {
-        self.leading.as_ref().map(|leading| &leading.machine)
+        self.active_leader.as_ref().map(|leader| &leader.machine)
     }
 
-    /// Whether this replica holds the quorum lease at `now`.
+    /// Returns whether this replica holds the quorum lease at `now`.
     pub fn holds_lease(&self, now: Instant) -> bool {
         self.raft.holds_lease(now)
     }
 
-    /// The leader, when one is known.
+    /// Returns the leader if one is known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.raft.leader()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.raft.term()
     }
 
-    /// The last entry applied here.
+    /// Returns the index of the last entry applied on this replica.
     pub fn applied_index(&self) -> LogIndex {
         self.raft.last_applied()
     }
 
-    /// The last entry known to be committed here.
+    /// Returns the highest index that this replica knows to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.raft.commit_index()
     }
 
-    /// Bytes of the log's entries that are in memory.
+    /// Returns the bytes of log entries held in memory.
     pub fn log_bytes(&self) -> usize {
         self.raft.log_bytes()
     }
 
-    /// Whether this replica leads and knows that `id` holds durably what was committed a heartbeat
-    /// round ago.
+    /// Returns whether this replica leads and knows that member `id` has durably stored all entries
+    /// that were committed one heartbeat round ago.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
         self.raft.is_caught_up(id)
     }
 
-    /// The states that this replica, as leader, is sending to members; none on others.
+    /// Returns the snapshots that this replica, as leader, is sending to members; empty on other
+    /// replicas.
     pub fn snapshots_under_way(&self) -> Vec<SnapshotSending> {
         self.raft.snapshots_under_way()
     }
 
-    /// The members, as of the newest entry that changes them.
+    /// Returns the membership as of the newest entry that changes it.
     pub fn membership(&self) -> &Membership {
         self.raft.membership()
     }
--- a/crates/shared/wingshore-group/src/interface.rs
+++ b/crates/shared/wingshore-group/src/interface.rs
@@ -13,34 +13,35 @@
 /// Settings of one hosted group.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
-    /// Who this replica is.
+    /// Id of this replica.
     pub id: ReplicaId,
-    /// The founding members; set only where the data folder was formatted as one of them.
+    /// The founding members. Set only if the data folder was formatted for one of them.
     pub bootstrap: Option<Membership>,
-    /// Seeds the election timeouts; differs between members.
+    /// Seed of the random election timeouts and snapshot intervals; differs between members.
     pub seed: u64,
     /// Timing of elections and leases.
     pub timing: Timing,
     /// Limits of messages between members.
     pub limits: Limits,
-    /// Lower bound of the log between two snapshots, in bytes: a snapshot is taken when this many were
-    /// applied since the last one, or half as many as that one has, whichever is more, and up to half
-    /// of that again.
+    /// Lower bound of the log between two snapshots, in bytes. A snapshot is due once the log
+    /// applied since the last one reaches this bound or half the size of the last snapshot,
+    /// whichever is larger, plus a random extra of up to half of that.
     pub snapshot_every_bytes: u64,
-    /// Upper bound of it, in bytes, however large the last snapshot is, and up to half of that again: a
-    /// start holds the log after the snapshot.
+    /// Upper bound of the log between two snapshots, in bytes, regardless of the size of the last
+    /// snapshot; the random extra of up to half is added to it. It limits the log that a replica
+    /// holds when it starts.
     pub max_log_bytes: u64,
-    /// Deliberate faults; all off outside tests.
+    /// Faults injected by tests; all off in production.
     pub faults: Faults,
-    /// Where snapshots are gathered while they are received.
+    /// Storage for snapshots while they are being received.
     pub spool: Arc<dyn SnapshotSpool>,
 }
 
 impl HostConfig {
-    /// Bytes of applied log between snapshots, unless set otherwise.
+    /// Default lower bound of the log between two snapshots.
     const DEFAULT_SNAPSHOT_EVERY_BYTES: u64 = 8 * 1024 * 1024;
 
-    /// Settings with the usual timing and limits.
+    /// Returns settings with the default timing and limits.
     pub fn new(id: ReplicaId, bootstrap: Option<Membership>, seed: u64) -> Self {
         Self {
             id,
@@ -56,91 +57,93 @@
     }
 }
 
-/// What a host reacts to.
+/// An input of a [`crate::Host`].
 pub enum HostInput<L: LeaderMachine> {
-    /// Time has passed; due at the latest at [`crate::Host::next_tick`].
+    /// Time has passed. Must be fed no later than [`crate::Host::next_tick`].
     Tick,
-    /// A message of another member.
+    /// A message from another member.
     Consensus {
         /// The sender.
         from: ReplicaId,
-        /// The message, as [`HostOutput::Send`] gave it there.
+        /// The encoded message, as [`HostOutput::Send`] produced it at the sender.
         message: Vec<u8>,
     },
     /// A client's request.
     Request {
-        /// Returned with the reply; unique within this host's life.
+        /// Returned with the reply; unique for the lifetime of this host.
         tag: RequestTag,
-        /// What is asked.
+        /// The request.
         request: L::Request,
     },
-    /// A request about the group's members.
+    /// A membership request.
     Membership {
-        /// Returned with the reply; unique within this host's life, also among client requests.
+        /// Returned with the reply; unique for the lifetime of this host, also among the tags of
+        /// client requests.
         tag: RequestTag,
-        /// What is asked.
+        /// The request.
         request: MembershipRequest,
     },
-    /// The result of an effect, or news from outside; dropped unless this replica leads.
+    /// The result of an effect, or an external event. Dropped unless this replica leads.
     Event(L::Event),
-    /// The write with this token, and all before it, are durable.
+    /// The write with this token and all earlier writes are durable.
     Persisted {
-        /// Of [`HostOutput::Write`].
+        /// Token of the [`HostOutput::Write`].
         token: u64,
     },
-    /// Planned stop: takes no more requests, finishes what is proposed, hands leadership over,
-    /// then gives [`HostOutput::Stopped`].
+    /// Planned stop: the host refuses new requests, completes its proposals, hands leadership
+    /// over and then emits [`HostOutput::Stopped`].
     Stop,
 }
 
-/// What a host asks its process to do.
+/// An action that a [`crate::Host`] requests from its process.
 pub enum HostOutput<L: LeaderMachine> {
-    /// Send a message to another member. Messages may be lost, repeated and reordered.
+    /// Send a message to another member. Messages may be lost, duplicated and reordered.
     Send {
         /// The receiver.
         to: ReplicaId,
-        /// The message.
+        /// The encoded message.
         message: Vec<u8>,
     },
-    /// Make a batch durable, then feed [`HostInput::Persisted`]. At most one is under way.
+    /// Make a batch durable, then feed [`HostInput::Persisted`]. At most one write is in progress.
     Write {
-        /// Names the write; grows.
+        /// Identifies the write; increases with every write.
         token: u64,
-        /// What to write.
+        /// The data to write.
         batch: WriteBatch,
     },
     /// Answer a request.
     Reply {
-        /// Which request.
+        /// Tag of the request.
         tag: RequestTag,
         /// The answer.
         reply: HostReply<L::Reply>,
     },
-    /// Do something outside the group.
+    /// Execute an effect outside the group.
     Effect(L::Effect),
-    /// The members are these now; connections to them may be needed.
+    /// The membership has changed to this one; connections to new members may be needed.
     MembershipChanged(Membership),
     /// Leadership as this replica sees it has changed.
     Leadership(Leadership),
-    /// The planned stop is done.
+    /// The planned stop is complete.
     Stopped,
-    /// The host cannot go on: the process must end. It ignores all later inputs.
+    /// The host has failed and ignores all later inputs; the process must exit.
     Failed(HostError),
 }
 
 /// Answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostReply<R> {
-    /// From the leader machine.
+    /// The reply of the leader machine.
     Reply(R),
-    /// To a request about members.
+    /// The reply to a membership request.
     Membership(MembershipReply),
-    /// Not the leader, or a leader without a lease: the request has had no effect here.
+    /// This replica is not the leader, or leads without a lease. The request has had no effect
+    /// here.
     NotLeader {
         /// The leader, when one is known.
         leader: Option<ReplicaId>,
     },
-    /// Leadership or the lease was lost meanwhile: the request may or may not take effect.
+    /// Leadership or the lease was lost before the reply: the request may or may not take effect.
     Unknown,
 }
 
@@ -149,51 +152,51 @@
 pub enum Leadership {
     /// This replica leads and its leader machine runs.
     Leading {
-        /// The leadership.
+        /// Epoch of this leadership.
         epoch: Epoch,
     },
-    /// Another replica leads, or none is known to.
+    /// Another replica leads, or no leader is known.
     Following {
         /// The leader, when one is known.
         leader: Option<ReplicaId>,
     },
 }
 
-/// Why a host cannot start or go on.
+/// Reason why a host cannot start or has failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum HostError {
-    /// A setting does not fit, or what storage recovered cannot be used.
+    /// A setting is invalid, or the log recovered from storage cannot be used.
     #[snafu(display("the group cannot start: {source}"))]
     Recovery {
-        /// Why.
+        /// Cause.
         source: RecoveryError,
     },
     /// A snapshot could not be restored.
     #[snafu(display("the snapshot at index {index} cannot be restored: {message}"))]
     Restore {
-        /// The last entry it contains.
+        /// Index of the last entry that the snapshot contains.
         index: LogIndex,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
-    /// A committed command is not of a format this program knows.
+    /// A committed command has a format that this build does not support.
     #[snafu(display("the committed command at index {index} cannot be decoded: {source}"))]
     Command {
-        /// The entry.
+        /// Index of the entry.
         index: LogIndex,
-        /// What is wrong with it.
+        /// Cause.
         source: StoredError,
     },
     /// A message or a command could not be encoded.
     #[snafu(display("encoding failed: {source}"), context(false))]
     Encode {
-        /// From the codec.
+        /// Cause.
         source: postcard::Error,
     },
     /// The hard state or a snapshot could not be encoded.
     #[snafu(display("{source}"), context(false))]
     Codec {
-        /// Why.
+        /// Cause.
         source: CodecError,
     },
 }
--- a/crates/shared/wingshore-group/src/lib.rs
+++ b/crates/shared/wingshore-group/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Host`] owns the replicated log ([`wingshore_consensus::Raft`]), the replicated state and,
 //! while this replica leads, the leader machine. It does no I/O: drivers and simulators feed it
-//! [`HostInput`]s and carry out its [`HostOutput`]s.
+//! [`HostInput`]s and execute its [`HostOutput`]s.
 
 mod applying;
 mod host;
--- a/crates/shared/wingshore-group/src/machines.rs
+++ b/crates/shared/wingshore-group/src/machines.rs
@@ -1,16 +1,16 @@
-//! How a host makes the machines it runs.
+//! Construction of the state machines that a host runs.
 
 use wingshore_types::machine::LeaderMachine;
 
-/// Prepares a replicated state.
+/// Function that prepares a replicated state.
 pub type PrepareState<S> = Box<dyn Fn(&mut S) + Send>;
 
-/// Makes the machines of a host. The default one is the one in production; tests and simulations
-/// put deliberate faults in here.
+/// Creates the machines of a host. Production uses the default; tests and simulations use it to
+/// inject faults.
 pub struct MachineFactory<L: LeaderMachine> {
-    /// Makes the leader machine of a new leadership.
+    /// Creates the leader machine of a new leadership.
     pub leader: Box<dyn Fn() -> L + Send>,
-    /// Prepares a state that was just made, and again once it is restored from a snapshot.
+    /// Prepares a newly created state, and prepares it again after it is restored from a snapshot.
     pub prepare: PrepareState<L::State>,
 }
 
--- a/crates/shared/wingshore-group/src/membership.rs
+++ b/crates/shared/wingshore-group/src/membership.rs
@@ -1,4 +1,4 @@
-//! Requests about the group's members.
+//! Membership requests: changes of the members and leadership transfers.
 
 use crate::host::Host;
 use crate::interface::{HostError, HostOutput, HostReply};
@@ -13,7 +13,7 @@
     L: LeaderMachine + Default + 'static,
     L::State: Default,
 {
-    /// Takes a request about members, if it can be answered here.
+    /// Handles a membership request, or answers that this replica is not the leader.
     pub(crate) fn on_membership_request(
         &mut self,
         now: Instant,
@@ -21,7 +21,7 @@
         request: MembershipRequest,
         out: &mut Vec<HostOutput<L>>,
     ) -> Result<(), HostError> {
-        if !self.takes_requests(now) {
+        if !self.accepts_requests(now) {
             self.reply_not_leader(tag, out);
             return Ok(());
         }
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Leadership has ended, or a new leader is known: answers the request to transfer it. The
-    /// answer claims only who leads the new term, so it needs no lease.
+    /// Answers the pending transfer request once a new leader is known. The answer states only
+    /// who leads the new term, so it needs no lease.
     pub(crate) fn answer_transfer(
         &mut self,
         leader: Option<ReplicaId>,
@@ -109,7 +109,8 @@
         reply_refused(transfer.tag, message, out);
     }
 
-    /// The transfer was given up; this replica still leads.
+    /// Answers the pending transfer request after the transfer was aborted; this replica still
+    /// leads.
     pub(crate) fn on_transfer_aborted(&mut self, out: &mut Vec<HostOutput<L>>) {
         if let Some(transfer) = self.transfer.take() {
             let message = format!("member {} did not catch up in time", transfer.target);
--- a/crates/shared/wingshore-group/src/pending.rs
+++ b/crates/shared/wingshore-group/src/pending.rs
@@ -1,32 +1,33 @@
-//! What a leadership has under way: its machine, and who waits for its outcome.
+//! State of a leadership: the leader machine, and the proposals and transfers that are in progress.
 
 use wingshore_types::machine::{ProposalTag, RequestTag};
 use wingshore_types::{Epoch, Instant, ReplicaId};
 
 /// A running leader machine.
-pub(crate) struct Leading<L> {
+pub(crate) struct ActiveLeader<L> {
     /// The machine.
     pub(crate) machine: L,
-    /// The leadership.
+    /// Epoch of the leadership.
     pub(crate) epoch: Epoch,
-    /// When its next tick is due.
+    /// Time at which the machine's next tick is due.
     pub(crate) next_tick: Instant,
 }
 
-/// Who waits for a log entry of this leadership to be applied.
+/// Origin of a log entry proposed during this leadership, which receives the result once the entry
+/// is applied.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Proposal {
     /// The leader machine.
     Machine(ProposalTag),
-    /// A request about members.
+    /// A membership request.
     Membership(RequestTag),
 }
 
-/// A request to transfer leadership that waits for its end.
+/// A request to transfer leadership whose transfer has not ended yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingTransfer {
-    /// The request.
+    /// Tag of the request.
     pub(crate) tag: RequestTag,
-    /// Who is to lead.
+    /// The replica that is to become leader.
     pub(crate) target: ReplicaId,
 }
--- a/crates/shared/wingshore-group/src/snapshots.rs
+++ b/crates/shared/wingshore-group/src/snapshots.rs
@@ -1,63 +1,67 @@
-//! When does a member take the next snapshot?
+//! Schedule of the snapshots that a member takes of its state.
 //!
-//! - Inputs: bytes of log applied since the last snapshot; bytes of that snapshot, also of one that was
-//!   restored; the bounds of the settings; a seed that differs between members.
-//! - Rule: the next one is due after half as many bytes of log as the last snapshot has, but no fewer
-//!   than the lower bound and no more than the upper one, and up to half of that again by chance.
-//! - Why: what is written for snapshots stays in proportion to the log, however large the state; the
-//!   upper bound limits the log that a start holds. A member that takes a snapshot acknowledges nothing
-//!   meanwhile: were they all to take theirs at one entry, every commit would wait.
-//! - Missing inputs: without a snapshot so far the lower bound counts.
+//! The next snapshot is due when the log applied since the last one, taken or restored, reaches
+//! half the size of that snapshot, within the configured bounds, plus a random extra of up to half
+//! of that interval. Before the first snapshot the lower bound applies.
+//!
+//! An interval proportional to the snapshot keeps the bytes written for snapshots proportional to
+//! the log, regardless of the size of the state. The upper bound limits the log that a replica
+//! holds when it starts. The random extra differs between members: a member acknowledges nothing
+//! while it takes a snapshot, so every commit would wait if all members took theirs at the same
+//! entry.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes of snapshots that are written for each byte of log, at most: see the head.
+/// Maximum bytes of snapshot written for each byte of log, within the bounds of the interval.
 const SNAPSHOT_BYTES_PER_LOG_BYTE: u64 = 2;
-/// An interval is longer by up to this part of itself: see the head.
-const SPREAD_PART: u64 = 2;
+/// The random extra is at most the interval divided by this.
+const JITTER_DIVISOR: u64 = 2;
 
-/// Counts the log applied since the last snapshot.
+/// Counts the bytes of log applied since the last snapshot and decides when the next one is due.
 #[derive(Debug)]
 pub(crate) struct SnapshotSchedule {
-    shortest: u64,
-    longest: u64,
+    min_interval_bytes: u64,
+    max_interval_bytes: u64,
     random: ChaCha8Rng,
-    applied: u64,
-    due_at: u64,
+    applied_bytes: u64,
+    due_at_bytes: u64,
 }
 
 impl SnapshotSchedule {
-    /// Intervals of `shortest` bytes of log or more, and `longest` or less besides their spread;
+    /// Creates a schedule whose intervals lie between the two bounds, not counting the random
+    /// extra.
     /// `seed` differs between members.
-    pub(crate) fn new(shortest: u64, longest: u64, seed: u64) -> Self {
+    pub(crate) fn new(min_interval_bytes: u64, max_interval_bytes: u64, seed: u64) -> Self {
         let mut schedule = Self {
-            shortest,
-            longest,
+            min_interval_bytes,
+            max_interval_bytes,
             random: ChaCha8Rng::seed_from_u64(seed),
-            applied: 0,
-            due_at: 0,
+            applied_bytes: 0,
+            due_at_bytes: 0,
         };
-        schedule.taken(0);
+        schedule.record_snapshot(0);
         schedule
     }
 
-    /// An entry of `bytes` was applied.
-    pub(crate) fn applied(&mut self, bytes: usize) {
-        self.applied = self.applied.saturating_add(bytes as u64);
+    /// Records that an entry of `bytes` was applied.
+    pub(crate) fn record_applied(&mut self, bytes: usize) {
+        self.applied_bytes = self.applied_bytes.saturating_add(bytes as u64);
     }
 
-    /// Whether the next snapshot is due.
+    /// Returns whether the next snapshot is due.
     pub(crate) fn is_due(&self) -> bool {
-        self.applied >= self.due_at
+        self.applied_bytes >= self.due_at_bytes
     }
 
-    /// The state is that of a snapshot of `bytes` now.
-    pub(crate) fn taken(&mut self, bytes: u64) {
-        let share = bytes / SNAPSHOT_BYTES_PER_LOG_BYTE;
-        let interval = share.min(self.longest).max(self.shortest);
-        let more = self.random.random_range(0..=interval / SPREAD_PART);
-        self.applied = 0;
-        self.due_at = interval.saturating_add(more);
+    /// Records that a snapshot of `bytes` was taken or restored, and schedules the next one.
+    pub(crate) fn record_snapshot(&mut self, bytes: u64) {
+        let proportional = bytes / SNAPSHOT_BYTES_PER_LOG_BYTE;
+        let interval = proportional
+            .min(self.max_interval_bytes)
+            .max(self.min_interval_bytes);
+        let jitter = self.random.random_range(0..=interval / JITTER_DIVISOR);
+        self.applied_bytes = 0;
+        self.due_at_bytes = interval.saturating_add(jitter);
     }
 }
--- a/crates/shared/wingshore-group/src/stop.rs
+++ b/crates/shared/wingshore-group/src/stop.rs
@@ -1,5 +1,5 @@
-//! Planned stop: states sent, no more requests, proposals finished, leadership handed over, what is left
-//! answered.
+//! Planned stop of a host. Waits for the snapshots being sent, refuses new requests, completes the
+//! proposals in progress, hands leadership over and answers the requests that are still pending.
 
 use crate::host::Host;
 use crate::interface::HostOutput;
@@ -12,44 +12,44 @@
     L: LeaderMachine + Default + 'static,
     L::State: Default,
 {
-    /// Begins a planned stop.
+    /// Begins a planned stop unless one has begun already.
     pub(crate) fn begin_stop(&mut self, now: Instant) {
         if self.stop == StopPhase::Running {
-            self.stop = StopPhase::AwaitingStates;
+            self.stop = StopPhase::AwaitingSnapshots;
             self.raft.await_states(now);
         }
     }
 
-    /// A stop goes on once no state that is being sent is waited for any more.
-    fn end_wait_for_states(&mut self, now: Instant) {
-        if self.stop == StopPhase::AwaitingStates && !self.raft.is_awaiting_states(now) {
+    /// Proceeds with the stop once it no longer waits for snapshots being sent.
+    fn end_wait_for_snapshots(&mut self, now: Instant) {
+        if self.stop == StopPhase::AwaitingSnapshots && !self.raft.is_awaiting_states(now) {
             self.stop = StopPhase::begin(now, self.election_timeout);
         }
     }
 
-    /// Takes the next part of a planned stop, when its time has come.
+    /// Advances a planned stop to its next phase when that is due.
     pub(crate) fn continue_stop(&mut self, now: Instant, out: &mut Vec<HostOutput<L>>) {
-        self.end_wait_for_states(now);
+        self.end_wait_for_snapshots(now);
         let StopPhase::Stopping {
-            drain_until,
+            drain_deadline,
             deadline,
         } = self.stop
         else {
             return;
         };
         if self.raft.is_leader() && now < deadline {
-            let is_drained = self.proposals.is_empty() && self.held.is_empty();
-            if !is_drained && now < drain_until {
+            let is_drained = self.proposals.is_empty() && self.deferred_proposals.is_empty();
+            if !is_drained && now < drain_deadline {
                 return;
             }
             if let Some(target) = self.raft.transfer_candidate() {
-                // Refused while one is under way; tried again after that one's end.
+                // Refused while a transfer is in progress; retried after it ends.
                 let _ = self.raft.transfer_leadership(now, target);
                 return;
             }
         }
         self.stop = StopPhase::Stopped;
-        self.give_up_all(out);
+        self.fail_all_pending(out);
         out.push(HostOutput::Stopped);
     }
 }
--- a/crates/shared/wingshore-group/src/stop_phase.rs
+++ b/crates/shared/wingshore-group/src/stop_phase.rs
@@ -1,60 +1,60 @@
-//! How long a planned stop waits, and for what.
+//! Phases of a planned stop and their time limits.
 //!
-//! Inputs: the time at which the stop was asked for, and the group's election timeout. A leader first
-//! waits for states that it is sending, and takes requests meanwhile. Then it takes none, waits until what it
-//! has proposed is applied, then hands leadership over, and again where that fails.
-//! After a limit of its own it hands over although proposals are under way, and after a second one it
-//! stops although no other member took over: who waits for it would otherwise be held up by a member
-//! that is gone. Both limits are in election timeouts, since that is how long a silent member is
-//! waited for.
+//! A leader first waits for the snapshots that it is sending and accepts requests meanwhile. It
+//! then refuses requests, waits until its proposals are applied and hands leadership over, retrying
+//! if the transfer fails. After the drain limit it hands over even if proposals are in progress.
+//! After the stop limit it stops even if no other member took over, because a caller that waits for
+//! the stop would otherwise be held up by a member that is gone. Both limits start when the wait
+//! for snapshots ends and are multiples of the group's election timeout, which is how long the
+//! group waits for a silent member.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Election timeouts that proposals under way may take to finish: a commit waits for a silent follower
-/// no longer than one of them.
-const DRAIN_TIMEOUTS: u32 = 2;
-/// Election timeouts that the whole stop may take: each attempt to hand over is given up after one of
-/// them, so that several fit.
-const STOP_TIMEOUTS: u32 = 8;
+/// Drain limit, in election timeouts. A commit waits for a silent follower no longer than one
+/// election timeout.
+const DRAIN_ELECTION_TIMEOUTS: u32 = 2;
+/// Limit of the whole stop after the wait for snapshots, in election timeouts. Each transfer
+/// attempt is aborted after one election timeout, so several attempts fit.
+const STOP_ELECTION_TIMEOUTS: u32 = 8;
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopPhase {
-    /// None was asked for.
+    /// No stop was requested.
     Running,
-    /// Waits for states that are being sent; requests are taken.
-    AwaitingStates,
-    /// Waits for proposals under way, then for another leader.
+    /// Waits for snapshots being sent; requests are still accepted.
+    AwaitingSnapshots,
+    /// Waits for proposals in progress, then for another leader.
     Stopping {
-        /// When leadership is handed over even if proposals are under way.
-        drain_until: Instant,
-        /// When the stop ends even if no other member took over.
+        /// Time at which leadership is handed over even if proposals are in progress.
+        drain_deadline: Instant,
+        /// Time at which the stop ends even if no other member took over.
         deadline: Instant,
     },
-    /// Done.
+    /// The stop is complete.
     Stopped,
 }
 
 impl StopPhase {
-    /// A stop whose wait for states is over at `now`.
+    /// Returns the phase of a stop whose wait for snapshots ends at `now`.
     pub(crate) fn begin(now: Instant, election_timeout: Duration) -> Self {
         Self::Stopping {
-            drain_until: now + election_timeout * DRAIN_TIMEOUTS,
-            deadline: now + election_timeout * STOP_TIMEOUTS,
+            drain_deadline: now + election_timeout * DRAIN_ELECTION_TIMEOUTS,
+            deadline: now + election_timeout * STOP_ELECTION_TIMEOUTS,
         }
     }
 
-    /// Whether requests are refused.
+    /// Returns whether requests are refused in this phase.
     pub(crate) fn refuses_requests(self) -> bool {
         matches!(self, Self::Stopping { .. } | Self::Stopped)
     }
 
-    /// When the next part of the stop is due at the latest.
+    /// Returns the time at which the stop ends at the latest, if the phase has such a limit.
     pub(crate) fn deadline(self) -> Option<Instant> {
         match self {
             Self::Stopping { deadline, .. } => Some(deadline),
-            Self::Running | Self::AwaitingStates | Self::Stopped => None,
+            Self::Running | Self::AwaitingSnapshots | Self::Stopped => None,
         }
     }
 }
