--- a/crates/shared/wingshore-diagnostics/src/lib.rs
+++ b/crates/shared/wingshore-diagnostics/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every process of wingshore has: a log ring in memory that is written out when something
-//! goes wrong, structured logs on standard output, and the signal of a planned stop.
+//! Diagnostics of all wingshore processes: an in-memory log ring that is written out after a
+//! failure, structured logs on standard output, and the signal of a planned stop.
 
 mod ring;
 mod stop;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Logger, ring and the place the ring is written to.
+/// Logger, log ring and the folder that the ring is written to.
 #[derive(Clone)]
 pub struct Diagnostics {
     logger: Logger,
@@ -22,8 +22,8 @@
 }
 
 impl Diagnostics {
-    /// A logger into a ring of `capacity` lines. Dumps go to `folder`, or to standard error
-    /// without one.
+    /// Creates a logger that writes to a ring of `capacity` lines. Dumps go to `folder`, or to
+    /// standard error if there is none.
     pub fn new(process: &str, capacity: usize, folder: Option<&Path>) -> Self {
         let ring = Arc::new(LogRing::new(capacity));
         let drain = ring::RingDrain::new(Arc::clone(&ring)).ignore_res();
@@ -35,20 +35,21 @@
         }
     }
 
-    /// The logger; everything logged goes to the ring only.
+    /// Returns the logger; its lines go to the ring only.
     pub fn logger(&self) -> &Logger {
         &self.logger
     }
 
-    /// The ring.
+    /// Returns the log ring.
     pub fn ring(&self) -> &LogRing {
         &self.ring
     }
 
-    /// Writes the ring out, because of `reason`; gives its place.
+    /// Writes the ring out with `reason` and returns where it was written: a file path or `standard
+    /// error`.
     ///
     /// # Errors
-    /// When the file cannot be written; the ring is then on standard error.
+    /// If the file cannot be written; the ring is then written to standard error.
     pub fn dump(&self, reason: &str) -> Result<String, DumpError> {
         match &self.folder {
             Some(folder) => self.ring.write_to_folder(folder, reason),
@@ -59,7 +60,8 @@
         }
     }
 
-    /// From now on a panic of any thread writes the ring out before the usual message.
+    /// Installs a panic hook that writes the ring out before the usual panic message, on any
+    /// thread.
     pub fn dump_on_panic(&self) {
         let diagnostics = self.clone();
         let previous = std::panic::take_hook();
--- a/crates/shared/wingshore-diagnostics/src/ring.rs
+++ b/crates/shared/wingshore-diagnostics/src/ring.rs
@@ -10,13 +10,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Why the ring could not be written out.
+/// Failure to write the ring to a file.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot write the log ring to {}: {source}", path.display()))]
 pub struct DumpError {
-    /// The file.
+    /// Path of the file.
     path: PathBuf,
-    /// The cause.
+    /// Cause.
     source: std::io::Error,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl LogRing {
-    /// Keeps the newest `capacity` lines.
+    /// Creates a ring that keeps the newest `capacity` lines, at least one.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds a line; the oldest one goes when the ring is full.
+    /// Adds a line; drops the oldest one if the ring is full.
     pub(crate) fn push(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == self.capacity {
@@ -44,16 +44,17 @@
         lines.push_back(line);
     }
 
-    /// All lines, oldest first.
+    /// Returns all lines, oldest first.
     pub fn lines(&self) -> Vec<String> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().cloned().collect()
     }
 
-    /// Writes the ring to a new file `log-<milliseconds since 1970>.txt` under `folder`.
+    /// Writes the ring to a new file `log-<milliseconds since 1970>.txt` in `folder` and returns
+    /// its path.
     ///
     /// # Errors
-    /// When the folder or file cannot be written; the lines then go to standard error.
+    /// If the folder or the file cannot be written; the lines then go to standard error.
     pub(crate) fn write_to_folder(&self, folder: &Path, reason: &str) -> Result<String, DumpError> {
         let path = folder.join(format!("log-{}.txt", since_epoch().as_millis()));
         let written = self.try_write(folder, &path, reason);
@@ -83,7 +84,7 @@
     }
 }
 
-/// The drain that formats records into the ring.
+/// Drain that formats records into lines of the ring.
 pub(crate) struct RingDrain {
     ring: Arc<LogRing>,
 }
--- a/crates/shared/wingshore-diagnostics/src/stop.rs
+++ b/crates/shared/wingshore-diagnostics/src/stop.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Signals to the threads of a process that a planned stop was asked for.
+/// Tells the threads of a process that a planned stop was requested. Clones share one signal.
 #[derive(Clone, Default)]
 pub struct StopSignal {
     inner: Arc<Inner>,
@@ -16,24 +16,24 @@
 }
 
 impl StopSignal {
-    /// A signal that was not given yet.
+    /// Creates a signal for which no stop was requested.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the signal.
+    /// Requests the stop and wakes all waiting threads.
     pub fn stop(&self) {
         let mut stopping = self.lock();
         *stopping = true;
         self.inner.changed.notify_all();
     }
 
-    /// Whether the signal was given.
+    /// Returns whether a stop was requested.
     pub fn is_stopping(&self) -> bool {
         *self.lock()
     }
 
-    /// Waits until the signal is given, `timeout` at most; answers whether it was given.
+    /// Waits until a stop is requested, for at most `timeout`; returns whether it was requested.
     pub fn wait_timeout(&self, timeout: Duration) -> bool {
         let guard = self.lock();
         let waited = self
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Waits until the signal is given.
+    /// Waits until a stop is requested.
     pub fn wait(&self) {
-        /// Any time will do: the wait goes on until the signal.
-        const SLICE: Duration = Duration::from_secs(3600);
-        while !self.wait_timeout(SLICE) {}
+        /// Any value works: the loop continues until the stop is requested.
+        const WAIT_SLICE: Duration = Duration::from_secs(3600);
+        while !self.wait_timeout(WAIT_SLICE) {}
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, bool> {
--- a/crates/shared/wingshore-diagnostics/src/structured.rs
+++ b/crates/shared/wingshore-diagnostics/src/structured.rs
@@ -1,15 +1,16 @@
-//! Structured logs on standard output: one JSON object a line.
+//! Structured logs on standard output, one JSON object per line.
 //!
-//! A thread of its own writes them, and nobody waits for it. Which lines are written is decided by two
-//! rules:
+//! A dedicated thread writes the lines; logging never waits for it. Two rules decide which lines
+//! are written:
 //!
-//! - Budget ([`BudgetDrain`]): a second has a fixed number of lines, of which a part is reserved for
-//!   warnings and errors; lines beyond it are left out and counted, and a line reports how many.
-//! - Sampling ([`RequestSampler`]): lines about requests that went well are written for a share of the
-//!   requests, chosen by a hash of the request's identity. After each second the share shrinks in
-//!   proportion if there were too many lines, and doubles if there were fewer than half as many. The same
-//!   request is chosen in every process with the same share, so that all lines of a sampled request are
-//!   written. Lines about failures are not sampled.
+//! - Budget ([`BudgetDrain`]): each second has a fixed number of lines, part of which is reserved
+//!   for warnings and errors. Lines beyond the budget are left out and counted; a later line
+//!   reports the count.
+//! - Sampling ([`RequestSampler`]): lines about successful requests are written for a share of the
+//!   requests, chosen by a hash of the request id. After each second the share shrinks in
+//!   proportion if there were more lines than the target, and doubles if there were fewer than half
+//!   the target. Every process with the same share chooses the same requests, so that all lines of
+//!   a sampled request are written. Lines about failures are not sampled.
 
 use slog::{Drain, Level, Logger, OwnedKVList, Record, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
@@ -18,23 +19,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the thread that writes.
-const QUEUE: usize = 2048;
-/// The time over which the budget is counted.
+/// Capacity of the queue to the writing thread, in lines.
+const QUEUE_LINES: usize = 2048;
+/// Window over which the budget and the sampled lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Longest wait at the end of a process for lines that were not written yet.
-const FLUSH_LIMIT: Duration = Duration::from_millis(250);
-/// The share in which all requests are in the sample.
-const WHOLE: u64 = 1 << 16;
+/// Maximum wait at process exit for queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
+/// The share at which all requests are sampled.
+const FULL_SHARE: u64 = 1 << 16;
 
-/// What a process may write.
+/// Limits on the log lines of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogBudget {
-    /// Maximal number of lines a second.
+    /// Maximum number of lines per second.
     pub lines_per_second: u64,
-    /// Of these, reserved for lines about failures (warnings and errors).
-    pub kept_for_failures: u64,
-    /// Target for lines a second about requests that went well; beyond it fewer requests are sampled.
+    /// Part of `lines_per_second` reserved for lines about failures (warnings and errors).
+    pub reserved_for_failures: u64,
+    /// Target number of lines per second about successful requests; above it fewer requests are
+    /// sampled.
     pub sampled_lines_per_second: u64,
 }
 
@@ -42,7 +44,7 @@
     fn default() -> Self {
         Self {
             lines_per_second: 400,
-            kept_for_failures: 100,
+            reserved_for_failures: 100,
             sampled_lines_per_second: 200,
         }
     }
@@ -55,13 +57,13 @@
 }
 
 impl LogCounts {
-    /// Lines that were left out since the start.
+    /// Returns the number of lines left out since the process started.
     pub fn left_out(&self) -> u64 {
         self.left_out.load(Ordering::Relaxed)
     }
 }
 
-/// The log of one process. Lines that wait are written when it is dropped, within a limit.
+/// The structured log of one process. Dropping it writes the queued lines, within a time limit.
 pub struct StructuredLog {
     logger: Logger,
     counts: LogCounts,
@@ -69,7 +71,7 @@
 }
 
 impl StructuredLog {
-    /// Begins to write to standard output.
+    /// Starts the thread that writes to standard output.
     pub fn start(budget: LogBudget) -> Self {
         let json = slog_json::Json::new(std::io::stdout())
             .add_default_keys()
@@ -77,16 +79,16 @@
             .build()
             .ignore_res();
         let (drain, guard) = Async::new(json)
-            .chan_size(QUEUE)
+            .chan_size(QUEUE_LINES)
             .overflow_strategy(OverflowStrategy::DropAndReport)
             .build_with_guard();
         let counts = LogCounts::default();
         let drain = BudgetDrain {
             inner: Logger::root(drain.ignore_res(), o!()),
             budget,
-            begun: Instant::now(),
-            second: AtomicU64::new(0),
-            lines: AtomicU64::new(0),
+            started_at: Instant::now(),
+            current_window: AtomicU64::new(0),
+            lines_in_window: AtomicU64::new(0),
             unreported: AtomicU64::new(0),
             counts: counts.clone(),
         };
@@ -97,12 +99,12 @@
         }
     }
 
-    /// The logger.
+    /// Returns the logger.
     pub fn logger(&self) -> &Logger {
         &self.logger
     }
 
-    /// Counts of lines.
+    /// Returns the counts of lines.
     pub fn counts(&self) -> LogCounts {
         self.counts.clone()
     }
@@ -113,46 +115,46 @@
         let Some(guard) = self.guard.take() else {
             return;
         };
-        // A reader that has stopped reading must not hold the end of the process up.
+        // A reader of standard output that has stopped reading must not delay the process exit.
         let (done, written) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             drop(guard);
             let _ = done.send(());
         });
-        let _ = written.recv_timeout(FLUSH_LIMIT);
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Lets only so many lines a second through.
+/// Drain that passes on only the lines within the budget.
 struct BudgetDrain {
     inner: Logger,
     budget: LogBudget,
-    begun: Instant,
-    /// The window that is counted.
-    second: AtomicU64,
-    /// Lines in it.
-    lines: AtomicU64,
-    /// Lines left out that no line has reported yet.
+    started_at: Instant,
+    /// Number of the window being counted, from `started_at`.
+    current_window: AtomicU64,
+    /// Lines passed on in the current window.
+    lines_in_window: AtomicU64,
+    /// Lines left out that no log line has reported yet.
     unreported: AtomicU64,
     counts: LogCounts,
 }
 
 impl BudgetDrain {
-    /// Counts a line, if it fits.
-    fn takes(&self, level: Level) -> bool {
-        let second = self.begun.elapsed().as_secs() / WINDOW.as_secs();
-        if self.second.swap(second, Ordering::Relaxed) != second {
-            self.lines.store(0, Ordering::Relaxed);
+    /// Returns whether a line of this level fits the budget, and counts it if so.
+    fn admits(&self, level: Level) -> bool {
+        let window = self.started_at.elapsed().as_secs() / WINDOW.as_secs();
+        if self.current_window.swap(window, Ordering::Relaxed) != window {
+            self.lines_in_window.store(0, Ordering::Relaxed);
         }
         let reserved = if level.is_at_least(Level::Warning) {
             0
         } else {
-            self.budget.kept_for_failures
+            self.budget.reserved_for_failures
         };
         let max = self.budget.lines_per_second.saturating_sub(reserved);
-        let fits = self.lines.load(Ordering::Relaxed) < max;
+        let fits = self.lines_in_window.load(Ordering::Relaxed) < max;
         if fits {
-            self.lines.fetch_add(1, Ordering::Relaxed);
+            self.lines_in_window.fetch_add(1, Ordering::Relaxed);
         }
         fits
     }
@@ -163,7 +165,7 @@
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, _values: &OwnedKVList) -> Result<(), slog::Never> {
-        if !self.takes(record.level()) {
+        if !self.admits(record.level()) {
             self.unreported.fetch_add(1, Ordering::Relaxed);
             self.counts.left_out.fetch_add(1, Ordering::Relaxed);
             return Ok(());
@@ -177,49 +179,52 @@
     }
 }
 
-/// Chooses which requests are logged that went well.
+/// Chooses the successful requests that are logged.
 ///
-/// The same request is chosen in every process that has the same share, and a smaller share is
-/// part of each larger one: what one process logs of a request, less busy ones log too.
+/// Every process with the same share chooses the same requests, and a smaller share is a subset of
+/// each larger one: requests logged by one process are also logged by less busy ones.
 #[derive(Debug)]
 pub struct RequestSampler {
-    budget: u64,
-    /// Of [`WHOLE`].
+    /// Target number of lines per window.
+    target_lines: u64,
+    /// Share of sampled requests, in units of 1/[`FULL_SHARE`].
     share: u64,
-    window_ends: Duration,
+    window_end: Duration,
+    /// Lines logged in the current window.
     lines: u64,
 }
 
 impl RequestSampler {
-    /// A sampler that chooses all requests until there are too many.
+    /// Creates a sampler that chooses all requests until there are more lines than the target.
     pub fn new(budget: LogBudget) -> Self {
         Self {
-            budget: budget.sampled_lines_per_second,
-            share: WHOLE,
-            window_ends: Duration::ZERO,
+            target_lines: budget.sampled_lines_per_second,
+            share: FULL_SHARE,
+            window_end: Duration::ZERO,
             lines: 0,
         }
     }
 
-    /// Whether to log a line about this request; `now` is any steady time.
+    /// Returns whether to log a line about `request`, and counts the line if so. `now` is a
+    /// monotonic time with any origin.
     pub fn takes(&mut self, now: Duration, request: &str) -> bool {
-        if now >= self.window_ends {
-            self.window_ends = now + WINDOW;
-            self.adapt();
+        if now >= self.window_end {
+            self.window_end = now + WINDOW;
+            self.adjust_share();
         }
         let mut hasher = DefaultHasher::new();
         request.hash(&mut hasher);
-        let taken = hasher.finish() % WHOLE < self.share;
-        self.lines += u64::from(taken);
-        taken
+        let is_sampled = hasher.finish() % FULL_SHARE < self.share;
+        self.lines += u64::from(is_sampled);
+        is_sampled
     }
 
-    fn adapt(&mut self) {
+    fn adjust_share(&mut self) {
         let lines = std::mem::take(&mut self.lines);
-        if lines > self.budget {
-            self.share = (self.share * self.budget / lines).max(1);
-        } else if lines * 2 < self.budget {
-            self.share = (self.share * 2).min(WHOLE);
+        if lines > self.target_lines {
+            self.share = (self.share * self.target_lines / lines).max(1);
+        } else if lines * 2 < self.target_lines {
+            self.share = (self.share * 2).min(FULL_SHARE);
         }
     }
 }
--- a/crates/shared/wingshore-diagnostics/tests/ring.rs
+++ b/crates/shared/wingshore-diagnostics/tests/ring.rs
@@ -1,4 +1,5 @@
-//! The log ring keeps the newest lines and is written out whole.
+//! The log ring keeps the newest lines and is written out completely; a stop signal wakes all
+//! threads that wait for it.
 
 use googletest::prelude::*;
 use wingshore_diagnostics::{Diagnostics, StopSignal};
