--- a/crates/shared/wingshore-clock/tests/clock.rs
+++ b/crates/shared/wingshore-clock/tests/clock.rs
@@ -15,8 +15,7 @@
         .split(' ')
         .next()
         .expect("/proc/uptime has a first field");
-    let uptime =
-        Duration::from_secs_f64(seconds.parse().expect("the uptime is a number of seconds"));
+    let uptime = Duration::from_secs_f64(seconds.parse().expect("seconds"));
     let clock = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME)
         .expect("CLOCK_BOOTTIME is readable");
     expect_that!(uptime.abs_diff(Duration::from(clock)), lt(TOLERANCE));
