--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -144,7 +144,7 @@
     fn log_decision(&mut self, now: Instant, decision: &Decision) {
         if let Some(item) = decision.sampling_id() {
             let time = Duration::from_millis(now.as_millis());
-            if !self.sampler.takes(time, item.as_str()) {
+            if !self.sampler.should_log(time, item.as_str()) {
                 return;
             }
         }
--- a/crates/gateways/wingshore-gateway/src/runtime.rs
+++ b/crates/gateways/wingshore-gateway/src/runtime.rs
@@ -23,6 +23,6 @@
     /// Returns whether a successful request gets a line in the log.
     pub(crate) fn samples(&mut self, request: &str) -> bool {
         let elapsed = Duration::from_millis(self.now.as_millis());
-        self.sampler.takes(elapsed, request)
+        self.sampler.should_log(elapsed, request)
     }
 }
--- a/crates/shared/wingshore-diagnostics/src/structured.rs
+++ b/crates/shared/wingshore-diagnostics/src/structured.rs
@@ -207,7 +207,7 @@
 
     /// Returns whether to log a line about `request`, and counts the line if so. `now` is a
     /// monotonic time with any origin.
-    pub fn takes(&mut self, now: Duration, request: &str) -> bool {
+    pub fn should_log(&mut self, now: Duration, request: &str) -> bool {
         if now >= self.window_end {
             self.window_end = now + WINDOW;
             self.adjust_share();
--- a/crates/shared/wingshore-diagnostics/tests/sampler.rs
+++ b/crates/shared/wingshore-diagnostics/tests/sampler.rs
@@ -18,7 +18,7 @@
         lines = 0;
         for number in 0..requests {
             let now = Duration::from_secs(second) + Duration::from_micros(number);
-            lines += u64::from(sampler.takes(now, &format!("{second}-{number}")));
+            lines += u64::from(sampler.should_log(now, &format!("{second}-{number}")));
         }
     }
     lines
@@ -45,7 +45,7 @@
     for second in 10..30 {
         logged = (0..40)
             .filter(|number| {
-                sampler.takes(Duration::from_secs(second), &format!("{second}-{number}"))
+                sampler.should_log(Duration::from_secs(second), &format!("{second}-{number}"))
             })
             .count();
     }
@@ -59,7 +59,7 @@
     let now = Duration::from_secs(3);
     for number in 0..100 {
         let request = format!("request-{number}");
-        let first = sampler.takes(now, &request);
-        expect_that!(sampler.takes(now, &request), eq(first));
+        let first = sampler.should_log(now, &request);
+        expect_that!(sampler.should_log(now, &request), eq(first));
     }
 }
