--- a/crates/shared/wingshore-group/tests/members.rs
+++ b/crates/shared/wingshore-group/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members that join, leave, restart and hand over.
+//! Membership changes, leadership transfers, planned stops, restarts and snapshots of members.
 
 mod support;
 
@@ -14,17 +14,18 @@
 const SECOND: Duration = Duration::from_secs(1);
 const JOINER: u64 = 40;
 
-fn joined(cluster: &mut Cluster, leader: u64) -> Option<MembershipReply> {
+/// Starts a new member and asks the leader to add it as a learner.
+fn add_joiner(cluster: &mut Cluster, leader: u64) -> Option<MembershipReply> {
     cluster.add(config(JOINER, None));
     cluster.membership_answer(leader, MembershipRequest::AddLearner(member(JOINER)))
 }
 
 #[gtest]
 fn a_new_member_joins_by_snapshot_catches_up_and_is_promoted() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..200);
     verify_that!(
-        joined(&mut cluster, leader),
+        add_joiner(&mut cluster, leader),
         some(eq(&MembershipReply::Done))
     )?;
     cluster.run(SECOND);
@@ -34,7 +35,7 @@
         cluster.membership_answer(leader, promote.clone()),
         some(eq(&MembershipReply::Done))
     )?;
-    // Asked again, after a lost answer.
+    // A repeated request, as after a lost answer, succeeds as well.
     verify_that!(
         cluster.membership_answer(leader, promote),
         some(eq(&MembershipReply::Done))
@@ -55,7 +56,7 @@
 
 #[gtest]
 fn a_learner_that_is_behind_is_not_promoted() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..20);
     cluster.add(config(JOINER, None));
     cluster.isolate(JOINER);
@@ -74,7 +75,7 @@
 
 #[gtest]
 fn impossible_changes_are_refused_with_a_reason() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let mut moved = member(leader);
     moved.address.set_port(1);
     let cases = [
@@ -97,14 +98,14 @@
 }
 
 #[gtest]
-fn one_change_of_voters_at_a_time() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(5);
+fn only_one_change_of_voters_is_accepted_at_a_time() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(5);
     let mut others = (1..=5).filter(|id| *id != leader).map(ReplicaId);
     let first = MembershipRequest::Remove(others.next().or_fail()?);
     let second = MembershipRequest::Remove(others.next().or_fail()?);
     let first = cluster.membership_request(leader, first);
-    let beside = MembershipRequest::AddLearner(member(JOINER));
-    let beside = cluster.membership_request(leader, beside);
+    let add_learner = MembershipRequest::AddLearner(member(JOINER));
+    let add_learner = cluster.membership_request(leader, add_learner);
     let second = cluster.membership_request(leader, second);
     let refused = cluster.answer(second);
     verify_that!(
@@ -115,7 +116,7 @@
             }
         ))))
     )?;
-    for done in [first, beside] {
+    for done in [first, add_learner] {
         verify_that!(
             cluster.answer(done),
             some(eq(&HostReply::Membership(MembershipReply::Done)))
@@ -125,12 +126,12 @@
 }
 
 #[gtest]
-fn a_lost_disk_is_replaced_by_a_new_member_and_a_second_loss_is_survived() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn a_second_loss_after_a_lost_member_was_replaced_loses_nothing() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..50);
     let lost = if leader == 1 { 2 } else { 1 };
     cluster.crash(lost);
-    joined(&mut cluster, leader);
+    add_joiner(&mut cluster, leader);
     cluster.run(SECOND);
     let replaced = [
         MembershipRequest::Promote(ReplicaId(JOINER)),
@@ -142,7 +143,7 @@
             some(eq(&MembershipReply::Done))
         )?;
     }
-    // The repair is done: the loss of any further machine must be harmless.
+    // The replacement is complete: losing any one further machine must lose no data.
     cluster.crash(leader);
     let new_leader = cluster.wait_for_leader();
     verify_that!(cluster.numbers(new_leader).applied.len(), eq(50))?;
@@ -151,8 +152,8 @@
 }
 
 #[gtest]
-fn leadership_moves_to_the_member_that_is_named() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn leadership_is_transferred_to_the_requested_member() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let target = if leader == 3 { 1 } else { 3 };
     let transfer = MembershipRequest::TransferLeadership(ReplicaId(target));
     verify_that!(
@@ -163,14 +164,14 @@
 }
 
 #[gtest]
-fn a_transfer_to_an_unreachable_member_is_given_up_and_proposals_go_on() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn a_transfer_to_an_unreachable_member_is_aborted_and_proposals_continue() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let target = if leader == 3 { 1 } else { 3 };
     cluster.isolate(target);
     cluster.add_numbers(leader, [1]);
     let transfer = MembershipRequest::TransferLeadership(ReplicaId(target));
     let tag = cluster.membership_request(leader, transfer);
-    // Proposed during the transfer, committed after it.
+    // Proposed during the transfer, committed after it is aborted.
     cluster.feed(leader, vec![HostInput::Event(2)]);
     verify_that!(
         cluster.answer(tag),
@@ -187,7 +188,7 @@
 
 #[gtest]
 fn a_planned_stop_hands_leadership_over_and_loses_nothing() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let adds: Vec<_> = (0..20)
         .map(|number| cluster.request(leader, Request::Add(number)))
         .collect();
@@ -215,11 +216,11 @@
 #[gtest]
 fn a_planned_stop_ends_where_nobody_can_take_over() -> Result<()> {
     for (voters, isolated) in [(1, false), (3, true)] {
-        let (mut cluster, leader) = Cluster::led(voters);
+        let (mut cluster, leader) = Cluster::with_leader(voters);
         if isolated {
             cluster.isolate(leader);
         }
-        let waiting = cluster.request(leader, Request::Wait);
+        let pending = cluster.request(leader, Request::Wait);
         let transfer = MembershipRequest::TransferLeadership(ReplicaId(voters));
         let transferring = cluster.membership_request(leader, transfer);
         cluster.feed(leader, vec![HostInput::Stop]);
@@ -227,8 +228,8 @@
             cluster.replicas[&ReplicaId(leader)].has_stopped
         });
         verify_that!(stopped, eq(true))?;
-        // What waits is answered all the same.
-        for tag in [waiting, transferring] {
+        // Pending requests are answered nevertheless.
+        for tag in [pending, transferring] {
             verify_that!(cluster.replies.get(&tag), some(anything()))?;
         }
     }
@@ -236,9 +237,9 @@
 }
 
 #[gtest]
-fn a_restart_finds_everything_acknowledged() -> Result<()> {
+fn a_restart_recovers_everything_acknowledged() -> Result<()> {
     for voters in [1, 3] {
-        let (mut cluster, leader) = Cluster::led(voters);
+        let (mut cluster, leader) = Cluster::with_leader(voters);
         cluster.add_numbers(leader, 0..300);
         for id in 1..=voters {
             cluster.crash(id);
@@ -255,7 +256,7 @@
 
 #[gtest]
 fn snapshots_keep_the_log_short() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..500);
     cluster.run(SECOND);
     for id in 1..=3 {
@@ -266,46 +267,48 @@
     Ok(())
 }
 
-/// What a factory sets on a state, such as a deliberate fault, outlives a snapshot.
+/// Guards against losing the preparation of a state by a factory, such as an injected fault, when a
+/// snapshot replaces the state.
 #[gtest]
-fn a_state_that_was_restored_is_prepared_like_a_new_one() -> Result<()> {
-    const MARK: u64 = 1_000_000;
-    let (mut cluster, leader) = Cluster::led(3);
+fn a_restored_state_is_prepared_like_a_new_one() -> Result<()> {
+    const MARKER: u64 = 1_000_000;
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..500);
     cluster.run(SECOND);
     let recovered = cluster.replica(leader).disk.contents.clone();
     verify_that!(recovered.snapshot, some(anything()))?;
     let machines = MachineFactory::<NumbersLeader> {
         leader: Box::new(NumbersLeader::default),
-        prepare: Box::new(|state: &mut Numbers| state.applied.push(MARK)),
+        prepare: Box::new(|state: &mut Numbers| state.applied.push(MARKER)),
     };
     let config = cluster.replica(leader).config.clone();
     let host = Host::with_machines(Instant::ZERO, config, recovered, machines);
-    let marks = host.map(|host| {
+    let markers = host.map(|host| {
         let applied = host.state().applied.iter();
-        applied.filter(|number| **number == MARK).count()
+        applied.filter(|number| **number == MARKER).count()
     });
-    verify_that!(marks.ok(), some(eq(1)))
+    verify_that!(markers.ok(), some(eq(1)))
 }
 
-/// A state that only grows: each byte of log costs a few bytes of snapshots, not ever more.
+/// Guards against snapshots whose cost per byte of log increases as the state grows: it must stay
+/// at a few bytes.
 #[gtest]
-fn snapshots_cost_in_proportion_to_the_log() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(1);
+fn snapshot_bytes_stay_proportional_to_the_log() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(1);
     cluster.add_numbers(leader, (0..4_000).map(|number| u64::MAX - number));
     let replica = cluster.replica(leader);
     println!(
-        "{} of log, {} of snapshots",
+        "{} bytes of log, {} bytes of snapshots",
         replica.log_bytes, replica.snapshot_bytes
     );
     verify_that!(replica.snapshot_bytes, gt(replica.log_bytes / 10))?;
     verify_that!(replica.snapshot_bytes, lt(replica.log_bytes * 3))
 }
 
-/// Else all members would hold up commits at once.
+/// Guards against commits that stall because all members take a snapshot at the same entry.
 #[gtest]
 fn members_take_their_snapshots_at_different_entries() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.add_numbers(leader, 0..2_000);
     let [first, second, third] = [1, 2, 3].map(|id| cluster.replica(id).snapshot_indexes.clone());
     verify_that!(first.len(), gt(10))?;
@@ -318,7 +321,7 @@
 
 #[gtest]
 fn an_unknown_command_stops_the_host() -> Result<()> {
-    let (mut cluster, _) = Cluster::led(1);
+    let (mut cluster, _) = Cluster::with_leader(1);
     cluster.add_numbers(1, [5]);
     cluster.crash(1);
     for record in &mut cluster.replica(1).disk.contents.records {
@@ -335,12 +338,12 @@
     )
 }
 
-/// What is seen: members of two builds that hold different states after the same log.
-/// Cause: a field that the newer build has appended to a command was dropped by the older one without a word.
-/// Proof: the member applies such a command and goes on.
+/// Guards against members of two builds that hold different states after the same log: the older
+/// build silently dropped a field that the newer one had appended to a command. A member that
+/// applies such a command and continues fails this test.
 #[gtest]
-fn a_command_that_goes_on_after_its_end_stops_the_host() -> Result<()> {
-    let (mut cluster, _) = Cluster::led(1);
+fn a_command_with_trailing_bytes_stops_the_host() -> Result<()> {
+    let (mut cluster, _) = Cluster::with_leader(1);
     cluster.add_numbers(1, [5]);
     cluster.crash(1);
     for record in &mut cluster.replica(1).disk.contents.records {
--- a/crates/shared/wingshore-group/tests/requests.rs
+++ b/crates/shared/wingshore-group/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests, replies and effects: when they are released, and what a lost leadership answers.
+//! Requests, replies and effects: when they are released and how requests are answered after a loss
+//! of leadership.
 
 mod support;
 
@@ -12,9 +13,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[gtest]
-fn a_request_is_committed_and_answered_on_groups_of_any_size() -> Result<()> {
+fn a_request_is_committed_and_answered_in_groups_of_any_size() -> Result<()> {
     for voters in [1, 2, 3, 5] {
-        let (mut cluster, leader) = Cluster::led(voters);
+        let (mut cluster, leader) = Cluster::with_leader(voters);
         let tag = cluster.request(leader, Request::Add(7));
         verify_that!(cluster.answer(tag), some(eq(&HostReply::Reply(Count(1)))))?;
         verify_that!(
@@ -31,7 +32,7 @@
 
 #[gtest]
 fn a_follower_names_the_leader() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.run(SECOND);
     let follower = if leader == 1 { 2 } else { 1 };
     for request in [Request::Count, Request::Add(1)] {
@@ -46,7 +47,7 @@
 
 #[gtest]
 fn reads_see_every_acknowledged_write() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     for number in 1..=20 {
         cluster.add_numbers(leader, [number]);
         let tag = cluster.request(leader, Request::Count);
@@ -57,16 +58,16 @@
 }
 
 #[gtest]
-fn a_cut_off_leader_answers_nothing_once_its_lease_is_over() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn an_isolated_leader_answers_nothing_after_its_lease_expires() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.isolate(leader);
     let add = cluster.request(leader, Request::Add(1));
     cluster.run_until(SECOND, |cluster| {
         !cluster.host(leader).holds_lease(cluster.now)
     });
-    let believes_to_lead = cluster.host(leader).is_leader();
+    let still_leads = cluster.host(leader).is_leader();
     let read = cluster.request(leader, Request::Count);
-    verify_that!(believes_to_lead, eq(true))?;
+    verify_that!(still_leads, eq(true))?;
     verify_that!(
         cluster.replies.get(&read),
         some(eq(&HostReply::NotLeader { leader: None }))
@@ -77,9 +78,10 @@
     verify_that!(cluster.replica(leader).effects, is_empty())
 }
 
+/// Guards the sensitivity of the lease test: without the lease check an isolated leader answers.
 #[gtest]
-fn a_leader_that_ignores_its_lease_is_seen_by_the_test_above() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn an_isolated_leader_without_lease_check_answers_reads() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let faults = Faults {
         skip_lease_check: true,
         ..Faults::default()
@@ -101,15 +103,15 @@
 }
 
 #[gtest]
-fn a_frozen_leader_releases_nothing_when_it_wakes() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn a_frozen_leader_releases_nothing_when_it_resumes() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let add = cluster.request(leader, Request::Add(1));
-    cluster.replica(leader).frozen = true;
+    cluster.replica(leader).is_frozen = true;
     cluster.run(SECOND * 3);
     let new_leader = cluster.wait_for_leader();
     verify_that!(new_leader, not(eq(leader)))?;
-    // The acknowledgements that came meanwhile are handled before its clock is looked at.
-    cluster.replica(leader).frozen = false;
+    // The delayed acknowledgements are handled before the leader's next tick.
+    cluster.replica(leader).is_frozen = false;
     let read = cluster.request(leader, Request::Count);
     cluster.run(SECOND);
     verify_that!(
@@ -121,8 +123,8 @@
 }
 
 #[gtest]
-fn lost_leadership_tells_requests_without_effect_from_others() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn lost_leadership_distinguishes_requests_without_effect() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     let add = cluster.request(leader, Request::Add(1));
     let wait = cluster.request(leader, Request::Wait);
     cluster.isolate(leader);
@@ -136,7 +138,7 @@
 
 #[gtest]
 fn requests_of_one_step_share_one_write() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.run(SECOND);
     let writes_before = cluster.replica(leader).writes.len();
     let tags: Vec<_> = (0..100).map(|_| cluster.new_tag()).collect();
@@ -148,12 +150,12 @@
         })
         .collect();
     cluster.feed(leader, inputs);
-    // Those that arrive while the write is under way share the next one.
+    // Requests that arrive while that write is in progress share the next one.
     for number in 0..50 {
         cluster.request(leader, Request::Add(number));
     }
     cluster.run(SECOND);
-    // A write without records carries a snapshot.
+    // Ignores writes without records, which carry snapshots.
     let mut writes = cluster.replica(leader).writes[writes_before..].to_vec();
     writes.retain(|records| *records > 0);
     verify_that!(writes, elements_are![eq(&100), eq(&50)])?;
@@ -168,7 +170,7 @@
 
 #[gtest]
 fn events_reach_the_leader_machine_only() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     for id in 1..=3 {
         cluster.feed(id, vec![HostInput::Event(id)]);
     }
@@ -178,7 +180,7 @@
 
 #[gtest]
 fn leadership_is_announced_with_its_epoch() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+    let (mut cluster, leader) = Cluster::with_leader(3);
     cluster.run(SECOND);
     let epoch = Epoch(cluster.host(leader).term());
     for id in 1..=3 {
@@ -195,8 +197,8 @@
 }
 
 #[gtest]
-fn damaged_messages_count_as_lost() -> Result<()> {
-    let (mut cluster, leader) = Cluster::led(3);
+fn undecodable_messages_are_treated_as_lost() -> Result<()> {
+    let (mut cluster, leader) = Cluster::with_leader(3);
     for message in [vec![], vec![255; 40], vec![1, 2, 3]] {
         let from = ReplicaId(2);
         cluster.feed(leader, vec![HostInput::Consensus { from, message }]);
--- a/crates/shared/wingshore-group/tests/support/cluster.rs
+++ b/crates/shared/wingshore-group/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Hosts on a simulated network, with simulated disks.
+//! Hosts on a simulated network with simulated disks.
 
 use super::disk::Disk;
 use super::member::config;
@@ -13,41 +13,44 @@
 use wingshore_types::protocol::membership::{MembershipReply, MembershipRequest};
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// Time between two looks at the clocks.
+/// Simulated time between two checks for due ticks.
 const QUANTUM: Duration = Duration::from_millis(5);
 
-/// Bytes that an entry takes beside its data, on disk and in limits.
+/// Bytes that an entry takes in addition to its data, on disk and in limits.
 const ENTRY_HEADER_BYTES: usize = 16;
 
-/// A host of the test machine.
+/// A host of the replicated list of numbers.
 pub type TestHost = Host<NumbersLeader>;
-/// An answer of the test machine's host.
+/// A reply of a [`TestHost`].
 pub type TestReply = HostReply<Count>;
 
-/// One replica.
+/// One simulated replica with its disk and its recorded outputs.
 pub struct Replica {
     pub config: HostConfig,
     pub host: Option<TestHost>,
     pub disk: Disk,
-    pub underway: Option<(u64, WriteBatch)>,
-    pub frozen: bool,
+    /// The write in progress and its token.
+    pub pending_write: Option<(u64, WriteBatch)>,
+    /// Whether the process is suspended: its messages are delayed and its ticks are skipped.
+    pub is_frozen: bool,
     pub effects: Vec<Added>,
     pub leadership: Vec<Leadership>,
     pub has_stopped: bool,
     pub failure: Option<String>,
-    /// Records of each write.
+    /// Number of records in each write.
     pub writes: Vec<usize>,
     /// Bytes of entries written.
     pub log_bytes: usize,
     /// Bytes of snapshots written.
     pub snapshot_bytes: usize,
-    /// Where snapshots ended.
+    /// Index of the last entry of each snapshot written.
     pub snapshot_indexes: BTreeSet<LogIndex>,
+    /// Number of crashes; writes of earlier incarnations do not complete.
     incarnation: u64,
 }
 
 impl Replica {
-    fn note_write(&mut self, batch: &WriteBatch) {
+    fn record_write(&mut self, batch: &WriteBatch) {
         self.writes.push(batch.append.len());
         let entries = batch.append.iter();
         let entries = entries.map(|record| ENTRY_HEADER_BYTES + record.data.len());
@@ -59,7 +62,7 @@
     }
 }
 
-/// Something that happens later.
+/// A scheduled event of the simulation.
 enum Event {
     Deliver {
         from: ReplicaId,
@@ -73,15 +76,19 @@
     },
 }
 
-/// A cluster.
+/// A simulated cluster.
 pub struct Cluster {
     pub now: Instant,
     pub replicas: BTreeMap<ReplicaId, Replica>,
-    pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
+    /// Pairs of sender and receiver between which all messages are lost.
+    pub cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
     pub replies: BTreeMap<RequestTag, TestReply>,
-    pub loss: f64,
+    /// Probability that a message is lost.
+    pub loss_probability: f64,
+    /// Maximum delay of a message.
     pub max_delay: Duration,
-    pub max_sync: Duration,
+    /// Maximum duration of a write.
+    pub max_write_time: Duration,
     pub random: ChaCha8Rng,
     events: BTreeMap<(Instant, u64), Event>,
     event_count: u64,
@@ -89,16 +96,16 @@
 }
 
 impl Cluster {
-    /// `voters` founding replicas, started.
+    /// Creates a cluster of `voters` running founding replicas.
     pub fn new(voters: u64, seed: u64) -> Self {
         let mut cluster = Self {
             now: Instant::from_millis(1),
             replicas: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             replies: BTreeMap::new(),
-            loss: 0.0,
+            loss_probability: 0.0,
             max_delay: Duration::from_millis(2),
-            max_sync: Duration::from_millis(2),
+            max_write_time: Duration::from_millis(2),
             random: ChaCha8Rng::seed_from_u64(seed),
             events: BTreeMap::new(),
             event_count: 0,
@@ -110,8 +117,9 @@
         cluster
     }
 
-    /// `voters` founding replicas with a leader that takes requests.
-    pub fn led(voters: u64) -> (Self, u64) {
+    /// Creates a cluster of `voters` founding replicas and waits for a leader that accepts
+    /// requests; returns the leader's id with it.
+    pub fn with_leader(voters: u64) -> (Self, u64) {
         let mut cluster = Self::new(voters, 1);
         let leader = cluster.wait_for_leader();
         (cluster, leader)
@@ -124,8 +132,8 @@
             config,
             host: None,
             disk: Disk::default(),
-            underway: None,
-            frozen: false,
+            pending_write: None,
+            is_frozen: false,
             effects: Vec::new(),
             leadership: Vec::new(),
             has_stopped: false,
@@ -140,26 +148,26 @@
         self.restart(id.0);
     }
 
-    /// A replica.
+    /// Returns a replica.
     pub fn replica(&mut self, id: u64) -> &mut Replica {
         self.replicas.get_mut(&ReplicaId(id)).unwrap()
     }
 
-    /// The host of a running replica.
+    /// Returns the host of a running replica.
     pub fn host(&self, id: u64) -> &TestHost {
         self.replicas[&ReplicaId(id)].host.as_ref().unwrap()
     }
 
-    /// The numbers as applied by a running replica.
+    /// Returns the numbers applied by a running replica.
     pub fn numbers(&self, id: u64) -> &Numbers {
         self.host(id).state()
     }
 
-    /// Stops a replica; a write under way is lost.
+    /// Crashes a replica; a write in progress is lost.
     pub fn crash(&mut self, id: u64) {
         let replica = self.replica(id);
         replica.host = None;
-        replica.underway = None;
+        replica.pending_write = None;
         replica.incarnation += 1;
     }
 
@@ -171,16 +179,16 @@
         replica.host = Some(Host::new(now, replica.config.clone(), recovered).unwrap());
     }
 
-    /// Cuts both ways between `id` and all others.
+    /// Cuts all links between `id` and the other replicas in both directions.
     pub fn isolate(&mut self, id: u64) {
         let others: Vec<ReplicaId> = self.replicas.keys().copied().collect();
         for other in others {
-            self.cut.insert((ReplicaId(id), other));
-            self.cut.insert((other, ReplicaId(id)));
+            self.cut_links.insert((ReplicaId(id), other));
+            self.cut_links.insert((other, ReplicaId(id)));
         }
     }
 
-    /// Feeds inputs to a replica as one batch.
+    /// Feeds inputs to a replica as one batch; ignored while the replica is down.
     pub fn feed(&mut self, id: u64, inputs: Vec<HostInput<NumbersLeader>>) {
         let now = self.now;
         let replica = self.replica(id);
@@ -194,27 +202,28 @@
         }
     }
 
-    /// Sends a request to a replica; its answer comes under the tag.
+    /// Sends a request to a replica; returns the tag under which `replies` records its answer.
     pub fn request(&mut self, id: u64, request: Request) -> RequestTag {
         let tag = self.new_tag();
         self.feed(id, vec![HostInput::Request { tag, request }]);
         tag
     }
 
-    /// Sends a request about members to a replica.
+    /// Sends a membership request to a replica; returns the tag of its answer.
     pub fn membership_request(&mut self, id: u64, request: MembershipRequest) -> RequestTag {
         let tag = self.new_tag();
         self.feed(id, vec![HostInput::Membership { tag, request }]);
         tag
     }
 
-    /// A tag that was not used yet.
+    /// Returns an unused tag.
     pub fn new_tag(&mut self) -> RequestTag {
         self.last_tag += 1;
         RequestTag(self.last_tag)
     }
 
-    /// Runs until the request is answered, at most ten seconds.
+    /// Runs until the request is answered, for at most ten seconds of simulated time; returns the
+    /// answer.
     pub fn answer(&mut self, tag: RequestTag) -> Option<TestReply> {
         self.run_until(Duration::from_secs(10), |cluster| {
             cluster.replies.contains_key(&tag)
@@ -222,7 +231,7 @@
         self.replies.get(&tag).cloned()
     }
 
-    /// Asks about members and waits for the answer.
+    /// Sends a membership request and waits for its answer.
     pub fn membership_answer(
         &mut self,
         id: u64,
@@ -235,7 +244,7 @@
         }
     }
 
-    /// The replica that takes requests now.
+    /// Returns the replica that accepts requests now.
     pub fn leader(&self) -> Option<u64> {
         self.replicas
             .values()
@@ -244,7 +253,7 @@
             .map(|(replica, _)| replica.config.id.0)
     }
 
-    /// Runs until a replica takes requests.
+    /// Runs until a replica accepts requests; returns its id.
     pub fn wait_for_leader(&mut self) -> u64 {
         self.run_until(Duration::from_secs(20), |cluster| {
             cluster.leader().is_some()
@@ -252,7 +261,7 @@
         self.leader().unwrap()
     }
 
-    /// Adds numbers at a replica, one after another, each answered.
+    /// Adds numbers at a replica, one after another, and waits for the answer to each.
     pub fn add_numbers(&mut self, id: u64, numbers: impl IntoIterator<Item = u64>) {
         for number in numbers {
             let tag = self.request(id, Request::Add(number));
@@ -261,12 +270,12 @@
         }
     }
 
-    /// Runs for `duration`.
+    /// Runs the simulation for `duration`.
     pub fn run(&mut self, duration: Duration) {
         self.run_until(duration, |_| false);
     }
 
-    /// Runs until `condition` holds, at most `duration`; says whether it does.
+    /// Runs until `condition` holds, for at most `duration`; returns whether it holds.
     pub fn run_until(&mut self, duration: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + duration;
         while self.now < end && !condition(self) {
@@ -290,7 +299,7 @@
         let due: Vec<u64> = self
             .replicas
             .values()
-            .filter(|replica| !replica.frozen)
+            .filter(|replica| !replica.is_frozen)
             .filter(|replica| {
                 replica
                     .host
@@ -307,7 +316,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to, message } => {
-                if self.replica(to.0).frozen {
+                if self.replica(to.0).is_frozen {
                     let event = Event::Deliver { from, to, message };
                     return self.schedule(QUANTUM, event);
                 }
@@ -322,7 +331,7 @@
                 if replica.incarnation != incarnation {
                     return;
                 }
-                if let Some((_, batch)) = replica.underway.take() {
+                if let Some((_, batch)) = replica.pending_write.take() {
                     replica.disk.write(&batch);
                     self.feed(id.0, vec![HostInput::Persisted { token }]);
                 }
@@ -335,21 +344,24 @@
             HostOutput::Send { to, message } => self.send(id, to, message),
             HostOutput::Write { token, batch } => {
                 let replica = self.replica(id.0);
-                assert!(replica.underway.is_none(), "one write at a time");
-                replica.note_write(&batch);
-                replica.underway = Some((token, batch));
+                assert!(
+                    replica.pending_write.is_none(),
+                    "a write was requested while another was in progress"
+                );
+                replica.record_write(&batch);
+                replica.pending_write = Some((token, batch));
                 let incarnation = replica.incarnation;
                 let event = Event::Durable {
                     replica: id,
                     incarnation,
                     token,
                 };
-                let delay = self.draw(self.max_sync);
+                let delay = self.random_delay(self.max_write_time);
                 self.schedule(delay, event);
             }
             HostOutput::Reply { tag, reply } => {
                 let earlier = self.replies.insert(tag, reply);
-                assert!(earlier.is_none(), "one answer for each request");
+                assert!(earlier.is_none(), "a request was answered twice");
             }
             HostOutput::Effect(effect) => self.replica(id.0).effects.push(effect),
             HostOutput::MembershipChanged(_) => {}
@@ -360,17 +372,17 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Vec<u8>) {
-        let is_lost = self.random.random_bool(self.loss);
-        if is_lost || self.cut.contains(&(from, to)) || !self.replicas.contains_key(&to) {
+        let is_lost = self.random.random_bool(self.loss_probability);
+        if is_lost || self.cut_links.contains(&(from, to)) || !self.replicas.contains_key(&to) {
             return;
         }
-        let delay = self.draw(self.max_delay);
+        let delay = self.random_delay(self.max_delay);
         self.schedule(delay, Event::Deliver { from, to, message });
     }
 
-    fn draw(&mut self, most: Duration) -> Duration {
-        let most = u64::try_from(most.as_nanos()).unwrap();
-        Duration::from_nanos(self.random.random_range(100_000..=most))
+    fn random_delay(&mut self, max: Duration) -> Duration {
+        let max_nanos = u64::try_from(max.as_nanos()).unwrap();
+        Duration::from_nanos(self.random.random_range(100_000..=max_nanos))
     }
 
     fn schedule(&mut self, delay: Duration, event: Event) {
--- a/crates/shared/wingshore-group/tests/support/crash_site.rs
+++ b/crates/shared/wingshore-group/tests/support/crash_site.rs
@@ -1,8 +1,8 @@
-//! Hosts whose logs lie in real stores on disks that lose what is not synced.
+//! Hosts with real log stores on simulated disks that lose unsynced writes in a crash.
 //!
-//! Deterministic: one message takes one quantum, and a write is done at the end of the step that
-//! asked for it, after everything else that the step let out. That is the order in which a death
-//! in a write does the most harm.
+//! Runs are deterministic: each message takes one quantum, and a write is executed at the end of
+//! the step that requested it, after all other outputs of that step. In this order a crash during a
+//! write does the most damage.
 
 use super::member::config;
 use super::numbers::{Numbers, NumbersLeader, Request};
@@ -22,16 +22,16 @@
 
 const QUANTUM: Duration = Duration::from_millis(10);
 const DIRECTORY: &str = "/data/group";
-/// Small, so that segments are closed and removed.
+/// Small, so that runs close and remove segments.
 const SEGMENT_BYTES: u64 = 400;
-/// How long a machine is down after its process died.
-const DOWN: Duration = Duration::from_millis(700);
-/// Longest wait for anything, in simulated time.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Longest wait for one answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(3);
-
-/// What writes were asked for; a script must cause all of them.
+/// Time from the crash of a process to its restart.
+const DOWNTIME: Duration = Duration::from_millis(700);
+/// Limit of each wait for an outcome, in simulated time.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Limit of the wait for one answer, in simulated time.
+const MAX_ANSWER_WAIT: Duration = Duration::from_secs(3);
+
+/// Kind of a write to the log store; a script must cause all kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteKind {
     Append,
@@ -40,7 +40,7 @@
     Truncate,
 }
 
-/// A machine with its disk.
+/// A machine and its disk.
 struct Machine {
     id: ReplicaId,
     bootstrap: bool,
@@ -49,7 +49,7 @@
     starts_at: Option<Instant>,
 }
 
-/// A site; `violation` is the first broken promise.
+/// A simulated group of machines that can crash.
 pub struct CrashSite {
     now: Instant,
     faults: Faults,
@@ -60,40 +60,41 @@
     replies: BTreeMap<RequestTag, TestReply>,
     last_tag: u64,
     last_number: u64,
-    /// What was applied anywhere, in order.
+    /// The longest sequence of numbers applied by any replica.
     history: Vec<u64>,
-    /// Numbers whose addition was answered, with their places.
+    /// Numbers whose addition was acknowledged, with their positions in `history`, counted from 1.
     acknowledged: Vec<(u64, usize)>,
-    pub kinds: BTreeSet<WriteKind>,
+    pub write_kinds: BTreeSet<WriteKind>,
+    /// The first violated invariant.
     pub violation: Option<String>,
     pub crashes: u32,
-    /// When a process dies, whoever else was cut off is reached again and the leader is cut off:
-    /// what only those two have must not have been acknowledged.
-    cuts_leader: bool,
+    /// Whether a crash ends the current isolation and isolates the leader instead: an entry that
+    /// only the crashed machine and the leader hold must not have been acknowledged.
+    isolates_leader: bool,
 }
 
-/// What goes wrong in a run.
+/// Faults injected into a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
-    /// Machine whose process dies.
+pub struct FaultPlan {
+    /// Id of the machine whose process crashes.
     pub victim: u64,
-    /// The call of its disk in which it dies; `None` for a run without a death.
+    /// Number of the disk call in which it crashes; `None` for a run without a crash.
     pub crash_at: Option<u64>,
-    /// Chooses what of the unsynced is lost.
+    /// Seed that chooses which unsynced writes are lost.
     pub seed: u64,
-    /// Whether the leader is cut off at the same moment.
-    pub cuts_leader: bool,
-    /// Deliberate faults.
+    /// Whether the leader is isolated at the same time.
+    pub isolates_leader: bool,
+    /// Faults injected into the consensus protocol.
     pub faults: Faults,
 }
 
 impl CrashSite {
-    /// Three founding machines, each of which may be the victim.
-    pub fn new(trouble: Trouble) -> Self {
+    /// Creates a site of three founding machines, each of which may be the victim.
+    pub fn new(plan: FaultPlan) -> Self {
         let mut site = Self {
             now: Instant::from_millis(1),
-            faults: trouble.faults,
-            seed: trouble.seed,
+            faults: plan.faults,
+            seed: plan.seed,
             machines: BTreeMap::new(),
             isolated: None,
             inputs: VecDeque::new(),
@@ -102,19 +103,19 @@
             last_number: 0,
             history: Vec::new(),
             acknowledged: Vec::new(),
-            kinds: BTreeSet::new(),
+            write_kinds: BTreeSet::new(),
             violation: None,
             crashes: 0,
-            cuts_leader: trouble.cuts_leader,
+            isolates_leader: plan.isolates_leader,
         };
         for id in 1..=3 {
-            let crash_at = trouble.crash_at.filter(|_| id == trouble.victim);
+            let crash_at = plan.crash_at.filter(|_| id == plan.victim);
             site.add_machine(id, true, crash_at);
         }
         site
     }
 
-    /// A new machine, whose process may die at a call of its disk.
+    /// Adds and starts a new machine; its process crashes at disk call `crash_at` if that is set.
     pub fn add_machine(&mut self, id: u64, bootstrap: bool, crash_at: Option<u64>) {
         let disk = MemoryFileSystem::new();
         disk.set_faults(memory::Faults {
@@ -132,17 +133,17 @@
         self.start_due();
     }
 
-    /// Calls that a machine's disk has had since its last start.
-    pub fn calls(&self, id: u64) -> u64 {
+    /// Returns the number of calls to a machine's disk since its last start.
+    pub fn disk_calls(&self, id: u64) -> u64 {
         self.machines[&ReplicaId(id)].disk.calls()
     }
 
-    /// Kills the process on a machine for good, and its disk with it.
-    pub fn lose(&mut self, id: u64) {
+    /// Removes a machine and its disk permanently.
+    pub fn destroy_machine(&mut self, id: u64) {
         self.machines.remove(&ReplicaId(id));
     }
 
-    /// Cuts one machine off; one that was is reached again.
+    /// Isolates one machine; ends the isolation of any other.
     pub fn isolate(&mut self, id: u64) {
         self.isolated = Some(ReplicaId(id));
     }
@@ -151,7 +152,7 @@
         self.isolated = None;
     }
 
-    /// The replica that takes requests now.
+    /// Returns the reachable replica that accepts requests now.
     pub fn leader(&self) -> Option<u64> {
         self.machines
             .values()
@@ -161,23 +162,23 @@
             .map(|(id, _)| id.0)
     }
 
-    pub fn await_leader(&mut self) -> u64 {
-        self.run_until(PATIENCE, |site| site.leader().is_some());
+    pub fn wait_for_leader(&mut self) -> u64 {
+        self.run_until(MAX_WAIT, |site| site.leader().is_some());
         self.leader().unwrap_or_else(|| {
-            self.violate("no leader");
+            self.record_violation("no leader was elected");
             1
         })
     }
 
-    /// Adds that many numbers, each until its addition is answered.
+    /// Adds `count` numbers, retrying with a new number until that many additions are acknowledged.
     pub fn add(&mut self, count: usize) {
         let goal = self.acknowledged.len() + count;
-        let end = self.now + PATIENCE;
+        let end = self.now + MAX_WAIT;
         while self.acknowledged.len() < goal && self.violation.is_none() {
             if self.now > end {
-                return self.violate("additions are not answered");
+                return self.record_violation("additions were not acknowledged in time");
             }
-            let leader = self.await_leader();
+            let leader = self.wait_for_leader();
             let number = self.new_number();
             let tag = self.request(leader, Request::Add(number));
             if let Some(HostReply::Reply(count)) = self.answer(tag) {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Leaves requests at a replica without waiting for answers.
+    /// Sends `count` additions to a replica without waiting for answers.
     pub fn add_unanswered(&mut self, id: u64, count: usize) {
         for _ in 0..count {
             let number = self.new_number();
@@ -195,14 +196,15 @@
         }
     }
 
-    /// Has a membership change done, whoever leads.
+    /// Sends a membership change to the current leader until one confirms it.
     pub fn change(&mut self, request: &MembershipRequest) {
-        let end = self.now + PATIENCE;
+        let end = self.now + MAX_WAIT;
         while self.violation.is_none() {
             if self.now > end {
-                return self.violate(&format!("not done: {request:?}"));
+                return self
+                    .record_violation(&format!("change not confirmed in time: {request:?}"));
             }
-            let leader = self.await_leader();
+            let leader = self.wait_for_leader();
             self.last_tag += 1;
             let tag = RequestTag(self.last_tag);
             let request = request.clone();
@@ -215,10 +217,11 @@
         }
     }
 
-    /// Heals all and waits until every member has applied the same, the acknowledged included.
+    /// Ends all isolation, waits until all members have applied the same sequence, and checks that
+    /// it contains every acknowledged number and no number twice.
     pub fn settle(&mut self) {
         self.heal();
-        let settled = self.run_until(PATIENCE, |site| {
+        let settled = self.run_until(MAX_WAIT, |site| {
             let Some(leader) = site.leader() else {
                 return false;
             };
@@ -233,17 +236,18 @@
                     .all(|other| other == Some(numbers))
         });
         if !settled {
-            self.violate("members do not come to the same state");
+            self.record_violation("the members do not converge to the same state");
         }
-        for (number, place) in &self.acknowledged {
-            if self.history.get(place - 1) != Some(number) {
-                let lost = format!("{number} was acknowledged at {place} and is not there");
-                return self.violate(&lost);
+        for (number, position) in &self.acknowledged {
+            if self.history.get(position - 1) != Some(number) {
+                let lost =
+                    format!("{number} was acknowledged at position {position} but is missing");
+                return self.record_violation(&lost);
             }
         }
         let distinct: BTreeSet<&u64> = self.history.iter().collect();
         if distinct.len() != self.history.len() {
-            self.violate("a number was added twice");
+            self.record_violation("a number was added twice");
         }
     }
 
@@ -269,7 +273,7 @@
     }
 
     fn answer(&mut self, tag: RequestTag) -> Option<TestReply> {
-        self.run_until(ANSWER_WAIT, |site| site.replies.contains_key(&tag));
+        self.run_until(MAX_ANSWER_WAIT, |site| site.replies.contains_key(&tag));
         self.replies.get(&tag).cloned()
     }
 
@@ -320,7 +324,7 @@
         let (store, recovered) = match opened {
             Ok(opened) => opened,
             Err(_) if machine.disk.is_crashed() => return self.crash(id),
-            Err(error) => return self.violate(&format!("{id} does not start: {error}")),
+            Err(error) => return self.record_violation(&format!("{id} does not start: {error}")),
         };
         match Host::new(self.now, config, recovered) {
             Ok(host) => {
@@ -329,22 +333,23 @@
                     machine.starts_at = None;
                 }
             }
-            Err(error) => self.violate(&format!("{id} does not start: {error}")),
+            Err(error) => self.record_violation(&format!("{id} does not start: {error}")),
         }
     }
 
-    /// The process died in a call of its disk; its machine starts again after a while.
+    /// Handles the crash of a process in a disk call: loses unsynced writes and schedules the
+    /// restart.
     fn crash(&mut self, id: ReplicaId) {
         self.crashes += 1;
-        let back_at = self.now + DOWN;
+        let restart_at = self.now + DOWNTIME;
         let seed = self.seed;
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.running = None;
             machine.disk.restart(seed);
-            machine.starts_at = Some(back_at);
+            machine.starts_at = Some(restart_at);
         }
         self.inputs.retain(|(to, _)| *to != id);
-        if self.cuts_leader {
+        if self.isolates_leader {
             let leader = self.leader();
             self.heal();
             if let Some(leader) = leader {
@@ -369,7 +374,9 @@
                 HostOutput::Reply { tag, reply } => {
                     self.replies.insert(tag, reply);
                 }
-                HostOutput::Failed(error) => self.violate(&format!("{id} failed: {error}")),
+                HostOutput::Failed(error) => {
+                    self.record_violation(&format!("{id} failed: {error}"))
+                }
                 _ => {}
             }
         }
@@ -379,7 +386,10 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Vec<u8>) {
-        if self.isolated.is_some_and(|cut| cut == from || cut == to) {
+        if self
+            .isolated
+            .is_some_and(|isolated| isolated == from || isolated == to)
+        {
             return;
         }
         let input = HostInput::Consensus { from, message };
@@ -387,7 +397,7 @@
     }
 
     fn write(&mut self, id: ReplicaId, token: u64, batch: &WriteBatch) {
-        self.kinds.insert(kind_of(batch));
+        self.write_kinds.insert(write_kind(batch));
         let machine = self.machines.get_mut(&id);
         let Some((_, store)) = machine.and_then(|machine| machine.running.as_mut()) else {
             return;
@@ -395,11 +405,11 @@
         match store.write(batch) {
             Ok(()) => self.inputs.push_back((id, HostInput::Persisted { token })),
             Err(_) if self.machines[&id].disk.is_crashed() => self.crash(id),
-            Err(error) => self.violate(&format!("{id} cannot write: {error}")),
+            Err(error) => self.record_violation(&format!("{id} cannot write: {error}")),
         }
     }
 
-    /// What replicas applied must be the beginnings of one history.
+    /// Checks that the applied numbers of every replica are a prefix of one history.
     fn check_histories(&mut self) {
         let mut longest = std::mem::take(&mut self.history);
         let mut diverging = None;
@@ -417,16 +427,18 @@
         }
         self.history = longest;
         if let Some(id) = diverging {
-            self.violate(&format!("{id} applied something else than others"));
+            self.record_violation(&format!(
+                "{id} applied a different sequence than other members"
+            ));
         }
     }
 
-    fn violate(&mut self, what: &str) {
-        self.violation.get_or_insert_with(|| what.to_owned());
+    fn record_violation(&mut self, description: &str) {
+        self.violation.get_or_insert_with(|| description.to_owned());
     }
 }
 
-fn kind_of(batch: &WriteBatch) -> WriteKind {
+fn write_kind(batch: &WriteBatch) -> WriteKind {
     match (&batch.snapshot, batch.truncate_from) {
         (Some(_), Some(_)) => WriteKind::Install,
         (Some(_), None) => WriteKind::Compact,
@@ -435,7 +447,7 @@
     }
 }
 
-/// A member to be taken in.
+/// Returns the member entry of a machine that joins.
 pub fn joiner(id: u64) -> Member {
     super::member::member(id)
 }
--- a/crates/shared/wingshore-group/tests/support/member.rs
+++ b/crates/shared/wingshore-group/tests/support/member.rs
@@ -5,7 +5,7 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::membership::{Member, Membership};
 
-/// A member with an address of its own.
+/// Returns a member with an address of its own.
 pub fn member(id: u64) -> Member {
     let port = u16::try_from(20_000 + id % 1_000).unwrap();
     Member {
@@ -14,7 +14,8 @@
     }
 }
 
-/// Settings of member `id` of `voters` founders; one without is to join.
+/// Returns the settings of founding member `id` of `voters`, or of a member that joins later if
+/// `voters` is `None`.
 pub fn config(id: u64, voters: Option<u64>) -> HostConfig {
     let bootstrap = voters.map(|voters| Membership {
         voters: (1..=voters).map(member).collect(),
--- a/crates/shared/wingshore-group/tests/support/mod.rs
+++ b/crates/shared/wingshore-group/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An in-memory cluster of hosts for tests.
+//! In-memory clusters of hosts for tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod cluster;
 pub mod crash_site;
--- a/crates/shared/wingshore-group/tests/support/numbers.rs
+++ b/crates/shared/wingshore-group/tests/support/numbers.rs
@@ -39,25 +39,25 @@
 pub enum Request {
     /// Adds a number; answered once it is applied.
     Add(u64),
-    /// Answers how many there are.
+    /// Returns how many numbers there are.
     Count,
-    /// Is never answered.
+    /// Never answered.
     Wait,
 }
 
-/// The answer: how many numbers there are, the added one included.
+/// Reply to a request: how many numbers there are, including the added one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count(pub usize);
 
-/// The leader's part: answers, and reports each addition as an effect.
+/// Leader machine of [`Numbers`]: answers requests and reports each addition as an effect.
 #[derive(Debug, Default)]
 pub struct NumbersLeader {
     next_tag: u64,
-    waiting: BTreeMap<ProposalTag, RequestTag>,
+    pending_requests: BTreeMap<ProposalTag, RequestTag>,
     pub epoch: Epoch,
 }
 
-/// Tells the outside of an addition.
+/// Effect that reports an addition: the count of numbers after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Added(pub usize);
 
@@ -90,7 +90,7 @@
             Request::Add(number) => {
                 self.next_tag += 1;
                 let proposal = ProposalTag(self.next_tag);
-                self.waiting.insert(proposal, tag);
+                self.pending_requests.insert(proposal, tag);
                 out.push(LeaderOutput::Propose {
                     tag: proposal,
                     command: number,
@@ -113,7 +113,7 @@
         out: &mut LeaderOutputs<Self>,
     ) {
         out.push(LeaderOutput::Effect(Added(reply)));
-        if let Some(tag) = self.waiting.remove(&tag) {
+        if let Some(tag) = self.pending_requests.remove(&tag) {
             out.push(LeaderOutput::Reply {
                 tag,
                 reply: Count(reply),
