--- a/crates/gateways/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/heartbeats.rs
@@ -22,11 +22,11 @@
 
 /// What is to be done with a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeartbeatVerdict {
+pub enum HeartbeatAction {
     /// The registry holds what it says: it can be acknowledged here.
-    Known,
+    Acknowledge,
     /// The leader must acknowledge it.
-    New,
+    Forward,
 }
 
 /// A server as the leader acknowledged it.
@@ -45,17 +45,17 @@
 
 impl HeartbeatRelay {
     /// A heartbeat has arrived, and the leader is connected.
-    pub fn offer(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatVerdict {
+    pub fn offer(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatAction {
         let instance = &heartbeat.server.instance;
         let Some(known) = self.known.get_mut(instance) else {
-            return HeartbeatVerdict::New;
+            return HeartbeatAction::Forward;
         };
         if known.record != heartbeat.server {
-            return HeartbeatVerdict::New;
+            return HeartbeatAction::Forward;
         }
         known.heard = now;
         self.heard(instance.clone(), heartbeat.sequence);
-        HeartbeatVerdict::Known
+        HeartbeatAction::Acknowledge
     }
 
     /// A server was heard of whose heartbeat brings the leader nothing that is not on its way to it.
--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -46,7 +46,7 @@
 pub use directory::GatewayAddress;
 pub use error::CoordinatorError;
 pub use forwarded_heartbeats::{AnsweredHeartbeat, ForwardStep, ForwardedHeartbeats, LeaderRoute};
-pub use heartbeats::{HeartbeatRelay, HeartbeatVerdict};
+pub use heartbeats::{HeartbeatAction, HeartbeatRelay};
 pub use lost::LostMachines;
 pub use membership::{Joiner, MembershipPlanner, MembershipView, Shortage};
 pub use outgoing_calls::CallProtocols;
--- a/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use crate::forwarded_heartbeats::{ForwardStep, LeaderRoute};
-use crate::heartbeats::HeartbeatVerdict;
+use crate::heartbeats::HeartbeatAction;
 use crate::protocol::ControlAnswer;
 use wingshore_coordination::{CoordinatorFrame, Heartbeat, HeartbeatAnswer, IncomingFrame, Reply};
 use wingshore_net::ConnectionId;
@@ -20,7 +20,7 @@
         let Some(route) = self.leader_route() else {
             return self.answer_heartbeat(caller, &ControlAnswer::Unavailable);
         };
-        if self.heartbeats.offer(now, &heartbeat) == HeartbeatVerdict::Known {
+        if self.heartbeats.offer(now, &heartbeat) == HeartbeatAction::Acknowledge {
             return self.answer_heartbeat(caller, &ControlAnswer::Reply(Reply::Done));
         }
         match self.forwarded.offer(now, route, caller, &heartbeat) {
--- a/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord, ServiceName};
 use wingshore_coordinator::{
-    ForwardStep, ForwardedHeartbeats, HeartbeatRelay, HeartbeatVerdict, LeaderRoute,
+    ForwardStep, ForwardedHeartbeats, HeartbeatAction, HeartbeatRelay, LeaderRoute,
 };
 use wingshore_types::{Instant, ReplicaId};
 
@@ -78,7 +78,7 @@
     }
 
     fn offer(&mut self, now: Instant, caller: u64, heartbeat: &Heartbeat) -> Step {
-        if self.known.offer(now, heartbeat) == HeartbeatVerdict::Known {
+        if self.known.offer(now, heartbeat) == HeartbeatAction::Acknowledge {
             return Step::Answer(Answer::Done);
         }
         match self.forwarded.offer(now, ROUTE, caller, heartbeat) {
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord, ServiceName};
-use wingshore_coordinator::{HeartbeatRelay, HeartbeatVerdict};
+use wingshore_coordinator::{HeartbeatAction, HeartbeatRelay};
 use wingshore_types::Instant;
 
 fn heartbeat(sequence: u64, draining: bool) -> Heartbeat {
@@ -29,12 +29,12 @@
     let mut relay = HeartbeatRelay::default();
     expect_that!(
         relay.offer(NOW, &heartbeat(1, false)),
-        eq(HeartbeatVerdict::New)
+        eq(HeartbeatAction::Forward)
     );
     relay.acknowledged(NOW, heartbeat(1, false).server);
     for sequence in [2, 4, 3] {
         let verdict = relay.offer(NOW, &heartbeat(sequence, false));
-        expect_that!(verdict, eq(HeartbeatVerdict::Known));
+        expect_that!(verdict, eq(HeartbeatAction::Acknowledge));
     }
     let heard = HeardServer {
         instance: InstanceId::from("i-1"),
@@ -51,7 +51,7 @@
     relay.acknowledged(NOW, heartbeat(1, false).server);
     expect_that!(
         relay.offer(NOW, &heartbeat(2, true)),
-        eq(HeartbeatVerdict::New)
+        eq(HeartbeatAction::Forward)
     );
 }
 
@@ -62,7 +62,7 @@
     relay.unknown(&[InstanceId::from("i-1")]);
     expect_that!(
         relay.offer(NOW, &heartbeat(2, false)),
-        eq(HeartbeatVerdict::New)
+        eq(HeartbeatAction::Forward)
     );
 }
 
@@ -74,6 +74,6 @@
     relay.take_heard(later);
     expect_that!(
         relay.offer(later, &heartbeat(2, false)),
-        eq(HeartbeatVerdict::New)
+        eq(HeartbeatAction::Forward)
     );
 }
