--- a/crates/gateways/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/heartbeats.rs
@@ -54,12 +54,12 @@
             return HeartbeatAction::Forward;
         }
         known.heard = now;
-        self.heard(instance.clone(), heartbeat.sequence);
+        self.record_unchanged(instance.clone(), heartbeat.sequence);
         HeartbeatAction::Acknowledge
     }
 
     /// A server was heard of whose heartbeat brings the leader nothing that is not on its way to it.
-    pub fn heard(&mut self, instance: InstanceId, sequence: u64) {
+    pub fn record_unchanged(&mut self, instance: InstanceId, sequence: u64) {
         let highest = self.heard.entry(instance).or_default();
         *highest = sequence.max(*highest);
     }
@@ -74,14 +74,14 @@
     }
 
     /// The registry does not hold these servers (any more): their next heartbeats go to the leader.
-    pub fn unknown(&mut self, instances: &[InstanceId]) {
+    pub fn forget(&mut self, instances: &[InstanceId]) {
         for instance in instances {
             self.known.remove(instance);
         }
     }
 
     /// Servers that were heard of since the last call, to be reported to the leader.
-    pub fn take_heard(&mut self, now: Instant) -> Vec<HeardServer> {
+    pub fn take_unchanged(&mut self, now: Instant) -> Vec<HeardServer> {
         self.known
             .retain(|_, known| now.since(known.heard) < FORGET_AFTER);
         let heard = std::mem::take(&mut self.heard).into_iter();
--- a/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
@@ -25,7 +25,8 @@
         }
         match self.forwarded.offer(now, route, caller, &heartbeat) {
             ForwardStep::Wait { sequence } => {
-                self.heartbeats.heard(heartbeat.server.instance, sequence);
+                self.heartbeats
+                    .record_unchanged(heartbeat.server.instance, sequence);
             }
             ForwardStep::Forward(id) => {
                 let frame = CoordinatorFrame::Heartbeat { id, heartbeat };
@@ -69,7 +70,7 @@
         let Some(LeaderRoute { link, .. }) = self.leader_route() else {
             return;
         };
-        let heard = self.heartbeats.take_heard(now);
+        let heard = self.heartbeats.take_unchanged(now);
         if !heard.is_empty() {
             let frame = CoordinatorFrame::Heard(heard);
             self.send_frame(link, &IncomingFrame::Coordinator(frame));
--- a/crates/gateways/wingshore-coordinator/src/process/links.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/links.rs
@@ -78,7 +78,7 @@
                     self.inputs.push(HostInput::Event(event));
                 }
             }
-            CoordinatorFrame::UnknownServers(instances) => self.heartbeats.unknown(&instances),
+            CoordinatorFrame::UnknownServers(instances) => self.heartbeats.forget(&instances),
             CoordinatorFrame::Heartbeat { id, heartbeat } => {
                 let waiting = Waiting::Coordinator(connection, id);
                 self.ask_group(Request::Heartbeat(heartbeat), waiting);
--- a/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
@@ -85,7 +85,7 @@
             ForwardStep::Forward(id) => Step::Forward(id),
             ForwardStep::Wait { sequence } => {
                 let instance = heartbeat.server.instance.clone();
-                self.known.heard(instance, sequence);
+                self.known.record_unchanged(instance, sequence);
                 Step::Wait
             }
         }
@@ -173,7 +173,7 @@
             }
         }
         if now % REPORT == 0 {
-            for heard in relay.known.take_heard(at(now)) {
+            for heard in relay.known.take_unchanged(at(now)) {
                 outcome.hear(now, &heard.instance);
             }
         }
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -40,8 +40,8 @@
         instance: InstanceId::from("i-1"),
         sequence: 4,
     };
-    expect_that!(relay.take_heard(NOW), eq(&vec![heard]));
-    expect_that!(relay.take_heard(NOW), is_empty());
+    expect_that!(relay.take_unchanged(NOW), eq(&vec![heard]));
+    expect_that!(relay.take_unchanged(NOW), is_empty());
 }
 
 /// A server that begins to drain is acknowledged by the leader: that binds the site.
@@ -59,7 +59,7 @@
 fn a_server_that_the_leader_does_not_know_goes_to_it_whole() {
     let mut relay = HeartbeatRelay::default();
     relay.acknowledged(NOW, heartbeat(1, false).server);
-    relay.unknown(&[InstanceId::from("i-1")]);
+    relay.forget(&[InstanceId::from("i-1")]);
     expect_that!(
         relay.offer(NOW, &heartbeat(2, false)),
         eq(HeartbeatAction::Forward)
@@ -71,7 +71,7 @@
     let mut relay = HeartbeatRelay::default();
     relay.acknowledged(NOW, heartbeat(1, false).server);
     let later = NOW + Duration::from_secs(60);
-    relay.take_heard(later);
+    relay.take_unchanged(later);
     expect_that!(
         relay.offer(later, &heartbeat(2, false)),
         eq(HeartbeatAction::Forward)
