--- a/crates/gateways/wingshore-coordinator/src/control.rs
+++ b/crates/gateways/wingshore-coordinator/src/control.rs
@@ -12,11 +12,11 @@
 pub(crate) struct ControlConnection {
     pub(crate) reader: RequestReader,
     /// The target of the request that waits for its answer.
-    pub(crate) waiting: Option<String>,
+    pub(crate) pending_target: Option<String>,
     /// Whether to close after the answer.
     pub(crate) close_after: bool,
     /// When a request last arrived or was answered.
-    pub(crate) used: Instant,
+    pub(crate) last_used_at: Instant,
 }
 
 impl ControlConnection {
@@ -24,9 +24,9 @@
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             reader: RequestReader::default(),
-            waiting: None,
+            pending_target: None,
             close_after: false,
-            used: now,
+            last_used_at: now,
         }
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/process/callers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/callers.rs
@@ -25,8 +25,8 @@
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
             return;
         };
-        control.used = now;
-        if control.waiting.is_some() {
+        control.last_used_at = now;
+        if control.pending_target.is_some() {
             return;
         }
         let Some(input) = self.reactor.input(connection) else {
@@ -38,7 +38,7 @@
         match next {
             Ok(None) => {}
             Ok(Some(request)) => {
-                control.waiting = Some(request.head.target.clone());
+                control.pending_target = Some(request.head.target.clone());
                 control.close_after = request.head.wants_close();
                 self.on_call(now, connection, &request);
             }
@@ -181,7 +181,7 @@
             .filter(|leader| self.route_to(*leader).is_some())
             .and_then(|leader| self.peers.control_address(leader));
         let target = match self.roles.get(&connection) {
-            Some(Role::Control(control)) => control.waiting.clone(),
+            Some(Role::Control(control)) => control.pending_target.clone(),
             _ => None,
         };
         match (leader, target) {
@@ -195,8 +195,8 @@
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
             return;
         };
-        control.waiting = None;
-        control.used = now;
+        control.pending_target = None;
+        control.last_used_at = now;
         let close = control.close_after;
         let bytes = control::encode(answer, close);
         self.reactor.send(connection, &bytes);
@@ -215,7 +215,8 @@
             .iter()
             .filter(|(_, role)| match role {
                 Role::Control(control) => {
-                    control.waiting.is_none() && now.since(control.used) > CALLER_IDLE
+                    control.pending_target.is_none()
+                        && now.since(control.last_used_at) > CALLER_IDLE
                 }
                 _ => false,
             })
--- a/crates/gateways/wingshore-coordinator/src/process/connections.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/connections.rs
@@ -76,7 +76,7 @@
     /// The peer will send no more. A caller that has ended its side still waits for its answer.
     fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
         match self.roles.get_mut(&connection) {
-            Some(Role::Control(control)) if control.waiting.is_some() => {
+            Some(Role::Control(control)) if control.pending_target.is_some() => {
                 control.close_after = true;
             }
             _ => self.on_ended(now, connection),
