--- a/crates/gateways/wingshore-coordinator/src/directory.rs
+++ b/crates/gateways/wingshore-coordinator/src/directory.rs
@@ -31,7 +31,7 @@
 pub(crate) struct ConnectedGateway {
     pub(crate) hello: GatewayHello,
     pub(crate) connection: ConnectionId,
-    pub(crate) heard: Instant,
+    pub(crate) last_reported_at: Instant,
 }
 
 /// All gateways that are connected.
@@ -51,7 +51,7 @@
         let gateway = ConnectedGateway {
             hello,
             connection,
-            heard: now,
+            last_reported_at: now,
         };
         let before = self.gateways.insert(gateway.hello.gateway, gateway);
         before
@@ -60,9 +60,9 @@
     }
 
     /// A gateway has reported its status.
-    pub(crate) fn heard(&mut self, now: Instant, id: GatewayId, status: GatewayStatus) {
+    pub(crate) fn status_reported(&mut self, now: Instant, id: GatewayId, status: GatewayStatus) {
         if let Some(gateway) = self.gateways.get_mut(&id) {
-            gateway.heard = now;
+            gateway.last_reported_at = now;
             gateway.hello.status = status;
         }
     }
@@ -81,10 +81,10 @@
     }
 
     /// Connections of gateways that have been silent for longer than `limit`.
-    pub(crate) fn silent(&self, now: Instant, limit: Duration) -> Vec<ConnectionId> {
+    pub(crate) fn silent_connections(&self, now: Instant, limit: Duration) -> Vec<ConnectionId> {
         self.gateways
             .values()
-            .filter(|gateway| now.since(gateway.heard) > limit)
+            .filter(|gateway| now.since(gateway.last_reported_at) > limit)
             .map(|gateway| gateway.connection)
             .collect()
     }
@@ -109,7 +109,9 @@
         let ready: Vec<&ConnectedGateway> = self
             .gateways
             .values()
-            .filter(|gateway| gateway.hello.status.ready && now.since(gateway.heard) <= fresh)
+            .filter(|gateway| {
+                gateway.hello.status.ready && now.since(gateway.last_reported_at) <= fresh
+            })
             .collect();
         let near = ready.iter().filter(|gateway| gateway.hello.zone == zone);
         let only_near = near.count() >= ENOUGH_IN_ZONE;
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -55,7 +55,7 @@
             }
             report => {
                 if let GatewayMessage::Status(status) = &report {
-                    self.directory.heard(now, gateway, *status);
+                    self.directory.status_reported(now, gateway, *status);
                 }
                 self.count_ends(&report);
                 if let Some(event) = event_of(gateway, report) {
@@ -110,7 +110,7 @@
             return;
         };
         info!(self.logger, "gateway lost"; "gateway" => gateway.0);
-        let silence = now.since(known.heard);
+        let silence = now.since(known.last_reported_at);
         let event = Event::GatewayDisconnected { gateway, silence };
         self.inputs.push(HostInput::Event(event));
     }
--- a/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
@@ -34,7 +34,7 @@
         self.take_call_events(events);
         self.agree_on_time(now);
         if self.schedule.silence_judge.silence_counts(now) {
-            for connection in self.directory.silent(now, GATEWAY_SILENCE) {
+            for connection in self.directory.silent_connections(now, GATEWAY_SILENCE) {
                 self.on_ended(now, connection);
             }
         }
