--- a/crates/gateways/wingshore-coordinator/src/dials.rs
+++ b/crates/gateways/wingshore-coordinator/src/dials.rs
@@ -67,7 +67,7 @@
     }
 
     /// An attempt has begun; without a connection where the system had none.
-    pub fn begun(&mut self, now: Instant, address: SocketAddr, connection: Option<K>) {
+    pub fn attempt_started(&mut self, now: Instant, address: SocketAddr, connection: Option<K>) {
         let dial = Dial {
             connection,
             is_up: false,
@@ -84,7 +84,7 @@
     }
 
     /// The connection to an address has ended.
-    pub fn ended(&mut self, now: Instant, address: SocketAddr) {
+    pub fn disconnected(&mut self, now: Instant, address: SocketAddr) {
         if let Some(dial) = self.by_address.get_mut(&address) {
             dial.connection = None;
             dial.is_up = false;
@@ -93,7 +93,7 @@
     }
 
     /// Forgets addresses that are not wanted any more; gives their connections.
-    pub fn forget_others(&mut self, wanted: &[SocketAddr]) -> Vec<K> {
+    pub fn retain_wanted(&mut self, wanted: &[SocketAddr]) -> Vec<K> {
         let mut others = Vec::new();
         self.by_address.retain(|address, dial| {
             let is_wanted = wanted.contains(address);
--- a/crates/gateways/wingshore-coordinator/src/process/connections.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/connections.rs
@@ -56,7 +56,7 @@
                 gateway: Some(gateway),
                 ..
             })) => self.on_gateway_ended(now, gateway, connection),
-            Some(Role::Dialed(address)) => self.dials.ended(now, address),
+            Some(Role::Dialed(address)) => self.dials.disconnected(now, address),
             _ => {}
         }
         self.on_coordinator_ended(now, connection);
--- a/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
@@ -138,7 +138,7 @@
     /// Connects to all members and seeds there is no connection to.
     pub(super) fn dial_members(&mut self, now: Instant) {
         let wanted = self.addresses_to_dial();
-        for connection in self.dials.forget_others(&wanted) {
+        for connection in self.dials.retain_wanted(&wanted) {
             self.on_ended(now, connection);
         }
         for address in wanted {
@@ -172,7 +172,7 @@
                 if let Some(connection) = connection {
                     self.roles.insert(connection, Role::Dialed(address));
                 }
-                self.dials.begun(now, address, connection);
+                self.dials.attempt_started(now, address, connection);
             }
         }
     }
--- a/crates/gateways/wingshore-coordinator/tests/dials.rs
+++ b/crates/gateways/wingshore-coordinator/tests/dials.rs
@@ -17,7 +17,7 @@
 fn an_address_is_connected_to_at_once_and_then_left_alone_while_it_is_up() {
     let mut dials = Dials::default();
     expect_that!(dials.next_step(at(0), address(1)), eq(DialStep::Connect));
-    dials.begun(at(0), address(1), Some('a'));
+    dials.attempt_started(at(0), address(1), Some('a'));
     expect_that!(dials.next_step(at(100), address(1)), eq(DialStep::Wait));
     dials.connected(address(1));
     expect_that!(dials.next_step(at(90_000), address(1)), eq(DialStep::Wait));
@@ -26,11 +26,11 @@
 #[gtest]
 fn an_attempt_that_does_not_come_up_is_abandoned_and_made_again_later() {
     let mut dials = Dials::default();
-    dials.begun(at(0), address(1), Some('a'));
+    dials.attempt_started(at(0), address(1), Some('a'));
     expect_that!(dials.next_step(at(599), address(1)), eq(DialStep::Wait));
     let abandoned = DialStep::Abandon('a');
     expect_that!(dials.next_step(at(600), address(1)), eq(abandoned));
-    dials.ended(at(600), address(1));
+    dials.disconnected(at(600), address(1));
     expect_that!(dials.next_step(at(849), address(1)), eq(DialStep::Wait));
     expect_that!(dials.next_step(at(850), address(1)), eq(DialStep::Connect));
 }
@@ -38,7 +38,7 @@
 #[gtest]
 fn without_a_socket_the_next_attempt_waits_as_well() {
     let mut dials: Dials<char> = Dials::default();
-    dials.begun(at(0), address(1), None);
+    dials.attempt_started(at(0), address(1), None);
     expect_that!(dials.next_step(at(249), address(1)), eq(DialStep::Wait));
     expect_that!(dials.next_step(at(250), address(1)), eq(DialStep::Connect));
 }
@@ -46,10 +46,10 @@
 #[gtest]
 fn connections_to_addresses_that_are_not_wanted_any_more_are_given_back() {
     let mut dials = Dials::default();
-    dials.begun(at(0), address(1), Some('a'));
-    dials.begun(at(0), address(2), Some('b'));
-    dials.begun(at(0), address(3), None);
-    expect_that!(dials.forget_others(&[address(1)]), eq(&vec!['b']));
+    dials.attempt_started(at(0), address(1), Some('a'));
+    dials.attempt_started(at(0), address(2), Some('b'));
+    dials.attempt_started(at(0), address(3), None);
+    expect_that!(dials.retain_wanted(&[address(1)]), eq(&vec!['b']));
     expect_that!(dials.next_step(at(1), address(1)), eq(DialStep::Wait));
     expect_that!(dials.next_step(at(1), address(3)), eq(DialStep::Connect));
 }
