--- a/crates/gateways/wingshore-coordinator/src/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/forwarded_heartbeats.rs
@@ -155,7 +155,7 @@
     }
 
     /// Takes out the callers that have waited for too long, and what is of no more use.
-    pub fn take_late(&mut self, now: Instant) -> Vec<K> {
+    pub fn take_timed_out(&mut self, now: Instant) -> Vec<K> {
         let is_late = |waiting: &mut WaitingCaller<K>| now.since(waiting.since) >= FORWARD_TIMEOUT;
         let mut late = Vec::new();
         for forwarded in self.by_id.values_mut() {
--- a/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
@@ -55,7 +55,7 @@
 
     /// Answers heartbeats that the leader has not acknowledged in time.
     pub(super) fn answer_late_heartbeats(&mut self, now: Instant) {
-        let late = self.forwarded.take_late(now);
+        let late = self.forwarded.take_timed_out(now);
         self.answer_heartbeats(&late, &ControlAnswer::Unavailable);
     }
 
--- a/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
@@ -103,8 +103,8 @@
     }
 
     /// Whom to tell that nobody could acknowledge the heartbeat.
-    fn take_late(&mut self, now: Instant) -> Vec<u64> {
-        self.forwarded.take_late(now)
+    fn take_timed_out(&mut self, now: Instant) -> Vec<u64> {
+        self.forwarded.take_timed_out(now)
     }
 }
 
@@ -150,7 +150,7 @@
                 outcome.answer(now, caller, Answer::Done);
             }
         }
-        for caller in relay.take_late(at(now)) {
+        for caller in relay.take_timed_out(at(now)) {
             outcome.answer(now, caller, Answer::Unavailable);
         }
         for server in 0..servers {
@@ -233,12 +233,12 @@
     );
     for beat in [1, 2] {
         let now = at(beat * INTERVAL);
-        relay.take_late(now);
+        relay.take_timed_out(now);
         let step = relay.offer(now, ROUTE, 1, &heartbeat(1, beat + 1));
         expect_that!(step, eq(ForwardStep::Wait { sequence: 1 }));
     }
     let now = at(3 * INTERVAL);
-    relay.take_late(now);
+    relay.take_timed_out(now);
     expect_that!(
         relay.offer(now, ROUTE, 1, &heartbeat(1, 4)),
         eq(ForwardStep::Forward(0))
@@ -250,9 +250,9 @@
 fn a_heartbeat_that_waits_for_the_same_is_answered_with_it() -> Result<()> {
     let mut relay = ForwardedHeartbeats::new(EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
-    expect_that!(relay.take_late(at(800)), eq(&vec![1]));
+    expect_that!(relay.take_timed_out(at(800)), eq(&vec![1]));
     relay.offer(at(INTERVAL), ROUTE, 2, &heartbeat(1, 2));
-    expect_that!(relay.take_late(at(INTERVAL + 700)), is_empty());
+    expect_that!(relay.take_timed_out(at(INTERVAL + 700)), is_empty());
     let answered = relay.answered(0).or_fail()?;
     expect_that!(answered.callers, eq(&vec![2]));
     expect_that!(answered.newest, some(eq(&heartbeat(1, 1).server)));
@@ -316,7 +316,7 @@
             relay.offer(now, ROUTE, 1, &draining(beat + 1)),
             eq(ForwardStep::Forward(beat))
         );
-        relay.take_late(now + Duration::from_millis(800));
+        relay.take_timed_out(now + Duration::from_millis(800));
         expect_that!(relay.answered(beat), none());
     }
     for (soon, id) in [(0, 4), (300, 5)] {
@@ -362,15 +362,15 @@
 fn what_is_never_answered_is_forgotten_in_time_and_beyond_a_number() {
     let mut relay = ForwardedHeartbeats::new(EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
-    relay.take_late(at(800));
-    relay.take_late(at(0) + EXPIRY);
+    relay.take_timed_out(at(800));
+    relay.take_timed_out(at(0) + EXPIRY);
     expect_that!(relay.answered(0), none());
 
     let later = at(10_000);
     for server in 0..20_001 {
         relay.offer(later, ROUTE, server, &heartbeat(server as usize, 1));
     }
-    relay.take_late(later + Duration::from_millis(800));
+    relay.take_timed_out(later + Duration::from_millis(800));
     expect_that!(relay.answered(1), none());
     expect_that!(relay.answered(2), some(anything()));
     expect_that!(relay.answered(20_001), some(anything()));
