--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -48,7 +48,7 @@
 pub use forwarded_heartbeats::{AnsweredHeartbeat, ForwardStep, ForwardedHeartbeats, LeaderRoute};
 pub use heartbeats::{HeartbeatAction, HeartbeatRelay};
 pub use lost::LostMachines;
-pub use membership::{Joiner, MembershipPlanner, MembershipView, Shortage};
+pub use membership::{KnownCoordinator, MembershipPlanner, MembershipView, Shortage};
 pub use outgoing_calls::CallProtocols;
 pub use process::Coordinator;
 pub use protocol::{
--- a/crates/gateways/wingshore-coordinator/src/membership.rs
+++ b/crates/gateways/wingshore-coordinator/src/membership.rs
@@ -62,7 +62,7 @@
 
 /// A coordinator that has introduced itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Joiner {
+pub struct KnownCoordinator {
     /// Its identity, bound to its data folder.
     pub id: ReplicaId,
     /// Where it listens for the site's own processes.
@@ -70,7 +70,7 @@
     /// Its zone.
     pub zone: String,
     /// When it was last heard of.
-    pub heard: Instant,
+    pub last_heard_at: Instant,
 }
 
 /// What the leader knows of members and joiners.
@@ -82,7 +82,7 @@
     /// The members.
     pub membership: &'a Membership,
     /// All coordinators that have introduced themselves, by identity.
-    pub heard: &'a BTreeMap<ReplicaId, Joiner>,
+    pub known_coordinators: &'a BTreeMap<ReplicaId, KnownCoordinator>,
     /// Members that hold what was committed before a heartbeat that they answered, and the newest change of
     /// members.
     pub caught_up: BTreeSet<ReplicaId>,
@@ -110,9 +110,9 @@
     }
 
     /// Coordinators other than the leader that are heard of and are not to leave.
-    fn fresh(&self, now: Instant) -> impl Iterator<Item = &Joiner> {
-        self.heard.values().filter(move |joiner| {
-            let is_fresh = now.since(joiner.heard) < VOTER_SILENCE;
+    fn fresh(&self, now: Instant) -> impl Iterator<Item = &KnownCoordinator> {
+        self.known_coordinators.values().filter(move |joiner| {
+            let is_fresh = now.since(joiner.last_heard_at) < VOTER_SILENCE;
             is_fresh && joiner.id != self.own && !self.retired.contains(&joiner.id)
         })
     }
@@ -146,7 +146,7 @@
     fn zones_with_live_members(&self, now: Instant) -> BTreeSet<&str> {
         let others = self
             .live_members(now)
-            .filter_map(|member| self.heard.get(&member.id));
+            .filter_map(|member| self.known_coordinators.get(&member.id));
         others
             .map(|joiner| joiner.zone.as_str())
             .chain([self.own_zone])
@@ -177,8 +177,8 @@
     /// Whether it is the leader itself, or was heard of lately: what a lost member is known to hold is
     /// gone with it.
     fn is_live(&self, now: Instant, id: ReplicaId) -> bool {
-        let is_heard = |joiner: &Joiner| now.since(joiner.heard) < VOTER_SILENCE;
-        id == self.own || self.heard.get(&id).is_some_and(is_heard)
+        let is_heard = |joiner: &KnownCoordinator| now.since(joiner.last_heard_at) < VOTER_SILENCE;
+        id == self.own || self.known_coordinators.get(&id).is_some_and(is_heard)
     }
 }
 
@@ -228,8 +228,8 @@
         view: &MembershipView<'_>,
     ) -> Option<MembershipRequest> {
         let successor_of = |member: &&Member| {
-            view.heard.values().any(|joiner| {
-                let is_fresh = now.since(joiner.heard) < JOINER_SILENCE;
+            view.known_coordinators.values().any(|joiner| {
+                let is_fresh = now.since(joiner.last_heard_at) < JOINER_SILENCE;
                 is_fresh && joiner.address == member.address && joiner.id != member.id
             })
         };
@@ -247,10 +247,10 @@
             .map(|member| member.id)
             .filter(|member| self.silence(now, *member, view) < VOTER_SILENCE)
             .collect();
-        let fresh = view.heard.values();
+        let fresh = view.known_coordinators.values();
         left.extend(
             fresh
-                .filter(|joiner| now.since(joiner.heard) < JOINER_SILENCE)
+                .filter(|joiner| now.since(joiner.last_heard_at) < JOINER_SILENCE)
                 .map(|joiner| joiner.id),
         );
         left.insert(view.own);
@@ -337,8 +337,8 @@
         if view.live_members(now).count() >= view.target_members(now) {
             return None;
         }
-        let is_new = |joiner: &&Joiner| {
-            let is_fresh = now.since(joiner.heard) < JOINER_SILENCE;
+        let is_new = |joiner: &&KnownCoordinator| {
+            let is_fresh = now.since(joiner.last_heard_at) < JOINER_SILENCE;
             let clashes =
                 |member: &Member| member.id == joiner.id || member.address == joiner.address;
             is_fresh
@@ -347,7 +347,7 @@
                 && !members(view.membership).any(clashes)
         };
         let zones = view.zones_with_live_members(now);
-        let joiners = view.heard.values().filter(is_new);
+        let joiners = view.known_coordinators.values().filter(is_new);
         let best = joiners.min_by_key(|joiner| zones.contains(joiner.zone.as_str()));
         best.map(|joiner| {
             MembershipRequest::AddLearner(Member {
@@ -367,7 +367,10 @@
 
     fn silence(&self, now: Instant, id: ReplicaId, view: &MembershipView<'_>) -> Duration {
         let begin = self.since.unwrap_or(now);
-        let heard = view.heard.get(&id).map_or(begin, |joiner| joiner.heard);
+        let heard = view
+            .known_coordinators
+            .get(&id)
+            .map_or(begin, |joiner| joiner.last_heard_at);
         now.since(heard.max(begin))
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/peers.rs
+++ b/crates/gateways/wingshore-coordinator/src/peers.rs
@@ -6,7 +6,7 @@
 //! identities of members come from the group's log, not from here.
 
 use crate::lost::LostMachines;
-use crate::membership::Joiner;
+use crate::membership::KnownCoordinator;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 /// Invariant: one address has one identity at a time in `heard`, the one that was heard last.
 #[derive(Default)]
 pub(crate) struct Peers {
-    heard: BTreeMap<ReplicaId, Joiner>,
+    known: BTreeMap<ReplicaId, KnownCoordinator>,
     hellos: BTreeMap<ReplicaId, CoordinatorHello>,
     /// Connections that lead to a coordinator, newest last.
     routes: BTreeMap<ReplicaId, Vec<ConnectionId>>,
@@ -47,15 +47,15 @@
         connection: ConnectionId,
         hello: &CoordinatorHello,
     ) -> bool {
-        let joiner = Joiner {
+        let joiner = KnownCoordinator {
             id: hello.id,
             address: hello.internal,
             zone: hello.zone.clone(),
-            heard: now,
+            last_heard_at: now,
         };
-        self.heard
+        self.known
             .retain(|id, known| *id == hello.id || known.address != hello.internal);
-        self.heard.insert(hello.id, joiner);
+        self.known.insert(hello.id, joiner);
         let routes = self.routes.entry(hello.id).or_default();
         let is_first = routes.is_empty();
         if !routes.contains(&connection) {
@@ -79,8 +79,8 @@
 
     /// Something else than an introduction has come from a coordinator.
     pub(crate) fn heard(&mut self, now: Instant, id: ReplicaId) {
-        if let Some(joiner) = self.heard.get_mut(&id) {
-            joiner.heard = now;
+        if let Some(joiner) = self.known.get_mut(&id) {
+            joiner.last_heard_at = now;
         }
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// All that have introduced themselves and whose address nobody else has now.
-    pub(crate) fn joiners(&self) -> &BTreeMap<ReplicaId, Joiner> {
-        &self.heard
+    pub(crate) fn known_coordinators(&self) -> &BTreeMap<ReplicaId, KnownCoordinator> {
+        &self.known
     }
 
     /// Whose connection this is.
@@ -161,16 +161,17 @@
 
     /// Where coordinators listen that were heard of lately.
     pub(crate) fn fresh_addresses(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let fresh = move |joiner: &&Joiner| now.since(joiner.heard) < STANDBY_SILENCE;
-        let joiners = self.heard.values().filter(fresh);
+        let fresh =
+            move |joiner: &&KnownCoordinator| now.since(joiner.last_heard_at) < STANDBY_SILENCE;
+        let joiners = self.known.values().filter(fresh);
         joiners.map(|joiner| joiner.address)
     }
 
     /// Who leads, by the newest of what others said lately.
     pub(crate) fn reported_leader(&self, now: Instant) -> Option<KnownLeader> {
         let is_fresh = |hello: &&CoordinatorHello| {
-            let joiner = self.heard.get(&hello.id);
-            joiner.is_some_and(|joiner| now.since(joiner.heard) < LEADER_WORD_FRESH)
+            let joiner = self.known.get(&hello.id);
+            joiner.is_some_and(|joiner| now.since(joiner.last_heard_at) < LEADER_WORD_FRESH)
         };
         let hellos = self.hellos.values().filter(is_fresh);
         hellos.filter_map(|hello| hello.leader).max()
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -92,7 +92,7 @@
             own: self.folder.identity().replica,
             own_zone: &self.settings.zone,
             membership,
-            heard: self.peers.joiners(),
+            known_coordinators: self.peers.known_coordinators(),
             caught_up: members(membership)
                 .map(|member| member.id)
                 .filter(|id| self.host.is_caught_up(*id))
--- a/crates/gateways/wingshore-coordinator/tests/membership.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordinator::{Joiner, MembershipPlanner, MembershipView, Shortage};
+use wingshore_coordinator::{KnownCoordinator, MembershipPlanner, MembershipView, Shortage};
 use wingshore_types::protocol::membership::{Member, Membership, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
@@ -12,7 +12,7 @@
 struct Site {
     now: Instant,
     membership: Membership,
-    heard: BTreeMap<ReplicaId, Joiner>,
+    known_coordinators: BTreeMap<ReplicaId, KnownCoordinator>,
     caught_up: BTreeSet<ReplicaId>,
     retired: BTreeSet<ReplicaId>,
     losses_borne: usize,
@@ -49,7 +49,7 @@
                 voters: vec![member(1, 1), member(2, 2), member(3, 3)],
                 learners: Vec::new(),
             },
-            heard: BTreeMap::new(),
+            known_coordinators: BTreeMap::new(),
             caught_up: [1, 2, 3].map(ReplicaId).into(),
             retired: BTreeSet::new(),
             losses_borne: 1,
@@ -63,13 +63,13 @@
 
     /// Machine `machine` with identity `id` was last heard of `ago` milliseconds ago.
     fn hear(&mut self, id: u64, machine: u64, ago: u64) {
-        let joiner = Joiner {
+        let joiner = KnownCoordinator {
             id: ReplicaId(id),
             address: address(machine),
             zone: zone_of(machine),
-            heard: self.now - Duration::from_millis(ago),
+            last_heard_at: self.now - Duration::from_millis(ago),
         };
-        self.heard.insert(joiner.id, joiner);
+        self.known_coordinators.insert(joiner.id, joiner);
     }
 
     fn view(&self) -> MembershipView<'_> {
@@ -77,7 +77,7 @@
             own: ReplicaId(1),
             own_zone: &self.own_zone,
             membership: &self.membership,
-            heard: &self.heard,
+            known_coordinators: &self.known_coordinators,
             caught_up: self.caught_up.clone(),
             losses_borne: self.losses_borne,
             retired: &self.retired,
@@ -104,7 +104,7 @@
 #[gtest]
 fn an_empty_disk_at_a_known_address_replaces_the_member_there() {
     let mut site = Site::new();
-    site.heard.remove(&ReplicaId(3));
+    site.known_coordinators.remove(&ReplicaId(3));
     site.hear(99, 3, 0);
     expect_that!(
         site.plan(),
@@ -158,7 +158,7 @@
 #[gtest]
 fn silence_from_before_the_leadership_does_not_count() {
     let mut site = Site::new();
-    site.heard.clear();
+    site.known_coordinators.clear();
     site.planner.begin(site.now - Duration::from_millis(500));
     site.hear(99, 4, 0);
     site.membership.learners.push(member(99, 4));
@@ -321,7 +321,7 @@
     let mut site = Site::new();
     site.losses_borne = 2;
     site.own_zone = zone_of(100);
-    site.heard.clear();
+    site.known_coordinators.clear();
     site.membership.voters = (1..=5).map(|id| member(id, 99 + id)).collect();
     site.membership.learners = vec![member(6, 105)];
     site.caught_up = (1..=6).map(ReplicaId).collect();
@@ -331,7 +331,7 @@
     expect_that!(site.plan(), none());
     // A member that is lost leaves a place to one that stands by.
     site.membership.learners.clear();
-    site.heard.remove(&ReplicaId(6));
+    site.known_coordinators.remove(&ReplicaId(6));
     expect_that!(
         site.plan(),
         some(eq(&MembershipRequest::AddLearner(member(7, 106))))
@@ -343,7 +343,7 @@
 fn a_zone_without_a_member_is_served_first() {
     let mut site = Site::new();
     site.own_zone = zone_of(100);
-    site.heard.clear();
+    site.known_coordinators.clear();
     site.membership.voters = vec![member(1, 100), member(2, 102), member(3, 104)];
     site.hear(2, 102, 0);
     site.hear(3, 104, 0);
--- a/crates/gateways/wingshore-coordinator/tests/membership_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership_review.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordinator::{Joiner, MembershipView};
+use wingshore_coordinator::{KnownCoordinator, MembershipView};
 use wingshore_types::protocol::membership::{Member, Membership};
 use wingshore_types::{Instant, ReplicaId};
 
@@ -27,21 +27,22 @@
         voters: [1, 2, 3].map(member).into(),
         learners: Vec::new(),
     };
-    let heard_at = |id, heard| Joiner {
+    let heard_at = |id, last_heard_at| KnownCoordinator {
         id: ReplicaId(id),
         address: address(id),
         zone: format!("zone-{id}"),
-        heard,
+        last_heard_at,
     };
-    let heard: BTreeMap<ReplicaId, Joiner> = [heard_at(2, now), heard_at(3, now - silence)]
-        .map(|joiner| (joiner.id, joiner))
-        .into();
+    let known_coordinators: BTreeMap<ReplicaId, KnownCoordinator> =
+        [heard_at(2, now), heard_at(3, now - silence)]
+            .map(|joiner| (joiner.id, joiner))
+            .into();
     let retired: BTreeSet<ReplicaId> = [ReplicaId(4)].into();
     let view = MembershipView {
         own: ReplicaId(1),
         own_zone: "zone-1",
         membership: &membership,
-        heard: &heard,
+        known_coordinators: &known_coordinators,
         caught_up: [1, 2, 3].map(ReplicaId).into(),
         losses_borne: 1,
         retired: &retired,
--- a/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wingshore_coordinator::{Joiner, MembershipPlanner, MembershipView};
+use wingshore_coordinator::{KnownCoordinator, MembershipPlanner, MembershipView};
 use wingshore_types::protocol::membership::{Member, Membership, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
@@ -41,7 +41,7 @@
 struct Site {
     now: Instant,
     membership: Membership,
-    heard: BTreeMap<ReplicaId, Joiner>,
+    known_coordinators: BTreeMap<ReplicaId, KnownCoordinator>,
     planner: MembershipPlanner,
     /// When the change of voters that is under way will be committed.
     committed_at: Option<Instant>,
@@ -59,7 +59,7 @@
                 voters: (1..=5).map(member).collect(),
                 learners: vec![member(6)],
             },
-            heard: BTreeMap::new(),
+            known_coordinators: BTreeMap::new(),
             planner,
             committed_at: None,
             added_at: BTreeMap::new(),
@@ -70,13 +70,13 @@
         let back = LOST.map(|machine| machine + ANEW);
         for id in [4, 5, 6].into_iter().chain(back) {
             let Member { id, address } = member(id);
-            let joiner = Joiner {
+            let joiner = KnownCoordinator {
                 id,
                 address,
                 zone: format!("zone-{}", address.ip()),
-                heard: self.now,
+                last_heard_at: self.now,
             };
-            self.heard.insert(id, joiner);
+            self.known_coordinators.insert(id, joiner);
         }
     }
 
@@ -98,7 +98,7 @@
             own: ReplicaId(1),
             own_zone: "zone-1",
             membership: &self.membership,
-            heard: &self.heard,
+            known_coordinators: &self.known_coordinators,
             caught_up: self.caught_up(),
             losses_borne: 2,
             retired: &retired,
