--- a/crates/gateways/wingshore-coordinator/src/membership.rs
+++ b/crates/gateways/wingshore-coordinator/src/membership.rs
@@ -164,7 +164,7 @@
 
     /// Whether the group would bear a loss right now without this coordinator: it is no member, enough
     /// others vote, and all of them are heard of and have caught up.
-    pub fn is_whole_without(&self, now: Instant, id: ReplicaId) -> bool {
+    pub fn is_fault_tolerant_without(&self, now: Instant, id: ReplicaId) -> bool {
         let is_member = members(self.membership).any(|member| member.id == id);
         let voters = &self.membership.voters;
         !is_member
@@ -191,19 +191,19 @@
 
 impl MembershipPlanner {
     /// A leadership begins: silence is counted from here.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn leadership_began(&mut self, now: Instant) {
         self.since = Some(now);
     }
 
     /// Whether the leadership is old enough to have heard of all coordinators that run.
-    pub fn has_heard_all(&self, now: Instant) -> bool {
+    pub fn is_discovery_complete(&self, now: Instant) -> bool {
         self.since
             .is_some_and(|since| now.since(since) >= ALL_HEARD_AFTER)
     }
 
     /// The change that is needed beside one that is not committed yet: a coordinator without the state
     /// is taken in at once, since a learner belongs to no quorum.
-    pub fn plan_beside(
+    pub fn plan_concurrent(
         &self,
         now: Instant,
         view: &MembershipView<'_>,
--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -84,7 +84,7 @@
             Leadership::Leading { epoch } => {
                 info!(self.logger, "leading"; "node" => &self.settings.node, "epoch" => epoch.0);
                 self.metrics.leadership_began();
-                self.members.planner.begin(now);
+                self.members.planner.leadership_began(now);
                 let lost = self.peers.lost_within(now, self.settings.order_handover());
                 let event = Event::CoordinatorsLost(lost);
                 self.inputs.push(HostInput::Event(event));
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -26,7 +26,7 @@
         let view = self.membership_view(&retired);
         let planner = &self.members.planner;
         let planned = if self.members.is_changing {
-            planner.plan_beside(now, &view)
+            planner.plan_concurrent(now, &view)
         } else {
             planner.plan(now, &view)
         };
@@ -40,7 +40,7 @@
     /// Says so where there are too few coordinators for the losses that the settings ask for; once
     /// until it changes.
     pub(super) fn report_shortage(&mut self, now: Instant) {
-        if !self.host.is_leader() || !self.members.planner.has_heard_all(now) {
+        if !self.host.is_leader() || !self.members.planner.is_discovery_complete(now) {
             return;
         }
         let retired = self.retired_members();
@@ -157,7 +157,7 @@
         let retired = self.retired_members();
         if self
             .membership_view(&retired)
-            .is_whole_without(now, *member)
+            .is_fault_tolerant_without(now, *member)
         {
             ControlAnswer::Retired
         } else {
--- a/crates/gateways/wingshore-coordinator/tests/membership.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership.rs
@@ -42,7 +42,7 @@
 impl Site {
     fn new() -> Self {
         let mut planner = MembershipPlanner::default();
-        planner.begin(Instant::from_millis(1_000));
+        planner.leadership_began(Instant::from_millis(1_000));
         let mut site = Self {
             now: Instant::from_millis(60_000),
             membership: Membership {
@@ -159,7 +159,8 @@
 fn silence_from_before_the_leadership_does_not_count() {
     let mut site = Site::new();
     site.known_coordinators.clear();
-    site.planner.begin(site.now - Duration::from_millis(500));
+    site.planner
+        .leadership_began(site.now - Duration::from_millis(500));
     site.hear(99, 4, 0);
     site.membership.learners.push(member(99, 4));
     site.caught_up.insert(ReplicaId(99));
@@ -198,12 +199,14 @@
         some(eq(&MembershipRequest::Remove(ReplicaId(2))))
     );
     expect_that!(
-        site.view().is_whole_without(site.now, ReplicaId(2)),
+        site.view()
+            .is_fault_tolerant_without(site.now, ReplicaId(2)),
         eq(false)
     );
     site.membership.voters.remove(1);
     expect_that!(
-        site.view().is_whole_without(site.now, ReplicaId(2)),
+        site.view()
+            .is_fault_tolerant_without(site.now, ReplicaId(2)),
         eq(true)
     );
     expect_that!(site.plan(), none(), "what has left is not taken in again");
@@ -225,7 +228,8 @@
     let mut site = Site::new();
     site.caught_up.remove(&ReplicaId(3));
     expect_that!(
-        site.view().is_whole_without(site.now, ReplicaId(9)),
+        site.view()
+            .is_fault_tolerant_without(site.now, ReplicaId(9)),
         eq(false)
     );
 }
@@ -380,9 +384,9 @@
 fn a_young_leadership_has_not_heard_of_all_coordinators() {
     let mut planner = MembershipPlanner::default();
     let begin = Instant::from_millis(1_000);
-    expect_that!(planner.has_heard_all(begin), eq(false));
-    planner.begin(begin);
+    expect_that!(planner.is_discovery_complete(begin), eq(false));
+    planner.leadership_began(begin);
     let after = |millis| begin + Duration::from_millis(millis);
-    expect_that!(planner.has_heard_all(after(4_999)), eq(false));
-    expect_that!(planner.has_heard_all(after(5_000)), eq(true));
+    expect_that!(planner.is_discovery_complete(after(4_999)), eq(false));
+    expect_that!(planner.is_discovery_complete(after(5_000)), eq(true));
 }
--- a/crates/gateways/wingshore-coordinator/tests/membership_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership_review.rs
@@ -47,7 +47,7 @@
         losses_borne: 1,
         retired: &retired,
     };
-    view.is_whole_without(now, ReplicaId(4))
+    view.is_fault_tolerant_without(now, ReplicaId(4))
 }
 
 #[gtest]
@@ -62,7 +62,7 @@
 /// loss takes the majority.
 /// How it comes about: the voter is lost while little is written; what the leader last knew of it is all that is
 /// committed.
-/// Cause: `is_whole_without` asks what each voter holds, and not whether it was heard of; a successor of a voter and
+/// Cause: `is_fault_tolerant_without` asks what each voter holds, and not whether it was heard of; a successor of a voter and
 /// a member to transfer leadership to must have been heard of lately.
 /// Proof: whole with a voter that has been silent for 20 s.
 #[gtest]
--- a/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
@@ -52,7 +52,7 @@
     fn new() -> Self {
         let now = Instant::from_millis(60_000);
         let mut planner = MembershipPlanner::default();
-        planner.begin(Instant::from_millis(1_000));
+        planner.leadership_began(Instant::from_millis(1_000));
         Self {
             now,
             membership: Membership {
@@ -104,7 +104,7 @@
             retired: &retired,
         };
         match self.committed_at {
-            Some(_) => self.planner.plan_beside(self.now, &view),
+            Some(_) => self.planner.plan_concurrent(self.now, &view),
             None => self.planner.plan(self.now, &view),
         }
     }
