--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -143,7 +143,7 @@
     }
 
     /// Asks for the status of an engine.
-    pub(crate) fn ask_report(
+    pub(crate) fn poll_engine(
         &mut self,
         now: Instant,
         reactor: &mut Reactor,
@@ -277,7 +277,7 @@
     }
 
     /// Gives up the calls that only a holder makes; what has not left of them does not leave.
-    pub(crate) fn drop_holders_calls(&mut self, reactor: &mut Reactor) -> Vec<Event> {
+    pub(crate) fn cancel_lease_calls(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         self.end_all(reactor, |entry| {
             let call = entry.call.as_ref();
             call.is_some_and(|call| call.question.needs_lease())
--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -16,7 +16,7 @@
         if self.host.holds_lease(self.clock.now()) {
             return;
         }
-        let events = self.calls.drop_holders_calls(&mut self.reactor);
+        let events = self.calls.cancel_lease_calls(&mut self.reactor);
         self.take_call_events(events);
     }
 
--- a/crates/gateways/wingshore-coordinator/src/process/group.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/group.rs
@@ -126,7 +126,7 @@
             Effect::Order(order) => self.order_load(now, &order),
             Effect::PollEngine { instance, address } => {
                 self.calls
-                    .ask_report(now, &mut self.reactor, &instance, address)
+                    .poll_engine(now, &mut self.reactor, &instance, address)
             }
         };
         self.take_call_events(event);
