--- a/crates/gateways/wingshore-coordinator/src/peers.rs
+++ b/crates/gateways/wingshore-coordinator/src/peers.rs
@@ -41,7 +41,7 @@
 
 impl Peers {
     /// An introduction has come over a connection; says whether it is the first one that leads there.
-    pub(crate) fn heard_on(
+    pub(crate) fn record_route(
         &mut self,
         now: Instant,
         connection: ConnectionId,
@@ -66,7 +66,7 @@
 
     /// Keeps what a coordinator said of itself. Says whether its machine has restarted within
     /// `window`: nothing more is to come from the incarnation before.
-    pub(crate) fn introduced(
+    pub(crate) fn record_hello(
         &mut self,
         now: Instant,
         hello: CoordinatorHello,
@@ -78,7 +78,7 @@
     }
 
     /// Something else than an introduction has come from a coordinator.
-    pub(crate) fn heard(&mut self, now: Instant, id: ReplicaId) {
+    pub(crate) fn record_message(&mut self, now: Instant, id: ReplicaId) {
         if let Some(joiner) = self.known.get_mut(&id) {
             joiner.last_heard_at = now;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Whose connection this is.
-    pub(crate) fn at(&self, connection: ConnectionId) -> Option<ReplicaId> {
+    pub(crate) fn peer_of(&self, connection: ConnectionId) -> Option<ReplicaId> {
         let mut routes = self.routes.iter();
         let found = routes.find(|(_, routes)| routes.contains(&connection));
         found.map(|(id, _)| *id)
--- a/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
@@ -45,7 +45,7 @@
         hello: CoordinatorHello,
     ) {
         self.site_clock.heard(now, hello.id, hello.wall);
-        if self.peers.heard_on(now, connection, &hello) {
+        if self.peers.record_route(now, connection, &hello) {
             info!(self.logger, "coordinator reached"; "member" => hello.id.0, "node" => &hello.node);
         }
         if let Some(Role::Link(link)) = self.roles.get_mut(&connection)
@@ -56,7 +56,7 @@
         }
         let window = self.settings.order_handover();
         let node = hello.node.clone();
-        if self.peers.introduced(now, hello, window) {
+        if self.peers.record_hello(now, hello, window) {
             let event = Event::CoordinatorsLost(vec![node]);
             self.inputs.push(HostInput::Event(event));
         }
@@ -64,7 +64,7 @@
 
     /// A connection has ended that may have led to a coordinator.
     pub(super) fn on_coordinator_ended(&mut self, now: Instant, connection: ConnectionId) {
-        let led_to_coordinator = self.peers.at(connection).is_some();
+        let led_to_coordinator = self.peers.peer_of(connection).is_some();
         let lost = self.peers.disconnected(now, connection);
         for peer in &lost {
             info!(self.logger, "coordinator lost"; "member" => peer.member.0);
--- a/crates/gateways/wingshore-coordinator/src/process/links.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/links.rs
@@ -73,7 +73,7 @@
                 }
             }
             CoordinatorFrame::Heard(servers) => {
-                if let Some(from) = self.peers.at(connection) {
+                if let Some(from) = self.peers.peer_of(connection) {
                     let event = Event::ServersReported { from, servers };
                     self.inputs.push(HostInput::Event(event));
                 }
@@ -87,8 +87,8 @@
                 self.on_heartbeat_reply(now, id, answer);
             }
             CoordinatorFrame::Consensus(message) => {
-                if let Some(from) = self.peers.at(connection) {
-                    self.peers.heard(now, from);
+                if let Some(from) = self.peers.peer_of(connection) {
+                    self.peers.record_message(now, from);
                     self.inputs.push(HostInput::Consensus { from, message });
                 }
             }
