--- a/crates/gateways/wingshore-coordinator/src/lost.rs
+++ b/crates/gateways/wingshore-coordinator/src/lost.rs
@@ -24,13 +24,19 @@
 
 impl LostMachines {
     /// The last connection to a machine has ended.
-    pub fn lost(&mut self, now: Instant, node: &str) {
+    pub fn record_loss(&mut self, now: Instant, node: &str) {
         self.at.insert(node.to_owned(), now);
     }
 
     /// A machine's process has been running for `up`. Says whether that is news of a loss within
     /// `window`.
-    pub fn heard(&mut self, now: Instant, node: &str, up: Duration, window: Duration) -> bool {
+    pub fn record_uptime(
+        &mut self,
+        now: Instant,
+        node: &str,
+        up: Duration,
+        window: Duration,
+    ) -> bool {
         if up + RESTART_MARGIN >= window {
             return false;
         }
@@ -44,7 +50,7 @@
     }
 
     /// Machines that were lost within `window`.
-    pub fn within(&self, now: Instant, window: Duration) -> Vec<String> {
+    pub fn lost_within(&self, now: Instant, window: Duration) -> Vec<String> {
         let lately = self.at.iter().filter(|(_, at)| now.since(**at) < window);
         lately.map(|(node, _)| node.clone()).collect()
     }
--- a/crates/gateways/wingshore-coordinator/src/peers.rs
+++ b/crates/gateways/wingshore-coordinator/src/peers.rs
@@ -72,7 +72,7 @@
         hello: CoordinatorHello,
         window: Duration,
     ) -> bool {
-        let has_restarted = self.lost.heard(now, &hello.node, hello.up, window);
+        let has_restarted = self.lost.record_uptime(now, &hello.node, hello.up, window);
         self.hellos.insert(hello.id, hello);
         has_restarted
     }
@@ -97,14 +97,14 @@
             }
         }
         for node in lost.iter().filter_map(|peer| peer.node.as_deref()) {
-            self.lost.lost(now, node);
+            self.lost.record_loss(now, node);
         }
         lost
     }
 
     /// Machines that were lost within `window`.
     pub(crate) fn lost_within(&self, now: Instant, window: Duration) -> Vec<String> {
-        self.lost.within(now, window)
+        self.lost.lost_within(now, window)
     }
 
     /// All that have introduced themselves and whose address nobody else has now.
--- a/crates/gateways/wingshore-coordinator/tests/lost.rs
+++ b/crates/gateways/wingshore-coordinator/tests/lost.rs
@@ -15,24 +15,27 @@
 #[gtest]
 fn a_machine_whose_connection_ended_is_lost_for_the_window() {
     let mut machines = LostMachines::default();
-    machines.lost(NOW, "a");
-    expect_that!(machines.within(NOW + up(2_900), WINDOW), elements_are!["a"]);
-    expect_that!(machines.within(NOW + up(3_100), WINDOW), is_empty());
+    machines.record_loss(NOW, "a");
+    expect_that!(
+        machines.lost_within(NOW + up(2_900), WINDOW),
+        elements_are!["a"]
+    );
+    expect_that!(machines.lost_within(NOW + up(3_100), WINDOW), is_empty());
 }
 
 /// After a loss of power of all machines none of them has seen the connection of another end.
 #[gtest]
 fn a_machine_whose_process_has_just_begun_was_lost_before() {
     let mut machines = LostMachines::default();
-    expect_that!(machines.heard(NOW, "a", up(400), WINDOW), eq(true));
-    expect_that!(machines.within(NOW, WINDOW), elements_are!["a"]);
+    expect_that!(machines.record_uptime(NOW, "a", up(400), WINDOW), eq(true));
+    expect_that!(machines.lost_within(NOW, WINDOW), elements_are!["a"]);
     expect_that!(
-        machines.heard(NOW + up(300), "a", up(700), WINDOW),
+        machines.record_uptime(NOW + up(300), "a", up(700), WINDOW),
         eq(false),
         "that is not news"
     );
     expect_that!(
-        machines.heard(NOW + up(2_000), "a", up(100), WINDOW),
+        machines.record_uptime(NOW + up(2_000), "a", up(100), WINDOW),
         eq(true),
         "it was lost again"
     );
@@ -41,6 +44,9 @@
 #[gtest]
 fn a_machine_whose_process_is_as_old_as_the_window_was_not_lost() {
     let mut machines = LostMachines::default();
-    expect_that!(machines.heard(NOW, "a", up(2_600), WINDOW), eq(false));
-    expect_that!(machines.within(NOW, WINDOW), is_empty());
+    expect_that!(
+        machines.record_uptime(NOW, "a", up(2_600), WINDOW),
+        eq(false)
+    );
+    expect_that!(machines.lost_within(NOW, WINDOW), is_empty());
 }
