--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -55,7 +55,7 @@
     ControlAnswer, ControlCall, ControlProtocol, EngineProtocol, LocalQuestion, OutgoingCall,
     ProviderProtocol,
 };
-pub use sent_states::{Look, SendingPhase, SendingReport, SentStates};
+pub use sent_states::{SendingPhase, SendingReport, SendingUpdate, SentStates};
 pub use settings::{CoordinatorSettings, ProviderSettings};
 pub use silence::SilenceJudge;
 pub use spool::FileSpool;
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -70,13 +70,13 @@
     /// Says how far the sending of the state to members is that lack too much of the log.
     pub(super) fn report_sent_states(&mut self, now: Instant) {
         let sendings = self.host.snapshots_under_way();
-        let look = self.sent_states.look(now, &sendings);
-        self.metrics.state_sent(look.sent, look.sent_again);
-        for report in look.reports {
+        let update = self.sent_states.update(now, &sendings);
+        self.metrics.state_sent(update.sent, update.sent_again);
+        for report in update.reports {
             let phase = match report.phase {
-                SendingPhase::Begun => "state sending begun",
-                SendingPhase::UnderWay => "state under way",
-                SendingPhase::Over => "state sending over",
+                SendingPhase::Started => "state sending begun",
+                SendingPhase::InProgress => "state under way",
+                SendingPhase::Ended => "state sending over",
             };
             let sending = report.sending;
             info!(self.logger, "{}", phase; "member" => sending.to.0,
--- a/crates/gateways/wingshore-coordinator/src/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/src/sent_states.rs
@@ -1,8 +1,8 @@
 //! What there is to tell of the states that a leader sends to members that lack too much of the log. No
 //! I/O.
 //!
-//! Question: which sending has begun, goes on or is over since the last look, and how many bytes were
-//! sent meanwhile? Input: how far each sending is ([`SnapshotSending`]), at each look. Rule: the
+//! Question: which sending has begun, goes on or is over since the last update, and how many bytes were
+//! sent meanwhile? Input: how far each sending is ([`SnapshotSending`]), at each update. Rule: the
 //! begin and the end of each one are told, and while it goes on where it is, once in
 //! [`REPORT_INTERVAL`]. Why: a member whose state is on its way bears no loss, and only the leader
 //! knows how long that will last. Old or missing input: a sending that is no longer listed is over;
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendingPhase {
     /// It has begun.
-    Begun,
+    Started,
     /// It goes on.
-    UnderWay,
+    InProgress,
     /// It is over: the member has it, or was given up.
-    Over,
+    Ended,
 }
 
 /// A sending, as it is told.
@@ -40,12 +40,12 @@
 
 /// What one look has shown.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct SendingUpdate {
     /// What there is to tell.
     pub reports: Vec<SendingReport>,
-    /// Bytes sent since the last look, those sent again among them.
+    /// Bytes sent since the last update, those sent again among them.
     pub sent: u64,
-    /// Bytes sent again since the last look.
+    /// Bytes sent again since the last update.
     pub sent_again: u64,
 }
 
@@ -74,13 +74,13 @@
 
 impl SentStates {
     /// Takes how far each sending is now.
-    pub fn look(&mut self, now: Instant, sendings: &[SnapshotSending]) -> Look {
-        let mut look = Look::default();
-        self.end_others(now, sendings, &mut look);
+    pub fn update(&mut self, now: Instant, sendings: &[SnapshotSending]) -> SendingUpdate {
+        let mut update = SendingUpdate::default();
+        self.end_others(now, sendings, &mut update);
         for sending in sendings {
-            self.see(now, *sending, &mut look);
+            self.see(now, *sending, &mut update);
         }
-        look
+        update
     }
 
     /// Members that are being sent the state.
@@ -96,7 +96,12 @@
             .sum()
     }
 
-    fn end_others(&mut self, now: Instant, sendings: &[SnapshotSending], look: &mut Look) {
+    fn end_others(
+        &mut self,
+        now: Instant,
+        sendings: &[SnapshotSending],
+        update: &mut SendingUpdate,
+    ) {
         let is_under_way = |known: &Known| {
             let of_same = |sending: &&SnapshotSending| is_same(sending, &known.sending);
             sendings.iter().any(|sending| of_same(&sending))
@@ -104,19 +109,19 @@
         self.known.retain(|_, known| {
             let goes_on = is_under_way(known);
             if !goes_on {
-                look.reports.push(known.report(SendingPhase::Over, now));
+                update.reports.push(known.report(SendingPhase::Ended, now));
             }
             goes_on
         });
     }
 
-    fn see(&mut self, now: Instant, sending: SnapshotSending, look: &mut Look) {
+    fn see(&mut self, now: Instant, sending: SnapshotSending, update: &mut SendingUpdate) {
         let before = self.known.get(&sending.to).copied();
         let (sent, sent_again) = before.map_or((0, 0), |known| {
             (known.sending.sent, known.sending.sent_again)
         });
-        look.sent += sending.sent.saturating_sub(sent);
-        look.sent_again += sending.sent_again.saturating_sub(sent_again);
+        update.sent += sending.sent.saturating_sub(sent);
+        update.sent_again += sending.sent_again.saturating_sub(sent_again);
         let mut known = before.unwrap_or(Known {
             sending,
             since: now,
@@ -124,10 +129,14 @@
         });
         known.sending = sending;
         if before.is_none() {
-            look.reports.push(known.report(SendingPhase::Begun, now));
+            update
+                .reports
+                .push(known.report(SendingPhase::Started, now));
         } else if now.since(known.told) >= REPORT_INTERVAL {
             known.told = now;
-            look.reports.push(known.report(SendingPhase::UnderWay, now));
+            update
+                .reports
+                .push(known.report(SendingPhase::InProgress, now));
         }
         self.known.insert(sending.to, known);
     }
--- a/crates/gateways/wingshore-coordinator/tests/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/tests/sent_states.rs
@@ -27,8 +27,8 @@
     now: Instant,
     sendings: &[SnapshotSending],
 ) -> Vec<SendingPhase> {
-    let look = states.look(now, sendings);
-    look.reports.iter().map(|report| report.phase).collect()
+    let update = states.update(now, sendings);
+    update.reports.iter().map(|report| report.phase).collect()
 }
 
 #[gtest]
@@ -37,21 +37,21 @@
     let seen = |states: &mut SentStates, millis| phases(states, at(millis), &[sending(0, 100, 0)]);
     expect_that!(
         seen(&mut states, 0),
-        elements_are![eq(&SendingPhase::Begun)]
+        elements_are![eq(&SendingPhase::Started)]
     );
     for millis in (100..1_000).step_by(100) {
         expect_that!(seen(&mut states, millis), is_empty());
     }
     expect_that!(
         seen(&mut states, 1_000),
-        elements_are![eq(&SendingPhase::UnderWay)]
+        elements_are![eq(&SendingPhase::InProgress)]
     );
     expect_that!(seen(&mut states, 1_100), is_empty());
     expect_that!(states.receivers(), eq(1));
     expect_that!(states.bytes_left(), eq(1_000));
     expect_that!(
         phases(&mut states, at(1_200), &[]),
-        elements_are![eq(&SendingPhase::Over)]
+        elements_are![eq(&SendingPhase::Ended)]
     );
     expect_that!(states.receivers(), eq(0));
 }
@@ -59,11 +59,11 @@
 #[gtest]
 fn each_byte_that_is_sent_counts_once() {
     let mut states = SentStates::default();
-    let first = states.look(at(0), &[sending(0, 300, 0)]);
+    let first = states.update(at(0), &[sending(0, 300, 0)]);
     expect_that!((first.sent, first.sent_again), eq((300, 0)));
-    let second = states.look(at(100), &[sending(200, 700, 150)]);
+    let second = states.update(at(100), &[sending(200, 700, 150)]);
     expect_that!((second.sent, second.sent_again), eq((400, 150)));
-    let third = states.look(at(200), &[sending(200, 700, 150)]);
+    let third = states.update(at(200), &[sending(200, 700, 150)]);
     expect_that!((third.sent, third.sent_again), eq((0, 0)));
 }
 
@@ -72,16 +72,19 @@
 #[gtest]
 fn a_sending_that_begins_anew_is_another_one() {
     let mut states = SentStates::default();
-    states.look(at(0), &[sending(600, 900, 100)]);
-    let look = states.look(at(100), &[sending(0, 100, 0)]);
-    let told: Vec<_> = look
+    states.update(at(0), &[sending(600, 900, 100)]);
+    let update = states.update(at(100), &[sending(0, 100, 0)]);
+    let told: Vec<_> = update
         .reports
         .iter()
         .map(|report| (report.phase, report.sending.sent))
         .collect();
     expect_that!(
         told,
-        eq(&vec![(SendingPhase::Over, 900), (SendingPhase::Begun, 100)])
+        eq(&vec![
+            (SendingPhase::Ended, 900),
+            (SendingPhase::Started, 100)
+        ])
     );
-    expect_that!(look.sent, eq(100));
+    expect_that!(update.sent, eq(100));
 }
