--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`process`](Coordinator): the loop and its wiring. It holds no rule of its own.
 //! - Decisions, without I/O and clocks: [`membership`](MembershipPlanner), [`lost`](LostMachines),
-//!   [`silence`](SilenceJudge), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
+//!   [`silence`](StallDetector), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
 //!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials),
 //!   [`sent_states`](SentStates), [`forwarded_heartbeats`](ForwardedHeartbeats), `text_queue`.
 //! - State: `peers` (other coordinators), [`texts`](TextArchive) and [`spool`](FileSpool) on disk.
@@ -57,7 +57,7 @@
 };
 pub use sent_states::{SendingPhase, SendingReport, SendingUpdate, SentStates};
 pub use settings::{CoordinatorSettings, ProviderSettings};
-pub use silence::SilenceJudge;
+pub use silence::StallDetector;
 pub use spool::FileSpool;
 pub use texts::TextArchive;
 pub use view_feed::{FeedLinks, FeedSource, ViewFeed};
--- a/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
@@ -33,7 +33,7 @@
         let events = self.calls.expire(now, &mut self.reactor);
         self.take_call_events(events);
         self.agree_on_time(now);
-        if self.schedule.silence_judge.silence_counts(now) {
+        if self.schedule.stall_detector.may_expire_peers(now) {
             for connection in self.directory.silent_connections(now, GATEWAY_SILENCE) {
                 self.on_ended(now, connection);
             }
--- a/crates/gateways/wingshore-coordinator/src/process/schedule.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/schedule.rs
@@ -1,6 +1,6 @@
 //! When the duties that go by time are due, and how far the planned stop is.
 
-use crate::silence::SilenceJudge;
+use crate::silence::StallDetector;
 use wingshore_types::Instant;
 
 /// When the duties that go by time are due.
@@ -11,7 +11,7 @@
     /// When introductions are due.
     pub(super) next_hello: Instant,
     /// Whether silence of others counts.
-    pub(super) silence_judge: SilenceJudge,
+    pub(super) stall_detector: StallDetector,
 }
 
 impl Schedule {
--- a/crates/gateways/wingshore-coordinator/src/silence.rs
+++ b/crates/gateways/wingshore-coordinator/src/silence.rs
@@ -19,14 +19,14 @@
 
 /// Watches the process's own checks.
 #[derive(Debug, Default)]
-pub struct SilenceJudge {
+pub struct StallDetector {
     last_check: Option<Instant>,
     not_before: Instant,
 }
 
-impl SilenceJudge {
+impl StallDetector {
     /// A check; says whether silence counts now.
-    pub fn silence_counts(&mut self, now: Instant) -> bool {
+    pub fn may_expire_peers(&mut self, now: Instant) -> bool {
         let last = self.last_check.replace(now);
         if last.is_some_and(|last| now.since(last) > STALL_LIMIT) {
             self.not_before = now + CATCH_UP_TIME;
--- a/crates/gateways/wingshore-coordinator/tests/silence.rs
+++ b/crates/gateways/wingshore-coordinator/tests/silence.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use std::time::Duration;
-use wingshore_coordinator::SilenceJudge;
+use wingshore_coordinator::StallDetector;
 use wingshore_types::Instant;
 
 fn at(millis: u64) -> Instant {
@@ -12,19 +12,19 @@
 
 #[gtest]
 fn silence_counts_while_looks_come_in_time() {
-    let mut judge = SilenceJudge::default();
+    let mut detector = StallDetector::default();
     for step in 0..50 {
-        expect_that!(judge.silence_counts(at(step * 130)), eq(true));
+        expect_that!(detector.may_expire_peers(at(step * 130)), eq(true));
     }
 }
 
 #[gtest]
 fn after_the_process_has_stood_still_others_have_time_to_be_heard() {
-    let mut judge = SilenceJudge::default();
-    judge.silence_counts(at(0));
-    expect_that!(judge.silence_counts(at(1200)), eq(false));
-    expect_that!(judge.silence_counts(at(1300)), eq(false));
-    expect_that!(judge.silence_counts(at(1500)), eq(false));
-    expect_that!(judge.silence_counts(at(1600)), eq(false));
-    expect_that!(judge.silence_counts(at(1700)), eq(true));
+    let mut detector = StallDetector::default();
+    detector.may_expire_peers(at(0));
+    expect_that!(detector.may_expire_peers(at(1200)), eq(false));
+    expect_that!(detector.may_expire_peers(at(1300)), eq(false));
+    expect_that!(detector.may_expire_peers(at(1500)), eq(false));
+    expect_that!(detector.may_expire_peers(at(1600)), eq(false));
+    expect_that!(detector.may_expire_peers(at(1700)), eq(true));
 }
