--- a/crates/gateways/wingshore-coordinator/src/process/host.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/host.rs
@@ -76,7 +76,7 @@
             .as_ref()
             .is_some_and(|provider| provider.orders_servers),
         capacity: settings.capacity,
-        job_retention: settings.job_memory(),
+        job_retention: settings.job_expiry(),
         max_open_job_bytes: settings.memory.open_jobs(),
         policy: settings.leader_policy,
     };
--- a/crates/gateways/wingshore-coordinator/src/settings.rs
+++ b/crates/gateways/wingshore-coordinator/src/settings.rs
@@ -99,7 +99,7 @@
     }
 
     /// How long an ended job is remembered.
-    pub(crate) fn job_memory(&self) -> Duration {
+    pub(crate) fn job_expiry(&self) -> Duration {
         self.job_retention + RETENTION_MARGIN
     }
 
