--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -52,7 +52,7 @@
 pub use outgoing_calls::CallProtocols;
 pub use process::Coordinator;
 pub use protocol::{
-    ControlAnswer, ControlCall, ControlProtocol, EngineProtocol, LocalQuestion, OutgoingCall,
+    ControlAnswer, ControlCall, ControlProtocol, EngineProtocol, LocalRequest, OutgoingCall,
     ProviderProtocol,
 };
 pub use sent_states::{SendingPhase, SendingReport, SendingUpdate, SentStates};
--- a/crates/gateways/wingshore-coordinator/src/process/callers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/callers.rs
@@ -4,7 +4,7 @@
 use crate::control;
 use crate::membership::losses_borne_by;
 use crate::metrics::Readings;
-use crate::protocol::{ControlAnswer, ControlCall, LocalQuestion};
+use crate::protocol::{ControlAnswer, ControlCall, LocalRequest};
 use slog::warn;
 use std::time::Duration;
 use wingshore_coordination::{CoordinationLeader, Job, Reply, Request};
@@ -122,11 +122,11 @@
                 self.forward_heartbeat(now, connection, heartbeat);
             }
             ControlCall::Group(request) => self.ask_group(request, Waiting::Caller(connection)),
-            ControlCall::Local(LocalQuestion::Retire { node }) if self.host.is_leader() => {
+            ControlCall::Local(LocalRequest::Retire { node }) if self.host.is_leader() => {
                 self.begin_retirement(now, connection, &node);
             }
             ControlCall::Local(
-                LocalQuestion::Retire { .. } | LocalQuestion::RetireProgress { .. },
+                LocalRequest::Retire { .. } | LocalRequest::RetireProgress { .. },
             ) if !self.host.is_leader() => {
                 let leader = self.host.leader();
                 let answer = self.redirect(connection, leader);
@@ -148,9 +148,9 @@
         }
     }
 
-    fn answer_locally(&self, now: Instant, question: &LocalQuestion) -> ControlAnswer {
+    fn answer_locally(&self, now: Instant, question: &LocalRequest) -> ControlAnswer {
         match question {
-            LocalQuestion::Gateways { zone } => {
+            LocalRequest::Gateways { zone } => {
                 let gateways = self.directory.for_client(now, zone, GATEWAY_FRESH);
                 if gateways.is_empty() {
                     return ControlAnswer::Unavailable;
@@ -160,8 +160,8 @@
                     ttl: self.settings.directory_ttl,
                 }
             }
-            LocalQuestion::Retire { .. } => ControlAnswer::Unavailable,
-            LocalQuestion::RetireProgress { node } => self.retirement_progress(now, node),
+            LocalRequest::Retire { .. } => ControlAnswer::Unavailable,
+            LocalRequest::RetireProgress { node } => self.retirement_progress(now, node),
         }
     }
 
--- a/crates/gateways/wingshore-coordinator/src/protocol.rs
+++ b/crates/gateways/wingshore-coordinator/src/protocol.rs
@@ -14,7 +14,7 @@
 
 /// A question that each coordinator answers from what it knows itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LocalQuestion {
+pub enum LocalRequest {
     /// Which gateways a client in this place may use.
     Gateways {
         /// The client's zone.
@@ -38,7 +38,7 @@
     /// For the group's leader.
     Group(Request),
     /// For this coordinator.
-    Local(LocalQuestion),
+    Local(LocalRequest),
     /// No call, or one that cannot be read.
     Invalid {
         /// What to answer.
