--- a/crates/gateways/wingshore-coordinator/src/budget.rs
+++ b/crates/gateways/wingshore-coordinator/src/budget.rs
@@ -1,64 +1,66 @@
-//! How the memory that a coordinator may have is divided. A decision without I/O.
+//! Division of a coordinator's memory limit among the parts of its state. A decision without I/O.
 //!
-//! Question: how many bytes may each part of the state take? Input: the limit of the process, in
-//! bytes. Rule: fixed parts of the limit, and no part below [`MIN_SHARE`]. Why: what a member holds
-//! must follow from its settings, not from how long a site has run.
+//! Question: how many bytes may each part of the state use? Input: the memory limit of the process,
+//! in bytes. Rule: each part gets a fixed fraction of the limit, but at least [`MIN_SHARE_BYTES`].
+//! Why: the memory use of a member must follow from its settings, not from how long a site has run.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Part of the limit for texts of results: what is more moves to disk. Together the shares leave half
-/// of the limit for what follows from the number of servers, gateways and remembered items.
-const TEXTS_PART: u64 = 12;
-/// Part of the limit for the log between two snapshots, which a start holds whole.
-const LOG_PART: u64 = 8;
-/// Part of the limit for the contents of open jobs, which are in the state and in snapshots; beyond
-/// it a submission is refused at once, with a Retry-After.
-const OPEN_JOBS_PART: u64 = 8;
-/// Part of the limit for applied entries that are kept for members that are behind; a member further
-/// behind is sent a snapshot.
-const CACHED_LOG_PART: u64 = 32;
-/// Smallest share, in bytes: with less, each text would be a sync of its own.
-const MIN_SHARE: u64 = 64 << 10;
+/// Divisor of the limit that gives the share of result texts; texts beyond it move to disk.
+/// Together the shares leave half of the limit for memory that depends on the number of servers,
+/// gateways and remembered items.
+const TEXTS_DIVISOR: u64 = 12;
+/// Divisor of the limit that gives the share of the log between two snapshots, which a start loads
+/// whole.
+const LOG_DIVISOR: u64 = 8;
+/// Divisor of the limit that gives the share of the contents of open jobs, which are in the state
+/// and in snapshots. A submission beyond it is refused at once, with a Retry-After.
+const OPEN_JOBS_DIVISOR: u64 = 8;
+/// Divisor of the limit that gives the share of applied log entries kept for members that are
+/// behind; a member further behind is sent a snapshot.
+const CACHED_LOG_DIVISOR: u64 = 32;
+/// Smallest share, in bytes. With less, each text would need a sync of its own.
+const MIN_SHARE_BYTES: u64 = 64 << 10;
 
-/// The memory that a coordinator may have.
+/// Memory limit of a coordinator, and the shares that follow from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// In bytes.
+    /// Limit of the whole process, in bytes.
     limit: u64,
 }
 
 impl MemoryBudget {
-    /// Where the settings name no limit, in bytes.
+    /// Limit in bytes where the settings give none.
     pub const DEFAULT_LIMIT: u64 = 256 << 20;
 
-    /// Of a process that may have `limit` bytes.
+    /// Creates the budget of a process with a limit of `limit` bytes.
     pub fn new(limit: u64) -> Self {
         Self { limit }
     }
 
-    /// Bytes of texts of results that may be in memory.
+    /// Returns how many bytes of result texts may be in memory.
     pub fn texts(&self) -> usize {
-        self.share(TEXTS_PART)
+        self.share(TEXTS_DIVISOR)
     }
 
-    /// Bytes of the contents of open jobs.
+    /// Returns how many bytes the contents of open jobs may have.
     pub fn open_jobs(&self) -> usize {
-        self.share(OPEN_JOBS_PART)
+        self.share(OPEN_JOBS_DIVISOR)
     }
 
-    /// Bytes of applied entries of the log that may be in memory.
+    /// Returns how many bytes of applied log entries may be in memory.
     pub fn cached_log(&self) -> usize {
-        self.share(CACHED_LOG_PART)
+        self.share(CACHED_LOG_DIVISOR)
     }
 
-    fn share(&self, part: u64) -> usize {
-        let share = (self.limit / part).max(MIN_SHARE);
+    fn share(&self, divisor: u64) -> usize {
+        let share = (self.limit / divisor).max(MIN_SHARE_BYTES);
         usize::try_from(share).unwrap_or(usize::MAX)
     }
 
-    /// Bytes of log between snapshots.
+    /// Returns how many bytes of log may accumulate between two snapshots.
     pub fn log_between_snapshots(&self) -> u64 {
-        (self.limit / LOG_PART).max(MIN_SHARE)
+        (self.limit / LOG_DIVISOR).max(MIN_SHARE_BYTES)
     }
 }
 
--- a/crates/gateways/wingshore-coordinator/src/control.rs
+++ b/crates/gateways/wingshore-coordinator/src/control.rs
@@ -1,26 +1,27 @@
-//! Connections of operators, trainers, servers, clients and monitoring: one request at a time on each.
+//! Connections of operators, trainers, servers, clients and monitoring, with one request at a time
+//! on each.
 
 use wingshore_net::http::{HttpAnswer, RequestReader};
 use wingshore_types::Instant;
 
-/// Bytes of a request's head at most; larger than any head of the platform.
+/// Largest head of a request, in bytes; larger than any head that the platform sends.
 pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Bytes of a request's body at most: a batch job or an operator's document.
+/// Largest body of a request, in bytes: a batch job or an operator's document.
 pub(crate) const MAX_BODY_BYTES: usize = 48 * 1024 * 1024;
 
 /// One HTTP connection to this process.
 pub(crate) struct ControlConnection {
     pub(crate) reader: RequestReader,
-    /// The target of the request that waits for its answer.
+    /// Target of the request that is not answered yet.
     pub(crate) pending_target: Option<String>,
-    /// Whether to close after the answer.
+    /// Whether to close the connection after the answer.
     pub(crate) close_after: bool,
     /// When a request last arrived or was answered.
     pub(crate) last_used_at: Instant,
 }
 
 impl ControlConnection {
-    /// A new connection.
+    /// Creates a connection without a pending request.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             reader: RequestReader::default(),
@@ -31,7 +32,7 @@
     }
 }
 
-/// The bytes of an answer.
+/// Encodes an answer; `close` adds the header `Connection: close`.
 pub(crate) fn encode(answer: &HttpAnswer, close: bool) -> Vec<u8> {
     let mut writer = answer.head();
     if close {
--- a/crates/gateways/wingshore-coordinator/src/decision_log.rs
+++ b/crates/gateways/wingshore-coordinator/src/decision_log.rs
@@ -1,12 +1,12 @@
-//! Log lines of the leader's decisions, one for each.
+//! Log lines of the leader's decisions, one line per decision.
 //!
-//! Operators find by these lines why something happened: their keys are part of what the program
-//! promises. Which lines of items are written is chosen by the caller, by sampling.
+//! Operators search for these lines to find out why something happened, so messages and keys are a
+//! stable interface. The caller selects by sampling which lines of items are written.
 
 use slog::{Logger, info, warn};
 use wingshore_coordination::{Decision, ModelName, ScoringDecision, TenantName};
 
-/// Writes one line for a decision.
+/// Logs a decision.
 pub(crate) fn log(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::JobAccepted { .. } | Decision::JobRefused { .. } | Decision::JobEnded { .. } => {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lines for decisions on whole batch jobs; for others there is none here.
+/// Logs decisions on whole batch jobs; ignores all others.
 fn log_job(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::JobAccepted {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Lines for decisions on items of batch jobs; for others there is none here.
+/// Logs decisions on items of batch jobs; ignores all others.
 fn log_item(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::ItemAssigned {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Lines for decisions on requests under which servers ended; for others there is none here.
+/// Logs decisions on requests during which servers crashed; ignores all others.
 fn log_suspicion(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::RequestSuspected {
@@ -155,7 +155,7 @@
     }
 }
 
-/// Lines for decisions on servers and on what is in force; for others there is none here.
+/// Logs decisions on servers, versions, capacity, usage and configurations; ignores all others.
 fn log_site(logger: &Logger, decision: &Decision) {
     match decision {
         Decision::ServerChanged { instance, change } => {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Lines for decisions on scorings of texts.
+/// Logs decisions on the scoring of texts.
 fn log_scoring(logger: &Logger, decision: &ScoringDecision) {
     match decision {
         ScoringDecision::Assigned {
--- a/crates/gateways/wingshore-coordinator/src/dials.rs
+++ b/crates/gateways/wingshore-coordinator/src/dials.rs
@@ -1,38 +1,39 @@
-//! Connections that this coordinator makes to others. A decision without I/O.
+//! Connections that this coordinator makes to other coordinators. A decision without I/O.
 //!
-//! Question: whom to connect to now, and which attempt to give up? Inputs: the addresses that are
-//! wanted (members and seeds), the time. Rule: one connection an address; one that ended, or did
-//! not come up within [`CONNECT_TIMEOUT`], is made again [`CONNECT_INTERVAL`] after that; the
-//! connection to an address that is not wanted any more is closed. A list that is out of date costs
-//! attempts to machines that are gone, nothing else.
+//! Question: which addresses to connect to now, and which attempts to cancel? Inputs: the wanted
+//! addresses (members and seeds) and the time. Rule: one connection per address. A connection that
+//! has ended, or was not established within [`CONNECT_TIMEOUT`], is retried [`CONNECT_INTERVAL`]
+//! later; a connection to an address that is no longer wanted is closed. An outdated list of
+//! addresses only costs attempts to connect to machines that no longer exist.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Between the end of one connection to an address and the next attempt; short beside the election
-/// timeout.
+/// Time between the end of one connection to an address and the next attempt; short compared with
+/// the election timeout.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// An attempt to connect is over after this time; hundreds of round trips within a region, and no
-/// longer than the election timeout.
+/// Time after which an attempt to connect is cancelled: hundreds of round trips within a region,
+/// and no longer than the election timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A connection to an address, or the last attempt.
+/// Connection to an address, or the last attempt to connect.
 struct Dial<K> {
     connection: Option<K>,
-    is_up: bool,
-    since: Instant,
+    is_connected: bool,
+    /// When the attempt started, or the connection ended.
+    changed_at: Instant,
 }
 
-/// What is to be done about an address.
+/// Next step for an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialStep<K> {
-    /// Connect to it.
+    /// Connect to the address.
     Connect,
-    /// End this attempt: it takes too long.
+    /// Cancel this attempt, which has timed out.
     Abandon(K),
-    /// Nothing now.
+    /// Do nothing now.
     Wait,
 }
 
@@ -50,14 +51,14 @@
 }
 
 impl<K: Copy> Dials<K> {
-    /// What is to be done about an address that is wanted.
+    /// Returns the next step for a wanted address.
     pub fn next_step(&self, now: Instant, address: SocketAddr) -> DialStep<K> {
         let Some(dial) = self.by_address.get(&address) else {
             return DialStep::Connect;
         };
-        let age = now.since(dial.since);
+        let age = now.since(dial.changed_at);
         match dial.connection {
-            Some(connection) if !dial.is_up && age >= CONNECT_TIMEOUT => {
+            Some(connection) if !dial.is_connected && age >= CONNECT_TIMEOUT => {
                 DialStep::Abandon(connection)
             }
             Some(_) => DialStep::Wait,
@@ -66,42 +67,43 @@
         }
     }
 
-    /// An attempt has begun; without a connection where the system had none.
+    /// Records that an attempt has started; `connection` is `None` where the system had no socket
+    /// left.
     pub fn attempt_started(&mut self, now: Instant, address: SocketAddr, connection: Option<K>) {
         let dial = Dial {
             connection,
-            is_up: false,
-            since: now,
+            is_connected: false,
+            changed_at: now,
         };
         self.by_address.insert(address, dial);
     }
 
-    /// The connection to an address is up.
+    /// Records that the connection to an address is established.
     pub fn connected(&mut self, address: SocketAddr) {
         if let Some(dial) = self.by_address.get_mut(&address) {
-            dial.is_up = true;
+            dial.is_connected = true;
         }
     }
 
-    /// The connection to an address has ended.
+    /// Records that the connection to an address has ended.
     pub fn disconnected(&mut self, now: Instant, address: SocketAddr) {
         if let Some(dial) = self.by_address.get_mut(&address) {
             dial.connection = None;
-            dial.is_up = false;
-            dial.since = now;
+            dial.is_connected = false;
+            dial.changed_at = now;
         }
     }
 
-    /// Forgets addresses that are not wanted any more; gives their connections.
+    /// Forgets addresses that are no longer wanted, and returns their connections.
     pub fn retain_wanted(&mut self, wanted: &[SocketAddr]) -> Vec<K> {
-        let mut others = Vec::new();
+        let mut unwanted = Vec::new();
         self.by_address.retain(|address, dial| {
             let is_wanted = wanted.contains(address);
             if !is_wanted {
-                others.extend(dial.connection);
+                unwanted.extend(dial.connection);
             }
             is_wanted
         });
-        others
+        unwanted
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/directory.rs
+++ b/crates/gateways/wingshore-coordinator/src/directory.rs
@@ -1,12 +1,12 @@
-//! Gateways that are connected to this coordinator, and which of them clients may use. A decision
+//! Gateways that are connected to this coordinator, and which of them clients are given. A decision
 //! without I/O.
 //!
-//! Question: which gateways does a client in a zone get? Inputs: the introductions of gateways and
-//! their status reports, each 400 ms; the client's zone; how old a status may be. Rule: those that
-//! are ready and were heard of lately, of the client's own zone alone where there are two at least,
-//! else of all zones; at most [`MAX_ADDRESSES`]. Why: calls stay in the zone, and one gateway that
-//! ends leaves the client another one. A gateway whose status is too old is left out; with none
-//! left the client gets a Retry-After.
+//! Question: which gateways is a client in a zone given? Inputs: the introductions of gateways and
+//! their status reports, one each 400 ms; the client's zone; the largest age of a status. Rule:
+//! gateways that are ready and have reported recently; only those of the client's own zone where
+//! there are at least two, otherwise those of all zones; at most [`MAX_ADDRESSES`]. Why: calls stay
+//! in the zone, and a client still has a gateway when one ends. A gateway whose status is too old
+//! is left out; if none is left, the client is answered with a Retry-After.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,33 +15,34 @@
 use wingshore_net::ConnectionId;
 use wingshore_types::Instant;
 
-/// Addresses in one answer at most; an answer stays within one packet or two.
+/// Largest number of addresses in one answer, which keeps it within one or two packets.
 const MAX_ADDRESSES: usize = 64;
-/// From this many gateways in a client's own zone on, it gets only those.
-const ENOUGH_IN_ZONE: usize = 2;
+/// Number of gateways in a client's own zone from which on it is given only those.
+const MIN_GATEWAYS_IN_ZONE: usize = 2;
 
-/// What a client learns of a gateway.
+/// Address of a gateway, as clients are given it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayAddress {
-    /// Where clients reach it.
+    /// Where clients reach the gateway.
     pub front: SocketAddr,
 }
 
-/// One gateway.
+/// Connected gateway with its last status.
 pub(crate) struct ConnectedGateway {
     pub(crate) hello: GatewayHello,
     pub(crate) connection: ConnectionId,
     pub(crate) last_reported_at: Instant,
 }
 
-/// All gateways that are connected.
+/// All connected gateways.
 #[derive(Default)]
 pub(crate) struct Directory {
     gateways: BTreeMap<GatewayId, ConnectedGateway>,
 }
 
 impl Directory {
-    /// A gateway has introduced itself; gives its connection before, if it had another.
+    /// Records the introduction of a gateway. Returns its previous connection, if that is another
+    /// one.
     pub(crate) fn connected(
         &mut self,
         now: Instant,
@@ -59,7 +60,7 @@
             .filter(|before| *before != connection)
     }
 
-    /// A gateway has reported its status.
+    /// Records the status report of a gateway.
     pub(crate) fn status_reported(&mut self, now: Instant, id: GatewayId, status: GatewayStatus) {
         if let Some(gateway) = self.gateways.get_mut(&id) {
             gateway.last_reported_at = now;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A connection is gone; gives the gateway if it was its newest one.
+    /// Records the end of a connection. Returns the gateway if this was its newest connection.
     pub(crate) fn disconnected(
         &mut self,
         id: GatewayId,
@@ -80,7 +81,7 @@
         self.gateways.remove(&id)
     }
 
-    /// Connections of gateways that have been silent for longer than `limit`.
+    /// Returns the connections of gateways that have not reported for longer than `limit`.
     pub(crate) fn silent_connections(&self, now: Instant, limit: Duration) -> Vec<ConnectionId> {
         self.gateways
             .values()
@@ -89,35 +90,36 @@
             .collect()
     }
 
-    /// The connection of a gateway.
+    /// Returns the connection of a gateway.
     pub(crate) fn connection(&self, id: GatewayId) -> Option<ConnectionId> {
         Some(self.gateways.get(&id)?.connection)
     }
 
-    /// All gateways.
+    /// Returns all gateways.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &ConnectedGateway> {
         self.gateways.values()
     }
 
-    /// Gateways for a client in `zone` that were heard of within `fresh`.
+    /// Returns the gateways for a client in `zone`, out of those whose last report is no older than
+    /// `max_age`.
     pub(crate) fn for_client(
         &self,
         now: Instant,
         zone: &str,
-        fresh: Duration,
+        max_age: Duration,
     ) -> Vec<GatewayAddress> {
         let ready: Vec<&ConnectedGateway> = self
             .gateways
             .values()
             .filter(|gateway| {
-                gateway.hello.status.ready && now.since(gateway.last_reported_at) <= fresh
+                gateway.hello.status.ready && now.since(gateway.last_reported_at) <= max_age
             })
             .collect();
-        let near = ready.iter().filter(|gateway| gateway.hello.zone == zone);
-        let only_near = near.count() >= ENOUGH_IN_ZONE;
+        let in_zone = ready.iter().filter(|gateway| gateway.hello.zone == zone);
+        let only_in_zone = in_zone.count() >= MIN_GATEWAYS_IN_ZONE;
         ready
             .iter()
-            .filter(|gateway| !only_near || gateway.hello.zone == zone)
+            .filter(|gateway| !only_in_zone || gateway.hello.zone == zone)
             .take(MAX_ADDRESSES)
             .map(|gateway| GatewayAddress {
                 front: gateway.hello.front,
--- a/crates/gateways/wingshore-coordinator/src/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/forwarded_heartbeats.rs
@@ -1,98 +1,102 @@
-//! Heartbeats of servers that were forwarded to the leader and are not answered. A decision without
-//! I/O.
+//! Heartbeats of servers that were forwarded to the leader and are not answered yet. A decision
+//! without I/O.
 //!
-//! Question: is a heartbeat forwarded now, when is the server told that nobody could acknowledge it,
-//! and how long does the leader's answer count? Inputs: the heartbeat, the leader and the link to
-//! it, the time, the leader's answers, links that end.
+//! Question: is a heartbeat forwarded now, when is its server answered that it could not be
+//! acknowledged, and how long does the leader's answer count? Inputs: the heartbeat, the leader and
+//! the link to it, the time, the leader's answers, links that end.
 //!
-//! Rule: a server is told so when the leader has not answered for [`FORWARD_TIMEOUT`]; the heartbeat
-//! may count all the same. What was forwarded stays under way until the leader answers, or its link
-//! ends. Meanwhile a heartbeat of the same server that says the same waits for the same answer;
-//! after a part of the time in which servers expire ([`REPEAT_PART`]) it is forwarded again. One
-//! that says something else is forwarded at once, and from then on only its answer tells what the
-//! registry holds. A server that drains is forwarded each time until it is answered in time.
+//! Rule: a server is answered "unavailable" when the leader has not answered within
+//! [`FORWARD_TIMEOUT`]; the heartbeat may still take effect. A forwarded heartbeat stays pending
+//! until the leader answers or its link ends. Meanwhile a heartbeat of the same server with the
+//! same record waits for the same answer; after a fraction of the server expiry
+//! ([`REPEAT_DIVISOR`]) it is forwarded again. A heartbeat with another record is forwarded at
+//! once, and from then on only its answer shows what the registry holds. The heartbeats of a
+//! draining server are always forwarded, until one is answered in time.
 //!
-//! Why: a late answer is as true as an early one. Where it was thrown away, each heartbeat was
-//! forwarded whole for as long as the leader was slow, which made it slower. A drain binds once it
-//! is acknowledged, and the leader answers an older heartbeat as done as soon as a newer one has
-//! reached it by another way, before that one is durable.
+//! Why: a late answer is as true as an early one. When late answers were discarded, each heartbeat
+//! was forwarded whole for as long as the leader was slow, which made it slower. A drain is binding
+//! once it is acknowledged, and the leader answers an older heartbeat as done as soon as a newer
+//! one has reached it by another route, before the newer one is durable.
 //!
-//! Missing input: a leader that never answers is sent what a server says once in that part; where
-//! the server is silent too, what was forwarded is forgotten after the time in which it expires.
+//! Missing input: a leader that never answers is sent the same record once per that fraction of the
+//! server expiry. If the server is silent too, its pending heartbeat is forgotten after the server
+//! expiry.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A heartbeat that the leader has not acknowledged is answered as unavailable after this time: a
-/// server gives a call up after a second.
+/// Time after which a heartbeat that the leader has not acknowledged is answered as unavailable: a
+/// server gives up a call after 1 s.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(800);
-/// The same is forwarded again after this part of the time in which a server expires: one that was
-/// lost, with a link that has not ended yet, is repeated while there is time for another heartbeat.
-const REPEAT_PART: u32 = 2;
-/// Late heartbeats that are kept, at a few hundred bytes each: as many as there are servers on the
-/// largest site that was sized. Beyond that the oldest go.
-const MAX_LATE: usize = 20_000;
-
-/// How the leader is reached.
+/// Divisor of the server expiry that gives the time after which the same record is forwarded again.
+/// If a heartbeat was lost on a link that has not ended yet, there is still time for another one.
+const REPEAT_DIVISOR: u32 = 2;
+/// Largest number of pending heartbeats without a waiting caller, at a few hundred bytes each: the
+/// number of servers on the largest site that was sized. Beyond it the oldest are forgotten.
+const MAX_WITHOUT_CALLERS: usize = 20_000;
+
+/// Route to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderRoute<K> {
-    /// Who leads.
+    /// Identity of the leader.
     pub leader: ReplicaId,
-    /// The connection that leads there.
+    /// Connection to the leader.
     pub link: K,
 }
 
-/// What is to be done with a heartbeat that the leader must acknowledge.
+/// Next step for a heartbeat that the leader must acknowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardStep {
-    /// It is to be forwarded under this number.
+    /// Forward the heartbeat under this number.
     Forward(u64),
-    /// The same is under way: the server counts as heard of, with the sequence of what is under way;
-    /// a higher one could reach the leader first, which would then take that one for outdated.
+    /// Wait for the answer to a pending heartbeat with the same record. The server is reported to
+    /// the leader as alive with the sequence of the pending heartbeat: a higher one could reach the
+    /// leader first, which would then take the pending heartbeat for outdated.
     Wait {
-        /// Sequence of what is under way.
+        /// Sequence of the pending heartbeat.
         sequence: u64,
     },
 }
 
-/// A heartbeat that the leader has answered.
+/// Heartbeat that the leader has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnsweredHeartbeat<K> {
-    /// Whoever waits for the answer.
+    /// Callers that wait for the answer.
     pub callers: Vec<K>,
-    /// What the server said of itself, unless it has said something else since.
+    /// Record of the server, unless a later heartbeat of it is known.
     pub newest: Option<ServerRecord>,
 }
 
 struct WaitingCaller<K> {
     caller: K,
-    since: Instant,
+    arrived_at: Instant,
 }
 
 struct ForwardedHeartbeat<K> {
     route: LeaderRoute<K>,
     server: ServerRecord,
     sequence: u64,
-    /// When it was forwarded last.
-    forwarded: Instant,
+    /// When it was last forwarded.
+    forwarded_at: Instant,
     callers: Vec<WaitingCaller<K>>,
 }
 
-/// Heartbeats that were forwarded and are not answered, by the number that the leader answers with.
+/// Forwarded heartbeats that are not answered yet, by the number to which the leader's answer
+/// refers.
 ///
-/// Invariant: `newest` names only what is in `by_id`.
+/// Invariant: `newest` refers only to entries of `by_id`.
 pub struct ForwardedHeartbeats<K> {
     server_expiry: Duration,
     by_id: BTreeMap<u64, ForwardedHeartbeat<K>>,
-    /// Under which number each server said the newest.
+    /// Number of the newest pending heartbeat of each server.
     newest: HashMap<InstanceId, u64>,
     next_id: u64,
 }
 
 impl<K: Copy + PartialEq> ForwardedHeartbeats<K> {
-    /// None yet; servers that are silent for `server_expiry` leave the registry.
+    /// Creates an empty table; servers that are silent for `server_expiry` leave the registry.
     pub fn new(server_expiry: Duration) -> Self {
         Self {
             server_expiry,
@@ -102,7 +106,7 @@
         }
     }
 
-    /// A heartbeat has arrived that the leader must acknowledge.
+    /// Takes a heartbeat that the leader must acknowledge, and returns what to do with it.
     pub fn offer(
         &mut self,
         now: Instant,
@@ -110,23 +114,27 @@
         caller: K,
         heartbeat: &Heartbeat,
     ) -> ForwardStep {
-        let waiting = WaitingCaller { caller, since: now };
-        let repeat_after = self.server_expiry / REPEAT_PART;
-        let Some((id, same)) = self.same_under_way(route.leader, &heartbeat.server) else {
+        let waiting = WaitingCaller {
+            caller,
+            arrived_at: now,
+        };
+        let repeat_after = self.server_expiry / REPEAT_DIVISOR;
+        let Some((id, same)) = self.pending_with_same_record(route.leader, &heartbeat.server)
+        else {
             return ForwardStep::Forward(self.add(now, route, waiting, heartbeat));
         };
         same.callers.push(waiting);
-        if now.since(same.forwarded) < repeat_after {
+        if now.since(same.forwarded_at) < repeat_after {
             let sequence = same.sequence;
             return ForwardStep::Wait { sequence };
         }
         same.route = route;
-        same.forwarded = now;
+        same.forwarded_at = now;
         same.sequence = heartbeat.sequence.max(same.sequence);
         ForwardStep::Forward(id)
     }
 
-    /// The leader has answered.
+    /// Takes the leader's answer to a heartbeat; returns `None` if that is no longer pending.
     pub fn answered(&mut self, id: u64) -> Option<AnsweredHeartbeat<K>> {
         let forwarded = self.by_id.remove(&id)?;
         let is_newest = self.newest.get(&forwarded.server.instance) == Some(&id);
@@ -139,8 +147,8 @@
         })
     }
 
-    /// A connection has ended: the leader's answers to what was forwarded there cannot come any more.
-    /// Gives whoever waits for them.
+    /// Removes the heartbeats that were forwarded over a connection that has ended, since their
+    /// answers can no longer arrive. Returns the callers that wait for them.
     pub fn link_ended(&mut self, link: K) -> Vec<K> {
         let mut callers = Vec::new();
         self.by_id.retain(|_, forwarded| {
@@ -150,23 +158,26 @@
             }
             !is_lost
         });
-        self.forget_newest();
+        self.forget_dangling_newest();
         callers
     }
 
-    /// Takes out the callers that have waited for too long, and what is of no more use.
+    /// Removes the callers that have waited for too long, and the heartbeats that are no longer
+    /// needed. Returns these callers.
     pub fn take_timed_out(&mut self, now: Instant) -> Vec<K> {
-        let is_late = |waiting: &mut WaitingCaller<K>| now.since(waiting.since) >= FORWARD_TIMEOUT;
+        let is_late =
+            |waiting: &mut WaitingCaller<K>| now.since(waiting.arrived_at) >= FORWARD_TIMEOUT;
         let mut late = Vec::new();
         for forwarded in self.by_id.values_mut() {
             late.extend(callers_of(forwarded.callers.extract_if(.., is_late)));
         }
-        self.forget(now);
+        self.forget_unneeded(now);
         late
     }
 
-    /// What is under way to this leader and says the same as the newest of this server.
-    fn same_under_way(
+    /// Returns the newest pending heartbeat of this server if it went to this leader with the same
+    /// record.
+    fn pending_with_same_record(
         &mut self,
         leader: ReplicaId,
         server: &ServerRecord,
@@ -193,47 +204,49 @@
             route,
             server: heartbeat.server.clone(),
             sequence: heartbeat.sequence,
-            forwarded: now,
+            forwarded_at: now,
             callers: vec![waiting],
         };
         self.by_id.insert(id, forwarded);
         id
     }
 
-    /// Whether no later heartbeat of the same server is under way.
+    /// Returns whether no later heartbeat of the same server is pending.
     fn is_newest(&self, heartbeat: &Heartbeat) -> bool {
         let newest = self.newest.get(&heartbeat.server.instance);
         let newest = newest.and_then(|id| self.by_id.get(id));
         newest.is_none_or(|newest| newest.sequence <= heartbeat.sequence)
     }
 
-    /// Forgets what nobody waits for and whose answer would be of no use, or is not to be expected.
-    fn forget(&mut self, now: Instant) {
+    /// Forgets heartbeats without callers whose answer would be of no use or is no longer expected.
+    fn forget_unneeded(&mut self, now: Instant) {
         let newest = &self.newest;
-        let is_of_use = |id: &u64, forwarded: &ForwardedHeartbeat<K>| {
+        let is_useful = |id: &u64, forwarded: &ForwardedHeartbeat<K>| {
             newest.get(&forwarded.server.instance) == Some(id)
                 && !forwarded.server.draining
-                && now.since(forwarded.forwarded) < self.server_expiry
+                && now.since(forwarded.forwarded_at) < self.server_expiry
         };
         self.by_id
-            .retain(|id, forwarded| !forwarded.callers.is_empty() || is_of_use(id, forwarded));
+            .retain(|id, forwarded| !forwarded.callers.is_empty() || is_useful(id, forwarded));
         self.forget_oldest();
-        self.forget_newest();
+        self.forget_dangling_newest();
     }
 
-    /// Forgets the oldest that nobody waits for where there are too many of them.
+    /// Forgets the oldest heartbeats without callers where there are more than
+    /// [`MAX_WITHOUT_CALLERS`].
     fn forget_oldest(&mut self) {
         let is_late = |forwarded: &ForwardedHeartbeat<K>| forwarded.callers.is_empty();
         let late = self.by_id.values().filter(|known| is_late(known)).count();
-        let mut excess = late.saturating_sub(MAX_LATE);
+        let mut excess = late.saturating_sub(MAX_WITHOUT_CALLERS);
         self.by_id.retain(|_, known| {
-            let goes = excess > 0 && is_late(known);
-            excess -= usize::from(goes);
-            !goes
+            let is_removed = excess > 0 && is_late(known);
+            excess -= usize::from(is_removed);
+            !is_removed
         });
     }
 
-    fn forget_newest(&mut self) {
+    /// Removes the entries of `newest` whose heartbeat is no longer pending.
+    fn forget_dangling_newest(&mut self) {
         let by_id = &self.by_id;
         self.newest.retain(|_, id| by_id.contains_key(id));
     }
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -187,7 +187,7 @@
         question: ProviderQuestion,
     ) -> Option<Event> {
         let provider = self.provider.as_mut()?;
-        if !provider.rate.takes(now) {
+        if !provider.rate.try_acquire(now) {
             return Some(provider_event(question, ProviderAnswer::Busy));
         }
         let callee = (Callee::Provider, provider.address);
--- a/crates/gateways/wingshore-coordinator/tests/dials.rs
+++ b/crates/gateways/wingshore-coordinator/tests/dials.rs
@@ -1,4 +1,4 @@
-//! Which coordinators are connected to, and which attempts are given up.
+//! Which addresses are connected to, and which attempts are cancelled.
 
 use googletest::prelude::*;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn an_address_is_connected_to_at_once_and_then_left_alone_while_it_is_up() {
+fn an_address_is_connected_to_at_once_and_only_once() {
     let mut dials = Dials::default();
     expect_that!(dials.next_step(at(0), address(1)), eq(DialStep::Connect));
     dials.attempt_started(at(0), address(1), Some('a'));
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn an_attempt_that_does_not_come_up_is_abandoned_and_made_again_later() {
+fn an_attempt_that_times_out_is_cancelled_and_retried_later() {
     let mut dials = Dials::default();
     dials.attempt_started(at(0), address(1), Some('a'));
     expect_that!(dials.next_step(at(599), address(1)), eq(DialStep::Wait));
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn without_a_socket_the_next_attempt_waits_as_well() {
+fn the_next_attempt_waits_also_where_no_socket_was_left() {
     let mut dials: Dials<char> = Dials::default();
     dials.attempt_started(at(0), address(1), None);
     expect_that!(dials.next_step(at(249), address(1)), eq(DialStep::Wait));
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn connections_to_addresses_that_are_not_wanted_any_more_are_given_back() {
+fn connections_to_addresses_that_are_no_longer_wanted_are_returned() {
     let mut dials = Dials::default();
     dials.attempt_started(at(0), address(1), Some('a'));
     dials.attempt_started(at(0), address(2), Some('b'));
