--- a/crates/gateways/wingshore-coordinator/src/directory.rs
+++ b/crates/gateways/wingshore-coordinator/src/directory.rs
@@ -1,7 +1,7 @@
 //! Gateways that are connected to this coordinator, and which of them clients are given. A decision
 //! without I/O.
 //!
-//! Question: which gateways is a client in a zone given? Inputs: the introductions of gateways and
+//! Question: which gateways is a client in a zone given? Inputs: the hello messages of gateways and
 //! their status reports, one each 400 ms; the client's zone; the largest age of a status. Rule:
 //! gateways that are ready and have reported recently; only those of the client's own zone where
 //! there are at least two, otherwise those of all zones; at most [`MAX_ADDRESSES`]. Why: calls stay
@@ -41,7 +41,7 @@
 }
 
 impl Directory {
-    /// Records the introduction of a gateway. Returns its previous connection, if that is another
+    /// Records the hello message of a gateway. Returns its previous connection, if that is another
     /// one.
     pub(crate) fn connected(
         &mut self,
--- a/crates/gateways/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/heartbeats.rs
@@ -1,50 +1,52 @@
-//! Heartbeats of servers that reach a coordinator which does not lead. A decision without I/O.
+//! Heartbeats of servers that reach a coordinator other than the leader. A decision without I/O.
 //!
 //! Question: may this coordinator acknowledge a heartbeat itself? Inputs: the heartbeat, and the
-//! record of that server that the leader acknowledged through here. Rule: a heartbeat that says
-//! what the leader acknowledged, in time or late, is acknowledged here, and the leader is sent in one
-//! message an interval which servers were heard of; all else is forwarded whole, or waits for the
-//! answer to the same ([`ForwardedHeartbeats`](crate::ForwardedHeartbeats)). Why: the leader's work grows
-//! with what changes, not with the number of servers.
+//! record of its server that the leader last acknowledged through this coordinator. Rule: a
+//! heartbeat whose record the leader has acknowledged, in time or late, is acknowledged here, and
+//! the leader is sent one message per interval that lists these servers. Any other heartbeat is
+//! forwarded whole, or waits for the answer to one with the same record
+//! ([`ForwardedHeartbeats`](crate::ForwardedHeartbeats)). Why: the leader's work grows with the
+//! number of changes, not with the number of servers.
 //!
-//! Missing input: a server that is not known here, or that the leader says the registry does not
-//! hold, has its next heartbeat forwarded. While no leader is connected nothing is acknowledged
-//! here.
+//! Missing input: the next heartbeat is forwarded where the server is not known here, or where the
+//! leader reports that the registry does not hold it. While no leader is connected nothing is
+//! acknowledged here.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord};
 use wingshore_types::Instant;
 
-/// A server that is silent for this long is forgotten here; longer than servers stay registered, so
-/// that it bounds memory only.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Time without heartbeats after which the record of a server is forgotten here. It is longer than
+/// servers stay registered, so that it only bounds memory.
+const RECORD_EXPIRY: Duration = Duration::from_secs(30);
 
-/// What is to be done with a heartbeat.
+/// What to do with a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// The registry holds what it says: it can be acknowledged here.
+    /// Acknowledge it here: the registry holds the same record.
     Acknowledge,
-    /// The leader must acknowledge it.
+    /// Forward it: the leader must acknowledge it.
     Forward,
 }
 
-/// A server as the leader acknowledged it.
+/// Record of a server that the leader has acknowledged.
 struct KnownServer {
     record: ServerRecord,
-    heard: Instant,
+    last_heartbeat_at: Instant,
 }
 
-/// What this coordinator knows of servers whose heartbeats reach it.
+/// Servers whose heartbeats reach this coordinator, with the records that the leader has
+/// acknowledged.
 #[derive(Default)]
 pub struct HeartbeatRelay {
     known: HashMap<InstanceId, KnownServer>,
-    /// Heard of since the last report to the leader, with the highest sequence.
-    heard: BTreeMap<InstanceId, u64>,
+    /// Highest sequence of each server that was active since the last report to the leader.
+    unreported: BTreeMap<InstanceId, u64>,
 }
 
 impl HeartbeatRelay {
-    /// A heartbeat has arrived, and the leader is connected.
+    /// Takes a heartbeat while the leader is connected, and returns what to do with it.
     pub fn offer(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatAction {
         let instance = &heartbeat.server.instance;
         let Some(known) = self.known.get_mut(instance) else {
@@ -53,39 +55,39 @@
         if known.record != heartbeat.server {
             return HeartbeatAction::Forward;
         }
-        known.heard = now;
+        known.last_heartbeat_at = now;
         self.record_unchanged(instance.clone(), heartbeat.sequence);
         HeartbeatAction::Acknowledge
     }
 
-    /// A server was heard of whose heartbeat brings the leader nothing that is not on its way to it.
+    /// Records a heartbeat that tells the leader nothing besides that the server is alive.
     pub fn record_unchanged(&mut self, instance: InstanceId, sequence: u64) {
-        let highest = self.heard.entry(instance).or_default();
+        let highest = self.unreported.entry(instance).or_default();
         *highest = sequence.max(*highest);
     }
 
-    /// The leader has acknowledged a heartbeat that was passed on to it.
+    /// Records that the leader has acknowledged a forwarded heartbeat with this record.
     pub fn acknowledged(&mut self, now: Instant, server: ServerRecord) {
         let known = KnownServer {
             record: server.clone(),
-            heard: now,
+            last_heartbeat_at: now,
         };
         self.known.insert(server.instance, known);
     }
 
-    /// The registry does not hold these servers (any more): their next heartbeats go to the leader.
+    /// Forgets servers that the registry does not hold: their next heartbeats are forwarded.
     pub fn forget(&mut self, instances: &[InstanceId]) {
         for instance in instances {
             self.known.remove(instance);
         }
     }
 
-    /// Servers that were heard of since the last call, to be reported to the leader.
+    /// Returns the servers that were recorded since the last call, for the report to the leader.
     pub fn take_unchanged(&mut self, now: Instant) -> Vec<HeardServer> {
         self.known
-            .retain(|_, known| now.since(known.heard) < FORGET_AFTER);
-        let heard = std::mem::take(&mut self.heard).into_iter();
-        heard
+            .retain(|_, known| now.since(known.last_heartbeat_at) < RECORD_EXPIRY);
+        let unreported = std::mem::take(&mut self.unreported).into_iter();
+        unreported
             .map(|(instance, sequence)| HeardServer { instance, sequence })
             .collect()
     }
--- a/crates/gateways/wingshore-coordinator/src/identity.rs
+++ b/crates/gateways/wingshore-coordinator/src/identity.rs
@@ -1,11 +1,11 @@
-//! Who this member is: a founder of the site, or one that joins it.
+//! Identity of this member: a founder of the site, or a member that joins it.
 //!
-//! Question: does a data folder become that of a founder or of a joiner? Inputs: whether the folder
-//! is empty, whether the site begins with this start, the seeds and this machine's address. Rule:
-//! an empty folder of a seed at the first start of a site is a founder's, numbered by the order of
-//! the addresses, the same at each seed; any other empty folder gets an identity drawn at random
-//! and joins; a folder that is not empty keeps its identity. Why: a machine that lost its disk must
-//! not vote as the member that it was.
+//! Question: does a data folder become that of a founder or of a joining member? Inputs: whether
+//! the folder is empty, whether the site is founded with this start, the seeds and the address of
+//! this machine. Rule: an empty folder of a seed at the first start of a site becomes a founder's,
+//! numbered by the order of the seed addresses, which is the same at each seed. Any other empty
+//! folder gets a random identity and joins. A folder that is not empty keeps its identity. Why: a
+//! machine that lost its disk must not vote under its former identity.
 
 use crate::settings::CoordinatorSettings;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::membership::{Member, Membership};
 
-/// Name that data folders are bound to.
+/// Site name to which data folders are bound.
 const SITE: &str = "coordination";
 
-/// Opens the data folder. An empty one becomes that of a founder, if the site begins with this
-/// start and the seeds name this machine; else that of a new member.
+/// Opens the data folder. An empty folder becomes that of a founder if the site is founded with
+/// this start and the seeds contain this machine, otherwise that of a joining member.
 pub(crate) fn open(
     fs: &Arc<dyn FileSystem>,
     settings: &CoordinatorSettings,
@@ -38,7 +38,7 @@
     DataFolder::open_or_join(fs, &settings.data, SITE, rand::random())
 }
 
-/// The founders: the seeds in ascending order, numbered from 1.
+/// Returns the membership of the founders: the seeds in ascending order, numbered from 1.
 fn founding(seeds: &[SocketAddr]) -> Membership {
     let voters = (1_u64..)
         .zip(seeds)
--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -1,18 +1,20 @@
-//! Process of a coordinator: one member of the coordination group, or one on standby for it.
+//! Process of a coordinator: a member of the coordination group, or a standby for it.
 //!
-//! Three threads: one owns all sockets and the group's [`Host`](wingshore_group::Host), a second one
-//! makes writes durable, a third one moves texts that memory has no room for to disk.
+//! The process has three threads: one owns all sockets and the group's
+//! [`Host`](wingshore_group::Host), one makes writes durable, and one moves texts that exceed the
+//! memory budget to disk.
 //!
-//! - [`process`](Coordinator): the loop and its wiring. It holds no rule of its own.
+//! - [`process`](Coordinator): the event loop and its wiring, without rules of its own.
 //! - Decisions, without I/O and clocks: [`membership`](MembershipPlanner), [`lost`](LostMachines),
 //!   [`silence`](StallDetector), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
 //!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials),
 //!   [`sent_states`](SentStates), [`forwarded_heartbeats`](ForwardedHeartbeats), `text_queue`.
 //! - State: `peers` (other coordinators), [`texts`](TextArchive) and [`spool`](FileSpool) on disk.
-//! - Edges: [`ControlProtocol`], [`EngineProtocol`], [`ProviderProtocol`] translate the wire of a
-//!   deployment; this crate knows no wire but that of the site's own processes.
+//! - Adapters: [`ControlProtocol`], [`EngineProtocol`] and [`ProviderProtocol`] translate the wire
+//!   protocols of a deployment. This crate itself knows only the protocol between the site's own
+//!   processes.
 //!
-//! What the group decides is in `wingshore-coordination`, how it agrees in `wingshore-group`.
+//! The group's state machine is in `wingshore-coordination`, its consensus in `wingshore-group`.
 
 mod budget;
 mod call_rate;
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -1,13 +1,13 @@
-//! Calls to engines and to the provider over HTTP.
+//! HTTP calls to engines and to the provider.
 //!
-//! Owns the connections that were made for them, one call at a time on each, kept for the next call
-//! to the same callee. Relies on the reactor for sockets, on [`CallProtocols`] for the wire, and on
-//! [`CallRate`] for the provider's rate. Whether a call may be made at all (the lease, the fence)
-//! is decided before it comes here; each call ends in exactly one [`Event`].
+//! Owns the connections for these calls. Each carries one call at a time and is kept for the next
+//! call to the same callee. Relies on the reactor for sockets, on [`CallProtocols`] for the wire
+//! format, and on [`CallRate`] for the provider's rate. Whether a call may be made at all (lease,
+//! fence) is decided by the caller; each call ends in exactly one [`Event`].
 //!
-//! Question: when is a call given up? Inputs: when it was made, who is called. Rule: without a
-//! whole answer within the callee's time-out, when its connection ends, or, for calls that need the
-//! lease, once the lease is over. Why: a call that was given up may still take effect, so its event
+//! CallPurpose: when is a call cancelled? Inputs: when it started, and who is called. Rule: without a
+//! whole answer within the callee's timeout, when its connection ends, or, for calls that need the
+//! lease, once the lease has expired. Why: a cancelled call may still take effect, so its event
 //! says "unknown" and the leader asks for a report before it decides again.
 
 use crate::call_rate::CallRate;
@@ -24,15 +24,14 @@
 use wingshore_net::{ConnectOptions, ConnectionId, Reactor};
 use wingshore_types::Instant;
 
-/// An idle connection is closed after this time.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// A call to an engine without an answer is over after this time: engines answer at once, whatever
-/// they do.
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of a call to an engine: engines answer at once, whatever else they do.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(450);
-/// The same for the provider: a slow one takes some tens of times its usual milliseconds.
+/// Timeout of a call to the provider: a slow one takes some tens of times its usual milliseconds.
 const PROVIDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who is called.
+/// Destination of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Callee {
     Engine(InstanceId),
@@ -48,70 +47,72 @@
     }
 }
 
-/// What is asked.
+/// Purpose of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Question {
-    /// To load weights.
+enum CallPurpose {
+    /// Order an engine to load weights.
     Load(InstanceId),
-    /// The status of an engine.
+    /// Ask an engine for its status.
     Report(InstanceId),
-    /// Something of the provider.
-    Provider(ProviderQuestion),
+    /// Call the provider.
+    Provider(ProviderPurpose),
 }
 
-/// What is asked of the provider.
+/// Purpose of a call to the provider.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum ProviderQuestion {
-    /// To take a report of usage.
+enum ProviderPurpose {
+    /// Report the usage of a window.
     Usage(UsageWindow),
-    /// To have so many servers in a pool.
+    /// Order the number of servers in a pool.
     Capacity(CapacityPool, u32),
 }
 
-impl Question {
-    /// Whether only the holder of orders may ask: under the lease.
+impl CallPurpose {
+    /// Returns whether only the lease holder may make this call.
     fn needs_lease(&self) -> bool {
         !matches!(self, Self::Report(_))
     }
 }
 
-struct CallUnderWay {
-    question: Question,
-    since: Instant,
+/// Call that is not answered yet.
+struct PendingCall {
+    purpose: CallPurpose,
+    started_at: Instant,
     reader: AnswerReader,
 }
 
+/// Connection to a callee, with its pending call if it has one.
 struct CallConnection {
     callee: Callee,
-    call: Option<CallUnderWay>,
-    used: Instant,
+    call: Option<PendingCall>,
+    last_used_at: Instant,
 }
 
-/// Translations to the wire of callees.
+/// Translations to the wire protocols of the callees.
 pub struct CallProtocols {
-    /// To engines.
+    /// Calls to engines.
     pub engines: Box<dyn EngineProtocol>,
-    /// To the provider.
+    /// Calls to the provider.
     pub provider: Box<dyn ProviderProtocol>,
 }
 
-/// The provider, as it is called.
+/// Address of the provider, and the rate limit of calls to it.
 struct Provider {
     address: SocketAddr,
-    /// Keeps within the calls that it takes.
+    /// Keeps the calls within the rate that the provider accepts.
     rate: CallRate,
 }
 
-/// All calls under way.
+/// Connections for outgoing calls, with the pending calls.
 pub(crate) struct OutgoingCalls {
     protocols: CallProtocols,
-    /// `None` where there is nothing to ask of it.
+    /// `None` where the deployment calls no provider.
     provider: Option<Provider>,
     connections: BTreeMap<ConnectionId, CallConnection>,
 }
 
 impl OutgoingCalls {
-    /// No calls yet.
+    /// Creates the table without connections.
     pub(crate) fn new(protocols: CallProtocols, provider: Option<&ProviderSettings>) -> Self {
         let provider = provider.map(|settings| Provider {
             address: settings.address,
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Whether a connection is one of these.
+    /// Returns whether a connection belongs to an outgoing call.
     pub(crate) fn owns(&self, connection: ConnectionId) -> bool {
         self.connections.contains_key(&connection)
     }
 
-    /// Gives an engine an order.
+    /// Sends an order to an engine.
     pub(crate) fn order(
         &mut self,
         now: Instant,
@@ -137,12 +138,12 @@
         order: &WeightOrder,
     ) -> Option<Event> {
         let call = self.protocols.engines.order(order);
-        let question = Question::Load(order.instance.clone());
+        let purpose = CallPurpose::Load(order.instance.clone());
         let callee = Callee::Engine(order.instance.clone());
-        self.begin(now, reactor, (callee, order.address), &call, question)
+        self.start_call(now, reactor, (callee, order.address), &call, purpose)
     }
 
-    /// Asks for the status of an engine.
+    /// Asks an engine for its status.
     pub(crate) fn poll_engine(
         &mut self,
         now: Instant,
@@ -151,9 +152,9 @@
         address: SocketAddr,
     ) -> Option<Event> {
         let call = self.protocols.engines.report(instance);
-        let question = Question::Report(instance.clone());
+        let purpose = CallPurpose::Report(instance.clone());
         let callee = Callee::Engine(instance.clone());
-        self.begin(now, reactor, (callee, address), &call, question)
+        self.start_call(now, reactor, (callee, address), &call, purpose)
     }
 
     /// Reports the usage of a window to the provider.
@@ -164,7 +165,7 @@
         report: &UsageReport,
     ) -> Option<Event> {
         let call = self.protocols.provider.usage(report);
-        self.call_provider(now, reactor, &call, ProviderQuestion::Usage(report.window))
+        self.call_provider(now, reactor, &call, ProviderPurpose::Usage(report.window))
     }
 
     /// Orders the number of servers in a pool from the provider.
@@ -175,8 +176,8 @@
         order: &CapacityOrder,
     ) -> Option<Event> {
         let call = self.protocols.provider.capacity(order);
-        let question = ProviderQuestion::Capacity(order.pool.clone(), order.count);
-        self.call_provider(now, reactor, &call, question)
+        let purpose = ProviderPurpose::Capacity(order.pool.clone(), order.count);
+        self.call_provider(now, reactor, &call, purpose)
     }
 
     fn call_provider(
@@ -184,29 +185,29 @@
         now: Instant,
         reactor: &mut Reactor,
         call: &OutgoingCall,
-        question: ProviderQuestion,
+        purpose: ProviderPurpose,
     ) -> Option<Event> {
         let provider = self.provider.as_mut()?;
         if !provider.rate.try_acquire(now) {
-            return Some(provider_event(question, ProviderAnswer::Busy));
+            return Some(provider_event(purpose, ProviderAnswer::Busy));
         }
         let callee = (Callee::Provider, provider.address);
-        self.begin(now, reactor, callee, call, Question::Provider(question))
+        self.start_call(now, reactor, callee, call, CallPurpose::Provider(purpose))
     }
 
-    /// Makes a call; gives its end where no connection can be made.
-    fn begin(
+    /// Starts a call; returns its final event if no connection can be made.
+    fn start_call(
         &mut self,
         now: Instant,
         reactor: &mut Reactor,
         (callee, address): (Callee, SocketAddr),
         call: &OutgoingCall,
-        question: Question,
+        purpose: CallPurpose,
     ) -> Option<Event> {
         let idle = self.connections.iter().find(|(connection, entry)| {
             entry.callee == callee
                 && entry.call.is_none()
-                && now.since(entry.used) < IDLE_LIMIT
+                && now.since(entry.last_used_at) < IDLE_TIMEOUT
                 && reactor.is_open(**connection)
         });
         let options = ConnectOptions {
@@ -216,24 +217,24 @@
             .map(|(connection, _)| *connection)
             .or_else(|| reactor.connect(address, options));
         let Some(connection) = connection else {
-            return Some(self.event(question, None));
+            return Some(self.final_event(purpose, None));
         };
         reactor.send(connection, &encode(call, address));
-        let under_way = CallUnderWay {
-            question,
-            since: now,
+        let pending = PendingCall {
+            purpose,
+            started_at: now,
             reader: AnswerReader::new(false),
         };
         let entry = CallConnection {
             callee,
-            call: Some(under_way),
-            used: now,
+            call: Some(pending),
+            last_used_at: now,
         };
         self.connections.insert(connection, entry);
         None
     }
 
-    /// Bytes have arrived.
+    /// Handles received bytes; returns the event of a call that they complete.
     pub(crate) fn on_received(
         &mut self,
         now: Instant,
@@ -242,7 +243,7 @@
     ) -> Option<Event> {
         let entry = self.connections.get_mut(&connection)?;
         let Some(call) = &mut entry.call else {
-            // Bytes that nobody asked for.
+            // The bytes belong to no call.
             self.close(reactor, connection);
             return None;
         };
@@ -253,18 +254,18 @@
             Ok(BodyStatus::Partial) => None,
             Ok(BodyStatus::Whole) => {
                 let call = entry.call.take()?;
-                entry.used = now;
+                entry.last_used_at = now;
                 let answer = call.reader.into_answer(is_clean)?;
                 if !answer.reusable {
                     self.close(reactor, connection);
                 }
-                Some(self.event(call.question, Some(&answer)))
+                Some(self.final_event(call.purpose, Some(&answer)))
             }
             Err(_) => self.on_ended(reactor, connection),
         }
     }
 
-    /// The connection has ended.
+    /// Handles the end of a connection; returns the event of its pending call.
     pub(crate) fn on_ended(
         &mut self,
         reactor: &mut Reactor,
@@ -273,62 +274,64 @@
         reactor.close(connection);
         let entry = self.connections.remove(&connection)?;
         let call = entry.call?;
-        Some(self.event(call.question, None))
+        Some(self.final_event(call.purpose, None))
     }
 
-    /// Gives up the calls that only a holder makes; what has not left of them does not leave.
+    /// Cancels the calls that only a lease holder may make. Bytes of them that were not sent yet
+    /// are not sent any more.
     pub(crate) fn cancel_lease_calls(&mut self, reactor: &mut Reactor) -> Vec<Event> {
-        self.end_all(reactor, |entry| {
+        self.close_where(reactor, |entry| {
             let call = entry.call.as_ref();
-            call.is_some_and(|call| call.question.needs_lease())
+            call.is_some_and(|call| call.purpose.needs_lease())
         })
     }
 
-    /// Gives up calls that are late and closes idle connections.
+    /// Cancels calls that have timed out, and closes idle connections.
     pub(crate) fn expire(&mut self, now: Instant, reactor: &mut Reactor) -> Vec<Event> {
-        self.end_all(reactor, |entry| match &entry.call {
-            Some(call) => now.since(call.since) >= entry.callee.timeout(),
-            None => now.since(entry.used) >= IDLE_LIMIT,
+        self.close_where(reactor, |entry| match &entry.call {
+            Some(call) => now.since(call.started_at) >= entry.callee.timeout(),
+            None => now.since(entry.last_used_at) >= IDLE_TIMEOUT,
         })
     }
 
-    fn end_all(
+    /// Closes the connections that `is_affected` selects; returns the events of their calls.
+    fn close_where(
         &mut self,
         reactor: &mut Reactor,
-        is_concerned: impl Fn(&CallConnection) -> bool,
+        is_affected: impl Fn(&CallConnection) -> bool,
     ) -> Vec<Event> {
-        let concerned: Vec<ConnectionId> = self
+        let affected: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, entry)| is_concerned(entry))
+            .filter(|(_, entry)| is_affected(entry))
             .map(|(connection, _)| *connection)
             .collect();
-        concerned
+        affected
             .into_iter()
             .filter_map(|connection| self.on_ended(reactor, connection))
             .collect()
     }
 
-    /// What follows from the end of a call. Without an answer it may take effect all the same, also
+    /// Returns the event that a call ends in. A call without an answer may still take effect, also
     /// later.
-    fn event(&self, question: Question, answer: Option<&WholeAnswer>) -> Event {
+    fn final_event(&self, purpose: CallPurpose, answer: Option<&WholeAnswer>) -> Event {
         let engines = &self.protocols.engines;
-        match question {
-            Question::Load(instance) => Event::WeightOrderAnswered {
+        match purpose {
+            CallPurpose::Load(instance) => Event::WeightOrderAnswered {
                 instance,
                 answer: answer.map_or(OrderAnswer::Unknown, |answer| {
                     engines.order_answer(&answer.head)
                 }),
             },
-            Question::Report(instance) => Event::EnginePolled {
+            CallPurpose::Report(instance) => Event::EnginePolled {
                 instance,
                 report: answer.and_then(|answer| engines.report_answer(&answer.head, &answer.body)),
             },
-            Question::Provider(question) => {
+            CallPurpose::Provider(purpose) => {
                 let answer = answer.map_or(ProviderAnswer::Unknown, |answer| {
                     self.protocols.provider.answer(&answer.head)
                 });
-                provider_event(question, answer)
+                provider_event(purpose, answer)
             }
         }
     }
@@ -339,11 +342,11 @@
     }
 }
 
-/// What follows from the provider's answer to a question.
-fn provider_event(question: ProviderQuestion, answer: ProviderAnswer) -> Event {
-    match question {
-        ProviderQuestion::Usage(window) => Event::UsageAnswered { window, answer },
-        ProviderQuestion::Capacity(pool, count) => Event::CapacityAnswered {
+/// Returns the event of an answer of the provider.
+fn provider_event(purpose: ProviderPurpose, answer: ProviderAnswer) -> Event {
+    match purpose {
+        ProviderPurpose::Usage(window) => Event::UsageAnswered { window, answer },
+        ProviderPurpose::Capacity(pool, count) => Event::CapacityAnswered {
             pool,
             count,
             answer,
--- a/crates/gateways/wingshore-coordinator/src/peers.rs
+++ b/crates/gateways/wingshore-coordinator/src/peers.rs
@@ -1,9 +1,9 @@
-//! The other coordinators, as this one knows them. No I/O.
+//! The other coordinators, as far as this one knows them. No I/O.
 //!
-//! Owns what each of them said of itself, when it was last heard of, the connections that lead to
-//! it, and which machines were lost a short while ago. Relies on introductions, which each
-//! coordinator repeats on every link; what it knows is as old as the last one. Addresses and
-//! identities of members come from the group's log, not from here.
+//! Owns the last hello message of each coordinator, when a message of it last arrived, the
+//! connections to it, and which machines were lost recently. Relies on the hello messages that each
+//! coordinator repeats on every link; the data is as old as the last one. Addresses and identities
+//! of members come from the group's log, not from here.
 
 use crate::lost::LostMachines;
 use crate::membership::KnownCoordinator;
@@ -14,40 +14,41 @@
 use wingshore_net::ConnectionId;
 use wingshore_types::{Instant, ReplicaId};
 
-/// What another coordinator says of who leads counts for this long: three introductions.
-const LEADER_WORD_FRESH: Duration = Duration::from_millis(900);
-/// One on standby that is silent for this long is left out of what gateways are sent: its machine may
-/// be gone for good.
-const STANDBY_SILENCE: Duration = Duration::from_secs(10);
+/// For how long a coordinator's report of the leader is valid: three hello intervals.
+const LEADER_REPORT_VALIDITY: Duration = Duration::from_millis(900);
+/// Silence after which a coordinator on standby is left out of the addresses that gateways are
+/// sent, since its machine may be gone for good.
+const STANDBY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A coordinator that no connection leads to any more.
+/// Coordinator to which no connection is left.
 pub(crate) struct LostPeer {
     pub(crate) member: ReplicaId,
-    /// Its machine, if it has introduced itself.
+    /// Its machine, if it has sent a hello message.
     pub(crate) node: Option<String>,
 }
 
 /// The other coordinators.
 ///
-/// Invariant: one address has one identity at a time in `heard`, the one that was heard last.
+/// Invariant: in `known`, each address belongs to one identity, the last one that was heard from.
 #[derive(Default)]
 pub(crate) struct Peers {
     known: BTreeMap<ReplicaId, KnownCoordinator>,
     hellos: BTreeMap<ReplicaId, CoordinatorHello>,
-    /// Connections that lead to a coordinator, newest last.
+    /// Connections to each coordinator, newest last.
     routes: BTreeMap<ReplicaId, Vec<ConnectionId>>,
     lost: LostMachines,
 }
 
 impl Peers {
-    /// An introduction has come over a connection; says whether it is the first one that leads there.
+    /// Records that a hello message has arrived over a connection. Returns whether this is the only
+    /// connection to its sender.
     pub(crate) fn record_route(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         hello: &CoordinatorHello,
     ) -> bool {
-        let joiner = KnownCoordinator {
+        let coordinator = KnownCoordinator {
             id: hello.id,
             address: hello.internal,
             zone: hello.zone.clone(),
@@ -55,7 +56,7 @@
         };
         self.known
             .retain(|id, known| *id == hello.id || known.address != hello.internal);
-        self.known.insert(hello.id, joiner);
+        self.known.insert(hello.id, coordinator);
         let routes = self.routes.entry(hello.id).or_default();
         let is_first = routes.is_empty();
         if !routes.contains(&connection) {
@@ -64,8 +65,8 @@
         is_first
     }
 
-    /// Keeps what a coordinator said of itself. Says whether its machine has restarted within
-    /// `window`: nothing more is to come from the incarnation before.
+    /// Stores the hello message of a coordinator. Returns whether its machine has restarted within
+    /// `window`, so that nothing more is to arrive from the incarnation before.
     pub(crate) fn record_hello(
         &mut self,
         now: Instant,
@@ -77,14 +78,14 @@
         has_restarted
     }
 
-    /// Something else than an introduction has come from a coordinator.
+    /// Records that another message than a hello has arrived from a coordinator.
     pub(crate) fn record_message(&mut self, now: Instant, id: ReplicaId) {
-        if let Some(joiner) = self.known.get_mut(&id) {
-            joiner.last_heard_at = now;
+        if let Some(coordinator) = self.known.get_mut(&id) {
+            coordinator.last_heard_at = now;
         }
     }
 
-    /// A connection has ended; gives the coordinators that it was the last one to.
+    /// Removes a connection that has ended. Returns the coordinators to which it was the last one.
     pub(crate) fn disconnected(&mut self, now: Instant, connection: ConnectionId) -> Vec<LostPeer> {
         let mut lost = Vec::new();
         for (member, routes) in &mut self.routes {
@@ -102,24 +103,25 @@
         lost
     }
 
-    /// Machines that were lost within `window`.
+    /// Returns the machines that were lost within `window`.
     pub(crate) fn lost_within(&self, now: Instant, window: Duration) -> Vec<String> {
         self.lost.lost_within(now, window)
     }
 
-    /// All that have introduced themselves and whose address nobody else has now.
+    /// Returns all coordinators that have sent a hello message, except those whose address now
+    /// belongs to another identity.
     pub(crate) fn known_coordinators(&self) -> &BTreeMap<ReplicaId, KnownCoordinator> {
         &self.known
     }
 
-    /// Whose connection this is.
+    /// Returns the coordinator to which a connection leads.
     pub(crate) fn peer_of(&self, connection: ConnectionId) -> Option<ReplicaId> {
         let mut routes = self.routes.iter();
         let found = routes.find(|(_, routes)| routes.contains(&connection));
         found.map(|(id, _)| *id)
     }
 
-    /// The newest connection to a coordinator that is open.
+    /// Returns the newest open connection to a coordinator.
     pub(crate) fn route_to(
         &self,
         id: ReplicaId,
@@ -130,48 +132,51 @@
         newest_first.find(|connection| is_open(*connection))
     }
 
-    /// All that connections have ever led to.
+    /// Returns all coordinators to which a connection has ever led.
     pub(crate) fn ids(&self) -> impl Iterator<Item = ReplicaId> {
         self.routes.keys().copied()
     }
 
-    /// Where operators and servers call a coordinator.
+    /// Returns the address where operators and servers call a coordinator.
     pub(crate) fn control_address(&self, id: ReplicaId) -> Option<SocketAddr> {
         Some(self.hellos.get(&id)?.control)
     }
 
-    /// The coordinator on a machine.
+    /// Returns the coordinator on a machine.
     pub(crate) fn on_node(&self, node: &str) -> Option<ReplicaId> {
         let mut hellos = self.hellos.values();
         let hello = hellos.find(|hello| hello.node == node)?;
         Some(hello.id)
     }
 
-    /// All that have introduced themselves, with their machines.
+    /// Returns all coordinators that have sent a hello message, with their machines.
     pub(crate) fn nodes(&self) -> impl Iterator<Item = (ReplicaId, &str)> {
         let hellos = self.hellos.values();
         hellos.map(|hello| (hello.id, hello.node.as_str()))
     }
 
-    /// Where the members listen, by what others say.
+    /// Returns the addresses of the members as other coordinators report them.
     pub(crate) fn member_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let hellos = self.hellos.values();
         hellos.flat_map(|hello| &hello.members).copied()
     }
 
-    /// Where coordinators listen that were heard of lately.
+    /// Returns the addresses of coordinators that were heard from recently.
     pub(crate) fn fresh_addresses(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let fresh =
-            move |joiner: &&KnownCoordinator| now.since(joiner.last_heard_at) < STANDBY_SILENCE;
-        let joiners = self.known.values().filter(fresh);
-        joiners.map(|joiner| joiner.address)
+        let fresh = move |coordinator: &&KnownCoordinator| {
+            now.since(coordinator.last_heard_at) < STANDBY_TIMEOUT
+        };
+        let coordinators = self.known.values().filter(fresh);
+        coordinators.map(|coordinator| coordinator.address)
     }
 
-    /// Who leads, by the newest of what others said lately.
+    /// Returns the newest leader that other coordinators have recently reported.
     pub(crate) fn reported_leader(&self, now: Instant) -> Option<KnownLeader> {
         let is_fresh = |hello: &&CoordinatorHello| {
-            let joiner = self.known.get(&hello.id);
-            joiner.is_some_and(|joiner| now.since(joiner.last_heard_at) < LEADER_WORD_FRESH)
+            let coordinator = self.known.get(&hello.id);
+            coordinator.is_some_and(|coordinator| {
+                now.since(coordinator.last_heard_at) < LEADER_REPORT_VALIDITY
+            })
         };
         let hellos = self.hellos.values().filter(is_fresh);
         hellos.filter_map(|hello| hello.leader).max()
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats at a coordinator that does not lead.
+//! Heartbeats at a coordinator that is not the leader.
 
 use googletest::prelude::*;
 use std::time::Duration;
--- a/crates/gateways/wingshore-coordinator/tests/lost.rs
+++ b/crates/gateways/wingshore-coordinator/tests/lost.rs
@@ -1,4 +1,4 @@
-//! Which machines were lost a short while ago.
+//! Which machines were lost recently.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -23,16 +23,16 @@
     expect_that!(machines.lost_within(NOW + up(3_100), WINDOW), is_empty());
 }
 
-/// After a loss of power of all machines none of them has seen the connection of another end.
+/// After a power failure of all machines none of them has seen a connection to another one end.
 #[gtest]
-fn a_machine_whose_process_has_just_begun_was_lost_before() {
+fn a_machine_whose_process_has_just_started_was_lost_before() {
     let mut machines = LostMachines::default();
     expect_that!(machines.record_uptime(NOW, "a", up(400), WINDOW), eq(true));
     expect_that!(machines.lost_within(NOW, WINDOW), elements_are!["a"]);
     expect_that!(
         machines.record_uptime(NOW + up(300), "a", up(700), WINDOW),
         eq(false),
-        "that is not news"
+        "that loss is known"
     );
     expect_that!(
         machines.record_uptime(NOW + up(2_000), "a", up(100), WINDOW),
