--- a/crates/gateways/wingshore-coordinator/src/metrics/counters.rs
+++ b/crates/gateways/wingshore-coordinator/src/metrics/counters.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms: their names, labels and buckets.
+//! Counters and histograms with their names, labels and buckets.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,12 +6,12 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Metric, Registry, Unit};
 
-/// Upper end of the first bucket of the histograms, in seconds.
+/// Upper bound of the first bucket of the histograms, in seconds.
 const MIN_BUCKET_SECONDS: f64 = 0.000_5;
-/// Each bucket reaches twice as far as the one before.
+/// Factor between the upper bounds of two adjacent buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Buckets; the last one ends at 8.2 s.
-const BUCKETS: u16 = 15;
+/// Number of buckets; the upper bound of the last one is 8.2 s.
+const BUCKET_COUNT: u16 = 15;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(super) struct CallLabels {
@@ -37,12 +37,12 @@
         Histogram::new(exponential_buckets(
             MIN_BUCKET_SECONDS,
             BUCKET_FACTOR,
-            BUCKETS,
+            BUCKET_COUNT,
         ))
     }
 }
 
-/// What was asked of this coordinator, and what it asked of others.
+/// Metrics of the calls to this coordinator and of its calls to others.
 pub(super) struct WorkMetrics {
     pub(super) calls: Family<CallLabels, Counter>,
     pub(super) call_seconds: Family<CallLabel, Histogram, Buckets>,
@@ -54,7 +54,7 @@
 }
 
 impl WorkMetrics {
-    /// All at zero.
+    /// Registers the metrics, all at zero.
     pub(super) fn register(registry: &mut Registry) -> Self {
         Self {
             calls: registered(
@@ -105,7 +105,7 @@
     }
 }
 
-/// What happened in the group of coordinators.
+/// Metrics of the group of coordinators.
 pub(super) struct GroupMetrics {
     pub(super) leaderships: Counter,
     pub(super) member_changes: Counter,
@@ -115,7 +115,7 @@
 }
 
 impl GroupMetrics {
-    /// All at zero.
+    /// Registers the metrics, all at zero.
     pub(super) fn register(registry: &mut Registry) -> Self {
         Self {
             leaderships: registered(
@@ -154,18 +154,18 @@
     }
 }
 
-/// Counts one more with this outcome.
+/// Counts one more event with this outcome.
 pub(super) fn count(family: &Family<OutcomeLabel, Counter>, outcome: &'static str) {
     family.get_or_create(&OutcomeLabel { outcome }).inc();
 }
 
-/// The metric, once the registry shows it.
+/// Registers a metric and returns it.
 fn registered<M: Metric + Clone>(registry: &mut Registry, name: &str, help: &str, metric: M) -> M {
     registry.register(name, help, metric.clone());
     metric
 }
 
-/// The metric, once the registry shows it with its unit behind its name.
+/// Registers a metric with its unit as suffix of its name, and returns it.
 fn registered_with_unit<M: Metric + Clone>(
     registry: &mut Registry,
     name: &str,
--- a/crates/gateways/wingshore-coordinator/src/metrics/gauges.rs
+++ b/crates/gateways/wingshore-coordinator/src/metrics/gauges.rs
@@ -1,9 +1,9 @@
-//! Gauges: what is read when monitoring asks.
+//! Gauges, which are read when metrics are scraped.
 
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// A value as a gauge holds it.
+/// Conversion of a value to that of a gauge.
 trait GaugeValue {
     fn gauge_value(self) -> i64;
 }
@@ -26,7 +26,7 @@
     }
 }
 
-/// A gauge and where its value stands.
+/// Description of a gauge, and how its value is read.
 struct GaugeEntry {
     name: &'static str,
     help: &'static str,
@@ -36,13 +36,13 @@
 /// Declares [`Readings`] and, for each of its fields, the gauge of that name with its help text.
 macro_rules! readings {
     ($($name:ident: $type:ty = $help:literal,)*) => {
-        /// Values that are read when monitoring asks.
+        /// Values of the gauges at one scrape.
         #[derive(Clone, Copy, Debug, Default)]
         pub(crate) struct Readings {
             $(pub(crate) $name: $type,)*
         }
 
-        /// One for each reading.
+        /// Gauges, one for each field of [`Readings`].
         const GAUGES: &[GaugeEntry] = &[$(GaugeEntry {
             name: stringify!($name),
             help: $help,
@@ -82,14 +82,14 @@
     log_lines_left_out: u64 = "Log lines left out for want of budget",
 }
 
-/// The gauges of a coordinator.
+/// Registered gauges of a coordinator.
 pub(super) struct Gauges {
     /// In the order of [`GAUGES`].
     gauges: Vec<Gauge>,
 }
 
 impl Gauges {
-    /// All at zero.
+    /// Registers all gauges, at zero.
     pub(super) fn register(registry: &mut Registry) -> Self {
         let entries = GAUGES.iter();
         let registered = entries.map(|entry| {
@@ -102,6 +102,7 @@
         }
     }
 
+    /// Sets all gauges.
     pub(super) fn set(&self, readings: &Readings) {
         for (gauge, entry) in self.gauges.iter().zip(GAUGES) {
             gauge.set((entry.read)(readings));
--- a/crates/gateways/wingshore-coordinator/src/metrics/mod.rs
+++ b/crates/gateways/wingshore-coordinator/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Metrics of a coordinator: `counters` are counted here as things happen, `gauges` are set when
-//! monitoring asks.
+//! Metrics of a coordinator: `counters` are updated as events happen, `gauges` are set at each
+//! scrape.
 //!
-//! Names and labels are part of what the program promises; docs/OPERATIONS.md lists them.
+//! Names and labels are a stable interface; docs/OPERATIONS.md lists them.
 
 mod counters;
 mod gauges;
@@ -23,7 +23,7 @@
 }
 
 impl CoordinatorMetrics {
-    /// All at zero.
+    /// Creates all metrics at zero.
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("wingshore_coordinator");
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A call to the group has ended.
+    /// Records the end of a call to the group.
     pub(crate) fn call_ended(&self, call: &'static str, outcome: &'static str, time: Duration) {
         let labels = CallLabels { call, outcome };
         self.work.calls.get_or_create(&labels).inc();
@@ -42,54 +42,54 @@
         histogram.observe(time.as_secs_f64());
     }
 
-    /// A write was synced.
+    /// Records a synced write.
     pub(crate) fn written(&self, time: Duration) {
         self.work.write_seconds.observe(time.as_secs_f64());
     }
 
-    /// An engine has answered an order, or has not.
+    /// Records the outcome of an order to an engine, answered or not.
     pub(crate) fn ordered(&self, outcome: &'static str) {
         count(&self.work.orders, outcome);
     }
 
-    /// The provider has answered a call, or has not.
+    /// Records the outcome of a call to the provider, answered or not.
     pub(crate) fn provider_answered(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.work.provider_calls.get_or_create(&labels).inc();
     }
 
-    /// A gateway has reported the outcome of an attempt at an item.
+    /// Records the outcome of an attempt at an item, as a gateway reported it.
     pub(crate) fn attempt_ended(&self, outcome: &'static str) {
         count(&self.work.attempts, outcome);
     }
 
-    /// A gateway has reported the outcome of a scoring.
+    /// Records the outcome of a scoring, as a gateway reported it.
     pub(crate) fn scoring_ended(&self, outcome: &'static str) {
         count(&self.work.scorings, outcome);
     }
 
-    /// A leadership began here.
+    /// Counts a leadership that began here.
     pub(crate) fn leadership_began(&self) {
         self.group.leaderships.inc();
     }
 
-    /// A change of members was asked for.
+    /// Counts a requested membership change.
     pub(crate) fn member_change(&self) {
         self.group.member_changes.inc();
     }
 
-    /// A peer that speaks no common format was refused.
+    /// Counts a peer that was refused because it has no common format.
     pub(crate) fn peer_refused(&self) {
         self.group.peers_refused.inc();
     }
 
-    /// Bytes of the state have been sent, some of them not for the first time.
+    /// Counts sent bytes of the state, and those among them that were sent before.
     pub(crate) fn state_sent(&self, bytes: u64, again: u64) {
         self.group.state_sent.inc_by(bytes);
         self.group.state_sent_again.inc_by(again);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     pub(crate) fn text(&self, readings: &Readings) -> String {
         self.gauges.set(readings);
         let mut text = String::new();
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -278,7 +278,7 @@
     }
 
     /// Cancels the calls that only a lease holder may make. Bytes of them that were not sent yet
-    /// are not sent any more.
+    /// are dropped.
     pub(crate) fn cancel_lease_calls(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         self.close_where(reactor, |entry| {
             let call = entry.call.as_ref();
--- a/crates/gateways/wingshore-coordinator/src/protocol.rs
+++ b/crates/gateways/wingshore-coordinator/src/protocol.rs
@@ -1,7 +1,7 @@
-//! What a deployment's wire must translate.
+//! Traits that translate the wire protocols of a deployment.
 //!
-//! The rest of this crate knows no wire but that of the site's own processes: an adapter implements
-//! these traits, and its names do not go further.
+//! The rest of this crate knows only the protocol between the site's own processes. An adapter
+//! implements these traits, and the names of its protocol stay within it.
 
 use crate::directory::GatewayAddress;
 use std::net::SocketAddr;
@@ -12,114 +12,114 @@
 };
 use wingshore_net::http::{AnswerHead, HttpAnswer, WholeRequest};
 
-/// A question that each coordinator answers from what it knows itself.
+/// Request that each coordinator answers from its own state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalRequest {
-    /// Which gateways a client in this place may use.
+    /// Ask which gateways a client may use.
     Gateways {
         /// The client's zone.
         zone: String,
     },
-    /// Begin to empty a coordinator's machine, so that it can be removed.
+    /// Start to retire the machine of a coordinator, so that it can be removed.
     Retire {
-        /// The machine.
+        /// Name of the machine.
         node: String,
     },
-    /// How far that is.
+    /// Ask for the progress of that.
     RetireProgress {
-        /// The machine.
+        /// Name of the machine.
         node: String,
     },
 }
 
-/// A call of an operator, trainer, server or client.
+/// Call of an operator, trainer, server or client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
-    /// For the group's leader.
+    /// Request for the leader of the group.
     Group(Request),
-    /// For this coordinator.
+    /// Request for this coordinator.
     Local(LocalRequest),
-    /// No call, or one that cannot be read.
+    /// Unknown call, or one that cannot be parsed.
     Invalid {
-        /// What to answer.
+        /// Answer to the caller.
         answer: HttpAnswer,
         /// What is wrong, for the log.
         reason: String,
     },
 }
 
-/// What to answer.
+/// Answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlAnswer {
     /// The group's answer.
     Reply(Reply),
-    /// Gateways for a client.
+    /// Gateways that a client may use.
     Gateways {
-        /// They, in the order of preference.
+        /// Gateways in the order of preference.
         gateways: Vec<GatewayAddress>,
         /// How long the client may use them.
         ttl: Duration,
     },
-    /// The leader is there: ask it.
+    /// The caller must ask the leader.
     Redirect {
-        /// Its control address.
+        /// Control address of the leader.
         leader: SocketAddr,
-        /// The path and query that were asked for.
+        /// Path and query of the call.
         target: String,
     },
-    /// Nobody can answer now; the call had no effect.
+    /// No coordinator can answer now; the call had no effect.
     Unavailable,
-    /// The call may or may not take effect.
+    /// The outcome is unknown: the call may or may not take effect.
     Unknown,
-    /// The machine is being emptied.
+    /// The machine is being retired.
     Retiring,
-    /// The machine can be taken away.
+    /// The machine can be removed.
     Retired,
-    /// Too few machines would be left.
+    /// Too few coordinators would be left.
     TooFewLeft,
     /// There is no such machine.
     NoSuchMachine,
 }
 
-/// Translates the control interface.
+/// Translation of the control interface.
 pub trait ControlProtocol {
-    /// Reads a call.
+    /// Parses a call.
     fn read(&self, request: &WholeRequest) -> ControlCall;
-    /// Writes the answer.
+    /// Encodes an answer.
     fn write(&self, answer: &ControlAnswer) -> HttpAnswer;
 }
 
-/// A call to an engine or to the provider.
+/// HTTP call to an engine or to the provider.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingCall {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Header lines besides those that frame the body.
+    /// Headers besides those that frame the body.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Translates calls to engines.
+/// Translation of calls to engines.
 pub trait EngineProtocol {
-    /// An order.
+    /// Encodes an order to load weights.
     fn order(&self, order: &WeightOrder) -> OutgoingCall;
-    /// What an engine answered to an order.
+    /// Decodes the answer of an engine to an order.
     fn order_answer(&self, head: &AnswerHead) -> OrderAnswer;
-    /// The question for the status of an engine.
+    /// Encodes the request for the status of an engine.
     fn report(&self, instance: &InstanceId) -> OutgoingCall;
-    /// What an engine answered to it.
+    /// Decodes the answer to that request.
     fn report_answer(&self, head: &AnswerHead, body: &[u8]) -> Option<EngineStatus>;
 }
 
-/// Translates calls to the provider of the site's machines.
+/// Translation of calls to the provider of the site's machines.
 pub trait ProviderProtocol {
-    /// A report of usage.
+    /// Encodes a report of usage.
     fn usage(&self, report: &UsageReport) -> OutgoingCall;
-    /// An order for servers.
+    /// Encodes an order for servers.
     fn capacity(&self, order: &CapacityOrder) -> OutgoingCall;
-    /// What the provider answered to a call.
+    /// Decodes the answer of the provider to a call.
     fn answer(&self, head: &AnswerHead) -> ProviderAnswer;
 }
--- a/crates/gateways/wingshore-coordinator/src/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/src/sent_states.rs
@@ -1,149 +1,152 @@
-//! What there is to tell of the states that a leader sends to members that lack too much of the log. No
+//! Progress reports of the snapshots that a leader sends to members whose log is too far behind. No
 //! I/O.
 //!
-//! Question: which sending has begun, goes on or is over since the last update, and how many bytes were
-//! sent meanwhile? Input: how far each sending is ([`SnapshotSending`]), at each update. Rule: the
-//! begin and the end of each one are told, and while it goes on where it is, once in
-//! [`REPORT_INTERVAL`]. Why: a member whose state is on its way bears no loss, and only the leader
-//! knows how long that will last. Old or missing input: a sending that is no longer listed is over;
-//! what was last known of it is told.
+//! Question: which sending has started, is in progress or has ended since the last update, and how
+//! many bytes were sent meanwhile? Input: the progress of each sending ([`SnapshotSending`]), at
+//! each update. Rule: the start and the end of each sending are reported, and its progress once per
+//! [`REPORT_INTERVAL`]. Why: a member that is still being sent the state does not help the group to
+//! tolerate losses, and only the leader knows how long that will last. Old or missing input: a
+//! sending that is no longer listed has ended; its last known progress is reported.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_group::SnapshotSending;
 use wingshore_types::{Instant, ReplicaId};
 
-/// Between two reports of a sending that goes on.
+/// Time between two reports of a sending in progress.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What has become of a sending.
+/// Phase of a sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendingPhase {
-    /// It has begun.
+    /// The sending has started.
     Started,
-    /// It goes on.
+    /// The sending is in progress.
     InProgress,
-    /// It is over: the member has it, or was given up.
+    /// The sending has ended: the member holds the snapshot, or the sending was cancelled.
     Ended,
 }
 
-/// A sending, as it is told.
+/// Report of a sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendingReport {
-    /// What has become of it.
+    /// Phase of the sending.
     pub phase: SendingPhase,
-    /// How far it was when it was last seen.
+    /// Last known progress.
     pub sending: SnapshotSending,
-    /// Time since it was first seen.
+    /// Time since the sending was first listed.
     pub age: Duration,
 }
 
-/// What one look has shown.
+/// Result of an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SendingUpdate {
-    /// What there is to tell.
+    /// Reports that are due.
     pub reports: Vec<SendingReport>,
-    /// Bytes sent since the last update, those sent again among them.
+    /// Bytes sent since the last update, including those sent again.
     pub sent: u64,
     /// Bytes sent again since the last update.
     pub sent_again: u64,
 }
 
 #[derive(Clone, Copy)]
-struct Known {
+struct TrackedSending {
     sending: SnapshotSending,
-    since: Instant,
-    told: Instant,
+    started_at: Instant,
+    reported_at: Instant,
 }
 
-impl Known {
+impl TrackedSending {
     fn report(&self, phase: SendingPhase, now: Instant) -> SendingReport {
         SendingReport {
             phase,
             sending: self.sending,
-            age: now.since(self.since),
+            age: now.since(self.started_at),
         }
     }
 }
 
-/// The states that this coordinator, as leader, is sending.
+/// Snapshots that this coordinator is sending as leader, by receiver.
 #[derive(Default)]
 pub struct SentStates {
-    known: BTreeMap<ReplicaId, Known>,
+    sendings: BTreeMap<ReplicaId, TrackedSending>,
 }
 
 impl SentStates {
-    /// Takes how far each sending is now.
+    /// Takes the current progress of all sendings; returns the reports and byte counts since the
+    /// last update.
     pub fn update(&mut self, now: Instant, sendings: &[SnapshotSending]) -> SendingUpdate {
         let mut update = SendingUpdate::default();
-        self.end_others(now, sendings, &mut update);
+        self.end_unlisted(now, sendings, &mut update);
         for sending in sendings {
-            self.see(now, *sending, &mut update);
+            self.update_one(now, *sending, &mut update);
         }
         update
     }
 
-    /// Members that are being sent the state.
+    /// Returns how many members are being sent the state.
     pub fn receivers(&self) -> usize {
-        self.known.len()
+        self.sendings.len()
     }
 
-    /// Bytes that these members lack.
+    /// Returns how many bytes these members still lack.
     pub fn bytes_left(&self) -> u64 {
-        let sendings = self.known.values().map(|known| known.sending);
+        let sendings = self.sendings.values().map(|known| known.sending);
         sendings
             .map(|sending| sending.total.saturating_sub(sending.received))
             .sum()
     }
 
-    fn end_others(
+    /// Removes the sendings that are no longer listed, and reports their end.
+    fn end_unlisted(
         &mut self,
         now: Instant,
         sendings: &[SnapshotSending],
         update: &mut SendingUpdate,
     ) {
-        let is_under_way = |known: &Known| {
-            let of_same = |sending: &&SnapshotSending| is_same(sending, &known.sending);
-            sendings.iter().any(|sending| of_same(&sending))
+        let is_listed = |known: &TrackedSending| {
+            let is_same_sending = |sending: &&SnapshotSending| is_same(sending, &known.sending);
+            sendings.iter().any(|sending| is_same_sending(&sending))
         };
-        self.known.retain(|_, known| {
-            let goes_on = is_under_way(known);
-            if !goes_on {
+        self.sendings.retain(|_, known| {
+            let is_in_progress = is_listed(known);
+            if !is_in_progress {
                 update.reports.push(known.report(SendingPhase::Ended, now));
             }
-            goes_on
+            is_in_progress
         });
     }
 
-    fn see(&mut self, now: Instant, sending: SnapshotSending, update: &mut SendingUpdate) {
-        let before = self.known.get(&sending.to).copied();
+    /// Updates one sending, and reports its start or progress where that is due.
+    fn update_one(&mut self, now: Instant, sending: SnapshotSending, update: &mut SendingUpdate) {
+        let before = self.sendings.get(&sending.to).copied();
         let (sent, sent_again) = before.map_or((0, 0), |known| {
             (known.sending.sent, known.sending.sent_again)
         });
         update.sent += sending.sent.saturating_sub(sent);
         update.sent_again += sending.sent_again.saturating_sub(sent_again);
-        let mut known = before.unwrap_or(Known {
+        let mut known = before.unwrap_or(TrackedSending {
             sending,
-            since: now,
-            told: now,
+            started_at: now,
+            reported_at: now,
         });
         known.sending = sending;
         if before.is_none() {
             update
                 .reports
                 .push(known.report(SendingPhase::Started, now));
-        } else if now.since(known.told) >= REPORT_INTERVAL {
-            known.told = now;
+        } else if now.since(known.reported_at) >= REPORT_INTERVAL {
+            known.reported_at = now;
             update
                 .reports
                 .push(known.report(SendingPhase::InProgress, now));
         }
-        self.known.insert(sending.to, known);
+        self.sendings.insert(sending.to, known);
     }
 }
 
-/// Whether two looks have seen one sending: it is to the same member, of the same state, and did not
-/// begin anew.
+/// Returns whether two progress values belong to one sending: the same member and snapshot, without
+/// a restart.
 fn is_same(now: &SnapshotSending, before: &SnapshotSending) -> bool {
     (now.to, now.index) == (before.to, before.index) && now.sent >= before.sent
 }
--- a/crates/gateways/wingshore-coordinator/src/settings.rs
+++ b/crates/gateways/wingshore-coordinator/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a coordinator process, and the times that follow from them.
 //!
-//! Read and checked by the adapter of a deployment; what is the same in every deployment is a constant
-//! where it is used.
+//! The adapter of a deployment reads and validates them. A value that is the same in every
+//! deployment is a constant where it is used.
 
 use crate::budget::MemoryBudget;
 use std::net::{IpAddr, SocketAddr};
@@ -9,101 +9,102 @@
 use std::time::Duration;
 use wingshore_coordination::{CapacityPolicy, LeaderPolicy, UsageDuty};
 
-/// Heartbeats in a row that a server may miss before it leaves the registry: a server that is away
-/// for so long is taken for gone, one whose calls are lost now and then is not.
+/// Consecutive heartbeats that a server may miss before it leaves the registry: enough that
+/// occasional lost calls do not remove a server, while one that is away for so long counts as gone.
 const SERVER_EXPIRY_HEARTBEATS: u32 = 5;
-/// Added to the validity of orders before a new leader gives its own; more than the drift of two
-/// clocks over the validity, and than an order is under way.
+/// Time that a new leader waits in addition to the validity of orders before it sends its own. It
+/// is more than the drift of two clocks during the validity, and than an order takes to arrive.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(300);
-/// Added to the time for which a job must be readable; longer than a change of leader and a
-/// caller's retries take.
+/// Time added to the retention of ended jobs; longer than a change of leader and a caller's retries
+/// take.
 const RETENTION_MARGIN: Duration = Duration::from_secs(10);
 
-/// Settings of a coordinator process, checked.
+/// Validated settings of a coordinator process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
     /// Name of the machine.
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// The machine's address.
+    /// Address of the machine.
     pub ip: IpAddr,
-    /// Where operators, trainers and servers call.
+    /// Address for calls of operators, trainers and servers.
     pub control: SocketAddr,
-    /// Where clients ask for gateways.
+    /// Address where clients ask for gateways.
     pub directory: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Address where metrics are served.
     pub metrics: Option<SocketAddr>,
     /// Port for the site's own processes; the same on all machines.
     pub internal_port: u16,
-    /// Where to listen for the site's own processes, where that is not where they reach this one:
-    /// behind a translation of addresses.
+    /// Address to listen on for the site's own processes where it differs from the one that they
+    /// connect to, as behind a NAT.
     pub internal_bind: Option<SocketAddr>,
-    /// Addresses of coordinators as far as known when the settings were written.
+    /// Addresses of coordinators that were known when the settings were written.
     pub seeds: Vec<IpAddr>,
     /// The data folder.
     pub data: PathBuf,
-    /// Whether the site begins with this start.
+    /// Whether the site is founded with this start.
     pub founding: bool,
-    /// Coordinators whose loss at one time the site must bear.
+    /// Simultaneous losses of coordinators that the site must tolerate.
     pub losses_borne: usize,
-    /// Memory that the process may have.
+    /// Memory limit of the process.
     pub memory: MemoryBudget,
     /// How long a client may use an answer of the directory.
     pub directory_ttl: Duration,
-    /// Time between two heartbeats of a server.
+    /// Interval between two heartbeats of a server.
     pub server_heartbeat: Duration,
-    /// Longest time for which orders of a machine that does not lead any more may still take effect.
+    /// Longest time for which orders of a former leader may still take effect.
     pub order_validity: Duration,
-    /// Whether engines refuse orders whose fence is lower than one that they have seen.
+    /// Whether engines refuse orders with a lower fence than the highest that they have received.
     pub engines_check_fences: bool,
-    /// How the number of servers is chosen where it can be ordered.
+    /// Policy for the number of servers, where servers can be ordered.
     pub capacity: CapacityPolicy,
     /// Which mechanisms of choice of the leader are on.
     pub leader_policy: LeaderPolicy,
-    /// The provider of the site's machines; `None` where there is nothing to ask of it.
+    /// The provider of the site's machines; `None` where the deployment calls none.
     pub provider: Option<ProviderSettings>,
-    /// How long an ended job must be readable.
+    /// How long an ended job must stay readable.
     pub job_retention: Duration,
-    /// Within which a planned stop must be over.
+    /// Time limit of a planned stop.
     pub stop_limit: Duration,
 }
 
 /// How the provider of the site's machines is called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProviderSettings {
-    /// Where it listens.
+    /// Address where it listens.
     pub address: SocketAddr,
-    /// Calls that it takes in a second from all machines of the site together.
+    /// Calls per second that it accepts from all machines of the site together.
     pub calls_per_second: f64,
-    /// Reports of usage that the site owes it.
+    /// Usage reports that the site owes the provider.
     pub usage: Option<UsageDuty>,
-    /// Whether the number of servers is ordered from it.
+    /// Whether the number of servers is ordered from the provider.
     pub orders_servers: bool,
 }
 
 impl CoordinatorSettings {
-    /// Where this process listens for the site's own processes.
+    /// Returns the address where the site's own processes reach this process.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_port)
     }
 
-    /// Silence after which a server leaves the registry.
+    /// Returns the silence after which a server leaves the registry.
     pub(crate) fn server_expiry(&self) -> Duration {
         self.server_heartbeat * SERVER_EXPIRY_HEARTBEATS
     }
 
-    /// Time that a new leader leaves to the orders of the one before.
+    /// Returns how long a new leader waits for the orders of the one before to expire.
     pub(crate) fn order_handover(&self) -> Duration {
         self.order_validity + HANDOVER_MARGIN
     }
 
-    /// How long an ended job is remembered.
+    /// Returns how long an ended job is kept.
     pub(crate) fn job_expiry(&self) -> Duration {
         self.job_retention + RETENTION_MARGIN
     }
 
-    /// Where the seeds listen for the site's own processes, in ascending order.
+    /// Returns the addresses where the seeds listen for the site's own processes, in ascending
+    /// order.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self
             .seeds
--- a/crates/gateways/wingshore-coordinator/src/spool.rs
+++ b/crates/gateways/wingshore-coordinator/src/spool.rs
@@ -1,8 +1,9 @@
-//! Snapshots that are received gather in a file: a state of many megabytes need not be in memory
+//! Files that received snapshots are written to, so that a state of many megabytes is not in memory
 //! beside the one that it replaces.
 //!
-//! Owns the folder `incoming` of the data folder. Nothing there survives the process: a file is removed
-//! with the last use of its snapshot, and what an earlier process left is removed at the start.
+//! Owns the folder `incoming` of the data folder. Its files do not outlive the process: a file is
+//! removed with the last use of its snapshot, and files of an earlier process are removed at the
+//! start.
 
 use slog::{Logger, warn};
 use std::fmt::{self, Debug, Formatter};
@@ -14,19 +15,19 @@
 use wingshore_types::snapshot_data::{FrozenState, SnapshotData, SnapshotState};
 use wingshore_types::snapshot_spool::{SnapshotSpool, SpooledSnapshot};
 
-/// Name of the folder in the data folder.
+/// Name of the folder within the data folder.
 const FOLDER: &str = "incoming";
 
-/// Gathers snapshots in files of its folder. Nothing there survives the process.
+/// Writes received snapshots to files of its folder, which do not outlive the process.
 pub struct FileSpool {
     fs: Arc<dyn FileSystem>,
     folder: PathBuf,
-    begun: AtomicU64,
+    created: AtomicU64,
     logger: Logger,
 }
 
 impl FileSpool {
-    /// Opens the folder and removes what an earlier process left there.
+    /// Opens the folder, and removes the files of an earlier process.
     ///
     /// # Errors
     /// When the disk fails.
@@ -48,11 +49,11 @@
             fs.remove(&folder.join(name))
                 .map_err(|source| failed("remove from", source))?;
         }
-        let begun = AtomicU64::new(0);
+        let created = AtomicU64::new(0);
         Ok(Self {
             fs,
             folder,
-            begun,
+            created,
             logger,
         })
     }
@@ -66,14 +67,14 @@
 
 impl SnapshotSpool for FileSpool {
     fn begin(&self) -> io::Result<Box<dyn SpooledSnapshot>> {
-        let number = self.begun.fetch_add(1, Ordering::Relaxed);
+        let number = self.created.fetch_add(1, Ordering::Relaxed);
         let spool_file = SpoolFile {
             fs: Arc::clone(&self.fs),
             path: self.folder.join(number.to_string()),
             logger: self.logger.clone(),
         };
         let file = spool_file.logged(self.fs.create(&spool_file.path))?;
-        Ok(Box::new(Spooled {
+        Ok(Box::new(PartialSnapshot {
             spool_file,
             file,
             length: 0,
@@ -81,7 +82,7 @@
     }
 }
 
-/// A file that goes when nothing needs it any more.
+/// File of a snapshot, which is removed on drop.
 struct SpoolFile {
     fs: Arc<dyn FileSystem>,
     path: PathBuf,
@@ -89,7 +90,7 @@
 }
 
 impl SpoolFile {
-    /// Passes a result on, and logs an error.
+    /// Returns the result, and logs its error.
     fn logged<T>(&self, result: io::Result<T>) -> io::Result<T> {
         if let Err(error) = &result {
             warn!(self.logger, "a received state cannot be gathered";
@@ -102,25 +103,25 @@
 impl Drop for SpoolFile {
     fn drop(&mut self) {
         if let Err(error) = self.fs.remove(&self.path) {
-            warn!(self.logger, "a received state is not removed"; "error" => %error);
+            warn!(self.logger, "a received state file cannot be removed"; "error" => %error);
         }
     }
 }
 
-/// A snapshot that is being received.
-struct Spooled {
+/// Snapshot that is being received.
+struct PartialSnapshot {
     spool_file: SpoolFile,
     file: Box<dyn File>,
     length: u64,
 }
 
-impl Debug for Spooled {
+impl Debug for PartialSnapshot {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         write!(formatter, "Spooled({} bytes)", self.length)
     }
 }
 
-impl SpooledSnapshot for Spooled {
+impl SpooledSnapshot for PartialSnapshot {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let appended = self.file.append(bytes);
         self.spool_file.logged(appended)?;
@@ -131,7 +132,7 @@
     fn finish(self: Box<Self>) -> io::Result<SnapshotData> {
         let opened = self.spool_file.fs.open_to_read(&self.spool_file.path);
         let file = self.spool_file.logged(opened)?;
-        let received = Received {
+        let received = ReceivedSnapshot {
             range: Arc::new(FileRange::new(file, 0, self.length)),
             _spool_file: self.spool_file,
         };
@@ -139,13 +140,13 @@
     }
 }
 
-/// A snapshot that was received whole; its file goes with it.
-struct Received {
+/// Snapshot that was received completely; its file is removed with it.
+struct ReceivedSnapshot {
     range: Arc<FileRange>,
     _spool_file: SpoolFile,
 }
 
-impl FrozenState for Received {
+impl FrozenState for ReceivedSnapshot {
     fn length(&self) -> u64 {
         self.range.length()
     }
--- a/crates/gateways/wingshore-coordinator/src/text_queue.rs
+++ b/crates/gateways/wingshore-coordinator/src/text_queue.rs
@@ -1,32 +1,34 @@
-//! Which texts of results leave memory, and who waits for that. A decision without I/O.
+//! Which result texts are moved out of memory, and which callers wait for that. A decision without
+//! I/O.
 //!
-//! Question: which texts move to disk now, and does whoever brings a text wait? Inputs: the bytes
-//! of the texts in memory, oldest first; the budget in bytes; since when a batch is being moved;
-//! whether the last attempt failed. Rule: beyond the budget the oldest texts move, in batches of
-//! [`MAX_BATCH_BYTES`], until an eighth of the budget is free. Beyond the budget by a quarter
-//! whoever brings one waits for the batch, unless the disk has failed or hangs; then texts stay in
-//! memory and are tried again. Why: memory is bounded by the settings and not by how long a site
-//! has run, and a slow disk costs memory before it costs time.
+//! Question: which texts are moved to disk now, and does the caller that adds a text wait? Inputs:
+//! the sizes of the texts in memory, oldest first; the budget in bytes; since when a batch is being
+//! moved; whether the last attempt failed. Rule: beyond the budget the oldest texts are moved, in
+//! batches of [`MAX_BATCH_BYTES`], until an eighth of the budget is free. A caller that adds a text
+//! waits for the batch where the budget is exceeded by a quarter, unless the disk has failed or
+//! hangs; then texts stay in memory, and the move is retried. Why: memory is bounded by the
+//! settings and not by how long a site has run, and a slow disk costs memory before it costs time.
 //!
-//! A text that was released is noticed only when it is the oldest; until then its bytes count.
+//! A released text is noticed only when it is the oldest; its bytes count until then.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 use wingshore_coordination::{PackedText, TextPlace};
 
-/// Bytes that are moved with one sync: long enough for a disk's speed, short beside the budget.
+/// Size of a batch in bytes, moved with one sync: large enough for the throughput of a disk, small
+/// compared with the budget.
 const MAX_BATCH_BYTES: usize = 512 << 10;
-/// Texts move until this part of the budget is free, so that not each text brings on a sync.
-const FREED_PART: usize = 8;
-/// Beyond the budget by this part of it, whoever brings more waits.
-const TOLERATED_PART: usize = 4;
-/// A batch that takes longer than this to be moved is on a disk that hangs: a hundred times what a
-/// sync takes.
-const HANGING_AFTER: Duration = Duration::from_millis(100);
+/// Divisor of the budget that gives the part to free, so that not every text causes a sync.
+const FREED_DIVISOR: usize = 8;
+/// Divisor of the budget that gives the excess from which on callers that add texts wait.
+const EXCESS_DIVISOR: usize = 4;
+/// Time after which a disk counts as hanging while it moves a batch: a hundred times the time of a
+/// sync.
+const HANG_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A text in memory, and its bytes.
-struct HeldText {
+/// Text in memory, with its size in bytes.
+struct QueuedText {
     text: Weak<PackedText>,
     bytes: usize,
 }
@@ -35,33 +37,33 @@
 pub(crate) struct TextQueue {
     /// Bytes that may stay in memory.
     budget: usize,
-    texts: VecDeque<HeldText>,
-    /// Sum of their bytes, with those of the batch that is being moved.
+    texts: VecDeque<QueuedText>,
+    /// Total size of these texts and of the batch that is being moved, in bytes.
     bytes: usize,
     /// Whether the last attempt to move texts failed.
-    is_stuck: bool,
+    has_failed: bool,
     /// Since when a batch is being moved.
     moving_since: Option<Instant>,
 }
 
 impl TextQueue {
-    /// No texts yet.
+    /// Creates a queue without texts.
     pub(crate) fn new(budget: usize) -> Self {
         Self {
             budget,
             texts: VecDeque::new(),
             bytes: 0,
-            is_stuck: false,
+            has_failed: false,
             moving_since: None,
         }
     }
 
-    /// Bytes of the texts in memory, with those of texts that were released and not yet noticed.
+    /// Returns the size of the texts in memory, including released texts that were not noticed yet.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes that may stay in memory.
+    /// Returns how many bytes may stay in memory.
     pub(crate) fn budget(&self) -> usize {
         self.budget
     }
@@ -69,44 +71,44 @@
     /// Adds a text that is in memory.
     pub(crate) fn push(&mut self, text: &Arc<PackedText>, bytes: usize) {
         self.bytes += bytes;
-        self.texts.push_back(HeldText {
+        self.texts.push_back(QueuedText {
             text: Arc::downgrade(text),
             bytes,
         });
     }
 
-    /// Whether texts are to move to disk.
+    /// Returns whether texts must be moved to disk.
     pub(crate) fn is_over_budget(&self) -> bool {
         self.bytes > self.budget
     }
 
-    /// Whether there is so much that a start waits before it brings more.
-    pub(crate) fn is_crowded(&self) -> bool {
-        self.bytes > self.budget + self.budget / TOLERATED_PART && !self.is_stuck
+    /// Returns whether the budget is exceeded so far that a start waits before it adds more texts.
+    pub(crate) fn is_over_limit(&self) -> bool {
+        self.bytes > self.budget + self.budget / EXCESS_DIVISOR && !self.has_failed
     }
 
-    /// Whether it is crowded, and there is soon to be room.
-    pub(crate) fn makes_room(&self, now: Instant) -> bool {
-        let hangs = |since| now.saturating_duration_since(since) >= HANGING_AFTER;
-        self.is_crowded() && !self.moving_since.is_some_and(hangs)
+    /// Returns whether the limit is exceeded and the disk is expected to free memory soon.
+    pub(crate) fn should_wait(&self, now: Instant) -> bool {
+        let is_hanging = |since| now.saturating_duration_since(since) >= HANG_TIMEOUT;
+        self.is_over_limit() && !self.moving_since.is_some_and(is_hanging)
     }
 
-    /// Takes out the oldest texts, as many as free a part of the budget and go with one sync. Their
-    /// bytes go on counting until they are moved.
+    /// Removes the oldest texts, as many as free part of the budget and fit into one batch. Their
+    /// bytes count until they are moved.
     pub(crate) fn take_batch(&mut self, now: Instant) -> Vec<Arc<PackedText>> {
-        let target = self.budget - self.budget / FREED_PART;
+        let target = self.budget - self.budget / FREED_DIVISOR;
         let mut batch = Vec::new();
         let mut taken = 0;
         while self.bytes - taken > target && taken < MAX_BATCH_BYTES {
-            let Some(held) = self.texts.pop_front() else {
+            let Some(queued) = self.texts.pop_front() else {
                 break;
             };
-            match held.text.upgrade() {
+            match queued.text.upgrade() {
                 Some(text) => {
-                    taken += held.bytes;
+                    taken += queued.bytes;
                     batch.push(text);
                 }
-                None => self.bytes -= held.bytes,
+                None => self.bytes -= queued.bytes,
             }
         }
         if !batch.is_empty() {
@@ -115,20 +117,20 @@
         batch
     }
 
-    /// A batch is on disk.
+    /// Records that a batch of `bytes` bytes is on disk.
     pub(crate) fn moved(&mut self, bytes: usize) {
         self.bytes = self.bytes.saturating_sub(bytes);
-        self.is_stuck = false;
+        self.has_failed = false;
         self.moving_since = None;
     }
 
-    /// A batch could not be moved: its texts are the oldest again.
+    /// Puts back a batch that could not be moved: its texts are the oldest again.
     pub(crate) fn put_back(&mut self, batch: &[Arc<PackedText>]) {
-        self.is_stuck = true;
+        self.has_failed = true;
         self.moving_since = None;
         for text in batch.iter().rev() {
             if let TextPlace::Memory(bytes) = text.place() {
-                self.texts.push_front(HeldText {
+                self.texts.push_front(QueuedText {
                     text: Arc::downgrade(text),
                     bytes: bytes.len(),
                 });
--- a/crates/gateways/wingshore-coordinator/src/texts.rs
+++ b/crates/gateways/wingshore-coordinator/src/texts.rs
@@ -1,9 +1,9 @@
-//! The store of texts of results: the newest in memory, within a budget; the others on disk.
+//! Store of result texts: the newest in memory, within a budget, and the others on disk.
 //!
-//! Owns the files of texts of one member and the thread that moves the oldest texts there, so that
-//! a slow disk holds up nobody. Relies on [`TextQueue`] for which texts move and who waits, and on
-//! the log: it holds each text until a snapshot that names the text's file is durable, so that a
-//! text is lost neither with memory nor with a file.
+//! Owns the text files of one member and the thread that moves the oldest texts to them, so that a
+//! slow disk delays no other work. Relies on [`TextQueue`] for which texts are moved and who waits.
+//! Relies on the log to hold each text until a snapshot that refers to the text's file is durable,
+//! so that a text is lost neither with the memory nor with a file.
 
 use crate::text_queue::TextQueue;
 use slog::{Logger, info, warn};
@@ -17,14 +17,15 @@
 use wingshore_storage::{BlobFiles, BlobWriter, FileSystem, StorageError, StoredBlob};
 use wingshore_types::blob::{Blob, BlobPlace};
 
-/// Name of the folder of texts in the data folder.
+/// Name of the folder of texts within the data folder.
 const FOLDER: &str = "texts";
-/// Longest wait of one who brings a single text: the loop that it runs in has others to answer.
-const WAIT_FOR_ONE: Duration = Duration::from_millis(20);
-/// Between attempts to move texts after a failure.
+/// Longest time that a caller waits when it adds a single text: it runs in the event loop, which
+/// serves others too.
+const MAX_INSERT_WAIT: Duration = Duration::from_millis(20);
+/// Time between attempts to move texts after a failure.
 const MOVE_RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What the thread that moves texts and those who bring them share.
+/// State that the moving thread shares with the callers that add texts.
 struct State {
     queue: TextQueue,
     /// Whether a snapshot has become durable since files were last removed.
@@ -33,13 +34,13 @@
 }
 
 impl State {
-    fn is_crowded(&self) -> bool {
-        self.queue.is_crowded() && !self.is_closed
+    fn is_over_limit(&self) -> bool {
+        self.queue.is_over_limit() && !self.is_closed
     }
 
-    /// Whether there is soon to be room.
-    fn makes_room(&self) -> bool {
-        self.queue.makes_room(Instant::now()) && !self.is_closed
+    /// Returns whether memory is expected to be freed soon.
+    fn should_wait(&self) -> bool {
+        self.queue.should_wait(Instant::now()) && !self.is_closed
     }
 }
 
@@ -50,13 +51,13 @@
     logger: Logger,
 }
 
-/// The store of texts of one member. Its thread ends with it.
+/// Store of the texts of one member. Dropping it ends its thread.
 pub struct TextArchive {
     shared: Arc<Shared>,
 }
 
 impl TextArchive {
-    /// Bytes of the texts in memory, with those of texts that were released and not yet noticed.
+    /// Returns the size of the texts in memory, including released texts that were not noticed yet.
     pub fn bytes_in_memory(&self) -> usize {
         self.shared.state().queue.bytes()
     }
@@ -113,13 +114,13 @@
         Ok(Self { shared })
     }
 
-    /// Removes files that the snapshot on disk, which was just restored, does not refer to.
+    /// Removes the files to which the snapshot on disk, which was just restored, does not refer.
     pub fn remove_unreferenced(&self) {
         let logger = &self.shared.logger;
         match self.shared.files.remove_unreferenced() {
             Ok(0) => {}
-            Ok(count) => info!(logger, "files of texts removed"; "files" => count),
-            Err(error) => warn!(logger, "files of texts not removed"; "error" => %error),
+            Ok(count) => info!(logger, "unreferenced text files removed"; "files" => count),
+            Err(error) => warn!(logger, "text files cannot be removed"; "error" => %error),
         }
     }
 }
@@ -141,17 +142,17 @@
         if state.queue.is_over_budget() {
             self.shared.changed.notify_all();
         }
-        if state.makes_room() {
-            let makes_room = |state: &mut State| state.makes_room();
+        if state.should_wait() {
+            let should_wait = |state: &mut State| state.should_wait();
             let changed = &self.shared.changed;
-            drop(changed.wait_timeout_while(state, WAIT_FOR_ONE, makes_room));
+            drop(changed.wait_timeout_while(state, MAX_INSERT_WAIT, should_wait));
         }
     }
 
     fn wait_for_room(&self) {
-        let is_crowded = |state: &mut State| state.is_crowded();
+        let is_over_limit = |state: &mut State| state.is_over_limit();
         let state = self.shared.state();
-        drop(self.shared.changed.wait_while(state, is_crowded));
+        drop(self.shared.changed.wait_while(state, is_over_limit));
     }
 
     fn find(&self, place: BlobPlace) -> io::Result<Arc<dyn Blob>> {
@@ -171,7 +172,7 @@
     }
 }
 
-/// The thread that moves texts to disk.
+/// Thread that moves texts to disk.
 struct Mover {
     shared: Arc<Shared>,
     writer: BlobWriter,
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Waits for texts to move; none of them when files may be removed. `None` at the end.
+    /// Waits for texts to move. Returns an empty batch when files may be removed, and `None` when
+    /// the store is closed.
     fn next_batch(&self) -> Option<Vec<Arc<PackedText>>> {
         let mut state = self.shared.state();
         loop {
@@ -238,12 +240,12 @@
     fn remove_released(&self) {
         let logger = &self.shared.logger;
         if let Err(error) = self.shared.files.remove_released() {
-            warn!(logger, "files of texts not removed"; "error" => %error);
+            warn!(logger, "text files cannot be removed"; "error" => %error);
         }
     }
 }
 
-/// A text on disk that logs when it cannot be read: not all who read it can.
+/// Text on disk that logs read errors, since not all of its readers can.
 struct LoggedBlob {
     blob: StoredBlob,
     shared: Arc<Shared>,
--- a/crates/gateways/wingshore-coordinator/src/view_feed.rs
+++ b/crates/gateways/wingshore-coordinator/src/view_feed.rs
@@ -1,16 +1,15 @@
-//! Which gateways are sent which part of the view. A decision without I/O.
+//! Which parts of the view are sent to which gateways. A decision without I/O.
 //!
-//! Question: what is a gateway sent now: changes, the whole view, or nothing yet? Inputs: this
-//! member's copy of the state and the last entry applied to it; up to which entry of the log each
-//! gateway accounts for; the bytes that wait on its link. Rule: a gateway that knows the view as of
-//! some entry is sent what has changed behind it; one that knows nothing, or has missed more than
-//! is remembered, is sent the whole. One whose link is full is sent nothing until it has drained,
-//! then what is new at that time; at most [`MAX_WHOLE_VIEWS_UNDER_WAY`] whole views are on their
-//! way. An encoded whole view is used again together with the changes behind it while those are
-//! few.
+//! Question: is a gateway sent changes, the whole view, or nothing for now? Inputs: this member's
+//! copy of the state and the last entry applied to it; the log entry up to which each gateway knows
+//! the view; the bytes that wait on its link. Rule: a gateway that knows the view as of some entry
+//! is sent the changes after it; one that knows nothing, or lacks more changes than are remembered,
+//! is sent the whole view. A gateway whose link is full is sent nothing until the link has drained,
+//! then what is new at that time. At most [`MAX_WHOLE_VIEWS_IN_FLIGHT`] whole views are in flight.
+//! An encoded whole view is reused together with the changes after it while those are few.
 //!
 //! Why: a change of leader costs nothing here, and after a restart of a whole site all members send
-//! the view at once. A copy that lags sends what it has: gateways leave a member that lags 0.7 s
+//! the view at once. A copy that lags sends what it has: gateways leave a member that lags by 0.7 s
 //! for another.
 
 use bytes::Bytes;
@@ -21,50 +20,52 @@
 use wingshore_net::frame;
 use wingshore_types::LogIndex;
 
-/// A gateway is sent nothing new while more bytes than this wait for it: what changes meanwhile is
-/// sent once, as it is then. It is 35 ms on a link of 60 Mbit/s.
+/// Bytes waiting for a gateway beyond which it is sent nothing new; changes meanwhile are sent
+/// once, in their latest state. Sending them takes 35 ms on a link of 60 Mbit/s.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
-/// Gateways that are sent the whole view at a time. The others wait: the first ones then have it after a
-/// few ms, where all would have it after seconds if they shared the link.
-const MAX_WHOLE_VIEWS_UNDER_WAY: usize = 16;
-/// An encoded view is sent together with what has changed since, as long as that is no more than
-/// one part in so many of its servers: encoding 10,000 servers takes milliseconds, and while a
-/// site's servers register, each gateway would ask for another state of them.
-const REENCODED_FROM: usize = 8;
-
-/// Where the bytes go.
+/// Gateways that are sent the whole view at a time. The others wait: the first ones then have it
+/// after a few ms, whereas all would have it only after seconds if they shared the link.
+const MAX_WHOLE_VIEWS_IN_FLIGHT: usize = 16;
+/// Divisor of the number of servers that gives how many changes may be sent together with an
+/// encoded view before it is encoded again. Encoding 10,000 servers takes milliseconds, and while
+/// the servers of a site register, each gateway would need a view of another state.
+const REENCODE_DIVISOR: usize = 8;
+
+/// Links to the gateways.
 pub trait FeedLinks<K> {
-    /// Bytes that wait for a gateway.
+    /// Returns how many bytes wait for a gateway.
     fn queued(&self, link: K) -> usize;
     /// Queues a frame.
     fn send(&mut self, link: K, frame: &Bytes);
 }
 
-/// The copy of the state that is sent.
+/// Copy of the state from which the view is sent.
 #[derive(Clone, Copy)]
 pub struct FeedSource<'a> {
     /// The state.
     pub state: &'a CoordinationState,
-    /// The last entry that is applied to it.
+    /// Last entry that was applied to it.
     pub applied: LogIndex,
 }
 
-/// The gateways that follow the view here, by their links.
+/// Gateways that follow the view at this member, by their links.
 ///
-/// Invariant: `known` of a link is an entry that its gateway accounts for once it has read all that
-/// was queued for it.
+/// Invariant: `known` of a link is the entry up to which its gateway knows the view once it has
+/// read all queued frames.
 pub struct ViewFeed<K> {
     known: BTreeMap<K, Option<LogIndex>>,
-    /// Links that may lack something.
+    /// Links that may lack changes.
     behind: BTreeSet<K>,
-    /// Links on which a whole view is under way.
-    whole_under_way: BTreeSet<K>,
-    /// The changes as of the last call.
-    seen: KnownChanges,
-    whole: Option<EncodedWhole>,
+    /// Links on which a whole view is in flight.
+    whole_in_flight: BTreeSet<K>,
+    /// Known changes of the state at the last call.
+    last_changes: KnownChanges,
+    /// Last encoded whole view.
+    whole: Option<EncodedView>,
 }
 
-struct EncodedWhole {
+/// Encoded whole view, and the entry up to which it is current.
+struct EncodedView {
     revision: LogIndex,
     frame: Bytes,
 }
@@ -74,50 +75,50 @@
         Self {
             known: BTreeMap::new(),
             behind: BTreeSet::new(),
-            whole_under_way: BTreeSet::new(),
-            seen: KnownChanges::default(),
+            whole_in_flight: BTreeSet::new(),
+            last_changes: KnownChanges::default(),
             whole: None,
         }
     }
 }
 
 impl<K: Copy + Ord> ViewFeed<K> {
-    /// A gateway follows the view here; it accounts for all entries up to `since`.
+    /// Adds a gateway, which knows the view up to entry `since`.
     pub fn follow(&mut self, link: K, since: Option<LogIndex>) {
         self.known.insert(link, since);
         self.behind.insert(link);
     }
 
-    /// A gateway does not follow the view here any more.
+    /// Removes a gateway.
     pub fn leave(&mut self, link: K) {
         self.known.remove(&link);
         self.behind.remove(&link);
-        self.whole_under_way.remove(&link);
+        self.whole_in_flight.remove(&link);
     }
 
-    /// How many gateways follow.
+    /// Returns the number of gateways.
     pub fn followers(&self) -> usize {
         self.known.len()
     }
 
-    /// Sends each gateway what is new.
+    /// Sends each gateway the changes that it lacks.
     ///
     /// # Errors
-    /// When the codec cannot encode it.
+    /// When the codec cannot encode them.
     pub fn send_changes(
         &mut self,
         source: FeedSource<'_>,
         links: &mut impl FeedLinks<K>,
     ) -> Result<(), postcard::Error> {
         let changes = source.state.known_view_changes();
-        if changes != self.seen {
-            self.seen = changes;
+        if changes != self.last_changes {
+            self.last_changes = changes;
             self.behind.extend(self.known.keys());
         }
         if self.behind.is_empty() {
             return Ok(());
         }
-        self.whole_under_way.retain(|link| links.queued(*link) > 0);
+        self.whole_in_flight.retain(|link| links.queued(*link) > 0);
         let mut frames = ChangeFrames::new(source);
         for link in std::mem::take(&mut self.behind) {
             if !self.send_to(link, &mut frames, links)? {
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Sends gateways that lack nothing the entry that this copy has reached.
+    /// Sends the gateways that lack no change the last entry that was applied to this copy.
     ///
     /// # Errors
     /// When the codec cannot encode it.
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Sends one gateway what it lacks; says whether that was all.
+    /// Sends one gateway what it lacks. Returns whether that was everything.
     fn send_to(
         &mut self,
         link: K,
@@ -170,13 +171,13 @@
             self.known.insert(link, Some(frames.source.applied));
             return Ok(true);
         }
-        if self.whole_under_way.len() >= MAX_WHOLE_VIEWS_UNDER_WAY {
+        if self.whole_in_flight.len() >= MAX_WHOLE_VIEWS_IN_FLIGHT {
             return Ok(false);
         }
         let whole = self.whole(frames.source)?;
         links.send(link, &whole.frame);
         let revision = whole.revision;
-        self.whole_under_way.insert(link);
+        self.whole_in_flight.insert(link);
         if revision < frames.source.applied
             && let Some(frame) = frames.since(revision)?
         {
@@ -186,16 +187,16 @@
         Ok(true)
     }
 
-    /// The whole view, encoded now or a short while ago.
-    fn whole(&mut self, source: FeedSource<'_>) -> Result<&EncodedWhole, postcard::Error> {
-        let most = source.state.servers().len() / REENCODED_FROM;
-        let is_recent = |whole: &EncodedWhole| {
+    /// Returns the encoded whole view, which is encoded again only if too much has changed.
+    fn whole(&mut self, source: FeedSource<'_>) -> Result<&EncodedView, postcard::Error> {
+        let max_changes = source.state.servers().len() / REENCODE_DIVISOR;
+        let is_recent = |whole: &EncodedView| {
             let changed = source.state.view_change_count(whole.revision);
-            changed.is_some_and(|changed| changed <= most)
+            changed.is_some_and(|changed| changed <= max_changes)
         };
         let encoded = match self.whole.take().filter(is_recent) {
             Some(encoded) => encoded,
-            None => EncodedWhole {
+            None => EncodedView {
                 revision: source.applied,
                 frame: encode(source.applied, ViewContent::Whole(source.state.view()))?,
             },
@@ -204,7 +205,7 @@
     }
 }
 
-/// Frames of changes, each encoded once for all that lack the same.
+/// Frames with changes, each encoded once for all gateways that lack the same ones.
 struct ChangeFrames<'a> {
     source: FeedSource<'a>,
     by_since: BTreeMap<LogIndex, Option<Bytes>>,
@@ -218,13 +219,13 @@
         }
     }
 
-    /// What has changed behind `since`; `None` where that is not known any more.
+    /// Returns the frame with the changes after `since`, or `None` where these are no longer known.
     fn since(&mut self, since: LogIndex) -> Result<Option<Bytes>, postcard::Error> {
         if let Some(known) = self.by_since.get(&since) {
             return Ok(known.clone());
         }
         let FeedSource { state, applied } = self.source;
-        // A copy that was just restored knows no changes, but none can be behind its last entry.
+        // A copy that was just restored knows no changes, but there are none after its last entry.
         let changes = match state.view_changes(since) {
             Some(changes) => Some(changes),
             None => (since >= applied).then(Vec::new),
--- a/crates/gateways/wingshore-coordinator/src/writer.rs
+++ b/crates/gateways/wingshore-coordinator/src/writer.rs
@@ -1,8 +1,8 @@
-//! The thread that makes the group's writes durable.
+//! Thread that makes the group's writes durable.
 //!
-//! Owns the log on disk. Writes become durable in the order in which they were asked for. A full disk
-//! is waited out; any other error is the last event, and the process ends: a member that cannot write
-//! must not vote.
+//! Owns the log on disk. Writes become durable in the order of their requests. A full disk is
+//! retried until there is space. Any other error is the last event, and the process ends: a member
+//! that cannot write must not vote.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use slog::{Logger, warn};
@@ -12,35 +12,35 @@
 use wingshore_storage::{PatientStore, StorageError};
 use wingshore_types::log::WriteBatch;
 
-/// Between attempts to write on a full disk.
+/// Time between attempts to write to a full disk.
 const FULL_DISK_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Waits for space on a full disk.
+/// Logs that the disk is full, and waits until the next attempt.
 pub(crate) fn wait_for_space(logger: &Logger, error: &StorageError) {
     warn!(logger, "the disk is full"; "error" => %error);
     thread::sleep(FULL_DISK_BACKOFF);
 }
 
-/// One write asked for.
+/// Requested write.
 struct WriteJob {
     token: u64,
     batch: WriteBatch,
 }
 
-/// What became of writes.
+/// Outcome of writes.
 pub(crate) enum WriteEvent {
     /// The write with this token, and all before it, are durable.
     Persisted {
-        /// Of the write.
+        /// Token of the write.
         token: u64,
-        /// From the begin of the write to its sync.
+        /// Time from the start of the write to the end of its sync.
         took: Duration,
     },
-    /// A write failed; nothing more will be written.
+    /// A write failed; no further write is attempted.
     Failed(StorageError),
 }
 
-/// Handle of the thread that writes.
+/// Handle of the writer thread.
 pub(crate) struct Writer {
     jobs: Sender<WriteJob>,
     events: Receiver<WriteEvent>,
@@ -61,13 +61,13 @@
         Ok(Self { jobs, events })
     }
 
-    /// Asks for a write.
+    /// Requests a write.
     pub(crate) fn write(&self, token: u64, batch: WriteBatch) {
-        // A thread that is gone has said why.
+        // A thread that has ended has already reported its error.
         let _ = self.jobs.send(WriteJob { token, batch });
     }
 
-    /// What has become of writes since the last call.
+    /// Returns the outcomes of writes since the last call.
     pub(crate) fn events(&self) -> impl Iterator<Item = WriteEvent> + '_ {
         self.events.try_iter()
     }
@@ -81,11 +81,11 @@
     logger: &Logger,
 ) {
     for job in jobs {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let event = match store.write(&job.batch, &mut |error| wait_for_space(logger, error)) {
             Ok(()) => WriteEvent::Persisted {
                 token: job.token,
-                took: begun.elapsed(),
+                took: started_at.elapsed(),
             },
             Err(error) => WriteEvent::Failed(error),
         };
--- a/crates/gateways/wingshore-coordinator/tests/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/tests/sent_states.rs
@@ -1,5 +1,5 @@
-//! What is told of the states that a leader sends: each begin and end, the progress once a second, and
-//! bytes that count once.
+//! Reports of the snapshots that a leader sends: each start and end, the progress once per second,
+//! and each byte counted once.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -32,21 +32,22 @@
 }
 
 #[gtest]
-fn begin_and_end_are_told_and_the_progress_once_a_second() {
+fn start_and_end_are_reported_and_the_progress_once_a_second() {
     let mut states = SentStates::default();
-    let seen = |states: &mut SentStates, millis| phases(states, at(millis), &[sending(0, 100, 0)]);
+    let phases_at =
+        |states: &mut SentStates, millis| phases(states, at(millis), &[sending(0, 100, 0)]);
     expect_that!(
-        seen(&mut states, 0),
+        phases_at(&mut states, 0),
         elements_are![eq(&SendingPhase::Started)]
     );
     for millis in (100..1_000).step_by(100) {
-        expect_that!(seen(&mut states, millis), is_empty());
+        expect_that!(phases_at(&mut states, millis), is_empty());
     }
     expect_that!(
-        seen(&mut states, 1_000),
+        phases_at(&mut states, 1_000),
         elements_are![eq(&SendingPhase::InProgress)]
     );
-    expect_that!(seen(&mut states, 1_100), is_empty());
+    expect_that!(phases_at(&mut states, 1_100), is_empty());
     expect_that!(states.receivers(), eq(1));
     expect_that!(states.bytes_left(), eq(1_000));
     expect_that!(
@@ -67,20 +68,20 @@
     expect_that!((third.sent, third.sent_again), eq((0, 0)));
 }
 
-/// A sending that begins anew for the same member is another one: what was sent before is told with its
-/// end.
+/// A sending that restarts for the same member is another one: the bytes sent before are reported
+/// with its end.
 #[gtest]
-fn a_sending_that_begins_anew_is_another_one() {
+fn a_restarted_sending_is_another_one() {
     let mut states = SentStates::default();
     states.update(at(0), &[sending(600, 900, 100)]);
     let update = states.update(at(100), &[sending(0, 100, 0)]);
-    let told: Vec<_> = update
+    let reported: Vec<_> = update
         .reports
         .iter()
         .map(|report| (report.phase, report.sending.sent))
         .collect();
     expect_that!(
-        told,
+        reported,
         eq(&vec![
             (SendingPhase::Ended, 900),
             (SendingPhase::Started, 100)
--- a/crates/gateways/wingshore-coordinator/tests/silence.rs
+++ b/crates/gateways/wingshore-coordinator/tests/silence.rs
@@ -1,5 +1,5 @@
-//! Whose silence it is: a coordinator that has stood still does not hold it against hundreds of
-//! gateways, whose words wait to be read.
+//! A coordinator that was stalled does not count that time as silence of its hundreds of gateways,
+//! whose messages wait to be read.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 }
 
 #[gtest]
-fn silence_counts_while_looks_come_in_time() {
+fn silence_counts_while_checks_come_in_time() {
     let mut detector = StallDetector::default();
     for step in 0..50 {
         expect_that!(detector.may_expire_peers(at(step * 130)), eq(true));
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn after_the_process_has_stood_still_others_have_time_to_be_heard() {
+fn silence_counts_only_some_time_after_a_stall() {
     let mut detector = StallDetector::default();
     detector.may_expire_peers(at(0));
     expect_that!(detector.may_expire_peers(at(1200)), eq(false));
