--- a/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/forwarded_heartbeats.rs
@@ -1,9 +1,11 @@
-//! Seen, by reading: a leader that takes longer than 0.8 s to answer a forwarded heartbeat is sent every
-//! heartbeat of that server whole for as long as it is slow. How it came about: the record of what was
-//! forwarded went with the answer to the server, so that the leader's answer, when it came, taught
-//! nothing, and the next heartbeat was new again. Cause: one time for two things, how long a caller
-//! waits and how long the answer is of use. Proved by the first test: 17 heartbeats of each server in
-//! 20 s, all of them forwarded whole to a leader that answers after 1 s.
+//! Heartbeats that are forwarded to a slow leader are forwarded once, and its late answers count.
+//!
+//! Guards against a fault found in review: a leader that took longer than 0.8 s to answer a
+//! forwarded heartbeat was sent every heartbeat of that server whole for as long as it was slow.
+//! One timeout served two purposes, how long a caller waits and how long the answer is of use: the
+//! record of the forwarded heartbeat was dropped with the answer to the server, so a late answer of
+//! the leader was ignored and the next heartbeat counted as new. The first test showed it: with a
+//! leader that answers after 1 s, all 17 heartbeats of each server in 20 s were forwarded whole.
 
 use googletest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,15 +16,16 @@
 };
 use wingshore_types::{Instant, ReplicaId};
 
-const INTERVAL: u64 = 1_200;
-/// Servers that are silent for so long leave the registry.
-const EXPIRY: Duration = Duration::from_millis(5 * INTERVAL);
-/// Between two turns of the simulation.
-const TURN: u64 = 50;
-/// Between two reports of servers that were heard of.
-const REPORT: u64 = 300;
-/// A caller is answered within this time: a server gives a call up after a second.
-const ANSWER_LIMIT: u64 = 900;
+/// Milliseconds between two heartbeats of a server.
+const HEARTBEAT_INTERVAL_MS: u64 = 1_200;
+/// Time after which silent servers leave the registry.
+const SERVER_EXPIRY: Duration = Duration::from_millis(5 * HEARTBEAT_INTERVAL_MS);
+/// Milliseconds between two turns of the simulation.
+const TURN_MS: u64 = 50;
+/// Milliseconds between two reports of active servers to the leader.
+const REPORT_INTERVAL_MS: u64 = 300;
+/// Milliseconds within which a caller must be answered: a server gives up a call after 1 s.
+const ANSWER_LIMIT_MS: u64 = 900;
 
 fn at(millis: u64) -> Instant {
     Instant::ZERO + Duration::from_millis(millis)
@@ -49,20 +52,20 @@
     link: 1,
 };
 
-/// What came of a call.
+/// Answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Answer {
     Done,
     Unavailable,
 }
 
-/// A coordinator that does not lead; a caller is named by a number of its own.
+/// Coordinator other than the leader. Each caller has a number of its own.
 struct Relay {
     known: HeartbeatRelay,
     forwarded: ForwardedHeartbeats<u64>,
 }
 
-/// What a heartbeat made a coordinator do.
+/// What a coordinator does with a heartbeat.
 enum Step {
     Answer(Answer),
     Forward(u64),
@@ -73,7 +76,7 @@
     fn new() -> Self {
         Self {
             known: HeartbeatRelay::default(),
-            forwarded: ForwardedHeartbeats::new(EXPIRY),
+            forwarded: ForwardedHeartbeats::new(SERVER_EXPIRY),
         }
     }
 
@@ -91,8 +94,9 @@
         }
     }
 
-    /// The leader has made durable what was forwarded under this number; gives whom that answers.
-    fn durable(&mut self, now: Instant, id: u64) -> Vec<u64> {
+    /// Handles the leader's answer that a forwarded heartbeat is durable; returns the callers that
+    /// it answers.
+    fn on_durable(&mut self, now: Instant, id: u64) -> Vec<u64> {
         let Some(forwarded) = self.forwarded.answered(id) else {
             return Vec::new();
         };
@@ -102,28 +106,31 @@
         forwarded.callers
     }
 
-    /// Whom to tell that nobody could acknowledge the heartbeat.
+    /// Returns the callers to answer that the heartbeat could not be acknowledged.
     fn take_timed_out(&mut self, now: Instant) -> Vec<u64> {
         self.forwarded.take_timed_out(now)
     }
 }
 
-/// What a simulation has shown.
+/// Result of a simulation.
 #[derive(Default)]
 struct Outcome {
-    /// Heartbeats forwarded whole, by server.
+    /// Number of heartbeats of each server that were forwarded whole.
     forwarded: BTreeMap<InstanceId, u32>,
-    /// When the leader last heard of each server, and its longest silence.
-    heard: BTreeMap<InstanceId, (u64, u64)>,
-    /// When each caller called that was not answered yet.
+    /// When the leader last learned of each server, and its longest silence, in milliseconds.
+    last_contact: BTreeMap<InstanceId, (u64, u64)>,
+    /// When each caller called that is not answered yet.
     waiting: BTreeMap<u64, u64>,
     longest_wait: u64,
     done: u32,
 }
 
 impl Outcome {
-    fn hear(&mut self, now: u64, instance: &InstanceId) {
-        let (last, silence) = self.heard.entry(instance.clone()).or_insert((now, 0));
+    fn record_contact(&mut self, now: u64, instance: &InstanceId) {
+        let (last, silence) = self
+            .last_contact
+            .entry(instance.clone())
+            .or_insert((now, 0));
         *silence = now.saturating_sub(*last).max(*silence);
         *last = now;
     }
@@ -136,17 +143,17 @@
     }
 }
 
-/// Servers that repeat their heartbeats through one coordinator to a leader that answers each forwarded
-/// one after `delay`.
+/// Simulates servers that send heartbeats through one coordinator to a leader that answers each
+/// forwarded one after `delay` milliseconds.
 fn simulate(servers: usize, seconds: u64, delay: u64) -> Outcome {
     let mut relay = Relay::new();
     let mut outcome = Outcome::default();
     let mut replies: VecDeque<(u64, u64)> = VecDeque::new();
     let mut caller = 0;
-    for now in (0..seconds * 1_000).step_by(TURN as usize) {
+    for now in (0..seconds * 1_000).step_by(TURN_MS as usize) {
         while let Some((_, id)) = replies.front().copied().filter(|(due, _)| *due <= now) {
             replies.pop_front();
-            for caller in relay.durable(at(now), id) {
+            for caller in relay.on_durable(at(now), id) {
                 outcome.answer(now, caller, Answer::Done);
             }
         }
@@ -154,68 +161,73 @@
             outcome.answer(now, caller, Answer::Unavailable);
         }
         for server in 0..servers {
-            let offset = server as u64 * TURN % INTERVAL;
-            if now % INTERVAL != offset {
+            let offset = server as u64 * TURN_MS % HEARTBEAT_INTERVAL_MS;
+            if now % HEARTBEAT_INTERVAL_MS != offset {
                 continue;
             }
             caller += 1;
             outcome.waiting.insert(caller, now);
-            let heartbeat = heartbeat(server, now / INTERVAL + 1);
+            let heartbeat = heartbeat(server, now / HEARTBEAT_INTERVAL_MS + 1);
             match relay.offer(at(now), caller, &heartbeat) {
                 Step::Answer(answer) => outcome.answer(now, caller, answer),
                 Step::Wait => {}
                 Step::Forward(id) => {
                     replies.push_back((now + delay, id));
                     let instance = heartbeat.server.instance;
-                    outcome.hear(now, &instance);
+                    outcome.record_contact(now, &instance);
                     *outcome.forwarded.entry(instance).or_default() += 1;
                 }
             }
         }
-        if now % REPORT == 0 {
-            for heard in relay.known.take_unchanged(at(now)) {
-                outcome.hear(now, &heard.instance);
+        if now % REPORT_INTERVAL_MS == 0 {
+            for unchanged in relay.known.take_unchanged(at(now)) {
+                outcome.record_contact(now, &unchanged.instance);
             }
         }
     }
     outcome
 }
 
-fn most_forwarded(outcome: &Outcome) -> u32 {
+fn max_forwarded(outcome: &Outcome) -> u32 {
     outcome.forwarded.values().copied().max().unwrap_or(0)
 }
 
 #[gtest]
-fn a_slow_leader_is_sent_what_a_server_says_once() {
+fn a_slow_leader_is_sent_each_record_once() {
     let outcome = simulate(200, 20, 1_000);
     expect_that!(outcome.forwarded.len(), eq(200));
-    expect_that!(most_forwarded(&outcome), eq(1));
+    expect_that!(max_forwarded(&outcome), eq(1));
 }
 
-/// Whatever the leader takes, servers are answered in time, and the leader hears of them.
+/// However long the leader takes, servers are answered in time, and the leader learns that they are
+/// alive.
 #[gtest]
-fn a_slow_leader_hears_of_all_servers_and_each_is_answered_in_time() {
+fn a_slow_leader_learns_of_all_servers_and_each_is_answered_in_time() {
     for delay in [0, 500, 1_000, 2_000, 7_000] {
         let outcome = simulate(200, 20, delay);
-        expect_that!(outcome.longest_wait, le(ANSWER_LIMIT), "delay {delay}");
-        let longest_silence = outcome.heard.values().map(|(_, silence)| *silence).max();
+        expect_that!(outcome.longest_wait, le(ANSWER_LIMIT_MS), "delay {delay}");
+        let longest_silence = outcome
+            .last_contact
+            .values()
+            .map(|(_, silence)| *silence)
+            .max();
         expect_that!(
             longest_silence,
-            some(le(INTERVAL + REPORT)),
+            some(le(HEARTBEAT_INTERVAL_MS + REPORT_INTERVAL_MS)),
             "delay {delay}"
         );
     }
 }
 
-/// One that needs longer than it takes until the same is repeated is sent it again only then, and its
-/// first answer ends that.
+/// A leader that answers only after the repeat interval is sent the same record again only then,
+/// and its first answer ends the repetition.
 #[gtest]
-fn a_leader_that_is_slower_still_is_sent_it_seldom_until_it_answers() {
+fn an_even_slower_leader_is_sent_each_record_rarely_until_it_answers() {
     for delay in [2_000, 4_000, 7_000] {
         let outcome = simulate(200, 20, delay);
-        let repeated = delay / (EXPIRY.as_millis() as u64 / 2);
+        let repeated = delay / (SERVER_EXPIRY.as_millis() as u64 / 2);
         expect_that!(
-            most_forwarded(&outcome),
+            max_forwarded(&outcome),
             le(1 + repeated as u32),
             "delay {delay}"
         );
@@ -223,36 +235,43 @@
     }
 }
 
-/// A heartbeat may be lost without a sign: it is forwarded again while the server is still registered.
+/// A heartbeat may be lost without an error: it is forwarded again while the server is still
+/// registered.
 #[gtest]
-fn what_the_leader_never_answers_is_forwarded_again_before_the_server_expires() {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn an_unanswered_heartbeat_is_forwarded_again_before_the_server_expires() {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     expect_that!(
         relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1)),
         eq(ForwardStep::Forward(0))
     );
     for beat in [1, 2] {
-        let now = at(beat * INTERVAL);
+        let now = at(beat * HEARTBEAT_INTERVAL_MS);
         relay.take_timed_out(now);
         let step = relay.offer(now, ROUTE, 1, &heartbeat(1, beat + 1));
         expect_that!(step, eq(ForwardStep::Wait { sequence: 1 }));
     }
-    let now = at(3 * INTERVAL);
+    let now = at(3 * HEARTBEAT_INTERVAL_MS);
     relay.take_timed_out(now);
     expect_that!(
         relay.offer(now, ROUTE, 1, &heartbeat(1, 4)),
         eq(ForwardStep::Forward(0))
     );
-    expect_that!(now.since(at(0)) + at(INTERVAL).since(at(0)), lt(EXPIRY));
+    expect_that!(
+        now.since(at(0)) + at(HEARTBEAT_INTERVAL_MS).since(at(0)),
+        lt(SERVER_EXPIRY)
+    );
 }
 
 #[gtest]
-fn a_heartbeat_that_waits_for_the_same_is_answered_with_it() -> Result<()> {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn a_heartbeat_with_the_same_record_is_answered_with_the_pending_one() -> Result<()> {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
     expect_that!(relay.take_timed_out(at(800)), eq(&vec![1]));
-    relay.offer(at(INTERVAL), ROUTE, 2, &heartbeat(1, 2));
-    expect_that!(relay.take_timed_out(at(INTERVAL + 700)), is_empty());
+    relay.offer(at(HEARTBEAT_INTERVAL_MS), ROUTE, 2, &heartbeat(1, 2));
+    expect_that!(
+        relay.take_timed_out(at(HEARTBEAT_INTERVAL_MS + 700)),
+        is_empty()
+    );
     let answered = relay.answered(0).or_fail()?;
     expect_that!(answered.callers, eq(&vec![2]));
     expect_that!(answered.newest, some(eq(&heartbeat(1, 1).server)));
@@ -260,11 +279,11 @@
     Ok(())
 }
 
-/// What a server says anew is forwarded at once, and an answer to what it said before neither
-/// acknowledges it nor tells what the registry holds.
+/// The answer to the heartbeat with the former record neither acknowledges the changed one nor
+/// shows what the registry holds.
 #[gtest]
-fn another_statement_is_forwarded_at_once_and_only_its_answer_counts() -> Result<()> {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn a_changed_record_is_forwarded_at_once_and_only_its_answer_counts() -> Result<()> {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     let mut changed = heartbeat(1, 2);
     changed.server.slots = 8;
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
@@ -281,10 +300,10 @@
     Ok(())
 }
 
-/// One that was under way for long does not take the place of what its server has said since.
+/// A heartbeat that was delayed does not replace a newer record of its server.
 #[gtest]
-fn an_older_heartbeat_that_comes_later_tells_nothing() -> Result<()> {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn the_answer_to_an_older_heartbeat_that_arrives_later_is_ignored() -> Result<()> {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     let mut changed = heartbeat(1, 2);
     changed.server.slots = 8;
     relay.offer(at(0), ROUTE, 1, &changed);
@@ -300,10 +319,11 @@
     Ok(())
 }
 
-/// A drain binds once it is acknowledged: only an answer to that very heartbeat, in time, counts.
+/// A drain is binding once it is acknowledged: only an answer in time to that very heartbeat
+/// counts.
 #[gtest]
-fn a_server_that_drains_is_forwarded_until_it_is_answered_in_time() {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn heartbeats_of_a_draining_server_are_forwarded_until_one_is_answered_in_time() {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
     let draining = |sequence| {
         let mut heartbeat = heartbeat(1, sequence);
@@ -311,7 +331,7 @@
         heartbeat
     };
     for beat in 1..4 {
-        let now = at(beat * INTERVAL);
+        let now = at(beat * HEARTBEAT_INTERVAL_MS);
         expect_that!(
             relay.offer(now, ROUTE, 1, &draining(beat + 1)),
             eq(ForwardStep::Forward(beat))
@@ -320,7 +340,7 @@
         expect_that!(relay.answered(beat), none());
     }
     for (soon, id) in [(0, 4), (300, 5)] {
-        let now = at(4 * INTERVAL + soon);
+        let now = at(4 * HEARTBEAT_INTERVAL_MS + soon);
         expect_that!(
             relay.offer(now, ROUTE, 1, &draining(id + 1)),
             eq(ForwardStep::Forward(id))
@@ -328,10 +348,10 @@
     }
 }
 
-/// What went to a leader that is lost is forwarded anew with the next heartbeat.
+/// Heartbeats whose leader is lost are forwarded with the next heartbeat of their server.
 #[gtest]
-fn what_was_forwarded_to_a_lost_leader_is_forwarded_anew() {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn heartbeats_forwarded_to_a_lost_leader_are_forwarded_again() {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
     relay.offer(at(0), ROUTE, 2, &heartbeat(2, 1));
     let other = LeaderRoute {
@@ -359,11 +379,11 @@
 
 /// A leader that never answers costs memory neither for long nor without bound.
 #[gtest]
-fn what_is_never_answered_is_forgotten_in_time_and_beyond_a_number() {
-    let mut relay = ForwardedHeartbeats::new(EXPIRY);
+fn unanswered_heartbeats_are_forgotten_after_a_time_and_beyond_a_number() {
+    let mut relay = ForwardedHeartbeats::new(SERVER_EXPIRY);
     relay.offer(at(0), ROUTE, 1, &heartbeat(1, 1));
     relay.take_timed_out(at(800));
-    relay.take_timed_out(at(0) + EXPIRY);
+    relay.take_timed_out(at(0) + SERVER_EXPIRY);
     expect_that!(relay.answered(0), none());
 
     let later = at(10_000);
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -25,7 +25,7 @@
 const NOW: Instant = Instant::ZERO;
 
 #[gtest]
-fn only_what_the_registry_does_not_hold_goes_to_the_leader() {
+fn only_records_that_the_registry_does_not_hold_go_to_the_leader() {
     let mut relay = HeartbeatRelay::default();
     expect_that!(
         relay.offer(NOW, &heartbeat(1, false)),
@@ -33,20 +33,20 @@
     );
     relay.acknowledged(NOW, heartbeat(1, false).server);
     for sequence in [2, 4, 3] {
-        let verdict = relay.offer(NOW, &heartbeat(sequence, false));
-        expect_that!(verdict, eq(HeartbeatAction::Acknowledge));
+        let action = relay.offer(NOW, &heartbeat(sequence, false));
+        expect_that!(action, eq(HeartbeatAction::Acknowledge));
     }
-    let heard = HeardServer {
+    let unchanged = HeardServer {
         instance: InstanceId::from("i-1"),
         sequence: 4,
     };
-    expect_that!(relay.take_unchanged(NOW), eq(&vec![heard]));
+    expect_that!(relay.take_unchanged(NOW), eq(&vec![unchanged]));
     expect_that!(relay.take_unchanged(NOW), is_empty());
 }
 
-/// A server that begins to drain is acknowledged by the leader: that binds the site.
+/// The leader must acknowledge the start of a drain, since that is binding for the site.
 #[gtest]
-fn a_server_that_drains_goes_to_the_leader() {
+fn the_first_heartbeat_of_a_draining_server_goes_to_the_leader() {
     let mut relay = HeartbeatRelay::default();
     relay.acknowledged(NOW, heartbeat(1, false).server);
     expect_that!(
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_server_that_the_leader_does_not_know_goes_to_it_whole() {
+fn heartbeats_of_a_server_unknown_to_the_leader_are_forwarded_whole() {
     let mut relay = HeartbeatRelay::default();
     relay.acknowledged(NOW, heartbeat(1, false).server);
     relay.forget(&[InstanceId::from("i-1")]);
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn servers_that_are_gone_are_forgotten() {
+fn silent_servers_are_forgotten() {
     let mut relay = HeartbeatRelay::default();
     relay.acknowledged(NOW, heartbeat(1, false).server);
     let later = NOW + Duration::from_secs(60);
--- a/crates/gateways/wingshore-coordinator/tests/membership.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which change the group's members need next.
+//! Which membership change the group needs next.
 
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use wingshore_types::protocol::membership::{Member, Membership, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A group of three as its leader, member 1, sees it.
+/// Group of three as its leader, member 1, sees it.
 struct Site {
     now: Instant,
     membership: Membership,
@@ -24,7 +24,7 @@
     ([10, 0, 0, machine as u8], 7700).into()
 }
 
-/// Each machine stands in a zone of its own, but those from 100 on: they share two.
+/// Returns the zone of a machine: one of its own, except that machines from 100 on share two zones.
 fn zone_of(machine: u64) -> String {
     match machine {
         100.. => format!("shared-{}", machine % 2),
@@ -56,13 +56,14 @@
             own_zone: zone_of(1),
             planner,
         };
-        site.hear(2, 2, 0);
-        site.hear(3, 3, 0);
+        site.record_contact(2, 2, 0);
+        site.record_contact(3, 3, 0);
         site
     }
 
-    /// Machine `machine` with identity `id` was last heard of `ago` milliseconds ago.
-    fn hear(&mut self, id: u64, machine: u64, ago: u64) {
+    /// Records that machine `machine` with identity `id` was last heard from `ago` milliseconds
+    /// ago.
+    fn record_contact(&mut self, id: u64, machine: u64, ago: u64) {
         let joiner = KnownCoordinator {
             id: ReplicaId(id),
             address: address(machine),
@@ -90,14 +91,14 @@
 }
 
 #[gtest]
-fn a_whole_group_needs_no_change() {
+fn a_healthy_group_needs_no_change() {
     expect_that!(Site::new().plan(), none());
 }
 
 #[gtest]
-fn a_silent_voter_stays_while_nobody_can_take_its_place() {
+fn a_silent_voter_stays_while_no_learner_can_replace_it() {
     let mut site = Site::new();
-    site.hear(3, 3, 20_000);
+    site.record_contact(3, 3, 20_000);
     expect_that!(site.plan(), none());
 }
 
@@ -105,7 +106,7 @@
 fn an_empty_disk_at_a_known_address_replaces_the_member_there() {
     let mut site = Site::new();
     site.known_coordinators.remove(&ReplicaId(3));
-    site.hear(99, 3, 0);
+    site.record_contact(99, 3, 0);
     expect_that!(
         site.plan(),
         some(eq(&MembershipRequest::Remove(ReplicaId(3))))
@@ -125,10 +126,10 @@
 }
 
 #[gtest]
-fn a_machine_at_a_new_address_takes_the_place_of_a_silent_voter() {
+fn a_machine_at_a_new_address_replaces_a_silent_voter() {
     let mut site = Site::new();
-    site.hear(3, 3, 5_000);
-    site.hear(99, 4, 0);
+    site.record_contact(3, 3, 5_000);
+    site.record_contact(99, 4, 0);
     expect_that!(
         site.plan(),
         some(eq(&MembershipRequest::AddLearner(member(99, 4))))
@@ -147,9 +148,9 @@
 }
 
 #[gtest]
-fn an_added_machine_stays_a_learner_while_all_voters_are_there() {
+fn an_added_machine_stays_a_learner_while_all_voters_are_live() {
     let mut site = Site::new();
-    site.hear(99, 4, 0);
+    site.record_contact(99, 4, 0);
     site.membership.learners.push(member(99, 4));
     site.caught_up.insert(ReplicaId(99));
     expect_that!(site.plan(), none());
@@ -161,14 +162,14 @@
     site.known_coordinators.clear();
     site.planner
         .leadership_began(site.now - Duration::from_millis(500));
-    site.hear(99, 4, 0);
+    site.record_contact(99, 4, 0);
     site.membership.learners.push(member(99, 4));
     site.caught_up.insert(ReplicaId(99));
     expect_that!(site.plan(), none());
 }
 
 #[gtest]
-fn a_machine_of_three_cannot_be_emptied() {
+fn one_machine_of_three_cannot_be_retired() {
     let site = Site::new();
     let can = site
         .planner
@@ -179,7 +180,7 @@
 #[gtest]
 fn a_retired_voter_goes_only_after_its_successor_votes() {
     let mut site = Site::new();
-    site.hear(99, 4, 0);
+    site.record_contact(99, 4, 0);
     site.membership.learners.push(member(99, 4));
     let can = site
         .planner
@@ -209,22 +210,22 @@
             .is_fault_tolerant_without(site.now, ReplicaId(2)),
         eq(true)
     );
-    expect_that!(site.plan(), none(), "what has left is not taken in again");
+    expect_that!(site.plan(), none(), "a retired member is not added again");
 }
 
 #[gtest]
-fn a_leader_that_is_to_leave_hands_over_first() {
+fn a_leader_that_is_to_leave_transfers_its_leadership_first() {
     let mut site = Site::new();
     site.retired.insert(ReplicaId(1));
     site.membership.voters.push(member(99, 4));
-    site.hear(99, 4, 0);
+    site.record_contact(99, 4, 0);
     site.caught_up.insert(ReplicaId(99));
     let transfer = MembershipRequest::TransferLeadership(ReplicaId(2));
     expect_that!(site.plan(), some(eq(&transfer)));
 }
 
 #[gtest]
-fn a_group_is_not_whole_while_a_voter_lags() {
+fn a_group_is_not_fault_tolerant_while_a_voter_lags() {
     let mut site = Site::new();
     site.caught_up.remove(&ReplicaId(3));
     expect_that!(
@@ -235,11 +236,11 @@
 }
 
 #[gtest]
-fn a_group_that_is_to_bear_two_losses_grows_to_five_voters() {
+fn a_group_that_must_tolerate_two_losses_grows_to_five_voters() {
     let mut site = Site::new();
     site.losses_borne = 2;
     for (id, machine) in [(4, 4), (5, 5)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.learners.push(member(id, machine));
         site.caught_up.insert(ReplicaId(id));
     }
@@ -253,7 +254,7 @@
 fn of_six_members_five_vote_so_that_each_majority_of_members_can_commit() {
     let mut site = Site::new();
     for (id, machine) in [(4, 4), (5, 5), (6, 6)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.learners.push(member(id, machine));
     }
     expect_that!(site.view().target_voters(site.now), eq(5));
@@ -263,10 +264,10 @@
 }
 
 #[gtest]
-fn a_machine_can_be_emptied_only_while_enough_are_left_to_bear_the_losses() {
+fn a_machine_can_be_retired_only_while_enough_are_left_to_tolerate_the_losses() {
     let mut site = Site::new();
     for (id, machine) in [(4, 4), (5, 5)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.voters.push(member(id, machine));
     }
     let leaving = ReplicaId(5);
@@ -281,19 +282,19 @@
     );
 }
 
-/// Two machines were replaced while their predecessors still voted: five voters became seven, two
-/// of them gone, and a loss of two more left no majority.
+/// Guards against a group that replaces two machines while their predecessors still vote: five
+/// voters became seven, two of them gone, and the loss of two more left no majority.
 #[gtest]
-fn a_voter_that_is_gone_is_replaced_before_the_group_grows() {
+fn a_lost_voter_is_replaced_before_the_group_grows() {
     let mut site = Site::new();
     site.losses_borne = 2;
     for (id, machine) in [(4, 4), (5, 5)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.voters.push(member(id, machine));
     }
-    site.hear(3, 3, 5_000);
+    site.record_contact(3, 3, 5_000);
     for (id, machine) in [(6, 6), (7, 7)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.learners.push(member(id, machine));
         site.caught_up.insert(ReplicaId(id));
     }
@@ -304,24 +305,25 @@
 }
 
 #[gtest]
-fn a_voter_that_has_long_been_gone_leaves_where_fewer_bear_the_losses() {
+fn a_long_silent_voter_is_removed_where_fewer_tolerate_the_losses() {
     let mut site = Site::new();
     for (id, machine) in [(4, 4), (5, 5)] {
-        site.hear(id, machine, 0);
+        site.record_contact(id, machine, 0);
         site.membership.voters.push(member(id, machine));
     }
-    site.hear(5, 5, 20_000);
+    site.record_contact(5, 5, 20_000);
     expect_that!(
         site.plan(),
         some(eq(&MembershipRequest::Remove(ReplicaId(5))))
     );
     site.losses_borne = 2;
-    expect_that!(site.plan(), none(), "five voters are the fewest");
+    expect_that!(site.plan(), none(), "five voters are the minimum");
 }
 
-/// A site of three zones with two losses to bear wants six members; the rest stand by.
+/// A site of three zones that must tolerate two losses needs six members; the others are on
+/// standby.
 #[gtest]
-fn coordinators_beyond_those_that_are_wanted_stand_by() {
+fn coordinators_beyond_the_target_are_on_standby() {
     let mut site = Site::new();
     site.losses_borne = 2;
     site.own_zone = zone_of(100);
@@ -330,10 +332,10 @@
     site.membership.learners = vec![member(6, 105)];
     site.caught_up = (1..=6).map(ReplicaId).collect();
     for id in 2..=9 {
-        site.hear(id, 99 + id, 0);
+        site.record_contact(id, 99 + id, 0);
     }
     expect_that!(site.plan(), none());
-    // A member that is lost leaves a place to one that stands by.
+    // A lost member is replaced by a coordinator on standby.
     site.membership.learners.clear();
     site.known_coordinators.remove(&ReplicaId(6));
     expect_that!(
@@ -342,17 +344,17 @@
     );
 }
 
-/// Gateways read from the member in their zone: a zone without one is served first.
+/// Gateways read from the member in their zone, so a zone without a member is given one first.
 #[gtest]
-fn a_zone_without_a_member_is_served_first() {
+fn a_zone_without_a_member_is_given_one_first() {
     let mut site = Site::new();
     site.own_zone = zone_of(100);
     site.known_coordinators.clear();
     site.membership.voters = vec![member(1, 100), member(2, 102), member(3, 104)];
-    site.hear(2, 102, 0);
-    site.hear(3, 104, 0);
-    site.hear(4, 106, 0);
-    site.hear(5, 107, 0);
+    site.record_contact(2, 102, 0);
+    site.record_contact(3, 104, 0);
+    site.record_contact(4, 106, 0);
+    site.record_contact(5, 107, 0);
     expect_that!(
         site.plan(),
         some(eq(&MembershipRequest::AddLearner(member(5, 107))))
@@ -360,7 +362,7 @@
 }
 
 #[gtest]
-fn too_few_coordinators_for_the_losses_to_bear_are_noticed() {
+fn a_shortage_of_coordinators_is_detected() {
     let mut site = Site::new();
     expect_that!(site.view().shortage(site.now), none());
     site.losses_borne = 2;
@@ -369,19 +371,19 @@
         needed: 5,
     };
     expect_that!(site.view().shortage(site.now), some(eq(shortage(3))));
-    // A member that is away still counts, one that stands by only while it is heard of.
-    site.hear(3, 3, 20_000);
-    site.hear(4, 4, 0);
-    site.hear(5, 5, 20_000);
+    // A silent member still counts, a coordinator on standby only while it is live.
+    site.record_contact(3, 3, 20_000);
+    site.record_contact(4, 4, 0);
+    site.record_contact(5, 5, 20_000);
     expect_that!(site.view().shortage(site.now), some(eq(shortage(4))));
-    site.hear(5, 5, 0);
+    site.record_contact(5, 5, 0);
     expect_that!(site.view().shortage(site.now), none());
     site.retired.insert(ReplicaId(3));
     expect_that!(site.view().shortage(site.now), some(eq(shortage(4))));
 }
 
 #[gtest]
-fn a_young_leadership_has_not_heard_of_all_coordinators() {
+fn discovery_is_not_complete_early_in_a_leadership() {
     let mut planner = MembershipPlanner::default();
     let begin = Instant::from_millis(1_000);
     expect_that!(planner.is_discovery_complete(begin), eq(false));
--- a/crates/gateways/wingshore-coordinator/tests/membership_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/membership_review.rs
@@ -1,4 +1,4 @@
-//! Whether a machine that is being emptied may be stopped, where a voter has fallen silent.
+//! Whether a machine that is being retired may be stopped while a voter is silent.
 
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,22 +19,23 @@
     }
 }
 
-/// Whether three voters are whole without the retired coordinator 4, which has left, where voter 3 was last
-/// heard of `silence` ago. All hold all that is committed, as far as the leader, voter 1, knows.
-fn is_whole_where_a_voter_is_silent_for(silence: Duration) -> bool {
+/// Returns whether a group of three voters is fault-tolerant without the retired coordinator 4,
+/// which has left, where voter 3 was last heard from `silence` ago. As far as the leader, voter 1,
+/// knows, all voters hold all committed entries.
+fn is_fault_tolerant_where_a_voter_is_silent_for(silence: Duration) -> bool {
     let now = Instant::from_millis(60_000);
     let membership = Membership {
         voters: [1, 2, 3].map(member).into(),
         learners: Vec::new(),
     };
-    let heard_at = |id, last_heard_at| KnownCoordinator {
+    let coordinator_at = |id, last_heard_at| KnownCoordinator {
         id: ReplicaId(id),
         address: address(id),
         zone: format!("zone-{id}"),
         last_heard_at,
     };
     let known_coordinators: BTreeMap<ReplicaId, KnownCoordinator> =
-        [heard_at(2, now), heard_at(3, now - silence)]
+        [coordinator_at(2, now), coordinator_at(3, now - silence)]
             .map(|joiner| (joiner.id, joiner))
             .into();
     let retired: BTreeSet<ReplicaId> = [ReplicaId(4)].into();
@@ -51,24 +52,23 @@
 }
 
 #[gtest]
-fn a_group_whose_voters_are_all_heard_of_is_whole() {
+fn a_group_whose_voters_are_all_live_is_fault_tolerant() {
     expect_that!(
-        is_whole_where_a_voter_is_silent_for(Duration::ZERO),
+        is_fault_tolerant_where_a_voter_is_silent_for(Duration::ZERO),
         eq(true)
     );
 }
 
-/// What is seen: a machine is answered to be retired, and stopped, while one of three voters is gone: the next
-/// loss takes the majority.
-/// How it comes about: the voter is lost while little is written; what the leader last knew of it is all that is
-/// committed.
-/// Cause: `is_fault_tolerant_without` asks what each voter holds, and not whether it was heard of; a successor of a voter and
-/// a member to transfer leadership to must have been heard of lately.
-/// Proof: whole with a voter that has been silent for 20 s.
+/// Guards against a machine that is reported as retired, and stopped, while one of three voters is
+/// lost: the next loss takes the majority. A voter that is lost while little is written seems to
+/// hold all that is committed, by what the leader last knew of it.
+/// [`MembershipView::is_fault_tolerant_without`] checked what each voter holds but not whether it
+/// was heard from recently, which the successor of a voter and the target of a leadership transfer
+/// must have been. With a voter that had been silent for 20 s, the group counted as fault-tolerant.
 #[gtest]
-fn a_group_with_a_silent_voter_is_not_whole() {
+fn a_group_with_a_silent_voter_is_not_fault_tolerant() {
     expect_that!(
-        is_whole_where_a_voter_is_silent_for(Duration::from_secs(20)),
+        is_fault_tolerant_where_a_voter_is_silent_for(Duration::from_secs(20)),
         eq(false)
     );
 }
--- a/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
@@ -1,9 +1,11 @@
-//! Coordinators that come back with empty disks hold the state in time, also where each commit is slow.
+//! Coordinators that return with empty disks hold the state in time, even where each commit is
+//! slow.
 //!
-//! Seen: beside writers of files a coordinator was added 2.06 s after all had heard of it, and held the
-//! state 0.2 s later. It came about by four changes before its own, for another coordinator that came
-//! back too; each waited until the one before was committed. Cause: an addition was one of the changes that
-//! wait for each other. Proof: changes are played here with a commit that takes long.
+//! Guards against a fault seen while other processes wrote files: a coordinator was added 2.06 s
+//! after all had heard from it, and held the state 0.2 s later. Four changes came before its own,
+//! for another coordinator that had returned too, and each waited for the commit of the one before:
+//! an addition was one of the changes that wait for each other. These tests play the changes with a
+//! commit that takes long.
 
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,18 +15,19 @@
 use wingshore_types::protocol::membership::{Member, Membership, MembershipRequest};
 use wingshore_types::{Instant, ReplicaId};
 
-/// A coordinator holds the state within this time of its start with an empty disk.
-const WHOLE_AGAIN: Duration = Duration::from_secs(6);
-/// Between two looks of the leader.
-const LOOK: Duration = Duration::from_millis(100);
-/// From the append of a change to its commit: so long that no more than one fits beside the sending.
-const COMMIT: Duration = Duration::from_secs(3);
-/// From the addition of a member until it holds the state.
-const SENDING: Duration = Duration::from_secs(2);
-/// The machines whose disks are lost. Machine 1 leads, machine 6 is a learner.
+/// Time within which a coordinator that starts with an empty disk must hold the state.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
+/// Time between two planning steps of the leader.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Time from the append of a change to its commit: so long that only one fits beside the sending of
+/// the state.
+const COMMIT_TIME: Duration = Duration::from_secs(3);
+/// Time from the addition of a member until it holds the state.
+const SENDING_TIME: Duration = Duration::from_secs(2);
+/// Machines whose disks are lost. Machine 1 leads, machine 6 is a learner.
 const LOST: [u64; 2] = [2, 3];
-/// What is added to a machine's number for its identity after the loss.
-const ANEW: u64 = 10;
+/// Added to a machine's number to give its identity after the loss.
+const NEW_IDENTITY_OFFSET: u64 = 10;
 
 fn address(machine: u64) -> SocketAddr {
     ([10, 0, 0, machine as u8], 7700).into()
@@ -33,17 +36,17 @@
 fn member(id: u64) -> Member {
     Member {
         id: ReplicaId(id),
-        address: address(id % ANEW),
+        address: address(id % NEW_IDENTITY_OFFSET),
     }
 }
 
-/// Six coordinators as their leader sees them, two of which come back with empty disks.
+/// Six coordinators as their leader sees them, two of which return with empty disks.
 struct Site {
     now: Instant,
     membership: Membership,
     known_coordinators: BTreeMap<ReplicaId, KnownCoordinator>,
     planner: MembershipPlanner,
-    /// When the change of voters that is under way will be committed.
+    /// When the pending change of voters will be committed.
     committed_at: Option<Instant>,
     added_at: BTreeMap<ReplicaId, Instant>,
 }
@@ -66,9 +69,9 @@
         }
     }
 
-    fn hear_all(&mut self) {
-        let back = LOST.map(|machine| machine + ANEW);
-        for id in [4, 5, 6].into_iter().chain(back) {
+    fn record_hellos(&mut self) {
+        let returned = LOST.map(|machine| machine + NEW_IDENTITY_OFFSET);
+        for id in [4, 5, 6].into_iter().chain(returned) {
             let Member { id, address } = member(id);
             let joiner = KnownCoordinator {
                 id,
@@ -82,7 +85,7 @@
 
     fn holds_state(&self, id: ReplicaId) -> bool {
         let added = self.added_at.get(&id);
-        added.is_some_and(|added| self.now.since(*added) >= SENDING)
+        added.is_some_and(|added| self.now.since(*added) >= SENDING_TIME)
     }
 
     fn caught_up(&self) -> BTreeSet<ReplicaId> {
@@ -109,7 +112,7 @@
         }
     }
 
-    fn look(&mut self) {
+    fn plan_and_apply(&mut self) {
         self.committed_at.take_if(|at| self.now >= *at);
         match self.plan() {
             Some(MembershipRequest::AddLearner(member)) => {
@@ -131,32 +134,32 @@
             self.committed_at.is_none(),
             "one change of voters at a time"
         );
-        self.committed_at = Some(self.now + COMMIT);
+        self.committed_at = Some(self.now + COMMIT_TIME);
     }
 }
 
 #[gtest]
-fn two_that_come_back_hold_the_state_in_time_whatever_a_commit_takes() {
+fn two_returning_coordinators_hold_the_state_in_time_however_slow_a_commit_is() {
     let mut site = Site::new();
-    let begun = site.now;
-    while site.now.since(begun) < WHOLE_AGAIN {
-        site.hear_all();
-        site.look();
-        site.now = site.now + LOOK;
+    let started_at = site.now;
+    while site.now.since(started_at) < RECOVERY_LIMIT {
+        site.record_hellos();
+        site.plan_and_apply();
+        site.now = site.now + PLAN_INTERVAL;
     }
     for machine in LOST {
-        let id = ReplicaId(machine + ANEW);
+        let id = ReplicaId(machine + NEW_IDENTITY_OFFSET);
         expect_that!(site.holds_state(id), eq(true), "{id}");
     }
 }
 
 #[gtest]
-fn a_site_with_two_that_came_back_has_five_voters_that_hold_the_state_in_the_end() {
+fn a_site_with_two_returned_coordinators_ends_with_five_voters_that_hold_the_state() {
     let mut site = Site::new();
     for _ in 0..600 {
-        site.hear_all();
-        site.look();
-        site.now = site.now + LOOK;
+        site.record_hellos();
+        site.plan_and_apply();
+        site.now = site.now + PLAN_INTERVAL;
     }
     let voters: BTreeSet<u64> = site.membership.voters.iter().map(|it| it.id.0).collect();
     let lost = LOST.map(|machine| voters.contains(&machine));
--- a/crates/gateways/wingshore-coordinator/tests/simulation/machine.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! The machines of the simulation: real members with their logs, and what strikes them.
+//! Machines of the simulation: real members with their logs, and the faults that affect them.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,23 +18,23 @@
 pub const MACHINES: usize = 3;
 pub const MODEL: &str = "m";
 /// Time that an engine takes to load weights.
-pub const LOAD: Duration = Duration::from_millis(900);
-/// As the settings of a coordinator have it: the users' bound and a margin.
-const HANDOVER: Duration = Duration::from_millis(3300);
+pub const LOAD_TIME: Duration = Duration::from_millis(900);
+/// Handover time as in the settings of a coordinator: the users' bound plus a margin.
+const ORDER_HANDOVER: Duration = Duration::from_millis(3300);
 
-/// What is wrong on purpose, to show that the checker sees it.
+/// Deliberate defect, to show that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// A new leader waits a tenth of the time.
+    /// A new leader waits for a tenth of the handover time.
     ShortHandover,
-    /// A new leader counts on engines that refuse lower fences.
+    /// A new leader relies on engines that refuse lower fences.
     TrustsFences,
-    /// Machines go by a clock that stands still while they are suspended.
+    /// Machines use a clock that stops while they are suspended.
     StoppedClock,
 }
 
-/// Something that reaches a member.
+/// Input of a member.
 pub enum Input {
     Consensus(ReplicaId, Vec<u8>),
     Persisted(u64),
@@ -42,22 +42,24 @@
     Request(Request),
 }
 
+/// Machine with its member.
 pub struct Machine {
     pub disk: MemoryFileSystem,
     pub running: Option<(Host<CoordinationLeader>, GroupStore)>,
-    /// Its clock goes faster or slower by this part of a thousand.
+    /// Deviation of its clock in parts per thousand.
     pub drift: i64,
-    /// Whether its own clock counts suspensions.
+    /// Whether its clock runs on during suspensions.
     pub counts_suspensions: bool,
-    /// How long it was suspended so far.
+    /// Total time of its suspensions.
     pub suspended: Duration,
     pub starts_at: Instant,
     pub frozen_until: Instant,
-    /// Cut off from the other machines, and from the engines, until then.
-    pub cut_until: Instant,
-    pub cut_from_engines_until: Instant,
+    /// End of its partition from the other machines.
+    pub partitioned_until: Instant,
+    /// End of its partition from the engines.
+    pub engines_unreachable_until: Instant,
     pub inbox: Vec<(Instant, Input)>,
-    /// Orders that passed the look at the lease before the machine stood still.
+    /// Orders for which the lease was checked before the machine was suspended.
     pub held_orders: Vec<WeightOrder>,
 }
 
@@ -103,8 +105,8 @@
 }
 
 impl Machine {
-    /// The time that its own clock shows.
-    pub fn local(&self, now: Instant) -> Instant {
+    /// Returns the time of its own clock.
+    pub fn local_time(&self, now: Instant) -> Instant {
         let now = if self.counts_suspensions {
             now
         } else {
@@ -114,6 +116,7 @@
         Instant(u64::try_from(nanos).unwrap_or(0) + 1_000_000_000)
     }
 
+    /// Starts the member from its disk.
     pub fn start(&mut self, index: usize, now: Instant, fault: Fault, seed: u64) {
         let founding = Membership {
             voters: (0..MACHINES)
@@ -138,31 +141,33 @@
             ..HostConfig::new(id, Some(founding), seed)
         };
         let handover = match fault {
-            Fault::ShortHandover => HANDOVER / 10,
-            Fault::None | Fault::TrustsFences | Fault::StoppedClock => HANDOVER,
+            Fault::ShortHandover => ORDER_HANDOVER / 10,
+            Fault::None | Fault::TrustsFences | Fault::StoppedClock => ORDER_HANDOVER,
         };
         let settings = LeaderSettings {
             node: format!("machine-{index}"),
             order_handover: handover,
             engines_check_fences: fault == Fault::TrustsFences,
-            load_time: LOAD,
+            load_time: LOAD_TIME,
             ..LeaderSettings::default()
         };
         let machines = MachineFactory {
             leader: Box::new(move || CoordinationLeader::new(settings.clone())),
             ..MachineFactory::default()
         };
-        let host = Host::with_machines(self.local(now), config, recovered, machines);
+        let host = Host::with_machines(self.local_time(now), config, recovered, machines);
         self.running = Some((host.expect("the host starts"), store));
     }
 
-    /// It stands still until then, its clock with it unless that counts suspensions.
+    /// Suspends the machine until the given time; its clock stops meanwhile, unless that counts
+    /// suspensions.
     pub fn suspend(&mut self, now: Instant, until: Instant) {
         let from = now.max(self.frozen_until);
         self.suspended += until.since(from);
         self.frozen_until = self.frozen_until.max(until);
     }
 
+    /// Returns whether the member runs and is neither frozen nor suspended.
     pub fn is_awake(&self, now: Instant) -> bool {
         self.running.is_some() && now >= self.frozen_until
     }
--- a/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! The simulation: time, messages, faults, engines, and what engines see.
+//! The simulation: time, messages, faults, engines, and the check of the orders that engines
+//! receive.
 
 pub mod machine;
 
-use machine::{Fault, Input, LOAD, MACHINES, MODEL, Machine, configuration, engine_record};
+use machine::{Fault, Input, LOAD_TIME, MACHINES, MODEL, Machine, configuration, engine_record};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,51 +19,53 @@
 use wingshore_types::{Instant, ReplicaId};
 
 const ENGINES: usize = 12;
-/// Time between looks of the simulation.
+/// Time between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(5);
 /// Simulated time of a run.
-const RUN: Duration = Duration::from_secs(90);
-/// The users' bound: two machines do not give orders to one engine within this time.
-const LEASE: Duration = Duration::from_secs(3);
-/// Orders that arrive this soon after their sender was thawed, or its link healed, do not count.
-const THAW: Duration = Duration::from_millis(300);
-/// Time between new versions, heartbeats and faults.
+const RUN_TIME: Duration = Duration::from_secs(90);
+/// Bound that the users set: two machines do not send orders to one engine within this time.
+const ORDER_GAP: Duration = Duration::from_secs(3);
+/// Orders that arrive this soon after their sender was resumed or its link restored are not
+/// checked.
+const RESUME_TOLERANCE: Duration = Duration::from_millis(300);
+/// Intervals between new versions, heartbeats and faults.
 const VERSION_INTERVAL: Duration = Duration::from_millis(2500);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const FAULT_INTERVAL: Duration = Duration::from_millis(4000);
-/// A machine that is cut off while it is suspended hears from the others this long after.
-const CUT_AFTER_SUSPENSION: Duration = Duration::from_secs(2);
+/// How much longer a machine is partitioned from the others than it is suspended.
+const PARTITION_AFTER_SUSPENSION: Duration = Duration::from_secs(2);
 
-/// An order on its way; by whom.
-struct Travelling {
+/// Order in flight, with the machine that sent it.
+struct OrderInFlight {
     arrives: Instant,
     order: WeightOrder,
     machine: usize,
 }
 
-/// An engine: carries out what fits its count of orders, whoever it comes from.
+/// Engine, which carries out every order that matches its count of orders, whichever machine sent
+/// it.
 struct Engine {
     version: u64,
     loading: Option<(Instant, u64)>,
     orders: u64,
-    /// The last order that counts: when, of which machine, with which fence.
+    /// Last checked order: its time, machine and fence.
     last: Option<(Instant, usize, u64)>,
 }
 
-/// A site of machines and engines.
+/// Site of machines and engines.
 pub struct Simulation {
     now: Instant,
     random: StdRng,
     fault: Fault,
     machines: Vec<Machine>,
     engines: BTreeMap<InstanceId, Engine>,
-    travelling: Vec<Travelling>,
+    in_flight: Vec<OrderInFlight>,
     next_tag: u64,
     version: u64,
     sequence: u64,
-    /// Orders that were checked.
+    /// Number of checked orders.
     pub counted: usize,
-    /// Machines whose orders were checked.
+    /// Machines that sent checked orders.
     pub holders: BTreeSet<usize>,
 }
 
@@ -77,8 +80,8 @@
             suspended: Duration::ZERO,
             starts_at: Instant::ZERO,
             frozen_until: Instant::ZERO,
-            cut_until: Instant::ZERO,
-            cut_from_engines_until: Instant::ZERO,
+            partitioned_until: Instant::ZERO,
+            engines_unreachable_until: Instant::ZERO,
             inbox: Vec::new(),
             held_orders: Vec::new(),
         });
@@ -98,7 +101,7 @@
             machines,
             random,
             fault,
-            travelling: Vec::new(),
+            in_flight: Vec::new(),
             next_tag: 0,
             version: 1,
             sequence: 0,
@@ -111,16 +114,16 @@
         Duration::from_millis(self.random.random_range(range))
     }
 
-    /// Runs; gives what broke first.
+    /// Runs the simulation; returns the first violation as an error.
     pub fn run(&mut self) -> Result<(), String> {
-        let end = Instant::ZERO + RUN;
+        let end = Instant::ZERO + RUN_TIME;
         let (mut versions, mut heartbeats) = (Instant::ZERO, Instant::ZERO);
         let mut faults = Instant::ZERO + Duration::from_secs(6);
         while self.now < end {
             self.now = self.now + STEP;
             if self.now >= heartbeats {
                 heartbeats = self.now + HEARTBEAT_INTERVAL;
-                self.tell_leaders_of_engines();
+                self.send_heartbeats();
             }
             if self.now >= versions {
                 versions = self.now + VERSION_INTERVAL;
@@ -128,7 +131,7 @@
             }
             if self.now >= faults {
                 faults = self.now + FAULT_INTERVAL;
-                self.strike();
+                self.inject_fault();
             }
             self.deliver_orders()?;
             for machine in 0..MACHINES {
@@ -138,9 +141,9 @@
         Ok(())
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let machine = self.random.random_range(0..MACHINES);
-        // Rather the one that leads: it has something to get wrong.
+        // The leader is preferred, since only it can send wrong orders.
         let leader = (0..MACHINES).find(|index| {
             let running = self.machines[*index].running.as_ref();
             running.is_some_and(|(host, _)| host.is_leader())
@@ -154,33 +157,35 @@
         let down = self.now + self.millis(100..1500);
         let now = self.now;
         let seed = self.random.random();
-        let struck = &mut self.machines[machine];
+        let target = &mut self.machines[machine];
         let kind = self.random.random_range(0..7);
         match kind {
             0 => {
-                struck.running = None;
-                struck.inbox.clear();
-                struck.held_orders.clear();
-                struck.disk.restart(seed);
-                struck.starts_at = down;
+                target.running = None;
+                target.inbox.clear();
+                target.held_orders.clear();
+                target.disk.restart(seed);
+                target.starts_at = down;
             }
-            1 | 2 => struck.frozen_until = struck.frozen_until.max(until),
-            3 => struck.cut_until = struck.cut_until.max(until),
-            4 => struck.cut_from_engines_until = struck.cut_from_engines_until.max(until),
-            5 => struck.suspend(now, until),
+            1 | 2 => target.frozen_until = target.frozen_until.max(until),
+            3 => target.partitioned_until = target.partitioned_until.max(until),
+            4 => target.engines_unreachable_until = target.engines_unreachable_until.max(until),
+            5 => target.suspend(now, until),
             _ => {
-                // It is cut off from the others a little longer than it is suspended.
-                struck.suspend(now, until);
-                struck.cut_until = struck.cut_until.max(until + CUT_AFTER_SUSPENSION);
+                // It is partitioned from the others a little longer than it is suspended.
+                target.suspend(now, until);
+                target.partitioned_until = target
+                    .partitioned_until
+                    .max(until + PARTITION_AFTER_SUSPENSION);
             }
         }
         if kind != 4 {
-            self.tell_of_lost(machine);
+            self.report_lost_machine(machine);
         }
     }
 
-    /// The others notice that connections to a machine have ended.
-    fn tell_of_lost(&mut self, lost: usize) {
+    /// Reports to the others that their connections to a machine have ended.
+    fn report_lost_machine(&mut self, lost: usize) {
         let at = self.now + self.millis(1..1500);
         for (index, machine) in self.machines.iter_mut().enumerate() {
             if index != lost {
@@ -190,7 +195,7 @@
         }
     }
 
-    fn ask_leaders(&mut self, request: &Request) {
+    fn request_from_leaders(&mut self, request: &Request) {
         for machine in &mut self.machines {
             let is_leader = machine
                 .running
@@ -204,8 +209,8 @@
         }
     }
 
-    fn tell_leaders_of_engines(&mut self) {
-        self.ask_leaders(&Request::PutConfiguration(Arc::new(configuration())));
+    fn send_heartbeats(&mut self) {
+        self.request_from_leaders(&Request::PutConfiguration(Arc::new(configuration())));
         for number in 0..ENGINES {
             self.sequence += 1;
             let version = self.engines[&InstanceId::from(format!("e{number}"))].version;
@@ -213,13 +218,13 @@
                 server: engine_record(number, version),
                 sequence: self.sequence,
             };
-            self.ask_leaders(&Request::Heartbeat(heartbeat));
+            self.request_from_leaders(&Request::Heartbeat(heartbeat));
         }
     }
 
     fn name_version(&mut self) {
         self.version += 1;
-        self.ask_leaders(&Request::NameVersion {
+        self.request_from_leaders(&Request::NameVersion {
             model: ModelName::from(MODEL),
             version: self.version,
         });
@@ -236,7 +241,7 @@
         if !machine.is_awake(now) {
             return;
         }
-        // What passed the look at the lease before the machine stood still leaves now.
+        // Orders for which the lease was checked before the suspension are sent now.
         for order in std::mem::take(&mut machine.held_orders) {
             self.send_order(index, order);
         }
@@ -245,7 +250,7 @@
             .into_iter()
             .partition(|(at, _)| *at <= now);
         machine.inbox = later;
-        let local = machine.local(now);
+        let local = machine.local_time(now);
         let Some((host, _)) = &mut machine.running else {
             return;
         };
@@ -268,17 +273,17 @@
         let mut outputs = Vec::new();
         host.step_all(local, inputs, &mut outputs);
         for output in outputs {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: HostOutput<CoordinationLeader>) {
+    fn execute_output(&mut self, index: usize, output: HostOutput<CoordinationLeader>) {
         match output {
             HostOutput::Send { to, message } => {
                 let target = to.0 as usize - 1;
-                let is_cut = self.machines[index].cut_until > self.now
-                    || self.machines[target].cut_until > self.now;
-                if !is_cut {
+                let is_partitioned = self.machines[index].partitioned_until > self.now
+                    || self.machines[target].partitioned_until > self.now;
+                if !is_partitioned {
                     let at = self.now + self.millis(1..15);
                     let from = ReplicaId(index as u64 + 1);
                     let input = Input::Consensus(from, message);
@@ -293,7 +298,7 @@
                 }
                 machine.inbox.push((at, Input::Persisted(token)));
             }
-            HostOutput::Effect(Effect::Order(order)) => self.give_order(index, order),
+            HostOutput::Effect(Effect::Order(order)) => self.check_lease_and_send(index, order),
             HostOutput::Effect(Effect::PollEngine { instance, .. }) => {
                 self.report(index, &instance);
             }
@@ -302,12 +307,12 @@
         }
     }
 
-    /// As the coordinator's process does: a look at the lease right before the order leaves.
-    fn give_order(&mut self, index: usize, order: WeightOrder) {
-        let strikes_now = self.random.random_bool(0.05);
+    /// Checks the lease right before it sends the order, as the process of a coordinator does.
+    fn check_lease_and_send(&mut self, index: usize, order: WeightOrder) {
+        let is_suspended_now = self.random.random_bool(0.05);
         let until = self.now + self.millis(300..4500);
         let machine = &mut self.machines[index];
-        let local = machine.local(self.now);
+        let local = machine.local_time(self.now);
         let holds_lease = machine
             .running
             .as_ref()
@@ -318,7 +323,7 @@
                 answer: OrderAnswer::Refused,
             };
             machine.inbox.push((self.now, Input::Event(event)));
-        } else if strikes_now {
+        } else if is_suspended_now {
             machine.suspend(self.now, until);
             machine.held_orders.push(order);
         } else {
@@ -327,9 +332,9 @@
     }
 
     fn send_order(&mut self, index: usize, order: WeightOrder) {
-        let cut = self.machines[index].cut_from_engines_until;
-        let arrives = self.now.max(cut) + self.millis(1..20);
-        self.travelling.push(Travelling {
+        let unreachable_until = self.machines[index].engines_unreachable_until;
+        let arrives = self.now.max(unreachable_until) + self.millis(1..20);
+        self.in_flight.push(OrderInFlight {
             arrives,
             order,
             machine: index,
@@ -338,7 +343,7 @@
 
     fn report(&mut self, index: usize, instance: &InstanceId) {
         let at = self.now + self.millis(2..30);
-        let is_cut = self.machines[index].cut_from_engines_until > self.now;
+        let is_partitioned = self.machines[index].engines_unreachable_until > self.now;
         let engine = &self.engines[instance];
         let report = EngineStatus {
             models: vec![ModelVersion {
@@ -350,7 +355,7 @@
         };
         let event = Event::EnginePolled {
             instance: instance.clone(),
-            report: (!is_cut).then_some(report),
+            report: (!is_partitioned).then_some(report),
         };
         self.machines[index].inbox.push((at, Input::Event(event)));
     }
@@ -362,28 +367,30 @@
                 engine.version = engine.version.max(version);
             }
         }
-        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.travelling)
+        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|order| order.arrives <= now);
-        self.travelling = later;
+        self.in_flight = later;
         due.sort_by_key(|order| order.arrives);
         for order in due {
             self.check(&order)?;
-            self.take_order(&order);
+            self.receive_order(&order);
         }
         Ok(())
     }
 
-    /// What an engine sees: fences that never fall, and no two machines within the users' bound.
-    fn check(&mut self, travelling: &Travelling) -> Result<(), String> {
-        let Travelling {
+    /// Checks what an engine receives: fences never fall, and no two machines send orders within
+    /// the users' bound.
+    fn check(&mut self, in_flight: &OrderInFlight) -> Result<(), String> {
+        let OrderInFlight {
             arrives,
             order,
             machine,
-        } = travelling;
+        } = in_flight;
         let sender = &self.machines[*machine];
-        let calm_from = sender.frozen_until.max(sender.cut_from_engines_until) + THAW;
-        let is_exempt = *arrives < calm_from && calm_from > Instant::ZERO + THAW;
+        let exempt_until =
+            sender.frozen_until.max(sender.engines_unreachable_until) + RESUME_TOLERANCE;
+        let is_exempt = *arrives < exempt_until && exempt_until > Instant::ZERO + RESUME_TOLERANCE;
         if is_exempt {
             return Ok(());
         }
@@ -401,7 +408,7 @@
                     order.instance
                 ));
             }
-            if holder != *machine && (gap < LEASE || fence == last_fence) {
+            if holder != *machine && (gap < ORDER_GAP || fence == last_fence) {
                 return Err(format!(
                     "{}: machine {machine} {gap:?} after machine {holder}, fence {fence} after {last_fence}",
                     order.instance
@@ -412,18 +419,19 @@
         Ok(())
     }
 
-    /// Carries an order out, now or seconds later; its count of orders is looked at then.
-    fn take_order(&mut self, travelling: &Travelling) {
-        let Travelling { order, machine, .. } = travelling;
+    /// Carries out an order, now or seconds later; its expected count of orders is checked at that
+    /// time.
+    fn receive_order(&mut self, in_flight: &OrderInFlight) {
+        let OrderInFlight { order, machine, .. } = in_flight;
         let answer_at = self.now + self.millis(1..20);
         let is_late = self.random.random_bool(0.1);
         let late_at = self.now + self.millis(2000..12_000);
-        let load_until = self.now + LOAD;
+        let load_until = self.now + LOAD_TIME;
         let Some(engine) = self.engines.get_mut(&order.instance) else {
             return;
         };
         let answer = if is_late {
-            // Left unanswered; carried out later, where nothing has changed since.
+            // Left unanswered; carried out later if nothing has changed since.
             if engine.orders == order.expected_sequence {
                 engine.loading.get_or_insert((late_at, order.version));
             }
--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -1,4 +1,5 @@
-//! The store of texts keeps to its budget, whatever the disk does, and received states gather on disk.
+//! The store of result texts keeps within its budget, whatever the disk does, and received
+//! snapshots are kept on disk.
 
 use googletest::prelude::*;
 use slog::{Discard, Logger, o};
@@ -15,8 +16,8 @@
 
 const DATA: &str = "/data";
 const BUDGET: usize = 100_000;
-/// Longest wait for the thread that moves texts.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time to wait for the thread that moves texts.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn logger() -> Logger {
     Logger::root(Discard, o!())
@@ -27,7 +28,7 @@
     TextArchive::open(fs, Path::new(DATA), BUDGET, logger()).expect("the archive opens")
 }
 
-/// A text that does not pack well.
+/// Returns a text that compresses badly.
 fn text(number: usize) -> String {
     let numbers = (0..1000_usize).map(|place| (place * 7919 + number * 104_729) ^ (place * place));
     numbers.map(|value| format!("{value:x}")).collect()
@@ -44,9 +45,9 @@
 }
 
 fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !is_so() {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -67,7 +68,7 @@
 }
 
 #[gtest]
-fn texts_that_were_let_go_make_room_without_a_write() {
+fn released_texts_free_memory_without_a_write() {
     let disk = MemoryFileSystem::new();
     let archive = archive(&disk);
     let calls = disk.calls();
@@ -77,7 +78,7 @@
     wait_until("the budget is kept", || archive.bytes_in_memory() <= BUDGET);
     let kept = hold(&archive, 1);
     expect_that!(is_on_disk(&kept), eq(false));
-    // A text may be taken up to be moved in the moment before it is let go.
+    // A text may be taken for a move in the moment before it is released.
     expect_that!(disk.calls() - calls, le(300));
 }
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// A disk whose files take no bytes while it hangs.
+/// Disk whose files accept no bytes while it hangs.
 #[derive(Clone)]
 struct HangingDisk {
     disk: MemoryFileSystem,
@@ -173,10 +174,11 @@
     }
 }
 
-/// A leader whose disk hangs goes on with what the others make durable: it must not wait for its own
-/// disk with each result. Found by reading: each text beyond the budget waited 20 ms.
+/// Guards against a leader that waits for its own hanging disk with each result, although the other
+/// members make the results durable: each text beyond the budget waited 20 ms. The fault was found
+/// in review.
 #[gtest]
-fn a_disk_that_hangs_holds_nobody_up() {
+fn a_hanging_disk_blocks_no_caller() {
     let hanging = HangingDisk {
         disk: MemoryFileSystem::new(),
         hangs: Arc::new(AtomicBool::new(true)),
@@ -187,16 +189,16 @@
     let texts: Vec<ResultText> = (0..400)
         .map(|number| ResultText::pack(&text(number)))
         .collect();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for text in &texts {
         archive.hold(text.packed());
     }
-    expect_that!(begun.elapsed(), le(Duration::from_secs(2)));
+    expect_that!(started_at.elapsed(), le(Duration::from_secs(2)));
     hanging.hangs.store(false, Ordering::SeqCst);
     wait_until("the budget is kept", || archive.bytes_in_memory() <= BUDGET);
 }
 
-fn incoming(disk: &MemoryFileSystem) -> usize {
+fn incoming_files(disk: &MemoryFileSystem) -> usize {
     let folder = Path::new(DATA).join("incoming");
     disk.list(&folder).expect("a list").len()
 }
@@ -207,32 +209,32 @@
 }
 
 #[gtest]
-fn a_received_state_stands_on_disk_as_long_as_it_is_needed() {
+fn a_received_snapshot_stays_on_disk_while_it_is_used() {
     let disk = MemoryFileSystem::new();
     let spool = spool(&disk);
-    let mut gathered = spool.begin().expect("there is space");
-    gathered.append(b"first, ").expect("there is space");
-    gathered.append(b"second").expect("there is space");
-    let data = gathered.finish().expect("there is space");
+    let mut snapshot = spool.begin().expect("there is space");
+    snapshot.append(b"first, ").expect("there is space");
+    snapshot.append(b"second").expect("there is space");
+    let data = snapshot.finish().expect("there is space");
     for _ in 0..2 {
         let mut read = String::new();
         let mut reader = data.reader().expect("the file is there");
         reader.read_to_string(&mut read).expect("the file is read");
         expect_that!(read, eq("first, second"));
     }
-    expect_that!(incoming(&disk), eq(1));
+    expect_that!(incoming_files(&disk), eq(1));
     drop(data);
-    expect_that!(incoming(&disk), eq(0));
+    expect_that!(incoming_files(&disk), eq(0));
 }
 
 #[gtest]
-fn what_an_earlier_process_was_receiving_is_removed() {
+fn files_of_an_earlier_process_are_removed() {
     let disk = MemoryFileSystem::new();
     let first = spool(&disk);
-    let mut gathered = first.begin().expect("there is space");
-    gathered.append(b"half").expect("there is space");
-    // As a killed process would, without cleaning up.
-    std::mem::forget(gathered);
+    let mut snapshot = first.begin().expect("there is space");
+    snapshot.append(b"half").expect("there is space");
+    // Like a killed process, which does not clean up.
+    std::mem::forget(snapshot);
     spool(&disk);
-    expect_that!(incoming(&disk), eq(0));
+    expect_that!(incoming_files(&disk), eq(0));
 }
--- a/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts_crash.rs
@@ -1,9 +1,9 @@
-//! Log, snapshot and texts on one disk: whatever is acknowledged is read back after a loss of power
-//! at any call of the disk, with the text that it had.
+//! Log, snapshot and texts on one disk: every acknowledged result is read back, with its text,
+//! after a loss of power at any call of the disk.
 //!
-//! The rule that this checks: a file of texts goes only once a snapshot is durable that was taken
-//! after its last use. Snapshots name places in those files; a file that goes too early, or a text
-//! that is named before it is durable, leaves a member that cannot start.
+//! The rule under test: a text file is removed only once a snapshot is durable that was taken after
+//! the last use of the file. Snapshots refer to places in these files. If a file is removed too
+//! early, or a text is referred to before it is durable, the member cannot start.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,24 +27,24 @@
 const ITEMS: u32 = 40;
 const JOBS: u8 = 6;
 const TERM: u64 = 1;
-/// Letters of a text, and bytes of a file of texts: some three of them fill one.
-const LETTERS: usize = 1500;
+/// Length of a text, and size of a text file in bytes: about three compressed texts fill a file.
+const TEXT_LENGTH: usize = 1500;
 const FILE_BYTES: u64 = 2000;
 
-/// What is done to a member.
+/// Step of a member.
 #[derive(Clone, Debug)]
 enum Step {
     /// Lists the next result of a job.
     List(u8),
-    /// Forgets a job, and accepts it anew with other results.
+    /// Forgets a job; a later result accepts it again with other texts.
     Forget(u8),
-    /// Moves so many of the texts in memory to disk.
+    /// Moves up to so many of the texts in memory to disk.
     Move(u8),
-    /// Takes a snapshot and lets the log before it go.
+    /// Takes a snapshot, and discards the log before it.
     Snapshot,
-    /// Takes a snapshot; others follow before it is durable.
+    /// Takes a snapshot that becomes durable only after the given steps.
     SnapshotLater(Vec<Step>),
-    /// Removes files that may go.
+    /// Removes the files that may be removed.
     Remove,
 }
 
@@ -63,11 +63,11 @@
     ]
 }
 
-/// Moves texts when the test says so.
+/// Text store that moves texts only when the test requests it.
 struct Store {
     files: BlobFiles,
     writer: Mutex<BlobWriter>,
-    held: Mutex<Vec<Arc<PackedText>>>,
+    tracked: Mutex<Vec<Arc<PackedText>>>,
 }
 
 impl Debug for Store {
@@ -78,7 +78,7 @@
 
 impl TextStore for Store {
     fn hold(&self, text: &Arc<PackedText>) {
-        self.held.lock().unwrap().push(Arc::clone(text));
+        self.tracked.lock().unwrap().push(Arc::clone(text));
     }
 
     fn wait_for_room(&self) {}
@@ -96,7 +96,7 @@
     }
 }
 
-/// One life of a member.
+/// Member between a start and a loss of power.
 struct Member {
     log: GroupStore,
     store: Arc<Store>,
@@ -104,11 +104,11 @@
     applied: u64,
 }
 
-/// The disk has failed: the life is over.
-struct Dead;
+/// The disk has failed: the member is down.
+struct DiskFailed;
 
 impl Member {
-    /// Starts from the disk.
+    /// Starts the member from its disk.
     fn start(disk: &MemoryFileSystem) -> Result<Self, String> {
         let fs: Arc<dyn FileSystem> = Arc::new(disk.clone());
         let opened = BlobFiles::open_with(Arc::clone(&fs), Path::new(TEXTS), FILE_BYTES);
@@ -116,7 +116,7 @@
         let store = Arc::new(Store {
             files,
             writer: Mutex::new(writer),
-            held: Mutex::default(),
+            tracked: Mutex::default(),
         });
         let opened = GroupStore::open(fs, Path::new(LOG));
         let (log, recovered) = opened.map_err(|error| error.to_string())?;
@@ -147,8 +147,8 @@
         Ok(member)
     }
 
-    /// Makes a command durable, and applies it then.
-    fn commit(&mut self, command: Command) -> Result<(), Dead> {
+    /// Makes a command durable, then applies it.
+    fn commit(&mut self, command: Command) -> Result<(), DiskFailed> {
         let index = LogIndex(self.applied + 1);
         let data = postcard::to_allocvec(&command).unwrap();
         let batch = WriteBatch {
@@ -159,28 +159,30 @@
             }],
             ..WriteBatch::default()
         };
-        self.log.write(&batch).map_err(|_| Dead)?;
+        self.log.write(&batch).map_err(|_| DiskFailed)?;
         self.applied = index.0;
         self.state.apply(index, command);
         Ok(())
     }
 
-    fn move_texts(&mut self, most: u8) -> Result<(), Dead> {
-        let held = std::mem::take(&mut *self.store.held.lock().unwrap());
-        // Those that only the store holds were let go.
-        let alive = held.into_iter().filter(|text| Arc::strong_count(text) > 1);
+    fn move_texts(&mut self, max_texts: u8) -> Result<(), DiskFailed> {
+        let tracked = std::mem::take(&mut *self.store.tracked.lock().unwrap());
+        // Texts that only the store refers to were released.
+        let alive = tracked
+            .into_iter()
+            .filter(|text| Arc::strong_count(text) > 1);
         let mut alive: Vec<Arc<PackedText>> = alive.collect();
-        let rest = alive.split_off(alive.len().min(usize::from(most)));
+        let rest = alive.split_off(alive.len().min(usize::from(max_texts)));
         let bytes = alive.iter().filter_map(|text| match text.place() {
             TextPlace::Memory(bytes) => Some(bytes),
             TextPlace::Disk(_) => None,
         });
         let bytes: Vec<Arc<[u8]>> = bytes.collect();
         let blobs = self.store.writer.lock().unwrap().append(&bytes);
-        for (text, blob) in alive.iter().zip(blobs.map_err(|_| Dead)?) {
+        for (text, blob) in alive.iter().zip(blobs.map_err(|_| DiskFailed)?) {
             text.move_to(Arc::new(blob));
         }
-        self.store.held.lock().unwrap().extend(rest);
+        self.store.tracked.lock().unwrap().extend(rest);
         Ok(())
     }
 
@@ -192,20 +194,20 @@
         })
     }
 
-    fn write_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) -> Result<(), Dead> {
+    fn write_snapshot(&mut self, snapshot: Arc<StoredSnapshot>) -> Result<(), DiskFailed> {
         let batch = WriteBatch {
             discard_through: Some(snapshot.index),
             snapshot: Some(snapshot),
             ..WriteBatch::default()
         };
-        self.log.write(&batch).map_err(|_| Dead)
+        self.log.write(&batch).map_err(|_| DiskFailed)
     }
 }
 
-/// What callers were told.
+/// Results and jobs that were acknowledged to callers.
 #[derive(Clone, Default)]
-struct Promises {
-    /// Results by job and position; those of jobs of which a forgetting was asked are left out.
+struct Acknowledged {
+    /// Numbers of the texts, by job and position; without the jobs whose removal was requested.
     results: BTreeMap<(u8, u32), u64>,
     /// Jobs that were accepted.
     accepted: BTreeSet<u8>,
@@ -214,8 +216,8 @@
 
 fn text(number: u64) -> String {
     let mut value = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-    let mut text = String::with_capacity(LETTERS);
-    while text.len() < LETTERS {
+    let mut text = String::with_capacity(TEXT_LENGTH);
+    while text.len() < TEXT_LENGTH {
         value ^= value << 13;
         value ^= value >> 7;
         value ^= value << 17;
@@ -250,19 +252,23 @@
     }))
 }
 
-fn run(member: &mut Member, promises: &mut Promises, step: &Step) -> Result<(), Dead> {
+fn run(
+    member: &mut Member,
+    acknowledged: &mut Acknowledged,
+    step: &Step,
+) -> Result<(), DiskFailed> {
     match step {
         Step::List(job) => {
-            if !promises.accepted.contains(job) {
+            if !acknowledged.accepted.contains(job) {
                 member.commit(submission(*job))?;
-                promises.accepted.insert(*job);
+                acknowledged.accepted.insert(*job);
             }
             let position = member.state.jobs()[&job_id(*job)].results.len() as u32;
             if position >= ITEMS {
                 return Ok(());
             }
-            promises.next_text += 1;
-            let number = promises.next_text;
+            acknowledged.next_text += 1;
+            let number = acknowledged.next_text;
             member.commit(Command::ListResult {
                 job: job_id(*job),
                 result: ListedResult {
@@ -273,15 +279,15 @@
                     score: None,
                 },
             })?;
-            promises.results.insert((*job, position), number);
+            acknowledged.results.insert((*job, position), number);
             Ok(())
         }
         Step::Forget(job) => {
-            promises.results.retain(|(other, _), _| other != job);
-            promises.accepted.remove(job);
+            acknowledged.results.retain(|(other, _), _| other != job);
+            acknowledged.accepted.remove(job);
             member.commit(Command::ForgetJob(job_id(*job)))
         }
-        Step::Move(most) => member.move_texts(*most),
+        Step::Move(max_texts) => member.move_texts(*max_texts),
         Step::Snapshot => {
             let snapshot = member.freeze();
             member.write_snapshot(snapshot)
@@ -289,9 +295,9 @@
         Step::SnapshotLater(between) => {
             let snapshot = member.freeze();
             for step in between {
-                run(member, promises, step)?;
+                run(member, acknowledged, step)?;
             }
-            // A newer snapshot may be durable by now; the store writes none that is older.
+            // A newer snapshot may be durable by now, and the store writes no older one.
             if between.iter().any(|step| matches!(step, Step::Snapshot)) {
                 return Ok(());
             }
@@ -302,19 +308,19 @@
             .files
             .remove_released()
             .map(|_| ())
-            .map_err(|_| Dead),
+            .map_err(|_| DiskFailed),
     }
 }
 
-fn check(member: &Member, promises: &Promises) -> Result<(), TestCaseError> {
-    for ((job, position), number) in &promises.results {
+fn check(member: &Member, acknowledged: &Acknowledged) -> Result<(), TestCaseError> {
+    for ((job, position), number) in &acknowledged.results {
         let found = member.state.jobs().get(&job_id(*job));
         let result = found.and_then(|job| job.results.get(*position as usize));
         let read = result.map(|result| result.text.unpack());
         let expected = Some(Ok(text(*number)));
         prop_assert!(
             read == expected,
-            "job {job}, position {position} is lost or another"
+            "job {job}, position {position} is missing or has another text"
         );
     }
     Ok(())
@@ -328,28 +334,28 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three lives, each ended by a loss of power at some call of the disk.
+    /// Runs a member three times, each time until a loss of power at some call of the disk.
     #[test]
-    fn what_is_acknowledged_is_read_back_after_any_loss_of_power(
-        lives in prop::collection::vec(
+    fn acknowledged_results_are_read_back_after_any_loss_of_power(
+        runs in prop::collection::vec(
             (prop::collection::vec(step(), 5..40), 1..90_u64, any::<u64>()),
             3,
         ),
     ) {
         let disk = MemoryFileSystem::new();
-        let mut promises = Promises::default();
-        for (steps, crash_at, seed) in lives {
+        let mut acknowledged = Acknowledged::default();
+        for (steps, crash_at, seed) in runs {
             let mut member = Member::start(&disk).map_err(TestCaseError::fail)?;
-            check(&member, &promises)?;
-            // A job whose forgetting was cut off may or may not be there.
+            check(&member, &acknowledged)?;
+            // A job whose removal was interrupted may or may not exist.
             let known = member.state.jobs().keys().cloned().collect::<Vec<_>>();
-            promises.accepted = (0..JOBS).filter(|job| known.contains(&job_id(*job))).collect();
+            acknowledged.accepted = (0..JOBS).filter(|job| known.contains(&job_id(*job))).collect();
             disk.set_faults(Faults {
                 crash_at: Some(disk.calls() + crash_at),
                 ..Faults::default()
             });
             for step in &steps {
-                if run(&mut member, &mut promises, step).is_err() {
+                if run(&mut member, &mut acknowledged, step).is_err() {
                     break;
                 }
             }
@@ -357,6 +363,6 @@
             disk.restart(seed);
         }
         let member = Member::start(&disk).map_err(TestCaseError::fail)?;
-        check(&member, &promises)?;
+        check(&member, &acknowledged)?;
     }
 }
--- a/crates/gateways/wingshore-coordinator/tests/view_feed.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed.rs
@@ -1,10 +1,11 @@
-//! What a member of the group tells the gateways that follow the view there, and what that costs.
+//! What a member of the group sends to the gateways that follow the view there, and what that
+//! costs.
 //!
-//! Seen on a site of 996 machines with 10,000 servers: each new leader ended within 0.9 s over its
-//! memory limit, and nobody led for the rest of the day. A new leader sent the whole view, 469 kB,
-//! to each of 836 gateways, each from a buffer of its own: 392 MB at one process, and 5 s of its
-//! link. The cost grew as servers times gateways, at one machine, though the gateways held all of
-//! it already.
+//! Guards against a fault on a site of 996 machines with 10,000 servers, where each new leader
+//! exceeded its memory limit and ended within 0.9 s, so that no leader was left for the rest of the
+//! day. A new leader sent the whole view, 469 kB, to each of 836 gateways from a separate buffer:
+//! 392 MB in one process, and 5 s of its link. The cost grew with the product of servers and
+//! gateways on one machine, although the gateways already held all of the view.
 
 use bytes::{Bytes, BytesMut};
 use googletest::prelude::*;
@@ -20,14 +21,14 @@
 use wingshore_types::LogIndex;
 use wingshore_types::machine::ReplicatedState;
 
-/// A member's state, with entries applied to it.
+/// State of a member, with entries applied to it.
 #[derive(Default)]
-struct Copy {
+struct MemberCopy {
     state: CoordinationState,
     applied: u64,
 }
 
-impl Copy {
+impl MemberCopy {
     fn apply(&mut self, command: Command) {
         self.applied += 1;
         self.state.apply(LogIndex(self.applied), command);
@@ -46,7 +47,8 @@
         }
     }
 
-    /// The member starts again from a snapshot: how its state came about is forgotten.
+    /// Returns the member after a restart from a snapshot, which does not contain the history of
+    /// changes.
     fn restored(&self) -> Self {
         let state = CoordinationState::restore(&self.state.snapshot());
         Self {
@@ -81,13 +83,13 @@
     }))
 }
 
-/// The links to gateways: what was sent on each and what waits there.
+/// Links to gateways: the frames that were sent and not read yet.
 #[derive(Default)]
 struct Links {
     waiting: BTreeMap<u32, Vec<Bytes>>,
     sent: usize,
-    /// Distinct buffers that were sent, by their addresses.
-    held: BTreeMap<usize, usize>,
+    /// Sizes of the distinct buffers that were sent, by their addresses.
+    buffers: BTreeMap<usize, usize>,
 }
 
 impl FeedLinks<u32> for Links {
@@ -98,18 +100,18 @@
 
     fn send(&mut self, link: u32, frame: &Bytes) {
         self.sent += frame.len();
-        self.held.insert(frame.as_ptr().addr(), frame.len());
+        self.buffers.insert(frame.as_ptr().addr(), frame.len());
         self.waiting.entry(link).or_default().push(frame.clone());
     }
 }
 
 impl Links {
-    /// The gateways read all that waits.
+    /// Lets the gateways read all waiting frames.
     fn deliver(&mut self, gateways: &mut [View]) {
         for (link, frames) in std::mem::take(&mut self.waiting) {
             for bytes in frames {
-                let verdict = gateways[link as usize].update(read(&bytes));
-                assert_eq!(verdict, UpdateOutcome::Applied);
+                let outcome = gateways[link as usize].update(read(&bytes));
+                assert_eq!(outcome, UpdateOutcome::Applied);
             }
         }
     }
@@ -123,10 +125,10 @@
     }
 }
 
-/// Tells until all gateways have read all; gives the rounds that it took.
+/// Sends changes until all gateways have read everything; returns the number of rounds.
 fn settle(
     feed: &mut ViewFeed<u32>,
-    copy: &Copy,
+    copy: &MemberCopy,
     links: &mut Links,
     gateways: &mut [View],
 ) -> usize {
@@ -138,7 +140,7 @@
         }
         links.deliver(gateways);
     }
-    panic!("the gateways do not come to know all");
+    panic!("the gateways do not receive all changes");
 }
 
 fn views(count: usize) -> Vec<View> {
@@ -152,8 +154,8 @@
 }
 
 #[gtest]
-fn each_gateway_comes_to_know_all() {
-    let mut copy = Copy::default();
+fn each_gateway_receives_all_changes() {
+    let mut copy = MemberCopy::default();
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(50));
     follow_all(&mut feed, &gateways);
     copy.apply(configuration(7));
@@ -169,10 +171,10 @@
     }
 }
 
-/// The whole takeover of 1,000 gateways at 10,000 servers costs less than one whole view did.
+/// The takeover of 1,000 gateways at 10,000 servers sends fewer bytes than one whole view.
 #[gtest]
-fn another_member_tells_only_what_gateways_lack() {
-    let mut first = Copy::default();
+fn another_member_sends_only_what_gateways_lack() {
+    let mut first = MemberCopy::default();
     first.apply(configuration(7));
     first.register(0, 10_000);
     let whole = frame::encode(&first.state.view())
@@ -189,30 +191,30 @@
     settle(&mut feed, &first, &mut links, &mut gateways);
     expect_that!(gateways[999].servers().count(), eq(10_001));
     expect_that!(links.sent, lt(whole));
-    expect_that!(links.held.values().sum::<usize>(), lt(1000));
+    expect_that!(links.buffers.values().sum::<usize>(), lt(1000));
 }
 
-/// Bytes held grow with the servers, not with the gateways.
+/// The buffered bytes grow with the servers, not with the gateways.
 #[gtest]
-fn a_whole_view_is_held_once_for_all_that_are_told_it() {
-    let held = |gateway_count: usize, servers: usize| {
-        let mut copy = Copy::default();
+fn a_whole_view_is_buffered_once_for_all_gateways() {
+    let buffered_bytes = |gateway_count: usize, servers: usize| {
+        let mut copy = MemberCopy::default();
         copy.register(0, servers);
         let (mut feed, mut links) = (ViewFeed::default(), Links::default());
         let mut gateways = views(gateway_count);
         follow_all(&mut feed, &gateways);
         settle(&mut feed, &copy, &mut links, &mut gateways);
-        links.held.values().sum::<usize>()
+        links.buffers.values().sum::<usize>()
     };
-    let few = held(100, 1000);
-    expect_that!(held(1000, 1000), eq(few));
-    expect_that!(held(100, 10_000), lt(11 * few));
+    let few = buffered_bytes(100, 1000);
+    expect_that!(buffered_bytes(1000, 1000), eq(few));
+    expect_that!(buffered_bytes(100, 10_000), lt(11 * few));
 }
 
-/// While servers register, each gateway that comes would ask for another state of the view.
+/// While servers register, each new gateway would need a view of another state.
 #[gtest]
-fn a_view_is_not_encoded_anew_for_each_gateway_while_servers_register() {
-    let mut copy = Copy::default();
+fn a_view_is_not_encoded_again_for_each_gateway_while_servers_register() {
+    let mut copy = MemberCopy::default();
     copy.register(0, 8000);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(160));
     let mut wholes = 0;
@@ -222,7 +224,7 @@
         feed.send_changes(copy.source(), &mut links)
             .expect("it can be encoded");
         let large = |buffers: &&usize| **buffers > 100_000;
-        wholes = links.held.values().filter(large).count();
+        wholes = links.buffers.values().filter(large).count();
         links.deliver(&mut gateways);
     }
     settle(&mut feed, &copy, &mut links, &mut gateways);
@@ -231,8 +233,8 @@
 }
 
 #[gtest]
-fn a_gateway_that_does_not_read_is_told_later_and_once() {
-    let mut copy = Copy::default();
+fn a_gateway_that_does_not_read_is_sent_the_changes_later_and_once() {
+    let mut copy = MemberCopy::default();
     copy.register(0, 8000);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(1));
     feed.follow(0, None);
@@ -250,10 +252,10 @@
     expect_that!(gateways[0].servers().count(), eq(8100));
 }
 
-/// A member that starts again from its snapshot does not know what has changed before.
+/// A member that restarts from its snapshot does not know the changes before it.
 #[gtest]
-fn a_restored_member_tells_the_whole_to_those_that_lack_something() {
-    let mut copy = Copy::default();
+fn a_restored_member_sends_the_whole_view_to_gateways_that_lack_changes() {
+    let mut copy = MemberCopy::default();
     copy.register(0, 20);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(2));
     feed.follow(0, None);
@@ -280,10 +282,10 @@
     }
 }
 
-/// A member that is sent a snapshot jumps ahead of what it has told.
+/// A member that receives a snapshot skips entries that it has not sent to its gateways.
 #[gtest]
-fn a_member_that_was_sent_a_snapshot_tells_what_it_skipped() {
-    let mut copy = Copy::default();
+fn a_member_that_received_a_snapshot_sends_the_changes_that_it_skipped() {
+    let mut copy = MemberCopy::default();
     copy.register(0, 20);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(3));
     follow_all(&mut feed, &gateways);
@@ -297,8 +299,8 @@
 }
 
 #[gtest]
-fn gateways_that_know_all_are_told_how_far_the_log_is() {
-    let mut copy = Copy::default();
+fn up_to_date_gateways_are_sent_the_last_applied_entry() {
+    let mut copy = MemberCopy::default();
     copy.register(0, 20);
     let (mut feed, mut links, mut gateways) = (ViewFeed::default(), Links::default(), views(1));
     feed.follow(0, None);
--- a/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
+++ b/crates/gateways/wingshore-coordinator/tests/view_feed_review.rs
@@ -1,4 +1,5 @@
-//! What a restart of a whole site costs where the whole view takes its time on the links of the members.
+//! The cost of restarting a whole site where sending the whole view takes time on the links of the
+//! members.
 
 use bytes::{Bytes, BytesMut};
 use googletest::prelude::*;
@@ -14,7 +15,7 @@
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::{Instant, LogIndex};
 
-/// One turn of members and gateways.
+/// Time between two turns of the simulation.
 const TURN: Duration = Duration::from_millis(10);
 
 fn server(number: usize) -> ServerRecord {
@@ -31,14 +32,14 @@
     }
 }
 
-/// The link of a member: frames leave it in order, at its rate.
+/// Link of a member, which sends frames in order at its rate.
 #[derive(Default)]
 struct MemberLink {
     waiting: VecDeque<(usize, Bytes)>,
     by_gateway: Vec<usize>,
     sent: usize,
-    /// Bytes of the first frame that have left.
-    left: usize,
+    /// Bytes of the first waiting frame that are already sent.
+    sent_of_first: usize,
 }
 
 impl FeedLinks<usize> for MemberLink {
@@ -55,29 +56,31 @@
 
 impl MemberLink {
     fn drain(&mut self, bytes: usize) -> Vec<(usize, Bytes)> {
-        self.left += bytes;
+        self.sent_of_first += bytes;
         let mut arrived = Vec::new();
         while let Some((link, frame)) = self.waiting.front()
-            && frame.len() <= self.left
+            && frame.len() <= self.sent_of_first
         {
-            self.left -= frame.len();
+            self.sent_of_first -= frame.len();
             self.by_gateway[*link] -= frame.len();
             arrived.extend(self.waiting.pop_front());
         }
         if self.waiting.is_empty() {
-            self.left = 0;
+            self.sent_of_first = 0;
         }
         arrived
     }
 }
 
+/// Result of a simulated restart.
 struct Outcome {
     took: Duration,
     /// Bytes sent, as a multiple of one whole view for each gateway.
-    times: f64,
+    views_per_gateway: f64,
 }
 
-fn restart(gateways: usize, servers: usize, members: usize, bytes_a_second: usize) -> Outcome {
+/// Simulates a restart until every gateway has a view.
+fn restart(gateways: usize, servers: usize, members: usize, bytes_per_second: usize) -> Outcome {
     let mut state = CoordinationState::default();
     let mut applied = 0;
     for number in 0..servers {
@@ -131,7 +134,7 @@
             feeds[member]
                 .send_changes(source, &mut links[member])
                 .expect("it can be encoded");
-            let bytes = bytes_a_second * TURN.as_millis() as usize / 1_000;
+            let bytes = bytes_per_second * TURN.as_millis() as usize / 1_000;
             for (gateway, bytes) in links[member].drain(bytes) {
                 let mut input = BytesMut::from(&bytes[..]);
                 if let Some(CoordinatorMessage::View(update)) =
@@ -147,16 +150,19 @@
     let sent: usize = links.iter().map(|link| link.sent).sum();
     Outcome {
         took: now.since(Instant::ZERO),
-        times: sent as f64 / (whole * gateways) as f64,
+        views_per_gateway: sent as f64 / (whole * gateways) as f64,
     }
 }
 
-/// A gateway without a view leaves a member for another after 0.7 s: what it leaves is under way all the same. On
-/// links of 600 Mbit/s, as machines of coordinators have, few do.
+/// A gateway without a view leaves a member for another after 0.7 s, while the view from the former
+/// is still in flight. On links of 600 Mbit/s, as coordinators have, few gateways do.
 #[gtest]
 fn after_a_restart_of_a_site_each_gateway_is_sent_about_one_whole_view() {
     let outcome = restart(250, 3_000, 6, 600 * 125_000);
-    println!("{:?}, {:.2} whole views each", outcome.took, outcome.times);
-    expect_that!(outcome.times, le(1.5));
+    println!(
+        "{:?}, {:.2} whole views each",
+        outcome.took, outcome.views_per_gateway
+    );
+    expect_that!(outcome.views_per_gateway, le(1.5));
     expect_that!(outcome.took, le(Duration::from_secs(6)));
 }
