--- a/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/crash_evidence.rs
@@ -20,8 +20,10 @@
 use crate::evidence::{CrashEvidence, Suspect};
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::{GatewayId, InstanceId, ServiceName};
-use crate::messages::SeenCrash;
-use crate::state::{CoordinationState, MAX_ENDINGS, REJECTED_FROM, REPORTED_FROM};
+use crate::messages::ObservedCrash;
+use crate::state::{
+    CoordinationState, MAX_CRASHES_PER_REQUEST, REJECTION_THRESHOLD, REPORTING_THRESHOLD,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wingshore_types::Instant;
@@ -96,10 +98,10 @@
         &mut self,
         now: Instant,
         gateway: GatewayId,
-        seen: SeenCrash,
+        seen: ObservedCrash,
         state: &CoordinationState,
     ) {
-        let SeenCrash { evidence, ago } = seen;
+        let ObservedCrash { evidence, ago } = seen;
         let server = state.servers().get(&evidence.instance);
         let ending = self.endings.entry(evidence.instance.clone());
         let ending = ending.or_insert_with(|| Ending {
@@ -199,8 +201,8 @@
     /// or with enough that single it out.
     pub(crate) fn is_to_be_rejected(&self, suspect: &Suspect) -> bool {
         let ended = suspect.ended.len();
-        let is_enough = ended >= REJECTED_FROM && self.singles_out(suspect.fingerprint);
-        !suspect.rejected && (ended >= MAX_ENDINGS || is_enough)
+        let is_enough = ended >= REJECTION_THRESHOLD && self.singles_out(suspect.fingerprint);
+        !suspect.rejected && (ended >= MAX_CRASHES_PER_REQUEST || is_enough)
     }
 
     /// Requests without news for too long; their time begins anew.
@@ -218,5 +220,5 @@
 /// Whether so many servers have ended under an item that it is suspected to be the cause. Such items run
 /// on engines apart from each other: the next ending then tells which of them it is.
 pub(crate) fn is_suspect(ended_under: usize) -> bool {
-    ended_under >= REPORTED_FROM
+    ended_under >= REPORTING_THRESHOLD
 }
--- a/crates/gateways/wingshore-coordination/src/leader/evidence.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/evidence.rs
@@ -9,7 +9,7 @@
 use crate::evidence::Suspect;
 use crate::fingerprint::RequestFingerprint;
 use crate::ids::GatewayId;
-use crate::messages::SeenCrash;
+use crate::messages::ObservedCrash;
 use crate::state::{Command, CoordinationState};
 use wingshore_types::Instant;
 
@@ -19,7 +19,7 @@
         &mut self,
         now: Instant,
         gateway: GatewayId,
-        seen: Vec<SeenCrash>,
+        seen: Vec<ObservedCrash>,
         state: &CoordinationState,
     ) {
         for seen in seen {
@@ -36,14 +36,14 @@
         {
             let known = turn.state.evidence();
             let weight = self.evidence.weight(&evidence);
-            let counted = weight.counts() && known.is_news(&evidence);
+            let counted = weight.counts() && known.is_new(&evidence);
             turn.log(Decision::RequestSuspected {
                 request: evidence.fingerprint,
                 instance: evidence.instance.clone(),
                 gateway,
                 ended_together: weight.together,
                 under_request: weight.under_request,
-                ended_before: known.ended_under(evidence.fingerprint),
+                ended_before: known.crash_count(evidence.fingerprint),
                 counted,
             });
             if counted {
@@ -67,7 +67,7 @@
     ) {
         self.evidence.clear(&requests);
         let held = turn.state.evidence();
-        let is_known = |request: &RequestFingerprint| held.ended_under(*request) > 0;
+        let is_known = |request: &RequestFingerprint| held.crash_count(*request) > 0;
         let known: Vec<RequestFingerprint> = requests.into_iter().filter(is_known).collect();
         if known.is_empty() {
             return;
--- a/crates/gateways/wingshore-coordination/src/lib.rs
+++ b/crates/gateways/wingshore-coordination/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of a site whose callers share gateways: the configuration, the registry of servers,
+//! Coordination of a site whose callers share gateways: the configuration, the registry of servers,
 //! batch jobs and the weight versions of models.
 //!
-//! One replicated group holds all of it. [`CoordinationState`] is the replicated part;
-//! [`CoordinationLeader`] runs on the group's leader only: it places items of batch jobs on
-//! engines, and brings engines to the versions that trainers named.
-//! Neither reads a clock, opens a socket or a file, or draws randomness.
+//! One replicated group holds all of this state. [`CoordinationState`] is the replicated part;
+//! [`CoordinationLeader`] runs only on the group's leader: it assigns items of batch jobs to
+//! engines and moves engines to the versions that trainers publish. Neither reads a clock, opens a
+//! socket or file, or uses randomness.
 
 mod configuration;
 mod evidence;
@@ -32,8 +32,8 @@
 pub use evidence::{CrashEvidence, Suspect};
 pub use fingerprint::{FingerprintKey, RequestContent, RequestFingerprint};
 pub use ids::{
-    AssignmentId, BornAt, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
-    ServiceName, TenantName,
+    AssignmentId, GatewayId, InstanceId, ItemId, ItemKey, JobId, ModelName, ServerName,
+    ServiceName, StartTime, TenantName,
 };
 pub use jobs::{ItemState, Job, JobItem, JobPage, JobSubmission, ListedResult, ResultRecord};
 pub use leader::{
@@ -44,11 +44,11 @@
 pub use messages::{
     BreakCause, CallReply, CoordinatorFrame, CoordinatorHello, CoordinatorMessage, FormatRange,
     GatewayHello, GatewayMessage, GatewayStatus, HeartbeatAnswer, IncomingFrame, ItemAssignment,
-    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, Refusal, RefusedPeers, Reply, Request,
-    RunningItem, SeenCrash, with_own_formats,
+    ItemOutcome, ItemProgress, KnownLeader, NotRunReason, ObservedCrash, Refusal, RefusedPeers,
+    Reply, Request, RunningItem, with_own_formats,
 };
 pub use provider::{CapacityOrder, DutyHolder, ProviderAnswer, UsageReport};
-pub use registry::{HeardServer, Heartbeat, ModelVersion, ServerRecord};
+pub use registry::{Heartbeat, ModelVersion, ServerRecord, UnchangedServer};
 pub use routes::RouteTable;
 pub use scaling::{CapacityPool, Scaling};
 pub use scoring::{
@@ -57,12 +57,12 @@
 };
 pub use site_time::{SiteClock, WallTime};
 pub use state::{
-    Command, CoordinationState, KnownChanges, MAX_SUSPECTS, OrderHolder, REJECTED_FROM,
+    Command, CoordinationState, KnownChanges, MAX_SUSPECTS, OrderHolder, REJECTION_THRESHOLD,
     RequestEvidence, SiteUsage,
 };
 pub use tenants::{ApiKey, Caller, KeyTable, Tenant, TenantError};
 pub use text::{
-    DurablePrefix, FinishedText, HeldPrefix, ItemText, PackedText, ResultText, TextError,
+    DurablePrefix, FinishedText, ItemText, LoggedPrefix, PackedText, ResultText, TextError,
     TextPlace, TextStore,
 };
 pub use usage::{UsageCounts, UsageMeter, UsageWindow, WindowUsage};
--- a/crates/gateways/wingshore-coordination/src/state/replicated.rs
+++ b/crates/gateways/wingshore-coordination/src/state/replicated.rs
@@ -1,4 +1,5 @@
-//! The state as a member of the group drives it: commands are applied, snapshots taken and restored.
+//! The interface of the state to the replicated group: commands are applied, snapshots taken and
+//! restored.
 
 use super::command::Command;
 use super::evidence::RequestEvidence;
@@ -23,7 +24,8 @@
         let held = self.configuration.as_ref().map(|held| held.version);
         if held.is_none_or(|held| configuration.version > held) {
             self.configuration = Some(configuration);
-            self.view_history.note(index, ViewPart::Configuration);
+            self.view_history
+                .record_change(index, ViewPart::Configuration);
         }
     }
 
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Changes a job by `list`, which says whether it has listed a result.
+    /// Changes a job with `list`, which returns whether it has listed a result.
     fn list(&mut self, job: &JobId, list: impl FnOnce(&mut Job) -> bool) {
         let Some(job) = self.jobs.get_mut(job) else {
             return;
@@ -70,7 +72,7 @@
         if list(job)
             && let Some(result) = job.results.last()
         {
-            self.texts.hold(result.text.packed());
+            self.texts.track(result.text.packed());
         }
     }
 
@@ -88,30 +90,33 @@
 
     fn set_fingerprint_key(&mut self, index: LogIndex, key: FingerprintKey) {
         self.evidence.set_key(key);
-        self.view_history.note(index, ViewPart::FingerprintKey);
+        self.view_history
+            .record_change(index, ViewPart::FingerprintKey);
     }
 
     fn note_crashes(&mut self, index: LogIndex, crashes: Vec<CrashEvidence>) {
         let requests = crashes.iter().map(|crash| crash.fingerprint).collect();
         self.change_evidence(index, requests, |evidence| {
-            crashes.into_iter().for_each(|crash| evidence.note(crash));
+            crashes
+                .into_iter()
+                .for_each(|crash| evidence.record_crash(crash));
         });
     }
 
     fn reject_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::reject);
+        self.change_each_request(index, requests, RequestEvidence::reject);
     }
 
     fn relieve_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::relieve);
+        self.change_each_request(index, requests, RequestEvidence::drop_oldest_crash);
     }
 
     fn clear_requests(&mut self, index: LogIndex, requests: Vec<RequestFingerprint>) {
-        self.change_each(index, requests, RequestEvidence::clear);
+        self.change_each_request(index, requests, RequestEvidence::clear);
     }
 
-    /// Changes what is known of each of these requests.
-    fn change_each(
+    /// Applies `change` to the evidence of each of these requests.
+    fn change_each_request(
         &mut self,
         index: LogIndex,
         requests: Vec<RequestFingerprint>,
@@ -130,7 +135,7 @@
     type Reply = ();
 
     fn apply(&mut self, index: LogIndex, command: Command) {
-        self.view_history.begin(index);
+        self.view_history.begin_entry(index);
         match command {
             Command::ConfigureEarlier(earlier) => self.configure(index, earlier.upgrade()),
             Command::RegisterEarlier(earlier) => self.register(index, earlier.into()),
@@ -147,7 +152,9 @@
                 item,
                 after_events,
                 text,
-            } => self.change_job(&item.job, |job| job.keep(item.index, after_events, text)),
+            } => self.change_job(&item.job, |job| {
+                job.append_partial_text(item.index, after_events, text)
+            }),
             Command::KeepUnscored {
                 item,
                 made_by,
@@ -169,12 +176,12 @@
             }),
             Command::DescribeMember { member, node } => self.describe_member(member, node),
             Command::RetireMember { member, node } => self.retire_member(member, node),
-            Command::HoldOrders(holder) => self.orders.hold(holder),
-            Command::SettleOrders(epoch) => self.orders.settle(epoch),
+            Command::HoldOrders(holder) => self.orders.set_holder(holder),
+            Command::SettleOrders(epoch) => self.orders.mark_settled(epoch),
             Command::WantCapacity { pool, count } => self.want_capacity(pool, count),
-            Command::KeepUsage { gateway, usage } => self.usage.keep(gateway, usage),
-            Command::CloseUsageWindow { window, counts } => self.usage.close(window, counts),
-            Command::UsageReported(window) => self.usage.reported(window),
+            Command::KeepUsage { gateway, usage } => self.usage.store_lost_gateway(gateway, usage),
+            Command::CloseUsageWindow { window, counts } => self.usage.close_window(window, counts),
+            Command::UsageReported(window) => self.usage.acknowledge(window),
             Command::SetFingerprintKey(key) => self.set_fingerprint_key(index, key),
             Command::NoteCrashes(crashes) => self.note_crashes(index, crashes),
             Command::RejectRequests(requests) => self.reject_requests(index, requests),
@@ -184,7 +191,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // Only a disk that fails keeps a state from being encoded.
+        // Encoding fails only if the disk fails.
         let bytes = self.freeze().to_bytes();
         bytes.map(Into::into).unwrap_or_default()
     }
--- a/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/read.rs
@@ -1,8 +1,8 @@
-//! Restoring a state, record by record.
+//! Restores a state from a snapshot, record by record.
 
 use super::records::{
-    FIRST_FORMAT_OF_RECORDS, FORMAT, LAST_FIRST_BYTE_BEFORE, LENGTH_BYTES, Record, SavedResult,
-    SavedText,
+    FORMAT, LENGTH_BYTES, MAX_FIRST_BYTE_OF_SINGLE_VALUE, OLDEST_RECORD_FORMAT, Record,
+    SavedResult, SavedText,
 };
 use crate::jobs::{Job, ResultRecord};
 use crate::state::earlier::EarlierState;
@@ -13,11 +13,11 @@
 use wingshore_types::machine::RestoreError;
 use wingshore_types::stored;
 
-/// Largest record, in bytes: far above any submission, which is at most as large as a caller's body
-/// ([`crate::IngressLimits`]); a damaged length is found by it.
+/// Maximum size of a record in bytes, to detect a damaged length: far above any submission, which
+/// is at most as large as a request's body ([`crate::IngressLimits`]).
 const MAX_RECORD_BYTES: usize = 256 << 20;
 
-/// Reads a state; texts go to its store as they come.
+/// Reads a state; texts are added to its store as they are read.
 pub(in crate::state) fn restore(
     texts: &TextStoreHandle,
     reader: &mut dyn Read,
@@ -27,8 +27,8 @@
         .read_exact(&mut format)
         .map_err(RestoreError::from_display)?;
     match format[0] {
-        FIRST_FORMAT_OF_RECORDS..=FORMAT => restore_records(texts, reader),
-        0..=LAST_FIRST_BYTE_BEFORE => restore_whole(texts, &format, reader),
+        OLDEST_RECORD_FORMAT..=FORMAT => restore_records(texts, reader),
+        0..=MAX_FIRST_BYTE_OF_SINGLE_VALUE => restore_single_value(texts, &format, reader),
         unknown => Err(RestoreError::from_display(format!(
             "the state has format {unknown}; this program knows formats up to {FORMAT}"
         ))),
@@ -43,7 +43,7 @@
         Record::Site(state) => state,
         Record::SiteEarlier(earlier) => Box::new((*earlier).into()),
         _ => {
-            let message = "the first record is not the site's";
+            let message = "the first record of the snapshot does not contain the site state";
             return Err(RestoreError::from_display(message));
         }
     };
@@ -54,7 +54,9 @@
             Record::Job(next) => add_job(&mut state, job.replace(next)),
             Record::Result(saved) => {
                 let Some(job) = &mut job else {
-                    return Err(RestoreError::from_display("a result without a job"));
+                    return Err(RestoreError::from_display(
+                        "result record without a preceding job record",
+                    ));
                 };
                 job.results
                     .push(Arc::new(read_result(texts, saved, reader)?));
@@ -65,7 +67,9 @@
             }
             Record::Evidence(evidence) => state.evidence = *evidence,
             Record::Site(_) | Record::SiteEarlier(_) => {
-                return Err(RestoreError::from_display("a second site"));
+                return Err(RestoreError::from_display(
+                    "more than one record with the site state",
+                ));
             }
         }
     }
@@ -89,7 +93,7 @@
 fn read_bytes(reader: &mut dyn Read, length: u32) -> Result<Vec<u8>, RestoreError> {
     let length = length as usize;
     if length > MAX_RECORD_BYTES {
-        let message = format!("a record of {length} bytes; allowed are {MAX_RECORD_BYTES}");
+        let message = format!("record of {length} bytes exceeds the limit of {MAX_RECORD_BYTES}");
         return Err(RestoreError::from_display(message));
     }
     let mut bytes = Vec::new();
@@ -98,7 +102,9 @@
         .read_to_end(&mut bytes)
         .map_err(RestoreError::from_display)?;
     if bytes.len() < length {
-        return Err(RestoreError::from_display("the state is cut short"));
+        return Err(RestoreError::from_display(
+            "the snapshot ends within a record or text",
+        ));
     }
     Ok(bytes)
 }
@@ -114,7 +120,7 @@
             let store = texts
                 .0
                 .as_ref()
-                .ok_or("a text on disk, and no store of texts");
+                .ok_or("the snapshot references a text on disk, but there is no text store");
             let store = store.map_err(RestoreError::from_display)?;
             TextPlace::Disk(store.find(place).map_err(RestoreError::from_display)?)
         }
@@ -122,8 +128,8 @@
     let is_in_memory = matches!(place, TextPlace::Memory(_));
     let text = ResultText::at(saved.text_length, place);
     if is_in_memory {
-        texts.hold(text.packed());
-        texts.wait_for_room();
+        texts.track(text.packed());
+        texts.wait_for_memory();
     }
     Ok(ResultRecord {
         id: saved.id,
@@ -134,8 +140,8 @@
     })
 }
 
-/// Reads a state of the oldest format, whose bytes are in memory whole meanwhile.
-fn restore_whole(
+/// Reads a state of the oldest format, whose encoding is completely in memory during the restore.
+fn restore_single_value(
     texts: &TextStoreHandle,
     begin: &[u8],
     reader: &mut dyn Read,
@@ -149,8 +155,8 @@
     drop(bytes);
     state.texts = texts.clone();
     for result in state.jobs.values().flat_map(|job| &job.results) {
-        texts.hold(result.text.packed());
+        texts.track(result.text.packed());
     }
-    texts.wait_for_room();
+    texts.wait_for_memory();
     Ok(state)
 }
--- a/crates/gateways/wingshore-coordination/tests/formats.rs
+++ b/crates/gateways/wingshore-coordination/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Which format two processes speak, and what a hello with formats looks like.
+//! Negotiation of message formats, and the encoding of a hello with a format range.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -18,9 +18,9 @@
 }
 
 proptest! {
-    /// Both sides find the same, without a word more.
+    /// Both sides pick the same format without a further message.
     #[test]
-    fn the_newest_format_of_both_is_spoken(one in any_range(), other in any_range()) {
+    fn the_newest_common_format_is_chosen(one in any_range(), other in any_range()) {
         let of_both = |format: &u16| {
             (one.oldest..=one.newest).contains(format)
                 && (other.oldest..=other.newest).contains(format)
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_range_that_is_none_has_no_format_in_common() {
+fn an_empty_range_has_no_common_format() {
     expect_that!(range(1, 3).common(range(3, 1)), none());
 }
 
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn what_follows_a_range_is_ignored() {
+fn bytes_after_a_range_are_ignored() {
     expect_that!(
         FormatRange::after_hello(&[2, 3, 200, 7]),
         ok(eq(&range(2, 3)))
@@ -49,30 +49,36 @@
 }
 
 #[gtest]
-fn half_a_range_is_none() {
+fn a_truncated_range_is_refused() {
     expect_that!(FormatRange::after_hello(&[2]), err(anything()));
 }
 
 #[gtest]
-fn a_peer_is_news_once_for_what_it_says() {
+fn a_refusal_is_first_once_per_format_range() {
     let mut refused = RefusedPeers::default();
-    let refusal = |formats, is_news| Err(Refusal { formats, is_news });
-    expect_that!(refused.judge(peer(), &[]), eq(Ok(1)));
+    let refusal = |formats, is_first| Err(Refusal { formats, is_first });
+    expect_that!(refused.negotiate(peer(), &[]), eq(Ok(1)));
     let (newer, newest) = (Some(range(2, 3)), Some(range(3, 3)));
-    expect_that!(refused.judge(peer(), &[2, 3]), eq(refusal(newer, true)));
-    expect_that!(refused.judge(peer(), &[2, 3]), eq(refusal(newer, false)));
-    expect_that!(refused.judge(peer(), &[3, 3]), eq(refusal(newest, true)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, true)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, false)));
-    expect_that!(refused.judge(peer(), &[1, 9]), eq(Ok(1)));
-    expect_that!(refused.judge(peer(), &[3]), eq(refusal(None, true)));
+    expect_that!(refused.negotiate(peer(), &[2, 3]), eq(refusal(newer, true)));
+    expect_that!(
+        refused.negotiate(peer(), &[2, 3]),
+        eq(refusal(newer, false))
+    );
+    expect_that!(
+        refused.negotiate(peer(), &[3, 3]),
+        eq(refusal(newest, true))
+    );
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, true)));
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, false)));
+    expect_that!(refused.negotiate(peer(), &[1, 9]), eq(Ok(1)));
+    expect_that!(refused.negotiate(peer(), &[3]), eq(refusal(None, true)));
 }
 
 #[gtest]
-fn a_refusal_says_what_the_peer_speaks() {
+fn a_refusal_displays_the_formats_of_the_peer() {
     let refusal = |formats| Refusal {
         formats,
-        is_news: true,
+        is_first: true,
     };
     expect_that!(refusal(Some(range(2, 3))).to_string(), eq("2 to 3"));
     expect_that!(refusal(None).to_string(), eq("unreadable"));
--- a/crates/gateways/wingshore-coordination/tests/items_review.rs
+++ b/crates/gateways/wingshore-coordination/tests/items_review.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use support::Group;
 use wingshore_coordination::{
-    AssignmentId, CoordinatorMessage, Effect, Event, HeldPrefix, ItemText, JobId, RunningItem,
+    AssignmentId, CoordinatorMessage, Effect, Event, ItemText, JobId, LoggedPrefix, RunningItem,
 };
 
 /// The events after number `after` up to `through`.
@@ -31,7 +31,7 @@
 }
 
 /// The logged prefix of the text that a leader sent last.
-fn last_logged_prefix(group: &Group) -> Option<HeldPrefix> {
+fn last_logged_prefix(group: &Group) -> Option<LoggedPrefix> {
     let mut prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
@@ -73,10 +73,10 @@
     group.event(upload(assignment, from, 8));
     group.event(upload(assignment, 8, 12));
     let kept = group.state.jobs()[&JobId::from("j")]
-        .kept(0)
+        .partial_text(0)
         .map_or(0, |text| text.events);
     println!("sent prefix: {held:?}; stored {kept} of 12 events");
     expect_that!(group.assignments(), is_empty(), "the attempt keeps running");
-    expect_that!(held, some(eq(events(0, 2).held())));
+    expect_that!(held, some(eq(events(0, 2).logged_prefix())));
     expect_that!(kept, eq(12));
 }
--- a/crates/gateways/wingshore-coordination/tests/partial_texts.rs
+++ b/crates/gateways/wingshore-coordination/tests/partial_texts.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use support::{Group, configuration, engine, job};
 use wingshore_coordination::{
-    BreakCause, CoordinatorMessage, Effect, Event, GatewayId, HeldPrefix, ItemAssignment,
-    ItemOutcome, ItemText, JobId, Request, RunningItem,
+    BreakCause, CoordinatorMessage, Effect, Event, GatewayId, ItemAssignment, ItemOutcome,
+    ItemText, JobId, LoggedPrefix, Request, RunningItem,
 };
 
 /// The events after number `after` up to `through`.
@@ -47,7 +47,7 @@
 }
 
 /// The logged prefixes that were sent to gateways, in order.
-fn logged_prefixes(group: &Group) -> Vec<HeldPrefix> {
+fn logged_prefixes(group: &Group) -> Vec<LoggedPrefix> {
     let prefixes = group.effects.iter().filter_map(|effect| match effect {
         Effect::ToGateway(_, CoordinatorMessage::HandInFrom { held, .. }) => Some(*held),
         _ => None,
@@ -56,7 +56,7 @@
 }
 
 fn kept(group: &Group) -> Option<&ItemText> {
-    group.state.jobs()[&JobId::from("j")].kept(0)
+    group.state.jobs()[&JobId::from("j")].partial_text(0)
 }
 
 /// Guards against uploads that are dropped silently, as after a broken connection (`items_review`).
@@ -70,7 +70,7 @@
     upload(&mut group, &assigned, 4, 6);
     expect_that!(
         logged_prefixes(&group),
-        elements_are![eq(&events(0, 2).held())]
+        elements_are![eq(&events(0, 2).logged_prefix())]
     );
     upload(&mut group, &assigned, 2, 8);
     expect_that!(kept(&group), some(eq(&events(0, 8))));
@@ -87,7 +87,7 @@
     report(&mut group, &assigned);
     expect_that!(
         logged_prefixes(&group),
-        elements_are![eq(&events(0, 5).held())]
+        elements_are![eq(&events(0, 5).logged_prefix())]
     );
     upload(&mut group, &assigned, 5, 8);
     group.commit();
@@ -126,7 +126,7 @@
     // The gateway learns that its text does not begin with the logged prefix.
     let prefixes = logged_prefixes(&group);
     let last = prefixes.last().expect("a prefix was sent");
-    expect_that!(last.begins(&third.kept), eq(false));
+    expect_that!(last.is_prefix_of(&third.kept), eq(false));
 }
 
 fn interrupt(group: &mut Group, gateway: GatewayId, assigned: &ItemAssignment, text: ItemText) {
--- a/crates/gateways/wingshore-coordinator/src/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/heartbeats.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord};
+use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord, UnchangedServer};
 use wingshore_types::Instant;
 
 /// Time without heartbeats after which the record of a server is forgotten here. It is longer than
@@ -83,12 +83,12 @@
     }
 
     /// Returns the servers that were recorded since the last call, for the report to the leader.
-    pub fn take_unchanged(&mut self, now: Instant) -> Vec<HeardServer> {
+    pub fn take_unchanged(&mut self, now: Instant) -> Vec<UnchangedServer> {
         self.known
             .retain(|_, known| now.since(known.last_heartbeat_at) < RECORD_EXPIRY);
         let unreported = std::mem::take(&mut self.unreported).into_iter();
         unreported
-            .map(|(instance, sequence)| HeardServer { instance, sequence })
+            .map(|(instance, sequence)| UnchangedServer { instance, sequence })
             .collect()
     }
 }
--- a/crates/gateways/wingshore-coordinator/src/texts.rs
+++ b/crates/gateways/wingshore-coordinator/src/texts.rs
@@ -133,7 +133,7 @@
 }
 
 impl TextStore for TextArchive {
-    fn hold(&self, text: &Arc<PackedText>) {
+    fn track(&self, text: &Arc<PackedText>) {
         let TextPlace::Memory(bytes) = text.place() else {
             return;
         };
@@ -149,7 +149,7 @@
         }
     }
 
-    fn wait_for_room(&self) {
+    fn wait_for_memory(&self) {
         let is_over_limit = |state: &mut State| state.is_over_limit();
         let state = self.shared.state();
         drop(self.shared.changed.wait_while(state, is_over_limit));
--- a/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/tests/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use std::time::Duration;
-use wingshore_coordination::{HeardServer, Heartbeat, InstanceId, ServerRecord, ServiceName};
+use wingshore_coordination::{Heartbeat, InstanceId, ServerRecord, ServiceName, UnchangedServer};
 use wingshore_coordinator::{HeartbeatAction, HeartbeatRelay};
 use wingshore_types::Instant;
 
@@ -36,7 +36,7 @@
         let action = relay.offer(NOW, &heartbeat(sequence, false));
         expect_that!(action, eq(HeartbeatAction::Acknowledge));
     }
-    let unchanged = HeardServer {
+    let unchanged = UnchangedServer {
         instance: InstanceId::from("i-1"),
         sequence: 4,
     };
--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -36,7 +36,7 @@
 
 fn hold(archive: &TextArchive, number: usize) -> ResultText {
     let packed = ResultText::pack(&text(number));
-    archive.hold(packed.packed());
+    archive.track(packed.packed());
     packed
 }
 
@@ -92,7 +92,7 @@
     };
     disk.set_faults(full);
     let texts: Vec<ResultText> = (0..100).map(|number| hold(&archive, number)).collect();
-    archive.wait_for_room();
+    archive.wait_for_memory();
     expect_that!(texts.iter().any(is_on_disk), eq(false));
     disk.set_faults(Faults::default());
     wait_until("the budget is kept", || archive.bytes_in_memory() <= BUDGET);
@@ -191,7 +191,7 @@
         .collect();
     let started_at = Instant::now();
     for text in &texts {
-        archive.hold(text.packed());
+        archive.track(text.packed());
     }
     expect_that!(started_at.elapsed(), le(Duration::from_secs(2)));
     hanging.hangs.store(false, Ordering::SeqCst);
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -15,12 +15,12 @@
 use crate::item_policy::{CONNECT_TIMEOUT, ItemAnswer, STALL_TIMEOUT, classify_item_answer};
 use crate::protocol::HeaderNames;
 use crate::timers::TimerKey;
-use crate::upstream::{ConnectionEnd, LostSend, Task, Upstream};
+use crate::upstream::{ConnectionEnd, LostRequest, Task, Upstream};
 use slog::info;
 use std::collections::BTreeMap;
 use wingshore_coordination::{
-    AssignmentId, BreakCause, HeldPrefix, ItemAssignment, ItemOutcome, ItemProgress, NotRunReason,
-    RequestFingerprint, RunningItem, ScoringAssignment,
+    AssignmentId, BreakCause, ItemAssignment, ItemOutcome, ItemProgress, LoggedPrefix,
+    NotRunReason, RequestFingerprint, RunningItem, ScoringAssignment,
 };
 use wingshore_net::ConnectionId;
 use wingshore_net::http::AnswerHead;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Handles an engine's complete answer; `ends_whole` if the answer has no incomplete event at
+    /// Handles an engine's complete answer; `ends_at_event_boundary` if the answer has no incomplete event at
     /// its end. Returns the scoring that follows.
     #[must_use]
     pub(crate) fn on_answer(
@@ -118,18 +118,21 @@
         environment: &mut Environment,
         id: AssignmentId,
         head: &AnswerHead,
-        ends_whole: bool,
+        ends_at_event_boundary: bool,
     ) -> Option<ScoringAssignment> {
         let names = environment.site.protocol.header_names();
         let says_not_run = head.headers.get(names.not_run).is_some();
         let attempt = self.attempts.get_mut(&id)?;
         let mut scoring = None;
-        let outcome = match classify_item_answer(head.status, says_not_run, ends_whole) {
+        let outcome = match classify_item_answer(head.status, says_not_run, ends_at_event_boundary)
+        {
             ItemAnswer::Finished => {
                 scoring = attempt.scoring();
                 let outcome = attempt.finish();
                 let item = &attempt.assignment;
-                crash_reports::ran_well(environment, |site| fingerprints::of_item(site, item));
+                crash_reports::request_succeeded(environment, |site| {
+                    fingerprints::of_item(site, item)
+                });
                 outcome
             }
             ItemAnswer::CutShort => attempt.interrupt(BreakCause::Gateway),
@@ -147,20 +150,20 @@
         &mut self,
         environment: &mut Environment,
         id: AssignmentId,
-        lost: &LostSend,
+        lost: &LostRequest,
     ) {
         let request = self.possible_cause(environment, id);
-        if lost.end == ConnectionEnd::BrokeOff {
+        if lost.end == ConnectionEnd::Lost {
             crash_reports::connection_lost(environment, lost, request);
         }
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let outcome = match lost.end {
-            ConnectionEnd::BrokeOff | ConnectionEnd::Silent => {
+            ConnectionEnd::Lost | ConnectionEnd::TimedOut => {
                 attempt.interrupt(BreakCause::Engine(request))
             }
-            ConnectionEnd::NeverUp => ItemOutcome::NotRun(NotRunReason::Unreachable),
+            ConnectionEnd::ConnectFailed => ItemOutcome::NotRun(NotRunReason::Unreachable),
             ConnectionEnd::Refused => ItemOutcome::NotRun(NotRunReason::Ended),
         };
         self.end(environment, id, outcome);
@@ -178,18 +181,18 @@
         let upstreams = &mut environment.servers.upstreams;
         let is_up = upstreams
             .get(connection)
-            .is_some_and(|upstream| upstream.up);
+            .is_some_and(|upstream| upstream.is_connected);
         let (limit, end) = if is_up {
-            (STALL_TIMEOUT, ConnectionEnd::Silent)
+            (STALL_TIMEOUT, ConnectionEnd::TimedOut)
         } else {
-            (CONNECT_TIMEOUT, ConnectionEnd::NeverUp)
+            (CONNECT_TIMEOUT, ConnectionEnd::ConnectFailed)
         };
         let deadline = attempt.last_input_at + limit;
         if now < deadline {
             let timers = &mut environment.runtime.timers;
             return timers.arm(deadline, TimerKey::Item(id));
         }
-        let lost = LostSend {
+        let lost = LostRequest {
             instance: attempt.assignment.instance.clone(),
             sent_at: attempt.begun,
             end,
@@ -199,7 +202,7 @@
     }
 
     /// Continues uploads of an item's text after the prefix that the log holds.
-    pub(crate) fn upload_after(&mut self, id: AssignmentId, held: HeldPrefix) {
+    pub(crate) fn upload_after(&mut self, id: AssignmentId, held: LoggedPrefix) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.upload_after(held);
         }
@@ -312,7 +315,7 @@
         };
         if attempt.mark_cleared() {
             let item = &attempt.assignment;
-            crash_reports::ran_well(environment, |site| fingerprints::of_item(site, item));
+            crash_reports::request_succeeded(environment, |site| fingerprints::of_item(site, item));
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/process/listeners.rs
+++ b/crates/gateways/wingshore-gateway/src/process/listeners.rs
@@ -1,6 +1,6 @@
 //! The sockets that a gateway listens on.
 
-use crate::admission::Purpose;
+use crate::admission::ListenerKind;
 use crate::error::{GatewayError, NetSnafu};
 use crate::settings::GatewaySettings;
 use snafu::ResultExt;
@@ -38,14 +38,14 @@
         })
     }
 
-    /// Returns the purpose of connections of a listener.
-    pub(super) fn purpose(&self, listener: ListenerId) -> Purpose {
+    /// Returns the kind of a listener.
+    pub(super) fn listener_kind(&self, listener: ListenerId) -> ListenerKind {
         if Some(listener) == self.ready {
-            Purpose::Ready
+            ListenerKind::Ready
         } else if Some(listener) == self.metrics {
-            Purpose::Metrics
+            ListenerKind::Metrics
         } else {
-            Purpose::Front
+            ListenerKind::Front
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/view.rs
+++ b/crates/gateways/wingshore-gateway/src/view.rs
@@ -175,16 +175,16 @@
     }
 
     /// Returns whether this route requires a key.
-    pub fn asks_for_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         let configuration = self.configuration.as_ref();
-        configuration.is_some_and(|held| held.asks_for_key(route))
+        configuration.is_some_and(|held| held.requires_key(route))
     }
 
     /// Returns whether calls about batch jobs require a key at this host: such calls do not name
     /// the route by which the job was submitted.
     pub fn requires_key_for_jobs(&self, host: &str) -> bool {
         let is_public = |route: &Arc<Route>| route.kind == RouteKind::Batch && route.public;
-        self.has_tenants() && !self.routes.of_host(host).any(is_public)
+        self.has_tenants() && !self.routes.routes_of_host(host).any(is_public)
     }
 
     /// Returns the caller that a key belongs to.
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -1,11 +1,11 @@
-//! What follows when an attempt at a live request brought no usable answer.
+//! Retry decisions, classification of answers, and time limits of live requests.
 
 use googletest::prelude::*;
 use std::time::Duration;
 use wingshore_gateway::{
-    AnswerFacts, AnswerKind, AttemptHistory, Circumstances, NextStep, OwnAnswer, RetryLimits,
-    StopProgress, after_failure, answer_deadline, classify_answer, connect_deadline,
-    given_up_answer, is_server_failure, is_stream_begun, request_timeout,
+    AnswerFacts, AnswerKind, AttemptHistory, NextStep, OwnAnswer, RetryContext, RetryLimits,
+    StopProgress, answer_deadline, classify_answer, connect_deadline, given_up_answer,
+    is_internal_error, is_stream_admitted, next_step, request_timeout,
 };
 use wingshore_types::Instant;
 use wingshore_types::verdict::Verdict;
@@ -18,56 +18,62 @@
     is_repeatable: false,
     max_attempts: 3,
 };
-/// Another server is left, there is time, and the server gave no answer.
-const FAVOURABLE: Circumstances = Circumstances {
+/// Another server is left, the deadline has not passed, and there is no answer of the server.
+const RETRY_POSSIBLE: RetryContext = RetryContext {
     is_suspect: false,
     has_other_server: true,
-    is_out_of_time: false,
+    is_past_deadline: false,
     has_server_answer: false,
 };
 
 fn history(verdicts: &[Verdict]) -> AttemptHistory {
     let mut history = AttemptHistory::default();
     for verdict in verdicts {
-        history.note(*verdict);
+        history.record(*verdict);
     }
     history
 }
 
 #[gtest]
-fn the_next_step_by_route_history_and_circumstances() {
+fn next_step_depends_on_route_history_and_context() {
     use Verdict::{MayHaveRun, NotRun, Ran};
-    let answered = Circumstances {
+    let answered = RetryContext {
         has_server_answer: true,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
-    let last_server = Circumstances {
+    let last_server = RetryContext {
         has_other_server: false,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
-    let late = Circumstances {
-        is_out_of_time: true,
-        ..FAVOURABLE
+    let late = RetryContext {
+        is_past_deadline: true,
+        ..RETRY_POSSIBLE
     };
-    let suspect = Circumstances {
+    let suspect = RetryContext {
         is_suspect: true,
-        ..FAVOURABLE
+        ..RETRY_POSSIBLE
     };
     let refused = [NotRun; 5];
-    let table: Vec<(&str, RetryLimits, &[Verdict], Circumstances, NextStep)> = vec![
-        ("a refusal", UNSAFE, &[NotRun], FAVOURABLE, NextStep::Retry),
+    let table: Vec<(&str, RetryLimits, &[Verdict], RetryContext, NextStep)> = vec![
+        (
+            "a refusal",
+            UNSAFE,
+            &[NotRun],
+            RETRY_POSSIBLE,
+            NextStep::Retry,
+        ),
         (
             "three refusals",
             UNSAFE,
             &refused[..3],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::Retry,
         ),
         (
             "four refusals",
             SAFE,
             &refused[..4],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -88,14 +94,14 @@
             "may have run, repeatable",
             SAFE,
             &[MayHaveRun],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::Retry,
         ),
         (
             "may have run, once only",
             UNSAFE,
             &[MayHaveRun],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -103,7 +109,7 @@
             UNSAFE,
             &[Ran],
             answered,
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "failed, repeatable",
@@ -117,13 +123,13 @@
             SAFE,
             &[Ran, Ran, Ran],
             answered,
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "attempts used up, no answer",
             SAFE,
             &[MayHaveRun; 3],
-            FAVOURABLE,
+            RETRY_POSSIBLE,
             NextStep::GiveUp,
         ),
         (
@@ -144,31 +150,31 @@
             "failed by the last server",
             SAFE,
             &[Ran],
-            Circumstances {
+            RetryContext {
                 has_server_answer: true,
                 ..last_server
             },
-            NextStep::PassOn,
+            NextStep::ForwardAnswer,
         ),
         (
             "failed late, with a server left",
             SAFE,
             &[Ran],
-            Circumstances {
+            RetryContext {
                 has_server_answer: true,
                 ..late
             },
             NextStep::GiveUp,
         ),
     ];
-    for (case, limits, verdicts, circumstances, expected) in table {
-        let step = after_failure(limits, history(verdicts), circumstances);
+    for (case, limits, verdicts, context, expected) in table {
+        let step = next_step(limits, history(verdicts), context);
         expect_that!(step, eq(expected), "{case}");
     }
 }
 
 #[gtest]
-fn a_route_without_attempts_has_one() {
+fn zero_max_attempts_count_as_one() {
     let limits = RetryLimits {
         is_repeatable: true,
         max_attempts: 0,
@@ -178,7 +184,7 @@
 }
 
 #[gtest]
-fn a_client_is_told_whether_its_request_may_have_run() {
+fn the_answer_states_whether_the_request_may_have_run() {
     let (not_run, may_have_run) = (history(&[Verdict::NotRun]), history(&[Verdict::Ran]));
     let retry_after = Duration::from_millis(150);
     for is_late in [false, true] {
@@ -196,11 +202,11 @@
 }
 
 #[gtest]
-fn an_answer_is_what_its_head_shows() {
+fn answers_are_classified_by_their_head() {
     let own = AnswerFacts {
         status: 200,
         says_not_run: false,
-        is_own: true,
+        matches_request_id: true,
         is_signed: true,
     };
     let unsigned = AnswerFacts {
@@ -208,7 +214,7 @@
         ..own
     };
     let foreign = AnswerFacts {
-        is_own: false,
+        matches_request_id: false,
         ..own
     };
     let with_status = |status, facts: AnswerFacts| AnswerFacts { status, ..facts };
@@ -247,8 +253,8 @@
         expect_that!(classify_answer(facts), eq(kind), "{facts:?}");
         expect_that!(kind.verdict(), eq(verdict), "{facts:?}");
     }
-    expect_that!(is_server_failure(500), eq(true));
-    expect_that!(is_server_failure(503), eq(false));
+    expect_that!(is_internal_error(500), eq(true));
+    expect_that!(is_internal_error(503), eq(false));
 }
 
 #[gtest]
@@ -263,7 +269,7 @@
 }
 
 #[gtest]
-fn only_a_request_that_may_go_elsewhere_is_taken_from_its_server() {
+fn only_a_repeatable_request_has_an_attempt_timeout() {
     let now = Instant::from_millis(1000);
     let until = Instant::from_millis(9000);
     let target = Duration::from_millis(400);
@@ -280,10 +286,10 @@
     expect_that!(connect_deadline(now, soon), eq(soon));
 }
 
-/// A stream that has begun can only be broken off at the end of a planned stop, which the users' rule allows for
-/// what was sent within 3 s after the SIGTERM.
+/// A stream that has started can only be broken off when a planned stop ends. The requirements
+/// allow this only for requests sent within 3 s after the SIGTERM.
 #[gtest]
-fn a_stream_that_may_outlast_a_stop_is_begun_early_in_it_only() {
+fn a_stream_that_may_outlast_a_stop_is_admitted_only_early_in_it() {
     let table = [
         (0, 7400, 60_000, true),
         (2500, 4900, 60_000, true),
@@ -297,7 +303,7 @@
             elapsed: Duration::from_millis(elapsed),
             left: Duration::from_millis(left),
         };
-        let is_begun = is_stream_begun(Duration::from_millis(limit), stop);
-        expect_that!(is_begun, eq(expected), "{stop:?} {limit}");
+        let is_admitted = is_stream_admitted(Duration::from_millis(limit), stop);
+        expect_that!(is_admitted, eq(expected), "{stop:?} {limit}");
     }
 }
