--- a/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/moves.rs
@@ -1,16 +1,19 @@
-//! Does a running item go on at another engine, and at which?
+//! Decides whether a running item is moved to another engine, and to which one.
 //!
-//! Inputs: the item's events so far, as its gateway reports them each 400 ms; how often it was moved;
-//! the pace that one more item would have on either engine, in milliseconds an event.
+//! Inputs: the number of the item's events, which its gateway reports every 400 ms; the number of
+//! its earlier moves; the pace that one more item would have on either engine, in milliseconds per
+//! event.
 //!
-//! Rule: from [`MIN_EVENTS`] on an item moves where its events come [`MUCH_FASTER`] times faster, from
-//! [`LONG_EVENTS`] on where they come [`WORTH_MOVING`] times faster; [`MAX_MOVES`] times at the most,
-//! and only where a slot stays free. It does not go back for [`AVOIDED_FOR`].
+//! Rule: from [`MIN_EVENTS`] on, an item moves if its events would come [`MIN_SPEEDUP`] times
+//! faster, from [`LONG_EVENTS`] on if they would come [`MIN_LONG_ITEM_SPEEDUP`] times faster. It
+//! moves [`MAX_MOVES`] times at the most, and only to an engine that keeps a free slot. It does not
+//! return for [`AVOIDANCE_TIME`].
 //!
-//! Why: a step waits for its longest texts, and an engine may become slow while they run. A move costs some
-//! milliseconds from the order to the end of the old attempt; what was generated is carried over.
+//! Rationale: a training step waits for its longest texts, and an engine may become slow while they
+//! run. A move takes some milliseconds from the order to the end of the old attempt; the text
+//! generated so far is carried over.
 //!
-//! Old or missing inputs: an item does not move where either pace is not known.
+//! Stale or missing inputs: an item does not move if either pace is unknown.
 
 use crate::ids::{InstanceId, ModelName};
 use crate::leader::tables::engines::Engines;
@@ -19,43 +22,44 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// A long item moves where its events come this many times faster.
-const WORTH_MOVING: f64 = 1.25;
-/// Where they come this many times faster, any item moves.
-const MUCH_FASTER: f64 = 1.8;
-/// Events after which an item counts as a long one here.
+/// Minimum speed-up for which a long item moves.
+const MIN_LONG_ITEM_SPEEDUP: f64 = 1.25;
+/// Minimum speed-up for which any item moves.
+const MIN_SPEEDUP: f64 = 1.8;
+/// Number of events from which on an item counts as long here.
 const LONG_EVENTS: u64 = 20;
-/// Events after which an item may move at all.
+/// Number of events from which on an item may move.
 const MIN_EVENTS: u64 = 3;
-/// Most times that one item moves.
+/// Maximum number of moves of one item.
 const MAX_MOVES: u32 = 2;
-/// Slots that a move leaves free where it goes.
-const FREE_SLOTS_LEFT: usize = 1;
-/// An item does not go back to the engine that it was moved away from for this long: a slot elsewhere
-/// comes sooner where there is one, and no item may stand still for long.
-pub(crate) const AVOIDED_FOR: Duration = Duration::from_millis(1500);
+/// Number of slots that stay free on the target engine.
+const MIN_FREE_SLOTS_LEFT: usize = 1;
+/// Time for which an item does not return to the engine that it was moved away from. If there are
+/// other engines, one has a free slot sooner; if there are none, the item must not wait for long.
+pub(crate) const AVOIDANCE_TIME: Duration = Duration::from_millis(1500);
 
-/// A running item, as far as it matters here.
+/// A running item, as far as it matters for a move.
 pub(crate) struct MovableItem<'a> {
     /// The engine that runs it.
     pub(crate) instance: &'a InstanceId,
-    /// The model that makes its tokens.
+    /// The model that generates its tokens.
     pub(crate) model: Option<&'a ModelName>,
-    /// The oldest version that may make them.
+    /// The oldest version that may generate them.
     pub(crate) min_version: u64,
-    /// Its events so far, also those of earlier attempts.
+    /// Number of its events, including those of earlier attempts.
     pub(crate) events: u64,
-    /// Times that it was moved.
+    /// Number of its moves.
     pub(crate) moves: u32,
 }
 
-/// The engine at which the item goes on much faster; `None` where it stays. `promised` holds the items
-/// that were moved to each engine and are not there yet.
+/// Returns the engine that runs the item fastest and fast enough for a move; `None` if the item
+/// stays. `pending_moves` holds the number of items that were moved to each engine and have not
+/// started there yet.
 pub(crate) fn better_engine(
     now: Instant,
     item: &MovableItem<'_>,
     engines: &Engines,
-    promised: &BTreeMap<InstanceId, usize>,
+    pending_moves: &BTreeMap<InstanceId, usize>,
 ) -> Option<InstanceId> {
     if item.events < MIN_EVENTS || item.moves >= MAX_MOVES {
         return None;
@@ -63,23 +67,27 @@
     let engine = engines.get(item.instance)?;
     let pace = engine.expected_pace()?;
     let is_long = item.events >= LONG_EVENTS;
-    let gain = if is_long { WORTH_MOVING } else { MUCH_FASTER };
+    let min_speedup = if is_long {
+        MIN_LONG_ITEM_SPEEDUP
+    } else {
+        MIN_SPEEDUP
+    };
     let query = EngineQuery {
         service: &engine.record.service,
         model: item.model,
         min_version: item.min_version,
         scan: Scan::FastestKnown,
     };
-    let better = engines.best_of_each(query, |instance, other| {
-        let promised = promised.get(instance).copied().unwrap_or(0);
+    let better = engines.fastest_candidates(query, |instance, other| {
+        let pending_moves = pending_moves.get(instance).copied().unwrap_or(0);
         other.pace.is_some()
             && other.takes(now, item.model, item.min_version)
-            && other.running + promised + FREE_SLOTS_LEFT < other.slots
+            && other.running + pending_moves + MIN_FREE_SLOTS_LEFT < other.slots
     });
     better
         .into_iter()
         .filter_map(|(instance, other)| Some((other.expected_pace()?, instance)))
-        .filter(|(other, _)| pace > other * gain)
+        .filter(|(other, _)| pace > other * min_speedup)
         .min_by(|(left, _), (right, _)| left.total_cmp(right))
         .map(|(_, instance)| instance.clone())
 }
--- a/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/usage_reports.rs
@@ -1,19 +1,22 @@
-//! When are the counts of a usage window fixed, and when is its report sent to the provider?
+//! Decides when the counts of a usage window are fixed, and when its report is sent to the
+//! provider.
 //!
-//! Inputs: the site's agreed time of day; totals that gateways reported for open windows, and what the log
-//! keeps of gateways that are gone; the length of a window and the time in which its report is due; the
-//! provider's answers.
+//! Inputs: the agreed time of day of the site; the totals that gateways reported for open windows,
+//! and the counts that the log keeps of lost gateways; the length of a window and the time in which
+//! its report is due; the provider's answers.
 //!
-//! Rule: a window is closed after [`CLOSE_PART`] of the time in which its report is due, in order, at
-//! most [`MAX_WINDOWS_BEHIND`] late. Its counts are committed before the report is sent for the first
-//! time. Only the holder of orders sends, [`MAX_REPORTS_UNDER_WAY`] at a time, again and again until a
-//! report is acknowledged.
+//! Rule: a window is closed after [`CLOSE_FRACTION`] of the time in which its report is due.
+//! Windows are closed in order, and those that ended more than [`MAX_WINDOWS_BEHIND`] windows ago
+//! are skipped. The counts of a window are committed before its report is sent for the first time.
+//! Only the holder of orders sends reports, [`MAX_REPORTS_IN_FLIGHT`] at a time, and repeats each
+//! until it is acknowledged.
 //!
-//! Why: whoever leads, and however often, sends the same; and the claim of orders keeps the calls of two
-//! machines apart as it does for orders to engines.
+//! Rationale: every leader sends the same report, however often it is repeated. The claim of orders
+//! prevents two machines from calling the provider at the same time, as it does for orders to
+//! engines.
 //!
-//! Old or missing inputs: without an agreed time no window is closed. What a gateway tells after its
-//! window was closed is not counted.
+//! Stale or missing inputs: without an agreed time of day no window is closed. Counts that a
+//! gateway reports after their window was closed are ignored.
 
 use crate::ids::GatewayId;
 use crate::provider::ProviderAnswer;
@@ -24,60 +27,60 @@
 use std::time::Duration;
 use wingshore_types::{Instant, doubled_backoff};
 
-/// A window is closed after this part of the time in which its report is due: gateways report their
-/// counts each 400 ms, and the rest of the time is for calls that have to be made again.
-const CLOSE_PART: f64 = 0.4;
-/// A new leader hears what gateways have counted before it closes a window.
-const INTRODUCTION_TIME: Duration = Duration::from_millis(1500);
-/// Windows that ended this many before the present one are not made up for.
+/// Fraction of the time in which a report is due after which its window is closed. Gateways report
+/// their counts every 400 ms; the rest of the time is for calls that must be repeated.
+const CLOSE_FRACTION: f64 = 0.4;
+/// Time in which a new leader collects the counts of gateways before it closes a window.
+const COLLECTION_TIME: Duration = Duration::from_millis(1500);
+/// Number of windows before the present one that are still closed; older ones are skipped.
 const MAX_WINDOWS_BEHIND: u64 = 24;
-/// Reports under way at once.
-const MAX_REPORTS_UNDER_WAY: usize = 2;
-/// Backoff after a first call without success; twice as long after each further one.
+/// Maximum number of reports in flight.
+const MAX_REPORTS_IN_FLIGHT: usize = 2;
+/// Backoff after the first failed call, doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
-/// The longest backoff.
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Reports of usage that a site owes its provider.
+/// Usage reports that the provider requires of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageDuty {
     /// Length of a window.
     pub window: Duration,
-    /// Time after the end of a window in which its report is due.
+    /// Time after the end of a window within which its report is due.
     pub due: Duration,
 }
 
-/// One report on its way.
+/// State of sending one report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sending {
-    is_under_way: bool,
+struct SendState {
+    is_in_flight: bool,
     failures: u32,
     not_before: Instant,
 }
 
-/// What the leader knows of usage besides what is durable.
+/// Usage data of the leader that is not in the replicated state.
 #[derive(Default)]
 pub(crate) struct UsageReporter {
-    /// A time of day that the site agreed on, and when.
+    /// The agreed time of day of the site, and when it was agreed.
     agreed: Option<(WallTime, Instant)>,
-    /// Totals of gateways in windows that are open.
+    /// Totals of gateways by open window.
     totals: BTreeMap<UsageWindow, BTreeMap<GatewayId, UsageCounts>>,
     /// The window whose counts are being committed.
     closing: Option<UsageWindow>,
-    sending: BTreeMap<UsageWindow, Sending>,
-    /// Whether another holder has acted: this one does not any more.
+    sending: BTreeMap<UsageWindow, SendState>,
+    /// Whether the provider has seen a call of a later holder; this leader then sends no more.
     is_fenced: bool,
     close_from: Instant,
 }
 
 impl UsageReporter {
-    /// A new leadership.
+    /// Starts a new leadership.
     pub(crate) fn begin(&mut self, now: Instant) {
-        self.close_from = now + INTRODUCTION_TIME;
+        self.close_from = now + COLLECTION_TIME;
     }
 
-    /// The site has agreed on its time of day.
-    pub(crate) fn time_agreed(&mut self, now: Instant, wall: WallTime) {
+    /// Records the agreed time of day of the site.
+    pub(crate) fn set_agreed_time(&mut self, now: Instant, wall: WallTime) {
         self.agreed = Some((wall, now));
     }
 
@@ -87,8 +90,8 @@
         Some(WallTime(wall.0.saturating_add(since)))
     }
 
-    /// A gateway has reported totals.
-    pub(crate) fn reported(
+    /// Records the totals that a gateway reports for open windows.
+    pub(crate) fn record_totals(
         &mut self,
         gateway: GatewayId,
         usage: Vec<WindowUsage>,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// What a gateway has reported of windows that are open.
+    /// Returns the totals that a gateway has reported for open windows.
     pub(crate) fn reported_by(&self, gateway: GatewayId) -> Vec<WindowUsage> {
         let totals = self.totals.iter();
         totals
@@ -116,7 +119,8 @@
             .collect()
     }
 
-    /// All that was counted in a window. What a gateway reported lately stands for what was kept of it.
+    /// Returns the sum of all counts of a window. The latest report of a gateway replaces the
+    /// counts that the log keeps of it.
     fn counts_of(&self, window: UsageWindow, durable: &SiteUsage) -> UsageCounts {
         let mut sum = UsageCounts::default();
         let totals = self.totals.get(&window);
@@ -132,7 +136,8 @@
         sum
     }
 
-    /// The window to be closed now, if one is, and its counts; no other is while these are being committed.
+    /// Returns the window to close now and its counts, if there is one. No further window is closed
+    /// while these counts are being committed.
     pub(crate) fn close_next(
         &mut self,
         now: Instant,
@@ -144,13 +149,13 @@
         Some((window, self.counts_of(window, durable)))
     }
 
-    /// The counts of a window are committed.
+    /// Records that the counts of a window are committed.
     pub(crate) fn closed(&mut self, window: UsageWindow) {
         self.closing = None;
         self.totals = self.totals.split_off(&window.next());
     }
 
-    /// The window to be closed next, if its time has come.
+    /// Returns the window to close next, if it is due.
     fn next_to_close(
         &self,
         now: Instant,
@@ -168,13 +173,13 @@
             None => self.first_window(present, durable),
         };
         let next = next.max(oldest);
-        let wait = duty.due.mul_f64(CLOSE_PART);
+        let wait = duty.due.mul_f64(CLOSE_FRACTION);
         let closes_at = next.end(duty.window).0 + i64::try_from(wait.as_millis()).ok()?;
         (time.0 >= closes_at).then_some(next)
     }
 
-    /// The window to begin with: the first one that anything was counted in, or else the one before the
-    /// present one.
+    /// Returns the first window to close: the first one with any counts, but not later than the one
+    /// before the present window.
     fn first_window(&self, present: UsageWindow, durable: &SiteUsage) -> UsageWindow {
         let before = UsageWindow(present.0.saturating_sub(1));
         let reported = self.totals.keys().next().copied();
@@ -185,7 +190,7 @@
         counted.map_or(before, |counted| counted.min(before))
     }
 
-    /// Windows whose reports are to be sent now.
+    /// Returns the windows whose reports are to be sent now.
     pub(crate) fn take_due(&mut self, now: Instant, durable: &SiteUsage) -> Vec<UsageWindow> {
         let waiting = durable.unacknowledged();
         self.sending
@@ -193,20 +198,21 @@
         if self.is_fenced {
             return Vec::new();
         }
-        let under_way = self.sending.values().filter(|send| send.is_under_way);
-        let room = MAX_REPORTS_UNDER_WAY.saturating_sub(under_way.count());
+        let in_flight = self.sending.values().filter(|send| send.is_in_flight);
+        let room = MAX_REPORTS_IN_FLIGHT.saturating_sub(in_flight.count());
         let mut due = Vec::new();
         for window in waiting.keys() {
             let send = self.sending.entry(*window).or_default();
-            if due.len() < room && !send.is_under_way && now >= send.not_before {
-                send.is_under_way = true;
+            if due.len() < room && !send.is_in_flight && now >= send.not_before {
+                send.is_in_flight = true;
                 due.push(*window);
             }
         }
         due
     }
 
-    /// The provider has answered a window's report, or has not. Says whether the report is done.
+    /// Processes the provider's answer to the report of a window; returns whether the report is
+    /// complete.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
@@ -230,7 +236,7 @@
         if let Some(send) = self.sending.get_mut(&window) {
             send.not_before = now + doubled_backoff(INITIAL_BACKOFF, send.failures, MAX_BACKOFF);
             send.failures += 1;
-            send.is_under_way = false;
+            send.is_in_flight = false;
         }
     }
 }
--- a/crates/gateways/wingshore-coordination/tests/placement_properties.rs
+++ b/crates/gateways/wingshore-coordination/tests/placement_properties.rs
@@ -1,8 +1,9 @@
-//! Placement by the index of free slots, against a count of what runs where: nothing is placed where
-//! it does not fit, and nothing waits while an engine takes it.
+//! Property tests of placement through the index of free slots, compared with a count of the
+//! running items: no item is placed where it does not fit, and no item waits while an engine takes
+//! it.
 //!
-//! The index holds each engine under its versions, its items and its pace; an engine that is not
-//! moved in it when one of them changes would be given too much, or nothing any more.
+//! The index holds each engine under its versions, number of items and pace. An engine whose entry
+//! is not updated when one of these changes would get too many items, or none any more.
 
 mod support;
 
@@ -15,29 +16,29 @@
     ItemText, JobSubmission, ModelName, ModelVersion, NotRunReason, Request,
 };
 
-/// Slots of an engine, as the usual configuration and record say.
+/// Slots of an engine, as in the default configuration and server record.
 const SLOTS: usize = 4;
 /// Longer than any ejection of an engine or backoff of an item.
-const LONG: Duration = Duration::from_secs(5);
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 const MODELS: [&str; 2] = ["m", "n"];
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An engine registers that holds these versions of the two models.
+    /// Registers an engine that holds these versions of the two models.
     Add(u64, u64),
-    /// The engine of this place in the order of registration drains.
+    /// Sets the engine with this index, in the order of registration, to draining.
     Drain(usize),
-    /// It departs.
+    /// Deregisters the engine with this index.
     Depart(usize),
-    /// It reports newer versions.
+    /// The engine with this index reports newer versions.
     Raise(usize, u64),
-    /// A job for one of the models, with this oldest version.
+    /// Submits a job for a model, with a number of items and the oldest allowed version.
     Submit(usize, u32, u64),
-    /// An attempt ends whole.
+    /// Completes an attempt.
     Finish(usize),
-    /// An engine had no room for an attempt.
+    /// Ends an attempt because its engine was full.
     Full(usize),
-    /// Tries have got on, at different paces.
+    /// Reports the progress of all attempts, at different paces.
     Progress(u64),
     Wait(u64),
 }
@@ -48,7 +49,7 @@
         1 => any::<usize>().prop_map(Step::Drain),
         1 => any::<usize>().prop_map(Step::Depart),
         2 => (any::<usize>(), 1..5_u64).prop_map(|(which, version)| Step::Raise(which, version)),
-        2 => (0..2_usize, 1..9_u32, 1..4_u64).prop_map(|(model, items, least)| Step::Submit(model, items, least)),
+        2 => (0..2_usize, 1..9_u32, 1..4_u64).prop_map(|(model, items, oldest_version)| Step::Submit(model, items, oldest_version)),
         8 => any::<usize>().prop_map(Step::Finish),
         2 => any::<usize>().prop_map(Step::Full),
         3 => (1..30_u64).prop_map(Step::Progress),
@@ -121,11 +122,11 @@
                 }
                 self.group.heartbeat(record);
             }
-            Step::Submit(model, items, least) => {
+            Step::Submit(model, items, oldest_version) => {
                 self.events += 1;
                 let submission = JobSubmission {
                     model: Some(ModelName::from(MODELS[*model])),
-                    min_version: *least,
+                    min_version: *oldest_version,
                     ..JobSubmission::clone(&job(&format!("j{}", self.events), *items))
                 };
                 self.group.ask(Request::SubmitJob(submission.into()));
@@ -142,37 +143,37 @@
             Step::Full(which) => {
                 self.end(*which, ItemOutcome::NotRun(NotRunReason::Full));
             }
-            Step::Progress(most) => {
-                let told = self
+            Step::Progress(max_lead) => {
+                let progress = self
                     .running
                     .iter()
                     .enumerate()
                     .map(|(place, item)| ItemProgress {
                         assignment: item.assignment,
-                        events: self.group.now.as_millis() / 20 + (place as u64 % most),
+                        events: self.group.now.as_millis() / 20 + (place as u64 % max_lead),
                     });
-                let told = told.collect();
-                self.group.event(Event::ItemsProgressed(told));
+                let progress = progress.collect();
+                self.group.event(Event::ItemsProgressed(progress));
             }
             Step::Wait(millis) => self.group.wait(Duration::from_millis(*millis)),
         }
-        self.hear_all();
+        self.report_all_alive();
         let assigned = self.group.assignments();
         self.running.extend(assigned);
     }
 
-    /// Engines send heartbeats, and the gateway reports that all goes on.
-    fn hear_all(&mut self) {
+    /// Sends heartbeats of all engines and reports all attempts as running.
+    fn report_all_alive(&mut self) {
         let servers: Vec<_> = self.group.state.servers().values().cloned().collect();
         for server in servers {
             self.group.heartbeat(server);
         }
-        let told = self.running.iter().map(|item| ItemProgress {
+        let progress = self.running.iter().map(|item| ItemProgress {
             assignment: item.assignment,
             events: 0,
         });
-        let told = told.collect();
-        self.group.event(Event::ItemsProgressed(told));
+        let progress = progress.collect();
+        self.group.event(Event::ItemsProgressed(progress));
     }
 
     fn end(&mut self, which: usize, outcome: ItemOutcome) {
@@ -196,7 +197,7 @@
         counts
     }
 
-    /// Whether an engine of the registry takes an item of a job, by the count of what runs.
+    /// Returns whether a registered engine takes an item of a job, by the count of running items.
     fn takes(&self, submission: &JobSubmission) -> bool {
         let counts = self.running_on();
         let model = submission.model.as_ref().expect("jobs name a model");
@@ -217,7 +218,7 @@
     })]
 
     #[test]
-    fn items_run_only_where_they_fit_and_wait_only_where_nothing_takes_them(
+    fn items_run_only_where_they_fit_and_wait_only_if_no_engine_takes_them(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut site = Site::new();
@@ -230,16 +231,16 @@
                 };
                 let job = &site.group.state.jobs()[&item.item.job].submission;
                 let version = job.model.as_ref().and_then(|model| server.version_of(model));
-                prop_assert!(!server.draining, "placed on an engine that drains");
+                prop_assert!(!server.draining, "placed on a draining engine");
                 prop_assert!(version >= Some(job.min_version), "placed on older weights");
             }
             for (instance, count) in site.running_on() {
                 prop_assert!(count <= SLOTS, "{} runs {}", instance, count);
             }
         }
-        // All ejections and backoffs pass.
+        // Wait until all ejections and backoffs are over.
         for _ in 0..10 {
-            site.run(&Step::Wait(LONG.as_millis() as u64 / 10));
+            site.run(&Step::Wait(SETTLING_TIME.as_millis() as u64 / 10));
         }
         let waiting = site.group.leader.counts().items_waiting;
         let open = site.group.state.jobs().values().map(|job| {
@@ -249,7 +250,7 @@
         let open: Vec<_> = open.filter(|(_, waiting)| *waiting > 0).collect();
         prop_assert_eq!(waiting, open.iter().map(|(_, waiting)| waiting).sum::<usize>());
         for (job, _) in open {
-            prop_assert!(!site.takes(&job.submission), "an item waits though an engine takes it");
+            prop_assert!(!site.takes(&job.submission), "an item waits although an engine takes it");
         }
     }
 }
--- a/crates/shared/wingshore-consensus/tests/support/chaos.rs
+++ b/crates/shared/wingshore-consensus/tests/support/chaos.rs
@@ -1,4 +1,4 @@
-//! Random runs: everything that may fail does, at any moment, from one seed.
+//! Random runs in which faults of every kind occur at any moment, determined by one seed.
 
 use super::checker::Violation;
 use super::cluster::{Cluster, Network};
@@ -9,60 +9,60 @@
 use wingshore_consensus::Faults;
 use wingshore_types::ReplicaId;
 
-/// A machine outside the founding members, to be taken in.
+/// A node that is not a founding member and can be added.
 const JOINER: u64 = 9;
 
-/// What a run is rich in.
+/// Mix of faults in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// A bit of everything.
+    /// All kinds of faults.
     Mixed,
-    /// Leaders that fall right after their election, power cuts, messages that come very late,
-    /// and one entry in a message.
+    /// Leaders that fail right after their election, power failures, very late messages, and one
+    /// entry per message.
     Elections,
 }
 
-/// One random run.
+/// Parameters of a random run.
 #[derive(Clone, Copy, Debug)]
 pub struct Chaos {
-    /// What it is rich in.
+    /// Mix of faults.
     pub profile: Profile,
-    /// Founding members.
+    /// Number of founding members.
     pub voters: u64,
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Deliberate faults.
+    /// Injected faults.
     pub faults: Faults,
-    /// Rounds of actions, 20 ms each.
+    /// Number of rounds of actions, 20 ms each.
     pub rounds: u32,
 }
 
-/// What a run did.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The first broken promise.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// Whether the healed group committed on all members at the end.
+    /// Whether all members of the healed group committed an entry at the end.
     pub recovered: bool,
-    /// Entries committed.
+    /// Number of committed entries.
     pub committed: usize,
-    /// Reads answered under a lease.
+    /// Number of reads answered under a lease.
     pub reads: u64,
-    /// Elections won.
+    /// Number of elections won.
     pub elections: u64,
-    /// Snapshot chunks sent.
+    /// Number of snapshot chunks sent.
     pub snapshot_chunks: u64,
 }
 
 struct Run {
     cluster: Cluster,
     chaos: Chaos,
-    wiped: Option<u64>,
+    wiped_member: Option<u64>,
     elections_seen: u64,
-    command: u64,
+    last_command: u64,
 }
 
-/// Runs it.
+/// Executes a random run.
 pub fn run(chaos: Chaos) -> Report {
     let mut limits = small_limits();
     if chaos.profile == Profile::Elections {
@@ -71,13 +71,13 @@
     }
     let mut cluster = Cluster::with(chaos.voters, chaos.seed, chaos.faults, limits);
     cluster.add_node(JOINER, false, chaos.voters);
-    cluster.network = draw_network(&mut cluster.random, chaos.profile);
+    cluster.network = random_network(&mut cluster.random, chaos.profile);
     let mut run = Run {
         cluster,
         chaos,
-        wiped: None,
+        wiped_member: None,
         elections_seen: 0,
-        command: 0,
+        last_command: 0,
     };
     for _ in 0..chaos.rounds {
         run.act();
@@ -97,20 +97,20 @@
     }
 }
 
-fn draw_network(random: &mut ChaCha8Rng, profile: Profile) -> Network {
+fn random_network(random: &mut ChaCha8Rng, profile: Profile) -> Network {
     let mixed = Network {
         loss: random.random_range(0.0..0.1),
         duplication: 0.05,
         min_delay: Duration::from_micros(200),
         max_delay: Duration::from_millis(random.random_range(2..60)),
-        stragglers: 0.03,
+        straggler_chance: 0.03,
         straggler_delay: Duration::from_millis(2500),
         sync: Duration::from_millis(random.random_range(1..80)),
     };
     match profile {
         Profile::Mixed => mixed,
         Profile::Elections => Network {
-            stragglers: 0.2,
+            straggler_chance: 0.2,
             straggler_delay: Duration::from_millis(1500),
             sync: Duration::from_millis(random.random_range(1..200)),
             ..mixed
@@ -119,7 +119,7 @@
 }
 
 impl Run {
-    fn any_node(&mut self) -> u64 {
+    fn random_node(&mut self) -> u64 {
         let ids: Vec<u64> = self.cluster.nodes.keys().map(|id| id.0).collect();
         ids[self.cluster.random.random_range(0..ids.len())]
     }
@@ -127,15 +127,15 @@
     fn act(&mut self) {
         self.cluster.read_everywhere();
         self.propose_everywhere();
-        let id = self.any_node();
+        let id = self.random_node();
         if self.chaos.profile == Profile::Elections {
-            self.act_on_election();
+            self.disturb_election();
         }
         match self.cluster.random.random_range(0..1000) {
-            0..15 => self.cluster.crash_anywhere(id),
-            15..60 => self.start_stopped(),
-            60..75 => self.cut_some(),
-            75..95 => self.cluster.cut.clear(),
+            0..15 => self.cluster.crash_with_random_write(id),
+            15..60 => self.restart_stopped(),
+            60..75 => self.cut_random_links(),
+            75..95 => self.cluster.cut_links.clear(),
             95..105 => self.freeze(id),
             105..115 => self.cluster.isolate(id),
             115..130 => self.transfer(id),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Proposes at every member that believes it leads.
+    /// Proposes a command on every member that believes it is the leader.
     fn propose_everywhere(&mut self) {
         let leaders: Vec<u64> = self
             .cluster
@@ -165,15 +165,15 @@
         };
         for leader in leaders {
             if self.cluster.random.random_bool(chance) {
-                self.command += 1;
-                let command = self.command.to_le_bytes();
-                // Refused while leadership is handed over.
-                let _ = self.cluster.propose(leader, &command);
+                self.last_command += 1;
+                let last_command = self.last_command.to_le_bytes();
+                // Rejected while leadership is being transferred.
+                let _ = self.cluster.propose(leader, &last_command);
             }
         }
     }
 
-    fn start_stopped(&mut self) {
+    fn restart_stopped(&mut self) {
         let stopped: Vec<u64> = self
             .cluster
             .nodes
@@ -186,11 +186,11 @@
         }
     }
 
-    fn cut_some(&mut self) {
+    fn cut_random_links(&mut self) {
         for _ in 0..self.cluster.random.random_range(1..6) {
-            let from = ReplicaId(self.any_node());
-            let to = ReplicaId(self.any_node());
-            self.cluster.cut.insert((from, to));
+            let from = ReplicaId(self.random_node());
+            let to = ReplicaId(self.random_node());
+            self.cluster.cut_links.insert((from, to));
         }
     }
 
@@ -210,7 +210,7 @@
 
     fn change_members(&mut self) {
         let choice = self.cluster.random.random_range(0..4);
-        let removed = self.any_node();
+        let removed = self.random_node();
         let Some(leader) = self.cluster.leader() else {
             return;
         };
@@ -231,17 +231,17 @@
             .act(id, |raft, _, _| raft.compact(state).unwrap());
     }
 
-    /// Every member stops at the same moment, and starts again.
+    /// Crashes all members at the same moment and restarts them.
     fn cut_power(&mut self) {
         let ids: Vec<u64> = self.cluster.nodes.keys().map(|id| id.0).collect();
         for id in ids {
-            self.cluster.crash_anywhere(id);
+            self.cluster.crash_with_random_write(id);
         }
-        self.start_stopped();
+        self.restart_stopped();
     }
 
-    /// Disturbs the first moments of a leadership.
-    fn act_on_election(&mut self) {
+    /// Injects a fault right after an election.
+    fn disturb_election(&mut self) {
         let elections = self.cluster.checker.elections;
         if elections == self.elections_seen {
             return;
@@ -251,38 +251,38 @@
             0 => self.cut_power(),
             3 => self.crash_leader_soon(),
             1 => self.cut_leader_and_crash(),
-            2 => self.cluster.cut.clear(),
+            2 => self.cluster.cut_links.clear(),
             _ => {}
         }
     }
 
-    /// The leader falls when it has sent a little.
+    /// Crashes the leader after it has sent some messages.
     fn crash_leader_soon(&mut self) {
         let delay = Duration::from_millis(self.cluster.random.random_range(5..300));
         self.cluster.run(delay);
         if let Some(leader) = self.cluster.leader() {
-            self.cluster.crash_anywhere(leader);
+            self.cluster.crash_with_random_write(leader);
         }
     }
 
-    /// The leader is cut off; a follower restarts in the middle of it.
+    /// Isolates the leader and restarts a random member meanwhile.
     fn cut_leader_and_crash(&mut self) {
         let Some(leader) = self.cluster.leader() else {
             return;
         };
         self.cluster.isolate(leader);
-        let id = self.any_node();
-        self.cluster.crash_anywhere(id);
-        self.start_stopped();
+        let id = self.random_node();
+        self.cluster.crash_with_random_write(id);
+        self.restart_stopped();
     }
 
-    /// A voter loses its disk and comes back under its old identity, once in a run.
+    /// Wipes the disk of a voter, which restarts under its old id; once per run.
     fn wipe(&mut self) {
-        if self.wiped.is_some() {
+        if self.wiped_member.is_some() {
             return;
         }
         let id = self.cluster.random.random_range(1..=self.chaos.voters);
-        self.wiped = Some(id);
+        self.wiped_member = Some(id);
         self.cluster.crash(id, 0);
         let node = self.cluster.node(id);
         node.disk = super::disk::Disk::default();
@@ -290,16 +290,16 @@
         self.cluster.restart(id);
     }
 
-    /// Heals everything; a command must then be committed and applied by every member.
+    /// Heals all faults. Returns whether a command is then committed and applied by every member.
     fn recover(&mut self) -> bool {
         let cluster = &mut self.cluster;
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         cluster.network = Network::default();
         let now = cluster.now;
         for node in cluster.nodes.values_mut() {
             node.frozen_until = now;
         }
-        self.start_stopped();
+        self.restart_stopped();
         let cluster = &mut self.cluster;
         cluster.run(Duration::from_secs(4));
         if !cluster.run_until(Duration::from_secs(20), |cluster| {
--- a/crates/shared/wingshore-consensus/tests/unknown_forms.rs
+++ b/crates/shared/wingshore-consensus/tests/unknown_forms.rs
@@ -1,8 +1,8 @@
-//! What a member does with messages and stored bytes that a newer build may write.
+//! Handling of messages and stored bytes that a newer build may write.
 //!
-//! Bytes after the end of a message are ignored; an unknown variant, and a message that ends too
-//! early, are refused. What is stored begins with its format, and an unknown one is refused at the
-//! start.
+//! Bytes after the end of a message are ignored. An unknown variant and a truncated message are
+//! rejected. Stored values start with their format version, and an unknown version is rejected at
+//! the start.
 
 use googletest::prelude::*;
 use rand::SeedableRng;
@@ -14,17 +14,19 @@
 use wingshore_types::snapshot_spool::MemorySpool;
 use wingshore_types::{Instant, LogIndex, ReplicaId};
 
-/// The format, the term, no vote, enrolled.
+/// Encoded hard state: format version, term 1, no vote, enrolled.
 const HARD_STATE_OF_TERM_1: &[u8] = &[1, 1, 0, 1];
 
 const MESSAGES: &str = include_str!("golden/messages.txt");
 
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
     let named = MESSAGES.lines().map(|line| line.split_once(' ').unwrap());
-    named.map(|(name, digits)| (name, unhex(digits))).collect()
+    named
+        .map(|(name, digits)| (name, decode_hex(digits)))
+        .collect()
 }
 
-fn unhex(digits: &str) -> Vec<u8> {
+fn decode_hex(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2);
     pairs
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -71,8 +73,8 @@
     }
 }
 
-/// What a member says that finds this on its disk when it starts.
-fn refusal(recovered: RecoveredLog) -> String {
+/// Returns the error of a member that starts with this recovered storage, or "it starts".
+fn start_result(recovered: RecoveredLog) -> String {
     let config = RaftConfig {
         id: ReplicaId(1),
         bootstrap: None,
@@ -104,9 +106,9 @@
 
 #[gtest]
 fn a_snapshot_of_a_newer_format_is_refused_at_the_start() {
-    expect_that!(refusal(with_snapshot(2)), eq("it starts"));
+    expect_that!(start_result(with_snapshot(2)), eq("it starts"));
     expect_that!(
-        refusal(with_snapshot(3)),
+        start_result(with_snapshot(3)),
         eq("snapshot has format 3; this program knows 2")
     );
 }
@@ -118,7 +120,7 @@
         ..RecoveredLog::default()
     };
     expect_that!(
-        refusal(recovered),
+        start_result(recovered),
         eq("hard state has format 2; this program knows 1")
     );
 }
@@ -135,5 +137,8 @@
         records: vec![record],
         ..RecoveredLog::default()
     };
-    expect_that!(refusal(recovered), eq("log record 1 has no known kind"));
+    expect_that!(
+        start_result(recovered),
+        eq("log record 1 has no known kind")
+    );
 }
