--- a/crates/gateways/wingshore-coordinator/src/call_rate.rs
+++ b/crates/gateways/wingshore-coordinator/src/call_rate.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Fraction of the provider's rate that one lease holder uses; the holder before may have used some
+/// Fraction of the provider's rate that a lease holder uses; the previous holder may have used some
 /// of the rate a moment ago.
 const HOLDER_FRACTION: f64 = 0.5;
 /// Largest burst after an idle time, as the time in which that many calls are made at the rate.
--- a/crates/gateways/wingshore-coordinator/src/dials.rs
+++ b/crates/gateways/wingshore-coordinator/src/dials.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Records that an attempt has started; `connection` is `None` where the system had no socket
-    /// left.
+    /// Records that an attempt has started; `connection` is `None` where the system could not
+    /// create one.
     pub fn attempt_started(&mut self, now: Instant, address: SocketAddr, connection: Option<K>) {
         let dial = Dial {
             connection,
--- a/crates/gateways/wingshore-coordinator/src/directory.rs
+++ b/crates/gateways/wingshore-coordinator/src/directory.rs
@@ -2,7 +2,7 @@
 //! without I/O.
 //!
 //! Question: which gateways is a client in a zone given? Inputs: the hello messages of gateways and
-//! their status reports, one each 400 ms; the client's zone; the largest age of a status. Rule:
+//! their status reports, one every 400 ms; the client's zone; the largest age of a status. Rule:
 //! gateways that are ready and have reported recently; only those of the client's own zone where
 //! there are at least two, otherwise those of all zones; at most [`MAX_ADDRESSES`]. Why: calls stay
 //! in the zone, and a client still has a gateway when one ends. A gateway whose status is too old
--- a/crates/gateways/wingshore-coordinator/src/error.rs
+++ b/crates/gateways/wingshore-coordinator/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors that keep a coordinator from starting or from running on.
+//! Errors that prevent a coordinator from starting or continuing.
 
 use snafu::Snafu;
 use wingshore_group::HostError;
 use wingshore_net::NetError;
 use wingshore_storage::StorageError;
 
-/// Error that keeps a coordinator from starting or from running on.
+/// Error that prevents a coordinator from starting or continuing.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CoordinatorError {
@@ -15,7 +15,7 @@
         /// Error of the storage.
         source: StorageError,
     },
-    /// The group cannot run on.
+    /// The group cannot continue.
     #[snafu(display("{source}"))]
     Group {
         /// Error of the group's host.
--- a/crates/gateways/wingshore-coordinator/src/membership.rs
+++ b/crates/gateways/wingshore-coordinator/src/membership.rs
@@ -43,7 +43,7 @@
 /// lost one.
 const SPARE_MEMBERS: usize = 1;
 /// Time from the start of a leadership until all running coordinators have sent a hello message:
-/// they connect each 250 ms and send one each 300 ms. It is long compared with both, and with the
+/// they connect every 250 ms and send one every 300 ms. It is long compared with both, and with the
 /// start of a machine.
 const DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
@@ -319,8 +319,8 @@
         }
     }
 
-    /// Removes a voter that has long been silent where there are more voters than the target, so
-    /// that fewer losses are fatal.
+    /// Removes a voter that has long been silent where there are more voters than the target:
+    /// without it the group tolerates further losses better.
     fn superfluous_voter(
         &self,
         now: Instant,
--- a/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
+++ b/crates/gateways/wingshore-coordinator/src/outgoing_calls.rs
@@ -5,7 +5,7 @@
 //! format, and on [`CallRate`] for the provider's rate. Whether a call may be made at all (lease,
 //! fence) is decided by the caller; each call ends in exactly one [`Event`].
 //!
-//! CallPurpose: when is a call cancelled? Inputs: when it started, and who is called. Rule: without a
+//! Question: when is a call cancelled? Inputs: when it started, and who is called. Rule: without a
 //! whole answer within the callee's timeout, when its connection ends, or, for calls that need the
 //! lease, once the lease has expired. Why: a cancelled call may still take effect, so its event
 //! says "unknown" and the leader asks for a report before it decides again.
--- a/crates/gateways/wingshore-coordinator/src/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/src/sent_states.rs
@@ -49,6 +49,7 @@
     pub sent_again: u64,
 }
 
+/// Sending with the times of its start and of its last report.
 #[derive(Clone, Copy)]
 struct TrackedSending {
     sending: SnapshotSending,
--- a/crates/gateways/wingshore-coordinator/src/settings.rs
+++ b/crates/gateways/wingshore-coordinator/src/settings.rs
@@ -59,7 +59,7 @@
     pub engines_check_fences: bool,
     /// Policy for the number of servers, where servers can be ordered.
     pub capacity: CapacityPolicy,
-    /// Which mechanisms of choice of the leader are on.
+    /// Which selection mechanisms of the leader are enabled.
     pub leader_policy: LeaderPolicy,
     /// The provider of the site's machines; `None` where the deployment calls none.
     pub provider: Option<ProviderSettings>,
