--- a/crates/gateways/wingshore-coordinator/src/process/callers.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/callers.rs
@@ -4,7 +4,7 @@
 use crate::control;
 use crate::membership::losses_borne_by;
 use crate::metrics::Readings;
-use crate::protocol::{ControlAnswer, ControlCall, LocalQuestion};
+use crate::protocol::{ControlAnswer, ControlCall, LocalRequest};
 use slog::warn;
 use std::time::Duration;
 use wingshore_coordination::{CoordinationLeader, Job, Reply, Request};
@@ -27,8 +27,8 @@
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
             return;
         };
-        control.used = now;
-        if control.waiting.is_some() {
+        control.last_used_at = now;
+        if control.pending_target.is_some() {
             return;
         }
         let Some(input) = self.reactor.input(connection) else {
@@ -40,7 +40,7 @@
         match next {
             Ok(None) => {}
             Ok(Some(request)) => {
-                control.waiting = Some(request.head.target.clone());
+                control.pending_target = Some(request.head.target.clone());
                 control.close_after = request.head.wants_close();
                 self.on_call(now, connection, &request);
             }
@@ -124,11 +124,11 @@
                 self.forward_heartbeat(now, connection, heartbeat);
             }
             ControlCall::Group(request) => self.submit(request, ReplyTarget::Caller(connection)),
-            ControlCall::Local(LocalQuestion::Retire { node }) if self.host.is_leader() => {
+            ControlCall::Local(LocalRequest::Retire { node }) if self.host.is_leader() => {
                 self.begin_retirement(now, connection, &node);
             }
             ControlCall::Local(
-                LocalQuestion::Retire { .. } | LocalQuestion::RetireProgress { .. },
+                LocalRequest::Retire { .. } | LocalRequest::RetireProgress { .. },
             ) if !self.host.is_leader() => {
                 let leader = self.host.leader();
                 let answer = self.redirect(connection, leader);
@@ -150,9 +150,9 @@
         }
     }
 
-    fn answer_locally(&self, now: Instant, question: &LocalQuestion) -> ControlAnswer {
+    fn answer_locally(&self, now: Instant, question: &LocalRequest) -> ControlAnswer {
         match question {
-            LocalQuestion::Gateways { zone } => {
+            LocalRequest::Gateways { zone } => {
                 let gateways = self.directory.for_client(now, zone, MAX_GATEWAY_REPORT_AGE);
                 if gateways.is_empty() {
                     return ControlAnswer::Unavailable;
@@ -162,8 +162,8 @@
                     ttl: self.settings.directory_ttl,
                 }
             }
-            LocalQuestion::Retire { .. } => ControlAnswer::Unavailable,
-            LocalQuestion::RetireProgress { node } => self.retirement_progress(now, node),
+            LocalRequest::Retire { .. } => ControlAnswer::Unavailable,
+            LocalRequest::RetireProgress { node } => self.retirement_progress(now, node),
         }
     }
 
@@ -185,7 +185,7 @@
             .filter(|leader| self.route_to(*leader).is_some())
             .and_then(|leader| self.peers.control_address(leader));
         let target = match self.roles.get(&connection) {
-            Some(Role::Control(control)) => control.waiting.clone(),
+            Some(Role::Control(control)) => control.pending_target.clone(),
             _ => None,
         };
         match (leader, target) {
@@ -200,8 +200,8 @@
         let Some(Role::Control(control)) = self.roles.get_mut(&connection) else {
             return;
         };
-        control.waiting = None;
-        control.used = now;
+        control.pending_target = None;
+        control.last_used_at = now;
         let close = control.close_after;
         let bytes = control::encode(answer, close);
         self.reactor.send(connection, &bytes);
@@ -221,7 +221,8 @@
             .iter()
             .filter(|(_, role)| match role {
                 Role::Control(control) => {
-                    control.waiting.is_none() && now.since(control.used) > CALLER_IDLE_TIMEOUT
+                    control.pending_target.is_none()
+                        && now.since(control.last_used_at) > CALLER_IDLE_TIMEOUT
                 }
                 _ => false,
             })
--- a/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/coordinators.rs
@@ -48,7 +48,7 @@
         hello: CoordinatorHello,
     ) {
         self.site_clock.record(now, hello.id, hello.wall);
-        if self.peers.heard_on(now, connection, &hello) {
+        if self.peers.record_route(now, connection, &hello) {
             info!(self.logger, "coordinator reached"; "member" => hello.id.0, "node" => &hello.node);
         }
         if let Some(Role::Link(link)) = self.roles.get_mut(&connection)
@@ -59,7 +59,7 @@
         }
         let window = self.settings.order_handover();
         let node = hello.node.clone();
-        if self.peers.introduced(now, hello, window) {
+        if self.peers.record_hello(now, hello, window) {
             let event = Event::CoordinatorsLost(vec![node]);
             self.inputs.push(HostInput::Event(event));
         }
@@ -67,7 +67,7 @@
 
     /// Handles the end of a connection, in case its peer was a coordinator.
     pub(super) fn on_coordinator_disconnected(&mut self, now: Instant, connection: ConnectionId) {
-        let was_coordinator = self.peers.at(connection).is_some();
+        let was_coordinator = self.peers.peer_of(connection).is_some();
         let lost = self.peers.disconnected(now, connection);
         for peer in &lost {
             info!(self.logger, "coordinator lost"; "member" => peer.member.0);
@@ -144,7 +144,7 @@
     /// connections to other addresses.
     pub(super) fn dial_members(&mut self, now: Instant) {
         let wanted = self.addresses_to_dial();
-        for connection in self.dials.forget_others(&wanted) {
+        for connection in self.dials.retain_wanted(&wanted) {
             self.close_connection(now, connection);
         }
         for address in wanted {
@@ -178,7 +178,7 @@
                 if let Some(connection) = connection {
                     self.roles.insert(connection, Role::Dialed(address));
                 }
-                self.dials.begun(now, address, connection);
+                self.dials.attempt_started(now, address, connection);
             }
         }
     }
--- a/crates/gateways/wingshore-coordinator/src/process/gateways.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/gateways.rs
@@ -58,7 +58,7 @@
             }
             report => {
                 if let GatewayMessage::Status(status) = &report {
-                    self.directory.heard(now, gateway, *status);
+                    self.directory.status_reported(now, gateway, *status);
                 }
                 self.count_outcomes(&report);
                 if let Some(event) = leader_event(gateway, report) {
@@ -115,7 +115,7 @@
             return;
         };
         info!(self.logger, "gateway lost"; "gateway" => gateway.0);
-        let silence = now.since(known.heard);
+        let silence = now.since(known.last_reported_at);
         let event = Event::GatewayDisconnected { gateway, silence };
         self.inputs.push(HostInput::Event(event));
     }
