--- a/crates/nodes/wingshore-ledger/src/batching.rs
+++ b/crates/nodes/wingshore-ledger/src/batching.rs
@@ -27,9 +27,9 @@
 
 /// An operation that waits to be proposed, with what to do once it is applied.
 #[derive(Debug)]
-struct Queued<O, W> {
+struct QueuedOperation<O, W> {
     operation: O,
-    waiting: W,
+    waiter: W,
     bytes: usize,
 }
 
@@ -45,7 +45,7 @@
 /// Operations on their way into the log; `W` says who waits for each one's reply.
 #[derive(Debug)]
 pub(crate) struct ProposalQueue<O, W> {
-    queue: VecDeque<Queued<O, W>>,
+    queue: VecDeque<QueuedOperation<O, W>>,
     queued_bytes: usize,
     in_flight: BTreeMap<ProposalTag, Vec<W>>,
     next_tag: u64,
@@ -67,16 +67,16 @@
     ///
     /// # Errors
     /// Gives `waiting` back when the queue is full; nothing was added.
-    pub(crate) fn push(&mut self, operation: O, bytes: usize, waiting: W) -> Result<(), W> {
+    pub(crate) fn push(&mut self, operation: O, bytes: usize, waiter: W) -> Result<(), W> {
         let too_many = self.queue.len() >= MAX_QUEUED_OPERATIONS;
         let too_large = self.queued_bytes.saturating_add(bytes) > MAX_QUEUED_BYTES;
         if too_many || (too_large && !self.queue.is_empty()) {
-            return Err(waiting);
+            return Err(waiter);
         }
         self.queued_bytes += bytes;
-        self.queue.push_back(Queued {
+        self.queue.push_back(QueuedOperation {
             operation,
-            waiting,
+            waiter,
             bytes,
         });
         Ok(())
@@ -87,30 +87,30 @@
         if self.queue.is_empty() {
             return None;
         }
-        self.forced_proposal()
+        self.next_proposal_even_if_empty()
     }
 
     /// The next proposal even when it holds no operation; `None` only when too many are in
     /// flight. An empty one carries the passing of time.
-    pub(crate) fn forced_proposal(&mut self) -> Option<Proposal<O>> {
+    pub(crate) fn next_proposal_even_if_empty(&mut self) -> Option<Proposal<O>> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
-        let (operations, waiting) = self.take_batch();
+        let (operations, waiters) = self.take_batch();
         let tag = ProposalTag(self.next_tag);
         self.next_tag += 1;
-        self.in_flight.insert(tag, waiting);
+        self.in_flight.insert(tag, waiters);
         Some(Proposal { tag, operations })
     }
 
     /// Those who wait for the replies of an applied proposal, in the order of its operations.
-    pub(crate) fn applied(&mut self, tag: ProposalTag) -> Vec<W> {
+    pub(crate) fn take_waiters(&mut self, tag: ProposalTag) -> Vec<W> {
         self.in_flight.remove(&tag).unwrap_or_default()
     }
 
     fn take_batch(&mut self) -> (Vec<O>, Vec<W>) {
         let mut operations = Vec::new();
-        let mut waiting = Vec::new();
+        let mut waiters = Vec::new();
         let mut bytes = 0;
         while operations.len() < MAX_OPERATIONS && bytes < MAX_PROPOSAL_BYTES {
             let Some(queued) = self.queue.pop_front() else {
@@ -118,9 +118,9 @@
             };
             bytes += queued.bytes;
             operations.push(queued.operation);
-            waiting.push(queued.waiting);
+            waiters.push(queued.waiter);
         }
         self.queued_bytes -= bytes;
-        (operations, waiting)
+        (operations, waiters)
     }
 }
--- a/crates/nodes/wingshore-ledger/src/claims/leader.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/leader.rs
@@ -22,29 +22,34 @@
 pub struct ClaimsLeader {
     queue: ProposalQueue<ClaimsRequest, RequestTag>,
     /// Up to when time was put into commands.
-    accounted: Instant,
+    accounted_until: Instant,
 }
 
 impl ClaimsLeader {
     fn propose(&mut self, now: Instant, out: &mut Outputs) {
         while let Some(proposal) = self.queue.next_proposal() {
-            self.send(now, proposal, out);
+            self.push_proposal(now, proposal, out);
         }
     }
 
     fn propose_time(&mut self, now: Instant, state: &ClaimsState, out: &mut Outputs) {
-        let is_due = now.since(self.accounted) >= TIME_STEP;
+        let is_due = now.since(self.accounted_until) >= TIME_STEP;
         if state.is_empty() || !is_due {
             return;
         }
-        if let Some(proposal) = self.queue.forced_proposal() {
-            self.send(now, proposal, out);
+        if let Some(proposal) = self.queue.next_proposal_even_if_empty() {
+            self.push_proposal(now, proposal, out);
         }
     }
 
-    fn send(&mut self, now: Instant, proposal: Proposal<ClaimsRequest>, out: &mut Outputs) {
+    fn push_proposal(
+        &mut self,
+        now: Instant,
+        proposal: Proposal<ClaimsRequest>,
+        out: &mut Outputs,
+    ) {
         let command = ClaimsCommand {
-            elapsed_ms: self.take_elapsed(now),
+            elapsed_ms: self.take_elapsed_ms(now),
             requests: proposal.operations,
         };
         out.push(LeaderOutput::Propose {
@@ -54,9 +59,10 @@
     }
 
     /// Whole milliseconds not put into a command yet; the rest is kept for the next one.
-    fn take_elapsed(&mut self, now: Instant) -> u64 {
-        let elapsed_ms = u64::try_from(now.since(self.accounted).as_millis()).unwrap_or(u64::MAX);
-        self.accounted = self.accounted + Duration::from_millis(elapsed_ms);
+    fn take_elapsed_ms(&mut self, now: Instant) -> u64 {
+        let elapsed_ms =
+            u64::try_from(now.since(self.accounted_until).as_millis()).unwrap_or(u64::MAX);
+        self.accounted_until = self.accounted_until + Duration::from_millis(elapsed_ms);
         elapsed_ms
     }
 }
@@ -76,7 +82,7 @@
         _out: &mut Outputs,
     ) {
         *self = Self {
-            accounted: now,
+            accounted_until: now,
             ..Self::default()
         };
     }
@@ -89,7 +95,7 @@
         state: &ClaimsState,
         out: &mut Outputs,
     ) {
-        if let Some(reply) = state.peek(&request) {
+        if let Some(reply) = state.reply_without_change(&request) {
             return out.push(LeaderOutput::Reply { tag, reply });
         }
         let bytes = estimated_bytes(&request);
@@ -110,8 +116,8 @@
         _state: &ClaimsState,
         out: &mut Outputs,
     ) {
-        let waiting = self.queue.applied(tag);
-        for (tag, reply) in waiting.into_iter().zip(replies) {
+        let waiters = self.queue.take_waiters(tag);
+        for (tag, reply) in waiters.into_iter().zip(replies) {
             out.push(LeaderOutput::Reply { tag, reply });
         }
         self.propose(now, out);
--- a/crates/nodes/wingshore-ledger/src/claims/state.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/state.rs
@@ -86,14 +86,14 @@
     }
 
     /// The answer to a request that would change nothing; it costs no log entry.
-    pub(super) fn peek(&self, request: &ClaimsRequest) -> Option<ClaimsReply> {
+    pub(super) fn reply_without_change(&self, request: &ClaimsRequest) -> Option<ClaimsReply> {
         match request {
             ClaimsRequest::Claim {
                 key,
                 fingerprint,
                 claimant,
             } => match self.entries.get(key) {
-                Some(entry) => self.known_reply(entry, *fingerprint, claimant),
+                Some(entry) => self.reply_for_known_key(entry, *fingerprint, claimant),
                 None => None,
             },
             ClaimsRequest::Settle { key, claimant, .. } => match self.entries.get(key) {
@@ -104,7 +104,7 @@
     }
 
     /// The reply to a claim of a key that is remembered; `None` when it may be claimed anew.
-    fn known_reply(
+    fn reply_for_known_key(
         &self,
         entry: &Entry,
         fingerprint: u64,
@@ -130,7 +130,7 @@
     }
 
     fn apply_request(&mut self, request: ClaimsRequest) -> ClaimsReply {
-        if let Some(reply) = self.peek(&request) {
+        if let Some(reply) = self.reply_without_change(&request) {
             return reply;
         }
         match request {
@@ -154,13 +154,13 @@
             status: Status::InFlight,
             expires_ms: self.expiry(RETENTION),
         };
-        self.forget(&key);
-        if !self.has_room(&key, &entry) {
+        self.remove_entry(&key);
+        if !self.has_capacity(&key, &entry) {
             return ClaimsReply::Full {
                 retry_after_ms: FULL_RETRY_AFTER_MS,
             };
         }
-        self.remember(key, entry);
+        self.insert_entry(key, entry);
         ClaimsReply::Granted
     }
 
@@ -176,15 +176,16 @@
         }
         let (status, retention) = match outcome {
             ClaimOutcome::NotRun => (Status::Freed, FREED_RETENTION),
-            ClaimOutcome::Answered(answer) => {
-                (Status::Answered(self.keepable(&key, answer)), RETENTION)
-            }
+            ClaimOutcome::Answered(answer) => (
+                Status::Answered(self.storable_answer(&key, answer)),
+                RETENTION,
+            ),
             ClaimOutcome::Unknown => (Status::Unknown, RETENTION),
         };
         entry.status = status;
         entry.expires_ms = self.expiry(retention);
-        self.forget(&key);
-        self.remember(key, entry);
+        self.remove_entry(&key);
+        self.insert_entry(key, entry);
         ClaimsReply::Settled
     }
 
@@ -202,21 +203,25 @@
             status: Status::Freed,
             expires_ms: self.expiry(FREED_RETENTION),
         };
-        if outcome == ClaimOutcome::NotRun && self.has_room(&key, &entry) {
-            self.remember(key, entry);
+        if outcome == ClaimOutcome::NotRun && self.has_capacity(&key, &entry) {
+            self.insert_entry(key, entry);
         }
         ClaimsReply::Settled
     }
 
     /// The answer, when it is small enough to be kept. That it ran is always kept.
-    fn keepable(&self, key: &ClaimKey, answer: Option<StoredAnswer>) -> Option<StoredAnswer> {
+    fn storable_answer(
+        &self,
+        key: &ClaimKey,
+        answer: Option<StoredAnswer>,
+    ) -> Option<StoredAnswer> {
         let answer = answer?;
         let size = (answer.body.len() + answer.content_type.len()) as u64;
         let fits = size <= self.limits.answer_bytes && self.bytes + size <= self.limits.bytes;
         (fits && self.entries.contains_key(key)).then_some(answer)
     }
 
-    fn has_room(&self, key: &ClaimKey, entry: &Entry) -> bool {
+    fn has_capacity(&self, key: &ClaimKey, entry: &Entry) -> bool {
         let has_key = (self.entries.len() as u64) < self.limits.keys;
         has_key && self.bytes + entry.bytes(key) <= self.limits.bytes
     }
@@ -225,30 +230,30 @@
         self.clock_ms.saturating_add(milliseconds(retention))
     }
 
-    fn remember(&mut self, key: ClaimKey, entry: Entry) {
+    fn insert_entry(&mut self, key: ClaimKey, entry: Entry) {
         self.bytes += entry.bytes(&key);
         self.by_expiry.insert((entry.expires_ms, key.clone()));
         self.entries.insert(key, entry);
     }
 
-    fn forget(&mut self, key: &ClaimKey) {
+    fn remove_entry(&mut self, key: &ClaimKey) {
         if let Some(entry) = self.entries.remove(key) {
             self.bytes -= entry.bytes(key);
             self.by_expiry.remove(&(entry.expires_ms, key.clone()));
         }
     }
 
-    fn forget_expired(&mut self) {
+    fn remove_expired(&mut self) {
         while let Some((expires_ms, key)) = self.by_expiry.first() {
             if *expires_ms > self.clock_ms {
                 break;
             }
             let key = key.clone();
-            self.forget(&key);
+            self.remove_entry(&key);
         }
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_derived(&mut self) {
         self.bytes = 0;
         self.by_expiry.clear();
         for (key, entry) in &self.entries {
@@ -274,7 +279,7 @@
 
     fn apply(&mut self, _index: LogIndex, command: ClaimsCommand) -> Vec<ClaimsReply> {
         self.clock_ms = self.clock_ms.saturating_add(command.elapsed_ms);
-        self.forget_expired();
+        self.remove_expired();
         command
             .requests
             .into_iter()
@@ -288,7 +293,7 @@
 
     fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let mut state: Self = snapshot::decode("claims", SNAPSHOT_VERSION, bytes)?;
-        state.rebuild();
+        state.rebuild_derived();
         Ok(state)
     }
 }
--- a/crates/nodes/wingshore-ledger/src/samples/depth.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/depth.rs
@@ -23,31 +23,31 @@
 /// Samples that a step of each pool takes, by its newest pull. In the leader's memory only.
 #[derive(Debug, Default)]
 pub(super) struct GenerationDepth {
-    counts: BTreeMap<PoolId, u32>,
+    step_sizes: BTreeMap<PoolId, u32>,
 }
 
 impl GenerationDepth {
     /// A trainer asks for a step of so many samples.
-    pub(super) fn on_pull(&mut self, pool: &PoolId, count: u32) {
-        self.counts.insert(pool.clone(), count);
+    pub(super) fn record_step_size(&mut self, pool: &PoolId, count: u32) {
+        self.step_sizes.insert(pool.clone(), count);
     }
 
     /// How many more samples may be leased now.
-    pub(super) fn grantable(&self, id: &PoolId, ledger: &PoolLedger) -> u32 {
-        let Some(count) = self.counts.get(id) else {
+    pub(super) fn max_new_leases(&self, id: &PoolId, ledger: &PoolLedger) -> u32 {
+        let Some(count) = self.step_sizes.get(id) else {
             return u32::MAX;
         };
-        let Some(allowed) = allowed(*count, ledger.settings().idle_weight) else {
+        let Some(max_generated) = max_generated(*count, ledger.settings().idle_weight) else {
             return u32::MAX;
         };
         let counts = ledger.counts();
-        let begun = counts.leased + counts.finished + counts.scored;
-        allowed.saturating_sub(begun)
+        let started = counts.leased + counts.finished + counts.scored;
+        max_generated.saturating_sub(started)
     }
 }
 
 /// Samples that may be leased, finished or scored at once; `None` for no limit.
-fn allowed(count: u32, weight: Permille) -> Option<u32> {
+fn max_generated(count: u32, weight: Permille) -> Option<u32> {
     if weight >= Permille::WHOLE {
         return None;
     }
--- a/crates/nodes/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/finishing.rs
@@ -1,6 +1,6 @@
 //! The end of a generation: the first finished attempt wins.
 
-use super::numbers::Remembered;
+use super::numbers::Membership;
 use super::pool::{PoolLedger, check_generation, invalid};
 use super::stage::{Finished, OpenSample, QueueKey, Stage};
 use wingshore_types::protocol::ledger::{LedgerRefusal, LedgerReply};
@@ -14,7 +14,7 @@
         generation: Generation,
     ) -> LedgerReply {
         let Some(sample) = self.open.get(&number) else {
-            return self.finish_closed(number, lease, generation);
+            return self.finish_not_open(number, lease, generation);
         };
         if let Err(refusal) = self.check_finish(sample, lease, &generation) {
             return LedgerReply::Refused(refusal);
@@ -45,8 +45,8 @@
             ));
         }
         let other = self.indexes.leases.sample(lease);
-        let is_other_samples = other.is_some_and(|number| number != sample.key.number());
-        if lease.0 >= self.next_lease || is_other_samples {
+        let is_for_other_sample = other.is_some_and(|number| number != sample.key.number());
+        if lease.0 >= self.next_lease || is_for_other_sample {
             return Err(invalid(format!(
                 "lease {lease} was not granted for sample {}",
                 sample.key.number()
@@ -55,13 +55,13 @@
         Ok(())
     }
 
-    fn finish_closed(
+    fn finish_not_open(
         &mut self,
         number: SampleNumber,
         lease: LeaseId,
         generation: Generation,
     ) -> LedgerReply {
-        let is_forgotten = self.acknowledged.remembers(number.0) == Remembered::Forgotten;
+        let is_forgotten = self.acknowledged.membership(number.0) == Membership::Forgotten;
         if !self.is_known(number) && !is_forgotten {
             return LedgerReply::Refused(invalid(format!("sample {number} was not submitted")));
         }
--- a/crates/nodes/wingshore-ledger/src/samples/grants.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/grants.rs
@@ -21,14 +21,14 @@
 
 impl PoolLedger {
     /// Whether a lease request would change anything.
-    pub(super) fn lease_would_change(&self, node: &NodeId, boot_id: u64, most: u32) -> bool {
-        let old_boots = self.indexes.leases.of_other_boots(node, boot_id);
+    pub(super) fn lease_changes_state(&self, node: &NodeId, boot_id: u64, most: u32) -> bool {
+        let old_boots = self.indexes.leases.leases_of_other_boots(node, boot_id);
         let grants = most > 0 && !self.indexes.pending.is_empty();
         grants || !old_boots.is_empty()
     }
 
     pub(super) fn lease(&mut self, node: NodeId, boot_id: u64, most: u32) -> LedgerReply {
-        let ended = self.indexes.leases.of_other_boots(&node, boot_id);
+        let ended = self.indexes.leases.leases_of_other_boots(&node, boot_id);
         self.expire(&ended);
         let chosen = self.next_pending(most.min(MAX_LEASES_PER_REQUEST));
         let holder = Holder { node, boot_id };
--- a/crates/nodes/wingshore-ledger/src/samples/leader.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/leader.rs
@@ -5,7 +5,7 @@
 use super::faults::Faults;
 use super::lease_clock::LeaseClock;
 use super::pool::{FULL_RETRY_AFTER_MS, PoolLedger};
-use super::requests::{answer_from_state, operation_of, request_pool};
+use super::requests::{answer_from_state, operation_for, request_pool};
 use super::scoring::ScoringOffers;
 use super::state::LedgerState;
 use super::waiting_pulls::WaitingPull;
@@ -22,7 +22,7 @@
 
 /// Who waits for an operation to be applied.
 #[derive(Debug)]
-pub(super) enum Waiting {
+pub(super) enum Waiter {
     Client(RequestTag),
     /// A lease request: the deadlines of what is granted begin when it is applied.
     LeaseClient(RequestTag, PoolId),
@@ -34,15 +34,15 @@
 /// The leader machine of a ledger group.
 #[derive(Debug, Default)]
 pub struct LedgerLeader {
-    queue: ProposalQueue<Operation, Waiting>,
+    queue: ProposalQueue<Operation, Waiter>,
     lease_clock: LeaseClock,
     offers: ScoringOffers,
     depth: GenerationDepth,
-    pub(super) pulls: Vec<WaitingPull>,
+    pub(super) waiting_pulls: Vec<WaitingPull>,
     /// Pools with a hand-over on its way into the log.
-    pub(super) handing_over: BTreeSet<PoolId>,
+    pub(super) proposed_hand_overs: BTreeSet<PoolId>,
     /// Newest trainer versions on their way into the log.
-    pub(super) observing: BTreeMap<PoolId, WeightVersion>,
+    pub(super) proposed_versions: BTreeMap<PoolId, WeightVersion>,
     pub(super) faults: Faults,
 }
 
@@ -86,12 +86,12 @@
                 reply(tag, LedgerReply::Counts(ledger.counts()), out);
             }
             (LedgerRequest::Pull { pool, pull }, Some(_)) => {
-                self.depth.on_pull(&pool, pull.count);
-                self.wait_for_pull(now, tag, pool, pull, out);
+                self.depth.record_step_size(&pool, pull.count);
+                self.enqueue_pull(now, tag, pool, pull, out);
             }
             (mut request, Some(ledger)) => {
                 if let LedgerRequest::Lease { pool, most, .. } = &mut request {
-                    *most = (*most).min(self.depth.grantable(pool, ledger));
+                    *most = (*most).min(self.depth.max_new_leases(pool, ledger));
                 }
                 self.answer_or_enqueue(tag, request, ledger, out);
             }
@@ -142,27 +142,27 @@
             trainer,
         };
         let operation = Operation::Configure { pool, settings };
-        self.enqueue(operation, Waiting::Client(tag), out);
+        self.enqueue(operation, Waiter::Client(tag), out);
     }
 
     fn enqueue_request(&mut self, tag: RequestTag, request: LedgerRequest, out: &mut Outputs) {
-        let Some(operation) = operation_of(request) else {
+        let Some(operation) = operation_for(request) else {
             return;
         };
-        let waiting = match &operation {
-            Operation::Lease { pool, .. } => Waiting::LeaseClient(tag, pool.clone()),
-            _ => Waiting::Client(tag),
+        let waiter = match &operation {
+            Operation::Lease { pool, .. } => Waiter::LeaseClient(tag, pool.clone()),
+            _ => Waiter::Client(tag),
         };
-        self.enqueue(operation, waiting, out);
+        self.enqueue(operation, waiter, out);
     }
 
-    pub(super) fn enqueue(&mut self, operation: Operation, waiting: Waiting, out: &mut Outputs) {
+    pub(super) fn enqueue(&mut self, operation: Operation, waiter: Waiter, out: &mut Outputs) {
         let bytes = operation.estimated_bytes();
-        let Err(refused) = self.queue.push(operation, bytes, waiting) else {
+        let Err(refused) = self.queue.push(operation, bytes, waiter) else {
             return;
         };
         match refused {
-            Waiting::Client(tag) | Waiting::LeaseClient(tag, _) => refuse(
+            Waiter::Client(tag) | Waiter::LeaseClient(tag, _) => refuse(
                 tag,
                 LedgerRefusal::Full {
                     retry_after_ms: FULL_RETRY_AFTER_MS,
@@ -170,11 +170,11 @@
                 out,
             ),
             // What follows is proposed again at a later tick.
-            Waiting::Expiry(pool, leases) => self.lease_clock.postpone(&pool, &leases),
-            Waiting::HandOver(pool, _) => {
-                self.handing_over.remove(&pool);
+            Waiter::Expiry(pool, leases) => self.lease_clock.postpone(&pool, &leases),
+            Waiter::HandOver(pool, _) => {
+                self.proposed_hand_overs.remove(&pool);
             }
-            Waiting::Version => self.observing.clear(),
+            Waiter::Version => self.proposed_versions.clear(),
         }
     }
 
@@ -204,7 +204,7 @@
                 pool.is_some_and(|pool| pool.is_active(*lease))
             };
             let (active, ended): (Vec<_>, Vec<_>) = due.into_iter().partition(is_active);
-            self.lease_clock.ended(&id, &ended);
+            self.lease_clock.clear_expiring(&id, &ended);
             if active.is_empty() {
                 continue;
             }
@@ -212,29 +212,29 @@
                 pool: id.clone(),
                 leases: active.clone(),
             };
-            self.enqueue(operation, Waiting::Expiry(id, active), out);
+            self.enqueue(operation, Waiter::Expiry(id, active), out);
         }
     }
 
-    fn finish_waiting(
+    fn complete_operation(
         &mut self,
         now: Instant,
-        waiting: Waiting,
+        waiter: Waiter,
         answer: LedgerReply,
         out: &mut Outputs,
     ) {
-        match waiting {
-            Waiting::Client(tag) => reply(tag, answer, out),
-            Waiting::LeaseClient(tag, pool) => {
+        match waiter {
+            Waiter::Client(tag) => reply(tag, answer, out),
+            Waiter::LeaseClient(tag, pool) => {
                 self.start_leases(now, &pool, &answer);
                 reply(tag, answer, out);
             }
-            Waiting::Expiry(pool, leases) => self.lease_clock.ended(&pool, &leases),
-            Waiting::HandOver(pool, step) => {
-                self.handing_over.remove(&pool);
+            Waiter::Expiry(pool, leases) => self.lease_clock.clear_expiring(&pool, &leases),
+            Waiter::HandOver(pool, step) => {
+                self.proposed_hand_overs.remove(&pool);
                 self.refuse_pulls(&pool, step, answer, out);
             }
-            Waiting::Version => {}
+            Waiter::Version => {}
         }
     }
 
@@ -306,11 +306,11 @@
         state: &LedgerState,
         out: &mut Outputs,
     ) {
-        let waiting = self.queue.applied(tag);
-        for (waiting, answer) in waiting.into_iter().zip(replies) {
-            self.finish_waiting(now, waiting, answer, out);
+        let waiters = self.queue.take_waiters(tag);
+        for (waiter, answer) in waiters.into_iter().zip(replies) {
+            self.complete_operation(now, waiter, answer, out);
         }
-        self.observing.retain(|pool, version| {
+        self.proposed_versions.retain(|pool, version| {
             let known = state.pool(pool).map(PoolLedger::trainer_version);
             known.is_some_and(|known| known < *version)
         });
--- a/crates/nodes/wingshore-ledger/src/samples/lease_clock.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/lease_clock.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes the leases that have run out by now, by pool. Each is then expiring, until
-    /// [`LeaseClock::ended`].
+    /// [`LeaseClock::clear_expiring`].
     pub(super) fn take_due(&mut self, now: Instant) -> BTreeMap<PoolId, Vec<LeaseId>> {
         let mut due: BTreeMap<PoolId, Vec<LeaseId>> = BTreeMap::new();
         while let Some((deadline, _)) = self.by_deadline.first() {
@@ -62,14 +62,14 @@
     /// The end of these leases had no room in the queue: they are due at the next tick, and may be
     /// renewed until then.
     pub(super) fn postpone(&mut self, pool: &PoolId, leases: &[LeaseId]) {
-        self.ended(pool, leases);
+        self.clear_expiring(pool, leases);
         for lease in leases {
             self.start(Instant::ZERO, pool, *lease, 0);
         }
     }
 
     /// The end of these leases was applied, or was not needed any more.
-    pub(super) fn ended(&mut self, pool: &PoolId, leases: &[LeaseId]) {
+    pub(super) fn clear_expiring(&mut self, pool: &PoolId, leases: &[LeaseId]) {
         for lease in leases {
             self.expiring.remove(&(pool.clone(), *lease));
         }
--- a/crates/nodes/wingshore-ledger/src/samples/leases.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/leases.rs
@@ -44,7 +44,7 @@
     }
 
     /// Leases of the node's boots other than `boot_id`.
-    pub(crate) fn of_other_boots(&self, node: &NodeId, boot_id: u64) -> Vec<LeaseId> {
+    pub(crate) fn leases_of_other_boots(&self, node: &NodeId, boot_id: u64) -> Vec<LeaseId> {
         let first = Holder {
             node: node.clone(),
             boot_id: 0,
--- a/crates/nodes/wingshore-ledger/src/samples/mod.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/mod.rs
@@ -28,6 +28,6 @@
 pub use command::{LedgerCommand, Operation, PoolSettings};
 pub use faults::Faults;
 pub use leader::LedgerLeader;
-pub use numbers::{NumberSet, Remembered};
+pub use numbers::{Membership, NumberSet};
 pub use pool::PoolLedger;
 pub use state::LedgerState;
--- a/crates/nodes/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/numbers.rs
@@ -5,17 +5,17 @@
 
 /// What a [`NumberSet`] knows of a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remembered {
+pub enum Membership {
     /// It was inserted.
-    Yes,
+    Present,
     /// It was not inserted.
-    No,
+    Absent,
     /// It lies below the lowest number that is still told apart.
     Forgotten,
 }
 
 /// A set of numbers, kept as ranges. When there are more than `MAX_RANGES`, the lowest ones are
-/// forgotten: numbers there are then [`Remembered::Forgotten`], neither known nor new.
+/// forgotten: numbers there are then [`Membership::Forgotten`], neither known nor new.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberSet {
     floor: u64,
@@ -28,13 +28,13 @@
     pub const MAX_RANGES: usize = 16_384;
 
     /// What is known of `number`.
-    pub fn remembers(&self, number: u64) -> Remembered {
+    pub fn membership(&self, number: u64) -> Membership {
         if number < self.floor {
-            return Remembered::Forgotten;
+            return Membership::Forgotten;
         }
-        match self.range_at(number) {
-            Some(_) => Remembered::Yes,
-            None => Remembered::No,
+        match self.range_containing(number) {
+            Some(_) => Membership::Present,
+            None => Membership::Absent,
         }
     }
 
@@ -50,27 +50,27 @@
 
     /// Adds a number.
     pub fn insert(&mut self, number: u64) {
-        if self.remembers(number) != Remembered::No {
+        if self.membership(number) != Membership::Absent {
             return;
         }
         let below = number
             .checked_sub(1)
-            .and_then(|previous| self.range_at(previous));
+            .and_then(|previous| self.range_containing(previous));
         let above = number
             .checked_add(1)
             .and_then(|next| self.ranges.remove(&next));
         let first = below.map_or(number, |(first, _)| first);
         let last = above.unwrap_or(number);
         self.ranges.insert(first, last);
-        self.forget_lowest();
+        self.drop_lowest_ranges();
     }
 
-    fn range_at(&self, number: u64) -> Option<(u64, u64)> {
+    fn range_containing(&self, number: u64) -> Option<(u64, u64)> {
         let (&first, &last) = self.ranges.range(..=number).next_back()?;
         (number <= last).then_some((first, last))
     }
 
-    fn forget_lowest(&mut self) {
+    fn drop_lowest_ranges(&mut self) {
         while self.ranges.len() > Self::MAX_RANGES {
             if let Some((_, last)) = self.ranges.pop_first() {
                 self.floor = last.saturating_add(1);
--- a/crates/nodes/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/pulls.rs
@@ -100,14 +100,14 @@
                 batch.total
             )));
         }
-        Ok(part_of(batch, from as usize))
+        Ok(partial_batch(batch, from as usize))
     }
 
     /// Records a hand-over, unless it is recorded already. The batch itself is not part of the
     /// reply: the leader reads it from the state, and followers need no copy.
     pub(super) fn hand_over(&mut self, pull: &PullRequest) -> LedgerReply {
         if self.faults.forget_handover {
-            self.forget(pull.step);
+            self.discard_hand_over(pull.step);
         }
         self.observe_if_admissible(pull);
         match self.pull_status(pull) {
@@ -130,18 +130,18 @@
             return LedgerReply::Refused(self.wrong_acknowledgement(step));
         }
         if let Some(batch) = self.handed_over.remove(&step) {
-            self.free(&batch);
+            self.mark_acknowledged(&batch);
         }
         self.acknowledged_step = Some(step);
         LedgerReply::Done
     }
 
     /// The batch a pull would get now; for the deliberate fault of answering before the commit.
-    pub(crate) fn preview(&self, pull: &PullRequest) -> Batch {
+    pub(crate) fn preview_batch(&self, pull: &PullRequest) -> Batch {
         let samples = self
-            .chosen(pull.count)
+            .first_scored(pull.count)
             .iter()
-            .filter_map(|key| self.open.get(&key.number()).and_then(whole_sample))
+            .filter_map(|key| self.open.get(&key.number()).and_then(complete_sample))
             .collect();
         self.batch(pull, samples)
     }
@@ -196,32 +196,34 @@
         }
     }
 
-    fn chosen(&self, count: u32) -> Vec<QueueKey> {
+    fn first_scored(&self, count: u32) -> Vec<QueueKey> {
         let scored = self.indexes.scored.iter();
         scored.take(count as usize).copied().collect()
     }
 
     fn record(&mut self, pull: &PullRequest) -> LedgerReply {
-        let chosen = self.chosen(pull.count);
-        if let Err(refusal) = self.check_batch_size(&chosen) {
+        let first_scored = self.first_scored(pull.count);
+        if let Err(refusal) = self.check_batch_size(&first_scored) {
             return LedgerReply::Refused(refusal);
         }
-        let mut samples = Vec::with_capacity(chosen.len());
-        for key in chosen {
+        let mut samples = Vec::with_capacity(first_scored.len());
+        for key in first_scored {
             let Some(open) = self.open.remove(&key.number()) else {
                 continue;
             };
             self.indexes.remove(&open);
             self.indexes.delivered.insert(key.number(), pull.step);
-            samples.extend(into_whole_sample(open));
+            samples.extend(into_complete_sample(open));
         }
         let batch = self.batch(pull, samples);
         self.handed_over.insert(pull.step, batch);
         LedgerReply::Done
     }
 
-    fn check_batch_size(&self, chosen: &[QueueKey]) -> Result<(), LedgerRefusal> {
-        let samples = chosen.iter().filter_map(|key| self.open.get(&key.number()));
+    fn check_batch_size(&self, first_scored: &[QueueKey]) -> Result<(), LedgerRefusal> {
+        let samples = first_scored
+            .iter()
+            .filter_map(|key| self.open.get(&key.number()));
         let bytes: usize = samples.map(OpenSample::encoded_bytes).sum();
         if bytes <= MAX_BATCH_BYTES {
             return Ok(());
@@ -229,14 +231,14 @@
         Err(invalid(format!(
             "the batch of {} samples takes {bytes} bytes; {MAX_BATCH_BYTES} are allowed: \
              pull fewer samples a step",
-            chosen.len()
+            first_scored.len()
         )))
     }
 
     fn batch(&self, pull: &PullRequest, samples: Vec<Sample>) -> Batch {
         Batch {
             step: pull.step,
-            weight_version: self.version_checked(pull),
+            weight_version: self.checked_version(pull),
             total: samples.len() as u32,
             samples,
         }
@@ -244,11 +246,11 @@
 
     /// Staleness is counted against the newest version the trainer has ever stated, which is
     /// never below the one in this pull.
-    fn version_checked(&self, pull: &PullRequest) -> WeightVersion {
+    fn checked_version(&self, pull: &PullRequest) -> WeightVersion {
         self.trainer_version.max(pull.weight_version)
     }
 
-    fn free(&mut self, batch: &Batch) {
+    fn mark_acknowledged(&mut self, batch: &Batch) {
         for sample in &batch.samples {
             self.indexes.delivered.remove(&sample.number);
             self.acknowledged.insert(sample.number.0);
@@ -266,7 +268,7 @@
     }
 
     /// The deliberate fault [`super::Faults::forget_handover`].
-    fn forget(&mut self, step: StepId) {
+    fn discard_hand_over(&mut self, step: StepId) {
         if let Some(batch) = self.handed_over.remove(&step) {
             for sample in &batch.samples {
                 self.indexes.delivered.remove(&sample.number);
@@ -276,7 +278,7 @@
 }
 
 /// The part of a batch that begins with sample `from`; one sample at least, where there is one.
-pub(super) fn part_of(batch: &Batch, from: usize) -> Batch {
+pub(super) fn partial_batch(batch: &Batch, from: usize) -> Batch {
     let mut bytes = 0;
     let samples = batch.samples.iter().skip(from).take_while(|sample| {
         let has_room = bytes < PART_BYTES;
@@ -315,11 +317,11 @@
     )))
 }
 
-fn whole_sample(open: &OpenSample) -> Option<Sample> {
-    into_whole_sample(open.clone())
+fn complete_sample(open: &OpenSample) -> Option<Sample> {
+    into_complete_sample(open.clone())
 }
 
-fn into_whole_sample(open: OpenSample) -> Option<Sample> {
+fn into_complete_sample(open: OpenSample) -> Option<Sample> {
     let Stage::Scored { finished, score } = open.stage else {
         return None;
     };
--- a/crates/nodes/wingshore-ledger/src/samples/requests.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/requests.rs
@@ -34,7 +34,7 @@
             most,
             ..
         } => {
-            let changes = pool.lease_would_change(node, *boot_id, *most);
+            let changes = pool.lease_changes_state(node, *boot_id, *most);
             (!changes).then(|| LedgerReply::Leases(Vec::new()))
         }
         LedgerRequest::Return { lease, .. } => {
@@ -61,7 +61,7 @@
 }
 
 /// The operation a request asks for, when it is one that changes the state.
-pub(super) fn operation_of(request: LedgerRequest) -> Option<Operation> {
+pub(super) fn operation_for(request: LedgerRequest) -> Option<Operation> {
     match request {
         LedgerRequest::Submit { pool, prompts } => Some(Operation::Submit { pool, prompts }),
         LedgerRequest::Acknowledge {
@@ -76,7 +76,7 @@
         LedgerRequest::Lease { .. }
         | LedgerRequest::Return { .. }
         | LedgerRequest::Finish { .. }
-        | LedgerRequest::Score { .. } => operation_of_node(request),
+        | LedgerRequest::Score { .. } => operation_for_node_request(request),
         LedgerRequest::Configure { .. }
         | LedgerRequest::Renew { .. }
         | LedgerRequest::Unscored { .. }
@@ -87,7 +87,7 @@
 }
 
 /// The operation that a node asks for about samples it leases.
-fn operation_of_node(request: LedgerRequest) -> Option<Operation> {
+fn operation_for_node_request(request: LedgerRequest) -> Option<Operation> {
     let operation = match request {
         LedgerRequest::Lease {
             pool,
--- a/crates/nodes/wingshore-ledger/src/samples/scoring.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/scoring.rs
@@ -89,7 +89,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Offer {
-    until: Instant,
+    expires_at: Instant,
     duration: Duration,
 }
 
@@ -106,7 +106,7 @@
         let mut tokens = 0;
         let offered: Vec<UnscoredSample> = pool
             .unscored()
-            .filter(|(number, finished)| !self.is_offered(now, id, *number, finished.lease))
+            .filter(|(number, finished)| !self.is_offer_active(now, id, *number, finished.lease))
             .take(most)
             .take_while(|(_, finished)| {
                 let has_room = tokens < MAX_TOKENS_PER_ANSWER;
@@ -119,8 +119,14 @@
             let key = (id.clone(), sample.number, sample.lease);
             let earlier = self.offers.get(&key).map(|offer| offer.duration);
             let duration = earlier.map_or(INITIAL_OFFER, |earlier| (earlier * 2).min(MAX_OFFER));
-            let until = now + duration;
-            self.offers.insert(key, Offer { until, duration });
+            let expires_at = now + duration;
+            self.offers.insert(
+                key,
+                Offer {
+                    expires_at,
+                    duration,
+                },
+            );
         }
         offered
     }
@@ -133,8 +139,16 @@
         });
     }
 
-    fn is_offered(&self, now: Instant, id: &PoolId, number: SampleNumber, lease: LeaseId) -> bool {
+    fn is_offer_active(
+        &self,
+        now: Instant,
+        id: &PoolId,
+        number: SampleNumber,
+        lease: LeaseId,
+    ) -> bool {
         let key = (id.clone(), number, lease);
-        self.offers.get(&key).is_some_and(|offer| offer.until > now)
+        self.offers
+            .get(&key)
+            .is_some_and(|offer| offer.expires_at > now)
     }
 }
--- a/crates/nodes/wingshore-ledger/src/samples/submissions.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/submissions.rs
@@ -9,7 +9,7 @@
 //!
 //! Why: a group's memory and its snapshots hold all open samples with their tokens, about 4 kB each.
 
-use super::numbers::Remembered;
+use super::numbers::Membership;
 use super::pool::{FULL_RETRY_AFTER_MS, PoolLedger, invalid};
 use super::stage::QueueKey;
 use std::collections::BTreeSet;
@@ -86,7 +86,7 @@
                 "sample {number}: max_tokens is 0; it must be at least 1"
             )));
         }
-        let is_forgotten = self.acknowledged.remembers(number.0) == Remembered::Forgotten;
+        let is_forgotten = self.acknowledged.membership(number.0) == Membership::Forgotten;
         if is_forgotten && !self.open.contains_key(&number) {
             return Err(invalid(format!(
                 "sample {number}: numbers below {} are no longer told apart; number upwards",
--- a/crates/nodes/wingshore-ledger/src/samples/waiting_pulls.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/waiting_pulls.rs
@@ -6,9 +6,9 @@
 //! pulls again after a change of leader.
 
 use super::command::Operation;
-use super::leader::{LedgerLeader, Outputs, Waiting, refuse, reply};
+use super::leader::{LedgerLeader, Outputs, Waiter, refuse, reply};
 use super::pool::PoolLedger;
-use super::pulls::{PullStatus, not_ready, part_of};
+use super::pulls::{PullStatus, not_ready, partial_batch};
 use super::state::LedgerState;
 use std::time::Duration;
 use wingshore_types::machine::RequestTag;
@@ -30,7 +30,7 @@
 }
 
 impl LedgerLeader {
-    pub(super) fn wait_for_pull(
+    pub(super) fn enqueue_pull(
         &mut self,
         now: Instant,
         tag: RequestTag,
@@ -38,11 +38,11 @@
         pull: PullRequest,
         out: &mut Outputs,
     ) {
-        if self.pulls.len() >= MAX_WAITING_PULLS {
+        if self.waiting_pulls.len() >= MAX_WAITING_PULLS {
             return refuse(tag, not_ready(0), out);
         }
         let wait = Duration::from_millis(pull.wait_ms).min(MAX_PULL_WAIT);
-        self.pulls.push(WaitingPull {
+        self.waiting_pulls.push(WaitingPull {
             tag,
             pool,
             pull,
@@ -52,7 +52,7 @@
 
     /// Answers the pulls that can be answered now and proposes what the others need.
     pub(super) fn advance_pulls(&mut self, now: Instant, state: &LedgerState, out: &mut Outputs) {
-        for waiting in std::mem::take(&mut self.pulls) {
+        for waiting in std::mem::take(&mut self.waiting_pulls) {
             let Some(pool) = state.pool(&waiting.pool) else {
                 refuse(waiting.tag, LedgerRefusal::UnknownPool, out);
                 continue;
@@ -60,7 +60,7 @@
             if let Some(answer) = self.advance_pull(now, &waiting, pool, out) {
                 reply(waiting.tag, answer, out);
             } else {
-                self.pulls.push(waiting);
+                self.waiting_pulls.push(waiting);
             }
         }
     }
@@ -75,17 +75,17 @@
         match pool.pull_status(&waiting.pull) {
             Err(refusal) => Some(LedgerReply::Refused(refusal)),
             Ok(PullStatus::Recorded(_)) if self.faults.forget_handover => {
-                Some(self.answer_anew(waiting, pool, out))
+                Some(self.answer_with_new_batch(waiting, pool, out))
             }
             Ok(PullStatus::Recorded(batch)) => Some(first_part(batch)),
             Ok(PullStatus::NewerVersion) => {
-                self.observe(waiting, out);
+                self.propose_version(waiting, out);
                 None
             }
             Ok(PullStatus::Ready) => {
                 self.propose_hand_over(waiting, out);
                 let early = self.faults.answer_before_commit;
-                early.then(|| first_part(&pool.preview(&waiting.pull)))
+                early.then(|| first_part(&pool.preview_batch(&waiting.pull)))
             }
             Ok(PullStatus::Waiting { ready }) if now >= waiting.deadline => {
                 Some(LedgerReply::Refused(not_ready(ready)))
@@ -94,41 +94,41 @@
         }
     }
 
-    fn observe(&mut self, waiting: &WaitingPull, out: &mut Outputs) {
+    fn propose_version(&mut self, waiting: &WaitingPull, out: &mut Outputs) {
         let version = waiting.pull.weight_version;
-        let on_its_way = self.observing.get(&waiting.pool);
-        if on_its_way.is_some_and(|newest| *newest >= version) {
+        let proposed = self.proposed_versions.get(&waiting.pool);
+        if proposed.is_some_and(|newest| *newest >= version) {
             return;
         }
-        self.observing.insert(waiting.pool.clone(), version);
+        self.proposed_versions.insert(waiting.pool.clone(), version);
         let operation = Operation::ObserveVersion {
             pool: waiting.pool.clone(),
             version,
         };
-        self.enqueue(operation, Waiting::Version, out);
+        self.enqueue(operation, Waiter::Version, out);
     }
 
     fn propose_hand_over(&mut self, waiting: &WaitingPull, out: &mut Outputs) {
-        if !self.handing_over.insert(waiting.pool.clone()) {
+        if !self.proposed_hand_overs.insert(waiting.pool.clone()) {
             return;
         }
         let operation = Operation::HandOver {
             pool: waiting.pool.clone(),
             pull: waiting.pull.clone(),
         };
-        let waits = Waiting::HandOver(waiting.pool.clone(), waiting.pull.step);
-        self.enqueue(operation, waits, out);
+        let waiter = Waiter::HandOver(waiting.pool.clone(), waiting.pull.step);
+        self.enqueue(operation, waiter, out);
     }
 
     /// The deliberate fault [`super::Faults::forget_handover`]: other samples for the same step.
-    fn answer_anew(
+    fn answer_with_new_batch(
         &mut self,
         waiting: &WaitingPull,
         pool: &PoolLedger,
         out: &mut Outputs,
     ) -> LedgerReply {
         self.propose_hand_over(waiting, out);
-        first_part(&pool.preview(&waiting.pull))
+        first_part(&pool.preview_batch(&waiting.pull))
     }
 
     /// Answers the pulls of a step whose hand-over was refused, unless waiting may help.
@@ -144,12 +144,12 @@
         }
         let of_step =
             |waiting: &mut WaitingPull| waiting.pool == *pool && waiting.pull.step == step;
-        for waiting in self.pulls.extract_if(.., of_step) {
+        for waiting in self.waiting_pulls.extract_if(.., of_step) {
             reply(waiting.tag, answer.clone(), out);
         }
     }
 }
 
 fn first_part(batch: &Batch) -> LedgerReply {
-    LedgerReply::Batch(Box::new(part_of(batch, 0)))
+    LedgerReply::Batch(Box::new(partial_batch(batch, 0)))
 }
--- a/crates/nodes/wingshore-ledger/tests/batch_parts.rs
+++ b/crates/nodes/wingshore-ledger/tests/batch_parts.rs
@@ -42,16 +42,16 @@
     }
 }
 
-fn with_large_samples() -> Ledger {
+fn ledger_with_large_samples() -> Ledger {
     let mut group = ledger(Faults::default());
     group.call(large_prompts());
-    ready(&mut group, 0..SAMPLES, 1);
+    submit_and_score(&mut group, 0..SAMPLES, 1);
     group
 }
 
 #[gtest]
-fn the_parts_of_a_large_batch_make_it_whole_also_after_a_restore() {
-    let mut group = with_large_samples();
+fn the_parts_of_a_large_batch_cover_it_also_after_a_restore() {
+    let mut group = ledger_with_large_samples();
     let first = batch(group.call(pull(0, 1, SAMPLES as u32, 0)));
     expect_that!(first.total, eq(SAMPLES as u32));
     let mut numbers: Vec<u64> = Vec::new();
@@ -80,8 +80,8 @@
 }
 
 #[gtest]
-fn a_part_that_cannot_be_given_is_refused() {
-    let mut group = with_large_samples();
+fn a_part_that_does_not_exist_is_refused() {
+    let mut group = ledger_with_large_samples();
     let not_handed_over = group.call(part(trainer(), 0));
     expect_that!(
         not_handed_over,
--- a/crates/nodes/wingshore-ledger/tests/claims.rs
+++ b/crates/nodes/wingshore-ledger/tests/claims.rs
@@ -71,13 +71,13 @@
 }
 
 /// What is remembered of a key: fingerprint, attempt, last outcome, when it may be forgotten.
-type Remembered = (u64, u64, Option<ClaimOutcome>, u64);
+type ModelEntry = (u64, u64, Option<ClaimOutcome>, u64);
 
 /// The rules over a plain map. It also counts executions: each granted claim runs once.
 #[derive(Default)]
 struct Model {
     now_ms: u64,
-    keys: BTreeMap<u8, Remembered>,
+    keys: BTreeMap<u8, ModelEntry>,
 }
 
 impl Model {
@@ -123,7 +123,7 @@
         ClaimsReply::Settled
     }
 
-    fn pass(&mut self, elapsed_ms: u64) {
+    fn advance_time(&mut self, elapsed_ms: u64) {
         self.now_ms += elapsed_ms;
         let now_ms = self.now_ms;
         self.keys.retain(|_, (.., expires)| *expires > now_ms);
@@ -173,7 +173,7 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn claims_do_what_the_model_does(actions in actions()) {
+    fn claims_match_the_model(actions in actions()) {
         let mut state = ClaimsState::default();
         let mut model = Model::default();
         for action in actions {
@@ -189,7 +189,7 @@
                 }
                 Action::Pass(elapsed_ms) => {
                     apply(&mut state, elapsed_ms, vec![]);
-                    model.pass(elapsed_ms);
+                    model.advance_time(elapsed_ms);
                 }
                 Action::Restore => {
                     let snapshot = state.snapshot();
@@ -205,18 +205,18 @@
 
     #[test]
     fn a_key_runs_once(actions in actions()) {
-        prop_assert_eq!(second_runs(ClaimsState::default(), actions), 0);
+        prop_assert_eq!(unsafe_grants(ClaimsState::default(), actions), 0);
     }
 }
 
 /// Grants of a key that may have run already. Independent of the model: between two grants to
 /// different attempts, the earlier attempt must have said first of all that it did not run, or the
 /// retention must have passed.
-fn second_runs(
+fn unsafe_grants(
     mut state: impl ReplicatedState<Command = ClaimsCommand, Reply = Vec<ClaimsReply>>,
     actions: Vec<Action>,
 ) -> u32 {
-    let mut second_runs = 0;
+    let mut unsafe_grants = 0;
     let mut now_ms = 0;
     // Key -> (attempt, time of its latest grant, whether it has settled).
     let mut may_have_run: BTreeMap<u8, (u64, u64, bool)> = BTreeMap::new();
@@ -230,7 +230,7 @@
                         (holder == attempt && !settled)
                             || now_ms >= at_ms + RETENTION_MS - RESEND_MS
                     });
-                    second_runs += u32::from(!is_safe);
+                    unsafe_grants += u32::from(!is_safe);
                 }
             }
             Action::Settle(name, attempt, outcome) => {
@@ -253,36 +253,36 @@
             Action::Restore => {}
         }
     }
-    second_runs
+    unsafe_grants
 }
 
 #[gtest]
-fn granting_a_taken_key_is_noticed() {
+fn granting_a_taken_key_is_detected() {
     let mut state = ClaimsState::default();
     state.set_faults(Faults { grant_taken: true });
     let actions = vec![Action::Claim(1, 0, 1), Action::Claim(1, 0, 2)];
-    expect_that!(second_runs(state, actions), eq(1));
+    expect_that!(unsafe_grants(state, actions), eq(1));
 }
 
 #[gtest]
 fn a_claim_of_a_dead_node_stays_taken_until_the_retention_has_passed() {
     let mut group = group();
     expect_that!(group.call(claim(1, 7, 1)), some(eq(&ClaimsReply::Granted)));
-    group.pass(RETENTION - Duration::from_secs(60));
+    group.advance_time(RETENTION - Duration::from_secs(60));
     group.change_leader(ClaimsLeader::default(), Instant::ZERO);
-    group.pass(Duration::from_secs(50));
+    group.advance_time(Duration::from_secs(50));
     expect_that!(group.call(claim(1, 7, 2)), some(eq(&taken())));
-    group.pass(Duration::from_secs(30));
+    group.advance_time(Duration::from_secs(30));
     expect_that!(group.call(claim(1, 7, 2)), some(eq(&ClaimsReply::Granted)));
 }
 
 #[gtest]
-fn time_costs_few_log_entries_and_none_without_keys() {
+fn committed_time_takes_few_log_entries_and_none_without_keys() {
     let mut group = group();
-    group.pass(Duration::from_secs(600));
+    group.advance_time(Duration::from_secs(600));
     expect_that!(group.log.len(), eq(0));
     group.call(claim(1, 7, 1));
-    group.pass(Duration::from_secs(600));
+    group.advance_time(Duration::from_secs(600));
     expect_that!(group.log.len(), le(62));
 }
 
@@ -304,7 +304,7 @@
 }
 
 #[gtest]
-fn a_claim_that_comes_after_its_attempt_gave_up_takes_nothing() {
+fn a_claim_applied_after_its_attempt_gave_up_is_not_granted() {
     let mut group = group();
     let gave_up = group.call(settle(1, 1, ClaimOutcome::NotRun));
     expect_that!(gave_up, some(eq(&ClaimsReply::Settled)));
@@ -320,44 +320,44 @@
     answer_bytes: u64,
 }
 
-const USUAL_LIMITS: Limits = Limits {
+const DEFAULT_LIMITS: Limits = Limits {
     keys: 1 << 21,
     bytes: 512 << 20,
     answer_bytes: 64 << 10,
 };
 
 /// An empty group with other limits: they are part of a snapshot, which says how much is kept.
-fn state_with(limits: Limits) -> ClaimsState {
+fn state_with_limits(limits: Limits) -> ClaimsState {
     let empty = |limits| {
         let (clock_ms, entries) = (0_u64, 0_u64);
         let mut snapshot = vec![1];
         snapshot.extend(postcard::to_allocvec(&(clock_ms, limits, entries)).unwrap());
         snapshot
     };
-    assert_eq!(ClaimsState::default().snapshot(), empty(USUAL_LIMITS));
+    assert_eq!(ClaimsState::default().snapshot(), empty(DEFAULT_LIMITS));
     ClaimsState::restore(&empty(limits)).unwrap()
 }
 
 #[gtest]
-fn full_refuses_new_keys_and_forgets_none() {
+fn a_full_group_refuses_new_keys_and_removes_none() {
     let cases = [
         (
             "keys",
             Limits {
                 keys: 3,
-                ..USUAL_LIMITS
+                ..DEFAULT_LIMITS
             },
         ),
         (
             "bytes",
             Limits {
                 bytes: 1_500,
-                ..USUAL_LIMITS
+                ..DEFAULT_LIMITS
             },
         ),
     ];
     for (name, limits) in cases {
-        let mut state = state_with(limits);
+        let mut state = state_with_limits(limits);
         let replies: Vec<ClaimsReply> = (0..9)
             .flat_map(|key| apply(&mut state, 0, vec![claim(key, 7, 1)]))
             .collect();
@@ -384,9 +384,9 @@
 
 #[gtest]
 fn answers_that_are_too_large_are_remembered_as_run() {
-    let mut state = state_with(Limits {
+    let mut state = state_with_limits(Limits {
         answer_bytes: 100,
-        ..USUAL_LIMITS
+        ..DEFAULT_LIMITS
     });
     apply(&mut state, 0, vec![claim(1, 7, 1)]);
     apply(&mut state, 0, vec![settle(1, 1, answered(&[0; 101]))]);
--- a/crates/nodes/wingshore-ledger/tests/depth.rs
+++ b/crates/nodes/wingshore-ledger/tests/depth.rs
@@ -3,23 +3,25 @@
 mod support;
 
 use googletest::prelude::*;
-use support::{MAX_OPEN, acknowledge, configure_weight, leased, pull, ready, submit};
+use support::{
+    MAX_OPEN, acknowledge, configure_weight, lease_samples, pull, submit, submit_and_score,
+};
 use wingshore_ledger::samples::Faults;
 use wingshore_types::configuration::Permille;
 
 const COUNT: u32 = 16;
 
 /// A pool whose trainer took one step and asks for the next; answers how many samples are leased.
-fn granted(weight: u16) -> usize {
+fn count_granted(weight: u16) -> usize {
     let mut group = support::ledger(Faults::default());
     group.call(configure_weight(2, 2, MAX_OPEN * 4, Permille(weight)));
-    ready(&mut group, 0..u64::from(COUNT), 1);
+    submit_and_score(&mut group, 0..u64::from(COUNT), 1);
     group.call(pull(0, 1, COUNT, 0));
     group.call(acknowledge(0));
     group.call(submit(100..100 + u64::from(MAX_OPEN) * 2));
     let mut granted = 0;
     loop {
-        match leased(&mut group, "node", 1, 10).len() {
+        match lease_samples(&mut group, "node", 1, 10).len() {
             0 => return granted,
             more => granted += more,
         }
@@ -27,7 +29,7 @@
 }
 
 #[gtest]
-fn the_weight_says_how_much_is_generated_ahead() {
+fn the_idle_weight_limits_how_much_is_generated_ahead() {
     let rows = [
         (0, 16),
         (250, 19),
@@ -37,19 +39,19 @@
         (1000, 128),
     ];
     for (weight, expected) in rows {
-        expect_that!(granted(weight), eq(expected), "weight {weight}");
+        expect_that!(count_granted(weight), eq(expected), "weight {weight}");
     }
 }
 
 #[gtest]
-fn delivered_samples_make_room_for_new_ones() {
+fn acknowledged_samples_allow_new_leases() {
     let mut group = support::ledger(Faults::default());
     group.call(configure_weight(2, 2, MAX_OPEN * 4, Permille(0)));
     let mut next = 0;
     for step in 0..3 {
         let numbers = next..next + u64::from(COUNT);
         next = numbers.end;
-        ready(&mut group, numbers, 1);
+        submit_and_score(&mut group, numbers, 1);
         expect_that!(group.call(pull(step, 1, COUNT, 0)), some(anything()));
         group.call(acknowledge(step));
     }
--- a/crates/nodes/wingshore-ledger/tests/golden/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden/mod.rs
@@ -22,7 +22,7 @@
         .map(|example| (name(example), encode(example)));
     check_bytes(golden, &named.collect::<Vec<_>>());
     for (line, example) in golden.lines().zip(examples) {
-        let read: T = postcard::from_bytes(&bytes_of(line)).unwrap();
+        let read: T = postcard::from_bytes(&decode_line(line)).unwrap();
         expect_that!(read == *example, eq(true), "read back: {read:?}");
     }
 }
@@ -34,7 +34,7 @@
         .map(|(name, state)| (*name, state.snapshot()));
     check_bytes(golden, &named.collect::<Vec<_>>());
     for line in golden.lines() {
-        let stored = bytes_of(line);
+        let stored = decode_line(line);
         let restored = S::restore(&stored).unwrap();
         expect_that!(restored.snapshot(), eq(&stored));
     }
@@ -54,7 +54,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(line: &str) -> Vec<u8> {
+fn decode_line(line: &str) -> Vec<u8> {
     let (_, digits) = line.split_once(' ').unwrap();
     let pairs = (0..digits.len()).step_by(2);
     pairs
--- a/crates/nodes/wingshore-ledger/tests/golden_samples.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden_samples.rs
@@ -82,7 +82,7 @@
     }
 }
 
-fn give_back(lease: u64) -> Operation {
+fn return_lease(lease: u64) -> Operation {
     Operation::Return {
         pool: pool(),
         lease: LeaseId(lease),
@@ -130,7 +130,7 @@
             pool: pool(),
             leases: vec![LeaseId(4), LeaseId(5_000_000_000)],
         },
-        give_back(5),
+        return_lease(5),
         finish(300, 6),
         score(300, 6),
         observe(131),
@@ -210,11 +210,11 @@
         score(302, 2),
         finish(303, 3),
         finish(303, 3),
-        give_back(4),
+        return_lease(4),
         lease(1),
         submit([306, 307]),
         lease(2),
-        give_back(6),
+        return_lease(6),
     ]);
     let pool = state.pool(&pool()).unwrap();
     let expected = LedgerCounts {
--- a/crates/nodes/wingshore-ledger/tests/growth.rs
+++ b/crates/nodes/wingshore-ledger/tests/growth.rs
@@ -4,7 +4,9 @@
 
 use googletest::prelude::*;
 use std::time::Duration;
-use support::{Group, Ledger, acknowledge, configure, finish, leased, ledger, pull, score, submit};
+use support::{
+    Group, Ledger, acknowledge, configure, finish, lease_samples, ledger, pull, score, submit,
+};
 use wingshore_ledger::claims::{ClaimsLeader, ClaimsState, RETENTION};
 use wingshore_ledger::samples::{Faults, NumberSet};
 use wingshore_types::NodeId;
@@ -16,7 +18,7 @@
 
 const SAMPLES: u64 = 32;
 /// Numbers that grow take more bytes or digits; nothing else may.
-const SLACK: usize = 200;
+const SIZE_TOLERANCE_BYTES: usize = 200;
 /// Bytes of a remembered range at most: two variable-length numbers.
 const RANGE_BYTES: usize = 20;
 
@@ -27,15 +29,15 @@
 }
 
 /// One step: nodes that were never seen before lease its samples, and half of them fall silent.
-fn step(group: &mut Ledger, step: u64, stride: u64) {
+fn run_step(group: &mut Ledger, step: u64, stride: u64) {
     let first = step * SAMPLES * stride;
     let numbers = (0..SAMPLES).map(|place| first + place * stride);
     group.call(submit(numbers));
-    let lost = leased(group, &format!("lost-{step}"), step, SAMPLES as u32 / 2);
-    let mut kept = leased(group, &format!("kept-{step}"), step, SAMPLES as u32);
-    group.pass(Duration::from_secs(30));
+    let lost = lease_samples(group, &format!("lost-{step}"), step, SAMPLES as u32 / 2);
+    let mut kept = lease_samples(group, &format!("kept-{step}"), step, SAMPLES as u32);
+    group.advance_time(Duration::from_secs(30));
     let again = format!("again-{step}");
-    kept.extend(leased(group, &again, step, SAMPLES as u32));
+    kept.extend(lease_samples(group, &again, step, SAMPLES as u32));
     for lease in lost.iter().chain(&kept) {
         // The late ones are duplicates.
         group.call(finish(lease.prompt.number.0, lease.lease, &[step]));
@@ -53,25 +55,25 @@
 }
 
 #[gtest]
-fn a_ledger_does_not_grow_with_the_steps_it_has_served() -> Result<()> {
+fn ledger_size_is_independent_of_the_number_of_steps() -> Result<()> {
     let mut group = ledger(Faults::default());
     group.call(configure(1, 1_000_000, 1_000));
-    (0..20).for_each(|number| step(&mut group, number, 1));
+    (0..20).for_each(|number| run_step(&mut group, number, 1));
     let early = sizes(&group);
-    (20..300).for_each(|number| step(&mut group, number, 1));
+    (20..300).for_each(|number| run_step(&mut group, number, 1));
     let late = sizes(&group);
     println!("snapshot and memory after 20 and 300 steps: {early:?}, {late:?}");
-    verify_that!(late.0, le(early.0 + SLACK))?;
-    verify_that!(late.1, le(early.1 + SLACK))
+    verify_that!(late.0, le(early.0 + SIZE_TOLERANCE_BYTES))?;
+    verify_that!(late.1, le(early.1 + SIZE_TOLERANCE_BYTES))
 }
 
 /// Numbers that leave gaps are remembered one by one, up to a bound.
 #[gtest]
-fn a_ledger_remembers_scattered_numbers_up_to_a_bound() -> Result<()> {
+fn scattered_numbers_take_bounded_space() -> Result<()> {
     let mut group = ledger(Faults::default());
     group.call(configure(1, 1_000_000, 1_000));
     let steps = NumberSet::MAX_RANGES as u64 / SAMPLES + 100;
-    (0..steps).for_each(|number| step(&mut group, number, 3));
+    (0..steps).for_each(|number| run_step(&mut group, number, 3));
     let bound = NumberSet::MAX_RANGES * RANGE_BYTES + 1_000;
     verify_that!(group.state.snapshot().len(), le(bound))
 }
@@ -79,7 +81,7 @@
 type Claims = Group<ClaimsLeader>;
 
 /// An hour of claims, a third each answered, left open and found not run.
-fn hour_of_claims(group: &mut Claims, hour: u64) {
+fn run_hour_of_claims(group: &mut Claims, hour: u64) {
     for number in 0..60 {
         let key = ClaimKey {
             service: "service".to_owned(),
@@ -110,19 +112,19 @@
             outcome,
         });
     }
-    group.pass(Duration::from_secs(3_600));
+    group.advance_time(Duration::from_secs(3_600));
 }
 
 #[gtest]
-fn claims_are_forgotten_after_their_time() -> Result<()> {
+fn claims_are_removed_after_their_retention() -> Result<()> {
     let mut group: Claims = Group::new(ClaimsState::default(), ClaimsLeader::default());
     let retention = RETENTION.as_secs() / 3_600;
-    (0..retention + 2).for_each(|hour| hour_of_claims(&mut group, hour));
+    (0..retention + 2).for_each(|hour| run_hour_of_claims(&mut group, hour));
     let early = (
         group.state.snapshot().len(),
         format!("{:?}", group.leader).len(),
     );
-    (retention + 2..3 * retention).for_each(|hour| hour_of_claims(&mut group, hour));
+    (retention + 2..3 * retention).for_each(|hour| run_hour_of_claims(&mut group, hour));
     let late = (
         group.state.snapshot().len(),
         format!("{:?}", group.leader).len(),
@@ -130,5 +132,5 @@
     println!("snapshot and memory after 26 and 72 hours: {early:?}, {late:?}");
     // A claim's last change may be in one hour or the next.
     verify_that!(late.0, le(early.0 + early.0 / retention as usize))?;
-    verify_that!(late.1, le(early.1 + SLACK))
+    verify_that!(late.1, le(early.1 + SIZE_TOLERANCE_BYTES))
 }
--- a/crates/nodes/wingshore-ledger/tests/model/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/model/mod.rs
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub enum SampleState {
     Pending,
     Leased(u64, usize, u64),
     Finished(u64, Vec<u64>),
@@ -86,7 +86,7 @@
 #[derive(Default)]
 pub struct Model {
     /// Number -> (submission, place, versions of the tokens kept for resumption).
-    pub samples: BTreeMap<u64, (u64, Place, Vec<u64>)>,
+    pub samples: BTreeMap<u64, (u64, SampleState, Vec<u64>)>,
     pub batches: BTreeMap<u64, Vec<u64>>,
     pub submissions: u64,
     pub leases: u64,
@@ -95,34 +95,37 @@
 }
 
 impl Model {
-    pub fn floor(&self) -> u64 {
+    pub fn oldest_useful(&self) -> u64 {
         self.version.saturating_sub(BOUND)
     }
 
     pub fn too_old(&self, versions: &[u64]) -> bool {
-        versions.iter().any(|version| *version < self.floor())
+        versions
+            .iter()
+            .any(|version| *version < self.oldest_useful())
     }
 
     /// Numbers at places that satisfy `wanted`, oldest submission first.
-    pub fn queue(&self, wanted: impl Fn(&Place) -> bool) -> Vec<u64> {
+    pub fn queue(&self, wanted: impl Fn(&SampleState) -> bool) -> Vec<u64> {
         let mut found: Vec<(u64, u64)> = self
             .samples
             .iter()
-            .filter(|(_, (_, place, _))| wanted(place))
+            .filter(|(_, (_, state, _))| wanted(state))
             .map(|(number, (submission, _, _))| (*submission, *number))
             .collect();
         found.sort();
         found.into_iter().map(|(_, number)| number).collect()
     }
 
-    pub fn holder_of(&self, lease: u64) -> Option<u64> {
-        let is_lease = |place: &Place| matches!(place, Place::Leased(id, _, _) if *id == lease);
+    pub fn sample_of_lease(&self, lease: u64) -> Option<u64> {
+        let is_lease =
+            |state: &SampleState| matches!(state, SampleState::Leased(id, _, _) if *id == lease);
         self.queue(is_lease).first().copied()
     }
 
-    pub fn put(&mut self, number: u64, place: Place) {
+    pub fn set_state(&mut self, number: u64, state: SampleState) {
         if let Some(sample) = self.samples.get_mut(&number) {
-            sample.1 = place;
+            sample.1 = state;
         }
     }
 
@@ -132,14 +135,16 @@
             .filter(|number| !self.samples.contains_key(number))
             .copied()
             .collect();
-        let open = self.queue(|place| *place != Place::Acknowledged).len();
+        let open = self
+            .queue(|state| *state != SampleState::Acknowledged)
+            .len();
         if open + new.len() > MAX_OPEN && !new.is_empty() {
             return LedgerReply::Refused(LedgerRefusal::Full {
                 retry_after_ms: 500,
             });
         }
         for number in &new {
-            let sample = (self.submissions, Place::Pending, vec![]);
+            let sample = (self.submissions, SampleState::Pending, vec![]);
             self.samples.insert(*number, sample);
         }
         self.submissions += 1;
@@ -152,24 +157,24 @@
     /// Numbers that are leased now, in order.
     pub fn lease(&mut self, node: usize, boot_id: u64, most: u32) -> Vec<u64> {
         for number in self.queue(
-            |place| matches!(place, Place::Leased(_, n, boot) if *n == node && *boot != boot_id),
+            |state| matches!(state, SampleState::Leased(_, n, boot) if *n == node && *boot != boot_id),
         ) {
-            self.put(number, Place::Pending);
+            self.set_state(number, SampleState::Pending);
         }
-        let mut chosen = self.queue(|place| *place == Place::Pending);
+        let mut chosen = self.queue(|state| *state == SampleState::Pending);
         chosen.truncate(most as usize);
         for number in &chosen {
-            self.put(*number, Place::Leased(self.leases, node, boot_id));
+            self.set_state(*number, SampleState::Leased(self.leases, node, boot_id));
             self.leases += 1;
         }
         chosen
     }
 
-    pub fn give_back(&mut self, lease: u64, versions: &[u64]) {
-        let Some(number) = self.holder_of(lease) else {
+    pub fn return_lease(&mut self, lease: u64, versions: &[u64]) {
+        let Some(number) = self.sample_of_lease(lease) else {
             return;
         };
-        self.put(number, Place::Pending);
+        self.set_state(number, SampleState::Pending);
         let too_old = self.too_old(versions);
         if let Some((_, _, kept)) = self.samples.get_mut(&number)
             && !too_old
@@ -180,30 +185,35 @@
     }
 
     pub fn finish(&mut self, number: u64, lease: u64, versions: &[u64]) -> Option<bool> {
-        let (_, place, _) = self.samples.get(&number)?;
-        match place {
-            Place::Delivered(_) | Place::Acknowledged => return Some(false),
+        let (_, state, _) = self.samples.get(&number)?;
+        match state {
+            SampleState::Delivered(_) | SampleState::Acknowledged => return Some(false),
             _ if versions.is_empty() || lease >= self.leases => return None,
-            _ if self.holder_of(lease).is_some_and(|other| other != number) => return None,
-            Place::Finished(..) | Place::Scored(_) => return Some(false),
-            Place::Pending | Place::Leased(..) => {}
+            _ if self
+                .sample_of_lease(lease)
+                .is_some_and(|other| other != number) =>
+            {
+                return None;
+            }
+            SampleState::Finished(..) | SampleState::Scored(_) => return Some(false),
+            SampleState::Pending | SampleState::Leased(..) => {}
         }
         if self.too_old(versions) {
-            if self.holder_of(lease) == Some(number) {
-                self.put(number, Place::Pending);
+            if self.sample_of_lease(lease) == Some(number) {
+                self.set_state(number, SampleState::Pending);
                 self.samples.get_mut(&number)?.2.clear();
             }
             return Some(false);
         }
-        self.put(number, Place::Finished(lease, versions.to_vec()));
+        self.set_state(number, SampleState::Finished(lease, versions.to_vec()));
         Some(true)
     }
 
     pub fn score(&mut self, number: u64, lease: u64) -> bool {
         match self.samples.get(&number) {
-            Some((_, Place::Finished(own, versions), _)) if *own == lease => {
-                let place = Place::Scored(versions.clone());
-                self.put(number, place);
+            Some((_, SampleState::Finished(own, versions), _)) if *own == lease => {
+                let state = SampleState::Scored(versions.clone());
+                self.set_state(number, state);
                 true
             }
             _ => false,
@@ -212,15 +222,17 @@
 
     pub fn observe(&mut self, version: u64) {
         self.version = self.version.max(version);
-        let floor = self.floor();
-        let too_old = |versions: &[u64]| versions.iter().any(|version| *version < floor);
-        for (_, place, kept) in self.samples.values_mut() {
-            let is_useless = match place {
-                Place::Finished(_, versions) | Place::Scored(versions) => too_old(versions),
+        let oldest_useful = self.oldest_useful();
+        let too_old = |versions: &[u64]| versions.iter().any(|version| *version < oldest_useful);
+        for (_, state, kept) in self.samples.values_mut() {
+            let is_useless = match state {
+                SampleState::Finished(_, versions) | SampleState::Scored(versions) => {
+                    too_old(versions)
+                }
                 _ => false,
             };
             if is_useless {
-                *place = Place::Pending;
+                *state = SampleState::Pending;
                 kept.clear();
             }
             if too_old(kept) {
@@ -244,13 +256,13 @@
             return None;
         }
         self.observe(version);
-        let mut chosen = self.queue(|place| matches!(place, Place::Scored(_)));
+        let mut chosen = self.queue(|state| matches!(state, SampleState::Scored(_)));
         if chosen.len() < count {
             return None;
         }
         chosen.truncate(count);
         for number in &chosen {
-            self.put(*number, Place::Delivered(step));
+            self.set_state(*number, SampleState::Delivered(step));
         }
         self.batches.insert(step, chosen.clone());
         Some(chosen)
@@ -264,7 +276,7 @@
             return false;
         }
         for number in self.batches.remove(&step).unwrap_or_default() {
-            self.put(number, Place::Acknowledged);
+            self.set_state(number, SampleState::Acknowledged);
         }
         self.acknowledged_step = Some(step);
         true
--- a/crates/nodes/wingshore-ledger/tests/samples_faults.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_faults.rs
@@ -22,7 +22,7 @@
 struct Violations {
     delivered_twice: u32,
     too_old: u32,
-    other_bytes: u32,
+    changed_batches: u32,
 }
 
 /// What the trainer writes down, independent of the ledger.
@@ -37,7 +37,7 @@
     fn receive(&mut self, step: u64, version: u64, batch: &Batch) {
         let bytes = postcard::to_stdvec(batch).expect("encodes");
         if let Some((_, first, _)) = self.steps.get(&step) {
-            self.violations.other_bytes += u32::from(*first != bytes);
+            self.violations.changed_batches += u32::from(*first != bytes);
             return;
         }
         let numbers: Vec<u64> = batch.samples.iter().map(|s| s.number.0).collect();
@@ -90,7 +90,7 @@
             55..70 => self.score(),
             70..90 => self.pull(),
             90..94 => self.change_leader(),
-            _ => self.pass(),
+            _ => self.advance_time(),
         }
     }
 
@@ -167,9 +167,9 @@
         self.group.state.set_faults(self.faults);
     }
 
-    fn pass(&mut self) {
+    fn advance_time(&mut self) {
         let milliseconds = self.random.random_range(0..LEASE_MS);
-        self.group.pass(Duration::from_millis(milliseconds));
+        self.group.advance_time(Duration::from_millis(milliseconds));
     }
 }
 
@@ -180,21 +180,21 @@
         let (violations, run) = Workload::run(seed, faults);
         total.delivered_twice += violations.delivered_twice;
         total.too_old += violations.too_old;
-        total.other_bytes += violations.other_bytes;
+        total.changed_batches += violations.changed_batches;
         steps += run;
     }
     (total, steps)
 }
 
 #[gtest]
-fn no_promise_breaks() {
+fn no_guarantee_is_violated() {
     let (violations, steps) = run_all(Faults::default());
     expect_that!(violations, eq(&Violations::default()));
     expect_that!(steps, gt(100));
 }
 
 #[gtest]
-fn each_deliberate_fault_is_noticed() {
+fn each_injected_fault_is_detected() {
     let none = Faults::default();
     let age = Faults {
         hand_over_without_age_check: true,
@@ -205,7 +205,7 @@
         answer_before_commit: true,
         ..none
     };
-    expect_that!(run_all(early).0.other_bytes, gt(0));
+    expect_that!(run_all(early).0.changed_batches, gt(0));
     let second = Faults {
         accept_second_finish: true,
         ..none
@@ -215,5 +215,5 @@
         forget_handover: true,
         ..none
     };
-    expect_that!(run_all(forget).0.other_bytes, gt(0));
+    expect_that!(run_all(forget).0.changed_batches, gt(0));
 }
--- a/crates/nodes/wingshore-ledger/tests/samples_leader.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_leader.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use support::*;
-use wingshore_ledger::samples::{Faults, LedgerLeader, LedgerState, Remembered};
+use wingshore_ledger::samples::{Faults, LedgerLeader, LedgerState, Membership};
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::protocol::ledger::{
     Batch, LedgerCounts, LedgerRefusal, LedgerReply, LedgerRequest,
@@ -30,7 +30,7 @@
     }
 }
 
-fn give_back(lease: LeaseId, partial: Generation) -> LedgerRequest {
+fn return_lease(lease: LeaseId, partial: Generation) -> LedgerRequest {
     LedgerRequest::Return {
         pool: pool(),
         lease,
@@ -39,9 +39,9 @@
 }
 
 #[gtest]
-fn a_sample_goes_through_its_whole_life() {
+fn a_sample_passes_through_every_stage() {
     let mut group = ledger(Faults::default());
-    ready(&mut group, 0..3, 5);
+    submit_and_score(&mut group, 0..3, 5);
     let delivered = batch(group.call(pull(0, 5, 3, 0)));
     expect_that!(delivered.weight_version, eq(WeightVersion(5)));
     let numbers: Vec<u64> = delivered.samples.iter().map(|s| s.number.0).collect();
@@ -58,7 +58,7 @@
 #[gtest]
 fn a_repeated_pull_gets_the_same_bytes_whatever_happened_in_between() {
     let mut group = ledger(Faults::default());
-    ready(&mut group, 0..8, 5);
+    submit_and_score(&mut group, 0..8, 5);
     let first = postcard::to_stdvec(&batch(group.call(pull(0, 5, 3, 0)))).unwrap();
     let length = group.log.len();
     for version in [5, 4, 9] {
@@ -71,9 +71,9 @@
 }
 
 #[gtest]
-fn pulls_are_refused_where_they_make_no_sense() {
+fn invalid_pulls_and_acknowledgements_are_refused() {
     let mut group = ledger(Faults::default());
-    ready(&mut group, 0..12, 5);
+    submit_and_score(&mut group, 0..12, 5);
     group.call(pull(3, 5, 2, 0));
     group.call(pull(4, 5, 2, 0));
     for (name, request) in [
@@ -102,11 +102,11 @@
             LedgerRefusal::WrongStep { .. }
         ))))
     );
-    let mut foreign = pull_request(5, 5, 2, 0);
-    foreign.trainer = TrainerId::new("other");
+    let mut other_trainer = pull_request(5, 5, 2, 0);
+    other_trainer.trainer = TrainerId::new("other");
     let reply = group.call(LedgerRequest::Pull {
         pool: pool(),
-        pull: foreign,
+        pull: other_trainer,
     });
     expect_that!(
         reply,
@@ -119,15 +119,15 @@
 #[gtest]
 fn a_pull_waits_without_filling_the_log() {
     let mut group = ledger(Faults::default());
-    ready(&mut group, 0..2, 5);
+    submit_and_score(&mut group, 0..2, 5);
     group.call(pull(0, 5, 2, 0));
     group.call(acknowledge(0));
     let length = group.log.len();
     let waiting = group.request(pull(1, 5, 2, 3_000));
-    group.pass(Duration::from_millis(2_900));
+    group.advance_time(Duration::from_millis(2_900));
     expect_that!(group.replies.contains_key(&waiting), eq(false));
     expect_that!(group.log.len(), eq(length));
-    group.pass(Duration::from_millis(200));
+    group.advance_time(Duration::from_millis(200));
     expect_that!(
         group.replies.remove(&waiting),
         some(matches_pattern!(LedgerReply::Refused(matches_pattern!(
@@ -135,7 +135,7 @@
         ))))
     );
     let waiting = group.request(pull(1, 5, 2, 3_000));
-    ready(&mut group, 10..12, 5);
+    submit_and_score(&mut group, 10..12, 5);
     let delivered = batch(group.replies.remove(&waiting));
     expect_that!(delivered.samples.len(), eq(2));
 }
@@ -143,18 +143,18 @@
 #[gtest]
 fn samples_that_are_too_old_are_generated_again() {
     let mut group = ledger(Faults::default());
-    ready(&mut group, 0..2, 5);
-    ready(&mut group, 2..4, 6);
+    submit_and_score(&mut group, 0..2, 5);
+    submit_and_score(&mut group, 2..4, 6);
     let waiting = group.request(pull(0, 8, 3, 60_000));
     group.commit_all();
     expect_that!(counts(&group).regenerated, eq(2));
     expect_that!(counts(&group).pending, eq(2));
     expect_that!(counts(&group).scored, eq(2));
-    let granted = leased(&mut group, "node", 1, 1).remove(0);
+    let granted = lease_samples(&mut group, "node", 1, 1).remove(0);
     expect_that!(granted.oldest_useful, eq(WeightVersion(6)));
     let too_old = group.call(finish(granted.prompt.number.0, granted.lease, &[7, 5]));
     expect_that!(too_old, some(eq(&LedgerReply::First(false))));
-    ready(&mut group, [], 8);
+    submit_and_score(&mut group, [], 8);
     let delivered = batch(group.replies.remove(&waiting));
     let oldest = delivered
         .samples
@@ -168,9 +168,9 @@
 fn the_first_finish_wins_also_from_a_lost_lease() {
     let mut group = ledger(Faults::default());
     group.call(submit([1]));
-    let first = leased(&mut group, "a", 1, 1).remove(0).lease;
-    group.pass(Duration::from_millis(LEASE_MS + 200));
-    let second = leased(&mut group, "b", 1, 1).remove(0).lease;
+    let first = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
+    group.advance_time(Duration::from_millis(LEASE_MS + 200));
+    let second = lease_samples(&mut group, "b", 1, 1).remove(0).lease;
     let won = group.call(finish(1, first, &[5]));
     expect_that!(won, some(eq(&LedgerReply::First(true))));
     expect_that!(
@@ -195,7 +195,7 @@
 fn malformed_generations_are_refused() {
     let mut group = ledger(Faults::default());
     group.call(submit([1, 2]));
-    let granted = leased(&mut group, "a", 1, 2);
+    let granted = lease_samples(&mut group, "a", 1, 2);
     let mut gap = generation(&[5, 6]);
     gap.segments.pop();
     let too_long = generation(&[5; MAX_TOKENS as usize + 1]);
@@ -229,14 +229,14 @@
     for (name, origin) in cases {
         let mut group = ledger(Faults::default());
         group.call(submit([1]));
-        let lease = leased(&mut group, "a", 1, 1).remove(0).lease;
-        group.pass(Duration::from_millis(LEASE_MS - 500));
+        let lease = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
+        group.advance_time(Duration::from_millis(LEASE_MS - 500));
         group.change_leader(LedgerLeader::default(), Instant::from_millis(origin));
-        group.pass(Duration::from_millis(LEASE_MS - 500));
+        group.advance_time(Duration::from_millis(LEASE_MS - 500));
         expect_that!(counts(&group).leased, eq(1), "{name}");
         let renewed = group.call(renew(&[lease]));
         expect_that!(renewed, some(eq(&LedgerReply::Lost(vec![]))), "{name}");
-        group.pass(Duration::from_millis(LEASE_MS + 200));
+        group.advance_time(Duration::from_millis(LEASE_MS + 200));
         expect_that!(counts(&group).leased, eq(0), "{name}");
         expect_that!(
             group.call(renew(&[lease])),
@@ -247,13 +247,13 @@
 }
 
 #[gtest]
-fn renewals_cost_no_log_entry() {
+fn renewals_add_no_log_entry() {
     let mut group = ledger(Faults::default());
     group.call(submit([1]));
-    let lease = leased(&mut group, "a", 1, 1).remove(0).lease;
+    let lease = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
     let length = group.log.len();
     for _ in 0..20 {
-        group.pass(Duration::from_millis(LEASE_MS / 3));
+        group.advance_time(Duration::from_millis(LEASE_MS / 3));
         group.call(renew(&[lease]));
     }
     expect_that!(group.log.len(), eq(length));
@@ -264,9 +264,9 @@
 fn another_boot_of_a_node_ends_its_leases_and_no_others() {
     let mut group = ledger(Faults::default());
     group.call(submit(0..4));
-    let old = leased(&mut group, "a", 1, 1).remove(0).lease;
-    let other = leased(&mut group, "b", 1, 1).remove(0).lease;
-    let next: Vec<u64> = leased(&mut group, "a", 2, 1)
+    let old = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
+    let other = lease_samples(&mut group, "b", 1, 1).remove(0).lease;
+    let next: Vec<u64> = lease_samples(&mut group, "a", 2, 1)
         .iter()
         .map(|granted| granted.prompt.number.0)
         .collect();
@@ -279,22 +279,22 @@
 fn partial_generations_are_kept_while_they_are_useful() {
     let mut group = ledger(Faults::default());
     group.call(submit([1]));
-    let first = leased(&mut group, "a", 1, 1).remove(0).lease;
-    group.call(give_back(first, generation(&[5, 6])));
-    let second = leased(&mut group, "b", 1, 1).remove(0);
+    let first = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
+    group.call(return_lease(first, generation(&[5, 6])));
+    let second = lease_samples(&mut group, "b", 1, 1).remove(0);
     expect_that!(second.partial, eq(&generation(&[5, 6])));
-    group.call(give_back(second.lease, Generation::default()));
-    let third = leased(&mut group, "c", 1, 1).remove(0);
+    group.call(return_lease(second.lease, Generation::default()));
+    let third = lease_samples(&mut group, "c", 1, 1).remove(0);
     expect_that!(third.partial, eq(&generation(&[5, 6])));
     group.request(pull(0, 8, 1, 0));
     group.commit_all();
-    group.call(give_back(third.lease, generation(&[5, 6, 7])));
-    let fourth = leased(&mut group, "d", 1, 1).remove(0);
+    group.call(return_lease(third.lease, generation(&[5, 6, 7])));
+    let fourth = lease_samples(&mut group, "d", 1, 1).remove(0);
     expect_that!(fourth.partial, eq(&Generation::default()));
 }
 
 #[gtest]
-fn submissions_are_pushed_back_when_too_many_samples_are_open() {
+fn submissions_are_refused_when_too_many_samples_are_open() {
     let mut group = ledger(Faults::default());
     let most = u64::from(MAX_OPEN);
     group.call(submit(0..most));
@@ -314,7 +314,7 @@
         some(eq(&LedgerReply::Submitted { added: 0, known: 2 }))
     );
     expect_that!(group.log.len(), eq(length));
-    ready(&mut group, [], 5);
+    submit_and_score(&mut group, [], 5);
     group.call(pull(0, 5, 1, 0));
     group.call(acknowledge(0));
     let room = group.call(submit([most]));
@@ -325,10 +325,10 @@
 }
 
 #[gtest]
-fn load_makes_batches_larger_instead_of_the_log_longer() {
+fn concurrent_operations_share_log_entries() {
     let mut group = ledger(Faults::default());
     group.call(submit(0..60));
-    let granted = leased(&mut group, "a", 1, 60);
+    let granted = lease_samples(&mut group, "a", 1, 60);
     let length = group.log.len();
     let tags: Vec<_> = granted
         .iter()
@@ -344,7 +344,7 @@
 fn a_finished_sample_is_offered_to_one_scorer_at_a_time() {
     let mut group = ledger(Faults::default());
     group.call(submit([1]));
-    let lease = leased(&mut group, "a", 1, 1).remove(0).lease;
+    let lease = lease_samples(&mut group, "a", 1, 1).remove(0).lease;
     group.call(finish(1, lease, &[5]));
     let offered = |group: &mut Ledger| {
         let request = LedgerRequest::Unscored {
@@ -358,12 +358,12 @@
     };
     for seconds in [2, 4, 8] {
         expect_that!(offered(&mut group), eq(1));
-        group.pass(Duration::from_millis(seconds * 1_000 - 100));
+        group.advance_time(Duration::from_millis(seconds * 1_000 - 100));
         expect_that!(offered(&mut group), eq(0));
-        group.pass(Duration::from_millis(200));
+        group.advance_time(Duration::from_millis(200));
     }
     group.call(score(1, lease));
-    group.pass(Duration::from_secs(60));
+    group.advance_time(Duration::from_secs(60));
     expect_that!(offered(&mut group), eq(0));
 }
 
@@ -398,7 +398,7 @@
         pool: pool(),
         prompts: prompts.collect(),
     });
-    for granted in leased(&mut group, "a", 1, TOO_MANY) {
+    for granted in lease_samples(&mut group, "a", 1, TOO_MANY) {
         let mut generation = Generation::default();
         generation.append(WeightVersion(5), &vec![u32::MAX; TOKENS]);
         let number = granted.prompt.number;
@@ -423,30 +423,30 @@
 }
 
 #[gtest]
-fn numbers_are_remembered_as_ranges() {
+fn numbers_are_stored_as_ranges() {
     let mut numbers = wingshore_ledger::samples::NumberSet::default();
     for number in (0..1_000).rev().chain([u64::MAX]) {
         numbers.insert(number);
     }
     expect_that!(numbers.ranges(), eq(2));
-    expect_that!(numbers.remembers(999), eq(Remembered::Yes));
-    expect_that!(numbers.remembers(1_000), eq(Remembered::No));
+    expect_that!(numbers.membership(999), eq(Membership::Present));
+    expect_that!(numbers.membership(1_000), eq(Membership::Absent));
     let most = wingshore_ledger::samples::NumberSet::MAX_RANGES as u64;
     for number in 0..most {
         numbers.insert(2_000 + 2 * number);
     }
     expect_that!(numbers.ranges() as u64, eq(most));
-    expect_that!(numbers.remembers(5), eq(Remembered::Forgotten));
+    expect_that!(numbers.membership(5), eq(Membership::Forgotten));
 }
 
 /// More operations than may queue and be in flight together.
 const TOO_MANY: u64 = 70_000;
 
 #[gtest]
-fn leases_that_run_out_while_the_queue_is_full_end_later() {
+fn leases_that_expire_while_the_queue_is_full_end_later() {
     let mut group = ledger(Faults::default());
     group.call(submit(0..2));
-    leased(&mut group, "node", 1, 2);
+    lease_samples(&mut group, "node", 1, 2);
     let mut refused = 0;
     for number in 2..TOO_MANY {
         let tag = group.request(submit([number]));
@@ -455,6 +455,6 @@
     expect_that!(refused, gt(0));
     // The leases run out by the next tick, before anything that queues is committed.
     group.now = group.now + Duration::from_millis(LEASE_MS);
-    group.pass(Duration::from_secs(1));
+    group.advance_time(Duration::from_secs(1));
     expect_that!(counts(&group).leased, eq(0));
 }
--- a/crates/nodes/wingshore-ledger/tests/samples_model.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_model.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use googletest::prelude::*;
-use model::{Action, MAX_OPEN, Model, NODES, Place, actions};
+use model::{Action, MAX_OPEN, Model, NODES, SampleState, actions};
 use proptest::prelude::*;
 use support::{BOUND, LEASE_MS, MAX_TOKENS, generation, pool, prompt, pull_request, trainer};
 use wingshore_ledger::samples::{LedgerCommand, LedgerState, Operation, PoolSettings};
@@ -15,13 +15,13 @@
 };
 
 /// Both side by side.
-struct Pair {
+struct LedgerAndModel {
     state: LedgerState,
     model: Model,
     index: u64,
 }
 
-impl Pair {
+impl LedgerAndModel {
     fn new() -> Self {
         let mut pair = Self {
             state: LedgerState::default(),
@@ -49,14 +49,18 @@
         self.state.apply(LogIndex(self.index), command).remove(0)
     }
 
-    fn some_lease(&self, index: usize) -> u64 {
+    fn lease_at(&self, index: usize) -> u64 {
         index as u64 % (self.model.leases + 1)
     }
 
     fn lease_of(&self, number: u64, own: bool, index: usize) -> u64 {
         match self.model.samples.get(&number) {
-            Some((_, Place::Leased(lease, ..) | Place::Finished(lease, _), _)) if own => *lease,
-            _ => self.some_lease(index),
+            Some((_, SampleState::Leased(lease, ..) | SampleState::Finished(lease, _), _))
+                if own =>
+            {
+                *lease
+            }
+            _ => self.lease_at(index),
         }
     }
 
@@ -85,24 +89,24 @@
                 most,
             } => self.lease(node, boot_id, most),
             Action::Expire(index) => {
-                let lease = self.some_lease(index);
+                let lease = self.lease_at(index);
                 self.apply(Operation::Expire {
                     pool: pool(),
                     leases: vec![LeaseId(lease)],
                 });
-                if let Some(number) = self.model.holder_of(lease) {
-                    self.model.put(number, Place::Pending);
+                if let Some(number) = self.model.sample_of_lease(lease) {
+                    self.model.set_state(number, SampleState::Pending);
                 }
             }
             Action::Return { lease, versions } => {
-                let lease = self.some_lease(lease);
+                let lease = self.lease_at(lease);
                 let partial = generation(&versions);
                 self.apply(Operation::Return {
                     pool: pool(),
                     lease: LeaseId(lease),
                     partial,
                 });
-                self.model.give_back(lease, &versions);
+                self.model.return_lease(lease, &versions);
             }
             Action::Finish {
                 number,
@@ -171,7 +175,7 @@
             let number = granted.prompt.number.0;
             assert_eq!(granted.lease, LeaseId(first + position as u64));
             assert_eq!(granted.partial, generation(&self.model.samples[&number].2));
-            assert_eq!(granted.oldest_useful.0, self.model.floor());
+            assert_eq!(granted.oldest_useful.0, self.model.oldest_useful());
         }
         let numbers: Vec<u64> = granted.iter().map(|g| g.prompt.number.0).collect();
         assert_eq!(numbers, expected);
@@ -214,14 +218,26 @@
 
     fn compare_counts(&self) {
         let counts = self.state.pool(&pool()).expect("configured").counts();
-        let count = |wanted: fn(&Place) -> bool| self.model.queue(wanted).len() as u32;
-        assert_eq!(counts.pending, count(|place| *place == Place::Pending));
-        assert_eq!(counts.leased, count(|p| matches!(p, Place::Leased(..))));
-        assert_eq!(counts.finished, count(|p| matches!(p, Place::Finished(..))));
-        assert_eq!(counts.scored, count(|p| matches!(p, Place::Scored(_))));
-        let delivered = count(|place| matches!(place, Place::Delivered(_)));
+        let count = |wanted: fn(&SampleState) -> bool| self.model.queue(wanted).len() as u32;
+        assert_eq!(
+            counts.pending,
+            count(|state| *state == SampleState::Pending)
+        );
+        assert_eq!(
+            counts.leased,
+            count(|p| matches!(p, SampleState::Leased(..)))
+        );
+        assert_eq!(
+            counts.finished,
+            count(|p| matches!(p, SampleState::Finished(..)))
+        );
+        assert_eq!(
+            counts.scored,
+            count(|p| matches!(p, SampleState::Scored(_)))
+        );
+        let delivered = count(|state| matches!(state, SampleState::Delivered(_)));
         assert_eq!(counts.handed_over, delivered);
-        let acknowledged = count(|place| *place == Place::Acknowledged);
+        let acknowledged = count(|state| *state == SampleState::Acknowledged);
         assert_eq!(counts.acknowledged, u64::from(acknowledged));
     }
 }
@@ -230,8 +246,8 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_ledger_does_what_the_model_does(actions in actions()) {
-        let mut pair = Pair::new();
+    fn the_ledger_matches_the_model(actions in actions()) {
+        let mut pair = LedgerAndModel::new();
         for action in actions {
             pair.act(action);
             pair.compare_counts();
@@ -240,7 +256,7 @@
 
     #[test]
     fn snapshots_at_every_point_change_nothing(actions in actions()) {
-        let mut pair = Pair::new();
+        let mut pair = LedgerAndModel::new();
         for action in actions {
             pair.act(Action::Restore);
             pair.act(action);
@@ -248,14 +264,14 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_restore_to_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn restoring_arbitrary_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = LedgerState::restore(&bytes);
     }
 }
 
 #[gtest]
 fn the_longest_of_one_submission_is_leased_first() {
-    let mut pair = Pair::new();
+    let mut pair = LedgerAndModel::new();
     let mut prompts: Vec<_> = [1, 2, 3].into_iter().map(prompt).collect();
     prompts[1].max_tokens = MAX_TOKENS + 5;
     pair.apply(Operation::Submit {
--- a/crates/nodes/wingshore-ledger/tests/support/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/support/mod.rs
@@ -55,7 +55,7 @@
         let mut out = Vec::new();
         self.leader
             .on_request(self.now, tag, request, &self.state, &mut out);
-        self.take(out);
+        self.handle_outputs(out);
         tag
     }
 
@@ -81,18 +81,18 @@
         let mut out = Vec::new();
         self.leader
             .on_applied(self.now, tag, reply, &self.state, &mut out);
-        self.take(out);
+        self.handle_outputs(out);
         true
     }
 
     /// Lets time pass, committing what is proposed.
-    pub fn pass(&mut self, duration: Duration) {
+    pub fn advance_time(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + TICK).min(end);
             let mut out = Vec::new();
             self.leader.on_tick(self.now, &self.state, &mut out);
-            self.take(out);
+            self.handle_outputs(out);
             self.commit_all();
         }
     }
@@ -118,10 +118,10 @@
         let mut out = Vec::new();
         self.leader
             .on_leadership(self.now, Epoch(self.epoch), &self.state, &mut out);
-        self.take(out);
+        self.handle_outputs(out);
     }
 
-    fn take(&mut self, out: LeaderOutputs<L>) {
+    fn handle_outputs(&mut self, out: LeaderOutputs<L>) {
         for output in out {
             match output {
                 LeaderOutput::Propose { tag, command } => self.proposals.push_back((tag, command)),
@@ -256,7 +256,7 @@
 }
 
 /// Leases up to `most` samples for a node.
-pub fn leased(group: &mut Ledger, node: &str, boot_id: u64, most: u32) -> Vec<SampleLease> {
+pub fn lease_samples(group: &mut Ledger, node: &str, boot_id: u64, most: u32) -> Vec<SampleLease> {
     match group.call(lease(node, boot_id, most)) {
         Some(LedgerReply::Leases(leases)) => leases,
         other => panic!("not leases: {other:?}"),
@@ -264,10 +264,10 @@
 }
 
 /// Submits, leases, finishes by `version` and scores the samples.
-pub fn ready(group: &mut Ledger, numbers: impl IntoIterator<Item = u64>, version: u64) {
+pub fn submit_and_score(group: &mut Ledger, numbers: impl IntoIterator<Item = u64>, version: u64) {
     group.call(submit(numbers));
     loop {
-        let leases = leased(group, "node", 1, 16);
+        let leases = lease_samples(group, "node", 1, 16);
         if leases.is_empty() {
             return;
         }
