--- a/crates/nodes/wingshore-ledger/tests/samples_model.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_model.rs
@@ -94,7 +94,7 @@
                     pool: pool(),
                     leases: vec![LeaseId(lease)],
                 });
-                if let Some(number) = self.model.sample_of_lease(lease) {
+                if let Some(number) = self.model.leased_sample(lease) {
                     self.model.set_state(number, SampleState::Pending);
                 }
             }
