--- a/crates/nodes/wingshore-ledger/tests/model/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/model/mod.rs
@@ -117,7 +117,7 @@
         found.into_iter().map(|(_, number)| number).collect()
     }
 
-    pub fn leased_sample(&self, lease: u64) -> Option<u64> {
+    pub fn sample_of(&self, lease: u64) -> Option<u64> {
         let is_lease =
             |state: &SampleState| matches!(state, SampleState::Leased(id, _, _) if *id == lease);
         self.queue(is_lease).first().copied()
@@ -171,7 +171,7 @@
     }
 
     pub fn return_lease(&mut self, lease: u64, versions: &[u64]) {
-        let Some(number) = self.leased_sample(lease) else {
+        let Some(number) = self.sample_of(lease) else {
             return;
         };
         self.set_state(number, SampleState::Pending);
@@ -189,17 +189,12 @@
         match state {
             SampleState::Delivered(_) | SampleState::Acknowledged => return Some(false),
             _ if versions.is_empty() || lease >= self.leases => return None,
-            _ if self
-                .leased_sample(lease)
-                .is_some_and(|other| other != number) =>
-            {
-                return None;
-            }
+            _ if self.sample_of(lease).is_some_and(|other| other != number) => return None,
             SampleState::Finished(..) | SampleState::Scored(_) => return Some(false),
             SampleState::Pending | SampleState::Leased(..) => {}
         }
         if self.too_old(versions) {
-            if self.leased_sample(lease) == Some(number) {
+            if self.sample_of(lease) == Some(number) {
                 self.set_state(number, SampleState::Pending);
                 self.samples.get_mut(&number)?.2.clear();
             }
--- a/crates/nodes/wingshore-ledger/tests/samples_model.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_model.rs
@@ -94,7 +94,7 @@
                     pool: pool(),
                     leases: vec![LeaseId(lease)],
                 });
-                if let Some(number) = self.model.leased_sample(lease) {
+                if let Some(number) = self.model.sample_of(lease) {
                     self.model.set_state(number, SampleState::Pending);
                 }
             }
