--- a/crates/nodes/wingshore-ledger/src/batching.rs
+++ b/crates/nodes/wingshore-ledger/src/batching.rs
@@ -1,31 +1,32 @@
-//! Gathers operations into few log commands.
+//! Batches operations into log commands.
 //!
-//! Question: when is an operation proposed, together with which others, and when is it refused?
+//! Question: when is an operation proposed, which operations share its proposal, and when is it
+//! refused?
 //!
-//! Inputs: the size of each operation in bytes, as estimated, and what was committed.
+//! Inputs: the estimated size of each operation in bytes, and the proposals that were committed.
 //!
-//! Rule: the first operation is proposed at once. While [`MAX_IN_FLIGHT`] proposals wait for their
-//! commit, further operations queue up and share the next proposal. An operation that finds the
-//! queue full is refused, and nothing of it is kept.
+//! Rule: an operation is proposed at once while fewer than [`MAX_IN_FLIGHT`] proposals wait for
+//! their commit. Otherwise it is queued and shares the next proposal with other queued operations.
+//! An operation that arrives when the queue is full is refused and not stored.
 //!
-//! Why: load makes batches larger instead of making the log longer, and a group that cannot commit
-//! holds a bounded amount of memory.
+//! Why: under load the batches grow instead of the number of log entries, and a group that cannot
+//! commit uses a bounded amount of memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use wingshore_types::machine::ProposalTag;
 
-/// Most proposals that wait for their commit at once.
+/// Maximum number of proposals that wait for their commit at once.
 const MAX_IN_FLIGHT: usize = 4;
-/// Most operations in one proposal.
+/// Maximum number of operations in one proposal.
 const MAX_OPERATIONS: usize = 512;
-/// A proposal takes no further operation beyond this size, in bytes.
+/// Size in bytes from which a proposal takes no further operation.
 const MAX_PROPOSAL_BYTES: usize = 1 << 20;
-/// Most bytes that queue; operations beyond it are refused.
+/// Maximum size of the queue in bytes; operations beyond it are refused.
 const MAX_QUEUED_BYTES: usize = 64 << 20;
-/// Most operations that queue; operations beyond it are refused.
+/// Maximum number of queued operations; further ones are refused.
 const MAX_QUEUED_OPERATIONS: usize = 65_536;
 
-/// An operation that waits to be proposed, with what to do once it is applied.
+/// An operation that waits to be proposed, and the waiter for its reply.
 #[derive(Debug)]
 struct QueuedOperation<O, W> {
     operation: O,
@@ -33,16 +34,17 @@
     bytes: usize,
 }
 
-/// A proposal that is ready to go out.
+/// A proposal that is ready to be appended to the log.
 #[derive(Debug)]
 pub(crate) struct Proposal<O> {
-    /// Named again when the proposal is applied.
+    /// Identifies the proposal when it is applied.
     pub(crate) tag: ProposalTag,
-    /// Its operations, in the order they came.
+    /// Operations in order of arrival.
     pub(crate) operations: Vec<O>,
 }
 
-/// Operations on their way into the log; `W` says who waits for each one's reply.
+/// Operations that are queued or proposed and not applied yet; `W` identifies the waiter for the
+/// reply of each operation.
 #[derive(Debug)]
 pub(crate) struct ProposalQueue<O, W> {
     queue: VecDeque<QueuedOperation<O, W>>,
@@ -63,10 +65,10 @@
 }
 
 impl<O, W> ProposalQueue<O, W> {
-    /// Adds an operation of about `bytes` bytes.
+    /// Queues an operation with an estimated size of `bytes` bytes.
     ///
     /// # Errors
-    /// Gives `waiting` back when the queue is full; nothing was added.
+    /// Returns `waiter` when the queue is full; the operation is then not queued.
     pub(crate) fn push(&mut self, operation: O, bytes: usize, waiter: W) -> Result<(), W> {
         let too_many = self.queue.len() >= MAX_QUEUED_OPERATIONS;
         let too_large = self.queued_bytes.saturating_add(bytes) > MAX_QUEUED_BYTES;
@@ -82,7 +84,8 @@
         Ok(())
     }
 
-    /// The next proposal, when there is something to propose and room in flight.
+    /// Returns the next proposal, if an operation is queued and fewer than [`MAX_IN_FLIGHT`]
+    /// proposals wait for their commit.
     pub(crate) fn next_proposal(&mut self) -> Option<Proposal<O>> {
         if self.queue.is_empty() {
             return None;
@@ -90,8 +93,9 @@
         self.next_proposal_even_if_empty()
     }
 
-    /// The next proposal even when it holds no operation; `None` only when too many are in
-    /// flight. An empty one carries the passing of time.
+    /// Returns the next proposal even if no operation is queued; `None` only while
+    /// [`MAX_IN_FLIGHT`] proposals wait for their commit. An empty proposal advances committed
+    /// time.
     pub(crate) fn next_proposal_even_if_empty(&mut self) -> Option<Proposal<O>> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
@@ -103,7 +107,8 @@
         Some(Proposal { tag, operations })
     }
 
-    /// Those who wait for the replies of an applied proposal, in the order of its operations.
+    /// Removes an applied proposal and returns the waiters for its replies, in the order of its
+    /// operations.
     pub(crate) fn take_waiters(&mut self, tag: ProposalTag) -> Vec<W> {
         self.in_flight.remove(&tag).unwrap_or_default()
     }
--- a/crates/nodes/wingshore-ledger/src/claims/command.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/command.rs
@@ -1,21 +1,21 @@
-//! Entries in the log of a claims group.
+//! Log entries of a claims group.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsRequest};
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsCommand {
-    /// Time that has passed since this leader's earlier command, in milliseconds. Only durations
-    /// are added up, so that no two leaders' clocks are ever compared.
+    /// Time since the previous command of the same leader, in milliseconds. Committed time is the
+    /// sum of these durations, so clocks of different leaders are never compared.
     pub elapsed_ms: u64,
-    /// Claims and settlements, in order.
+    /// Claims and settlements, in the order in which they are applied.
     pub requests: Vec<ClaimsRequest>,
 }
 
-/// About how many bytes a request takes in the log.
+/// Returns the estimated size of a request in the log, in bytes.
 pub(super) fn estimated_bytes(request: &ClaimsRequest) -> usize {
-    /// Bytes of a request besides its key and answer: identifiers, time and framing; an estimate.
+    /// Estimated size of a request in bytes without its key and answer: identifiers, time, framing.
     const FIXED: usize = 64;
     let (key, answer) = match request {
         ClaimsRequest::Claim { key, .. } => (key, 0),
--- a/crates/nodes/wingshore-ledger/src/claims/entry.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/entry.rs
@@ -1,4 +1,4 @@
-//! One claimed key.
+//! State of a claimed key.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::protocol::claims::{ClaimKey, Claimant, StoredAnswer};
@@ -6,31 +6,31 @@
 /// Status of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Status {
-    /// The claimant may have sent it.
+    /// Granted and not settled: the claimant may have sent the request.
     InFlight,
-    /// It ran.
+    /// The request ran. Holds the answer if one was stored.
     Answered(Option<StoredAnswer>),
-    /// It may have run.
+    /// The claimant does not know whether the request ran.
     Unknown,
-    /// It did not run: any other attempt may claim the key. Kept for a short time, so that a
-    /// late copy of the ended attempt's claim is not taken for a new one.
+    /// The request did not run: any other attempt may claim the key. The entry is kept for a short
+    /// time, so that a delayed copy of the ended attempt's claim is not granted as a new claim.
     Freed,
 }
 
-/// A key that is remembered.
+/// State of one claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Entry {
     pub(super) fingerprint: u64,
     pub(super) claimant: Claimant,
     pub(super) status: Status,
-    /// When it may be forgotten, in committed milliseconds.
+    /// Committed time at which the entry expires, in milliseconds.
     pub(super) expires_ms: u64,
 }
 
 impl Entry {
-    /// About how many bytes it takes in memory, the key included.
+    /// Returns the estimated size of the entry in memory, with its key, in bytes.
     pub(super) fn bytes(&self, key: &ClaimKey) -> u64 {
-        /// Map nodes, counters and string headers; the key stands in two maps.
+        /// Bytes of map nodes, counters and string headers. The key is stored in two maps.
         const FIXED: usize = 320;
         let answer = match &self.status {
             Status::Answered(Some(answer)) => answer.body.len() + answer.content_type.len(),
--- a/crates/nodes/wingshore-ledger/src/claims/faults.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/faults.rs
@@ -1,8 +1,8 @@
-//! Deliberate faults, by which tests show that a broken promise is noticed.
+//! Fault injection: tests use it to show that a violated guarantee is detected.
 
-/// Faults to switch on; all are off by default, and only tests switch any on.
+/// Injected faults. All are off by default; only tests enable them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Grants a key whose claimant is in flight, or ended without anyone knowing how.
+    /// Grants a key whose request is in flight or has an unknown outcome.
     pub grant_taken: bool,
 }
--- a/crates/nodes/wingshore-ledger/src/claims/leader.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/leader.rs
@@ -1,4 +1,4 @@
-//! What only the leader of a claims group does: gather requests, and let committed time pass.
+//! Leader of a claims group: batches requests and advances committed time.
 
 use super::command::{ClaimsCommand, estimated_bytes};
 use super::state::{ClaimsState, FULL_RETRY_AFTER_MS};
@@ -11,17 +11,17 @@
 use wingshore_types::protocol::claims::{ClaimsReply, ClaimsRequest};
 use wingshore_types::{Epoch, Instant};
 
-/// How often committed time moves on when nothing else is proposed: at most 8,640 log entries a
-/// day.
+/// Interval at which committed time advances when nothing else is proposed: at most 8,640 log
+/// entries a day.
 const TIME_STEP: Duration = Duration::from_secs(10);
 
 type Outputs = LeaderOutputs<ClaimsLeader>;
 
-/// The leader machine of a claims group.
+/// Leader state machine of a claims group.
 #[derive(Debug, Default)]
 pub struct ClaimsLeader {
     queue: ProposalQueue<ClaimsRequest, RequestTag>,
-    /// Up to when time was put into commands.
+    /// End of the time that is contained in the commands proposed so far.
     accounted_until: Instant,
 }
 
@@ -58,7 +58,8 @@
         });
     }
 
-    /// Whole milliseconds not put into a command yet; the rest is kept for the next one.
+    /// Returns the whole milliseconds that no command contains yet. A remaining fraction is left
+    /// for the next command.
     fn take_elapsed_ms(&mut self, now: Instant) -> u64 {
         let elapsed_ms =
             u64::try_from(now.since(self.accounted_until).as_millis()).unwrap_or(u64::MAX);
--- a/crates/nodes/wingshore-ledger/src/claims/state.rs
+++ b/crates/nodes/wingshore-ledger/src/claims/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of a claims group.
+//! Replicated state of a claims group.
 
 use super::command::ClaimsCommand;
 use super::entry::{Entry, Status};
@@ -13,28 +13,29 @@
 };
 use wingshore_types::snapshot;
 
-/// How long a claim is kept after its last change.
+/// Time for which a claim is kept after its last change.
 pub const RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
-/// For how long an attempt's own claim, sent again, is granted again. A key is thus remembered for
-/// [`RETENTION`] less this time after the latest answer by which anyone could have sent it.
+/// Time for which a repeated claim of the same attempt is granted again. A key is thus kept for at
+/// least [`RETENTION`] minus this time after the last grant that allowed its request to be sent.
 pub const RESEND_WINDOW: Duration = Duration::from_secs(10 * 60);
-/// How long a freed claim is kept.
+/// Time for which a freed claim is kept.
 const FREED_RETENTION: Duration = Duration::from_secs(60);
-/// Retry-after for a key that is taken, in milliseconds.
+/// Retry delay for a key that is taken, in milliseconds.
 const TAKEN_RETRY_AFTER_MS: u64 = 200;
-/// Retry-after of a refusal for lack of room, in milliseconds.
+/// Retry delay when the group is full, in milliseconds.
 pub(super) const FULL_RETRY_AFTER_MS: u64 = 1_000;
-/// First byte of a snapshot.
+/// Snapshot format version, the first byte of a snapshot.
 const SNAPSHOT_VERSION: u8 = 1;
 
-/// How much a claims group keeps. It decides replies, so it is part of the state and of snapshots.
+/// Capacity of a claims group. The limits affect replies, so they are part of the replicated state
+/// and of snapshots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClaimsLimits {
-    /// Most keys.
+    /// Maximum number of keys.
     keys: u64,
-    /// Most bytes of keys and answers, as estimated.
+    /// Maximum estimated size of keys and answers, in bytes.
     bytes: u64,
-    /// Largest answer that is kept, in bytes of its body and its content type.
+    /// Maximum size of a stored answer: bytes of its body and content type.
     answer_bytes: u64,
 }
 
@@ -48,11 +49,11 @@
     }
 }
 
-/// The claimed keys of a group.
+/// Claimed keys of a group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ClaimsState {
-    /// Time added up over all leaders' commands, in milliseconds. It runs behind real time by
-    /// what passes without a leader, so that nothing is forgotten early.
+    /// Committed time: sum of the elapsed time in all commands, in milliseconds. It lags behind
+    /// real time by the periods without a leader, so that no claim expires early.
     clock_ms: u64,
     limits: ClaimsLimits,
     entries: BTreeMap<ClaimKey, Entry>,
@@ -65,27 +66,27 @@
 }
 
 impl ClaimsState {
-    /// Switches deliberate faults on or off; for tests only.
+    /// Sets the injected faults; for tests only.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// Keys kept now.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is kept.
+    /// Returns whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Estimated bytes of keys and answers.
+    /// Returns the estimated size of keys and answers, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The answer to a request that would change nothing; it costs no log entry.
+    /// Returns the reply to a request that would not change the state and needs no log entry.
     pub(super) fn reply_without_change(&self, request: &ClaimsRequest) -> Option<ClaimsReply> {
         match request {
             ClaimsRequest::Claim {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The reply to a claim of a key that is remembered; `None` when it may be claimed anew.
+    /// Returns the reply to a claim of a stored key; `None` if the key may be claimed again.
     fn reply_for_known_key(
         &self,
         entry: &Entry,
@@ -189,8 +190,8 @@
         ClaimsReply::Settled
     }
 
-    /// An attempt that gave up before it saw its claim granted: should the claim come late, it
-    /// must not take the key.
+    /// Settles an attempt that gave up before it saw its claim granted. If it did not run, a freed
+    /// entry is stored, so that the claim is not granted when it arrives late.
     fn settle_before_claim(
         &mut self,
         key: ClaimKey,
@@ -209,7 +210,8 @@
         ClaimsReply::Settled
     }
 
-    /// The answer, when it is small enough to be kept. That it ran is always kept.
+    /// Returns the answer if it is small enough to be stored. The fact that the request ran is
+    /// always stored.
     fn storable_answer(
         &self,
         key: &ClaimKey,
--- a/crates/nodes/wingshore-ledger/src/lib.rs
+++ b/crates/nodes/wingshore-ledger/src/lib.rs
@@ -1,17 +1,18 @@
-//! Ledger groups, as replicated state machines without I/O.
+//! Replicated state machines of the ledger groups, without I/O.
 //!
-//! * [`samples`]: the life of rollout samples, from submission to the trainer's acknowledgement.
-//! * [`claims`]: idempotency keys, claimed before a request leaves for a back end.
-//! * `batching`: how either leader gathers requests into log commands.
+//! * [`samples`]: the lifecycle of rollout samples, from submission to the trainer's
+//!   acknowledgement.
+//! * [`claims`]: idempotency keys, claimed before a request is sent to a back end.
+//! * `batching`: collects the requests of either leader into log commands.
 
 mod batching;
 pub mod claims;
 pub mod samples;
 
-/// The effect of a leader that has none.
+/// Effect type of a leader that causes no effects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEffect {}
 
-/// The event of a leader that waits for none.
+/// Event type of a leader that receives no events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEvent {}
