--- a/crates/nodes/wingshore-ledger/src/samples/command.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/command.rs
@@ -1,4 +1,4 @@
-//! Entries in the log of a ledger group.
+//! Log entries of a ledger group.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::configuration::Permille;
@@ -8,124 +8,126 @@
     WeightVersion,
 };
 
-/// One entry of the log: operations that are applied in order, each with its own reply.
+/// A log entry: operations that are applied in order, each with its own reply.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LedgerCommand {
-    /// The operations.
+    /// Operations in the order in which they are applied.
     pub operations: Vec<Operation>,
 }
 
-/// What a ledger needs to know of a pool's configuration.
+/// Configuration of a pool as far as the ledger uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSettings {
-    /// Revision of the configuration this is from.
+    /// Revision of the configuration that these settings come from.
     pub revision: Revision,
-    /// Most versions that a delivered sample's oldest segment may lie behind the trainer's.
+    /// Maximum number of versions by which the oldest segment of a delivered sample may lag behind
+    /// the trainer's version.
     pub staleness_bound: u64,
-    /// Most samples submitted and not yet acknowledged.
+    /// Maximum number of samples that are submitted and not yet acknowledged.
     pub max_open_samples: u32,
-    /// How long a lease holds without renewal, in milliseconds.
+    /// Duration of a lease without renewal, in milliseconds.
     pub sample_lease_ms: u64,
-    /// Weight on trainer idle time against staleness: how far ahead of the trainer to generate.
+    /// Weight of trainer idle time against staleness. It determines how far ahead of the trainer
+    /// samples are generated.
     pub idle_weight: Permille,
-    /// The one trainer the samples go to.
+    /// Trainer that receives the samples.
     pub trainer: TrainerId,
 }
 
-/// One change of a pool's samples.
+/// A change to the samples of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Sets what is known of a pool; the newest revision wins.
+    /// Sets the settings of a pool; a revision that is not newer is ignored.
     Configure {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// The settings.
+        /// Settings of the pool.
         settings: PoolSettings,
     },
-    /// Adds samples that are not known yet.
+    /// Adds the samples that are not known yet.
     Submit {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// What to generate.
+        /// Prompts of the samples.
         prompts: Vec<Prompt>,
     },
-    /// Grants leases, after ending those of the node's other boots.
+    /// Ends the leases of the node's other boots, then grants new ones.
     Lease {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// Who will generate.
+        /// Node that will generate the samples.
         node: NodeId,
-        /// The node's boot.
+        /// Boot id of the node.
         boot_id: u64,
-        /// Most samples.
+        /// Maximum number of leases to grant.
         most: u32,
     },
-    /// Ends leases that were not renewed in time. The leader's clock decided it; the command
-    /// names the leases, so that no clock is needed to apply it.
+    /// Ends leases that were not renewed in time. The leader determines the leases by its own
+    /// clock and lists them, so that no clock is needed to apply the operation.
     Expire {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// The leases.
+        /// Expired leases.
         leases: Vec<LeaseId>,
     },
-    /// Ends a lease and keeps what was generated.
+    /// Ends a lease and stores the partial generation.
     Return {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
         /// The lease.
         lease: LeaseId,
-        /// So far.
+        /// Tokens and segments generated so far.
         partial: Generation,
     },
-    /// A whole generation.
+    /// Records a complete generation.
     Finish {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
         /// The sample.
         sample: SampleNumber,
-        /// The lease under which it was made.
+        /// Lease under which it was generated.
         lease: LeaseId,
-        /// All tokens and segments.
+        /// All tokens and segments of the sample.
         generation: Generation,
     },
-    /// A score.
+    /// Records the score of a generation.
     Score {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
         /// The sample.
         sample: SampleNumber,
-        /// The lease under which the scored generation was made.
+        /// Lease under which the scored generation was made.
         lease: LeaseId,
         /// The score.
         score: f64,
     },
-    /// The trainer has stated a newer version: generations that are too old for it are dropped.
+    /// Records a newer version of the trainer and drops the generations that are too old for it.
     ObserveVersion {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// The trainer's version.
+        /// Weight version of the trainer.
         version: WeightVersion,
     },
-    /// Hands a step's batch over.
+    /// Hands over the batch of a step.
     HandOver {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// What the trainer asked.
+        /// Pull request of the trainer.
         pull: PullRequest,
     },
-    /// The trainer has a batch safe.
+    /// Records that the trainer has secured a batch and no longer needs it from the ledger.
     Acknowledge {
-        /// Which pool.
+        /// Pool that the operation changes.
         pool: PoolId,
-        /// Who.
+        /// Trainer that acknowledges.
         trainer: TrainerId,
-        /// Which step.
+        /// Step whose batch is acknowledged.
         step: StepId,
     },
 }
 
 impl Operation {
-    /// The pool it is about.
+    /// Returns the pool that the operation changes.
     pub fn pool(&self) -> &PoolId {
         match self {
             Self::Configure { pool, .. }
@@ -141,13 +143,13 @@
         }
     }
 
-    /// About how many bytes it takes in the log.
+    /// Returns the estimated size of the operation in the log, in bytes.
     pub fn estimated_bytes(&self) -> usize {
-        /// Bytes of a command besides its items: identifiers and framing; an estimate.
+        /// Estimated size of an operation in bytes without its items: identifiers and framing.
         const FIXED: usize = 64;
-        /// Bytes of a token: it has 32 bits, of which the codec leaves out what is zero.
+        /// Estimated size of a token in bytes: it has 32 bits, and the codec omits leading zeros.
         const PER_TOKEN: usize = 4;
-        /// Bytes of an item besides its tokens; an estimate.
+        /// Estimated size of an item in bytes without its tokens.
         const PER_ITEM: usize = 16;
         let variable = match self {
             Self::Submit { prompts, .. } => prompts
--- a/crates/nodes/wingshore-ledger/src/samples/depth.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/depth.rs
@@ -1,38 +1,39 @@
-//! Question: how far ahead of its trainer does a pool generate?
+//! Question: how far ahead of its trainer does a pool generate samples?
 //!
-//! Inputs: the samples of a step, by the pool's newest pull; the pool's samples that are leased,
-//! finished or scored; its weight on trainer idle time against staleness, in thousandths.
+//! Inputs: the number of samples of a step, from the newest pull of the pool; the number of leased,
+//! finished and scored samples; the weight of trainer idle time against staleness, in thousandths.
 //!
-//! Rule: leases are granted only while those samples are fewer than `1 + 3 (weight / 1000)^2` steps
-//! have. At the full weight there is no limit.
+//! Rule: leases are granted only while there are fewer leased, finished and scored samples than
+//! `1 + 3 (weight / 1000)^2` steps take. At the full weight there is no limit.
 //!
-//! Why: samples that are generated long before they are pulled save the trainer a wait, but are
-//! older when it gets them. At weight 0 only what the trainer asks for next is generated.
+//! Why: samples that are generated long before the pull reduce the waiting time of the trainer, but
+//! are more stale when they are delivered. At weight 0 only the next step is generated.
 //!
-//! Missing input: until the first pull after a change of leader, or of a new pool, there is no
-//! limit.
+//! Missing input: before the first pull of a new pool, or the first pull after a leader change,
+//! there is no limit.
 
 use super::pool::PoolLedger;
 use std::collections::BTreeMap;
 use wingshore_types::PoolId;
 use wingshore_types::configuration::Permille;
 
-/// Steps, beyond the next one, that are generated ahead just below the full weight.
+/// Number of steps beyond the next one that are generated ahead as the weight approaches the full
+/// weight.
 const MAX_STEPS_AHEAD: u64 = 3;
 
-/// Samples that a step of each pool takes, by its newest pull. In the leader's memory only.
+/// Number of samples per step of each pool, from its newest pull. Held in the leader's memory only.
 #[derive(Debug, Default)]
 pub(super) struct GenerationDepth {
     step_sizes: BTreeMap<PoolId, u32>,
 }
 
 impl GenerationDepth {
-    /// A trainer asks for a step of so many samples.
+    /// Records the number of samples that a trainer requests for a step.
     pub(super) fn record_step_size(&mut self, pool: &PoolId, count: u32) {
         self.step_sizes.insert(pool.clone(), count);
     }
 
-    /// How many more samples may be leased now.
+    /// Returns the number of further samples that may be leased.
     pub(super) fn max_new_leases(&self, id: &PoolId, ledger: &PoolLedger) -> u32 {
         let Some(count) = self.step_sizes.get(id) else {
             return u32::MAX;
@@ -46,7 +47,8 @@
     }
 }
 
-/// Samples that may be leased, finished or scored at once; `None` for no limit.
+/// Returns the maximum number of samples that are leased, finished or scored at once; `None` for no
+/// limit.
 fn max_generated(count: u32, weight: Permille) -> Option<u32> {
     if weight >= Permille::WHOLE {
         return None;
--- a/crates/nodes/wingshore-ledger/src/samples/faults.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/faults.rs
@@ -1,14 +1,14 @@
-//! Deliberate faults, by which tests show that a broken promise is noticed.
+//! Fault injection: tests use it to show that a violated guarantee is detected.
 
-/// Faults to switch on; all are off by default, and only tests switch any on.
+/// Injected faults. All are off by default; only tests enable them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Hands samples over whatever their age.
+    /// Hands over samples regardless of their staleness.
     pub hand_over_without_age_check: bool,
-    /// The leader answers a pull when it proposes the hand-over.
+    /// Answers a pull when the hand-over is proposed, before it is committed.
     pub answer_before_commit: bool,
-    /// A second finish of a sample makes it ready once more.
+    /// Accepts a second finished generation of a sample, which then becomes ready again.
     pub accept_second_finish: bool,
-    /// A repeated pull of a step is given other samples.
+    /// Answers a repeated pull of a step with other samples.
     pub forget_handover: bool,
 }
--- a/crates/nodes/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/finishing.rs
@@ -1,4 +1,4 @@
-//! The end of a generation: the first finished attempt wins.
+//! Finished generations: the first finished attempt of a sample is accepted.
 
 use super::numbers::Membership;
 use super::pool::{PoolLedger, check_generation, invalid};
@@ -72,7 +72,8 @@
         LedgerReply::First(false)
     }
 
-    /// The deliberate fault [`super::Faults::accept_second_finish`] for a delivered sample.
+    /// Injected fault [`super::Faults::accept_second_finish`] for a delivered sample: makes it
+    /// ready again.
     fn reopen_delivered(&mut self, number: SampleNumber, finished: Finished) {
         let Some(step) = self.indexes.delivered.get(&number) else {
             return;
--- a/crates/nodes/wingshore-ledger/src/samples/grants.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/grants.rs
@@ -1,26 +1,28 @@
-//! Question: who generates which sample, and what does a lease that ends leave behind?
+//! Question: which node generates which sample, and what is kept of the generation when a lease
+//! ends?
 //!
-//! Inputs: the pending samples in queue order; the node, its boot id and how many samples it asks
-//! for; what was generated under the lease.
+//! Inputs: the pending samples in queue order; the node, its boot id and the number of samples it
+//! requests; the partial generation of the lease.
 //!
-//! Rule: leases are granted in queue order: the oldest submission first, within it the longest
-//! allowed generation first, so that stragglers start early. A node that asks with another boot id
-//! loses the leases of its earlier boots. What an ended lease leaves is kept for the next attempt,
-//! when no token of it is too old and it is at least as long as what is there.
+//! Rule: leases are granted in queue order: the oldest submission first, and within a submission
+//! the largest token limit first, so that stragglers start early. A node that requests leases with
+//! another boot id loses the leases of its earlier boots. The partial generation of an ended lease
+//! is kept for the next attempt if none of its tokens is too old and it is at least as long as the
+//! stored one.
 //!
-//! Missing input: when a node falls silent its leases run out by the leader's clock, and what it
-//! generated under them is lost.
+//! Missing input: when a node stops renewing, its leases expire by the leader's clock and the
+//! tokens that it generated under them are lost.
 
 use super::pool::{MAX_TOKENS_PER_ANSWER, PoolLedger, check_generation};
 use super::stage::{Holder, OpenSample, QueueKey, Stage};
 use wingshore_types::protocol::ledger::{LedgerReply, SampleLease};
 use wingshore_types::{Generation, LeaseId, NodeId, SampleNumber};
 
-/// Most leases granted by one request.
+/// Maximum number of leases granted by one request.
 const MAX_LEASES_PER_REQUEST: u32 = 256;
 
 impl PoolLedger {
-    /// Whether a lease request would change anything.
+    /// Returns whether a lease request would change the state.
     pub(super) fn lease_changes_state(&self, node: &NodeId, boot_id: u64, most: u32) -> bool {
         let old_boots = self.indexes.leases.leases_of_other_boots(node, boot_id);
         let grants = most > 0 && !self.indexes.pending.is_empty();
@@ -58,7 +60,7 @@
         LedgerReply::Done
     }
 
-    /// The next samples to lease, as many as fit one answer; one at least.
+    /// Returns the next samples to lease, as many as fit into one answer and at least one.
     fn next_pending(&self, most: u32) -> Vec<QueueKey> {
         let mut tokens = 0;
         let mut chosen = Vec::new();
@@ -95,8 +97,8 @@
         Some(granted)
     }
 
-    /// Ends an active lease. A newer partial generation replaces the one kept, when it is useful
-    /// and at least as long.
+    /// Ends an active lease. A newer partial generation replaces the stored one if it is not too
+    /// old and at least as long.
     fn end_lease(&mut self, lease: LeaseId, newer: Option<Generation>) {
         let Some(number) = self.indexes.leases.sample(lease) else {
             return;
--- a/crates/nodes/wingshore-ledger/src/samples/indexes.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/indexes.rs
@@ -1,18 +1,18 @@
-//! Where to find a pool's samples by their stage.
+//! Indexes of a pool's samples by stage.
 
 use super::leases::LeaseTable;
 use super::stage::{OpenSample, QueueKey, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::{SampleNumber, StepId};
 
-/// Where to find samples of each stage; rebuilt from the samples after a restore.
+/// Sample indexes by stage; rebuilt from the samples after a restore.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Indexes {
     pub(super) pending: BTreeSet<QueueKey>,
     pub(super) leases: LeaseTable,
     pub(super) finished: BTreeSet<QueueKey>,
     pub(super) scored: BTreeSet<QueueKey>,
-    /// Samples that were handed over and are not acknowledged yet.
+    /// Step of each sample that is handed over and not acknowledged yet.
     pub(super) delivered: BTreeMap<SampleNumber, StepId>,
 }
 
--- a/crates/nodes/wingshore-ledger/src/samples/leader.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/leader.rs
@@ -1,4 +1,4 @@
-//! What only the leader of a ledger group does.
+//! Leader of a ledger group.
 
 use super::command::{LedgerCommand, Operation, PoolSettings};
 use super::depth::GenerationDepth;
@@ -20,18 +20,18 @@
 
 pub(super) type Outputs = LeaderOutputs<LedgerLeader>;
 
-/// Who waits for an operation to be applied.
+/// What to do when an operation is applied.
 #[derive(Debug)]
 pub(super) enum Waiter {
     Client(RequestTag),
-    /// A lease request: the deadlines of what is granted begin when it is applied.
+    /// Sender of a lease request: the durations of the granted leases start when it is applied.
     LeaseClient(RequestTag, PoolId),
     Expiry(PoolId, Vec<LeaseId>),
     HandOver(PoolId, StepId),
     Version,
 }
 
-/// The leader machine of a ledger group.
+/// Leader state machine of a ledger group.
 #[derive(Debug, Default)]
 pub struct LedgerLeader {
     queue: ProposalQueue<Operation, Waiter>,
@@ -39,15 +39,15 @@
     offers: ScoringOffers,
     depth: GenerationDepth,
     pub(super) waiting_pulls: Vec<WaitingPull>,
-    /// Pools with a hand-over on its way into the log.
+    /// Pools with a hand-over that is queued or proposed and not applied yet.
     pub(super) proposed_hand_overs: BTreeSet<PoolId>,
-    /// Newest trainer versions on their way into the log.
+    /// Newest trainer version of each pool that is queued or proposed and not applied yet.
     pub(super) proposed_versions: BTreeMap<PoolId, WeightVersion>,
     pub(super) faults: Faults,
 }
 
 impl LedgerLeader {
-    /// A leader with deliberate faults; for tests only.
+    /// Creates a leader with injected faults; for tests only.
     pub fn with_faults(faults: Faults) -> Self {
         Self {
             faults,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Switches deliberate faults on or off; for tests only.
+    /// Sets the injected faults; for tests only.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
@@ -169,7 +169,7 @@
                 },
                 out,
             ),
-            // What follows is proposed again at a later tick.
+            // The operations below are proposed again at a later tick.
             Waiter::Expiry(pool, leases) => self.lease_clock.postpone(&pool, &leases),
             Waiter::HandOver(pool, _) => {
                 self.proposed_hand_overs.remove(&pool);
--- a/crates/nodes/wingshore-ledger/src/samples/lease_clock.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/lease_clock.rs
@@ -1,15 +1,15 @@
-//! When leases run out, by the leader's own clock.
+//! Lease expiry by the leader's own clock.
 //!
-//! Question: when does a sample's lease end without a word of its node?
+//! Question: when does the lease of a sample expire without a message from its node?
 //!
-//! Inputs: the leader's clock, when each lease was granted or renewed last, the lease duration of
-//! the pool in milliseconds.
+//! Inputs: the leader's clock, the time at which each lease was granted or last renewed, the lease
+//! duration of the pool in milliseconds.
 //!
-//! Rule: a lease ends one duration after its grant was applied or it was renewed. Once its end is
-//! on the way into the log it can no longer be renewed.
+//! Rule: a lease expires one duration after its grant was applied or after its last renewal. Once
+//! its expiry is proposed, it can no longer be renewed.
 //!
-//! Deadlines live in the leader's memory only. A renewal therefore costs no log entry, and a new
-//! leader, whose clock has another origin, gives every active lease a fresh full duration.
+//! Deadlines are held in the leader's memory only, so a renewal adds no log entry. The clock of a
+//! new leader has another origin, so every active lease gets its full duration again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,12 +22,12 @@
 pub(super) struct LeaseClock {
     deadlines: BTreeMap<LeaseKey, Instant>,
     by_deadline: BTreeSet<(Instant, LeaseKey)>,
-    /// Leases whose end is on its way into the log: too late to renew.
+    /// Leases whose expiry is proposed and not applied yet: they can no longer be renewed.
     expiring: BTreeSet<LeaseKey>,
 }
 
 impl LeaseClock {
-    /// Starts a lease, or renews it.
+    /// Starts or renews a lease.
     pub(super) fn start(&mut self, now: Instant, pool: &PoolId, lease: LeaseId, duration_ms: u64) {
         let key = (pool.clone(), lease);
         let deadline = now + Duration::from_millis(duration_ms);
@@ -37,13 +37,13 @@
         self.by_deadline.insert((deadline, key));
     }
 
-    /// Whether the end of the lease is on its way into the log.
+    /// Returns whether the expiry of the lease is proposed and not applied yet.
     pub(super) fn is_expiring(&self, pool: &PoolId, lease: LeaseId) -> bool {
         self.expiring.contains(&(pool.clone(), lease))
     }
 
-    /// Takes the leases that have run out by now, by pool. Each is then expiring, until
-    /// [`LeaseClock::clear_expiring`].
+    /// Removes and returns the leases that are expired at `now`, by pool. They count as expiring
+    /// until [`LeaseClock::clear_expiring`] is called.
     pub(super) fn take_due(&mut self, now: Instant) -> BTreeMap<PoolId, Vec<LeaseId>> {
         let mut due: BTreeMap<PoolId, Vec<LeaseId>> = BTreeMap::new();
         while let Some((deadline, _)) = self.by_deadline.first() {
@@ -59,8 +59,8 @@
         due
     }
 
-    /// The end of these leases had no room in the queue: they are due at the next tick, and may be
-    /// renewed until then.
+    /// Reschedules leases whose expiry did not fit into the queue: they are due at the next tick
+    /// and may be renewed until then.
     pub(super) fn postpone(&mut self, pool: &PoolId, leases: &[LeaseId]) {
         self.clear_expiring(pool, leases);
         for lease in leases {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The end of these leases was applied, or was not needed any more.
+    /// Clears the expiring mark of leases whose expiry was applied or is no longer needed.
     pub(super) fn clear_expiring(&mut self, pool: &PoolId, leases: &[LeaseId]) {
         for lease in leases {
             self.expiring.remove(&(pool.clone(), *lease));
--- a/crates/nodes/wingshore-ledger/src/samples/leases.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/leases.rs
@@ -1,10 +1,10 @@
-//! Who holds which lease. Derived from the open samples, so it is not part of a snapshot.
+//! Table of active leases. Derived from the open samples, so it is not part of a snapshot.
 
 use super::stage::Holder;
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::{LeaseId, NodeId, SampleNumber};
 
-/// Active leases, found by identity and by holder.
+/// Active leases, indexed by id and by holder.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseTable {
     by_id: BTreeMap<LeaseId, SampleNumber>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The sample an active lease is for.
+    /// Returns the sample of an active lease.
     pub(crate) fn sample(&self, lease: LeaseId) -> Option<SampleNumber> {
         self.by_id.get(&lease).copied()
     }
@@ -43,7 +43,7 @@
         self.by_id.keys().copied()
     }
 
-    /// Leases of the node's boots other than `boot_id`.
+    /// Returns the leases of the node's boots other than `boot_id`.
     pub(crate) fn leases_of_other_boots(&self, node: &NodeId, boot_id: u64) -> Vec<LeaseId> {
         let first = Holder {
             node: node.clone(),
--- a/crates/nodes/wingshore-ledger/src/samples/mod.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/mod.rs
@@ -1,10 +1,12 @@
-//! The life of rollout samples.
+//! Lifecycle of rollout samples.
 //!
-//! submitted -> leased -> finished -> scored -> handed over (trainer, step) -> acknowledged, freed.
+//! submitted -> leased -> finished -> scored -> handed over (trainer, step) -> acknowledged.
 //!
-//! [`LedgerState`] is replicated: it changes by committed [`LedgerCommand`]s only. [`LedgerLeader`]
-//! runs on the group's leader: it answers what can be answered from the state, lets pulls wait,
-//! ends leases that were not renewed, and proposes the rest.
+//! Acknowledged samples are removed.
+//!
+//! [`LedgerState`] is replicated and changes only by committed [`LedgerCommand`]s. [`LedgerLeader`]
+//! runs on the leader of the group: it answers requests that the state alone can answer, holds
+//! waiting pulls, expires leases that were not renewed, and proposes all other operations.
 
 mod command;
 mod depth;
--- a/crates/nodes/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/numbers.rs
@@ -1,33 +1,34 @@
-//! Remembers numbers as ranges, so that millions of them cost little.
+//! Set of numbers, stored as ranges so that millions of consecutive numbers take little space.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a [`NumberSet`] knows of a number.
+/// Membership of a number in a [`NumberSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
-    /// It was inserted.
+    /// The number was inserted.
     Present,
-    /// It was not inserted.
+    /// The number was not inserted.
     Absent,
-    /// It lies below the lowest number that is still told apart.
+    /// The number lies below the lowest tracked number, so it is unknown whether it was inserted.
     Forgotten,
 }
 
-/// A set of numbers, kept as ranges. When there are more than `MAX_RANGES`, the lowest ones are
-/// forgotten: numbers there are then [`Membership::Forgotten`], neither known nor new.
+/// Set of numbers, stored as ranges. When there are more than [`NumberSet::MAX_RANGES`] ranges, the
+/// lowest ones are dropped, and numbers up to the end of a dropped range are
+/// [`Membership::Forgotten`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberSet {
     floor: u64,
-    /// First number of each range -> its last number. Ranges neither touch nor overlap.
+    /// First number of each range -> its last number. Ranges are neither adjacent nor overlapping.
     ranges: BTreeMap<u64, u64>,
 }
 
 impl NumberSet {
-    /// Most ranges that are kept.
+    /// Maximum number of stored ranges.
     pub const MAX_RANGES: usize = 16_384;
 
-    /// What is known of `number`.
+    /// Returns whether `number` was inserted, as far as it is known.
     pub fn membership(&self, number: u64) -> Membership {
         if number < self.floor {
             return Membership::Forgotten;
@@ -38,12 +39,12 @@
         }
     }
 
-    /// The lowest number that is still told apart.
+    /// Returns the lowest tracked number.
     pub(super) fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Ranges kept now.
+    /// Returns the number of stored ranges.
     pub fn ranges(&self) -> usize {
         self.ranges.len()
     }
--- a/crates/nodes/wingshore-ledger/src/samples/pool.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/pool.rs
@@ -1,8 +1,8 @@
-//! The samples of one pool and their stages; the rules by which they move stand in the modules beside
-//! this one.
+//! Samples of one pool and their stages. The sibling modules contain the rules of the transitions
+//! between stages.
 //!
-//! A generation is dropped as soon as its oldest segment lies further behind the newest version that
-//! the trainer stated than the pool's `staleness_bound`.
+//! A generation is dropped as soon as its oldest segment lags behind the newest version that the
+//! trainer reported by more than the pool's `staleness_bound`.
 
 use super::command::PoolSettings;
 use super::faults::Faults;
@@ -16,20 +16,20 @@
     Generation, LeaseId, Prompt, SampleNumber, StepId, TrainerId, WeightVersion,
 };
 
-/// Retry-after of a refusal for lack of room, in milliseconds.
+/// Retry delay when the pool or the queue is full, in milliseconds.
 pub(crate) const FULL_RETRY_AFTER_MS: u64 = 500;
-/// One answer takes no further sample beyond this many tokens, so that it fits a frame between
-/// processes.
+/// Number of tokens from which an answer takes no further sample, so that it fits into a frame
+/// between processes.
 pub(crate) const MAX_TOKENS_PER_ANSWER: usize = 2 << 20;
 
-/// The samples of one pool, and what was handed over to its trainer.
+/// Samples of one pool and the batches that were handed over to its trainer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PoolLedger {
     pub(super) settings: PoolSettings,
-    /// The newest version the trainer has stated.
+    /// Newest version that the trainer has reported.
     pub(super) trainer_version: WeightVersion,
     pub(super) open: BTreeMap<SampleNumber, OpenSample>,
-    /// What each step got, until the trainer acknowledges it.
+    /// Batch of each step that the trainer has not acknowledged yet.
     pub(super) handed_over: BTreeMap<StepId, Batch>,
     pub(super) acknowledged: NumberSet,
     pub(super) acknowledged_step: Option<StepId>,
@@ -63,23 +63,23 @@
         }
     }
 
-    /// What is known of the pool's configuration.
+    /// Returns the configuration of the pool.
     pub fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// Segments below this version are too old for the trainer.
+    /// Returns the oldest weight version that is not too old for the trainer.
     pub fn oldest_useful(&self) -> WeightVersion {
         let bound = self.settings.staleness_bound;
         WeightVersion(self.trainer_version.0.saturating_sub(bound))
     }
 
-    /// The newest version the trainer has stated.
+    /// Returns the newest version that the trainer has reported.
     pub fn trainer_version(&self) -> WeightVersion {
         self.trainer_version
     }
 
-    /// Counts.
+    /// Returns the number of samples by stage, and the totals of the pool.
     pub fn counts(&self) -> LedgerCounts {
         LedgerCounts {
             pending: self.indexes.pending.len() as u32,
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Active leases.
+    /// Returns the active leases.
     pub fn leases(&self) -> impl Iterator<Item = LeaseId> + '_ {
         self.indexes.leases.iter()
     }
 
-    /// Whether a lease is active.
+    /// Returns whether a lease is active.
     pub fn is_active(&self, lease: LeaseId) -> bool {
         self.indexes.leases.sample(lease).is_some()
     }
@@ -124,8 +124,8 @@
         LedgerReply::Done
     }
 
-    /// Drops generations that the trainer's version has left too far behind: whole ones are
-    /// generated again, partial ones are forgotten.
+    /// Records a newer version of the trainer and drops the generations that are too old for it:
+    /// samples with a complete generation become pending again, partial generations are discarded.
     pub(super) fn observe_version(&mut self, version: WeightVersion) -> LedgerReply {
         if version > self.trainer_version {
             self.trainer_version = version;
@@ -134,7 +134,7 @@
         LedgerReply::Done
     }
 
-    /// Moves an open sample to another stage.
+    /// Moves an open sample to another stage and updates the indexes.
     pub(super) fn set_stage(&mut self, number: SampleNumber, stage: Stage) {
         if let Some(sample) = self.open.get_mut(&number) {
             self.indexes.remove(sample);
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Takes the stage out of an open sample, which must be given another one then.
+    /// Removes the stage of an open sample from the sample and the indexes. The caller must set
+    /// another stage afterwards.
     pub(super) fn take_stage(&mut self, number: SampleNumber) -> Option<Stage> {
         let sample = self.open.get_mut(&number)?;
         self.indexes.remove(sample);
@@ -216,12 +217,12 @@
     }
 }
 
-/// A refusal for a request that makes no sense.
+/// Returns the refusal of an invalid request.
 pub(super) fn invalid(message: String) -> LedgerRefusal {
     LedgerRefusal::Invalid { message }
 }
 
-/// Checks the shape and the length of a generation.
+/// Checks the segments and the length of a generation.
 pub(super) fn check_generation(
     generation: &Generation,
     max_tokens: u32,
--- a/crates/nodes/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/pulls.rs
@@ -1,59 +1,60 @@
-//! Hand-over to the trainer and its acknowledgement.
+//! Hand-over of batches to the trainer, and their acknowledgement.
 //!
-//! Question: which samples make a step, and what does a repeated pull get?
+//! Question: which samples form the batch of a step, and what does a repeated pull get?
 //!
 //! Inputs: the pull (trainer, step, the trainer's weight version, count), the scored samples in
-//! queue order, the batches that are not acknowledged.
+//! queue order, the batches that are not acknowledged yet.
 //!
-//! Rule: a step gets the first `count` scored samples, once there are as many; generations whose
-//! oldest segment lies further behind the trainer's newest version than the pool's bound were
-//! dropped before. The batch is recorded in the log before it is answered, and each repeated pull
-//! of the step gets the same one until it is acknowledged. Steps follow each other without gaps, and
-//! at most [`MAX_OPEN_STEPS`] are not acknowledged.
+//! Rule: a step gets the first `count` scored samples as soon as there are that many. Generations
+//! whose oldest segment lags behind the trainer's newest version by more than the pool's bound have
+//! been dropped before. The batch is recorded in the log before the pull is answered, and every
+//! repeated pull of the step gets the same batch until it is acknowledged. Steps are consecutive,
+//! and at most [`MAX_OPEN_STEPS`] are unacknowledged.
 //!
-//! Why: the choice is committed before the first answer leaves, so a lost answer costs nothing and
-//! no sample reaches the trainer twice. Age is checked against what the trainer states in this very
-//! pull, since it goes on between generation and hand-over.
+//! Why: the batch is committed before the first answer is sent, so a lost answer can be repeated
+//! and no sample is delivered in two batches. Staleness is checked against the version in the pull
+//! itself, since the trainer advances between generation and hand-over.
 //!
-//! Cost: while the hand-over of a batch is applied the group does nothing else.
+//! Cost: the group does nothing else while the hand-over of a batch is applied.
 
 use super::pool::{PoolLedger, invalid};
 use super::stage::{OpenSample, QueueKey, Stage, encoded_bytes};
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, PullRequest};
 use wingshore_types::{Sample, StepId, TrainerId, WeightVersion};
 
-/// Most steps that are handed over and not acknowledged: the one in training and one prefetched.
+/// Maximum number of steps that are handed over and not acknowledged: the one in training and one
+/// prefetched.
 pub(crate) const MAX_OPEN_STEPS: usize = 2;
-/// Most bytes of a batch: it is held in memory, and in snapshots, until it is acknowledged. Twice
-/// what a step of 16,384 samples of 1,280 tokens takes (60 MiB).
+/// Maximum size of a batch in bytes. The batch is held in memory and in snapshots until it is
+/// acknowledged. The limit is twice the size of a step of 16,384 samples of 1,280 tokens (60 MiB).
 pub(crate) const MAX_BATCH_BYTES: usize = 128 << 20;
-/// A part of a batch takes no further sample beyond this many bytes, so that it fits a frame
-/// between processes and holds up other answers on its connection only briefly.
+/// Size in bytes from which a part of a batch takes no further sample, so that the part fits into a
+/// frame between processes and delays other answers on its connection only briefly.
 pub(crate) const PART_BYTES: usize = 8 << 20;
-/// Retry-after of a pull that found too few samples, in milliseconds.
+/// Retry delay of a pull that found too few ready samples, in milliseconds.
 pub(crate) const NOT_READY_RETRY_AFTER_MS: u64 = 100;
 
-/// Status of a pull, by the committed state.
+/// Status of a pull according to the committed state.
 #[derive(Debug)]
 pub(crate) enum PullStatus<'a> {
-    /// Recorded before: this is the answer.
+    /// The step is already handed over; contains its batch.
     Recorded(&'a Batch),
-    /// The trainer states a version that the state does not know yet.
+    /// The pull contains a newer trainer version than the state.
     NewerVersion,
     /// Enough samples are ready.
     Ready,
     /// Not enough samples are ready.
     Waiting {
-        /// Samples ready now.
+        /// Number of ready samples.
         ready: u32,
     },
 }
 
 impl PoolLedger {
-    /// Status of a pull.
+    /// Returns the status of a pull.
     ///
     /// # Errors
-    /// The refusal, when waiting would not help.
+    /// Returns the refusal of a pull that waiting cannot make acceptable.
     pub(crate) fn pull_status(&self, pull: &PullRequest) -> Result<PullStatus<'_>, LedgerRefusal> {
         self.check_trainer(&pull.trainer)?;
         if let Some(batch) = self.recorded(pull.step) {
@@ -73,15 +74,16 @@
         })
     }
 
-    /// The batch recorded for a step.
+    /// Returns the batch recorded for a step that is handed over and not acknowledged.
     pub fn recorded(&self, step: StepId) -> Option<&Batch> {
         self.handed_over.get(&step)
     }
 
-    /// The part of a handed-over batch that begins with sample `from`.
+    /// Returns the part of a handed-over batch that begins with sample `from`.
     ///
     /// # Errors
-    /// When the step is not handed over to this trainer at the moment, or has no such sample.
+    /// Returns a refusal if the step is not handed over to this trainer, was already acknowledged,
+    /// or has no such sample.
     pub(super) fn batch_part(
         &self,
         trainer: &TrainerId,
@@ -103,8 +105,8 @@
         Ok(partial_batch(batch, from as usize))
     }
 
-    /// Records a hand-over, unless it is recorded already. The batch itself is not part of the
-    /// reply: the leader reads it from the state, and followers need no copy.
+    /// Records a hand-over unless it is already recorded. The reply does not contain the batch: the
+    /// leader reads it from the state, and followers need no copy.
     pub(super) fn hand_over(&mut self, pull: &PullRequest) -> LedgerReply {
         if self.faults.forget_handover {
             self.discard_hand_over(pull.step);
@@ -136,7 +138,8 @@
         LedgerReply::Done
     }
 
-    /// The batch a pull would get now; for the deliberate fault of answering before the commit.
+    /// Returns the batch that a pull would get from the current state; for the injected faults
+    /// that answer with an uncommitted batch.
     pub(crate) fn preview_batch(&self, pull: &PullRequest) -> Batch {
         let samples = self
             .first_scored(pull.count)
@@ -146,7 +149,7 @@
         self.batch(pull, samples)
     }
 
-    /// Whether the step was acknowledged, or lies before one that was.
+    /// Returns whether the step or a later one was acknowledged.
     pub(crate) fn is_acknowledged(&self, step: StepId) -> bool {
         self.acknowledged_step.is_some_and(|last| step <= last)
     }
@@ -183,7 +186,8 @@
         )))
     }
 
-    /// The only step that may be pulled anew; any, before the first pull.
+    /// Returns the only step that a new pull may request; `None` before the first pull, when any
+    /// step is allowed.
     fn next_step(&self) -> Option<StepId> {
         let handed_over = self.handed_over.last_key_value().map(|(step, _)| *step);
         let last = handed_over.max(self.acknowledged_step)?;
@@ -244,8 +248,8 @@
         }
     }
 
-    /// Staleness is counted against the newest version the trainer has ever stated, which is
-    /// never below the one in this pull.
+    /// Returns the version against which staleness is checked: the newest version that the trainer
+    /// has ever reported, which is never below the one in this pull.
     fn checked_version(&self, pull: &PullRequest) -> WeightVersion {
         self.trainer_version.max(pull.weight_version)
     }
@@ -267,7 +271,7 @@
         }
     }
 
-    /// The deliberate fault [`super::Faults::forget_handover`].
+    /// Injected fault [`super::Faults::forget_handover`]: discards a recorded hand-over.
     fn discard_hand_over(&mut self, step: StepId) {
         if let Some(batch) = self.handed_over.remove(&step) {
             for sample in &batch.samples {
@@ -277,7 +281,8 @@
     }
 }
 
-/// The part of a batch that begins with sample `from`; one sample at least, where there is one.
+/// Returns the part of a batch that begins with sample `from`. It contains at least one sample if
+/// the batch has one there.
 pub(super) fn partial_batch(batch: &Batch, from: usize) -> Batch {
     let mut bytes = 0;
     let samples = batch.samples.iter().skip(from).take_while(|sample| {
@@ -293,7 +298,7 @@
     }
 }
 
-/// The refusal of a pull that found too few samples.
+/// Returns the refusal of a pull that found too few ready samples.
 pub(crate) fn not_ready(ready: u32) -> LedgerRefusal {
     LedgerRefusal::NotReady {
         ready,
--- a/crates/nodes/wingshore-ledger/src/samples/requests.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/requests.rs
@@ -1,12 +1,12 @@
-//! What a request to a ledger group asks for: its pool, an answer that needs no log entry, or an
-//! operation for the log.
+//! Mapping of requests to a ledger group: the pool, an answer that needs no log entry, or the log
+//! operation.
 
 use super::command::Operation;
 use super::pool::PoolLedger;
 use wingshore_types::PoolId;
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
 
-/// The pool a request is about.
+/// Returns the pool of a request.
 pub(super) fn request_pool(request: &LedgerRequest) -> &PoolId {
     match request {
         LedgerRequest::Configure { pool, .. }
@@ -24,7 +24,7 @@
     }
 }
 
-/// The answer to a request that would change nothing; it costs no log entry.
+/// Returns the answer to a request that would not change the state and needs no log entry.
 pub(super) fn answer_from_state(request: &LedgerRequest, pool: &PoolLedger) -> Option<LedgerReply> {
     match request {
         LedgerRequest::Submit { prompts, .. } => pool.answer_submission(prompts),
@@ -60,7 +60,7 @@
     }
 }
 
-/// The operation a request asks for, when it is one that changes the state.
+/// Returns the log operation of a request, if the request maps directly to one.
 pub(super) fn operation_for(request: LedgerRequest) -> Option<Operation> {
     match request {
         LedgerRequest::Submit { pool, prompts } => Some(Operation::Submit { pool, prompts }),
@@ -86,7 +86,7 @@
     }
 }
 
-/// The operation that a node asks for about samples it leases.
+/// Returns the log operation of a node's request about its leases.
 fn operation_for_node_request(request: LedgerRequest) -> Option<Operation> {
     let operation = match request {
         LedgerRequest::Lease {
--- a/crates/nodes/wingshore-ledger/src/samples/scoring.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/scoring.rs
@@ -1,17 +1,19 @@
-//! Scores of finished samples, and which node is asked for them.
+//! Scores of finished samples, and offers of unscored samples to nodes.
 //!
-//! Question: which finished samples does a node get that asks for samples to score?
+//! Question: which finished samples does a node get when it requests samples to score?
 //!
-//! Inputs: the finished samples in queue order, what was offered before and when.
+//! Inputs: the finished samples in queue order, the earlier offers with their times.
 //!
-//! Rule: the first ones that no node was offered lately, up to [`MAX_UNSCORED_PER_REQUEST`] samples
-//! or [`MAX_TOKENS_PER_ANSWER`] tokens. An offer lasts [`INITIAL_OFFER`], each further one of the
-//! same generation twice as long, up to [`MAX_OFFER`]. The first score of a generation wins.
+//! Rule: the first samples without an active offer, up to [`MAX_UNSCORED_PER_REQUEST`] samples or
+//! [`MAX_TOKENS_PER_ANSWER`] tokens. The first offer of a generation lasts [`INITIAL_OFFER`], and
+//! each further one lasts twice as long, up to [`MAX_OFFER`]. The first score of a generation is
+//! accepted.
 //!
-//! Why: a lost answer costs little, and a slow scorer is not flooded with the same samples.
+//! Why: a lost answer causes only a short delay, and a slow scorer is not sent the same samples
+//! again and again.
 //!
-//! Missing input: offers are in the leader's memory only, so a new leader may offer samples that
-//! are being scored already.
+//! Missing input: offers are held in the leader's memory only, so a new leader may offer samples
+//! that are already being scored.
 
 use super::pool::{MAX_TOKENS_PER_ANSWER, PoolLedger, invalid};
 use super::stage::{Finished, Stage};
@@ -20,11 +22,11 @@
 use wingshore_types::protocol::ledger::{LedgerReply, UnscoredSample};
 use wingshore_types::{Instant, LeaseId, PoolId, SampleNumber};
 
-/// How long a finished sample is left to the first node that it was offered to.
+/// Duration of the first offer of a finished sample.
 const INITIAL_OFFER: Duration = Duration::from_secs(2);
-/// Longest offer.
+/// Maximum duration of an offer.
 const MAX_OFFER: Duration = Duration::from_secs(32);
-/// Most finished samples in one answer.
+/// Maximum number of finished samples in one answer.
 pub(crate) const MAX_UNSCORED_PER_REQUEST: u32 = 256;
 
 impl PoolLedger {
@@ -50,7 +52,7 @@
         LedgerReply::First(true)
     }
 
-    /// Finished generations without a score, in queue order.
+    /// Returns the finished generations without a score, in queue order.
     fn unscored(&self) -> impl Iterator<Item = (SampleNumber, &Finished)> + '_ {
         self.indexes.finished.iter().filter_map(|key| {
             let sample = self.open.get(&key.number())?;
@@ -80,8 +82,8 @@
     }
 }
 
-/// Which finished samples were given out for scoring, in the leader's memory only: a new leader
-/// may give them out again, and the first score wins.
+/// Finished samples that were offered for scoring. Held in the leader's memory only: a new leader
+/// may offer them again, and the first score is accepted.
 #[derive(Debug, Default)]
 pub(super) struct ScoringOffers {
     offers: BTreeMap<(PoolId, SampleNumber, LeaseId), Offer>,
@@ -94,7 +96,7 @@
 }
 
 impl ScoringOffers {
-    /// Finished samples that no node has been given lately.
+    /// Offers the first finished samples without an active offer and returns them.
     pub(super) fn offer(
         &mut self,
         now: Instant,
@@ -131,7 +133,7 @@
         offered
     }
 
-    /// Forgets offers of generations that no longer wait for a score.
+    /// Removes the offers of generations that no longer wait for a score.
     pub(super) fn prune(&mut self, pools: &BTreeMap<PoolId, PoolLedger>) {
         self.offers.retain(|(pool, number, lease), _| {
             let pool = pools.get(pool);
--- a/crates/nodes/wingshore-ledger/src/samples/stage.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/stage.rs
@@ -1,19 +1,20 @@
-//! One open sample and its stage.
+//! Open samples and their stages.
 
 use serde::{Deserialize, Serialize};
 use wingshore_types::{Generation, LeaseId, NodeId, Prompt, SampleNumber, Token, WeightVersion};
 
-/// The order in which samples are leased, scored and handed over: the oldest submission first;
-/// within one submission the longest allowed generation first, so that stragglers start early.
+/// Order in which samples are leased, scored and handed over: the oldest submission first, and
+/// within a submission the largest token limit first, so that stragglers start early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct QueueKey {
     submission: u64,
+    /// `u32::MAX` minus the token limit, so that larger limits sort first.
     shortness: u32,
     number: SampleNumber,
 }
 
 impl QueueKey {
-    /// The key of a prompt that came with the given submission.
+    /// Returns the key of a prompt of the given submission.
     pub(crate) fn new(submission: u64, prompt: &Prompt) -> Self {
         Self {
             submission,
@@ -22,20 +23,20 @@
         }
     }
 
-    /// The sample's number.
+    /// Returns the number of the sample.
     pub(crate) fn number(&self) -> SampleNumber {
         self.number
     }
 }
 
-/// A node's boot, which holds leases.
+/// Boot of a node that holds leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Holder {
     pub(crate) node: NodeId,
     pub(crate) boot_id: u64,
 }
 
-/// A whole generation and the lease it was made under.
+/// Complete generation and the lease under which it was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Finished {
     pub(crate) lease: LeaseId,
@@ -47,14 +48,14 @@
 pub(crate) enum Stage {
     /// Waits for a lease.
     Pending {
-        /// What an earlier attempt left.
+        /// Partial generation of an earlier attempt.
         partial: Generation,
     },
     /// A node generates it.
     Leased {
         lease: LeaseId,
         holder: Holder,
-        /// What an earlier attempt left; handed out again when this one is lost.
+        /// Partial generation of an earlier attempt, for the next attempt if this lease expires.
         partial: Generation,
     },
     /// Waits for its score.
@@ -64,7 +65,7 @@
 }
 
 impl Stage {
-    /// The oldest version among its tokens.
+    /// Returns the oldest weight version among the tokens of the generation.
     pub(crate) fn oldest_version(&self) -> Option<WeightVersion> {
         self.generation().oldest_version()
     }
@@ -77,7 +78,7 @@
     }
 }
 
-/// A sample that is not handed over yet.
+/// Sample that is not handed over yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct OpenSample {
     pub(crate) key: QueueKey,
@@ -86,32 +87,32 @@
 }
 
 impl OpenSample {
-    /// Tokens of the prompt and of what was generated.
+    /// Returns the number of tokens of the prompt and of the generation.
     pub(crate) fn tokens(&self) -> usize {
         self.prompt.tokens.len() + self.stage.generation().tokens.len()
     }
 
-    /// About the bytes it takes in a batch; not fewer.
+    /// Returns an upper estimate of the size of the sample in a batch, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         encoded_bytes(&self.prompt.tokens, self.stage.generation())
     }
 }
 
-/// About the bytes that a sample takes in a batch; not fewer.
+/// Returns an upper estimate of the size of a sample in a batch, in bytes.
 pub(crate) fn encoded_bytes(prompt: &[Token], generation: &Generation) -> usize {
-    /// Bytes of all but tokens and segments. The codec needs 48 at the most: 10 for each of the
-    /// number and three lengths, 8 for the score.
+    /// Bytes besides tokens and segments. The codec needs at most 48: 10 for each of the number and
+    /// three lengths, 8 for the score.
     const FIXED: usize = 64;
-    /// Bytes of a segment at the most: 10 for its version, 5 for each end of its range.
+    /// Maximum bytes of a segment: 10 for its version, 5 for each end of its range.
     const PER_SEGMENT: usize = 20;
     let tokens = prompt.iter().chain(&generation.tokens);
     let tokens: usize = tokens.map(|token| encoded_token_bytes(*token)).sum();
     FIXED + PER_SEGMENT * generation.segments.len() + tokens
 }
 
-/// Length of a token as a variable-length integer of seven bits a byte.
+/// Returns the length of a token as a variable-length integer with seven bits per byte.
 fn encoded_token_bytes(token: Token) -> usize {
-    /// Bits of a number in each byte; the eighth says whether more follow, as the codec defines it.
+    /// Payload bits per byte; the codec uses the eighth bit as the continuation flag.
     const BITS_PER_BYTE: u32 = 7;
     let bits = Token::BITS - token.leading_zeros();
     bits.div_ceil(BITS_PER_BYTE).max(1) as usize
--- a/crates/nodes/wingshore-ledger/src/samples/state.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of a ledger group.
+//! Replicated state of a ledger group.
 
 use super::command::{LedgerCommand, Operation};
 use super::faults::Faults;
@@ -10,10 +10,10 @@
 use wingshore_types::snapshot;
 use wingshore_types::{LogIndex, PoolId};
 
-/// First byte of a snapshot.
+/// Snapshot format version, the first byte of a snapshot.
 const SNAPSHOT_VERSION: u8 = 1;
 
-/// The pools of a ledger group.
+/// Pools of a ledger group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LedgerState {
     pools: BTreeMap<PoolId, PoolLedger>,
@@ -22,7 +22,7 @@
 }
 
 impl LedgerState {
-    /// An empty state with deliberate faults; for tests only.
+    /// Creates an empty state with injected faults; for tests only.
     pub fn with_faults(faults: Faults) -> Self {
         Self {
             pools: BTreeMap::new(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Switches deliberate faults on or off, for instance after a restore; for tests only.
+    /// Sets the injected faults, which a restore clears; for tests only.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
         for pool in self.pools.values_mut() {
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The pools by name.
+    /// Returns the pools by id.
     pub fn pools(&self) -> &BTreeMap<PoolId, PoolLedger> {
         &self.pools
     }
 
-    /// One pool.
+    /// Returns a pool, if it is configured.
     pub fn pool(&self, pool: &PoolId) -> Option<&PoolLedger> {
         self.pools.get(pool)
     }
--- a/crates/nodes/wingshore-ledger/src/samples/submissions.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/submissions.rs
@@ -1,13 +1,14 @@
-//! Question: which submitted samples does a pool take?
+//! Question: which submitted samples does a pool accept?
 //!
-//! Inputs: the prompts, the samples that are known, the pool's `max_open_samples`.
+//! Inputs: the prompts, the known samples, the pool's `max_open_samples`.
 //!
-//! Rule: a submission is taken whole or not at all. It is refused while more than
-//! `max_open_samples` would be submitted and not acknowledged, and for good when it alone has more.
-//! Numbers that are known are not added again; numbers that are no longer told apart from
-//! acknowledged ones are refused.
+//! Rule: a submission is accepted completely or not at all. It is refused temporarily while it
+//! would raise the number of unacknowledged samples above `max_open_samples`, and permanently when
+//! its new samples alone exceed the limit. Known numbers are not added again. Numbers so low that
+//! the pool no longer tracks whether they were acknowledged are refused.
 //!
-//! Why: a group's memory and its snapshots hold all open samples with their tokens, about 4 kB each.
+//! Why: the memory and the snapshots of a group hold all open samples with their tokens, about 4 kB
+//! each.
 
 use super::numbers::Membership;
 use super::pool::{FULL_RETRY_AFTER_MS, PoolLedger, invalid};
@@ -17,10 +18,10 @@
 use wingshore_types::protocol::ledger::{LedgerRefusal, LedgerReply};
 
 impl PoolLedger {
-    /// Checks a submission without making it.
+    /// Checks a submission without adding its samples.
     ///
     /// # Errors
-    /// The refusal; nothing of the submission may be added then.
+    /// Returns the refusal; no sample of the submission may be added then.
     pub(super) fn check_submission(&self, prompts: &[Prompt]) -> Result<(), LedgerRefusal> {
         let mut new = BTreeSet::new();
         for prompt in prompts {
@@ -44,7 +45,7 @@
         Ok(())
     }
 
-    /// The answer to a submission that would add nothing.
+    /// Returns the answer to a submission that would add no sample.
     pub(super) fn answer_submission(&self, prompts: &[Prompt]) -> Option<LedgerReply> {
         if let Err(refusal) = self.check_submission(prompts) {
             return Some(LedgerReply::Refused(refusal));
--- a/crates/nodes/wingshore-ledger/src/samples/waiting_pulls.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/waiting_pulls.rs
@@ -1,9 +1,9 @@
 //! Pulls that wait on the leader until their samples are ready.
 //!
-//! A pull waits as long as it asks for, at most [`MAX_PULL_WAIT`], and is then refused with what is
-//! ready. It is answered at once when its step is recorded, when waiting cannot help, or when
-//! [`MAX_WAITING_PULLS`] wait already. Waiting pulls are in the leader's memory only: the trainer
-//! pulls again after a change of leader.
+//! A pull waits for the time it requests, at most [`MAX_PULL_WAIT`], and is then refused with the
+//! number of ready samples. It is answered immediately when its step is recorded, when waiting
+//! cannot help, or when [`MAX_WAITING_PULLS`] already wait. Waiting pulls are held in the leader's
+//! memory only: the trainer pulls again after a leader change.
 
 use super::command::Operation;
 use super::leader::{LedgerLeader, Outputs, Waiter, refuse, reply};
@@ -15,12 +15,12 @@
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, PullRequest};
 use wingshore_types::{Instant, PoolId, StepId};
 
-/// Longest time a pull waits, whatever it asks for.
+/// Maximum waiting time of a pull, regardless of the time it requests.
 const MAX_PULL_WAIT: Duration = Duration::from_secs(60);
-/// Most pulls that wait at once; further ones are answered at once.
+/// Maximum number of pulls that wait at once; further ones are refused immediately.
 const MAX_WAITING_PULLS: usize = 256;
 
-/// A pull that waits for enough samples.
+/// Pull that waits for enough ready samples.
 #[derive(Debug)]
 pub(super) struct WaitingPull {
     tag: RequestTag,
@@ -50,7 +50,7 @@
         });
     }
 
-    /// Answers the pulls that can be answered now and proposes what the others need.
+    /// Answers the pulls that can be answered now and proposes the operations that the others need.
     pub(super) fn advance_pulls(&mut self, now: Instant, state: &LedgerState, out: &mut Outputs) {
         for waiting in std::mem::take(&mut self.waiting_pulls) {
             let Some(pool) = state.pool(&waiting.pool) else {
@@ -120,7 +120,8 @@
         self.enqueue(operation, waiter, out);
     }
 
-    /// The deliberate fault [`super::Faults::forget_handover`]: other samples for the same step.
+    /// Injected fault [`super::Faults::forget_handover`]: answers with other samples for the same
+    /// step.
     fn answer_with_new_batch(
         &mut self,
         waiting: &WaitingPull,
@@ -131,7 +132,8 @@
         first_part(&pool.preview_batch(&waiting.pull))
     }
 
-    /// Answers the pulls of a step whose hand-over was refused, unless waiting may help.
+    /// Refuses the waiting pulls of a step whose hand-over was refused as invalid. After any other
+    /// reply they continue to wait.
     pub(super) fn refuse_pulls(
         &mut self,
         pool: &PoolId,
