--- a/crates/nodes/wingshore-ledger/tests/batch_parts.rs
+++ b/crates/nodes/wingshore-ledger/tests/batch_parts.rs
@@ -1,4 +1,5 @@
-//! A batch that is larger than one answer is read in parts; the parts are what was recorded.
+//! A batch that is larger than one answer is read in parts, which must cover the recorded batch
+//! exactly.
 
 mod support;
 
@@ -8,10 +9,10 @@
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, LedgerRequest};
 use wingshore_types::{StepId, TrainerId};
 
-/// Tokens of a prompt that takes 5 MiB: an answer has room for two of them.
+/// Tokens of a prompt that takes 5 MiB, so that an answer contains two of them.
 const TOKENS: usize = 1 << 20;
 const SAMPLES: u64 = 5;
-/// Limit of a frame between processes, as in `wingshore_transport`.
+/// Maximum size of a frame between processes, as in `wingshore_transport`.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
 fn large_prompts() -> LedgerRequest {
@@ -38,7 +39,7 @@
 fn batch(reply: Option<LedgerReply>) -> Batch {
     match reply {
         Some(LedgerReply::Batch(batch)) => *batch,
-        _ => panic!("not a batch"),
+        _ => panic!("expected a batch"),
     }
 }
 
--- a/crates/nodes/wingshore-ledger/tests/claims.rs
+++ b/crates/nodes/wingshore-ledger/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency claims: against a model of plain maps, and scenario by scenario.
+//! Idempotency claims: comparison with a reference model, and single scenarios.
 
 mod support;
 
@@ -70,10 +70,10 @@
     Group::new(ClaimsState::default(), ClaimsLeader::default())
 }
 
-/// What is remembered of a key: fingerprint, attempt, last outcome, when it may be forgotten.
+/// Stored state of a key: fingerprint, attempt, last outcome, expiry in milliseconds.
 type ModelEntry = (u64, u64, Option<ClaimOutcome>, u64);
 
-/// The rules over a plain map. It also counts executions: each granted claim runs once.
+/// Reference model of the claim rules over a plain map.
 #[derive(Default)]
 struct Model {
     now_ms: u64,
@@ -194,7 +194,7 @@
                 Action::Restore => {
                     let snapshot = state.snapshot();
                     let bytes = state.bytes();
-                    state = ClaimsState::restore(&snapshot).expect("own snapshot");
+                    state = ClaimsState::restore(&snapshot).expect("own snapshot is valid");
                     prop_assert_eq!(state.snapshot(), snapshot);
                     prop_assert_eq!(state.bytes(), bytes);
                 }
@@ -209,16 +209,16 @@
     }
 }
 
-/// Grants of a key that may have run already. Independent of the model: between two grants to
-/// different attempts, the earlier attempt must have said first of all that it did not run, or the
-/// retention must have passed.
+/// Counts grants of a key whose request may have run already. Independent of the model: between two
+/// grants to different attempts, the first settlement of the earlier attempt must have been that
+/// the request did not run, or the retention must have passed.
 fn unsafe_grants(
     mut state: impl ReplicatedState<Command = ClaimsCommand, Reply = Vec<ClaimsReply>>,
     actions: Vec<Action>,
 ) -> u32 {
     let mut unsafe_grants = 0;
     let mut now_ms = 0;
-    // Key -> (attempt, time of its latest grant, whether it has settled).
+    // Key -> (attempt, time of its latest grant, whether the attempt has settled).
     let mut may_have_run: BTreeMap<u8, (u64, u64, bool)> = BTreeMap::new();
     for action in actions {
         match action {
@@ -312,7 +312,7 @@
     expect_that!(group.call(claim(1, 7, 2)), some(eq(&ClaimsReply::Granted)));
 }
 
-/// How much a group keeps, as its snapshots hold it.
+/// Capacity limits of a group, encoded as in its snapshots.
 #[derive(Clone, Copy, Serialize)]
 struct Limits {
     keys: u64,
@@ -326,7 +326,7 @@
     answer_bytes: 64 << 10,
 };
 
-/// An empty group with other limits: they are part of a snapshot, which says how much is kept.
+/// Returns an empty state with the given limits, restored from a snapshot that contains them.
 fn state_with_limits(limits: Limits) -> ClaimsState {
     let empty = |limits| {
         let (clock_ms, entries) = (0_u64, 0_u64);
--- a/crates/nodes/wingshore-ledger/tests/depth.rs
+++ b/crates/nodes/wingshore-ledger/tests/depth.rs
@@ -1,4 +1,4 @@
-//! How far ahead of its trainer a pool generates, by its weight on trainer idle time.
+//! How far ahead of its trainer a pool generates, depending on its weight of trainer idle time.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const COUNT: u32 = 16;
 
-/// A pool whose trainer took one step and asks for the next; answers how many samples are leased.
+/// Returns the number of samples that can be leased after the trainer has acknowledged one step.
 fn count_granted(weight: u16) -> usize {
     let mut group = support::ledger(Faults::default());
     group.call(configure_weight(2, 2, MAX_OPEN * 4, Permille(weight)));
--- a/crates/nodes/wingshore-ledger/tests/golden/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden/mod.rs
@@ -1,8 +1,8 @@
-//! Encoded examples of what a group stores, compared byte by byte with golden files.
+//! Byte-by-byte comparison of encoded commands and snapshots with golden files.
 //!
-//! A golden file has one line for each example: its name and its bytes in hexadecimal digits. A
-//! line never changes: logs and snapshots of one release are read by the next one. A new kind adds
-//! a line, which the failing test prints.
+//! A golden file has one line per example: its name and its bytes in hexadecimal digits. Existing
+//! lines never change, since the next release must read the logs and snapshots of the previous one.
+//! A new kind of example adds a line, which the failing test prints.
 
 use googletest::prelude::*;
 use serde::Serialize;
@@ -11,7 +11,7 @@
 use std::fmt::Write;
 use wingshore_types::machine::ReplicatedState;
 
-/// Compares each example, in the codec's bytes, with its line, and reads each line back.
+/// Compares each encoded example with its line, and decodes each line to the example again.
 pub fn check<T>(golden: &str, examples: &[T], name: fn(&T) -> &'static str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -23,11 +23,11 @@
     check_bytes(golden, &named.collect::<Vec<_>>());
     for (line, example) in golden.lines().zip(examples) {
         let read: T = postcard::from_bytes(&decode_line(line)).unwrap();
-        expect_that!(read == *example, eq(true), "read back: {read:?}");
+        expect_that!(read == *example, eq(true), "decoded: {read:?}");
     }
 }
 
-/// Compares snapshots with their lines, and restores each line.
+/// Compares the snapshots with their lines, and restores a state from each line.
 pub fn check_snapshots<S: ReplicatedState>(golden: &str, examples: &[(&str, S)]) {
     let named = examples
         .iter()
--- a/crates/nodes/wingshore-ledger/tests/golden_claims.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden_claims.rs
@@ -1,4 +1,4 @@
-//! Bytes of a claims group's commands and snapshots.
+//! Encoding of the commands and snapshots of a claims group.
 
 mod golden;
 
@@ -105,7 +105,7 @@
     check(golden, &commands(), name_of_command);
 }
 
-/// One key of each status.
+/// Returns a state with one key of each status.
 fn state_of_every_status() -> ClaimsState {
     let mut state = ClaimsState::default();
     let outcomes = [
--- a/crates/nodes/wingshore-ledger/tests/golden_samples.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden_samples.rs
@@ -1,4 +1,4 @@
-//! Bytes of a ledger group's commands and snapshots.
+//! Encoding of the commands and snapshots of a ledger group.
 
 mod golden;
 
@@ -189,8 +189,8 @@
     state
 }
 
-/// A pool with a sample in each stage, with and without a partial generation where it may have one.
-/// Leases count from 0, in the order of the sample numbers.
+/// Returns a pool with a sample in each stage, with and without a partial generation where the
+/// stage allows one. Lease ids count from 0, in the order of the sample numbers.
 fn state_of_every_stage() -> LedgerState {
     let state = state_after(vec![
         Operation::Configure {
--- a/crates/nodes/wingshore-ledger/tests/growth.rs
+++ b/crates/nodes/wingshore-ledger/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a long life leaves behind: nothing that grows with it.
+//! The size of the state and of the leader's memory must not grow with the work that was done.
 
 mod support;
 
@@ -17,18 +17,19 @@
 use wingshore_types::protocol::ledger::LedgerReply;
 
 const SAMPLES: u64 = 32;
-/// Numbers that grow take more bytes or digits; nothing else may.
+/// Allowed growth in bytes: larger numbers take more bytes or digits, nothing else may grow.
 const SIZE_TOLERANCE_BYTES: usize = 200;
-/// Bytes of a remembered range at most: two variable-length numbers.
+/// Maximum size of a stored range in bytes: two variable-length numbers.
 const RANGE_BYTES: usize = 20;
 
-/// Sizes of the replicated state and of the leader's memory.
+/// Returns the sizes of the replicated state and of the leader's memory.
 fn sizes(group: &Ledger) -> (usize, usize) {
     let memory = format!("{:?}", group.leader).len();
     (group.state.snapshot().len(), memory)
 }
 
-/// One step: nodes that were never seen before lease its samples, and half of them fall silent.
+/// Runs one step: two new nodes lease its samples and let the leases expire, then a third node
+/// leases all of them.
 fn run_step(group: &mut Ledger, step: u64, stride: u64) {
     let first = step * SAMPLES * stride;
     let numbers = (0..SAMPLES).map(|place| first + place * stride);
@@ -39,7 +40,8 @@
     let again = format!("again-{step}");
     kept.extend(lease_samples(group, &again, step, SAMPLES as u32));
     for lease in lost.iter().chain(&kept) {
-        // The late ones are duplicates.
+        // The first finish of a sample is accepted under any of its leases; later ones are
+        // duplicates.
         group.call(finish(lease.prompt.number.0, lease.lease, &[step]));
     }
     for lease in &kept {
@@ -67,7 +69,7 @@
     verify_that!(late.1, le(early.1 + SIZE_TOLERANCE_BYTES))
 }
 
-/// Numbers that leave gaps are remembered one by one, up to a bound.
+/// Numbers with gaps between them are stored as one range each, up to a bound.
 #[gtest]
 fn scattered_numbers_take_bounded_space() -> Result<()> {
     let mut group = ledger(Faults::default());
@@ -80,7 +82,7 @@
 
 type Claims = Group<ClaimsLeader>;
 
-/// An hour of claims, a third each answered, left open and found not run.
+/// Runs an hour of claims: a third each is answered, left open, and settled as not run.
 fn run_hour_of_claims(group: &mut Claims, hour: u64) {
     for number in 0..60 {
         let key = ClaimKey {
@@ -130,7 +132,7 @@
         format!("{:?}", group.leader).len(),
     );
     println!("snapshot and memory after 26 and 72 hours: {early:?}, {late:?}");
-    // A claim's last change may be in one hour or the next.
+    // The last change of a claim may fall into one hour or the next.
     verify_that!(late.0, le(early.0 + early.0 / retention as usize))?;
     verify_that!(late.1, le(early.1 + SIZE_TOLERANCE_BYTES))
 }
--- a/crates/nodes/wingshore-ledger/tests/model/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the ledger is meant to do, over plain maps, and what a test does to it.
+//! Reference model of the ledger over plain maps, and the actions of the model test.
 
 use crate::support::BOUND;
 use proptest::prelude::*;
@@ -9,8 +9,9 @@
 pub const NUMBERS: u64 = 14;
 pub const NODES: [&str; 2] = ["a", "b"];
 
-/// What the test does next; numbers are taken modulo what exists. With `own`, a report names the
-/// lease that the sample is really under; steps are counted from the one before the next.
+/// Next action of the test. Indexes are taken modulo the number of existing items. With `own`, a
+/// report uses the lease that the sample is actually under. Steps are offsets from the step before
+/// the next one.
 #[derive(Clone, Debug)]
 pub enum Action {
     Submit(Vec<u64>),
@@ -82,10 +83,10 @@
     Acknowledged,
 }
 
-/// What the ledger is meant to do, over plain maps.
+/// Reference model of the ledger.
 #[derive(Default)]
 pub struct Model {
-    /// Number -> (submission, place, versions of the tokens kept for resumption).
+    /// Number -> (submission, state, versions of the tokens kept for resumption).
     pub samples: BTreeMap<u64, (u64, SampleState, Vec<u64>)>,
     pub batches: BTreeMap<u64, Vec<u64>>,
     pub submissions: u64,
@@ -105,7 +106,7 @@
             .any(|version| *version < self.oldest_useful())
     }
 
-    /// Numbers at places that satisfy `wanted`, oldest submission first.
+    /// Returns the numbers of samples whose state satisfies `wanted`, oldest submission first.
     pub fn queue(&self, wanted: impl Fn(&SampleState) -> bool) -> Vec<u64> {
         let mut found: Vec<(u64, u64)> = self
             .samples
@@ -154,11 +155,14 @@
         }
     }
 
-    /// Numbers that are leased now, in order.
+    /// Grants leases and returns the leased numbers in queue order.
     pub fn lease(&mut self, node: usize, boot_id: u64, most: u32) -> Vec<u64> {
-        for number in self.queue(
-            |state| matches!(state, SampleState::Leased(_, n, boot) if *n == node && *boot != boot_id),
-        ) {
+        for number in self.queue(|state| {
+            matches!(
+                state,
+                SampleState::Leased(_, n, boot) if *n == node && *boot != boot_id
+            )
+        }) {
             self.set_state(number, SampleState::Pending);
         }
         let mut chosen = self.queue(|state| *state == SampleState::Pending);
@@ -220,13 +224,13 @@
         let oldest_useful = self.oldest_useful();
         let too_old = |versions: &[u64]| versions.iter().any(|version| *version < oldest_useful);
         for (_, state, kept) in self.samples.values_mut() {
-            let is_useless = match state {
+            let has_old_tokens = match state {
                 SampleState::Finished(_, versions) | SampleState::Scored(versions) => {
                     too_old(versions)
                 }
                 _ => false,
             };
-            if is_useless {
+            if has_old_tokens {
                 *state = SampleState::Pending;
                 kept.clear();
             }
@@ -242,7 +246,7 @@
         next.is_none_or(|next| next == step) && self.batches.len() < 2
     }
 
-    /// The batch of the step afterwards.
+    /// Hands over a step and returns its batch, or `None` if the request is refused.
     pub fn hand_over(&mut self, step: u64, version: u64, count: usize) -> Option<Vec<u64>> {
         if let Some(batch) = self.batches.get(&step) {
             return Some(batch.clone()).filter(|batch| batch.len() == count);
--- a/crates/nodes/wingshore-ledger/tests/samples_faults.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_faults.rs
@@ -1,5 +1,5 @@
-//! A random workload as nodes and a trainer see it, with lost answers and changing leaders. The
-//! trainer's own log must show no broken promise, and must show one for each deliberate fault.
+//! A random workload of nodes and a trainer, with lost answers and leader changes. The log of the
+//! trainer must show no violated guarantee, and must show one for each injected fault.
 
 mod support;
 
@@ -17,7 +17,7 @@
 const ACTIONS: u32 = 1_500;
 const BATCH: u32 = 3;
 
-/// Broken promises that the trainer's log shows.
+/// Violated guarantees found in the trainer's log.
 #[derive(Debug, Default, PartialEq)]
 struct Violations {
     delivered_twice: u32,
@@ -25,10 +25,10 @@
     changed_batches: u32,
 }
 
-/// What the trainer writes down, independent of the ledger.
+/// Batches that the trainer received, recorded independently of the ledger.
 #[derive(Default)]
 struct TrainerLog {
-    /// Step -> (the version stated, the first answer's bytes, its sample numbers).
+    /// Step -> (version in the pull, bytes of the first answer, its sample numbers).
     steps: BTreeMap<u64, (u64, Vec<u8>, Vec<u64>)>,
     violations: Violations,
 }
@@ -77,12 +77,12 @@
             version: 1,
         };
         for _ in 0..ACTIONS {
-            workload.act();
+            workload.run_random_action();
         }
         (workload.log.violations, workload.step)
     }
 
-    fn act(&mut self) {
+    fn run_random_action(&mut self) {
         match self.random.random_range(0..100) {
             0..10 => self.submit(),
             10..25 => self.lease(),
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Finishes some lease, old ones included, so that late and double finishes are common.
+    /// Finishes a random recent lease, possibly an ended one, so that late and duplicate finishes
+    /// are common.
     fn finish(&mut self) {
         if self.leases.is_empty() {
             return;
@@ -137,7 +138,7 @@
     fn pull(&mut self) {
         let tag = self.group.request(pull(self.step, self.version, BATCH, 0));
         if self.random.random_ratio(1, 4) {
-            // The answer, where there is one already, leaves just before the leader is lost.
+            // An answer that exists already is sent just before the leader is lost.
             self.take_reply(tag);
             return self.change_leader();
         }
--- a/crates/nodes/wingshore-ledger/tests/samples_leader.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_leader.rs
@@ -1,4 +1,4 @@
-//! What the leader of a ledger group does, scenario by scenario.
+//! Scenarios of the leader of a ledger group.
 
 mod support;
 
@@ -19,7 +19,7 @@
 fn batch(reply: Option<LedgerReply>) -> Batch {
     match reply {
         Some(LedgerReply::Batch(batch)) => *batch,
-        other => panic!("not a batch: {other:?}"),
+        other => panic!("expected a batch, got {other:?}"),
     }
 }
 
@@ -353,7 +353,7 @@
         };
         match group.call(request) {
             Some(LedgerReply::Unscored(samples)) => samples.len(),
-            other => panic!("not samples: {other:?}"),
+            other => panic!("expected samples, got {other:?}"),
         }
     };
     for seconds in [2, 4, 8] {
@@ -386,7 +386,7 @@
 #[gtest]
 fn a_batch_beyond_the_limit_is_refused_and_a_smaller_one_is_not() {
     const TOKENS: usize = 1 << 20;
-    /// One sample takes 5 MiB; 128 MiB are allowed.
+    /// One sample takes 5 MiB, and a batch may take 128 MiB.
     const TOO_MANY: u32 = 26;
     let mut group = ledger(Faults::default());
     let prompts = (0..u64::from(TOO_MANY)).map(|number| {
@@ -439,7 +439,7 @@
     expect_that!(numbers.membership(5), eq(Membership::Forgotten));
 }
 
-/// More operations than may queue and be in flight together.
+/// More operations than may be queued and in flight together.
 const TOO_MANY: u64 = 70_000;
 
 #[gtest]
@@ -453,7 +453,7 @@
         refused += usize::from(group.replies.contains_key(&tag));
     }
     expect_that!(refused, gt(0));
-    // The leases run out by the next tick, before anything that queues is committed.
+    // The leases expire by the next tick, before any queued operation is committed.
     group.now = group.now + Duration::from_millis(LEASE_MS);
     group.advance_time(Duration::from_secs(1));
     expect_that!(counts(&group).leased, eq(0));
--- a/crates/nodes/wingshore-ledger/tests/samples_model.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_model.rs
@@ -1,4 +1,4 @@
-//! The replicated ledger against a model made of plain maps, operation by operation.
+//! Comparison of the replicated ledger with a reference model, operation by operation.
 
 mod model;
 mod support;
@@ -14,7 +14,7 @@
     Generation, LeaseId, LogIndex, NodeId, Revision, SampleNumber, StepId, WeightVersion,
 };
 
-/// Both side by side.
+/// The ledger state and the reference model, to which the same operations are applied.
 struct LedgerAndModel {
     state: LedgerState,
     model: Model,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A step near the next one: the one before for 0, the next one for 1.
+    /// Returns a step near the next one: the step before it for offset 0, the next step for 1.
     fn step_near(&self, offset: u64) -> u64 {
         let last = self.model.batches.keys().next_back().copied();
         let next = last
@@ -73,7 +73,7 @@
         next + offset - 1
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Submit(numbers) => {
                 let prompts = numbers.iter().copied().map(prompt).collect();
@@ -153,7 +153,7 @@
             }
             Action::Restore => {
                 let snapshot = self.state.snapshot();
-                self.state = LedgerState::restore(&snapshot).expect("own snapshot");
+                self.state = LedgerState::restore(&snapshot).expect("own snapshot is valid");
                 assert_eq!(self.state.snapshot(), snapshot);
             }
         }
@@ -169,7 +169,7 @@
         let first = self.model.leases;
         let expected = self.model.lease(node, boot_id, most);
         let LedgerReply::Leases(granted) = reply else {
-            panic!("not leases: {reply:?}");
+            panic!("expected leases, got {reply:?}");
         };
         for (position, granted) in granted.iter().enumerate() {
             let number = granted.prompt.number.0;
@@ -249,7 +249,7 @@
     fn the_ledger_matches_the_model(actions in actions()) {
         let mut pair = LedgerAndModel::new();
         for action in actions {
-            pair.act(action);
+            pair.apply_action(action);
             pair.compare_counts();
         }
     }
@@ -258,8 +258,8 @@
     fn snapshots_at_every_point_change_nothing(actions in actions()) {
         let mut pair = LedgerAndModel::new();
         for action in actions {
-            pair.act(Action::Restore);
-            pair.act(action);
+            pair.apply_action(Action::Restore);
+            pair.apply_action(action);
         }
     }
 
@@ -285,7 +285,7 @@
         most: 3,
     });
     let LedgerReply::Leases(granted) = reply else {
-        panic!("not leases: {reply:?}");
+        panic!("expected leases, got {reply:?}");
     };
     let numbers: Vec<u64> = granted.iter().map(|g| g.prompt.number.0).collect();
     expect_that!(numbers, eq(&vec![2, 1, 3]));
--- a/crates/nodes/wingshore-ledger/tests/support/mod.rs
+++ b/crates/nodes/wingshore-ledger/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One group without a network: a replicated state and the leader machine on top of it.
+//! A group without a network: a replicated state and the leader state machine on top of it.
 
 #![allow(dead_code)]
 
@@ -17,10 +17,10 @@
 
 type Command<L> = <<L as LeaderMachine>::State as ReplicatedState>::Command;
 
-/// How often the leader is told the time.
+/// Interval between ticks of the leader.
 const TICK: Duration = Duration::from_millis(100);
 
-/// A group whose commits the test decides on.
+/// A group whose commits are controlled by the test.
 pub struct Group<L: LeaderMachine> {
     pub now: Instant,
     pub state: L::State,
@@ -48,7 +48,7 @@
         group
     }
 
-    /// Hands a request to the leader; nothing is committed.
+    /// Sends a request to the leader without committing any proposal.
     pub fn request(&mut self, request: L::Request) -> RequestTag {
         let tag = RequestTag(self.next_request);
         self.next_request += 1;
@@ -59,7 +59,7 @@
         tag
     }
 
-    /// Hands a request to the leader and commits until nothing is proposed any more.
+    /// Sends a request to the leader, commits all proposals and returns the reply, if there is one.
     pub fn call(&mut self, request: L::Request) -> Option<L::Reply> {
         let tag = self.request(request);
         self.commit_all();
@@ -70,7 +70,7 @@
         while self.commit_one() {}
     }
 
-    /// Applies the oldest proposal.
+    /// Commits and applies the oldest proposal; returns `false` if there is none.
     pub fn commit_one(&mut self) -> bool {
         let Some((tag, command)) = self.proposals.pop_front() else {
             return false;
@@ -85,7 +85,7 @@
         true
     }
 
-    /// Lets time pass, committing what is proposed.
+    /// Advances the clock in ticks and commits all proposals after each.
     pub fn advance_time(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -97,7 +97,8 @@
         }
     }
 
-    /// A new leader, whose clock shows `now`; what was not committed is lost.
+    /// Replaces the leader by one whose clock shows `now`. Uncommitted proposals and replies that
+    /// were not read are lost.
     pub fn change_leader(&mut self, leader: L, now: Instant) {
         self.proposals.clear();
         self.replies.clear();
@@ -106,10 +107,10 @@
         self.begin_leadership();
     }
 
-    /// Replaces the state by its own snapshot.
+    /// Restores the state from its own snapshot.
     pub fn restore(&mut self) {
         let snapshot = self.state.snapshot();
-        self.state = L::State::restore(&snapshot).expect("own snapshot");
+        self.state = L::State::restore(&snapshot).expect("own snapshot is valid");
         assert_eq!(self.state.snapshot(), snapshot);
     }
 
@@ -149,7 +150,7 @@
     TrainerId::new("trainer")
 }
 
-/// A configured ledger with one pool.
+/// Creates a ledger group with one configured pool.
 pub fn ledger(faults: Faults) -> Ledger {
     let state = LedgerState::with_faults(faults);
     let mut group = Group::new(state, LedgerLeader::with_faults(faults));
@@ -203,7 +204,7 @@
     }
 }
 
-/// One token by each of `versions`.
+/// Returns a generation with one token per version in `versions`.
 pub fn generation(versions: &[u64]) -> Generation {
     let mut generation = Generation::default();
     for (position, version) in versions.iter().enumerate() {
@@ -255,15 +256,15 @@
     }
 }
 
-/// Leases up to `most` samples for a node.
+/// Leases up to `most` samples for a node and returns the leases.
 pub fn lease_samples(group: &mut Ledger, node: &str, boot_id: u64, most: u32) -> Vec<SampleLease> {
     match group.call(lease(node, boot_id, most)) {
         Some(LedgerReply::Leases(leases)) => leases,
-        other => panic!("not leases: {other:?}"),
+        other => panic!("expected leases, got {other:?}"),
     }
 }
 
-/// Submits, leases, finishes by `version` and scores the samples.
+/// Submits samples, then leases all pending ones, finishes them with `version` and scores them.
 pub fn submit_and_score(group: &mut Ledger, numbers: impl IntoIterator<Item = u64>, version: u64) {
     group.call(submit(numbers));
     loop {
