--- a/crates/nodes/wingshore-request/src/answer.rs
+++ b/crates/nodes/wingshore-request/src/answer.rs
@@ -5,22 +5,22 @@
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::StoredAnswer;
 
-/// Stable codes of errors; `docs/API.md` lists them.
+/// Stable error codes of the API; `docs/API.md` lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ErrorCode {
-    /// The router refused; its own code.
+    /// The router refused the request, with the given refusal code.
     Routing(RefusalCode),
     /// No connection to any server could be made.
     ConnectFailed,
-    /// The servers asked said themselves that they did not run it.
+    /// The servers rejected the request explicitly, without running it.
     RefusedByServer,
-    /// The connection to the server broke.
+    /// The connection to the server was lost.
     ConnectionLost,
-    /// The server's answer was cut short.
+    /// The server's answer was truncated.
     AnswerCut,
-    /// The server's answer is larger than the node takes.
+    /// The server's answer exceeds the node's size limit.
     AnswerTooLarge,
-    /// The server's answer breaks the protocol.
+    /// The server's answer violates the protocol.
     BadAnswer,
     /// The node lost its configuration lease.
     LeaseLost,
@@ -28,18 +28,18 @@
     DeadlineExceeded,
     /// Another attempt under the same idempotency key may have run, or is running.
     KeyTaken,
-    /// The request under this idempotency key ran; its answer is not kept.
+    /// The request under this idempotency key ran, but its answer was not stored.
     AlreadyRan,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyMismatch,
-    /// The group that keeps idempotency keys takes no more now.
+    /// The claims group has no capacity for further idempotency keys at the moment.
     ClaimsFull,
-    /// The group that keeps idempotency keys did not answer.
+    /// The claims group did not answer.
     ClaimsUnavailable,
 }
 
 impl ErrorCode {
-    /// Stable text of the code.
+    /// Returns the stable text of the code, as sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Routing(code) => code.as_str(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The HTTP status it is answered with.
+    /// Returns the HTTP status of an answer with this code.
     pub fn status(self) -> u16 {
         match self {
             Self::Routing(RefusalCode::UnknownService) => 404,
@@ -77,21 +77,22 @@
     }
 }
 
-/// An error as the caller gets it.
+/// An error as returned to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// Stable code.
+    /// Stable error code.
     pub code: ErrorCode,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What went wrong, where, and what is allowed.
+    /// Explanation for the caller: what went wrong, where, and what is allowed.
     pub message: String,
-    /// When asking again makes sense; `None` where it never does.
+    /// Time after which the caller may retry; `None` when a retry cannot succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestError {
-    /// A refusal of the router, after attempts whose worst verdict is `verdict`.
+    /// Creates the error for a refusal by the router; `verdict` is the worst verdict of the
+    /// attempts made before it.
     pub fn from_refusal(refusal: Refusal, verdict: Verdict) -> Self {
         Self {
             code: ErrorCode::Routing(refusal.code),
@@ -102,16 +103,16 @@
     }
 }
 
-/// The final answer to a caller; exactly one per execution, unless the caller has gone.
+/// The final answer to a caller. Each execution gives exactly one, unless the caller disconnects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The answer that the attempt of this number brought.
+    /// Forwards the answer received by an attempt.
     Forward {
-        /// The attempt, from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
     },
-    /// The kept answer of an earlier request with the same idempotency key.
+    /// Returns the stored answer of an earlier request with the same idempotency key.
     Replay(StoredAnswer),
-    /// An error.
+    /// Returns an error.
     Error(RequestError),
 }
--- a/crates/nodes/wingshore-request/src/attempt.rs
+++ b/crates/nodes/wingshore-request/src/attempt.rs
@@ -1,47 +1,48 @@
-//! How one attempt at a back end ended, and what its failure says about the execution.
+//! The result of one attempt at a server, and what a failure implies about the execution of the
+//! request.
 //!
 //! Question: may the request of a failed attempt have run?
-//! Input: the kind of the failure, as the driver of the sockets saw it.
-//! Rule: it did not run where no byte left or where the server itself says so; it ran where an
-//! answer came that is too large; in all other cases it may have run.
-//! Why: a request that must not be repeated is sent again only after an attempt that did not run.
+//! Input: the kind of the failure, as reported by the driver of the sockets.
+//! Rule: the request did not run if no byte was sent or the server rejected it explicitly. It ran
+//! if the answer exceeded the size limit. In all other cases it may have run.
+//! Why: a non-repeatable request is retried only after an attempt that did not run.
 
 use std::time::Duration;
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::StoredAnswer;
 
-/// Whether all of an answer's body came.
+/// Whether the body of an answer was received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerBody {
-    /// To its declared end.
+    /// Received up to its declared end.
     Whole,
-    /// Less than was declared, or without its end.
+    /// Shorter than declared, or without an end marker.
     Cut,
 }
 
 /// What went wrong with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureKind {
-    /// No connection was made: no byte left.
+    /// No connection was established, so no byte was sent.
     ConnectFailed,
-    /// The server says itself that it did not run the request.
+    /// The server rejected the request explicitly, without running it.
     RefusedByServer,
-    /// The connection broke after bytes may have left.
+    /// The connection was lost after bytes may have been sent.
     ConnectionLost,
     /// The answer ended before its declared end.
     AnswerCut,
-    /// The answer is larger than the node takes.
+    /// The answer exceeds the node's size limit.
     AnswerTooLarge,
-    /// No answer within the deadline.
+    /// No answer arrived before the deadline.
     TimedOut,
-    /// The answer is not what the protocol allows.
+    /// The answer violates the protocol.
     BadAnswer,
-    /// The node lost its configuration lease before the first byte left.
+    /// The node's configuration lease expired before the first byte was sent.
     LeaseLost,
 }
 
 impl FailureKind {
-    /// What it says about the execution.
+    /// Returns what this failure implies about the execution of the request.
     pub fn verdict(self) -> Verdict {
         match self {
             Self::ConnectFailed | Self::RefusedByServer | Self::LeaseLost => Verdict::NotRun,
@@ -56,26 +57,26 @@
 /// A failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// What went wrong.
+    /// Kind of the failure.
     pub kind: FailureKind,
-    /// The same in words, for the caller.
+    /// Description of the failure for the caller.
     pub message: String,
-    /// When the server wants to be asked again, where it says so.
+    /// Retry-after given by the server, if any.
     pub retry_after: Option<Duration>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The server answered.
+    /// The server answered, completely or not.
     Answered {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Whether the body is whole.
+        /// Whether the body is complete.
         body: AnswerBody,
-        /// The answer, where it is small enough to be kept for repeats of the key.
+        /// The answer, if it is small enough to be stored under the idempotency key for replays.
         kept: Option<StoredAnswer>,
     },
-    /// It failed.
+    /// The attempt failed.
     Failed(AttemptFailure),
 }
--- a/crates/nodes/wingshore-request/src/claim.rs
+++ b/crates/nodes/wingshore-request/src/claim.rs
@@ -1,11 +1,11 @@
-//! What an execution asks of the claims group that holds its idempotency key.
+//! Requests of an execution to the claims group that owns its idempotency key.
 
 use crate::messages::ExecutionOutput;
 use crate::specification::ClaimIntent;
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::{ClaimOutcome, ClaimsRequest};
 
-/// The claim of the key, to be granted before the first byte leaves.
+/// Returns the output that claims the key; the claim must be granted before the first byte is sent.
 pub(crate) fn claim_output(claim: &ClaimIntent) -> ExecutionOutput {
     ExecutionOutput::Claim {
         group: claim.group,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The report of how the claim ended.
+/// Returns the output that settles the claim with `outcome`.
 pub(crate) fn settle_output(claim: &ClaimIntent, outcome: ClaimOutcome) -> ExecutionOutput {
     ExecutionOutput::Settle {
         group: claim.group,
@@ -29,7 +29,8 @@
     }
 }
 
-/// How a claim ends whose request was given up: the key is freed only when no attempt can have run.
+/// Returns the outcome of a claim whose request failed. The key is released only if no attempt can
+/// have run.
 pub(crate) fn outcome_of_verdict(verdict: Verdict) -> ClaimOutcome {
     match verdict {
         Verdict::NotRun => ClaimOutcome::NotRun,
--- a/crates/nodes/wingshore-request/src/configuration_view.rs
+++ b/crates/nodes/wingshore-request/src/configuration_view.rs
@@ -1,8 +1,8 @@
 //! The node's copy of the replicated configuration.
 //!
-//! The revision in force here never goes down. An update that does not fit what is held changes
-//! nothing and makes the next watch ask for the whole. The lease is counted from the moment the
-//! watch was *sent*, so that it ends here no later than the control group believes.
+//! The local revision never decreases. An update that does not apply to the local revision changes
+//! nothing and makes the next watch request a full snapshot. The lease starts when the watch was
+//! *sent*, so it expires here no later than the control group assumes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,97 +10,97 @@
 use wingshore_types::protocol::control::ConfigurationUpdate;
 use wingshore_types::{Instant, Revision};
 
-/// What a node does with new work while it holds no configuration lease.
+/// Policy for new work while the node holds no configuration lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WithoutLease {
-    /// Refuses it as not run. Keeps the promise that an accepted configuration is in force
-    /// everywhere within the lease.
+    /// Refuses new work as not run. This guarantees that a committed configuration is in force on
+    /// every node within one lease duration.
     #[default]
     Refuse,
-    /// Serves it by the last configuration known, which may be out of date.
+    /// Serves new work under the last known configuration, which may be stale.
     Serve,
 }
 
-/// Why new work is not admitted.
+/// Reason why new work is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAdmitted {
     /// No configuration has arrived yet.
     NoConfiguration,
-    /// The configuration lease has run out, and the setting is to refuse without one.
+    /// The configuration lease has expired, and [`WithoutLease::Refuse`] is set.
     LeaseExpired,
 }
 
-/// What the next watch is to ask for.
+/// Revisions that the next watch request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchPosition {
-    /// The revision to ask from: zero when the whole is wanted.
+    /// The revision from which changes are requested; zero requests a full snapshot.
     pub have: Revision,
     /// The revision to acknowledge as in force.
     pub in_force: Revision,
 }
 
-/// What an update did.
+/// Effect of a configuration update on the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// The configuration is the one held already; the lease was renewed.
+    /// The revision did not change; the lease was renewed.
     Unchanged,
-    /// A later configuration is in force; the lease was renewed.
+    /// A newer configuration is in force; the lease was renewed.
     Advanced {
-        /// The revision before.
+        /// The previous revision.
         from: Revision,
-        /// The revision now.
+        /// The new revision.
         to: Revision,
     },
-    /// The update leads to a lower revision than the one in force; nothing was changed.
+    /// The update results in a lower revision than the one in force; it was ignored.
     Older {
-        /// The revision it leads to.
+        /// The revision that the update results in.
         offered: Revision,
     },
-    /// The update does not fit what is held; nothing was changed, and the next watch asks for
-    /// the whole.
+    /// The update does not apply to the local revision; it was ignored, and the next watch requests
+    /// a full snapshot.
     Misfit,
 }
 
-/// The copy of the configuration, its lease, and what may be admitted under it.
+/// The node's copy of the configuration and its lease, which decide whether new work is admitted.
 #[derive(Clone, Debug)]
 pub struct ConfigurationView {
     configuration: Arc<Configuration>,
     received: bool,
-    wants_whole: bool,
-    lease_until: Option<Instant>,
+    needs_snapshot: bool,
+    lease_expires_at: Option<Instant>,
     without_lease: WithoutLease,
 }
 
 impl ConfigurationView {
-    /// A view that has received nothing yet.
+    /// Creates a view that has received no configuration yet.
     pub fn new(without_lease: WithoutLease) -> Self {
         Self {
             configuration: Arc::new(Configuration::default()),
             received: false,
-            wants_whole: false,
-            lease_until: None,
+            needs_snapshot: false,
+            lease_expires_at: None,
             without_lease,
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
         self.configuration.revision
     }
 
-    /// Whether any configuration has arrived.
+    /// Returns whether a configuration has been received.
     pub fn is_received(&self) -> bool {
         self.received
     }
 
-    /// What the next watch is to ask for and acknowledge.
+    /// Returns the revisions that the next watch requests and acknowledges.
     pub fn watch_position(&self) -> WatchPosition {
-        let have = if self.wants_whole {
+        let have = if self.needs_snapshot {
             Revision(0)
         } else {
             self.revision()
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Applies the answer to a watch that was sent at `sent_at`.
+    /// Applies the answer to a watch that was sent at `sent_at`. Unless the update is ignored, the
+    /// lease is extended to `sent_at + lease`.
     pub fn apply(
         &mut self,
         sent_at: Instant,
@@ -119,37 +120,37 @@
         lease: Duration,
     ) -> UpdateOutcome {
         let outcome = match update {
-            ConfigurationUpdate::Unchanged => self.keep(),
+            ConfigurationUpdate::Unchanged => self.on_unchanged(),
             ConfigurationUpdate::Delta { from, changes } => self.apply_delta(from, &changes),
             ConfigurationUpdate::Snapshot(whole) => self.advance_to(*whole),
         };
         match outcome {
             UpdateOutcome::Unchanged | UpdateOutcome::Advanced { .. } => {
                 self.received = true;
-                self.wants_whole = false;
+                self.needs_snapshot = false;
                 self.extend_lease(sent_at + lease);
             }
-            UpdateOutcome::Misfit => self.wants_whole = true,
+            UpdateOutcome::Misfit => self.needs_snapshot = true,
             UpdateOutcome::Older { .. } => {}
         }
         outcome
     }
 
-    /// Whether the configuration lease is held at `now`.
+    /// Returns whether the configuration lease is valid at `now`.
     pub fn holds_lease(&self, now: Instant) -> bool {
-        self.lease_until.is_some_and(|until| now < until)
+        self.lease_expires_at.is_some_and(|until| now < until)
     }
 
-    /// Time left of the lease; zero when none is held.
+    /// Returns the remaining time of the lease; zero when none is held.
     pub fn lease_left(&self, now: Instant) -> Duration {
-        self.lease_until
+        self.lease_expires_at
             .map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// Whether new work may be admitted at `now`.
+    /// Checks whether new work may be admitted at `now`.
     ///
     /// # Errors
-    /// Says what is missing; the work has not run.
+    /// Returns the reason when new work must be refused; the work has not run.
     pub fn may_admit(&self, now: Instant) -> Result<(), NotAdmitted> {
         if !self.received {
             return Err(NotAdmitted::NoConfiguration);
@@ -160,10 +161,10 @@
         Err(NotAdmitted::LeaseExpired)
     }
 
-    /// "Unchanged" answers the position asked for: it means nothing to a view that asked for the
-    /// whole while something was in force already.
-    fn keep(&self) -> UpdateOutcome {
-        if self.wants_whole && self.revision() != Revision(0) {
+    /// Handles `Unchanged`, which refers to the requested revision: it is invalid for a view that
+    /// requested a full snapshot while a configuration was already in force.
+    fn on_unchanged(&self) -> UpdateOutcome {
+        if self.needs_snapshot && self.revision() != Revision(0) {
             return UpdateOutcome::Misfit;
         }
         UpdateOutcome::Unchanged
@@ -197,8 +198,10 @@
     }
 
     fn extend_lease(&mut self, until: Instant) {
-        let later = self.lease_until.map_or(until, |current| current.max(until));
-        self.lease_until = Some(later);
+        let later = self
+            .lease_expires_at
+            .map_or(until, |current| current.max(until));
+        self.lease_expires_at = Some(later);
     }
 }
 
--- a/crates/nodes/wingshore-request/src/errors.rs
+++ b/crates/nodes/wingshore-request/src/errors.rs
@@ -1,11 +1,11 @@
-//! The errors that end a caller's request.
+//! Final errors of a caller's request.
 //!
 //! Question: which code, verdict and retry-after does a caller get?
 //! Inputs: the last failure, the worst verdict of all attempts, whether the deadline has passed, or
 //! the answer of the claims group.
-//! Rule: a passed deadline goes before the last failure. The verdict is never better than that of
-//! the worst attempt. The retry-after is what the server or the claims group names, else
-//! [`DEFAULT_RETRY_AFTER`]; there is none where asking again cannot help.
+//! Rule: a passed deadline takes precedence over the last failure. The verdict is never better than
+//! that of the worst attempt. The retry-after is the one given by the server or the claims group,
+//! otherwise [`DEFAULT_RETRY_AFTER`]; it is absent where a retry cannot help.
 
 use crate::answer::{ErrorCode, RequestError};
 use crate::attempt::{AttemptFailure, FailureKind};
@@ -13,10 +13,11 @@
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::ClaimsReply;
 
-/// Retry-after where neither server nor claims group names one.
+/// Retry-after when neither the server nor the claims group gives one.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The error after the last attempt, which failed; `verdict` is the worst of all attempts.
+/// Returns the error after the last attempt failed; `verdict` is the worst verdict of all attempts,
+/// `expired` whether the deadline has passed.
 pub(crate) fn attempt_error(
     failure: &AttemptFailure,
     verdict: Verdict,
@@ -41,7 +42,7 @@
     }
 }
 
-/// The error of a request whose deadline passed.
+/// Returns the error of a request whose deadline passed.
 pub(crate) fn deadline_error(verdict: Verdict) -> RequestError {
     RequestError {
         code: ErrorCode::DeadlineExceeded,
@@ -51,7 +52,7 @@
     }
 }
 
-/// The error for a claim that was not granted.
+/// Returns the error for a claim that was not granted.
 pub(crate) fn claim_error(reply: &ClaimsReply) -> RequestError {
     let (code, verdict, message, retry_after_ms) = match reply {
         ClaimsReply::Taken { retry_after_ms } => (
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -1,12 +1,12 @@
-//! One caller's request as a state machine.
+//! State machine of one caller's request.
 //!
-//! claim (when it has an idempotency key) -> attempts, each through the router -> settle the
-//! claim -> final answer. A request that must not be repeated is sent again only after an attempt
-//! that certainly did not run.
+//! Phases: claim (if the request has an idempotency key) -> attempts, each routed by the router ->
+//! settlement of the claim -> final answer. A non-repeatable request is retried only after an
+//! attempt that did not run.
 //!
-//! Invariants: no attempt starts before a claim is granted; at most one attempt is in flight; each
-//! execution ends in one final answer, unless its caller has gone; a claim is settled as not run only
-//! while no attempt can have run.
+//! Invariants: no attempt of a keyed request starts before its claim is granted; at most one
+//! attempt is in flight; each execution gives one final answer, unless its caller disconnects; a
+//! claim is settled as not run only if no attempt can have run.
 
 use crate::answer::{ErrorCode, FinalAnswer, RequestError};
 use crate::attempt::{AnswerBody, AttemptEnd, AttemptFailure, FailureKind};
@@ -38,14 +38,14 @@
         slot_until: Instant,
     },
     InFlight(InFlight),
-    /// Deliberate fault only: the claim follows the attempt.
+    /// Used only by the injected fault `send_before_claim`: the claim follows the attempt.
     ClaimingLate {
         attempt: u32,
     },
     Over,
 }
 
-/// One caller's request; see the head of the module.
+/// State machine of one caller's request; the module documentation describes its phases.
 #[derive(Debug)]
 pub struct RequestExecution {
     specification: RequestSpecification,
@@ -58,7 +58,7 @@
 }
 
 impl RequestExecution {
-    /// An execution that has not begun.
+    /// Creates an execution; [`ExecutionInput::Begin`] starts it.
     pub fn new(
         specification: RequestSpecification,
         limits: ExecutionLimits,
@@ -75,18 +75,18 @@
         }
     }
 
-    /// Whether the final answer was given, or the caller has gone.
+    /// Returns whether the final answer was given or the caller disconnected.
     pub fn is_over(&self) -> bool {
         matches!(self.phase, Phase::Over)
     }
 
-    /// Attempts made so far.
+    /// Returns the number of attempts made so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Handles one input, pushing what follows from it. Inputs that do not fit the phase, for
-    /// instance the end of an attempt that was cancelled, are ignored.
+    /// Handles one input and appends the resulting outputs to `out`. Inputs that are not valid in
+    /// the current phase, for instance the end of a cancelled attempt, are ignored.
     pub fn step(
         &mut self,
         now: Instant,
@@ -115,7 +115,7 @@
                 out.push(claim_output(claim));
                 self.phase = Phase::Claiming;
             }
-            _ => self.look_for_server(now, now + self.limits.slot_wait, router, out),
+            _ => self.try_admit(now, now + self.limits.slot_wait, router, out),
         }
     }
 
@@ -134,7 +134,7 @@
         }
         match reply {
             ClaimsReply::Granted => {
-                self.look_for_server(now, now + self.limits.slot_wait, router, out);
+                self.try_admit(now, now + self.limits.slot_wait, router, out);
             }
             ClaimsReply::Answered(Some(kept)) => self.finish(FinalAnswer::Replay(kept), out),
             ClaimsReply::Settled => self.on_claim_failed(Verdict::MayHaveRun, out),
@@ -146,7 +146,7 @@
         if !matches!(self.phase, Phase::Claiming | Phase::ClaimingLate { .. }) {
             return;
         }
-        // Nothing has left for a back end, yet the key may be held under this claimant.
+        // No attempt was sent, but the claims group may have recorded the key for this claimant.
         if verdict != Verdict::NotRun {
             self.settle(ClaimOutcome::NotRun, out);
         }
@@ -159,8 +159,8 @@
         self.finish(FinalAnswer::Error(error), out);
     }
 
-    /// Asks the router for a server; sends, waits for a slot, or gives up.
-    fn look_for_server(
+    /// Asks the router for a server; then sends the request, waits for a slot or fails the request.
+    fn try_admit(
         &mut self,
         now: Instant,
         slot_until: Instant,
@@ -169,7 +169,7 @@
     ) {
         let admitted = router
             .admit(now, &self.specification.route)
-            .or_else(|refusal| self.admit_among_excluded(now, refusal, router));
+            .or_else(|refusal| self.admit_including_excluded(now, refusal, router));
         match admitted {
             Ok(admitted) => {
                 self.attempts += 1;
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Servers that failed the request are better than none.
-    fn admit_among_excluded(
+    /// Retries the admission with the excluded servers when no other server is available.
+    fn admit_including_excluded(
         &mut self,
         now: Instant,
         refusal: Refusal,
@@ -221,7 +221,7 @@
             return;
         }
         let error = RequestError::from_refusal(refusal, self.verdict);
-        self.give_up(error, out);
+        self.fail(error, out);
     }
 
     fn on_attempt_ended(
@@ -286,16 +286,16 @@
         router.on_finished(now, in_flight.ticket, outcome_of_failure(failure.kind));
         self.verdict = self.verdict.worse(verdict);
         self.last_failure = Some(failure.clone());
-        let is_own_fault = failure.kind == FailureKind::LeaseLost;
-        if !is_own_fault && self.may_send_again(now, verdict, router) {
-            return self.wait_before_retry(now, in_flight.server, out);
+        let is_lease_lost = failure.kind == FailureKind::LeaseLost;
+        if !is_lease_lost && self.is_retry_allowed(now, verdict, router) {
+            return self.schedule_retry(now, in_flight.server, out);
         }
         let expired = now >= self.specification.route.deadline;
         let error = attempt_error(&failure, self.verdict, expired);
-        self.give_up(error, out);
+        self.fail(error, out);
     }
 
-    fn may_send_again(&self, now: Instant, verdict: Verdict, router: &mut Router) -> bool {
+    fn is_retry_allowed(&self, now: Instant, verdict: Verdict, router: &mut Router) -> bool {
         let mut route = self.specification.route.clone();
         route.no_repeat = self.specification.is_at_most_once();
         if self.faults.retry_on_may_have_run {
@@ -305,12 +305,7 @@
             && router.may_retry(now, &route, verdict)
     }
 
-    fn wait_before_retry(
-        &mut self,
-        now: Instant,
-        failed: ServerId,
-        out: &mut Vec<ExecutionOutput>,
-    ) {
+    fn schedule_retry(&mut self, now: Instant, failed: ServerId, out: &mut Vec<ExecutionOutput>) {
         self.specification.route.excluded.push(failed);
         let resume_at = now + backoff(&self.limits, self.attempts);
         self.phase = Phase::Waiting {
@@ -323,9 +318,9 @@
         let expired = now >= self.specification.route.deadline;
         match &self.phase {
             Phase::Waiting { slot_until } if !expired => {
-                self.look_for_server(now, *slot_until, router, out);
+                self.try_admit(now, *slot_until, router, out);
             }
-            Phase::Waiting { .. } => self.give_up(deadline_error(self.verdict), out),
+            Phase::Waiting { .. } => self.fail(deadline_error(self.verdict), out),
             Phase::InFlight(in_flight) if expired => {
                 let in_flight = in_flight.clone();
                 let failed = AttemptOutcome::Failed(Verdict::MayHaveRun);
@@ -334,7 +329,7 @@
                 out.push(ExecutionOutput::Cancel {
                     attempt: in_flight.attempt,
                 });
-                self.give_up(deadline_error(self.verdict), out);
+                self.fail(deadline_error(self.verdict), out);
             }
             _ => {}
         }
@@ -361,7 +356,7 @@
         self.phase = Phase::Over;
     }
 
-    fn give_up(&mut self, error: RequestError, out: &mut Vec<ExecutionOutput>) {
+    fn fail(&mut self, error: RequestError, out: &mut Vec<ExecutionOutput>) {
         self.settle_by_verdict(out);
         self.finish(FinalAnswer::Error(error), out);
     }
--- a/crates/nodes/wingshore-request/src/faults.rs
+++ b/crates/nodes/wingshore-request/src/faults.rs
@@ -1,14 +1,15 @@
-//! Deliberate faults: each breaks one promise, so that tests can show that it would be caught.
+//! Fault injection: each fault violates one guarantee, so that tests can verify that the violation
+//! is detected.
 
-/// Deliberate faults, all off by default; only tests switch them on.
+/// Injected faults. All are off by default; only tests enable them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Sends a request that must not be repeated again although it may have run.
+    /// Retries a non-repeatable request although it may have run.
     pub retry_on_may_have_run: bool,
-    /// Sends a keyed request before its key is claimed.
+    /// Sends a request with an idempotency key before the key is claimed.
     pub send_before_claim: bool,
-    /// Gives an answer whose body was cut short as if it were whole.
+    /// Forwards an answer with a truncated body as if it were complete.
     pub accept_short_body: bool,
-    /// Says of each request that failed that it did not run.
+    /// Reports each failed request as not run.
     pub deny_having_run: bool,
 }
--- a/crates/nodes/wingshore-request/src/lib.rs
+++ b/crates/nodes/wingshore-request/src/lib.rs
@@ -1,10 +1,10 @@
-//! One caller's request from its first byte to its final answer, and the node's copy of the
-//! configuration. Nothing here does I/O, reads a clock or draws randomness.
+//! Execution of a caller's request from admission to the final answer, and the node's copy of the
+//! configuration. The crate performs no I/O, reads no clock and uses no randomness.
 //!
-//! [`RequestExecution`] is the state machine of a request; its rules stand in `retry`, `attempt`
-//! and `errors`. It relies on `wingshore-routing` for the choice of a server and for the retry
-//! budget, and on its driver to make attempts and to call claims groups. [`ConfigurationView`] owns
-//! the copy of the configuration and its lease.
+//! [`RequestExecution`] is the state machine of a request; `retry`, `attempt` and `errors` contain
+//! its rules. `wingshore-routing` chooses servers and keeps the retry budget; the driver makes the
+//! attempts and calls the claims groups. [`ConfigurationView`] owns the copy of the configuration
+//! and its lease.
 
 mod answer;
 mod attempt;
--- a/crates/nodes/wingshore-request/src/messages.rs
+++ b/crates/nodes/wingshore-request/src/messages.rs
@@ -1,4 +1,4 @@
-//! What an execution of a request reacts to, and what it wants done.
+//! Inputs and outputs of the state machine of a request.
 
 use crate::answer::FinalAnswer;
 use crate::attempt::AttemptEnd;
@@ -6,70 +6,73 @@
 use wingshore_types::protocol::claims::{ClaimsReply, ClaimsRequest};
 use wingshore_types::{GroupId, Instant, ServerId, Verdict};
 
-/// What an execution reacts to.
+/// An input of a request execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionInput {
-    /// Begin.
+    /// Starts the execution.
     Begin,
     /// The claims group answered.
     ClaimAnswered(ClaimsReply),
-    /// The claims group did not answer; the verdict says whether the claim may stand.
+    /// The claims group did not answer; the verdict says whether the claim may have been recorded.
     ClaimFailed(Verdict),
     /// An attempt ended.
     AttemptEnded {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// The time asked for by [`ExecutionOutput::WaitUntil`], or any other, has come.
+    /// Time has passed. Required at the time given by [`ExecutionOutput::WaitUntil`]; additional
+    /// ticks are harmless.
     Tick,
-    /// The caller has gone: nobody wants the answer any more.
+    /// The caller disconnected; the answer is no longer needed.
     CallerGone,
 }
 
-/// An attempt to be made now.
+/// An attempt to start now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendAttempt {
-    /// Its number, from 1.
+    /// Number of the attempt, counted from 1.
     pub attempt: u32,
-    /// The server.
+    /// The server to send the request to.
     pub server: ServerId,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Give up then.
+    /// Time at which the attempt times out.
     pub deadline: Instant,
-    /// Whether a connection of its own is wanted: on a reused one, a close by the server can
-    /// cross the request, which then may have run.
+    /// Whether a new connection is required: on a reused one, the server may close the connection
+    /// while the request is being sent, and the request then may have run.
     pub fresh_connection: bool,
 }
 
-/// What an execution wants done.
+/// An action that a request execution asks its driver to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionOutput {
-    /// Ask a claims group and report its answer.
+    /// Sends a claim to a claims group. Answered by [`ExecutionInput::ClaimAnswered`] or
+    /// [`ExecutionInput::ClaimFailed`].
     Claim {
-        /// The group.
+        /// The claims group.
         group: GroupId,
-        /// The claim.
+        /// The claim request.
         request: ClaimsRequest,
     },
-    /// Make an attempt and report its end.
+    /// Starts an attempt. Answered by [`ExecutionInput::AttemptEnded`].
     Send(SendAttempt),
-    /// Send a tick at this time.
+    /// Requests an [`ExecutionInput::Tick`] at this time.
     WaitUntil(Instant),
-    /// Tell a claims group how the claim ended; again until it has answered. Nothing waits.
+    /// Settles a claim. The driver retries until the claims group answers; the execution does not
+    /// wait for the answer.
     Settle {
-        /// The group.
+        /// The claims group.
         group: GroupId,
-        /// The settlement.
+        /// The settlement request.
         request: ClaimsRequest,
     },
-    /// Stop an attempt; its end is no longer wanted.
+    /// Cancels an attempt; its end need not be reported.
     Cancel {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Give the caller its answer. The execution is over.
+    /// Sends the final answer to the caller and ends the execution.
     Answer(FinalAnswer),
 }
--- a/crates/nodes/wingshore-request/src/retry.rs
+++ b/crates/nodes/wingshore-request/src/retry.rs
@@ -1,26 +1,26 @@
-//! Whether, and when, a request is tried again by this node.
+//! Retry policy of the node: whether and when a request is retried.
 //!
-//! Questions: after a failed attempt, may another one be sent, and how long is the backoff before
-//! it? After a refusal for want of a free slot, when is the router asked again?
+//! Questions: after a failed attempt, is a retry allowed, and how long is the backoff before it?
+//! After a refusal because no slot is free, when is the router asked again?
 //! Inputs: the verdict of the failed attempt, the number of attempts so far, whether the request
 //! must run at most once, the limits of the execution, and instants of the node's clock.
-//! Rule: a request that must run at most once is sent again only after an attempt that certainly did
-//! not run; any other as long as attempts are left. The router's retry budget is asked besides, and
-//! last, since its answer uses the budget up. The backoff doubles with each attempt. Want of a slot
-//! is waited out by polling, until the limit of the wait or the deadline.
-//! Why: running twice does harm that nobody can undo, while a failed request may be sent again by
-//! its caller, who learns the verdict.
-//! An attempt of which nothing is known counts as one that may have run.
+//! Rule: an at-most-once request is retried only after an attempt that did not run; any other
+//! request is retried while attempts are left. The router's retry budget is checked last, because
+//! the check consumes budget. The backoff doubles with each attempt. When no slot is free, the
+//! router is polled until the wait limit or the deadline.
+//! Why: the effects of running twice cannot be undone, while the caller of a failed request learns
+//! the verdict and can retry it.
+//! An attempt with an unknown result counts as one that may have run.
 
 use crate::specification::ExecutionLimits;
 use std::time::Duration;
 use wingshore_routing::RefusalCode;
 use wingshore_types::{Instant, Verdict};
 
-/// The backoff doubles this often at most: with the default of 5 ms it ends at 5.12 s.
+/// Maximum number of doublings; the default backoff of 5 ms grows to at most 5.12 s.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// Whether a request may be sent again after its attempt number `attempts` failed with `verdict`.
+/// Returns whether a request may be retried after attempt number `attempts` failed with `verdict`.
 pub(crate) fn may_retry(
     limits: &ExecutionLimits,
     attempts: u32,
@@ -31,14 +31,14 @@
     is_allowed && attempts < limits.attempts
 }
 
-/// The backoff after attempt number `attempts`, which failed.
+/// Returns the backoff after attempt number `attempts` failed.
 pub(crate) fn backoff(limits: &ExecutionLimits, attempts: u32) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     limits.backoff * (1 << doublings)
 }
 
-/// When to ask the router again after it refused for the reason `code`; `None` when the refusal
-/// stands, because waiting does not help or the wait would go beyond `slot_until` or `deadline`.
+/// Returns the time of the next admission attempt after a refusal with `code`; `None` when the
+/// refusal is final, because waiting does not help or would exceed `slot_until` or `deadline`.
 pub(crate) fn next_slot_poll(
     limits: &ExecutionLimits,
     now: Instant,
--- a/crates/nodes/wingshore-request/tests/at_most_once.rs
+++ b/crates/nodes/wingshore-request/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Two nodes, any interleaving, any loss: what must not be repeated runs at most once, and what is
-//! called not run did not run. Each deliberate fault is found.
+//! Property tests with two nodes under arbitrary interleavings and losses: an at-most-once request
+//! runs at most once, and a request reported as not run did not run. Each injected fault must be
+//! detected.
 
 mod common;
 
@@ -20,48 +21,51 @@
 };
 use wingshore_types::{Instant, Verdict};
 
-/// Requests in one run: two nodes, each asked twice.
+/// Requests in one run: two on each of the two nodes.
 const REQUESTS: usize = 4;
-/// Cases of each property.
+/// Number of generated schedules for each property.
 const CASES: u32 = 2_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Protection {
-    /// All requests carry one key: one execution in all.
+    /// All requests share one idempotency key: at most one execution in total.
     SharedKey,
-    /// Each request is marked as not to be repeated: one execution each.
+    /// Each request is marked as non-repeatable: at most one execution of each.
     NoRepeat,
 }
 
-/// One step of a schedule: whose turn it is, and what happens to what it does.
-type Turn = (usize, u8);
+/// One step of a schedule: the request to advance, and a number that selects the result of its
+/// pending action.
+type ScheduleStep = (usize, u8);
 
-fn schedules() -> impl Strategy<Value = Vec<Turn>> {
+fn schedules() -> impl Strategy<Value = Vec<ScheduleStep>> {
     vec((0..REQUESTS, any::<u8>()), 8..80)
 }
 
-/// What the claims group holds for a key.
+/// State of a key in the claims group.
 #[derive(Clone, Debug, PartialEq)]
-enum Held {
-    By(Claimant),
+enum ClaimState {
+    ClaimedBy(Claimant),
     Answered,
     Unknown,
 }
 
 #[derive(Default)]
 struct ClaimsModel {
-    keys: BTreeMap<ClaimKey, Held>,
+    keys: BTreeMap<ClaimKey, ClaimState>,
 }
 
 impl ClaimsModel {
-    fn ask(&mut self, request: ClaimsRequest) -> ClaimsReply {
+    fn handle(&mut self, request: ClaimsRequest) -> ClaimsReply {
         match request {
             ClaimsRequest::Claim { key, claimant, .. } => match self.keys.get(&key) {
-                Some(Held::By(holder)) if *holder == claimant => ClaimsReply::Granted,
-                Some(Held::By(_) | Held::Unknown) => ClaimsReply::Taken { retry_after_ms: 1 },
-                Some(Held::Answered) => ClaimsReply::Answered(None),
+                Some(ClaimState::ClaimedBy(holder)) if *holder == claimant => ClaimsReply::Granted,
+                Some(ClaimState::ClaimedBy(_) | ClaimState::Unknown) => {
+                    ClaimsReply::Taken { retry_after_ms: 1 }
+                }
+                Some(ClaimState::Answered) => ClaimsReply::Answered(None),
                 None => {
-                    self.keys.insert(key, Held::By(claimant));
+                    self.keys.insert(key, ClaimState::ClaimedBy(claimant));
                     ClaimsReply::Granted
                 }
             },
@@ -70,11 +74,11 @@
                 claimant,
                 outcome,
             } => {
-                if self.keys.get(&key) == Some(&Held::By(claimant)) {
+                if self.keys.get(&key) == Some(&ClaimState::ClaimedBy(claimant)) {
                     match outcome {
                         ClaimOutcome::NotRun => self.keys.remove(&key),
-                        ClaimOutcome::Answered(_) => self.keys.insert(key, Held::Answered),
-                        ClaimOutcome::Unknown => self.keys.insert(key, Held::Unknown),
+                        ClaimOutcome::Answered(_) => self.keys.insert(key, ClaimState::Answered),
+                        ClaimOutcome::Unknown => self.keys.insert(key, ClaimState::Unknown),
                     };
                 }
                 ClaimsReply::Settled
@@ -83,7 +87,7 @@
     }
 }
 
-/// What a request does next in the world outside.
+/// The next action of a request in the simulation.
 enum Pending {
     Input(ExecutionInput),
     Claim(ClaimsRequest),
@@ -95,18 +99,18 @@
     node: usize,
     pending: Option<Pending>,
     executions: u32,
-    cut_answers: Vec<u32>,
+    truncated_answers: Vec<u32>,
     answer: Option<FinalAnswer>,
 }
 
-struct World {
+struct Simulation {
     routers: [Router; 2],
     claims: ClaimsModel,
     requests: Vec<Request>,
     now: Instant,
 }
 
-impl World {
+impl Simulation {
     fn new(protection: Protection, faults: Faults) -> Self {
         let requests = (0..REQUESTS).map(|number| {
             let node = number % 2;
@@ -118,7 +122,7 @@
                 node,
                 pending: Some(Pending::Input(ExecutionInput::Begin)),
                 executions: 0,
-                cut_answers: Vec::new(),
+                truncated_answers: Vec::new(),
                 answer: None,
             }
         });
@@ -130,13 +134,15 @@
         }
     }
 
-    fn turn(&mut self, (number, fate): Turn) {
+    fn advance(&mut self, (number, result_selector): ScheduleStep) {
         self.now = self.now + Duration::from_millis(20);
         let input = match self.requests[number].pending.take() {
             None => return,
             Some(Pending::Input(input)) => input,
-            Some(Pending::Claim(request)) => self.meet_claim(request, fate),
-            Some(Pending::Attempt(attempt)) => self.meet_attempt(number, attempt, fate),
+            Some(Pending::Claim(request)) => self.execute_claim(request, result_selector),
+            Some(Pending::Attempt(attempt)) => {
+                self.execute_attempt(number, attempt, result_selector)
+            }
         };
         let request = &mut self.requests[number];
         let mut outputs = Vec::new();
@@ -145,24 +151,29 @@
             .execution
             .step(self.now, input, router, &mut outputs);
         for output in outputs {
-            self.carry_out(number, output, fate);
+            self.handle_output(number, output, result_selector);
         }
     }
 
-    fn meet_claim(&mut self, request: ClaimsRequest, fate: u8) -> ExecutionInput {
-        match fate % 4 {
+    fn execute_claim(&mut self, request: ClaimsRequest, result_selector: u8) -> ExecutionInput {
+        match result_selector % 4 {
             0 => ExecutionInput::ClaimFailed(Verdict::NotRun),
             1 => {
-                self.claims.ask(request);
+                self.claims.handle(request);
                 ExecutionInput::ClaimFailed(Verdict::MayHaveRun)
             }
-            _ => ExecutionInput::ClaimAnswered(self.claims.ask(request)),
+            _ => ExecutionInput::ClaimAnswered(self.claims.handle(request)),
         }
     }
 
-    fn meet_attempt(&mut self, number: usize, attempt: u32, fate: u8) -> ExecutionInput {
+    fn execute_attempt(
+        &mut self,
+        number: usize,
+        attempt: u32,
+        result_selector: u8,
+    ) -> ExecutionInput {
         let request = &mut self.requests[number];
-        let (runs, end) = match fate % 8 {
+        let (runs, end) = match result_selector % 8 {
             0 => (false, failed(FailureKind::ConnectFailed)),
             1 => (false, failed(FailureKind::RefusedByServer)),
             2 => (false, failed(FailureKind::ConnectionLost)),
@@ -172,13 +183,13 @@
             _ => (true, answered(AnswerBody::Whole)),
         };
         request.executions += u32::from(runs);
-        if fate % 8 == 5 {
-            request.cut_answers.push(attempt);
+        if result_selector % 8 == 5 {
+            request.truncated_answers.push(attempt);
         }
         ExecutionInput::AttemptEnded { attempt, end }
     }
 
-    fn carry_out(&mut self, number: usize, output: ExecutionOutput, fate: u8) {
+    fn handle_output(&mut self, number: usize, output: ExecutionOutput, result_selector: u8) {
         let request = &mut self.requests[number];
         match output {
             ExecutionOutput::Claim { request: claim, .. } => {
@@ -188,15 +199,18 @@
             ExecutionOutput::WaitUntil(_) => {
                 request.pending = Some(Pending::Input(ExecutionInput::Tick));
             }
-            // One settlement in four never arrives.
+            // One settlement in four is lost.
             ExecutionOutput::Settle {
                 request: settle, ..
-            } if fate % 4 != 3 => {
-                self.claims.ask(settle);
+            } if result_selector % 4 != 3 => {
+                self.claims.handle(settle);
             }
             ExecutionOutput::Settle { .. } | ExecutionOutput::Cancel { .. } => {}
             ExecutionOutput::Answer(answer) => {
-                assert!(request.answer.is_none(), "two final answers");
+                assert!(
+                    request.answer.is_none(),
+                    "the execution gave two final answers"
+                );
                 request.answer = Some(answer);
             }
         }
@@ -208,15 +222,22 @@
             Protection::SharedKey => executions.iter().sum::<u32>() <= 1,
             Protection::NoRepeat => executions.iter().all(|count| *count <= 1),
         };
-        proptest::prop_assert!(at_most_once, "ran more than once: {executions:?}");
+        proptest::prop_assert!(at_most_once, "executed more than once: {executions:?}");
         for request in &self.requests {
             match &request.answer {
                 Some(FinalAnswer::Error(error)) if error.verdict == Verdict::NotRun => {
-                    proptest::prop_assert_eq!(request.executions, 0, "not run, but it ran");
+                    proptest::prop_assert_eq!(
+                        request.executions,
+                        0,
+                        "the request was reported as not run, but it ran"
+                    );
                 }
                 Some(FinalAnswer::Forward { attempt }) => {
-                    let is_cut = request.cut_answers.contains(attempt);
-                    proptest::prop_assert!(!is_cut, "a cut answer was given as whole");
+                    let is_truncated = request.truncated_answers.contains(attempt);
+                    proptest::prop_assert!(
+                        !is_truncated,
+                        "a truncated answer was forwarded as complete"
+                    );
                 }
                 _ => {}
             }
@@ -241,22 +262,22 @@
     }
 }
 
-fn holds(protection: Protection, faults: Faults) -> bool {
+fn property_holds(protection: Protection, faults: Faults) -> bool {
     run_property(CASES, schedules(), |schedule| {
-        let mut world = World::new(protection, faults);
-        for turn in schedule {
-            world.turn(turn);
+        let mut simulation = Simulation::new(protection, faults);
+        for step in schedule {
+            simulation.advance(step);
         }
-        world.check(protection)
+        simulation.check(protection)
     })
     .is_ok()
 }
 
 #[gtest]
-fn requests_run_at_most_once_whatever_is_lost() {
+fn requests_run_at_most_once_despite_losses() {
     for protection in [Protection::SharedKey, Protection::NoRepeat] {
         expect_that!(
-            holds(protection, Faults::default()),
+            property_holds(protection, Faults::default()),
             eq(true),
             "{protection:?}"
         );
@@ -264,7 +285,7 @@
 }
 
 #[gtest]
-fn each_deliberate_fault_is_found() {
+fn each_injected_fault_is_detected() {
     let none = Faults::default();
     let cases = [
         (
@@ -290,6 +311,6 @@
         ),
     ];
     for (protection, faults) in cases {
-        expect_that!(holds(protection, faults), eq(false), "{faults:?}");
+        expect_that!(property_holds(protection, faults), eq(false), "{faults:?}");
     }
 }
--- a/crates/nodes/wingshore-request/tests/common/mod.rs
+++ b/crates/nodes/wingshore-request/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of requests share: a small site, a router that knows it, seeded runs.
+//! Shared test fixtures: a small site, a router configured for it, and seeded property tests.
 #![allow(dead_code)]
 
 use proptest::strategy::Strategy;
@@ -12,11 +12,11 @@
 use wingshore_types::protocol::claims::{ClaimKey, Claimant};
 use wingshore_types::{Instant, NodeId, ServerId, ServiceId, ZoneId};
 
-/// The service of the tests.
+/// The service that all tests use.
 pub const SERVICE: &str = "fare-api";
-/// Time from the beginning to the deadline.
+/// Deadline of a request, counted from the start of the test.
 pub const DEADLINE: Duration = Duration::from_secs(10);
-/// Seed of all property tests.
+/// Fixed seed of all property tests, so that failures are reproducible.
 const SEED: [u8; 32] = [7; 32];
 
 pub fn put_service() -> ConfigurationChange {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Runs a property over `cases` values, always the same ones.
+/// Checks a property for `cases` generated values; the values are the same in every run.
 pub fn run_property<S: Strategy>(
     cases: u32,
     strategy: S,
--- a/crates/nodes/wingshore-request/tests/configuration_view.rs
+++ b/crates/nodes/wingshore-request/tests/configuration_view.rs
@@ -1,4 +1,5 @@
-//! The copy of the configuration: it never reverts, and its lease ends in time.
+//! The node's copy of the configuration: its revision never decreases, and its lease expires in
+//! time.
 
 mod common;
 
@@ -16,7 +17,7 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 
-/// Changes of revisions 1, 2, …, as committed.
+/// Returns the committed changes of revisions 1, 2, and so on up to `length`.
 fn history(length: u16) -> Vec<ConfigurationChange> {
     std::iter::once(put_service())
         .chain((1..length).map(put_server))
@@ -43,7 +44,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Arrival {
+enum ReceivedUpdate {
     Unchanged,
     Delta { from: usize, length: usize },
     Snapshot { revision: usize },
@@ -51,28 +52,29 @@
 
 const REVISIONS: usize = 12;
 
-fn arrivals() -> impl Strategy<Value = Vec<(u64, Arrival)>> {
+fn arrivals() -> impl Strategy<Value = Vec<(u64, ReceivedUpdate)>> {
     let arrival = prop_oneof![
-        Just(Arrival::Unchanged),
-        (0..REVISIONS, 0..4_usize).prop_map(|(from, length)| Arrival::Delta { from, length }),
-        (0..=REVISIONS).prop_map(|revision| Arrival::Snapshot { revision }),
+        Just(ReceivedUpdate::Unchanged),
+        (0..REVISIONS, 0..4_usize)
+            .prop_map(|(from, length)| ReceivedUpdate::Delta { from, length }),
+        (0..=REVISIONS).prop_map(|revision| ReceivedUpdate::Snapshot { revision }),
     ];
     vec((0..20_000_u64, arrival), 1..40)
 }
 
 #[gtest]
-fn updates_in_any_order_never_revert_and_always_give_a_committed_state() {
+fn updates_in_any_order_never_decrease_the_revision_and_yield_committed_states() {
     let history = history(REVISIONS as u16);
     let outcome = run_property(512, arrivals(), |arrivals| {
         let mut view = ConfigurationView::new(WithoutLease::Refuse);
         for (sent_ms, arrival) in arrivals {
             let before = view.revision();
             let update = match arrival {
-                Arrival::Unchanged => ConfigurationUpdate::Unchanged,
-                Arrival::Delta { from, length } => {
+                ReceivedUpdate::Unchanged => ConfigurationUpdate::Unchanged,
+                ReceivedUpdate::Delta { from, length } => {
                     delta(&history, from, (from + length).min(REVISIONS))
                 }
-                Arrival::Snapshot { revision } => snapshot(&history, revision),
+                ReceivedUpdate::Snapshot { revision } => snapshot(&history, revision),
             };
             view.apply(Instant::from_millis(sent_ms), update, LEASE);
             let committed = at_revision(&history, view.revision().0 as usize);
@@ -86,7 +88,7 @@
 }
 
 #[gtest]
-fn a_lease_counts_from_the_sending_and_is_never_shortened() {
+fn lease_starts_when_the_watch_is_sent_and_is_never_shortened() {
     let sent = vec((0..100_000_u64, any::<bool>()), 1..20);
     let outcome = run_property(512, sent, |watches| {
         let mut view = ConfigurationView::new(WithoutLease::Refuse);
@@ -119,7 +121,7 @@
 }
 
 #[gtest]
-fn an_update_that_does_not_fit_asks_for_the_whole() {
+fn inapplicable_update_requests_a_snapshot() {
     let history = history(8);
     let mut view = ConfigurationView::new(WithoutLease::Refuse);
     let now = Instant::from_millis(1);
@@ -145,7 +147,7 @@
 }
 
 #[gtest]
-fn changes_that_contradict_the_configuration_are_not_applied() {
+fn invalid_changes_are_not_applied() {
     let mut view = ConfigurationView::new(WithoutLease::Refuse);
     let now = Instant::from_millis(1);
     let update = ConfigurationUpdate::Delta {
@@ -158,7 +160,7 @@
 }
 
 #[gtest]
-fn what_is_admitted_without_a_lease_is_a_setting() {
+fn admission_without_a_lease_follows_the_setting() {
     let cases = [
         (WithoutLease::Refuse, Err(NotAdmitted::LeaseExpired)),
         (WithoutLease::Serve, Ok(())),
--- a/crates/nodes/wingshore-request/tests/execution.rs
+++ b/crates/nodes/wingshore-request/tests/execution.rs
@@ -1,4 +1,4 @@
-//! One request at a time, each with a script of what its claim and attempts meet.
+//! Executions of single requests with scripted results of their claims and attempts.
 
 mod common;
 
@@ -15,13 +15,13 @@
 use wingshore_types::{Instant, Verdict};
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum RequestKind {
     Repeatable,
     NoRepeat,
     Keyed,
 }
 
-/// What came out in the end.
+/// Final answer of a request, reduced to what the tests compare.
 #[derive(Debug, PartialEq)]
 enum Outcome {
     Forward(u32),
@@ -36,7 +36,7 @@
     settled: Option<ClaimOutcome>,
 }
 
-fn whole(status: u16) -> AttemptEnd {
+fn complete_answer(status: u16) -> AttemptEnd {
     AttemptEnd::Answered {
         status,
         body: AnswerBody::Whole,
@@ -44,7 +44,7 @@
     }
 }
 
-fn cut() -> AttemptEnd {
+fn truncated_answer() -> AttemptEnd {
     AttemptEnd::Answered {
         status: 200,
         body: AnswerBody::Cut,
@@ -60,10 +60,10 @@
     })
 }
 
-/// Runs a request on three servers against scripts of claims and attempts.
-fn run(kind: Kind, claims: &[ExecutionInput], ends: &[AttemptEnd]) -> Trace {
-    let key = (kind == Kind::Keyed).then(|| claim("charge-1", "node-a", 1));
-    let specification = specification(kind == Kind::NoRepeat, key);
+/// Executes a request on three servers with the scripted results of its claims and attempts.
+fn run(kind: RequestKind, claims: &[ExecutionInput], ends: &[AttemptEnd]) -> Trace {
+    let key = (kind == RequestKind::Keyed).then(|| claim("charge-1", "node-a", 1));
+    let specification = specification(kind == RequestKind::NoRepeat, key);
     let limits = ExecutionLimits::default();
     let mut execution = RequestExecution::new(specification, limits, Faults::default());
     let mut router = router(3, 1);
@@ -81,14 +81,16 @@
                 ExecutionOutput::Claim { .. } => inputs.extend(claims.pop_front()),
                 ExecutionOutput::Send(send) => {
                     let attempt = send.attempt;
-                    let end = ends.pop_front().expect("no attempt beyond the script");
+                    let end = ends
+                        .pop_front()
+                        .expect("the execution made more attempts than scripted");
                     inputs.push_back(ExecutionInput::AttemptEnded { attempt, end });
                 }
                 ExecutionOutput::WaitUntil(instant) => {
                     now = instant;
                     inputs.push_back(ExecutionInput::Tick);
                 }
-                ExecutionOutput::Settle { request, .. } => settled = Some(outcome_in(request)),
+                ExecutionOutput::Settle { request, .. } => settled = Some(settled_outcome(request)),
                 ExecutionOutput::Cancel { .. } => {}
                 ExecutionOutput::Answer(answer) => answers.push(answer),
             }
@@ -102,10 +104,10 @@
     }
 }
 
-fn outcome_in(request: ClaimsRequest) -> ClaimOutcome {
+fn settled_outcome(request: ClaimsRequest) -> ClaimOutcome {
     match request {
         ClaimsRequest::Settle { outcome, .. } => outcome,
-        ClaimsRequest::Claim { .. } => panic!("a settlement is not a claim"),
+        ClaimsRequest::Claim { .. } => panic!("expected a settlement, found a claim"),
     }
 }
 
@@ -122,39 +124,44 @@
 }
 
 #[gtest]
-fn attempts_are_repeated_only_where_that_is_safe() {
+fn attempts_are_retried_only_when_safe() {
     use FailureKind::{
         AnswerTooLarge, BadAnswer, ConnectFailed, ConnectionLost, LeaseLost, RefusedByServer,
         TimedOut,
     };
-    use Kind::{Keyed, NoRepeat, Repeatable};
     use Outcome::{Error, Forward};
+    use RequestKind::{Keyed, NoRepeat, Repeatable};
     use Verdict::{MayHaveRun, NotRun, Ran};
     let cases = vec![
-        (Repeatable, vec![whole(200)], 1, Forward(1)),
-        (NoRepeat, vec![whole(500)], 1, Forward(1)),
+        (Repeatable, vec![complete_answer(200)], 1, Forward(1)),
+        (NoRepeat, vec![complete_answer(500)], 1, Forward(1)),
         (
             Repeatable,
-            vec![failed(ConnectionLost), whole(200)],
+            vec![failed(ConnectionLost), complete_answer(200)],
+            2,
+            Forward(2),
+        ),
+        (
+            Repeatable,
+            vec![truncated_answer(), complete_answer(200)],
             2,
             Forward(2),
         ),
-        (Repeatable, vec![cut(), whole(200)], 2, Forward(2)),
         (
             NoRepeat,
-            vec![failed(ConnectFailed), whole(200)],
+            vec![failed(ConnectFailed), complete_answer(200)],
             2,
             Forward(2),
         ),
         (
             NoRepeat,
-            vec![failed(RefusedByServer), whole(200)],
+            vec![failed(RefusedByServer), complete_answer(200)],
             2,
             Forward(2),
         ),
         (
             Keyed,
-            vec![failed(RefusedByServer), whole(200)],
+            vec![failed(RefusedByServer), complete_answer(200)],
             2,
             Forward(2),
         ),
@@ -172,13 +179,13 @@
         ),
         (
             Keyed,
-            vec![cut()],
+            vec![truncated_answer()],
             1,
             Error(ErrorCode::AnswerCut, MayHaveRun),
         ),
         (
             NoRepeat,
-            vec![cut()],
+            vec![truncated_answer()],
             1,
             Error(ErrorCode::AnswerCut, MayHaveRun),
         ),
@@ -229,14 +236,14 @@
 }
 
 #[gtest]
-fn a_claim_is_settled_by_what_is_known() {
+fn claim_is_settled_with_the_known_outcome() {
     let cases = vec![
-        (vec![whole(200)], ClaimOutcome::Answered(None)),
+        (vec![complete_answer(200)], ClaimOutcome::Answered(None)),
         (
             vec![failed(FailureKind::ConnectionLost)],
             ClaimOutcome::Unknown,
         ),
-        (vec![cut()], ClaimOutcome::Unknown),
+        (vec![truncated_answer()], ClaimOutcome::Unknown),
         (
             vec![failed(FailureKind::AnswerTooLarge)],
             ClaimOutcome::Answered(None),
@@ -248,13 +255,13 @@
         ),
     ];
     for (ends, settled) in cases {
-        let trace = run(Kind::Keyed, &granted(), &ends);
+        let trace = run(RequestKind::Keyed, &granted(), &ends);
         expect_that!(trace.settled, some(eq(&settled)), "for {ends:?}");
     }
 }
 
 #[gtest]
-fn nothing_is_sent_without_the_claim() {
+fn no_attempt_is_sent_without_a_granted_claim() {
     let kept = StoredAnswer {
         status: 200,
         content_type: "text/plain".to_owned(),
@@ -300,7 +307,7 @@
         ),
     ];
     for (claim, outcome, settled) in cases {
-        let trace = run(Kind::Keyed, &[claim], &[]);
+        let trace = run(RequestKind::Keyed, &[claim], &[]);
         let expected = Trace {
             attempts: 0,
             outcome,
@@ -311,7 +318,7 @@
 }
 
 #[gtest]
-fn a_request_without_a_server_is_refused_at_once_as_not_run() {
+fn request_without_a_server_is_refused_immediately_as_not_run() {
     let specification = specification(false, None);
     let limits = ExecutionLimits::default();
     let mut execution = RequestExecution::new(specification, limits, Faults::default());
@@ -328,7 +335,7 @@
 }
 
 #[gtest]
-fn a_deadline_in_flight_cancels_and_says_may_have_run() {
+fn deadline_in_flight_cancels_the_attempt_and_reports_may_have_run() {
     let specification = specification(true, None);
     let limits = ExecutionLimits::default();
     let mut execution = RequestExecution::new(specification, limits, Faults::default());
@@ -351,15 +358,15 @@
     let expected = Outcome::Error(ErrorCode::DeadlineExceeded, Verdict::MayHaveRun);
     expect_that!(outcome_of(answer), eq(&expected));
     let attempt = 1;
-    let end = whole(200);
-    let straggler = ExecutionInput::AttemptEnded { attempt, end };
+    let end = complete_answer(200);
+    let late_end = ExecutionInput::AttemptEnded { attempt, end };
     outputs.clear();
-    execution.step(late, straggler, &mut router, &mut outputs);
+    execution.step(late, late_end, &mut router, &mut outputs);
     expect_that!(outputs, is_empty());
 }
 
 #[gtest]
-fn a_caller_that_goes_away_cancels_its_attempt_and_leaves_its_key_taken() {
+fn caller_disconnect_cancels_the_attempt_and_keeps_the_key_claimed() {
     let specification = specification(false, Some(claim("charge-1", "node-a", 1)));
     let limits = ExecutionLimits::default();
     let mut execution = RequestExecution::new(specification, limits, Faults::default());
@@ -377,6 +384,6 @@
     let ExecutionOutput::Settle { request, .. } = outputs.remove(1) else {
         return fail!("no settlement").expect("the claim must be settled");
     };
-    expect_that!(outcome_in(request), eq(&ClaimOutcome::Unknown));
+    expect_that!(settled_outcome(request), eq(&ClaimOutcome::Unknown));
     expect_that!(execution.is_over(), eq(true));
 }
