--- a/crates/nodes/wingshore-rollout/src/cache_moves.rs
+++ b/crates/nodes/wingshore-rollout/src/cache_moves.rs
@@ -1,34 +1,37 @@
-//! Question: does an attempt that leaves its engine move with its KV cache?
+//! Migration of attempts together with their KV cache.
 //!
-//! Inputs: the tokens of prompt and generation, the costs of copying and computing.
+//! Question: is the KV cache of an attempt copied when the attempt moves to another engine?
 //!
-//! Rule: where copying is estimated to be cheaper than computing anew, another engine has a slot
-//! and the sample has no second attempt.
-//! A slot on another engine is taken first. While the cache is copied the old attempt runs on, so
-//! that the copying costs no time of its own; then it is cancelled and resumed on the new engine
-//! from all tokens that have come. The cache covers those that were there when it was copied.
+//! Inputs: the number of tokens of prompt and generation, the estimated costs of copying and
+//! recomputing the cache.
 //!
-//! Why: the gap in a long generation is shorter. With the default [`CacheMoveCosts`] copying pays
-//! from 800 tokens on.
+//! Rule: the cache is copied if copying is estimated to be cheaper than recomputing, another engine
+//! has a slot and the sample has no second attempt. The slot on the other engine is reserved first.
+//! The old attempt continues while its cache is copied, so that the copy adds no delay; then it is
+//! cancelled and resumed on the new engine from all tokens received. The copied cache covers only
+//! the tokens that existed at the time of the copy.
 //!
-//! Missing input: an engine that cannot export or import the cache has the attempt resumed without
+//! Why: copying shortens the interruption of a long generation. With the default
+//! [`CacheMoveCosts`], copying is cheaper above 800 tokens.
+//!
+//! Missing input: if an engine cannot export or import the cache, the attempt is resumed without
 //! it.
 
 use crate::messages::{AttemptId, RolloutOutput};
 use crate::runner::{Context, RolloutRunner};
-use crate::streams::Tokens;
+use crate::streams::TokenDisposition;
 use std::time::Duration;
 use wingshore_routing::{Admitted, AttemptOutcome};
 use wingshore_types::LeaseId;
 
-/// What copying a KV cache and computing it anew are taken to cost.
+/// Estimated costs of copying and of recomputing a KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheMoveCosts {
-    /// Computing a thousand tokens of cache.
+    /// Time to compute the cache of 1000 tokens.
     pub compute_per_thousand: Duration,
-    /// Exporting and importing any cache.
+    /// Fixed time to export and import a cache, independent of its size.
     pub copy_base: Duration,
-    /// Copying a thousand tokens of cache besides.
+    /// Additional time to copy the cache of 1000 tokens.
     pub copy_per_thousand: Duration,
 }
 
@@ -43,8 +46,8 @@
 }
 
 impl CacheMoveCosts {
-    /// Whether copying the cache of `tokens` is cheaper than computing it anew.
-    pub fn favour_copying(&self, tokens: usize) -> bool {
+    /// Returns whether copying the cache of `tokens` tokens is cheaper than recomputing it.
+    pub fn is_copying_cheaper(&self, tokens: usize) -> bool {
         let thousands = tokens as f64 / 1000.0;
         let copy = self.copy_base.as_secs_f64() + self.copy_per_thousand.as_secs_f64() * thousands;
         copy < self.compute_per_thousand.as_secs_f64() * thousands
@@ -52,23 +55,23 @@
 }
 
 impl RolloutRunner {
-    /// Moves an attempt off its engine, with its cache where that pays.
-    pub(crate) fn move_off(&mut self, context: &mut Context<'_>, id: AttemptId) {
+    /// Moves an attempt to another engine, with its KV cache if copying it is cheaper.
+    pub(crate) fn move_attempt(&mut self, context: &mut Context<'_>, id: AttemptId) {
         let attempt = self.attempts.get(&id);
-        let is_moving = attempt.is_some_and(|attempt| attempt.next.is_some());
+        let is_moving = attempt.is_some_and(|attempt| attempt.move_target.is_some());
         if !is_moving && self.copy_cache(context, id).is_none() {
-            self.move_elsewhere(context, id);
+            self.move_without_cache(context, id);
         }
     }
 
-    /// Takes a slot on another engine and has the cache copied there; `None` where that does not
-    /// pay or no other engine has a slot.
+    /// Reserves a slot on another engine and starts copying the cache there. Returns `None` if
+    /// copying is not cheaper, the sample has a second attempt, or no other engine has a slot.
     fn copy_cache(&mut self, context: &mut Context<'_>, id: AttemptId) -> Option<()> {
         let costs = self.settings.cache_moves;
         let attempt = self.attempts.get(&id)?;
-        let sample = self.held.get(attempt.lease)?.clone();
+        let sample = self.leased.get(attempt.lease)?.clone();
         let tokens = sample.prompt.tokens.len() + attempt.generation.tokens.len();
-        if !costs.favour_copying(tokens) || sample.attempts.len() > 1 {
+        if !costs.is_copying_cheaper(tokens) || sample.attempts.len() > 1 {
             return None;
         }
         let (server, from) = (attempt.server.clone(), attempt.address);
@@ -79,11 +82,12 @@
             from,
             to: next.address,
         });
-        self.attempts.get_mut(&id)?.next = Some(next);
+        self.attempts.get_mut(&id)?.move_target = Some(next);
         Some(())
     }
 
-    /// The cache was copied, or could not be: then the attempt is resumed without it.
+    /// Handles the end of a cache copy; if the copy failed, the attempt is resumed without the
+    /// cache.
     pub(crate) fn on_cache_copied(
         &mut self,
         context: &mut Context<'_>,
@@ -93,16 +97,16 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        let Some(next) = attempt.next.take() else {
+        let Some(next) = attempt.move_target.take() else {
             return;
         };
         if self.stopping_since.is_some() {
-            // What runs is let finish.
+            // During a planned stop, running attempts may finish on their engine.
             return self.release_slot(context, &next);
         }
         let lease = attempt.lease;
-        self.move_elsewhere(context, id);
-        // The other engine may have begun to leave meanwhile.
+        self.move_without_cache(context, id);
+        // The other engine may have started leaving during the copy.
         let view = context.router.server_view(context.now, &next.server);
         if !is_copied || !view.is_some_and(|view| view.open) {
             return self.release_slot(context, &next);
@@ -112,7 +116,7 @@
     }
 
     fn resume_on(&mut self, context: &mut Context<'_>, lease: LeaseId, next: Admitted) {
-        match self.held.get(lease).cloned() {
+        match self.leased.get(lease).cloned() {
             Some(sample) if sample.attempts.is_empty() => {
                 let partial = sample.partial.clone();
                 self.start_on(context, lease, &sample, next, partial);
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Gives a slot back that was taken for a move.
+    /// Releases a slot that was reserved for a move.
     pub(crate) fn release_slot(&self, context: &mut Context<'_>, next: &Admitted) {
         let outcome = AttemptOutcome::Cancelled;
         context
@@ -129,8 +133,9 @@
             .on_finished(context.now, next.ticket, outcome);
     }
 
-    pub(crate) fn move_elsewhere(&mut self, context: &mut Context<'_>, id: AttemptId) {
+    /// Cancels an attempt so that its sample is resumed on another engine.
+    pub(crate) fn move_without_cache(&mut self, context: &mut Context<'_>, id: AttemptId) {
         self.counters.moved += 1;
-        self.cancel(context, id, Tokens::Keep);
+        self.cancel(context, id, TokenDisposition::Keep);
     }
 }
--- a/crates/nodes/wingshore-rollout/src/faults.rs
+++ b/crates/nodes/wingshore-rollout/src/faults.rs
@@ -1,10 +1,10 @@
-//! Deliberate faults, by which tests show that a broken promise is noticed.
+//! Fault injection: tests use it to verify that violated guarantees are detected.
 
-/// Faults to switch on; all are off by default, and only tests switch any on.
+/// Injected faults. All are off by default; only tests enable them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Reports a cut stream as a whole generation.
+    /// Reports the tokens of an interrupted stream as a complete generation.
     pub finish_cut_streams: bool,
-    /// Stamps all tokens with the version of the latest chunk.
+    /// Attributes all tokens to the weight version of the latest chunk.
     pub stamp_latest_version: bool,
 }
--- a/crates/nodes/wingshore-rollout/src/held.rs
+++ b/crates/nodes/wingshore-rollout/src/leased.rs
@@ -1,41 +1,41 @@
 //! Leased samples that are not finished yet, and the order in which they are started.
 //!
-//! Question: which held sample is started next? The one with most tokens left to generate, among
-//! those without an attempt whose backoff has passed: it decides when a step is complete.
+//! Among the samples without an attempt whose backoff has passed, the one with the most tokens left
+//! to generate starts first, because the longest sample determines when a step is complete.
 
 use crate::messages::AttemptId;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::{Generation, Instant, LeaseId, Prompt, ServerId, WeightVersion};
 
-/// One leased sample.
+/// A leased sample that is not finished.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldSample {
+pub(crate) struct LeasedSample {
     pub(crate) prompt: Prompt,
-    /// What ended attempts generated; the next one is resumed from there.
+    /// The longest usable generation of earlier attempts; the next attempt is resumed from it.
     pub(crate) partial: Generation,
-    /// Attempts that run now: none while it waits, two when a straggler was issued twice.
+    /// Running attempts: none while the sample waits, two if a straggler has a second attempt.
     pub(crate) attempts: Vec<AttemptId>,
-    /// The engine that failed it last; another one is preferred.
+    /// The engine of the last attempt that ended unfinished; other engines are preferred.
     pub(crate) avoided: Option<ServerId>,
-    /// Not to be started before.
+    /// End of the backoff: no attempt starts earlier.
     pub(crate) not_before: Instant,
-    /// When to renew the lease.
+    /// Time at which the lease is renewed.
     pub(crate) renew_at: Instant,
 }
 
-/// Waiting samples, the one with most tokens left to generate first: it decides when a batch is
-/// complete.
+/// Sort key of waiting samples: most tokens left to generate first, because the longest sample
+/// determines when a batch is complete.
 type WaitingKey = (Reverse<u32>, LeaseId);
 
-/// The leased samples of a runner.
+/// The unfinished leased samples of a runner.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HeldSamples {
-    samples: BTreeMap<LeaseId, HeldSample>,
+pub(crate) struct LeasedSamples {
+    samples: BTreeMap<LeaseId, LeasedSample>,
     waiting: BTreeSet<WaitingKey>,
 }
 
-impl HeldSamples {
+impl LeasedSamples {
     pub(crate) fn len(&self) -> usize {
         self.samples.len()
     }
@@ -48,16 +48,16 @@
         self.waiting.len()
     }
 
-    pub(crate) fn get(&self, lease: LeaseId) -> Option<&HeldSample> {
+    pub(crate) fn get(&self, lease: LeaseId) -> Option<&LeasedSample> {
         self.samples.get(&lease)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (LeaseId, &HeldSample)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (LeaseId, &LeasedSample)> {
         self.samples.iter().map(|(lease, sample)| (*lease, sample))
     }
 
-    /// Changes a sample and keeps the waiting order in step.
-    pub(crate) fn update(&mut self, lease: LeaseId, change: impl FnOnce(&mut HeldSample)) {
+    /// Applies `change` to a sample and updates its position in the waiting order.
+    pub(crate) fn update(&mut self, lease: LeaseId, change: impl FnOnce(&mut LeasedSample)) {
         let Some(sample) = self.samples.get_mut(&lease) else {
             return;
         };
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(crate) fn insert(&mut self, lease: LeaseId, sample: HeldSample) {
+    pub(crate) fn insert(&mut self, lease: LeaseId, sample: LeasedSample) {
         self.remove(lease);
         if sample.attempts.is_empty() {
             self.waiting.insert(waiting_key(lease, &sample));
@@ -76,22 +76,25 @@
         self.samples.insert(lease, sample);
     }
 
-    pub(crate) fn remove(&mut self, lease: LeaseId) -> Option<HeldSample> {
+    pub(crate) fn remove(&mut self, lease: LeaseId) -> Option<LeasedSample> {
         let sample = self.samples.remove(&lease)?;
         self.waiting.remove(&waiting_key(lease, &sample));
         Some(sample)
     }
 
-    /// Waiting samples that may start now, in order.
+    /// Returns the waiting samples whose backoff has passed, in starting order.
     pub(crate) fn startable(&self, now: Instant) -> Vec<LeaseId> {
         self.waiting
             .iter()
             .map(|(_, lease)| *lease)
-            .filter(|lease| self.get(*lease).is_some_and(|held| held.not_before <= now))
+            .filter(|lease| {
+                self.get(*lease)
+                    .is_some_and(|sample| sample.not_before <= now)
+            })
             .collect()
     }
 
-    /// Samples whose lease is due for renewal.
+    /// Returns the samples whose lease is due for renewal.
     pub(crate) fn due_for_renewal(&self, now: Instant) -> Vec<LeaseId> {
         self.iter()
             .filter(|(_, sample)| sample.renew_at <= now)
@@ -99,7 +102,7 @@
             .collect()
     }
 
-    /// Samples whose partial generations begin with a version below `oldest_useful`.
+    /// Returns the samples whose partial generation has tokens of a version below `oldest_useful`.
     pub(crate) fn with_partial_older_than(&self, oldest_useful: WeightVersion) -> Vec<LeaseId> {
         self.iter()
             .filter(|(_, sample)| is_older_than(&sample.partial, oldest_useful))
@@ -108,14 +111,14 @@
     }
 }
 
-/// Whether some token was made by a version below `oldest_useful`.
+/// Returns whether any token was generated by a version below `oldest_useful`.
 pub(crate) fn is_older_than(generation: &Generation, oldest_useful: WeightVersion) -> bool {
     generation
         .oldest_version()
         .is_some_and(|oldest| oldest < oldest_useful)
 }
 
-fn waiting_key(lease: LeaseId, sample: &HeldSample) -> WaitingKey {
+fn waiting_key(lease: LeaseId, sample: &LeasedSample) -> WaitingKey {
     let left = (sample.prompt.max_tokens as usize).saturating_sub(sample.partial.tokens.len());
     (Reverse(left as u32), lease)
 }
--- a/crates/nodes/wingshore-rollout/src/lib.rs
+++ b/crates/nodes/wingshore-rollout/src/lib.rs
@@ -1,25 +1,25 @@
-//! Runs a pool's leased samples on engines, as a state machine without I/O.
+//! State machine, without I/O, that runs the leased samples of a pool on engines.
 //!
-//! [`RolloutRunner`] leases samples from the ledger, streams them from engines that the router
-//! chooses, reports whole generations, and has finished samples scored. A driver carries out its
-//! [`RolloutOutput`]s and feeds it [`RolloutInput`]s; the same inputs at the same times give the
-//! same outputs.
+//! [`RolloutRunner`] leases samples from the ledger, generates them on engines that the router
+//! chooses, reports complete generations to the ledger and has them scored. A driver executes its
+//! [`RolloutOutput`]s and supplies [`RolloutInput`]s. The state machine is deterministic: the same
+//! inputs at the same times give the same outputs.
 //!
-//! * `window`: how many samples to hold, from what the router admits
-//! * `held`: leased samples that are not finished yet
+//! * `window`: how many samples to lease, derived from the admissions of the router
+//! * `leased`: leased samples that are not finished yet
 //! * `starting`: starting attempts on engines
-//! * `streams`: attempts on engines, from their first event to their end
-//! * `placement`: moving attempts off engines
-//! * `cache_moves`: whether an attempt moves with its KV cache
+//! * `streams`: running attempts, from their first event to their end
+//! * `placement`: moving attempts between engines
+//! * `cache_moves`: moving attempts together with their KV cache
 //! * `second_attempts`: second attempts of stragglers
-//! * `reports`: what must reach the ledger, sent again until it does
-//! * `polls`: asking the ledger for leases, renewals and unscored samples
-//! * `scoring`: finished samples on their way through the scorer
+//! * `reports`: reports to the ledger, retried until they are answered
+//! * `polls`: requests to the ledger for leases, renewals and unscored samples
+//! * `scoring`: requests to the scorer for finished samples
 //! * `stopping`: the planned stop
 
 mod cache_moves;
 mod faults;
-mod held;
+mod leased;
 mod messages;
 mod placement;
 mod polls;
--- a/crates/nodes/wingshore-rollout/src/placement.rs
+++ b/crates/nodes/wingshore-rollout/src/placement.rs
@@ -1,27 +1,30 @@
+//! Decides which attempts move to another engine.
+//!
 //! Question: which attempts leave their engine before they are finished?
 //!
-//! Inputs: when each attempt's last event came, which engines are leaving and since when, how many
-//! slots live requests ask back on which engine, the tokens of each attempt.
+//! Inputs: the time of each attempt's last event, which engines are leaving and since when, how
+//! many borrowed slots live requests reclaim on each engine, the number of tokens of each attempt.
 //!
-//! Rule: an attempt whose stream is silent for too long counts as failed. One on an engine that has
-//! been leaving for longer than the grace time moves, with its cache where that pays. Where live
-//! requests ask for slots, the attempts with the fewest tokens move. Each is resumed elsewhere from
-//! what it generated.
+//! Rule: an attempt whose stream has no event within its timeout fails. An attempt on an engine
+//! that has been leaving for longer than the grace period moves, with its KV cache if copying is
+//! cheaper. Where live requests reclaim slots, the attempts with the fewest tokens move. Each
+//! attempt is resumed on another engine from the tokens it generated.
 //!
-//! Why: a silent or stopping engine must not hold up a step, and what has fewest tokens costs least
-//! to move. The times are settings.
+//! Why: a stalled or leaving engine must not delay a step, and attempts with the fewest tokens are
+//! the cheapest to move. The timeouts are settings.
 //!
-//! Missing input: an engine that the router does not know counts as leaving.
+//! Missing input: an engine unknown to the router counts as leaving.
 
 use crate::messages::AttemptId;
 use crate::runner::{Context, RolloutRunner};
-use crate::streams::{Attempt, Tokens};
+use crate::streams::{Attempt, TokenDisposition};
 use wingshore_routing::Class;
 use wingshore_types::ServerId;
 
 impl RolloutRunner {
-    /// Gives up streams that have been silent for too long, and resumes them elsewhere.
-    pub(crate) fn give_up_stalled(&mut self, context: &mut Context<'_>) {
+    /// Fails attempts whose stream exceeded its event timeout; their samples are resumed on another
+    /// engine.
+    pub(crate) fn fail_stalled(&mut self, context: &mut Context<'_>) {
         let first = self.settings.first_event_timeout;
         let further = self.settings.stall_timeout;
         let now = context.now;
@@ -31,13 +34,13 @@
             now.since(attempt.last_event) >= limit
         };
         for id in self.attempts_where(is_stalled) {
-            self.fail(context, id, Tokens::Keep);
+            self.fail(context, id, TokenDisposition::Keep);
         }
     }
 
-    /// Moves attempts off engines that have been leaving for longer than the grace time: short
-    /// ones have finished by then.
-    pub(crate) fn move_off_leaving(&mut self, context: &mut Context<'_>) {
+    /// Moves attempts off engines that have been leaving for longer than the grace period, in which
+    /// short attempts finish.
+    pub(crate) fn move_from_leaving_engines(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         for attempt in self.attempts.values_mut() {
             let view = context.router.server_view(now, &attempt.server);
@@ -50,23 +53,24 @@
             since.is_some_and(|since| now.since(since) >= grace)
         };
         for id in self.attempts_where(is_due) {
-            self.move_off(context, id);
+            self.move_attempt(context, id);
         }
     }
 
-    /// Frees slots that live requests ask back: the attempts with the fewest tokens move.
-    pub(crate) fn yield_borrowed_slots(&mut self, context: &mut Context<'_>) {
+    /// Frees borrowed slots that live requests reclaim, by moving the attempts with the fewest
+    /// tokens.
+    pub(crate) fn release_borrowed_slots(&mut self, context: &mut Context<'_>) {
         let over = context.router.over_guarantee(context.now, Class::Rollout);
         for borrowed in over {
             let mut running = self.attempts_on(&borrowed.server);
             running.truncate(borrowed.wanted_back as usize);
             for id in running {
-                self.move_elsewhere(context, id);
+                self.move_without_cache(context, id);
             }
         }
     }
 
-    /// Attempts on an engine, the one with the fewest tokens first.
+    /// Returns the attempts on an engine, ordered by token count, lowest first.
     fn attempts_on(&self, server: &ServerId) -> Vec<AttemptId> {
         let mut running: Vec<(usize, AttemptId)> = self
             .attempts
--- a/crates/nodes/wingshore-rollout/src/polls.rs
+++ b/crates/nodes/wingshore-rollout/src/polls.rs
@@ -1,49 +1,52 @@
+//! Polling of the ledger.
+//!
 //! Question: when does the runner ask the ledger for leases, renewals and unscored samples, and for
 //! how many?
 //!
-//! Inputs: the size of the window, the samples held, reports that the ledger has not answered, free
-//! places at the scorer, the lease duration in milliseconds.
+//! Inputs: the size of the lease window, the number of leased samples and of unanswered reports,
+//! the free capacity of the scorer, the lease duration in milliseconds.
 //!
-//! Rule: at most one request of each kind is under way. Leases are asked for while fewer samples are
-//! held than the window allows and the ledger keeps up with the reports; unscored samples while the
-//! scorer has free places. Renewals name the leases of which a third of the duration has passed. After
-//! an empty answer or a failure the next request of the kind waits.
+//! Rule: at most one request of each kind is in flight. Leases are requested while the window is
+//! not full and the ledger keeps up with the reports; unscored samples while the scorer has free
+//! capacity. A lease is renewed after a third of its duration. After an empty reply or a failure,
+//! the next request of the same kind is delayed.
 //!
-//! Why: two renewals may be lost before a lease ends.
+//! Why: with renewal after a third of the duration, two renewals may be lost before a lease
+//! expires.
 //!
-//! Missing input: without the pool's configuration nothing is asked for.
+//! Missing input: without the pool's configuration, no request is sent.
 
-use crate::held::{HeldSample, is_older_than};
+use crate::leased::{LeasedSample, is_older_than};
 use crate::messages::{CallId, RolloutOutput};
 use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
 use std::time::Duration;
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease, UnscoredSample};
 use wingshore_types::{Generation, Instant, LeaseId};
 
-/// Most reports that may wait for the ledger before no more samples are leased.
-const MAX_WAITING_REPORTS: usize = 512;
-/// Most samples asked for by one lease request.
+/// Number of unanswered reports at which the runner stops leasing samples.
+const MAX_UNANSWERED_REPORTS: usize = 512;
+/// Maximum number of samples requested by one lease request.
 const MAX_LEASES_PER_REQUEST: u32 = 64;
-/// Time until the ledger is asked again when it had nothing to lease or to score.
+/// Delay of the next poll after the ledger had no sample to lease or to score.
 const EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Leases are renewed when this part of their duration has passed.
+/// Leases are renewed after their duration divided by this number.
 const RENEWAL_DIVISOR: u64 = 3;
 
-/// One kind of question: at most one is under way.
+/// State of one kind of poll, of which at most one is in flight.
 #[derive(Clone, Copy, Debug, Default)]
 struct Poll {
     call: Option<CallId>,
-    /// Not to be asked before.
-    next: Instant,
+    /// Earliest time of the next poll.
+    next_at: Instant,
 }
 
 impl Poll {
     fn is_due(&self, now: Instant) -> bool {
-        self.call.is_none() && self.next <= now
+        self.call.is_none() && self.next_at <= now
     }
 
-    /// Whether `call` is the one under way; it then no longer is.
-    fn take(&mut self, call: CallId) -> bool {
+    /// Returns whether `call` is the poll in flight; if so, marks the poll as answered.
+    fn complete(&mut self, call: CallId) -> bool {
         let is_own = self.call == Some(call);
         if is_own {
             self.call = None;
@@ -52,28 +55,28 @@
     }
 }
 
-/// The questions.
+/// The polls of the ledger, one of each kind.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Polls {
     lease: Poll,
     renew: Poll,
     unscored: Poll,
-    /// The last answer to a lease request was empty: no sample waits for a node.
+    /// The last reply to a lease request was empty: the ledger has no sample to lease.
     ledger_is_empty: bool,
 }
 
 impl Polls {
-    /// A generation was finished: it can be scored now.
-    pub(crate) fn poll_unscored_at_once(&mut self, now: Instant) {
-        self.unscored.next = self.unscored.next.min(now);
+    /// Makes the poll for unscored samples due immediately; called after a generation was finished.
+    pub(crate) fn make_unscored_due(&mut self, now: Instant) {
+        self.unscored.next_at = self.unscored.next_at.min(now);
     }
 
-    /// Whether an answer with new leases may still come.
+    /// Returns whether a reply with new leases may still arrive.
     pub(crate) fn awaits_leases(&self) -> bool {
         self.lease.call.is_some()
     }
 
-    /// Whether the ledger had no more samples to lease when last asked.
+    /// Returns whether the ledger had no sample to lease at the last poll.
     pub(crate) fn ledger_is_empty(&self) -> bool {
         self.ledger_is_empty
     }
@@ -97,19 +100,19 @@
         call: CallId,
         reply: Option<LedgerReply>,
     ) {
-        if self.polls.lease.take(call) {
+        if self.polls.lease.complete(call) {
             self.on_leases(context, reply);
-        } else if self.polls.renew.take(call) {
+        } else if self.polls.renew.complete(call) {
             self.on_renewed(context, reply);
-        } else if self.polls.unscored.take(call) {
+        } else if self.polls.unscored.complete(call) {
             self.on_unscored(context, reply);
         }
     }
 
     fn poll_leases(&mut self, context: &mut Context<'_>) {
-        let held = self.held.len() as u32;
-        let wanted = self.window.size().saturating_sub(held);
-        let is_backed_up = self.reports.len() >= MAX_WAITING_REPORTS;
+        let leased = self.leased.len() as u32;
+        let wanted = self.window.size().saturating_sub(leased);
+        let is_backed_up = self.reports.len() >= MAX_UNANSWERED_REPORTS;
         if wanted == 0 || is_backed_up || !self.polls.lease.is_due(context.now) {
             return;
         }
@@ -119,31 +122,31 @@
             boot_id: self.settings.boot_id,
             most: wanted.min(MAX_LEASES_PER_REQUEST),
         };
-        self.polls.lease.call = Some(self.ask(context, request));
+        self.polls.lease.call = Some(self.send_to_ledger(context, request));
     }
 
     fn poll_renewals(&mut self, context: &mut Context<'_>) {
         if !self.polls.renew.is_due(context.now) {
             return;
         }
-        let leases = self.held.due_for_renewal(context.now);
+        let leases = self.leased.due_for_renewal(context.now);
         if leases.is_empty() {
             return;
         }
         let renew_at = context.now + self.renewal_interval();
         for lease in &leases {
-            self.held
+            self.leased
                 .update(*lease, |sample| sample.renew_at = renew_at);
         }
         let request = LedgerRequest::Renew {
             pool: self.pool.clone(),
             leases,
         };
-        self.polls.renew.call = Some(self.ask(context, request));
+        self.polls.renew.call = Some(self.send_to_ledger(context, request));
     }
 
     fn poll_unscored(&mut self, context: &mut Context<'_>) {
-        let free = self.free_scoring();
+        let free = self.free_scoring_slots();
         if free == 0 || !self.polls.unscored.is_due(context.now) {
             return;
         }
@@ -151,33 +154,33 @@
             pool: self.pool.clone(),
             most: free,
         };
-        self.polls.unscored.call = Some(self.ask(context, request));
+        self.polls.unscored.call = Some(self.send_to_ledger(context, request));
     }
 
     fn on_leases(&mut self, context: &mut Context<'_>, reply: Option<LedgerReply>) {
         let granted = match reply {
             Some(LedgerReply::Leases(granted)) => granted,
             _ => {
-                self.polls.lease.next = context.now + RETRY_BACKOFF;
+                self.polls.lease.next_at = context.now + RETRY_BACKOFF;
                 return;
             }
         };
         self.polls.ledger_is_empty = granted.is_empty();
         if granted.is_empty() {
-            self.polls.lease.next = context.now + EMPTY_POLL_INTERVAL;
+            self.polls.lease.next_at = context.now + EMPTY_POLL_INTERVAL;
         }
         for lease in granted {
             self.raise_oldest_useful(context, lease.oldest_useful);
-            self.hold(context, lease);
+            self.accept_lease(context, lease);
         }
     }
 
-    fn hold(&mut self, context: &mut Context<'_>, mut granted: SampleLease) {
+    fn accept_lease(&mut self, context: &mut Context<'_>, mut granted: SampleLease) {
         if is_older_than(&granted.partial, self.oldest_useful) {
             granted.partial = Generation::default();
         }
         let third = Duration::from_millis(granted.duration_ms / RENEWAL_DIVISOR);
-        let sample = HeldSample {
+        let sample = LeasedSample {
             prompt: granted.prompt,
             partial: granted.partial,
             attempts: Vec::new(),
@@ -185,7 +188,7 @@
             not_before: context.now,
             renew_at: context.now + third,
         };
-        self.held.insert(granted.lease, sample);
+        self.leased.insert(granted.lease, sample);
         if self.stopping_since.is_some() {
             self.return_lease(context, granted.lease);
         }
@@ -193,27 +196,27 @@
 
     fn on_renewed(&mut self, context: &mut Context<'_>, reply: Option<LedgerReply>) {
         match reply {
-            Some(LedgerReply::Lost(lost)) => self.drop_lost(context, &lost),
+            Some(LedgerReply::Lost(lost)) => self.drop_lost_leases(context, &lost),
             _ => {
                 let retry_at = context.now + RETRY_BACKOFF;
-                self.polls.renew.next = retry_at;
+                self.polls.renew.next_at = retry_at;
                 self.renew_all_at(retry_at);
             }
         }
     }
 
-    fn drop_lost(&mut self, context: &mut Context<'_>, lost: &[LeaseId]) {
+    fn drop_lost_leases(&mut self, context: &mut Context<'_>, lost: &[LeaseId]) {
         for lease in lost {
-            if let Some(partial) = self.abandon(context, *lease) {
+            if let Some(partial) = self.remove_sample(context, *lease) {
                 self.counters.wasted_tokens += partial.tokens.len() as u64;
             }
         }
     }
 
     fn renew_all_at(&mut self, at: Instant) {
-        let leases: Vec<LeaseId> = self.held.iter().map(|(lease, _)| lease).collect();
+        let leases: Vec<LeaseId> = self.leased.iter().map(|(lease, _)| lease).collect();
         for lease in leases {
-            self.held.update(lease, |sample| {
+            self.leased.update(lease, |sample| {
                 sample.renew_at = sample.renew_at.min(at);
             });
         }
@@ -223,15 +226,15 @@
         let samples: Vec<UnscoredSample> = match reply {
             Some(LedgerReply::Unscored(samples)) => samples,
             _ => {
-                self.polls.unscored.next = context.now + RETRY_BACKOFF;
+                self.polls.unscored.next_at = context.now + RETRY_BACKOFF;
                 return;
             }
         };
         if samples.is_empty() {
-            self.polls.unscored.next = context.now + EMPTY_POLL_INTERVAL;
+            self.polls.unscored.next_at = context.now + EMPTY_POLL_INTERVAL;
         }
         for sample in samples {
-            self.score(context, sample);
+            self.start_scoring(context, sample);
         }
     }
 
@@ -243,7 +246,7 @@
         Duration::from_millis(duration_ms / RENEWAL_DIVISOR)
     }
 
-    fn ask(&mut self, context: &mut Context<'_>, request: LedgerRequest) -> CallId {
+    fn send_to_ledger(&mut self, context: &mut Context<'_>, request: LedgerRequest) -> CallId {
         let call = self.next_call();
         context.out.push(RolloutOutput::Ledger { call, request });
         call
--- a/crates/nodes/wingshore-rollout/src/reports.rs
+++ b/crates/nodes/wingshore-rollout/src/reports.rs
@@ -1,22 +1,22 @@
-//! What must reach the ledger: sent, and sent again until it is answered.
+//! Reports to the ledger, retried until they are answered.
 //!
-//! Each report is safe to send twice, and is kept until the ledger answers it finally: a refusal for
-//! lack of room or of the pool is not final. It is sent again after
-//! [`crate::runner::RETRY_BACKOFF`], without a limit; a planned stop ends it.
+//! Reports are idempotent. Each is kept until the ledger gives a final answer; a refusal because
+//! the ledger is full or does not know the pool is not final. Retries follow after
+//! [`crate::runner::RETRY_BACKOFF`] and are not limited in number; only a planned stop ends them.
 
 use crate::messages::CallId;
 use std::collections::BTreeMap;
 use wingshore_types::protocol::ledger::LedgerRequest;
 use wingshore_types::{Instant, LeaseId, SampleNumber};
 
-/// What a report is about; a newer report about the same replaces the older one.
+/// Subject of a report; a newer report replaces an older one with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ReportKey {
     /// The pool's settings.
     Configure,
-    /// A whole generation.
+    /// A complete generation.
     Finish(LeaseId),
-    /// A lease given back.
+    /// A returned lease.
     Return(LeaseId),
     /// A score.
     Score(SampleNumber, LeaseId),
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug)]
 struct Report {
     request: LedgerRequest,
-    /// The call under way, when one is.
+    /// The call in flight, if any.
     call: Option<CallId>,
-    /// When to send it again, when no call is under way.
+    /// Time of the next send while no call is in flight.
     due: Instant,
 }
 
-/// Reports that the ledger has not answered yet.
+/// Reports that the ledger has not finally answered.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reports {
     reports: BTreeMap<ReportKey, Report>,
@@ -51,7 +51,7 @@
         self.reports.is_empty()
     }
 
-    /// Adds a report, due at once.
+    /// Adds a report that is due immediately.
     pub(crate) fn add(&mut self, now: Instant, key: ReportKey, request: LedgerRequest) {
         let report = Report {
             request,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Reports that are due and not under way.
+    /// Returns the reports that are due and not in flight.
     pub(crate) fn due(&self, now: Instant) -> Vec<ReportKey> {
         self.reports
             .iter()
@@ -73,7 +73,7 @@
             .collect()
     }
 
-    /// Marks a report as sent by `call` and gives its request.
+    /// Marks a report as sent by `call` and returns its request.
     pub(crate) fn send(&mut self, key: ReportKey, call: CallId) -> Option<LedgerRequest> {
         let report = self.reports.get_mut(&key)?;
         report.call = Some(call);
@@ -81,18 +81,18 @@
         Some(report.request.clone())
     }
 
-    /// The report that `call` sent, when it still matters.
+    /// Removes `call` and returns its report, unless a newer report has replaced it.
     pub(crate) fn take_call(&mut self, call: CallId) -> Option<ReportKey> {
         self.calls.remove(&call)
     }
 
-    /// The ledger has answered: done.
-    pub(crate) fn done(&mut self, key: ReportKey) {
+    /// Removes a report that the ledger has finally answered.
+    pub(crate) fn remove(&mut self, key: ReportKey) {
         self.reports.remove(&key);
     }
 
-    /// The ledger did not answer, or not finally: once more at `due`.
-    pub(crate) fn again(&mut self, key: ReportKey, due: Instant) {
+    /// Schedules a report without a final answer to be sent again at `due`.
+    pub(crate) fn reschedule(&mut self, key: ReportKey, due: Instant) {
         if let Some(report) = self.reports.get_mut(&key) {
             report.call = None;
             report.due = due;
--- a/crates/nodes/wingshore-rollout/src/runner.rs
+++ b/crates/nodes/wingshore-rollout/src/runner.rs
@@ -1,7 +1,7 @@
-//! The runner: its state, and where each input goes.
+//! State of the runner and dispatch of its inputs.
 
 use crate::faults::Faults;
-use crate::held::HeldSamples;
+use crate::leased::LeasedSamples;
 use crate::messages::{AttemptId, CallId, PoolBinding, RolloutInput, RolloutOutput};
 use crate::polls::Polls;
 use crate::reports::{ReportKey, Reports};
@@ -15,44 +15,45 @@
 use wingshore_types::protocol::ledger::{LedgerRefusal, LedgerReply, LedgerRequest};
 use wingshore_types::{Instant, PoolId, WeightVersion};
 
-/// Time before a request to the ledger or the scorer that failed is sent again, and before a sample
-/// whose attempt generated nothing is started again.
+/// Backoff before a failed request to the ledger or the scorer is retried, and before a sample
+/// whose attempt generated no token is started again.
 pub(crate) const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// What a runner holds and has done. Tests read it; no metric shows it.
+/// Current counts and totals of a runner. Tests read it; of its fields, only `finished` is exported
+/// as a metric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// Samples that wait for a slot.
+    /// Samples waiting for a slot.
     pub waiting: u32,
-    /// Attempts that run.
+    /// Running attempts.
     pub running: u32,
-    /// Samples leased and not finished.
-    pub held: u32,
-    /// Reports the ledger has not answered.
+    /// Leased samples that are not finished.
+    pub leased: u32,
+    /// Reports that the ledger has not finally answered.
     pub reports: u32,
-    /// Samples at the scorer.
+    /// Samples that are being scored or wait for a retry.
     pub scoring: u32,
-    /// How many samples the runner would hold.
+    /// Number of samples that the runner may lease at once.
     pub window: u32,
-    /// Attempts started since the boot.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts that were resumed from an earlier one's tokens.
+    /// Attempts resumed from the tokens of an earlier attempt.
     pub resumed: u64,
     /// Attempts that ended without their final event.
-    pub cut: u64,
-    /// Attempts moved off an engine.
+    pub interrupted: u64,
+    /// Attempts moved to another engine.
     pub moved: u64,
-    /// Of those, the ones whose KV cache was copied.
+    /// Attempts moved together with their KV cache; included in `moved`.
     pub moved_with_cache: u64,
-    /// Second attempts of stragglers.
-    pub over_issued: u64,
-    /// Generations finished.
+    /// Second attempts started for stragglers.
+    pub second_attempts: u64,
+    /// Finished samples.
     pub finished: u64,
-    /// Tokens generated and thrown away.
+    /// Tokens that were generated and discarded.
     pub wasted_tokens: u64,
 }
 
-/// What one step works with.
+/// Environment of one step: its time, the router and the outputs.
 pub(crate) struct Context<'a> {
     pub(crate) now: Instant,
     pub(crate) router: &'a mut Router,
@@ -65,15 +66,15 @@
     pub(crate) settings: RolloutSettings,
     pub(crate) pool: PoolId,
     pub(crate) binding: Option<PoolBinding>,
-    pub(crate) held: HeldSamples,
+    pub(crate) leased: LeasedSamples,
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
     pub(crate) window: LeaseWindow,
     pub(crate) reports: Reports,
     pub(crate) polls: Polls,
     pub(crate) scoring: Scoring,
-    /// Tokens of versions below this are too old to be handed over.
+    /// Oldest weight version whose tokens are still useful; older tokens are discarded.
     pub(crate) oldest_useful: WeightVersion,
-    /// No attempt is started before: the router had no slot.
+    /// Backoff after a refusal by the router: no attempt starts earlier.
     pub(crate) refused_until: Instant,
     pub(crate) stopping_since: Option<Instant>,
     pub(crate) is_stopped: bool,
@@ -84,14 +85,14 @@
 }
 
 impl RolloutRunner {
-    /// A runner for one pool. It does nothing before it hears of the pool's configuration.
+    /// Creates a runner for one pool. It is idle until it receives the pool's configuration.
     pub fn new(settings: RolloutSettings, pool: PoolId) -> Self {
         Self {
             window: LeaseWindow::new(settings.window_most),
             settings,
             pool,
             binding: None,
-            held: HeldSamples::default(),
+            leased: LeasedSamples::default(),
             attempts: BTreeMap::new(),
             reports: Reports::default(),
             polls: Polls::default(),
@@ -107,13 +108,13 @@
         }
     }
 
-    /// The same runner with deliberate faults; for tests only.
+    /// Enables injected faults; for tests only.
     pub fn with_faults(mut self, faults: Faults) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Handles one input at `now`, pushing what follows from it.
+    /// Handles one input at `now` and appends the resulting outputs to `out`.
     pub fn step(
         &mut self,
         now: Instant,
@@ -125,21 +126,22 @@
         let is_chunk = matches!(input, RolloutInput::Chunk { .. });
         self.handle(&mut context, input);
         if is_chunk {
-            // By far the most frequent input; what it may set free waits for the next tick.
+            // Chunks are by far the most frequent input; slots that one frees are used at the next
+            // tick.
             return;
         }
         self.start_waiting(&mut context);
         self.poll_ledger(&mut context);
         self.send_reports(&mut context);
-        self.finish_stop(&mut context);
+        self.complete_stop(&mut context);
     }
 
-    /// What it holds and has done.
+    /// Returns the current counts and totals.
     pub fn status(&self) -> RolloutStatus {
         RolloutStatus {
-            waiting: self.held.waiting() as u32,
+            waiting: self.leased.waiting() as u32,
             running: self.attempts.len() as u32,
-            held: self.held.len() as u32,
+            leased: self.leased.len() as u32,
             reports: self.reports.len() as u32,
             scoring: self.scoring.len() as u32,
             window: self.window.size(),
@@ -172,12 +174,12 @@
     }
 
     fn on_tick(&mut self, context: &mut Context<'_>) {
-        self.give_up_stalled(context);
-        self.move_off_leaving(context);
-        self.yield_borrowed_slots(context);
-        self.over_issue(context);
+        self.fail_stalled(context);
+        self.move_from_leaving_engines(context);
+        self.release_borrowed_slots(context);
+        self.start_second_attempts(context);
         self.retry_scoring(context);
-        self.end_stop(context);
+        self.enforce_stop_limit(context);
     }
 
     fn on_binding(&mut self, context: &mut Context<'_>, binding: PoolBinding) {
@@ -185,7 +187,8 @@
         if known.is_some_and(|known| known >= binding.revision) {
             return;
         }
-        // The trainer has published the target version, so its next pull is at least as new.
+        // The trainer has published the target version, so its next pull asks for at least that
+        // one.
         let bound = binding.pool.staleness_bound;
         let target = binding.pool.target_version;
         self.binding = Some(binding);
@@ -193,7 +196,7 @@
         self.raise_oldest_useful(context, WeightVersion(target.0.saturating_sub(bound)));
     }
 
-    /// Sends the pool's settings to the ledger.
+    /// Adds a report of the pool's settings to the ledger.
     pub(crate) fn configure(&mut self, now: Instant) {
         let Some(binding) = &self.binding else {
             return;
@@ -235,12 +238,12 @@
             | Some(LedgerReply::Refused(LedgerRefusal::Full { .. } | LedgerRefusal::UnknownPool)) =>
             {
                 let due = context.now + RETRY_BACKOFF;
-                self.reports.again(key, due);
+                self.reports.reschedule(key, due);
             }
             Some(_) => {
-                self.reports.done(key);
+                self.reports.remove(key);
                 if matches!(key, ReportKey::Finish(_)) {
-                    self.polls.poll_unscored_at_once(context.now);
+                    self.polls.make_unscored_due(context.now);
                 }
             }
         }
@@ -255,21 +258,21 @@
         }
     }
 
-    /// Raises the oldest version that is of use; what is older is dropped and generated anew.
+    /// Raises the oldest useful weight version. Older generations are discarded and restarted.
     pub(crate) fn raise_oldest_useful(&mut self, context: &mut Context<'_>, to: WeightVersion) {
         if to <= self.oldest_useful {
             return;
         }
         self.oldest_useful = to;
-        for lease in self.held.with_partial_older_than(to) {
+        for lease in self.leased.with_partial_older_than(to) {
             let mut dropped = 0;
-            self.held.update(lease, |sample| {
+            self.leased.update(lease, |sample| {
                 dropped = sample.partial.tokens.len();
                 sample.partial = wingshore_types::Generation::default();
             });
             self.counters.wasted_tokens += dropped as u64;
         }
-        self.restart_older_than(context, to);
+        self.cancel_older_than(context, to);
     }
 
     pub(crate) fn next_attempt(&mut self) -> AttemptId {
--- a/crates/nodes/wingshore-rollout/src/scoring.rs
+++ b/crates/nodes/wingshore-rollout/src/scoring.rs
@@ -1,12 +1,15 @@
-//! Question: how often and how long is the scorer asked for a score?
+//! Scoring of finished samples.
+//!
+//! Question: how often is a score requested, and how long does the runner wait for it?
 //!
 //! Inputs: unscored samples that the ledger offers, the scorer's answers, `score_concurrency`.
 //!
-//! Rule: each sample is sent at once, and again after a failure or a timeout, up to
-//! [`MAX_SCORE_ATTEMPTS`] times; then it is forgotten here, and the ledger offers it again later, to
-//! this node or another. A score that is not a finite number counts as a failure.
+//! Rule: each sample is sent immediately and retried after a failure or a timeout, up to
+//! [`MAX_SCORE_ATTEMPTS`] attempts in total. Then the runner drops it, and the ledger offers it
+//! again later, to this node or another. A score that is not finite counts as a failure.
 //!
-//! Why: scoring twice does no harm, since the first score of a generation wins in the ledger.
+//! Why: scoring a sample twice is harmless, because the ledger keeps the first score of a
+//! generation.
 
 use crate::messages::{RolloutOutput, ScoreCallId};
 use crate::reports::ReportKey;
@@ -17,26 +20,27 @@
 use wingshore_types::protocol::ledger::{LedgerRequest, UnscoredSample};
 use wingshore_types::{Instant, LeaseId, SampleNumber};
 
-/// How long the scorer may take for one answer.
+/// Timeout of one request to the scorer.
 const SCORE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Requests to the scorer for one sample, before it is left to another node.
+/// Maximum number of requests to the scorer for one sample before the runner drops it.
 const MAX_SCORE_ATTEMPTS: u32 = 4;
-/// The scorer's own timeout may be reported late by so much before the answer is not waited for.
+/// Time beyond [`SCORE_TIMEOUT`] in which the driver may report the result, before the request is
+/// treated as unanswered.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 type TaskKey = (SampleNumber, LeaseId);
 
-/// A sample at the scorer, or waiting to be asked about again.
+/// A sample that is being scored or waits for a retry.
 #[derive(Clone, Debug)]
 struct ScoreTask {
     sample: UnscoredSample,
     requests: u32,
     call: Option<ScoreCallId>,
-    /// With a call under way: when to stop waiting. Without: when to ask again.
+    /// Timeout of the call in flight, or the time of the next request if there is none.
     due: Instant,
 }
 
-/// Samples at the scorer.
+/// Samples that are being scored or wait for a retry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Scoring {
     tasks: BTreeMap<TaskKey, ScoreTask>,
@@ -57,9 +61,10 @@
             .collect()
     }
 
-    /// Marks a task as asked and gives the call; `None` when it was asked often enough.
-    fn ask(&mut self, key: TaskKey, due: Instant) -> Option<(ScoreCallId, ScoreRequest)> {
-        self.forget_call(key);
+    /// Creates the next request for a task, due for a retry at `due`. Removes the task and returns
+    /// `None` after [`MAX_SCORE_ATTEMPTS`].
+    fn start_request(&mut self, key: TaskKey, due: Instant) -> Option<(ScoreCallId, ScoreRequest)> {
+        self.remove_call(key);
         let task = self.tasks.get_mut(&key)?;
         if task.requests >= MAX_SCORE_ATTEMPTS {
             self.tasks.remove(&key);
@@ -79,13 +84,13 @@
         Some((call, request))
     }
 
-    fn forget_call(&mut self, key: TaskKey) {
+    fn remove_call(&mut self, key: TaskKey) {
         if let Some(call) = self.tasks.get_mut(&key).and_then(|task| task.call.take()) {
             self.calls.remove(&call);
         }
     }
 
-    /// Forgets the samples that are not scored yet; the ledger offers them to other nodes.
+    /// Drops all samples that are not scored yet; the ledger offers them to other nodes.
     pub(crate) fn clear(&mut self) {
         self.tasks.clear();
         self.calls.clear();
@@ -93,13 +98,13 @@
 }
 
 impl RolloutRunner {
-    /// How many more samples may go to the scorer.
-    pub(crate) fn free_scoring(&self) -> u32 {
+    /// Returns how many more samples may be sent to the scorer.
+    pub(crate) fn free_scoring_slots(&self) -> u32 {
         let busy = self.scoring.len() as u32;
         self.settings.score_concurrency.saturating_sub(busy)
     }
 
-    pub(crate) fn score(&mut self, context: &mut Context<'_>, sample: UnscoredSample) {
+    pub(crate) fn start_scoring(&mut self, context: &mut Context<'_>, sample: UnscoredSample) {
         let key = (sample.number, sample.lease);
         if self.stopping_since.is_some() || self.scoring.tasks.contains_key(&key) {
             return;
@@ -111,7 +116,7 @@
             due: context.now,
         };
         self.scoring.tasks.insert(key, task);
-        self.ask_scorer(context, key);
+        self.request_score(context, key);
     }
 
     pub(crate) fn on_scored(
@@ -140,17 +145,17 @@
 
     pub(crate) fn retry_scoring(&mut self, context: &mut Context<'_>) {
         for key in self.scoring.due(context.now) {
-            self.ask_scorer(context, key);
+            self.request_score(context, key);
         }
     }
 
-    fn ask_scorer(&mut self, context: &mut Context<'_>, key: TaskKey) {
+    fn request_score(&mut self, context: &mut Context<'_>, key: TaskKey) {
         let Some(binding) = &self.binding else {
             return;
         };
         let address = binding.pool.scorer;
         let due = context.now + SCORE_TIMEOUT + ANSWER_MARGIN;
-        if let Some((call, request)) = self.scoring.ask(key, due) {
+        if let Some((call, request)) = self.scoring.start_request(key, due) {
             context.out.push(RolloutOutput::Score {
                 call,
                 address,
--- a/crates/nodes/wingshore-rollout/src/second_attempts.rs
+++ b/crates/nodes/wingshore-rollout/src/second_attempts.rs
@@ -1,13 +1,15 @@
+//! Second attempts of stragglers.
+//!
 //! Question: which samples get a second attempt on another engine while the first one runs?
 //!
-//! Inputs: when each attempt began, how many tokens it may still generate, whether samples wait for a
-//! slot here or in the ledger, the policy of the settings.
+//! Inputs: the start time of each attempt, how many tokens it may still generate, whether samples
+//! wait for a slot here or in the ledger, the policy in the settings.
 //!
-//! Rule: only while nothing else could use the slots, attempts that have run for longer than
-//! [`OverIssue::after`] are attempted again, those with most tokens left first, from what they
-//! generated so far. The first attempt to finish wins and the other one is cancelled.
+//! Rule: while no other sample could use the slots, attempts that have run for at least
+//! [`OverIssue::after`] get a second attempt that starts from the tokens generated so far, those
+//! with the most tokens left first. The first attempt to finish wins; the other one is cancelled.
 //!
-//! Why: a step is complete when its last sample is. Off unless the settings ask for it.
+//! Why: a step is complete only when its last sample is. Disabled by default.
 
 use crate::messages::AttemptId;
 use crate::runner::{Context, RolloutRunner};
@@ -16,12 +18,12 @@
 use wingshore_types::{Instant, LeaseId};
 
 impl RolloutRunner {
-    /// Starts second attempts of stragglers, when nothing else could use the slots.
-    pub(crate) fn over_issue(&mut self, context: &mut Context<'_>) {
+    /// Starts second attempts of stragglers if no other sample could use the slots.
+    pub(crate) fn start_second_attempts(&mut self, context: &mut Context<'_>) {
         let Some(policy) = self.settings.over_issue else {
             return;
         };
-        let has_other_work = self.held.waiting() > 0 || !self.polls.ledger_is_empty();
+        let has_other_work = self.leased.waiting() > 0 || !self.polls.ledger_is_empty();
         if has_other_work || self.stopping_since.is_some() || context.now < self.refused_until {
             return;
         }
@@ -33,27 +35,30 @@
             if self.start(context, lease, Some(resume)).is_err() {
                 return;
             }
-            self.counters.over_issued += 1;
+            self.counters.second_attempts += 1;
         }
     }
 
     fn stragglers(&self, now: Instant, policy: OverIssue) -> Vec<(LeaseId, AttemptId)> {
-        let issued_twice = self.held.iter().filter(|(_, held)| held.attempts.len() > 1);
-        let room = (policy.most as usize).saturating_sub(issued_twice.count());
+        let issued_twice = self
+            .leased
+            .iter()
+            .filter(|(_, sample)| sample.attempts.len() > 1);
+        let remaining = (policy.most as usize).saturating_sub(issued_twice.count());
         let mut stragglers: Vec<(Reverse<u32>, LeaseId, AttemptId)> = self
             .attempts
             .iter()
             .filter(|(_, attempt)| now.since(attempt.started) >= policy.after)
             .filter_map(|(id, attempt)| {
-                let held = self.held.get(attempt.lease)?;
+                let sample = self.leased.get(attempt.lease)?;
                 let generated = attempt.generation.tokens.len() as u32;
-                let left = held.prompt.max_tokens.saturating_sub(generated);
-                let is_only = held.attempts.len() == 1;
+                let left = sample.prompt.max_tokens.saturating_sub(generated);
+                let is_only = sample.attempts.len() == 1;
                 is_only.then_some((Reverse(left), attempt.lease, *id))
             })
             .collect();
         stragglers.sort();
-        stragglers.truncate(room);
+        stragglers.truncate(remaining);
         stragglers
             .into_iter()
             .map(|(_, lease, id)| (lease, id))
--- a/crates/nodes/wingshore-rollout/src/settings.rs
+++ b/crates/nodes/wingshore-rollout/src/settings.rs
@@ -4,43 +4,46 @@
 use std::time::Duration;
 use wingshore_types::NodeId;
 
-/// When a straggler gets a second attempt on another engine. The first to finish wins and the
-/// other one is cancelled.
+/// Policy for second attempts of stragglers on another engine. The first attempt to finish wins;
+/// the other one is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OverIssue {
-    /// Only attempts that have run for so long, and only while no sample waits for a slot.
+    /// Minimum running time of an attempt before its sample gets a second one. Second attempts
+    /// start only while no sample waits for a slot.
     pub after: Duration,
-    /// Most samples with two attempts at once.
+    /// Maximum number of samples with two attempts at the same time.
     pub most: u32,
 }
 
 /// Settings of a [`crate::RolloutRunner`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutSettings {
-    /// The node it runs on.
+    /// The node on which the runner runs.
     pub node: NodeId,
-    /// Drawn at each start of the node; its request ids and leases carry it.
+    /// Random ID of this start of the node; part of request IDs and leases.
     pub boot_id: u64,
-    /// Most samples running or waiting for a slot at once.
+    /// Maximum number of leased samples, running or waiting for a slot.
     pub window_most: u32,
-    /// A stream without its first event for so long is cancelled: the engine may queue it.
+    /// Timeout for the first event of a stream, after which it is cancelled; covers queueing on the
+    /// engine.
     pub first_event_timeout: Duration,
-    /// A stream without a further event for so long is cancelled and resumed elsewhere.
+    /// Timeout for each further event of a stream, after which it is cancelled and its sample
+    /// resumed on another engine.
     pub stall_timeout: Duration,
-    /// How long attempts on a leaving engine may run before they are moved.
+    /// Time that attempts on a leaving engine may run before they are moved.
     pub leaving_grace: Duration,
-    /// When attempts on a leaving engine move with their KV cache.
+    /// Cost estimates that decide whether attempts on a leaving engine move with their KV cache.
     pub cache_moves: CacheMoveCosts,
-    /// Second attempts of stragglers; `None` for none.
+    /// Policy for second attempts of stragglers; `None` disables them.
     pub over_issue: Option<OverIssue>,
-    /// Most samples at the scorer at once.
+    /// Maximum number of samples that are scored concurrently.
     pub score_concurrency: u32,
-    /// How long a planned stop lets attempts run.
+    /// Time that attempts may continue after a planned stop begins.
     pub stop_limit: Duration,
 }
 
 impl RolloutSettings {
-    /// The usual settings.
+    /// Creates the default settings.
     pub fn new(node: NodeId, boot_id: u64) -> Self {
         Self {
             node,
--- a/crates/nodes/wingshore-rollout/src/starting.rs
+++ b/crates/nodes/wingshore-rollout/src/starting.rs
@@ -1,6 +1,6 @@
-//! Starts attempts: takes a slot of an engine and asks the engine to generate.
+//! Starts attempts: reserves a slot on an engine and sends the completion request.
 
-use crate::held::HeldSample;
+use crate::leased::LeasedSample;
 use crate::messages::{AttemptId, RolloutOutput};
 use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
 use crate::streams::Attempt;
@@ -10,19 +10,19 @@
 use wingshore_types::platform::EngineCompletionRequest;
 use wingshore_types::{Generation, Instant, LeaseId, ServerId};
 
-/// The engine's limit for one attempt, from its start.
+/// Time limit of one attempt on the engine, counted from its start.
 const ATTEMPT_DEADLINE: Duration = Duration::from_secs(600);
-/// Priority of rollouts on engines; higher goes first. Live requests without a priority of their own
-/// have the same.
+/// Priority of rollouts on engines; higher values are scheduled first. It equals the default
+/// priority of live requests.
 const ROLLOUT_PRIORITY: i32 = 0;
 
 impl RolloutRunner {
-    /// Starts waiting samples until the router has no slot.
+    /// Starts waiting samples until the router refuses one.
     pub(crate) fn start_waiting(&mut self, context: &mut Context<'_>) {
         if context.now < self.refused_until || self.stopping_since.is_some() {
             return;
         }
-        for lease in self.held.startable(context.now) {
+        for lease in self.leased.startable(context.now) {
             if let Err(refusal) = self.start(context, lease, None) {
                 let backoff = refusal.retry_after.unwrap_or(RETRY_BACKOFF);
                 self.refused_until = context.now + backoff;
@@ -34,20 +34,21 @@
                 return;
             }
         }
-        if self.held.waiting() == 0 {
+        if self.leased.waiting() == 0 {
             let running = self.attempts.len() as u32;
             self.window.on_all_running(context.now, running);
         }
     }
 
-    /// Starts an attempt at a held sample; `resume` replaces the tokens that ended attempts left.
+    /// Starts an attempt to generate a leased sample. `resume` gives the tokens to resume from and
+    /// the engine to avoid, in place of those recorded for the sample.
     pub(crate) fn start(
         &mut self,
         context: &mut Context<'_>,
         lease: LeaseId,
         resume: Option<(Generation, ServerId)>,
     ) -> Result<(), Refusal> {
-        let Some(sample) = self.held.get(lease).cloned() else {
+        let Some(sample) = self.leased.get(lease).cloned() else {
             return Ok(());
         };
         let (generation, avoided) = match resume {
@@ -60,12 +61,12 @@
         Ok(())
     }
 
-    /// Starts an attempt at a held sample in a slot that is taken already.
+    /// Starts an attempt to generate a leased sample in an already reserved slot.
     pub(crate) fn start_on(
         &mut self,
         context: &mut Context<'_>,
         lease: LeaseId,
-        sample: &HeldSample,
+        sample: &LeasedSample,
         admitted: Admitted,
         generation: Generation,
     ) {
@@ -77,18 +78,20 @@
             address: admitted.address,
             request: Box::new(request),
         });
-        self.remember_attempt(context.now, attempt, lease, admitted, generation);
+        self.record_attempt(context.now, attempt, lease, admitted, generation);
     }
 
+    /// Reserves a slot for a sample, preferably not on the engine `avoided`; a second attempt never
+    /// runs there.
     pub(crate) fn admit(
         &mut self,
         context: &mut Context<'_>,
-        sample: &HeldSample,
+        sample: &LeasedSample,
         avoided: Option<ServerId>,
         is_second: bool,
     ) -> Result<Admitted, Refusal> {
         let Some(binding) = &self.binding else {
-            return Err(no_binding());
+            return Err(missing_binding());
         };
         let mut request = RouteRequest {
             service: binding.pool.service.clone(),
@@ -104,7 +107,7 @@
         if first.is_ok() || request.excluded.is_empty() || is_second {
             return first;
         }
-        // Rather the engine that failed it before than none.
+        // Fall back to the avoided engine if no other engine is available.
         request.excluded.clear();
         context.router.admit(context.now, &request)
     }
@@ -112,7 +115,7 @@
     fn engine_request(
         &self,
         attempt: AttemptId,
-        sample: &HeldSample,
+        sample: &LeasedSample,
         resume: &Generation,
     ) -> EngineCompletionRequest {
         let binding = self.binding.as_ref();
@@ -131,7 +134,7 @@
         }
     }
 
-    fn remember_attempt(
+    fn record_attempt(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -150,16 +153,16 @@
             started: now,
             last_event: now,
             leaving_since: None,
-            next: None,
+            move_target: None,
         };
         self.counters.attempts += 1;
         self.counters.resumed += u64::from(resumed_tokens > 0);
         self.attempts.insert(id, attempt);
-        self.held.update(lease, |sample| sample.attempts.push(id));
+        self.leased.update(lease, |sample| sample.attempts.push(id));
     }
 }
 
-fn no_binding() -> Refusal {
+fn missing_binding() -> Refusal {
     Refusal {
         code: RefusalCode::UnknownService,
         message: "the pool's configuration is not known yet".to_owned(),
--- a/crates/nodes/wingshore-rollout/src/stopping.rs
+++ b/crates/nodes/wingshore-rollout/src/stopping.rs
@@ -1,14 +1,18 @@
-//! Question: what becomes of the held samples when the node stops as planned, and when is the stop
-//! over?
+//! Planned stop of the node.
 //!
-//! Inputs: when the stop began, what runs, is held or is not answered by the ledger, `stop_limit`.
+//! Question: what happens to the leased samples during a planned stop, and when is the stop
+//! complete?
 //!
-//! Rule: nothing new is leased, started or scored. Samples without an attempt are returned at once,
-//! attempts run on until the limit; then they are cancelled and their samples returned with what was
-//! generated. The stop is over when nothing is left, or after [`STOP_LIMITS_FOR_REPORTS`] limits.
+//! Inputs: the start time of the stop, running attempts, leased samples, unanswered reports,
+//! `stop_limit`.
 //!
-//! Why: short attempts finish, and no lease has to run out. What the ledger did not answer by then
-//! ends with its lease.
+//! Rule: no sample is leased, started or newly sent to the scorer. Samples without an attempt are
+//! returned immediately. Running attempts continue until the limit; then they are cancelled and
+//! their samples are returned with the tokens generated so far. The stop is complete when nothing
+//! is left to do, or after [`REPORT_STOP_LIMIT_FACTOR`] times the limit.
+//!
+//! Why: short attempts finish, and no sample has to wait for its lease to expire. If the ledger
+//! does not answer a report in time, the lease of that sample expires.
 
 use crate::messages::RolloutOutput;
 use crate::reports::ReportKey;
@@ -16,9 +20,8 @@
 use wingshore_types::LeaseId;
 use wingshore_types::protocol::ledger::LedgerRequest;
 
-/// After this many stop limits, reports that the ledger does not answer are given up: their leases
-/// run out by themselves.
-const STOP_LIMITS_FOR_REPORTS: u32 = 2;
+/// Multiple of the stop limit after which unanswered reports are abandoned; their leases expire.
+const REPORT_STOP_LIMIT_FACTOR: u32 = 2;
 
 impl RolloutRunner {
     pub(crate) fn on_stop(&mut self, context: &mut Context<'_>) {
@@ -29,8 +32,8 @@
         self.return_waiting(context);
     }
 
-    /// Once the limit has passed: cancels what still runs and gives it back.
-    pub(crate) fn end_stop(&mut self, context: &mut Context<'_>) {
+    /// Once the stop limit has passed, cancels the running attempts and returns their samples.
+    pub(crate) fn enforce_stop_limit(&mut self, context: &mut Context<'_>) {
         let Some(since) = self.stopping_since else {
             return;
         };
@@ -38,14 +41,14 @@
             return;
         }
         self.scoring.clear();
-        let leases: Vec<LeaseId> = self.held.iter().map(|(lease, _)| lease).collect();
+        let leases: Vec<LeaseId> = self.leased.iter().map(|(lease, _)| lease).collect();
         for lease in leases {
             self.return_lease(context, lease);
         }
     }
 
-    /// Says once when the stop is over.
-    pub(crate) fn finish_stop(&mut self, context: &mut Context<'_>) {
+    /// Emits [`RolloutOutput::Stopped`] once, when the stop is complete.
+    pub(crate) fn complete_stop(&mut self, context: &mut Context<'_>) {
         let Some(since) = self.stopping_since else {
             return;
         };
@@ -54,20 +57,20 @@
         }
         self.return_waiting(context);
         self.send_reports(context);
-        let is_idle = self.held.is_empty()
+        let is_idle = self.leased.is_empty()
             && self.reports.is_empty()
             && self.scoring.len() == 0
             && !self.polls.awaits_leases();
-        let limit = self.settings.stop_limit * STOP_LIMITS_FOR_REPORTS;
+        let limit = self.settings.stop_limit * REPORT_STOP_LIMIT_FACTOR;
         if is_idle || context.now.since(since) >= limit {
             self.is_stopped = true;
             context.out.push(RolloutOutput::Stopped);
         }
     }
 
-    /// Gives a lease back with the tokens generated so far.
+    /// Returns a lease to the ledger with the tokens generated so far.
     pub(crate) fn return_lease(&mut self, context: &mut Context<'_>, lease: LeaseId) {
-        let Some(partial) = self.abandon(context, lease) else {
+        let Some(partial) = self.remove_sample(context, lease) else {
             return;
         };
         let request = LedgerRequest::Return {
@@ -79,10 +82,10 @@
         self.reports.add(context.now, key, request);
     }
 
-    /// Samples without an attempt, for instance because their stream was cut, go back at once.
+    /// Returns the leases of samples without an attempt, for instance after an interrupted stream.
     fn return_waiting(&mut self, context: &mut Context<'_>) {
         let waiting: Vec<LeaseId> = self
-            .held
+            .leased
             .iter()
             .filter(|(_, sample)| sample.attempts.is_empty())
             .map(|(lease, _)| lease)
--- a/crates/nodes/wingshore-rollout/src/streams.rs
+++ b/crates/nodes/wingshore-rollout/src/streams.rs
@@ -1,7 +1,7 @@
-//! Attempts on engines, from their first event to their end. Segments come from the engines' stamps
-//! alone.
+//! Running attempts on engines, from their first event to their end. The segments of a generation
+//! are derived only from the weight versions that the engines report.
 
-use crate::held::is_older_than;
+use crate::leased::is_older_than;
 use crate::messages::{AttemptId, RolloutOutput, StreamEnd};
 use crate::reports::ReportKey;
 use crate::runner::{Context, RETRY_BACKOFF, RolloutRunner};
@@ -11,32 +11,32 @@
 use wingshore_types::protocol::ledger::LedgerRequest;
 use wingshore_types::{Generation, Instant, LeaseId, ServerId, Token, Verdict, WeightVersion};
 
-/// One attempt that runs.
+/// A running attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) lease: LeaseId,
     pub(crate) ticket: Ticket,
     pub(crate) server: ServerId,
     pub(crate) address: SocketAddr,
-    /// Tokens so far, those it was resumed from included.
+    /// Tokens generated so far, including those from which the attempt was resumed.
     pub(crate) generation: Generation,
-    /// Tokens it was resumed from.
+    /// Number of tokens from which the attempt was resumed.
     pub(crate) resumed_tokens: usize,
     pub(crate) started: Instant,
     pub(crate) last_event: Instant,
-    /// Since when its engine is seen to be leaving.
+    /// Time since which the engine has been observed as leaving.
     pub(crate) leaving_since: Option<Instant>,
-    /// Where it is resumed once its KV cache is there.
-    pub(crate) next: Option<Admitted>,
+    /// Reserved slot on which the attempt is resumed once its KV cache has been copied.
+    pub(crate) move_target: Option<Admitted>,
 }
 
-/// What becomes of an ended attempt's tokens.
+/// Whether the tokens of an ended attempt are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Tokens {
-    /// The next attempt is resumed from them.
+pub(crate) enum TokenDisposition {
+    /// Keeps the tokens; the next attempt may be resumed from them.
     Keep,
-    /// They are of no use.
-    Drop,
+    /// Discards the tokens.
+    Discard,
 }
 
 impl RolloutRunner {
@@ -57,20 +57,23 @@
         }
         let length = attempt.generation.tokens.len();
         let lease = attempt.lease;
-        let most = self.held.get(lease).map(|held| held.prompt.max_tokens);
+        let most = self
+            .leased
+            .get(lease)
+            .map(|sample| sample.prompt.max_tokens);
         if length > most.unwrap_or(0) as usize {
-            return self.fail(context, id, Tokens::Drop);
+            return self.fail(context, id, TokenDisposition::Discard);
         }
-        self.restart_if_too_old(context, id);
+        self.cancel_if_too_old(context, id);
     }
 
     pub(crate) fn on_finished(&mut self, context: &mut Context<'_>, id: AttemptId, usage: Usage) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let is_whole = usage.completion_tokens as usize == attempt.generation.tokens.len();
-        if !is_whole || attempt.generation.tokens.is_empty() {
-            return self.fail(context, id, Tokens::Drop);
+        let is_complete = usage.completion_tokens as usize == attempt.generation.tokens.len();
+        if !is_complete || attempt.generation.tokens.is_empty() {
+            return self.fail(context, id, TokenDisposition::Discard);
         }
         if let Some(attempt) = self.end_attempt(context, id, None) {
             self.report_finish(context, attempt);
@@ -93,37 +96,47 @@
         if self.faults.finish_cut_streams && !attempt.generation.tokens.is_empty() {
             return self.report_finish(context, attempt);
         }
-        self.counters.cut += 1;
-        self.keep_partial(context.now, attempt, Tokens::Keep);
+        self.counters.interrupted += 1;
+        self.keep_partial(context.now, attempt, TokenDisposition::Keep);
     }
 
-    /// Cancels an attempt; its sample waits for another one.
-    pub(crate) fn cancel(&mut self, context: &mut Context<'_>, id: AttemptId, tokens: Tokens) {
+    /// Cancels an attempt; its sample waits for a new one.
+    pub(crate) fn cancel(
+        &mut self,
+        context: &mut Context<'_>,
+        id: AttemptId,
+        tokens: TokenDisposition,
+    ) {
         self.cancel_with(context, id, AttemptOutcome::Cancelled, tokens);
     }
 
-    /// Cancels an attempt whose engine is at fault.
-    pub(crate) fn fail(&mut self, context: &mut Context<'_>, id: AttemptId, tokens: Tokens) {
+    /// Cancels an attempt and records a failure of its engine.
+    pub(crate) fn fail(
+        &mut self,
+        context: &mut Context<'_>,
+        id: AttemptId,
+        tokens: TokenDisposition,
+    ) {
         let outcome = AttemptOutcome::Failed(Verdict::MayHaveRun);
-        self.counters.cut += 1;
+        self.counters.interrupted += 1;
         self.cancel_with(context, id, outcome, tokens);
     }
 
-    /// Cancels the attempts at a sample and forgets it; returns the longest partial generation.
-    pub(crate) fn abandon(
+    /// Cancels all attempts of a sample and removes it; returns its longest partial generation.
+    pub(crate) fn remove_sample(
         &mut self,
         context: &mut Context<'_>,
         lease: LeaseId,
     ) -> Option<Generation> {
-        let running = self.held.get(lease)?.attempts.clone();
+        let running = self.leased.get(lease)?.attempts.clone();
         for id in running {
-            self.cancel(context, id, Tokens::Keep);
+            self.cancel(context, id, TokenDisposition::Keep);
         }
-        self.held.remove(lease).map(|sample| sample.partial)
+        self.leased.remove(lease).map(|sample| sample.partial)
     }
 
-    /// Starts anew the attempts whose first tokens are too old by now.
-    pub(crate) fn restart_older_than(&mut self, context: &mut Context<'_>, oldest: WeightVersion) {
+    /// Cancels attempts that have tokens of versions below `oldest` and discards their tokens.
+    pub(crate) fn cancel_older_than(&mut self, context: &mut Context<'_>, oldest: WeightVersion) {
         let too_old: Vec<AttemptId> = self
             .attempts
             .iter()
@@ -131,19 +144,19 @@
             .map(|(id, _)| *id)
             .collect();
         for id in too_old {
-            self.cancel(context, id, Tokens::Drop);
+            self.cancel(context, id, TokenDisposition::Discard);
         }
     }
 
-    fn restart_if_too_old(&mut self, context: &mut Context<'_>, id: AttemptId) {
+    fn cancel_if_too_old(&mut self, context: &mut Context<'_>, id: AttemptId) {
         let oldest = self.oldest_useful;
         let attempt = self.attempts.get(&id);
         if attempt.is_some_and(|attempt| is_older_than(&attempt.generation, oldest)) {
-            self.cancel(context, id, Tokens::Drop);
+            self.cancel(context, id, TokenDisposition::Discard);
         }
     }
 
-    /// Takes an attempt out and gives its slot back; without an outcome it was a success.
+    /// Removes an attempt and releases its slot; `None` as outcome stands for a success.
     fn end_attempt(
         &mut self,
         context: &mut Context<'_>,
@@ -151,7 +164,7 @@
         outcome: Option<AttemptOutcome>,
     ) -> Option<Attempt> {
         let mut attempt = self.attempts.remove(&id)?;
-        if let Some(next) = attempt.next.take() {
+        if let Some(next) = attempt.move_target.take() {
             self.release_slot(context, &next);
         }
         let outcome = outcome.unwrap_or(AttemptOutcome::Success {
@@ -160,10 +173,10 @@
         context
             .router
             .on_finished(context.now, attempt.ticket, outcome);
-        self.held.update(attempt.lease, |sample| {
+        self.leased.update(attempt.lease, |sample| {
             sample.attempts.retain(|running| *running != id);
         });
-        // A slot is free again.
+        // A slot was released, so the router may admit a waiting sample.
         self.refused_until = Instant::ZERO;
         Some(attempt)
     }
@@ -173,7 +186,7 @@
         context: &mut Context<'_>,
         id: AttemptId,
         outcome: AttemptOutcome,
-        tokens: Tokens,
+        tokens: TokenDisposition,
     ) {
         let Some(attempt) = self.end_attempt(context, id, Some(outcome)) else {
             return;
@@ -187,38 +200,39 @@
         self.keep_partial(context.now, attempt, tokens);
     }
 
-    /// Keeps what an ended attempt generated with its sample, where that is the longest so far.
-    fn keep_partial(&mut self, now: Instant, attempt: Attempt, tokens: Tokens) {
-        let is_useful =
-            tokens == Tokens::Keep && !is_older_than(&attempt.generation, self.oldest_useful);
-        let own_tokens = attempt.generation.tokens.len() - attempt.resumed_tokens;
+    /// Stores the tokens of an ended attempt with its sample if they are useful and the longest so
+    /// far; otherwise counts the newly generated ones as wasted.
+    fn keep_partial(&mut self, now: Instant, attempt: Attempt, tokens: TokenDisposition) {
+        let is_useful = tokens == TokenDisposition::Keep
+            && !is_older_than(&attempt.generation, self.oldest_useful);
+        let new_tokens = attempt.generation.tokens.len() - attempt.resumed_tokens;
         let not_before = now + RETRY_BACKOFF;
         let mut is_kept = false;
-        self.held.update(attempt.lease, |sample| {
+        self.leased.update(attempt.lease, |sample| {
             sample.avoided = Some(attempt.server);
             if is_useful && attempt.generation.tokens.len() > sample.partial.tokens.len() {
                 sample.partial = attempt.generation;
                 is_kept = true;
             }
-            if own_tokens == 0 {
+            if new_tokens == 0 {
                 sample.not_before = not_before;
             }
         });
         if !is_kept {
-            self.counters.wasted_tokens += own_tokens as u64;
+            self.counters.wasted_tokens += new_tokens as u64;
         }
     }
 
-    /// The first whole generation of a sample: reports it and cancels other attempts at it.
+    /// Reports the first complete generation of a sample and cancels its other attempts.
     fn report_finish(&mut self, context: &mut Context<'_>, attempt: Attempt) {
-        let Some(sample) = self.held.get(attempt.lease) else {
+        let Some(sample) = self.leased.get(attempt.lease) else {
             return;
         };
         let number = sample.prompt.number;
         for other in sample.attempts.clone() {
-            self.cancel(context, other, Tokens::Drop);
+            self.cancel(context, other, TokenDisposition::Discard);
         }
-        self.held.remove(attempt.lease);
+        self.leased.remove(attempt.lease);
         self.counters.finished += 1;
         let request = LedgerRequest::Finish {
             pool: self.pool.clone(),
@@ -230,13 +244,14 @@
         self.reports.add(context.now, key, request);
     }
 
+    /// Returns the request ID of an attempt on its engine.
     pub(crate) fn request_id(&self, attempt: AttemptId) -> String {
         let (node, boot_id) = (&self.settings.node, self.settings.boot_id);
         format!("{node}-{boot_id:016x}-{}-{attempt}", self.pool)
     }
 }
 
-/// The deliberate fault [`crate::Faults::stamp_latest_version`].
+/// Implements the injected fault [`crate::Faults::stamp_latest_version`].
 fn stamp_all(generation: &mut Generation, version: WeightVersion) {
     let tokens = std::mem::take(&mut generation.tokens);
     generation.segments.clear();
--- a/crates/nodes/wingshore-rollout/src/window.rs
+++ b/crates/nodes/wingshore-rollout/src/window.rs
@@ -1,41 +1,43 @@
-//! Question: how many leased samples does a runner hold?
+//! Size of the lease window.
 //!
-//! Inputs: attempts that run, refusals of the router, the most that the settings allow.
+//! Question: how many samples does a runner lease at once?
 //!
-//! Rule: the window doubles while the router admits everything that is held. A refusal for want of a
-//! slot shrinks it to what runs, and a few more; from then on it grows by an eighth after some time
-//! without a refusal. A refusal for want of an engine shrinks it as well, but not below its first
-//! size.
+//! Inputs: the number of running attempts, refusals by the router, the maximum in the settings.
 //!
-//! Why: no report says how much rollout capacity is free for one node, and samples that are held
-//! without a slot are missing on other nodes.
+//! Rule: the window doubles while the router admits all leased samples. A refusal because no slot
+//! is free shrinks it to the number of running attempts plus [`EXTRA_SAMPLES`]; from then on it
+//! grows by an eighth after each [`GROWTH_INTERVAL`] without a refusal. A refusal because no engine
+//! is available also shrinks it, but not below its initial size.
+//!
+//! Why: no report states how much rollout capacity is free for one node, and samples that are
+//! leased without a slot are not available to other nodes.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Samples held at the start.
+/// Initial window size, in samples.
 const INITIAL_SIZE: u32 = 8;
-/// Time without a refusal after which the window grows again.
+/// Time without a refusal after which the window grows.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(200);
-/// After the first refusal the window grows by one part in this many.
+/// After the first refusal, the window grows by its size divided by this number.
 const GROWTH_DIVISOR: u32 = 8;
-/// Samples held beyond those that run, so that a freed slot is filled at once.
+/// Samples leased beyond the running ones, so that a released slot is filled immediately.
 const EXTRA_SAMPLES: u32 = 2;
 
-/// The window of held samples.
+/// Limit on the number of leased samples.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseWindow {
     size: u32,
-    most: u32,
+    max_size: u32,
     was_refused: bool,
     grows_at: Instant,
 }
 
 impl LeaseWindow {
-    pub(crate) fn new(most: u32) -> Self {
+    pub(crate) fn new(max_size: u32) -> Self {
         Self {
-            size: INITIAL_SIZE.min(most),
-            most,
+            size: INITIAL_SIZE.min(max_size),
+            max_size,
             was_refused: false,
             grows_at: Instant::ZERO,
         }
@@ -45,19 +47,19 @@
         self.size
     }
 
-    /// The router had no engine at all, or none of use, while `running` attempts ran.
+    /// Shrinks the window after the router had no usable engine while `running` attempts ran.
     pub(crate) fn on_no_engine(&mut self, running: u32) {
         self.size = (running + EXTRA_SAMPLES).max(INITIAL_SIZE).min(self.size);
     }
 
-    /// The router had no slot while `running` attempts ran.
+    /// Shrinks the window after the router had no free slot while `running` attempts ran.
     pub(crate) fn on_refused(&mut self, now: Instant, running: u32) {
         self.was_refused = true;
-        self.size = (running + EXTRA_SAMPLES).min(self.most);
+        self.size = (running + EXTRA_SAMPLES).min(self.max_size);
         self.grows_at = now + GROWTH_INTERVAL;
     }
 
-    /// Everything held runs: the window may be too small.
+    /// Grows the window if it is full and all leased samples run.
     pub(crate) fn on_all_running(&mut self, now: Instant, running: u32) {
         if running < self.size || now < self.grows_at {
             return;
@@ -67,7 +69,7 @@
         } else {
             self.size
         };
-        self.size = self.size.saturating_add(growth).min(self.most);
+        self.size = self.size.saturating_add(growth).min(self.max_size);
         if self.was_refused {
             self.grows_at = now + GROWTH_INTERVAL;
         }
--- a/crates/nodes/wingshore-rollout/tests/hand/mod.rs
+++ b/crates/nodes/wingshore-rollout/tests/hand/mod.rs
@@ -1,4 +1,4 @@
-//! A runner driven by hand, input by input, before two engines.
+//! Test harness that feeds inputs to a runner one by one, with a router that knows two engines.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -20,15 +20,16 @@
 pub const SLOTS: u32 = 4;
 pub const LEASE_MS: u64 = 3_000;
 
-pub struct Hand {
+/// A runner with its router, the simulated time and the outputs so far.
+pub struct Harness {
     pub now: Instant,
     pub runner: RolloutRunner,
     pub router: Router,
     pub out: Vec<RolloutOutput>,
 }
 
-impl Hand {
-    /// A runner that knows its pool, before two engines of version 5.
+impl Harness {
+    /// Creates a runner that has its pool's configuration, with two engines that serve version 5.
     pub fn new(tune: impl Fn(&mut RolloutSettings)) -> Self {
         let mut settings = RolloutSettings::new(NodeId::new("node"), 1);
         tune(&mut settings);
@@ -36,15 +37,15 @@
         let configuration = configuration();
         let now = Instant::from_millis(1_000);
         router.on_configuration(now, &configuration);
-        let mut hand = Self {
+        let mut harness = Self {
             now,
             runner: RolloutRunner::new(settings, PoolId::new("pool")),
             router,
             out: Vec::new(),
         };
-        hand.report_states(5);
-        hand.input(RolloutInput::Pool(Box::new(binding(1, 5))));
-        hand
+        harness.report_states(5);
+        harness.input(RolloutInput::Pool(Box::new(binding(1, 5))));
+        harness
     }
 
     pub fn input(&mut self, input: RolloutInput) {
@@ -52,7 +53,7 @@
         self.runner.step(self.now, input, router, &mut self.out);
     }
 
-    pub fn pass(&mut self, duration: Duration) {
+    pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.now = self.now + Duration::from_millis(20);
@@ -62,19 +63,19 @@
 
     pub fn report_states(&mut self, version: u64) {
         for server in ["x", "y"] {
-            let state = state(version);
+            let state = engine_state(version);
             let server = ServerId::new(server);
             self.router.on_engine_state(self.now, &server, &state);
         }
     }
 
-    /// Takes the outputs so far.
-    pub fn take(&mut self) -> Vec<RolloutOutput> {
+    /// Returns and clears the outputs so far.
+    pub fn take_outputs(&mut self) -> Vec<RolloutOutput> {
         std::mem::take(&mut self.out)
     }
 
-    /// The latest call whose request is as wanted.
-    pub fn call(&self, wanted: impl Fn(&LedgerRequest) -> bool) -> Option<CallId> {
+    /// Returns the latest ledger call whose request satisfies `wanted`.
+    pub fn find_call(&self, wanted: impl Fn(&LedgerRequest) -> bool) -> Option<CallId> {
         let calls = self.out.iter().rev().filter_map(|output| match output {
             RolloutOutput::Ledger { call, request } if wanted(request) => Some(*call),
             _ => None,
@@ -82,16 +83,16 @@
         calls.into_iter().next()
     }
 
-    pub fn answer(&mut self, wanted: impl Fn(&LedgerRequest) -> bool, reply: LedgerReply) {
-        let call = self.call(wanted).expect("such a call");
+    pub fn answer_call(&mut self, wanted: impl Fn(&LedgerRequest) -> bool, reply: LedgerReply) {
+        let call = self.find_call(wanted).expect("a matching ledger call");
         let result = Ok(reply);
         self.input(RolloutInput::Ledger { call, result });
     }
 
-    /// Answers the lease request under way.
-    pub fn grant(&mut self, leases: Vec<SampleLease>) {
+    /// Answers the latest lease request.
+    pub fn grant_leases(&mut self, leases: Vec<SampleLease>) {
         let is_lease = |request: &LedgerRequest| matches!(request, LedgerRequest::Lease { .. });
-        self.answer(is_lease, LedgerReply::Leases(leases));
+        self.answer_call(is_lease, LedgerReply::Leases(leases));
     }
 
     pub fn streams(&self) -> Vec<(AttemptId, ServerId, EngineCompletionRequest)> {
@@ -135,7 +136,7 @@
         });
     }
 
-    pub fn finishes(&self) -> Vec<(u64, Generation)> {
+    pub fn finish_reports(&self) -> Vec<(u64, Generation)> {
         let finishes = self.out.iter().filter_map(|output| match output {
             RolloutOutput::Ledger {
                 request:
@@ -154,7 +155,7 @@
     matches!(request, LedgerRequest::Finish { .. })
 }
 
-pub fn granted(number: u64, max_tokens: u32, oldest_useful: u64) -> SampleLease {
+pub fn sample_lease(number: u64, max_tokens: u32, oldest_useful: u64) -> SampleLease {
     SampleLease {
         lease: LeaseId(number),
         prompt: Prompt {
@@ -169,7 +170,7 @@
     }
 }
 
-pub fn state(version: u64) -> EngineState {
+pub fn engine_state(version: u64) -> EngineState {
     EngineState {
         boot_id: 1,
         role: "rollout".to_owned(),
@@ -232,7 +233,7 @@
     ];
     let mut configuration = Configuration::default();
     for change in &changes {
-        configuration.apply(change).expect("consistent");
+        configuration.apply(change).expect("the change applies");
     }
     configuration
 }
--- a/crates/nodes/wingshore-rollout/tests/runner.rs
+++ b/crates/nodes/wingshore-rollout/tests/runner.rs
@@ -1,133 +1,143 @@
-//! The runner by hand, input by input.
+//! Tests of the runner with individual inputs.
 
 mod hand;
 
 use googletest::prelude::*;
-use hand::{Hand, LEASE_MS, SLOTS, binding, granted, is_finish};
+use hand::{Harness, LEASE_MS, SLOTS, binding, is_finish, sample_lease};
 use std::time::Duration;
 use wingshore_rollout::{RolloutInput, RolloutOutput, StreamEnd};
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
 use wingshore_types::{Generation, LeaseId, Verdict, WeightVersion};
 
-/// News by which a runner learns that tokens are too old.
-type News = fn(&mut Hand);
+/// Input by which a runner learns that tokens are too old.
+type StalenessTrigger = fn(&mut Harness);
 
 #[gtest]
-fn a_finish_is_sent_again_until_the_ledger_answers() {
-    let mut hand = Hand::new(|_| {});
-    hand.grant(vec![granted(1, 10, 0)]);
-    let attempt = hand.streams()[0].0;
-    hand.chunk(attempt, 5, &[7, 8]);
-    hand.finished(attempt, 2);
+fn finish_report_is_retried_until_the_ledger_answers() {
+    let mut harness = Harness::new(|_| {});
+    harness.grant_leases(vec![sample_lease(1, 10, 0)]);
+    let attempt = harness.streams()[0].0;
+    harness.chunk(attempt, 5, &[7, 8]);
+    harness.finished(attempt, 2);
     for _ in 0..3 {
-        expect_that!(hand.finishes().len(), eq(1));
-        let call = hand.call(is_finish).expect("sent");
-        hand.take();
+        expect_that!(harness.finish_reports().len(), eq(1));
+        let call = harness.find_call(is_finish).expect("the report was sent");
+        harness.take_outputs();
         let result = Err(Verdict::MayHaveRun);
-        hand.input(RolloutInput::Ledger { call, result });
-        hand.pass(Duration::from_secs(1));
+        harness.input(RolloutInput::Ledger { call, result });
+        harness.advance(Duration::from_secs(1));
     }
-    hand.answer(is_finish, LedgerReply::First(true));
-    hand.take();
-    hand.pass(Duration::from_secs(2));
-    expect_that!(hand.finishes(), is_empty());
-    expect_that!(hand.runner.status().reports, eq(1)); // the pool's configuration
+    harness.answer_call(is_finish, LedgerReply::First(true));
+    harness.take_outputs();
+    harness.advance(Duration::from_secs(2));
+    expect_that!(harness.finish_reports(), is_empty());
+    expect_that!(harness.runner.status().reports, eq(1)); // the report of the pool's settings
 }
 
 #[gtest]
-fn leases_are_renewed_at_a_third_and_lost_ones_are_given_up() {
-    let mut hand = Hand::new(|_| {});
-    hand.grant(vec![granted(1, 10, 0), granted(2, 10, 0)]);
-    let streams = hand.streams();
+fn leases_are_renewed_after_a_third_of_their_duration_and_lost_ones_are_dropped() {
+    let mut harness = Harness::new(|_| {});
+    harness.grant_leases(vec![sample_lease(1, 10, 0), sample_lease(2, 10, 0)]);
+    let streams = harness.streams();
     let is_renewal = |request: &LedgerRequest| matches!(request, LedgerRequest::Renew { .. });
-    hand.pass(Duration::from_millis(LEASE_MS / 3 - 100));
+    harness.advance(Duration::from_millis(LEASE_MS / 3 - 100));
     for _ in 0..3 {
-        expect_that!(hand.call(is_renewal), none());
-        hand.pass(Duration::from_millis(200));
-        hand.answer(is_renewal, LedgerReply::Lost(vec![]));
-        hand.out
+        expect_that!(harness.find_call(is_renewal), none());
+        harness.advance(Duration::from_millis(200));
+        harness.answer_call(is_renewal, LedgerReply::Lost(vec![]));
+        harness
+            .out
             .retain(|output| !matches!(output, RolloutOutput::Ledger { .. }));
-        hand.pass(Duration::from_millis(LEASE_MS / 3 - 200));
+        harness.advance(Duration::from_millis(LEASE_MS / 3 - 200));
     }
-    hand.pass(Duration::from_millis(200));
-    hand.answer(is_renewal, LedgerReply::Lost(vec![LeaseId(1)]));
-    expect_that!(hand.cancelled(), eq(&vec![streams[0].0]));
-    expect_that!(hand.runner.status().held, eq(1));
+    harness.advance(Duration::from_millis(200));
+    harness.answer_call(is_renewal, LedgerReply::Lost(vec![LeaseId(1)]));
+    expect_that!(harness.cancelled(), eq(&vec![streams[0].0]));
+    expect_that!(harness.runner.status().leased, eq(1));
 }
 
 #[gtest]
-fn a_cut_stream_is_resumed_from_its_tokens_and_keeps_its_segments() {
-    let mut hand = Hand::new(|_| {});
-    hand.grant(vec![granted(1, 10, 0)]);
-    let (first, server, _) = hand.streams().remove(0);
-    hand.chunk(first, 5, &[7, 8]);
-    hand.take();
+fn interrupted_stream_is_resumed_from_its_tokens_and_keeps_its_segments() {
+    let mut harness = Harness::new(|_| {});
+    harness.grant_leases(vec![sample_lease(1, 10, 0)]);
+    let (first, server, _) = harness.streams().remove(0);
+    harness.chunk(first, 5, &[7, 8]);
+    harness.take_outputs();
     let end = StreamEnd::Failed(Verdict::MayHaveRun);
-    hand.input(RolloutInput::StreamEnded {
+    harness.input(RolloutInput::StreamEnded {
         attempt: first,
         end,
     });
-    let (second, other, request) = hand.streams().remove(0);
+    let (second, other, request) = harness.streams().remove(0);
     expect_that!(other, not(eq(&server)));
     expect_that!(request.resume, eq(&vec![7, 8]));
-    hand.chunk(first, 4, &[99]);
-    hand.finished(first, 3);
-    hand.chunk(second, 6, &[9]);
-    hand.finished(second, 3);
+    harness.chunk(first, 4, &[99]);
+    harness.finished(first, 3);
+    harness.chunk(second, 6, &[9]);
+    harness.finished(second, 3);
     let mut expected = Generation::default();
     expected.append(WeightVersion(5), &[7, 8]);
     expected.append(WeightVersion(6), &[9]);
-    expect_that!(hand.finishes(), eq(&vec![(1, expected)]));
+    expect_that!(harness.finish_reports(), eq(&vec![(1, expected)]));
 }
 
 #[gtest]
-fn tokens_that_have_become_too_old_are_thrown_away() {
-    let cases: [(&str, News); 2] = [
-        ("a lease says so", |hand| {
-            hand.pass(Duration::from_millis(200));
-            hand.grant(vec![granted(2, 10, 6)]);
-        }),
-        ("a far newer version is published", |hand| {
-            let binding = binding(2, 8);
-            hand.input(RolloutInput::Pool(Box::new(binding)));
+fn tokens_of_too_old_versions_are_discarded() {
+    let cases: [(&str, StalenessTrigger); 2] = [
+        ("a lease raises the oldest useful version", |harness| {
+            harness.advance(Duration::from_millis(200));
+            harness.grant_leases(vec![sample_lease(2, 10, 6)]);
         }),
+        (
+            "a version beyond the staleness bound is published",
+            |harness| {
+                let binding = binding(2, 8);
+                harness.input(RolloutInput::Pool(Box::new(binding)));
+            },
+        ),
     ];
-    for (name, news) in cases {
-        let mut hand = Hand::new(|_| {});
-        hand.grant(vec![granted(1, 10, 0), granted(3, 10, 0)]);
-        let first = hand.streams()[0].0;
-        hand.chunk(first, 5, &[7, 8]);
-        hand.report_states(8);
-        news(&mut hand);
-        expect_that!(hand.cancelled(), contains(eq(&first)), "{name}");
-        hand.pass(Duration::from_secs(1));
-        let again = hand.streams().into_iter().filter(|(_, _, r)| r.seed == 1);
-        let last = again.last().expect("started again");
+    for (name, trigger) in cases {
+        let mut harness = Harness::new(|_| {});
+        harness.grant_leases(vec![sample_lease(1, 10, 0), sample_lease(3, 10, 0)]);
+        let first = harness.streams()[0].0;
+        harness.chunk(first, 5, &[7, 8]);
+        harness.report_states(8);
+        trigger(&mut harness);
+        expect_that!(harness.cancelled(), contains(eq(&first)), "{name}");
+        harness.advance(Duration::from_secs(1));
+        let again = harness
+            .streams()
+            .into_iter()
+            .filter(|(_, _, r)| r.seed == 1);
+        let last = again.last().expect("the sample is restarted");
         expect_that!(last.2.resume, is_empty(), "{name}");
     }
 }
 
 #[gtest]
-fn the_window_shrinks_to_what_the_router_admits() {
-    let mut hand = Hand::new(|_| {});
+fn window_shrinks_to_the_admitted_samples() {
+    let mut harness = Harness::new(|_| {});
     let mut next = 0;
     for _ in 0..20 {
-        let asked = hand.take().into_iter().find_map(|output| match output {
-            RolloutOutput::Ledger {
-                call,
-                request: LedgerRequest::Lease { most, .. },
-            } => Some((call, u64::from(most))),
-            _ => None,
-        });
+        let asked = harness
+            .take_outputs()
+            .into_iter()
+            .find_map(|output| match output {
+                RolloutOutput::Ledger {
+                    call,
+                    request: LedgerRequest::Lease { most, .. },
+                } => Some((call, u64::from(most))),
+                _ => None,
+            });
         if let Some((call, most)) = asked {
-            let leases = (next..next + most).map(|number| granted(number, 10, 0));
+            let leases = (next..next + most).map(|number| sample_lease(number, 10, 0));
             let result = Ok(LedgerReply::Leases(leases.collect()));
             next += most;
-            hand.input(RolloutInput::Ledger { call, result });
+            harness.input(RolloutInput::Ledger { call, result });
         }
-        hand.pass(Duration::from_millis(100));
+        harness.advance(Duration::from_millis(100));
     }
-    let status = hand.runner.status();
+    let status = harness.runner.status();
     expect_that!(status.running, le(2 * SLOTS));
     expect_that!(status.running, ge(SLOTS));
     expect_that!(status.window, le(2 * SLOTS + 3));
@@ -136,48 +146,51 @@
 
 #[gtest]
 fn the_longest_sample_starts_first() {
-    let mut hand = Hand::new(|_| {});
-    hand.grant(vec![
-        granted(1, 10, 0),
-        granted(2, 500, 0),
-        granted(3, 90, 0),
+    let mut harness = Harness::new(|_| {});
+    harness.grant_leases(vec![
+        sample_lease(1, 10, 0),
+        sample_lease(2, 500, 0),
+        sample_lease(3, 90, 0),
     ]);
-    let order: Vec<u64> = hand.streams().iter().map(|(_, _, r)| r.seed).collect();
+    let order: Vec<u64> = harness.streams().iter().map(|(_, _, r)| r.seed).collect();
     expect_that!(order, eq(&vec![2, 3, 1]));
 }
 
 #[gtest]
-fn answers_that_do_not_hold_together_are_not_finishes() {
+fn inconsistent_final_events_are_not_reported_as_finished() {
     let cases: [(&str, &[u32], u32); 3] = [
         ("fewer tokens than declared", &[7], 2),
         ("more tokens than declared", &[7, 8], 1),
         ("no tokens", &[], 0),
     ];
     for (name, tokens, declared) in cases {
-        let mut hand = Hand::new(|_| {});
-        hand.grant(vec![granted(1, 10, 0)]);
-        let attempt = hand.streams()[0].0;
-        hand.chunk(attempt, 5, tokens);
-        hand.finished(attempt, declared);
-        expect_that!(hand.finishes(), is_empty(), "{name}");
-        hand.pass(Duration::from_secs(1));
-        let last = hand.streams().pop().expect("started again");
+        let mut harness = Harness::new(|_| {});
+        harness.grant_leases(vec![sample_lease(1, 10, 0)]);
+        let attempt = harness.streams()[0].0;
+        harness.chunk(attempt, 5, tokens);
+        harness.finished(attempt, declared);
+        expect_that!(harness.finish_reports(), is_empty(), "{name}");
+        harness.advance(Duration::from_secs(1));
+        let last = harness.streams().pop().expect("the sample is restarted");
         expect_that!(last.0, not(eq(attempt)), "{name}");
         expect_that!(last.2.resume, is_empty(), "{name}");
     }
 }
 
 #[gtest]
-fn a_stop_gives_back_what_a_late_lease_answer_brings() {
-    let mut hand = Hand::new(|_| {});
+fn planned_stop_returns_leases_granted_after_it_began() {
+    let mut harness = Harness::new(|_| {});
     let is_configure = |request: &LedgerRequest| matches!(request, LedgerRequest::Configure { .. });
     let is_return = |request: &LedgerRequest| matches!(request, LedgerRequest::Return { .. });
-    hand.answer(is_configure, LedgerReply::Done);
-    hand.input(RolloutInput::Stop);
-    expect_that!(hand.out, not(contains(eq(&RolloutOutput::Stopped))));
-    hand.grant(vec![granted(1, 10, 0)]);
-    expect_that!(hand.streams(), is_empty());
-    expect_that!(hand.out, not(contains(eq(&RolloutOutput::Stopped))));
-    hand.answer(is_return, LedgerReply::Done);
-    expect_that!(hand.out, contains(eq(&RolloutOutput::Stopped)).times(eq(1)));
+    harness.answer_call(is_configure, LedgerReply::Done);
+    harness.input(RolloutInput::Stop);
+    expect_that!(harness.out, not(contains(eq(&RolloutOutput::Stopped))));
+    harness.grant_leases(vec![sample_lease(1, 10, 0)]);
+    expect_that!(harness.streams(), is_empty());
+    expect_that!(harness.out, not(contains(eq(&RolloutOutput::Stopped))));
+    harness.answer_call(is_return, LedgerReply::Done);
+    expect_that!(
+        harness.out,
+        contains(eq(&RolloutOutput::Stopped)).times(eq(1))
+    );
 }
--- a/crates/nodes/wingshore-rollout/tests/scenarios.rs
+++ b/crates/nodes/wingshore-rollout/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Runners, scripted engines, a real ledger and a trainer, incident by incident.
+//! Simulated scenarios with runners, scripted engines, the real ledger and a trainer; each injects
+//! incidents and checks that no guarantee is violated.
 
 mod support;
 
@@ -14,14 +15,14 @@
 struct Scenario {
     name: &'static str,
     settings: SiteSettings,
-    /// Shows that the incident was felt.
-    felt: fn(&RolloutStatus) -> u64,
+    /// Counter that must be above zero, which shows that the incident had an effect.
+    effect: fn(&RolloutStatus) -> u64,
 }
 
 fn scenario(
     name: &'static str,
     incidents: &[(u64, Incident)],
-    felt: fn(&RolloutStatus) -> u64,
+    effect: fn(&RolloutStatus) -> u64,
 ) -> Scenario {
     let settings = SiteSettings {
         incidents: incidents.to_vec(),
@@ -30,38 +31,38 @@
     Scenario {
         name,
         settings,
-        felt,
+        effect,
     }
 }
 
 fn scenarios() -> Vec<Scenario> {
     use Incident::*;
     vec![
-        scenario("nothing happens", &[], |status| status.finished),
+        scenario("no incident", &[], |status| status.finished),
         scenario(
-            "an engine crashes and returns",
+            "an engine crashes and recovers",
             &[(1_500, Crash(0)), (6_000, Recover(0))],
-            |status| status.cut.min(status.resumed),
+            |status| status.interrupted.min(status.resumed),
         ),
         scenario(
             "two engines crash, one after the other",
             &[(1_500, Crash(0)), (2_500, Crash(1)), (6_000, Recover(0))],
-            |status| status.cut,
+            |status| status.interrupted,
         ),
         scenario(
             "an engine freezes",
             &[(1_500, Freeze(1)), (9_000, Recover(1))],
-            |status| status.cut,
+            |status| status.interrupted,
         ),
         scenario(
-            "an engine refuses by its own word",
+            "an engine rejects requests",
             &[(1_000, Refuse(2)), (5_000, Recover(2))],
-            |status| status.cut,
+            |status| status.interrupted,
         ),
         scenario(
             "an engine loses tokens",
             &[(1_300, LoseTokens(0)), (4_000, Recover(0))],
-            |status| status.cut,
+            |status| status.interrupted,
         ),
         scenario("an engine is drained", &[(1_500, Drain(1))], |status| {
             status.moved
@@ -80,17 +81,17 @@
             |status| status.finished,
         ),
         scenario(
-            "the scorer fails for longer than the attempts last",
+            "the scorer fails for longer than score requests are retried",
             &[(1_500, FailScorer(true)), (6_000, FailScorer(false))],
             |status| status.finished,
         ),
         scenario(
-            "a node dies and another boot of it starts",
+            "a node crashes and restarts",
             &[(1_600, Kill(0)), (3_000, Restart(0)), (4_000, Kill(1))],
             |status| status.finished,
         ),
         scenario(
-            "everything at once",
+            "overlapping incidents",
             &[
                 (1_500, Crash(0)),
                 (1_700, ChangeLeader),
@@ -100,13 +101,13 @@
                 (6_000, Recover(0)),
                 (7_000, Recover(1)),
             ],
-            |status| status.cut,
+            |status| status.interrupted,
         ),
     ]
 }
 
 #[gtest]
-fn every_promise_holds_whatever_happens() {
+fn all_guarantees_hold_in_every_scenario() {
     for scenario in scenarios() {
         let mut site = Site::new(scenario.settings);
         let finished = site.run(STEPS, LIMIT);
@@ -119,8 +120,8 @@
         );
         let violations = &site.trainer.violations;
         expect_that!(violations, eq(&Violations::default()), "{name}");
-        expect_that!(site.total(scenario.felt), gt(0), "{name}");
-        expect_that!(site.forgotten_streams, eq(0), "{name}");
+        expect_that!(site.total(scenario.effect), gt(0), "{name}");
+        expect_that!(site.leaked_streams, eq(0), "{name}");
     }
 }
 
@@ -140,7 +141,7 @@
 }
 
 #[gtest]
-fn a_planned_stop_lets_short_samples_finish_and_gives_the_rest_back() {
+fn planned_stop_lets_short_samples_finish_and_returns_the_rest() {
     let mut site = Site::new(SiteSettings {
         tune: |settings| settings.stop_limit = Duration::from_millis(600),
         ..SiteSettings::default()
@@ -149,16 +150,16 @@
     let running = site.nodes[0].runner.status().running;
     expect_that!(running, gt(0));
     let finished = site.nodes[0].runner.status().finished;
-    site.happen(Incident::Stop(0));
+    site.apply_incident(Incident::Stop(0));
     site.run_for(Duration::from_millis(1_000));
     let status = site.nodes[0].runner.status();
     expect_that!(site.nodes[0].stopped, eq(true));
-    expect_that!(status.held + status.running + status.reports, eq(0));
+    expect_that!(status.leased + status.running + status.reports, eq(0));
     expect_that!(status.finished, gt(finished));
     expect_that!(status.wasted_tokens, eq(0));
     let counts = site.ledger.state.pools().values().map(|pool| pool.counts());
     let leased: u32 = counts.map(|counts| counts.leased).sum();
-    expect_that!(leased, le(site.nodes[1].runner.status().held + 2));
+    expect_that!(leased, le(site.nodes[1].runner.status().leased + 2));
     expect_that!(site.run(STEPS, LIMIT), eq(true));
     expect_that!(site.trainer.violations, eq(&Violations::default()));
     expect_that!(site.nodes[1].runner.status().resumed, gt(0));
@@ -176,9 +177,9 @@
         ..SiteSettings::default()
     });
     expect_that!(site.run(STEPS, LIMIT), eq(true));
-    expect_that!(site.total(|status| status.over_issued), gt(0));
+    expect_that!(site.total(|status| status.second_attempts), gt(0));
     expect_that!(site.trainer.violations, eq(&Violations::default()));
-    expect_that!(site.forgotten_streams, eq(0));
+    expect_that!(site.leaked_streams, eq(0));
 }
 
 #[gtest]
@@ -194,7 +195,7 @@
 }
 
 #[gtest]
-fn each_deliberate_fault_is_noticed() {
+fn each_injected_fault_is_detected() {
     let run = |faults| {
         let mut site = Site::new(SiteSettings {
             faults,
@@ -204,11 +205,11 @@
         site.run(STEPS, LIMIT);
         site.trainer.violations
     };
-    let cut = run(Faults {
+    let interrupted = run(Faults {
         finish_cut_streams: true,
         ..Faults::default()
     });
-    expect_that!(cut.not_whole, gt(0));
+    expect_that!(interrupted.incomplete, gt(0));
     let stamps = run(Faults {
         stamp_latest_version: true,
         ..Faults::default()
--- a/crates/nodes/wingshore-rollout/tests/support/engines.rs
+++ b/crates/nodes/wingshore-rollout/tests/support/engines.rs
@@ -1,4 +1,4 @@
-//! Scripted engines, which write their true version into each token.
+//! Scripted engines whose tokens are a function of the weight version that generated them.
 
 use super::Incident;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,14 +8,15 @@
 use wingshore_types::platform::{EngineCompletionRequest, EngineState, FinishReason, Usage};
 use wingshore_types::{Instant, ServerId, Token, Verdict, WeightVersion};
 
-/// Node, boot of the node, attempt.
+/// Identifies a stream: index of the node, boot ID of the node, attempt.
 pub type StreamId = (usize, u64, AttemptId);
 
-/// Tokens that a stream yields in one step of simulated time; the first engine is slow.
+/// Tokens that a stream generates in one step of simulated time, on all engines but the first.
 const TOKENS_PER_STEP: u32 = 2;
+/// Tokens that a stream generates in one step on the first engine, which is slow.
 const SLOW_TOKENS_PER_STEP: u32 = 1;
-/// Events of an ended stream that still arrive.
-const STRAYS: usize = 2;
+/// Number of chunks of a cancelled stream that still arrive.
+const LATE_CHUNKS: usize = 2;
 
 /// One event of a stream.
 #[derive(Clone, Debug)]
@@ -27,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Health {
-    Well,
+    Healthy,
     Crashed,
     Frozen,
     Refusing,
@@ -46,13 +47,13 @@
     generated: u32,
 }
 
-/// All engines of the site and their streams.
+/// The engines of the site and their streams.
 pub struct Engines {
     engines: BTreeMap<ServerId, Engine>,
     streams: BTreeMap<StreamId, Stream>,
-    /// Late events of streams that were cancelled.
-    strays: Vec<(StreamId, Event)>,
-    /// Swaps that are due: when, which engine, to which version.
+    /// Events of cancelled streams that are still to be delivered.
+    late_events: Vec<(StreamId, Event)>,
+    /// Scheduled weight swaps: time, engine, new version.
     swaps: BTreeSet<(Instant, ServerId, WeightVersion)>,
 }
 
@@ -60,7 +61,7 @@
     pub fn new(count: usize) -> Self {
         let engine = |index| Engine {
             version: WeightVersion(1),
-            health: Health::Well,
+            health: Health::Healthy,
             tokens_per_step: match index {
                 0 => SLOW_TOKENS_PER_STEP,
                 _ => TOKENS_PER_STEP,
@@ -71,7 +72,7 @@
                 .map(|index| (Self::id(index), engine(index)))
                 .collect(),
             streams: BTreeMap::new(),
-            strays: Vec::new(),
+            late_events: Vec::new(),
             swaps: BTreeSet::new(),
         }
     }
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Own reports; none from engines that do not answer.
+    /// Returns the state report of each engine; `None` for engines that do not answer.
     pub fn states(&self) -> Vec<(ServerId, Option<EngineState>)> {
         let state = |engine: &Engine| EngineState {
             boot_id: 1,
@@ -111,7 +112,7 @@
             .collect()
     }
 
-    /// A version is published: engines take it one after the other, streams going on.
+    /// Publishes a version: the engines swap to it one after the other, and their streams continue.
     pub fn publish(&mut self, now: Instant, version: WeightVersion) {
         let pause = super::STEP * 15;
         let mut at = now;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Opens a stream; an event when it ends at once.
+    /// Opens a stream; returns an event if the stream ends immediately.
     pub fn start(
         &mut self,
         id: StreamId,
@@ -142,18 +143,18 @@
         None
     }
 
-    /// Closes a stream. Some of its events are on their way and arrive late.
+    /// Closes a stream. Some of its events are still delivered later.
     pub fn cancel(&mut self, id: StreamId) {
         if let Some(mut stream) = self.streams.remove(&id) {
             let engine = &self.engines[&stream.server];
-            for _ in 0..STRAYS {
-                self.strays.push((id, stream.chunk(engine)));
+            for _ in 0..LATE_CHUNKS {
+                self.late_events.push((id, stream.chunk(engine)));
             }
-            self.strays.push((id, stream.finished()));
+            self.late_events.push((id, stream.finished()));
         }
     }
 
-    /// Open streams of a node's boot for the sample with this seed.
+    /// Returns the number of open streams of a node's boot for the sample with this seed.
     pub fn streams_of(&self, boot: (usize, u64), seed: u64) -> usize {
         self.streams
             .iter()
@@ -163,31 +164,32 @@
             .count()
     }
 
-    pub fn cut_node(&mut self, node: usize) {
+    pub fn close_node_streams(&mut self, node: usize) {
         self.streams.retain(|(owner, ..), _| *owner != node);
     }
 
-    pub fn happen(&mut self, incident: Incident) -> Vec<(StreamId, Event)> {
+    pub fn apply_incident(&mut self, incident: Incident) -> Vec<(StreamId, Event)> {
         let (index, health) = match incident {
             Incident::Crash(index) => (index, Health::Crashed),
             Incident::Freeze(index) => (index, Health::Frozen),
             Incident::Refuse(index) => (index, Health::Refusing),
             Incident::LoseTokens(index) => (index, Health::LosingTokens),
-            Incident::Recover(index) => (index, Health::Well),
-            other => panic!("not an engine's incident: {other:?}"),
+            Incident::Recover(index) => (index, Health::Healthy),
+            other => panic!("the incident does not concern an engine: {other:?}"),
         };
         let id = Self::id(index);
         self.engines.get_mut(&id).expect("known engine").health = health;
         if health != Health::Crashed {
             return Vec::new();
         }
-        let cut: Vec<StreamId> = self
+        let ended: Vec<StreamId> = self
             .streams
             .iter()
             .filter(|(_, stream)| stream.server == id)
             .map(|(stream, _)| *stream)
             .collect();
-        cut.into_iter()
+        ended
+            .into_iter()
             .map(|stream| {
                 self.streams.remove(&stream);
                 let end = StreamEnd::Failed(Verdict::MayHaveRun);
@@ -196,10 +198,10 @@
             .collect()
     }
 
-    /// Lets each engine generate for one step of time.
+    /// Advances each engine by one step of simulated time and returns the resulting events.
     pub fn advance(&mut self, now: Instant) -> Vec<(StreamId, Event)> {
         self.swap(now);
-        let mut events = std::mem::take(&mut self.strays);
+        let mut events = std::mem::take(&mut self.late_events);
         let mut ended = Vec::new();
         for (id, stream) in &mut self.streams {
             let engine = &self.engines[&stream.server];
@@ -255,7 +257,7 @@
     }
 }
 
-/// True length of a sample: every eighth one is a straggler.
+/// Returns the number of tokens of a sample; every eighth sample is a straggler.
 fn length(request: &EngineCompletionRequest) -> u32 {
     let seed = request.seed as u32;
     let length = 20 + (seed * 37) % 60;
--- a/crates/nodes/wingshore-rollout/tests/support/mod.rs
+++ b/crates/nodes/wingshore-rollout/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small site in simulated time: nodes with runners, scripted engines, a real ledger, a trainer.
+//! Simulation of a small site: nodes with runners, scripted engines, the real ledger and a trainer.
 
 #![allow(dead_code)]
 
@@ -27,51 +27,51 @@
 use wingshore_types::{Instant, NodeId, PoolId, Revision, Verdict, WeightVersion, ZoneId};
 
 pub const STEP: Duration = Duration::from_millis(10);
-pub const BOUND: u64 = 2;
+pub const STALENESS_BOUND: u64 = 2;
 const LATENCY: Duration = Duration::from_millis(5);
-const PROBE_EVERY: u64 = 10;
+const STEPS_PER_PROBE: u64 = 10;
 const SLOTS: u32 = 8;
 
-/// What happens to the site at a time.
+/// An event that a scenario injects into the site.
 #[derive(Clone, Copy, Debug)]
 pub enum Incident {
-    /// An engine dies: its streams are cut and connections are refused.
+    /// An engine crashes: its streams end and new connections are refused.
     Crash(usize),
-    /// An engine goes silent and keeps its connections.
+    /// An engine hangs: it sends nothing but keeps its connections open.
     Freeze(usize),
-    /// An engine is well again.
+    /// An engine works normally again.
     Recover(usize),
-    /// An engine refuses new work by its own word.
+    /// An engine rejects new requests explicitly.
     Refuse(usize),
-    /// An engine ends streams without the last tokens.
+    /// An engine drops the chunks of its streams but still sends the final events.
     LoseTokens(usize),
     /// An operator drains an engine.
     Drain(usize),
-    /// The ledger's answers are lost, or arrive again.
+    /// The ledger's answers are lost (`true`) or arrive again (`false`).
     LoseLedgerAnswers(bool),
-    /// The scorer fails, or answers again.
+    /// The scorer fails (`true`) or answers again (`false`).
     FailScorer(bool),
     /// The ledger's leader changes.
     ChangeLeader,
-    /// A node dies in the middle of everything.
+    /// A node crashes.
     Kill(usize),
-    /// A node starts with a new boot.
+    /// A node restarts with a new boot ID.
     Restart(usize),
-    /// A planned stop of a node.
+    /// A planned stop of a node begins.
     Stop(usize),
 }
 
-/// One node: its router and its runner.
+/// A node with its router and its runner.
 pub struct Node {
     pub router: Router,
     pub runner: RolloutRunner,
     pub stopped: bool,
     alive: bool,
     boot_id: u64,
-    waiting: BTreeMap<RequestTag, CallId>,
+    pending_calls: BTreeMap<RequestTag, CallId>,
 }
 
-/// What a test varies.
+/// Parameters of a simulated site.
 #[derive(Clone)]
 pub struct SiteSettings {
     pub nodes: usize,
@@ -106,8 +106,8 @@
     inputs: BTreeMap<(Instant, u64), (usize, u64, RolloutInput)>,
     sequence: u64,
     steps: u64,
-    /// Streams of a sample that still ran when the node reported it finished.
-    pub forgotten_streams: usize,
+    /// Streams that were still open when the node reported their sample as finished.
+    pub leaked_streams: usize,
     lose_ledger_answers: bool,
     fail_scorer: bool,
 }
@@ -132,18 +132,18 @@
             inputs: BTreeMap::new(),
             sequence: 0,
             steps: 0,
-            forgotten_streams: 0,
+            leaked_streams: 0,
             lose_ledger_answers: false,
             fail_scorer: false,
         };
         site.probe();
         for index in 0..site.nodes.len() {
-            site.bind(index);
+            site.send_binding(index);
         }
         site
     }
 
-    /// Runs until the trainer has done `steps` steps; false when `limit` passes before.
+    /// Runs until the trainer has completed `steps` steps; returns false if `limit` passes first.
     pub fn run(&mut self, steps: u64, limit: Duration) -> bool {
         let end = self.now + limit;
         while self.now < end && self.trainer.steps_done() < steps {
@@ -156,17 +156,17 @@
         self.run(u64::MAX, duration);
     }
 
-    /// One step of simulated time.
+    /// Advances the simulation by one step.
     pub fn advance(&mut self) {
         self.now = self.now + STEP;
         self.steps += 1;
         self.ledger.pass(STEP);
-        self.incidents();
-        if self.steps.is_multiple_of(PROBE_EVERY) {
+        self.apply_due_incidents();
+        if self.steps.is_multiple_of(STEPS_PER_PROBE) {
             self.probe();
         }
         self.trainer
-            .act(self.now, &mut self.ledger, &mut self.engines);
+            .run(self.now, &mut self.ledger, &mut self.engines);
         for (stream, event) in self.engines.advance(self.now) {
             self.queue_event(stream, event);
         }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Sums one counter over the nodes.
+    /// Returns the sum of one counter over all nodes.
     pub fn total(&self, counter: impl Fn(&wingshore_rollout::RolloutStatus) -> u64) -> u64 {
         let status = |node: &Node| counter(&node.runner.status());
         self.nodes.iter().map(status).sum()
@@ -192,11 +192,11 @@
         node.runner
             .step(self.now, input, &mut node.router, &mut out);
         for output in out {
-            self.carry_out(index, output);
+            self.execute(index, output);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: RolloutOutput) {
+    fn execute(&mut self, index: usize, output: RolloutOutput) {
         match output {
             RolloutOutput::Ledger { call, request } => self.ask_ledger(index, call, request),
             RolloutOutput::StartStream {
@@ -235,7 +235,7 @@
     fn ask_ledger(&mut self, index: usize, call: CallId, request: LedgerRequest) {
         if let LedgerRequest::Finish { sample, .. } = &request {
             let boot = (index, self.nodes[index].boot_id);
-            self.forgotten_streams += self.engines.streams_of(boot, sample.0);
+            self.leaked_streams += self.engines.streams_of(boot, sample.0);
         }
         let tag = self.ledger.request(request);
         self.ledger.commit_all();
@@ -243,18 +243,18 @@
             let result = Err(Verdict::MayHaveRun);
             return self.queue(index, RolloutInput::Ledger { call, result });
         }
-        self.nodes[index].waiting.insert(tag, call);
+        self.nodes[index].pending_calls.insert(tag, call);
         self.collect_ledger_answers();
     }
 
     fn collect_ledger_answers(&mut self) {
         for index in 0..self.nodes.len() {
-            let waiting = std::mem::take(&mut self.nodes[index].waiting);
+            let waiting = std::mem::take(&mut self.nodes[index].pending_calls);
             for (tag, call) in waiting {
                 match self.ledger.replies.remove(&tag) {
                     Some(reply) => self.queue_reply(index, call, reply),
                     None => {
-                        self.nodes[index].waiting.insert(tag, call);
+                        self.nodes[index].pending_calls.insert(tag, call);
                     }
                 }
             }
@@ -324,7 +324,7 @@
         }
     }
 
-    fn bind(&mut self, index: usize) {
+    fn send_binding(&mut self, index: usize) {
         let binding = PoolBinding {
             revision: Revision(3),
             pool: self.configuration.pools[&ledger_support::pool()].clone(),
@@ -333,18 +333,18 @@
         self.input(index, RolloutInput::Pool(Box::new(binding)));
     }
 
-    fn incidents(&mut self) {
+    fn apply_due_incidents(&mut self) {
         let now_ms = self.now.as_millis();
         let incidents = std::mem::take(&mut self.settings.incidents);
         let (due, later): (Vec<_>, Vec<_>) =
             incidents.into_iter().partition(|(at, _)| *at <= now_ms);
         self.settings.incidents = later;
         for (_, incident) in due {
-            self.happen(incident);
+            self.apply_incident(incident);
         }
     }
 
-    pub fn happen(&mut self, incident: Incident) {
+    pub fn apply_incident(&mut self, incident: Incident) {
         match incident {
             Incident::LoseLedgerAnswers(lost) => self.lose_ledger_answers = lost,
             Incident::FailScorer(failing) => self.fail_scorer = failing,
@@ -352,27 +352,27 @@
                 let now = Instant::from_millis(7);
                 self.ledger.change_leader(LedgerLeader::default(), now);
                 self.trainer.forget_requests();
-                self.lose_waiting();
+                self.fail_pending_calls();
             }
             Incident::Kill(index) => {
                 self.nodes[index].alive = false;
-                self.engines.cut_node(index);
+                self.engines.close_node_streams(index);
             }
             Incident::Restart(index) => self.restart(index),
             Incident::Stop(index) => self.input(index, RolloutInput::Stop),
             Incident::Drain(engine) => self.drain(engine),
             engine_incident => {
-                for (stream, event) in self.engines.happen(engine_incident) {
+                for (stream, event) in self.engines.apply_incident(engine_incident) {
                     self.queue_event(stream, event);
                 }
             }
         }
     }
 
-    /// Requests under way at a change of leader are answered "may have run".
-    fn lose_waiting(&mut self) {
+    /// Fails the requests in flight at a change of leader with the verdict "may have run".
+    fn fail_pending_calls(&mut self) {
         for index in 0..self.nodes.len() {
-            for call in std::mem::take(&mut self.nodes[index].waiting).into_values() {
+            for call in std::mem::take(&mut self.nodes[index].pending_calls).into_values() {
                 let result = Err(Verdict::MayHaveRun);
                 self.queue(index, RolloutInput::Ledger { call, result });
             }
@@ -383,7 +383,7 @@
         let boot_id = self.nodes[index].boot_id + 1;
         self.nodes[index] = node(index, boot_id, &self.settings, &self.configuration);
         self.probe();
-        self.bind(index);
+        self.send_binding(index);
     }
 
     fn drain(&mut self, engine: usize) {
@@ -391,7 +391,9 @@
             server: Engines::id(engine),
             admission: wingshore_types::configuration::Admission::Draining,
         };
-        self.configuration.apply(&change).expect("known server");
+        self.configuration
+            .apply(&change)
+            .expect("the server is configured");
         for node in &mut self.nodes {
             node.router.on_configuration(self.now, &self.configuration);
         }
@@ -403,7 +405,7 @@
     rollout.stall_timeout = Duration::from_secs(1);
     rollout.first_event_timeout = Duration::from_secs(1);
     rollout.leaving_grace = Duration::from_millis(500);
-    // Copying always pays.
+    // Without a fixed cost, copying is always cheaper than recomputing.
     rollout.cache_moves = CacheMoveCosts {
         copy_base: Duration::ZERO,
         ..CacheMoveCosts::default()
@@ -419,7 +421,7 @@
         stopped: false,
         alive: true,
         boot_id,
-        waiting: BTreeMap::new(),
+        pending_calls: BTreeMap::new(),
     }
 }
 
@@ -438,7 +440,7 @@
         id: ledger_support::pool(),
         service: "fare-lm".into(),
         trainer: ledger_support::trainer(),
-        staleness_bound: BOUND,
+        staleness_bound: STALENESS_BOUND,
         idle_weight: Permille(500),
         ledger: 0,
         scorer: address,
@@ -453,7 +455,7 @@
     changes.push(ConfigurationChange::PutPool(pool));
     let mut configuration = Configuration::default();
     for change in changes {
-        configuration.apply(&change).expect("consistent");
+        configuration.apply(&change).expect("the change applies");
     }
     configuration
 }
--- a/crates/nodes/wingshore-rollout/tests/support/trainer.rs
+++ b/crates/nodes/wingshore-rollout/tests/support/trainer.rs
@@ -1,6 +1,6 @@
-//! A trainer that checks what it receives against the true tokens.
+//! Simulated trainer that compares the samples it receives with the expected tokens.
 
-use super::BOUND;
+use super::STALENESS_BOUND;
 use super::engines::Engines;
 use super::ledger_support::{Ledger, acknowledge, pool, pull};
 use std::collections::BTreeSet;
@@ -12,15 +12,15 @@
 
 pub const BATCH: u32 = 24;
 const MAX_TOKENS: u32 = 500;
-const TRAINING: Duration = Duration::from_millis(400);
+const TRAINING_TIME: Duration = Duration::from_millis(400);
 
-/// Broken promises, as seen from the tokens themselves.
+/// Numbers of samples that violated a guarantee, determined from their tokens.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
     pub delivered_twice: u32,
     pub too_old: u32,
     pub wrong_version: u32,
-    pub not_whole: u32,
+    pub incomplete: u32,
 }
 
 #[derive(Default)]
@@ -39,12 +39,12 @@
         self.step
     }
 
-    /// Its requests went to a leader that is gone.
+    /// Forgets the request in flight, which was lost with the previous leader.
     pub fn forget_requests(&mut self) {
         self.request = None;
     }
 
-    pub fn act(&mut self, now: Instant, ledger: &mut Ledger, engines: &mut Engines) {
+    pub fn run(&mut self, now: Instant, ledger: &mut Ledger, engines: &mut Engines) {
         self.version = self.version.max(1);
         if now < self.busy_until {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Keeps this step's prompts and the next one's with the ledger.
+    /// Submits prompts so that the ledger has those of the current and the next step.
     fn submit(&mut self, ledger: &mut Ledger) {
         while self.submitted_steps < self.step + 2 {
             let first = self.submitted_steps * u64::from(BATCH);
@@ -83,7 +83,7 @@
         self.request = None;
         self.step += 1;
         self.version += 1;
-        self.busy_until = now + TRAINING;
+        self.busy_until = now + TRAINING_TIME;
         engines.publish(self.busy_until, WeightVersion(self.version));
     }
 
@@ -93,16 +93,16 @@
         let seed = sample.number.0;
         let expected = 20 + (seed * 37) % 60 + if seed % 8 == 3 { 300 } else { 0 };
         let is_whole = sample.generation.tokens.len() as u64 == expected;
-        self.violations.not_whole += u32::from(!is_whole);
-        self.violations.wrong_version += u32::from(!stamps_are_true(sample));
+        self.violations.incomplete += u32::from(!is_whole);
+        self.violations.wrong_version += u32::from(!versions_are_correct(sample));
         let oldest = sample.generation.oldest_version().unwrap_or_default();
-        let is_old = oldest.0 + BOUND < self.version;
+        let is_old = oldest.0 + STALENESS_BOUND < self.version;
         self.violations.too_old += u32::from(is_old);
     }
 }
 
-/// Whether each token is the one that the stamped version generates at its place.
-fn stamps_are_true(sample: &Sample) -> bool {
+/// Returns whether each token is the one that the reported version generates at its position.
+fn versions_are_correct(sample: &Sample) -> bool {
     let prompt = hash_tokens(&sample.prompt);
     let segments = sample.generation.segments.iter();
     let mut positions = segments.flat_map(|s| s.tokens.clone().map(|at| (at, s.version)));
