--- a/crates/lab/wingshore-lab/src/sim/node/completion.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/completion.rs
@@ -102,7 +102,7 @@
                     self.end = Some(event);
                     Progress::Ended(AttemptEnd::Answered {
                         status: OK,
-                        body: AnswerBody::Whole,
+                        body: AnswerBody::Complete,
                         kept: None,
                     })
                 }
--- a/crates/lab/wingshore-lab/src/sim/node/forward.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/forward.rs
@@ -69,9 +69,9 @@
         AttemptEnd::Answered {
             status,
             body: if whole {
-                AnswerBody::Whole
+                AnswerBody::Complete
             } else {
-                AnswerBody::Cut
+                AnswerBody::Truncated
             },
             kept,
         }
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -194,7 +194,7 @@
                 self.finished = Some((reason, usage));
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status: 200,
-                    body: AnswerBody::Whole,
+                    body: AnswerBody::Complete,
                     kept: self.kept(reason, usage),
                 })
             }
@@ -203,7 +203,7 @@
                 self.rejected = Some(answer);
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status,
-                    body: AnswerBody::Whole,
+                    body: AnswerBody::Complete,
                     kept: None,
                 })
             }
--- a/crates/nodes/wingshore-node/src/upstream/answer.rs
+++ b/crates/nodes/wingshore-node/src/upstream/answer.rs
@@ -48,9 +48,9 @@
         match read {
             Ok(body) => {
                 let end = if is_declared {
-                    AnswerBody::Whole
+                    AnswerBody::Complete
                 } else {
-                    AnswerBody::Cut
+                    AnswerBody::Truncated
                 };
                 Self::Answer(
                     ServerAnswer {
--- a/crates/nodes/wingshore-node/src/upstream/engine.rs
+++ b/crates/nodes/wingshore-node/src/upstream/engine.rs
@@ -157,7 +157,7 @@
     fn on_error_status(&self, response: http::Response<Body>) -> EngineEnd {
         let reply = ServerReply::read("POST", self.server.as_str(), response, MAX_ERROR_BODY);
         match reply {
-            ServerReply::Answer(answer, AnswerBody::Whole) if answer.status < 500 => {
+            ServerReply::Answer(answer, AnswerBody::Complete) if answer.status < 500 => {
                 EngineEnd::Rejected(answer)
             }
             ServerReply::Answer(answer, _) => {
--- a/crates/nodes/wingshore-request/src/attempt.rs
+++ b/crates/nodes/wingshore-request/src/attempt.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerBody {
     /// Received up to its declared end.
-    Whole,
+    Complete,
     /// Shorter than declared, or without an end marker.
-    Cut,
+    Truncated,
 }
 
 /// What went wrong with an attempt.
--- a/crates/nodes/wingshore-request/tests/at_most_once.rs
+++ b/crates/nodes/wingshore-request/tests/at_most_once.rs
@@ -179,8 +179,8 @@
             2 => (false, failed(FailureKind::ConnectionLost)),
             3 => (true, failed(FailureKind::ConnectionLost)),
             4 => (true, failed(FailureKind::TimedOut)),
-            5 => (true, answered(AnswerBody::Cut)),
-            _ => (true, answered(AnswerBody::Whole)),
+            5 => (true, answered(AnswerBody::Truncated)),
+            _ => (true, answered(AnswerBody::Complete)),
         };
         request.executions += u32::from(runs);
         if result_selector % 8 == 5 {
--- a/crates/nodes/wingshore-request/tests/execution.rs
+++ b/crates/nodes/wingshore-request/tests/execution.rs
@@ -39,7 +39,7 @@
 fn complete_answer(status: u16) -> AttemptEnd {
     AttemptEnd::Answered {
         status,
-        body: AnswerBody::Whole,
+        body: AnswerBody::Complete,
         kept: None,
     }
 }
@@ -47,7 +47,7 @@
 fn truncated_answer() -> AttemptEnd {
     AttemptEnd::Answered {
         status: 200,
-        body: AnswerBody::Cut,
+        body: AnswerBody::Truncated,
         kept: None,
     }
 }
