--- a/crates/lab/wingshore-lab/src/sim/node/completion.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/completion.rs
@@ -93,7 +93,7 @@
                 } => {
                     self.generation.append(*weight_version, tokens);
                     if self.caller_gone {
-                        return Progress::CallerGone;
+                        return Progress::CallerDisconnected;
                     }
                     caller.answer(Answer::Stream(event), context.out);
                     Progress::GoesOn
--- a/crates/lab/wingshore-lab/src/sim/node/requests.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/requests.rs
@@ -30,7 +30,7 @@
     GoesOn,
     Ended(AttemptEnd),
     /// The caller has gone meanwhile; the attempt is to be stopped.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// The attempts and the answer of one kind of request.
@@ -161,10 +161,10 @@
                     ExecutionInput::AttemptEnded { attempt, end },
                 );
             }
-            Progress::CallerGone => {
+            Progress::CallerDisconnected => {
                 request.cancel_at_engine(context);
                 request.close(context);
-                self.step(context, caller, ExecutionInput::CallerGone);
+                self.step(context, caller, ExecutionInput::CallerDisconnected);
             }
         }
     }
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -215,7 +215,7 @@
             }
             EngineEnd::Stopped => {
                 node.cancel_at_engine(send.address, &request.request_id);
-                AttemptResult::CallerGone
+                AttemptResult::CallerDisconnected
             }
         }
     }
--- a/crates/nodes/wingshore-node/src/serve/execute.rs
+++ b/crates/nodes/wingshore-node/src/serve/execute.rs
@@ -24,7 +24,7 @@
     /// It ended.
     Ended(AttemptEnd),
     /// The caller has gone meanwhile; the attempt was stopped.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Makes the attempts of one request.
@@ -108,6 +108,6 @@
     }
     match attempts.attempt(send) {
         AttemptResult::Ended(end) => ExecutionInput::AttemptEnded { attempt, end },
-        AttemptResult::CallerGone => ExecutionInput::CallerGone,
+        AttemptResult::CallerDisconnected => ExecutionInput::CallerDisconnected,
     }
 }
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -102,7 +102,7 @@
                 self.on_attempt_ended(now, attempt, end, router, out);
             }
             ExecutionInput::Tick => self.on_tick(now, router, out),
-            ExecutionInput::CallerGone => self.on_caller_gone(now, router, out),
+            ExecutionInput::CallerDisconnected => self.on_caller_disconnected(now, router, out),
         }
     }
 
@@ -335,7 +335,7 @@
         }
     }
 
-    fn on_caller_gone(
+    fn on_caller_disconnected(
         &mut self,
         now: Instant,
         router: &mut Router,
--- a/crates/nodes/wingshore-request/src/messages.rs
+++ b/crates/nodes/wingshore-request/src/messages.rs
@@ -26,7 +26,7 @@
     /// ticks are harmless.
     Tick,
     /// The caller disconnected; the answer is no longer needed.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// An attempt to start now.
--- a/crates/nodes/wingshore-request/tests/execution.rs
+++ b/crates/nodes/wingshore-request/tests/execution.rs
@@ -378,7 +378,12 @@
         execution.step(now, input, &mut router, &mut outputs);
     }
     outputs.clear();
-    execution.step(now, ExecutionInput::CallerGone, &mut router, &mut outputs);
+    execution.step(
+        now,
+        ExecutionInput::CallerDisconnected,
+        &mut router,
+        &mut outputs,
+    );
     assert_that!(outputs, len(eq(2)));
     expect_that!(outputs[0], eq(&ExecutionOutput::Cancel { attempt: 1 }));
     let ExecutionOutput::Settle { request, .. } = outputs.remove(1) else {
