--- a/crates/nodes/wingshore-node/src/background/watch.rs
+++ b/crates/nodes/wingshore-node/src/background/watch.rs
@@ -76,7 +76,7 @@
             UpdateOutcome::Older { offered } => {
                 warn!(logger, "older configuration ignored"; "offered" => offered.0);
             }
-            UpdateOutcome::Misfit => {
+            UpdateOutcome::Inapplicable => {
                 warn!(
                     logger,
                     "configuration update does not fit; asking for the whole"
--- a/crates/nodes/wingshore-request/src/configuration_view.rs
+++ b/crates/nodes/wingshore-request/src/configuration_view.rs
@@ -58,7 +58,7 @@
     },
     /// The update does not apply to the local revision; it was ignored, and the next watch requests
     /// a full snapshot.
-    Misfit,
+    Inapplicable,
 }
 
 /// The node's copy of the configuration and its lease, which decide whether new work is admitted.
@@ -130,7 +130,7 @@
                 self.needs_snapshot = false;
                 self.extend_lease(sent_at + lease);
             }
-            UpdateOutcome::Misfit => self.needs_snapshot = true,
+            UpdateOutcome::Inapplicable => self.needs_snapshot = true,
             UpdateOutcome::Older { .. } => {}
         }
         outcome
@@ -165,7 +165,7 @@
     /// requested a full snapshot while a configuration was already in force.
     fn on_unchanged(&self) -> UpdateOutcome {
         if self.needs_snapshot && self.revision() != Revision(0) {
-            return UpdateOutcome::Misfit;
+            return UpdateOutcome::Inapplicable;
         }
         UpdateOutcome::Unchanged
     }
@@ -176,11 +176,11 @@
         } else if from == Revision(0) {
             Configuration::default()
         } else {
-            return UpdateOutcome::Misfit;
+            return UpdateOutcome::Inapplicable;
         };
         match apply_all(base, changes) {
             Some(next) => self.advance_to(next),
-            None => UpdateOutcome::Misfit,
+            None => UpdateOutcome::Inapplicable,
         }
     }
 
--- a/crates/nodes/wingshore-request/tests/configuration_view.rs
+++ b/crates/nodes/wingshore-request/tests/configuration_view.rs
@@ -127,7 +127,7 @@
     let now = Instant::from_millis(1);
     view.apply(now, snapshot(&history, 3), LEASE);
     let outcome = view.apply(now, delta(&history, 5, 6), LEASE);
-    expect_that!(outcome, eq(UpdateOutcome::Misfit));
+    expect_that!(outcome, eq(UpdateOutcome::Inapplicable));
     expect_that!(
         view.watch_position(),
         eq(WatchPosition {
@@ -154,7 +154,10 @@
         from: Revision(0),
         changes: vec![put_server(1)],
     };
-    expect_that!(view.apply(now, update, LEASE), eq(UpdateOutcome::Misfit));
+    expect_that!(
+        view.apply(now, update, LEASE),
+        eq(UpdateOutcome::Inapplicable)
+    );
     expect_that!(view.revision(), eq(Revision(0)));
     expect_that!(view.may_admit(now), err(eq(NotAdmitted::NoConfiguration)));
 }
