--- a/crates/lab/wingshore-lab/tests/sim_data_path.rs
+++ b/crates/lab/wingshore-lab/tests/sim_data_path.rs
@@ -75,7 +75,7 @@
         (
             "whole_answers",
             "live-trouble",
-            node(|faults| faults.request.accept_short_body = true),
+            node(|faults| faults.request.accept_truncated_body = true),
         ),
         (
             "not_run_true",
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -241,7 +241,7 @@
         let in_flight = in_flight.clone();
         match end {
             AttemptEnd::Answered { status, body, kept }
-                if body == AnswerBody::Complete || self.faults.accept_short_body =>
+                if body == AnswerBody::Complete || self.faults.accept_truncated_body =>
             {
                 let latency = now.since(in_flight.sent_at);
                 router.on_finished(now, in_flight.ticket, outcome_of_answer(status, latency));
--- a/crates/nodes/wingshore-request/src/faults.rs
+++ b/crates/nodes/wingshore-request/src/faults.rs
@@ -9,7 +9,7 @@
     /// Sends a request with an idempotency key before the key is claimed.
     pub send_before_claim: bool,
     /// Forwards an answer with a truncated body as if it were complete.
-    pub accept_short_body: bool,
+    pub accept_truncated_body: bool,
     /// Reports each failed request as not run.
     pub deny_having_run: bool,
 }
--- a/crates/nodes/wingshore-request/tests/at_most_once.rs
+++ b/crates/nodes/wingshore-request/tests/at_most_once.rs
@@ -305,7 +305,7 @@
         (
             Protection::NoRepeat,
             Faults {
-                accept_short_body: true,
+                accept_truncated_body: true,
                 ..none
             },
         ),
