--- a/crates/lab/wingshore-lab/tests/sim_data_path.rs
+++ b/crates/lab/wingshore-lab/tests/sim_data_path.rs
@@ -80,7 +80,7 @@
         (
             "not_run_true",
             "live-trouble",
-            node(|faults| faults.request.deny_having_run = true),
+            node(|faults| faults.request.report_failures_as_not_run = true),
         ),
         (
             "no_repeat",
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -372,7 +372,9 @@
     }
 
     fn finish(&mut self, mut answer: FinalAnswer, out: &mut Vec<ExecutionOutput>) {
-        if let (FinalAnswer::Error(error), true) = (&mut answer, self.faults.deny_having_run) {
+        if let (FinalAnswer::Error(error), true) =
+            (&mut answer, self.faults.report_failures_as_not_run)
+        {
             error.verdict = Verdict::NotRun;
         }
         out.push(ExecutionOutput::Answer(answer));
--- a/crates/nodes/wingshore-request/src/faults.rs
+++ b/crates/nodes/wingshore-request/src/faults.rs
@@ -11,5 +11,5 @@
     /// Forwards an answer with a truncated body as if it were complete.
     pub accept_truncated_body: bool,
     /// Reports each failed request as not run.
-    pub deny_having_run: bool,
+    pub report_failures_as_not_run: bool,
 }
