--- a/crates/lab/wingshore-lab/tests/sim_data_path.rs
+++ b/crates/lab/wingshore-lab/tests/sim_data_path.rs
@@ -50,7 +50,7 @@
         (
             "versions_true",
             "engine-crash",
-            node(|faults| faults.rollout.finish_cut_streams = true),
+            node(|faults| faults.rollout.finish_interrupted_streams = true),
         ),
         (
             "staleness_bound",
--- a/crates/nodes/wingshore-rollout/src/faults.rs
+++ b/crates/nodes/wingshore-rollout/src/faults.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Reports the tokens of an interrupted stream as a complete generation.
-    pub finish_cut_streams: bool,
+    pub finish_interrupted_streams: bool,
     /// Attributes all tokens to the weight version of the latest chunk.
     pub stamp_latest_version: bool,
 }
--- a/crates/nodes/wingshore-rollout/src/streams.rs
+++ b/crates/nodes/wingshore-rollout/src/streams.rs
@@ -93,7 +93,7 @@
         let Some(attempt) = self.end_attempt(context, id, Some(outcome)) else {
             return;
         };
-        if self.faults.finish_cut_streams && !attempt.generation.tokens.is_empty() {
+        if self.faults.finish_interrupted_streams && !attempt.generation.tokens.is_empty() {
             return self.report_finish(context, attempt);
         }
         self.counters.interrupted += 1;
--- a/crates/nodes/wingshore-rollout/tests/scenarios.rs
+++ b/crates/nodes/wingshore-rollout/tests/scenarios.rs
@@ -206,7 +206,7 @@
         site.trainer.violations
     };
     let interrupted = run(Faults {
-        finish_cut_streams: true,
+        finish_interrupted_streams: true,
         ..Faults::default()
     });
     expect_that!(interrupted.incomplete, gt(0));
