--- a/crates/lab/wingshore-lab/src/sim/node/rollouts.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/rollouts.rs
@@ -43,7 +43,7 @@
     pub fn new(now: Instant, settings: &SimNodeSettings, boot_id: u64, index: usize) -> Self {
         let pool = settings.pools[index].clone();
         let runner_settings = RolloutSettings {
-            window_most: MAX_STREAMS,
+            max_leased_samples: MAX_STREAMS,
             score_concurrency: MAX_SCORINGS,
             over_issue: settings.over_issue,
             ..RolloutSettings::new(settings.node.clone(), boot_id)
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -67,7 +67,7 @@
 fn start_pool(node: &Arc<NodeState>, pool: &PoolId, pools: usize) -> io::Result<RolloutDriver> {
     let settings = runner_settings(node, pools);
     let second_attempts = settings.over_issue.map_or(0, |over_issue| over_issue.most);
-    let streams = (settings.window_most + second_attempts) as usize;
+    let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
     let drive = Drive {
         node: Arc::clone(node),
@@ -94,7 +94,7 @@
     let streams = (own.max_streams / pools).max(1) as u32;
     let scorings = (own.max_scorings / pools).max(1) as u32;
     RolloutSettings {
-        window_most: streams,
+        max_leased_samples: streams,
         score_concurrency: scorings,
         over_issue: own.over_issue.then(|| OverIssue {
             after: OVER_ISSUE_AFTER,
--- a/crates/nodes/wingshore-rollout/src/runner.rs
+++ b/crates/nodes/wingshore-rollout/src/runner.rs
@@ -88,7 +88,7 @@
     /// Creates a runner for one pool. It is idle until it receives the pool's configuration.
     pub fn new(settings: RolloutSettings, pool: PoolId) -> Self {
         Self {
-            window: LeaseWindow::new(settings.window_most),
+            window: LeaseWindow::new(settings.max_leased_samples),
             settings,
             pool,
             binding: None,
--- a/crates/nodes/wingshore-rollout/src/settings.rs
+++ b/crates/nodes/wingshore-rollout/src/settings.rs
@@ -23,7 +23,7 @@
     /// Random ID of this start of the node; part of request IDs and leases.
     pub boot_id: u64,
     /// Maximum number of leased samples, running or waiting for a slot.
-    pub window_most: u32,
+    pub max_leased_samples: u32,
     /// Timeout for the first event of a stream, after which it is cancelled; covers queueing on the
     /// engine.
     pub first_event_timeout: Duration,
@@ -48,7 +48,7 @@
         Self {
             node,
             boot_id,
-            window_most: 512,
+            max_leased_samples: 512,
             first_event_timeout: Duration::from_secs(30),
             stall_timeout: Duration::from_secs(5),
             leaving_grace: Duration::from_secs(2),
