--- a/crates/lab/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/lab/wingshore-lab/src/sim/data_layout.rs
@@ -14,7 +14,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
-use wingshore_rollout::OverIssue;
+use wingshore_rollout::SecondAttemptPolicy;
 use wingshore_types::configuration::{
     Admission, ConfigurationChange, Permille, Pool, Server, Service, ServiceKind, SwapPolicy,
 };
@@ -40,7 +40,7 @@
 const REQUESTS_PER_SECOND: f64 = 8.0;
 
 /// When a straggler gets a second attempt, where any does.
-const OVER_ISSUE: OverIssue = OverIssue {
+const SECOND_ATTEMPT_POLICY: SecondAttemptPolicy = SecondAttemptPolicy {
     after: Duration::from_millis(500),
     most: 4,
 };
@@ -214,7 +214,7 @@
         SimNodeSettings {
             machine_list: Some(address(Place::MachineList, 0)),
             pools: vec![PoolId::new(POOL)],
-            over_issue: self.over_issue.then_some(OVER_ISSUE),
+            over_issue: self.over_issue.then_some(SECOND_ATTEMPT_POLICY),
             ..SimNodeSettings::new(&name, ZONE, Place::Replica.addresses())
         }
     }
--- a/crates/lab/wingshore-lab/src/sim/node/settings.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/settings.rs
@@ -30,7 +30,7 @@
     /// Pools whose samples it generates.
     pub pools: Vec<PoolId>,
     /// When a straggler gets a second attempt.
-    pub over_issue: Option<wingshore_rollout::OverIssue>,
+    pub over_issue: Option<wingshore_rollout::SecondAttemptPolicy>,
     /// Deliberate faults.
     pub faults: NodeFaults,
 }
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -16,8 +16,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use wingshore_rollout::{
-    AttemptId, CallId, OverIssue, PoolBinding, RolloutInput, RolloutOutput, RolloutRunner,
-    RolloutSettings, ScoreCallId, StreamEnd,
+    AttemptId, CallId, PoolBinding, RolloutInput, RolloutOutput, RolloutRunner, RolloutSettings,
+    ScoreCallId, SecondAttemptPolicy, StreamEnd,
 };
 use wingshore_types::platform::{ScoreReply, ScoreRequest};
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
@@ -96,7 +96,7 @@
     RolloutSettings {
         max_leased_samples: streams,
         score_concurrency: scorings,
-        over_issue: own.over_issue.then(|| OverIssue {
+        over_issue: own.over_issue.then(|| SecondAttemptPolicy {
             after: OVER_ISSUE_AFTER,
             most: (streams / OVER_ISSUE_SHARE).max(1),
         }),
--- a/crates/nodes/wingshore-rollout/src/lib.rs
+++ b/crates/nodes/wingshore-rollout/src/lib.rs
@@ -39,4 +39,4 @@
     AttemptId, CallId, PoolBinding, RolloutInput, RolloutOutput, ScoreCallId, StreamEnd,
 };
 pub use runner::{RolloutRunner, RolloutStatus};
-pub use settings::{OverIssue, RolloutSettings};
+pub use settings::{RolloutSettings, SecondAttemptPolicy};
--- a/crates/nodes/wingshore-rollout/src/second_attempts.rs
+++ b/crates/nodes/wingshore-rollout/src/second_attempts.rs
@@ -6,14 +6,14 @@
 //! wait for a slot here or in the ledger, the policy in the settings.
 //!
 //! Rule: while no other sample could use the slots, attempts that have run for at least
-//! [`OverIssue::after`] get a second attempt that starts from the tokens generated so far, those
+//! [`SecondAttemptPolicy::after`] get a second attempt that starts from the tokens generated so far, those
 //! with the most tokens left first. The first attempt to finish wins; the other one is cancelled.
 //!
 //! Why: a step is complete only when its last sample is. Disabled by default.
 
 use crate::messages::AttemptId;
 use crate::runner::{Context, RolloutRunner};
-use crate::settings::OverIssue;
+use crate::settings::SecondAttemptPolicy;
 use std::cmp::Reverse;
 use wingshore_types::{Instant, LeaseId};
 
@@ -39,7 +39,7 @@
         }
     }
 
-    fn stragglers(&self, now: Instant, policy: OverIssue) -> Vec<(LeaseId, AttemptId)> {
+    fn stragglers(&self, now: Instant, policy: SecondAttemptPolicy) -> Vec<(LeaseId, AttemptId)> {
         let issued_twice = self
             .leased
             .iter()
--- a/crates/nodes/wingshore-rollout/src/settings.rs
+++ b/crates/nodes/wingshore-rollout/src/settings.rs
@@ -7,7 +7,7 @@
 /// Policy for second attempts of stragglers on another engine. The first attempt to finish wins;
 /// the other one is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OverIssue {
+pub struct SecondAttemptPolicy {
     /// Minimum running time of an attempt before its sample gets a second one. Second attempts
     /// start only while no sample waits for a slot.
     pub after: Duration,
@@ -35,7 +35,7 @@
     /// Cost estimates that decide whether attempts on a leaving engine move with their KV cache.
     pub cache_moves: CacheMoveCosts,
     /// Policy for second attempts of stragglers; `None` disables them.
-    pub over_issue: Option<OverIssue>,
+    pub over_issue: Option<SecondAttemptPolicy>,
     /// Maximum number of samples that are scored concurrently.
     pub score_concurrency: u32,
     /// Time that attempts may continue after a planned stop begins.
--- a/crates/nodes/wingshore-rollout/tests/scenarios.rs
+++ b/crates/nodes/wingshore-rollout/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::trainer::Violations;
 use support::{Incident, Site, SiteSettings};
-use wingshore_rollout::{Faults, OverIssue, RolloutStatus};
+use wingshore_rollout::{Faults, RolloutStatus, SecondAttemptPolicy};
 
 const STEPS: u64 = 6;
 const LIMIT: Duration = Duration::from_secs(180);
@@ -169,7 +169,7 @@
 fn stragglers_get_a_second_attempt_and_the_first_to_finish_wins() {
     let mut site = Site::new(SiteSettings {
         tune: |settings| {
-            settings.over_issue = Some(OverIssue {
+            settings.over_issue = Some(SecondAttemptPolicy {
                 after: Duration::from_millis(500),
                 most: 4,
             });
