--- a/crates/lab/wingshore-lab/src/sim/node/rollouts.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/rollouts.rs
@@ -45,7 +45,7 @@
         let runner_settings = RolloutSettings {
             max_leased_samples: MAX_STREAMS,
             score_concurrency: MAX_SCORINGS,
-            over_issue: settings.over_issue,
+            second_attempts: settings.over_issue,
             ..RolloutSettings::new(settings.node.clone(), boot_id)
         };
         Self {
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -66,7 +66,7 @@
 
 fn start_pool(node: &Arc<NodeState>, pool: &PoolId, pools: usize) -> io::Result<RolloutDriver> {
     let settings = runner_settings(node, pools);
-    let second_attempts = settings.over_issue.map_or(0, |over_issue| over_issue.most);
+    let second_attempts = settings.second_attempts.map_or(0, |policy| policy.most);
     let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
     let drive = Drive {
@@ -96,7 +96,7 @@
     RolloutSettings {
         max_leased_samples: streams,
         score_concurrency: scorings,
-        over_issue: own.over_issue.then(|| SecondAttemptPolicy {
+        second_attempts: own.over_issue.then(|| SecondAttemptPolicy {
             after: OVER_ISSUE_AFTER,
             most: (streams / OVER_ISSUE_SHARE).max(1),
         }),
--- a/crates/nodes/wingshore-rollout/src/second_attempts.rs
+++ b/crates/nodes/wingshore-rollout/src/second_attempts.rs
@@ -20,7 +20,7 @@
 impl RolloutRunner {
     /// Starts second attempts of stragglers if no other sample could use the slots.
     pub(crate) fn start_second_attempts(&mut self, context: &mut Context<'_>) {
-        let Some(policy) = self.settings.over_issue else {
+        let Some(policy) = self.settings.second_attempts else {
             return;
         };
         let has_other_work = self.leased.waiting() > 0 || !self.polls.ledger_is_empty();
--- a/crates/nodes/wingshore-rollout/src/settings.rs
+++ b/crates/nodes/wingshore-rollout/src/settings.rs
@@ -35,7 +35,7 @@
     /// Cost estimates that decide whether attempts on a leaving engine move with their KV cache.
     pub cache_moves: CacheMoveCosts,
     /// Policy for second attempts of stragglers; `None` disables them.
-    pub over_issue: Option<SecondAttemptPolicy>,
+    pub second_attempts: Option<SecondAttemptPolicy>,
     /// Maximum number of samples that are scored concurrently.
     pub score_concurrency: u32,
     /// Time that attempts may continue after a planned stop begins.
@@ -53,7 +53,7 @@
             stall_timeout: Duration::from_secs(5),
             leaving_grace: Duration::from_secs(2),
             cache_moves: CacheMoveCosts::default(),
-            over_issue: None,
+            second_attempts: None,
             score_concurrency: 32,
             stop_limit: Duration::from_secs(5),
         }
--- a/crates/nodes/wingshore-rollout/tests/scenarios.rs
+++ b/crates/nodes/wingshore-rollout/tests/scenarios.rs
@@ -169,7 +169,7 @@
 fn stragglers_get_a_second_attempt_and_the_first_to_finish_wins() {
     let mut site = Site::new(SiteSettings {
         tune: |settings| {
-            settings.over_issue = Some(SecondAttemptPolicy {
+            settings.second_attempts = Some(SecondAttemptPolicy {
                 after: Duration::from_millis(500),
                 most: 4,
             });
