--- a/crates/lab/wingshore-lab/src/sim/data_layout.rs
+++ b/crates/lab/wingshore-lab/src/sim/data_layout.rs
@@ -41,8 +41,8 @@
 
 /// When a straggler gets a second attempt, where any does.
 const SECOND_ATTEMPT_POLICY: SecondAttemptPolicy = SecondAttemptPolicy {
-    after: Duration::from_millis(500),
-    most: 4,
+    min_running_time: Duration::from_millis(500),
+    max_samples: 4,
 };
 
 /// Kinds of machines.
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -66,7 +66,9 @@
 
 fn start_pool(node: &Arc<NodeState>, pool: &PoolId, pools: usize) -> io::Result<RolloutDriver> {
     let settings = runner_settings(node, pools);
-    let second_attempts = settings.second_attempts.map_or(0, |policy| policy.most);
+    let second_attempts = settings
+        .second_attempts
+        .map_or(0, |policy| policy.max_samples);
     let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
     let drive = Drive {
@@ -97,8 +99,8 @@
         max_leased_samples: streams,
         score_concurrency: scorings,
         second_attempts: own.over_issue.then(|| SecondAttemptPolicy {
-            after: OVER_ISSUE_AFTER,
-            most: (streams / OVER_ISSUE_SHARE).max(1),
+            min_running_time: OVER_ISSUE_AFTER,
+            max_samples: (streams / OVER_ISSUE_SHARE).max(1),
         }),
         stop_limit: node
             .settings
--- a/crates/nodes/wingshore-rollout/src/second_attempts.rs
+++ b/crates/nodes/wingshore-rollout/src/second_attempts.rs
@@ -6,7 +6,7 @@
 //! wait for a slot here or in the ledger, the policy in the settings.
 //!
 //! Rule: while no other sample could use the slots, attempts that have run for at least
-//! [`SecondAttemptPolicy::after`] get a second attempt that starts from the tokens generated so far, those
+//! [`SecondAttemptPolicy::min_running_time`] get a second attempt that starts from the tokens generated so far, those
 //! with the most tokens left first. The first attempt to finish wins; the other one is cancelled.
 //!
 //! Why: a step is complete only when its last sample is. Disabled by default.
@@ -44,11 +44,11 @@
             .leased
             .iter()
             .filter(|(_, sample)| sample.attempts.len() > 1);
-        let remaining = (policy.most as usize).saturating_sub(issued_twice.count());
+        let remaining = (policy.max_samples as usize).saturating_sub(issued_twice.count());
         let mut stragglers: Vec<(Reverse<u32>, LeaseId, AttemptId)> = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| now.since(attempt.started) >= policy.after)
+            .filter(|(_, attempt)| now.since(attempt.started) >= policy.min_running_time)
             .filter_map(|(id, attempt)| {
                 let sample = self.leased.get(attempt.lease)?;
                 let generated = attempt.generation.tokens.len() as u32;
--- a/crates/nodes/wingshore-rollout/src/settings.rs
+++ b/crates/nodes/wingshore-rollout/src/settings.rs
@@ -10,9 +10,9 @@
 pub struct SecondAttemptPolicy {
     /// Minimum running time of an attempt before its sample gets a second one. Second attempts
     /// start only while no sample waits for a slot.
-    pub after: Duration,
+    pub min_running_time: Duration,
     /// Maximum number of samples with two attempts at the same time.
-    pub most: u32,
+    pub max_samples: u32,
 }
 
 /// Settings of a [`crate::RolloutRunner`].
--- a/crates/nodes/wingshore-rollout/tests/scenarios.rs
+++ b/crates/nodes/wingshore-rollout/tests/scenarios.rs
@@ -170,8 +170,8 @@
     let mut site = Site::new(SiteSettings {
         tune: |settings| {
             settings.second_attempts = Some(SecondAttemptPolicy {
-                after: Duration::from_millis(500),
-                most: 4,
+                min_running_time: Duration::from_millis(500),
+                max_samples: 4,
             });
         },
         ..SiteSettings::default()
