--- a/crates/lab/wingshore-lab/src/sim/node/completion.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/completion.rs
@@ -103,7 +103,7 @@
                     Progress::Ended(AttemptEnd::Answered {
                         status: OK,
                         body: AnswerBody::Complete,
-                        kept: None,
+                        stored_answer: None,
                     })
                 }
             },
--- a/crates/lab/wingshore-lab/src/sim/node/forward.rs
+++ b/crates/lab/wingshore-lab/src/sim/node/forward.rs
@@ -60,7 +60,7 @@
 
     fn on_answer(&mut self, status: u16, body: Vec<u8>, whole: bool) -> AttemptEnd {
         let is_kept = self.call.key.is_some() && body.len() <= MAX_KEPT_ANSWER;
-        let kept = is_kept.then(|| StoredAnswer {
+        let stored_answer = is_kept.then(|| StoredAnswer {
             status,
             content_type: "application/json".to_owned(),
             body: body.clone(),
@@ -73,7 +73,7 @@
             } else {
                 AnswerBody::Truncated
             },
-            kept,
+            stored_answer,
         }
     }
 }
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -195,7 +195,7 @@
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status: 200,
                     body: AnswerBody::Complete,
-                    kept: self.kept(reason, usage),
+                    stored_answer: self.kept(reason, usage),
                 })
             }
             EngineEnd::Rejected(answer) => {
@@ -204,7 +204,7 @@
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status,
                     body: AnswerBody::Complete,
-                    kept: None,
+                    stored_answer: None,
                 })
             }
             EngineEnd::Failed(failure) => {
--- a/crates/nodes/wingshore-node/src/serve/forward.rs
+++ b/crates/nodes/wingshore-node/src/serve/forward.rs
@@ -150,7 +150,7 @@
         let end = AttemptEnd::Answered {
             status: answer.status,
             body,
-            kept: self.kept(&answer),
+            stored_answer: self.kept(&answer),
         };
         self.answered = Some((send.server.clone(), answer));
         end
--- a/crates/nodes/wingshore-request/src/attempt.rs
+++ b/crates/nodes/wingshore-request/src/attempt.rs
@@ -75,7 +75,7 @@
         /// Whether the body is complete.
         body: AnswerBody,
         /// The answer, if it is small enough to be stored under the idempotency key for replays.
-        kept: Option<StoredAnswer>,
+        stored_answer: Option<StoredAnswer>,
     },
     /// The attempt failed.
     Failed(AttemptFailure),
--- a/crates/nodes/wingshore-request/src/execution.rs
+++ b/crates/nodes/wingshore-request/src/execution.rs
@@ -136,7 +136,9 @@
             ClaimsReply::Granted => {
                 self.try_admit(now, now + self.limits.slot_wait, router, out);
             }
-            ClaimsReply::Answered(Some(kept)) => self.finish(FinalAnswer::Replay(kept), out),
+            ClaimsReply::Answered(Some(stored_answer)) => {
+                self.finish(FinalAnswer::Replay(stored_answer), out)
+            }
             ClaimsReply::Settled => self.on_claim_failed(Verdict::MayHaveRun, out),
             refused => self.finish(FinalAnswer::Error(claim_error(&refused)), out),
         }
@@ -240,12 +242,14 @@
         }
         let in_flight = in_flight.clone();
         match end {
-            AttemptEnd::Answered { status, body, kept }
-                if body == AnswerBody::Complete || self.faults.accept_truncated_body =>
-            {
+            AttemptEnd::Answered {
+                status,
+                body,
+                stored_answer,
+            } if body == AnswerBody::Complete || self.faults.accept_truncated_body => {
                 let latency = now.since(in_flight.sent_at);
                 router.on_finished(now, in_flight.ticket, outcome_of_answer(status, latency));
-                self.on_answer(attempt, kept, out);
+                self.on_answer(attempt, stored_answer, out);
             }
             AttemptEnd::Answered { .. } => {
                 let failure = AttemptFailure {
@@ -262,7 +266,7 @@
     fn on_answer(
         &mut self,
         attempt: u32,
-        kept: Option<StoredAnswer>,
+        stored_answer: Option<StoredAnswer>,
         out: &mut Vec<ExecutionOutput>,
     ) {
         if let (Some(claim), true) = (&self.specification.claim, self.faults.send_before_claim) {
@@ -270,7 +274,7 @@
             self.phase = Phase::ClaimingLate { attempt };
             return;
         }
-        self.settle(ClaimOutcome::Answered(kept), out);
+        self.settle(ClaimOutcome::Answered(stored_answer), out);
         self.finish(FinalAnswer::Forward { attempt }, out);
     }
 
--- a/crates/nodes/wingshore-request/tests/at_most_once.rs
+++ b/crates/nodes/wingshore-request/tests/at_most_once.rs
@@ -258,7 +258,7 @@
     AttemptEnd::Answered {
         status: 200,
         body,
-        kept: None,
+        stored_answer: None,
     }
 }
 
--- a/crates/nodes/wingshore-request/tests/execution.rs
+++ b/crates/nodes/wingshore-request/tests/execution.rs
@@ -40,7 +40,7 @@
     AttemptEnd::Answered {
         status,
         body: AnswerBody::Complete,
-        kept: None,
+        stored_answer: None,
     }
 }
 
@@ -48,7 +48,7 @@
     AttemptEnd::Answered {
         status: 200,
         body: AnswerBody::Truncated,
-        kept: None,
+        stored_answer: None,
     }
 }
 
