--- a/crates/gateways/wingshore-coordinator/src/process/connections.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/connections.rs
@@ -56,7 +56,7 @@
                 gateway: Some(gateway),
                 ..
             })) => self.on_gateway_disconnected(now, gateway, connection),
-            Some(Role::Dialed(address)) => self.dials.ended(now, address),
+            Some(Role::Dialed(address)) => self.dials.disconnected(now, address),
             _ => {}
         }
         self.on_coordinator_disconnected(now, connection);
@@ -77,7 +77,7 @@
     /// still wait for an answer, so its connection is closed only after the answer.
     fn on_end_of_input(&mut self, now: Instant, connection: ConnectionId) {
         match self.roles.get_mut(&connection) {
-            Some(Role::Control(control)) if control.waiting.is_some() => {
+            Some(Role::Control(control)) if control.pending_target.is_some() => {
                 control.close_after = true;
             }
             _ => self.close_connection(now, connection),
--- a/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use crate::forwarded_heartbeats::{ForwardStep, LeaderRoute};
-use crate::heartbeats::HeartbeatVerdict;
+use crate::heartbeats::HeartbeatAction;
 use crate::protocol::ControlAnswer;
 use wingshore_coordination::{CoordinatorFrame, Heartbeat, HeartbeatAnswer, IncomingFrame, Reply};
 use wingshore_net::ConnectionId;
@@ -20,12 +20,13 @@
         let Some(route) = self.leader_route() else {
             return self.answer_heartbeat(caller, &ControlAnswer::Unavailable);
         };
-        if self.heartbeats.offer(now, &heartbeat) == HeartbeatVerdict::Known {
+        if self.heartbeats.offer(now, &heartbeat) == HeartbeatAction::Acknowledge {
             return self.answer_heartbeat(caller, &ControlAnswer::Reply(Reply::Done));
         }
         match self.forwarded.offer(now, route, caller, &heartbeat) {
             ForwardStep::Wait { sequence } => {
-                self.heartbeats.heard(heartbeat.server.instance, sequence);
+                self.heartbeats
+                    .record_unchanged(heartbeat.server.instance, sequence);
             }
             ForwardStep::Forward(id) => {
                 let frame = CoordinatorFrame::Heartbeat { id, heartbeat };
@@ -54,7 +55,7 @@
 
     /// Answers forwarded heartbeats that the leader has not answered in time.
     pub(super) fn answer_late_heartbeats(&mut self, now: Instant) {
-        let late = self.forwarded.take_late(now);
+        let late = self.forwarded.take_timed_out(now);
         self.answer_heartbeats(&late, &ControlAnswer::Unavailable);
     }
 
@@ -69,7 +70,7 @@
         let Some(LeaderRoute { link, .. }) = self.leader_route() else {
             return;
         };
-        let heard = self.heartbeats.take_heard(now);
+        let heard = self.heartbeats.take_unchanged(now);
         if !heard.is_empty() {
             let frame = CoordinatorFrame::Heard(heard);
             self.send_frame(link, &IncomingFrame::Coordinator(frame));
--- a/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
@@ -33,8 +33,8 @@
         let events = self.calls.expire(now, &mut self.reactor);
         self.take_call_events(events);
         self.update_agreed_time(now);
-        if self.schedule.silence_judge.silence_counts(now) {
-            for connection in self.directory.silent(now, GATEWAY_TIMEOUT) {
+        if self.schedule.stall_detector.may_expire_peers(now) {
+            for connection in self.directory.silent_connections(now, GATEWAY_TIMEOUT) {
                 self.close_connection(now, connection);
             }
         }
--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -26,7 +26,7 @@
         let view = self.membership_view(&retired);
         let planner = &self.members.planner;
         let planned = if self.members.is_change_pending {
-            planner.plan_beside(now, &view)
+            planner.plan_concurrent(now, &view)
         } else {
             planner.plan(now, &view)
         };
@@ -40,7 +40,7 @@
     /// Logs when there are too few coordinators to tolerate the losses that the settings ask for,
     /// and when there are enough again. The same shortage is logged once.
     pub(super) fn report_shortage(&mut self, now: Instant) {
-        if !self.host.is_leader() || !self.members.planner.has_heard_all(now) {
+        if !self.host.is_leader() || !self.members.planner.is_discovery_complete(now) {
             return;
         }
         let retired = self.retired_members();
@@ -71,13 +71,13 @@
     /// log.
     pub(super) fn report_sent_states(&mut self, now: Instant) {
         let sendings = self.host.outgoing_snapshots();
-        let look = self.sent_states.look(now, &sendings);
-        self.metrics.state_sent(look.sent, look.sent_again);
-        for report in look.reports {
+        let update = self.sent_states.update(now, &sendings);
+        self.metrics.state_sent(update.sent, update.sent_again);
+        for report in update.reports {
             let phase = match report.phase {
-                SendingPhase::Begun => "state sending begun",
-                SendingPhase::UnderWay => "state under way",
-                SendingPhase::Over => "state sending over",
+                SendingPhase::Started => "state sending begun",
+                SendingPhase::InProgress => "state under way",
+                SendingPhase::Ended => "state sending over",
             };
             let sending = report.sending;
             info!(self.logger, "{}", phase; "member" => sending.to.0,
@@ -93,7 +93,7 @@
             own: self.folder.identity().replica,
             own_zone: &self.settings.zone,
             membership,
-            heard: self.peers.joiners(),
+            known_coordinators: self.peers.known_coordinators(),
             caught_up: members(membership)
                 .map(|member| member.id)
                 .filter(|id| self.host.is_caught_up(*id))
@@ -161,7 +161,7 @@
         let retired = self.retired_members();
         if self
             .membership_view(&retired)
-            .is_whole_without(now, *member)
+            .is_fault_tolerant_without(now, *member)
         {
             ControlAnswer::Retired
         } else {
--- a/crates/gateways/wingshore-coordinator/src/process/schedule.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/schedule.rs
@@ -1,6 +1,6 @@
 //! Due times of periodic work, and progress of the planned stop.
 
-use crate::silence::SilenceJudge;
+use crate::silence::StallDetector;
 use wingshore_types::Instant;
 
 /// Due times of periodic work.
@@ -12,7 +12,7 @@
     pub(super) next_hello: Instant,
     /// Decides whether the silence of a peer counts, which it does not after a stall of this
     /// process.
-    pub(super) silence_judge: SilenceJudge,
+    pub(super) stall_detector: StallDetector,
 }
 
 impl Schedule {
