--- a/crates/nodes/wingshore-request/tests/configuration_view.rs
+++ b/crates/nodes/wingshore-request/tests/configuration_view.rs
@@ -170,10 +170,10 @@
     ];
     for (setting, expected) in cases {
         let mut view = ConfigurationView::new(setting);
-        let nothing = view.may_admit(Instant::ZERO);
-        expect_that!(nothing, err(eq(NotAdmitted::NoConfiguration)));
-        let whole = ConfigurationUpdate::Snapshot(Box::new(configuration(1)));
-        view.apply(Instant::ZERO, whole, LEASE);
+        let before_update = view.may_admit(Instant::ZERO);
+        expect_that!(before_update, err(eq(NotAdmitted::NoConfiguration)));
+        let snapshot = ConfigurationUpdate::Snapshot(Box::new(configuration(1)));
+        view.apply(Instant::ZERO, snapshot, LEASE);
         expect_that!(view.may_admit(Instant::ZERO), ok(anything()));
         expect_that!(view.may_admit(Instant::ZERO + LEASE), eq(expected));
     }
--- a/crates/nodes/wingshore-rollout/src/cache_moves.rs
+++ b/crates/nodes/wingshore-rollout/src/cache_moves.rs
@@ -14,8 +14,7 @@
 //! Why: copying shortens the interruption of a long generation. With the default
 //! [`CacheMoveCosts`], copying is cheaper above 800 tokens.
 //!
-//! Missing input: if an engine cannot export or import the cache, the attempt is resumed without
-//! it.
+//! Missing input: if an engine cannot export or import the cache, the attempt resumes without it.
 
 use crate::messages::{AttemptId, RolloutOutput};
 use crate::runner::{Context, RolloutRunner};
@@ -86,8 +85,7 @@
         Some(())
     }
 
-    /// Handles the end of a cache copy; if the copy failed, the attempt is resumed without the
-    /// cache.
+    /// Handles the end of a cache copy; if it failed, the attempt is resumed without the cache.
     pub(crate) fn on_cache_copied(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/nodes/wingshore-rollout/src/placement.rs
+++ b/crates/nodes/wingshore-rollout/src/placement.rs
@@ -57,8 +57,7 @@
         }
     }
 
-    /// Frees borrowed slots that live requests reclaim, by moving the attempts with the fewest
-    /// tokens.
+    /// Moves the attempts with the fewest tokens off borrowed slots that live requests reclaim.
     pub(crate) fn release_borrowed_slots(&mut self, context: &mut Context<'_>) {
         let over = context.router.over_guarantee(context.now, Class::Rollout);
         for borrowed in over {
--- a/crates/nodes/wingshore-rollout/src/polls.rs
+++ b/crates/nodes/wingshore-rollout/src/polls.rs
@@ -11,8 +11,7 @@
 //! capacity. A lease is renewed after a third of its duration. After an empty reply or a failure,
 //! the next request of the same kind is delayed.
 //!
-//! Why: with renewal after a third of the duration, two renewals may be lost before a lease
-//! expires.
+//! Why: two renewals may be lost before a lease expires.
 //!
 //! Missing input: without the pool's configuration, no request is sent.
 
@@ -47,11 +46,11 @@
 
     /// Returns whether `call` is the poll in flight; if so, marks the poll as answered.
     fn complete(&mut self, call: CallId) -> bool {
-        let is_own = self.call == Some(call);
-        if is_own {
+        let is_in_flight = self.call == Some(call);
+        if is_in_flight {
             self.call = None;
         }
-        is_own
+        is_in_flight
     }
 }
 
@@ -179,14 +178,14 @@
         if is_older_than(&granted.partial, self.oldest_useful) {
             granted.partial = Generation::default();
         }
-        let third = Duration::from_millis(granted.duration_ms / RENEWAL_DIVISOR);
+        let renewal_delay = Duration::from_millis(granted.duration_ms / RENEWAL_DIVISOR);
         let sample = LeasedSample {
             prompt: granted.prompt,
             partial: granted.partial,
             attempts: Vec::new(),
             avoided: None,
             not_before: context.now,
-            renew_at: context.now + third,
+            renew_at: context.now + renewal_delay,
         };
         self.leased.insert(granted.lease, sample);
         if self.stopping_since.is_some() {
--- a/crates/nodes/wingshore-rollout/src/runner.rs
+++ b/crates/nodes/wingshore-rollout/src/runner.rs
@@ -126,8 +126,7 @@
         let is_chunk = matches!(input, RolloutInput::Chunk { .. });
         self.handle(&mut context, input);
         if is_chunk {
-            // Chunks are by far the most frequent input; slots that one frees are used at the next
-            // tick.
+            // Chunks are by far the most frequent input; slots they free are used at the next tick.
             return;
         }
         self.start_waiting(&mut context);
@@ -187,8 +186,7 @@
         if known.is_some_and(|known| known >= binding.revision) {
             return;
         }
-        // The trainer has published the target version, so its next pull asks for at least that
-        // one.
+        // The trainer has published the target version, so its next pull is at least as new.
         let bound = binding.pool.staleness_bound;
         let target = binding.pool.target_version;
         self.binding = Some(binding);
--- a/crates/nodes/wingshore-rollout/src/scoring.rs
+++ b/crates/nodes/wingshore-rollout/src/scoring.rs
@@ -8,8 +8,7 @@
 //! [`MAX_SCORE_ATTEMPTS`] attempts in total. Then the runner drops it, and the ledger offers it
 //! again later, to this node or another. A score that is not finite counts as a failure.
 //!
-//! Why: scoring a sample twice is harmless, because the ledger keeps the first score of a
-//! generation.
+//! Why: scoring twice is harmless, because the ledger keeps only the first score of a generation.
 
 use crate::messages::{RolloutOutput, ScoreCallId};
 use crate::reports::ReportKey;
--- a/crates/nodes/wingshore-rollout/src/second_attempts.rs
+++ b/crates/nodes/wingshore-rollout/src/second_attempts.rs
@@ -6,8 +6,9 @@
 //! wait for a slot here or in the ledger, the policy in the settings.
 //!
 //! Rule: while no other sample could use the slots, attempts that have run for at least
-//! [`SecondAttemptPolicy::min_running_time`] get a second attempt that starts from the tokens generated so far, those
-//! with the most tokens left first. The first attempt to finish wins; the other one is cancelled.
+//! [`SecondAttemptPolicy::min_running_time`] get a second attempt that starts from the tokens
+//! generated so far, those with the most tokens left first. The first attempt to finish wins; the
+//! other one is cancelled.
 //!
 //! Why: a step is complete only when its last sample is. Disabled by default.
 
--- a/crates/nodes/wingshore-rollout/tests/runner.rs
+++ b/crates/nodes/wingshore-rollout/tests/runner.rs
@@ -105,11 +105,11 @@
         trigger(&mut harness);
         expect_that!(harness.cancelled(), contains(eq(&first)), "{name}");
         harness.advance(Duration::from_secs(1));
-        let again = harness
+        let restarted = harness
             .streams()
             .into_iter()
             .filter(|(_, _, r)| r.seed == 1);
-        let last = again.last().expect("the sample is restarted");
+        let last = restarted.last().expect("the sample is restarted");
         expect_that!(last.2.resume, is_empty(), "{name}");
     }
 }
--- a/crates/nodes/wingshore-rollout/tests/support/mod.rs
+++ b/crates/nodes/wingshore-rollout/tests/support/mod.rs
@@ -198,7 +198,7 @@
 
     fn execute(&mut self, index: usize, output: RolloutOutput) {
         match output {
-            RolloutOutput::Ledger { call, request } => self.ask_ledger(index, call, request),
+            RolloutOutput::Ledger { call, request } => self.call_ledger(index, call, request),
             RolloutOutput::StartStream {
                 attempt,
                 server,
@@ -232,7 +232,7 @@
         }
     }
 
-    fn ask_ledger(&mut self, index: usize, call: CallId, request: LedgerRequest) {
+    fn call_ledger(&mut self, index: usize, call: CallId, request: LedgerRequest) {
         if let LedgerRequest::Finish { sample, .. } = &request {
             let boot = (index, self.nodes[index].boot_id);
             self.leaked_streams += self.engines.streams_of(boot, sample.0);
