--- a/crates/nodes/wingshore-rollout/src/placement.rs
+++ b/crates/nodes/wingshore-rollout/src/placement.rs
@@ -59,7 +59,7 @@
         let over = context.router.over_guarantee(context.now, Class::Rollout);
         for borrowed in over {
             let mut running = self.attempts_on(&borrowed.server);
-            running.truncate(borrowed.wanted_back as usize);
+            running.truncate(borrowed.slots_to_reclaim as usize);
             for id in running {
                 self.move_elsewhere(context, id);
             }
--- a/crates/nodes/wingshore-routing/src/admission.rs
+++ b/crates/nodes/wingshore-routing/src/admission.rs
@@ -8,7 +8,7 @@
 //! Rule: each class has a guaranteed number of a server's slots and may borrow what the other does not
 //! use. A class that is refused although it is below its guarantee *asks*: for the reclaim window
 //! the other class may not borrow, so that slots come back as its requests end; what it uses
-//! beyond its guarantee is named by [`SlotShares::wanted_back`], so that it may be cancelled
+//! beyond its guarantee is named by [`SlotShares::slots_to_reclaim`], so that it may be cancelled
 //! sooner. Rollouts run long, so while they borrow they leave a part of the live guarantee free: as
 //! much as live requests used at their recent peak, and a least share. The retry-after of a refusal is
 //! the mean service time of the class, times the refusals within a second, divided by its requests
@@ -138,7 +138,7 @@
     }
 
     /// Borrowed slots that must end for the other class to reach its guarantee.
-    pub(crate) fn wanted_back(&self, load: &Load, class: Class) -> u32 {
+    pub(crate) fn slots_to_reclaim(&self, load: &Load, class: Class) -> u32 {
         let other = class.other();
         let missing = self.guarantee(other).saturating_sub(load.own_of(other));
         let held = missing.saturating_sub(self.free_within_guarantee(load, other));
--- a/crates/nodes/wingshore-routing/src/request.rs
+++ b/crates/nodes/wingshore-routing/src/request.rs
@@ -143,7 +143,7 @@
     pub borrowed: u32,
     /// How many of them the other class asks back now; cancelling and resuming that many
     /// requests elsewhere gives it its guarantee at once.
-    pub wanted_back: u32,
+    pub slots_to_reclaim: u32,
 }
 
 /// What the router knows of one server, for status pages and metrics.
--- a/crates/nodes/wingshore-routing/src/router/report.rs
+++ b/crates/nodes/wingshore-routing/src/router/report.rs
@@ -49,7 +49,7 @@
         found: &mut Vec<OverGuarantee>,
     ) {
         let dedicated = service.dedicated_count(now, self.settings.burst_memory);
-        let mut wanted = self.wanted_back(now, class, service);
+        let mut wanted = self.slots_to_reclaim(now, class, service);
         for index in service.members.iter() {
             let server = self.fleet.server(index);
             let shares = service.shares_of(server, dedicated);
@@ -57,19 +57,19 @@
             if borrowed == 0 {
                 continue;
             }
-            let wanted_back = shares.wanted_back(&server.load, class).min(wanted);
-            wanted -= wanted_back;
+            let slots_to_reclaim = shares.slots_to_reclaim(&server.load, class).min(wanted);
+            wanted -= slots_to_reclaim;
             found.push(OverGuarantee {
                 server: server.id.clone(),
                 borrowed,
-                wanted_back,
+                slots_to_reclaim,
             });
         }
     }
 
     /// Slots of a service that the other class asks back: as many as it was refused of late, less
     /// those that are free for it by now.
-    fn wanted_back(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
+    fn slots_to_reclaim(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
         let other = class.other();
         let asked = service.asks.get(other).count(now);
         let dedicated = service.dedicated_count(now, self.settings.burst_memory);
--- a/crates/nodes/wingshore-routing/tests/admission.rs
+++ b/crates/nodes/wingshore-routing/tests/admission.rs
@@ -48,7 +48,7 @@
     let rollouts = admit_all(&mut router, at(0), &rollout(), 100);
     expect_that!(rollouts.len(), eq(14));
     expect_that!(
-        router.over_guarantee(at(1), Class::Rollout)[0].wanted_back,
+        router.over_guarantee(at(1), Class::Rollout)[0].slots_to_reclaim,
         eq(0)
     );
 
@@ -58,13 +58,13 @@
         expect_that!(refusal.code, eq(RefusalCode::NoCapacity));
     }
     let over = router.over_guarantee(at(4), Class::Rollout);
-    expect_that!((over[0].borrowed, over[0].wanted_back), eq((6, 3)));
+    expect_that!((over[0].borrowed, over[0].slots_to_reclaim), eq((6, 3)));
 
     for one in &rollouts[..3] {
         router.on_finished(at(5), one.ticket, AttemptOutcome::Cancelled);
     }
     expect_that!(
-        router.over_guarantee(at(5), Class::Rollout)[0].wanted_back,
+        router.over_guarantee(at(5), Class::Rollout)[0].slots_to_reclaim,
         eq(0)
     );
     expect_that!(router.admit(at(6), &rollout()), err(anything()));
