--- a/crates/nodes/wingshore-routing/src/admission.rs
+++ b/crates/nodes/wingshore-routing/src/admission.rs
@@ -104,10 +104,10 @@
     /// Own requests never exceed the slots. Others' requests are only estimated and their class
     /// is unknown: they keep a class from borrowing, and from its guarantee only once the server
     /// has the whole guarantee on top of its slots.
-    pub(crate) fn has_room(
+    pub(crate) fn has_free_slot(
         &self,
         load: &Load,
-        foreign: u32,
+        external: u32,
         class: Class,
         borrowing: Borrowing,
     ) -> bool {
@@ -115,7 +115,7 @@
         if own >= self.slots {
             return false;
         }
-        let all = own.saturating_add(foreign);
+        let all = own.saturating_add(external);
         if !self.guaranteed {
             return all < self.slots;
         }
@@ -123,7 +123,7 @@
         if load.own_of(class) < guarantee {
             return all < self.slots + guarantee;
         }
-        borrowing.is_allowed && all + self.kept_free(load, class, borrowing) < self.slots
+        borrowing.is_allowed && all + self.reserved_slots(load, class, borrowing) < self.slots
     }
 
     /// Slots that `class` uses beyond its guarantee.
@@ -146,7 +146,7 @@
     }
 
     /// Slots that a borrower leaves free for the owner's next burst.
-    fn kept_free(&self, load: &Load, class: Class, borrowing: Borrowing) -> u32 {
+    fn reserved_slots(&self, load: &Load, class: Class, borrowing: Borrowing) -> u32 {
         match class {
             Class::Live => 0,
             Class::Rollout => {
@@ -172,24 +172,24 @@
 
 /// Refusals of a class below its guarantee, within one service.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Asks {
+pub(crate) struct ReclaimRequests {
     count: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
-impl Asks {
+impl ReclaimRequests {
     /// The class was refused below its guarantee.
-    pub(crate) fn ask(&mut self, now: Instant, window: Duration) {
-        if now >= self.until {
+    pub(crate) fn record(&mut self, now: Instant, window: Duration) {
+        if now >= self.expires_at {
             self.count = 0;
         }
         self.count = self.count.saturating_add(1);
-        self.until = now + window;
+        self.expires_at = now + window;
     }
 
     /// Whether it asks now.
     pub(crate) fn is_active(&self, now: Instant) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
     /// How many requests asked within the window.
@@ -212,7 +212,7 @@
 }
 
 /// Weight of a new observation is one over this.
-const MEAN_WEIGHT: u32 = 8;
+const SMOOTHING_DIVISOR: u32 = 8;
 /// Refusals are counted over this time.
 const REFUSAL_WINDOW: Duration = Duration::from_secs(1);
 
@@ -221,7 +221,7 @@
     pub(crate) fn on_success(&mut self, latency: Duration) {
         self.mean = Some(match self.mean {
             None => latency,
-            Some(mean) => (mean * (MEAN_WEIGHT - 1) + latency) / MEAN_WEIGHT,
+            Some(mean) => (mean * (SMOOTHING_DIVISOR - 1) + latency) / SMOOTHING_DIVISOR,
         });
     }
 
--- a/crates/nodes/wingshore-routing/src/affinity.rs
+++ b/crates/nodes/wingshore-routing/src/affinity.rs
@@ -16,18 +16,18 @@
 use wingshore_types::platform::{CacheEventKind, CacheEvents};
 
 /// Servers remembered per prefix.
-pub(crate) const MAX_HOLDERS: usize = 4;
+pub(crate) const MAX_SERVERS_PER_PREFIX: usize = 4;
 /// A hint that lost half of its worth this often is worth nothing.
 const MAX_HALVINGS: u32 = 6;
 /// Thousandths: the worth of a certain entry.
-const CERTAIN: u64 = 1000;
+const FULL_SCORE: u64 = 1000;
 
 /// One server that probably has the prefix.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     server: u32,
-    boot: u32,
-    doubts: u32,
+    boot_count: u32,
+    staleness: u32,
     tokens: u32,
     stored_at: Instant,
 }
@@ -37,9 +37,9 @@
 struct Cache {
     boot_id: Option<u64>,
     /// Counts boots, so that entries of earlier ones are recognised.
-    boot: u32,
+    boot_count: u32,
     /// Counts reasons to doubt older entries.
-    doubts: u32,
+    staleness: u32,
     last_sequence: u64,
     /// Keys in the order they were stored, oldest first.
     order: VecDeque<u64>,
@@ -50,12 +50,12 @@
 pub(crate) struct Hint {
     pub(crate) server: u32,
     /// Thousandths of the prompt, less the doubt.
-    pub(crate) worth: u64,
+    pub(crate) score: u64,
 }
 
 /// Result of taking events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EventsTaken {
+pub(crate) enum EventsOutcome {
     /// They belong to the boot that is known.
     Current,
     /// They belong to another boot than the server's state named.
@@ -102,9 +102,9 @@
     }
 
     /// The server changed weights, which may have emptied its cache.
-    pub(crate) fn doubt(&mut self, server: u32) {
+    pub(crate) fn mark_stale(&mut self, server: u32) {
         let cache = self.cache(server);
-        cache.doubts = cache.doubts.wrapping_add(1);
+        cache.staleness = cache.staleness.wrapping_add(1);
     }
 
     /// The position is used for another server from now on.
@@ -116,7 +116,7 @@
     /// Drops all entries of a server's cache.
     pub(crate) fn forget(&mut self, server: u32) {
         let cache = self.cache(server);
-        cache.boot = cache.boot.wrapping_add(1);
+        cache.boot_count = cache.boot_count.wrapping_add(1);
         cache.last_sequence = 0;
         let keys = std::mem::take(&mut cache.order);
         for key in keys {
@@ -131,11 +131,11 @@
         server: u32,
         service: u32,
         events: &CacheEvents,
-    ) -> EventsTaken {
+    ) -> EventsOutcome {
         let known = self.cache(server).boot_id;
         if known.is_some_and(|boot_id| boot_id != events.boot_id) {
             self.forget(server);
-            return EventsTaken::OtherBoot;
+            return EventsOutcome::OtherBoot;
         }
         self.cache(server).boot_id = Some(events.boot_id);
         for event in &events.events {
@@ -144,7 +144,7 @@
                 continue;
             }
             if event.sequence != cache.last_sequence + 1 {
-                cache.doubts = cache.doubts.wrapping_add(1);
+                cache.staleness = cache.staleness.wrapping_add(1);
             }
             cache.last_sequence = event.sequence;
             let key = key_of(service, event.prefix_hash);
@@ -153,7 +153,7 @@
                 CacheEventKind::Evicted => self.remove_holder(key, server),
             }
         }
-        EventsTaken::Current
+        EventsOutcome::Current
     }
 
     /// A request with this prefix ended well on the server, so it probably has it cached; this is
@@ -177,46 +177,46 @@
         service: u32,
         prefix_hash: u64,
         tokens: u32,
-    ) -> ([Hint; MAX_HOLDERS], usize) {
-        let mut hints = [Hint::default(); MAX_HOLDERS];
+    ) -> ([Hint; MAX_SERVERS_PER_PREFIX], usize) {
+        let mut hints = [Hint::default(); MAX_SERVERS_PER_PREFIX];
         let mut count = 0;
         let found = self.holders.get(&key_of(service, prefix_hash));
         for holder in found.into_iter().flatten() {
-            let worth = self.worth(now, holder, tokens);
-            if worth > 0 {
+            let score = self.score(now, holder, tokens);
+            if score > 0 {
                 let server = holder.server;
-                hints[count] = Hint { server, worth };
+                hints[count] = Hint { server, score };
                 count += 1;
             }
         }
         (hints, count)
     }
 
-    fn worth(&self, now: Instant, holder: &Holder, tokens: u32) -> u64 {
+    fn score(&self, now: Instant, holder: &Holder, tokens: u32) -> u64 {
         let Some(cache) = self.caches.get(holder.server as usize) else {
             return 0;
         };
-        if cache.boot != holder.boot {
+        if cache.boot_count != holder.boot_count {
             return 0;
         }
         let age = now.since(holder.stored_at).as_nanos();
         let halvings_by_age = age / self.half_life.as_nanos().max(1);
         let halvings_by_age = u32::try_from(halvings_by_age).unwrap_or(MAX_HALVINGS);
-        let halvings_by_doubt = cache.doubts.wrapping_sub(holder.doubts);
-        let halvings = halvings_by_age.saturating_add(halvings_by_doubt);
+        let halvings_by_staleness = cache.staleness.wrapping_sub(holder.staleness);
+        let halvings = halvings_by_age.saturating_add(halvings_by_staleness);
         if halvings >= MAX_HALVINGS {
             return 0;
         }
         let cached = u64::from(holder.tokens.min(tokens));
-        (cached * CERTAIN / u64::from(tokens.max(1))) >> halvings
+        (cached * FULL_SCORE / u64::from(tokens.max(1))) >> halvings
     }
 
-    fn store(&mut self, now: Instant, server: u32, key: u64, tokens: u32, doubt: u32) {
+    fn store(&mut self, now: Instant, server: u32, key: u64, tokens: u32, staleness: u32) {
         let cache = self.cache(server);
         let holder = Holder {
             server,
-            boot: cache.boot,
-            doubts: cache.doubts.wrapping_sub(doubt),
+            boot_count: cache.boot_count,
+            staleness: cache.staleness.wrapping_sub(staleness),
             tokens,
             stored_at: now,
         };
@@ -225,15 +225,15 @@
             *known = holder;
             return;
         }
-        if holders.len() == MAX_HOLDERS {
+        if holders.len() == MAX_SERVERS_PER_PREFIX {
             holders.remove(0);
         }
         holders.push(holder);
-        self.remember_key(server, key);
+        self.record_key(server, key);
     }
 
     /// Notes that the server holds the key; forgets its oldest one beyond the bound.
-    fn remember_key(&mut self, server: u32, key: u64) {
+    fn record_key(&mut self, server: u32, key: u64) {
         let entries = self.entries;
         let order = &mut self.cache(server).order;
         order.push_back(key);
--- a/crates/nodes/wingshore-routing/src/balance.rs
+++ b/crates/nodes/wingshore-routing/src/balance.rs
@@ -18,7 +18,7 @@
 use crate::admission::Borrowing;
 use crate::affinity::Hint;
 use crate::class::Class;
-use crate::dedicated::MAX_OFFERED;
+use crate::dedicated::MAX_CANDIDATES;
 use crate::fleet::{Server, ServerIndex, ServiceState};
 use crate::request::RouteRequest;
 use crate::settings::RouterSettings;
@@ -27,29 +27,29 @@
 use wingshore_types::Instant;
 
 /// Costs are counted in thousandths of a request.
-const REQUEST: u64 = 1000;
+const UNITS_PER_REQUEST: u64 = 1000;
 /// A server that has just returned counts as this share (in thousandths) of a server.
 const MIN_SLOW_START_SHARE: u64 = 100;
 
 /// Cost of an engine that fetches weights, for a live request, in thousandths of a request: more
 /// than any load, so that it gets one only where no other engine can.
-const LOADING_COST: u64 = 1000 * REQUEST;
+const LOADING_COST: u64 = 1000 * UNITS_PER_REQUEST;
 
 /// Why no server was found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct NoneFound {
+pub(crate) struct NoServerFound {
     /// An open server was not excluded.
     pub(crate) any_open: bool,
     /// One of those serves a useful version.
-    pub(crate) any_useful: bool,
+    pub(crate) any_usable_version: bool,
     /// An open server, useful or not, had room.
-    pub(crate) any_room: bool,
+    pub(crate) any_free_slot: bool,
     /// The class was below its guarantee on a useful one.
     pub(crate) below_guarantee: bool,
 }
 
 /// One decision.
-pub(crate) struct Choice<'a> {
+pub(crate) struct ServerSelection<'a> {
     pub(crate) now: Instant,
     pub(crate) settings: &'a RouterSettings,
     pub(crate) servers: &'a [Server],
@@ -66,56 +66,56 @@
 
 /// The best server so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Best(Option<(u64, ServerIndex)>);
+struct BestCandidate(Option<(u64, ServerIndex)>);
 
-impl Best {
-    fn offer(&mut self, cost: u64, server: ServerIndex) {
+impl BestCandidate {
+    fn consider(&mut self, cost: u64, server: ServerIndex) {
         if self.0.is_none_or(|(least, _)| cost < least) {
             self.0 = Some((cost, server));
         }
     }
 }
 
-impl Choice<'_> {
+impl ServerSelection<'_> {
     /// Draws and compares; goes through all only where that found none.
     pub(crate) fn choose(
         &self,
-        random: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
         hints: &[Hint],
-    ) -> Result<ServerIndex, NoneFound> {
-        let mut best = Best::default();
+    ) -> Result<ServerIndex, NoServerFound> {
+        let mut best = BestCandidate::default();
         for hint in hints {
-            self.offer_hint(hint, &mut best);
+            self.consider_hint(hint, &mut best);
         }
-        self.offer_dedicated(&mut best);
-        for zone in self.service.open.both() {
-            self.draw(zone, random, &mut best);
+        self.consider_dedicated(&mut best);
+        for zone in self.service.open.zones() {
+            self.sample_zone(zone, rng, &mut best);
         }
         match best.0 {
             Some((_, server)) => Ok(server),
-            None => self.search(random),
+            None => self.scan_zones(rng),
         }
     }
 
     /// Draws servers of one zone until enough of them can take the request; where there are no
     /// more than that, all are compared.
-    fn draw(&self, zone: &[ServerIndex], random: &mut ChaCha8Rng, best: &mut Best) {
+    fn sample_zone(&self, zone: &[ServerIndex], rng: &mut ChaCha8Rng, best: &mut BestCandidate) {
         let choices = self.settings.choices as usize;
         if zone.len() <= choices {
             for index in zone {
-                self.offer(*index, best);
+                self.consider(*index, best);
             }
             return;
         }
         let mut accepted = 0;
         let mut last = None;
         for _ in 0..choices * 2 {
-            let index = zone[below(random, zone.len())];
+            let index = zone[random_below(rng, zone.len())];
             if last == Some(index) {
                 continue;
             }
             last = Some(index);
-            accepted += usize::from(self.offer(index, best));
+            accepted += usize::from(self.consider(index, best));
             if accepted == choices {
                 return;
             }
@@ -123,90 +123,90 @@
     }
 
     /// Compares a server with the best so far, if it can take the request.
-    fn offer(&self, index: ServerIndex, best: &mut Best) -> bool {
+    fn consider(&self, index: ServerIndex, best: &mut BestCandidate) -> bool {
         let server = &self.servers[index as usize];
         let can_take = self.can_take(server);
         if can_take {
-            best.offer(self.cost(server), index);
+            best.consider(self.cost(server), index);
         }
         can_take
     }
 
     /// Live requests are offered the engines dedicated to them.
-    fn offer_dedicated(&self, best: &mut Best) {
+    fn consider_dedicated(&self, best: &mut BestCandidate) {
         if self.request.class == Class::Rollout {
             return;
         }
-        let dedicated = self.service.dedicated.open.iter().take(MAX_OFFERED);
-        for (_, index) in dedicated.filter(|(place, _)| *place < self.dedicated_count) {
-            self.offer(*index, best);
+        let dedicated = self.service.dedicated.open.iter().take(MAX_CANDIDATES);
+        for (_, index) in dedicated.filter(|(position, _)| *position < self.dedicated_count) {
+            self.consider(*index, best);
         }
     }
 
     /// A cached prefix makes its server a candidate, if it is an open member.
-    fn offer_hint(&self, hint: &Hint, best: &mut Best) {
+    fn consider_hint(&self, hint: &Hint, best: &mut BestCandidate) {
         let server = &self.servers[hint.server as usize];
         let is_member = server.is_member && server.is_open(self.now, self.ignore_leaving);
         if !is_member || !self.can_take(server) {
             return;
         }
-        let bonus = u64::from(self.settings.affinity_bonus) * hint.worth;
-        best.offer(self.cost(server).saturating_sub(bonus), hint.server);
+        let bonus = u64::from(self.settings.affinity_bonus) * hint.score;
+        best.consider(self.cost(server).saturating_sub(bonus), hint.server);
     }
 
     /// Goes through all open servers from a random one on, until enough can take the request.
-    fn search(&self, random: &mut ChaCha8Rng) -> Result<ServerIndex, NoneFound> {
-        let mut best = Best::default();
-        let mut nothing = NoneFound::default();
-        for zone in self.service.open.both() {
+    fn scan_zones(&self, rng: &mut ChaCha8Rng) -> Result<ServerIndex, NoServerFound> {
+        let mut best = BestCandidate::default();
+        let mut reasons = NoServerFound::default();
+        for zone in self.service.open.zones() {
             let mut accepted = 0;
             let start = if zone.is_empty() {
                 0
             } else {
-                below(random, zone.len())
+                random_below(rng, zone.len())
             };
             let (before, after) = zone.split_at(start);
             for index in after.iter().chain(before) {
                 let server = &self.servers[*index as usize];
-                if !self.note(server, &mut nothing) {
+                if !self.check_server(server, &mut reasons) {
                     continue;
                 }
-                best.offer(self.cost(server), *index);
+                best.consider(self.cost(server), *index);
                 accepted += 1;
                 if accepted == self.settings.choices {
                     break;
                 }
             }
         }
-        best.0.map(|(_, server)| server).ok_or(nothing)
+        best.0.map(|(_, server)| server).ok_or(reasons)
     }
 
     /// Whether a server can take the request; notes why not.
-    fn note(&self, server: &Server, nothing: &mut NoneFound) -> bool {
-        let has_room = self.has_room(server);
-        nothing.any_room |= has_room;
+    fn check_server(&self, server: &Server, reasons: &mut NoServerFound) -> bool {
+        let has_free_slot = self.has_free_slot(server);
+        reasons.any_free_slot |= has_free_slot;
         if self.is_excluded(server) {
             return false;
         }
-        nothing.any_open = true;
-        if !self.is_useful(server) {
+        reasons.any_open = true;
+        if !self.has_usable_version(server) {
             return false;
         }
-        nothing.any_useful = true;
+        reasons.any_usable_version = true;
         let class = self.request.class;
         let shares = self.service.shares_of(server, self.dedicated_count);
-        nothing.below_guarantee |= server.load.own_of(class) < shares.guarantee(class);
-        has_room
+        reasons.below_guarantee |= server.load.own_of(class) < shares.guarantee(class);
+        has_free_slot
     }
 
     fn can_take(&self, server: &Server) -> bool {
-        self.has_room(server) && self.is_useful(server) && !self.is_excluded(server)
+        self.has_free_slot(server) && self.has_usable_version(server) && !self.is_excluded(server)
     }
 
-    fn has_room(&self, server: &Server) -> bool {
+    fn has_free_slot(&self, server: &Server) -> bool {
         let shares = self.service.shares_of(server, self.dedicated_count);
-        let foreign = rounded(self.foreign(server));
-        shares.has_room(&server.load, foreign, self.request.class, self.borrowing)
+        let external = round_to_requests(self.external(server));
+        shares.has_free_slot(&server.load, external, self.request.class, self.borrowing)
     }
 
     fn is_excluded(&self, server: &Server) -> bool {
@@ -214,7 +214,7 @@
     }
 
     /// Rollouts need an engine whose own report names a version that is new enough.
-    fn is_useful(&self, server: &Server) -> bool {
+    fn has_usable_version(&self, server: &Server) -> bool {
         if self.request.class == Class::Live || !self.check_version {
             return true;
         }
@@ -228,43 +228,43 @@
     /// Load in thousandths of a request, this one included.
     fn cost(&self, server: &Server) -> u64 {
         let own = u64::from(server.load.own()) + 1;
-        let load = own * REQUEST + self.foreign(server);
-        let mut cost = load * REQUEST / self.ramp(server);
+        let load = own * UNITS_PER_REQUEST + self.external(server);
+        let mut cost = load * UNITS_PER_REQUEST / self.slow_start_share(server);
         if self.request.class == Class::Live && server.is_loading {
             cost += LOADING_COST;
         }
         match server.in_own_zone {
             true => cost,
-            false => cost + u64::from(self.settings.zone_penalty) * REQUEST,
+            false => cost + u64::from(self.settings.zone_penalty) * UNITS_PER_REQUEST,
         }
     }
 
     /// Requests of others, in thousandths.
-    fn foreign(&self, server: &Server) -> u64 {
-        server.load.foreign(self.now, &self.service.persistence)
+    fn external(&self, server: &Server) -> u64 {
+        server.load.external(self.now, &self.service.load_estimator)
     }
 
     /// Thousandths of a server that it counts as: less just after its return.
-    fn ramp(&self, server: &Server) -> u64 {
-        if self.now >= server.slow_until {
-            return REQUEST;
+    fn slow_start_share(&self, server: &Server) -> u64 {
+        if self.now >= server.slow_start_until {
+            return UNITS_PER_REQUEST;
         }
         let whole = self.settings.slow_start.as_nanos().max(1) as u64;
-        let left = server.slow_until.since(self.now).as_nanos() as u64;
+        let left = server.slow_start_until.since(self.now).as_nanos() as u64;
         let passed = whole.saturating_sub(left);
-        let share = u128::from(passed) * u128::from(REQUEST) / u128::from(whole);
+        let share = u128::from(passed) * u128::from(UNITS_PER_REQUEST) / u128::from(whole);
         (share as u64).max(MIN_SLOW_START_SHARE)
     }
 }
 
 /// Thousandths as whole requests.
-pub(crate) fn rounded(thousandths: u64) -> u32 {
-    let requests = (thousandths + REQUEST / 2) / REQUEST;
+pub(crate) fn round_to_requests(thousandths: u64) -> u32 {
+    let requests = (thousandths + UNITS_PER_REQUEST / 2) / UNITS_PER_REQUEST;
     u32::try_from(requests).unwrap_or(u32::MAX)
 }
 
 /// A random position below `length`, which is not zero and below 2^32.
-fn below(random: &mut ChaCha8Rng, length: usize) -> usize {
-    let product = u64::from(random.next_u32()) * length as u64;
+fn random_below(rng: &mut ChaCha8Rng, length: usize) -> usize {
+    let product = u64::from(rng.next_u32()) * length as u64;
     (product >> 32) as usize
 }
--- a/crates/nodes/wingshore-routing/src/dedicated.rs
+++ b/crates/nodes/wingshore-routing/src/dedicated.rs
@@ -22,9 +22,9 @@
 /// Smaller services share all their engines.
 const MIN_SERVERS: usize = 8;
 /// A dedicated engine serves this part of its slots, in thousandths, before another one is added.
-const TARGET_FILL: u64 = 500;
+const TARGET_UTILIZATION: u64 = 500;
 /// Most dedicated engines that one live request is offered.
-pub(crate) const MAX_OFFERED: usize = 4;
+pub(crate) const MAX_CANDIDATES: usize = 4;
 
 /// A server's place in the order that all nodes share; lower is dedicated first.
 pub(crate) fn shared_rank(server: &ServerId) -> u64 {
@@ -44,9 +44,9 @@
 
 impl DedicatedEngines {
     /// Sizes for a service of so many servers.
-    pub(crate) fn resize(&mut self, servers: usize, live_share: Permille, is_engines: bool) {
+    pub(crate) fn resize(&mut self, servers: usize, live_share: Permille, is_engine_service: bool) {
         let is_split = live_share.0 > 0 && live_share < Permille::WHOLE;
-        let may_have_any = is_engines && is_split && servers >= MIN_SERVERS;
+        let may_have_any = is_engine_service && is_split && servers >= MIN_SERVERS;
         self.servers = servers;
         self.max = match may_have_any {
             true => servers * usize::from(live_share.0) / usize::from(Permille::WHOLE.0),
@@ -60,8 +60,8 @@
     }
 
     /// Whether a place in the order may be dedicated.
-    pub(crate) fn includes(&self, place: usize) -> bool {
-        place < self.max
+    pub(crate) fn includes(&self, position: usize) -> bool {
+        position < self.max
     }
 
     /// How many are dedicated now, while live requests took up to `peak` slots on so many `used`
@@ -71,7 +71,7 @@
             return 0;
         }
         let demand = u64::from(peak) * 1000 * self.servers as u64;
-        let capacity = u64::from(slots) * TARGET_FILL * used.max(1) as u64;
+        let capacity = u64::from(slots) * TARGET_UTILIZATION * used.max(1) as u64;
         let wanted = demand.div_ceil(capacity.max(1));
         usize::try_from(wanted).unwrap_or(self.max).min(self.max)
     }
--- a/crates/nodes/wingshore-routing/src/fleet.rs
+++ b/crates/nodes/wingshore-routing/src/fleet.rs
@@ -1,14 +1,14 @@
 //! Servers and services in dense arrays, so that a decision indexes and never searches.
 
-use crate::admission::{Asks, ServiceTime, SlotShares};
-use crate::balance::rounded;
+use crate::admission::{ReclaimRequests, ServiceTime, SlotShares};
+use crate::balance::round_to_requests;
 use crate::class::{ByClass, Class};
 use crate::dedicated::DedicatedEngines;
 use crate::demand::Peak;
 use crate::load::Load;
+use crate::load_estimator::LoadEstimator;
 use crate::membership::{Membership, ServerStatus};
-use crate::outlier::Outlier;
-use crate::persistence::Persistence;
+use crate::outlier::OutlierDetector;
 use crate::retry::RetryBudget;
 use crate::subset::SubsetSize;
 use std::collections::BTreeMap;
@@ -33,23 +33,23 @@
     /// Its place in this node's order; see [`crate::subset::rank`].
     pub(crate) rank: u64,
     /// Its place in the order that all nodes share; see [`crate::dedicated`].
-    pub(crate) shared_place: usize,
+    pub(crate) shared_position: usize,
     /// Whether it fetches weights, by its own last report: it will pause for a moment.
     pub(crate) is_loading: bool,
     pub(crate) membership: Membership,
-    pub(crate) outlier: Outlier,
+    pub(crate) outlier: OutlierDetector,
     pub(crate) load: Load,
     pub(crate) version: Option<WeightVersion>,
     /// When the report of the version stops to count.
-    pub(crate) version_until: Instant,
-    pub(crate) slow_until: Instant,
+    pub(crate) version_expires_at: Instant,
+    pub(crate) slow_start_until: Instant,
     pub(crate) next_probe: Option<Instant>,
 }
 
 impl Server {
     /// Its version, by a report that still counts.
     pub(crate) fn known_version(&self, now: Instant) -> Option<WeightVersion> {
-        if now < self.version_until {
+        if now < self.version_expires_at {
             self.version
         } else {
             None
@@ -82,7 +82,7 @@
 
 impl ByZone {
     /// Own zone first.
-    pub(crate) fn both(&self) -> [&[ServerIndex]; 2] {
+    pub(crate) fn zones(&self) -> [&[ServerIndex]; 2] {
         [&self.own, &self.others]
     }
 
@@ -113,9 +113,9 @@
 
 /// A finding that no server of a service has room for a class; it holds until something changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct FullMark {
+pub(crate) struct CachedRefusal {
     pub(crate) epoch: u64,
-    pub(crate) until: Instant,
+    pub(crate) expires_at: Instant,
     /// Whether the class was below its guarantee somewhere.
     pub(crate) below_guarantee: bool,
 }
@@ -125,7 +125,7 @@
 pub(crate) struct ServiceState {
     pub(crate) id: ServiceId,
     pub(crate) is_configured: bool,
-    pub(crate) is_engines: bool,
+    pub(crate) is_engine_service: bool,
     pub(crate) shares: SlotShares,
     /// All its servers in this node's order.
     pub(crate) ranked: ByZone,
@@ -137,28 +137,28 @@
     pub(crate) dedicated: DedicatedEngines,
     pub(crate) subset: SubsetSize,
     /// When a request last asked for it; before that, when it was first configured.
-    pub(crate) used_at: Instant,
+    pub(crate) last_requested_at: Instant,
     pub(crate) grown_at: Instant,
     pub(crate) exhausted_at: Instant,
     pub(crate) in_flight: ByClass<u32>,
-    pub(crate) asks: ByClass<Asks>,
+    pub(crate) reclaim_requests: ByClass<ReclaimRequests>,
     /// Live requests in flight, and those of others.
     pub(crate) live_peak: Peak,
     pub(crate) service_time: ByClass<ServiceTime>,
-    pub(crate) persistence: Persistence,
+    pub(crate) load_estimator: LoadEstimator,
     pub(crate) budget: RetryBudget,
     /// When the next backoff or ejection of a member ends.
     pub(crate) next_change: Option<Instant>,
     /// Counts events by which a slot may have become free.
     pub(crate) epoch: u64,
-    pub(crate) full: ByClass<FullMark>,
+    pub(crate) cached_refusals: ByClass<CachedRefusal>,
 }
 
 impl ServiceState {
     /// Whether requests asked for it lately, or are in flight.
     pub(crate) fn is_used(&self, now: Instant, unused_after: Duration) -> bool {
         let in_flight = self.in_flight.get(Class::Live) + self.in_flight.get(Class::Rollout);
-        in_flight > 0 || now.since(self.used_at) < unused_after
+        in_flight > 0 || now.since(self.last_requested_at) < unused_after
     }
 
     /// How many engines are dedicated to live requests now.
@@ -170,15 +170,15 @@
 
     /// Shares of one server while so many engines are dedicated.
     pub(crate) fn shares_of(&self, server: &Server, dedicated: usize) -> SlotShares {
-        let is_dedicated = server.shared_place < dedicated;
+        let is_dedicated = server.shared_position < dedicated;
         self.shares
             .with_dedicated(is_dedicated, dedicated, self.dedicated.servers())
     }
 
     /// Live requests in flight, and all of others, whose class is unknown.
     pub(crate) fn live_demand(&self, now: Instant) -> u32 {
-        let others = self.persistence.mean(now) * self.open.len() as u64;
-        *self.in_flight.get(Class::Live) + rounded(others)
+        let others = self.load_estimator.mean(now) * self.open.len() as u64;
+        *self.in_flight.get(Class::Live) + round_to_requests(others)
     }
 }
 
@@ -250,11 +250,11 @@
 
     /// Frees the position of a server that is absent and has no request in flight. Returns
     /// whether it did.
-    pub(crate) fn free_if_gone(&mut self, index: ServerIndex) -> bool {
+    pub(crate) fn release_if_removed(&mut self, index: ServerIndex) -> bool {
         let server = &self.servers[index as usize];
-        let is_gone = server.membership.admission.is_none() && server.load.own() == 0;
+        let is_removed = server.membership.admission.is_none() && server.load.own() == 0;
         let is_named = self.server_names.get(&server.id) == Some(&index);
-        if !is_gone || !is_named {
+        if !is_removed || !is_named {
             return false;
         }
         self.server_names.remove(&server.id);
@@ -263,7 +263,7 @@
     }
 
     /// All servers by name, in order.
-    pub(crate) fn names(&self) -> impl Iterator<Item = (&ServerId, ServerIndex)> {
+    pub(crate) fn servers_by_name(&self) -> impl Iterator<Item = (&ServerId, ServerIndex)> {
         self.server_names.iter().map(|(id, index)| (id, *index))
     }
 }
--- a/crates/nodes/wingshore-routing/src/load.rs
+++ b/crates/nodes/wingshore-routing/src/load.rs
@@ -8,14 +8,14 @@
 //! although the report has them.
 
 use crate::class::{ByClass, Class};
-use crate::persistence::{Persistence, Reading};
+use crate::load_estimator::{LoadEstimator, Reading};
 use std::collections::VecDeque;
 use std::time::Duration;
 use wingshore_types::Instant;
 use wingshore_types::platform::LoadReport;
 
 /// Resolution of the history.
-const BUCKET: Duration = Duration::from_millis(16);
+const BUCKET_WIDTH: Duration = Duration::from_millis(16);
 /// Most buckets with a change that are kept; at least 1 s of history.
 const MAX_BUCKETS: usize = 64;
 
@@ -46,19 +46,19 @@
     }
 
     /// Requests of others, in thousandths: what the last reading says by now.
-    pub(crate) fn foreign(&self, now: Instant, persistence: &Persistence) -> u64 {
-        persistence.estimate(now, self.reading)
+    pub(crate) fn external(&self, now: Instant, load_estimator: &LoadEstimator) -> u64 {
+        load_estimator.estimate(now, self.reading)
     }
 
     /// One request more.
     pub(crate) fn add(&mut self, now: Instant, class: Class) {
-        self.remember(now);
+        self.record_change(now);
         *self.own.get_mut(class) += 1;
     }
 
     /// One request less.
     pub(crate) fn remove(&mut self, now: Instant, class: Class) {
-        self.remember(now);
+        self.record_change(now);
         let count = self.own.get_mut(class);
         *count = count.saturating_sub(1);
     }
@@ -76,8 +76,8 @@
             return None;
         }
         let reported = report.in_flight.saturating_add(report.queue);
-        let foreign = reported.saturating_sub(self.own_at(read_at));
-        let reading = Reading { foreign, read_at };
+        let external = reported.saturating_sub(self.own_at(read_at));
+        let reading = Reading { external, read_at };
         self.reading = Some(reading);
         Some((reading, before))
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn remember(&mut self, now: Instant) {
+    fn record_change(&mut self, now: Instant) {
         let bucket = bucket_of(now);
         if self
             .history
@@ -118,5 +118,5 @@
 
 /// Number of the bucket that `time` lies in.
 fn bucket_of(time: Instant) -> u64 {
-    time.0 / BUCKET.as_nanos() as u64
+    time.0 / BUCKET_WIDTH.as_nanos() as u64
 }
--- a/crates/nodes/wingshore-routing/src/persistence.rs
+++ b/crates/nodes/wingshore-routing/src/load_estimator.rs
@@ -17,24 +17,24 @@
 use wingshore_types::Instant;
 
 /// Weight of a new pair of reports is one over this.
-const PAIR_WEIGHT: f64 = 64.0;
+const SMOOTHING_DIVISOR: f64 = 64.0;
 /// What is assumed before reports are seen: half of a difference is left at the next report.
-const ASSUMED: f64 = 0.5;
+const INITIAL_CORRELATION: f64 = 0.5;
 /// Never believed to be more than this, so that the time stays finite.
 const MAX_CORRELATION: f64 = 0.999;
 /// Weights and loads are counted in thousandths.
-const THOUSAND: u64 = 1000;
+const UNITS_PER_REQUEST: u64 = 1000;
 
 /// Others' requests on one server, as one report says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Reading {
-    pub(crate) foreign: u32,
+    pub(crate) external: u32,
     pub(crate) read_at: Instant,
 }
 
 /// What the reports of one service's servers have in common.
 #[derive(Clone, Debug)]
-pub(crate) struct Persistence {
+pub(crate) struct LoadEstimator {
     /// Mean of others' requests per server, in thousandths; `None` before the first report.
     mean: Option<f64>,
     expires_at: Instant,
@@ -46,7 +46,7 @@
     half_life: u64,
 }
 
-impl Persistence {
+impl LoadEstimator {
     /// Nothing is known; servers will be read every `interval`.
     pub(crate) fn new(interval: Duration) -> Self {
         let interval = interval.as_nanos() as f64;
@@ -54,7 +54,7 @@
             mean: None,
             expires_at: Instant::ZERO,
             variance: 1.0,
-            covariance: ASSUMED,
+            covariance: INITIAL_CORRELATION,
             interval,
             half_life: interval as u64,
         }
@@ -68,12 +68,12 @@
         servers: usize,
         lifetime: Duration,
     ) {
-        let foreign = f64::from(reading.foreign) * THOUSAND as f64;
-        let mean = self.mean.unwrap_or(foreign);
+        let external = f64::from(reading.external) * UNITS_PER_REQUEST as f64;
+        let mean = self.mean.unwrap_or(external);
         if let Some(before) = before {
-            self.compare(reading, before, mean);
+            self.update_correlation(reading, before, mean);
         }
-        self.mean = Some(mean + (foreign - mean) / servers.max(1) as f64);
+        self.mean = Some(mean + (external - mean) / servers.max(1) as f64);
         self.expires_at = self.expires_at.max(reading.read_at + lifetime);
     }
 
@@ -92,7 +92,7 @@
         let Some(reading) = reading.filter(|_| now < self.expires_at) else {
             return mean;
         };
-        let read = u64::from(reading.foreign) * THOUSAND;
+        let read = u64::from(reading.external) * UNITS_PER_REQUEST;
         let age = now.0.saturating_sub(reading.read_at.0);
         let left = |difference: u64| {
             let product = u128::from(difference) * u128::from(self.half_life);
@@ -105,16 +105,17 @@
     }
 
     /// Learns from two readings of one server how much of a difference is left.
-    fn compare(&mut self, reading: Reading, before: Reading, mean: f64) {
-        let difference = |reading: Reading| f64::from(reading.foreign) - mean / THOUSAND as f64;
+    fn update_correlation(&mut self, reading: Reading, before: Reading, mean: f64) {
+        let difference =
+            |reading: Reading| f64::from(reading.external) - mean / UNITS_PER_REQUEST as f64;
         let (old, new) = (difference(before), difference(reading));
         let elapsed = reading.read_at.since(before.read_at).as_nanos() as f64;
-        self.variance += (old * old - self.variance) / PAIR_WEIGHT;
-        self.covariance += (old * new - self.covariance) / PAIR_WEIGHT;
-        self.interval += (elapsed - self.interval) / PAIR_WEIGHT;
+        self.variance += (old * old - self.variance) / SMOOTHING_DIVISOR;
+        self.covariance += (old * new - self.covariance) / SMOOTHING_DIVISOR;
+        self.interval += (elapsed - self.interval) / SMOOTHING_DIVISOR;
         let correlation = match self.variance > f64::EPSILON {
             true => self.covariance / self.variance,
-            false => ASSUMED,
+            false => INITIAL_CORRELATION,
         };
         let correlation = correlation.clamp(0.0, MAX_CORRELATION);
         self.half_life = (self.interval * correlation / (1.0 - correlation)) as u64;
--- a/crates/nodes/wingshore-routing/src/membership.rs
+++ b/crates/nodes/wingshore-routing/src/membership.rs
@@ -111,17 +111,17 @@
     }
 
     /// A probe was answered or not. Returns whether the server recovered by it.
-    pub(crate) fn on_probe(&mut self, now: Instant, good: bool, limits: HealthLimits) -> bool {
-        if self.is_same_round(now, good, limits.round) {
+    pub(crate) fn on_probe(&mut self, now: Instant, succeeded: bool, limits: HealthLimits) -> bool {
+        if self.is_same_round(now, succeeded, limits.round) {
             return false;
         }
-        self.last_round = Some((now, good));
-        if good == self.healthy {
+        self.last_round = Some((now, succeeded));
+        if succeeded == self.healthy {
             self.streak = 0;
             return false;
         }
         self.streak += 1;
-        let needed = match good {
+        let needed = match succeeded {
             true => limits.healthy_after,
             false => limits.unhealthy_after,
         };
@@ -129,8 +129,8 @@
             return false;
         }
         self.streak = 0;
-        self.healthy = good;
-        good
+        self.healthy = succeeded;
+        succeeded
     }
 
     /// Forgets what was observed of a process that is no longer there.
@@ -144,9 +144,11 @@
 
     /// Whether a probe adds nothing to the last round. A failure after a success of the same
     /// round still counts: one of the probes failed.
-    fn is_same_round(&self, now: Instant, good: bool, round: Duration) -> bool {
+    fn is_same_round(&self, now: Instant, succeeded: bool, round: Duration) -> bool {
         match self.last_round {
-            Some((at, was_good)) => now.since(at) < round / 2 && (was_good == good || good),
+            Some((at, had_succeeded)) => {
+                now.since(at) < round / 2 && (had_succeeded == succeeded || succeeded)
+            }
             None => false,
         }
     }
--- a/crates/nodes/wingshore-routing/src/outlier.rs
+++ b/crates/nodes/wingshore-routing/src/outlier.rs
@@ -16,20 +16,20 @@
 /// Limits of ejection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EjectionLimits {
-    pub(crate) after: u32,
-    pub(crate) time: Duration,
-    pub(crate) time_most: Duration,
+    pub(crate) failure_threshold: u32,
+    pub(crate) base_duration: Duration,
+    pub(crate) max_duration: Duration,
 }
 
 /// The failures of one server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Outlier {
+pub(crate) struct OutlierDetector {
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
 }
 
-impl Outlier {
+impl OutlierDetector {
     /// Whether it is ejected.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
@@ -52,15 +52,15 @@
     /// A request failed. Returns whether the server is to be ejected, if the floor allows it.
     pub(crate) fn on_failure(&mut self, limits: EjectionLimits) -> bool {
         self.failures = self.failures.saturating_add(1);
-        self.ejected_until.is_none() && self.failures >= limits.after
+        self.ejected_until.is_none() && self.failures >= limits.failure_threshold
     }
 
     /// Ejects it.
     pub(crate) fn eject(&mut self, now: Instant, limits: EjectionLimits) {
-        let time = doubled_backoff(limits.time, self.ejections, limits.time_most);
+        let duration = doubled_backoff(limits.base_duration, self.ejections, limits.max_duration);
         self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
-        self.ejected_until = Some(now + time);
+        self.ejected_until = Some(now + duration);
     }
 
     /// Ends an ejection whose time is over. Returns whether it did.
@@ -76,7 +76,7 @@
 }
 
 /// Whether one more of `servers` may be ejected beside `ejected`.
-pub(crate) fn floor_allows(ejected: usize, servers: usize, most: Permille) -> bool {
+pub(crate) fn may_eject_another(ejected: usize, servers: usize, most: Permille) -> bool {
     let allowed = servers * usize::from(most.0) / 1000;
     ejected < allowed
 }
--- a/crates/nodes/wingshore-routing/src/request.rs
+++ b/crates/nodes/wingshore-routing/src/request.rs
@@ -164,5 +164,5 @@
     /// This node's own rollout requests on it.
     pub rollouts: u32,
     /// Requests of others on it, as estimated from its last report.
-    pub foreign: u32,
+    pub external: u32,
 }
--- a/crates/nodes/wingshore-routing/src/retry.rs
+++ b/crates/nodes/wingshore-routing/src/retry.rs
@@ -15,7 +15,7 @@
 use wingshore_types::{Instant, Verdict};
 
 /// Tokens are counted in thousandths.
-const TOKEN: u64 = 1000;
+const UNITS_PER_TOKEN: u64 = 1000;
 
 /// Whether `verdict` allows the request to be sent again.
 pub(crate) fn verdict_allows(request: &RouteRequest, verdict: Verdict) -> bool {
@@ -39,9 +39,9 @@
 pub(crate) struct RetryBudget {
     limits: BudgetLimits,
     tokens: u64,
-    filled_at: Option<Instant>,
+    refilled_at: Option<Instant>,
     /// Granted retries whose attempt has not come yet; those attempts add nothing.
-    granted: u32,
+    granted_retries: u32,
 }
 
 impl RetryBudget {
@@ -50,15 +50,15 @@
         Self {
             limits,
             tokens: max_tokens(limits),
-            filled_at: None,
-            granted: 0,
+            refilled_at: None,
+            granted_retries: 0,
         }
     }
 
     /// An attempt was admitted; only a first attempt adds to the bucket.
     pub(crate) fn on_attempt(&mut self) {
-        if self.granted > 0 {
-            self.granted -= 1;
+        if self.granted_retries > 0 {
+            self.granted_retries -= 1;
             return;
         }
         self.add(u64::from(self.limits.share.0));
@@ -66,27 +66,30 @@
 
     /// Takes a token, if there is one.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
-        self.fill(now);
-        if self.tokens < TOKEN {
+        self.refill(now);
+        if self.tokens < UNITS_PER_TOKEN {
             return false;
         }
-        self.tokens -= TOKEN;
-        self.granted = self.granted.saturating_add(1).min(self.limits.burst);
+        self.tokens -= UNITS_PER_TOKEN;
+        self.granted_retries = self
+            .granted_retries
+            .saturating_add(1)
+            .min(self.limits.burst);
         true
     }
 
     /// Adds what the time since the last call gives.
-    fn fill(&mut self, now: Instant) {
-        let last = *self.filled_at.get_or_insert(now);
+    fn refill(&mut self, now: Instant) {
+        let last = *self.refilled_at.get_or_insert(now);
         let rate = u128::from(self.limits.per_second);
         if rate == 0 {
             return;
         }
         let elapsed = now.since(last).as_nanos();
-        let nanoseconds = Duration::from_secs(1).as_nanos() / u128::from(TOKEN);
+        let nanoseconds = Duration::from_secs(1).as_nanos() / u128::from(UNITS_PER_TOKEN);
         let added = elapsed * rate / nanoseconds;
         if added > 0 {
-            self.filled_at = Some(now);
+            self.refilled_at = Some(now);
             self.add(u64::try_from(added).unwrap_or(u64::MAX));
         }
     }
@@ -98,5 +101,5 @@
 }
 
 fn max_tokens(limits: BudgetLimits) -> u64 {
-    u64::from(limits.burst) * TOKEN
+    u64::from(limits.burst) * UNITS_PER_TOKEN
 }
--- a/crates/nodes/wingshore-routing/src/router.rs
+++ b/crates/nodes/wingshore-routing/src/router.rs
@@ -14,7 +14,7 @@
 use crate::faults::Faults;
 use crate::fleet::{Fleet, ServiceIndex};
 use crate::hash::{hash_text, mix};
-use crate::pace::Pace;
+use crate::pace::ProbeRateLimiter;
 use crate::settings::RouterSettings;
 use crate::tickets::Tickets;
 use rand_chacha::ChaCha8Rng;
@@ -29,14 +29,14 @@
     faults: Faults,
     zone: ZoneId,
     seed: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     revision: Revision,
     machines_as_of: u64,
     leaving_machines: BTreeSet<ServerId>,
     fleet: Fleet,
     affinity: Affinity,
     tickets: Tickets,
-    pace: Pace,
+    probe_rate_limiter: ProbeRateLimiter,
 }
 
 impl Router {
@@ -51,14 +51,14 @@
             faults: Faults::default(),
             seed: mix(seed ^ hash_text(zone.as_str())),
             zone,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             revision: Revision(0),
             machines_as_of: 0,
             leaving_machines: BTreeSet::new(),
             fleet: Fleet::default(),
             affinity,
             tickets: Tickets::default(),
-            pace: Pace::default(),
+            probe_rate_limiter: ProbeRateLimiter::default(),
             settings,
         }
     }
@@ -72,8 +72,8 @@
     /// Brings a service's subset and open servers up to date.
     fn refresh(&mut self, now: Instant, service: ServiceIndex) {
         self.release_ejected(now, service);
-        self.choose_members(now, service);
-        self.list_open(now, service);
+        self.select_members(now, service);
+        self.update_open_servers(now, service);
     }
 
     /// Refreshes a service when a backoff or an ejection has ended.
@@ -86,20 +86,20 @@
 
     /// Ends ejections whose time is over; such a server starts slowly.
     fn release_ejected(&mut self, now: Instant, service: ServiceIndex) {
-        let slow_until = now + self.settings.slow_start;
+        let slow_start_until = now + self.settings.slow_start;
         let Fleet {
             servers, services, ..
         } = &mut self.fleet;
         for index in services[service as usize].members.iter() {
             let server = &mut servers[index as usize];
             if server.outlier.release(now) {
-                server.slow_until = slow_until;
+                server.slow_start_until = slow_start_until;
             }
         }
     }
 
     /// Chooses the service's subset anew.
-    fn choose_members(&mut self, now: Instant, service: ServiceIndex) {
+    fn select_members(&mut self, now: Instant, service: ServiceIndex) {
         let Fleet {
             servers, services, ..
         } = &mut self.fleet;
@@ -119,7 +119,7 @@
     }
 
     /// Lists the members that new work may go to, and when that changes by time alone.
-    fn list_open(&mut self, now: Instant, service: ServiceIndex) {
+    fn update_open_servers(&mut self, now: Instant, service: ServiceIndex) {
         let ignore_leaving = self.faults.ignore_draining;
         let Fleet {
             servers, services, ..
@@ -133,8 +133,8 @@
             let server = &servers[index as usize];
             if server.is_open(now, ignore_leaving) {
                 state.open.push(index, server.in_own_zone);
-                if state.dedicated.includes(server.shared_place) {
-                    state.dedicated.open.push((server.shared_place, index));
+                if state.dedicated.includes(server.shared_position) {
+                    state.dedicated.open.push((server.shared_position, index));
                 }
             }
             let changes = [
--- a/crates/nodes/wingshore-routing/src/router/configure.rs
+++ b/crates/nodes/wingshore-routing/src/router/configure.rs
@@ -7,9 +7,9 @@
 use crate::demand::Peak;
 use crate::fleet::{ByZone, Server, ServerIndex, ServiceIndex, ServiceState};
 use crate::load::Load;
+use crate::load_estimator::LoadEstimator;
 use crate::membership::Membership;
-use crate::outlier::Outlier;
-use crate::persistence::Persistence;
+use crate::outlier::OutlierDetector;
 use crate::retry::{BudgetLimits, RetryBudget};
 use crate::subset::{SubsetSize, rank};
 use wingshore_types::Instant;
@@ -23,13 +23,13 @@
             return;
         }
         self.revision = configuration.revision;
-        self.put_services(now, configuration);
+        self.update_services(now, configuration);
         self.remove_absent_servers(configuration);
         for server in configuration.servers.values() {
-            self.put_server(server);
+            self.update_server(server);
         }
         self.rank_servers();
-        self.place_servers(configuration);
+        self.assign_shared_positions(configuration);
         self.refresh_all(now);
     }
 
@@ -57,19 +57,19 @@
         }
     }
 
-    fn put_services(&mut self, now: Instant, configuration: &Configuration) {
+    fn update_services(&mut self, now: Instant, configuration: &Configuration) {
         for state in &mut self.fleet.services {
             state.is_configured = configuration.services.contains_key(&state.id);
         }
         for service in configuration.services.values() {
-            self.put_service(now, service);
+            self.update_service(now, service);
         }
     }
 
-    fn put_service(&mut self, now: Instant, service: &configuration::Service) {
+    fn update_service(&mut self, now: Instant, service: &configuration::Service) {
         let guaranteed = !self.faults.no_share_guarantee;
         let shares = SlotShares::new(service, self.settings.live_reserve, guaranteed);
-        let is_engines = matches!(service.kind, ServiceKind::Engines { .. });
+        let is_engine_service = matches!(service.kind, ServiceKind::Engines { .. });
         let index = match self.fleet.service_index(&service.id) {
             Some(index) => index,
             None => self
@@ -78,7 +78,7 @@
         };
         let state = self.fleet.service_mut(index);
         state.shares = shares;
-        state.is_engines = is_engines;
+        state.is_engine_service = is_engine_service;
     }
 
     fn new_service(
@@ -95,49 +95,49 @@
         ServiceState {
             id: service.id.clone(),
             is_configured: true,
-            is_engines: false,
+            is_engine_service: false,
             shares,
             ranked: ByZone::default(),
             members: ByZone::default(),
             open: ByZone::default(),
             dedicated: DedicatedEngines::default(),
             subset: SubsetSize::new(self.settings.subset_size),
-            used_at: now,
+            last_requested_at: now,
             grown_at: Instant::ZERO,
             exhausted_at: Instant::ZERO,
             in_flight: ByClass::default(),
-            asks: ByClass::default(),
+            reclaim_requests: ByClass::default(),
             live_peak: Peak::default(),
             service_time: ByClass::default(),
-            persistence: Persistence::new(self.settings.probe_interval),
+            load_estimator: LoadEstimator::new(self.settings.probe_interval),
             budget: RetryBudget::new(limits),
             next_change: None,
             epoch: 0,
-            full: ByClass::default(),
+            cached_refusals: ByClass::default(),
         }
     }
 
     fn remove_absent_servers(&mut self, configuration: &Configuration) {
         let absent: Vec<ServerIndex> = self
             .fleet
-            .names()
+            .servers_by_name()
             .filter(|(id, _)| !configuration.servers.contains_key(*id))
             .map(|(_, index)| index)
             .collect();
         for index in absent {
             self.fleet.server_mut(index).membership.admission = None;
-            self.free_if_gone(index);
+            self.release_if_removed(index);
         }
     }
 
     /// Forgets an absent server without requests in flight.
-    pub(super) fn free_if_gone(&mut self, index: ServerIndex) {
-        if self.fleet.free_if_gone(index) {
+    pub(super) fn release_if_removed(&mut self, index: ServerIndex) {
+        if self.fleet.release_if_removed(index) {
             self.affinity.reset(index);
         }
     }
 
-    fn put_server(&mut self, configured: &configuration::Server) {
+    fn update_server(&mut self, configured: &configuration::Server) {
         let Some(service) = self.fleet.service_index(&configured.service) else {
             return;
         };
@@ -149,7 +149,7 @@
             }
         };
         if self.fleet.server(index).address != configured.address {
-            self.forget_process(index);
+            self.reset_observations(index);
         }
         let in_own_zone = configured.zone == self.zone;
         let server = self.fleet.server_mut(index);
@@ -169,31 +169,31 @@
             in_own_zone: false,
             is_member: false,
             rank: rank(self.seed, &configured.id),
-            shared_place: usize::MAX,
+            shared_position: usize::MAX,
             is_loading: false,
             membership,
-            outlier: Outlier::default(),
+            outlier: OutlierDetector::default(),
             load: Load::default(),
             version: None,
-            version_until: Instant::ZERO,
-            slow_until: Instant::ZERO,
+            version_expires_at: Instant::ZERO,
+            slow_start_until: Instant::ZERO,
             next_probe: None,
         }
     }
 
     /// Forgets what was observed of a process that another one has replaced.
-    pub(super) fn forget_process(&mut self, index: ServerIndex) {
+    pub(super) fn reset_observations(&mut self, index: ServerIndex) {
         self.affinity.forget(index);
         let server = self.fleet.server_mut(index);
         server.membership.forget_observations();
         server.load.forget_reports();
-        server.outlier = Outlier::default();
+        server.outlier = OutlierDetector::default();
         server.version = None;
         server.is_loading = false;
     }
 
     /// Gives the servers of every service their places in the order that all nodes share.
-    fn place_servers(&mut self, configuration: &Configuration) {
+    fn assign_shared_positions(&mut self, configuration: &Configuration) {
         for service in configuration.services.values() {
             let Some(index) = self.fleet.service_index(&service.id) else {
                 continue;
@@ -204,11 +204,11 @@
                 .map(|server| (shared_rank(&self.fleet.server(server).id), server))
                 .collect();
             order.sort_unstable();
-            let is_engines = matches!(service.kind, ServiceKind::Engines { .. });
+            let is_engine_service = matches!(service.kind, ServiceKind::Engines { .. });
             let dedicated = &mut self.fleet.service_mut(index).dedicated;
-            dedicated.resize(order.len(), service.live_share, is_engines);
-            for (place, (_, server)) in order.into_iter().enumerate() {
-                self.fleet.server_mut(server).shared_place = place;
+            dedicated.resize(order.len(), service.live_share, is_engine_service);
+            for (position, (_, server)) in order.into_iter().enumerate() {
+                self.fleet.server_mut(server).shared_position = position;
             }
         }
     }
@@ -225,7 +225,7 @@
         }
         let mut order: Vec<(u64, ServerIndex)> = self
             .fleet
-            .names()
+            .servers_by_name()
             .map(|(_, index)| (self.fleet.server(index).rank, index))
             .collect();
         order.sort_unstable();
--- a/crates/nodes/wingshore-routing/src/router/decide.rs
+++ b/crates/nodes/wingshore-routing/src/router/decide.rs
@@ -2,10 +2,10 @@
 
 use super::Router;
 use crate::admission::Borrowing;
-use crate::affinity::{Hint, MAX_HOLDERS};
-use crate::balance::{Choice, NoneFound};
+use crate::affinity::{Hint, MAX_SERVERS_PER_PREFIX};
+use crate::balance::{NoServerFound, ServerSelection};
 use crate::class::Class;
-use crate::fleet::{FullMark, ServerIndex, ServiceIndex, ServiceState};
+use crate::fleet::{CachedRefusal, ServerIndex, ServiceIndex, ServiceState};
 use crate::request::{Admitted, Refusal, RefusalCode, RouteRequest};
 use crate::retry::verdict_allows;
 use crate::tickets::Attempt;
@@ -14,7 +14,7 @@
 
 /// A finding that a service is full is checked again after this time at the latest: others'
 /// requests and asks end by time alone.
-const FULL_LIFETIME: Duration = Duration::from_millis(10);
+const CACHED_REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
 /// A subset grows at most once in this time.
 const GROWTH_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -25,17 +25,17 @@
     /// A [`Refusal`]: nothing was sent, the verdict is `NotRun`.
     pub fn admit(&mut self, now: Instant, request: &RouteRequest) -> Result<Admitted, Refusal> {
         let service = self.configured_service(request)?;
-        self.fleet.service_mut(service).used_at = now;
+        self.fleet.service_mut(service).last_requested_at = now;
         if now >= request.deadline {
             return Err(deadline_passed());
         }
         self.refresh_if_due(now, service);
-        if let Some(mark) = self.full_mark(now, service, request) {
-            return Err(self.refuse_full(now, service, request, mark.below_guarantee));
+        if let Some(refusal) = self.cached_refusal(now, service, request) {
+            return Err(self.refuse_without_slot(now, service, request, refusal.below_guarantee));
         }
         match self.choose(now, service, request) {
             Ok(server) => Ok(self.take_slot(now, service, server, request)),
-            Err(nothing) => Err(self.refuse(now, service, request, nothing)),
+            Err(reasons) => Err(self.refuse(now, service, request, reasons)),
         }
     }
 
@@ -69,10 +69,10 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> Result<ServerIndex, NoneFound> {
+    ) -> Result<ServerIndex, NoServerFound> {
         let (hints, count) = self.hints(now, service, request);
         let state = self.fleet.service(service);
-        let choice = Choice {
+        let selection = ServerSelection {
             now,
             settings: &self.settings,
             servers: &self.fleet.servers,
@@ -83,7 +83,7 @@
             check_version: !self.faults.ignore_unknown_version,
             ignore_leaving: self.faults.ignore_draining,
         };
-        choice.choose(&mut self.random, &hints[..count])
+        selection.choose(&mut self.rng, &hints[..count])
     }
 
     /// The terms on which a class may borrow now.
@@ -101,7 +101,7 @@
             }
         };
         Borrowing {
-            is_allowed: !state.asks.get(class.other()).is_active(now),
+            is_allowed: !state.reclaim_requests.get(class.other()).is_active(now),
             burst,
         }
     }
@@ -111,7 +111,7 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> ([Hint; MAX_HOLDERS], usize) {
+    ) -> ([Hint; MAX_SERVERS_PER_PREFIX], usize) {
         match request.prefix_hash {
             Some(prefix_hash) if self.settings.affinity_bonus > 0 => {
                 let tokens = request.tokens_estimate;
@@ -137,7 +137,7 @@
             state.live_peak.observe(now, demand, window);
         }
         state.budget.on_attempt();
-        state.asks.get_mut(class).on_admitted();
+        state.reclaim_requests.get_mut(class).on_admitted();
         let ticket = self.tickets.issue(Attempt {
             server,
             service,
@@ -155,15 +155,15 @@
     }
 
     /// The finding that no server has room for the request's class, while it holds.
-    fn full_mark(
+    fn cached_refusal(
         &self,
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> Option<FullMark> {
+    ) -> Option<CachedRefusal> {
         let state = self.fleet.service(service);
-        let mark = *state.full.get(request.class);
-        (mark.epoch == state.epoch && now < mark.until).then_some(mark)
+        let refusal = *state.cached_refusals.get(request.class);
+        (refusal.epoch == state.epoch && now < refusal.expires_at).then_some(refusal)
     }
 
     fn refuse(
@@ -171,29 +171,29 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-        nothing: NoneFound,
+        reasons: NoServerFound,
     ) -> Refusal {
-        if !nothing.any_open {
+        if !reasons.any_open {
             let wait = self.settings.probe_interval * self.settings.healthy_after;
             return self.refuse_with(RefusalCode::NoServer, request, wait);
         }
-        if !nothing.any_useful {
+        if !reasons.any_usable_version {
             let wait = self.settings.probe_interval;
             return self.refuse_with(RefusalCode::NoUsableVersion, request, wait);
         }
-        if !nothing.any_room {
+        if !reasons.any_free_slot {
             let state = self.fleet.service_mut(service);
-            *state.full.get_mut(request.class) = FullMark {
+            *state.cached_refusals.get_mut(request.class) = CachedRefusal {
                 epoch: state.epoch,
-                until: now + FULL_LIFETIME,
-                below_guarantee: nothing.below_guarantee,
+                expires_at: now + CACHED_REFUSAL_LIFETIME,
+                below_guarantee: reasons.below_guarantee,
             };
         }
-        self.refuse_full(now, service, request, nothing.below_guarantee)
+        self.refuse_without_slot(now, service, request, reasons.below_guarantee)
     }
 
     /// Refuses for want of a slot; a class below its guarantee asks for it by that.
-    fn refuse_full(
+    fn refuse_without_slot(
         &mut self,
         now: Instant,
         service: ServiceIndex,
@@ -204,7 +204,10 @@
         let least = self.settings.retry_after_least;
         let state = self.fleet.service_mut(service);
         if below_guarantee {
-            state.asks.get_mut(request.class).ask(now, window);
+            state
+                .reclaim_requests
+                .get_mut(request.class)
+                .record(now, window);
         }
         let in_flight = *state.in_flight.get(request.class);
         let service_time = state.service_time.get_mut(request.class);
--- a/crates/nodes/wingshore-routing/src/router/observe.rs
+++ b/crates/nodes/wingshore-routing/src/router/observe.rs
@@ -1,10 +1,10 @@
 //! What servers say of themselves, and how requests to them end.
 
 use super::Router;
-use crate::affinity::EventsTaken;
+use crate::affinity::EventsOutcome;
 use crate::fleet::{Server, ServerIndex};
 use crate::membership::HealthLimits;
-use crate::outlier::{EjectionLimits, floor_allows};
+use crate::outlier::{EjectionLimits, may_eject_another};
 use crate::request::{AttemptOutcome, Ticket};
 use crate::tickets::Attempt;
 use std::time::Duration;
@@ -21,13 +21,13 @@
             self.on_restart(now, index);
         }
         if self.fleet.server(index).version != state.weight_version {
-            self.affinity.doubt(index);
+            self.affinity.mark_stale(index);
         }
-        let version_until = now + self.settings.state_lifetime;
-        self.change(now, index, |server| {
+        let version_expires_at = now + self.settings.state_lifetime;
+        self.modify_server(now, index, |server| {
             server.version = state.weight_version;
             server.is_loading = state.loading.is_some();
-            server.version_until = version_until;
+            server.version_expires_at = version_expires_at;
             server.membership.draining_by_state = state.draining;
         });
         self.on_probe(now, index, true);
@@ -45,8 +45,8 @@
         if let Some((reading, before)) = server.load.on_report(now, report) {
             let state = self.fleet.service_mut(service);
             let servers = state.members.len();
-            let persistence = &mut state.persistence;
-            persistence.on_reading(reading, before, servers, lifetime);
+            let load_estimator = &mut state.load_estimator;
+            load_estimator.on_reading(reading, before, servers, lifetime);
             state.epoch += 1;
             let demand = state.live_demand(now);
             state.live_peak.observe(now, demand, window);
@@ -61,7 +61,7 @@
         };
         let service = self.fleet.server(index).service;
         let taken = self.affinity.on_events(now, index, service, events);
-        if taken == EventsTaken::OtherBoot {
+        if taken == EventsOutcome::OtherBoot {
             // Either the engine has restarted, or these events are late: its next state says.
             self.fleet.server_mut(index).version = None;
         }
@@ -91,7 +91,7 @@
             AttemptOutcome::Failed(_) => self.on_failed(now, attempt),
             AttemptOutcome::Cancelled => {}
         }
-        self.free_if_gone(attempt.server);
+        self.release_if_removed(attempt.server);
     }
 
     fn on_success(&mut self, now: Instant, attempt: Attempt, latency: Duration) {
@@ -101,7 +101,7 @@
         let service = self.fleet.service_mut(attempt.service);
         let service_time = service.service_time.get_mut(attempt.class);
         service_time.on_success(latency);
-        if let (Some(prefix_hash), true) = (attempt.prefix_hash, service.is_engines) {
+        if let (Some(prefix_hash), true) = (attempt.prefix_hash, service.is_engine_service) {
             let (server, service) = (attempt.server, attempt.service);
             self.affinity
                 .on_served(now, server, service, prefix_hash, attempt.tokens);
@@ -133,36 +133,41 @@
         let usable = service.members.iter().map(|index| self.fleet.server(index));
         let usable: Vec<&Server> = usable.filter(|server| server.is_usable(now)).collect();
         let ejected = usable.iter().filter(|server| server.outlier.is_ejected());
-        floor_allows(ejected.count(), usable.len(), self.settings.most_ejected)
+        may_eject_another(ejected.count(), usable.len(), self.settings.most_ejected)
     }
 
     /// A server restarted as another process: what ran there is lost, and it starts slowly.
     fn on_restart(&mut self, now: Instant, index: ServerIndex) {
-        let slow_until = now + self.settings.slow_start;
-        self.change(now, index, |server| {
+        let slow_start_until = now + self.settings.slow_start;
+        self.modify_server(now, index, |server| {
             server.membership.forget_observations();
             server.load.forget_reports();
             server.outlier = Default::default();
-            server.slow_until = slow_until;
+            server.slow_start_until = slow_start_until;
         });
     }
 
-    fn on_probe(&mut self, now: Instant, index: ServerIndex, good: bool) {
+    fn on_probe(&mut self, now: Instant, index: ServerIndex, succeeded: bool) {
         let limits = HealthLimits {
             unhealthy_after: self.settings.unhealthy_after,
             healthy_after: self.settings.healthy_after,
             round: self.settings.probe_interval,
         };
-        let slow_until = now + self.settings.slow_start;
-        self.change(now, index, |server| {
-            if server.membership.on_probe(now, good, limits) {
-                server.slow_until = slow_until;
+        let slow_start_until = now + self.settings.slow_start;
+        self.modify_server(now, index, |server| {
+            if server.membership.on_probe(now, succeeded, limits) {
+                server.slow_start_until = slow_start_until;
             }
         });
     }
 
     /// Changes a server, and brings its service up to date if that opened or closed it.
-    fn change(&mut self, now: Instant, index: ServerIndex, change: impl FnOnce(&mut Server)) {
+    fn modify_server(
+        &mut self,
+        now: Instant,
+        index: ServerIndex,
+        change: impl FnOnce(&mut Server),
+    ) {
         let server = self.fleet.server_mut(index);
         let before = (server.membership.status(now), server.outlier.is_ejected());
         change(server);
@@ -175,9 +180,9 @@
 
     fn ejection_limits(&self) -> EjectionLimits {
         EjectionLimits {
-            after: self.settings.eject_after,
-            time: self.settings.eject_time,
-            time_most: self.settings.eject_time_most,
+            failure_threshold: self.settings.eject_after,
+            base_duration: self.settings.eject_time,
+            max_duration: self.settings.eject_time_most,
         }
     }
 }
--- a/crates/nodes/wingshore-routing/src/router/probe.rs
+++ b/crates/nodes/wingshore-routing/src/router/probe.rs
@@ -20,11 +20,11 @@
             self.shrink_subset(now, service);
         }
         let per_second = self.settings.probes_per_second;
-        self.pace.gain(now, per_second);
+        self.probe_rate_limiter.refill(now, per_second);
         let mut targets = Vec::new();
         for index in self.due_servers(now) {
             let kinds = self.probe_kinds(index);
-            if !self.pace.take(kinds.len(), per_second) {
+            if !self.probe_rate_limiter.try_take(kinds.len(), per_second) {
                 break;
             }
             self.schedule_probe(now, index);
@@ -63,7 +63,7 @@
     fn probe_kinds(&self, index: ServerIndex) -> Vec<ProbeKind> {
         let mut kinds = vec![ProbeKind::Load];
         let service = self.fleet.server(index).service;
-        if !self.fleet.service(service).is_engines {
+        if !self.fleet.service(service).is_engine_service {
             return kinds;
         }
         kinds.push(ProbeKind::EngineState);
--- a/crates/nodes/wingshore-routing/src/router/report.rs
+++ b/crates/nodes/wingshore-routing/src/router/report.rs
@@ -1,7 +1,7 @@
 //! What the router knows, for the rollout runner, status pages and metrics.
 
 use super::Router;
-use crate::balance::rounded;
+use crate::balance::round_to_requests;
 use crate::class::Class;
 use crate::fleet::ServiceState;
 use crate::request::{OverGuarantee, ServerView};
@@ -28,7 +28,7 @@
     pub fn server_view(&self, now: Instant, id: &ServerId) -> Option<ServerView> {
         let server = self.fleet.server(self.fleet.server_index(id)?);
         server.membership.admission?;
-        let persistence = &self.fleet.service(server.service).persistence;
+        let load_estimator = &self.fleet.service(server.service).load_estimator;
         Some(ServerView {
             in_subset: server.is_member,
             open: server.is_member && server.is_open(now, self.faults.ignore_draining),
@@ -37,7 +37,7 @@
             version: server.known_version(now),
             live: server.load.own_of(Class::Live),
             rollouts: server.load.own_of(Class::Rollout),
-            foreign: rounded(server.load.foreign(now, persistence)),
+            external: round_to_requests(server.load.external(now, load_estimator)),
         })
     }
 
@@ -71,7 +71,7 @@
     /// those that are free for it by now.
     fn slots_to_reclaim(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
         let other = class.other();
-        let asked = service.asks.get(other).count(now);
+        let asked = service.reclaim_requests.get(other).count(now);
         let dedicated = service.dedicated_count(now, self.settings.burst_memory);
         let free: u32 = service
             .open
--- a/crates/nodes/wingshore-routing/src/subset.rs
+++ b/crates/nodes/wingshore-routing/src/subset.rs
@@ -17,7 +17,7 @@
 use wingshore_types::configuration::Permille;
 
 /// Servers passed over at most, per usable server wanted.
-const MAX_PASSED_OVER: usize = 4;
+const MAX_SCAN_FACTOR: usize = 4;
 /// Most growth under exhaustion, in sizes as configured.
 const MAX_GROWTH_FACTOR: usize = 4;
 
@@ -30,41 +30,41 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SubsetSize {
     base: usize,
-    wanted: usize,
+    target: usize,
 }
 
 impl SubsetSize {
     /// A size as configured.
     pub(crate) fn new(base: u32) -> Self {
         let base = base as usize;
-        Self { base, wanted: base }
+        Self { base, target: base }
     }
 
     /// Half as many again, up to a limit. Returns whether it grew.
     pub(crate) fn grow(&mut self) -> bool {
         let most = self.base.saturating_mul(MAX_GROWTH_FACTOR);
         let grown = self
-            .wanted
-            .saturating_add(self.wanted.div_ceil(2))
+            .target
+            .saturating_add(self.target.div_ceil(2))
             .min(most);
-        let did_grow = grown > self.wanted;
-        self.wanted = grown;
+        let did_grow = grown > self.target;
+        self.target = grown;
         did_grow
     }
 
     /// Back to the configured size. Returns whether it shrank.
     pub(crate) fn shrink(&mut self) -> bool {
-        let did_shrink = self.wanted > self.base;
-        self.wanted = self.base;
+        let did_shrink = self.target > self.base;
+        self.target = self.base;
         did_shrink
     }
 
     /// How many to take from the own zone and from the others, which have so many servers.
     pub(crate) fn split(&self, own: usize, others: usize, share: Permille) -> (usize, usize) {
         let share = usize::from(share.0);
-        let for_others = (self.wanted.saturating_mul(share) / 1000).min(others);
-        let from_own = self.wanted.saturating_sub(for_others).min(own);
-        let from_others = self.wanted.saturating_sub(from_own).min(others);
+        let for_others = (self.target.saturating_mul(share) / 1000).min(others);
+        let from_own = self.target.saturating_sub(for_others).min(own);
+        let from_others = self.target.saturating_sub(from_own).min(others);
         (from_own, from_others)
     }
 }
@@ -78,21 +78,21 @@
 ) -> ByZone {
     let (own, others) = size.split(ranked.own.len(), ranked.others.len(), other_zones);
     ByZone {
-        own: prefix(&ranked.own, own, &is_usable).to_vec(),
-        others: prefix(&ranked.others, others, &is_usable).to_vec(),
+        own: shortest_prefix(&ranked.own, own, &is_usable).to_vec(),
+        others: shortest_prefix(&ranked.others, others, &is_usable).to_vec(),
     }
 }
 
 /// The shortest start of `ranked` that has `wanted` usable servers, bounded.
-fn prefix(
+fn shortest_prefix(
     ranked: &[ServerIndex],
-    wanted: usize,
+    target: usize,
     is_usable: impl Fn(ServerIndex) -> bool,
 ) -> &[ServerIndex] {
-    let bound = wanted.saturating_mul(MAX_PASSED_OVER).min(ranked.len());
+    let bound = target.saturating_mul(MAX_SCAN_FACTOR).min(ranked.len());
     let mut found = 0;
     for (position, server) in ranked[..bound].iter().enumerate() {
-        if found == wanted {
+        if found == target {
             return &ranked[..position];
         }
         if is_usable(*server) {
--- a/crates/nodes/wingshore-routing/tests/admission.rs
+++ b/crates/nodes/wingshore-routing/tests/admission.rs
@@ -10,7 +10,7 @@
 use wingshore_types::configuration::Permille;
 
 #[gtest]
-fn guarantees_and_what_may_be_borrowed_of_an_idle_server() {
+fn single_class_takes_its_guarantee_and_borrowable_slots() {
     // (slots, live share, reserve, most live alone, most rollouts alone)
     let cases = [
         (16, 500, 250, 16, 14),
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn the_reserve_takes_a_burst_at_once_and_the_rest_is_asked_back() {
+fn reserve_admits_a_burst_and_further_live_requests_reclaim_slots() {
     let settings = RouterSettings {
         live_reserve: Permille(250),
         ..RouterSettings::default()
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn rollouts_leave_free_what_a_burst_used_for_as_long_as_it_is_remembered() {
+fn rollouts_leave_the_recent_live_peak_free() {
     // (live at the peak, time of the flood of rollouts in s, rollouts that fit): 8 of 16 are
     // guaranteed to each, one is always left free, a burst is remembered for one to two minutes
     for (peak, seconds, expected) in [
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn borrowing_begins_again_when_nobody_asked_for_the_reclaim_window() {
+fn borrowing_resumes_after_the_reclaim_window() {
     let mut router = router(&site(1, 1, 16, 500));
     let lives = admit_all(&mut router, at(0), &live(), 100);
     expect_that!(router.admit(at(1), &rollout()), err(anything()));
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn others_requests_stop_borrowing_and_not_the_guarantee() {
+fn external_requests_limit_borrowing_before_the_guarantee() {
     // (requests of others, most live, most rollouts) of 16 slots, 8 guaranteed to each, no reserve
     let settings = RouterSettings {
         live_reserve: Permille(0),
@@ -133,7 +133,7 @@
 }
 
 #[gtest]
-fn a_refusal_says_when_to_ask_again_from_observed_service_times() {
+fn retry_after_follows_observed_service_times() {
     let mut router = router(&site(1, 1, 10, 1000));
     let mut lives = admit_all(&mut router, at(0), &live(), 10);
     let first = router.admit(at(1), &live()).expect_err("full");
@@ -168,7 +168,12 @@
     )
 }
 
-fn end(router: &mut wingshore_routing::Router, now: u64, running: &mut Vec<Admitted>, most: usize) {
+fn finish_oldest(
+    router: &mut wingshore_routing::Router,
+    now: u64,
+    running: &mut Vec<Admitted>,
+    most: usize,
+) {
     for one in running.drain(..most.min(running.len())) {
         router.on_finished(at(now), one.ticket, success(100));
     }
@@ -194,23 +199,23 @@
             running[0].extend(admit_all(&mut router, at(now), &live(), step.live));
             running[1].extend(admit_all(&mut router, at(now), &rollout(), step.rollouts));
             check_slots(&router, now, servers, slots)?;
-            end(&mut router, now, &mut running[0], step.live_ends);
-            end(&mut router, now, &mut running[1], step.rollouts_end);
+            finish_oldest(&mut router, now, &mut running[0], step.live_ends);
+            finish_oldest(&mut router, now, &mut running[1], step.rollouts_end);
         }
         report_versions(&mut router, at(now), &site(servers, 2, slots, share));
-        flood(&mut router, now, &mut running);
+        saturate(&mut router, now, &mut running);
         check_slots(&router, now, servers, slots)?;
         check_guarantees(&router, now, servers, slots, share)?;
     }
 }
 
 /// Both classes ask all the time while the oldest requests end one by one.
-fn flood(router: &mut wingshore_routing::Router, now: u64, running: &mut [Vec<Admitted>; 2]) {
+fn saturate(router: &mut wingshore_routing::Router, now: u64, running: &mut [Vec<Admitted>; 2]) {
     let rounds = 3 * (running[0].len() + running[1].len()) + 400;
     for _ in 0..rounds {
         for (class, request) in [live(), rollout()].iter().enumerate() {
             running[class].extend(admit_all(router, at(now), request, 200));
-            end(router, now, &mut running[class], 1);
+            finish_oldest(router, now, &mut running[class], 1);
             running[class].extend(admit_all(router, at(now), request, 200));
         }
     }
--- a/crates/nodes/wingshore-routing/tests/affinity.rs
+++ b/crates/nodes/wingshore-routing/tests/affinity.rs
@@ -24,7 +24,7 @@
     event(sequence, prefix_hash, CacheEventKind::Stored)
 }
 
-fn tell(router: &mut Router, now: u64, boot_id: u64, events: Vec<CacheEvent>) {
+fn send_events(router: &mut Router, now: u64, boot_id: u64, events: Vec<CacheEvent>) {
     let events = CacheEvents { boot_id, events };
     router.on_cache_events(at(now), &server_id(3), &events);
 }
@@ -37,7 +37,7 @@
 }
 
 /// How many of 100 requests, each alone, go to server 3.
-fn attracted(router: &mut Router, now: u64) -> usize {
+fn count_on_hinted_server(router: &mut Router, now: u64) -> usize {
     let mut count = 0;
     for _ in 0..100 {
         let admitted = router.admit(at(now), &with_prefix()).expect("it is open");
@@ -50,26 +50,26 @@
 }
 
 #[gtest]
-fn what_was_told_decides_whether_a_hint_attracts() {
-    type Telling = fn(&mut Router);
-    let cases: [(&str, bool, Telling); 8] = [
+fn cache_events_decide_whether_a_hint_attracts_requests() {
+    type Setup = fn(&mut Router);
+    let cases: [(&str, bool, Setup); 8] = [
         ("stored", true, |router| {
-            tell(router, 0, 1, vec![stored(1, PREFIX)])
+            send_events(router, 0, 1, vec![stored(1, PREFIX)])
         }),
         ("stored, told again", true, |router| {
-            tell(router, 0, 1, vec![stored(1, PREFIX)]);
-            tell(router, 0, 1, vec![stored(1, PREFIX)]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX)]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX)]);
         }),
         ("evicted", false, |router| {
             let evicted = event(2, PREFIX, CacheEventKind::Evicted);
-            tell(router, 0, 1, vec![stored(1, PREFIX), evicted]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX), evicted]);
         }),
         ("a gap later", true, |router| {
-            tell(router, 0, 1, vec![stored(1, PREFIX), stored(9, 1)]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX), stored(9, 1)]);
         }),
         ("many gaps later", false, |router| {
             let others = (2..12).map(|number| stored(number * 2, number));
-            tell(
+            send_events(
                 router,
                 0,
                 1,
@@ -77,52 +77,52 @@
             );
         }),
         ("events of another boot", false, |router| {
-            tell(router, 0, 1, vec![stored(1, PREFIX)]);
-            tell(router, 0, 2, vec![stored(1, 1)]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX)]);
+            send_events(router, 0, 2, vec![stored(1, 1)]);
         }),
         ("another boot by its state", false, |router| {
-            tell(router, 0, 1, vec![stored(1, PREFIX)]);
+            send_events(router, 0, 1, vec![stored(1, PREFIX)]);
             router.on_engine_state(at(0), &server_id(3), &state(2, Some(VERSION), false));
         }),
         ("another prefix", false, |router| {
-            tell(router, 0, 1, vec![stored(1, 7)])
+            send_events(router, 0, 1, vec![stored(1, 7)])
         }),
     ];
-    for (name, expected, telling) in cases {
+    for (name, expected, setup) in cases {
         let mut router = router(&site(SERVERS, 1, 8, 500));
-        telling(&mut router);
-        let count = attracted(&mut router, 1);
+        setup(&mut router);
+        let count = count_on_hinted_server(&mut router, 1);
         expect_that!(count == 100, eq(expected), "{name}: {count}");
         expect_that!(count, ge(if expected { 100 } else { 0 }), "{name}");
     }
 }
 
 #[gtest]
-fn a_hint_fades_with_time() {
+fn hint_decays_with_age() {
     let mut router = router(&site(SERVERS, 1, 8, 500));
-    tell(&mut router, 0, 1, vec![stored(1, PREFIX)]);
-    expect_that!(attracted(&mut router, 119_000), eq(100));
-    expect_that!(attracted(&mut router, 6 * 120_000), lt(50));
+    send_events(&mut router, 0, 1, vec![stored(1, PREFIX)]);
+    expect_that!(count_on_hinted_server(&mut router, 119_000), eq(100));
+    expect_that!(count_on_hinted_server(&mut router, 6 * 120_000), lt(50));
 }
 
 #[gtest]
-fn an_attraction_is_worth_a_few_requests_and_not_more() {
+fn affinity_bonus_is_bounded() {
     let mut router = router(&site(SERVERS, 1, 100, 1000));
-    tell(&mut router, 0, 1, vec![stored(1, PREFIX)]);
+    send_events(&mut router, 0, 1, vec![stored(1, PREFIX)]);
     let admitted = admit_all(&mut router, at(1), &with_prefix(), 80);
-    let there = count_on(&admitted, 3);
+    let on_hinted_server = count_on(&admitted, 3);
     expect_that!(
-        there,
+        on_hinted_server,
         all!(ge(10), le(14)),
         "an even share is 10, the bonus 2"
     );
 }
 
 #[gtest]
-fn a_hint_never_overrides_what_is_open_or_useful() {
+fn hint_never_selects_a_leaving_or_unusable_server() {
     let site = site(SERVERS, 1, 8, 500);
     let mut router = router(&site);
-    tell(&mut router, 0, 1, vec![stored(1, PREFIX)]);
+    send_events(&mut router, 0, 1, vec![stored(1, PREFIX)]);
     router.on_engine_state(at(0), &server_id(3), &state(1, None, false));
     let request = RouteRequest {
         prefix_hash: Some(PREFIX),
@@ -138,7 +138,7 @@
 #[gtest]
 fn events_of_another_boot_make_the_version_unknown_until_the_next_state() {
     let mut router = router(&site(4, 1, 8, 500));
-    tell(&mut router, 0, 2, vec![stored(1, PREFIX)]);
+    send_events(&mut router, 0, 2, vec![stored(1, PREFIX)]);
     let version = |router: &Router| {
         router
             .server_view(at(1), &server_id(3))
@@ -150,28 +150,28 @@
 }
 
 #[gtest]
-fn memory_is_bounded_and_the_oldest_is_forgotten_first() {
+fn entries_are_bounded_and_the_oldest_is_evicted_first() {
     let settings = RouterSettings {
         affinity_entries: 10,
         ..RouterSettings::default()
     };
     let mut router = router_with(settings, Default::default(), &site(SERVERS, 1, 8, 500));
     let others = |count: u64| (2..2 + count).map(|number| stored(number, number * 1000));
-    tell(
+    send_events(
         &mut router,
         0,
         1,
         [stored(1, PREFIX)].into_iter().chain(others(9)).collect(),
     );
-    expect_that!(attracted(&mut router, 1), eq(100));
-    tell(&mut router, 1, 1, vec![stored(11, 1)]);
-    expect_that!(attracted(&mut router, 1), lt(50));
+    expect_that!(count_on_hinted_server(&mut router, 1), eq(100));
+    send_events(&mut router, 1, 1, vec![stored(11, 1)]);
+    expect_that!(count_on_hinted_server(&mut router, 1), lt(50));
 }
 
 #[gtest]
-fn events_are_asked_for_after_the_last_one_seen() {
+fn cache_event_probe_starts_after_the_last_sequence() {
     let mut router = router(&site(4, 1, 8, 500));
-    tell(&mut router, 0, 1, vec![stored(17, PREFIX)]);
+    send_events(&mut router, 0, 1, vec![stored(17, PREFIX)]);
     let targets = router.probe_targets(at(1));
     let asked = targets.iter().any(|target| {
         target.server == server_id(3) && target.kind == ProbeKind::CacheEvents { after: 17 }
--- a/crates/nodes/wingshore-routing/tests/balance.rs
+++ b/crates/nodes/wingshore-routing/tests/balance.rs
@@ -15,7 +15,7 @@
 }
 
 /// Largest count on one of 40 servers after 800 requests that all stay.
-fn fullest(settings: RouterSettings) -> usize {
+fn max_requests_per_server(settings: RouterSettings) -> usize {
     let mut router = router_with(settings, Default::default(), &site(40, 1, 1000, 1000));
     let admitted = admit_all(&mut router, at(0), &live(), 800);
     (0..40)
@@ -26,15 +26,15 @@
 
 #[gtest]
 fn two_choices_spread_load_far_better_than_one() {
-    let random = fullest(choices(1));
-    let two = fullest(choices(2));
+    let random = max_requests_per_server(choices(1));
+    let two = max_requests_per_server(choices(2));
     expect_that!(random, ge(28), "20 each would be even");
     expect_that!(two, le(23));
-    expect_that!(fullest(choices(3)), le(two));
+    expect_that!(max_requests_per_server(choices(3)), le(two));
 }
 
 #[gtest]
-fn the_own_zone_is_preferred_until_it_is_ahead_by_the_penalty() {
+fn own_zone_is_preferred_up_to_the_zone_penalty() {
     let site = site(2, 2, 100, 1000);
     for penalty in [0, 2, 10] {
         let settings = RouterSettings {
@@ -55,7 +55,7 @@
 
 /// Just after its return it counts as a tenth of a server, halfway as half a server.
 #[gtest]
-fn a_server_that_returned_gets_less_at_first() {
+fn returned_server_starts_slowly() {
     let site = site(2, 1, 1000, 1000);
     for (waited, least, most) in [(0, 18, 19), (5_000, 66, 67), (10_000, 100, 100)] {
         let mut router = router(&site);
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn others_load_counts_like_own() {
+fn external_load_counts_like_own_load() {
     let mut router = router(&site(2, 1, 1000, 1000));
     router.on_load(at(0), &server_id(0), &load(50, 10, 0));
     router.on_load(at(0), &server_id(1), &load(0, 0, 0));
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn rollouts_go_only_to_versions_known_to_be_new_enough() {
+fn rollouts_need_a_known_and_recent_version() {
     let mut router = router(&site(30, 3, 100, 0));
     for number in 0..29 {
         let version = (number % 2 == 0).then_some(WeightVersion(4));
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn the_same_seed_and_calls_give_the_same_choices() {
+fn same_seed_and_calls_give_the_same_choices() {
     let site = site(100, 4, 16, 500);
     let run = || {
         let mut router = router(&site);
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn refusals_say_why() {
+fn refusals_carry_the_reason() {
     let site = site(1, 1, 1, 1000);
     let mut router = router(&site);
     let code = |result: std::result::Result<_, wingshore_routing::Refusal>| {
--- a/crates/nodes/wingshore-routing/tests/dedicated.rs
+++ b/crates/nodes/wingshore-routing/tests/dedicated.rs
@@ -10,7 +10,7 @@
 const SLOTS: u32 = 8;
 
 /// Rollouts that are admitted to each server after so many live requests ran at once.
-fn rollouts_beside(live_requests: usize) -> Vec<usize> {
+fn rollouts_after_live_peak(live_requests: usize) -> Vec<usize> {
     let site = site(SERVERS, 3, SLOTS, 250);
     let mut router = router(&site);
     report_versions(&mut router, at(0), &site);
@@ -24,9 +24,9 @@
 }
 
 #[gtest]
-fn rollouts_leave_whole_engines_to_live_requests_as_their_demand_asks() {
+fn dedicated_engines_follow_live_demand() {
     for (live_requests, kept) in [(0, 0), (1, 1), (4, 1), (5, 2), (9, 3), (20, 3)] {
-        let rollouts = rollouts_beside(live_requests);
+        let rollouts = rollouts_after_live_peak(live_requests);
         let without = rollouts.iter().filter(|count| **count == 0).count();
         expect_that!(without, eq(kept), "{live_requests} live: {rollouts:?}");
         // Three quarters of all slots are guaranteed to rollouts, less at most one a server where
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn live_requests_avoid_engines_that_fetch_weights() {
+fn live_requests_avoid_engines_that_load_weights() {
     let site = site(SERVERS, 3, SLOTS, 250);
     let mut router = router(&site);
     report_versions(&mut router, at(0), &site);
--- a/crates/nodes/wingshore-routing/tests/load.rs
+++ b/crates/nodes/wingshore-routing/tests/load.rs
@@ -7,13 +7,13 @@
 use std::collections::VecDeque;
 use support::*;
 
-fn foreign(router: &wingshore_routing::Router, now: u64) -> u32 {
+fn external(router: &wingshore_routing::Router, now: u64) -> u32 {
     let view = router.server_view(at(now), &server_id(0));
-    view.expect("it is configured").foreign
+    view.expect("it is configured").external
 }
 
 #[gtest]
-fn own_requests_are_taken_out_of_a_report_as_of_its_own_time() {
+fn own_requests_are_subtracted_as_of_the_report_time() {
     // (own sent before, own sent after the reading, reported, age in ms, others)
     let cases = [
         (0, 0, 7, 0, 7),
@@ -30,50 +30,50 @@
         admit_all(&mut router, at(0), &live(), before);
         admit_all(&mut router, at(500), &live(), after);
         router.on_load(at(550), &server_id(0), &load(reported, 0, 50 + age));
-        expect_that!(foreign(&router, 550), eq(expected), "{case:?}");
+        expect_that!(external(&router, 550), eq(expected), "{case:?}");
     }
 }
 
 #[gtest]
-fn requests_that_ended_since_the_reading_are_not_counted_as_others() {
+fn requests_ended_since_the_reading_are_not_counted_as_external() {
     let mut router = router(&site(1, 1, 100, 1000));
     let admitted = admit_all(&mut router, at(0), &live(), 5);
     for one in admitted {
         router.on_finished(at(500), one.ticket, success(500));
     }
     router.on_load(at(600), &server_id(0), &load(5, 2, 300));
-    expect_that!(foreign(&router, 600), eq(2));
+    expect_that!(external(&router, 600), eq(2));
 }
 
 #[gtest]
-fn an_older_report_and_an_expired_one_do_not_count() {
+fn older_and_expired_reports_are_ignored() {
     let mut router = router(&site(1, 1, 100, 1000));
     router.on_load(at(1000), &server_id(0), &load(3, 0, 100));
     router.on_load(at(1010), &server_id(0), &load(9, 0, 500));
-    expect_that!(foreign(&router, 1010), eq(3));
-    expect_that!(foreign(&router, 5899), eq(3));
-    expect_that!(foreign(&router, 5900), eq(0));
+    expect_that!(external(&router, 1010), eq(3));
+    expect_that!(external(&router, 5899), eq(3));
+    expect_that!(external(&router, 5900), eq(0));
 }
 
 /// Feeds 200 rounds of reports of two servers, and tells what is believed of the first one then
 /// and a second later; the mean is 10.
-fn believed(loads: impl Fn(u64) -> (u32, u32)) -> (u32, u32) {
+fn estimates_after_reports(loads: impl Fn(u64) -> (u32, u32)) -> (u32, u32) {
     let mut router = router(&site(2, 1, 100, 1000));
     for round in 0..200 {
         let (first, second) = loads(round);
         router.on_load(at(round * 1000), &server_id(0), &load(first, 0, 0));
         router.on_load(at(round * 1000), &server_id(1), &load(second, 0, 0));
     }
-    (foreign(&router, 199_000), foreign(&router, 200_000))
+    (external(&router, 199_000), external(&router, 200_000))
 }
 
 #[gtest]
-fn differences_count_for_as_long_as_they_were_seen_to_last() {
-    let lasting = believed(|_| (20, 0));
+fn differences_decay_at_the_observed_rate() {
+    let lasting = estimates_after_reports(|_| (20, 0));
     expect_that!(lasting, eq((20, 20)));
-    let changing = believed(|round| if round % 2 == 0 { (0, 20) } else { (20, 0) });
+    let changing = estimates_after_reports(|round| if round % 2 == 0 { (0, 20) } else { (20, 0) });
     expect_that!(changing.1, all!(ge(8), le(12)), "{changing:?}");
-    let slowly = believed(|round| {
+    let slowly = estimates_after_reports(|round| {
         if round / 10 % 2 == 0 {
             (0, 20)
         } else {
@@ -84,11 +84,11 @@
 }
 
 #[gtest]
-fn a_server_without_a_report_is_taken_for_the_mean_of_its_service() {
+fn server_without_a_report_counts_as_the_service_mean() {
     let mut router = router(&site(3, 1, 100, 1000));
     router.on_load(at(0), &server_id(1), &load(7, 0, 0));
     router.on_load(at(0), &server_id(2), &load(7, 0, 0));
-    expect_that!(foreign(&router, 1), eq(7));
+    expect_that!(external(&router, 1), eq(7));
 }
 
 proptest! {
@@ -97,7 +97,7 @@
     /// A server that only this node uses: whatever is sent, ends and is reported with whatever
     /// lag, others are never seen beyond what changed within one bucket of the history.
     #[test]
-    fn no_others_are_seen_where_there_are_none(
+    fn no_external_load_is_estimated_without_other_nodes(
         steps in prop::collection::vec((0_u64..40, 0_u8..3, 0_u64..600), 1..200),
     ) {
         let mut router = router(&site(1, 1, 1000, 1000));
@@ -121,7 +121,7 @@
                     if read_at >= newest.0 {
                         newest = (read_at, changes_near(&history, read_at));
                     }
-                    prop_assert!(foreign(&router, now) <= newest.1);
+                    prop_assert!(external(&router, now) <= newest.1);
                 }
             }
             history.push((now, running.len() as u32));
--- a/crates/nodes/wingshore-routing/tests/membership.rs
+++ b/crates/nodes/wingshore-routing/tests/membership.rs
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn any_single_word_stops_new_work_at_once() {
+fn any_single_source_stops_new_work_at_once() {
     let cases: [(&str, Step); 6] = [
         ("configuration", drain_by_configuration),
         ("machine list", leave_by_list),
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn one_word_of_staying_does_not_outweigh_another_of_leaving() {
+fn open_state_does_not_override_a_leaving_report() {
     let mut router = router(&site(1, 1, 8, 500));
     leave_by_list(&mut router);
     router.on_engine_state(at(20), &server_id(0), &state(1, Some(VERSION), false));
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn an_older_machine_list_or_configuration_changes_nothing() {
+fn older_machine_list_or_configuration_is_ignored() {
     let site = site(1, 1, 8, 500);
     let mut router = router(&site);
     router.on_machine_list(at(10), &machine_list(5, &[0], &[]));
@@ -89,14 +89,14 @@
 }
 
 #[gtest]
-fn a_server_that_the_list_does_not_name_stays_open() {
+fn server_missing_from_the_machine_list_stays_open() {
     let mut router = router(&site(1, 1, 8, 500));
     router.on_machine_list(at(10), &machine_list(5, &[], &[]));
     expect_that!(router.admit(at(20), &live()), ok(anything()));
 }
 
 #[gtest]
-fn a_machine_leaves_before_the_configuration_knows_its_server() {
+fn leaving_machine_is_known_before_its_server_is_configured() {
     let site = site(1, 1, 8, 500);
     let mut router = wingshore_routing::Router::new(Default::default(), "zone-0".into(), SEED);
     router.on_machine_list(at(0), &machine_list(5, &[0], &[]));
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn probes_of_one_round_count_once_and_good_rounds_bring_a_server_back() {
+fn probes_of_one_round_count_once_and_successful_rounds_restore_health() {
     let mut router = router(&site(1, 1, 8, 500));
     for _ in 0..9 {
         router.on_probe_failed(at(1000), &server_id(0));
@@ -121,14 +121,17 @@
 }
 
 #[gtest]
-fn pauses_after_refusals_grow_and_end() {
+fn refusal_backoff_doubles_and_resets_after_a_success() {
     let mut router = router(&site(1, 1, 8, 500));
     let mut now = 0;
-    for pause in [200, 400, 800, 1600, 3200, 5000, 5000] {
+    for backoff in [200, 400, 800, 1600, 3200, 5000, 5000] {
         let admitted = router.admit(at(now), &live()).expect("the pause is over");
         router.on_finished(at(now), admitted.ticket, AttemptOutcome::Refused);
-        expect_that!(router.admit(at(now + pause - 1), &live()), err(anything()));
-        now += pause;
+        expect_that!(
+            router.admit(at(now + backoff - 1), &live()),
+            err(anything())
+        );
+        now += backoff;
     }
     let admitted = router.admit(at(now), &live()).expect("the pause is over");
     router.on_finished(at(now), admitted.ticket, success(1));
@@ -138,7 +141,7 @@
 }
 
 #[gtest]
-fn a_server_removed_with_requests_in_flight_is_forgotten_when_they_end() {
+fn removed_server_is_released_when_its_requests_end() {
     let both = site(2, 1, 8, 500);
     let mut router = router(&both);
     let mut request = live();
--- a/crates/nodes/wingshore-routing/tests/outlier.rs
+++ b/crates/nodes/wingshore-routing/tests/outlier.rs
@@ -9,7 +9,7 @@
 use wingshore_types::Verdict;
 
 /// Lets one request to a server fail; says whether the server took it.
-fn fail(router: &mut Router, now: u64, number: usize, servers: usize) -> bool {
+fn fail_request(router: &mut Router, now: u64, number: usize, servers: usize) -> bool {
     let mut request = live();
     request.excluded = (0..servers)
         .filter(|other| *other != number)
@@ -29,27 +29,30 @@
 }
 
 #[gtest]
-fn ejections_grow_and_end() {
+fn ejections_double_and_expire() {
     let mut router = router(&site(4, 1, 8, 500));
     let mut now = 0;
     for seconds in [5, 10, 20, 40, 80, 120, 120] {
         for _ in 0..5 {
-            expect_that!(fail(&mut router, now, 0, 4), eq(true));
+            expect_that!(fail_request(&mut router, now, 0, 4), eq(true));
         }
         expect_that!(ejected(&router, now, 4), eq(1));
-        expect_that!(fail(&mut router, now + seconds * 1000 - 1, 0, 4), eq(false));
+        expect_that!(
+            fail_request(&mut router, now + seconds * 1000 - 1, 0, 4),
+            eq(false)
+        );
         now += seconds * 1000;
     }
 }
 
 #[gtest]
-fn a_success_between_failures_keeps_a_server() {
+fn success_resets_the_failure_count() {
     let mut router = router(&site(2, 1, 8, 500));
     let mut request = live();
     request.excluded = vec![server_id(1)];
     for _ in 0..20 {
         for _ in 0..4 {
-            expect_that!(fail(&mut router, 0, 0, 2), eq(true));
+            expect_that!(fail_request(&mut router, 0, 0, 2), eq(true));
         }
         let admitted = router.admit(at(0), &request).expect("it is open");
         router.on_finished(at(0), admitted.ticket, success(1));
@@ -58,13 +61,13 @@
 }
 
 #[gtest]
-fn a_fault_of_all_ejects_half_at_most() {
+fn at_most_half_of_the_servers_are_ejected() {
     // (servers, most that may be ejected at the default share of one half)
     for (servers, most) in [(1, 0), (2, 1), (3, 1), (9, 4), (11, 5), (40, 20)] {
         let mut router = router(&site(servers, 1, 8, 500));
         for _ in 0..20 {
             for number in 0..servers {
-                fail(&mut router, 0, number, servers);
+                fail_request(&mut router, 0, number, servers);
             }
         }
         expect_that!(ejected(&router, 0, servers), eq(most), "{servers} servers");
@@ -77,7 +80,7 @@
 
     /// Whatever fails when, the floor holds, and someone is open.
     #[test]
-    fn the_floor_holds(
+    fn ejection_limit_holds(
         failures in prop::collection::vec((0_usize..8, 0_u64..3000), 0..400),
         servers in 1_usize..8,
     ) {
@@ -85,7 +88,7 @@
         let mut now = 0;
         for (number, pause) in failures {
             now += pause;
-            fail(&mut router, now, number % servers, servers);
+            fail_request(&mut router, now, number % servers, servers);
             prop_assert!(ejected(&router, now, servers) <= servers / 2);
             let admitted = router.admit(at(now), &live());
             prop_assert!(admitted.is_ok(), "someone is open");
--- a/crates/nodes/wingshore-routing/tests/promises.rs
+++ b/crates/nodes/wingshore-routing/tests/promises.rs
@@ -18,7 +18,7 @@
 const SERVERS: usize = 6;
 const SLOTS: u32 = 6;
 /// Time between two events: a round of probes.
-const PAUSE: u64 = 1000;
+const EVENT_INTERVAL_MS: u64 = 1000;
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -71,7 +71,7 @@
 
 /// What was said of one server, in plain words.
 #[derive(Clone, Debug, Default)]
-struct Said {
+struct ServerModel {
     closed: bool,
     draining: bool,
     refused_at: Option<u64>,
@@ -85,27 +85,27 @@
 /// Promises broken, by name.
 type Violations = BTreeMap<&'static str, u32>;
 
-struct Judge {
+struct ModelChecker {
     router: Router,
     configuration: Configuration,
-    said: BTreeMap<ServerId, Said>,
+    model: BTreeMap<ServerId, ServerModel>,
     list: (u64, Vec<ServerId>),
     running: Vec<(Admitted, RouteRequest)>,
     now: u64,
     violations: Violations,
 }
 
-impl Judge {
+impl ModelChecker {
     fn new(faults: Faults) -> Self {
         let configuration = site(SERVERS, 2, SLOTS, 500);
         let mut router = Router::new(Default::default(), "zone-0".into(), SEED).with_faults(faults);
         router.on_configuration(at(0), &configuration);
         Self {
             router,
-            said: configuration
+            model: configuration
                 .servers
                 .keys()
-                .map(|id| (id.clone(), Said::default()))
+                .map(|id| (id.clone(), ServerModel::default()))
                 .collect(),
             configuration,
             list: (0, Vec::new()),
@@ -115,18 +115,18 @@
         }
     }
 
-    fn said(&mut self, server: usize) -> &mut Said {
-        self.said.entry(server_id(server)).or_default()
+    fn model(&mut self, server: usize) -> &mut ServerModel {
+        self.model.entry(server_id(server)).or_default()
     }
 
-    fn note(&mut self, promise: &'static str, is_kept: bool) {
+    fn check_invariant(&mut self, invariant: &'static str, is_kept: bool) {
         if !is_kept {
-            *self.violations.entry(promise).or_default() += 1;
+            *self.violations.entry(invariant).or_default() += 1;
         }
     }
 
     fn handle(&mut self, event: &Event) {
-        self.now += PAUSE;
+        self.now += EVENT_INTERVAL_MS;
         match event {
             Event::Admission(server, open) => self.on_admission(*server, *open),
             Event::MachineList { as_of, leaving } => self.on_list(*as_of, leaving),
@@ -172,7 +172,7 @@
             Admission::Draining
         };
         self.configuration = with_admission(&self.configuration, server, admission);
-        self.said(server).closed = !open;
+        self.model(server).closed = !open;
         self.router
             .on_configuration(at(self.now), &self.configuration);
     }
@@ -190,21 +190,21 @@
 
     fn on_state(&mut self, server: usize, boot: u64, version: Option<u64>, draining: bool) {
         let now = self.now;
-        let said = self.said(server);
-        if said.boot.is_some_and(|known| known != boot) {
-            let closed = said.closed;
-            *said = Said {
+        let model = self.model(server);
+        if model.boot.is_some_and(|known| known != boot) {
+            let closed = model.closed;
+            *model = ServerModel {
                 closed,
-                ..Said::default()
+                ..ServerModel::default()
             };
         }
-        said.boot = Some(boot);
-        said.draining = draining;
-        said.version = version.map(|version| (version, now));
-        said.failed_probes = 0;
-        said.good_probes += 1;
-        if said.good_probes >= 2 {
-            said.unhealthy = false;
+        model.boot = Some(boot);
+        model.draining = draining;
+        model.version = version.map(|version| (version, now));
+        model.failed_probes = 0;
+        model.good_probes += 1;
+        if model.good_probes >= 2 {
+            model.unhealthy = false;
         }
         let report = state(boot, version.map(WeightVersion), draining);
         self.router
@@ -212,16 +212,16 @@
     }
 
     fn on_probe_failed(&mut self, server: usize) {
-        let said = self.said(server);
-        said.good_probes = 0;
-        said.failed_probes += 1;
-        said.unhealthy |= said.failed_probes >= 3;
+        let model = self.model(server);
+        model.good_probes = 0;
+        model.failed_probes += 1;
+        model.unhealthy |= model.failed_probes >= 3;
         self.router
             .on_probe_failed(at(self.now), &server_id(server));
     }
 
     fn on_cache_events(&mut self, server: usize, boot_id: u64, sequence: u64, prefix_hash: u64) {
-        self.said(server).boot.get_or_insert(boot_id);
+        self.model(server).boot.get_or_insert(boot_id);
         let (kind, tokens) = (CacheEventKind::Stored, 100);
         let events = vec![CacheEvent {
             sequence,
@@ -237,33 +237,33 @@
     fn request(&mut self, request: &RouteRequest) {
         match self.router.admit(at(self.now), request) {
             Ok(admitted) => {
-                self.judge_choice(&admitted, request);
+                self.check_choice(&admitted, request);
                 self.running.push((admitted, request.clone()));
             }
             Err(refusal) => {
                 let is_kept = refusal.verdict() == Verdict::NotRun;
-                self.note("refused is not run", is_kept);
+                self.check_invariant("refused is not run", is_kept);
             }
         }
     }
 
-    fn judge_choice(&mut self, admitted: &Admitted, request: &RouteRequest) {
-        let said = self.said[&admitted.server].clone();
+    fn check_choice(&mut self, admitted: &Admitted, request: &RouteRequest) {
+        let model = self.model[&admitted.server].clone();
         let listed = self.list.1.contains(&admitted.server);
         // A refusal closes for 200 ms, and every event takes a second.
-        let refused = said.refused_at == Some(self.now);
-        let leaving = said.closed || said.draining || listed || refused;
-        self.note("no work to the leaving", !leaving);
-        self.note("no work to the unhealthy", !said.unhealthy);
+        let refused = model.refused_at == Some(self.now);
+        let leaving = model.closed || model.draining || listed || refused;
+        self.check_invariant("no work to the leaving", !leaving);
+        self.check_invariant("no work to the unhealthy", !model.unhealthy);
         if request.class == Class::Rollout {
-            let known = said.version.filter(|(_, at)| self.now - at < 10_000);
+            let known = model.version.filter(|(_, at)| self.now - at < 10_000);
             let useful = known.is_some_and(|(version, _)| version >= VERSION.0);
-            self.note("versions are known and useful", useful);
+            self.check_invariant("versions are known and useful", useful);
         }
         let view = self.router.server_view(at(self.now), &admitted.server);
         let view = view.expect("it was chosen");
-        self.note("slots are kept", view.live + view.rollouts <= SLOTS);
-        self.note(
+        self.check_invariant("slots are kept", view.live + view.rollouts <= SLOTS);
+        self.check_invariant(
             "the reserve is kept",
             view.live > 0 || view.rollouts < SLOTS,
         );
@@ -285,24 +285,24 @@
             .on_finished(at(self.now), admitted.ticket, outcome);
         if outcome == AttemptOutcome::Refused {
             let now = self.now;
-            self.said.entry(admitted.server).or_default().refused_at = Some(now);
+            self.model.entry(admitted.server).or_default().refused_at = Some(now);
             self.request(&live());
         }
         if let AttemptOutcome::Failed(verdict) = outcome {
             let repeats = self.router.may_retry(at(self.now), &request, verdict);
             let is_kept = !repeats || !request.no_repeat || verdict == Verdict::NotRun;
-            self.note("what must not be repeated is not", is_kept);
+            self.check_invariant("what must not be repeated is not", is_kept);
         }
     }
 }
 
-fn judge(events: &[Event], faults: Faults) -> Violations {
-    let mut judge = Judge::new(faults);
-    events.iter().for_each(|event| judge.handle(event));
-    judge.violations
+fn violations_of(events: &[Event], faults: Faults) -> Violations {
+    let mut checker = ModelChecker::new(faults);
+    events.iter().for_each(|event| checker.handle(event));
+    checker.violations
 }
 
-fn histories() -> impl Strategy<Value = Vec<Event>> {
+fn event_sequences() -> impl Strategy<Value = Vec<Event>> {
     prop::collection::vec(event(), 1..120)
 }
 
@@ -310,8 +310,8 @@
     #![proptest_config(property(500))]
 
     #[test]
-    fn promises_hold(events in histories()) {
-        prop_assert_eq!(judge(&events, Faults::default()), Violations::new());
+    fn invariants_hold(events in event_sequences()) {
+        prop_assert_eq!(violations_of(&events, Faults::default()), Violations::new());
     }
 }
 
@@ -348,15 +348,15 @@
             },
         ),
     ];
-    for (promise, faults) in cases {
+    for (invariant, faults) in cases {
         let mut runner = TestRunner::new(property(1));
         let caught = (0..50).any(|_| {
-            let events = histories()
+            let events = event_sequences()
                 .new_tree(&mut runner)
                 .expect("it is generated")
                 .current();
-            judge(&events, faults).contains_key(promise)
+            violations_of(&events, faults).contains_key(invariant)
         });
-        expect_that!(caught, eq(true), "{promise}");
+        expect_that!(caught, eq(true), "{invariant}");
     }
 }
--- a/crates/nodes/wingshore-routing/tests/retry.rs
+++ b/crates/nodes/wingshore-routing/tests/retry.rs
@@ -8,7 +8,7 @@
 use wingshore_types::Verdict;
 
 #[gtest]
-fn the_verdict_decides() {
+fn verdict_decides_whether_a_retry_is_allowed() {
     let cases = [
         (false, Verdict::NotRun, true),
         (false, Verdict::MayHaveRun, true),
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn nothing_is_repeated_after_its_deadline_or_for_an_unknown_service() {
+fn no_retry_after_the_deadline_or_for_an_unknown_service() {
     let mut router = router(&site(1, 1, 8, 500));
     let mut request = live();
     request.deadline = at(10);
@@ -48,7 +48,7 @@
 
 /// Every attempt fails for 20 s at 500 requests/s; each is repeated as long as the router allows.
 #[gtest]
-fn an_outage_is_not_multiplied() {
+fn retry_budget_bounds_attempts_during_an_outage() {
     let mut router = router(&site(9, 1, 64, 500));
     let (mut requests, mut attempts) = (0_u32, 0_u32);
     for millisecond in (0..20_000).step_by(2) {
--- a/crates/nodes/wingshore-routing/tests/settings.rs
+++ b/crates/nodes/wingshore-routing/tests/settings.rs
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn durations_carry_units() {
+fn durations_are_parsed_with_units() {
     let text = "probe_interval = \"250ms\"\neject_time_most = \"1m 30s\"";
     let read: RouterSettings = toml::from_str(text).expect("it is valid");
     expect_that!(read.probe_interval, eq(Duration::from_millis(250)));
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn wrong_texts_are_refused() {
+fn invalid_settings_are_rejected() {
     for text in [
         "probe_interval = 250",
         "probe_interval = \"250\"",
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn every_value_out_of_range_is_named_at_once() {
+fn all_out_of_range_values_are_reported_together() {
     let text = "choices = 0\nmost_ejected = 1000\nprobe_interval = \"10ms\"";
     let read: RouterSettings = toml::from_str(text).expect("it parses");
     let errors: Vec<String> = read.check().iter().map(ToString::to_string).collect();
--- a/crates/nodes/wingshore-routing/tests/subset.rs
+++ b/crates/nodes/wingshore-routing/tests/subset.rs
@@ -9,7 +9,7 @@
 use wingshore_types::configuration::Configuration;
 use wingshore_types::{Revision, ServerId, ZoneId};
 
-fn node(seed: u64, subset_size: u32, site: &Configuration) -> Router {
+fn router_of_node(seed: u64, subset_size: u32, site: &Configuration) -> Router {
     let settings = RouterSettings {
         subset_size,
         ..RouterSettings::default()
@@ -28,12 +28,12 @@
 }
 
 #[gtest]
-fn a_subset_is_bounded_the_same_after_a_restart_and_mostly_in_the_own_zone() {
+fn subset_is_bounded_stable_and_mostly_in_the_own_zone() {
     let site = site(600, 3, 8, 500);
-    let first = members(&node(1, 40, &site), 600);
+    let first = members(&router_of_node(1, 40, &site), 600);
     expect_that!(first, len(eq(40)));
-    expect_that!(members(&node(1, 40, &site), 600), eq(&first));
-    expect_that!(members(&node(2, 40, &site), 600), not(eq(&first)));
+    expect_that!(members(&router_of_node(1, 40, &site), 600), eq(&first));
+    expect_that!(members(&router_of_node(2, 40, &site), 600), not(eq(&first)));
     let own = (0..600)
         .step_by(3)
         .filter(|number| first.contains(&server_id(*number)));
@@ -41,17 +41,20 @@
 }
 
 #[gtest]
-fn few_servers_or_another_zone_alone_are_all_used() {
+fn small_services_are_used_completely() {
     for (servers, zones) in [(1, 1), (5, 1), (9, 3), (39, 2)] {
-        let found = members(&node(1, 40, &site(servers, zones, 8, 500)), servers);
+        let found = members(
+            &router_of_node(1, 40, &site(servers, zones, 8, 500)),
+            servers,
+        );
         expect_that!(found.len(), eq(servers), "{servers} in {zones} zones");
     }
 }
 
 #[gtest]
-fn one_server_less_changes_one_member() {
+fn removing_a_server_changes_one_member() {
     let site = site(600, 3, 8, 500);
-    let mut router = node(1, 40, &site);
+    let mut router = router_of_node(1, 40, &site);
     let before = members(&router, 600);
     let gone = before.first().expect("it has members").clone();
     let mut changed = site;
@@ -66,25 +69,28 @@
 #[gtest]
 fn unhealthy_members_are_replaced_and_still_probed() {
     let site = site(600, 1, 8, 500);
-    let mut router = node(1, 10, &site);
+    let mut router = router_of_node(1, 10, &site);
     let before = members(&router, 600);
-    let sick = before.first().expect("it has members").clone();
+    let unhealthy = before.first().expect("it has members").clone();
     for round in 1..=3 {
-        router.on_probe_failed(at(round * 1000), &sick);
+        router.on_probe_failed(at(round * 1000), &unhealthy);
     }
     expect_that!(members(&router, 600), len(eq(11)));
     let probed = router.probe_targets(at(4000));
-    expect_that!(probed.iter().any(|target| target.server == sick), eq(true));
+    expect_that!(
+        probed.iter().any(|target| target.server == unhealthy),
+        eq(true)
+    );
     for round in 4..=5 {
-        router.on_load(at(round * 1000), &sick, &load(0, 0, 0));
+        router.on_load(at(round * 1000), &unhealthy, &load(0, 0, 0));
     }
     expect_that!(members(&router, 600), eq(&before));
 }
 
 #[gtest]
-fn a_subset_grows_while_it_is_exhausted_and_shrinks_when_that_is_over() {
+fn subset_grows_while_exhausted_and_shrinks_afterwards() {
     let site = site(600, 1, 2, 1000);
-    let mut router = node(1, 10, &site);
+    let mut router = router_of_node(1, 10, &site);
     let mut sizes = Vec::new();
     let mut admitted = Vec::new();
     for second in 1..=6 {
@@ -99,7 +105,7 @@
 
 #[gtest]
 fn probes_are_bounded_by_the_subset_and_spread_over_the_interval() {
-    let mut router = node(1, 40, &site(10_000, 4, 8, 500));
+    let mut router = router_of_node(1, 40, &site(10_000, 4, 8, 500));
     let mut loads = 0;
     let mut largest = 0;
     for millisecond in (0..10_000).step_by(10) {
@@ -119,7 +125,7 @@
 
 /// 40 engines, three probes each, at 30 probes a second: a round takes four seconds, not one.
 #[gtest]
-fn probes_keep_to_their_pace_and_none_is_passed_over() {
+fn probe_rate_is_limited_and_no_server_is_skipped() {
     let settings = RouterSettings {
         probes_per_second: 30,
         ..RouterSettings::default()
@@ -146,8 +152,8 @@
 }
 
 #[gtest]
-fn servers_of_a_service_that_nobody_asks_for_are_not_probed() {
-    let mut router = node(1, 40, &site(600, 1, 8, 500));
+fn servers_of_an_unused_service_are_not_probed() {
+    let mut router = router_of_node(1, 40, &site(600, 1, 8, 500));
     expect_that!(router.probe_targets(at(59_000)), not(is_empty()));
     expect_that!(router.probe_targets(at(61_000)), is_empty());
     let admitted = router.admit(at(62_000), &live()).expect("room");
@@ -161,11 +167,11 @@
 /// 300 nodes choose 40 of 1,000 servers each; an even spread is 12 nodes a server. Rendezvous
 /// hashing spreads as by chance: standard deviation near the root of the mean.
 #[gtest]
-fn nodes_spread_over_servers_as_by_chance() {
+fn nodes_are_distributed_randomly_over_servers() {
     let site = site(1000, 1, 8, 500);
     let mut nodes_of: BTreeMap<ServerId, u32> = BTreeMap::new();
     for seed in 0..300 {
-        for member in members(&node(seed, 40, &site), 1000) {
+        for member in members(&router_of_node(seed, 40, &site), 1000) {
             *nodes_of.entry(member).or_default() += 1;
         }
     }
