--- a/crates/nodes/wingshore-routing/src/admission.rs
+++ b/crates/nodes/wingshore-routing/src/admission.rs
@@ -1,23 +1,23 @@
-//! Question: has a server a slot for one more request of a class, and when is a refused caller to
-//! ask again?
+//! Admission control: decides whether a server has a free slot for one more request of a class, and
+//! when a refused caller should retry.
 //!
-//! Inputs: the server's slots, the live share of them in thousandths, this node's own requests by
-//! class, those of others as estimated, whether the other class asks for its guarantee, the recent
-//! peak of live demand.
+//! Inputs: the slots of a server, the live share in thousandths, this node's own requests per
+//! class, the estimated requests of other nodes, whether the other class reclaims its guarantee,
+//! and the recent peak of live demand.
 //!
-//! Rule: each class has a guaranteed number of a server's slots and may borrow what the other does not
-//! use. A class that is refused although it is below its guarantee *asks*: for the reclaim window
-//! the other class may not borrow, so that slots come back as its requests end; what it uses
-//! beyond its guarantee is named by [`SlotShares::slots_to_reclaim`], so that it may be cancelled
-//! sooner. Rollouts run long, so while they borrow they leave a part of the live guarantee free: as
-//! much as live requests used at their recent peak, and a least share. The retry-after of a refusal is
-//! the mean service time of the class, times the refusals within a second, divided by its requests
-//! in flight.
+//! Each class has a guaranteed number of slots on a server and may borrow slots that the other
+//! class does not use, so that neither class starves and no slot stays unused. A class that is
+//! refused while below its guarantee *reclaims* it: for the reclaim window the other class may not
+//! borrow, so that slots return as its requests end. [`SlotShares::slots_to_reclaim`] counts the
+//! borrowed slots whose requests may be cancelled to return them sooner. Rollouts run long, so
+//! while they borrow they leave a part of the live guarantee free: as much as live requests used at
+//! their recent peak, and at least a configured reserve.
 //!
-//! Why: neither class starves, and slots are not left unused.
+//! The retry-after of a refusal is the mean service time of the class, times the refusals within
+//! one second, divided by the requests of the class in flight.
 //!
-//! Missing input: without a load report that counts, others' requests are taken for none; without
-//! an observed service time the retry-after is the least one.
+//! Without a valid load report, the requests of other nodes count as zero. Without an observed
+//! service time, the retry-after is the configured minimum.
 
 use crate::class::Class;
 use crate::load::Load;
@@ -25,16 +25,16 @@
 use wingshore_types::Instant;
 use wingshore_types::configuration::{Permille, Service};
 
-/// On what terms a class may take slots beyond its guarantee now.
+/// Conditions under which a class may currently take slots beyond its guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Borrowing {
-    /// False while the other class asks for its guarantee.
+    /// False while the other class reclaims its guarantee.
     pub(crate) is_allowed: bool,
-    /// Slots per server that live requests took more at their recent peak than now.
+    /// Slots per server by which the recent peak of live demand exceeds the current demand.
     pub(crate) burst: u32,
 }
 
-/// The slots of each server of a service.
+/// Slots of each server of a service, divided between the classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlotShares {
     slots: u32,
@@ -44,7 +44,7 @@
 }
 
 impl SlotShares {
-    /// Shares of a service; `guaranteed` is false only under a deliberate fault.
+    /// Returns the shares of a service. `guaranteed` is false only under an injected fault.
     pub(crate) fn new(service: &Service, live_reserve: Permille, guaranteed: bool) -> Self {
         let slots = service.slots_per_server;
         let live = live_slots(slots, service.live_share);
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Shares of one server while `dedicated` of `servers` are dedicated to live requests: those
-    /// are live requests' alone, and of the others that much less is guaranteed to them, rounded
-    /// up to whole slots.
+    /// Returns the shares of one server while `dedicated` of `servers` are dedicated to live
+    /// requests. A dedicated server guarantees all its slots to live requests. The live guarantee
+    /// on the other servers shrinks by as many slots in total, rounded up to whole slots.
     pub(crate) fn with_dedicated(
         self,
         is_dedicated: bool,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Slots of a server.
+    /// Returns the number of slots of a server.
     pub(crate) fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Slots guaranteed to a class.
+    /// Returns the number of slots guaranteed to a class.
     pub(crate) fn guarantee(&self, class: Class) -> u32 {
         match class {
             Class::Live => self.live,
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Whether a server has a slot for one more request of `class`.
+    /// Returns whether a server has a free slot for one more request of `class`.
     ///
-    /// Own requests never exceed the slots. Others' requests are only estimated and their class
-    /// is unknown: they keep a class from borrowing, and from its guarantee only once the server
-    /// has the whole guarantee on top of its slots.
+    /// Own requests never exceed the slots. Requests of other nodes (`external`) are only estimated
+    /// and their class is unknown: they limit borrowing, but they keep a class from its guarantee
+    /// only once all requests reach the slots plus the whole guarantee.
     pub(crate) fn has_free_slot(
         &self,
         load: &Load,
@@ -126,18 +126,19 @@
         borrowing.is_allowed && all + self.reserved_slots(load, class, borrowing) < self.slots
     }
 
-    /// Slots that `class` uses beyond its guarantee.
+    /// Returns the number of slots that `class` uses beyond its guarantee.
     pub(crate) fn borrowed(&self, load: &Load, class: Class) -> u32 {
         load.own_of(class).saturating_sub(self.guarantee(class))
     }
 
-    /// Slots of its guarantee that `class` could take at once.
+    /// Returns the number of free slots that `class` can take within its guarantee.
     pub(crate) fn free_within_guarantee(&self, load: &Load, class: Class) -> u32 {
         let missing = self.guarantee(class).saturating_sub(load.own_of(class));
         missing.min(self.slots.saturating_sub(load.own()))
     }
 
-    /// Borrowed slots that must end for the other class to reach its guarantee.
+    /// Returns the number of slots borrowed by `class` that must become free before the other class
+    /// reaches its guarantee.
     pub(crate) fn slots_to_reclaim(&self, load: &Load, class: Class) -> u32 {
         let other = class.other();
         let missing = self.guarantee(other).saturating_sub(load.own_of(other));
@@ -145,7 +146,8 @@
         held.min(self.borrowed(load, class))
     }
 
-    /// Slots that a borrower leaves free for the owner's next burst.
+    /// Returns the number of slots that a borrowing class leaves free for the next burst of the
+    /// other class.
     fn reserved_slots(&self, load: &Load, class: Class, borrowing: Borrowing) -> u32 {
         match class {
             Class::Live => 0,
@@ -157,8 +159,8 @@
     }
 }
 
-/// Slots guaranteed to live requests. A share that is neither nothing nor all gives each class
-/// at least one slot where there are two.
+/// Returns the number of slots guaranteed to live requests. If the share is neither zero nor the
+/// whole and the server has at least two slots, each class gets at least one.
 fn live_slots(slots: u32, share: Permille) -> u32 {
     let share = share.0.min(Permille::WHOLE.0);
     let rounded = (u64::from(slots) * u64::from(share) + 500) / 1000;
@@ -170,7 +172,7 @@
     }
 }
 
-/// Refusals of a class below its guarantee, within one service.
+/// Counts refusals of a class below its guarantee within one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReclaimRequests {
     count: u32,
@@ -178,7 +180,7 @@
 }
 
 impl ReclaimRequests {
-    /// The class was refused below its guarantee.
+    /// Records a refusal of the class below its guarantee.
     pub(crate) fn record(&mut self, now: Instant, window: Duration) {
         if now >= self.expires_at {
             self.count = 0;
@@ -187,23 +189,24 @@
         self.expires_at = now + window;
     }
 
-    /// Whether it asks now.
+    /// Returns whether the class currently reclaims its guarantee.
     pub(crate) fn is_active(&self, now: Instant) -> bool {
         now < self.expires_at
     }
 
-    /// How many requests asked within the window.
+    /// Returns the number of refused requests for which slots are still reclaimed, or zero after
+    /// the window.
     pub(crate) fn count(&self, now: Instant) -> u32 {
         if self.is_active(now) { self.count } else { 0 }
     }
 
-    /// One of those that asked was admitted.
+    /// Records that a request of the class was admitted, which satisfies one refused request.
     pub(crate) fn on_admitted(&mut self) {
         self.count = self.count.saturating_sub(1);
     }
 }
 
-/// Observed service times of one class, and from them when to ask again.
+/// Observed service times of one class, from which the retry-after is computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceTime {
     mean: Option<Duration>,
@@ -211,13 +214,13 @@
     window_ends: Instant,
 }
 
-/// Weight of a new observation is one over this.
+/// Divisor of the exponential moving average: a new observation has a weight of one eighth.
 const SMOOTHING_DIVISOR: u32 = 8;
-/// Refusals are counted over this time.
+/// Time over which refusals are counted.
 const REFUSAL_WINDOW: Duration = Duration::from_secs(1);
 
 impl ServiceTime {
-    /// A request took `latency`.
+    /// Records the latency of a successful request.
     pub(crate) fn on_success(&mut self, latency: Duration) {
         self.mean = Some(match self.mean {
             None => latency,
@@ -225,8 +228,9 @@
         });
     }
 
-    /// A request was refused while `in_flight` of its class run: they end one by one, and those
-    /// refused before it come first.
+    /// Records a refusal while `in_flight` requests of the class run, and returns the time after
+    /// which to retry; `None` before the first observation. Running requests end one by one, and
+    /// callers refused earlier are expected to be served first.
     pub(crate) fn on_refused(&mut self, now: Instant, in_flight: u32) -> Option<Duration> {
         if now >= self.window_ends {
             self.refused = 0;
--- a/crates/nodes/wingshore-routing/src/class.rs
+++ b/crates/nodes/wingshore-routing/src/class.rs
@@ -1,14 +1,14 @@
-//! The two classes of work that share the servers.
+//! Request classes that share the servers.
 
 use serde::{Deserialize, Serialize};
 
-/// Which of the two competing kinds of work a request belongs to.
+/// Class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Requests of live callers, who wait for each answer.
+    /// A request of an interactive caller, who waits for the answer.
     Live,
-    /// Generation of samples for a trainer.
+    /// A request that generates samples for a trainer.
     Rollout,
 }
 
@@ -16,7 +16,7 @@
     /// Both classes, in order.
     pub const ALL: [Self; 2] = [Self::Live, Self::Rollout];
 
-    /// The one that this class shares slots with.
+    /// Returns the class with which this one shares slots.
     pub fn other(self) -> Self {
         match self {
             Self::Live => Self::Rollout,
@@ -33,7 +33,7 @@
 }
 
 impl<T> ByClass<T> {
-    /// The value of a class.
+    /// Returns the value of a class.
     pub(crate) fn get(&self, class: Class) -> &T {
         match class {
             Class::Live => &self.live,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The value of a class, to be changed.
+    /// Returns a mutable reference to the value of a class.
     pub(crate) fn get_mut(&mut self, class: Class) -> &mut T {
         match class {
             Class::Live => &mut self.live,
--- a/crates/nodes/wingshore-routing/src/dedicated.rs
+++ b/crates/nodes/wingshore-routing/src/dedicated.rs
@@ -1,49 +1,54 @@
-//! Question: how many engines does a service keep for live requests alone, and which ones?
+//! Dedicated engines: decides how many engines of a service are reserved for live requests, and
+//! which ones.
 //!
-//! Inputs: the live share in thousandths, the slots of an engine, the recent peak of live requests in
-//! flight, the names of the engines.
+//! Inputs: the live share in thousandths, the slots of an engine, the recent peak of live requests
+//! in flight, and the names of the engines.
 //!
-//! Why: an engine's step takes longer the more sequences its batch holds, so a live request beside
-//! many rollouts is slow however early it gets its slot. In a service of some size the live share
-//! is therefore not spread over all engines alone: a few *dedicated* engines serve live requests
-//! first and are given no rollouts while live requests need them. All nodes order the engines
-//! alike, by a hash of their names, so they agree on them without a message.
+//! A step of an engine takes longer the more sequences its batch holds, so a live request that runs
+//! beside many rollouts is slow even if it gets its slot at once. In a service of at least
+//! [`MIN_SERVERS`] engines the live share is therefore not only spread over all engines: a few
+//! *dedicated* engines serve live requests first and get no rollouts while live requests need them.
+//! All nodes order the engines by the same hash of their names, so they agree on the dedicated
+//! engines without exchanging messages.
 //!
-//! Rule: they are never more than the live share of the engines, and only as many as the recent peak of
-//! live demand asks for; the others are lent to rollouts like any engine.
-//!
-//! Missing input: without live requests within the memory of the peak, none is dedicated.
+//! The number of dedicated engines never exceeds the live share of the engines, and is no higher
+//! than the recent peak of live demand requires. Engines that are not needed are available to
+//! rollouts like any other. If there was no live request in the period over which the peak is kept,
+//! no engine is dedicated.
 
 use crate::fleet::ServerIndex;
 use crate::hash::{hash_text, mix};
 use wingshore_types::ServerId;
 use wingshore_types::configuration::Permille;
 
-/// Smaller services share all their engines.
+/// Minimum number of servers of a service with dedicated engines; smaller services share all.
 const MIN_SERVERS: usize = 8;
-/// A dedicated engine serves this part of its slots, in thousandths, before another one is added.
+/// Utilization of the slots of a dedicated engine, in thousandths, above which another engine is
+/// dedicated.
 const TARGET_UTILIZATION: u64 = 500;
-/// Most dedicated engines that one live request is offered.
+/// Maximum number of dedicated engines considered for one live request.
 pub(crate) const MAX_CANDIDATES: usize = 4;
 
-/// A server's place in the order that all nodes share; lower is dedicated first.
+/// Returns the sort key of a server in the order that all nodes share; lower keys are dedicated
+/// first.
 pub(crate) fn shared_rank(server: &ServerId) -> u64 {
     mix(hash_text(server.as_str()))
 }
 
-/// The dedicated engines of a service.
+/// Dedicated engines of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DedicatedEngines {
-    /// Servers of the service.
+    /// Number of servers of the service.
     servers: usize,
-    /// Most engines that may be dedicated.
+    /// Maximum number of engines that may be dedicated.
     max: usize,
-    /// Open servers that may be dedicated, with their places in the order, first ones first.
+    /// Open servers that may be dedicated, with their positions in the shared order, sorted by
+    /// position.
     pub(crate) open: Vec<(usize, ServerIndex)>,
 }
 
 impl DedicatedEngines {
-    /// Sizes for a service of so many servers.
+    /// Recomputes the limits for a service of `servers` servers.
     pub(crate) fn resize(&mut self, servers: usize, live_share: Permille, is_engine_service: bool) {
         let is_split = live_share.0 > 0 && live_share < Permille::WHOLE;
         let may_have_any = is_engine_service && is_split && servers >= MIN_SERVERS;
@@ -54,18 +59,18 @@
         };
     }
 
-    /// Servers of the service.
+    /// Returns the number of servers of the service.
     pub(crate) fn servers(&self) -> usize {
         self.servers
     }
 
-    /// Whether a place in the order may be dedicated.
+    /// Returns whether the server at a position of the shared order may be dedicated.
     pub(crate) fn includes(&self, position: usize) -> bool {
         position < self.max
     }
 
-    /// How many are dedicated now, while live requests took up to `peak` slots on so many `used`
-    /// servers of `slots` slots each.
+    /// Returns the number of dedicated engines for a peak of `peak` live requests on `used` servers
+    /// of `slots` slots each.
     pub(crate) fn count(&self, peak: u32, used: usize, slots: u32) -> usize {
         if peak == 0 || self.max == 0 {
             return 0;
--- a/crates/nodes/wingshore-routing/src/demand.rs
+++ b/crates/nodes/wingshore-routing/src/demand.rs
@@ -1,9 +1,9 @@
-//! The recent peak of live demand, which rollouts leave room for when they borrow.
+//! Recent peak of live demand, for which rollouts leave slots free when they borrow.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Largest value of the current and of the last window.
+/// Largest values of the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Peak {
     current: u32,
@@ -12,7 +12,7 @@
 }
 
 impl Peak {
-    /// Notes a value.
+    /// Records a value.
     pub(crate) fn observe(&mut self, now: Instant, value: u32, window: Duration) {
         if now >= self.window_ends {
             let is_next = now.since(self.window_ends) < window;
@@ -23,7 +23,7 @@
         self.current = self.current.max(value);
     }
 
-    /// The largest value that is remembered.
+    /// Returns the largest value of the current and the previous window.
     pub(crate) fn value(&self, now: Instant, window: Duration) -> u32 {
         let past = now.since(self.window_ends);
         if now < self.window_ends {
--- a/crates/nodes/wingshore-routing/src/lib.rs
+++ b/crates/nodes/wingshore-routing/src/lib.rs
@@ -1,9 +1,8 @@
-//! Routing: which server takes a request, how much work a class may have in flight, and when an
-//! attempt may be repeated.
+//! Request routing: server selection, admission control per request class, and retry decisions.
 //!
-//! [`Router`] is a state machine without I/O: its inputs are what was seen (configuration, machine
-//! list, probes, reports, ends of attempts) together with the time, and it decides from that alone.
-//! The same seed and the same calls give the same decisions.
+//! [`Router`] is a state machine without I/O. Its inputs are the configuration, the machine list,
+//! probe results, load reports and attempt outcomes, each together with the current time. The same
+//! seed and the same sequence of calls give the same decisions.
 
 mod admission;
 mod affinity;
