--- a/crates/nodes/wingshore-routing/src/affinity.rs
+++ b/crates/nodes/wingshore-routing/src/affinity.rs
@@ -1,12 +1,13 @@
-//! Question: which servers probably have a prompt's prefix in their cache, and what is that worth?
+//! Prefix cache affinity: estimates which servers have a prompt's prefix in their cache, and how
+//! much of the prompt that saves.
 //!
-//! Inputs: the engines' cache events with their sequence numbers and boots, requests that ended well,
-//! changes of weights.
+//! Inputs: the engines' cache events with their sequence numbers and boot ids, successful requests,
+//! and weight changes.
 //!
-//! Rule and reason: cache events come late and with gaps, so an entry is never more than a hint: it
-//! makes a server a candidate and lowers its cost, and loses worth with age, with each gap seen
-//! since, and with each change of weights. A change of the boot drops all of a server's entries.
-//! Memory is bounded per server.
+//! Cache events arrive late and with gaps, so an entry is only a hint: it makes a server a
+//! candidate and lowers its cost. The score of an entry decays with age, with each gap seen since,
+//! and with each weight change. A change of the boot id drops all entries of a server. Memory is
+//! bounded per server.
 
 use crate::hash::{MixHasher, mix};
 use std::collections::{HashMap, VecDeque};
@@ -15,14 +16,14 @@
 use wingshore_types::Instant;
 use wingshore_types::platform::{CacheEventKind, CacheEvents};
 
-/// Servers remembered per prefix.
+/// Maximum number of servers recorded per prefix.
 pub(crate) const MAX_SERVERS_PER_PREFIX: usize = 4;
-/// A hint that lost half of its worth this often is worth nothing.
+/// Number of halvings after which the score of a hint is zero.
 const MAX_HALVINGS: u32 = 6;
-/// Thousandths: the worth of a certain entry.
+/// Score of a fresh entry that covers the whole prompt, in thousandths.
 const FULL_SCORE: u64 = 1000;
 
-/// One server that probably has the prefix.
+/// A server that probably has a prefix in its cache.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     server: u32,
@@ -32,37 +33,37 @@
     stored_at: Instant,
 }
 
-/// What is known of one server's cache.
+/// State of one server's cache, as far as it is known.
 #[derive(Clone, Debug, Default)]
 struct Cache {
     boot_id: Option<u64>,
-    /// Counts boots, so that entries of earlier ones are recognised.
+    /// Number of boots seen; identifies entries of earlier boots.
     boot_count: u32,
-    /// Counts reasons to doubt older entries.
+    /// Number of gaps and weight changes seen; each one halves the score of older entries.
     staleness: u32,
     last_sequence: u64,
-    /// Keys in the order they were stored, oldest first.
+    /// Keys in insertion order, oldest first.
     order: VecDeque<u64>,
 }
 
-/// What a lookup found: a server and how much of the prompt its cache probably saves.
+/// Result of a lookup: a server and how much of the prompt its cache probably saves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Hint {
     pub(crate) server: u32,
-    /// Thousandths of the prompt, less the doubt.
+    /// Expected saving in thousandths of the prompt, reduced by age and staleness.
     pub(crate) score: u64,
 }
 
-/// Result of taking events.
+/// Result of applying cache events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventsOutcome {
-    /// They belong to the boot that is known.
+    /// The events belong to the known boot.
     Current,
-    /// They belong to another boot than the server's state named.
+    /// The events belong to another boot than the known one.
     OtherBoot,
 }
 
-/// The caches of all servers.
+/// Cached prefixes of all servers.
 #[derive(Debug)]
 pub(crate) struct Affinity {
     holders: HashMap<u64, Vec<Holder>, BuildHasherDefault<MixHasher>>,
@@ -72,7 +73,7 @@
 }
 
 impl Affinity {
-    /// Remembers at most `entries` prefixes per server.
+    /// Creates an index that records at most `entries` prefixes per server.
     pub(crate) fn new(entries: usize, half_life: Duration) -> Self {
         Self {
             holders: HashMap::default(),
@@ -82,14 +83,14 @@
         }
     }
 
-    /// The last sequence number seen of a server.
+    /// Returns the last sequence number received from a server.
     pub(crate) fn last_sequence(&self, server: u32) -> u64 {
         self.caches
             .get(server as usize)
             .map_or(0, |cache| cache.last_sequence)
     }
 
-    /// The server's state named its boot. Returns whether that is another one than before.
+    /// Records the boot id that the server reported. Returns whether it replaces a different one.
     pub(crate) fn on_boot(&mut self, server: u32, boot_id: u64) -> bool {
         let cache = self.cache(server);
         if cache.boot_id == Some(boot_id) {
@@ -101,13 +102,14 @@
         is_change
     }
 
-    /// The server changed weights, which may have emptied its cache.
+    /// Marks all entries of a server as stale after a weight change, which may have emptied its
+    /// cache.
     pub(crate) fn mark_stale(&mut self, server: u32) {
         let cache = self.cache(server);
         cache.staleness = cache.staleness.wrapping_add(1);
     }
 
-    /// The position is used for another server from now on.
+    /// Clears the state at a position that is about to be reused for another server.
     pub(crate) fn reset(&mut self, server: u32) {
         self.forget(server);
         self.cache(server).boot_id = None;
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Takes events. A gap makes all older entries doubtful; events seen before are skipped.
+    /// Applies cache events. A gap in the sequence marks all older entries as stale; events already
+    /// applied are skipped.
     pub(crate) fn on_events(
         &mut self,
         now: Instant,
@@ -156,8 +159,8 @@
         EventsOutcome::Current
     }
 
-    /// A request with this prefix ended well on the server, so it probably has it cached; this is
-    /// doubtful from the start.
+    /// Records that a request with this prefix succeeded on the server, which probably cached it.
+    /// No cache event confirms that, so the entry starts with a halved score.
     pub(crate) fn on_served(
         &mut self,
         now: Instant,
@@ -170,7 +173,7 @@
         self.store(now, server, key, tokens, 1);
     }
 
-    /// The servers that probably have a prefix; the number found comes second.
+    /// Returns the servers that probably have a prefix cached, and how many were found.
     pub(crate) fn hints(
         &self,
         now: Instant,
@@ -232,7 +235,7 @@
         self.record_key(server, key);
     }
 
-    /// Notes that the server holds the key; forgets its oldest one beyond the bound.
+    /// Records that the server has the key, and evicts its oldest key beyond the bound.
     fn record_key(&mut self, server: u32, key: u64) {
         let entries = self.entries;
         let order = &mut self.cache(server).order;
@@ -264,7 +267,7 @@
     }
 }
 
-/// The same prefix of two services is two keys.
+/// Returns the key of a prefix; the same prefix has a different key in each service.
 fn key_of(service: u32, prefix_hash: u64) -> u64 {
     prefix_hash ^ mix(u64::from(service))
 }
--- a/crates/nodes/wingshore-routing/src/balance.rs
+++ b/crates/nodes/wingshore-routing/src/balance.rs
@@ -1,19 +1,20 @@
-//! Question: which server takes a request?
+//! Load balancing: selects the server for a request.
 //!
 //! Inputs: the open servers of the service by zone, their load in thousandths of a request, their
-//! weight versions, who probably has the prompt's prefix, the servers that the caller excludes.
+//! weight versions, the servers that probably have the prompt's prefix cached, and the servers that
+//! the caller excludes.
 //!
-//! Rule: power of d choices. A few servers of the own zone and a few of the others are drawn at
-//! random, with those whose cache probably has the prompt's prefix; the one of least cost wins. The
-//! cost is the load in requests, more for a server that has just returned and for another zone, less
-//! for a cached prefix. Only when none of those drawn can take the request are the service's open
-//! servers gone through, from a random one on.
+//! The algorithm is power of d choices. A few servers of the node's own zone and a few of the other
+//! zones are sampled at random, and the servers that probably have the prompt's prefix cached are
+//! added; the candidate with the lowest cost wins. The cost is the load in requests, higher for a
+//! server in slow start and for another zone, lower for a cached prefix. Only if no candidate can
+//! take the request, the open servers of the service are scanned from a random position.
 //!
-//! Why: the least known load of all sends all nodes to the server that was emptiest a while ago; a
-//! draw of two does not.
+//! Selecting the server with the lowest known load would send all nodes to the server that was
+//! least loaded some time ago; sampling two servers avoids that.
 //!
-//! Missing input: others' requests of a server without a report are taken for the mean of its
-//! service; an engine whose version is not known gets no rollouts.
+//! A server without a load report counts with the mean external load of its service. An engine
+//! whose version is unknown gets no rollouts.
 
 use crate::admission::Borrowing;
 use crate::affinity::Hint;
@@ -26,29 +27,30 @@
 use rand_chacha::rand_core::Rng;
 use wingshore_types::Instant;
 
-/// Costs are counted in thousandths of a request.
+/// Cost units per request: costs are in thousandths of a request.
 const UNITS_PER_REQUEST: u64 = 1000;
-/// A server that has just returned counts as this share (in thousandths) of a server.
+/// Capacity share of a server at the beginning of its slow start, in thousandths.
 const MIN_SLOW_START_SHARE: u64 = 100;
 
-/// Cost of an engine that fetches weights, for a live request, in thousandths of a request: more
-/// than any load, so that it gets one only where no other engine can.
+/// Cost that a live request adds for an engine that is loading weights, in thousandths of a
+/// request. It exceeds any load, so that such an engine is selected only if no other candidate can
+/// take the request.
 const LOADING_COST: u64 = 1000 * UNITS_PER_REQUEST;
 
-/// Why no server was found.
+/// Reasons why no server could take a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct NoServerFound {
-    /// An open server was not excluded.
+    /// At least one open server was not excluded.
     pub(crate) any_open: bool,
-    /// One of those serves a useful version.
+    /// At least one of those servers serves a usable version.
     pub(crate) any_usable_version: bool,
-    /// An open server, useful or not, had room.
+    /// At least one open server had a free slot, whatever its version.
     pub(crate) any_free_slot: bool,
-    /// The class was below its guarantee on a useful one.
+    /// The class was below its guarantee on a server with a usable version.
     pub(crate) below_guarantee: bool,
 }
 
-/// One decision.
+/// Inputs of one server selection.
 pub(crate) struct ServerSelection<'a> {
     pub(crate) now: Instant,
     pub(crate) settings: &'a RouterSettings,
@@ -56,15 +58,15 @@
     pub(crate) service: &'a ServiceState,
     pub(crate) request: &'a RouteRequest,
     pub(crate) borrowing: Borrowing,
-    /// How many engines are dedicated to live requests now.
+    /// Number of engines currently dedicated to live requests.
     pub(crate) dedicated_count: usize,
-    /// Whether versions are checked; false only under a deliberate fault.
+    /// Whether versions are checked; false only under an injected fault.
     pub(crate) check_version: bool,
-    /// Whether leaving servers are taken too; true only under a deliberate fault.
+    /// Whether leaving servers are accepted; true only under an injected fault.
     pub(crate) ignore_leaving: bool,
 }
 
-/// The best server so far.
+/// Candidate with the lowest cost so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct BestCandidate(Option<(u64, ServerIndex)>);
 
@@ -77,7 +79,8 @@
 }
 
 impl ServerSelection<'_> {
-    /// Draws and compares; goes through all only where that found none.
+    /// Selects a server among sampled candidates; scans all open servers only if none of the
+    /// candidates can take the request.
     pub(crate) fn choose(
         &self,
         rng: &mut ChaCha8Rng,
@@ -97,8 +100,8 @@
         }
     }
 
-    /// Draws servers of one zone until enough of them can take the request; where there are no
-    /// more than that, all are compared.
+    /// Samples servers of one zone until the configured number of them can take the request. A zone
+    /// with no more servers than that is compared completely.
     fn sample_zone(&self, zone: &[ServerIndex], rng: &mut ChaCha8Rng, best: &mut BestCandidate) {
         let choices = self.settings.choices as usize;
         if zone.len() <= choices {
@@ -122,7 +125,8 @@
         }
     }
 
-    /// Compares a server with the best so far, if it can take the request.
+    /// Compares a server with the best candidate if it can take the request, and returns whether it
+    /// can.
     fn consider(&self, index: ServerIndex, best: &mut BestCandidate) -> bool {
         let server = &self.servers[index as usize];
         let can_take = self.can_take(server);
@@ -132,7 +136,7 @@
         can_take
     }
 
-    /// Live requests are offered the engines dedicated to them.
+    /// Adds the dedicated engines as candidates for a live request.
     fn consider_dedicated(&self, best: &mut BestCandidate) {
         if self.request.class == Class::Rollout {
             return;
@@ -143,7 +147,7 @@
         }
     }
 
-    /// A cached prefix makes its server a candidate, if it is an open member.
+    /// Adds a server that probably has the prefix cached, if it is an open member of the subset.
     fn consider_hint(&self, hint: &Hint, best: &mut BestCandidate) {
         let server = &self.servers[hint.server as usize];
         let is_member = server.is_member && server.is_open(self.now, self.ignore_leaving);
@@ -154,7 +158,8 @@
         best.consider(self.cost(server).saturating_sub(bonus), hint.server);
     }
 
-    /// Goes through all open servers from a random one on, until enough can take the request.
+    /// Scans the open servers of each zone from a random position until the configured number of
+    /// them can take the request.
     fn scan_zones(&self, rng: &mut ChaCha8Rng) -> Result<ServerIndex, NoServerFound> {
         let mut best = BestCandidate::default();
         let mut reasons = NoServerFound::default();
@@ -181,7 +186,7 @@
         best.0.map(|(_, server)| server).ok_or(reasons)
     }
 
-    /// Whether a server can take the request; notes why not.
+    /// Returns whether a server can take the request, and records in `reasons` what was found.
     fn check_server(&self, server: &Server, reasons: &mut NoServerFound) -> bool {
         let has_free_slot = self.has_free_slot(server);
         reasons.any_free_slot |= has_free_slot;
@@ -213,7 +218,8 @@
         self.request.excluded.contains(&server.id)
     }
 
-    /// Rollouts need an engine whose own report names a version that is new enough.
+    /// Returns whether the server's weight version is usable. Rollouts need an engine whose own
+    /// valid report names a version that is new enough.
     fn has_usable_version(&self, server: &Server) -> bool {
         if self.request.class == Class::Live || !self.check_version {
             return true;
@@ -225,7 +231,7 @@
         }
     }
 
-    /// Load in thousandths of a request, this one included.
+    /// Returns the cost of a server in thousandths of a request, including this request.
     fn cost(&self, server: &Server) -> u64 {
         let own = u64::from(server.load.own()) + 1;
         let load = own * UNITS_PER_REQUEST + self.external(server);
@@ -239,12 +245,12 @@
         }
     }
 
-    /// Requests of others, in thousandths.
+    /// Returns the estimated requests of other nodes on a server, in thousandths.
     fn external(&self, server: &Server) -> u64 {
         server.load.external(self.now, &self.service.load_estimator)
     }
 
-    /// Thousandths of a server that it counts as: less just after its return.
+    /// Returns the capacity share of a server in thousandths; it grows linearly during slow start.
     fn slow_start_share(&self, server: &Server) -> u64 {
         if self.now >= server.slow_start_until {
             return UNITS_PER_REQUEST;
@@ -257,13 +263,13 @@
     }
 }
 
-/// Thousandths as whole requests.
+/// Rounds thousandths of a request to whole requests.
 pub(crate) fn round_to_requests(thousandths: u64) -> u32 {
     let requests = (thousandths + UNITS_PER_REQUEST / 2) / UNITS_PER_REQUEST;
     u32::try_from(requests).unwrap_or(u32::MAX)
 }
 
-/// A random position below `length`, which is not zero and below 2^32.
+/// Returns a random position below `length`, which must be nonzero and below 2^32.
 fn random_below(rng: &mut ChaCha8Rng, length: usize) -> usize {
     let product = u64::from(rng.next_u32()) * length as u64;
     (product >> 32) as usize
--- a/crates/nodes/wingshore-routing/src/hash.rs
+++ b/crates/nodes/wingshore-routing/src/hash.rs
@@ -1,9 +1,9 @@
-//! Small deterministic hash functions: the same on every machine and in every run.
+//! Deterministic hash functions with the same result on every machine and in every run.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// Finaliser of SplitMix64.
+/// Hashes an integer with the finalizer of SplitMix64.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -11,14 +11,14 @@
     value ^ (value >> 31)
 }
 
-/// FNV-1a.
+/// Hashes a text with FNV-1a.
 pub(crate) fn hash_text(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-/// Hasher for keys that are hashes already, as maps of the standard library want it.
+/// Hasher for standard library maps whose keys are already hashes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MixHasher(u64);
 
--- a/crates/nodes/wingshore-routing/src/subset.rs
+++ b/crates/nodes/wingshore-routing/src/subset.rs
@@ -1,32 +1,33 @@
-//! Question: which servers of a service does a node use and probe?
+//! Subsetting: decides which servers of a service a node uses and probes.
 //!
-//! Inputs: the configured servers and their zones, the node's seed, which of them are usable, whether
-//! all were exhausted of late.
+//! Inputs: the configured servers and their zones, the node's seed, which servers are usable, and
+//! whether all slots were recently exhausted.
 //!
-//! Rule: servers are ranked by rendezvous hashing over the node's seed, so that each node has its own
-//! order, that order is the same after a restart, and one server more or less changes little.
-//! The subset is the first servers of that order that are usable, most of them in the node's own
-//! zone. Servers passed over stay in it to be probed, so that their return is seen.
+//! Servers are ranked by rendezvous hashing with the node's seed. Each node thus has its own order,
+//! the order is the same after a restart, and adding or removing a server changes little. The
+//! subset consists of the first usable servers in that order, most of them in the node's own zone.
+//! Unusable servers in between stay in the subset and are probed, so that their recovery is
+//! detected.
 //!
-//! Why: reports of 10,000 servers would cost each node megabytes a second; what a subset costs does
-//! not grow with the fleet.
+//! Reports of 10,000 servers would cost each node megabytes per second; the cost of a subset does
+//! not grow with the number of servers.
 
 use crate::fleet::{ByZone, ServerIndex};
 use crate::hash::{hash_text, mix};
 use wingshore_types::ServerId;
 use wingshore_types::configuration::Permille;
 
-/// Servers passed over at most, per usable server wanted.
+/// Maximum number of servers scanned per wanted usable server.
 const MAX_SCAN_FACTOR: usize = 4;
-/// Most growth under exhaustion, in sizes as configured.
+/// Maximum size of a subset under exhaustion, as a multiple of the configured size.
 const MAX_GROWTH_FACTOR: usize = 4;
 
-/// Rank of a server for a node; lower comes first.
+/// Returns the rank of a server for a node; lower ranks come first.
 pub(crate) fn rank(seed: u64, server: &ServerId) -> u64 {
     mix(seed ^ hash_text(server.as_str()))
 }
 
-/// How many servers are wanted, and how that grows.
+/// Target size of a subset, which grows under exhaustion.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SubsetSize {
     base: usize,
@@ -34,13 +35,13 @@
 }
 
 impl SubsetSize {
-    /// A size as configured.
+    /// Creates a size with the configured value.
     pub(crate) fn new(base: u32) -> Self {
         let base = base as usize;
         Self { base, target: base }
     }
 
-    /// Half as many again, up to a limit. Returns whether it grew.
+    /// Grows the size by half, up to a limit. Returns whether it grew.
     pub(crate) fn grow(&mut self) -> bool {
         let most = self.base.saturating_mul(MAX_GROWTH_FACTOR);
         let grown = self
@@ -52,14 +53,15 @@
         did_grow
     }
 
-    /// Back to the configured size. Returns whether it shrank.
+    /// Resets the size to the configured value. Returns whether it shrank.
     pub(crate) fn shrink(&mut self) -> bool {
         let did_shrink = self.target > self.base;
         self.target = self.base;
         did_shrink
     }
 
-    /// How many to take from the own zone and from the others, which have so many servers.
+    /// Returns the numbers of servers to take from the own zone and from the other zones, which
+    /// have `own` and `others` servers; `share` is the share of the other zones.
     pub(crate) fn split(&self, own: usize, others: usize, share: Permille) -> (usize, usize) {
         let share = usize::from(share.0);
         let for_others = (self.target.saturating_mul(share) / 1000).min(others);
@@ -69,7 +71,7 @@
     }
 }
 
-/// The members of a subset.
+/// Returns the members of a subset.
 pub(crate) fn members(
     ranked: &ByZone,
     size: SubsetSize,
@@ -83,7 +85,8 @@
     }
 }
 
-/// The shortest start of `ranked` that has `wanted` usable servers, bounded.
+/// Returns the shortest prefix of `ranked` with `target` usable servers, at most
+/// `target * MAX_SCAN_FACTOR` servers long.
 fn shortest_prefix(
     ranked: &[ServerIndex],
     target: usize,
