--- a/crates/nodes/wingshore-routing/src/load.rs
+++ b/crates/nodes/wingshore-routing/src/load.rs
@@ -1,11 +1,11 @@
-//! Load of one server: this node's own requests, counted exactly, and those of others,
-//! estimated from reports that lag.
+//! Load of one server: this node's own requests, counted exactly, and the requests of other nodes,
+//! estimated from delayed reports.
 //!
-//! A report counts everybody's requests as of some time ago. What it says of others is that count
-//! less this node's own requests *at that time*, so a short history of the own count is kept. The
-//! estimate is then "others as of the report, plus own as of now": requests sent since the report
-//! are counted although the report misses them, and requests that ended since are not counted
-//! although the report has them.
+//! A report counts the requests of all nodes at an earlier time. The external load is that count
+//! minus this node's own requests *at the same time*, so a short history of the own count is kept.
+//! The total is the external load as of the report plus the current own count: own requests sent
+//! since the report are included although the report misses them, and own requests that ended since
+//! are excluded although the report counts them.
 
 use crate::class::{ByClass, Class};
 use crate::load_estimator::{LoadEstimator, Reading};
@@ -14,12 +14,13 @@
 use wingshore_types::Instant;
 use wingshore_types::platform::LoadReport;
 
-/// Resolution of the history.
+/// Time resolution of the history.
 const BUCKET_WIDTH: Duration = Duration::from_millis(16);
-/// Most buckets with a change that are kept; at least 1 s of history.
+/// Maximum number of buckets kept. Only buckets with a change are kept, so the history covers at
+/// least 1 s.
 const MAX_BUCKETS: usize = 64;
 
-/// The own count before the first change within one bucket of time.
+/// Own count before the first change within one bucket.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     bucket: u64,
@@ -35,36 +36,35 @@
 }
 
 impl Load {
-    /// This node's own requests of one class.
+    /// Returns the number of this node's own requests of one class.
     pub(crate) fn own_of(&self, class: Class) -> u32 {
         *self.own.get(class)
     }
 
-    /// This node's own requests.
+    /// Returns the number of this node's own requests.
     pub(crate) fn own(&self) -> u32 {
         self.own_of(Class::Live) + self.own_of(Class::Rollout)
     }
 
-    /// Requests of others, in thousandths: what the last reading says by now.
+    /// Returns the current estimate of the requests of other nodes, in thousandths.
     pub(crate) fn external(&self, now: Instant, load_estimator: &LoadEstimator) -> u64 {
         load_estimator.estimate(now, self.reading)
     }
 
-    /// One request more.
+    /// Records the start of an own request.
     pub(crate) fn add(&mut self, now: Instant, class: Class) {
         self.record_change(now);
         *self.own.get_mut(class) += 1;
     }
 
-    /// One request less.
+    /// Records the end of an own request.
     pub(crate) fn remove(&mut self, now: Instant, class: Class) {
         self.record_change(now);
         let count = self.own.get_mut(class);
         *count = count.saturating_sub(1);
     }
 
-    /// Takes a report, unless a newer one is known already. Returns the reading it gives, and the
-    /// one before.
+    /// Applies a report unless a newer one is known. Returns the new reading and the previous one.
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
@@ -82,12 +82,12 @@
         Some((reading, before))
     }
 
-    /// Forgets what reports said, for instance because the server started anew.
+    /// Discards the last reading, for instance because the server restarted.
     pub(crate) fn forget_reports(&mut self) {
         self.reading = None;
     }
 
-    /// The own count at an earlier time, to the resolution of the history.
+    /// Returns the own count at an earlier time, at the resolution of the history.
     fn own_at(&self, time: Instant) -> u32 {
         let bucket = bucket_of(time);
         let after = self
@@ -116,7 +116,7 @@
     }
 }
 
-/// Number of the bucket that `time` lies in.
+/// Returns the number of the bucket that contains `time`.
 fn bucket_of(time: Instant) -> u64 {
     time.0 / BUCKET_WIDTH.as_nanos() as u64
 }
--- a/crates/nodes/wingshore-routing/src/load_estimator.rs
+++ b/crates/nodes/wingshore-routing/src/load_estimator.rs
@@ -1,53 +1,54 @@
-//! Question: what does an old load report say of others' requests on a server now?
+//! Load estimation: estimates the current requests of other nodes on a server from an old load
+//! report.
 //!
-//! Inputs: pairs of reports of the same server, with their age; the reports of its service.
+//! Inputs: pairs of successive reports of the same server with their age, and the reports of all
+//! servers of its service.
 //!
-//! Why: a report that is older than the requests it counts does harm when it is believed: every node
-//! runs to the server that was emptiest a while ago.
+//! Trusting a report that is older than the requests it counts does harm: every node sends its
+//! requests to the server that was least loaded some time ago. The estimate therefore weights the
+//! difference between a server's report and *the mean of its service* by the observed part of such
+//! differences that persists until the next report. That part is large where requests run for
+//! minutes, and zero where they run for milliseconds or where the nodes themselves follow the
+//! reports.
 //!
-//! Rule: what a report says of one server *against
-//! the mean of its service* counts by how much of such differences was still there at the next
-//! report, as observed: much where requests run for minutes, nothing where they run for
-//! milliseconds, or where the nodes themselves chase the reports.
-//!
-//! Missing input: a server without a report counts as the mean of its service, a service without one
-//! that counts as empty of others' requests.
+//! A server without a report counts with the mean of its service. A service without a valid report
+//! counts as free of external requests.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Weight of a new pair of reports is one over this.
+/// Divisor of the exponential moving averages: a new pair of reports has a weight of 1/64.
 const SMOOTHING_DIVISOR: f64 = 64.0;
-/// What is assumed before reports are seen: half of a difference is left at the next report.
+/// Correlation assumed before the first reports: half of a difference persists until the next one.
 const INITIAL_CORRELATION: f64 = 0.5;
-/// Never believed to be more than this, so that the time stays finite.
+/// Upper bound of the correlation; it keeps the half-life finite.
 const MAX_CORRELATION: f64 = 0.999;
-/// Weights and loads are counted in thousandths.
+/// Load units per request: loads are in thousandths of a request.
 const UNITS_PER_REQUEST: u64 = 1000;
 
-/// Others' requests on one server, as one report says.
+/// Requests of other nodes on one server according to one report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Reading {
     pub(crate) external: u32,
     pub(crate) read_at: Instant,
 }
 
-/// What the reports of one service's servers have in common.
+/// Statistics over the reports of all servers of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadEstimator {
-    /// Mean of others' requests per server, in thousandths; `None` before the first report.
+    /// Mean external requests per server, in thousandths; `None` before the first report.
     mean: Option<f64>,
     expires_at: Instant,
     variance: f64,
     covariance: f64,
     /// Mean time between two readings of a server, in nanoseconds.
     interval: f64,
-    /// A difference that is this old counts half, in nanoseconds.
+    /// Age at which a difference counts half, in nanoseconds.
     half_life: u64,
 }
 
 impl LoadEstimator {
-    /// Nothing is known; servers will be read every `interval`.
+    /// Creates an estimator without data for servers that are read every `interval`.
     pub(crate) fn new(interval: Duration) -> Self {
         let interval = interval.as_nanos() as f64;
         Self {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Takes a reading of one of `servers`, and the reading before it, if that counts.
+    /// Applies a reading of one of `servers`, together with the previous reading of that server if
+    /// there is one.
     pub(crate) fn on_reading(
         &mut self,
         reading: Reading,
@@ -77,7 +79,7 @@
         self.expires_at = self.expires_at.max(reading.read_at + lifetime);
     }
 
-    /// Mean of others' requests per server, in thousandths.
+    /// Returns the mean external requests per server, in thousandths; zero without a valid report.
     pub(crate) fn mean(&self, now: Instant) -> u64 {
         match self.mean {
             Some(mean) if now < self.expires_at => mean as u64,
@@ -85,8 +87,9 @@
         }
     }
 
-    /// The best guess of others' requests on a server now, in thousandths: the mean, and what is
-    /// probably left of the difference that was read. Nothing, when no report counts any more.
+    /// Returns the estimated external requests on a server at `now`, in thousandths: the mean plus
+    /// the part of the reading's difference from it that probably persists. Returns zero if no
+    /// report is valid any more.
     pub(crate) fn estimate(&self, now: Instant, reading: Option<Reading>) -> u64 {
         let mean = self.mean(now);
         let Some(reading) = reading.filter(|_| now < self.expires_at) else {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Learns from two readings of one server how much of a difference is left.
+    /// Updates the correlation and the half-life with two successive readings of one server.
     fn update_correlation(&mut self, reading: Reading, before: Reading, mean: f64) {
         let difference =
             |reading: Reading| f64::from(reading.external) - mean / UNITS_PER_REQUEST as f64;
--- a/crates/nodes/wingshore-routing/src/membership.rs
+++ b/crates/nodes/wingshore-routing/src/membership.rs
@@ -1,52 +1,54 @@
-//! Question: may a server get new work?
+//! Membership: decides whether a server may get new requests.
 //!
-//! Inputs: the configuration, the machine list, the server's own state, its refusals, its probes.
+//! Inputs: the configuration, the machine list, the server's own state, its refusals, and its probe
+//! results.
 //!
-//! Rule: the first that matches:
-//! 1. **absent**: the configuration does not have it (existence is decided there alone);
+//! The status is the first of these that applies:
+//! 1. **absent**: the configuration does not contain the server (only the configuration decides
+//!    which servers exist);
 //! 2. **leaving**: *any* of the configuration (`Draining`), the machine list (`Leaving`), the
-//!    server's own state (`draining`) or its own refusals says so. Nobody's word that it stays
-//!    outweighs another's that it leaves;
-//! 3. **unhealthy**: probes failed several rounds in a row;
+//!    server's own state (`draining`) or its own refusals says so. No source that reports the
+//!    server as open overrides another that reports it as leaving;
+//! 3. **unhealthy**: probes failed for several consecutive rounds;
 //! 4. **open**.
 //!
-//! A server that the machine list does not name is judged by the others: the list lags, and an
-//! empty list must not close a fleet.
+//! For a server that the machine list does not contain, only the other sources decide: the list
+//! lags, and an empty list must not close all servers.
 
 use std::time::Duration;
 use wingshore_types::configuration::Admission;
 use wingshore_types::{Instant, doubled_backoff};
 
-/// The merged view of one server.
+/// Status of one server, merged from all sources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerStatus {
-    /// Not in the configuration.
+    /// The configuration does not contain the server.
     Absent,
-    /// It will stop, or refuses work.
+    /// The server will stop or refuses requests.
     Leaving,
-    /// It does not answer probes.
+    /// The server does not answer probes.
     Unhealthy,
-    /// It may get new work.
+    /// The server may get new requests.
     Open,
 }
 
-/// Limits of the health check.
+/// Thresholds of the health check, in consecutive rounds of probes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HealthLimits {
     pub(crate) unhealthy_after: u32,
     pub(crate) healthy_after: u32,
-    /// Several probes of one server within this time are one round.
+    /// Duration of a round; several probes of one server within it count once.
     pub(crate) round: Duration,
 }
 
-/// What each source says of one server.
+/// State of one server according to each source.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
-    /// By the configuration; `None` when it does not have the server.
+    /// Admission by the configuration; `None` if it does not contain the server.
     pub(crate) admission: Option<Admission>,
-    /// By the newest machine list.
+    /// Whether the newest machine list reports the server as leaving.
     pub(crate) leaving_by_list: bool,
-    /// By its own last state.
+    /// Whether the server's last state report says that it is draining.
     pub(crate) draining_by_state: bool,
     refused_until: Instant,
     refusals: u32,
@@ -56,7 +58,7 @@
 }
 
 impl Membership {
-    /// A server of which nothing bad is known.
+    /// Returns the state of an absent server without observations; it counts as healthy.
     pub(crate) fn new() -> Self {
         Self {
             admission: None,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The merged view.
+    /// Returns the merged status.
     pub(crate) fn status(&self, now: Instant) -> ServerStatus {
         match self.admission {
             None => ServerStatus::Absent,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Whether anyone says that it is leaving.
+    /// Returns whether any source reports the server as leaving.
     pub(crate) fn is_leaving(&self, now: Instant) -> bool {
         self.admission == Some(Admission::Draining)
             || self.leaving_by_list
@@ -88,29 +90,29 @@
             || now < self.refused_until
     }
 
-    /// Whether probes find it healthy.
+    /// Returns whether the server is healthy according to its probes.
     pub(crate) fn is_healthy(&self) -> bool {
         self.healthy
     }
 
-    /// When the backoff after its refusals ends.
+    /// Returns the time at which the backoff after refusals ends.
     pub(crate) fn refused_until(&self) -> Instant {
         self.refused_until
     }
 
-    /// The server refused a request as not run.
+    /// Records that the server refused a request without running it, and starts a backoff.
     pub(crate) fn on_refusal(&mut self, now: Instant, initial: Duration, max: Duration) {
         let backoff = doubled_backoff(initial, self.refusals, max);
         self.refusals = self.refusals.saturating_add(1);
         self.refused_until = self.refused_until.max(now + backoff);
     }
 
-    /// The server answered a request.
+    /// Records a successful request; the next backoff is the initial one.
     pub(crate) fn on_success(&mut self) {
         self.refusals = 0;
     }
 
-    /// A probe was answered or not. Returns whether the server recovered by it.
+    /// Records the result of a probe. Returns whether the server became healthy again.
     pub(crate) fn on_probe(&mut self, now: Instant, succeeded: bool, limits: HealthLimits) -> bool {
         if self.is_same_round(now, succeeded, limits.round) {
             return false;
@@ -133,7 +135,7 @@
         succeeded
     }
 
-    /// Forgets what was observed of a process that is no longer there.
+    /// Discards all observations of a process that has been replaced.
     pub(crate) fn forget_observations(&mut self) {
         let admission = self.admission;
         let leaving_by_list = self.leaving_by_list;
@@ -142,8 +144,8 @@
         self.leaving_by_list = leaving_by_list;
     }
 
-    /// Whether a probe adds nothing to the last round. A failure after a success of the same
-    /// round still counts: one of the probes failed.
+    /// Returns whether a probe adds nothing to the last round. A failure after a success in the
+    /// same round still counts, because one of the probes failed.
     fn is_same_round(&self, now: Instant, succeeded: bool, round: Duration) -> bool {
         match self.last_round {
             Some((at, had_succeeded)) => {
--- a/crates/nodes/wingshore-routing/src/outlier.rs
+++ b/crates/nodes/wingshore-routing/src/outlier.rs
@@ -1,19 +1,18 @@
-//! Question: does a server whose requests fail get no more work for a while, and for how long?
+//! Outlier detection: decides whether a server whose requests fail is ejected, and for how long.
 //!
-//! Inputs: the ends of this node's own requests, the servers of the subset that are ejected now.
+//! Inputs: the outcomes of this node's own requests, and the servers of the subset that are
+//! currently ejected.
 //!
-//! Rule: some failures in a row eject a server; each further ejection lasts twice as long, up to a
-//! limit, and successes shorten the next one again. At most a share of a service's servers is ejected
-//! at one time.
-//!
-//! Why: one bad server must not use up the retry budget, and a fault that all servers share must not
-//! eject all of them. The limits are settings.
+//! A number of consecutive failures ejects a server, so that one faulty server does not use up the
+//! retry budget. Each further ejection lasts twice as long, up to a limit, and successes shorten
+//! the next one again. At most a share of a service's servers is ejected at the same time, so that
+//! a fault common to all servers does not eject all of them. The limits are settings.
 
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
 use wingshore_types::{Instant, doubled_backoff};
 
-/// Limits of ejection.
+/// Limits of ejections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EjectionLimits {
     pub(crate) failure_threshold: u32,
@@ -21,7 +20,7 @@
     pub(crate) max_duration: Duration,
 }
 
-/// The failures of one server.
+/// Failures and ejections of one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutlierDetector {
     failures: u32,
@@ -30,17 +29,18 @@
 }
 
 impl OutlierDetector {
-    /// Whether it is ejected.
+    /// Returns whether the server is ejected.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// When its ejection ends.
+    /// Returns the time at which the ejection ends.
     pub(crate) fn ejected_until(&self) -> Option<Instant> {
         self.ejected_until
     }
 
-    /// A request succeeded: the count begins anew, and the next ejection is shorter.
+    /// Records a successful request. It resets the count of consecutive failures; if that count is
+    /// zero already, it shortens the next ejection.
     pub(crate) fn on_success(&mut self) {
         if self.failures > 0 {
             self.failures = 0;
@@ -49,13 +49,14 @@
         }
     }
 
-    /// A request failed. Returns whether the server is to be ejected, if the floor allows it.
+    /// Records a failed request. Returns whether the server should be ejected, subject to
+    /// [`may_eject_another`].
     pub(crate) fn on_failure(&mut self, limits: EjectionLimits) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.ejected_until.is_none() && self.failures >= limits.failure_threshold
     }
 
-    /// Ejects it.
+    /// Ejects the server.
     pub(crate) fn eject(&mut self, now: Instant, limits: EjectionLimits) {
         let duration = doubled_backoff(limits.base_duration, self.ejections, limits.max_duration);
         self.ejections = self.ejections.saturating_add(1);
@@ -63,7 +64,7 @@
         self.ejected_until = Some(now + duration);
     }
 
-    /// Ends an ejection whose time is over. Returns whether it did.
+    /// Ends the ejection if its time has passed. Returns whether it did.
     pub(crate) fn release(&mut self, now: Instant) -> bool {
         match self.ejected_until {
             Some(until) if now >= until => {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Whether one more of `servers` may be ejected beside `ejected`.
+/// Returns whether one more of `servers` may be ejected while `ejected` of them are.
 pub(crate) fn may_eject_another(ejected: usize, servers: usize, most: Permille) -> bool {
     let allowed = servers * usize::from(most.0) / 1000;
     ejected < allowed
--- a/crates/nodes/wingshore-routing/src/pace.rs
+++ b/crates/nodes/wingshore-routing/src/pace.rs
@@ -1,20 +1,20 @@
-//! A bound on how many probes are sent in a second.
+//! Rate limit for probes.
 
 use wingshore_types::Instant;
 
-/// Billionths of a probe in a probe.
+/// Allowance units per probe: the allowance is in billionths of a probe.
 const UNITS_PER_PROBE: u64 = 1_000_000_000;
 
-/// Probes that may be sent now. What is not used is saved up for one second at most.
+/// Token bucket for probes. Unused allowance accumulates for at most one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProbeRateLimiter {
-    /// In billionths of a probe.
+    /// Probes that may be sent now, in billionths of a probe.
     allowance: u64,
     updated_at: Option<Instant>,
 }
 
 impl ProbeRateLimiter {
-    /// Gains what `per_second` allows since the last time.
+    /// Adds the allowance for the time since the last call.
     pub(crate) fn refill(&mut self, now: Instant, per_second: u32) {
         let per_second = u64::from(per_second);
         let most = per_second * UNITS_PER_PROBE;
@@ -25,8 +25,9 @@
         self.updated_at = Some(now);
     }
 
-    /// Takes `count` probes; takes none when that are too many. More than a second's allow, as a
-    /// single server may need, are taken once the whole second is saved up.
+    /// Takes the allowance for `count` probes, or nothing if it does not suffice. A count above
+    /// `per_second`, as a single server may need, is granted once the allowance of a whole second
+    /// has accumulated.
     pub(crate) fn try_take(&mut self, count: usize, per_second: u32) -> bool {
         let wanted = (count as u64).min(u64::from(per_second)) * UNITS_PER_PROBE;
         let is_enough = self.allowance >= wanted;
--- a/crates/nodes/wingshore-routing/src/retry.rs
+++ b/crates/nodes/wingshore-routing/src/retry.rs
@@ -1,23 +1,24 @@
-//! Question: may an attempt that ended be repeated?
+//! Retries: decides whether an attempt that ended may be repeated.
 //!
-//! Inputs: its verdict, whether the request may run twice, the tokens of its service's budget.
+//! Inputs: the verdict of the attempt, whether the request may run twice, and the tokens in the
+//! retry budget of its service.
 //!
-//! Rule: what did not run may be repeated, what may have run only where running twice is allowed,
-//! what ran never; and only while the budget has a token. The budget is a token bucket per service.
-//! Each first attempt adds a share of a token, each second adds a few, each retry takes one. Over
-//! any time, retries are at most `share * first attempts + rate * seconds + burst`.
-//!
-//! Why: while a service is down, attempts must not multiply.
+//! A request that did not run may be repeated. A request that may have run may be repeated only if
+//! running it twice is allowed, and one that ran is never repeated. In addition the retry budget
+//! must have a token, so that attempts do not multiply while a service is down. The budget is a
+//! token bucket per service: each first attempt adds a fraction of a token, each second adds a few
+//! tokens, and each retry takes one. Over any period, retries are at most
+//! `share * first attempts + rate * seconds + burst`.
 
 use crate::request::RouteRequest;
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
 use wingshore_types::{Instant, Verdict};
 
-/// Tokens are counted in thousandths.
+/// Budget units per token: tokens are counted in thousandths.
 const UNITS_PER_TOKEN: u64 = 1000;
 
-/// Whether `verdict` allows the request to be sent again.
+/// Returns whether `verdict` allows the request to be sent again.
 pub(crate) fn verdict_allows(request: &RouteRequest, verdict: Verdict) -> bool {
     match verdict {
         Verdict::NotRun => true,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Size of the bucket and what fills it.
+/// Capacity and refill rates of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BudgetLimits {
     pub(crate) share: Permille,
@@ -34,18 +35,19 @@
     pub(crate) burst: u32,
 }
 
-/// The bucket of one service. It starts full.
+/// Retry budget of one service: a token bucket that starts full.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     limits: BudgetLimits,
     tokens: u64,
     refilled_at: Option<Instant>,
-    /// Granted retries whose attempt has not come yet; those attempts add nothing.
+    /// Number of granted retries whose attempt has not been admitted yet. Those attempts add
+    /// nothing to the bucket.
     granted_retries: u32,
 }
 
 impl RetryBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(limits: BudgetLimits) -> Self {
         Self {
             limits,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// An attempt was admitted; only a first attempt adds to the bucket.
+    /// Records an admitted attempt. Only a first attempt adds to the bucket.
     pub(crate) fn on_attempt(&mut self) {
         if self.granted_retries > 0 {
             self.granted_retries -= 1;
@@ -64,7 +66,7 @@
         self.add(u64::from(self.limits.share.0));
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token. Returns false if the bucket has none.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
         if self.tokens < UNITS_PER_TOKEN {
@@ -78,7 +80,7 @@
         true
     }
 
-    /// Adds what the time since the last call gives.
+    /// Adds the tokens for the time since the last refill.
     fn refill(&mut self, now: Instant) {
         let last = *self.refilled_at.get_or_insert(now);
         let rate = u128::from(self.limits.per_second);
--- a/crates/nodes/wingshore-routing/src/tickets.rs
+++ b/crates/nodes/wingshore-routing/src/tickets.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{ServerIndex, ServiceIndex};
 use crate::request::Ticket;
 
-/// One admitted attempt.
+/// An admitted attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerIndex,
@@ -20,8 +20,8 @@
     attempt: Option<Attempt>,
 }
 
-/// Attempts by ticket. A ticket names a position and the generation of its use, so that one that
-/// was returned already finds nothing.
+/// Attempts by ticket. A ticket consists of a position and its generation, so that a ticket that
+/// was already taken back does not match.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
     entries: Vec<Entry>,
@@ -29,7 +29,7 @@
 }
 
 impl Tickets {
-    /// Notes an attempt.
+    /// Stores an attempt and returns its ticket.
     pub(crate) fn issue(&mut self, attempt: Attempt) -> Ticket {
         let position = match self.free.pop() {
             Some(position) => position,
@@ -46,7 +46,7 @@
         Ticket(u64::from(entry.generation) << 32 | u64::from(position))
     }
 
-    /// Takes an attempt back; `None` when it was taken before.
+    /// Removes and returns an attempt; `None` if it was already removed.
     pub(crate) fn take(&mut self, ticket: Ticket) -> Option<Attempt> {
         let position = ticket.0 as u32;
         let generation = (ticket.0 >> 32) as u32;
