--- a/crates/nodes/wingshore-routing/src/request.rs
+++ b/crates/nodes/wingshore-routing/src/request.rs
@@ -1,4 +1,4 @@
-//! What callers of the router say and hear.
+//! Types of the router's public interface: requests, results, probes and reports.
 
 use crate::class::Class;
 use serde::{Deserialize, Serialize};
@@ -7,49 +7,50 @@
 use std::time::Duration;
 use wingshore_types::{Instant, ServerId, ServiceId, Verdict, WeightVersion};
 
-/// A request that wants a server.
+/// A request to be routed to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRequest {
-    /// The service whose servers may take it.
+    /// Service whose servers may run the request.
     pub service: ServiceId,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// Hash of the prompt's prefix, when a cached prefix would help.
+    /// Hash of the prompt's prefix, if a cached prefix would help.
     pub prefix_hash: Option<u64>,
-    /// Rough size of the prompt, in tokens: what a cached prefix would save.
+    /// Estimated size of the prompt in tokens, which a cached prefix would save.
     pub tokens_estimate: u32,
-    /// Nobody waits for the answer after this.
+    /// Time after which the caller no longer waits for the answer.
     pub deadline: Instant,
-    /// Whether it must run at most once.
+    /// Whether the request must run at most once.
     pub no_repeat: bool,
-    /// Servers that must not be chosen, for instance because they failed it before.
+    /// Servers that must not be selected, for instance because an earlier attempt failed there.
     pub excluded: Vec<ServerId>,
-    /// Rollouts only: engines below this weight version are of no use.
+    /// Rollouts only: oldest usable weight version; engines below it are not selected.
     pub oldest_useful: Option<WeightVersion>,
 }
 
-/// Names one admitted attempt until [`crate::Router::on_finished`]; finishing twice has no effect.
+/// Identifies an admitted attempt until it is passed to [`crate::Router::on_finished`]. Finishing
+/// an attempt twice has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(crate) u64);
 
-/// A server was chosen and a slot taken.
+/// An admitted request: a server was selected and a slot taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// Must be returned by [`crate::Router::on_finished`] however the attempt ends.
+    /// Ticket to pass to [`crate::Router::on_finished`], however the attempt ends.
     pub ticket: Ticket,
-    /// The server.
+    /// The selected server.
     pub server: ServerId,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
 }
 
-/// Why no server was chosen.
+/// Reason why no server was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// The configuration has no such service.
+    /// The configuration does not contain the service.
     UnknownService,
-    /// The deadline has passed already.
+    /// The deadline has already passed.
     DeadlinePassed,
     /// No server of the service is open: all are leaving, unhealthy, ejected or excluded.
     NoServer,
@@ -60,7 +61,7 @@
 }
 
 impl RefusalCode {
-    /// Stable text for error bodies and metrics.
+    /// Returns the stable name of the code for error bodies and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownService => "unknown_service",
@@ -72,97 +73,98 @@
     }
 }
 
-/// The request was not admitted; nothing was sent, so its verdict is always
+/// A request that was not admitted. Nothing was sent, so its verdict is always
 /// [`Verdict::NotRun`].
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{message}"))]
 pub struct Refusal {
-    /// Stable code.
+    /// Reason of the refusal.
     pub code: RefusalCode,
-    /// What is wrong, where, and what helps.
+    /// Message for the caller that names the cause and the service.
     pub message: String,
-    /// When asking again makes sense; `None` where it never does.
+    /// Time after which to retry; `None` if a retry cannot succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Nothing was sent.
+    /// Returns the verdict of the request, which was not sent to any server.
     pub fn verdict(&self) -> Verdict {
         Verdict::NotRun
     }
 }
 
-/// How an admitted attempt ended.
+/// Outcome of an admitted attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Success {
-        /// From sending to the end of the answer.
+        /// Time from sending the request to the end of the answer.
         latency: Duration,
     },
-    /// The server said itself that it did not run the request (`x-not-run`).
+    /// The server reported that it did not run the request (`x-not-run`).
     Refused,
-    /// It failed or timed out.
+    /// The attempt failed or timed out.
     Failed(Verdict),
-    /// The caller gave up, or the attempt was cancelled on its behalf; says nothing of the server.
+    /// The caller gave up, or the attempt was cancelled on its behalf. This outcome does not affect
+    /// the state of the server.
     Cancelled,
 }
 
-/// What to ask a server for.
+/// Kind of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProbeKind {
-    /// `GET /state` of an engine, answered by [`crate::Router::on_engine_state`].
+    /// `GET /state` of an engine; pass the response to [`crate::Router::on_engine_state`].
     EngineState,
-    /// `GET /load`, answered by [`crate::Router::on_load`].
+    /// `GET /load`; pass the response to [`crate::Router::on_load`].
     Load,
-    /// `GET /cache_events?after=N` of an engine, answered by
+    /// `GET /cache_events?after=N` of an engine; pass the response to
     /// [`crate::Router::on_cache_events`].
     CacheEvents {
-        /// The last sequence number seen.
+        /// Last sequence number received.
         after: u64,
     },
 }
 
-/// One probe that is due.
+/// A probe that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbeTarget {
-    /// The server.
+    /// Server to probe.
     pub server: ServerId,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// What to ask for.
+    /// Kind of the probe.
     pub kind: ProbeKind,
 }
 
 /// Slots that a class uses beyond its guarantee on one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverGuarantee {
-    /// The server.
+    /// Server with the slots.
     pub server: ServerId,
-    /// Slots in use beyond the guarantee.
+    /// Number of slots in use beyond the guarantee.
     pub borrowed: u32,
-    /// How many of them the other class asks back now; cancelling and resuming that many
-    /// requests elsewhere gives it its guarantee at once.
+    /// Number of borrowed slots that the other class currently reclaims. Cancelling that many
+    /// requests and resuming them elsewhere restores its guarantee at once.
     pub slots_to_reclaim: u32,
 }
 
-/// What the router knows of one server, for status pages and metrics.
+/// State of one server for status pages and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerView {
-    /// Whether this node uses and probes it; of the others little is known.
+    /// Whether this node uses and probes the server; little is known of servers outside the subset.
     pub in_subset: bool,
-    /// Whether new work may go to it now.
+    /// Whether the server may currently get new requests.
     pub open: bool,
-    /// Whether anyone says that it is leaving.
+    /// Whether any source reports the server as leaving.
     pub leaving: bool,
-    /// Whether it is ejected for failures now.
+    /// Whether the server is currently ejected because of failures.
     pub ejected: bool,
-    /// The weight version of its own last report.
+    /// Weight version of the server's last report; `None` if unknown or expired.
     pub version: Option<WeightVersion>,
-    /// This node's own live requests on it.
+    /// Number of this node's own live requests on the server.
     pub live: u32,
-    /// This node's own rollout requests on it.
+    /// Number of this node's own rollout requests on the server.
     pub rollouts: u32,
-    /// Requests of others on it, as estimated from its last report.
+    /// Estimated requests of other nodes on the server, based on its last report.
     pub external: u32,
 }
--- a/crates/nodes/wingshore-routing/src/router.rs
+++ b/crates/nodes/wingshore-routing/src/router.rs
@@ -1,8 +1,8 @@
-//! The router: one type over membership, load, affinity, limits and retries.
+//! The router, which combines membership, load, affinity, admission limits and retries.
 //!
-//! `configure` takes what is said from outside about which servers exist, `observe` what servers
-//! say and how requests end, `decide` admits, `probe` says what to poll, `report` says what is
-//! known.
+//! `configure` applies the configuration and the machine list, `observe` applies probe results and
+//! attempt outcomes, `decide` admits requests and grants retries, `probe` schedules probes, and
+//! `report` returns the state for other components.
 
 mod configure;
 mod decide;
@@ -22,7 +22,7 @@
 use std::collections::BTreeSet;
 use wingshore_types::{Instant, Revision, ServerId, ZoneId};
 
-/// Chooses servers; see the crate's page.
+/// Routes requests to servers; see the [crate documentation](crate).
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
@@ -40,8 +40,8 @@
 }
 
 impl Router {
-    /// A router for a node in `zone`. `seed` should differ between nodes and be the same for a
-    /// node after a restart: it decides which servers the node uses.
+    /// Creates a router for a node in `zone`. `seed` determines which servers the node uses; it
+    /// should differ between nodes and stay the same across restarts of a node.
     pub fn new(settings: RouterSettings, zone: ZoneId, seed: u64) -> Self {
         let affinity = Affinity::new(
             settings.affinity_entries as usize,
@@ -63,20 +63,20 @@
         }
     }
 
-    /// Switches deliberate faults on; for tests of checkers only.
+    /// Injects faults; only for tests of checkers.
     pub fn with_faults(mut self, faults: Faults) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Brings a service's subset and open servers up to date.
+    /// Updates the subset and the open servers of a service.
     fn refresh(&mut self, now: Instant, service: ServiceIndex) {
         self.release_ejected(now, service);
         self.select_members(now, service);
         self.update_open_servers(now, service);
     }
 
-    /// Refreshes a service when a backoff or an ejection has ended.
+    /// Refreshes a service if a backoff or an ejection has ended.
     fn refresh_if_due(&mut self, now: Instant, service: ServiceIndex) {
         let next_change = self.fleet.service(service).next_change;
         if next_change.is_some_and(|at| now >= at) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends ejections whose time is over; such a server starts slowly.
+    /// Ends expired ejections; a released server begins with a slow start.
     fn release_ejected(&mut self, now: Instant, service: ServiceIndex) {
         let slow_start_until = now + self.settings.slow_start;
         let Fleet {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Chooses the service's subset anew.
+    /// Selects the subset of a service.
     fn select_members(&mut self, now: Instant, service: ServiceIndex) {
         let Fleet {
             servers, services, ..
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Lists the members that new work may go to, and when that changes by time alone.
+    /// Updates the list of members that may get new requests, and the time of the next change that
+    /// occurs without an event.
     fn update_open_servers(&mut self, now: Instant, service: ServiceIndex) {
         let ignore_leaving = self.faults.ignore_draining;
         let Fleet {
@@ -148,7 +149,7 @@
     }
 }
 
-/// The earlier of two times, where there are any.
+/// Returns the earlier of two optional times.
 fn earlier(first: Option<Instant>, second: Option<Instant>) -> Option<Instant> {
     match (first, second) {
         (Some(first), Some(second)) => Some(first.min(second)),
--- a/crates/nodes/wingshore-routing/src/router/configure.rs
+++ b/crates/nodes/wingshore-routing/src/router/configure.rs
@@ -1,4 +1,4 @@
-//! Which servers exist and may get work: the configuration and the machine list.
+//! Applies the configuration and the machine list, which determine the servers of each service.
 
 use super::Router;
 use crate::admission::SlotShares;
@@ -17,7 +17,7 @@
 use wingshore_types::platform::{MachineList, MachineState};
 
 impl Router {
-    /// Takes a configuration; one of a lower revision than the last is ignored.
+    /// Applies a configuration. A configuration with a lower revision than the last one is ignored.
     pub fn on_configuration(&mut self, now: Instant, configuration: &Configuration) {
         if configuration.revision < self.revision {
             return;
@@ -33,7 +33,7 @@
         self.refresh_all(now);
     }
 
-    /// Takes the platform's machine list; an older one than the last is ignored.
+    /// Applies the platform's machine list. A list older than the last one is ignored.
     pub fn on_machine_list(&mut self, now: Instant, list: &MachineList) {
         if list.as_of < self.machines_as_of {
             return;
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Forgets an absent server without requests in flight.
+    /// Releases the position of a server that is absent from the configuration and has no requests
+    /// in flight.
     pub(super) fn release_if_removed(&mut self, index: ServerIndex) {
         if self.fleet.release_if_removed(index) {
             self.affinity.reset(index);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Forgets what was observed of a process that another one has replaced.
+    /// Discards all observations of a process that has been replaced by another one.
     pub(super) fn reset_observations(&mut self, index: ServerIndex) {
         self.affinity.forget(index);
         let server = self.fleet.server_mut(index);
@@ -192,7 +193,7 @@
         server.is_loading = false;
     }
 
-    /// Gives the servers of every service their places in the order that all nodes share.
+    /// Assigns the servers of every service their positions in the order that all nodes share.
     fn assign_shared_positions(&mut self, configuration: &Configuration) {
         for service in configuration.services.values() {
             let Some(index) = self.fleet.service_index(&service.id) else {
@@ -213,7 +214,8 @@
         }
     }
 
-    /// Orders the servers of every service; the subsets are chosen anew after it.
+    /// Sorts the servers of every service by rank and clears the subsets, which the caller then
+    /// selects again.
     fn rank_servers(&mut self) {
         for server in &mut self.fleet.servers {
             server.is_member = false;
--- a/crates/nodes/wingshore-routing/src/router/decide.rs
+++ b/crates/nodes/wingshore-routing/src/router/decide.rs
@@ -1,4 +1,4 @@
-//! Admission, and whether an attempt may be repeated.
+//! Admission of requests and granting of retries.
 
 use super::Router;
 use crate::admission::Borrowing;
@@ -12,17 +12,18 @@
 use std::time::Duration;
 use wingshore_types::{Instant, Verdict};
 
-/// A finding that a service is full is checked again after this time at the latest: others'
-/// requests and asks end by time alone.
+/// Lifetime of a cached refusal. It is short because external load estimates and reclaim windows
+/// expire without an event that changes the epoch.
 const CACHED_REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
-/// A subset grows at most once in this time.
+/// Minimum time between two growth steps of a subset.
 const GROWTH_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Router {
-    /// Chooses a server and takes a slot, or refuses at once.
+    /// Selects a server and takes a slot on it, or refuses the request immediately.
     ///
     /// # Errors
-    /// A [`Refusal`]: nothing was sent, the verdict is `NotRun`.
+    /// Returns a [`Refusal`] if no server can take the request. Nothing was sent, so the verdict is
+    /// `NotRun`.
     pub fn admit(&mut self, now: Instant, request: &RouteRequest) -> Result<Admitted, Refusal> {
         let service = self.configured_service(request)?;
         self.fleet.service_mut(service).last_requested_at = now;
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Whether an attempt that ended with `verdict` may be repeated now; takes from the retry
-    /// budget when it answers yes, so ask once per retry.
+    /// Returns whether an attempt that ended with `verdict` may be repeated now. A result of `true`
+    /// takes a token from the retry budget, so call this once per retry.
     pub fn may_retry(&mut self, now: Instant, request: &RouteRequest, verdict: Verdict) -> bool {
         let Some(service) = self.fleet.service_index(&request.service) else {
             return false;
@@ -86,7 +87,7 @@
         selection.choose(&mut self.rng, &hints[..count])
     }
 
-    /// The terms on which a class may borrow now.
+    /// Returns the conditions under which a class may currently borrow slots.
     fn borrowing(&self, now: Instant, state: &ServiceState, class: Class) -> Borrowing {
         let burst = match class {
             Class::Live => 0,
@@ -95,7 +96,7 @@
                 let missing = peak.saturating_sub(state.live_demand(now));
                 match state.dedicated_count(now, self.settings.burst_memory) {
                     0 => missing.div_ceil(state.open.len().max(1) as u32),
-                    // The dedicated engines have room for it.
+                    // The dedicated engines have free slots for the burst.
                     _ => 0,
                 }
             }
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The finding that no server has room for the request's class, while it holds.
+    /// Returns the cached refusal for the request's class, if it is still valid.
     fn cached_refusal(
         &self,
         now: Instant,
@@ -192,7 +193,7 @@
         self.refuse_without_slot(now, service, request, reasons.below_guarantee)
     }
 
-    /// Refuses for want of a slot; a class below its guarantee asks for it by that.
+    /// Refuses a request because no slot is free. A class below its guarantee thereby reclaims it.
     fn refuse_without_slot(
         &mut self,
         now: Instant,
@@ -234,12 +235,12 @@
         }
     }
 
-    /// Uses more servers while those of the subset are exhausted.
+    /// Grows the subset while all slots of its servers are taken.
     fn grow_subset(&mut self, now: Instant, service: ServiceIndex) {
         let state = self.fleet.service_mut(service);
         state.exhausted_at = now;
-        let is_whole = state.members.len() == state.ranked.len();
-        if is_whole || now.since(state.grown_at) < GROWTH_INTERVAL {
+        let is_complete = state.members.len() == state.ranked.len();
+        if is_complete || now.since(state.grown_at) < GROWTH_INTERVAL {
             return;
         }
         state.grown_at = now;
--- a/crates/nodes/wingshore-routing/src/router/observe.rs
+++ b/crates/nodes/wingshore-routing/src/router/observe.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves, and how requests to them end.
+//! Applies probe results and the outcomes of attempts.
 
 use super::Router;
 use crate::affinity::EventsOutcome;
@@ -12,7 +12,7 @@
 use wingshore_types::{Instant, ServerId};
 
 impl Router {
-    /// Takes an engine's own report of its state, just read.
+    /// Applies an engine's state report that was read at `now`.
     pub fn on_engine_state(&mut self, now: Instant, server: &ServerId, state: &EngineState) {
         let Some(index) = self.fleet.server_index(server) else {
             return;
@@ -33,7 +33,7 @@
         self.on_probe(now, index, true);
     }
 
-    /// Takes a load report, which says itself how old it is.
+    /// Applies a load report, which contains its own age.
     pub fn on_load(&mut self, now: Instant, server: &ServerId, report: &LoadReport) {
         let Some(index) = self.fleet.server_index(server) else {
             return;
@@ -54,7 +54,7 @@
         self.on_probe(now, index, true);
     }
 
-    /// Takes cache events.
+    /// Applies cache events of an engine.
     pub fn on_cache_events(&mut self, now: Instant, server: &ServerId, events: &CacheEvents) {
         let Some(index) = self.fleet.server_index(server) else {
             return;
@@ -62,19 +62,20 @@
         let service = self.fleet.server(index).service;
         let taken = self.affinity.on_events(now, index, service, events);
         if taken == EventsOutcome::OtherBoot {
-            // Either the engine has restarted, or these events are late: its next state says.
+            // Either the engine restarted or the events are late. The version stays unknown until
+            // the next state report.
             self.fleet.server_mut(index).version = None;
         }
     }
 
-    /// A probe was not answered, or not by what was asked for.
+    /// Records that a probe got no response or an invalid one.
     pub fn on_probe_failed(&mut self, now: Instant, server: &ServerId) {
         if let Some(index) = self.fleet.server_index(server) {
             self.on_probe(now, index, false);
         }
     }
 
-    /// An admitted attempt ended; its slot is free again.
+    /// Records the outcome of an admitted attempt and frees its slot.
     pub fn on_finished(&mut self, now: Instant, ticket: Ticket, outcome: AttemptOutcome) {
         let Some(attempt) = self.tickets.take(ticket) else {
             return;
@@ -127,7 +128,7 @@
         self.refresh(now, attempt.service);
     }
 
-    /// Whether the floor leaves room for one more ejection.
+    /// Returns whether the limit on ejected servers allows one more ejection.
     fn may_eject(&self, now: Instant, attempt: Attempt) -> bool {
         let service = self.fleet.service(attempt.service);
         let usable = service.members.iter().map(|index| self.fleet.server(index));
@@ -136,7 +137,8 @@
         may_eject_another(ejected.count(), usable.len(), self.settings.most_ejected)
     }
 
-    /// A server restarted as another process: what ran there is lost, and it starts slowly.
+    /// Handles a restart of a server as a new process: discards its observations and begins a slow
+    /// start. Requests that ran on the old process are lost.
     fn on_restart(&mut self, now: Instant, index: ServerIndex) {
         let slow_start_until = now + self.settings.slow_start;
         self.modify_server(now, index, |server| {
@@ -161,7 +163,7 @@
         });
     }
 
-    /// Changes a server, and brings its service up to date if that opened or closed it.
+    /// Modifies a server, and refreshes its service if the server's status or ejection changed.
     fn modify_server(
         &mut self,
         now: Instant,
--- a/crates/nodes/wingshore-routing/src/router/probe.rs
+++ b/crates/nodes/wingshore-routing/src/router/probe.rs
@@ -1,5 +1,5 @@
-//! Which servers to poll, and when: only those of the subset of services in use, and no more in a
-//! second than the pace allows, so that the cost does not grow with the fleet.
+//! Scheduling of probes. Only servers in the subsets of services in use are probed, and the probe
+//! rate is limited, so that the cost does not grow with the number of servers.
 
 use super::Router;
 use crate::fleet::{ServerIndex, ServiceIndex};
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// A grown subset shrinks again after this time without exhaustion.
+/// Time without exhaustion after which a grown subset shrinks to its configured size.
 const SHRINK_AFTER: Duration = Duration::from_secs(60);
 
 impl Router {
-    /// The probes that are due; each is counted as asked. Those that the pace does not allow yet
-    /// come first the next time.
+    /// Returns the probes that are due and schedules the next ones of their servers. Servers over
+    /// the rate limit come first in the next call.
     pub fn probe_targets(&mut self, now: Instant) -> Vec<ProbeTarget> {
         for service in 0..self.fleet.services.len() as ServiceIndex {
             self.refresh_if_due(now, service);
@@ -33,7 +33,7 @@
         targets
     }
 
-    /// Members of services in use whose probes are due, the most overdue first.
+    /// Returns the members of services in use whose probes are due, the most overdue first.
     fn due_servers(&self, now: Instant) -> Vec<ServerIndex> {
         let services = self.fleet.services.iter();
         let members = services
@@ -47,7 +47,8 @@
         due
     }
 
-    /// The first interval is cut by the server's rank, so that probes spread over time.
+    /// Schedules the next probe of a server. The first interval is shortened by up to half,
+    /// depending on the server's rank, so that probes are spread over time.
     fn schedule_probe(&mut self, now: Instant, index: ServerIndex) {
         let interval = self.settings.probe_interval;
         let server = self.fleet.server_mut(index);
@@ -59,7 +60,7 @@
         server.next_probe = Some(now + (interval - cut));
     }
 
-    /// What a server is asked: engines report more than live servers.
+    /// Returns the kinds of probes for a server: engines have more reports than other servers.
     fn probe_kinds(&self, index: ServerIndex) -> Vec<ProbeKind> {
         let mut kinds = vec![ProbeKind::Load];
         let service = self.fleet.server(index).service;
--- a/crates/nodes/wingshore-routing/src/router/report.rs
+++ b/crates/nodes/wingshore-routing/src/router/report.rs
@@ -1,4 +1,4 @@
-//! What the router knows, for the rollout runner, status pages and metrics.
+//! State of the router for the rollout runner, status pages and metrics.
 
 use super::Router;
 use crate::balance::round_to_requests;
@@ -8,8 +8,8 @@
 use wingshore_types::{Instant, ServerId};
 
 impl Router {
-    /// Where `class` uses more slots than are guaranteed to it, and how many of them the other
-    /// class asks back now.
+    /// Returns the servers on which `class` uses more slots than its guarantee, and how many of
+    /// those slots the other class currently reclaims.
     pub fn over_guarantee(&self, now: Instant, class: Class) -> Vec<OverGuarantee> {
         let mut found = Vec::new();
         for service in &self.fleet.services {
@@ -18,13 +18,13 @@
         found
     }
 
-    /// Servers that are ejected as failing.
+    /// Returns the number of servers that are ejected because of failures.
     pub fn ejected(&self) -> usize {
         let servers = self.fleet.servers.iter();
         servers.filter(|server| server.outlier.is_ejected()).count()
     }
 
-    /// What is known of a server; `None` when the configuration does not have it.
+    /// Returns the state of a server; `None` if the configuration does not contain it.
     pub fn server_view(&self, now: Instant, id: &ServerId) -> Option<ServerView> {
         let server = self.fleet.server(self.fleet.server_index(id)?);
         server.membership.admission?;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Slots of a service that the other class asks back: as many as it was refused of late, less
-    /// those that are free for it by now.
+    /// Returns the number of slots of a service that the other class reclaims: its refused requests
+    /// within the reclaim window, minus the slots within its guarantee that have become free.
     fn slots_to_reclaim(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
         let other = class.other();
         let asked = service.reclaim_requests.get(other).count(now);
