--- a/crates/nodes/wingshore-routing/src/settings.rs
+++ b/crates/nodes/wingshore-routing/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the router. Durations are texts with units, for instance `"250ms"`; shares are
+//! Settings of the router. Durations are strings with units, for instance `"250ms"`; shares are in
 //! thousandths.
 
 use serde::{Deserialize, Deserializer};
@@ -8,94 +8,97 @@
 use std::time::Duration;
 use wingshore_types::configuration::Permille;
 
-/// All settings of a [`crate::Router`]; each has a default, so that an empty table is valid.
+/// Settings of a [`crate::Router`]. Each has a default, so an empty table is valid.
 ///
-/// What `choices` does stands in `balance`, `live_reserve` and `burst_memory` in `admission`, the retry
-/// budget in `retry`, `subset_size` in `subset`.
+/// The modules describe the algorithms behind the settings: `balance` describes `choices`,
+/// `admission` describes `live_reserve` and `burst_memory`, `retry` describes the retry budget, and
+/// `subset` describes `subset_size`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Servers compared per decision, in the node's own zone and in the others each.
+    /// Number of servers compared per decision, in the node's own zone and in the other zones each.
     /// Default 2, 1 to 8.
     pub choices: u32,
-    /// How many requests in flight a server of another zone must be ahead by to be preferred.
-    /// Default 2, 0 to 1000.
+    /// Number of requests in flight that a server of another zone must have less than one of the
+    /// own zone to be preferred. Default 2, 0 to 1000.
     pub zone_penalty: u32,
-    /// How long a server that returned is given less work. Default 10 s, 0 s to 10 min.
+    /// Time for which a recovered server gets fewer requests. Default 10 s, 0 s to 10 min.
     #[serde(deserialize_with = "duration")]
     pub slow_start: Duration,
     /// Time between two probes of one server. Default 1 s, 50 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub probe_interval: Duration,
-    /// Most probes in a second, over all services; where that is too few, rounds take longer.
+    /// Maximum number of probes per second over all services; if more are due, rounds take longer.
     /// Default 1000, 1 to 100,000.
     pub probes_per_second: u32,
-    /// Time without requests after which the servers of a service are probed no longer.
+    /// Time without requests after which the servers of a service are no longer probed.
     /// Default 1 min, 1 s to 1 h.
     #[serde(deserialize_with = "duration")]
     pub unused_after: Duration,
-    /// Failed rounds of probes in a row that make a server unhealthy. Default 3, 1 to 100.
+    /// Consecutive failed rounds of probes that make a server unhealthy. Default 3, 1 to 100.
     pub unhealthy_after: u32,
-    /// Good rounds of probes in a row that make it healthy again. Default 2, 1 to 100.
+    /// Consecutive successful rounds of probes that make a server healthy again. Default 2, 1 to
+    /// 100.
     pub healthy_after: u32,
-    /// How long a server that refused a request as not run gets none; doubles with each refusal
-    /// in a row. Default 200 ms, 10 ms to 10 s.
+    /// Backoff after a server refused a request without running it; doubles with each consecutive
+    /// refusal. Default 200 ms, 10 ms to 10 s.
     #[serde(deserialize_with = "duration")]
     pub refusal_pause: Duration,
-    /// The longest such backoff. Default 5 s, 10 ms to 1 min.
+    /// Maximum backoff after refusals. Default 5 s, 10 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub refusal_pause_most: Duration,
-    /// How long an engine's report of its version counts. Default 10 s, 1 s to 5 min.
+    /// Time for which an engine's reported version is valid. Default 10 s, 1 s to 5 min.
     #[serde(deserialize_with = "duration")]
     pub state_lifetime: Duration,
-    /// How long the last load report of a service counts. Default 5 s, 100 ms to 5 min.
+    /// Time for which the last load report of a service is valid. Default 5 s, 100 ms to 5 min.
     #[serde(deserialize_with = "duration")]
     pub load_lifetime: Duration,
-    /// What a wholly cached prompt is worth, in requests in flight. Default 2, 0 to 100; 0
+    /// Cost reduction for a completely cached prompt, in requests in flight. Default 2, 0 to 100; 0
     /// ignores caches.
     pub affinity_bonus: u32,
-    /// Cached prefixes remembered per server. Default 4096, 1 to 1,000,000.
+    /// Maximum number of cached prefixes recorded per server. Default 4096, 1 to 1,000,000.
     pub affinity_entries: u32,
-    /// Time in which a remembered prefix loses half of its worth. Default 2 min, 1 s to 1 h.
+    /// Half-life of the score of a recorded prefix. Default 2 min, 1 s to 1 h.
     #[serde(deserialize_with = "duration")]
     pub affinity_half_life: Duration,
-    /// Failures in a row that eject a server. Default 5, 1 to 1000.
+    /// Consecutive failures that eject a server. Default 5, 1 to 1000.
     pub eject_after: u32,
-    /// How long the first ejection lasts; doubles with each further one. Default 5 s, 100 ms to
+    /// Duration of the first ejection; doubles with each further one. Default 5 s, 100 ms to
     /// 10 min.
     #[serde(deserialize_with = "duration")]
     pub eject_time: Duration,
-    /// The longest ejection. Default 2 min, 100 ms to 1 h.
+    /// Maximum duration of an ejection. Default 2 min, 100 ms to 1 h.
     #[serde(deserialize_with = "duration")]
     pub eject_time_most: Duration,
-    /// Largest share of a service's servers that may be ejected at one time. Default 500, 0 to 900.
+    /// Maximum share of a service's servers that may be ejected at the same time. Default 500, 0 to
+    /// 900.
     pub most_ejected: Permille,
-    /// Least share of the live guarantee that rollouts leave free for bursts. Default 125, 0 to
+    /// Minimum share of the live guarantee that rollouts leave free for bursts. Default 125, 0 to
     /// 1000.
     pub live_reserve: Permille,
-    /// How long rollouts leave free what live requests used at their peak; at most twice as long.
-    /// Default 1 min, 0 s to 1 h; 0 s leaves only the least share free.
+    /// Time for which rollouts leave free the slots that live requests used at their peak; it may
+    /// be up to twice as long. Default 1 min, 0 s to 1 h; 0 s leaves only `live_reserve` free.
     #[serde(deserialize_with = "duration")]
     pub burst_memory: Duration,
-    /// How long a class that was refused its guarantee keeps the other from borrowing.
-    /// Default 2 s, 10 ms to 1 min.
+    /// Time for which a class that was refused below its guarantee keeps the other class from
+    /// borrowing. Default 2 s, 10 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub reclaim_window: Duration,
-    /// Retries allowed per first attempt. Default 200, 0 to 1000.
+    /// Retries allowed per first attempt, in thousandths. Default 200, 0 to 1000.
     pub retry_share: Permille,
-    /// Retries allowed per second and service besides. Default 5, 0 to 10,000.
+    /// Retries allowed per second and service in addition to `retry_share`. Default 5, 0 to 10,000.
     pub retry_least_per_second: u32,
-    /// Most retries that may be saved up, per service. Default 20, 1 to 100,000.
+    /// Maximum number of retries that may accumulate per service. Default 20, 1 to 100,000.
     pub retry_burst: u32,
-    /// Servers of each service that this node uses and probes; grows up to fourfold while they
-    /// are exhausted. Default 40, 1 to 100,000.
+    /// Number of servers of each service that this node uses and probes; grows up to fourfold while
+    /// they are exhausted. Default 40, 1 to 100,000.
     pub subset_size: u32,
-    /// Share of them in other zones, where there are any. Default 250, 0 to 1000.
+    /// Share of the subset in other zones, if those have servers. Default 250, 0 to 1000.
     pub subset_other_zones: Permille,
-    /// Least retry-after of a refused caller. Default 50 ms, 1 ms to 1 min.
+    /// Minimum retry-after of a refused caller. Default 50 ms, 1 ms to 1 min.
     #[serde(deserialize_with = "duration")]
     pub retry_after_least: Duration,
-    /// Longest retry-after of a refused caller. Default 30 s, 1 ms to 1 h.
+    /// Maximum retry-after of a refused caller. Default 30 s, 1 ms to 1 h.
     #[serde(deserialize_with = "duration")]
     pub retry_after_most: Duration,
 }
@@ -136,29 +139,25 @@
     }
 }
 
-/// One setting that is out of its range.
+/// A setting that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{key}` is {found}; allowed is {allowed}"))]
 pub struct SettingError {
-    /// The setting's name.
+    /// Name of the setting.
     pub key: &'static str,
-    /// Its value.
+    /// Value of the setting.
     pub found: String,
-    /// What it may be.
+    /// Allowed range.
     pub allowed: String,
 }
 
-/// One millisecond, for the ranges below.
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// One second.
 const SECOND: Duration = Duration::from_secs(1);
-/// One minute.
 const MINUTE: Duration = Duration::from_secs(60);
-/// One hour.
 const HOUR: Duration = Duration::from_secs(3600);
 
 impl RouterSettings {
-    /// Checks every range; empty when all are within.
+    /// Checks the range of every setting and returns one error for each value out of range.
     pub fn check(&self) -> Vec<SettingError> {
         let mut errors = Vec::new();
         self.check_numbers(&mut errors);
@@ -263,7 +262,7 @@
     }
 }
 
-/// Notes an error when `value` is outside `range`.
+/// Appends an error if `value` is outside `range`.
 fn check_range<T: PartialOrd>(
     key: &'static str,
     value: &T,
@@ -285,7 +284,7 @@
     format!("{least} to {most}")
 }
 
-/// Reads a duration with its unit.
+/// Deserializes a duration with its unit.
 fn duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     humantime::parse_duration(&text).map_err(serde::de::Error::custom)
