--- a/crates/nodes/wingshore-routing/tests/admission.rs
+++ b/crates/nodes/wingshore-routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Slots of two classes: guarantees, borrowing, and asking back.
+//! Tests of admission control: guarantees, borrowing and reclaiming of slots.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 #[gtest]
 fn single_class_takes_its_guarantee_and_borrowable_slots() {
-    // (slots, live share, reserve, most live alone, most rollouts alone)
+    // (slots, live share, reserve, most live requests alone, most rollouts alone)
     let cases = [
         (16, 500, 250, 16, 14),
         (16, 500, 0, 16, 16),
@@ -73,8 +73,9 @@
 
 #[gtest]
 fn rollouts_leave_the_recent_live_peak_free() {
-    // (live at the peak, time of the flood of rollouts in s, rollouts that fit): 8 of 16 are
-    // guaranteed to each, one is always left free, a burst is remembered for one to two minutes
+    // (live requests at the peak, time at which rollouts fill the slots in s, rollouts admitted):
+    // 8 of 16 slots are guaranteed to each class, one slot is always left free, and a peak is kept
+    // for one to two minutes.
     for (peak, seconds, expected) in [
         (1, 1, 15),
         (5, 1, 11),
@@ -111,7 +112,8 @@
 
 #[gtest]
 fn external_requests_limit_borrowing_before_the_guarantee() {
-    // (requests of others, most live, most rollouts) of 16 slots, 8 guaranteed to each, no reserve
+    // (external requests, most requests admitted of either class), with 16 slots, 8 of them
+    // guaranteed to each class, and no reserve
     let settings = RouterSettings {
         live_reserve: Permille(0),
         ..RouterSettings::default()
@@ -138,7 +140,7 @@
     let mut lives = admit_all(&mut router, at(0), &live(), 10);
     let first = router.admit(at(1), &live()).expect_err("full");
     expect_that!(first.retry_after, some(eq(Duration::from_millis(50))));
-    let done = lives.pop().expect("ten were admitted");
+    let done = lives.pop().expect("ten requests were admitted");
     router.on_finished(at(2000), done.ticket, success(2000));
     admit_all(&mut router, at(2001), &live(), 1);
     for asked in 1..=3 {
@@ -148,7 +150,7 @@
     }
 }
 
-/// One step of a flood: which classes ask, and how many of each end.
+/// One step of a random load: requests to admit and running requests to finish per class.
 #[derive(Clone, Debug)]
 struct Step {
     live: usize,
@@ -182,8 +184,8 @@
 proptest! {
     #![proptest_config(property(200))]
 
-    /// Own requests never exceed the slots. Under a flood of both classes after any history, once
-    /// what was borrowed has ended each class has its guarantee on every server.
+    /// Own requests never exceed the slots. When both classes saturate the servers after any
+    /// history, each class has its guarantee on every server once the borrowed slots are free.
     #[test]
     fn slots_and_guarantees_hold(
         steps in prop::collection::vec(step(), 0..30),
@@ -209,7 +211,7 @@
     }
 }
 
-/// Both classes ask all the time while the oldest requests end one by one.
+/// Requests slots for both classes continuously while the oldest requests end one by one.
 fn saturate(router: &mut wingshore_routing::Router, now: u64, running: &mut [Vec<Admitted>; 2]) {
     let rounds = 3 * (running[0].len() + running[1].len()) + 400;
     for _ in 0..rounds {
@@ -229,7 +231,7 @@
 ) -> std::result::Result<(), TestCaseError> {
     for number in 0..servers {
         let view = router.server_view(at(now), &server_id(number));
-        let view = view.expect("it is configured");
+        let view = view.expect("the server is configured");
         prop_assert!(view.live + view.rollouts <= slots, "{view:?}");
     }
     Ok(())
@@ -246,7 +248,7 @@
     let live = live.clamp(1, slots - 1);
     for number in 0..servers {
         let view = router.server_view(at(now), &server_id(number));
-        let view = view.expect("it is configured");
+        let view = view.expect("the server is configured");
         prop_assert!(
             view.live >= live && view.rollouts >= slots - live,
             "{view:?}, {live}"
--- a/crates/nodes/wingshore-routing/tests/affinity.rs
+++ b/crates/nodes/wingshore-routing/tests/affinity.rs
@@ -1,4 +1,5 @@
-//! Cached prefixes as hints: they attract, lose worth, and never override what is open.
+//! Tests of prefix cache affinity: hints attract requests, decay, and never select a server that is
+//! not open.
 
 mod support;
 
@@ -36,13 +37,16 @@
     }
 }
 
-/// How many of 100 requests, each alone, go to server 3.
+/// Returns how many of 100 successive requests, each finished before the next, go to server 3,
+/// which the hints name.
 fn count_on_hinted_server(router: &mut Router, now: u64) -> usize {
     let mut count = 0;
     for _ in 0..100 {
-        let admitted = router.admit(at(now), &with_prefix()).expect("it is open");
+        let admitted = router
+            .admit(at(now), &with_prefix())
+            .expect("the server is open");
         count += usize::from(admitted.server == server_id(3));
-        // Cancelled, so that the choice itself leaves no hint.
+        // A cancelled request records no hint, unlike a successful one.
         let cancelled = wingshore_routing::AttemptOutcome::Cancelled;
         router.on_finished(at(now), admitted.ticket, cancelled);
     }
@@ -56,7 +60,7 @@
         ("stored", true, |router| {
             send_events(router, 0, 1, vec![stored(1, PREFIX)])
         }),
-        ("stored, told again", true, |router| {
+        ("stored, sent twice", true, |router| {
             send_events(router, 0, 1, vec![stored(1, PREFIX)]);
             send_events(router, 0, 1, vec![stored(1, PREFIX)]);
         }),
@@ -64,10 +68,10 @@
             let evicted = event(2, PREFIX, CacheEventKind::Evicted);
             send_events(router, 0, 1, vec![stored(1, PREFIX), evicted]);
         }),
-        ("a gap later", true, |router| {
+        ("one gap since", true, |router| {
             send_events(router, 0, 1, vec![stored(1, PREFIX), stored(9, 1)]);
         }),
-        ("many gaps later", false, |router| {
+        ("many gaps since", false, |router| {
             let others = (2..12).map(|number| stored(number * 2, number));
             send_events(
                 router,
@@ -80,7 +84,7 @@
             send_events(router, 0, 1, vec![stored(1, PREFIX)]);
             send_events(router, 0, 2, vec![stored(1, 1)]);
         }),
-        ("another boot by its state", false, |router| {
+        ("another boot in the state report", false, |router| {
             send_events(router, 0, 1, vec![stored(1, PREFIX)]);
             router.on_engine_state(at(0), &server_id(3), &state(2, Some(VERSION), false));
         }),
@@ -129,10 +133,14 @@
         ..rollout()
     };
     let admitted = admit_all(&mut router, at(1), &request, 20);
-    expect_that!(count_on(&admitted, 3), eq(0), "its version is unknown");
+    expect_that!(
+        count_on(&admitted, 3),
+        eq(0),
+        "the version of server 3 is unknown"
+    );
     router.on_configuration(at(2), &with_admission(&site, 3, Admission::Draining));
     let admitted = admit_all(&mut router, at(3), &with_prefix(), 20);
-    expect_that!(count_on(&admitted, 3), eq(0), "it is leaving");
+    expect_that!(count_on(&admitted, 3), eq(0), "server 3 is leaving");
 }
 
 #[gtest]
--- a/crates/nodes/wingshore-routing/tests/balance.rs
+++ b/crates/nodes/wingshore-routing/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which of the open servers is chosen.
+//! Tests of the selection among open servers.
 
 mod support;
 
@@ -14,7 +14,8 @@
     }
 }
 
-/// Largest count on one of 40 servers after 800 requests that all stay.
+/// Returns the largest number of requests on one of 40 servers after 800 requests, none of which
+/// ends.
 fn max_requests_per_server(settings: RouterSettings) -> usize {
     let mut router = router_with(settings, Default::default(), &site(40, 1, 1000, 1000));
     let admitted = admit_all(&mut router, at(0), &live(), 800);
@@ -53,7 +54,8 @@
     }
 }
 
-/// Just after its return it counts as a tenth of a server, halfway as half a server.
+/// A restarted server counts as a tenth of a server at first and as half a server after half of the
+/// slow start.
 #[gtest]
 fn returned_server_starts_slowly() {
     let site = site(2, 1, 1000, 1000);
@@ -87,12 +89,14 @@
 
     let mut newer = rollout();
     newer.oldest_useful = Some(WeightVersion(6));
-    let refusal = router.admit(at(2), &newer).expect_err("none serves it");
+    let refusal = router
+        .admit(at(2), &newer)
+        .expect_err("no engine serves the version");
     expect_that!(refusal.code, eq(RefusalCode::NoUsableVersion));
     expect_that!(router.admit(at(9_900), &rollout()), ok(anything()));
     let refusal = router
         .admit(at(10_001), &rollout())
-        .expect_err("the reports are old");
+        .expect_err("the reports have expired");
     expect_that!(refusal.code, eq(RefusalCode::NoUsableVersion));
 }
 
--- a/crates/nodes/wingshore-routing/tests/dedicated.rs
+++ b/crates/nodes/wingshore-routing/tests/dedicated.rs
@@ -1,4 +1,4 @@
-//! Engines kept for live requests, and engines that fetch weights.
+//! Tests of engines dedicated to live requests and of engines that load weights.
 
 mod support;
 
@@ -9,7 +9,8 @@
 const SERVERS: usize = 12;
 const SLOTS: u32 = 8;
 
-/// Rollouts that are admitted to each server after so many live requests ran at once.
+/// Returns the number of rollouts admitted to each server after a peak of `live_requests`
+/// concurrent live requests.
 fn rollouts_after_live_peak(live_requests: usize) -> Vec<usize> {
     let site = site(SERVERS, 3, SLOTS, 250);
     let mut router = router(&site);
@@ -29,7 +30,7 @@
         let rollouts = rollouts_after_live_peak(live_requests);
         let without = rollouts.iter().filter(|count| **count == 0).count();
         expect_that!(without, eq(kept), "{live_requests} live: {rollouts:?}");
-        // Three quarters of all slots are guaranteed to rollouts, less at most one a server where
+        // Three quarters of all slots are guaranteed to rollouts, minus at most one per server if
         // the live share is not a whole number of engines.
         let rounding = SERVERS - kept;
         expect_that!(rollouts.iter().sum::<usize>(), ge(SERVERS * 6 - rounding));
--- a/crates/nodes/wingshore-routing/tests/load.rs
+++ b/crates/nodes/wingshore-routing/tests/load.rs
@@ -1,4 +1,5 @@
-//! Load reports that lag neither hide nor double this node's own requests.
+//! Tests of the load estimate: delayed reports neither hide this node's own requests nor count them
+//! twice.
 
 mod support;
 
@@ -9,12 +10,13 @@
 
 fn external(router: &wingshore_routing::Router, now: u64) -> u32 {
     let view = router.server_view(at(now), &server_id(0));
-    view.expect("it is configured").external
+    view.expect("the server is configured").external
 }
 
 #[gtest]
 fn own_requests_are_subtracted_as_of_the_report_time() {
-    // (own sent before, own sent after the reading, reported, age in ms, others)
+    // (own requests before the reading, own requests after it, reported requests, age in ms,
+    // expected external requests)
     let cases = [
         (0, 0, 7, 0, 7),
         (3, 0, 3, 100, 0),
@@ -55,8 +57,8 @@
     expect_that!(external(&router, 5900), eq(0));
 }
 
-/// Feeds 200 rounds of reports of two servers, and tells what is believed of the first one then
-/// and a second later; the mean is 10.
+/// Applies 200 rounds of reports of two servers, and returns the estimated external requests on the
+/// first server at the last report and one second later. The mean is 10.
 fn estimates_after_reports(loads: impl Fn(u64) -> (u32, u32)) -> (u32, u32) {
     let mut router = router(&site(2, 1, 100, 1000));
     for round in 0..200 {
@@ -94,8 +96,9 @@
 proptest! {
     #![proptest_config(property(256))]
 
-    /// A server that only this node uses: whatever is sent, ends and is reported with whatever
-    /// lag, others are never seen beyond what changed within one bucket of the history.
+    /// On a server that only this node uses, the estimated external requests never exceed the
+    /// number of changes within one bucket of the history, whatever the requests and the delay of
+    /// reports.
     #[test]
     fn no_external_load_is_estimated_without_other_nodes(
         steps in prop::collection::vec((0_u64..40, 0_u8..3, 0_u64..600), 1..200),
@@ -134,7 +137,7 @@
     known.map_or(0, |(_, count)| *count)
 }
 
-/// Changes within the same 16 ms as `time`.
+/// Returns the number of changes within 16 ms (the width of a bucket) of `time`.
 fn changes_near(history: &[(u64, u32)], time: u64) -> u32 {
     let near = |pair: &&[(u64, u32)]| pair[1].0.abs_diff(time) <= 16 && pair[0].1 != pair[1].1;
     history.windows(2).filter(near).count() as u32
--- a/crates/nodes/wingshore-routing/tests/membership.rs
+++ b/crates/nodes/wingshore-routing/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which servers may get new work, by each who has a say.
+//! Tests of each source that decides whether a server may get new requests.
 
 mod support;
 
@@ -67,7 +67,9 @@
     let mut router = router(&site(1, 1, 8, 500));
     leave_by_list(&mut router);
     router.on_engine_state(at(20), &server_id(0), &state(1, Some(VERSION), false));
-    let refusal = router.admit(at(30), &live()).expect_err("it is leaving");
+    let refusal = router
+        .admit(at(30), &live())
+        .expect_err("the server is leaving");
     expect_that!(refusal.code, eq(RefusalCode::NoServer));
     expect_that!(refusal.retry_after, some(anything()));
 }
@@ -125,7 +127,9 @@
     let mut router = router(&site(1, 1, 8, 500));
     let mut now = 0;
     for backoff in [200, 400, 800, 1600, 3200, 5000, 5000] {
-        let admitted = router.admit(at(now), &live()).expect("the pause is over");
+        let admitted = router
+            .admit(at(now), &live())
+            .expect("the backoff has ended");
         router.on_finished(at(now), admitted.ticket, AttemptOutcome::Refused);
         expect_that!(
             router.admit(at(now + backoff - 1), &live()),
@@ -133,9 +137,11 @@
         );
         now += backoff;
     }
-    let admitted = router.admit(at(now), &live()).expect("the pause is over");
+    let admitted = router
+        .admit(at(now), &live())
+        .expect("the backoff has ended");
     router.on_finished(at(now), admitted.ticket, success(1));
-    let admitted = router.admit(at(now), &live()).expect("it is open");
+    let admitted = router.admit(at(now), &live()).expect("the server is open");
     router.on_finished(at(now), admitted.ticket, AttemptOutcome::Refused);
     expect_that!(router.admit(at(now + 200), &live()), ok(anything()));
 }
@@ -157,6 +163,6 @@
     router.on_configuration(at(40), &again);
     let view = router
         .server_view(at(50), &server_id(0))
-        .expect("it is back");
+        .expect("the server is configured again");
     expect_that!((view.live, view.open, view.version), eq((0, true, None)));
 }
--- a/crates/nodes/wingshore-routing/tests/outlier.rs
+++ b/crates/nodes/wingshore-routing/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of servers whose requests fail.
+//! Tests of the ejection of servers whose requests fail.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use wingshore_routing::{AttemptOutcome, Router};
 use wingshore_types::Verdict;
 
-/// Lets one request to a server fail; says whether the server took it.
+/// Fails one request to a server; returns whether the server was selected for it.
 fn fail_request(router: &mut Router, now: u64, number: usize, servers: usize) -> bool {
     let mut request = live();
     request.excluded = (0..servers)
@@ -54,7 +54,7 @@
         for _ in 0..4 {
             expect_that!(fail_request(&mut router, 0, 0, 2), eq(true));
         }
-        let admitted = router.admit(at(0), &request).expect("it is open");
+        let admitted = router.admit(at(0), &request).expect("the server is open");
         router.on_finished(at(0), admitted.ticket, success(1));
     }
     expect_that!(ejected(&router, 0, 2), eq(0));
@@ -62,7 +62,7 @@
 
 #[gtest]
 fn at_most_half_of_the_servers_are_ejected() {
-    // (servers, most that may be ejected at the default share of one half)
+    // (servers, maximum number of ejected servers at the default share of one half)
     for (servers, most) in [(1, 0), (2, 1), (3, 1), (9, 4), (11, 5), (40, 20)] {
         let mut router = router(&site(servers, 1, 8, 500));
         for _ in 0..20 {
@@ -78,7 +78,7 @@
 proptest! {
     #![proptest_config(property(100))]
 
-    /// Whatever fails when, the floor holds, and someone is open.
+    /// Whatever fails when, at most half of the servers are ejected and at least one is open.
     #[test]
     fn ejection_limit_holds(
         failures in prop::collection::vec((0_usize..8, 0_u64..3000), 0..400),
@@ -91,7 +91,7 @@
             fail_request(&mut router, now, number % servers, servers);
             prop_assert!(ejected(&router, now, servers) <= servers / 2);
             let admitted = router.admit(at(now), &live());
-            prop_assert!(admitted.is_ok(), "someone is open");
+            prop_assert!(admitted.is_ok(), "at least one server is open");
             if let Ok(one) = admitted {
                 router.on_finished(at(now), one.ticket, AttemptOutcome::Cancelled);
             }
--- a/crates/nodes/wingshore-routing/tests/promises.rs
+++ b/crates/nodes/wingshore-routing/tests/promises.rs
@@ -1,6 +1,7 @@
-//! Whatever happens, in whatever order: no work to a server that is leaving, unhealthy or of
-//! unknown version, no repeat of what must not be repeated, slots and guarantees kept. A plain
-//! model of what was said is the judge; each deliberate fault must be caught by it.
+//! Invariants of the router under random sequences of events: no requests to a server that is
+//! leaving, unhealthy or of unknown version, no retry of a request that must not be repeated, and
+//! slots and guarantees respected. The router is checked against a simple model of the reported
+//! server states; the model must detect each injected fault.
 
 mod support;
 
@@ -17,7 +18,7 @@
 
 const SERVERS: usize = 6;
 const SLOTS: u32 = 6;
-/// Time between two events: a round of probes.
+/// Time between two events in milliseconds: one round of probes.
 const EVENT_INTERVAL_MS: u64 = 1000;
 
 #[derive(Clone, Debug)]
@@ -69,7 +70,7 @@
     ]
 }
 
-/// What was said of one server, in plain words.
+/// State of one server as reported by the events.
 #[derive(Clone, Debug, Default)]
 struct ServerModel {
     closed: bool,
@@ -82,7 +83,7 @@
     version: Option<(u64, u64)>,
 }
 
-/// Promises broken, by name.
+/// Number of violations by invariant.
 type Violations = BTreeMap<&'static str, u32>;
 
 struct ModelChecker {
@@ -242,7 +243,7 @@
             }
             Err(refusal) => {
                 let is_kept = refusal.verdict() == Verdict::NotRun;
-                self.check_invariant("refused is not run", is_kept);
+                self.check_invariant("refused requests did not run", is_kept);
             }
         }
     }
@@ -250,21 +251,25 @@
     fn check_choice(&mut self, admitted: &Admitted, request: &RouteRequest) {
         let model = self.model[&admitted.server].clone();
         let listed = self.list.1.contains(&admitted.server);
-        // A refusal closes for 200 ms, and every event takes a second.
+        // The backoff after a refusal takes 200 ms, and events are one second apart, so a refusal
+        // closes the server only during the same event.
         let refused = model.refused_at == Some(self.now);
         let leaving = model.closed || model.draining || listed || refused;
-        self.check_invariant("no work to the leaving", !leaving);
-        self.check_invariant("no work to the unhealthy", !model.unhealthy);
+        self.check_invariant("no requests to leaving servers", !leaving);
+        self.check_invariant("no requests to unhealthy servers", !model.unhealthy);
         if request.class == Class::Rollout {
             let known = model.version.filter(|(_, at)| self.now - at < 10_000);
             let useful = known.is_some_and(|(version, _)| version >= VERSION.0);
-            self.check_invariant("versions are known and useful", useful);
+            self.check_invariant("rollouts only to known and usable versions", useful);
         }
         let view = self.router.server_view(at(self.now), &admitted.server);
-        let view = view.expect("it was chosen");
-        self.check_invariant("slots are kept", view.live + view.rollouts <= SLOTS);
+        let view = view.expect("the server was selected");
         self.check_invariant(
-            "the reserve is kept",
+            "own requests within the slots",
+            view.live + view.rollouts <= SLOTS,
+        );
+        self.check_invariant(
+            "live reserve left free",
             view.live > 0 || view.rollouts < SLOTS,
         );
     }
@@ -291,7 +296,7 @@
         if let AttemptOutcome::Failed(verdict) = outcome {
             let repeats = self.router.may_retry(at(self.now), &request, verdict);
             let is_kept = !repeats || !request.no_repeat || verdict == Verdict::NotRun;
-            self.check_invariant("what must not be repeated is not", is_kept);
+            self.check_invariant("no retry of non-repeatable requests", is_kept);
         }
     }
 }
@@ -320,28 +325,28 @@
     let none = Faults::default();
     let cases = [
         (
-            "what must not be repeated is not",
+            "no retry of non-repeatable requests",
             Faults {
                 retry_on_may_have_run: true,
                 ..none
             },
         ),
         (
-            "no work to the leaving",
+            "no requests to leaving servers",
             Faults {
                 ignore_draining: true,
                 ..none
             },
         ),
         (
-            "versions are known and useful",
+            "rollouts only to known and usable versions",
             Faults {
                 ignore_unknown_version: true,
                 ..none
             },
         ),
         (
-            "the reserve is kept",
+            "live reserve left free",
             Faults {
                 no_share_guarantee: true,
                 ..none
@@ -353,7 +358,7 @@
         let caught = (0..50).any(|_| {
             let events = event_sequences()
                 .new_tree(&mut runner)
-                .expect("it is generated")
+                .expect("the sequence is generated")
                 .current();
             violations_of(&events, faults).contains_key(invariant)
         });
--- a/crates/nodes/wingshore-routing/tests/retry.rs
+++ b/crates/nodes/wingshore-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What may be repeated, and how often.
+//! Tests of retries: which attempts may be repeated, and how often.
 
 mod support;
 
@@ -46,7 +46,8 @@
     );
 }
 
-/// Every attempt fails for 20 s at 500 requests/s; each is repeated as long as the router allows.
+/// Every attempt fails for 20 s at 500 requests/s, and each is retried as long as the router allows
+/// it. Without the retry budget, attempts would multiply during an outage.
 #[gtest]
 fn retry_budget_bounds_attempts_during_an_outage() {
     let mut router = router(&site(9, 1, 64, 500));
@@ -65,5 +66,5 @@
     }
     let allowed = f64::from(requests) * 1.2 + 5.0 * 20.0 + 20.0;
     expect_that!(f64::from(attempts), le(allowed));
-    expect_that!(attempts, gt(requests), "some are repeated");
+    expect_that!(attempts, gt(requests), "some requests are retried");
 }
--- a/crates/nodes/wingshore-routing/tests/settings.rs
+++ b/crates/nodes/wingshore-routing/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, units, ranges.
+//! Tests of the settings: defaults, units and ranges.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 fn defaults_are_within_their_ranges_and_an_empty_table_is_valid() {
     let errors = RouterSettings::default().check();
     expect_that!(errors, is_empty());
-    let read: RouterSettings = toml::from_str("").expect("it is valid");
-    // Their own `check` hides the one of `expect_that!`.
+    let read: RouterSettings = toml::from_str("").expect("the settings are valid");
+    // Compared here, because `RouterSettings::check` shadows the `check` that `expect_that!` calls.
     expect_that!(read == RouterSettings::default(), eq(true));
 }
 
 #[gtest]
 fn durations_are_parsed_with_units() {
     let text = "probe_interval = \"250ms\"\neject_time_most = \"1m 30s\"";
-    let read: RouterSettings = toml::from_str(text).expect("it is valid");
+    let read: RouterSettings = toml::from_str(text).expect("the settings are valid");
     expect_that!(read.probe_interval, eq(Duration::from_millis(250)));
     expect_that!(read.eject_time_most, eq(Duration::from_secs(90)));
 }
@@ -38,7 +38,7 @@
 #[gtest]
 fn all_out_of_range_values_are_reported_together() {
     let text = "choices = 0\nmost_ejected = 1000\nprobe_interval = \"10ms\"";
-    let read: RouterSettings = toml::from_str(text).expect("it parses");
+    let read: RouterSettings = toml::from_str(text).expect("the text parses");
     let errors: Vec<String> = read.check().iter().map(ToString::to_string).collect();
     expect_that!(
         errors,
--- a/crates/nodes/wingshore-routing/tests/subset.rs
+++ b/crates/nodes/wingshore-routing/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which servers a node uses and probes.
+//! Tests of the subset of servers that a node uses and probes.
 
 mod support;
 
@@ -56,7 +56,7 @@
     let site = site(600, 3, 8, 500);
     let mut router = router_of_node(1, 40, &site);
     let before = members(&router, 600);
-    let gone = before.first().expect("it has members").clone();
+    let gone = before.first().expect("the subset has members").clone();
     let mut changed = site;
     changed.revision = Revision(2);
     changed.servers.remove(&gone);
@@ -71,7 +71,7 @@
     let site = site(600, 1, 8, 500);
     let mut router = router_of_node(1, 10, &site);
     let before = members(&router, 600);
-    let unhealthy = before.first().expect("it has members").clone();
+    let unhealthy = before.first().expect("the subset has members").clone();
     for round in 1..=3 {
         router.on_probe_failed(at(round * 1000), &unhealthy);
     }
@@ -120,10 +120,15 @@
         }
     }
     expect_that!(loads, all!(ge(400), le(440)));
-    expect_that!(largest, le(8), "of 40 in one of 100 ticks");
+    expect_that!(
+        largest,
+        le(8),
+        "at most 8 of 40 servers in one of 100 ticks"
+    );
 }
 
-/// 40 engines, three probes each, at 30 probes a second: a round takes four seconds, not one.
+/// At 30 probes per second, a round of three probes for each of 40 engines takes four seconds
+/// instead of one.
 #[gtest]
 fn probe_rate_is_limited_and_no_server_is_skipped() {
     let settings = RouterSettings {
@@ -158,14 +163,15 @@
     expect_that!(router.probe_targets(at(61_000)), is_empty());
     let admitted = router.admit(at(62_000), &live()).expect("room");
     expect_that!(router.probe_targets(at(62_050)), not(is_empty()));
-    // As long as a request is in flight the service is in use.
+    // A service with a request in flight is in use.
     expect_that!(router.probe_targets(at(200_000)), not(is_empty()));
     router.on_finished(at(200_000), admitted.ticket, AttemptOutcome::Cancelled);
     expect_that!(router.probe_targets(at(202_000)), is_empty());
 }
 
-/// 300 nodes choose 40 of 1,000 servers each; an even spread is 12 nodes a server. Rendezvous
-/// hashing spreads as by chance: standard deviation near the root of the mean.
+/// 300 nodes select 40 of 1,000 servers each, a mean of 12 nodes per server. Rendezvous hashing
+/// distributes nodes like random selection: the standard deviation is close to the square root of
+/// the mean.
 #[gtest]
 fn nodes_are_distributed_randomly_over_servers() {
     let site = site(1000, 1, 8, 500);
--- a/crates/nodes/wingshore-routing/tests/support/mod.rs
+++ b/crates/nodes/wingshore-routing/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small site, requests and reports for the tests.
-#![allow(dead_code)] // each test binary uses its own part
+//! Fixtures for the tests: a small site, requests and reports.
+#![allow(dead_code)] // each test binary uses only some of the fixtures
 
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub const VERSION: WeightVersion = WeightVersion(5);
 pub const START: Instant = Instant::from_millis(100_000);
 
-/// A time `milliseconds` after the start of a test.
+/// Returns the time `milliseconds` after the start of a test.
 pub fn at(milliseconds: u64) -> Instant {
     START + Duration::from_millis(milliseconds)
 }
@@ -27,7 +27,8 @@
     ServerId::new(&format!("engine-{number:04}"))
 }
 
-/// Servers in zones `zone-0`, `zone-1`, … in turn, all of one engine service.
+/// Returns a configuration with one engine service, whose servers are assigned to the zones
+/// `zone-0`, `zone-1`, … in turn.
 pub fn site(servers: usize, zones: usize, slots: u32, live_share: u16) -> Configuration {
     let service = Service {
         id: ServiceId::new(SERVICE),
@@ -56,7 +57,7 @@
     configuration
 }
 
-/// The same site with one server's admission changed, a revision later.
+/// Returns the next revision of a site with the admission of one server changed.
 pub fn with_admission(site: &Configuration, number: usize, admission: Admission) -> Configuration {
     let mut changed = site.clone();
     changed.revision.0 += 1;
@@ -109,7 +110,7 @@
     }
 }
 
-/// A router in `zone-0` that knows the site and every engine's version.
+/// Returns a router in `zone-0` that knows the site and the version of every engine.
 pub fn router_with(settings: RouterSettings, faults: Faults, site: &Configuration) -> Router {
     let mut router = Router::new(settings, ZoneId::new("zone-0"), SEED).with_faults(faults);
     router.on_configuration(at(0), site);
@@ -151,7 +152,7 @@
     }
 }
 
-/// Admits until the first refusal, or `most` times.
+/// Admits up to `most` requests, until the first refusal.
 pub fn admit_all(
     router: &mut Router,
     now: Instant,
@@ -168,7 +169,7 @@
     admitted
 }
 
-/// How many of `admitted` went to a server.
+/// Returns how many of `admitted` were routed to a server.
 pub fn count_on(admitted: &[Admitted], number: usize) -> usize {
     let id = server_id(number);
     admitted.iter().filter(|one| one.server == id).count()
@@ -180,7 +181,7 @@
     }
 }
 
-/// Properties with so many cases, the same in every run.
+/// Returns a proptest configuration that runs the same `cases` cases in every run.
 pub fn property(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
