--- a/crates/nodes/wingshore-routing/src/router/decide.rs
+++ b/crates/nodes/wingshore-routing/src/router/decide.rs
@@ -1,46 +1,47 @@
-//! Admission, and whether an attempt may be repeated.
+//! Admission of requests and granting of retries.
 
 use super::Router;
 use crate::admission::Borrowing;
-use crate::affinity::{Hint, MAX_HOLDERS};
-use crate::balance::{Choice, NoneFound};
+use crate::affinity::{Hint, MAX_SERVERS_PER_PREFIX};
+use crate::balance::{NoServerFound, ServerSelection};
 use crate::class::Class;
-use crate::fleet::{FullMark, ServerIndex, ServiceIndex, ServiceState};
+use crate::fleet::{CachedRefusal, ServerIndex, ServiceIndex, ServiceState};
 use crate::request::{Admitted, Refusal, RefusalCode, RouteRequest};
 use crate::retry::verdict_allows;
 use crate::tickets::Attempt;
 use std::time::Duration;
 use wingshore_types::{Instant, Verdict};
 
-/// A finding that a service is full is checked again after this time at the latest: others'
-/// requests and asks end by time alone.
-const FULL_LIFETIME: Duration = Duration::from_millis(10);
-/// A subset grows at most once in this time.
+/// Lifetime of a cached refusal. It is short because external load estimates and reclaim windows
+/// expire without an event that changes the epoch.
+const CACHED_REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
+/// Minimum time between two growth steps of a subset.
 const GROWTH_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Router {
-    /// Chooses a server and takes a slot, or refuses at once.
+    /// Selects a server and takes a slot on it, or refuses the request immediately.
     ///
     /// # Errors
-    /// A [`Refusal`]: nothing was sent, the verdict is `NotRun`.
+    /// Returns a [`Refusal`] if no server can take the request. Nothing was sent, so the verdict is
+    /// `NotRun`.
     pub fn admit(&mut self, now: Instant, request: &RouteRequest) -> Result<Admitted, Refusal> {
         let service = self.configured_service(request)?;
-        self.fleet.service_mut(service).used_at = now;
+        self.fleet.service_mut(service).last_requested_at = now;
         if now >= request.deadline {
             return Err(deadline_passed());
         }
         self.refresh_if_due(now, service);
-        if let Some(mark) = self.full_mark(now, service, request) {
-            return Err(self.refuse_full(now, service, request, mark.below_guarantee));
+        if let Some(refusal) = self.cached_refusal(now, service, request) {
+            return Err(self.refuse_without_slot(now, service, request, refusal.below_guarantee));
         }
         match self.choose(now, service, request) {
             Ok(server) => Ok(self.take_slot(now, service, server, request)),
-            Err(nothing) => Err(self.refuse(now, service, request, nothing)),
+            Err(reasons) => Err(self.refuse(now, service, request, reasons)),
         }
     }
 
-    /// Whether an attempt that ended with `verdict` may be repeated now; takes from the retry
-    /// budget when it answers yes, so ask once per retry.
+    /// Returns whether an attempt that ended with `verdict` may be repeated now. A result of `true`
+    /// takes a token from the retry budget, so call this once per retry.
     pub fn may_retry(&mut self, now: Instant, request: &RouteRequest, verdict: Verdict) -> bool {
         let Some(service) = self.fleet.service_index(&request.service) else {
             return false;
@@ -69,10 +70,10 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> Result<ServerIndex, NoneFound> {
+    ) -> Result<ServerIndex, NoServerFound> {
         let (hints, count) = self.hints(now, service, request);
         let state = self.fleet.service(service);
-        let choice = Choice {
+        let selection = ServerSelection {
             now,
             settings: &self.settings,
             servers: &self.fleet.servers,
@@ -83,10 +84,10 @@
             check_version: !self.faults.ignore_unknown_version,
             ignore_leaving: self.faults.ignore_draining,
         };
-        choice.choose(&mut self.random, &hints[..count])
+        selection.choose(&mut self.rng, &hints[..count])
     }
 
-    /// The terms on which a class may borrow now.
+    /// Returns the conditions under which a class may currently borrow slots.
     fn borrowing(&self, now: Instant, state: &ServiceState, class: Class) -> Borrowing {
         let burst = match class {
             Class::Live => 0,
@@ -95,13 +96,13 @@
                 let missing = peak.saturating_sub(state.live_demand(now));
                 match state.dedicated_count(now, self.settings.burst_memory) {
                     0 => missing.div_ceil(state.open.len().max(1) as u32),
-                    // The dedicated engines have room for it.
+                    // The dedicated engines have free slots for the burst.
                     _ => 0,
                 }
             }
         };
         Borrowing {
-            is_allowed: !state.asks.get(class.other()).is_active(now),
+            is_allowed: !state.reclaim_requests.get(class.other()).is_active(now),
             burst,
         }
     }
@@ -111,7 +112,7 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> ([Hint; MAX_HOLDERS], usize) {
+    ) -> ([Hint; MAX_SERVERS_PER_PREFIX], usize) {
         match request.prefix_hash {
             Some(prefix_hash) if self.settings.affinity_bonus > 0 => {
                 let tokens = request.tokens_estimate;
@@ -137,7 +138,7 @@
             state.live_peak.observe(now, demand, window);
         }
         state.budget.on_attempt();
-        state.asks.get_mut(class).on_admitted();
+        state.reclaim_requests.get_mut(class).on_admitted();
         let ticket = self.tickets.issue(Attempt {
             server,
             service,
@@ -154,16 +155,16 @@
         }
     }
 
-    /// The finding that no server has room for the request's class, while it holds.
-    fn full_mark(
+    /// Returns the cached refusal for the request's class, if it is still valid.
+    fn cached_refusal(
         &self,
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-    ) -> Option<FullMark> {
+    ) -> Option<CachedRefusal> {
         let state = self.fleet.service(service);
-        let mark = *state.full.get(request.class);
-        (mark.epoch == state.epoch && now < mark.until).then_some(mark)
+        let refusal = *state.cached_refusals.get(request.class);
+        (refusal.epoch == state.epoch && now < refusal.expires_at).then_some(refusal)
     }
 
     fn refuse(
@@ -171,29 +172,29 @@
         now: Instant,
         service: ServiceIndex,
         request: &RouteRequest,
-        nothing: NoneFound,
+        reasons: NoServerFound,
     ) -> Refusal {
-        if !nothing.any_open {
+        if !reasons.any_open {
             let wait = self.settings.probe_interval * self.settings.healthy_after;
             return self.refuse_with(RefusalCode::NoServer, request, wait);
         }
-        if !nothing.any_useful {
+        if !reasons.any_usable_version {
             let wait = self.settings.probe_interval;
             return self.refuse_with(RefusalCode::NoUsableVersion, request, wait);
         }
-        if !nothing.any_room {
+        if !reasons.any_free_slot {
             let state = self.fleet.service_mut(service);
-            *state.full.get_mut(request.class) = FullMark {
+            *state.cached_refusals.get_mut(request.class) = CachedRefusal {
                 epoch: state.epoch,
-                until: now + FULL_LIFETIME,
-                below_guarantee: nothing.below_guarantee,
+                expires_at: now + CACHED_REFUSAL_LIFETIME,
+                below_guarantee: reasons.below_guarantee,
             };
         }
-        self.refuse_full(now, service, request, nothing.below_guarantee)
+        self.refuse_without_slot(now, service, request, reasons.below_guarantee)
     }
 
-    /// Refuses for want of a slot; a class below its guarantee asks for it by that.
-    fn refuse_full(
+    /// Refuses a request because no slot is free. A class below its guarantee thereby reclaims it.
+    fn refuse_without_slot(
         &mut self,
         now: Instant,
         service: ServiceIndex,
@@ -204,7 +205,10 @@
         let least = self.settings.retry_after_least;
         let state = self.fleet.service_mut(service);
         if below_guarantee {
-            state.asks.get_mut(request.class).ask(now, window);
+            state
+                .reclaim_requests
+                .get_mut(request.class)
+                .record(now, window);
         }
         let in_flight = *state.in_flight.get(request.class);
         let service_time = state.service_time.get_mut(request.class);
@@ -231,12 +235,12 @@
         }
     }
 
-    /// Uses more servers while those of the subset are exhausted.
+    /// Grows the subset while all slots of its servers are taken.
     fn grow_subset(&mut self, now: Instant, service: ServiceIndex) {
         let state = self.fleet.service_mut(service);
         state.exhausted_at = now;
-        let is_whole = state.members.len() == state.ranked.len();
-        if is_whole || now.since(state.grown_at) < GROWTH_INTERVAL {
+        let is_complete = state.members.len() == state.ranked.len();
+        if is_complete || now.since(state.grown_at) < GROWTH_INTERVAL {
             return;
         }
         state.grown_at = now;
--- a/crates/nodes/wingshore-routing/src/router/report.rs
+++ b/crates/nodes/wingshore-routing/src/router/report.rs
@@ -1,15 +1,15 @@
-//! What the router knows, for the rollout runner, status pages and metrics.
+//! State of the router for the rollout runner, status pages and metrics.
 
 use super::Router;
-use crate::balance::rounded;
+use crate::balance::round_to_requests;
 use crate::class::Class;
 use crate::fleet::ServiceState;
 use crate::request::{OverGuarantee, ServerView};
 use wingshore_types::{Instant, ServerId};
 
 impl Router {
-    /// Where `class` uses more slots than are guaranteed to it, and how many of them the other
-    /// class asks back now.
+    /// Returns the servers on which `class` uses more slots than its guarantee, and how many of
+    /// those slots the other class currently reclaims.
     pub fn over_guarantee(&self, now: Instant, class: Class) -> Vec<OverGuarantee> {
         let mut found = Vec::new();
         for service in &self.fleet.services {
@@ -18,17 +18,17 @@
         found
     }
 
-    /// Servers that are ejected as failing.
+    /// Returns the number of servers that are ejected because of failures.
     pub fn ejected(&self) -> usize {
         let servers = self.fleet.servers.iter();
         servers.filter(|server| server.outlier.is_ejected()).count()
     }
 
-    /// What is known of a server; `None` when the configuration does not have it.
+    /// Returns the state of a server; `None` if the configuration does not contain it.
     pub fn server_view(&self, now: Instant, id: &ServerId) -> Option<ServerView> {
         let server = self.fleet.server(self.fleet.server_index(id)?);
         server.membership.admission?;
-        let persistence = &self.fleet.service(server.service).persistence;
+        let load_estimator = &self.fleet.service(server.service).load_estimator;
         Some(ServerView {
             in_subset: server.is_member,
             open: server.is_member && server.is_open(now, self.faults.ignore_draining),
@@ -37,7 +37,7 @@
             version: server.known_version(now),
             live: server.load.own_of(Class::Live),
             rollouts: server.load.own_of(Class::Rollout),
-            foreign: rounded(server.load.foreign(now, persistence)),
+            external: round_to_requests(server.load.external(now, load_estimator)),
         })
     }
 
@@ -49,7 +49,7 @@
         found: &mut Vec<OverGuarantee>,
     ) {
         let dedicated = service.dedicated_count(now, self.settings.burst_memory);
-        let mut wanted = self.wanted_back(now, class, service);
+        let mut wanted = self.slots_to_reclaim(now, class, service);
         for index in service.members.iter() {
             let server = self.fleet.server(index);
             let shares = service.shares_of(server, dedicated);
@@ -57,21 +57,21 @@
             if borrowed == 0 {
                 continue;
             }
-            let wanted_back = shares.wanted_back(&server.load, class).min(wanted);
-            wanted -= wanted_back;
+            let slots_to_reclaim = shares.slots_to_reclaim(&server.load, class).min(wanted);
+            wanted -= slots_to_reclaim;
             found.push(OverGuarantee {
                 server: server.id.clone(),
                 borrowed,
-                wanted_back,
+                slots_to_reclaim,
             });
         }
     }
 
-    /// Slots of a service that the other class asks back: as many as it was refused of late, less
-    /// those that are free for it by now.
-    fn wanted_back(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
+    /// Returns the number of slots of a service that the other class reclaims: its refused requests
+    /// within the reclaim window, minus the slots within its guarantee that have become free.
+    fn slots_to_reclaim(&self, now: Instant, class: Class, service: &ServiceState) -> u32 {
         let other = class.other();
-        let asked = service.asks.get(other).count(now);
+        let asked = service.reclaim_requests.get(other).count(now);
         let dedicated = service.dedicated_count(now, self.settings.burst_memory);
         let free: u32 = service
             .open
