--- a/crates/nodes/wingshore-routing/src/router.rs
+++ b/crates/nodes/wingshore-routing/src/router.rs
@@ -1,8 +1,8 @@
-//! The router: one type over membership, load, affinity, limits and retries.
+//! The router, which combines membership, load, affinity, admission limits and retries.
 //!
-//! `configure` takes what is said from outside about which servers exist, `observe` what servers
-//! say and how requests end, `decide` admits, `probe` says what to poll, `report` says what is
-//! known.
+//! `configure` applies the configuration and the machine list, `observe` applies probe results and
+//! attempt outcomes, `decide` admits requests and grants retries, `probe` schedules probes, and
+//! `report` returns the state for other components.
 
 mod configure;
 mod decide;
@@ -14,7 +14,7 @@
 use crate::faults::Faults;
 use crate::fleet::{Fleet, ServiceIndex};
 use crate::hash::{hash_text, mix};
-use crate::pace::Pace;
+use crate::pace::ProbeRateLimiter;
 use crate::settings::RouterSettings;
 use crate::tickets::Tickets;
 use rand_chacha::ChaCha8Rng;
@@ -22,26 +22,26 @@
 use std::collections::BTreeSet;
 use wingshore_types::{Instant, Revision, ServerId, ZoneId};
 
-/// Chooses servers; see the crate's page.
+/// Routes requests to servers; see the [crate documentation](crate).
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
     faults: Faults,
     zone: ZoneId,
     seed: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     revision: Revision,
     machines_as_of: u64,
     leaving_machines: BTreeSet<ServerId>,
     fleet: Fleet,
     affinity: Affinity,
     tickets: Tickets,
-    pace: Pace,
+    probe_rate_limiter: ProbeRateLimiter,
 }
 
 impl Router {
-    /// A router for a node in `zone`. `seed` should differ between nodes and be the same for a
-    /// node after a restart: it decides which servers the node uses.
+    /// Creates a router for a node in `zone`. `seed` determines which servers the node uses; it
+    /// should differ between nodes and stay the same across restarts of a node.
     pub fn new(settings: RouterSettings, zone: ZoneId, seed: u64) -> Self {
         let affinity = Affinity::new(
             settings.affinity_entries as usize,
@@ -51,32 +51,32 @@
             faults: Faults::default(),
             seed: mix(seed ^ hash_text(zone.as_str())),
             zone,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             revision: Revision(0),
             machines_as_of: 0,
             leaving_machines: BTreeSet::new(),
             fleet: Fleet::default(),
             affinity,
             tickets: Tickets::default(),
-            pace: Pace::default(),
+            probe_rate_limiter: ProbeRateLimiter::default(),
             settings,
         }
     }
 
-    /// Switches deliberate faults on; for tests of checkers only.
+    /// Injects faults; only for tests of checkers.
     pub fn with_faults(mut self, faults: Faults) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Brings a service's subset and open servers up to date.
+    /// Updates the subset and the open servers of a service.
     fn refresh(&mut self, now: Instant, service: ServiceIndex) {
         self.release_ejected(now, service);
-        self.choose_members(now, service);
-        self.list_open(now, service);
+        self.select_members(now, service);
+        self.update_open_servers(now, service);
     }
 
-    /// Refreshes a service when a backoff or an ejection has ended.
+    /// Refreshes a service if a backoff or an ejection has ended.
     fn refresh_if_due(&mut self, now: Instant, service: ServiceIndex) {
         let next_change = self.fleet.service(service).next_change;
         if next_change.is_some_and(|at| now >= at) {
@@ -84,22 +84,22 @@
         }
     }
 
-    /// Ends ejections whose time is over; such a server starts slowly.
+    /// Ends expired ejections; a released server begins with a slow start.
     fn release_ejected(&mut self, now: Instant, service: ServiceIndex) {
-        let slow_until = now + self.settings.slow_start;
+        let slow_start_until = now + self.settings.slow_start;
         let Fleet {
             servers, services, ..
         } = &mut self.fleet;
         for index in services[service as usize].members.iter() {
             let server = &mut servers[index as usize];
             if server.outlier.release(now) {
-                server.slow_until = slow_until;
+                server.slow_start_until = slow_start_until;
             }
         }
     }
 
-    /// Chooses the service's subset anew.
-    fn choose_members(&mut self, now: Instant, service: ServiceIndex) {
+    /// Selects the subset of a service.
+    fn select_members(&mut self, now: Instant, service: ServiceIndex) {
         let Fleet {
             servers, services, ..
         } = &mut self.fleet;
@@ -118,8 +118,9 @@
         }
     }
 
-    /// Lists the members that new work may go to, and when that changes by time alone.
-    fn list_open(&mut self, now: Instant, service: ServiceIndex) {
+    /// Updates the list of members that may get new requests, and the time of the next change that
+    /// occurs without an event.
+    fn update_open_servers(&mut self, now: Instant, service: ServiceIndex) {
         let ignore_leaving = self.faults.ignore_draining;
         let Fleet {
             servers, services, ..
@@ -133,8 +134,8 @@
             let server = &servers[index as usize];
             if server.is_open(now, ignore_leaving) {
                 state.open.push(index, server.in_own_zone);
-                if state.dedicated.includes(server.shared_place) {
-                    state.dedicated.open.push((server.shared_place, index));
+                if state.dedicated.includes(server.shared_position) {
+                    state.dedicated.open.push((server.shared_position, index));
                 }
             }
             let changes = [
@@ -148,7 +149,7 @@
     }
 }
 
-/// The earlier of two times, where there are any.
+/// Returns the earlier of two optional times.
 fn earlier(first: Option<Instant>, second: Option<Instant>) -> Option<Instant> {
     match (first, second) {
         (Some(first), Some(second)) => Some(first.min(second)),
