--- a/crates/lab/wingshore-lab/tests/sim_data_path.rs
+++ b/crates/lab/wingshore-lab/tests/sim_data_path.rs
@@ -50,7 +50,7 @@
         (
             "versions_true",
             "engine-crash",
-            node(|faults| faults.rollout.finish_cut_streams = true),
+            node(|faults| faults.rollout.finish_interrupted_streams = true),
         ),
         (
             "staleness_bound",
@@ -75,12 +75,12 @@
         (
             "whole_answers",
             "live-trouble",
-            node(|faults| faults.request.accept_short_body = true),
+            node(|faults| faults.request.accept_truncated_body = true),
         ),
         (
             "not_run_true",
             "live-trouble",
-            node(|faults| faults.request.deny_having_run = true),
+            node(|faults| faults.request.report_failures_as_not_run = true),
         ),
         (
             "no_repeat",
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -16,8 +16,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use wingshore_rollout::{
-    AttemptId, CallId, OverIssue, PoolBinding, RolloutInput, RolloutOutput, RolloutRunner,
-    RolloutSettings, ScoreCallId, StreamEnd,
+    AttemptId, CallId, PoolBinding, RolloutInput, RolloutOutput, RolloutRunner, RolloutSettings,
+    ScoreCallId, SecondAttemptPolicy, StreamEnd,
 };
 use wingshore_types::platform::{ScoreReply, ScoreRequest};
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
@@ -66,8 +66,10 @@
 
 fn start_pool(node: &Arc<NodeState>, pool: &PoolId, pools: usize) -> io::Result<RolloutDriver> {
     let settings = runner_settings(node, pools);
-    let second_attempts = settings.over_issue.map_or(0, |over_issue| over_issue.most);
-    let streams = (settings.window_most + second_attempts) as usize;
+    let second_attempts = settings
+        .second_attempts
+        .map_or(0, |policy| policy.max_samples);
+    let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
     let drive = Drive {
         node: Arc::clone(node),
@@ -94,11 +96,11 @@
     let streams = (own.max_streams / pools).max(1) as u32;
     let scorings = (own.max_scorings / pools).max(1) as u32;
     RolloutSettings {
-        window_most: streams,
+        max_leased_samples: streams,
         score_concurrency: scorings,
-        over_issue: own.over_issue.then(|| OverIssue {
-            after: OVER_ISSUE_AFTER,
-            most: (streams / OVER_ISSUE_SHARE).max(1),
+        second_attempts: own.over_issue.then(|| SecondAttemptPolicy {
+            min_running_time: OVER_ISSUE_AFTER,
+            max_samples: (streams / OVER_ISSUE_SHARE).max(1),
         }),
         stop_limit: node
             .settings
