--- a/crates/shared/wingshore-storage/src/blob_index.rs
+++ b/crates/shared/wingshore-storage/src/blob_index.rs
@@ -1,30 +1,30 @@
-//! Which files of blobs may be removed?
+//! Decides which blob files may be removed.
 //!
-//! - Inputs: which files something in memory holds; in which order snapshots of the state were begun,
-//!   by their numbers; which of them are durable.
-//! - Rule: a file may be removed once nothing in memory holds it any more *and* a snapshot is durable
-//!   that was begun after that.
-//! - Why: until then the snapshot on disk may still name the file, and a start would need it. A snapshot
-//!   that was begun later froze a state that holds nothing of it.
-//! - Missing inputs: after a start nothing is known of releases before it; the files that the restored
-//!   snapshot does not hold may be removed at once.
+//! - Inputs: the files that are referenced in memory; the order in which snapshots of the state
+//!   were started, by number; the snapshots that are durable.
+//! - Rule: a file may be removed once nothing in memory references it *and* a snapshot that was
+//!   started after the last reference was dropped is durable.
+//! - Reason: until then the snapshot on disk may still name the file, and a restart would need it.
+//!   A snapshot that was started later captured a state without references to the file.
+//! - After a restart, earlier releases are unknown: files that the restored snapshot does not
+//!   reference may be removed at once.
 
 use std::collections::BTreeMap;
 use std::sync::Weak;
 
-/// Files that are held, and those that wait for their removal. `F` is an open file.
+/// Tracks the blob files that are in use and those that await removal. `F` is an open file.
 pub(crate) struct FileIndex<F> {
     held: BTreeMap<u64, Weak<F>>,
-    /// Snapshots begun so far.
+    /// Number of snapshots started so far.
     snapshots_begun: u64,
     released: Vec<ReleasedFile>,
     removable: Vec<u64>,
 }
 
-/// A file that nothing in memory holds any more.
+/// A file that is no longer referenced in memory.
 struct ReleasedFile {
     number: u64,
-    /// Snapshots begun before its release.
+    /// Number of snapshots started before the file was released.
     snapshots_begun: u64,
 }
 
@@ -40,18 +40,19 @@
 }
 
 impl<F> FileIndex<F> {
-    /// The open file of this number, while something holds it.
+    /// Returns the open file with this number, while it is referenced.
     pub(crate) fn held(&self, number: u64) -> Option<Weak<F>> {
         self.held.get(&number).cloned()
     }
 
-    /// A file was opened. One that is in use again is not released any more.
+    /// Records that a file was opened. A file that had been released is in use again.
     pub(crate) fn hold(&mut self, number: u64, file: Weak<F>) {
         self.held.insert(number, file);
         self.released.retain(|released| released.number != number);
     }
 
-    /// The last holder of an open file is gone; another one may have opened it again.
+    /// Records that the last reference to an open file was dropped, unless the file was opened
+    /// again in the meantime.
     pub(crate) fn release(&mut self, number: u64) {
         let is_open_again = |file: &Weak<F>| file.strong_count() > 0;
         if self.held.get(&number).is_some_and(is_open_again) {
@@ -64,13 +65,13 @@
         });
     }
 
-    /// A snapshot is begun; gives its number, from 1.
+    /// Records the start of a snapshot and returns its number, counted from 1.
     pub(crate) fn begin_snapshot(&mut self) -> u64 {
         self.snapshots_begun += 1;
         self.snapshots_begun
     }
 
-    /// The snapshot of this number is durable, in the place of the one before.
+    /// Records that the snapshot with this number is durable and has replaced the previous one.
     pub(crate) fn snapshot_durable(&mut self, snapshot: u64) {
         let released = std::mem::take(&mut self.released);
         for file in released {
@@ -82,15 +83,15 @@
         }
     }
 
-    /// Files that may be removed; each is given once.
+    /// Returns the files that may be removed, each of them once.
     pub(crate) fn take_removable(&mut self) -> Vec<u64> {
         let mut removable = std::mem::take(&mut self.removable);
         removable.retain(|number| !self.held.contains_key(number));
         removable
     }
 
-    /// Whether neither anything in memory nor, maybe, a snapshot refers to a file; for files that were
-    /// found at a start.
+    /// Returns whether a file that was found at startup is referenced neither in memory nor
+    /// possibly by a snapshot.
     pub(crate) fn is_unreferenced(&self, number: u64) -> bool {
         let is_released = |released: &ReleasedFile| released.number == number;
         !self.held.contains_key(&number) && !self.released.iter().any(is_released)
--- a/crates/shared/wingshore-storage/src/blobs.rs
+++ b/crates/shared/wingshore-storage/src/blobs.rs
@@ -1,7 +1,7 @@
-//! Bytes beside a group's log that are written once and removed file by file.
+//! Storage of write-once blobs beside a group's log, removed file by file.
 //!
-//! Each blob is durable when it is given out. When a file may be removed is decided in
-//! [`crate::blob_index`].
+//! Each blob is durable before it is returned. [`crate::blob_index`] decides when a file may be
+//! removed.
 
 use crate::blob_index::FileIndex;
 use crate::error::{IoContext, StorageError};
@@ -11,13 +11,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use wingshore_types::blob::{Blob, BlobPlace};
 
-/// Size from which on a file is closed and a new one begun, in bytes: a small part of a disk, since a
-/// file is only removed as a whole.
+/// Size at which a file is closed and a new one is created, in bytes. It is a small part of a disk
+/// because a file is only removed as a whole.
 const DEFAULT_FILE_BYTES: u64 = 8 << 20;
-/// Start of the names of files.
+/// Prefix of the names of blob files.
 const PREFIX: &str = "blobs-";
 
-/// The files of blobs in one directory. Clones share them.
+/// The blob files in one directory. Clones share them.
 #[derive(Clone)]
 pub struct BlobFiles {
     shared: Arc<Shared>,
@@ -29,7 +29,7 @@
     index: Mutex<FileIndex<BlobFile>>,
 }
 
-/// One file. Dropping it releases it.
+/// An open blob file. Dropping it releases the file.
 struct BlobFile {
     number: u64,
     reader: Arc<dyn ReadableFile>,
@@ -65,7 +65,7 @@
             }
         }
         if crc32fast::hash(&bytes) != self.place.checksum {
-            return Err(self.damaged("not what was written"));
+            return Err(self.damaged("checksum mismatch"));
         }
         Ok(bytes)
     }
@@ -97,10 +97,11 @@
 }
 
 impl BlobFiles {
-    /// Opens, or begins, the files in `directory`; their one writer comes with them.
+    /// Opens the blob files in `directory`, creating the directory if it does not exist. Returns
+    /// them with their only writer.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error if the disk fails.
     pub fn open(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -108,10 +109,10 @@
         Self::open_with(fs, directory, DEFAULT_FILE_BYTES)
     }
 
-    /// As [`BlobFiles::open`], with files of another size.
+    /// Like [`BlobFiles::open`], with a file size of `file_bytes`.
     ///
     /// # Errors
-    /// As [`BlobFiles::open`].
+    /// Returns the same errors as [`BlobFiles::open`].
     pub fn open_with(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -135,10 +136,10 @@
         Ok((files, writer))
     }
 
-    /// The blob at `place`, as a snapshot names it.
+    /// Returns the blob at a `place` that is named in a snapshot.
     ///
     /// # Errors
-    /// When its file cannot be opened.
+    /// Returns an error if the file cannot be opened.
     pub fn find(&self, place: BlobPlace) -> io::Result<StoredBlob> {
         let held = self.shared.index().held(place.file);
         let file = match held.and_then(|file| file.upgrade()) {
@@ -148,30 +149,31 @@
         Ok(StoredBlob { file, place })
     }
 
-    /// A snapshot is taken of what holds blobs; gives its number.
+    /// Records the start of a snapshot of the state that references blobs and returns the
+    /// number of the snapshot.
     pub fn begin_snapshot(&self) -> u64 {
         self.shared.index().begin_snapshot()
     }
 
-    /// The snapshot of this number is durable, in the place of the one before.
+    /// Records that the snapshot with this number is durable and has replaced the previous one.
     pub fn snapshot_durable(&self, number: u64) {
         self.shared.index().snapshot_durable(number);
     }
 
-    /// Removes the files that may be removed; gives how many.
+    /// Removes the files that may be removed and returns their number.
     ///
     /// # Errors
-    /// When the disk fails; the file stays, and is removed at the next start.
+    /// Returns an error if the disk fails; the file then remains until the next start.
     pub fn remove_released(&self) -> Result<usize, StorageError> {
         let removable = self.shared.index().take_removable();
         self.remove(&removable)
     }
 
-    /// Removes the files that nothing holds, right after the snapshot on disk was restored; gives
-    /// how many.
+    /// Removes the unreferenced files and returns their number. Must be called right after the
+    /// snapshot on disk was restored.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error if the disk fails.
     pub fn remove_unreferenced(&self) -> Result<usize, StorageError> {
         let mut numbers = self.numbers()?;
         let index = self.shared.index();
@@ -199,7 +201,7 @@
     }
 }
 
-/// Writes blobs; one thread owns it.
+/// Writes blobs. Owned by a single thread.
 pub struct BlobWriter {
     shared: Arc<Shared>,
     file_bytes: u64,
@@ -214,11 +216,11 @@
 }
 
 impl BlobWriter {
-    /// Makes `blobs` durable; they are returned in their order.
+    /// Makes `blobs` durable and returns them in the same order.
     ///
     /// # Errors
-    /// When the disk fails or is full. None of them is then given out, and the next ones are written to a
-    /// new file: what the last one holds is not known.
+    /// Returns an error if the disk fails or is full. No blob is returned then, and the next blobs
+    /// are written to a new file, since the content of the last file is unknown.
     pub fn append(&mut self, blobs: &[Arc<[u8]>]) -> Result<Vec<StoredBlob>, StorageError> {
         let mut active = match self.active.take() {
             Some(active) => active,
@@ -227,7 +229,7 @@
         let path = path_of(&self.shared.directory, active.readable.number);
         let stored = self.append_to(&mut active, &path, blobs);
         if stored.is_err() && active.length == 0 {
-            // Its space may be what is needed. Where it stays, it is removed at the next start.
+            // Frees the space of the empty file. If the removal fails, the next start removes it.
             let _ = self.shared.fs.remove(&path);
         } else if stored.is_ok() && active.length < self.file_bytes {
             self.active = Some(active);
--- a/crates/shared/wingshore-storage/src/error.rs
+++ b/crates/shared/wingshore-storage/src/error.rs
@@ -1,24 +1,24 @@
-//! Errors of storage. All but a full disk are fatal to the group they concern.
+//! Storage errors. All of them except a full disk are fatal to the group that they concern.
 
 use snafu::Snafu;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why storage could not be opened or written.
+/// The reason why storage could not be opened or written.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The file system failed. After a failed sync nothing unsynced can be trusted.
+    /// The file system failed. After a failed sync, unsynced data is in an unknown state.
     #[snafu(display("cannot {operation} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
-        /// On which file or directory.
+        /// The file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Something that was durable is no longer what was written.
+    /// Durable data differs from what was written.
     #[snafu(display(
         "{} is damaged at byte {offset}: {reason}; remove this replica from its groups, empty its \
          data folder and let it join again as a new member",
@@ -27,26 +27,26 @@
     Damaged {
         /// The damaged file.
         path: PathBuf,
-        /// Where in it, in bytes.
+        /// Offset of the damage in the file, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// Description of the damage.
         reason: String,
     },
-    /// An earlier write failed; this store takes no more.
+    /// An earlier write failed; the store rejects further writes.
     #[snafu(display("an earlier write to {} failed; restart the process", directory.display()))]
     Poisoned {
         /// The store's directory.
         directory: PathBuf,
     },
-    /// A batch does not continue the log.
+    /// A batch is not contiguous with the log.
     #[snafu(display("a write to {} does not continue the log: {reason}", directory.display()))]
     InvalidBatch {
         /// The store's directory.
         directory: PathBuf,
-        /// What does not fit.
+        /// The mismatch between the batch and the log.
         reason: String,
     },
-    /// A folder that is to be formatted holds something already.
+    /// The folder to format is not empty.
     #[snafu(display(
         "{} is not empty (it holds `{found}`); only an empty folder can be formatted",
         path.display()
@@ -54,7 +54,7 @@
     NotEmpty {
         /// The folder.
         path: PathBuf,
-        /// One thing it holds.
+        /// The name of one entry in the folder.
         found: String,
     },
     /// The folder belongs to another site.
@@ -65,24 +65,24 @@
     WrongSite {
         /// The folder.
         path: PathBuf,
-        /// The site asked for.
+        /// The requested site.
         expected: String,
-        /// The site it belongs to.
+        /// The site that the folder belongs to.
         found: String,
     },
-    /// The folder holds data, and no identity.
+    /// The folder holds data but no identity.
     #[snafu(display(
-        "{} holds `{found}` and no identity; whose data this is cannot be known, so use an empty \
+        "{} holds `{found}` and no identity; the owner of the data is unknown, so use an empty \
          folder",
         path.display()
     ))]
     NoIdentity {
         /// The folder.
         path: PathBuf,
-        /// One thing it holds.
+        /// The name of one entry in the folder.
         found: String,
     },
-    /// Another process uses the folder.
+    /// The folder is in use by another process.
     #[snafu(display("{} is in use by another process", path.display()))]
     Locked {
         /// The folder.
@@ -90,9 +90,9 @@
     },
 }
 
-/// Adds what was tried, on which path, to a system error.
+/// Adds the operation and the path to an I/O error.
 pub(crate) trait IoContext<T> {
-    /// Names the operation and the path.
+    /// Converts the error to a [`StorageError::Io`] with this operation and path.
     fn during(self, operation: &'static str, path: &Path) -> Result<T, StorageError>;
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// A [`StorageError::Damaged`].
+/// Builds a [`StorageError::Damaged`].
 pub(crate) fn damaged(path: &Path, offset: u64, reason: impl Into<String>) -> StorageError {
     StorageError::Damaged {
         path: path.to_owned(),
@@ -116,7 +116,7 @@
 }
 
 impl StorageError {
-    /// Whether the disk refused a write because it is full.
+    /// Returns whether a write failed because the disk or the quota is full.
     pub fn is_disk_full(&self) -> bool {
         let Self::Io { source, .. } = self else {
             return false;
--- a/crates/shared/wingshore-storage/src/file_system.rs
+++ b/crates/shared/wingshore-storage/src/file_system.rs
@@ -1,53 +1,53 @@
-//! What storage asks of a file system. Only what is synced survives a crash: bytes by
-//! [`File::sync`], names in a directory by [`FileSystem::sync_directory`].
+//! The file system interface that storage depends on. Only synced data survives a crash: file
+//! contents are synced by [`File::sync`], directory entries by [`FileSystem::sync_directory`].
 
 use std::io::{self, BufReader, Read};
 use std::path::Path;
 use std::sync::Arc;
 use wingshore_types::snapshot_data::FrozenState;
 
-/// Bytes of large files that are read at a time.
+/// Size of the read buffer for large files, in bytes.
 pub(crate) const READ_BYTES: usize = 256 << 10;
 
 /// A file opened for appending.
 pub trait File: Send {
-    /// Adds bytes at the end.
+    /// Appends bytes.
     ///
     /// # Errors
-    /// Any error of the disk; an unknown part of the bytes may have been added.
+    /// Returns any I/O error; an unknown part of the bytes may have been appended.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all bytes, and the length, durable.
+    /// Makes the content and the length of the file durable.
     ///
     /// # Errors
-    /// Any error of the disk; what was unsynced may then be lost for good, also when a later
-    /// sync succeeds, so that the caller must not go on.
+    /// Returns any I/O error. Unsynced data may then be lost even if a later sync succeeds, so
+    /// the caller must stop writing.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Cuts the file down to `length` bytes; durable with the next [`File::sync`].
+    /// Truncates the file to `length` bytes; durable after the next [`File::sync`].
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
 /// A file opened for reading.
 pub trait ReadableFile: Send + Sync {
-    /// Reads bytes from `offset` on; gives how many, 0 at the end of the file.
+    /// Reads bytes from `offset` on and returns their number; 0 at the end of the file.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
 }
 
-/// Reads a file from an offset on, one piece after the other.
+/// Reads a file sequentially from an offset on.
 pub struct FileReader {
     file: Arc<dyn ReadableFile>,
     position: u64,
 }
 
 impl FileReader {
-    /// Of `file`, from `position` on.
+    /// Creates a reader of `file` that starts at `position`, in bytes.
     pub fn new(file: Arc<dyn ReadableFile>, position: u64) -> Self {
         Self { file, position }
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A part of a file, read when it is needed. The file stays readable also once it is replaced.
+/// A byte range of a file that is read on demand. The file stays readable after it is replaced.
 pub struct FileRange {
     file: Arc<dyn ReadableFile>,
     offset: u64,
@@ -69,7 +69,7 @@
 }
 
 impl FileRange {
-    /// `length` bytes of `file` from `offset` on.
+    /// Creates a range of `length` bytes of `file`, starting at `offset`.
     pub fn new(file: Arc<dyn ReadableFile>, offset: u64, length: u64) -> Self {
         Self {
             file,
@@ -91,68 +91,68 @@
     }
 }
 
-/// Keeps other processes out of a folder until it is dropped.
+/// An exclusive lock on a folder, held until it is dropped.
 pub trait Lock: Send + Sync {}
 
-/// A file system. All methods may be called from any thread.
+/// A file system. All its methods may be called from any thread.
 pub trait FileSystem: Send + Sync {
-    /// Creates an empty file; one of that name is emptied.
+    /// Creates an empty file; an existing file of that name is truncated.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn create(&self, path: &Path) -> io::Result<Box<dyn File>>;
 
-    /// Opens a file that exists.
+    /// Opens an existing file for appending.
     ///
     /// # Errors
-    /// `NotFound` when it does not exist; any error of the disk.
+    /// Returns `NotFound` if it does not exist, or any other I/O error.
     fn open(&self, path: &Path) -> io::Result<Box<dyn File>>;
 
-    /// The whole content of a file.
+    /// Returns the whole content of a file.
     ///
     /// # Errors
-    /// `NotFound` when it does not exist; any error of the disk.
+    /// Returns `NotFound` if it does not exist, or any other I/O error.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Opens a file that exists for reading.
+    /// Opens an existing file for reading.
     ///
     /// # Errors
-    /// `NotFound` when it does not exist; any error of the disk.
+    /// Returns `NotFound` if it does not exist, or any other I/O error.
     fn open_to_read(&self, path: &Path) -> io::Result<Arc<dyn ReadableFile>>;
 
-    /// Renames a file within its directory, replacing one of the new name, in one step.
+    /// Renames a file within its directory atomically, replacing a file of the new name.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Names in a directory, sorted.
+    /// Returns the names in a directory, sorted.
     ///
     /// # Errors
-    /// `NotFound` when it does not exist; any error of the disk.
+    /// Returns `NotFound` if it does not exist, or any other I/O error.
     fn list(&self, directory: &Path) -> io::Result<Vec<String>>;
 
-    /// Creates a directory and those above it; one that exists is left as it is.
+    /// Creates a directory and its missing parents; an existing directory is left unchanged.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn create_directory(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes the names in a directory durable.
+    /// Makes the entries of a directory durable.
     ///
     /// # Errors
-    /// Any error of the disk.
+    /// Returns any I/O error.
     fn sync_directory(&self, path: &Path) -> io::Result<()>;
 
-    /// Takes the lock file at `path`, creating it where needed.
+    /// Locks the file at `path`, creating it if it does not exist.
     ///
     /// # Errors
-    /// `WouldBlock` when another process, or another holder in this one, has it.
+    /// Returns `WouldBlock` if another process, or another holder in this process, has the lock.
     fn lock(&self, path: &Path) -> io::Result<Box<dyn Lock>>;
 }
--- a/crates/shared/wingshore-storage/src/folder.rs
+++ b/crates/shared/wingshore-storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder of one replica, and the identity that is bound to it.
+//! The data folder of one replica and the identity that is bound to the folder.
 
 use crate::error::{IoContext, StorageError};
 use crate::file_system::{FileSystem, Lock};
@@ -10,44 +10,44 @@
 use wingshore_types::protocol::membership::Membership;
 use wingshore_types::{GroupId, ReplicaId};
 
-/// Name of the identity's file.
+/// Name of the identity file.
 const IDENTITY_FILE: &str = "identity";
-/// Name of the lock's file.
+/// Name of the lock file.
 const LOCK_FILE: &str = "lock";
-/// Directory that log rings are written to; it says nothing about whose data the folder holds.
+/// Directory that log rings are dumped to. It does not identify the owner of the folder.
 const LOGS_DIRECTORY: &str = "logs";
-/// Identities up to this one are chosen by operators; members that join draw higher ones.
+/// Highest replica id that an operator may choose; joining members draw random ids above it.
 const HIGHEST_FORMATTED: u64 = u32::MAX as u64;
 
-/// Whose data a folder holds.
+/// The owner of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The site.
     pub site: String,
-    /// The replica; bound to this folder for life.
+    /// The replica, bound permanently to the folder.
     pub replica: ReplicaId,
-    /// The founding members, when the folder was formatted as one of them; `None` for a member
-    /// that joins later.
+    /// The founding members, if the folder was formatted as one of them; `None` for a member that
+    /// joined later.
     pub founding: Option<Membership>,
 }
 
-/// A data folder in use by this process.
+/// A data folder that is locked by this process.
 pub struct DataFolder {
     path: PathBuf,
     identity: Identity,
-    /// Keeps other processes out.
+    /// Excludes other processes.
     _lock: Box<dyn Lock>,
 }
 
 impl DataFolder {
-    /// Makes an empty folder that of a founding member.
+    /// Initializes an empty folder for a founding member.
     ///
-    /// This is done once in a member's life. After the loss of its disk a replica joins anew
-    /// with [`DataFolder::open_or_join`]: formatting it again under its old identity would let
-    /// it vote a second time where it has voted already.
+    /// A member is formatted only once. After the loss of its disk, a replica joins again as a
+    /// new member with [`DataFolder::open_or_join`]: formatting it under its old identity would
+    /// let it vote twice in the same term.
     ///
     /// # Errors
-    /// When the folder is not empty, is in use, or the disk fails.
+    /// Returns an error if the folder is not empty or is in use, or if the disk fails.
     pub fn format(
         fs: &Arc<dyn FileSystem>,
         folder: &Path,
@@ -70,12 +70,12 @@
         Self::begin(fs.as_ref(), folder, identity, lock)
     }
 
-    /// Opens a folder. An empty one becomes that of a new member, whose identity is made of
-    /// `random` and is durable before it is returned.
+    /// Opens a folder. An empty folder is initialized for a new member, whose identity is derived
+    /// from `random` and is durable before the function returns.
     ///
     /// # Errors
-    /// When the folder belongs to another site, holds data without an identity, is damaged or in
-    /// use, or the disk fails.
+    /// Returns an error if the folder belongs to another site, holds data without an identity, is
+    /// damaged or in use, or if the disk fails.
     pub fn open_or_join(
         fs: &Arc<dyn FileSystem>,
         folder: &Path,
@@ -135,23 +135,23 @@
         })
     }
 
-    /// Whose folder it is.
+    /// Returns the owner of the folder.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The directory of a group's store.
+    /// Returns the directory of a group's store.
     pub fn group_directory(&self, group: GroupId) -> PathBuf {
         self.path.join(group.to_string())
     }
 }
 
-/// Creates the folder where needed and locks it.
+/// Creates the folder if it does not exist and locks it.
 fn prepare(fs: &dyn FileSystem, folder: &Path) -> Result<Box<dyn Lock>, StorageError> {
     fs.create_directory(folder)
         .during("create directory", folder)?;
@@ -168,8 +168,8 @@
     }
 }
 
-/// One thing in the folder, other than the lock, written logs and an identity whose writing was
-/// interrupted.
+/// Returns the name of one entry in the folder, ignoring the lock file, dumped logs and an identity
+/// file whose write was interrupted.
 fn first_content(fs: &dyn FileSystem, folder: &Path) -> Result<Option<String>, StorageError> {
     let unfinished = format!("{IDENTITY_FILE}{TEMPORARY_SUFFIX}");
     let ignored = [LOCK_FILE, LOGS_DIRECTORY, unfinished.as_str()];
@@ -179,7 +179,7 @@
         .find(|name| !ignored.contains(&name.as_str())))
 }
 
-/// An identity above those that operators choose.
+/// Returns a replica id above the range that operators choose from.
 fn joining_identity(random: u64) -> ReplicaId {
     if random > HIGHEST_FORMATTED {
         return ReplicaId(random);
--- a/crates/shared/wingshore-storage/src/frame.rs
+++ b/crates/shared/wingshore-storage/src/frame.rs
@@ -1,44 +1,44 @@
-//! Checksummed frames: the form of everything on disk.
+//! Checksummed frames, the format of segments and of files that are replaced atomically.
 //!
-//! A frame is `magic | length | checksum | payload`, integers little-endian. The checksum covers
-//! the frame's place (a caller's salt and its offset in the file) beside its payload, so that
-//! a payload which itself holds copied frames never passes for the frames of a file.
+//! A frame is `magic | length | checksum | payload`, with little-endian integers. The checksum
+//! covers a salt chosen by the caller, the frame's offset in the file and the payload. So frames
+//! that were copied into a payload are never mistaken for frames of the file.
 
 use std::io::{self, Read};
 
-/// Starts each frame.
+/// Magic bytes at the start of each frame.
 const MAGIC: [u8; 4] = *b"WSF1";
-/// Bytes before the payload.
+/// Length of the frame header, in bytes.
 pub(crate) const HEADER_BYTES: usize = 12;
 
-/// What is wrong with a frame that ends within its header.
-pub(crate) const CUT_HEADER: &str = "the frame's header is cut short";
-/// What is wrong with a frame that ends within its payload.
-pub(crate) const CUT_PAYLOAD: &str = "the frame is cut short";
-/// What is wrong with a frame whose bytes are not those that were written.
-pub(crate) const WRONG_CHECKSUM: &str = "the frame's checksum does not match";
+/// Error of a frame that ends within its header.
+pub(crate) const CUT_HEADER: &str = "the frame header is truncated";
+/// Error of a frame that ends within its payload.
+pub(crate) const CUT_PAYLOAD: &str = "the frame payload is truncated";
+/// Error of a frame whose checksum does not match its content.
+pub(crate) const WRONG_CHECKSUM: &str = "the frame checksum does not match";
 
-/// What is found at an offset.
+/// Result of parsing a frame at an offset of a file in memory.
 pub(crate) enum Scan<'a> {
-    /// A whole frame.
+    /// A complete, valid frame.
     Frame {
-        /// Its content.
+        /// The content of the frame.
         payload: &'a [u8],
     },
-    /// The end of the file, exactly.
+    /// The end of the file.
     End,
-    /// Something else.
+    /// An invalid frame, with the reason.
     Bad(&'static str),
 }
 
-/// Appends a frame with `payload` to `out`, to be at `offset` of its file.
+/// Appends a frame with `payload` to `out`; `offset` is the frame's position in its file.
 pub(crate) fn encode(salt: u64, offset: u64, payload: &[u8], out: &mut Vec<u8>) {
     let checksum = checksum(salt, offset, payload);
     out.extend_from_slice(&header(payload.len(), checksum));
     out.extend_from_slice(payload);
 }
 
-/// The bytes before a payload of `length` bytes with this checksum.
+/// Returns the header of a payload of `length` bytes with this checksum.
 pub(crate) fn header(length: usize, checksum: u32) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC);
@@ -47,10 +47,10 @@
     header
 }
 
-/// Largest payload that a frame can hold, in bytes.
+/// Maximum payload of a frame, in bytes.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = u32::MAX as usize;
 
-/// Reads what is at `offset` of `file`.
+/// Parses the frame at `offset` of `file`.
 pub(crate) fn scan(salt: u64, offset: usize, file: &[u8]) -> Scan<'_> {
     let rest = file.get(offset..).unwrap_or_default();
     if rest.is_empty() {
@@ -72,33 +72,33 @@
     Scan::Frame { payload }
 }
 
-/// Length and checksum of the payload after a header.
+/// Returns the length in bytes and the checksum of the payload that follows a header.
 pub(crate) fn read_header(header: &[u8]) -> Result<(usize, u32), &'static str> {
     if header.len() < HEADER_BYTES {
         return Err(CUT_HEADER);
     }
     if !header.starts_with(&MAGIC) {
-        return Err("no frame starts here");
+        return Err("the frame magic is missing");
     }
     Ok((read_u32(header, 4) as usize, read_u32(header, 8)))
 }
 
-/// What a reader gives next.
+/// Result of reading the next frame from a reader.
 pub(crate) enum NextFrame {
-    /// A whole frame.
+    /// A complete, valid frame.
     Frame {
-        /// Its content.
+        /// The content of the frame.
         payload: Vec<u8>,
-        /// Where the next one starts.
+        /// Offset of the next frame.
         next: u64,
     },
-    /// The end of the file, exactly.
+    /// The end of the file.
     End,
-    /// Something else.
+    /// An invalid frame, with the reason.
     Bad(&'static str),
 }
 
-/// Reads the frame at `offset` of a file, from a reader that is there.
+/// Reads the frame at `offset` of a file. The reader must be positioned at `offset`.
 pub(crate) fn read_next(reader: &mut impl Read, salt: u64, offset: u64) -> io::Result<NextFrame> {
     let mut header = Vec::new();
     let header_bytes = HEADER_BYTES as u64;
@@ -113,7 +113,7 @@
         Ok(read) => read,
         Err(reason) => return Ok(NextFrame::Bad(reason)),
     };
-    // Grows as the bytes come: the length may be damaged.
+    // Not preallocated: the length may be damaged.
     let mut payload = Vec::new();
     reader
         .by_ref()
@@ -129,7 +129,7 @@
     Ok(NextFrame::Frame { payload, next })
 }
 
-/// The offset of the first whole frame after `offset`, when there is one.
+/// Returns the offset of the first valid frame after `offset`, if there is one.
 pub(crate) fn find_after(salt: u64, offset: usize, file: &[u8]) -> Option<usize> {
     let candidates = offset.saturating_add(1)..file.len();
     candidates
@@ -149,11 +149,11 @@
     checksum.finish()
 }
 
-/// The checksum of a payload that is produced piece by piece.
+/// Computes the checksum of a payload incrementally.
 pub(crate) struct Checksum(crc32fast::Hasher);
 
 impl Checksum {
-    /// Of a payload of `length` bytes in a frame that is to be at `offset` of its file.
+    /// Starts the checksum of a payload of `length` bytes, in a frame at `offset` of its file.
     pub(crate) fn new(salt: u64, offset: u64, length: usize) -> Self {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(&salt.to_le_bytes());
@@ -162,7 +162,7 @@
         Self(hasher)
     }
 
-    /// Of all that was written.
+    /// Returns the checksum of all bytes written.
     pub(crate) fn finish(self) -> u32 {
         self.0.finalize()
     }
--- a/crates/shared/wingshore-storage/src/journal.rs
+++ b/crates/shared/wingshore-storage/src/journal.rs
@@ -1,37 +1,37 @@
-//! Records of the log's segments, and what replaying them gives.
+//! Records of the log segments and their replay.
 //!
-//! Segments are only ever appended to. Removing entries from the end, or discarding them from
-//! the front, is a record of its own, so that one write and one sync make a whole batch durable.
+//! Segments are append-only. Truncating entries at the end or discarding them at the front is a
+//! record of its own, so that one write and one sync make a whole batch durable.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use wingshore_types::LogIndex;
 use wingshore_types::log::{LogRecord, RecoveredLog, StoredSnapshot};
 
-/// Version of the records' format.
+/// Version of the record format.
 pub(crate) const FORMAT: u16 = 1;
 
-/// One record. A frame of a segment holds those of one batch.
+/// A record of a segment. Each frame of a segment holds the records of one write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Record<'a> {
-    /// First in each segment, so that earlier segments can be removed.
+    /// The first record of each segment; it lets earlier segments be removed.
     SegmentStart {
-        /// [`FORMAT`] of the writer.
+        /// [`FORMAT`] of the process that wrote the segment.
         format: u16,
-        /// The hard state so far.
+        /// The hard state at the start of the segment.
         hard_state: Option<Cow<'a, [u8]>>,
     },
     /// Replaces the hard state.
     HardState(Cow<'a, [u8]>),
-    /// Removes the entries from an index on.
+    /// Removes the entries from this index on.
     TruncateFrom(LogIndex),
-    /// Adds an entry.
+    /// Appends an entry.
     Append(Cow<'a, LogRecord>),
-    /// Discards entries up to an index.
+    /// Discards the entries up to and including this index.
     DiscardThrough(LogIndex),
 }
 
-/// The log as the records read so far make it.
+/// The log state after the records replayed so far.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     hard_state: Option<Vec<u8>>,
@@ -39,10 +39,10 @@
 }
 
 impl Replay {
-    /// Takes the records of one frame.
+    /// Applies the records of one frame.
     ///
     /// # Errors
-    /// Says what is wrong with them.
+    /// Returns the reason if a record is invalid.
     pub(crate) fn take_frame(&mut self, payload: &[u8]) -> Result<(), String> {
         let records: Vec<Record<'static>> =
             postcard::from_bytes(payload).map_err(|error| format!("unreadable record: {error}"))?;
@@ -76,17 +76,17 @@
         Ok(())
     }
 
-    /// The last entry's index.
+    /// Returns the index of the last entry.
     pub(crate) fn last_index(&self) -> Option<LogIndex> {
         self.entries.last().map(|entry| entry.index)
     }
 
-    /// Puts log and snapshot together. A crash between the snapshot and the records that belong
-    /// to it leaves entries that the snapshot overrides; then the log is
-    /// without them, and `true` is returned with it.
+    /// Combines the log with the snapshot. A crash between the write of a snapshot and of the
+    /// records that belong to it leaves entries that the snapshot supersedes; the returned log
+    /// then omits them, and the returned flag is `true`.
     ///
     /// # Errors
-    /// Says which entries are missing.
+    /// Returns the reason if entries between the snapshot and the log are missing.
     pub(crate) fn finish(
         mut self,
         snapshot: Option<StoredSnapshot>,
--- a/crates/shared/wingshore-storage/src/lib.rs
+++ b/crates/shared/wingshore-storage/src/lib.rs
@@ -1,13 +1,13 @@
 //! Durable storage of replicated groups: a segmented log, snapshots, and the identity that binds
 //! a data folder to one replica.
 //!
-//! What a [`GroupStore::write`] reports as done is on disk. A crash at any instruction leaves a
-//! state in which all reported batches are there, followed at most by the one batch that was
-//! being written. Damage to anything that was reported as done is distinguished from such a torn tail:
-//! the start is refused, naming file and offset.
+//! A batch is durable once [`GroupStore::write`] returns success. A crash at any instruction
+//! leaves all acknowledged batches, followed at most by the batch that was being written. Damage
+//! to acknowledged data is distinguished from such a torn tail: opening the store then fails with
+//! the file and the offset.
 //!
-//! All access to disk goes through [`FileSystem`], so that tests and simulations can lose
-//! unsynced data, tear writes and crash at any call; see [`memory`].
+//! All disk access goes through [`FileSystem`], so that tests and simulations can drop unsynced
+//! data, tear writes and crash at any call; see [`memory`].
 
 mod blob_index;
 mod blobs;
--- a/crates/shared/wingshore-storage/src/memory.rs
+++ b/crates/shared/wingshore-storage/src/memory.rs
@@ -1,8 +1,9 @@
-//! A file system in memory that loses what is not synced, for tests and simulations only.
+//! A file system in memory that drops unsynced data on a restart, for tests and simulations only.
 //!
-//! Each changing call has a number, from 1. A [`Faults`] value lets the process die at one of
-//! them, or lets one sync fail. [`MemoryFileSystem::restart`] then leaves what a machine would
-//! find: what was synced, and a seeded part of what was not.
+//! Calls that modify the file system are numbered from 1. A [`Faults`] value makes the process
+//! crash at one of them, makes syncs fail, or simulates a full disk. After
+//! [`MemoryFileSystem::restart`] the disk holds what a machine would find after a power loss: the
+//! synced data and a part of the unsynced data that depends on a seed.
 
 mod disk;
 
@@ -13,15 +14,15 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What is to go wrong.
+/// Faults to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The process dies at this call: it may be done in part, and all later ones fail until the
-    /// restart.
+    /// The process crashes at this call: the call may take partial effect, and all later calls
+    /// fail until the restart.
     pub crash_at: Option<u64>,
-    /// From this call on syncs of files fail, without making anything durable.
+    /// File syncs fail from this call on, without making anything durable.
     pub fail_syncs_from: Option<u64>,
-    /// The disk is full: appended bytes fit in part, and the call is refused.
+    /// The disk is full: an append writes a part of its bytes and fails.
     pub full: bool,
 }
 
@@ -38,41 +39,41 @@
     calls: u64,
     crashed: bool,
     locks: BTreeSet<PathBuf>,
-    /// Counts restarts: files opened and locks taken before one are void.
+    /// Number of restarts and disk losses; files and locks of an earlier boot are invalid.
     boot: u64,
 }
 
-/// What a changing call may do.
+/// Extent to which a modifying call may take effect.
 enum Permission {
-    /// All of it.
+    /// The call completes.
     Whole,
-    /// The process dies in it.
+    /// The process crashes during the call.
     Crash,
 }
 
 impl MemoryFileSystem {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets what is to go wrong; call numbers count from the last restart.
+    /// Sets the faults to inject; call numbers count from the last restart.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Changing calls since the last restart.
+    /// Returns the number of modifying calls since the last restart.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Whether the process has died: crash tests distinguish that from a disk that is damaged.
+    /// Returns whether the process has crashed, so that tests can distinguish a crash from damage.
     pub fn is_crashed(&self) -> bool {
         self.state().crashed
     }
 
-    /// Loses power, if it has not yet, and starts the machine: what was synced stays, and of the
-    /// rest a part that depends on `seed`. Faults are cleared.
+    /// Simulates a power loss and a restart: synced data is kept, and a part of the unsynced data
+    /// that depends on `seed`. Faults are cleared.
     pub fn restart(&self, seed: u64) {
         let mut state = self.state();
         state.disk.lose_unsynced(seed);
@@ -83,7 +84,7 @@
         state.boot += 1;
     }
 
-    /// Replaces the disk by an empty one. Files that are open write to the lost one.
+    /// Replaces the disk with an empty one. Files that were open fail from then on.
     pub fn lose_disk(&self) {
         let mut state = self.state();
         state.disk = Disk::default();
@@ -91,10 +92,10 @@
         state.boot += 1;
     }
 
-    /// Changes bytes of a file that is durable, as a failing disk would.
+    /// Modifies the durable bytes of a file, like a failing disk.
     ///
     /// # Errors
-    /// `NotFound` when there is no such file.
+    /// Returns `NotFound` if the file does not exist.
     pub fn damage(&self, path: &Path, change: impl FnOnce(&mut Vec<u8>)) -> io::Result<()> {
         self.state().disk.damage(path, change)
     }
@@ -105,7 +106,7 @@
 }
 
 impl Shared {
-    /// Counts a changing call, and decides what it may do.
+    /// Counts a modifying call and decides whether it completes.
     fn begin_call(&mut self) -> io::Result<Permission> {
         self.check_alive()?;
         self.calls += 1;
@@ -123,8 +124,8 @@
         Ok(())
     }
 
-    /// A change that is done whole, and is done or not when the process dies in it; whether it
-    /// outlives the crash is decided by the restart in either case.
+    /// Applies a change. If the process crashes during the call, the change is applied too: the
+    /// restart decides which unsynced changes survive.
     fn change<T>(&mut self, change: impl FnOnce(&mut Disk) -> io::Result<T>) -> io::Result<T> {
         let permission = self.begin_call()?;
         let result = change(&mut self.disk);
@@ -134,7 +135,7 @@
         }
     }
 
-    /// A sync: nothing becomes durable when the process dies in it.
+    /// Performs a sync. Nothing becomes durable if the process crashes during the call.
     fn sync(&mut self, sync: impl FnOnce(&mut Disk) -> io::Result<()>) -> io::Result<()> {
         match self.begin_call()? {
             Permission::Whole => sync(&mut self.disk),
--- a/crates/shared/wingshore-storage/src/memory/disk.rs
+++ b/crates/shared/wingshore-storage/src/memory/disk.rs
@@ -1,22 +1,22 @@
-//! The disk itself: what programs see now, and what would be found after a loss of power.
+//! The simulated disk: the content that programs see and the content that survives a power loss.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Names a file's content, whatever its name in a directory.
+/// Identifies the content of a file independently of its name, like an inode number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FileId(u64);
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// What programs read.
+    /// The bytes that programs read.
     current: Vec<u8>,
-    /// What is on the medium.
+    /// The bytes that are durable.
     synced: Vec<u8>,
 }
 
-/// A change of names that is not yet synced.
+/// A directory change that is not yet synced.
 #[derive(Clone, Debug)]
 enum NameChange {
     Link {
@@ -42,7 +42,7 @@
     pending: Vec<NameChange>,
 }
 
-/// A disk. Directories themselves are durable at once; the names of files in them are not.
+/// A simulated disk. Directories are durable at once; the file names in them are not.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     contents: BTreeMap<FileId, Content>,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Names of files and of directories.
+    /// Returns the names of files and of subdirectories, sorted.
     pub(super) fn list(&self, directory: &Path) -> io::Result<Vec<String>> {
         let files = self.directory(directory)?.current.keys().cloned();
         let inner = self
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Keeps what was synced, and of the rest a part that depends on `seed`.
+    /// Keeps the synced data and a part of the unsynced data that depends on `seed`.
     pub(super) fn lose_unsynced(&mut self, seed: u64) {
         let mut chance = Chance(seed);
         for content in self.contents.values_mut() {
@@ -195,8 +195,8 @@
 }
 
 impl Content {
-    /// Unsynced bytes survive up to some place, and some of them may have become zeros: a
-    /// disk writes pages in any order.
+    /// Keeps the unsynced bytes up to a random offset and may zero a range of them, since a disk
+    /// writes pages in any order.
     fn lose_unsynced(&mut self, chance: &mut Chance) {
         let common = self
             .synced
@@ -231,7 +231,7 @@
         self.pending.push(change);
     }
 
-    /// Any of the unsynced changes of names may survive: nothing orders them.
+    /// Keeps a random subset of the unsynced directory changes, since their order is undefined.
     fn lose_unsynced(&mut self, chance: &mut Chance) {
         for change in self.pending.drain(..) {
             if chance.below(2) == 0 {
@@ -261,7 +261,7 @@
     }
 }
 
-/// A small seeded generator (SplitMix64); one seed gives one outcome.
+/// A seeded pseudo-random number generator (SplitMix64); equal seeds give equal results.
 struct Chance(u64);
 
 impl Chance {
@@ -276,7 +276,7 @@
         self.next() % bound
     }
 
-    /// A place from `low` to `high`, both included.
+    /// Returns a number between `low` and `high`, both inclusive.
     fn within(&mut self, low: usize, high: usize) -> usize {
         low + self.below((high - low) as u64 + 1) as usize
     }
--- a/crates/shared/wingshore-storage/src/patient.rs
+++ b/crates/shared/wingshore-storage/src/patient.rs
@@ -1,10 +1,11 @@
-//! What becomes of a write that the disk refuses?
+//! Retries of writes that fail because the disk is full.
 //!
-//! - Inputs: the error of the write or of the opening.
-//! - Rule: while the error is a full disk, the caller's `wait` is called and the store is opened and
-//!   written again, without limit; any other error is final, and the store takes no more writes.
-//! - Why: a full disk ends by itself or by an operator, and a member that waits loses nothing. After a
-//!   failed sync nothing unsynced can be trusted.
+//! - Input: the error returned by opening or writing the store.
+//! - Rule: while the disk is full, the caller's `wait` is called, the store is reopened and the
+//!   write is retried, without limit. Any other error is final, and the store rejects further
+//!   writes.
+//! - Reason: space is freed over time or by an operator, and a member that waits loses no data.
+//!   After a failed sync, unsynced data is in an unknown state.
 
 use crate::error::StorageError;
 use crate::file_system::FileSystem;
@@ -14,11 +15,12 @@
 use wingshore_types::LogIndex;
 use wingshore_types::log::{RecoveredLog, WriteBatch};
 
-/// A [`GroupStore`] whose writes wait for space instead of failing.
+/// A [`GroupStore`] whose writes are retried while the disk is full.
 ///
-/// A refused write leaves either nothing or a torn tail, which the next opening cuts off; what was
-/// reported as durable before is untouched. So the store is opened again and the batch written
-/// again, in a form that gives the same log whether or not the first attempt was whole.
+/// A write that fails on a full disk leaves either nothing or a torn tail, which is truncated when
+/// the store is reopened; earlier acknowledged writes are unaffected. So the store is reopened and
+/// the batch is written again, in an idempotent form that gives the same log whether or not the
+/// first attempt was complete.
 pub struct PatientStore {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
@@ -26,11 +28,11 @@
 }
 
 impl PatientStore {
-    /// Opens, or begins, the store in `directory`. `wait` is called after each refusal by a full
-    /// disk.
+    /// Opens the store in `directory`, creating it if it does not exist. Calls `wait` each time the
+    /// disk is full.
     ///
     /// # Errors
-    /// As [`GroupStore::open`], except for a full disk.
+    /// Returns the errors of [`GroupStore::open`], except for a full disk.
     pub fn open(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -45,10 +47,10 @@
         Ok((patient, recovered))
     }
 
-    /// Makes `batch` durable, however long the disk is full.
+    /// Makes `batch` durable, retrying without limit while the disk is full.
     ///
     /// # Errors
-    /// As [`GroupStore::write`], except for a full disk.
+    /// Returns the errors of [`GroupStore::write`], except for a full disk.
     pub fn write(
         &mut self,
         batch: &WriteBatch,
@@ -80,10 +82,11 @@
     }
 }
 
-/// Does something again until the disk has space for it.
+/// Calls `action` until it succeeds or fails with an error other than a full disk. Calls `wait`
+/// each time the disk is full.
 ///
 /// # Errors
-/// Any error but that of a full disk.
+/// Returns any error of `action` except for a full disk.
 pub fn with_space<T>(
     wait: &mut dyn FnMut(&StorageError),
     mut action: impl FnMut() -> Result<T, StorageError>,
@@ -96,7 +99,7 @@
     }
 }
 
-/// The batch in a form that gives the same log when it is written twice.
+/// Returns the batch in an idempotent form: it gives the same log when it is written twice.
 fn repeatable(batch: &WriteBatch) -> WriteBatch {
     let mut batch = batch.clone();
     let first = batch.append.first().map(|record| record.index);
--- a/crates/shared/wingshore-storage/src/real.rs
+++ b/crates/shared/wingshore-storage/src/real.rs
@@ -1,4 +1,4 @@
-//! The machine's own file system.
+//! The file system of the machine.
 
 use crate::file_system::{File, FileSystem, Lock, ReadableFile};
 use std::fs;
@@ -6,18 +6,18 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The machine's own file system, through the standard library.
+/// The file system of the machine, accessed through the standard library.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealFileSystem;
 
 struct RealFile(fs::File);
 
 struct RealLock {
-    /// Closing it gives the lock back.
+    /// Closing the file releases the lock.
     _file: fs::File,
 }
 
-/// Its place of reading is moved for each read.
+/// A file with a shared read position, which each read sets under the mutex.
 struct RealReadableFile(Mutex<fs::File>);
 
 impl ReadableFile for RealReadableFile {
--- a/crates/shared/wingshore-storage/src/segment.rs
+++ b/crates/shared/wingshore-storage/src/segment.rs
@@ -1,6 +1,6 @@
-//! One file of the log: writing it, and replaying it at a start.
+//! Log segments: writing them and replaying them at startup.
 //!
-//! A torn tail of the last segment is cut off; any other damage stops the start.
+//! A torn tail of the last segment is truncated; any other damage makes the startup fail.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::{File, FileReader, FileSystem};
@@ -11,21 +11,21 @@
 use std::path::{Path, PathBuf};
 use wingshore_types::LogIndex;
 
-/// Bytes of a segment that are read at a time.
+/// Size of the read buffer for segments, in bytes.
 const READ_BYTES: usize = 64 << 10;
-/// Start of the names of segments.
+/// Prefix of the names of segment files.
 const PREFIX: &str = "log-";
 
-/// A segment that is no longer written.
+/// A segment that is no longer written to.
 #[derive(Debug)]
 pub(crate) struct ClosedSegment {
-    /// Where it is.
+    /// The path of the segment.
     pub(crate) path: PathBuf,
-    /// The highest index of an entry in it.
+    /// The highest entry index in the segment.
     pub(crate) last_index: Option<LogIndex>,
 }
 
-/// The segment that is being written.
+/// The segment that is being written to.
 pub(crate) struct ActiveSegment {
     path: PathBuf,
     sequence: u64,
@@ -35,17 +35,18 @@
     buffer: Vec<u8>,
 }
 
-/// The number in a segment's name; `None` for other files.
+/// Returns the sequence number in the name of a segment; `None` for other files.
 pub(crate) fn sequence_of(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.parse().ok()
 }
 
-/// The path of the segment with this number. Names sort as numbers do.
+/// Returns the path of the segment with this sequence number. The number is zero-padded, so the
+/// names sort by number.
 pub(crate) fn path_of(directory: &Path, sequence: u64) -> PathBuf {
     directory.join(format!("{PREFIX}{sequence:020}"))
 }
 
-/// Replays a segment that is followed by others, all of which must be whole.
+/// Replays a segment that is followed by another one. All of its frames must be valid.
 pub(crate) fn replay_closed(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -63,10 +64,11 @@
     })
 }
 
-/// Replays the last segment. A torn tail is cut: it was never reported as written, since a
-/// batch is one frame and is only reported once it is synced.
+/// Replays the last segment and truncates a torn tail. The tail was never acknowledged, since a
+/// batch is one frame and is acknowledged only after the sync.
 ///
-/// `None` when not even its first frame is whole: then its creation was interrupted.
+/// Returns `None` if not even the first frame is complete: the creation of the segment was
+/// interrupted.
 pub(crate) fn replay_last(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -97,17 +99,17 @@
     }))
 }
 
-/// How far the frames of a segment could be read.
+/// Result of reading the frames of a segment.
 struct Reading {
-    /// Bytes of whole frames.
+    /// Length of the valid frames, in bytes.
     length: u64,
-    /// Why the rest could not be read, when there is a rest.
+    /// The reason why the first frame after them is invalid, if there is one.
     bad: Option<&'static str>,
-    /// The highest index of an entry.
+    /// The highest entry index.
     last_index: Option<LogIndex>,
 }
 
-/// Reads a segment frame by frame: only one of them is in memory beside its records.
+/// Replays a segment frame by frame, with one frame in memory at a time.
 fn read_frames(
     fs: &dyn FileSystem,
     path: &Path,
@@ -140,8 +142,8 @@
     }
 }
 
-/// A batch is only written once the one before it is synced. So a whole frame after a bad place
-/// proves that the bad place was durable once.
+/// Returns an error if a valid frame follows the invalid one. A batch is written only after the
+/// previous one is synced, so the later frame proves that the invalid one had been durable.
 fn refuse_damage_before_tail(
     path: &Path,
     sequence: u64,
@@ -154,13 +156,13 @@
         Some(next) => Err(damaged(
             path,
             bad_at,
-            format!("{reason}, and a whole frame follows at byte {next}"),
+            format!("{reason}, and a valid frame follows at byte {next}"),
         )),
     }
 }
 
 impl ActiveSegment {
-    /// Creates a segment that holds its first record, and makes it durable.
+    /// Creates a segment with its [`Record::SegmentStart`] and makes it durable.
     pub(crate) fn create(
         fs: &dyn FileSystem,
         directory: &Path,
@@ -186,7 +188,7 @@
         Ok(segment)
     }
 
-    /// Adds the records as one frame and syncs it.
+    /// Appends the records as one frame and syncs the file.
     pub(crate) fn write(&mut self, records: &[Record<'_>]) -> Result<(), StorageError> {
         let payload = postcard::to_stdvec(records)
             .map_err(io::Error::other)
@@ -204,17 +206,17 @@
         Ok(())
     }
 
-    /// Bytes in it.
+    /// Returns the length of the segment, in bytes.
     pub(crate) fn length(&self) -> u64 {
         self.length
     }
 
-    /// The number in its name.
+    /// Returns the sequence number of the segment.
     pub(crate) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Ends writing to it.
+    /// Converts the segment to a closed one.
     pub(crate) fn close(self) -> ClosedSegment {
         ClosedSegment {
             path: self.path,
--- a/crates/shared/wingshore-storage/src/snapshot.rs
+++ b/crates/shared/wingshore-storage/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Files that are replaced as a whole: the snapshot of a group, and the identity of a folder.
+//! Files that are replaced atomically: the snapshot of a group and the identity of a folder.
 //!
-//! A new one is written beside the old one, synced, and renamed to its place, so that a crash leaves
-//! one of the two.
+//! The new content is written to a temporary file, synced and renamed over the old file, so that a
+//! crash leaves either the old or the new content.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::{File, FileRange, FileReader, FileSystem, READ_BYTES, ReadableFile};
@@ -16,18 +16,19 @@
 use wingshore_types::log::StoredSnapshot;
 use wingshore_types::snapshot_data::SnapshotState;
 
-/// Name of the snapshot of a group.
+/// Name of the snapshot file of a group.
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
-/// Added to the name of a file that is being written.
+/// Suffix of the name of a temporary file.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
-/// Bytes that are collected for one write to a file that is replaced as a whole.
+/// Size of the write buffer for a file that is replaced atomically, in bytes.
 const WRITE_BYTES: usize = 256 << 10;
-/// Maximal bytes of index, term and length before a snapshot's data.
+/// Maximum length of the encoded index, term and data length of a snapshot, in bytes.
 const MAX_HEAD_BYTES: u64 = 32;
-/// Salt of the frames of files that are replaced as a whole.
+/// Checksum salt of the frames in files that are replaced atomically.
 const WHOLE_FILE_SALT: u64 = u64::MAX;
 
-/// Writes `value` aside, syncs it, renames it to `name` and syncs the directory.
+/// Replaces the file `name` with `value`: writes and syncs a temporary file, renames it to `name`
+/// and syncs the directory.
 pub(crate) fn write_whole<T: Serialize>(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -42,14 +43,14 @@
     })
 }
 
-/// As [`write_whole`] with a snapshot, which is encoded while it is written.
+/// Like [`write_whole`], for a snapshot, which is encoded while it is written.
 pub(crate) fn write_snapshot(
     fs: &dyn FileSystem,
     directory: &Path,
     snapshot: &StoredSnapshot,
 ) -> Result<(), StorageError> {
     let data = snapshot.data.for_own_disk();
-    // The codec writes bytes as their length and themselves.
+    // The codec encodes a byte sequence as its length followed by the bytes.
     let head = encode_exactly(&(snapshot.index, snapshot.term, data.length()))
         .map_err(io::Error::other)
         .during("encode", &directory.join(SNAPSHOT_FILE))?;
@@ -63,8 +64,8 @@
     Ok(())
 }
 
-/// Opens the snapshot that [`write_snapshot`] wrote, and checks all of it; `None` when it never did.
-/// Its bytes stay on disk until they are needed.
+/// Opens the snapshot written by [`write_snapshot`] and verifies its checksum; `None` if there is
+/// no snapshot. Its data stays on disk and is read on demand.
 pub(crate) fn open_snapshot(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -90,7 +91,7 @@
         return Err(damaged(
             &path,
             0,
-            "the snapshot has another length than it says",
+            "the length of the snapshot does not match its header",
         ));
     }
     let state = FileRange::new(file, payload + skipped, data_length);
@@ -98,7 +99,8 @@
     Ok(Some(StoredSnapshot { index, term, data }))
 }
 
-/// Checks the only frame of a file piece by piece; gives the length of its payload.
+/// Verifies the only frame of a file without loading it into memory and returns the length of its
+/// payload in bytes.
 fn check_frame(path: &Path, file: &Arc<dyn ReadableFile>) -> Result<u64, StorageError> {
     let mut reader = FileReader::new(Arc::clone(file), 0);
     let mut header = Vec::new();
@@ -124,7 +126,8 @@
     Ok(read)
 }
 
-/// Writes a payload of `length` bytes as one frame. It is produced twice: its checksum comes before it.
+/// Replaces a file with a payload of `length` bytes as one frame. Calls `produce` twice, since the
+/// checksum precedes the payload.
 fn write_payload(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -152,7 +155,7 @@
         .during("sync directory", directory)
 }
 
-/// A file as a target of encoders.
+/// Adapts a [`File`] to [`Write`].
 struct FileWriter<'a>(&'a mut dyn File);
 
 impl Write for FileWriter<'_> {
@@ -166,7 +169,7 @@
     }
 }
 
-/// Reads what [`write_whole`] wrote; `None` when it never did.
+/// Reads a value written by [`write_whole`]; `None` if the file does not exist.
 pub(crate) fn read_whole<T: DeserializeOwned>(
     fs: &dyn FileSystem,
     directory: &Path,
--- a/crates/shared/wingshore-storage/src/store.rs
+++ b/crates/shared/wingshore-storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The log, hard state and snapshot of one replicated group, on disk.
+//! Durable log, hard state and snapshot of one replicated group.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::FileSystem;
@@ -11,16 +11,16 @@
 use wingshore_types::LogIndex;
 use wingshore_types::log::{RecoveredLog, StoredSnapshot, WriteBatch};
 
-/// Size from which on a segment is closed and a new one begun, in bytes; space is given back in steps
-/// of it.
+/// Size at which a segment is closed and a new one is created, in bytes; also the granularity in
+/// which space is freed.
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Number of the first segment of a log.
+/// Sequence number of the first segment of a log.
 const FIRST_SEGMENT: u64 = 1;
 
-/// Durable storage of one group; one thread owns it.
+/// Durable storage of one group, owned by a single thread.
 ///
-/// Its directory holds `log-N` segments, of which only the last is written, and `snapshot`.
+/// Its directory holds `log-N` segments, of which only the last is written to, and `snapshot`.
 pub struct GroupStore {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
@@ -28,18 +28,18 @@
     closed: Vec<ClosedSegment>,
     active: ActiveSegment,
     hard_state: Option<Vec<u8>>,
-    /// The last entry's index; `None` when the log is empty.
+    /// The index of the last entry; `None` if the log is empty.
     last_index: Option<LogIndex>,
-    /// The last entry in the snapshot; 0 without one.
+    /// The index of the last entry in the snapshot; 0 without a snapshot.
     snapshot_index: LogIndex,
     poisoned: bool,
 }
 
 impl GroupStore {
-    /// Opens, or begins, the store in `directory` and reads all of it.
+    /// Opens the store in `directory`, creating it if it does not exist, and recovers the log.
     ///
     /// # Errors
-    /// When the disk fails, or when something that was durable is damaged.
+    /// Returns an error if the disk fails or if durable data is damaged.
     pub fn open(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -47,10 +47,10 @@
         Self::open_with(fs, directory, DEFAULT_SEGMENT_BYTES)
     }
 
-    /// As [`GroupStore::open`], with segments of another size.
+    /// Like [`GroupStore::open`], with a segment size of `segment_bytes`.
     ///
     /// # Errors
-    /// As [`GroupStore::open`].
+    /// Returns the same errors as [`GroupStore::open`].
     pub fn open_with(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -90,21 +90,21 @@
         Ok((store, recovered))
     }
 
-    /// Makes `batch` durable, its fields in order. An append-only batch, with or without a
-    /// hard state, costs one write and one sync.
+    /// Makes `batch` durable, applying its fields in order. An append-only batch, with or without
+    /// a hard state, costs one write and one sync.
     ///
     /// # Errors
-    /// All are fatal: the store takes no more writes. How much of the batch is on disk is then
-    /// known only after a restart.
+    /// All errors are fatal: the store rejects further writes. Which part of the batch is on disk
+    /// is unknown until a restart.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
         self.write_all(std::slice::from_ref(batch))
     }
 
-    /// Makes several batches durable, in order. Together they cost as little as one: this is how
-    /// requests that arrive during a sync share the next one.
+    /// Makes several batches durable, in order, at the cost of a single one (group commit):
+    /// requests that arrive during a sync share the next sync.
     ///
     /// # Errors
-    /// As [`GroupStore::write`].
+    /// Returns the same errors as [`GroupStore::write`].
     pub fn write_all(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned {
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Gathers the records of `batch`; writes them only where a snapshot must come after them.
+    /// Adds the records of `batch` to `records`. Writes the pending records only before a snapshot,
+    /// which must follow them.
     fn take_batch<'batch>(
         &mut self,
         batch: &'batch WriteBatch,
@@ -164,8 +165,8 @@
         Ok(())
     }
 
-    /// Removes a log that ends before the snapshot does, so that the entry after the snapshot
-    /// can follow.
+    /// Truncates a log that ends before the snapshot, so that the entry after the snapshot can be
+    /// appended.
     fn drop_overridden(&mut self, records: &mut Vec<Record<'_>>) {
         if self
             .last_index
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Begins a new segment when the active one is large enough.
+    /// Starts a new segment if the active one has reached the segment size.
     fn roll_over(&mut self) -> Result<(), StorageError> {
         if self.active.length() < self.segment_bytes {
             return Ok(());
@@ -201,8 +202,8 @@
         Ok(())
     }
 
-    /// Removes closed segments, oldest first, whose entries all went. Each removal is synced, so
-    /// that no crash leaves a gap between segments.
+    /// Removes closed segments whose entries are all discarded, oldest first. Each removal is
+    /// synced, so that a crash never leaves a gap between segments.
     fn remove_segments(&mut self, through: LogIndex) -> Result<(), StorageError> {
         let removable = self
             .closed
@@ -231,8 +232,8 @@
         self.last_index = Some(kept).filter(|kept| *kept > LogIndex(0));
     }
 
-    /// Checks that appended entries follow what is kept, without gaps, and that only entries in
-    /// the snapshot are discarded.
+    /// Checks that the appended entries follow the remaining log without gaps, and that only
+    /// entries in the snapshot are discarded.
     fn check(&self, batch: &WriteBatch) -> Result<(), StorageError> {
         let snapshot = batch
             .snapshot
@@ -242,20 +243,20 @@
         for (expected, record) in (first..).zip(&batch.append) {
             if record.index.0 != expected {
                 return self.refuse(format!(
-                    "entry {} where entry {expected} is due",
+                    "found entry {}, expected entry {expected}",
                     record.index
                 ));
             }
         }
         match batch.discard_through {
             Some(through) if through > snapshot => self.refuse(format!(
-                "entries through {through} are to go, and the snapshot ends at {snapshot}"
+                "cannot discard entries through {through}: the snapshot ends at {snapshot}"
             )),
             _ => Ok(()),
         }
     }
 
-    /// The last entry that `batch` leaves before it appends; 0 for none.
+    /// Returns the index of the last entry after the truncation by `batch`; 0 if there is none.
     fn kept_by(&self, batch: &WriteBatch) -> u64 {
         let last = self.last_index.map_or(0, |last| last.0);
         match batch.truncate_from {
@@ -285,13 +286,13 @@
     snapshot.map_or(LogIndex(0), |snapshot| snapshot.index)
 }
 
-/// The last segment.
+/// State of the last segment at startup.
 enum Found {
-    /// It can be written on.
+    /// The segment exists and can be appended to.
     Active(ActiveSegment),
-    /// It has to be created.
+    /// The segment has to be created.
     Missing {
-        /// With this number.
+        /// The sequence number of the new segment.
         sequence: u64,
     },
 }
@@ -325,13 +326,14 @@
         None if last > FIRST_SEGMENT && closed.is_empty() => Err(damaged(
             &segment::path_of(directory, last),
             0,
-            "the only segment holds nothing readable",
+            "the only segment holds no valid frame",
         )),
         None => Ok((closed, Found::Missing { sequence: last })),
     }
 }
 
-/// The first segment is created before anything else is written.
+/// Returns an error if there is a snapshot but no log. The first segment is created before anything
+/// else is written, so the log must have been lost.
 fn refuse_lost_log(
     directory: &Path,
     recovered: &RecoveredLog,
@@ -340,7 +342,11 @@
     let begins = matches!(found, Found::Missing { sequence } if *sequence == FIRST_SEGMENT);
     if begins && recovered.snapshot.is_some() {
         let missing = segment::path_of(directory, FIRST_SEGMENT);
-        return Err(damaged(&missing, 0, "a snapshot is there, the log is not"));
+        return Err(damaged(
+            &missing,
+            0,
+            "a snapshot exists but the log is missing",
+        ));
     }
     Ok(())
 }
