--- a/crates/shared/wingshore-types/src/api.rs
+++ b/crates/shared/wingshore-types/src/api.rs
@@ -1,90 +1,90 @@
-//! What callers see on a node: JSON bodies. Paths and headers are in `docs/API.md`.
+//! JSON bodies and header names of the HTTP API of a node. `docs/API.md` documents the API.
 
 use crate::ids::{SampleNumber, StepId, TrainerId, WeightVersion};
 use crate::sample::{Prompt, Segment, Token};
 use serde::{Deserialize, Serialize};
 
-/// Header that marks a request as not to be repeated.
+/// Header that marks a request that must not be retried.
 pub const NO_REPEAT_HEADER: &str = "x-wingshore-no-repeat";
-/// Header with the time the caller still waits, in milliseconds.
+/// Header with the remaining time until the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-wingshore-deadline-ms";
-/// Header with the caller's priority; higher goes first.
+/// Header with the priority of the request; higher values are served first.
 pub const PRIORITY_HEADER: &str = "x-wingshore-priority";
 /// Header with the caller's idempotency key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Header by which a node names the server that answered.
+/// Response header with the name of the server that answered.
 pub const SERVER_HEADER: &str = "x-wingshore-server";
 
-/// `POST /v1/pools/{pool}/samples`.
+/// Request body of `POST /v1/pools/{pool}/samples`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitRequest {
-    /// What to generate.
+    /// The prompts to generate samples for.
     pub prompts: Vec<Prompt>,
 }
 
-/// Its answer.
+/// Response body of `POST /v1/pools/{pool}/samples`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitReply {
-    /// Samples that were new.
+    /// Number of samples that were added.
     pub added: u32,
-    /// Samples that were known already.
+    /// Number of samples that existed already.
     pub known: u32,
 }
 
-/// `POST /v1/pools/{pool}/steps/{step}/pull`.
+/// Request body of `POST /v1/pools/{pool}/steps/{step}/pull`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PullBody {
-    /// Who asks.
+    /// The trainer that pulls.
     pub trainer: TrainerId,
-    /// The trainer's own version now.
+    /// The trainer's current weight version.
     pub weight_version: WeightVersion,
-    /// How many samples make the step.
+    /// Number of samples in the step.
     pub count: u32,
-    /// How long the answer may wait for them, in milliseconds.
+    /// Maximum time to wait for the samples, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
 }
 
-/// Its answer: the batch.
+/// Response body of a pull: the batch of the step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchBody {
     /// The step.
     pub step: StepId,
-    /// The version staleness was checked against.
+    /// The weight version that staleness was measured against.
     pub weight_version: WeightVersion,
     /// The samples.
     pub samples: Vec<SampleBody>,
 }
 
-/// One sample of a batch.
+/// A sample of a batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SampleBody {
-    /// The trainer's number for it.
+    /// The number that the trainer chose for the sample.
     pub number: SampleNumber,
     /// Prompt tokens.
     pub prompt: Vec<Token>,
     /// Generated tokens.
     pub tokens: Vec<Token>,
-    /// The versions that made them.
+    /// The weight versions that generated the tokens.
     pub segments: Vec<Segment>,
     /// The score.
     pub score: f64,
 }
 
-/// `POST /v1/pools/{pool}/steps/{step}/ack`.
+/// Request body of `POST /v1/pools/{pool}/steps/{step}/ack`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AcknowledgeBody {
-    /// Who.
+    /// The trainer that acknowledges the step.
     pub trainer: TrainerId,
 }
 
-/// `POST /v1/pools/{pool}/versions`.
+/// Request body of `POST /v1/pools/{pool}/versions`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishBody {
-    /// The version that is in the weight store now.
+    /// The version that is available in the weight store.
     pub version: WeightVersion,
 }
--- a/crates/shared/wingshore-types/src/blob.rs
+++ b/crates/shared/wingshore-types/src/blob.rs
@@ -1,29 +1,30 @@
-//! Blobs: bytes on a machine's own disk beside a replicated log, and the trait by which states hold them.
+//! Blobs, stored on the local disk beside a replicated log, and the trait that replicated states
+//! reference them by.
 
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// Place of a blob on this machine's disk.
+/// Location of a blob on the local disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlobPlace {
-    /// Number of its file.
+    /// Number of the file that holds the blob.
     pub file: u64,
-    /// Where it begins there, in bytes.
+    /// Offset of the blob in the file, in bytes.
     pub offset: u64,
-    /// Its bytes.
+    /// Length of the blob, in bytes.
     pub length: u32,
-    /// CRC-32 of them.
+    /// CRC-32 of the content.
     pub checksum: u32,
 }
 
-/// Bytes that are durable on this machine's disk, and stay there while something holds this.
+/// A reference to a durable blob on the local disk; the blob is kept while a reference exists.
 pub trait Blob: Send + Sync {
-    /// Their place.
+    /// Returns the location of the blob.
     fn place(&self) -> BlobPlace;
 
-    /// The bytes.
+    /// Reads the content.
     ///
     /// # Errors
-    /// When the disk fails, or the bytes are damaged.
+    /// Returns an error if the disk fails or the content is damaged.
     fn read(&self) -> io::Result<Vec<u8>>;
 }
--- a/crates/shared/wingshore-types/src/configuration.rs
+++ b/crates/shared/wingshore-types/src/configuration.rs
@@ -1,15 +1,16 @@
-//! The replicated configuration: pools, services, servers, and changes to them.
+//! The replicated configuration of pools, services and servers, and its changes.
 //!
-//! A configuration of revision `r` is the result of applying `r` changes, in commit order, to the
-//! empty one. Nodes hold a copy and apply the same changes, so a delta carries changes only.
+//! The configuration at revision `r` is the result of applying `r` changes, in commit order, to the
+//! empty configuration. Nodes hold a copy and apply the same changes, so an update contains only
+//! the changes.
 
 use crate::ids::{PoolId, Revision, ServerId, ServiceId, TrainerId, WeightVersion, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Thousandths of a whole; shares and weights are whole numbers so that every member computes
-/// the same.
+/// A share or weight in thousandths. It is an integer so that every member computes the same
+/// results.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,148 +18,150 @@
 pub struct Permille(pub u16);
 
 impl Permille {
-    /// The whole.
+    /// 1000 thousandths, a share of 100 percent.
     pub const WHOLE: Self = Self(1000);
 
-    /// As a fraction of one.
+    /// Returns the value as a fraction of 1.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
 }
 
-/// What kind of back end a service's servers are.
+/// The kind of the servers of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines that serve `model`: completions and rollouts.
+    /// Model engines, which serve completions and rollouts of `model`.
     Engines {
-        /// The base model's name.
+        /// The name of the base model.
         model: String,
     },
-    /// Servers that answer any HTTP request, forwarded as it is.
+    /// Servers of any HTTP requests, which are forwarded unchanged.
     Live,
 }
 
 /// A service and its limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name; the first path element of forwarded requests.
+    /// The name, which is the first path segment of forwarded requests.
     pub id: ServiceId,
-    /// Kind of its servers.
+    /// The kind of the servers.
     pub kind: ServiceKind,
-    /// Maximal number of requests in flight on one server, over all callers' classes.
+    /// Maximum number of requests in flight on one server, over all request classes.
     pub slots_per_server: u32,
-    /// Share of the slots guaranteed to live requests; the rest is guaranteed to rollouts. Either
-    /// class borrows what the other does not use.
+    /// Share of the slots that is guaranteed to live requests; the rest is guaranteed to rollouts.
+    /// Each class may borrow the unused slots of the other.
     pub live_share: Permille,
-    /// Longest time a request may take when the caller states no deadline, in milliseconds.
+    /// Timeout of a request without a deadline from the caller, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
-/// Whether new work may go to a server.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Admission {
-    /// New work is welcome.
+    /// The server accepts new work.
     Open,
-    /// No new work; what runs may finish.
+    /// The server accepts no new work; running work may finish.
     Draining,
 }
 
-/// A back end.
+/// A back-end server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// The name.
     pub id: ServerId,
-    /// The service it belongs to.
+    /// The service that the server belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: ZoneId,
     /// Whether new work may go to it.
     pub admission: Admission,
 }
 
-/// How a pool's engines take a newly published version.
+/// How the engines of a pool move to a newly published version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SwapPolicy {
-    /// Engines move to each published version by themselves.
+    /// Engines move to each published version automatically.
     Automatic,
-    /// Engines move only by a confirmed plan.
+    /// Engines move only when a plan is confirmed.
     Planned,
 }
 
 /// A rollout pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name.
+    /// The name.
     pub id: PoolId,
-    /// The service whose engines generate its samples.
+    /// The service whose engines generate the samples.
     pub service: ServiceId,
-    /// The trainer its samples go to.
+    /// The trainer that receives the samples.
     pub trainer: TrainerId,
-    /// Maximal number of versions by which a delivered sample's oldest segment may lag the trainer's
-    /// version.
+    /// Maximum number of versions by which the oldest segment of a delivered sample may lag behind
+    /// the trainer's version.
     pub staleness_bound: u64,
-    /// Weight between the two measures: 0 counts staleness only, 1000 trainer idle time only.
-    /// Default 500, 0 to 1000. The ledger lets at most `1 + 3 (weight / 1000)^2` steps be generated
-    /// ahead of the trainer, and any number at 1000.
+    /// Trade-off between staleness and trainer idle time, 0 to 1000, default 500: 0 considers only
+    /// staleness, 1000 only idle time. The ledger lets at most `1 + 3 (weight / 1000)^2` steps be
+    /// generated ahead of the trainer, and any number of steps at 1000.
     pub idle_weight: Permille,
-    /// The ledger group that holds its samples.
+    /// The number of the ledger group that holds the samples.
     pub ledger: u16,
-    /// Where samples are scored.
+    /// The address of the scorer.
     pub scorer: SocketAddr,
-    /// Where weights are fetched.
+    /// The address of the weight store.
     pub weight_store: SocketAddr,
-    /// How engines take new versions.
+    /// How engines move to new versions.
     pub swap: SwapPolicy,
-    /// Maximal number of samples submitted and not yet acknowledged; more are refused as not run.
+    /// Maximum number of submitted samples that are not yet acknowledged. Further samples are
+    /// rejected as not run.
     pub max_open_samples: u32,
-    /// How long a node may hold a sample without renewing its lease, in milliseconds.
+    /// Duration of a node's lease on a sample, in milliseconds. The lease expires unless the node
+    /// renews it.
     pub sample_lease_ms: u64,
-    /// The version its engines are to serve.
+    /// The version that the engines should serve.
     pub target_version: WeightVersion,
 }
 
-/// One change of configuration. Each committed change is one revision.
+/// A change of the configuration. Each committed change increments the revision by one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationChange {
     /// Adds or replaces a service.
     PutService(Service),
-    /// Removes a service without servers and pools.
+    /// Removes a service that has no servers and pools.
     RemoveService(ServiceId),
     /// Adds or replaces a server.
     PutServer(Server),
     /// Removes a server.
     RemoveServer(ServerId),
-    /// Opens or closes a server to new work.
+    /// Sets whether a server accepts new work.
     SetAdmission {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// Its new admission.
+        /// The new admission state.
         admission: Admission,
     },
     /// Adds or replaces a pool.
     PutPool(Pool),
     /// Removes a pool.
     RemovePool(PoolId),
-    /// Sets the version a pool's engines are to serve; never lowers a published one by accident:
-    /// an operator's confirmed plan may.
+    /// Sets the version that the engines of a pool should serve. Only a plan confirmed by an
+    /// operator may lower a published version.
     SetTargetVersion {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The version.
         version: WeightVersion,
     },
 }
 
-/// The whole configuration at one revision.
+/// The complete configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The number of changes that led here.
+    /// The number of changes applied so far.
     pub revision: Revision,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
@@ -168,18 +171,19 @@
     pub pools: BTreeMap<PoolId, Pool>,
 }
 
-/// Why a change does not fit the configuration.
+/// The reason why a change is invalid for the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeError {
-    /// What is wrong, where, and what is allowed.
+    /// The invalid name or value, its location and the accepted values.
     pub message: String,
 }
 
 impl Configuration {
-    /// Checks that `change` fits: every name it uses exists, nothing used is removed.
+    /// Checks that `change` is valid: every name that it refers to exists, and nothing that is in
+    /// use is removed.
     ///
     /// # Errors
-    /// Says which name is missing or still in use.
+    /// Returns the name that does not exist or is still in use.
     pub fn check(&self, change: &ConfigurationChange) -> Result<(), ChangeError> {
         match change {
             ConfigurationChange::PutService(_) => Ok(()),
@@ -193,10 +197,10 @@
         }
     }
 
-    /// Checks and applies `change`; on success the revision has grown by one.
+    /// Checks and applies `change`, and increments the revision by one.
     ///
     /// # Errors
-    /// As [`Configuration::check`]; the configuration is then unchanged.
+    /// Returns the errors of [`Configuration::check`]; the configuration is then unchanged.
     pub fn apply(&mut self, change: &ConfigurationChange) -> Result<(), ChangeError> {
         self.check(change)?;
         self.apply_checked(change);
@@ -204,7 +208,7 @@
         Ok(())
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service.
     pub fn servers_of<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Server> {
         self.servers
             .values()
--- a/crates/shared/wingshore-types/src/ids.rs
+++ b/crates/shared/wingshore-types/src/ids.rs
@@ -1,11 +1,11 @@
-//! Identifiers as newtypes, so that one kind is never taken for another.
+//! Identifiers as newtypes, so that the compiler rejects a mix-up of two kinds.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Declares a cheap-to-clone name chosen by people.
+/// Declares a name type that is chosen by operators and cheap to clone.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -14,12 +14,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name as it is; the settings parser checks its spelling.
+            /// Wraps a name without validating it; the settings parser does that.
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,7 +39,7 @@
     };
 }
 
-/// Declares a number that identifies one thing.
+/// Declares a numeric identifier.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -58,89 +58,89 @@
 }
 
 name_type! {
-    /// A node process, beside one caller.
+    /// A node process, which runs beside one caller.
     NodeId
 }
 name_type! {
-    /// A back end: a model engine or a live server.
+    /// A back-end server: a model engine or a live server.
     ServerId
 }
 name_type! {
-    /// A zone: machines that share a building or a fault.
+    /// A zone: machines that share a building or a failure domain.
     ZoneId
 }
 name_type! {
-    /// A rollout pool: a model, its engines, its trainer and its bounds.
+    /// A rollout pool: a model with its engines, trainer and limits.
     PoolId
 }
 name_type! {
-    /// A set of interchangeable back ends.
+    /// A service: a set of interchangeable back-end servers.
     ServiceId
 }
 name_type! {
-    /// A trainer bound to a pool.
+    /// The trainer of a pool.
     TrainerId
 }
 
 number_type! {
-    /// One member of replicated groups, bound to one data folder for life.
-    /// Formatted members are numbered from 1; a member that joins later draws a random
-    /// identity above `u32::MAX`.
+    /// A member of the replicated groups, bound permanently to one data folder. Formatted members
+    /// are numbered from 1; a member that joins later draws a random id above `u32::MAX`.
     ReplicaId(u64)
 }
 number_type! {
-    /// Position of an entry in a replicated log, from 1; 0 is "before the first".
+    /// Index of an entry in a replicated log, from 1; 0 is the position before the first entry.
     LogIndex(u64)
 }
 number_type! {
-    /// A sample's number, chosen by the trainer, unique within its pool.
+    /// The number of a sample, chosen by the trainer and unique within the pool.
     SampleNumber(u64)
 }
 number_type! {
-    /// A trainer's step, from 0, grows by one.
+    /// A training step, numbered consecutively from 0.
     StepId(u64)
 }
 number_type! {
-    /// A published weight version; grows with each publication of a pool.
+    /// A published weight version; increases with each publication in a pool.
     WeightVersion(u64)
 }
 number_type! {
-    /// The number of committed configuration changes; one per change.
+    /// A revision of the configuration: the number of committed changes.
     Revision(u64)
 }
 number_type! {
-    /// One leadership of the control group (its consensus term).
+    /// The consensus term of a leader of the control group.
     Epoch(u64)
 }
 number_type! {
-    /// Position of an order within an epoch.
+    /// Sequence number of an order within an epoch.
     OrderSequence(u64)
 }
 number_type! {
-    /// A plan, numbered by the control group.
+    /// The number of a plan, assigned by the control group.
     PlanId(u64)
 }
 number_type! {
-    /// One grant of one sample to one node; also the fence for its reports.
+    /// A lease of one sample to one node; also the fencing token for the node's reports.
     LeaseId(u64)
 }
 number_type! {
-    /// A request between wingshore processes, unique on its connection.
+    /// The id of a request between wingshore processes, unique on the connection.
     RequestId(u64)
 }
 
-/// A client-drawn identity of an intent (128 random bits); a resend carries the same.
+/// Idempotency id of an intent: 128 random bits drawn by the client; a retry carries the same id.
 ///
-/// In JSON it is 32 hexadecimal digits, since few readers keep 128 bits of a number.
+/// In JSON it is a string of 32 hexadecimal digits, since few parsers preserve 128-bit numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IntentId(pub u128);
 
 impl IntentId {
-    /// The intent of a publication: always the same, so that a resend changes nothing.
+    /// Returns the intent id of a publication. It depends only on the pool and the version, so a
+    /// repeated publication has no further effect.
     pub fn of_publication(pool: &PoolId, version: WeightVersion) -> Self {
-        /// Offset basis of FNV-1a with 128 bits.
+        /// Offset basis of 128-bit FNV-1a.
         const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
-        /// Prime of FNV-1a with 128 bits.
+        /// Prime of 128-bit FNV-1a.
         const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
         let bytes = b"publish\0"
             .iter()
@@ -193,19 +193,19 @@
     }
 }
 
-/// A replicated group. Each has its own log, leader and members.
+/// A replicated group, with its own log, leader and members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GroupId {
-    /// Configuration, plans, orders and epochs.
+    /// The control group: configuration, plans, orders and epochs.
     Control,
-    /// Samples of one pool (or of one shard of a pool).
+    /// A ledger group: samples of one pool or of one shard of a pool.
     Ledger(u16),
-    /// Idempotency keys, sharded by hash of the key.
+    /// A claims group: idempotency keys, sharded by the hash of the key.
     Claims(u16),
 }
 
 impl GroupId {
-    /// All groups of a site, ledger and claims groups numbered from 1.
+    /// Returns all groups of a site; ledger and claims groups are numbered from 1.
     pub fn all(ledger_groups: u16, claims_groups: u16) -> Vec<Self> {
         let ledgers = (1..=ledger_groups).map(Self::Ledger);
         let claims = (1..=claims_groups).map(Self::Claims);
@@ -215,7 +215,7 @@
             .collect()
     }
 
-    /// The claims group that holds the key with this hash, of `claims_groups` (at least 1).
+    /// Returns the claims group for the hash of a key, among `claims_groups` groups (at least 1).
     pub fn claims_for(hash: u64, claims_groups: u16) -> Self {
         let shard = hash % u64::from(claims_groups.max(1));
         Self::Claims(1 + shard as u16)
--- a/crates/shared/wingshore-types/src/lib.rs
+++ b/crates/shared/wingshore-types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, messages and traits shared by every crate of wingshore.
+//! Identifiers, messages and traits shared by all crates of wingshore.
 //!
-//! Nothing here does I/O. Types that cross a process boundary derive serde: those under
-//! [`protocol`] travel as `postcard` frames between wingshore's own processes, those under
+//! This crate does no I/O. Types that cross a process boundary implement the serde traits: those
+//! in [`protocol`] are sent as `postcard` frames between wingshore processes, those in
 //! [`platform`] and [`api`] as JSON over HTTP.
 
 pub mod api;
--- a/crates/shared/wingshore-types/src/machine.rs
+++ b/crates/shared/wingshore-types/src/machine.rs
@@ -1,7 +1,7 @@
-//! Traits of replicated state machines: what is replicated, and what only a leader does.
+//! Traits of replicated state machines: the replicated part and the part that only a leader runs.
 //!
-//! Neither reads a clock, opens a socket or a file, or draws randomness of its own: the
-//! production drivers and the simulator drive the same code.
+//! Implementations do not read clocks, open sockets or files, or generate random numbers, so that
+//! the production hosts and the simulator run the same code.
 
 use crate::ids::{Epoch, LogIndex};
 use crate::snapshot_data::SnapshotState;
@@ -11,15 +11,15 @@
 use std::fmt::Display;
 use std::io::Read;
 
-/// Why a snapshot could not be restored.
+/// The reason why a snapshot could not be restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoreError {
-    /// What is wrong with the bytes.
+    /// Description of the error.
     pub message: String,
 }
 
 impl RestoreError {
-    /// What went wrong, as it describes itself.
+    /// Creates an error with the text of `error` as its message.
     pub fn from_display(error: impl Display) -> Self {
         let message = error.to_string();
         Self { message }
@@ -27,33 +27,34 @@
 }
 
 /// The replicated part: the same commands in the same order give the same state and replies on
-/// every member. Times come inside commands.
+/// every member. Commands contain the times that they depend on.
 pub trait ReplicatedState: Sized {
-    /// A change of state, as the log holds it.
+    /// A change of the state, as stored in the log.
     type Command: Serialize + DeserializeOwned + Clone;
-    /// What the change answers.
+    /// The result of a change.
     type Reply: Clone;
 
     /// Applies the committed command at `index`. Must be deterministic and must not panic.
     fn apply(&mut self, index: LogIndex, command: Self::Command) -> Self::Reply;
-    /// The whole state as bytes.
+    /// Encodes the complete state.
     fn snapshot(&self) -> Vec<u8>;
-    /// The whole state, to be encoded when its bytes are needed; the same bytes as those of
-    /// [`ReplicatedState::snapshot`]. A large state shares its parts instead of being encoded here.
+    /// Returns the complete state for lazy encoding, into the same bytes as
+    /// [`ReplicatedState::snapshot`]. A large state shares its parts instead of encoding them
+    /// here.
     fn freeze(&self) -> SnapshotState {
         self.snapshot().into()
     }
-    /// The state that [`ReplicatedState::snapshot`] wrote.
+    /// Decodes a state that was encoded by [`ReplicatedState::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are not a snapshot of this format version.
+    /// Returns an error if the bytes are not a snapshot of this format version.
     fn restore(bytes: &[u8]) -> Result<Self, RestoreError>;
 
-    /// Replaces this state by the one that [`ReplicatedState::snapshot`] or
-    /// [`ReplicatedState::freeze`] wrote. A large state is read piece by piece.
+    /// Replaces this state with one that was encoded by [`ReplicatedState::snapshot`] or
+    /// [`ReplicatedState::freeze`]. A large state is read incrementally.
     ///
     /// # Errors
-    /// As [`ReplicatedState::restore`], or when the bytes cannot be read.
+    /// Returns the errors of [`ReplicatedState::restore`], or an error if reading fails.
     fn restore_from(&mut self, reader: &mut dyn Read) -> Result<(), RestoreError> {
         let mut bytes = Vec::new();
         reader
@@ -64,37 +65,38 @@
     }
 }
 
-/// Names one client request within one leader's memory.
+/// Identifies a client request on one leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestTag(pub u64);
 
-/// Names one proposal within one leader's memory; chosen by the leader machine.
+/// Identifies a proposal on one leader; chosen by the leader machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalTag(pub u64);
 
-/// What a leader machine asks its host to do.
+/// An action that a leader machine requests from its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaderOutput<C, R, E> {
-    /// Append a command to the log; [`LeaderMachine::on_applied`] follows once it is applied.
+    /// Appends a command to the log; [`LeaderMachine::on_applied`] is called once it is applied.
     Propose {
-        /// Returned with the reply.
+        /// Passed back with the reply.
         tag: ProposalTag,
         /// The command.
         command: C,
     },
-    /// Answer a request. The host releases it only while the quorum lease is held, so an answer
-    /// is never given by a leader that was cut off.
+    /// Answers a request. The host sends the reply only while the leader holds the quorum lease,
+    /// so a partitioned leader never answers.
     Reply {
-        /// Which request.
+        /// The request.
         tag: RequestTag,
-        /// The answer.
+        /// The reply.
         reply: R,
     },
-    /// Something outside the group, for instance an order to an engine; released like a reply.
+    /// Has an effect outside the group, for instance an order to an engine. Like a reply, it is
+    /// released only while the leader holds the quorum lease.
     Effect(E),
 }
 
-/// The outputs of the leader machine `L`.
+/// A list of outputs of the leader machine `L`.
 pub type LeaderOutputs<L> = Vec<
     LeaderOutput<
         <<L as LeaderMachine>::State as ReplicatedState>::Command,
@@ -103,22 +105,22 @@
     >,
 >;
 
-/// The part that runs only on a leader. It is volatile: made anew at each leadership from the
-/// replicated state, so that a new leader continues from what was committed and nothing else.
+/// The part that runs only on a leader. It is volatile and is rebuilt from the replicated state at
+/// the start of each leadership, so that a new leader continues only from what was committed.
 pub trait LeaderMachine: Sized {
-    /// The replicated part it proposes to.
+    /// The replicated part.
     type State: ReplicatedState;
-    /// A client's request.
+    /// A client request.
     type Request: Serialize + DeserializeOwned;
-    /// The answer to a request.
+    /// The reply to a request.
     type Reply: Serialize + DeserializeOwned;
-    /// Something to do outside the group.
+    /// An effect outside the group.
     type Effect;
-    /// The result of an effect, or news from outside.
+    /// The result of an effect or another external event.
     type Event;
 
-    /// Begins a leadership. Called once the new leader has applied an entry of its own term, so
-    /// that `state` holds all that was ever committed.
+    /// Starts a leadership. Called once the new leader has applied an entry of its own term, so
+    /// that `state` contains every committed change.
     fn on_leadership(
         &mut self,
         now: Instant,
@@ -126,7 +128,7 @@
         state: &Self::State,
         out: &mut LeaderOutputs<Self>,
     );
-    /// Handles a client's request; answers now or later under the same `tag`.
+    /// Handles a client request; replies immediately or later, with the same `tag`.
     fn on_request(
         &mut self,
         now: Instant,
@@ -135,7 +137,7 @@
         state: &Self::State,
         out: &mut LeaderOutputs<Self>,
     );
-    /// One of its own proposals was applied.
+    /// Handles the result of an applied proposal of this leader.
     fn on_applied(
         &mut self,
         now: Instant,
@@ -144,7 +146,7 @@
         state: &Self::State,
         out: &mut LeaderOutputs<Self>,
     );
-    /// An effect's result, or news from outside.
+    /// Handles the result of an effect or another external event.
     fn on_event(
         &mut self,
         now: Instant,
@@ -152,6 +154,6 @@
         state: &Self::State,
         out: &mut LeaderOutputs<Self>,
     );
-    /// Called at least every 100 ms.
+    /// Handles the passage of time; called at least every 100 ms.
     fn on_tick(&mut self, now: Instant, state: &Self::State, out: &mut LeaderOutputs<Self>);
 }
--- a/crates/shared/wingshore-types/src/protocol/byte_vector.rs
+++ b/crates/shared/wingshore-types/src/protocol/byte_vector.rs
@@ -1,27 +1,27 @@
-//! Byte vectors, and shared ones, encoded as one piece rather than byte by byte:
-//! `#[serde(with = "byte_vector")]`.
+//! Serde support for byte containers that are encoded as one byte string instead of a sequence of
+//! bytes: `#[serde(with = "byte_vector")]`.
 //!
-//! In `postcard` both forms are the same bytes; this one is only faster.
+//! `postcard` encodes both forms identically; the byte string is only faster.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
 use std::fmt;
 
-/// Space reserved before the bytes have come, whatever length is claimed.
+/// Maximum preallocation for a sequence, in bytes. The claimed length is not trusted.
 const LARGEST_RESERVE: usize = 64 << 10;
 
-/// Writes the bytes as one piece.
+/// Serializes bytes as one byte string.
 ///
 /// # Errors
-/// As the serializer's.
+/// Returns the errors of the serializer.
 pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
-/// Reads bytes, written as one piece or one by one.
+/// Deserializes bytes from a byte string or from a sequence of bytes.
 ///
 /// # Errors
-/// As the deserializer's.
+/// Returns the errors of the deserializer.
 pub fn deserialize<'de, D, B>(deserializer: D) -> Result<B, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/shared/wingshore-types/src/protocol/claims.rs
+++ b/crates/shared/wingshore-types/src/protocol/claims.rs
@@ -1,10 +1,10 @@
-//! Requests to a claims group: idempotency keys, claimed before the first byte leaves for a back
-//! end, so that a key never runs twice through any node.
+//! Requests to a claims group. A node claims an idempotency key before it sends the first byte to a
+//! back end, so that requests with the same key never run twice, through any node.
 
 use crate::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// A caller's idempotency key, with the service it is meant for.
+/// An idempotency key of a caller, scoped to a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The service or model the request is for.
@@ -13,37 +13,38 @@
     pub key: String,
 }
 
-/// Who holds a claim.
+/// The holder of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claimant {
     /// The node.
     pub node: NodeId,
-    /// Its boot.
+    /// The boot id of the node.
     pub boot_id: u64,
-    /// The attempt, unique within the boot.
+    /// The number of the attempt, unique within the boot.
     pub attempt: u64,
 }
 
-/// An answer kept for repeats of its key.
+/// An answer that is stored for repeated requests with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// `Content-Type`.
+    /// The `Content-Type` header.
     pub content_type: String,
-    /// Body, whole.
+    /// The complete body.
     #[serde(with = "crate::protocol::byte_vector")]
     pub body: Vec<u8>,
 }
 
-/// How a claimed request ended.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// Truly not run: the key is free again.
+    /// The request certainly did not run: the key is released.
     NotRun,
-    /// Answered; kept for repeats. `None` when the answer was too large to keep.
+    /// The request was answered. The answer is stored for repeated requests; `None` if it was too
+    /// large to store.
     Answered(Option<StoredAnswer>),
-    /// Nobody knows; the key stays taken.
+    /// The outcome is unknown; the key stays claimed.
     Unknown,
 }
 
@@ -54,41 +55,41 @@
     Claim {
         /// The key.
         key: ClaimKey,
-        /// Hash of method, path and body: a key reused for another request is refused.
+        /// Hash of method, path and body, to reject a key that is reused for another request.
         fingerprint: u64,
-        /// Who.
+        /// The claimant.
         claimant: Claimant,
     },
     /// Ends a claim.
     Settle {
         /// The key.
         key: ClaimKey,
-        /// Who; only the claimant itself may.
+        /// The claimant; only the holder may end the claim.
         claimant: Claimant,
-        /// How it ended.
+        /// The outcome of the request.
         outcome: ClaimOutcome,
     },
 }
 
-/// A claims group's answer.
+/// A reply of a claims group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimsReply {
-    /// The key is the claimant's: it may send.
+    /// The key is granted to the claimant, which may send the request.
     Granted,
-    /// Another attempt is in flight, or ended without anyone knowing how: may have run.
+    /// Another attempt is in flight or ended with an unknown outcome: the request may have run.
     Taken {
-        /// When to retry, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It ran; here is its answer, where kept.
+    /// The request ran; contains its answer if it was stored.
     Answered(Option<StoredAnswer>),
     /// The key was used for another request.
     Mismatch,
-    /// Too many keys are kept; not run.
+    /// The group stores too many keys; the request did not run.
     Full {
-        /// When to retry, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Settled.
+    /// The claim is settled.
     Settled,
 }
--- a/crates/shared/wingshore-types/src/protocol/control.rs
+++ b/crates/shared/wingshore-types/src/protocol/control.rs
@@ -6,185 +6,187 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What an operator wants. It gives a plan; nothing happens until the plan is confirmed.
+/// An operator's intent. It results in a plan, which takes no effect until it is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Intent {
-    /// Change the configuration.
+    /// Changes the configuration.
     Apply(Vec<ConfigurationChange>),
-    /// Move all engines of a pool to a version.
+    /// Moves all engines of a pool to a version.
     MovePool {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// The version to serve.
+        /// The target version.
         version: WeightVersion,
     },
-    /// Give a server no new work and wait until it is idle.
+    /// Stops sending new work to a server and waits until it is idle.
     Drain(ServerId),
-    /// Open a drained server again.
+    /// Readmits a drained server.
     Restore(ServerId),
 }
 
-/// One move of a plan.
+/// A step of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanStep {
-    /// Commit a change of configuration.
+    /// Commits a change of the configuration.
     Change(ConfigurationChange),
-    /// Order an engine to take a version and wait for its own report.
+    /// Orders an engine to load a version and waits until the engine reports it.
     Swap {
-        /// Which engine.
+        /// The engine.
         server: ServerId,
         /// The version.
         version: WeightVersion,
     },
-    /// Wait until the configuration so far is in force on every node.
+    /// Waits until all configuration changes so far are in force on every node.
     AwaitInForce,
-    /// Wait until a server reports nothing in flight.
+    /// Waits until a server reports no requests in flight.
     AwaitIdle(ServerId),
 }
 
-/// What carrying out a plan costs, as far as known when it was made.
+/// The estimated cost of executing a plan, as of its creation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanCost {
-    /// Servers that take no new work at some time.
+    /// Number of servers that accept no new work at some time during the plan.
     pub servers_affected: u32,
-    /// Maximal number of servers away at once.
+    /// Maximum number of servers that are unavailable at the same time.
     pub servers_away_at_once: u32,
-    /// Slots away at once, of all slots of the service.
+    /// Maximum number of slots that are unavailable at the same time.
     pub slots_away_at_once: u32,
-    /// All slots of the services concerned.
+    /// Total number of slots of the affected services.
     pub slots_total: u32,
-    /// Estimated time to carry it out, in milliseconds.
+    /// Estimated duration of the execution, in milliseconds.
     pub duration_ms: u64,
-    /// Estimated trainer idle time it causes, in milliseconds.
+    /// Estimated trainer idle time caused by the plan, in milliseconds.
     pub trainer_idle_ms: u64,
-    /// Versions by which engines lag until it is done, at most.
+    /// Maximum number of versions by which engines lag behind until the plan is done.
     pub staleness_versions: u64,
 }
 
-/// Status of a plan.
+/// The state of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanState {
-    /// Waiting for the operator.
+    /// The plan awaits confirmation by an operator.
     Proposed,
-    /// Being carried out; steps below `next_step` are done.
+    /// The plan is being executed; steps before `next_step` are done.
     Running {
-        /// The step to do next.
+        /// The index of the next step.
         next_step: u32,
     },
     /// All steps are done.
     Done,
-    /// What it was based on has changed; it can no longer be confirmed.
+    /// The configuration that the plan was based on has changed; the plan can no longer be
+    /// confirmed.
     Stale {
-        /// What changed.
+        /// The change that made the plan stale.
         reason: String,
     },
-    /// Stopped at a step.
+    /// The execution stopped at a step that failed.
     Failed {
-        /// The step that failed.
+        /// The index of the failed step.
         step: u32,
-        /// Why.
+        /// The reason of the failure.
         reason: String,
     },
-    /// Withdrawn by an operator.
+    /// The plan was withdrawn by an operator.
     Cancelled,
 }
 
-/// A plan.
+/// A plan: the steps that carry out an intent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its number.
+    /// The number of the plan.
     pub id: PlanId,
-    /// The intent that led to it.
+    /// The id of the intent that the plan was made for.
     pub intent_id: IntentId,
-    /// What the operator intends.
+    /// The operator's intent.
     pub intent: Intent,
-    /// The revision it was made against.
+    /// The revision that the plan is based on.
     pub base_revision: Revision,
-    /// The moves, in order.
+    /// The steps, in order.
     pub steps: Vec<PlanStep>,
-    /// What they cost.
+    /// The estimated cost of the steps.
     pub cost: PlanCost,
-    /// Its status.
+    /// The state of the plan.
     pub state: PlanState,
 }
 
-/// A node's report of the configuration that it has in force.
+/// A node's report of the configuration revision that is in force there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAcknowledgement {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// Drawn at each start of its process.
+    /// Random id drawn at each start of the node process.
     pub boot_id: u64,
-    /// The revision in force there.
+    /// The revision in force on the node.
     pub in_force: Revision,
 }
 
-/// A long poll for configuration; also an acknowledgement and the renewal of the lease.
+/// A long poll for configuration changes, which also acknowledges the current revision and renews
+/// the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The revision the watcher holds; the answer comes at once when there is a later one.
+    /// The revision that the watcher holds. The reply is immediate if there is a later one.
     pub have: Revision,
-    /// The watcher's own acknowledgement, or those a relay has gathered.
+    /// The watcher's own acknowledgement, or those that a relay has collected.
     pub acknowledgements: Vec<NodeAcknowledgement>,
-    /// Answer by then even without news, in milliseconds.
+    /// Maximum time until a reply without changes, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What has changed since the revision a watcher holds.
+/// The changes since the revision that a watcher holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationUpdate {
-    /// Nothing.
+    /// No changes.
     Unchanged,
-    /// Changes in commit order, the first one being revision `from + 1`.
+    /// The changes in commit order; the first one makes revision `from + 1`.
     Delta {
-        /// The revision they build on.
+        /// The revision that the changes build on.
         from: Revision,
         /// The changes.
         changes: Vec<ConfigurationChange>,
     },
-    /// The whole, where the changes are no longer kept.
+    /// The complete configuration, if the changes are no longer stored.
     Snapshot(Box<Configuration>),
 }
 
-/// How far a revision has come.
+/// The rollout progress of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
     /// The newest committed revision.
     pub committed: Revision,
-    /// The newest revision in force everywhere: every node has acknowledged it or holds no lease.
+    /// The newest revision in force on all nodes: each has acknowledged it or holds no lease.
     pub everywhere: Revision,
-    /// Nodes that hold a lease and have not acknowledged `committed`.
+    /// Nodes that hold a lease and have not yet acknowledged `committed`.
     pub waiting_for: Vec<NodeId>,
 }
 
-/// One engine as the control group knows it.
+/// The state of an engine as known to the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Which engine.
+    /// The engine.
     pub server: ServerId,
-    /// The version by its own newest report; `None` is unknown.
+    /// The version in the engine's latest report; `None` if unknown.
     pub version: Option<WeightVersion>,
-    /// The version it was last ordered to take.
+    /// The version that the engine was last ordered to load.
     pub ordered: Option<WeightVersion>,
-    /// Failed swaps in a row.
+    /// Number of consecutive failed swaps.
     pub failures: u32,
 }
 
-/// The whole site at a glance.
+/// An overview of the site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The answering leader.
+    /// The leader that answers.
     pub leader: ReplicaId,
-    /// Its leadership.
+    /// The epoch of the leader.
     pub epoch: Epoch,
-    /// How far the configuration has come.
+    /// The rollout progress of the configuration.
     pub in_force: InForce,
-    /// Nodes that hold a lease, with what they have in force.
+    /// Nodes that hold a lease, with the revisions in force there.
     pub nodes: Vec<NodeAcknowledgement>,
-    /// Engines.
+    /// The engines.
     pub engines: Vec<EngineStatus>,
     /// Plans that are proposed or running.
     pub open_plans: Vec<Plan>,
@@ -193,95 +195,95 @@
 /// A request to the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// Configuration, acknowledgement and lease in one.
+    /// Polls for configuration changes, acknowledges a revision and renews the lease.
     Watch(WatchRequest),
-    /// Make a plan.
+    /// Creates a plan.
     Propose {
-        /// Drawn by the client; a resend carries the same and gets the first answer.
+        /// Random id drawn by the client; a retry with the same id gets the first answer again.
         intent_id: IntentId,
-        /// The revision the operator saw; `None` takes the newest.
+        /// The revision that the operator saw; `None` stands for the newest one.
         base_revision: Option<Revision>,
-        /// What the operator intends.
+        /// The operator's intent.
         intent: Intent,
     },
-    /// Carry a plan out.
+    /// Starts the execution of a plan.
     Confirm {
-        /// Drawn by the client, as above.
+        /// Random id drawn by the client, as in [`ControlRequest::Propose`].
         intent_id: IntentId,
-        /// Which plan.
+        /// The plan.
         plan: PlanId,
     },
-    /// Withdraw a plan that is proposed, or stop a running one where it is.
+    /// Withdraws a proposed plan, or stops a running one at its current step.
     Cancel {
-        /// Drawn by the client, as above.
+        /// Random id drawn by the client, as in [`ControlRequest::Propose`].
         intent_id: IntentId,
-        /// Which plan.
+        /// The plan.
         plan: PlanId,
     },
-    /// One plan.
+    /// Returns a plan.
     ShowPlan(PlanId),
-    /// Open plans and the newest closed ones.
+    /// Returns the open plans and the newest closed ones.
     ListPlans,
-    /// The site at a glance.
+    /// Returns an overview of the site.
     Status,
-    /// The configuration.
+    /// Returns the configuration.
     ReadConfiguration,
-    /// A trainer has published a version.
+    /// Records that a trainer published a version.
     Publish {
-        /// Drawn by the client, as above.
+        /// Random id drawn by the client, as in [`ControlRequest::Propose`].
         intent_id: IntentId,
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The version.
         version: WeightVersion,
     },
 }
 
-/// Why the control group refuses.
+/// The reason why the control group refuses a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ControlRefusal {
-    /// The base is no longer what the operator saw: someone else was first.
+    /// The configuration has changed since the revision that the operator saw.
     Conflict {
         /// The newest revision.
         current: Revision,
-        /// What changed in between.
+        /// The changes since then.
         message: String,
     },
-    /// The request is invalid; names what, where and what is allowed.
+    /// The request is invalid.
     Invalid {
-        /// What is wrong.
+        /// The invalid name or value, its location and the accepted values.
         message: String,
     },
-    /// No such plan.
+    /// The plan does not exist.
     UnknownPlan(PlanId),
-    /// The plan is not in a state that allows it.
+    /// The state of the plan does not allow the request.
     WrongState {
-        /// Its status.
+        /// The state of the plan.
         state: PlanState,
     },
 }
 
-/// The control group's answer.
+/// A reply of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// To a watch.
+    /// The reply to a watch.
     Update {
-        /// News.
+        /// The configuration changes.
         update: ConfigurationUpdate,
-        /// The lease, counted from when the watcher sent its request, in milliseconds.
+        /// Duration of the lease from the time the watcher sent its request, in milliseconds.
         lease_ms: u64,
     },
-    /// A plan, as of now.
+    /// The current state of a plan.
     Plan(Box<Plan>),
-    /// Plans.
+    /// The requested plans.
     Plans(Vec<Plan>),
-    /// The site.
+    /// An overview of the site.
     Status(Box<Status>),
     /// The configuration.
     Configuration(Box<Configuration>),
     /// The publication is committed at this revision.
     Published(Revision),
-    /// Refused; nothing was changed.
+    /// The request was refused and had no effect.
     Refused(ControlRefusal),
 }
--- a/crates/shared/wingshore-types/src/protocol/ledger.rs
+++ b/crates/shared/wingshore-types/src/protocol/ledger.rs
@@ -1,4 +1,4 @@
-//! Requests to a ledger group: the life of samples.
+//! Requests to a ledger group, which manages the lifecycle of samples.
 //!
 //! submitted -> leased -> finished -> scored -> handed over (trainer, step) -> acknowledged, freed.
 
@@ -6,129 +6,131 @@
 use crate::sample::{Generation, Prompt, Sample};
 use serde::{Deserialize, Serialize};
 
-/// A node's right to generate one sample.
+/// A lease that lets a node generate one sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleLease {
-    /// The grant; reports name it.
+    /// The id of the lease, which the node's reports contain.
     pub lease: LeaseId,
-    /// What to generate.
+    /// The prompt to generate a sample for.
     pub prompt: Prompt,
-    /// What an earlier attempt left, to be resumed; empty to start anew.
+    /// The partial generation of an earlier attempt, to be resumed; empty for a fresh start.
     pub partial: Generation,
-    /// Segments below this version would be too old when handed over now.
+    /// The oldest version that would not exceed the staleness bound if the sample were handed over
+    /// now.
     pub oldest_useful: WeightVersion,
-    /// Time until the lease runs out without renewal, in milliseconds.
+    /// Time until the lease expires without renewal, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// What a pull asks for.
+/// The parameters of a pull.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// Who asks.
+    /// The trainer that pulls.
     pub trainer: TrainerId,
-    /// For which step.
+    /// The step.
     pub step: StepId,
-    /// The trainer's own version now; staleness is counted against it.
+    /// The trainer's current weight version, which staleness is measured against.
     pub weight_version: WeightVersion,
-    /// How many samples make the step.
+    /// Number of samples in the step.
     pub count: u32,
-    /// How long the answer may wait for them, in milliseconds.
+    /// Maximum time to wait for the samples, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A handed-over batch, or a part of one that is too large for one answer. A repeated pull of the
-/// same step gets the same one.
+/// A handed-over batch, or a part of a batch that is too large for one reply. A repeated pull of
+/// the same step gets the same batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The step.
     pub step: StepId,
-    /// The trainer's version that staleness was checked against.
+    /// The trainer's weight version that staleness was measured against.
     pub weight_version: WeightVersion,
-    /// Samples in the whole batch.
+    /// Number of samples in the complete batch.
     pub total: u32,
     /// The samples of this part, in order.
     pub samples: Vec<Sample>,
 }
 
-/// Counts of a pool's samples.
+/// Number of samples of a pool by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerCounts {
-    /// Waiting to be leased.
+    /// Samples that wait to be leased.
     pub pending: u32,
-    /// Leased.
+    /// Samples that are leased.
     pub leased: u32,
-    /// Generated, not yet scored.
+    /// Samples that are generated but not yet scored.
     pub finished: u32,
-    /// Ready for hand-over.
+    /// Samples that are scored and ready to be handed over.
     pub scored: u32,
-    /// Handed over, not yet acknowledged.
+    /// Samples that are handed over but not yet acknowledged.
     pub handed_over: u32,
-    /// Acknowledged since the beginning.
+    /// Total number of acknowledged samples.
     pub acknowledged: u64,
-    /// Later finishes of samples that were finished already.
+    /// Total number of dropped generations of samples that were already finished.
     pub duplicates_dropped: u64,
-    /// Samples generated again because they were too old.
+    /// Total number of samples that were regenerated because they were too stale.
     pub regenerated: u64,
 }
 
-/// A request to a ledger group. `pool` must be one that the group holds.
+/// A request to a ledger group. The group must hold the `pool`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LedgerRequest {
-    /// Sets what the ledger needs to know of the pool; sent by the node from its configuration.
-    /// The newest revision wins.
+    /// Sets the pool settings that the ledger depends on. A node sends them from its
+    /// configuration; the newest revision wins.
     Configure {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Revision of the configuration this is from.
+        /// The configuration revision of the settings.
         revision: crate::ids::Revision,
-        /// See [`crate::configuration::Pool`].
+        /// See [`crate::configuration::Pool::staleness_bound`].
         staleness_bound: u64,
-        /// See [`crate::configuration::Pool`].
+        /// See [`crate::configuration::Pool::max_open_samples`].
         max_open_samples: u32,
-        /// See [`crate::configuration::Pool`].
+        /// See [`crate::configuration::Pool::sample_lease_ms`].
         sample_lease_ms: u64,
-        /// See [`crate::configuration::Pool`].
+        /// See [`crate::configuration::Pool::idle_weight`].
         idle_weight: crate::configuration::Permille,
-        /// The one trainer its samples go to.
+        /// The only trainer that receives the samples of the pool.
         trainer: TrainerId,
     },
-    /// Adds samples; one that is known already is not added again.
+    /// Adds samples, except for those that exist already.
     Submit {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// What to generate.
+        /// The prompts to generate samples for.
         prompts: Vec<Prompt>,
     },
-    /// Asks for samples to generate.
+    /// Requests leases on samples to generate.
     Lease {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Who will generate them.
+        /// The node that will generate them.
         node: NodeId,
-        /// The node's boot; a later boot of a node ends the leases of its earlier ones.
+        /// The boot id of the node; a later boot of the node ends the leases of earlier boots.
         boot_id: u64,
-        /// Maximal number of samples.
+        /// Maximum number of samples.
         most: u32,
     },
-    /// Keeps leases; answers those that are lost.
+    /// Renews leases. The reply lists the leases that are lost.
     Renew {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The leases.
         leases: Vec<LeaseId>,
     },
-    /// Gives a lease back, with what was generated so far.
+    /// Returns a lease, with the partial generation.
     Return {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The lease.
         lease: LeaseId,
-        /// So far.
+        /// The tokens and segments generated so far.
         partial: Generation,
     },
-    /// Reports a whole generation. The first one for a sample wins, also from a lost lease.
+    /// Reports a complete generation. The first report for a sample wins, even if its lease was
+    /// lost.
     Finish {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The sample.
         sample: SampleNumber,
@@ -137,94 +139,95 @@
         /// All tokens and segments.
         generation: Generation,
     },
-    /// Asks for finished samples to score, each with its tokens; several nodes may get the same.
+    /// Requests finished samples to score, with their tokens. Several nodes may get the same
+    /// sample.
     Unscored {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Maximal number of samples.
+        /// Maximum number of samples.
         most: u32,
     },
-    /// Reports a score. The first one wins.
+    /// Reports a score. The first report wins.
     Score {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
         /// The sample.
         sample: SampleNumber,
-        /// The lease under which the generation that was scored was made.
+        /// The lease under which the scored generation was made.
         lease: LeaseId,
         /// The score.
         score: f64,
     },
-    /// Hands a step's batch over.
+    /// Hands over the batch of a step.
     Pull {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// What is asked.
+        /// The parameters of the pull.
         pull: PullRequest,
     },
-    /// Asks for a further part of a batch that was handed over.
+    /// Requests a further part of a batch that was handed over.
     BatchPart {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Who asks.
+        /// The trainer that pulls.
         trainer: TrainerId,
-        /// Which step.
+        /// The step.
         step: StepId,
-        /// The part's first sample, counted from 0 in the whole batch.
+        /// The index of the part's first sample in the complete batch, from 0.
         from: u32,
     },
-    /// The trainer has the batch safe: it is freed.
+    /// Acknowledges that the trainer has stored the batch, so that the ledger can free it.
     Acknowledge {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Who.
+        /// The trainer.
         trainer: TrainerId,
-        /// Which step.
+        /// The step.
         step: StepId,
     },
-    /// Counts.
+    /// Requests the sample counts of a pool.
     Counts {
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
     },
 }
 
-/// Why a ledger group refuses.
+/// The reason why a ledger group refuses a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerRefusal {
     /// The group does not know the pool yet.
     UnknownPool,
-    /// Too many open samples; nothing of the request was added.
+    /// There are too many open samples; no sample of the request was added.
     Full {
-        /// When to retry, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// Not enough samples were ready in time; nothing was handed over.
     NotReady {
-        /// Samples ready now.
+        /// Number of samples that are ready now.
         ready: u32,
-        /// When to retry, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The step is older than one already acknowledged, or was pulled with another count.
+    /// The step is older than an acknowledged one, or was pulled before with another count.
     WrongStep {
-        /// What is wrong and what is allowed.
+        /// The error and the accepted values.
         message: String,
     },
-    /// Not the pool's trainer.
+    /// The request is not from the trainer of the pool.
     WrongTrainer {
-        /// The one that is.
+        /// The trainer of the pool.
         expected: TrainerId,
     },
     /// The request is invalid.
     Invalid {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// A finished sample that waits for its score.
+/// A finished sample that is not yet scored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnscoredSample {
     /// The sample.
@@ -237,30 +240,32 @@
     pub tokens: Vec<crate::sample::Token>,
 }
 
-/// A ledger group's answer.
+/// A reply of a ledger group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LedgerReply {
-    /// Committed.
+    /// The request is committed.
     Done,
-    /// To a submission.
+    /// The reply to a submission.
     Submitted {
-        /// Samples that were new.
+        /// Number of samples that were added.
         added: u32,
-        /// Samples that were known already.
+        /// Number of samples that existed already.
         known: u32,
     },
-    /// To a lease request; may be empty.
+    /// The reply to a lease request; may be empty.
     Leases(Vec<SampleLease>),
-    /// To a renewal: leases that are lost; stop generating those.
+    /// The reply to a renewal: the leases that are lost. The node must stop generating these
+    /// samples.
     Lost(Vec<LeaseId>),
-    /// To a finish or a score: whether it was the first.
+    /// The reply to a finish or a score: whether it was the first report.
     First(bool),
-    /// To a question for unscored samples.
+    /// The reply to a request for unscored samples.
     Unscored(Vec<UnscoredSample>),
-    /// To a pull: the batch's first part, which mostly is all of it; to a further part.
+    /// The reply to a pull: the first part of the batch, usually the complete batch. Also the reply
+    /// to a request for a further part.
     Batch(Box<Batch>),
-    /// Counts.
+    /// The sample counts.
     Counts(LedgerCounts),
-    /// Refused; nothing was changed.
+    /// The request was refused and had no effect.
     Refused(LedgerRefusal),
 }
--- a/crates/shared/wingshore-types/src/protocol/membership.rs
+++ b/crates/shared/wingshore-types/src/protocol/membership.rs
@@ -1,61 +1,61 @@
-//! Requests about a group's own members; every group takes them.
+//! Requests about the membership of a group, which every group accepts.
 
 use crate::ids::ReplicaId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One member of a group.
+/// A member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity, bound to its data folder.
+    /// The replica id, which is bound to the member's data folder.
     pub id: ReplicaId,
-    /// Where it listens for frames.
+    /// The address that the member accepts frames on.
     pub address: SocketAddr,
 }
 
 /// The members of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members that vote.
+    /// Voting members.
     pub voters: Vec<Member>,
-    /// Members that only receive, on their way to vote.
+    /// Non-voting members that receive the log and may be promoted to voters.
     pub learners: Vec<Member>,
 }
 
-/// A request about members.
+/// A request about the membership of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipRequest {
-    /// The members and how far each has come.
+    /// Returns the members and their replication progress.
     Show,
-    /// Takes a new member in as a learner.
+    /// Adds a new member as a learner.
     AddLearner(Member),
-    /// Makes a caught-up learner a voter.
+    /// Promotes a learner that has caught up to a voter.
     Promote(ReplicaId),
     /// Removes a member.
     Remove(ReplicaId),
-    /// Hands leadership to another voter.
+    /// Transfers leadership to another voter.
     TransferLeadership(ReplicaId),
 }
 
-/// The group's answer.
+/// A reply to a [`MembershipRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipReply {
     /// The members.
     Members {
-        /// As of now.
+        /// The current membership.
         membership: Membership,
         /// The leader.
         leader: ReplicaId,
-        /// For each member, the index up to which its log is known to be synced.
+        /// The index of the last entry known to be synced on each member.
         synced: Vec<(ReplicaId, u64)>,
-        /// The leader's last index.
+        /// The index of the last entry in the leader's log.
         last_index: u64,
     },
-    /// Committed.
+    /// The change is committed.
     Done,
-    /// Refused; says why and what is allowed.
+    /// The request was refused.
     Refused {
-        /// Why.
+        /// The reason and the accepted values.
         message: String,
     },
 }
--- a/crates/shared/wingshore-types/src/protocol/mod.rs
+++ b/crates/shared/wingshore-types/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Requests between wingshore's own processes, carried as `postcard` frames.
+//! Messages between wingshore processes, sent as `postcard` frames.
 
 pub mod byte_vector;
 pub mod claims;
--- a/crates/shared/wingshore-types/src/protocol/wire.rs
+++ b/crates/shared/wingshore-types/src/protocol/wire.rs
@@ -1,4 +1,4 @@
-//! What one frame between wingshore processes holds.
+//! The frames that are exchanged between wingshore processes.
 
 use crate::ids::{GroupId, ReplicaId, RequestId};
 use crate::protocol::claims::{ClaimsReply, ClaimsRequest};
@@ -8,110 +8,110 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Format of frames; peers with another one are refused at the handshake.
+/// Version of the frame format. Peers with another version are refused at the handshake.
 pub const WIRE_VERSION: u16 = 1;
 
-/// First frame of each connection, from the side that opened it.
+/// The first frame of each connection, sent by the side that opened it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// [`WIRE_VERSION`] of the sender.
     pub version: u16,
-    /// The site's name: processes of different sites refuse each other.
+    /// The name of the sender's site. Processes of different sites refuse each other.
     pub site: String,
-    /// The sender's replica identity, when it is a replica.
+    /// The sender's replica id, if it is a replica.
     pub replica: Option<ReplicaId>,
 }
 
-/// Why a process refuses a connection at the handshake.
+/// The reason why a process refuses a connection at the handshake.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionRefusal {
-    /// The two sides speak different formats.
+    /// The two sides have different frame format versions.
     WrongVersion {
         /// The refusing side's [`WIRE_VERSION`].
         ours: u16,
-        /// The other side's.
+        /// The other side's [`WIRE_VERSION`].
         theirs: u16,
     },
     /// The two sides belong to different sites.
     WrongSite {
         /// The refusing side's site.
         ours: String,
-        /// The other side's.
+        /// The other side's site.
         theirs: String,
     },
-    /// The refusing side holds as many connections as it may.
+    /// The refusing side has reached its connection limit.
     TooManyConnections {
-        /// How many it may hold.
+        /// The maximum number of connections.
         limit: u32,
     },
     /// The first frame was not a [`Hello`].
     NoHello,
 }
 
-/// What a request asks of a group.
+/// A request to a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GroupRequest {
-    /// To the control group.
+    /// A request to the control group.
     Control(ControlRequest),
-    /// To a ledger group.
+    /// A request to a ledger group.
     Ledger(LedgerRequest),
-    /// To a claims group.
+    /// A request to a claims group.
     Claims(ClaimsRequest),
-    /// About the group's members.
+    /// A request about the members of the group.
     Membership(MembershipRequest),
-    /// Asks the process to write its log ring out.
+    /// Makes the process dump its log ring to a file.
     DumpLog,
 }
 
-/// What a group answers.
+/// A reply of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GroupReply {
-    /// From the control group.
+    /// A reply of the control group.
     Control(ControlReply),
-    /// From a ledger group.
+    /// A reply of a ledger group.
     Ledger(LedgerReply),
-    /// From a claims group.
+    /// A reply of a claims group.
     Claims(ClaimsReply),
-    /// About members.
+    /// A reply about members.
     Membership(MembershipReply),
-    /// The path the ring was written to, on the replica's machine.
+    /// The path of the file that the log ring was dumped to, on the machine of the replica.
     LogDumped(String),
-    /// Not the leader, or a leader without a lease. The request has had no effect through this
-    /// process and may be sent to another.
+    /// The replica is not the leader, or is a leader without a lease. The request has had no effect
+    /// through this process and may be sent to another.
     NotLeader {
-        /// Where the leader probably is.
+        /// The address of the presumed leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// Leadership was lost while the request was being committed: it may or may not take effect.
-    /// Requests are made so that sending them again is safe.
+    /// Leadership was lost while the request was being committed, so it may or may not take effect.
+    /// Requests are idempotent, so a retry is safe.
     Unknown,
-    /// The process does not take the request; says why.
+    /// The process rejected the request, with the reason.
     Rejected(String),
 }
 
-/// One frame.
+/// A frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Opens a connection.
+    /// Opens the connection.
     Hello(Hello),
     /// A request.
     Request {
-        /// Returned with the reply.
+        /// The id of the request, which the reply repeats.
         id: RequestId,
-        /// The group meant.
+        /// The group that the request is for.
         group: GroupId,
-        /// What is asked.
+        /// The request.
         body: GroupRequest,
     },
-    /// A reply; replies may come in any order.
+    /// A reply. Replies may be sent in any order.
     Reply {
-        /// Of the request.
+        /// The id of the request.
         id: RequestId,
-        /// The answer.
+        /// The reply.
         body: GroupReply,
     },
-    /// Consensus messages between members of a group: a `postcard` message of the consensus
-    /// crate, which this crate does not know.
+    /// A consensus message between members of a group, encoded with `postcard`. It is opaque here
+    /// because the consensus crate defines its type.
     Consensus {
         /// The group.
         group: GroupId,
@@ -119,18 +119,19 @@
         #[serde(with = "crate::protocol::byte_vector")]
         message: Vec<u8>,
     },
-    /// No content: sent on an idle connection, so that a peer that was cut off silently is
-    /// noticed. Needs no answer.
+    /// An empty frame, sent on an idle connection to detect a peer that became unreachable without
+    /// closing the connection. It is not answered.
     KeepAlive,
     /// Sent instead of a [`Hello`] before the connection is closed.
     Refused(ConnectionRefusal),
 }
 
-/// Lets the requests and replies of one kind of group travel in frames.
+/// Implements the conversions of the requests and replies of one kind of group from and to the
+/// contents of frames.
 macro_rules! travels_as {
     ($variant:ident, $request:ty, $reply:ty) => {
         impl TryFrom<GroupRequest> for $request {
-            /// The request, which is one to another kind of group.
+            /// The request, which is for another kind of group.
             type Error = Box<GroupRequest>;
 
             fn try_from(body: GroupRequest) -> Result<Self, Self::Error> {
--- a/crates/shared/wingshore-types/src/snapshot.rs
+++ b/crates/shared/wingshore-types/src/snapshot.rs
@@ -1,20 +1,21 @@
-//! Format of the snapshots of replicated states: one byte of format version, then `postcard`.
+//! Format of the snapshots of replicated states: a format version byte followed by `postcard`.
 
 use crate::machine::RestoreError;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The snapshot of `state` in format `version`.
+/// Encodes `state` as a snapshot of format `version`.
 pub fn encode<T: Serialize>(version: u8, state: &T) -> Vec<u8> {
-    // Encoding plain data into a growing vector does not fail; an empty snapshot would be refused
-    // by `decode`.
+    // Encoding plain data into a growing vector does not fail; `decode` would reject an empty
+    // snapshot.
     postcard::to_extend(state, vec![version]).unwrap_or_default()
 }
 
-/// The state that [`encode`] wrote; `what` names it in errors.
+/// Decodes a state that was encoded by [`encode`]; `what` names the state in errors.
 ///
 /// # Errors
-/// When the bytes are empty, of another format version, damaged, or followed by more bytes.
+/// Returns an error if the bytes are empty, of another format version, damaged, or followed by
+/// further bytes.
 pub fn decode<T: DeserializeOwned>(
     what: &str,
     version: u8,
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -1,8 +1,8 @@
-//! The bytes of a snapshot, encoded or read from disk only as they are needed.
+//! Snapshot data that is encoded or read from disk on demand.
 //!
-//! A state of many megabytes must not be in memory twice, once as itself and once encoded: it
-//! is frozen (a copy that shares its large parts) and encoded while it is written or sent, and it
-//! is read piece by piece where it is restored.
+//! A state of many megabytes must not be in memory twice, once in use and once encoded. So a
+//! snapshot is a frozen copy that shares the large parts of the state. The copy is encoded while it
+//! is written or sent, and it is read incrementally when the state is restored.
 
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -10,41 +10,41 @@
 use std::io::{self, Cursor, Read, Write};
 use std::sync::Arc;
 
-/// Maximal bytes that are copied at a time.
+/// Size of the copy buffer, in bytes.
 const COPY_BYTES: usize = 256 << 10;
 
-/// Bytes that are produced when they are read, each time the same ones.
+/// A byte sequence that is produced on each read and is always the same.
 pub trait FrozenState: Send + Sync {
-    /// How many.
+    /// Returns the total length, in bytes.
     fn length(&self) -> u64;
 
-    /// All of them, from the first one on.
+    /// Returns a reader of all bytes, positioned at the start.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     fn reader(self: Arc<Self>) -> io::Result<Box<dyn Read + Send>>;
 
-    /// The form for this machine's own disk, where that is another one: it refers to what is on that
-    /// disk already.
+    /// Returns the form to store on the local disk, if it differs: it references data that is on
+    /// that disk already.
     fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
         None
     }
 
-    /// It is durable on this machine's disk, in the place of the snapshot before.
+    /// Called once the snapshot is durable on the local disk and has replaced the previous one.
     fn written(&self) {}
 }
 
-/// An encoded state, or one that is encoded when it is read.
+/// A state that is either encoded already or encoded on each read.
 #[derive(Clone)]
 pub enum SnapshotState {
-    /// The bytes.
+    /// The encoded bytes.
     Encoded(Bytes),
-    /// Produced when they are read.
+    /// The bytes are produced on each read.
     Frozen(Arc<dyn FrozenState>),
 }
 
 impl SnapshotState {
-    /// Bytes in all.
+    /// Returns the total length, in bytes.
     pub fn length(&self) -> u64 {
         match self {
             Self::Encoded(bytes) => bytes.len() as u64,
@@ -52,10 +52,10 @@
         }
     }
 
-    /// All bytes, from the first one on.
+    /// Returns a reader of all bytes, positioned at the start.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn reader(&self) -> io::Result<Box<dyn Read + Send>> {
         match self {
             Self::Encoded(bytes) => Ok(Box::new(Cursor::new(bytes.clone()))),
@@ -63,10 +63,10 @@
         }
     }
 
-    /// All bytes, in memory.
+    /// Returns all bytes in memory.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn to_bytes(&self) -> io::Result<Bytes> {
         if let Self::Encoded(bytes) = self {
             return Ok(bytes.clone());
@@ -90,7 +90,7 @@
 }
 
 impl PartialEq for SnapshotState {
-    /// States that cannot be read are equal to none.
+    /// Compares the bytes. A state that cannot be read is equal to no state.
     fn eq(&self, other: &Self) -> bool {
         self.length() == other.length()
             && matches!((self.to_bytes(), other.to_bytes()), (Ok(own), Ok(others)) if own == others)
@@ -99,7 +99,7 @@
 
 impl Eq for SnapshotState {}
 
-/// A state after a head: all bytes of a snapshot.
+/// The complete data of a snapshot: a header (`head`) followed by the state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotData {
     head: Bytes,
@@ -107,30 +107,30 @@
 }
 
 impl SnapshotData {
-    /// `state` after `head`.
+    /// Creates the data of `head` followed by `state`.
     pub fn new(head: Vec<u8>, state: SnapshotState) -> Self {
         let head = head.into();
         Self { head, state }
     }
 
-    /// Bytes in all.
+    /// Returns the total length, in bytes.
     pub fn length(&self) -> u64 {
         self.head.len() as u64 + self.state.length()
     }
 
-    /// All bytes, from the first one on.
+    /// Returns a reader of all bytes, positioned at the start.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn reader(&self) -> io::Result<Box<dyn Read + Send>> {
         let head = Cursor::new(self.head.clone());
         Ok(Box::new(head.chain(self.state.reader()?)))
     }
 
-    /// Writes all of it.
+    /// Writes all bytes to `out`.
     ///
     /// # Errors
-    /// When it cannot be read, or `out` fails.
+    /// Returns an error if the data cannot be read or `out` fails.
     pub fn write_to(&self, out: &mut dyn Write) -> io::Result<()> {
         let mut reader = self.reader()?;
         let mut buffer = vec![0; COPY_BYTES];
@@ -142,10 +142,10 @@
         }
     }
 
-    /// All bytes, in memory.
+    /// Returns all bytes in memory.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn to_bytes(&self) -> io::Result<Bytes> {
         if self.head.is_empty() {
             return self.state.to_bytes();
@@ -155,17 +155,17 @@
         Ok(bytes.into())
     }
 
-    /// The first `length` bytes, or all if there are fewer.
+    /// Returns the first `length` bytes, or all bytes if there are fewer.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn beginning(&self, length: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         self.reader()?.take(length).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
-    /// What follows the first `skipped` bytes.
+    /// Returns the data after the first `skipped` bytes.
     pub fn behind(&self, skipped: u64) -> SnapshotState {
         if skipped == self.head.len() as u64 {
             return self.state.clone();
@@ -180,7 +180,7 @@
         SnapshotState::Frozen(Arc::new(Tail { data, skipped }))
     }
 
-    /// The form for this machine's own disk.
+    /// Returns the form to store on the local disk.
     pub fn for_own_disk(&self) -> Self {
         let state = match &self.state {
             SnapshotState::Frozen(state) => Arc::clone(state).for_own_disk(),
@@ -192,7 +192,7 @@
         }
     }
 
-    /// It is durable on this machine's disk, in the place of the snapshot before.
+    /// Called once the snapshot is durable on the local disk and has replaced the previous one.
     pub fn written(&self) {
         if let SnapshotState::Frozen(state) = &self.state {
             state.written();
@@ -231,7 +231,7 @@
     }
 }
 
-/// What follows the first bytes of a snapshot.
+/// The data of a snapshot after its first `skipped` bytes.
 struct Tail {
     data: SnapshotData,
     skipped: u64,
@@ -249,23 +249,23 @@
     }
 }
 
-/// Reads a snapshot part by part, mostly one after the other: only a part before the last one read
-/// makes it begin anew.
+/// Reads parts of a snapshot, optimized for sequential access: reading restarts from the beginning
+/// only for a part before the current position.
 pub struct PartReader {
     data: SnapshotData,
     open: Option<(u64, Box<dyn Read + Send>)>,
 }
 
 impl PartReader {
-    /// Of `data`.
+    /// Creates a reader of `data`.
     pub fn new(data: SnapshotData) -> Self {
         Self { data, open: None }
     }
 
-    /// At most `length` bytes from `offset` on; fewer at the end.
+    /// Returns up to `length` bytes from `offset` on; fewer at the end of the snapshot.
     ///
     /// # Errors
-    /// When what they are made from cannot be read.
+    /// Returns an error if the source of the bytes cannot be read.
     pub fn part(&mut self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let (position, mut reader) = match self.open.take() {
             Some((position, reader)) if position <= offset => (position, reader),
--- a/crates/shared/wingshore-types/src/snapshot_spool.rs
+++ b/crates/shared/wingshore-types/src/snapshot_spool.rs
@@ -1,34 +1,34 @@
-//! Where a snapshot is gathered while it is received, part by part.
+//! Spools for snapshots that are received in parts.
 
 use crate::snapshot_data::SnapshotData;
 use std::fmt::Debug;
 use std::io;
 
-/// Gathers snapshots.
+/// Creates spools for incoming snapshots.
 pub trait SnapshotSpool: Debug + Send + Sync {
-    /// Begins an empty one.
+    /// Creates an empty spool.
     ///
     /// # Errors
-    /// When there is no place for it.
+    /// Returns an error if there is no space for it.
     fn begin(&self) -> io::Result<Box<dyn SpooledSnapshot>>;
 }
 
-/// A snapshot that is being received.
+/// The spool of a snapshot that is being received.
 pub trait SpooledSnapshot: Debug + Send {
-    /// Adds bytes at its end.
+    /// Appends bytes.
     ///
     /// # Errors
-    /// When there is no place for them; what was gathered is then of no use.
+    /// Returns an error if there is no space for them; the spooled data is then unusable.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// All that was gathered.
+    /// Returns the complete snapshot.
     ///
     /// # Errors
-    /// When it cannot be read any more.
+    /// Returns an error if the spooled data cannot be read.
     fn finish(self: Box<Self>) -> io::Result<SnapshotData>;
 }
 
-/// Gathers snapshots in memory: for small states and for simulations.
+/// Spools snapshots in memory, for small states and simulations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemorySpool;
 
--- a/crates/shared/wingshore-types/src/stored.rs
+++ b/crates/shared/wingshore-types/src/stored.rs
@@ -1,35 +1,35 @@
-//! Decoding of what is stored and replicated: commands and the records of states.
+//! Strict decoding of stored and replicated values: commands and records of states.
 //!
-//! Bytes after the end of such a value are a field that another build has appended and this one does not
-//! know: it would go on with another state than the one that wrote it. Frames may carry more; stored values
-//! may not.
+//! Trailing bytes after such a value are a field that another build appended and this build does
+//! not know. A build that ignored the field would diverge from the state of the build that wrote
+//! it. So trailing bytes are accepted in frames but not in stored values.
 
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// A stored value that cannot be used.
+/// The reason why a stored value cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoredError {
-    /// It does not decode.
+    /// The bytes are not a valid encoding.
     #[snafu(display("{source}"))]
     Damaged {
-        /// From the codec.
+        /// The error of the codec.
         source: postcard::Error,
     },
-    /// It goes on after its end.
+    /// Bytes follow the end of the value.
     #[snafu(display("{left} bytes are left after the end of kind {kind}"))]
     GoesOn {
-        /// The number of its variant, which is its first byte.
+        /// The variant number of the value, which is its first byte.
         kind: u8,
-        /// Bytes after its end.
+        /// Number of trailing bytes.
         left: usize,
     },
 }
 
-/// Decodes a value that ends with `bytes`.
+/// Decodes a value that must span all of `bytes`.
 ///
 /// # Errors
-/// When the bytes do not decode, or go on after the value.
+/// Returns an error if the bytes are not a valid encoding or continue after the value.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoredError> {
     let (value, rest) = postcard::take_from_bytes(bytes).context(DamagedSnafu)?;
     let kind = bytes.first().copied().unwrap_or_default();
--- a/crates/shared/wingshore-types/src/time.rs
+++ b/crates/shared/wingshore-types/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as the decision crates see it: handed in, never read from a clock.
+//! Time values for code that never reads a clock and receives the time as an argument.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Nanoseconds since an arbitrary origin of one process; never compared across processes
-/// unless a message defines it so.
+/// Nanoseconds since an arbitrary origin. Instants of different processes are not comparable,
+/// unless a message defines a common origin.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,24 +16,24 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// An instant `milliseconds` after the origin.
+    /// Returns the instant `milliseconds` after the origin.
     pub const fn from_millis(milliseconds: u64) -> Self {
         Self(milliseconds * 1_000_000)
     }
 
-    /// Time since `earlier`; zero when `earlier` is later.
+    /// Returns the time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whole milliseconds since the origin.
+    /// Returns the whole milliseconds since the origin.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000_000
     }
 }
 
-/// The backoff after a failure: `initial`, twice as long after each of the `failures` in a row before
-/// it, and at most `max`.
+/// Returns the exponential backoff after a failure that follows `failures` consecutive ones:
+/// `initial`, doubled for each of them, and at most `max`.
 pub fn doubled_backoff(initial: Duration, failures: u32, max: Duration) -> Duration {
     let factor = 1_u32.checked_shl(failures).unwrap_or(u32::MAX);
     initial.saturating_mul(factor).min(max)
