--- a/crates/shared/wingshore-storage/src/blob_index.rs
+++ b/crates/shared/wingshore-storage/src/blob_index.rs
@@ -16,7 +16,7 @@
 pub(crate) struct FileIndex<F> {
     held: BTreeMap<u64, Weak<F>>,
     /// Number of snapshots started so far.
-    snapshots_begun: u64,
+    snapshots_started: u64,
     released: Vec<ReleasedFile>,
     removable: Vec<u64>,
 }
@@ -25,14 +25,14 @@
 struct ReleasedFile {
     number: u64,
     /// Number of snapshots started before the file was released.
-    snapshots_begun: u64,
+    snapshots_started: u64,
 }
 
 impl<F> Default for FileIndex<F> {
     fn default() -> Self {
         Self {
             held: BTreeMap::new(),
-            snapshots_begun: 0,
+            snapshots_started: 0,
             released: Vec::new(),
             removable: Vec::new(),
         }
@@ -61,21 +61,21 @@
         self.held.remove(&number);
         self.released.push(ReleasedFile {
             number,
-            snapshots_begun: self.snapshots_begun,
+            snapshots_started: self.snapshots_started,
         });
     }
 
     /// Records the start of a snapshot and returns its number, counted from 1.
     pub(crate) fn begin_snapshot(&mut self) -> u64 {
-        self.snapshots_begun += 1;
-        self.snapshots_begun
+        self.snapshots_started += 1;
+        self.snapshots_started
     }
 
     /// Records that the snapshot with this number is durable and has replaced the previous one.
     pub(crate) fn snapshot_durable(&mut self, snapshot: u64) {
         let released = std::mem::take(&mut self.released);
         for file in released {
-            if file.snapshots_begun < snapshot {
+            if file.snapshots_started < snapshot {
                 self.removable.push(file.number);
             } else {
                 self.released.push(file);
--- a/crates/shared/wingshore-storage/src/folder.rs
+++ b/crates/shared/wingshore-storage/src/folder.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{IoContext, StorageError};
 use crate::file_system::{FileSystem, Lock};
-use crate::snapshot::{TEMPORARY_SUFFIX, read_whole, write_whole};
+use crate::snapshot::{TEMPORARY_SUFFIX, read_if_exists, write_atomically};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 /// Directory that log rings are dumped to. It does not identify the owner of the folder.
 const LOGS_DIRECTORY: &str = "logs";
 /// Highest replica id that an operator may choose; joining members draw random ids above it.
-const HIGHEST_FORMATTED: u64 = u32::MAX as u64;
+const MAX_FORMATTED_ID: u64 = u32::MAX as u64;
 
 /// The owner of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
         replica: ReplicaId,
         founding: Membership,
     ) -> Result<Self, StorageError> {
-        let lock = prepare(fs.as_ref(), folder)?;
-        if let Some(found) = first_content(fs.as_ref(), folder)? {
+        let lock = create_and_lock(fs.as_ref(), folder)?;
+        if let Some(found) = first_entry(fs.as_ref(), folder)? {
             return Err(StorageError::NotEmpty {
                 path: folder.to_owned(),
                 found,
@@ -67,7 +67,7 @@
             replica,
             founding: Some(founding),
         };
-        Self::begin(fs.as_ref(), folder, identity, lock)
+        Self::create(fs.as_ref(), folder, identity, lock)
     }
 
     /// Opens a folder. An empty folder is initialized for a new member, whose identity is derived
@@ -82,12 +82,12 @@
         site: &str,
         random: u64,
     ) -> Result<Self, StorageError> {
-        let lock = prepare(fs.as_ref(), folder)?;
-        let known: Option<Identity> = read_whole(fs.as_ref(), folder, IDENTITY_FILE)?;
+        let lock = create_and_lock(fs.as_ref(), folder)?;
+        let known: Option<Identity> = read_if_exists(fs.as_ref(), folder, IDENTITY_FILE)?;
         if let Some(identity) = known {
             return Self::reopen(folder, site, identity, lock);
         }
-        if let Some(found) = first_content(fs.as_ref(), folder)? {
+        if let Some(found) = first_entry(fs.as_ref(), folder)? {
             return Err(StorageError::NoIdentity {
                 path: folder.to_owned(),
                 found,
@@ -95,10 +95,10 @@
         }
         let identity = Identity {
             site: site.to_owned(),
-            replica: joining_identity(random),
+            replica: joining_replica_id(random),
             founding: None,
         };
-        Self::begin(fs.as_ref(), folder, identity, lock)
+        Self::create(fs.as_ref(), folder, identity, lock)
     }
 
     fn reopen(
@@ -121,13 +121,13 @@
         })
     }
 
-    fn begin(
+    fn create(
         fs: &dyn FileSystem,
         folder: &Path,
         identity: Identity,
         lock: Box<dyn Lock>,
     ) -> Result<Self, StorageError> {
-        write_whole(fs, folder, IDENTITY_FILE, &identity)?;
+        write_atomically(fs, folder, IDENTITY_FILE, &identity)?;
         Ok(Self {
             path: folder.to_owned(),
             identity,
@@ -152,7 +152,7 @@
 }
 
 /// Creates the folder if it does not exist and locks it.
-fn prepare(fs: &dyn FileSystem, folder: &Path) -> Result<Box<dyn Lock>, StorageError> {
+fn create_and_lock(fs: &dyn FileSystem, folder: &Path) -> Result<Box<dyn Lock>, StorageError> {
     fs.create_directory(folder)
         .during("create directory", folder)?;
     if let Some(parent) = folder.parent().filter(|parent| parent.is_absolute()) {
@@ -170,7 +170,7 @@
 
 /// Returns the name of one entry in the folder, ignoring the lock file, dumped logs and an identity
 /// file whose write was interrupted.
-fn first_content(fs: &dyn FileSystem, folder: &Path) -> Result<Option<String>, StorageError> {
+fn first_entry(fs: &dyn FileSystem, folder: &Path) -> Result<Option<String>, StorageError> {
     let unfinished = format!("{IDENTITY_FILE}{TEMPORARY_SUFFIX}");
     let ignored = [LOCK_FILE, LOGS_DIRECTORY, unfinished.as_str()];
     let names = fs.list(folder).during("list", folder)?;
@@ -180,9 +180,9 @@
 }
 
 /// Returns a replica id above the range that operators choose from.
-fn joining_identity(random: u64) -> ReplicaId {
-    if random > HIGHEST_FORMATTED {
+fn joining_replica_id(random: u64) -> ReplicaId {
+    if random > MAX_FORMATTED_ID {
         return ReplicaId(random);
     }
-    ReplicaId(random + HIGHEST_FORMATTED + 1)
+    ReplicaId(random + MAX_FORMATTED_ID + 1)
 }
--- a/crates/shared/wingshore-storage/src/frame.rs
+++ b/crates/shared/wingshore-storage/src/frame.rs
@@ -12,14 +12,14 @@
 pub(crate) const HEADER_BYTES: usize = 12;
 
 /// Error of a frame that ends within its header.
-pub(crate) const CUT_HEADER: &str = "the frame header is truncated";
+pub(crate) const TRUNCATED_HEADER: &str = "the frame header is truncated";
 /// Error of a frame that ends within its payload.
-pub(crate) const CUT_PAYLOAD: &str = "the frame payload is truncated";
+pub(crate) const TRUNCATED_PAYLOAD: &str = "the frame payload is truncated";
 /// Error of a frame whose checksum does not match its content.
 pub(crate) const WRONG_CHECKSUM: &str = "the frame checksum does not match";
 
 /// Result of parsing a frame at an offset of a file in memory.
-pub(crate) enum Scan<'a> {
+pub(crate) enum ParsedFrame<'a> {
     /// A complete, valid frame.
     Frame {
         /// The content of the frame.
@@ -28,7 +28,7 @@
     /// The end of the file.
     End,
     /// An invalid frame, with the reason.
-    Bad(&'static str),
+    Invalid(&'static str),
 }
 
 /// Appends a frame with `payload` to `out`; `offset` is the frame's position in its file.
@@ -51,31 +51,31 @@
 pub(crate) const MAX_PAYLOAD_BYTES: usize = u32::MAX as usize;
 
 /// Parses the frame at `offset` of `file`.
-pub(crate) fn scan(salt: u64, offset: usize, file: &[u8]) -> Scan<'_> {
+pub(crate) fn parse_frame(salt: u64, offset: usize, file: &[u8]) -> ParsedFrame<'_> {
     let rest = file.get(offset..).unwrap_or_default();
     if rest.is_empty() {
-        return Scan::End;
+        return ParsedFrame::End;
     }
     let Some((header, body)) = rest.split_at_checked(HEADER_BYTES) else {
-        return Scan::Bad(CUT_HEADER);
+        return ParsedFrame::Invalid(TRUNCATED_HEADER);
     };
     let (length, expected) = match read_header(header) {
         Ok(read) => read,
-        Err(reason) => return Scan::Bad(reason),
+        Err(reason) => return ParsedFrame::Invalid(reason),
     };
     let Some(payload) = body.get(..length) else {
-        return Scan::Bad(CUT_PAYLOAD);
+        return ParsedFrame::Invalid(TRUNCATED_PAYLOAD);
     };
     if expected != checksum(salt, offset as u64, payload) {
-        return Scan::Bad(WRONG_CHECKSUM);
+        return ParsedFrame::Invalid(WRONG_CHECKSUM);
     }
-    Scan::Frame { payload }
+    ParsedFrame::Frame { payload }
 }
 
 /// Returns the length in bytes and the checksum of the payload that follows a header.
 pub(crate) fn read_header(header: &[u8]) -> Result<(usize, u32), &'static str> {
     if header.len() < HEADER_BYTES {
-        return Err(CUT_HEADER);
+        return Err(TRUNCATED_HEADER);
     }
     if !header.starts_with(&MAGIC) {
         return Err("the frame magic is missing");
@@ -95,7 +95,7 @@
     /// The end of the file.
     End,
     /// An invalid frame, with the reason.
-    Bad(&'static str),
+    Invalid(&'static str),
 }
 
 /// Reads the frame at `offset` of a file. The reader must be positioned at `offset`.
@@ -111,7 +111,7 @@
     }
     let (length, expected) = match read_header(&header) {
         Ok(read) => read,
-        Err(reason) => return Ok(NextFrame::Bad(reason)),
+        Err(reason) => return Ok(NextFrame::Invalid(reason)),
     };
     // Not preallocated: the length may be damaged.
     let mut payload = Vec::new();
@@ -120,21 +120,21 @@
         .take(length as u64)
         .read_to_end(&mut payload)?;
     if payload.len() < length {
-        return Ok(NextFrame::Bad(CUT_PAYLOAD));
+        return Ok(NextFrame::Invalid(TRUNCATED_PAYLOAD));
     }
     if expected != checksum(salt, offset, &payload) {
-        return Ok(NextFrame::Bad(WRONG_CHECKSUM));
+        return Ok(NextFrame::Invalid(WRONG_CHECKSUM));
     }
     let next = offset + header_bytes + length as u64;
     Ok(NextFrame::Frame { payload, next })
 }
 
 /// Returns the offset of the first valid frame after `offset`, if there is one.
-pub(crate) fn find_after(salt: u64, offset: usize, file: &[u8]) -> Option<usize> {
+pub(crate) fn find_frame_after(salt: u64, offset: usize, file: &[u8]) -> Option<usize> {
     let candidates = offset.saturating_add(1)..file.len();
     candidates
         .filter(|&start| file.get(start..).unwrap_or_default().starts_with(&MAGIC))
-        .find(|&start| matches!(scan(salt, start, file), Scan::Frame { .. }))
+        .find(|&start| matches!(parse_frame(salt, start, file), ParsedFrame::Frame { .. }))
 }
 
 fn read_u32(bytes: &[u8], at: usize) -> u32 {
--- a/crates/shared/wingshore-storage/src/journal.rs
+++ b/crates/shared/wingshore-storage/src/journal.rs
@@ -43,13 +43,15 @@
     ///
     /// # Errors
     /// Returns the reason if a record is invalid.
-    pub(crate) fn take_frame(&mut self, payload: &[u8]) -> Result<(), String> {
+    pub(crate) fn apply_frame(&mut self, payload: &[u8]) -> Result<(), String> {
         let records: Vec<Record<'static>> =
             postcard::from_bytes(payload).map_err(|error| format!("unreadable record: {error}"))?;
-        records.into_iter().try_for_each(|record| self.take(record))
+        records
+            .into_iter()
+            .try_for_each(|record| self.apply_record(record))
     }
 
-    fn take(&mut self, record: Record<'static>) -> Result<(), String> {
+    fn apply_record(&mut self, record: Record<'static>) -> Result<(), String> {
         match record {
             Record::SegmentStart { format, hard_state } => {
                 check_format(format)?;
@@ -91,8 +93,8 @@
         mut self,
         snapshot: Option<StoredSnapshot>,
     ) -> Result<(RecoveredLog, bool), String> {
-        let overridden = self.is_overridden_by(snapshot.as_ref());
-        if overridden {
+        let superseded = self.is_superseded_by(snapshot.as_ref());
+        if superseded {
             self.entries.clear();
         }
         let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index.0);
@@ -107,20 +109,20 @@
                     snapshot,
                     records: self.entries,
                 },
-                overridden,
+                superseded,
             )),
         }
     }
 
-    fn is_overridden_by(&self, snapshot: Option<&StoredSnapshot>) -> bool {
+    fn is_superseded_by(&self, snapshot: Option<&StoredSnapshot>) -> bool {
         let (Some(snapshot), Some(last)) = (snapshot, self.last_index()) else {
             return false;
         };
-        let same_place = self
+        let entry_at_snapshot = self
             .entries
             .iter()
             .find(|entry| entry.index == snapshot.index);
-        last < snapshot.index || same_place.is_some_and(|entry| entry.term != snapshot.term)
+        last < snapshot.index || entry_at_snapshot.is_some_and(|entry| entry.term != snapshot.term)
     }
 }
 
--- a/crates/shared/wingshore-storage/src/memory.rs
+++ b/crates/shared/wingshore-storage/src/memory.rs
@@ -44,9 +44,9 @@
 }
 
 /// Extent to which a modifying call may take effect.
-enum Permission {
+enum CallOutcome {
     /// The call completes.
-    Whole,
+    Complete,
     /// The process crashes during the call.
     Crash,
 }
@@ -76,7 +76,7 @@
     /// that depends on `seed`. Faults are cleared.
     pub fn restart(&self, seed: u64) {
         let mut state = self.state();
-        state.disk.lose_unsynced(seed);
+        state.disk.drop_unsynced(seed);
         state.faults = Faults::default();
         state.calls = 0;
         state.crashed = false;
@@ -107,14 +107,14 @@
 
 impl Shared {
     /// Counts a modifying call and decides whether it completes.
-    fn begin_call(&mut self) -> io::Result<Permission> {
+    fn begin_call(&mut self) -> io::Result<CallOutcome> {
         self.check_alive()?;
         self.calls += 1;
         if self.faults.crash_at == Some(self.calls) {
             self.crashed = true;
-            return Ok(Permission::Crash);
+            return Ok(CallOutcome::Crash);
         }
-        Ok(Permission::Whole)
+        Ok(CallOutcome::Complete)
     }
 
     fn check_alive(&self) -> io::Result<()> {
@@ -127,19 +127,19 @@
     /// Applies a change. If the process crashes during the call, the change is applied too: the
     /// restart decides which unsynced changes survive.
     fn change<T>(&mut self, change: impl FnOnce(&mut Disk) -> io::Result<T>) -> io::Result<T> {
-        let permission = self.begin_call()?;
+        let outcome = self.begin_call()?;
         let result = change(&mut self.disk);
-        match permission {
-            Permission::Whole => result,
-            Permission::Crash => Err(crashed()),
+        match outcome {
+            CallOutcome::Complete => result,
+            CallOutcome::Crash => Err(crashed()),
         }
     }
 
     /// Performs a sync. Nothing becomes durable if the process crashes during the call.
     fn sync(&mut self, sync: impl FnOnce(&mut Disk) -> io::Result<()>) -> io::Result<()> {
         match self.begin_call()? {
-            Permission::Whole => sync(&mut self.disk),
-            Permission::Crash => Err(crashed()),
+            CallOutcome::Complete => sync(&mut self.disk),
+            CallOutcome::Crash => Err(crashed()),
         }
     }
 
--- a/crates/shared/wingshore-storage/src/memory/disk.rs
+++ b/crates/shared/wingshore-storage/src/memory/disk.rs
@@ -165,13 +165,13 @@
     }
 
     /// Keeps the synced data and a part of the unsynced data that depends on `seed`.
-    pub(super) fn lose_unsynced(&mut self, seed: u64) {
-        let mut chance = Chance(seed);
+    pub(super) fn drop_unsynced(&mut self, seed: u64) {
+        let mut random = SplitMix64(seed);
         for content in self.contents.values_mut() {
-            content.lose_unsynced(&mut chance);
+            content.drop_unsynced(&mut random);
         }
         for directory in self.directories.values_mut() {
-            directory.lose_unsynced(&mut chance);
+            directory.drop_unsynced(&mut random);
         }
         let directories = &self.directories;
         self.contents.retain(|id, _| {
@@ -197,7 +197,7 @@
 impl Content {
     /// Keeps the unsynced bytes up to a random offset and may zero a range of them, since a disk
     /// writes pages in any order.
-    fn lose_unsynced(&mut self, chance: &mut Chance) {
+    fn drop_unsynced(&mut self, random: &mut SplitMix64) {
         let common = self
             .synced
             .iter()
@@ -205,15 +205,15 @@
             .take_while(|(synced, current)| synced == current)
             .count();
         if self.current.len() < self.synced.len() {
-            let cut = chance.below(2) == 0;
+            let cut = random.below(2) == 0;
             let kept = if cut { &self.current } else { &self.synced };
             self.synced = kept.clone();
         } else {
-            let kept = chance.within(common, self.current.len());
+            let kept = random.in_range(common, self.current.len());
             let mut found = self.current[..kept].to_vec();
-            if chance.below(3) == 0 {
-                let hole_start = chance.within(common, kept);
-                let hole_end = chance.within(hole_start, kept);
+            if random.below(3) == 0 {
+                let hole_start = random.in_range(common, kept);
+                let hole_end = random.in_range(hole_start, kept);
                 found[hole_start..hole_end].fill(0);
             }
             let longer_kept = self.synced.len().saturating_sub(found.len());
@@ -232,9 +232,9 @@
     }
 
     /// Keeps a random subset of the unsynced directory changes, since their order is undefined.
-    fn lose_unsynced(&mut self, chance: &mut Chance) {
+    fn drop_unsynced(&mut self, random: &mut SplitMix64) {
         for change in self.pending.drain(..) {
-            if chance.below(2) == 0 {
+            if random.below(2) == 0 {
                 change.apply_to(&mut self.synced);
             }
         }
@@ -262,9 +262,9 @@
 }
 
 /// A seeded pseudo-random number generator (SplitMix64); equal seeds give equal results.
-struct Chance(u64);
+struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let value = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -277,7 +277,7 @@
     }
 
     /// Returns a number between `low` and `high`, both inclusive.
-    fn within(&mut self, low: usize, high: usize) -> usize {
+    fn in_range(&mut self, low: usize, high: usize) -> usize {
         low + self.below((high - low) as u64 + 1) as usize
     }
 }
--- a/crates/shared/wingshore-storage/src/patient.rs
+++ b/crates/shared/wingshore-storage/src/patient.rs
@@ -56,14 +56,14 @@
         batch: &WriteBatch,
         wait: &mut dyn FnMut(&StorageError),
     ) -> Result<(), StorageError> {
-        let mut again = None;
+        let mut retried_batch = None;
         loop {
-            let attempt = again.as_ref().unwrap_or(batch);
+            let attempt = retried_batch.as_ref().unwrap_or(batch);
             match self.write_once(attempt) {
                 Err(error) if error.is_disk_full() => {
                     self.store = None;
                     wait(&error);
-                    again.get_or_insert_with(|| repeatable(batch));
+                    retried_batch.get_or_insert_with(|| idempotent(batch));
                 }
                 result => return result,
             }
@@ -100,7 +100,7 @@
 }
 
 /// Returns the batch in an idempotent form: it gives the same log when it is written twice.
-fn repeatable(batch: &WriteBatch) -> WriteBatch {
+fn idempotent(batch: &WriteBatch) -> WriteBatch {
     let mut batch = batch.clone();
     let first = batch.append.first().map(|record| record.index);
     batch.truncate_from = match (batch.truncate_from, first) {
--- a/crates/shared/wingshore-storage/src/segment.rs
+++ b/crates/shared/wingshore-storage/src/segment.rs
@@ -55,7 +55,7 @@
 ) -> Result<ClosedSegment, StorageError> {
     let path = path_of(directory, sequence);
     let reading = read_frames(fs, &path, sequence, replay)?;
-    if let Some(reason) = reading.bad {
+    if let Some(reason) = reading.invalid_reason {
         return Err(damaged(&path, reading.length, reason));
     }
     Ok(ClosedSegment {
@@ -77,15 +77,15 @@
 ) -> Result<Option<ActiveSegment>, StorageError> {
     let path = path_of(directory, sequence);
     let reading = read_frames(fs, &path, sequence, replay)?;
-    if let Some(reason) = reading.bad {
+    if let Some(reason) = reading.invalid_reason {
         let bytes = fs.read(&path).during("read", &path)?;
-        refuse_damage_before_tail(&path, sequence, &bytes, reading.length, reason)?;
+        reject_damage_before_tail(&path, sequence, &bytes, reading.length, reason)?;
     }
     if reading.length == 0 {
         return Ok(None);
     }
     let mut file = fs.open(&path).during("open", &path)?;
-    if reading.bad.is_some() {
+    if reading.invalid_reason.is_some() {
         file.truncate(reading.length).during("truncate", &path)?;
         file.sync().during("sync", &path)?;
     }
@@ -100,11 +100,11 @@
 }
 
 /// Result of reading the frames of a segment.
-struct Reading {
+struct ReplayedFrames {
     /// Length of the valid frames, in bytes.
     length: u64,
     /// The reason why the first frame after them is invalid, if there is one.
-    bad: Option<&'static str>,
+    invalid_reason: Option<&'static str>,
     /// The highest entry index.
     last_index: Option<LogIndex>,
 }
@@ -115,25 +115,25 @@
     path: &Path,
     sequence: u64,
     replay: &mut Replay,
-) -> Result<Reading, StorageError> {
+) -> Result<ReplayedFrames, StorageError> {
     let file = fs.open_to_read(path).during("open", path)?;
     let mut file = BufReader::with_capacity(READ_BYTES, FileReader::new(file, 0));
-    let mut reading = Reading {
+    let mut reading = ReplayedFrames {
         length: 0,
-        bad: None,
+        invalid_reason: None,
         last_index: None,
     };
     loop {
         let read = frame::read_next(&mut file, sequence, reading.length);
         match read.during("read", path)? {
             NextFrame::End => return Ok(reading),
-            NextFrame::Bad(reason) => {
-                reading.bad = Some(reason);
+            NextFrame::Invalid(reason) => {
+                reading.invalid_reason = Some(reason);
                 return Ok(reading);
             }
             NextFrame::Frame { payload, next } => {
                 replay
-                    .take_frame(&payload)
+                    .apply_frame(&payload)
                     .map_err(|reason| damaged(path, reading.length, reason))?;
                 reading.last_index = reading.last_index.max(replay.last_index());
                 reading.length = next;
@@ -144,18 +144,18 @@
 
 /// Returns an error if a valid frame follows the invalid one. A batch is written only after the
 /// previous one is synced, so the later frame proves that the invalid one had been durable.
-fn refuse_damage_before_tail(
+fn reject_damage_before_tail(
     path: &Path,
     sequence: u64,
     bytes: &[u8],
-    bad_at: u64,
+    invalid_at: u64,
     reason: &str,
 ) -> Result<(), StorageError> {
-    match frame::find_after(sequence, bad_at as usize, bytes) {
+    match frame::find_frame_after(sequence, invalid_at as usize, bytes) {
         None => Ok(()),
         Some(next) => Err(damaged(
             path,
-            bad_at,
+            invalid_at,
             format!("{reason}, and a valid frame follows at byte {next}"),
         )),
     }
--- a/crates/shared/wingshore-storage/src/snapshot.rs
+++ b/crates/shared/wingshore-storage/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::{File, FileRange, FileReader, FileSystem, READ_BYTES, ReadableFile};
-use crate::frame::{self, Scan};
+use crate::frame::{self, ParsedFrame};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io::{self, BufReader, BufWriter, Read, Write};
@@ -25,11 +25,11 @@
 /// Maximum length of the encoded index, term and data length of a snapshot, in bytes.
 const MAX_HEAD_BYTES: u64 = 32;
 /// Checksum salt of the frames in files that are replaced atomically.
-const WHOLE_FILE_SALT: u64 = u64::MAX;
+const ATOMIC_FILE_SALT: u64 = u64::MAX;
 
 /// Replaces the file `name` with `value`: writes and syncs a temporary file, renames it to `name`
 /// and syncs the directory.
-pub(crate) fn write_whole<T: Serialize>(
+pub(crate) fn write_atomically<T: Serialize>(
     fs: &dyn FileSystem,
     directory: &Path,
     name: &str,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Like [`write_whole`], for a snapshot, which is encoded while it is written.
+/// Like [`write_atomically`], for a snapshot, which is encoded while it is written.
 pub(crate) fn write_snapshot(
     fs: &dyn FileSystem,
     directory: &Path,
@@ -114,11 +114,11 @@
     }
     let (length, expected) =
         frame::read_header(&header).map_err(|reason| damaged(path, 0, reason))?;
-    let mut checksum = frame::Checksum::new(WHOLE_FILE_SALT, 0, length);
+    let mut checksum = frame::Checksum::new(ATOMIC_FILE_SALT, 0, length);
     let mut payload = BufReader::with_capacity(READ_BYTES, reader).take(length as u64);
     let read = io::copy(&mut payload, &mut checksum).during("read", path)?;
     if read < length as u64 {
-        return Err(damaged(path, 0, frame::CUT_PAYLOAD));
+        return Err(damaged(path, 0, frame::TRUNCATED_PAYLOAD));
     }
     if checksum.finish() != expected {
         return Err(damaged(path, 0, frame::WRONG_CHECKSUM));
@@ -136,21 +136,21 @@
     produce: &dyn Fn(&mut dyn Write) -> io::Result<()>,
 ) -> Result<(), StorageError> {
     let path = directory.join(name);
-    let aside = directory.join(format!("{name}{TEMPORARY_SUFFIX}"));
+    let temporary = directory.join(format!("{name}{TEMPORARY_SUFFIX}"));
     if length > frame::MAX_PAYLOAD_BYTES {
         return Err(io::Error::from(io::ErrorKind::FileTooLarge)).during("encode", &path);
     }
-    let mut checksum = frame::Checksum::new(WHOLE_FILE_SALT, 0, length);
+    let mut checksum = frame::Checksum::new(ATOMIC_FILE_SALT, 0, length);
     produce(&mut checksum).during("encode", &path)?;
     let header = frame::header(length, checksum.finish());
-    let mut file = fs.create(&aside).during("create", &aside)?;
-    file.append(&header).during("write", &aside)?;
+    let mut file = fs.create(&temporary).during("create", &temporary)?;
+    file.append(&header).during("write", &temporary)?;
     let mut writer = BufWriter::with_capacity(WRITE_BYTES, FileWriter(file.as_mut()));
-    produce(&mut writer).during("write", &aside)?;
-    writer.flush().during("write", &aside)?;
+    produce(&mut writer).during("write", &temporary)?;
+    writer.flush().during("write", &temporary)?;
     drop(writer);
-    file.sync().during("sync", &aside)?;
-    fs.rename(&aside, &path).during("rename", &aside)?;
+    file.sync().during("sync", &temporary)?;
+    fs.rename(&temporary, &path).during("rename", &temporary)?;
     fs.sync_directory(directory)
         .during("sync directory", directory)
 }
@@ -169,8 +169,8 @@
     }
 }
 
-/// Reads a value written by [`write_whole`]; `None` if the file does not exist.
-pub(crate) fn read_whole<T: DeserializeOwned>(
+/// Reads a value written by [`write_atomically`]; `None` if the file does not exist.
+pub(crate) fn read_if_exists<T: DeserializeOwned>(
     fs: &dyn FileSystem,
     directory: &Path,
     name: &str,
@@ -181,10 +181,10 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error).during("read", &path),
     };
-    let payload = match frame::scan(WHOLE_FILE_SALT, 0, &bytes) {
-        Scan::Frame { payload } => payload,
-        Scan::End => return Err(damaged(&path, 0, "the file is empty")),
-        Scan::Bad(reason) => return Err(damaged(&path, 0, reason)),
+    let payload = match frame::parse_frame(ATOMIC_FILE_SALT, 0, &bytes) {
+        ParsedFrame::Frame { payload } => payload,
+        ParsedFrame::End => return Err(damaged(&path, 0, "the file is empty")),
+        ParsedFrame::Invalid(reason) => return Err(damaged(&path, 0, reason)),
     };
     postcard::from_bytes(payload)
         .map(Some)
--- a/crates/shared/wingshore-storage/src/store.rs
+++ b/crates/shared/wingshore-storage/src/store.rs
@@ -60,13 +60,13 @@
         let snapshot = snapshot::open_snapshot(fs.as_ref(), directory)?;
         let mut replay = Replay::default();
         let (closed, active) = replay_segments(fs.as_ref(), directory, &mut replay)?;
-        let (recovered, overridden) = replay
+        let (recovered, superseded) = replay
             .finish(snapshot)
             .map_err(|reason| damaged(&directory.join(SNAPSHOT_FILE), 0, reason))?;
-        refuse_lost_log(directory, &recovered, &active)?;
+        reject_lost_log(directory, &recovered, &active)?;
         let active = match active {
-            Found::Active(active) => active,
-            Found::Missing { sequence } => ActiveSegment::create(
+            LastSegment::Active(active) => active,
+            LastSegment::Missing { sequence } => ActiveSegment::create(
                 fs.as_ref(),
                 directory,
                 sequence,
@@ -84,7 +84,7 @@
             snapshot_index: index_of(recovered.snapshot.as_ref()),
             poisoned: false,
         };
-        if overridden {
+        if superseded {
             store.active.write(&[Record::TruncateFrom(LogIndex(1))])?;
         }
         Ok((store, recovered))
@@ -119,8 +119,8 @@
     fn write_in_order(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         let mut records = Vec::new();
         for batch in batches {
-            self.check(batch)?;
-            self.take_batch(batch, &mut records)?;
+            self.check_batch(batch)?;
+            self.collect_records(batch, &mut records)?;
         }
         self.write_records(&mut records)?;
         self.roll_over()?;
@@ -133,7 +133,7 @@
 
     /// Adds the records of `batch` to `records`. Writes the pending records only before a snapshot,
     /// which must follow them.
-    fn take_batch<'batch>(
+    fn collect_records<'batch>(
         &mut self,
         batch: &'batch WriteBatch,
         records: &mut Vec<Record<'batch>>,
@@ -149,10 +149,10 @@
         }
         if let Some(from) = batch.truncate_from {
             records.push(Record::TruncateFrom(from));
-            self.forget_from(from);
+            self.truncate_last_index(from);
         }
         if !batch.append.is_empty() {
-            self.drop_overridden(records);
+            self.truncate_superseded(records);
         }
         for record in &batch.append {
             records.push(Record::Append(Cow::Borrowed(record)));
@@ -167,7 +167,7 @@
 
     /// Truncates a log that ends before the snapshot, so that the entry after the snapshot can be
     /// appended.
-    fn drop_overridden(&mut self, records: &mut Vec<Record<'_>>) {
+    fn truncate_superseded(&mut self, records: &mut Vec<Record<'_>>) {
         if self
             .last_index
             .is_some_and(|last| last < self.snapshot_index)
@@ -221,7 +221,7 @@
         Ok(())
     }
 
-    fn forget_from(&mut self, from: LogIndex) {
+    fn truncate_last_index(&mut self, from: LogIndex) {
         let Some(last) = self.last_index else {
             return;
         };
@@ -234,22 +234,22 @@
 
     /// Checks that the appended entries follow the remaining log without gaps, and that only
     /// entries in the snapshot are discarded.
-    fn check(&self, batch: &WriteBatch) -> Result<(), StorageError> {
+    fn check_batch(&self, batch: &WriteBatch) -> Result<(), StorageError> {
         let snapshot = batch
             .snapshot
             .as_ref()
             .map_or(self.snapshot_index, |snapshot| snapshot.index);
-        let first = self.kept_by(batch).max(snapshot.0) + 1;
+        let first = self.last_index_after_truncation(batch).max(snapshot.0) + 1;
         for (expected, record) in (first..).zip(&batch.append) {
             if record.index.0 != expected {
-                return self.refuse(format!(
+                return self.invalid_batch(format!(
                     "found entry {}, expected entry {expected}",
                     record.index
                 ));
             }
         }
         match batch.discard_through {
-            Some(through) if through > snapshot => self.refuse(format!(
+            Some(through) if through > snapshot => self.invalid_batch(format!(
                 "cannot discard entries through {through}: the snapshot ends at {snapshot}"
             )),
             _ => Ok(()),
@@ -257,7 +257,7 @@
     }
 
     /// Returns the index of the last entry after the truncation by `batch`; 0 if there is none.
-    fn kept_by(&self, batch: &WriteBatch) -> u64 {
+    fn last_index_after_truncation(&self, batch: &WriteBatch) -> u64 {
         let last = self.last_index.map_or(0, |last| last.0);
         match batch.truncate_from {
             Some(from) => last.min(from.0.saturating_sub(1)),
@@ -265,7 +265,7 @@
         }
     }
 
-    fn refuse(&self, reason: String) -> Result<(), StorageError> {
+    fn invalid_batch(&self, reason: String) -> Result<(), StorageError> {
         Err(StorageError::InvalidBatch {
             directory: self.directory.clone(),
             reason,
@@ -287,7 +287,7 @@
 }
 
 /// State of the last segment at startup.
-enum Found {
+enum LastSegment {
     /// The segment exists and can be appended to.
     Active(ActiveSegment),
     /// The segment has to be created.
@@ -301,7 +301,7 @@
     fs: &dyn FileSystem,
     directory: &Path,
     replay: &mut Replay,
-) -> Result<(Vec<ClosedSegment>, Found), StorageError> {
+) -> Result<(Vec<ClosedSegment>, LastSegment), StorageError> {
     let names = fs.list(directory).during("list", directory)?;
     let mut sequences: Vec<u64> = names
         .iter()
@@ -311,35 +311,35 @@
     let Some((&last, earlier)) = sequences.split_last() else {
         return Ok((
             Vec::new(),
-            Found::Missing {
+            LastSegment::Missing {
                 sequence: FIRST_SEGMENT,
             },
         ));
     };
-    refuse_gaps(directory, &sequences)?;
+    reject_gaps(directory, &sequences)?;
     let mut closed = Vec::with_capacity(earlier.len());
     for &sequence in earlier {
         closed.push(segment::replay_closed(fs, directory, sequence, replay)?);
     }
     match segment::replay_last(fs, directory, last, replay)? {
-        Some(active) => Ok((closed, Found::Active(active))),
+        Some(active) => Ok((closed, LastSegment::Active(active))),
         None if last > FIRST_SEGMENT && closed.is_empty() => Err(damaged(
             &segment::path_of(directory, last),
             0,
             "the only segment holds no valid frame",
         )),
-        None => Ok((closed, Found::Missing { sequence: last })),
+        None => Ok((closed, LastSegment::Missing { sequence: last })),
     }
 }
 
 /// Returns an error if there is a snapshot but no log. The first segment is created before anything
 /// else is written, so the log must have been lost.
-fn refuse_lost_log(
+fn reject_lost_log(
     directory: &Path,
     recovered: &RecoveredLog,
-    found: &Found,
+    found: &LastSegment,
 ) -> Result<(), StorageError> {
-    let begins = matches!(found, Found::Missing { sequence } if *sequence == FIRST_SEGMENT);
+    let begins = matches!(found, LastSegment::Missing { sequence } if *sequence == FIRST_SEGMENT);
     if begins && recovered.snapshot.is_some() {
         let missing = segment::path_of(directory, FIRST_SEGMENT);
         return Err(damaged(
@@ -351,7 +351,7 @@
     Ok(())
 }
 
-fn refuse_gaps(directory: &Path, sequences: &[u64]) -> Result<(), StorageError> {
+fn reject_gaps(directory: &Path, sequences: &[u64]) -> Result<(), StorageError> {
     for pair in sequences.windows(2) {
         if pair[0] + 1 != pair[1] {
             let missing = segment::path_of(directory, pair[0] + 1);
--- a/crates/shared/wingshore-types/src/configuration.rs
+++ b/crates/shared/wingshore-types/src/configuration.rs
@@ -274,19 +274,19 @@
     }
 
     fn check_service_exists(&self, id: &ServiceId) -> Result<(), ChangeError> {
-        exists(self.services.contains_key(id), "service", id.as_str())
+        check_exists(self.services.contains_key(id), "service", id.as_str())
     }
 
     fn check_server_exists(&self, id: &ServerId) -> Result<(), ChangeError> {
-        exists(self.servers.contains_key(id), "server", id.as_str())
+        check_exists(self.servers.contains_key(id), "server", id.as_str())
     }
 
     fn check_pool_exists(&self, id: &PoolId) -> Result<(), ChangeError> {
-        exists(self.pools.contains_key(id), "pool", id.as_str())
+        check_exists(self.pools.contains_key(id), "pool", id.as_str())
     }
 }
 
-fn exists(found: bool, kind: &str, name: &str) -> Result<(), ChangeError> {
+fn check_exists(found: bool, kind: &str, name: &str) -> Result<(), ChangeError> {
     if found {
         return Ok(());
     }
--- a/crates/shared/wingshore-types/src/protocol/byte_vector.rs
+++ b/crates/shared/wingshore-types/src/protocol/byte_vector.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// Maximum preallocation for a sequence, in bytes. The claimed length is not trusted.
-const LARGEST_RESERVE: usize = 64 << 10;
+const MAX_PREALLOCATION: usize = 64 << 10;
 
 /// Serializes bytes as one byte string.
 ///
@@ -50,7 +50,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Vec<u8>, A::Error> {
         let claimed = sequence.size_hint().unwrap_or(0);
-        let mut bytes = Vec::with_capacity(claimed.min(LARGEST_RESERVE));
+        let mut bytes = Vec::with_capacity(claimed.min(MAX_PREALLOCATION));
         while let Some(byte) = sequence.next_element()? {
             bytes.push(byte);
         }
--- a/crates/shared/wingshore-types/src/protocol/ledger.rs
+++ b/crates/shared/wingshore-types/src/protocol/ledger.rs
@@ -118,7 +118,7 @@
         /// The leases.
         leases: Vec<LeaseId>,
     },
-    /// Returns a lease, with the partial generation.
+    /// Releases a lease before the sample is finished, with the partial generation.
     Return {
         /// The pool.
         pool: PoolId,
@@ -196,7 +196,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerRefusal {
-    /// The group does not know the pool yet.
+    /// The group has no settings for the pool yet.
     UnknownPool,
     /// There are too many open samples; no sample of the request was added.
     Full {
--- a/crates/shared/wingshore-types/src/protocol/wire.rs
+++ b/crates/shared/wingshore-types/src/protocol/wire.rs
@@ -128,7 +128,7 @@
 
 /// Implements the conversions of the requests and replies of one kind of group from and to the
 /// contents of frames.
-macro_rules! travels_as {
+macro_rules! impl_frame_conversions {
     ($variant:ident, $request:ty, $reply:ty) => {
         impl TryFrom<GroupRequest> for $request {
             /// The request, which is for another kind of group.
@@ -150,6 +150,6 @@
     };
 }
 
-travels_as!(Control, ControlRequest, ControlReply);
-travels_as!(Ledger, LedgerRequest, LedgerReply);
-travels_as!(Claims, ClaimsRequest, ClaimsReply);
+impl_frame_conversions!(Control, ControlRequest, ControlReply);
+impl_frame_conversions!(Ledger, LedgerRequest, LedgerReply);
+impl_frame_conversions!(Claims, ClaimsRequest, ClaimsReply);
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -177,7 +177,7 @@
             return SnapshotState::Encoded(bytes.slice(skipped.min(bytes.len())..));
         }
         let data = self.clone();
-        SnapshotState::Frozen(Arc::new(Tail { data, skipped }))
+        SnapshotState::Frozen(Arc::new(Suffix { data, skipped }))
     }
 
     /// Returns the form to store on the local disk.
@@ -232,12 +232,12 @@
 }
 
 /// The data of a snapshot after its first `skipped` bytes.
-struct Tail {
+struct Suffix {
     data: SnapshotData,
     skipped: u64,
 }
 
-impl FrozenState for Tail {
+impl FrozenState for Suffix {
     fn length(&self) -> u64 {
         self.data.length().saturating_sub(self.skipped)
     }
--- a/crates/shared/wingshore-types/src/snapshot_spool.rs
+++ b/crates/shared/wingshore-types/src/snapshot_spool.rs
@@ -33,15 +33,15 @@
 pub struct MemorySpool;
 
 #[derive(Debug, Default)]
-struct InMemory(Vec<u8>);
+struct MemorySpooledSnapshot(Vec<u8>);
 
 impl SnapshotSpool for MemorySpool {
     fn begin(&self) -> io::Result<Box<dyn SpooledSnapshot>> {
-        Ok(Box::new(InMemory::default()))
+        Ok(Box::new(MemorySpooledSnapshot::default()))
     }
 }
 
-impl SpooledSnapshot for InMemory {
+impl SpooledSnapshot for MemorySpooledSnapshot {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.0.extend_from_slice(bytes);
         Ok(())
