--- a/crates/gateways/wingshore-coordinator/src/process/disk.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/disk.rs
@@ -10,7 +10,7 @@
 use snafu::ResultExt;
 use std::sync::Arc;
 use wingshore_storage::{
-    DataFolder, FileSystem, PatientStore, RealFileSystem, StorageError, with_space,
+    DataFolder, FileSystem, RealFileSystem, RetryingStore, StorageError, with_space,
 };
 use wingshore_types::GroupId;
 use wingshore_types::log::RecoveredLog;
@@ -18,7 +18,7 @@
 /// The parts of an open data folder.
 pub(super) struct OpenedDisk {
     pub(super) folder: DataFolder,
-    pub(super) store: PatientStore,
+    pub(super) store: RetryingStore,
     pub(super) recovered: RecoveredLog,
     pub(super) texts: Arc<TextArchive>,
     pub(super) spool: FileSpool,
@@ -46,7 +46,7 @@
     });
     let spool = spool.context(StorageSnafu)?;
     let directory = folder.group_directory(GroupId::Control);
-    let opened = PatientStore::open(fs, &directory, &mut wait);
+    let opened = RetryingStore::open(fs, &directory, &mut wait);
     let (store, recovered) = opened.context(StorageSnafu)?;
     log_recovered(logger, &recovered);
     Ok(OpenedDisk {
--- a/crates/gateways/wingshore-coordinator/src/writer.rs
+++ b/crates/gateways/wingshore-coordinator/src/writer.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wingshore_net::ReactorWaker;
-use wingshore_storage::{PatientStore, StorageError};
+use wingshore_storage::{RetryingStore, StorageError};
 use wingshore_types::log::WriteBatch;
 
 /// Between attempts to write on a full disk.
@@ -49,7 +49,7 @@
 impl Writer {
     /// Starts the thread.
     pub(crate) fn start(
-        store: PatientStore,
+        store: RetryingStore,
         waker: ReactorWaker,
         logger: Logger,
     ) -> std::io::Result<Self> {
@@ -74,7 +74,7 @@
 }
 
 fn run(
-    mut store: PatientStore,
+    mut store: RetryingStore,
     jobs: &Receiver<WriteJob>,
     events: &Sender<WriteEvent>,
     waker: &ReactorWaker,
--- a/crates/shared/wingshore-storage/src/patient.rs
+++ b/crates/shared/wingshore-storage/src/retrying_store.rs
@@ -21,13 +21,13 @@
 /// the store is reopened; earlier acknowledged writes are unaffected. So the store is reopened and
 /// the batch is written again, in an idempotent form that gives the same log whether or not the
 /// first attempt was complete.
-pub struct PatientStore {
+pub struct RetryingStore {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
     store: Option<GroupStore>,
 }
 
-impl PatientStore {
+impl RetryingStore {
     /// Opens the store in `directory`, creating it if it does not exist. Calls `wait` each time the
     /// disk is full.
     ///
@@ -39,12 +39,12 @@
         wait: &mut dyn FnMut(&StorageError),
     ) -> Result<(Self, RecoveredLog), StorageError> {
         let (store, recovered) = with_space(wait, || GroupStore::open(Arc::clone(&fs), directory))?;
-        let patient = Self {
+        let retrying = Self {
             fs,
             directory: directory.to_owned(),
             store: Some(store),
         };
-        Ok((patient, recovered))
+        Ok((retrying, recovered))
     }
 
     /// Makes `batch` durable, retrying without limit while the disk is full.
--- a/crates/shared/wingshore-storage/tests/full_disk.rs
+++ b/crates/shared/wingshore-storage/tests/full_disk.rs
@@ -4,15 +4,15 @@
 use std::path::Path;
 use std::sync::Arc;
 use wingshore_storage::memory::{Faults, MemoryFileSystem};
-use wingshore_storage::{FileSystem, PatientStore, StorageError};
+use wingshore_storage::{FileSystem, RetryingStore, StorageError};
 use wingshore_types::LogIndex;
 use wingshore_types::log::{LogRecord, RecoveredLog, StoredSnapshot, WriteBatch};
 
 const DIRECTORY: &str = "/data/group";
 
-fn open(disk: &MemoryFileSystem) -> (PatientStore, RecoveredLog) {
+fn open(disk: &MemoryFileSystem) -> (RetryingStore, RecoveredLog) {
     let fs: Arc<dyn FileSystem> = Arc::new(disk.clone());
-    PatientStore::open(fs, Path::new(DIRECTORY), &mut |_| ()).expect("the store opens")
+    RetryingStore::open(fs, Path::new(DIRECTORY), &mut |_| ()).expect("the store opens")
 }
 
 fn record(index: u64) -> LogRecord {
@@ -40,7 +40,7 @@
 /// Writes while the disk is full for `refusals` attempts; gives how often it was refused.
 fn write_with_refusals(
     disk: &MemoryFileSystem,
-    store: &mut PatientStore,
+    store: &mut RetryingStore,
     batch: &WriteBatch,
     refusals: u32,
 ) -> u32 {
