--- a/crates/gateways/wingshore-coordinator/src/process/disk.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/disk.rs
@@ -10,7 +10,7 @@
 use snafu::ResultExt;
 use std::sync::Arc;
 use wingshore_storage::{
-    DataFolder, FileSystem, RealFileSystem, RetryingStore, StorageError, with_space,
+    DataFolder, FileSystem, RealFileSystem, RetryingStore, StorageError, retry_while_full,
 };
 use wingshore_types::GroupId;
 use wingshore_types::log::RecoveredLog;
@@ -34,14 +34,14 @@
 ) -> Result<OpenedDisk, CoordinatorError> {
     let fs: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
     let mut wait = |error: &StorageError| wait_for_space(logger, error);
-    let folder = with_space(&mut wait, || identity::open(&fs, settings));
+    let folder = retry_while_full(&mut wait, || identity::open(&fs, settings));
     let folder = folder.context(StorageSnafu)?;
-    let texts = with_space(&mut wait, || {
+    let texts = retry_while_full(&mut wait, || {
         let (data, budget) = (&settings.data, settings.memory.texts());
         TextArchive::open(Arc::clone(&fs), data, budget, logger.clone())
     });
     let texts = Arc::new(texts.context(StorageSnafu)?);
-    let spool = with_space(&mut wait, || {
+    let spool = retry_while_full(&mut wait, || {
         FileSpool::open(Arc::clone(&fs), &settings.data, logger.clone())
     });
     let spool = spool.context(StorageSnafu)?;
--- a/crates/shared/wingshore-storage/src/lib.rs
+++ b/crates/shared/wingshore-storage/src/lib.rs
@@ -28,5 +28,5 @@
 pub use file_system::{File, FileRange, FileReader, FileSystem, Lock, ReadableFile};
 pub use folder::{DataFolder, Identity};
 pub use real::RealFileSystem;
-pub use retrying_store::{RetryingStore, with_space};
+pub use retrying_store::{RetryingStore, retry_while_full};
 pub use store::GroupStore;
--- a/crates/shared/wingshore-storage/src/retrying_store.rs
+++ b/crates/shared/wingshore-storage/src/retrying_store.rs
@@ -38,7 +38,8 @@
         directory: &Path,
         wait: &mut dyn FnMut(&StorageError),
     ) -> Result<(Self, RecoveredLog), StorageError> {
-        let (store, recovered) = with_space(wait, || GroupStore::open(Arc::clone(&fs), directory))?;
+        let (store, recovered) =
+            retry_while_full(wait, || GroupStore::open(Arc::clone(&fs), directory))?;
         let retrying = Self {
             fs,
             directory: directory.to_owned(),
@@ -87,7 +88,7 @@
 ///
 /// # Errors
 /// Returns any error of `action` except for a full disk.
-pub fn with_space<T>(
+pub fn retry_while_full<T>(
     wait: &mut dyn FnMut(&StorageError),
     mut action: impl FnMut() -> Result<T, StorageError>,
 ) -> Result<T, StorageError> {
