--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -64,7 +64,7 @@
         Ok(Box::new(StateReader::new(self, InlineTexts)))
     }
 
-    fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
+    fn for_local_disk(self: Arc<Self>) -> Option<SnapshotState> {
         self.state.texts.0.as_ref()?;
         let frozen = Arc::new(LocalSnapshot::of(self).ok()?);
         Some(SnapshotState::Frozen(frozen))
--- a/crates/gateways/wingshore-coordination/tests/golden_state.rs
+++ b/crates/gateways/wingshore-coordination/tests/golden_state.rs
@@ -242,7 +242,7 @@
 fn snapshots_keep_their_bytes() {
     let state = state_with(None);
     let on_disk =
-        SnapshotData::from(state_with(Some(Arc::new(SingleTextStore))).freeze()).for_own_disk();
+        SnapshotData::from(state_with(Some(Arc::new(SingleTextStore))).freeze()).for_local_disk();
     let own = on_disk.to_bytes().unwrap().to_vec();
     let empty = CoordinationState::default().snapshot();
     let examples = [
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -144,7 +144,7 @@
     store.move_every_second_text();
     let data = SnapshotData::from(state.freeze());
     expect_that!(read_whole(&data), eq(&in_memory));
-    let own = data.for_own_disk();
+    let own = data.for_local_disk();
     expect_that!(own.length(), lt(data.length()));
     expect_that!(read_whole(&own).len() as u64, eq(own.length()));
 
@@ -161,7 +161,7 @@
 fn every_reader_returns_the_same_bytes_while_texts_move() {
     let (state, store) = state_with_store();
     let data = SnapshotData::from(state.freeze());
-    let own = data.for_own_disk();
+    let own = data.for_local_disk();
     let (first, first_own) = (read_whole(&data), read_whole(&own));
     store.move_every_second_text();
     expect_that!(read_whole(&data), eq(&first));
--- a/crates/shared/wingshore-storage/src/snapshot.rs
+++ b/crates/shared/wingshore-storage/src/snapshot.rs
@@ -49,7 +49,7 @@
     directory: &Path,
     snapshot: &StoredSnapshot,
 ) -> Result<(), StorageError> {
-    let data = snapshot.data.for_own_disk();
+    let data = snapshot.data.for_local_disk();
     // The codec encodes a byte sequence as its length followed by the bytes.
     let head = encode_exactly(&(snapshot.index, snapshot.term, data.length()))
         .map_err(io::Error::other)
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -26,7 +26,7 @@
 
     /// Returns the form to store on the local disk, if it differs: it references data that is on
     /// that disk already.
-    fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
+    fn for_local_disk(self: Arc<Self>) -> Option<SnapshotState> {
         None
     }
 
@@ -181,9 +181,9 @@
     }
 
     /// Returns the form to store on the local disk.
-    pub fn for_own_disk(&self) -> Self {
+    pub fn for_local_disk(&self) -> Self {
         let state = match &self.state {
-            SnapshotState::Frozen(state) => Arc::clone(state).for_own_disk(),
+            SnapshotState::Frozen(state) => Arc::clone(state).for_local_disk(),
             SnapshotState::Encoded(_) => None,
         };
         Self {
