--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -70,7 +70,7 @@
         Some(SnapshotState::Frozen(frozen))
     }
 
-    fn written(&self) {
+    fn on_durable(&self) {
         if let Some(store) = &self.state.texts.0 {
             store.snapshot_durable(self.number);
         }
--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -196,9 +196,9 @@
     let first = SnapshotData::from(state.freeze());
     let second = SnapshotData::from(state.freeze());
     expect_that!(store.shared.lock().unwrap().durable, eq(0));
-    first.written();
+    first.on_durable();
     expect_that!(store.shared.lock().unwrap().durable, eq(1));
-    second.written();
+    second.on_durable();
     expect_that!(store.shared.lock().unwrap().durable, eq(2));
 }
 
--- a/crates/shared/wingshore-storage/src/snapshot.rs
+++ b/crates/shared/wingshore-storage/src/snapshot.rs
@@ -60,7 +60,7 @@
         out.write_all(&head)?;
         data.write_to(out)
     })?;
-    snapshot.data.written();
+    snapshot.data.on_durable();
     Ok(())
 }
 
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -31,7 +31,7 @@
     }
 
     /// Called once the snapshot is durable on the local disk and has replaced the previous one.
-    fn written(&self) {}
+    fn on_durable(&self) {}
 }
 
 /// A state that is either encoded already or encoded on each read.
@@ -193,9 +193,9 @@
     }
 
     /// Called once the snapshot is durable on the local disk and has replaced the previous one.
-    pub fn written(&self) {
+    pub fn on_durable(&self) {
         if let SnapshotState::Frozen(state) = &self.state {
-            state.written();
+            state.on_durable();
         }
     }
 }
