--- a/crates/shared/wingshore-consensus/src/entry.rs
+++ b/crates/shared/wingshore-consensus/src/entry.rs
@@ -232,7 +232,7 @@
     /// Returns an error if the bytes are damaged, have another format version, or cannot be read.
     pub(crate) fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
         let what = "snapshot";
-        let head = snapshot.data.beginning(MAX_HEAD_BYTES);
+        let head = snapshot.data.prefix(MAX_HEAD_BYTES);
         let head = head.map_err(|error| unreadable(what, &error))?;
         let has_length = head.first() == Some(&SNAPSHOT_FORMAT_WITH_LENGTH);
         if !has_length {
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// Returns an error if the source of the bytes cannot be read.
-    pub fn beginning(&self, length: u64) -> io::Result<Vec<u8>> {
+    pub fn prefix(&self, length: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         self.reader()?.take(length).read_to_end(&mut bytes)?;
         Ok(bytes)
