--- a/crates/shared/wingshore-consensus/src/entry.rs
+++ b/crates/shared/wingshore-consensus/src/entry.rs
@@ -246,7 +246,7 @@
                 postcard::take_from_bytes::<u64>(rest).context(DecodeSnafu { what })?;
             (length, rest) = (Some(value), after);
         }
-        let state = snapshot.data.behind((head.len() - rest.len()) as u64);
+        let state = snapshot.data.suffix((head.len() - rest.len()) as u64);
         if length.is_some_and(|length| length != state.length()) {
             let source = postcard::Error::DeserializeUnexpectedEnd;
             return Err(source).context(DecodeSnafu { what });
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -166,7 +166,7 @@
     }
 
     /// Returns the data after the first `skipped` bytes.
-    pub fn behind(&self, skipped: u64) -> SnapshotState {
+    pub fn suffix(&self, skipped: u64) -> SnapshotState {
         if skipped == self.head.len() as u64 {
             return self.state.clone();
         }
