--- a/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
+++ b/crates/gateways/wingshore-coordination/tests/state_snapshot.rs
@@ -182,12 +182,12 @@
         {
             let end = (offset + length).min(whole.len());
             expect_that!(
-                parts.part(offset as u64, length).unwrap(),
+                parts.read_part(offset as u64, length).unwrap(),
                 eq(&whole[offset..end])
             );
         }
     }
-    expect_that!(parts.part(whole.len() as u64, 10).unwrap(), is_empty());
+    expect_that!(parts.read_part(whole.len() as u64, 10).unwrap(), is_empty());
 }
 
 #[gtest]
--- a/crates/shared/wingshore-consensus/src/outgoing.rs
+++ b/crates/shared/wingshore-consensus/src/outgoing.rs
@@ -208,7 +208,7 @@
         if self.read_failed {
             return Vec::new();
         }
-        let data = self.parts.part(offset, length).unwrap_or_default();
+        let data = self.parts.read_part(offset, length).unwrap_or_default();
         self.read_failed = data.is_empty();
         let follows = self
             .unacknowledged_chunks
@@ -268,7 +268,7 @@
         if !self.probe.take() {
             return None;
         }
-        let part = self.parts.part(0, length).ok()?;
+        let part = self.parts.read_part(0, length).ok()?;
         self.count_sent(0, part.len() as u64);
         Some(part)
     }
--- a/crates/shared/wingshore-types/src/snapshot_data.rs
+++ b/crates/shared/wingshore-types/src/snapshot_data.rs
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     /// Returns an error if the source of the bytes cannot be read.
-    pub fn part(&mut self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
+    pub fn read_part(&mut self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let (position, mut reader) = match self.open.take() {
             Some((position, reader)) if position <= offset => (position, reader),
             _ => (0, self.data.reader()?),
