--- a/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
+++ b/crates/gateways/wingshore-coordination/tests/unknown_forms.rs
@@ -134,7 +134,7 @@
         for more in TRAILING_BYTES {
             let longer = [&bytes, *more].concat();
             let refused = stored::decode::<Command>(&longer);
-            let expected = StoredError::GoesOn {
+            let expected = StoredError::TrailingBytes {
                 kind: bytes[0],
                 left: more.len(),
             };
--- a/crates/shared/wingshore-types/src/stored.rs
+++ b/crates/shared/wingshore-types/src/stored.rs
@@ -18,7 +18,7 @@
     },
     /// Bytes follow the end of the value.
     #[snafu(display("{left} bytes are left after the end of kind {kind}"))]
-    GoesOn {
+    TrailingBytes {
         /// The variant number of the value, which is its first byte.
         kind: u8,
         /// Number of trailing bytes.
@@ -34,6 +34,6 @@
     let (value, rest) = postcard::take_from_bytes(bytes).context(DamagedSnafu)?;
     let kind = bytes.first().copied().unwrap_or_default();
     let left = rest.len();
-    ensure!(rest.is_empty(), GoesOnSnafu { kind, left });
+    ensure!(rest.is_empty(), TrailingBytesSnafu { kind, left });
     Ok(value)
 }
