--- a/crates/gateways/wingshore-coordinator/tests/texts.rs
+++ b/crates/gateways/wingshore-coordinator/tests/texts.rs
@@ -86,7 +86,7 @@
     let disk = MemoryFileSystem::new();
     let archive = archive(&disk);
     let full = Faults {
-        full: true,
+        disk_full: true,
         ..Faults::default()
     };
     disk.set_faults(full);
--- a/crates/shared/wingshore-storage/src/memory.rs
+++ b/crates/shared/wingshore-storage/src/memory.rs
@@ -23,7 +23,7 @@
     /// File syncs fail from this call on, without making anything durable.
     pub fail_syncs_from: Option<u64>,
     /// The disk is full: an append writes a part of its bytes and fails.
-    pub full: bool,
+    pub disk_full: bool,
 }
 
 /// A file system in memory. Clones share one disk.
@@ -172,7 +172,7 @@
 impl File for MemoryFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state()?;
-        if state.faults.full {
+        if state.faults.disk_full {
             let fitting = &bytes[..bytes.len() / 2];
             state.change(|disk| disk.append(self.id, fitting))?;
             return Err(io::ErrorKind::StorageFull.into());
--- a/crates/shared/wingshore-storage/tests/blobs.rs
+++ b/crates/shared/wingshore-storage/tests/blobs.rs
@@ -125,7 +125,7 @@
     let disk = MemoryFileSystem::new();
     let (_, mut writer) = open(&disk);
     disk.set_faults(Faults {
-        full: true,
+        disk_full: true,
         ..Faults::default()
     });
     for _ in 0..3 {
--- a/crates/shared/wingshore-storage/tests/full_disk.rs
+++ b/crates/shared/wingshore-storage/tests/full_disk.rs
@@ -32,7 +32,7 @@
 
 fn full(disk: &MemoryFileSystem, is_full: bool) {
     disk.set_faults(Faults {
-        full: is_full,
+        disk_full: is_full,
         ..Faults::default()
     });
 }
