--- a/crates/shared/wingshore-storage/tests/blobs.rs
+++ b/crates/shared/wingshore-storage/tests/blobs.rs
@@ -1,5 +1,5 @@
-//! Blobs beside a log: durable when they are handed out, and their files stay as long as something
-//! in memory or the snapshot on disk may refer to them.
+//! Blob storage: blobs are durable once they are returned, and their files are kept while memory or
+//! the snapshot on disk may reference them.
 
 use googletest::prelude::*;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use wingshore_types::blob::Blob;
 
 const DIRECTORY: &str = "/data/texts";
-/// Larger than a file of blobs: each one fills a file.
+/// Larger than the size limit of a blob file, in bytes, so that each blob fills a file.
 const LARGE: usize = 9 << 20;
 
 fn open(disk: &MemoryFileSystem) -> (BlobFiles, BlobWriter) {
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn what_was_handed_out_outlasts_a_loss_of_power() {
+fn returned_blobs_survive_a_power_loss() {
     for seed in 0..20 {
         let disk = MemoryFileSystem::new();
         let (_, mut writer) = open(&disk);
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn a_crash_at_any_call_leaves_what_was_handed_out_before() {
+fn returned_blobs_survive_a_crash_at_any_call() {
     for crash_at in 1..25 {
         let disk = MemoryFileSystem::new();
         let (_, mut writer) = open(&disk);
@@ -60,17 +60,17 @@
             crash_at: Some(calls + crash_at),
             ..Faults::default()
         });
-        let mut handed_out = Vec::new();
+        let mut returned = Vec::new();
         for number in 1..=6_u8 {
             let Ok(stored) = writer.append(&[bytes(number, 300)]) else {
                 break;
             };
-            handed_out.push((number, stored[0].place()));
+            returned.push((number, stored[0].place()));
         }
         disk.restart(crash_at);
         let (files, mut writer) = open(&disk);
         append(&mut writer, 99, 300);
-        for (number, place) in handed_out {
+        for (number, place) in returned {
             let read = files.find(place).and_then(|blob| blob.read());
             expect_that!(read.ok().as_deref(), some(eq(&*bytes(number, 300))));
         }
@@ -78,24 +78,24 @@
 }
 
 #[gtest]
-fn a_file_stays_until_a_snapshot_is_durable_that_was_taken_after_its_last_use() {
+fn file_is_kept_until_a_snapshot_started_after_its_release_is_durable() {
     let disk = MemoryFileSystem::new();
     let (files, mut writer) = open(&disk);
     let blob = append(&mut writer, 1, LARGE);
     let place = blob.place();
-    let with_it = files.begin_snapshot();
+    let snapshot_with_blob = files.begin_snapshot();
     drop(blob);
-    files.snapshot_durable(with_it);
+    files.snapshot_durable(snapshot_with_blob);
     expect_that!(files.remove_released().expect("the disk works"), eq(0));
     expect_that!(files.find(place).is_ok(), eq(true));
-    let without_it = files.begin_snapshot();
-    files.snapshot_durable(without_it);
+    let snapshot_without_blob = files.begin_snapshot();
+    files.snapshot_durable(snapshot_without_blob);
     expect_that!(files.remove_released().expect("the disk works"), eq(1));
     expect_that!(self::files(&disk), eq(0));
 }
 
 #[gtest]
-fn a_file_that_is_found_again_is_not_removed() {
+fn reopened_file_is_not_removed() {
     let disk = MemoryFileSystem::new();
     let (files, mut writer) = open(&disk);
     let place = append(&mut writer, 1, LARGE).place();
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn a_start_removes_what_its_snapshot_does_not_refer_to() {
+fn startup_removes_files_that_the_snapshot_does_not_reference() {
     let disk = MemoryFileSystem::new();
     let (_, mut writer) = open(&disk);
     let place = append(&mut writer, 1, LARGE).place();
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn a_full_disk_loses_no_blob_and_keeps_no_space() {
+fn full_disk_loses_no_blob_and_leaves_no_empty_file() {
     let disk = MemoryFileSystem::new();
     let (_, mut writer) = open(&disk);
     disk.set_faults(Faults {
@@ -139,7 +139,7 @@
 }
 
 #[gtest]
-fn damaged_bytes_are_an_error_that_names_the_file() {
+fn damaged_blob_error_names_the_file() {
     let disk = MemoryFileSystem::new();
     let (_, mut writer) = open(&disk);
     let blob = append(&mut writer, 1, 1000);
@@ -152,13 +152,13 @@
 }
 
 #[gtest]
-fn a_file_in_use_again_stays_for_the_snapshots_taken_meanwhile() {
+fn reopened_file_is_kept_for_snapshots_started_during_its_use() {
     let disk = MemoryFileSystem::new();
     let (files, mut writer) = open(&disk);
     let place = append(&mut writer, 1, LARGE).place();
     let found = files.find(place).expect("the file is there");
-    let with_it = files.begin_snapshot();
+    let snapshot_with_blob = files.begin_snapshot();
     drop(found);
-    files.snapshot_durable(with_it);
+    files.snapshot_durable(snapshot_with_blob);
     expect_that!(files.remove_released().expect("the disk works"), eq(0));
 }
--- a/crates/shared/wingshore-storage/tests/damage.rs
+++ b/crates/shared/wingshore-storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Torn tails are cut; damage to what was durable refuses to start.
+//! Torn tails are truncated; the store does not open if durable data is damaged.
 
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
@@ -52,7 +52,7 @@
     GroupStore::open_with(Arc::clone(fs), Path::new(DIRECTORY), segment_bytes)
 }
 
-fn written(segment_bytes: u64) -> Result<(MemoryFileSystem, Arc<dyn FileSystem>)> {
+fn store_with_records(segment_bytes: u64) -> Result<(MemoryFileSystem, Arc<dyn FileSystem>)> {
     let (disk, fs) = memory();
     let (mut store, _) = open(&fs, segment_bytes).or_fail()?;
     for index in 1..=RECORDS {
@@ -77,8 +77,8 @@
 }
 
 #[gtest]
-fn any_cut_of_the_last_frame_is_a_torn_tail() -> Result<()> {
-    let (disk, fs) = written(u64::MAX)?;
+fn truncated_last_frame_is_a_torn_tail() -> Result<()> {
+    let (disk, fs) = store_with_records(u64::MAX)?;
     let path = segments(&fs)?.remove(0);
     let whole = fs.read(&path).or_fail()?;
     let frame = whole.len() - last_frame_start(&whole);
@@ -95,8 +95,8 @@
 }
 
 #[gtest]
-fn a_flipped_byte_before_the_last_frame_is_damage() -> Result<()> {
-    let (disk, fs) = written(u64::MAX)?;
+fn corrupted_byte_before_the_last_frame_is_damage() -> Result<()> {
+    let (disk, fs) = store_with_records(u64::MAX)?;
     let path = segments(&fs)?.remove(0);
     let whole = fs.read(&path).or_fail()?;
     for place in 0..last_frame_start(&whole) {
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn damage_to_a_closed_segment_refuses_to_start() -> Result<()> {
+fn damaged_closed_segment_is_an_error() -> Result<()> {
     type Change = fn(&mut Vec<u8>);
     let changes: [Change; 3] = [
         |bytes| bytes.truncate(bytes.len() - 1),
@@ -120,7 +120,7 @@
         |bytes| bytes.extend_from_slice(b"more"),
     ];
     for change in changes {
-        let (disk, fs) = written(SMALL_SEGMENT)?;
+        let (disk, fs) = store_with_records(SMALL_SEGMENT)?;
         let path = segments(&fs)?.remove(1);
         disk.damage(&path, change).or_fail()?;
         let refused = message(open(&fs, SMALL_SEGMENT));
@@ -130,9 +130,9 @@
 }
 
 #[gtest]
-fn a_missing_segment_refuses_to_start() -> Result<()> {
+fn missing_segment_is_an_error() -> Result<()> {
     for place in [0, 1] {
-        let (_, fs) = written(SMALL_SEGMENT)?;
+        let (_, fs) = store_with_records(SMALL_SEGMENT)?;
         fs.remove(&segments(&fs)?[place]).or_fail()?;
         let refused = message(open(&fs, SMALL_SEGMENT));
         expect_that!(refused, contains_substring("is damaged"));
@@ -141,8 +141,8 @@
 }
 
 #[gtest]
-fn a_lost_log_beside_a_snapshot_refuses_to_start() -> Result<()> {
-    let (_, fs) = written(u64::MAX)?;
+fn missing_log_with_a_snapshot_is_an_error() -> Result<()> {
+    let (_, fs) = store_with_records(u64::MAX)?;
     let (mut store, _) = open(&fs, u64::MAX).or_fail()?;
     store.write(&snapshot(RECORDS)).or_fail()?;
     drop(store);
@@ -155,8 +155,8 @@
 }
 
 #[gtest]
-fn a_damaged_snapshot_refuses_to_start() -> Result<()> {
-    let (disk, fs) = written(SMALL_SEGMENT)?;
+fn damaged_snapshot_is_an_error() -> Result<()> {
+    let (disk, fs) = store_with_records(SMALL_SEGMENT)?;
     let (mut store, _) = open(&fs, SMALL_SEGMENT).or_fail()?;
     store.write(&snapshot(5)).or_fail()?;
     drop(store);
@@ -168,8 +168,8 @@
 }
 
 #[gtest]
-fn a_copy_of_the_log_inside_an_entry_is_not_taken_for_frames() -> Result<()> {
-    let (disk, fs) = written(u64::MAX)?;
+fn frames_copied_into_an_entry_are_not_replayed() -> Result<()> {
+    let (disk, fs) = store_with_records(u64::MAX)?;
     let path = segments(&fs)?.remove(0);
     let copy = fs.read(&path).or_fail()?;
     let (mut store, _) = open(&fs, u64::MAX).or_fail()?;
@@ -185,8 +185,8 @@
 }
 
 #[gtest]
-fn a_failed_sync_is_final() -> Result<()> {
-    let (disk, fs) = written(u64::MAX)?;
+fn failed_sync_poisons_the_store() -> Result<()> {
+    let (disk, fs) = store_with_records(u64::MAX)?;
     let (mut store, _) = open(&fs, u64::MAX).or_fail()?;
     disk.set_faults(Faults {
         fail_syncs_from: Some(1),
@@ -201,7 +201,7 @@
 }
 
 #[gtest]
-fn batches_that_do_not_continue_the_log_are_refused() -> Result<()> {
+fn non_contiguous_batches_are_rejected() -> Result<()> {
     let gap = append(RECORDS + 2);
     let repeat = append(RECORDS);
     let uncovered = WriteBatch {
@@ -209,7 +209,7 @@
         ..WriteBatch::default()
     };
     for batch in [gap, repeat, uncovered] {
-        let (_, fs) = written(u64::MAX)?;
+        let (_, fs) = store_with_records(u64::MAX)?;
         let (mut store, _) = open(&fs, u64::MAX).or_fail()?;
         let refused = message(store.write(&batch));
         expect_that!(refused, contains_substring("does not continue the log"));
@@ -218,8 +218,8 @@
 }
 
 #[gtest]
-fn segments_go_once_a_snapshot_covers_them() -> Result<()> {
-    let (_, fs) = written(SMALL_SEGMENT)?;
+fn segments_are_removed_once_a_snapshot_covers_them() -> Result<()> {
+    let (_, fs) = store_with_records(SMALL_SEGMENT)?;
     let before = segments(&fs)?.len();
     let (mut store, _) = open(&fs, SMALL_SEGMENT).or_fail()?;
     store.write(&snapshot(RECORDS - 1)).or_fail()?;
@@ -231,7 +231,7 @@
 }
 
 #[gtest]
-fn the_real_file_system_keeps_what_was_written() -> Result<()> {
+fn store_recovers_on_the_real_file_system() -> Result<()> {
     let directory = tempfile::tempdir()?;
     let fs: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
     let path = directory.path().join("ledger-0");
@@ -251,7 +251,7 @@
     Ok(())
 }
 
-/// Where the last frame of a segment starts.
+/// Returns the offset of the last frame of a segment.
 fn last_frame_start(bytes: &[u8]) -> usize {
     const HEADER: usize = 12;
     let mut start = 0;
--- a/crates/shared/wingshore-storage/tests/full_disk.rs
+++ b/crates/shared/wingshore-storage/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! A disk that is full for a while: nothing that was reported is lost, and what waited is written.
+//! A disk that is full for some time: acknowledged writes are kept, and waiting writes are retried.
 
 use googletest::prelude::*;
 use std::path::Path;
@@ -30,28 +30,28 @@
     }
 }
 
-fn full(disk: &MemoryFileSystem, is_full: bool) {
+fn set_disk_full(disk: &MemoryFileSystem, is_full: bool) {
     disk.set_faults(Faults {
         disk_full: is_full,
         ..Faults::default()
     });
 }
 
-/// Writes while the disk is full for `refusals` attempts; gives how often it was refused.
+/// Writes while the disk is full for `refusals` attempts; returns the number of failed attempts.
 fn write_with_refusals(
     disk: &MemoryFileSystem,
     store: &mut RetryingStore,
     batch: &WriteBatch,
     refusals: u32,
 ) -> u32 {
-    full(disk, refusals > 0);
+    set_disk_full(disk, refusals > 0);
     let mut count = 0;
     store
         .write(batch, &mut |_| {
             count += 1;
-            full(disk, count < refusals);
+            set_disk_full(disk, count < refusals);
         })
-        .expect("the batch is written at last");
+        .expect("the batch is written eventually");
     count
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn a_refused_batch_is_written_once_there_is_space() {
+fn failed_batch_is_retried_until_there_is_space() {
     let disk = MemoryFileSystem::new();
     let (mut store, _) = open(&disk);
     write_with_refusals(&disk, &mut store, &append(1..=3), 0);
@@ -73,13 +73,13 @@
 }
 
 #[gtest]
-fn a_loss_of_power_while_the_disk_is_full_keeps_what_was_reported() {
+fn power_loss_on_a_full_disk_keeps_acknowledged_writes() {
     for seed in 0..50 {
         let disk = MemoryFileSystem::new();
         let (mut store, _) = open(&disk);
         write_with_refusals(&disk, &mut store, &append(1..=3), 0);
-        full(&disk, true);
-        // The machine comes back with space: the write that waited is made whole.
+        set_disk_full(&disk, true);
+        // The disk has space after the restart, so the waiting write is completed.
         store
             .write(&append(4..=5), &mut |_| disk.restart(seed))
             .expect("the batch is written after the restart");
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn a_refused_snapshot_and_the_entries_after_it_are_written_once_there_is_space() {
+fn failed_snapshot_and_later_entries_are_retried_until_there_is_space() {
     let disk = MemoryFileSystem::new();
     let (mut store, _) = open(&disk);
     write_with_refusals(&disk, &mut store, &append(1..=3), 0);
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn another_error_of_the_disk_stays_fatal() {
+fn other_disk_errors_are_fatal() {
     let disk = MemoryFileSystem::new();
     let (mut store, _) = open(&disk);
     disk.set_faults(Faults {
--- a/crates/shared/wingshore-storage/tests/golden_files.rs
+++ b/crates/shared/wingshore-storage/tests/golden_files.rs
@@ -1,7 +1,8 @@
-//! Bytes of all files that storage writes, and folders that a release wrote, read by this one.
+//! Bytes of all files that storage writes, and compatibility with folders of an earlier release.
 //!
-//! The golden file has one line for each file: its name, and its bytes in hexadecimal digits. It was
-//! written by a release that is in use, and a line of it never changes: data folders outlive programs.
+//! The golden file has one line for each file: its name and its bytes in hexadecimal digits. It was
+//! written by a release that is in use. Its lines must never change, since data folders are read by
+//! later releases.
 
 use googletest::prelude::*;
 use std::path::Path;
@@ -17,7 +18,7 @@
 const JOINED: &str = "/data/joined";
 const GROUP: &str = "/data/founder/group";
 const BLOBS: &str = "/data/founder/texts";
-/// So small that the first batch fills a segment.
+/// Segment size in bytes, so small that the first batch fills a segment.
 const SEGMENT_BYTES: u64 = 64;
 
 fn golden() -> impl Iterator<Item = (&'static str, &'static str)> {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Writes that hold each kind of record.
+/// Returns batches that contain each kind of record.
 fn batches() -> Vec<WriteBatch> {
     vec![
         WriteBatch {
@@ -74,8 +75,8 @@
     [Arc::from([1, 2, 200]), Arc::from([9; 300])]
 }
 
-/// A disk with a file of each kind.
-fn written() -> (MemoryFileSystem, Vec<BlobPlace>) {
+/// Returns a disk with a file of each kind, and the locations of the blobs.
+fn populated_disk() -> (MemoryFileSystem, Vec<BlobPlace>) {
     let disk = MemoryFileSystem::new();
     let fs: Arc<dyn FileSystem> = Arc::new(disk.clone());
     DataFolder::format(
@@ -98,7 +99,7 @@
     (disk, places)
 }
 
-/// All files below the data folders, by their paths.
+/// Returns the path and the content of each file in the data folders.
 fn files(disk: &MemoryFileSystem) -> Vec<(String, Vec<u8>)> {
     let folders = [FOUNDER, JOINED, GROUP, BLOBS];
     let paths = folders.iter().flat_map(|folder| {
@@ -116,8 +117,8 @@
 }
 
 #[gtest]
-fn files_keep_their_names_and_bytes() {
-    let (disk, _) = written();
+fn file_names_and_bytes_are_stable() {
+    let (disk, _) = populated_disk();
     let lines = files(&disk).into_iter().map(|(path, bytes)| {
         let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{path} {digits}")
@@ -128,7 +129,7 @@
     expect_that!(stored, eq(&lines.collect::<Vec<_>>()));
 }
 
-/// A disk that holds the golden files and nothing else.
+/// Returns a disk that holds only the golden files.
 fn golden_disk() -> MemoryFileSystem {
     let disk = MemoryFileSystem::new();
     for (path, digits) in golden() {
@@ -146,7 +147,7 @@
 }
 
 #[gtest]
-fn a_folder_of_the_release_before_is_read_whole() {
+fn folder_of_an_earlier_release_is_readable() {
     let fs: Arc<dyn FileSystem> = Arc::new(golden_disk());
     let founder = DataFolder::open_or_join(&fs, Path::new(FOUNDER), "site-1", 1).unwrap();
     let expected = Identity {
@@ -166,7 +167,7 @@
     };
     expect_that!(recovered, eq(&expected));
 
-    let (_, places) = written();
+    let (_, places) = populated_disk();
     let (files, _) = BlobFiles::open(fs, Path::new(BLOBS)).unwrap();
     for (place, blob) in places.into_iter().zip(blobs()) {
         let read = files.find(place).and_then(|found| found.read());
--- a/crates/shared/wingshore-storage/tests/identity.rs
+++ b/crates/shared/wingshore-storage/tests/identity.rs
@@ -1,4 +1,4 @@
-//! The data folder's identity.
+//! The identity of a data folder: it is bound to one replica and never reused after a disk loss.
 
 use googletest::prelude::*;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn formatted_folder_keeps_its_identity_over_a_loss_of_power() -> Result<()> {
+fn formatted_identity_survives_a_power_loss() -> Result<()> {
     let (disk, fs) = memory();
     drop(format(&fs).or_fail()?);
     disk.restart(1);
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn empty_folder_becomes_a_new_member_and_stays_it() -> Result<()> {
+fn empty_folder_gets_a_permanent_new_identity() -> Result<()> {
     for (random, expected) in [
         (0, 1 << 32),
         (u64::from(u32::MAX), (1 << 33) - 1),
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn lost_disk_never_comes_back_under_the_old_name() -> Result<()> {
+fn lost_disk_gets_a_new_identity() -> Result<()> {
     let (disk, fs) = memory();
     drop(format(&fs).or_fail()?);
     disk.lose_disk();
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn folder_of_another_site_is_refused() -> Result<()> {
+fn folder_of_another_site_is_rejected() -> Result<()> {
     let (_, fs) = memory();
     drop(format(&fs).or_fail()?);
     let refused = message(open(&fs, "roster", 1));
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn folder_that_holds_something_is_not_formatted() -> Result<()> {
+fn non_empty_folder_is_not_formatted() -> Result<()> {
     let (_, fs) = memory();
     drop(format(&fs).or_fail()?);
     expect_that!(message(format(&fs)), contains_substring("is not empty"));
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn groups_without_an_identity_are_refused() -> Result<()> {
+fn groups_without_an_identity_are_rejected() -> Result<()> {
     let (disk, fs) = memory();
     let folder = format(&fs).or_fail()?;
     let directory = folder.group_directory(GroupId::Ledger(0));
@@ -122,7 +122,7 @@
 }
 
 #[gtest]
-fn damaged_identity_is_refused() -> Result<()> {
+fn damaged_identity_is_rejected() -> Result<()> {
     let (disk, fs) = memory();
     drop(format(&fs).or_fail()?);
     let path = Path::new(FOLDER).join("identity");
@@ -133,7 +133,7 @@
 }
 
 #[gtest]
-fn crash_at_any_call_of_joining_leaves_no_identity_or_the_whole_one() -> Result<()> {
+fn crash_while_joining_leaves_no_identity_or_a_complete_one() -> Result<()> {
     let (probe, fs) = memory();
     drop(open(&fs, SITE, 5).or_fail()?);
     for crash_at in 1..=probe.calls() {
--- a/crates/shared/wingshore-storage/tests/model.rs
+++ b/crates/shared/wingshore-storage/tests/model.rs
@@ -1,4 +1,4 @@
-//! The store against a model: random batches, a crash at any call, and what is found after it.
+//! Model-based test of the store: random batches, a crash at any call, and the recovered state.
 
 use proptest::prelude::*;
 use std::path::Path;
@@ -11,7 +11,7 @@
 const DIRECTORY: &str = "/data/control";
 const SEGMENT_BYTES: u64 = 300;
 
-/// What is drawn for one batch; made to fit the log by [`Model::batch`].
+/// Random parameters of a batch; [`Model::batch`] turns them into a valid one.
 #[derive(Clone, Debug)]
 struct Draft {
     hard_state: Option<Vec<u8>>,
@@ -23,7 +23,7 @@
 enum Kind {
     Append,
     Truncate { keep: u64 },
-    Compact { at: u64, keep_behind: u64 },
+    Compact { at: u64, retained: u64 },
     Install { ahead: u64, truncate: bool },
 }
 
@@ -31,7 +31,7 @@
     let kind = prop_oneof![
         5 => Just(Kind::Append),
         2 => (0..20_u64).prop_map(|keep| Kind::Truncate { keep }),
-        2 => (0..20_u64, 0..3_u64).prop_map(|(at, keep_behind)| Kind::Compact { at, keep_behind }),
+        2 => (0..20_u64, 0..3_u64).prop_map(|(at, retained)| Kind::Compact { at, retained }),
         1 => (1..10_u64, any::<bool>())
             .prop_map(|(ahead, truncate)| Kind::Install { ahead, truncate }),
     ];
@@ -46,7 +46,7 @@
     )
 }
 
-/// What ought to be on disk.
+/// The expected content of the disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     log: RecoveredLog,
@@ -63,7 +63,7 @@
         last.max(self.snapshot_index())
     }
 
-    /// A batch as the replicated log would write it.
+    /// Returns a batch as the replicated log would write it.
     fn batch(&self, draft: &Draft) -> WriteBatch {
         let term = self.term + 1;
         let (base, last) = (self.snapshot_index(), self.last_index());
@@ -78,10 +78,10 @@
                 next = base + 1 + keep.min(last - base);
                 batch.truncate_from = Some(LogIndex(next));
             }
-            Kind::Compact { at, keep_behind } => {
+            Kind::Compact { at, retained } => {
                 let index = base + at.min(last - base);
                 batch.snapshot = snapshot(index, self.term_at(index)).map(Arc::new);
-                batch.discard_through = Some(LogIndex(index.saturating_sub(keep_behind)));
+                batch.discard_through = Some(LogIndex(index.saturating_sub(retained)));
             }
             Kind::Install { ahead, truncate } => {
                 let index = last + ahead;
@@ -107,7 +107,8 @@
         entry.map_or(snapshot, |found| found.term)
     }
 
-    /// All states that a crash during the write of `batch` may leave, the last one whole.
+    /// Applies `batch` and returns all states that a crash during its write may leave; the last one
+    /// is the complete state.
     fn apply(&mut self, batch: &WriteBatch) -> Vec<RecoveredLog> {
         let mut states = vec![self.log.clone()];
         self.term += 1;
@@ -118,7 +119,7 @@
         if let Some(snapshot) = &batch.snapshot {
             self.log.snapshot = Some(snapshot.as_ref().clone());
             let mut found = self.log.clone();
-            if self.is_overridden() {
+            if self.is_superseded() {
                 found.records.clear();
             }
             states.push(found);
@@ -126,7 +127,7 @@
         if let Some(from) = batch.truncate_from {
             self.log.records.retain(|record| record.index < from);
         }
-        if self.is_overridden() {
+        if self.is_superseded() {
             self.log.records.clear();
         }
         self.log.records.extend(batch.append.iter().cloned());
@@ -137,7 +138,7 @@
         states
     }
 
-    fn is_overridden(&self) -> bool {
+    fn is_superseded(&self) -> bool {
         let last = self.log.records.last().map_or(0, |found| found.index.0);
         last < self.snapshot_index()
     }
@@ -155,7 +156,7 @@
     let fs: Arc<dyn FileSystem> = Arc::new(disk.clone());
     let opened = GroupStore::open_with(fs, Path::new(DIRECTORY), SEGMENT_BYTES);
     let (store, mut recovered) = opened.map_err(|error| TestCaseError::fail(error.to_string()))?;
-    // A snapshot is read from disk when it is needed: here at once, since the disk is restarted.
+    // A snapshot is read from disk on demand. It is read here because the disk is restarted later.
     if let Some(snapshot) = &mut recovered.snapshot {
         let bytes = snapshot.data.to_bytes();
         snapshot.data = bytes
@@ -165,7 +166,7 @@
     Ok((store, recovered))
 }
 
-/// Writes until the disk crashes; gives the states that may be found.
+/// Writes until the disk crashes; returns the states that may be recovered.
 fn write_until_crash(
     store: &mut GroupStore,
     model: &mut Model,
@@ -191,17 +192,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three lives of a store, each ended by a crash at some call.
+    /// Runs a store three times; each run ends with a crash at some call.
     #[test]
-    fn all_that_was_reported_is_found_after_a_crash(
-        lives in prop::collection::vec(
+    fn acknowledged_writes_survive_a_crash(
+        runs in prop::collection::vec(
             (prop::collection::vec(draft(), 1..15), 1..120_u64, any::<u64>()),
             3,
         ),
     ) {
         let disk = MemoryFileSystem::new();
         let mut model = Model::default();
-        for (drafts, crash_at, seed) in lives {
+        for (drafts, crash_at, seed) in runs {
             let (mut store, found) = open(&disk)?;
             prop_assert_eq!(&found, &model.log);
             disk.set_faults(Faults { crash_at: Some(disk.calls() + crash_at), ..Faults::default() });
@@ -216,9 +217,9 @@
         }
     }
 
-    /// A crash while starting after a crash loses nothing either.
+    /// A second crash, during recovery, loses no acknowledged write.
     #[test]
-    fn a_crash_during_recovery_loses_nothing(
+    fn acknowledged_writes_survive_a_crash_during_recovery(
         drafts in prop::collection::vec(draft(), 1..15),
         crash_at in 1..100_u64,
         again_at in 1..6_u64,
@@ -237,7 +238,7 @@
         prop_assert!(legal.contains(&found), "found {:?}, legal {:?}", found, legal);
     }
 
-    /// Several batches in one write give what the same batches give one by one.
+    /// Several batches in one write give the same log as single writes.
     #[test]
     fn batches_written_together_give_the_same_log(
         drafts in prop::collection::vec(draft(), 1..12),
--- a/crates/shared/wingshore-types/tests/codec.rs
+++ b/crates/shared/wingshore-types/tests/codec.rs
@@ -4,7 +4,7 @@
 use wingshore_types::codec::encode_exactly;
 
 #[gtest]
-fn a_value_is_encoded_as_by_the_codec_and_into_no_more_space_than_it_takes() {
+fn encoding_matches_the_codec_and_has_no_spare_capacity() {
     let value: Vec<(u64, String)> = (0..1000).map(|n| (n, "x".repeat(n as usize))).collect();
     let encoded = encode_exactly(&value).expect("plain values encode");
     let plain = postcard::to_allocvec(&value).expect("plain values encode");
--- a/crates/shared/wingshore-types/tests/golden/examples.rs
+++ b/crates/shared/wingshore-types/tests/golden/examples.rs
@@ -1,4 +1,4 @@
-//! Parts that the examples share. Each field has a value of its own where its type allows it.
+//! Values that the examples share. Each field has a distinct value where its type allows it.
 
 use std::net::SocketAddr;
 use wingshore_types::configuration::{
--- a/crates/shared/wingshore-types/tests/golden/mod.rs
+++ b/crates/shared/wingshore-types/tests/golden/mod.rs
@@ -1,8 +1,8 @@
 //! Encoded examples, compared byte by byte with golden files.
 //!
-//! A golden file has one line for each example: its name, and its bytes in hexadecimal digits or its
-//! JSON. The files were written by a release that is in use, and a line of them never changes. A new
-//! kind adds a line, which the failing test prints.
+//! A golden file has one line for each example: its name and its bytes in hexadecimal digits or its
+//! JSON. The files were written by a release that is in use, so their lines must never change. A
+//! new variant adds a line, which the failing test prints.
 
 #[allow(dead_code, reason = "each test file uses its own part")]
 pub mod examples;
@@ -12,7 +12,8 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// Compares examples in the codec's bytes with their lines, and reads the lines back.
+/// Checks that the `postcard` encodings of `examples` match the golden lines, and that the lines
+/// decode to the examples.
 pub fn check<T>(golden: &str, examples: &[T], name: fn(&T) -> &'static str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -22,7 +23,8 @@
     check_with(golden, examples, name, encode, decode);
 }
 
-/// Compares examples in JSON with their lines, and reads the lines back.
+/// Checks that the JSON of `examples` matches the golden lines, and that the lines decode to the
+/// examples.
 #[allow(dead_code, reason = "each test file uses its own part")]
 pub fn check_json<T>(golden: &str, examples: &[T], name: fn(&T) -> &'static str)
 where
--- a/crates/shared/wingshore-types/tests/golden_configuration.rs
+++ b/crates/shared/wingshore-types/tests/golden_configuration.rs
@@ -1,4 +1,4 @@
-//! Bytes and JSON of configurations and their changes.
+//! Encodings and JSON of configurations and their changes.
 
 mod golden;
 
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn changes_of_configuration_keep_their_bytes_and_json() {
+fn change_encodings_and_json_are_stable() {
     let golden = include_str!("golden/changes.txt");
     check(golden, &changes(), name_of_change);
     let golden = include_str!("golden/changes.json.txt");
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn configurations_keep_their_bytes_and_json() {
+fn configuration_encodings_and_json_are_stable() {
     let golden = include_str!("golden/configuration.txt");
     check(golden, &[configuration()], |_| "configuration");
     let golden = include_str!("golden/configuration.json.txt");
--- a/crates/shared/wingshore-types/tests/golden_control.rs
+++ b/crates/shared/wingshore-types/tests/golden_control.rs
@@ -1,4 +1,4 @@
-//! Bytes of requests to control groups and their replies, and JSON of what operators read.
+//! Encodings of requests to control groups and their replies, and the JSON that operators read.
 
 mod golden;
 
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn intents_keep_their_bytes_and_json() {
+fn intent_encodings_and_json_are_stable() {
     let golden = include_str!("golden/intents.txt");
     check(golden, &intents(), name_of_intent);
     let golden = include_str!("golden/intents.json.txt");
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn steps_of_plans_keep_their_bytes_and_json() {
+fn plan_step_encodings_and_json_are_stable() {
     let golden = include_str!("golden/plan_steps.txt");
     check(golden, &plan_steps(), name_of_plan_step);
     let golden = include_str!("golden/plan_steps.json.txt");
@@ -120,7 +120,7 @@
 }
 
 #[gtest]
-fn plans_keep_their_bytes_and_json() {
+fn plan_encodings_and_json_are_stable() {
     let golden = include_str!("golden/plans.txt");
     check(golden, &plans(), name_of_plan);
     let golden = include_str!("golden/plans.json.txt");
@@ -240,7 +240,7 @@
 }
 
 #[gtest]
-fn requests_and_replies_of_control_keep_their_bytes() {
+fn control_encodings_are_stable() {
     let golden = include_str!("golden/control_requests.txt");
     check(golden, &control_requests(), name_of_control_request);
     let golden = include_str!("golden/control_replies.txt");
@@ -248,7 +248,7 @@
 }
 
 #[gtest]
-fn the_status_keeps_its_json() {
+fn status_json_is_stable() {
     let golden = include_str!("golden/status.json.txt");
     check_json(golden, &[status()], |_| "status");
 }
@@ -279,7 +279,7 @@
 }
 
 #[gtest]
-fn refusals_of_control_keep_their_bytes_and_json() {
+fn control_refusal_encodings_and_json_are_stable() {
     let golden = include_str!("golden/control_refusals.txt");
     check(golden, &control_refusals(), name_of_control_refusal);
     let golden = include_str!("golden/control_refusals.json.txt");
--- a/crates/shared/wingshore-types/tests/golden_frames.rs
+++ b/crates/shared/wingshore-types/tests/golden_frames.rs
@@ -1,5 +1,5 @@
-//! Bytes of all frames between processes of a site with nodes, and of requests about members and
-//! idempotency keys.
+//! Encodings of all frames between processes of a site with nodes, and of requests about members
+//! and idempotency keys.
 
 mod golden;
 
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn requests_and_replies_of_claims_keep_their_bytes() {
+fn claims_encodings_are_stable() {
     let golden = include_str!("golden/claims_requests.txt");
     check(golden, &claims_requests(), name_of_claims_request);
     let golden = include_str!("golden/claims_replies.txt");
@@ -162,7 +162,7 @@
 }
 
 #[gtest]
-fn requests_and_replies_about_members_keep_their_bytes() {
+fn membership_encodings_are_stable() {
     let golden = include_str!("golden/membership_requests.txt");
     check(golden, &membership_requests(), name_of_membership_request);
     let golden = include_str!("golden/membership_replies.txt");
@@ -234,7 +234,7 @@
 }
 
 #[gtest]
-fn requests_to_groups_and_their_replies_keep_their_bytes() {
+fn group_encodings_are_stable() {
     let golden = include_str!("golden/group_requests.txt");
     check(golden, &requests_to_groups(), name_of_group_request);
     let golden = include_str!("golden/group_replies.txt");
@@ -290,6 +290,6 @@
 }
 
 #[gtest]
-fn frames_keep_their_bytes() {
+fn frame_encodings_are_stable() {
     check(include_str!("golden/frames.txt"), &frames(), name_of_frame);
 }
--- a/crates/shared/wingshore-types/tests/golden_json.rs
+++ b/crates/shared/wingshore-types/tests/golden_json.rs
@@ -1,5 +1,5 @@
-//! JSON of what callers of nodes and the platform's servers read and write, and bytes of what storage
-//! keeps.
+//! JSON of the HTTP interfaces of nodes and of the platform's servers, and encodings of stored
+//! values.
 
 mod golden;
 
@@ -21,7 +21,7 @@
     ServerId, ServiceId, StepId, TrainerId, Verdict, WeightVersion, ZoneId,
 };
 
-/// Compares one value with a file of one line.
+/// Compares one value with a golden file of one line.
 macro_rules! check_one {
     ($golden:literal, $value:expr) => {
         check_json(include_str!($golden), &[$value], |_| "value")
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn bodies_of_callers_keep_their_json() {
+fn caller_json_is_stable() {
     let prompt = Prompt {
         number: SampleNumber(1000),
         tokens: vec![1, 2],
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn errors_keep_their_json() {
+fn error_json_is_stable() {
     let golden = include_str!("golden/errors.json.txt");
     check_json(golden, &errors(), name_of_error);
 }
@@ -186,7 +186,7 @@
 }
 
 #[gtest]
-fn bodies_of_engines_keep_their_json() {
+fn engine_json_is_stable() {
     check_one!(
         "golden/completion_request.json.txt",
         EngineCompletionRequest {
@@ -239,7 +239,7 @@
 }
 
 #[gtest]
-fn bodies_about_caches_keep_their_json() {
+fn cache_json_is_stable() {
     let request_id = "request-1".to_owned();
     let handle = "handle-1".to_owned();
     check_one!(
@@ -284,7 +284,7 @@
 }
 
 #[gtest]
-fn bodies_of_other_servers_keep_their_json() {
+fn platform_server_json_is_stable() {
     let machine = |state| Machine {
         id: ServerId::new("server-1"),
         address: ([10, 2, 3, 1], 7000).into(),
@@ -311,7 +311,7 @@
 }
 
 #[gtest]
-fn what_storage_keeps_keeps_its_bytes() {
+fn stored_value_encodings_are_stable() {
     let record = LogRecord {
         index: LogIndex(300),
         term: 7,
--- a/crates/shared/wingshore-types/tests/golden_ledger.rs
+++ b/crates/shared/wingshore-types/tests/golden_ledger.rs
@@ -1,4 +1,4 @@
-//! Bytes of requests to ledger groups and their replies, and JSON of what trainers read.
+//! Encodings of requests to ledger groups and their replies, and the JSON that trainers read.
 
 mod golden;
 
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn requests_and_replies_of_ledgers_keep_their_bytes() {
+fn ledger_encodings_are_stable() {
     let golden = include_str!("golden/ledger_requests.txt");
     check(golden, &ledger_requests(), name_of_ledger_request);
     let golden = include_str!("golden/ledger_replies.txt");
@@ -227,7 +227,7 @@
 }
 
 #[gtest]
-fn refusals_of_ledgers_keep_their_bytes_and_json() {
+fn ledger_refusal_encodings_and_json_are_stable() {
     let golden = include_str!("golden/ledger_refusals.txt");
     check(golden, &ledger_refusals(), name_of_ledger_refusal);
     let golden = include_str!("golden/ledger_refusals.json.txt");
--- a/crates/shared/wingshore-types/tests/platform_page.rs
+++ b/crates/shared/wingshore-types/tests/platform_page.rs
@@ -1,4 +1,4 @@
-//! Every JSON block of `docs/PLATFORM.md` is a value of the type named beside it.
+//! Every JSON block of `docs/PLATFORM.md` is a valid value of the type that it names.
 
 use googletest::prelude::*;
 use serde::Serialize;
@@ -14,7 +14,7 @@
 const OPENING: &str = "```json ";
 const CLOSING: &str = "```";
 
-/// A block's type and its JSON.
+/// Returns the type name and the JSON of each block.
 fn blocks() -> Vec<(&'static str, &'static str)> {
     let parts = PAGE.split(OPENING).skip(1);
     parts
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// Whether the JSON, read as `T` and written again, says the same.
-fn agrees<T: DeserializeOwned + Serialize>(json: &str) -> bool {
+/// Returns whether the JSON is unchanged after it is decoded as `T` and encoded again.
+fn round_trips<T: DeserializeOwned + Serialize>(json: &str) -> bool {
     let Ok(value) = serde_json::from_str::<T>(json) else {
         return false;
     };
@@ -34,31 +34,31 @@
     written == serde_json::from_str::<Value>(json).ok()
 }
 
-fn block_agrees(name: &str, json: &str) -> bool {
+fn block_round_trips(name: &str, json: &str) -> bool {
     match name {
-        "EngineCompletionRequest" => agrees::<EngineCompletionRequest>(json),
-        "EngineStreamEvent" => agrees::<EngineStreamEvent>(json),
-        "CancelRequest" => agrees::<CancelRequest>(json),
-        "EngineOrder" => agrees::<EngineOrder>(json),
-        "FencedReply" => agrees::<FencedReply>(json),
-        "EngineState" => agrees::<EngineState>(json),
-        "LoadReport" => agrees::<LoadReport>(json),
-        "CacheEvents" => agrees::<CacheEvents>(json),
-        "KvExportRequest" => agrees::<KvExportRequest>(json),
-        "KvHandle" => agrees::<KvHandle>(json),
-        "KvImportRequest" => agrees::<KvImportRequest>(json),
-        "MachineList" => agrees::<MachineList>(json),
-        "ScoreRequest" => agrees::<ScoreRequest>(json),
-        "ScoreReply" => agrees::<ScoreReply>(json),
+        "EngineCompletionRequest" => round_trips::<EngineCompletionRequest>(json),
+        "EngineStreamEvent" => round_trips::<EngineStreamEvent>(json),
+        "CancelRequest" => round_trips::<CancelRequest>(json),
+        "EngineOrder" => round_trips::<EngineOrder>(json),
+        "FencedReply" => round_trips::<FencedReply>(json),
+        "EngineState" => round_trips::<EngineState>(json),
+        "LoadReport" => round_trips::<LoadReport>(json),
+        "CacheEvents" => round_trips::<CacheEvents>(json),
+        "KvExportRequest" => round_trips::<KvExportRequest>(json),
+        "KvHandle" => round_trips::<KvHandle>(json),
+        "KvImportRequest" => round_trips::<KvImportRequest>(json),
+        "MachineList" => round_trips::<MachineList>(json),
+        "ScoreRequest" => round_trips::<ScoreRequest>(json),
+        "ScoreReply" => round_trips::<ScoreReply>(json),
         _ => false,
     }
 }
 
 #[googletest::test]
-fn every_block_of_the_page_is_a_value_of_its_type() {
+fn json_blocks_of_the_page_match_their_types() {
     let blocks = blocks();
     expect_that!(blocks.len(), ge(14));
     for (name, json) in blocks {
-        expect_that!(block_agrees(name, json), eq(true), "{name}: {json}");
+        expect_that!(block_round_trips(name, json), eq(true), "{name}: {json}");
     }
 }
--- a/crates/shared/wingshore-types/tests/snapshot.rs
+++ b/crates/shared/wingshore-types/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of another format, damaged ones and ones with bytes too many are refused.
+//! Snapshots of another format version, damaged ones and ones with trailing bytes are rejected.
 
 use googletest::prelude::*;
 use wingshore_types::snapshot::{decode, encode};
@@ -13,14 +13,14 @@
 }
 
 #[googletest::test]
-fn what_was_encoded_is_decoded() {
+fn encoded_state_round_trips() {
     let state = (7_u32, "state".to_owned());
     let decoded = decode::<(u32, String)>("test", FORMAT, &encode(FORMAT, &state));
     expect_that!(decoded, ok(eq(&state)));
 }
 
 #[googletest::test]
-fn anything_else_is_refused_with_its_fault() {
+fn invalid_snapshots_are_rejected_with_the_reason() {
     let whole = encode(FORMAT, &(7_u32, "state".to_owned()));
     let mut longer = whole.clone();
     longer.push(0);
--- a/crates/shared/wingshore-types/tests/time.rs
+++ b/crates/shared/wingshore-types/tests/time.rs
@@ -1,22 +1,22 @@
-//! Pauses that double: the first, the limit, and no overflow however many failures there were.
+//! Exponential backoff: the initial value, the limit, and no overflow for any number of failures.
 
 use googletest::prelude::*;
 use std::time::Duration;
 use wingshore_types::doubled_backoff;
 
 #[gtest]
-fn pauses_double_up_to_the_longest() {
-    let first = Duration::from_millis(300);
-    let longest = Duration::from_secs(2);
-    let pauses = [0, 1, 2, 3, 31, 32, u32::MAX].map(|failures| {
-        let pause = doubled_backoff(first, failures, longest);
-        pause.as_millis()
+fn backoff_doubles_up_to_the_limit() {
+    let initial = Duration::from_millis(300);
+    let limit = Duration::from_secs(2);
+    let delays = [0, 1, 2, 3, 31, 32, u32::MAX].map(|failures| {
+        let delay = doubled_backoff(initial, failures, limit);
+        delay.as_millis()
     });
-    expect_that!(pauses, eq([300, 600, 1200, 2000, 2000, 2000, 2000]));
+    expect_that!(delays, eq([300, 600, 1200, 2000, 2000, 2000, 2000]));
 }
 
 #[gtest]
-fn a_pause_without_a_limit_does_not_overflow() {
-    let pause = doubled_backoff(Duration::MAX, 3, Duration::MAX);
-    expect_that!(pause, eq(Duration::MAX));
+fn backoff_without_a_limit_does_not_overflow() {
+    let delay = doubled_backoff(Duration::MAX, 3, Duration::MAX);
+    expect_that!(delay, eq(Duration::MAX));
 }
