--- a/crates/gateways/wingshore-coordinator/src/lib.rs
+++ b/crates/gateways/wingshore-coordinator/src/lib.rs
@@ -1,18 +1,20 @@
-//! Process of a coordinator: one member of the coordination group, or one on standby for it.
+//! Process of a coordinator: a member of the coordination group, or a standby for it.
 //!
-//! Three threads: one owns all sockets and the group's [`Host`](wingshore_group::Host), a second one
-//! makes writes durable, a third one moves texts that memory has no room for to disk.
+//! The process has three threads: one owns all sockets and the group's
+//! [`Host`](wingshore_group::Host), one makes writes durable, and one moves texts that exceed the
+//! memory budget to disk.
 //!
-//! - [`process`](Coordinator): the loop and its wiring. It holds no rule of its own.
+//! - [`process`](Coordinator): the event loop and its wiring, without rules of its own.
 //! - Decisions, without I/O and clocks: [`membership`](MembershipPlanner), [`lost`](LostMachines),
-//!   [`silence`](SilenceJudge), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
+//!   [`silence`](StallDetector), [`heartbeats`](HeartbeatRelay), [`directory`](GatewayAddress),
 //!   [`call_rate`](CallRate), [`budget`](MemoryBudget), [`view_feed`](ViewFeed), [`dials`](Dials),
 //!   [`sent_states`](SentStates), [`forwarded_heartbeats`](ForwardedHeartbeats), `text_queue`.
 //! - State: `peers` (other coordinators), [`texts`](TextArchive) and [`spool`](FileSpool) on disk.
-//! - Edges: [`ControlProtocol`], [`EngineProtocol`], [`ProviderProtocol`] translate the wire of a
-//!   deployment; this crate knows no wire but that of the site's own processes.
+//! - Adapters: [`ControlProtocol`], [`EngineProtocol`] and [`ProviderProtocol`] translate the wire
+//!   protocols of a deployment. This crate itself knows only the protocol between the site's own
+//!   processes.
 //!
-//! What the group decides is in `wingshore-coordination`, how it agrees in `wingshore-group`.
+//! The group's state machine is in `wingshore-coordination`, its consensus in `wingshore-group`.
 
 mod budget;
 mod call_rate;
@@ -46,18 +48,18 @@
 pub use directory::GatewayAddress;
 pub use error::CoordinatorError;
 pub use forwarded_heartbeats::{AnsweredHeartbeat, ForwardStep, ForwardedHeartbeats, LeaderRoute};
-pub use heartbeats::{HeartbeatRelay, HeartbeatVerdict};
+pub use heartbeats::{HeartbeatAction, HeartbeatRelay};
 pub use lost::LostMachines;
-pub use membership::{Joiner, MembershipPlanner, MembershipView, Shortage};
+pub use membership::{KnownCoordinator, MembershipPlanner, MembershipView, Shortage};
 pub use outgoing_calls::CallProtocols;
 pub use process::Coordinator;
 pub use protocol::{
-    ControlAnswer, ControlCall, ControlProtocol, EngineProtocol, LocalQuestion, OutgoingCall,
+    ControlAnswer, ControlCall, ControlProtocol, EngineProtocol, LocalRequest, OutgoingCall,
     ProviderProtocol,
 };
-pub use sent_states::{Look, SendingPhase, SendingReport, SentStates};
+pub use sent_states::{SendingPhase, SendingReport, SendingUpdate, SentStates};
 pub use settings::{CoordinatorSettings, ProviderSettings};
-pub use silence::SilenceJudge;
+pub use silence::StallDetector;
 pub use spool::FileSpool;
 pub use texts::TextArchive;
 pub use view_feed::{FeedLinks, FeedSource, ViewFeed};
