--- a/crates/shared/wingshore-storage/src/store.rs
+++ b/crates/shared/wingshore-storage/src/store.rs
@@ -339,8 +339,9 @@
     recovered: &RecoveredLog,
     found: &LastSegment,
 ) -> Result<(), StorageError> {
-    let begins = matches!(found, LastSegment::Missing { sequence } if *sequence == FIRST_SEGMENT);
-    if begins && recovered.snapshot.is_some() {
+    let is_new_log =
+        matches!(found, LastSegment::Missing { sequence } if *sequence == FIRST_SEGMENT);
+    if is_new_log && recovered.snapshot.is_some() {
         let missing = segment::path_of(directory, FIRST_SEGMENT);
         return Err(damaged(
             &missing,
--- a/crates/shared/wingshore-types/src/configuration.rs
+++ b/crates/shared/wingshore-types/src/configuration.rs
@@ -77,7 +77,7 @@
     pub address: SocketAddr,
     /// The zone of the server.
     pub zone: ZoneId,
-    /// Whether new work may go to it.
+    /// Whether the server accepts new work.
     pub admission: Admission,
 }
 
--- a/crates/shared/wingshore-types/src/platform.rs
+++ b/crates/shared/wingshore-types/src/platform.rs
@@ -188,7 +188,7 @@
     pub loading: Option<WeightVersion>,
     /// The fencing token of the last accepted order.
     pub last_order: Option<OrderFence>,
-    /// Whether the engine accepts no new work.
+    /// Whether the engine reports that it accepts no new work.
     pub draining: bool,
     /// Number of requests being generated.
     pub in_flight: u32,
--- a/crates/shared/wingshore-types/src/protocol/control.rs
+++ b/crates/shared/wingshore-types/src/protocol/control.rs
@@ -51,7 +51,7 @@
     pub servers_affected: u32,
     /// Maximum number of servers that are unavailable at the same time.
     pub servers_away_at_once: u32,
-    /// Maximum number of slots that are unavailable at the same time.
+    /// Number of slots that are unavailable at the same time, among all slots of the service.
     pub slots_away_at_once: u32,
     /// Total number of slots of the affected services.
     pub slots_total: u32,
@@ -76,8 +76,7 @@
     },
     /// All steps are done.
     Done,
-    /// The configuration that the plan was based on has changed; the plan can no longer be
-    /// confirmed.
+    /// The state that the plan was based on has changed; the plan can no longer be confirmed.
     Stale {
         /// The change that made the plan stale.
         reason: String,
--- a/crates/shared/wingshore-types/src/protocol/wire.rs
+++ b/crates/shared/wingshore-types/src/protocol/wire.rs
@@ -83,7 +83,7 @@
         leader: Option<SocketAddr>,
     },
     /// Leadership was lost while the request was being committed, so it may or may not take effect.
-    /// Requests are idempotent, so a retry is safe.
+    /// All requests are designed to be safe to retry.
     Unknown,
     /// The process rejected the request, with the reason.
     Rejected(String),
