--- a/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
+++ b/crates/gateways/wingshore-coordination/src/state/snapshot/write.rs
@@ -64,13 +64,13 @@
         Ok(Box::new(StateReader::new(self, InlineTexts)))
     }
 
-    fn for_own_disk(self: Arc<Self>) -> Option<SnapshotState> {
+    fn for_local_disk(self: Arc<Self>) -> Option<SnapshotState> {
         self.state.texts.0.as_ref()?;
         let frozen = Arc::new(LocalSnapshot::of(self).ok()?);
         Some(SnapshotState::Frozen(frozen))
     }
 
-    fn written(&self) {
+    fn on_durable(&self) {
         if let Some(store) = &self.state.texts.0 {
             store.snapshot_durable(self.number);
         }
--- a/crates/gateways/wingshore-coordinator/src/process/disk.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/disk.rs
@@ -10,7 +10,7 @@
 use snafu::ResultExt;
 use std::sync::Arc;
 use wingshore_storage::{
-    DataFolder, FileSystem, PatientStore, RealFileSystem, StorageError, with_space,
+    DataFolder, FileSystem, RealFileSystem, RetryingStore, StorageError, retry_while_full,
 };
 use wingshore_types::GroupId;
 use wingshore_types::log::RecoveredLog;
@@ -18,7 +18,7 @@
 /// An open data folder and the stores in it.
 pub(super) struct OpenedDisk {
     pub(super) folder: DataFolder,
-    pub(super) store: PatientStore,
+    pub(super) store: RetryingStore,
     pub(super) recovered: RecoveredLog,
     pub(super) texts: Arc<TextArchive>,
     pub(super) spool: FileSpool,
@@ -34,19 +34,19 @@
 ) -> Result<OpenedDisk, CoordinatorError> {
     let fs: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
     let mut wait = |error: &StorageError| wait_for_space(logger, error);
-    let folder = with_space(&mut wait, || identity::open(&fs, settings));
+    let folder = retry_while_full(&mut wait, || identity::open(&fs, settings));
     let folder = folder.context(StorageSnafu)?;
-    let texts = with_space(&mut wait, || {
+    let texts = retry_while_full(&mut wait, || {
         let (data, budget) = (&settings.data, settings.memory.texts());
         TextArchive::open(Arc::clone(&fs), data, budget, logger.clone())
     });
     let texts = Arc::new(texts.context(StorageSnafu)?);
-    let spool = with_space(&mut wait, || {
+    let spool = retry_while_full(&mut wait, || {
         FileSpool::open(Arc::clone(&fs), &settings.data, logger.clone())
     });
     let spool = spool.context(StorageSnafu)?;
     let directory = folder.group_directory(GroupId::Control);
-    let opened = PatientStore::open(fs, &directory, &mut wait);
+    let opened = RetryingStore::open(fs, &directory, &mut wait);
     let (store, recovered) = opened.context(StorageSnafu)?;
     log_recovered(logger, &recovered);
     Ok(OpenedDisk {
--- a/crates/shared/wingshore-storage/src/journal.rs
+++ b/crates/shared/wingshore-storage/src/journal.rs
@@ -1,37 +1,37 @@
-//! Records of the log's segments, and what replaying them gives.
+//! Records of the log segments and their replay.
 //!
-//! Segments are only ever appended to. Removing entries from the end, or discarding them from
-//! the front, is a record of its own, so that one write and one sync make a whole batch durable.
+//! Segments are append-only. Truncating entries at the end or discarding them at the front is a
+//! record of its own, so that one write and one sync make a whole batch durable.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use wingshore_types::LogIndex;
 use wingshore_types::log::{LogRecord, RecoveredLog, StoredSnapshot};
 
-/// Version of the records' format.
+/// Version of the record format.
 pub(crate) const FORMAT: u16 = 1;
 
-/// One record. A frame of a segment holds those of one batch.
+/// A record of a segment. Each frame of a segment holds the records of one write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Record<'a> {
-    /// First in each segment, so that earlier segments can be removed.
+    /// The first record of each segment; it lets earlier segments be removed.
     SegmentStart {
-        /// [`FORMAT`] of the writer.
+        /// [`FORMAT`] of the process that wrote the segment.
         format: u16,
-        /// The hard state so far.
+        /// The hard state at the start of the segment.
         hard_state: Option<Cow<'a, [u8]>>,
     },
     /// Replaces the hard state.
     HardState(Cow<'a, [u8]>),
-    /// Removes the entries from an index on.
+    /// Removes the entries from this index on.
     TruncateFrom(LogIndex),
-    /// Adds an entry.
+    /// Appends an entry.
     Append(Cow<'a, LogRecord>),
-    /// Discards entries up to an index.
+    /// Discards the entries up to and including this index.
     DiscardThrough(LogIndex),
 }
 
-/// The log as the records read so far make it.
+/// The log state after the records replayed so far.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     hard_state: Option<Vec<u8>>,
@@ -39,17 +39,19 @@
 }
 
 impl Replay {
-    /// Takes the records of one frame.
+    /// Applies the records of one frame.
     ///
     /// # Errors
-    /// Says what is wrong with them.
-    pub(crate) fn take_frame(&mut self, payload: &[u8]) -> Result<(), String> {
+    /// Returns the reason if a record is invalid.
+    pub(crate) fn apply_frame(&mut self, payload: &[u8]) -> Result<(), String> {
         let records: Vec<Record<'static>> =
             postcard::from_bytes(payload).map_err(|error| format!("unreadable record: {error}"))?;
-        records.into_iter().try_for_each(|record| self.take(record))
+        records
+            .into_iter()
+            .try_for_each(|record| self.apply_record(record))
     }
 
-    fn take(&mut self, record: Record<'static>) -> Result<(), String> {
+    fn apply_record(&mut self, record: Record<'static>) -> Result<(), String> {
         match record {
             Record::SegmentStart { format, hard_state } => {
                 check_format(format)?;
@@ -76,23 +78,23 @@
         Ok(())
     }
 
-    /// The last entry's index.
+    /// Returns the index of the last entry.
     pub(crate) fn last_index(&self) -> Option<LogIndex> {
         self.entries.last().map(|entry| entry.index)
     }
 
-    /// Puts log and snapshot together. A crash between the snapshot and the records that belong
-    /// to it leaves entries that the snapshot overrides; then the log is
-    /// without them, and `true` is returned with it.
+    /// Combines the log with the snapshot. A crash between the write of a snapshot and of the
+    /// records that belong to it leaves entries that the snapshot supersedes; the returned log
+    /// then omits them, and the returned flag is `true`.
     ///
     /// # Errors
-    /// Says which entries are missing.
+    /// Returns the reason if entries between the snapshot and the log are missing.
     pub(crate) fn finish(
         mut self,
         snapshot: Option<StoredSnapshot>,
     ) -> Result<(RecoveredLog, bool), String> {
-        let overridden = self.is_overridden_by(snapshot.as_ref());
-        if overridden {
+        let superseded = self.is_superseded_by(snapshot.as_ref());
+        if superseded {
             self.entries.clear();
         }
         let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index.0);
@@ -107,20 +109,20 @@
                     snapshot,
                     records: self.entries,
                 },
-                overridden,
+                superseded,
             )),
         }
     }
 
-    fn is_overridden_by(&self, snapshot: Option<&StoredSnapshot>) -> bool {
+    fn is_superseded_by(&self, snapshot: Option<&StoredSnapshot>) -> bool {
         let (Some(snapshot), Some(last)) = (snapshot, self.last_index()) else {
             return false;
         };
-        let same_place = self
+        let entry_at_snapshot = self
             .entries
             .iter()
             .find(|entry| entry.index == snapshot.index);
-        last < snapshot.index || same_place.is_some_and(|entry| entry.term != snapshot.term)
+        last < snapshot.index || entry_at_snapshot.is_some_and(|entry| entry.term != snapshot.term)
     }
 }
 
