--- a/crates/nodes/wingshore-routing/tests/admission.rs
+++ b/crates/nodes/wingshore-routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Slots of two classes: guarantees, borrowing, and asking back.
+//! Tests of admission control: guarantees, borrowing and reclaiming of slots.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use wingshore_types::configuration::Permille;
 
 #[gtest]
-fn guarantees_and_what_may_be_borrowed_of_an_idle_server() {
-    // (slots, live share, reserve, most live alone, most rollouts alone)
+fn single_class_takes_its_guarantee_and_borrowable_slots() {
+    // (slots, live share, reserve, most live requests alone, most rollouts alone)
     let cases = [
         (16, 500, 250, 16, 14),
         (16, 500, 0, 16, 16),
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn the_reserve_takes_a_burst_at_once_and_the_rest_is_asked_back() {
+fn reserve_admits_a_burst_and_further_live_requests_reclaim_slots() {
     let settings = RouterSettings {
         live_reserve: Permille(250),
         ..RouterSettings::default()
@@ -48,7 +48,7 @@
     let rollouts = admit_all(&mut router, at(0), &rollout(), 100);
     expect_that!(rollouts.len(), eq(14));
     expect_that!(
-        router.over_guarantee(at(1), Class::Rollout)[0].wanted_back,
+        router.over_guarantee(at(1), Class::Rollout)[0].slots_to_reclaim,
         eq(0)
     );
 
@@ -58,13 +58,13 @@
         expect_that!(refusal.code, eq(RefusalCode::NoCapacity));
     }
     let over = router.over_guarantee(at(4), Class::Rollout);
-    expect_that!((over[0].borrowed, over[0].wanted_back), eq((6, 3)));
+    expect_that!((over[0].borrowed, over[0].slots_to_reclaim), eq((6, 3)));
 
     for one in &rollouts[..3] {
         router.on_finished(at(5), one.ticket, AttemptOutcome::Cancelled);
     }
     expect_that!(
-        router.over_guarantee(at(5), Class::Rollout)[0].wanted_back,
+        router.over_guarantee(at(5), Class::Rollout)[0].slots_to_reclaim,
         eq(0)
     );
     expect_that!(router.admit(at(6), &rollout()), err(anything()));
@@ -72,9 +72,10 @@
 }
 
 #[gtest]
-fn rollouts_leave_free_what_a_burst_used_for_as_long_as_it_is_remembered() {
-    // (live at the peak, time of the flood of rollouts in s, rollouts that fit): 8 of 16 are
-    // guaranteed to each, one is always left free, a burst is remembered for one to two minutes
+fn rollouts_leave_the_recent_live_peak_free() {
+    // (live requests at the peak, time at which rollouts fill the slots in s, rollouts admitted):
+    // 8 of 16 slots are guaranteed to each class, one slot is always left free, and a peak is kept
+    // for one to two minutes.
     for (peak, seconds, expected) in [
         (1, 1, 15),
         (5, 1, 11),
@@ -100,7 +101,7 @@
 }
 
 #[gtest]
-fn borrowing_begins_again_when_nobody_asked_for_the_reclaim_window() {
+fn borrowing_resumes_after_the_reclaim_window() {
     let mut router = router(&site(1, 1, 16, 500));
     let lives = admit_all(&mut router, at(0), &live(), 100);
     expect_that!(router.admit(at(1), &rollout()), err(anything()));
@@ -110,8 +111,9 @@
 }
 
 #[gtest]
-fn others_requests_stop_borrowing_and_not_the_guarantee() {
-    // (requests of others, most live, most rollouts) of 16 slots, 8 guaranteed to each, no reserve
+fn external_requests_limit_borrowing_before_the_guarantee() {
+    // (external requests, most requests admitted of either class), with 16 slots, 8 of them
+    // guaranteed to each class, and no reserve
     let settings = RouterSettings {
         live_reserve: Permille(0),
         ..RouterSettings::default()
@@ -133,12 +135,12 @@
 }
 
 #[gtest]
-fn a_refusal_says_when_to_ask_again_from_observed_service_times() {
+fn retry_after_follows_observed_service_times() {
     let mut router = router(&site(1, 1, 10, 1000));
     let mut lives = admit_all(&mut router, at(0), &live(), 10);
     let first = router.admit(at(1), &live()).expect_err("full");
     expect_that!(first.retry_after, some(eq(Duration::from_millis(50))));
-    let done = lives.pop().expect("ten were admitted");
+    let done = lives.pop().expect("ten requests were admitted");
     router.on_finished(at(2000), done.ticket, success(2000));
     admit_all(&mut router, at(2001), &live(), 1);
     for asked in 1..=3 {
@@ -148,7 +150,7 @@
     }
 }
 
-/// One step of a flood: which classes ask, and how many of each end.
+/// One step of a random load: requests to admit and running requests to finish per class.
 #[derive(Clone, Debug)]
 struct Step {
     live: usize,
@@ -168,7 +170,12 @@
     )
 }
 
-fn end(router: &mut wingshore_routing::Router, now: u64, running: &mut Vec<Admitted>, most: usize) {
+fn finish_oldest(
+    router: &mut wingshore_routing::Router,
+    now: u64,
+    running: &mut Vec<Admitted>,
+    most: usize,
+) {
     for one in running.drain(..most.min(running.len())) {
         router.on_finished(at(now), one.ticket, success(100));
     }
@@ -177,8 +184,8 @@
 proptest! {
     #![proptest_config(property(200))]
 
-    /// Own requests never exceed the slots. Under a flood of both classes after any history, once
-    /// what was borrowed has ended each class has its guarantee on every server.
+    /// Own requests never exceed the slots. When both classes saturate the servers after any
+    /// history, each class has its guarantee on every server once the borrowed slots are free.
     #[test]
     fn slots_and_guarantees_hold(
         steps in prop::collection::vec(step(), 0..30),
@@ -194,23 +201,23 @@
             running[0].extend(admit_all(&mut router, at(now), &live(), step.live));
             running[1].extend(admit_all(&mut router, at(now), &rollout(), step.rollouts));
             check_slots(&router, now, servers, slots)?;
-            end(&mut router, now, &mut running[0], step.live_ends);
-            end(&mut router, now, &mut running[1], step.rollouts_end);
+            finish_oldest(&mut router, now, &mut running[0], step.live_ends);
+            finish_oldest(&mut router, now, &mut running[1], step.rollouts_end);
         }
         report_versions(&mut router, at(now), &site(servers, 2, slots, share));
-        flood(&mut router, now, &mut running);
+        saturate(&mut router, now, &mut running);
         check_slots(&router, now, servers, slots)?;
         check_guarantees(&router, now, servers, slots, share)?;
     }
 }
 
-/// Both classes ask all the time while the oldest requests end one by one.
-fn flood(router: &mut wingshore_routing::Router, now: u64, running: &mut [Vec<Admitted>; 2]) {
+/// Requests slots for both classes continuously while the oldest requests end one by one.
+fn saturate(router: &mut wingshore_routing::Router, now: u64, running: &mut [Vec<Admitted>; 2]) {
     let rounds = 3 * (running[0].len() + running[1].len()) + 400;
     for _ in 0..rounds {
         for (class, request) in [live(), rollout()].iter().enumerate() {
             running[class].extend(admit_all(router, at(now), request, 200));
-            end(router, now, &mut running[class], 1);
+            finish_oldest(router, now, &mut running[class], 1);
             running[class].extend(admit_all(router, at(now), request, 200));
         }
     }
@@ -224,7 +231,7 @@
 ) -> std::result::Result<(), TestCaseError> {
     for number in 0..servers {
         let view = router.server_view(at(now), &server_id(number));
-        let view = view.expect("it is configured");
+        let view = view.expect("the server is configured");
         prop_assert!(view.live + view.rollouts <= slots, "{view:?}");
     }
     Ok(())
@@ -241,7 +248,7 @@
     let live = live.clamp(1, slots - 1);
     for number in 0..servers {
         let view = router.server_view(at(now), &server_id(number));
-        let view = view.expect("it is configured");
+        let view = view.expect("the server is configured");
         prop_assert!(
             view.live >= live && view.rollouts >= slots - live,
             "{view:?}, {live}"
--- a/crates/nodes/wingshore-routing/tests/promises.rs
+++ b/crates/nodes/wingshore-routing/tests/promises.rs
@@ -1,6 +1,7 @@
-//! Whatever happens, in whatever order: no work to a server that is leaving, unhealthy or of
-//! unknown version, no repeat of what must not be repeated, slots and guarantees kept. A plain
-//! model of what was said is the judge; each deliberate fault must be caught by it.
+//! Invariants of the router under random sequences of events: no requests to a server that is
+//! leaving, unhealthy or of unknown version, no retry of a request that must not be repeated, and
+//! slots and guarantees respected. The router is checked against a simple model of the reported
+//! server states; the model must detect each injected fault.
 
 mod support;
 
@@ -17,8 +18,8 @@
 
 const SERVERS: usize = 6;
 const SLOTS: u32 = 6;
-/// Time between two events: a round of probes.
-const PAUSE: u64 = 1000;
+/// Time between two events in milliseconds: one round of probes.
+const EVENT_INTERVAL_MS: u64 = 1000;
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -69,9 +70,9 @@
     ]
 }
 
-/// What was said of one server, in plain words.
+/// State of one server as reported by the events.
 #[derive(Clone, Debug, Default)]
-struct Said {
+struct ServerModel {
     closed: bool,
     draining: bool,
     refused_at: Option<u64>,
@@ -82,30 +83,30 @@
     version: Option<(u64, u64)>,
 }
 
-/// Promises broken, by name.
+/// Number of violations by invariant.
 type Violations = BTreeMap<&'static str, u32>;
 
-struct Judge {
+struct ModelChecker {
     router: Router,
     configuration: Configuration,
-    said: BTreeMap<ServerId, Said>,
+    model: BTreeMap<ServerId, ServerModel>,
     list: (u64, Vec<ServerId>),
     running: Vec<(Admitted, RouteRequest)>,
     now: u64,
     violations: Violations,
 }
 
-impl Judge {
+impl ModelChecker {
     fn new(faults: Faults) -> Self {
         let configuration = site(SERVERS, 2, SLOTS, 500);
         let mut router = Router::new(Default::default(), "zone-0".into(), SEED).with_faults(faults);
         router.on_configuration(at(0), &configuration);
         Self {
             router,
-            said: configuration
+            model: configuration
                 .servers
                 .keys()
-                .map(|id| (id.clone(), Said::default()))
+                .map(|id| (id.clone(), ServerModel::default()))
                 .collect(),
             configuration,
             list: (0, Vec::new()),
@@ -115,18 +116,18 @@
         }
     }
 
-    fn said(&mut self, server: usize) -> &mut Said {
-        self.said.entry(server_id(server)).or_default()
+    fn model(&mut self, server: usize) -> &mut ServerModel {
+        self.model.entry(server_id(server)).or_default()
     }
 
-    fn note(&mut self, promise: &'static str, is_kept: bool) {
+    fn check_invariant(&mut self, invariant: &'static str, is_kept: bool) {
         if !is_kept {
-            *self.violations.entry(promise).or_default() += 1;
+            *self.violations.entry(invariant).or_default() += 1;
         }
     }
 
     fn handle(&mut self, event: &Event) {
-        self.now += PAUSE;
+        self.now += EVENT_INTERVAL_MS;
         match event {
             Event::Admission(server, open) => self.on_admission(*server, *open),
             Event::MachineList { as_of, leaving } => self.on_list(*as_of, leaving),
@@ -172,7 +173,7 @@
             Admission::Draining
         };
         self.configuration = with_admission(&self.configuration, server, admission);
-        self.said(server).closed = !open;
+        self.model(server).closed = !open;
         self.router
             .on_configuration(at(self.now), &self.configuration);
     }
@@ -190,21 +191,21 @@
 
     fn on_state(&mut self, server: usize, boot: u64, version: Option<u64>, draining: bool) {
         let now = self.now;
-        let said = self.said(server);
-        if said.boot.is_some_and(|known| known != boot) {
-            let closed = said.closed;
-            *said = Said {
+        let model = self.model(server);
+        if model.boot.is_some_and(|known| known != boot) {
+            let closed = model.closed;
+            *model = ServerModel {
                 closed,
-                ..Said::default()
+                ..ServerModel::default()
             };
         }
-        said.boot = Some(boot);
-        said.draining = draining;
-        said.version = version.map(|version| (version, now));
-        said.failed_probes = 0;
-        said.good_probes += 1;
-        if said.good_probes >= 2 {
-            said.unhealthy = false;
+        model.boot = Some(boot);
+        model.draining = draining;
+        model.version = version.map(|version| (version, now));
+        model.failed_probes = 0;
+        model.good_probes += 1;
+        if model.good_probes >= 2 {
+            model.unhealthy = false;
         }
         let report = state(boot, version.map(WeightVersion), draining);
         self.router
@@ -212,16 +213,16 @@
     }
 
     fn on_probe_failed(&mut self, server: usize) {
-        let said = self.said(server);
-        said.good_probes = 0;
-        said.failed_probes += 1;
-        said.unhealthy |= said.failed_probes >= 3;
+        let model = self.model(server);
+        model.good_probes = 0;
+        model.failed_probes += 1;
+        model.unhealthy |= model.failed_probes >= 3;
         self.router
             .on_probe_failed(at(self.now), &server_id(server));
     }
 
     fn on_cache_events(&mut self, server: usize, boot_id: u64, sequence: u64, prefix_hash: u64) {
-        self.said(server).boot.get_or_insert(boot_id);
+        self.model(server).boot.get_or_insert(boot_id);
         let (kind, tokens) = (CacheEventKind::Stored, 100);
         let events = vec![CacheEvent {
             sequence,
@@ -237,34 +238,38 @@
     fn request(&mut self, request: &RouteRequest) {
         match self.router.admit(at(self.now), request) {
             Ok(admitted) => {
-                self.judge_choice(&admitted, request);
+                self.check_choice(&admitted, request);
                 self.running.push((admitted, request.clone()));
             }
             Err(refusal) => {
                 let is_kept = refusal.verdict() == Verdict::NotRun;
-                self.note("refused is not run", is_kept);
+                self.check_invariant("refused requests did not run", is_kept);
             }
         }
     }
 
-    fn judge_choice(&mut self, admitted: &Admitted, request: &RouteRequest) {
-        let said = self.said[&admitted.server].clone();
+    fn check_choice(&mut self, admitted: &Admitted, request: &RouteRequest) {
+        let model = self.model[&admitted.server].clone();
         let listed = self.list.1.contains(&admitted.server);
-        // A refusal closes for 200 ms, and every event takes a second.
-        let refused = said.refused_at == Some(self.now);
-        let leaving = said.closed || said.draining || listed || refused;
-        self.note("no work to the leaving", !leaving);
-        self.note("no work to the unhealthy", !said.unhealthy);
+        // The backoff after a refusal takes 200 ms, and events are one second apart, so a refusal
+        // closes the server only during the same event.
+        let refused = model.refused_at == Some(self.now);
+        let leaving = model.closed || model.draining || listed || refused;
+        self.check_invariant("no requests to leaving servers", !leaving);
+        self.check_invariant("no requests to unhealthy servers", !model.unhealthy);
         if request.class == Class::Rollout {
-            let known = said.version.filter(|(_, at)| self.now - at < 10_000);
+            let known = model.version.filter(|(_, at)| self.now - at < 10_000);
             let useful = known.is_some_and(|(version, _)| version >= VERSION.0);
-            self.note("versions are known and useful", useful);
+            self.check_invariant("rollouts only to known and usable versions", useful);
         }
         let view = self.router.server_view(at(self.now), &admitted.server);
-        let view = view.expect("it was chosen");
-        self.note("slots are kept", view.live + view.rollouts <= SLOTS);
-        self.note(
-            "the reserve is kept",
+        let view = view.expect("the server was selected");
+        self.check_invariant(
+            "own requests within the slots",
+            view.live + view.rollouts <= SLOTS,
+        );
+        self.check_invariant(
+            "live reserve left free",
             view.live > 0 || view.rollouts < SLOTS,
         );
     }
@@ -285,24 +290,24 @@
             .on_finished(at(self.now), admitted.ticket, outcome);
         if outcome == AttemptOutcome::Refused {
             let now = self.now;
-            self.said.entry(admitted.server).or_default().refused_at = Some(now);
+            self.model.entry(admitted.server).or_default().refused_at = Some(now);
             self.request(&live());
         }
         if let AttemptOutcome::Failed(verdict) = outcome {
             let repeats = self.router.may_retry(at(self.now), &request, verdict);
             let is_kept = !repeats || !request.no_repeat || verdict == Verdict::NotRun;
-            self.note("what must not be repeated is not", is_kept);
+            self.check_invariant("no retry of non-repeatable requests", is_kept);
         }
     }
 }
 
-fn judge(events: &[Event], faults: Faults) -> Violations {
-    let mut judge = Judge::new(faults);
-    events.iter().for_each(|event| judge.handle(event));
-    judge.violations
+fn violations_of(events: &[Event], faults: Faults) -> Violations {
+    let mut checker = ModelChecker::new(faults);
+    events.iter().for_each(|event| checker.handle(event));
+    checker.violations
 }
 
-fn histories() -> impl Strategy<Value = Vec<Event>> {
+fn event_sequences() -> impl Strategy<Value = Vec<Event>> {
     prop::collection::vec(event(), 1..120)
 }
 
@@ -310,8 +315,8 @@
     #![proptest_config(property(500))]
 
     #[test]
-    fn promises_hold(events in histories()) {
-        prop_assert_eq!(judge(&events, Faults::default()), Violations::new());
+    fn invariants_hold(events in event_sequences()) {
+        prop_assert_eq!(violations_of(&events, Faults::default()), Violations::new());
     }
 }
 
@@ -320,43 +325,43 @@
     let none = Faults::default();
     let cases = [
         (
-            "what must not be repeated is not",
+            "no retry of non-repeatable requests",
             Faults {
                 retry_on_may_have_run: true,
                 ..none
             },
         ),
         (
-            "no work to the leaving",
+            "no requests to leaving servers",
             Faults {
                 ignore_draining: true,
                 ..none
             },
         ),
         (
-            "versions are known and useful",
+            "rollouts only to known and usable versions",
             Faults {
                 ignore_unknown_version: true,
                 ..none
             },
         ),
         (
-            "the reserve is kept",
+            "live reserve left free",
             Faults {
                 no_share_guarantee: true,
                 ..none
             },
         ),
     ];
-    for (promise, faults) in cases {
+    for (invariant, faults) in cases {
         let mut runner = TestRunner::new(property(1));
         let caught = (0..50).any(|_| {
-            let events = histories()
+            let events = event_sequences()
                 .new_tree(&mut runner)
-                .expect("it is generated")
+                .expect("the sequence is generated")
                 .current();
-            judge(&events, faults).contains_key(promise)
+            violations_of(&events, faults).contains_key(invariant)
         });
-        expect_that!(caught, eq(true), "{promise}");
+        expect_that!(caught, eq(true), "{invariant}");
     }
 }
--- a/crates/shared/wingshore-consensus/src/entry.rs
+++ b/crates/shared/wingshore-consensus/src/entry.rs
@@ -232,7 +232,7 @@
     /// Returns an error if the bytes are damaged, have another format version, or cannot be read.
     pub(crate) fn decode(snapshot: &StoredSnapshot) -> Result<Self, CodecError> {
         let what = "snapshot";
-        let head = snapshot.data.beginning(MAX_HEAD_BYTES);
+        let head = snapshot.data.prefix(MAX_HEAD_BYTES);
         let head = head.map_err(|error| unreadable(what, &error))?;
         let has_length = head.first() == Some(&SNAPSHOT_FORMAT_WITH_LENGTH);
         if !has_length {
@@ -246,7 +246,7 @@
                 postcard::take_from_bytes::<u64>(rest).context(DecodeSnafu { what })?;
             (length, rest) = (Some(value), after);
         }
-        let state = snapshot.data.behind((head.len() - rest.len()) as u64);
+        let state = snapshot.data.suffix((head.len() - rest.len()) as u64);
         if length.is_some_and(|length| length != state.length()) {
             let source = postcard::Error::DeserializeUnexpectedEnd;
             return Err(source).context(DecodeSnafu { what });
