--- a/crates/nodes/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/finishing.rs
@@ -78,7 +78,7 @@
         let Some(step) = self.indexes.delivered.get(&number) else {
             return;
         };
-        let delivered = self.recorded(*step).and_then(|batch| {
+        let delivered = self.recorded_batch(*step).and_then(|batch| {
             let samples = &batch.samples;
             samples.iter().find(|sample| sample.number == number)
         });
--- a/crates/nodes/wingshore-ledger/src/samples/grants.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/grants.rs
@@ -68,7 +68,10 @@
             if tokens >= MAX_TOKENS_PER_ANSWER {
                 break;
             }
-            tokens += self.open.get(&key.number()).map_or(0, OpenSample::tokens);
+            tokens += self
+                .open
+                .get(&key.number())
+                .map_or(0, OpenSample::token_count);
             chosen.push(*key);
         }
         chosen
--- a/crates/nodes/wingshore-ledger/src/samples/pulls.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/pulls.rs
@@ -57,7 +57,7 @@
     /// Returns the refusal of a pull that waiting cannot make acceptable.
     pub(crate) fn pull_status(&self, pull: &PullRequest) -> Result<PullStatus<'_>, LedgerRefusal> {
         self.check_trainer(&pull.trainer)?;
-        if let Some(batch) = self.recorded(pull.step) {
+        if let Some(batch) = self.recorded_batch(pull.step) {
             check_same_count(batch, pull)?;
             return Ok(PullStatus::Recorded(batch));
         }
@@ -75,7 +75,7 @@
     }
 
     /// Returns the batch recorded for a step that is handed over and not acknowledged.
-    pub fn recorded(&self, step: StepId) -> Option<&Batch> {
+    pub fn recorded_batch(&self, step: StepId) -> Option<&Batch> {
         self.handed_over.get(&step)
     }
 
@@ -91,7 +91,7 @@
         from: u32,
     ) -> Result<Batch, LedgerRefusal> {
         self.check_trainer(trainer)?;
-        let Some(batch) = self.recorded(step) else {
+        let Some(batch) = self.recorded_batch(step) else {
             return Err(wrong_step(format!(
                 "step {step} is not handed over, or was acknowledged already"
             )));
--- a/crates/nodes/wingshore-ledger/src/samples/stage.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/stage.rs
@@ -88,7 +88,7 @@
 
 impl OpenSample {
     /// Returns the number of tokens of the prompt and of the generation.
-    pub(crate) fn tokens(&self) -> usize {
+    pub(crate) fn token_count(&self) -> usize {
         self.prompt.tokens.len() + self.stage.generation().tokens.len()
     }
 
--- a/crates/nodes/wingshore-ledger/tests/growth.rs
+++ b/crates/nodes/wingshore-ledger/tests/growth.rs
@@ -34,21 +34,21 @@
     let first = step * SAMPLES * stride;
     let numbers = (0..SAMPLES).map(|place| first + place * stride);
     group.call(submit(numbers));
-    let lost = lease_samples(group, &format!("lost-{step}"), step, SAMPLES as u32 / 2);
-    let mut kept = lease_samples(group, &format!("kept-{step}"), step, SAMPLES as u32);
+    let first_leases = lease_samples(group, &format!("lost-{step}"), step, SAMPLES as u32 / 2);
+    let mut other_leases = lease_samples(group, &format!("kept-{step}"), step, SAMPLES as u32);
     group.advance_time(Duration::from_secs(30));
     let again = format!("again-{step}");
-    kept.extend(lease_samples(group, &again, step, SAMPLES as u32));
-    for lease in lost.iter().chain(&kept) {
+    other_leases.extend(lease_samples(group, &again, step, SAMPLES as u32));
+    for lease in first_leases.iter().chain(&other_leases) {
         // The first finish of a sample is accepted under any of its leases; later ones are
         // duplicates.
         group.call(finish(lease.prompt.number.0, lease.lease, &[step]));
     }
-    for lease in &kept {
+    for lease in &other_leases {
         group.call(score(lease.prompt.number.0, lease.lease));
         group.call(score(lease.prompt.number.0, lease.lease));
     }
-    for lease in &lost {
+    for lease in &first_leases {
         group.call(score(lease.prompt.number.0, lease.lease));
     }
     let pulled = group.call(pull(step, step, SAMPLES as u32, 0));
--- a/crates/nodes/wingshore-ledger/tests/samples_model.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_model.rs
@@ -203,7 +203,7 @@
         assert_eq!(reply == LedgerReply::Done, expected.is_some());
         let ledger = self.state.pool(&pool()).expect("configured");
         if let Some(expected) = expected {
-            let batch = ledger.recorded(StepId(step)).expect("recorded");
+            let batch = ledger.recorded_batch(StepId(step)).expect("recorded");
             let numbers: Vec<u64> = batch.samples.iter().map(|s| s.number.0).collect();
             assert_eq!(numbers, expected);
             let floor = WeightVersion(batch.weight_version.0.saturating_sub(BOUND));
