--- a/crates/nodes/wingshore-ledger/tests/samples_faults.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_faults.rs
@@ -1,5 +1,5 @@
-//! A random workload as nodes and a trainer see it, with lost answers and changing leaders. The
-//! trainer's own log must show no broken promise, and must show one for each deliberate fault.
+//! A random workload of nodes and a trainer, with lost answers and leader changes. The log of the
+//! trainer must show no violated guarantee, and must show one for each injected fault.
 
 mod support;
 
@@ -17,18 +17,18 @@
 const ACTIONS: u32 = 1_500;
 const BATCH: u32 = 3;
 
-/// Broken promises that the trainer's log shows.
+/// Violated guarantees found in the trainer's log.
 #[derive(Debug, Default, PartialEq)]
 struct Violations {
     delivered_twice: u32,
     too_old: u32,
-    other_bytes: u32,
+    changed_batches: u32,
 }
 
-/// What the trainer writes down, independent of the ledger.
+/// Batches that the trainer received, recorded independently of the ledger.
 #[derive(Default)]
 struct TrainerLog {
-    /// Step -> (the version stated, the first answer's bytes, its sample numbers).
+    /// Step -> (version in the pull, bytes of the first answer, its sample numbers).
     steps: BTreeMap<u64, (u64, Vec<u8>, Vec<u64>)>,
     violations: Violations,
 }
@@ -37,7 +37,7 @@
     fn receive(&mut self, step: u64, version: u64, batch: &Batch) {
         let bytes = postcard::to_stdvec(batch).expect("encodes");
         if let Some((_, first, _)) = self.steps.get(&step) {
-            self.violations.other_bytes += u32::from(*first != bytes);
+            self.violations.changed_batches += u32::from(*first != bytes);
             return;
         }
         let numbers: Vec<u64> = batch.samples.iter().map(|s| s.number.0).collect();
@@ -77,12 +77,12 @@
             version: 1,
         };
         for _ in 0..ACTIONS {
-            workload.act();
+            workload.run_random_action();
         }
         (workload.log.violations, workload.step)
     }
 
-    fn act(&mut self) {
+    fn run_random_action(&mut self) {
         match self.random.random_range(0..100) {
             0..10 => self.submit(),
             10..25 => self.lease(),
@@ -90,7 +90,7 @@
             55..70 => self.score(),
             70..90 => self.pull(),
             90..94 => self.change_leader(),
-            _ => self.pass(),
+            _ => self.advance_time(),
         }
     }
 
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Finishes some lease, old ones included, so that late and double finishes are common.
+    /// Finishes a random recent lease, possibly an ended one, so that late and duplicate finishes
+    /// are common.
     fn finish(&mut self) {
         if self.leases.is_empty() {
             return;
@@ -137,7 +138,7 @@
     fn pull(&mut self) {
         let tag = self.group.request(pull(self.step, self.version, BATCH, 0));
         if self.random.random_ratio(1, 4) {
-            // The answer, where there is one already, leaves just before the leader is lost.
+            // An answer that exists already is sent just before the leader is lost.
             self.take_reply(tag);
             return self.change_leader();
         }
@@ -167,9 +168,9 @@
         self.group.state.set_faults(self.faults);
     }
 
-    fn pass(&mut self) {
+    fn advance_time(&mut self) {
         let milliseconds = self.random.random_range(0..LEASE_MS);
-        self.group.pass(Duration::from_millis(milliseconds));
+        self.group.advance_time(Duration::from_millis(milliseconds));
     }
 }
 
@@ -180,21 +181,21 @@
         let (violations, run) = Workload::run(seed, faults);
         total.delivered_twice += violations.delivered_twice;
         total.too_old += violations.too_old;
-        total.other_bytes += violations.other_bytes;
+        total.changed_batches += violations.changed_batches;
         steps += run;
     }
     (total, steps)
 }
 
 #[gtest]
-fn no_promise_breaks() {
+fn no_guarantee_is_violated() {
     let (violations, steps) = run_all(Faults::default());
     expect_that!(violations, eq(&Violations::default()));
     expect_that!(steps, gt(100));
 }
 
 #[gtest]
-fn each_deliberate_fault_is_noticed() {
+fn each_injected_fault_is_detected() {
     let none = Faults::default();
     let age = Faults {
         hand_over_without_age_check: true,
@@ -205,7 +206,7 @@
         answer_before_commit: true,
         ..none
     };
-    expect_that!(run_all(early).0.other_bytes, gt(0));
+    expect_that!(run_all(early).0.changed_batches, gt(0));
     let second = Faults {
         accept_second_finish: true,
         ..none
@@ -215,5 +216,5 @@
         forget_handover: true,
         ..none
     };
-    expect_that!(run_all(forget).0.other_bytes, gt(0));
+    expect_that!(run_all(forget).0.changed_batches, gt(0));
 }
