--- a/crates/nodes/wingshore-rollout/tests/support/mod.rs
+++ b/crates/nodes/wingshore-rollout/tests/support/mod.rs
@@ -160,7 +160,7 @@
     pub fn advance(&mut self) {
         self.now = self.now + STEP;
         self.steps += 1;
-        self.ledger.pass(STEP);
+        self.ledger.advance_time(STEP);
         self.apply_due_incidents();
         if self.steps.is_multiple_of(STEPS_PER_PROBE) {
             self.probe();
