--- a/crates/nodes/wingshore-control/src/command.rs
+++ b/crates/nodes/wingshore-control/src/command.rs
@@ -4,81 +4,82 @@
 use wingshore_types::ids::{IntentId, PlanId, PoolId, Revision, ServiceId, WeightVersion};
 use wingshore_types::protocol::control::{ControlReply, Intent};
 
-/// A change of the control group's state, as it stands in the log.
+/// A change of the control group's state, stored as a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// Make a plan.
+    /// Creates a plan for an intent.
     Propose {
-        /// Drawn by the client; a resend carries the same and gets the first answer.
+        /// Chosen by the client; a retry carries the same id and gets the first answer.
         intent_id: IntentId,
-        /// The revision the operator saw; `None` takes the newest.
+        /// The revision that the operator saw; `None` means the newest.
         base_revision: Option<Revision>,
-        /// What is wanted.
+        /// The change that the client requests.
         intent: Intent,
     },
-    /// Begin to carry a plan out.
+    /// Starts the execution of a proposed plan.
     Confirm {
-        /// Drawn by the client, as above.
+        /// Chosen by the client; see [`ControlCommand::Propose`].
         intent_id: IntentId,
-        /// Which plan.
+        /// Id of the plan.
         plan: PlanId,
     },
-    /// Withdraw a plan, or stop it where it is.
+    /// Withdraws a proposed plan, or stops a running plan at its current step.
     Cancel {
-        /// Drawn by the client, as above.
+        /// Chosen by the client; see [`ControlCommand::Propose`].
         intent_id: IntentId,
-        /// Which plan.
+        /// Id of the plan.
         plan: PlanId,
     },
-    /// A trainer has published a version.
+    /// Records that a trainer has published a weight version.
     Publish {
-        /// Drawn by the client, as above.
+        /// Chosen by the client; see [`ControlCommand::Propose`].
         intent_id: IntentId,
-        /// Which pool.
+        /// Pool that the version belongs to.
         pool: PoolId,
-        /// The version.
+        /// Published version.
         version: WeightVersion,
     },
-    /// The leader has carried out steps of a running plan.
+    /// Records the result of one or more steps of a running plan, proposed by the leader.
     AdvancePlan {
-        /// Which plan.
+        /// Id of the plan.
         plan: PlanId,
-        /// The first of the steps; ignored unless it is the plan's next one.
+        /// Index of the first of the steps; the command is ignored unless it is the plan's next
+        /// one.
         step: u32,
-        /// What came of it.
+        /// Result of the steps.
         result: StepResult,
     },
-    /// The leader has measured how long engines of a service take for a swap.
+    /// Records the leader's mean of how long a weight swap of a service's engines takes.
     RecordSwapTime {
-        /// Which service.
+        /// Service whose engines were measured.
         service: ServiceId,
-        /// From order to report, in milliseconds.
+        /// Time from the order to the report that shows the new version, in milliseconds.
         milliseconds: u64,
     },
 }
 
-/// What came of a step of a plan.
+/// Result of one or more steps of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StepResult {
-    /// This many consecutive steps are done.
+    /// Consecutive steps are done.
     Done {
-        /// How many, at least one.
+        /// Number of steps, at least one.
         steps: u32,
     },
-    /// An `AwaitInForce` step is done: this revision was in force everywhere.
+    /// An `AwaitInForce` step is done: this revision is in force on every node.
     InForce(Revision),
-    /// The step cannot be done; the plan stops there.
+    /// The step cannot be done; the plan stops at it.
     Failed {
-        /// Why.
+        /// Reason for the failure, shown to operators.
         reason: String,
     },
 }
 
-/// What a command answers.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandReply {
     /// The answer to a client's request.
     Answer(Box<ControlReply>),
-    /// A command of the leader's own was taken in, or had become pointless.
+    /// A command proposed by the leader itself was applied, or ignored because it was outdated.
     Recorded,
 }
--- a/crates/nodes/wingshore-control/src/effect.rs
+++ b/crates/nodes/wingshore-control/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the leader wants done outside the group, and what came of it.
+//! I/O that the leader requests from the host, and the events that report its results.
 
 use crate::settings::LeaderSettings;
 use std::net::SocketAddr;
@@ -6,70 +6,70 @@
 use wingshore_types::platform::{EngineOrder, EngineState, FencedReply, LoadReport, OrderFence};
 use wingshore_types::{Instant, Verdict};
 
-/// Something to do outside the group. The host releases it only under the quorum lease.
+/// I/O requested by the leader. The host performs it only while it holds the quorum lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlEffect {
     /// `POST /orders` on an engine; answered by [`ControlEvent::OrderAnswered`].
     SendOrder {
-        /// Which engine.
+        /// Id of the engine.
         server: ServerId,
-        /// Where it listens.
+        /// Address that it listens at.
         address: SocketAddr,
-        /// The order.
+        /// Order to send.
         order: EngineOrder,
     },
     /// `GET /state` on an engine; answered by [`ControlEvent::StateRead`].
     ReadState {
-        /// Which engine.
+        /// Id of the engine.
         server: ServerId,
-        /// Where it listens.
+        /// Address that it listens at.
         address: SocketAddr,
     },
     /// `GET /load` on a live server; answered by [`ControlEvent::LoadRead`].
     ReadLoad {
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
-        /// Where it listens.
+        /// Address that it listens at.
         address: SocketAddr,
     },
 }
 
-/// The result of an effect, or news from the driver.
+/// The result of an effect, or information from the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// Who leads, and by which settings. The driver sends it at the beginning of a leadership;
-    /// the defaults hold until then.
+    /// Names the leading replica and its settings. The host sends it at the beginning of a
+    /// leadership; the defaults apply until then.
     Configured {
         /// The replica that leads.
         replica: ReplicaId,
-        /// Times and limits; the lease is the same on all replicas.
+        /// Times and limits; the lease is equal on all replicas.
         settings: Box<LeaderSettings>,
     },
-    /// An order was answered, or not.
+    /// An order was answered, or failed without an answer.
     OrderAnswered {
-        /// By which engine.
+        /// Engine that the order was sent to.
         server: ServerId,
-        /// Which order.
+        /// Fence of the order.
         fence: OrderFence,
-        /// What it said.
+        /// Answer of the engine.
         answer: OrderAnswer,
     },
-    /// An engine's state was read, or not.
+    /// A poll of an engine's state was answered, or failed.
     StateRead {
-        /// Which engine.
+        /// Id of the engine.
         server: ServerId,
         /// When the poll was sent, by the leader's clock.
         asked_at: Instant,
-        /// Its state; the error says whether the engine may have seen the poll.
+        /// Reported state; the error says whether the engine may have received the poll.
         state: Result<EngineState, Verdict>,
     },
-    /// A live server's load was read, or not.
+    /// A poll of a live server's load was answered, or failed.
     LoadRead {
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
         /// When the poll was sent, by the leader's clock.
         asked_at: Instant,
-        /// Its report.
+        /// Reported load; the error says whether the server may have received the poll.
         load: Result<LoadReport, Verdict>,
     },
 }
@@ -77,10 +77,10 @@
 /// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// Taken (202), now or at an earlier sending of the same order.
+    /// Accepted (202), now or when the same order was sent earlier.
     Accepted,
-    /// Refused (409): the engine has seen a higher fence.
+    /// Rejected (409): the engine has seen a higher fence.
     Fenced(FencedReply),
-    /// No answer, or an error; the verdict says whether the engine may have taken it.
+    /// No answer, or an error; the verdict says whether the engine may have accepted it.
     Failed(Verdict),
 }
--- a/crates/nodes/wingshore-control/src/faults.rs
+++ b/crates/nodes/wingshore-control/src/faults.rs
@@ -1,16 +1,16 @@
-//! Deliberate faults, by which tests show that their checks can fail.
+//! Fault injection: tests use it to prove that their checks detect the faults.
 
-/// Switches for deliberate faults. All are off by default; only tests set them.
+/// Switches for injected faults. All are off by default; only tests set them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Orders carry the first epoch, whichever leader gives them.
+    /// Orders carry epoch 1, whichever leader sends them.
     pub ignore_fence_order: bool,
-    /// The newest revision is reported in force at once.
+    /// The newest revision is reported as in force without acknowledgements.
     pub in_force_without_acknowledgement: bool,
-    /// First answers to intents are not kept.
+    /// Answers to intents are not stored, so that retries are executed again.
     pub forget_intents: bool,
-    /// A plan whose base has changed is carried out all the same.
+    /// A stale plan can be confirmed and is executed.
     pub confirm_stale_plans: bool,
-    /// A new leader carries out running plans from their first step.
+    /// A new leader repeats the completed swaps of running plans.
     pub repeat_steps_after_leader_change: bool,
 }
--- a/crates/nodes/wingshore-control/src/lib.rs
+++ b/crates/nodes/wingshore-control/src/lib.rs
@@ -1,10 +1,10 @@
 //! Control group: configuration, plans and orders to engines.
 //!
-//! [`ControlState`] is the replicated part: the configuration with its revisions, plans and how far
-//! each has come, first answers to intents. [`ControlLeader`] is the part that runs on the leader
-//! only: watches and configuration leases of nodes, execution of confirmed plans, fenced orders.
-//! Neither does I/O: what is to be done outside leaves as [`ControlEffect`], and what came of it
-//! returns as [`ControlEvent`].
+//! [`ControlState`] is the replicated part: the configuration with its revisions, plans and their
+//! progress, first answers to intents. [`ControlLeader`] is the part that runs on the leader only:
+//! watches and configuration leases of nodes, execution of confirmed plans, fenced orders. Neither
+//! does I/O: both are driven by the host, which performs each [`ControlEffect`] and reports the
+//! result as [`ControlEvent`].
 
 mod command;
 mod effect;
--- a/crates/nodes/wingshore-control/src/state/answers.rs
+++ b/crates/nodes/wingshore-control/src/state/answers.rs
@@ -1,4 +1,4 @@
-//! First answers to intents, kept so that a resend gets the same one.
+//! First answers to intents, kept so that a retry gets the same answer.
 
 use super::plan_table::PlanTable;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use wingshore_types::ids::{IntentId, PlanId, Revision};
 use wingshore_types::protocol::control::{ControlRefusal, ControlReply, PlanState};
 
-/// Answers kept; the oldest by commit order go first.
+/// Most answers kept; the oldest by commit order are evicted first.
 pub const ANSWERS_KEPT: usize = 10_000;
 
-/// A first answer. Of a plan only what can change is stored: the rest stands in the plan table.
+/// A first answer. Only the state of a plan is stored; the rest is read from the plan table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum FirstAnswer {
     Plan { plan: PlanId, state: PlanState },
@@ -17,14 +17,14 @@
     Refused(ControlRefusal),
 }
 
-/// The answer with a hash of its request, so that an id used twice is noticed.
+/// An answer with a hash of its request, by which reuse of an intent id is detected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AnsweredIntent {
     fingerprint: u64,
     answer: FirstAnswer,
 }
 
-/// First answers by intent.
+/// First answers by intent id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct IntentAnswers {
     by_intent: BTreeMap<IntentId, AnsweredIntent>,
@@ -32,7 +32,8 @@
 }
 
 impl IntentAnswers {
-    /// The first answer to `intent_id`, when there was one.
+    /// Returns the first answer to `intent_id`, if it is kept; an error answer if the id was used
+    /// for another request.
     pub(crate) fn find(
         &self,
         intent_id: IntentId,
@@ -41,7 +42,7 @@
     ) -> Option<ControlReply> {
         let answered = self.by_intent.get(&intent_id)?;
         if answered.fingerprint != fingerprint {
-            return Some(used_twice(intent_id));
+            return Some(reused_intent_id(intent_id));
         }
         Some(match &answered.answer {
             FirstAnswer::Plan { plan, state } => plan_as_answered(*plan, state, plans),
@@ -50,8 +51,13 @@
         })
     }
 
-    /// Keeps the first answer to `intent_id`.
-    pub(crate) fn keep(&mut self, intent_id: IntentId, fingerprint: u64, reply: &ControlReply) {
+    /// Stores the first answer to `intent_id` and evicts the oldest answers beyond the limit.
+    pub(crate) fn record_first(
+        &mut self,
+        intent_id: IntentId,
+        fingerprint: u64,
+        reply: &ControlReply,
+    ) {
         let Some(answer) = first_answer(reply) else {
             return;
         };
@@ -85,7 +91,8 @@
     }
 }
 
-/// The plan as it stood when first answered; unknown once the plan table has let it go.
+/// Returns the plan in the state of the first answer; `UnknownPlan` if it has been evicted from the
+/// plan table.
 fn plan_as_answered(id: PlanId, state: &PlanState, plans: &PlanTable) -> ControlReply {
     match plans.get(id) {
         Some(record) => {
@@ -97,7 +104,7 @@
     }
 }
 
-fn used_twice(intent_id: IntentId) -> ControlReply {
+fn reused_intent_id(intent_id: IntentId) -> ControlReply {
     ControlReply::Refused(ControlRefusal::Invalid {
         message: format!(
             "intent id {intent_id} was used for another request before; draw a new one for each request"
--- a/crates/nodes/wingshore-control/src/state/apply.rs
+++ b/crates/nodes/wingshore-control/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! How commands change the state.
+//! Application of commands to the state.
 
 use super::ControlState;
 use super::describe::describe_all;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Answers an intent the first time, and repeats that answer ever after.
+    /// Executes an intent the first time; retries get the stored answer.
     fn answer_once(
         &mut self,
         intent_id: IntentId,
@@ -62,7 +62,7 @@
         }
         let reply = answer(self).unwrap_or_else(ControlReply::Refused);
         if !self.faults.forget_intents {
-            self.answers.keep(intent_id, fingerprint, &reply);
+            self.answers.record_first(intent_id, fingerprint, &reply);
         }
         CommandReply::Answer(Box::new(reply))
     }
@@ -111,7 +111,7 @@
             .map_err(|message| ControlRefusal::Invalid { message })
     }
 
-    /// Compare-and-set: a stated base must be the newest revision.
+    /// Checks that the base revision, if given, is the newest (compare-and-set).
     fn check_base(&self, base: Option<Revision>) -> Result<(), ControlRefusal> {
         let current = self.configuration.revision;
         match base {
@@ -162,7 +162,7 @@
         self.plan_reply(id)
     }
 
-    /// Running plans own what they touch as long as they have more to do with it.
+    /// Checks that no running plan with remaining work conflicts with this plan.
     fn check_not_in_use(&self, id: PlanId) -> Result<(), ControlRefusal> {
         let Some(record) = self.plans.get(id) else {
             return Err(ControlRefusal::UnknownPlan(id));
@@ -170,7 +170,7 @@
         let sensitive = self
             .plans
             .running()
-            .filter(|running| running.is_sensitive());
+            .filter(|running| running.depends_on_footprint());
         for running in sensitive {
             if let Some(resource) = running.footprint.conflict(&record.footprint) {
                 return Err(ControlRefusal::Conflict {
@@ -201,7 +201,7 @@
         Ok(ControlReply::Plan(Box::new(plan.clone())))
     }
 
-    /// Publications only ever grow; a lower or an equal one changes nothing.
+    /// Records a published version; a version that is not higher than the newest changes nothing.
     fn publish(
         &mut self,
         id: &PoolId,
@@ -255,7 +255,7 @@
     }
 }
 
-/// Hash of a command without regard to anything but its content (FNV-1a over its encoding).
+/// Returns a hash of a command's content (FNV-1a over its encoding).
 fn fingerprint(command: &ControlCommand) -> u64 {
     let encoded = postcard::to_stdvec(command).unwrap_or_default();
     let mut hasher = FnvHasher::default();
--- a/crates/nodes/wingshore-control/src/state/checks.rs
+++ b/crates/nodes/wingshore-control/src/state/checks.rs
@@ -1,4 +1,4 @@
-//! Whether changes make sense, beyond the names that [`Configuration::check`] checks.
+//! Validation of changes, beyond the names that [`Configuration::check`] checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 };
 use wingshore_types::ids::ServerId;
 
-/// Checks `changes` in order, each on what the earlier ones lead to.
+/// Checks `changes` in order, each against the configuration that the earlier ones lead to.
 ///
 /// # Errors
-/// Says which change is wrong, why, and what is allowed.
+/// Returns a message that names the invalid change, the reason and the allowed values.
 pub(crate) fn check_in_order(
     configuration: &Configuration,
     changes: &[ConfigurationChange],
@@ -42,8 +42,8 @@
 fn check_service(before: &Configuration, service: &Service) -> Result<(), String> {
     let of = format!("service `{}`", service.id);
     check_name(&of, service.id.as_str())?;
-    at_least_one(&of, "slots_per_server", u64::from(service.slots_per_server))?;
-    at_least_one(&of, "default_deadline_ms", service.default_deadline_ms)?;
+    check_at_least_one(&of, "slots_per_server", u64::from(service.slots_per_server))?;
+    check_at_least_one(&of, "default_deadline_ms", service.default_deadline_ms)?;
     check_share(&of, "live_share", service.live_share)?;
     if service.kind == ServiceKind::Live {
         let user = before
@@ -68,8 +68,8 @@
     let of = format!("pool `{}`", pool.id);
     check_name(&of, pool.id.as_str())?;
     check_share(&of, "idle_weight", pool.idle_weight)?;
-    at_least_one(&of, "max_open_samples", u64::from(pool.max_open_samples))?;
-    at_least_one(&of, "sample_lease_ms", pool.sample_lease_ms)
+    check_at_least_one(&of, "max_open_samples", u64::from(pool.max_open_samples))?;
+    check_at_least_one(&of, "sample_lease_ms", pool.sample_lease_ms)
 }
 
 fn check_name(of: &str, name: &str) -> Result<(), String> {
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn at_least_one(of: &str, field: &str, value: u64) -> Result<(), String> {
+fn check_at_least_one(of: &str, field: &str, value: u64) -> Result<(), String> {
     if value == 0 {
         return Err(format!("{of}: {field} is 0; at least 1 is allowed"));
     }
@@ -98,7 +98,8 @@
     Ok(())
 }
 
-/// One server listens at an address: an order or a report meant for one must not reach another.
+/// Checks that each address belongs to one server only: an order or a poll meant for one server
+/// must not reach another.
 fn check_addresses(configuration: &Configuration) -> Result<(), String> {
     let mut owners: BTreeMap<SocketAddr, &ServerId> = BTreeMap::new();
     for server in configuration.servers.values() {
--- a/crates/nodes/wingshore-control/src/state/describe.rs
+++ b/crates/nodes/wingshore-control/src/state/describe.rs
@@ -1,11 +1,11 @@
-//! Changes in words, for conflicts and stale plans.
+//! Descriptions of changes, for the messages of conflicts and stale plans.
 
 use wingshore_types::configuration::{Admission, ConfigurationChange};
 
-/// Changes named one by one in a message; further ones are counted.
-const CHANGES_NAMED: usize = 5;
+/// Most changes described one by one in a message; further ones are counted.
+const MAX_DESCRIBED_CHANGES: usize = 5;
 
-/// One change in words.
+/// Describes one change.
 pub(crate) fn describe(change: &ConfigurationChange) -> String {
     match change {
         ConfigurationChange::PutService(service) => format!("service `{}` was put", service.id),
@@ -24,15 +24,22 @@
     }
 }
 
-/// Several changes in words, the newest first.
+/// Describes several changes, the newest first.
 pub(crate) fn describe_all<'a>(
     changes: impl DoubleEndedIterator<Item = &'a ConfigurationChange> + ExactSizeIterator,
 ) -> String {
     let count = changes.len();
-    let named: Vec<String> = changes.rev().take(CHANGES_NAMED).map(describe).collect();
+    let named: Vec<String> = changes
+        .rev()
+        .take(MAX_DESCRIBED_CHANGES)
+        .map(describe)
+        .collect();
     let mut text = named.join("; ");
-    if count > CHANGES_NAMED {
-        text.push_str(&format!("; and {} more before", count - CHANGES_NAMED));
+    if count > MAX_DESCRIBED_CHANGES {
+        text.push_str(&format!(
+            "; and {} more before",
+            count - MAX_DESCRIBED_CHANGES
+        ));
     }
     text
 }
--- a/crates/nodes/wingshore-control/src/state/execution.rs
+++ b/crates/nodes/wingshore-control/src/state/execution.rs
@@ -1,5 +1,5 @@
-//! Plans in execution: their changes are committed here, so that no change of a plan is ever made
-//! twice or apart from the progress of the plan.
+//! Execution of plans in the replicated state. Changes are committed together with the progress of
+//! their plan, so that no change of a plan is made twice or without its progress.
 
 use super::ControlState;
 use super::describe::describe_all;
@@ -9,12 +9,13 @@
 use wingshore_types::protocol::control::{PlanState, PlanStep};
 
 impl ControlState {
-    /// Begins a plan; the changes it begins with are committed at once.
+    /// Starts a plan; its leading changes are committed at once.
     pub(super) fn start_plan(&mut self, id: PlanId) {
         self.continue_plan(id, 0);
     }
 
-    /// Moves a plan past `count` steps from `step` on, but past no change that it has not made.
+    /// Advances a plan by up to `count` steps from `step`, but not past a change that has not been
+    /// committed.
     pub(super) fn finish_steps(&mut self, id: PlanId, step: u32, count: u32) {
         let Some(plan) = self.plan(id) else {
             return;
@@ -29,13 +30,13 @@
         self.continue_plan(id, step + done as u32);
     }
 
-    /// Ends a plan at `step`.
+    /// Marks a plan as failed at `step`.
     pub(super) fn fail_plan(&mut self, id: PlanId, step: u32, reason: String) {
         self.hold_remaining(id, step);
         self.plans.set_state(id, PlanState::Failed { step, reason });
     }
 
-    /// Engines that a stopped plan has not moved stay where they are.
+    /// Holds the engines that a stopped plan has not moved at their current version.
     pub(super) fn hold_remaining(&mut self, id: PlanId, next_step: u32) {
         let Some(record) = self.plans.get(id) else {
             return;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Commits the changes that follow directly from `step` on, all or none, and leaves the plan at
-    /// the first step that has to be waited for.
+    /// Commits the consecutive changes that start at `step`, all or none, and leaves the plan at
+    /// the first step after them, or done.
     fn continue_plan(&mut self, id: PlanId, step: u32) {
         let Some(plan) = self.plan(id) else {
             return;
@@ -75,7 +76,7 @@
         self.plans.set_state(id, state);
     }
 
-    /// Commits changes, all or none: of plan `by`, or of a publication.
+    /// Commits changes, all or none, of plan `by` or of a publication (`None`).
     pub(super) fn commit_changes(
         &mut self,
         by: Option<PlanId>,
@@ -89,15 +90,16 @@
         if let Some(id) = by {
             self.plans.set_changed_at(id, self.configuration.revision);
         }
-        self.end_disturbed_plans(by, &footprint, &changes);
+        self.end_conflicting_plans(by, &footprint, &changes);
         for change in changes {
-            self.note_change(&change);
+            self.remove_outdated(&change);
             self.history.push(change);
         }
         Ok(())
     }
 
-    /// A single change is all or nothing by itself; several are tried on a copy.
+    /// Applies changes, all or none. A single change is atomic by itself; several are applied to a
+    /// copy first.
     fn apply_all(&mut self, changes: &[ConfigurationChange]) -> Result<(), String> {
         if let [change] = changes {
             return self
@@ -113,9 +115,10 @@
         Ok(())
     }
 
-    /// Proposed plans that the changes matter to become stale. A running one can be disturbed by a
-    /// publication only, which moves the engines on by itself; the plan ends where it is.
-    fn end_disturbed_plans(
+    /// Marks proposed plans that conflict with the changes as stale. Only a publication can
+    /// conflict with a running plan; it moves the engines itself, so the plan ends at its current
+    /// step.
+    fn end_conflicting_plans(
         &mut self,
         by: Option<PlanId>,
         footprint: &Footprint,
@@ -124,7 +127,7 @@
         let disturbed: Vec<(PlanId, PlanState, String)> = self
             .plans
             .open()
-            .filter(|record| Some(record.plan.id) != by && record.is_sensitive())
+            .filter(|record| Some(record.plan.id) != by && record.depends_on_footprint())
             .filter_map(|record| {
                 let resource = record.footprint.conflict(footprint)?.to_string();
                 Some((record.plan.id, record.plan.state.clone(), resource))
@@ -145,8 +148,9 @@
         }
     }
 
-    /// Keeps what hangs on the configuration in step with it.
-    fn note_change(&mut self, change: &ConfigurationChange) {
+    /// Removes holds, published versions and swap times that a change of the configuration
+    /// outdates.
+    fn remove_outdated(&mut self, change: &ConfigurationChange) {
         match change {
             ConfigurationChange::SetTargetVersion { pool, .. } => {
                 let Some(pool) = self.configuration.pools.get(pool) else {
--- a/crates/nodes/wingshore-control/src/state/footprint.rs
+++ b/crates/nodes/wingshore-control/src/state/footprint.rs
@@ -1,14 +1,15 @@
-//! Decision: does a change, or another plan, disturb a plan?
+//! Decision: does a change, or another plan, conflict with a plan?
 //!
-//! Inputs: the parts of the configuration that either uses (services, their sets of servers, their
-//! weights, servers, pools), each read, joined or written.
+//! Inputs: the resources of the configuration that either uses (services, their sets of servers,
+//! their weights, servers, pools), each with its kind of access: read, join or write.
 //!
-//! Rule: two uses of one part disturb each other unless both read it or both add to or take from a
-//! set. A proposed plan that a committed change disturbs becomes stale; a plan is not confirmed
-//! while a running one uses the same parts.
+//! Rule: two accesses to one resource conflict unless both read it or both join it, which adds to
+//! or removes from a set. A proposed plan becomes stale when a committed change conflicts with it;
+//! a plan cannot be confirmed while a running plan conflicts with it.
 //!
-//! Why: an operator confirms what a plan says on the configuration that it was made from, and
-//! unrelated changes are frequent: refusing on any new revision would make most plans stale.
+//! Why: an operator confirms the steps and costs of a plan, which hold for the configuration that
+//! it was made from. Unrelated changes are frequent: rejection at any new revision would make most
+//! plans stale.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,14 +17,14 @@
 use wingshore_types::configuration::{Configuration, ConfigurationChange};
 use wingshore_types::ids::{PoolId, ServerId, ServiceId};
 
-/// A part of the configuration.
+/// A part of the configuration that changes and plans use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Resource {
     /// A service's own settings.
     Service(ServiceId),
-    /// Which servers a service has.
+    /// The set of servers of a service.
     Members(ServiceId),
-    /// The weight version that a service's engines are to serve.
+    /// The weight version that a service's engines should serve.
     Weights(ServiceId),
     /// A server's own settings.
     Server(ServerId),
@@ -43,19 +44,19 @@
     }
 }
 
-/// How a part is used. The order is that of strength.
+/// Kind of access to a resource, ordered from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Access {
-    /// Depends on it.
+    /// Depends on the resource.
     Read,
-    /// Adds to or takes from a set; two such uses do not disturb each other.
+    /// Adds to or removes from a set; two such accesses do not conflict.
     Join,
-    /// Changes it.
+    /// Changes the resource.
     Write,
 }
 
 impl Access {
-    fn disturbs(self, other: Self) -> bool {
+    fn conflicts_with(self, other: Self) -> bool {
         match (self, other) {
             (Self::Read, Self::Read) | (Self::Join, Self::Join) => false,
             (Self::Write | Self::Join, _) | (_, Self::Write | Self::Join) => true,
@@ -63,14 +64,14 @@
     }
 }
 
-/// All parts that a plan or a batch of changes uses.
+/// All resources that a plan or a batch of changes uses, each with its strongest access.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Footprint {
     uses: BTreeMap<Resource, Access>,
 }
 
 impl Footprint {
-    /// What `changes` use when applied to `before`.
+    /// Returns the resources that `changes` use when applied to `before`.
     pub(crate) fn of_changes<'a>(
         before: &Configuration,
         changes: impl IntoIterator<Item = &'a ConfigurationChange>,
@@ -82,13 +83,13 @@
         footprint
     }
 
-    /// Adds one use.
+    /// Adds an access; the strongest access to each resource is kept.
     pub(crate) fn add(&mut self, resource: Resource, access: Access) {
         let strongest = self.uses.entry(resource).or_insert(access);
         *strongest = access.max(*strongest);
     }
 
-    /// The first part whose use here and there disturb each other.
+    /// Returns the first resource on which the two footprints conflict.
     pub(crate) fn conflict<'a>(&'a self, other: &'a Self) -> Option<&'a Resource> {
         let (small, large) = if self.uses.len() <= other.uses.len() {
             (self, other)
@@ -97,7 +98,7 @@
         };
         small.uses.iter().find_map(|(resource, access)| {
             let against = large.uses.get(resource)?;
-            access.disturbs(*against).then_some(resource)
+            access.conflicts_with(*against).then_some(resource)
         })
     }
 
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A server that comes, goes or moves from its present service.
+    /// Adds a server that is added, removed or moved from its present service.
     fn add_server(&mut self, before: &Configuration, id: &ServerId) {
         self.add(Resource::Server(id.clone()), Access::Write);
         if let Some(present) = before.servers.get(id) {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// A pool that comes, goes or changes, and the weights of its present service with it.
+    /// Adds a pool that is added, removed or changed, and the weights of its present service.
     fn add_pool(&mut self, before: &Configuration, id: &PoolId) {
         self.add(Resource::Pool(id.clone()), Access::Write);
         if let Some(present) = before.pools.get(id) {
--- a/crates/nodes/wingshore-control/src/state/history.rs
+++ b/crates/nodes/wingshore-control/src/state/history.rs
@@ -1,4 +1,4 @@
-//! The newest changes of configuration, kept so that watchers which are behind get a delta.
+//! The newest changes of the configuration, kept so that outdated watchers get a delta.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -8,8 +8,8 @@
 
 /// Most changes kept.
 pub const CHANGES_KEPT: usize = 4_096;
-/// Most encoded bytes of changes kept: beyond that a snapshot is no worse than a delta. The
-/// configuration of 10,000 servers and 1,900 nodes has 523 kB.
+/// Most encoded bytes of changes kept: beyond that a snapshot costs no more than a delta. The
+/// configuration of 10,000 servers and 1,900 nodes takes 523 kB.
 const CHANGE_BYTES_KEPT: u64 = 256 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     bytes: u32,
 }
 
-/// The tail of committed changes; the last one led to the present revision.
+/// The newest committed changes; the last one led to the current revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChangeHistory {
     changes: VecDeque<KeptChange>,
@@ -26,7 +26,7 @@
 }
 
 impl ChangeHistory {
-    /// Adds the newest change and lets the oldest go beyond the bounds.
+    /// Adds the newest change and evicts the oldest ones beyond the limits.
     pub(crate) fn push(&mut self, change: ConfigurationChange) {
         let bytes = encoded_bytes(&change);
         self.changes.push_back(KeptChange { change, bytes });
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The changes after revision `from` up to `current`, when all of them are still kept.
+    /// Returns the changes after revision `from` up to `current`, if all of them are still kept.
     pub(crate) fn since(
         &self,
         from: Revision,
@@ -50,7 +50,7 @@
         Some(self.changes.iter().skip(skipped).map(|kept| &kept.change))
     }
 
-    /// What a watcher that holds `have` needs to hold `configuration`.
+    /// Returns the update that brings a watcher from revision `have` to `configuration`.
     pub(crate) fn update(
         &self,
         have: Revision,
--- a/crates/nodes/wingshore-control/src/state/mod.rs
+++ b/crates/nodes/wingshore-control/src/state/mod.rs
@@ -32,10 +32,10 @@
 pub use plan_table::{CLOSED_PLANS_KEPT, OPEN_PLANS_LIMIT, OPEN_STEPS_LIMIT};
 pub use planner::CHANGES_PER_INTENT;
 
-/// Format of snapshots; the first byte of each.
+/// Version of the snapshot format; the first byte of each snapshot.
 const SNAPSHOT_FORMAT: u8 = 1;
 
-/// The configuration, plans, first answers to intents and published versions.
+/// Replicated state: the configuration, plans, first answers to intents and published versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: Configuration,
@@ -44,18 +44,19 @@
     answers: IntentAnswers,
     /// The newest version published for each pool.
     published: BTreeMap<PoolId, WeightVersion>,
-    /// Engines that a stopped plan did not reach: they stay at their version for now.
+    /// Engines that a stopped plan did not move: they stay at their version until the target
+    /// version of a pool of their service is set again.
     held: BTreeSet<ServerId>,
-    /// Measured times of swaps in milliseconds.
+    /// Mean measured duration of a swap by service, in milliseconds.
     swap_times: BTreeMap<ServiceId, u64>,
-    /// The newest revision that a leader has proved to be in force everywhere.
+    /// The newest revision that a leader has proved to be in force on every node.
     proven_in_force: Revision,
     #[serde(skip)]
     faults: Faults,
 }
 
 impl ControlState {
-    /// An empty state with deliberate faults, for tests.
+    /// Creates an empty state with injected faults, for tests.
     pub fn with_faults(faults: Faults) -> Self {
         Self {
             faults,
@@ -63,42 +64,43 @@
         }
     }
 
-    /// The same state with deliberate faults, for tests that restore a snapshot.
+    /// Sets the injected faults, for tests that restore a snapshot.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// The configuration as committed.
+    /// Returns the committed configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// What a watcher that holds revision `have` needs to hold the newest one.
+    /// Returns the update that brings a watcher from revision `have` to the newest one.
     pub fn update_since(&self, have: Revision) -> ConfigurationUpdate {
         self.history.update(have, &self.configuration)
     }
 
-    /// A plan that is kept.
+    /// Returns a plan, unless it is unknown or has been evicted.
     pub fn plan(&self, id: PlanId) -> Option<&Plan> {
         self.plans.get(id).map(|record| &record.plan)
     }
 
-    /// All plans that are kept, in order of their numbers.
+    /// Returns all plans that are kept, in the order of their ids.
     pub fn plans(&self) -> impl Iterator<Item = &Plan> {
         self.plans.all()
     }
 
-    /// Plans that are proposed or running.
+    /// Returns the plans that are proposed or running.
     pub fn open_plans(&self) -> impl Iterator<Item = &Plan> {
         self.plans.open().map(|record| &record.plan)
     }
 
-    /// Plans that are running.
+    /// Returns the plans that are running.
     pub fn running_plans(&self) -> impl Iterator<Item = &Plan> {
         self.plans.running().map(|record| &record.plan)
     }
 
-    /// The revision of the newest change that a plan has committed.
+    /// Returns the revision of the newest change that a plan has committed, or of its proposal if
+    /// it has committed none; revision 0 for an unknown plan.
     pub fn changed_at(&self, id: PlanId) -> Revision {
         self.plans
             .get(id)
@@ -106,28 +108,29 @@
             .unwrap_or_default()
     }
 
-    /// The newest version published for a pool.
+    /// Returns the newest version published for a pool.
     pub fn published(&self, pool: &PoolId) -> Option<WeightVersion> {
         self.published.get(pool).copied()
     }
 
-    /// Whether a stopped plan left this engine at its version.
+    /// Returns whether a stopped plan left this engine at its version.
     pub fn is_held(&self, server: &ServerId) -> bool {
         self.held.contains(server)
     }
 
-    /// The measured time of a service's swaps, in milliseconds.
+    /// Returns the mean measured duration of a service's swaps, in milliseconds.
     pub fn swap_time(&self, service: &ServiceId) -> Option<u64> {
         self.swap_times.get(service).copied()
     }
 
-    /// The newest revision that a leader has proved to be in force everywhere.
+    /// Returns the newest revision that a leader has proved to be in force on every node.
     pub fn proven_in_force(&self) -> Revision {
         self.proven_in_force
     }
 
-    /// The version that a service's engines are to serve, and the store that has it: the highest
-    /// target among the service's pools, since an engine serves one version at a time.
+    /// Returns the version that a service's engines should serve and the store that has it: the
+    /// highest target version among the service's pools, since an engine serves one version at a
+    /// time.
     pub fn wanted_weights(
         &self,
         service: &ServiceId,
@@ -141,7 +144,7 @@
     }
 }
 
-/// Whether the servers of a service are engines; false where the service does not exist.
+/// Returns whether the servers of a service are engines; false if the service does not exist.
 pub(crate) fn is_engine_service(configuration: &Configuration, id: &ServiceId) -> bool {
     configuration
         .services
--- a/crates/nodes/wingshore-control/src/state/plan_table.rs
+++ b/crates/nodes/wingshore-control/src/state/plan_table.rs
@@ -1,4 +1,4 @@
-//! Plans: open ones are always kept, closed ones as a bounded history.
+//! Table of plans: open plans are always kept, closed ones as a bounded history.
 
 use super::footprint::Footprint;
 use serde::{Deserialize, Serialize};
@@ -6,26 +6,27 @@
 use wingshore_types::ids::{PlanId, Revision};
 use wingshore_types::protocol::control::{Plan, PlanState, PlanStep};
 
-/// Closed plans kept; a resend that comes later is told that its plan is unknown.
+/// Most closed plans kept; a retry that refers to an evicted plan is answered with `UnknownPlan`.
 pub const CLOSED_PLANS_KEPT: usize = 4_000;
-/// Steps of closed plans kept, over all of them; the newest closed plan stays in any case. Bounds
-/// the snapshot.
+/// Most steps of closed plans kept, over all of them, which bounds the snapshot; the newest closed
+/// plan is always kept.
 const CLOSED_STEPS_KEPT: usize = 50_000;
-/// Most plans open at once; beyond that the oldest proposed one becomes stale. A plan may wait a whole
-/// lease for its changes to be in force: 500 were too few for 500 changes at one moment.
+/// Most plans open at once; beyond that the oldest proposed one becomes stale. A plan may wait a
+/// whole lease for its changes to be in force: a limit of 500 was too low for 500 simultaneous
+/// changes.
 pub const OPEN_PLANS_LIMIT: usize = 2_000;
 /// Most steps of open plans, over all of them; beyond that the oldest proposed ones become stale.
 /// Bounds memory: 2,000 plans of 50,000 steps each would not fit.
 pub const OPEN_STEPS_LIMIT: usize = 200_000;
 
-/// A plan with what its execution needs to know.
+/// A plan with the data that its execution needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlanRecord {
-    /// The plan.
+    /// Plan as clients see it.
     pub(crate) plan: Plan,
-    /// What it depends on and touches.
+    /// Resources that it reads or changes.
     pub(crate) footprint: Footprint,
-    /// The revision of its newest committed change: what `AwaitInForce` waits for.
+    /// Revision of its newest committed change, which `AwaitInForce` waits for.
     pub(crate) changed_at: Revision,
 }
 
@@ -34,9 +35,9 @@
         self.plan.steps.len()
     }
 
-    /// Whether the plan still depends on what it touches: it is proposed, or has more to do than
-    /// to wait until its changes are in force.
-    pub(crate) fn is_sensitive(&self) -> bool {
+    /// Returns whether the plan still depends on its footprint: it is proposed, or has steps left
+    /// other than waiting until its changes are in force.
+    pub(crate) fn depends_on_footprint(&self) -> bool {
         match self.plan.state {
             PlanState::Proposed => true,
             PlanState::Running { next_step } => {
@@ -48,7 +49,7 @@
     }
 }
 
-/// All plans that are kept.
+/// All open plans and the newest closed ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlanTable {
     last_id: u64,
@@ -59,13 +60,13 @@
 }
 
 impl PlanTable {
-    /// The number of the next plan.
+    /// Returns the id of the next plan.
     pub(crate) fn next_id(&self) -> PlanId {
         PlanId(self.last_id + 1)
     }
 
-    /// Makes room for another open plan of `steps` steps: the oldest proposed ones become stale
-    /// where there is too much. False when all that is open is running.
+    /// Makes room for another open plan of `steps` steps: marks the oldest proposed plans as stale
+    /// until the limits allow it. Returns false if the running plans alone leave no room.
     pub(crate) fn make_room(&mut self, steps: usize) -> bool {
         let mut open_steps: usize = self.open().map(PlanRecord::steps).sum();
         while self.open.len() >= OPEN_PLANS_LIMIT || open_steps + steps > OPEN_STEPS_LIMIT {
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Adds a proposed plan whose number is [`PlanTable::next_id`].
+    /// Adds a proposed plan whose id is [`PlanTable::next_id`].
     pub(crate) fn add(&mut self, record: PlanRecord) {
         let id = record.plan.id;
         self.last_id = id.0;
@@ -92,35 +93,35 @@
         self.records.insert(id, record);
     }
 
-    /// A plan that is kept.
+    /// Returns a plan, unless it is unknown or has been evicted.
     pub(crate) fn get(&self, id: PlanId) -> Option<&PlanRecord> {
         self.records.get(&id)
     }
 
-    /// All plans that are kept, in order of their numbers.
+    /// Returns all plans that are kept, in the order of their ids.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Plan> {
         self.records.values().map(|record| &record.plan)
     }
 
-    /// Plans that are proposed or running.
+    /// Returns the plans that are proposed or running.
     pub(crate) fn open(&self) -> impl Iterator<Item = &PlanRecord> {
         self.open.iter().filter_map(|id| self.records.get(id))
     }
 
-    /// Plans that are running.
+    /// Returns the plans that are running.
     pub(crate) fn running(&self) -> impl Iterator<Item = &PlanRecord> {
         self.open()
             .filter(|record| matches!(record.plan.state, PlanState::Running { .. }))
     }
 
-    /// Notes the revision of a plan's newest committed change.
+    /// Sets the revision of a plan's newest committed change.
     pub(crate) fn set_changed_at(&mut self, id: PlanId, revision: Revision) {
         if let Some(record) = self.records.get_mut(&id) {
             record.changed_at = revision;
         }
     }
 
-    /// Moves a plan to `state`, closing it where that is an end.
+    /// Sets the state of a plan, and closes the plan if the state is final.
     pub(crate) fn set_state(&mut self, id: PlanId, state: PlanState) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Only a deliberate fault confirms a closed plan.
+    /// Marks a plan as open. The plan was closed before only if an injected fault confirmed a stale
+    /// plan.
     fn reopen(&mut self, id: PlanId, steps: u64) {
         if self.open.insert(id) {
             self.closed.retain(|closed| *closed != id);
--- a/crates/nodes/wingshore-control/src/state/planner.rs
+++ b/crates/nodes/wingshore-control/src/state/planner.rs
@@ -1,4 +1,4 @@
-//! From an intent to the steps of a plan, its cost and its footprint.
+//! Translation of an intent to the steps, cost and footprint of a plan.
 
 use super::checks;
 use super::estimate;
@@ -8,35 +8,35 @@
 use wingshore_types::ids::{PoolId, ServerId, ServiceId, WeightVersion};
 use wingshore_types::protocol::control::{Intent, PlanCost, PlanStep};
 
-/// Most changes of one `Apply` intent.
+/// Most changes in one `Apply` intent.
 pub const CHANGES_PER_INTENT: usize = 50_000;
 
-/// What plans are made from.
+/// Inputs from which plans are made.
 pub(crate) struct Planner<'a> {
-    /// The configuration as committed.
+    /// Committed configuration.
     pub(crate) configuration: &'a Configuration,
     /// The newest version published for each pool.
     pub(crate) published: &'a BTreeMap<PoolId, WeightVersion>,
-    /// Measured times of swaps in milliseconds.
+    /// Mean measured duration of a swap by service, in milliseconds.
     pub(crate) swap_times: &'a BTreeMap<ServiceId, u64>,
 }
 
-/// A plan without number and state.
+/// A plan without id and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlanDraft {
-    /// The moves, in order.
+    /// Steps in order of execution.
     pub(crate) steps: Vec<PlanStep>,
-    /// What they cost.
+    /// Estimated cost of the steps.
     pub(crate) cost: PlanCost,
-    /// What the plan depends on and touches.
+    /// Resources that the plan reads or changes.
     pub(crate) footprint: Footprint,
 }
 
 impl Planner<'_> {
-    /// Makes a plan.
+    /// Makes the draft of a plan for an intent.
     ///
-    /// # Errors
-    /// Says what of the intent is wrong, where, and what is allowed.
+    /// # Errors Returns a message that names the invalid part of the intent, its place and the
+    /// allowed values.
     pub(crate) fn draft(&self, intent: &Intent) -> Result<PlanDraft, String> {
         match intent {
             Intent::Apply(changes) => self.apply(changes),
@@ -55,7 +55,7 @@
         }
         let changes: Vec<_> = changes
             .iter()
-            .map(|change| self.keep_operated(change))
+            .map(|change| self.preserve_operational_fields(change))
             .collect();
         for change in &changes {
             self.check_target(change)?;
@@ -70,9 +70,9 @@
         })
     }
 
-    /// Putting a pool or a server anew leaves its target version or its admission: publications,
-    /// moves, drains and restores see to these.
-    fn keep_operated(&self, change: &ConfigurationChange) -> ConfigurationChange {
+    /// Returns the change with the present target version of its pool or the present admission of
+    /// its server: only publications, moves, drains and restores change these.
+    fn preserve_operational_fields(&self, change: &ConfigurationChange) -> ConfigurationChange {
         let mut change = change.clone();
         match &mut change {
             ConfigurationChange::PutPool(pool) => {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A version must be known to exist: published, or at most the one the pool is at.
+    /// Checks that a version is known to exist: published, or at most the pool's target version.
     fn check_published(&self, pool: &Pool, version: WeightVersion) -> Result<(), String> {
         let published = self.published.get(&pool.id).copied().unwrap_or_default();
         let newest = published.max(pool.target_version);
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    /// The service's engines in use, when the move changes what they are to serve: another pool
-    /// of the service may want a higher version.
+    /// Returns the service's engines in use, or none if the move does not change the version that
+    /// they should serve because another pool of the service has a higher target.
     fn servers_to_swap<'a>(&'a self, pool: &'a Pool, version: WeightVersion) -> Vec<&'a Server> {
         let others = self.configuration.pools.values();
         let highest_other = others
@@ -216,13 +216,13 @@
     }
 }
 
-/// Names listed when one is unknown.
-const NAMES_LISTED: usize = 10;
+/// Most existing names listed in the message about an unknown name.
+const MAX_LISTED_NAMES: usize = 10;
 
 fn unknown<'a>(kind: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let mut names: Vec<&str> = known.take(NAMES_LISTED + 1).collect();
-    if names.len() > NAMES_LISTED {
-        names[NAMES_LISTED] = "…";
+    let mut names: Vec<&str> = known.take(MAX_LISTED_NAMES + 1).collect();
+    if names.len() > MAX_LISTED_NAMES {
+        names[MAX_LISTED_NAMES] = "…";
     }
     if names.is_empty() {
         return format!("{kind} `{name}` does not exist; the configuration has none");
