--- a/crates/nodes/wingshore-control/src/leader/engines.rs
+++ b/crates/nodes/wingshore-control/src/leader/engines.rs
@@ -1,4 +1,4 @@
-//! All engines: their reports and the orders to them.
+//! All engines of the configuration: their reports and the orders to them.
 
 use super::engine::Engine;
 use super::orders::FenceSource;
@@ -19,9 +19,9 @@
 /// A swap that has succeeded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FinishedSwap {
-    /// Of an engine of this service.
+    /// Service that the engine belongs to.
     pub(crate) service: ServiceId,
-    /// From order to report.
+    /// Time from the order to the report that shows the new version.
     pub(crate) took: Duration,
 }
 
@@ -34,23 +34,23 @@
     pub(super) fences: FenceSource,
     /// Engines with an order that has no result yet.
     pub(super) ordered: BTreeSet<ServerId>,
-    /// Reports asked for earlier are of another leadership.
-    began: Instant,
-    /// Only a deliberate fault orders these again although they have the version.
+    /// Start of the leadership; reports polled earlier belong to another leadership.
+    leadership_began: Instant,
+    /// Engines to order again although they have the version; set only by fault injection.
     pub(super) repeated: BTreeSet<ServerId>,
 }
 
 impl Engines {
-    /// At the beginning of a leadership nothing is known of any engine.
+    /// Creates the table at the beginning of a leadership, when there are no reports yet.
     pub(crate) fn new(now: Instant, fences: FenceSource) -> Self {
         Self {
             fences,
-            began: now,
+            leadership_began: now,
             ..Self::default()
         }
     }
 
-    /// Follows the configuration: engines come, go and move.
+    /// Adds, removes and moves engines so that the table matches the configuration.
     pub(crate) fn sync(&mut self, now: Instant, configuration: &Configuration) {
         let gone: Vec<ServerId> = self
             .engines
@@ -75,17 +75,17 @@
         self.index = ServiceIndex::new(engines.map(|(id, engine)| (id, engine.service())));
     }
 
-    /// One engine.
+    /// Returns an engine of the configuration.
     pub(crate) fn get(&self, id: &ServerId) -> Option<&Engine> {
         self.engines.get(id)
     }
 
-    /// Deliberate fault: orders this engine anew, whatever it reports.
+    /// Injected fault: orders this engine to swap again, whatever it reports.
     pub(crate) fn repeat(&mut self, id: &ServerId) {
         self.repeated.insert(id.clone());
     }
 
-    /// Takes in the answer to an order.
+    /// Handles the answer to an order.
     pub(crate) fn on_order_answer(
         &mut self,
         now: Instant,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Takes in an engine's report, or that there was none.
+    /// Handles the answer to a poll; `None` means that the poll failed. Returns the swap that the
+    /// report shows to have succeeded.
     pub(crate) fn on_state(
         &mut self,
         id: &ServerId,
@@ -107,14 +108,14 @@
         view: SchedulerView<'_>,
     ) -> Option<FinishedSwap> {
         let engine = self.engines.get_mut(id)?;
-        if asked_at < self.began {
+        if asked_at < self.leadership_began {
             return None;
         }
         let version = engine.version();
         let took = match report {
             Some(report) => engine.on_report(view.now, asked_at, report, view.settings),
             None => {
-                engine.on_silence(asked_at);
+                engine.on_poll_failure(asked_at);
                 None
             }
         };
@@ -130,12 +131,12 @@
         })
     }
 
-    /// Brings the next poll of an engine forward, at most to the usual interval.
-    pub(crate) fn hurry(&mut self, id: &ServerId, at: Instant) {
-        self.polls.hurry(id, at);
+    /// Makes the next poll of an engine due at `at`, if it is due later.
+    pub(crate) fn poll_by(&mut self, id: &ServerId, at: Instant) {
+        self.polls.poll_by(id, at);
     }
 
-    /// Asks engines for their state, gives new orders and repeats unanswered ones.
+    /// Polls engines for their state, sends new orders and resends unanswered ones.
     pub(crate) fn tick(
         &mut self,
         now: Instant,
@@ -165,7 +166,7 @@
         let engines = &mut self.engines;
         self.ordered.retain(|id| {
             engines.get_mut(id).is_some_and(|engine| {
-                engine.on_time(now, settings);
+                engine.check_timeout(now, settings);
                 engine.has_order()
             })
         });
@@ -191,7 +192,7 @@
         }
     }
 
-    /// All engines at a glance.
+    /// Returns the status of all engines.
     pub(crate) fn status(&self) -> Vec<EngineStatus> {
         let status = |(id, engine): (&ServerId, &Engine)| EngineStatus {
             server: id.clone(),
@@ -210,7 +211,7 @@
         .filter(|server| is_engine_service(configuration, &server.service))
 }
 
-/// Whether a known engine is still in the configuration, at the same address.
+/// Returns whether a known engine is still in the configuration at the same address.
 fn is_same_engine(configuration: &Configuration, id: &ServerId, engine: &Engine) -> bool {
     configuration.servers.get(id).is_some_and(|server| {
         server.address == engine.address() && is_engine_service(configuration, &server.service)
--- a/crates/nodes/wingshore-control/src/leader/executor.rs
+++ b/crates/nodes/wingshore-control/src/leader/executor.rs
@@ -1,5 +1,5 @@
-//! Carries out running plans: checks whether the next step is done, and has that committed before
-//! the one after it begins.
+//! Executes running plans: checks whether the next step is done, and commits that before the step
+//! after it starts.
 
 use super::engines::Engines;
 use super::idle::IdleWatch;
@@ -17,52 +17,53 @@
 /// Progress of a plan, to be committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlanProgress {
-    /// Which plan.
+    /// Id of the plan.
     pub(crate) plan: PlanId,
-    /// Its step.
+    /// Index of the step.
     pub(crate) step: u32,
-    /// What came of it.
+    /// Result of the step.
     pub(crate) result: StepResult,
 }
 
-/// A server that a plan waits for.
+/// A server that a plan waits for to become idle.
 #[derive(Clone, Copy, Debug)]
 struct WatchedServer {
     watch: IdleWatch,
     silent_since: Option<Instant>,
-    /// When it is asked for its load next; only live servers are asked here.
-    ask_next: Instant,
+    /// When its load is polled next; used for live servers only.
+    next_poll_at: Instant,
 }
 
-/// What is known while plans run; volatile.
+/// Execution state of running plans; not replicated.
 #[derive(Debug, Default)]
 pub(crate) struct PlanExecutor {
-    /// Plans whose progress is on its way into the log.
+    /// Plans whose progress is proposed but not yet applied.
     committing: BTreeSet<PlanId>,
     watched: BTreeMap<ServerId, WatchedServer>,
 }
 
-/// What the executor reads.
+/// Inputs of the executor.
 pub(crate) struct ExecutorView<'a> {
-    /// Now.
+    /// Current time.
     pub(crate) now: Instant,
-    /// What is committed.
+    /// Committed state.
     pub(crate) state: &'a ControlState,
-    /// Engines by their reports.
+    /// State of the engines by their reports.
     pub(crate) engines: &'a Engines,
-    /// The newest revision in force everywhere.
+    /// The newest revision in force on every node.
     pub(crate) everywhere: Revision,
     /// Times and limits.
     pub(crate) settings: &'a LeaderSettings,
 }
 
 impl PlanExecutor {
-    /// Progress of a plan was applied, or turned out to be pointless.
+    /// Records that progress of a plan was applied, or ignored because it was outdated.
     pub(crate) fn on_committed(&mut self, plan: PlanId) {
         self.committing.remove(&plan);
     }
 
-    /// Takes in what a server said of its load as of `observed_at`; `None` is no answer.
+    /// Handles a server's report of its load, which was measured `age` before `asked_at`; `None`
+    /// means that the poll failed.
     pub(crate) fn on_load(
         &mut self,
         server: &ServerId,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Checks all running plans; gives what is to be committed.
+    /// Checks all running plans and returns the progress to commit.
     pub(crate) fn advance(&mut self, view: &ExecutorView<'_>) -> Vec<PlanProgress> {
         self.forget_unwatched(view.state);
         let mut progress = Vec::new();
@@ -107,8 +108,8 @@
         progress
     }
 
-    /// Asks live servers that a plan waits for how loaded they are.
-    pub(crate) fn ask_loads(
+    /// Polls the load of the live servers that a plan waits for.
+    pub(crate) fn poll_loads(
         &mut self,
         now: Instant,
         state: &ControlState,
@@ -119,10 +120,12 @@
             let Some(server) = state.configuration().servers.get(id) else {
                 continue;
             };
-            if is_engine_service(state.configuration(), &server.service) || now < watched.ask_next {
+            if is_engine_service(state.configuration(), &server.service)
+                || now < watched.next_poll_at
+            {
                 continue;
             }
-            watched.ask_next = now + settings.poll_interval;
+            watched.next_poll_at = now + settings.poll_interval;
             effects.push(ControlEffect::ReadLoad {
                 server: id.clone(),
                 address: server.address,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Servers that a plan waits for.
+    /// Returns the servers that a plan waits for.
     pub(crate) fn watched(&self) -> impl Iterator<Item = &ServerId> {
         self.watched.keys()
     }
@@ -142,7 +145,7 @@
         view: &ExecutorView<'_>,
     ) -> Option<StepResult> {
         match plan.steps.get(next_step as usize)? {
-            // Changes are committed together with the step before them.
+            // Changes are committed together with the step that precedes them.
             PlanStep::Change(_) => None,
             PlanStep::AwaitInForce => {
                 let everywhere = view.everywhere;
@@ -162,7 +165,7 @@
         let watched = self.watched.entry(id.clone()).or_insert(WatchedServer {
             watch: IdleWatch::new(now),
             silent_since: None,
-            ask_next: now,
+            next_poll_at: now,
         });
         if watched.watch.is_idle_for(view.settings.idle_for) {
             return Some(StepResult::Done { steps: 1 });
--- a/crates/nodes/wingshore-control/src/leader/idle.rs
+++ b/crates/nodes/wingshore-control/src/leader/idle.rs
@@ -1,28 +1,30 @@
-//! Decision: has a server nothing in flight any more?
+//! Decision: does a server have no requests in flight any more?
 //!
-//! Inputs: its own reports of requests in flight, each with the time it is as of; `idle_for`.
+//! Inputs: its own reports of requests in flight, each with the time of the measurement;
+//! `idle_for`.
 //!
-//! Rule: it is idle once every report over `idle_for`, all of them from after its drain was in
-//! force, shows nothing in flight. A request may still be on its way at the first of them.
+//! Rule: a server is idle once every report over `idle_for` shows no requests in flight, and all of
+//! these reports were measured after its drain was in force. One report is not enough, since a
+//! request may still be on its way to the server when it is made.
 //!
-//! Missing input: without reports it is never idle; the plan that waits for it stops after
+//! Missing input: without reports a server is never idle; the plan that waits for it stops after
 //! `unreachable_after`.
 
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Follows one server from the moment on when it can get no new work.
+/// Tracks whether one server is idle, from the time at which it can get no new work.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleWatch {
-    /// Earlier observations say nothing.
+    /// Start of the watch; observations made earlier do not count.
     from: Instant,
-    /// The first of the idle observations in a row.
+    /// Time of the first of the consecutive idle observations.
     idle_since: Option<Instant>,
     newest: Instant,
 }
 
 impl IdleWatch {
-    /// A watch that begins at `from`.
+    /// Creates a watch that starts at `from`.
     pub(crate) fn new(from: Instant) -> Self {
         Self {
             from,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Takes in what the server said of itself as of `observed_at`.
+    /// Records whether the server reported itself idle at `observed_at`.
     pub(crate) fn observe(&mut self, observed_at: Instant, is_idle: bool) {
         if observed_at < self.newest {
             return;
@@ -44,10 +46,10 @@
         };
     }
 
-    /// Whether it was idle at every observation over `long`: a request may have been on its way
-    /// at the first one.
-    pub(crate) fn is_idle_for(&self, long: Duration) -> bool {
+    /// Returns whether it was idle at every observation over `duration`: a request may have been on
+    /// its way to the server at the first one.
+    pub(crate) fn is_idle_for(&self, duration: Duration) -> bool {
         self.idle_since
-            .is_some_and(|since| self.newest.since(since) >= long && since >= self.from)
+            .is_some_and(|since| self.newest.since(since) >= duration && since >= self.from)
     }
 }
--- a/crates/nodes/wingshore-control/src/leader/mod.rs
+++ b/crates/nodes/wingshore-control/src/leader/mod.rs
@@ -24,7 +24,7 @@
 use executor::{ExecutorView, PlanExecutor};
 use leases::NodeLeases;
 use orders::FenceSource;
-use requests::{Query, SortedRequest};
+use requests::{ClassifiedRequest, Query};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use swap_scheduler::SchedulerView;
@@ -43,7 +43,7 @@
 
 type Outputs = LeaderOutputs<ControlLeader>;
 
-/// Who waits for a proposal.
+/// The party that waits for the result of a proposal.
 #[derive(Clone, Copy, Debug)]
 enum Waiter {
     Client(RequestTag),
@@ -51,20 +51,21 @@
     Nobody,
 }
 
-/// How far the configuration has come, for monitoring.
+/// Progress of the configuration on its way to the nodes, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationProgress {
     /// The newest committed revision.
     pub committed: Revision,
-    /// The newest one known to be in force everywhere, as of the last tick.
+    /// The newest revision known to be in force everywhere, as of the last tick.
     pub everywhere: Revision,
-    /// Node processes that hold a configuration lease.
+    /// Number of node processes that hold a configuration lease.
     pub nodes: usize,
-    /// Those of them that have not acknowledged the newest revision.
+    /// Number of those processes that have not acknowledged the newest revision.
     pub nodes_behind: usize,
 }
 
-/// Watches and leases of nodes, execution of plans, orders to engines.
+/// Leader part of the control group: watches and leases of nodes, execution of plans, orders to
+/// engines.
 #[derive(Debug, Default)]
 pub struct ControlLeader {
     settings: LeaderSettings,
@@ -79,11 +80,11 @@
     executor: PlanExecutor,
     swap_times: SwapTimes,
     /// The revision that the engines were last synced with.
-    synced: Option<Revision>,
+    synced_revision: Option<Revision>,
 }
 
 impl ControlLeader {
-    /// A leader with settings of its own and, in tests, deliberate faults.
+    /// Creates a leader with the given settings and, in tests, injected faults.
     pub fn new(settings: LeaderSettings, faults: Faults) -> Self {
         Self {
             settings,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// How far the configuration has come.
+    /// Returns the progress of the configuration on its way to the nodes.
     pub fn progress(&self, state: &ControlState) -> ConfigurationProgress {
         let committed = state.configuration().revision;
         let (nodes, nodes_behind) = self.leases.counts(committed);
@@ -120,13 +121,13 @@
         out: &mut Outputs,
     ) {
         let wait = Duration::from_millis(request.wait_ms).min(self.settings.max_watch);
-        // Who acknowledges nothing holds nothing that could be counted on.
+        // A watch without acknowledgements renews no lease, so its answer grants none.
         let lease = if request.acknowledgements.is_empty() {
             Duration::ZERO
         } else {
             self.settings.lease
         };
-        let counted = self.settings.counted_lease();
+        let counted = self.settings.lease_with_margin();
         self.leases
             .acknowledge(now, counted, request.acknowledgements);
         let lease_ms = u64::try_from(lease.as_millis()).unwrap_or(u64::MAX);
@@ -144,7 +145,7 @@
         out.extend(answers.map(|(tag, reply)| LeaderOutput::Reply { tag, reply }));
     }
 
-    /// The newest revision in force everywhere.
+    /// Updates the leases and returns the newest revision in force everywhere.
     fn everywhere(&mut self, now: Instant, committed: Revision) -> Revision {
         self.leases.update(now, committed);
         if self.faults.in_force_without_acknowledgement {
@@ -186,11 +187,11 @@
         }
     }
 
-    /// Reacts to what was committed.
-    fn follow(&mut self, now: Instant, state: &ControlState, out: &mut Outputs) {
+    /// Updates engines, watches and plans to the committed state.
+    fn update_to_state(&mut self, now: Instant, state: &ControlState, out: &mut Outputs) {
         let revision = state.configuration().revision;
-        if self.synced != Some(revision) {
-            self.synced = Some(revision);
+        if self.synced_revision != Some(revision) {
+            self.synced_revision = Some(revision);
             self.engines.sync(now, state.configuration());
         }
         self.answer_watches(now, state, out);
@@ -220,7 +221,7 @@
         let watched: Vec<ServerId> = self.executor.watched().cloned().collect();
         for server in watched {
             self.engines
-                .hurry(&server, now + self.settings.poll_interval);
+                .poll_by(&server, now + self.settings.poll_interval);
         }
     }
 
@@ -252,15 +253,15 @@
     }
 
     fn tick(&mut self, now: Instant, state: &ControlState, out: &mut Outputs) {
-        self.follow(now, state, out);
+        self.update_to_state(now, state, out);
         let mut effects = Vec::new();
         self.engines.tick(now, state, &self.settings, &mut effects);
         self.executor
-            .ask_loads(now, state, &self.settings, &mut effects);
+            .poll_loads(now, state, &self.settings, &mut effects);
         out.extend(effects.into_iter().map(LeaderOutput::Effect));
     }
 
-    /// Deliberate fault: steps that were done under the leader before are done again.
+    /// Injected fault: repeats the swaps that were completed under the previous leader.
     fn repeat_steps(&mut self, state: &ControlState) {
         for plan in state.running_plans() {
             let PlanState::Running { next_step } = plan.state else {
@@ -300,7 +301,7 @@
             engines: Engines::new(now, FenceSource::new(fence_epoch)),
             leases: NodeLeases::new(
                 now,
-                self.settings.counted_lease(),
+                self.settings.lease_with_margin(),
                 state.proven_in_force(),
                 state.configuration().revision,
             ),
@@ -320,10 +321,10 @@
         state: &ControlState,
         out: &mut Outputs,
     ) {
-        match requests::sort(request) {
-            SortedRequest::Watch(watch) => self.on_watch(now, tag, watch, state, out),
-            SortedRequest::Change(command) => self.propose(Waiter::Client(tag), command, out),
-            SortedRequest::Query(query) => {
+        match requests::classify(request) {
+            ClassifiedRequest::Watch(watch) => self.on_watch(now, tag, watch, state, out),
+            ClassifiedRequest::Change(command) => self.propose(Waiter::Client(tag), command, out),
+            ClassifiedRequest::Query(query) => {
                 let reply = self.answer_query(now, query, state);
                 out.push(LeaderOutput::Reply { tag, reply });
             }
@@ -345,7 +346,7 @@
             (Some(Waiter::Plan(plan)), _) => self.executor.on_committed(plan),
             (Some(Waiter::Client(_) | Waiter::Nobody) | None, _) => {}
         }
-        self.follow(now, state, out);
+        self.update_to_state(now, state, out);
     }
 
     fn on_event(
@@ -359,7 +360,8 @@
             ControlEvent::Configured { replica, settings } => {
                 self.replica = replica;
                 self.settings = *settings;
-                self.leases.lengthen(self.settings.counted_lease());
+                self.leases
+                    .extend_earlier_leases(self.settings.lease_with_margin());
             }
             ControlEvent::OrderAnswered {
                 server,
--- a/crates/nodes/wingshore-control/src/leader/orders.rs
+++ b/crates/nodes/wingshore-control/src/leader/orders.rs
@@ -1,17 +1,17 @@
 //! Decision: is an order to load weights sent, sent again, done or failed?
 //!
-//! Inputs: the engine's answer to the order, its reports with the time at which each was asked for,
+//! Inputs: the engine's answer to the order, its reports with the time at which each was polled,
 //! the time since the order was accepted.
 //!
-//! Rule: an order without answer is sent again under its fence, after a wait that doubles from
-//! `order_timeout` to `max_order_backoff`. It has succeeded when a report that was asked for after
-//! it names its fence, or a higher one, and its version. It has failed when it was refused, when
-//! such a report shows neither the version nor its load, when the engine has restarted without it,
-//! or when `swap_timeout` has passed since its acceptance.
+//! Rule: an unanswered order is sent again under its fence, after a backoff that doubles from
+//! `order_timeout` to `max_order_backoff`. It has succeeded when a report polled after the order
+//! names its fence, or a higher one, and its version. It has failed when it was rejected, when such
+//! a report shows neither the version nor that the version is being loaded, when the engine has
+//! restarted without having seen it, or when `swap_timeout` has passed since its acceptance.
 //!
-//! Why: an answer says that the engine took the order, only a report says what it serves. A fence is
-//! the leader's epoch and a sequence within it, so an engine refuses late orders of an earlier
-//! leader; a new decision has a new fence, and the old order is never sent again.
+//! Why: an answer says that the engine accepted the order; only a report says which version it
+//! serves. A fence is the leader's epoch and a sequence within it, so an engine refuses late orders
+//! of an earlier leader; a new decision has a new fence, and the old order is never sent again.
 //!
 //! Missing input: without a report the order stays open until `swap_timeout`; one that was never
 //! accepted stays open and is sent again.
@@ -24,7 +24,7 @@
 use wingshore_types::platform::{EngineOrder, EngineState, OrderBody, OrderFence};
 use wingshore_types::{Instant, Verdict};
 
-/// Gives out fences of one leadership, each once.
+/// Generates the fences of one leadership, each once.
 #[derive(Debug, Default)]
 pub(crate) struct FenceSource {
     epoch: Epoch,
@@ -32,7 +32,7 @@
 }
 
 impl FenceSource {
-    /// Fences of `epoch`, from sequence 1 on.
+    /// Creates a source of fences of `epoch`, starting at sequence 1.
     pub(crate) fn new(epoch: Epoch) -> Self {
         Self {
             epoch,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The next fence.
+    /// Returns the next fence.
     pub(crate) fn next(&mut self) -> OrderFence {
         self.last_sequence += 1;
         OrderFence {
@@ -50,14 +50,14 @@
     }
 }
 
-/// How an order to load weights stands.
+/// Progress of an order to load weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderProgress {
     /// No result yet.
     Open,
     /// The engine reports the version.
     Succeeded,
-    /// The engine will not come to the version by this order.
+    /// The engine will not serve the version as a result of this order.
     Failed,
 }
 
@@ -72,12 +72,12 @@
     send_wait: Duration,
     accepted_at: Option<Instant>,
     refused: bool,
-    /// The engine's boot when the order was decided.
+    /// Boot id of the engine when the order was created.
     boot_id: u64,
 }
 
 impl SwapOrder {
-    /// A new order, to be sent at once.
+    /// Creates an order that is due to be sent at once.
     pub(crate) fn new(
         now: Instant,
         fence: OrderFence,
@@ -102,33 +102,33 @@
         }
     }
 
-    /// Its fence.
+    /// Returns the fence of the order.
     pub(crate) fn fence(&self) -> OrderFence {
         self.order.fence
     }
 
-    /// The version it asks for.
+    /// Returns the version to load.
     pub(crate) fn version(&self) -> WeightVersion {
         self.version
     }
 
-    /// Where the engine fetches from.
+    /// Returns the address that the engine fetches from.
     pub(crate) fn source(&self) -> SocketAddr {
         self.source
     }
 
-    /// Whether the engine has accepted it.
+    /// Returns whether the engine has accepted the order.
     pub(crate) fn is_accepted(&self) -> bool {
         self.accepted_at.is_some()
     }
 
-    /// When it was sent first.
+    /// Returns when the order was sent for the first time.
     pub(crate) fn first_sent(&self) -> Instant {
         self.first_sent
     }
 
-    /// The order, when it is to be sent now: the first time, or again, under the same fence,
-    /// because no answer has come.
+    /// Returns the order if it is due now: for the first time, or again under the same fence
+    /// because it was not answered.
     pub(crate) fn send_due(
         &mut self,
         now: Instant,
@@ -144,7 +144,7 @@
         Some(self.order.clone())
     }
 
-    /// Takes the engine's answer in.
+    /// Handles the engine's answer.
     pub(crate) fn on_answer(&mut self, now: Instant, answer: OrderAnswer) {
         match answer {
             OrderAnswer::Accepted => {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Judges by the engine's own report. Only one that was asked for after the order counts.
+    /// Returns the progress by the engine's own report; ignores reports polled before the order.
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
@@ -166,7 +166,7 @@
             return OrderProgress::Open;
         }
         if state.last_order.is_some_and(|last| last >= self.fence()) {
-            return self.judge_seen(now, state);
+            return self.progress_of_seen_order(now, state);
         }
         let asked_after_acceptance = self.accepted_at.is_some_and(|at| asked_at > at);
         if state.boot_id != self.boot_id || asked_after_acceptance {
@@ -175,8 +175,8 @@
         OrderProgress::Open
     }
 
-    /// The engine has seen the order, or one above it.
-    fn judge_seen(&mut self, now: Instant, state: &EngineState) -> OrderProgress {
+    /// Returns the progress by a report of an engine that has seen this fence or a higher one.
+    fn progress_of_seen_order(&mut self, now: Instant, state: &EngineState) -> OrderProgress {
         self.accepted_at.get_or_insert(now);
         if state.weight_version == Some(self.version) {
             return OrderProgress::Succeeded;
@@ -187,8 +187,8 @@
         OrderProgress::Failed
     }
 
-    /// Judges by the time it takes.
-    pub(crate) fn on_time(&self, now: Instant, settings: &LeaderSettings) -> OrderProgress {
+    /// Returns the progress by rejection and by the time since acceptance.
+    pub(crate) fn check_timeout(&self, now: Instant, settings: &LeaderSettings) -> OrderProgress {
         let too_long = self
             .accepted_at
             .is_some_and(|at| now.since(at) > settings.swap_timeout);
--- a/crates/nodes/wingshore-control/src/leader/polling.rs
+++ b/crates/nodes/wingshore-control/src/leader/polling.rs
@@ -1,16 +1,17 @@
 //! Decision: which engines are polled for their state now?
 //!
-//! Inputs: when each engine was polled last and whether the poll was answered; the usual time of a
-//! swap of its service, from committed measurements; the pace in polls a second over all engines.
+//! Inputs: when each engine was polled last and whether the poll was answered; the usual duration
+//! of a swap of its service, from committed measurements; the rate limit in polls per second over
+//! all engines.
 //!
-//! Rule: engines at rest are polled every `poll_interval`, less often where that would take more
-//! than half of the pace. An engine that swaps is polled first when its swap should be nearly over,
-//! then at short intervals. The most overdue go first.
+//! Rule: engines that do not swap are polled every `poll_interval`, or less often if that would
+//! take more than half of the rate limit. An engine that swaps is polled first when its swap should
+//! be nearly over, then at short intervals. The most overdue engines go first.
 //!
-//! Why: each poll costs the leader a reading, and each moment between the end of a swap and the poll
-//! that shows it delays the engines that could fetch from this one.
+//! Why: each poll costs the leader the processing of a report, and any time between the end of a
+//! swap and the poll that shows it delays the engines that could fetch from this one.
 //!
-//! Missing input: without a measured time of swaps the usual one is taken to be `poll_interval`. An
+//! Missing input: without a measured duration of swaps, `poll_interval` is assumed. An
 //! unanswered poll is repeated after `poll_timeout`.
 
 use crate::settings::LeaderSettings;
@@ -19,39 +20,40 @@
 use wingshore_types::Instant;
 use wingshore_types::ids::ServerId;
 
-/// Nanoseconds in a second.
-const NANOSECONDS: u64 = 1_000_000_000;
-/// Most unused polls that may be sent at once later, as a time at full pace.
+/// Nanoseconds in a second; also the number of tokens that one poll costs.
+const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
+/// Capacity of the token bucket, as the time in which it fills at the full rate.
 const MAX_BURST: Duration = Duration::from_millis(200);
 
-/// An engine is polled first when this part of the usual time of a swap is over, in parts of
-/// [`POLLS_PER_SWAP`].
-const FIRST_POLL: u32 = 14;
-/// Parts of the usual time of a swap between two further polls.
+/// Part of the usual duration of a swap after which its engine is polled first, in units of
+/// 1/[`POLLS_PER_SWAP`].
+const FIRST_POLL_PART: u32 = 14;
+/// Number of poll intervals in the usual duration of a swap.
 const POLLS_PER_SWAP: u32 = 16;
-/// Longest time from an order to the first poll: a failed swap is to be noticed by then.
+/// Longest time from an order to the first poll, so that a failed swap is detected in time. A
+/// longer `poll_interval` takes precedence.
 const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(5);
 /// Shortest time between two polls of an engine that swaps.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When an engine that swaps is polled whether it is done. Each poll before that costs a
-/// reading, and each moment after it delays those that could fetch from this engine.
+/// When an engine that swaps is polled. A poll before the end of the swap costs the leader the
+/// processing of a report; any time after it delays engines that could fetch from this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SwapPolling {
-    /// From the order to the first poll.
+    /// Time from the order to the first poll.
     pub(crate) first: Duration,
-    /// Between two further ones.
+    /// Time between two further polls.
     pub(crate) interval: Duration,
 }
 
 impl SwapPolling {
-    /// For swaps that usually take `usual`, where that is known.
+    /// Returns the poll times for swaps that usually take `usual`, if that is known.
     pub(crate) fn new(usual: Option<Duration>, settings: &LeaderSettings) -> Self {
         let longest = settings.poll_interval;
         let usual = usual.unwrap_or(longest);
         let interval = usual / POLLS_PER_SWAP;
         Self {
-            first: (usual * FIRST_POLL / POLLS_PER_SWAP)
+            first: (usual * FIRST_POLL_PART / POLLS_PER_SWAP)
                 .min(MAX_FIRST_POLL_DELAY)
                 .max(longest),
             interval: interval.max(MIN_POLL_INTERVAL).min(longest),
@@ -59,25 +61,25 @@
     }
 }
 
-/// One server's place in the schedule.
+/// The next poll of one server, and the time of the poll that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     due: Instant,
     asked_at: Option<Instant>,
 }
 
-/// Which server is asked when.
+/// Schedule of polls, limited by a token bucket.
 #[derive(Debug, Default)]
 pub(crate) struct PollSchedule {
     slots: BTreeMap<ServerId, Slot>,
     by_time: BTreeSet<(Instant, ServerId)>,
-    /// Polls that may be sent now, in units of a billionth.
-    allowance: u64,
+    /// Tokens in the bucket; a poll costs [`NANOSECONDS_PER_SECOND`] of them.
+    tokens: u64,
     updated_at: Instant,
 }
 
 impl PollSchedule {
-    /// Adds a server, to be asked at once as the pace allows.
+    /// Adds a server; its first poll is due at once, subject to the rate limit.
     pub(crate) fn add(&mut self, now: Instant, server: &ServerId) {
         self.put(
             server,
@@ -88,25 +90,25 @@
         );
     }
 
-    /// Lets a server go.
+    /// Removes a server.
     pub(crate) fn remove(&mut self, server: &ServerId) {
         if let Some(slot) = self.slots.remove(server) {
             self.by_time.remove(&(slot.due, server.clone()));
         }
     }
 
-    /// The servers to ask now, the most overdue first.
+    /// Returns the servers to poll now, the most overdue first.
     pub(crate) fn take_due(&mut self, now: Instant, settings: &LeaderSettings) -> Vec<ServerId> {
-        self.gain_allowance(now, settings);
+        self.refill_tokens(now, settings);
         let mut due = Vec::new();
-        while self.allowance >= NANOSECONDS {
+        while self.tokens >= NANOSECONDS_PER_SECOND {
             let Some((at, server)) = self.by_time.first().cloned() else {
                 break;
             };
             if at > now {
                 break;
             }
-            self.allowance -= NANOSECONDS;
+            self.tokens -= NANOSECONDS_PER_SECOND;
             self.put(
                 &server,
                 Slot {
@@ -119,8 +121,8 @@
         due
     }
 
-    /// A poll was answered, or failed: the next one follows after a while, sooner when the
-    /// engine is in a swap.
+    /// Records that a poll was answered or failed, and schedules the next one: sooner if the engine
+    /// is in a swap.
     pub(crate) fn on_answer(
         &mut self,
         server: &ServerId,
@@ -147,8 +149,8 @@
         );
     }
 
-    /// Brings a server's next poll forward.
-    pub(crate) fn hurry(&mut self, server: &ServerId, at: Instant) {
+    /// Makes a server's next poll due at `at`, if it is due later and none is in flight.
+    pub(crate) fn poll_by(&mut self, server: &ServerId, at: Instant) {
         let Some(slot) = self.slots.get(server).copied() else {
             return;
         };
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Moves a server's next poll to `at`, sooner or later, unless one is on its way.
-    pub(crate) fn ask_at(&mut self, server: &ServerId, at: Instant) {
+    /// Moves a server's next poll to `at`, earlier or later, unless one is in flight.
+    pub(crate) fn reschedule(&mut self, server: &ServerId, at: Instant) {
         let Some(slot) = self.slots.get(server).copied() else {
             return;
         };
@@ -167,21 +169,22 @@
         }
     }
 
-    /// Engines at rest take half of the pace at most; the rest is for those that swap.
+    /// Returns the poll interval of engines that do not swap. They use at most half of the rate
+    /// limit; the rest is for engines that swap.
     fn steady_interval(&self, settings: &LeaderSettings) -> Duration {
         let servers = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
         let whole_round = Duration::from_secs(1) * servers / settings.polls_per_second.max(1);
         settings.poll_interval.max(whole_round * 2)
     }
 
-    fn gain_allowance(&mut self, now: Instant, settings: &LeaderSettings) {
+    fn refill_tokens(&mut self, now: Instant, settings: &LeaderSettings) {
         let pace = u64::from(settings.polls_per_second.max(1));
         let elapsed = now.since(self.updated_at).min(MAX_BURST);
         let gained = u64::try_from(elapsed.as_nanos()).unwrap_or(u64::MAX);
         let most = u64::try_from(MAX_BURST.as_nanos()).unwrap_or(u64::MAX);
-        let limit = most.saturating_mul(pace).max(NANOSECONDS);
-        self.allowance = self
-            .allowance
+        let limit = most.saturating_mul(pace).max(NANOSECONDS_PER_SECOND);
+        self.tokens = self
+            .tokens
             .saturating_add(gained.saturating_mul(pace))
             .min(limit);
         self.updated_at = now;
--- a/crates/nodes/wingshore-control/src/leader/requests.rs
+++ b/crates/nodes/wingshore-control/src/leader/requests.rs
@@ -1,16 +1,16 @@
-//! What a client's request asks for: a watch, a change by way of the log, or a query.
+//! Classification of client requests: a watch, a change that goes through the log, or a query.
 
 use crate::command::ControlCommand;
 use crate::state::ControlState;
 use wingshore_types::ids::PlanId;
 use wingshore_types::protocol::control::{ControlRequest, Plan, PlanState, WatchRequest};
 
-/// Closed plans in one listing; others are shown by their numbers. Bounds the answer.
-const CLOSED_PLANS_LISTED: usize = 500;
+/// Most closed plans in one listing, which bounds the answer; others can be requested by their ids.
+const MAX_LISTED_CLOSED_PLANS: usize = 500;
 
-/// A request by what it takes to answer it.
-pub(super) enum SortedRequest {
-    /// Answered when there is news.
+/// A request, classified by how it is answered.
+pub(super) enum ClassifiedRequest {
+    /// Answered when there is a newer revision, or at its deadline.
     Watch(WatchRequest),
     /// Answered when the command is applied.
     Change(ControlCommand),
@@ -18,59 +18,59 @@
     Query(Query),
 }
 
-/// A request that changes nothing.
+/// A read-only request.
 pub(super) enum Query {
-    /// One plan.
+    /// A single plan.
     Plan(PlanId),
-    /// A listing.
+    /// Open plans and the newest closed plans.
     Plans,
-    /// The site at a glance.
+    /// Status of the site.
     Status,
-    /// The configuration.
+    /// The committed configuration.
     Configuration,
 }
 
-/// Sorts a request.
-pub(super) fn sort(request: ControlRequest) -> SortedRequest {
+/// Classifies a request.
+pub(super) fn classify(request: ControlRequest) -> ClassifiedRequest {
     match request {
-        ControlRequest::Watch(watch) => SortedRequest::Watch(watch),
+        ControlRequest::Watch(watch) => ClassifiedRequest::Watch(watch),
         ControlRequest::Propose {
             intent_id,
             base_revision,
             intent,
-        } => SortedRequest::Change(ControlCommand::Propose {
+        } => ClassifiedRequest::Change(ControlCommand::Propose {
             intent_id,
             base_revision,
             intent,
         }),
         ControlRequest::Confirm { intent_id, plan } => {
-            SortedRequest::Change(ControlCommand::Confirm { intent_id, plan })
+            ClassifiedRequest::Change(ControlCommand::Confirm { intent_id, plan })
         }
         ControlRequest::Cancel { intent_id, plan } => {
-            SortedRequest::Change(ControlCommand::Cancel { intent_id, plan })
+            ClassifiedRequest::Change(ControlCommand::Cancel { intent_id, plan })
         }
         ControlRequest::Publish {
             intent_id,
             pool,
             version,
-        } => SortedRequest::Change(ControlCommand::Publish {
+        } => ClassifiedRequest::Change(ControlCommand::Publish {
             intent_id,
             pool,
             version,
         }),
-        ControlRequest::ShowPlan(id) => SortedRequest::Query(Query::Plan(id)),
-        ControlRequest::ListPlans => SortedRequest::Query(Query::Plans),
-        ControlRequest::Status => SortedRequest::Query(Query::Status),
-        ControlRequest::ReadConfiguration => SortedRequest::Query(Query::Configuration),
+        ControlRequest::ShowPlan(id) => ClassifiedRequest::Query(Query::Plan(id)),
+        ControlRequest::ListPlans => ClassifiedRequest::Query(Query::Plans),
+        ControlRequest::Status => ClassifiedRequest::Query(Query::Status),
+        ControlRequest::ReadConfiguration => ClassifiedRequest::Query(Query::Configuration),
     }
 }
 
-/// Open plans and the newest closed ones, in order of their numbers.
+/// Returns the open plans and the newest closed ones, in the order of their ids.
 pub(super) fn listed_plans(state: &ControlState) -> Vec<Plan> {
     let is_open =
         |plan: &Plan| matches!(plan.state, PlanState::Proposed | PlanState::Running { .. });
     let closed = state.plans().filter(|plan| !is_open(plan)).count();
-    let mut skipped = closed.saturating_sub(CLOSED_PLANS_LISTED);
+    let mut skipped = closed.saturating_sub(MAX_LISTED_CLOSED_PLANS);
     let mut listed = Vec::new();
     for plan in state.plans() {
         if !is_open(plan) && skipped > 0 {
--- a/crates/nodes/wingshore-control/src/leader/service_index.rs
+++ b/crates/nodes/wingshore-control/src/leader/service_index.rs
@@ -1,4 +1,4 @@
-//! Which engines each service has, and which services need no check because all is done there.
+//! Index of engines by service, with a flag for services whose engines need no check.
 
 use std::collections::BTreeMap;
 use wingshore_types::ids::{ServerId, ServiceId};
@@ -7,18 +7,19 @@
 #[derive(Clone, Debug, Default)]
 struct ServiceEngines {
     members: Vec<ServerId>,
-    /// Every engine serves what is wanted, and nothing has been heard since that speaks against it.
+    /// Whether every engine serves the wanted version or is held, and no later report has changed
+    /// that.
     is_settled: bool,
 }
 
-/// Engines by service.
+/// Index of engines by service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceIndex {
     services: BTreeMap<ServiceId, ServiceEngines>,
 }
 
 impl ServiceIndex {
-    /// The index of a new configuration; no service is settled.
+    /// Builds the index of a new configuration; no service is settled.
     pub(crate) fn new<'a>(engines: impl Iterator<Item = (&'a ServerId, &'a ServiceId)>) -> Self {
         let mut index = Self::default();
         for (server, service) in engines {
@@ -28,7 +29,7 @@
         index
     }
 
-    /// Services that may have something to do.
+    /// Returns the services whose engines may need swaps.
     pub(crate) fn unsettled(&self) -> Vec<ServiceId> {
         let unsettled = self
             .services
@@ -37,14 +38,14 @@
         unsettled.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The engines of a service.
+    /// Returns the engines of a service.
     pub(crate) fn members(&self, service: &ServiceId) -> &[ServerId] {
         self.services
             .get(service)
             .map_or(&[], |engines| engines.members.as_slice())
     }
 
-    /// Notes whether a service has nothing to do.
+    /// Sets whether all engines of a service are settled.
     pub(crate) fn set_settled(&mut self, service: &ServiceId, is_settled: bool) {
         if let Some(engines) = self.services.get_mut(service) {
             engines.is_settled = is_settled;
--- a/crates/nodes/wingshore-control/src/leader/store_fetches.rs
+++ b/crates/nodes/wingshore-control/src/leader/store_fetches.rs
@@ -1,10 +1,10 @@
-//! Fetches from weight stores. A store may serve the pools of several services, and its limit
-//! holds for all of them together.
+//! Counts of concurrent fetches from weight stores. A store may serve the pools of several
+//! services, and its limit applies to all of them together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How many engines, of all services, fetch from each store now.
+/// Number of engines, over all services, that fetch from each store now.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoreFetches {
     by_store: BTreeMap<SocketAddr, usize>,
@@ -16,7 +16,7 @@
         *self.by_store.entry(store).or_default() += 1;
     }
 
-    /// How many fetches from `store` go on.
+    /// Returns the number of fetches from `store` in progress.
     pub(super) fn count(&self, store: SocketAddr) -> usize {
         self.by_store.get(&store).copied().unwrap_or(0)
     }
--- a/crates/nodes/wingshore-control/src/leader/swap_scheduler.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_scheduler.rs
@@ -1,4 +1,4 @@
-//! Which engines are ordered to swap now, by the policy of [`crate::swaps`].
+//! Orders engines to swap, by the policy of [`crate::swaps`].
 
 use super::engine::Engine;
 use super::engines::Engines;
@@ -14,26 +14,26 @@
 use wingshore_types::configuration::{Admission, Server};
 use wingshore_types::ids::{ServerId, ServiceId, WeightVersion};
 
-/// What a service's engines are to serve.
+/// The version that a service's engines should serve, and the store that has it.
 #[derive(Clone, Copy, Debug)]
 struct Wanted {
     version: WeightVersion,
     store: SocketAddr,
 }
 
-/// What the scheduler reads.
+/// Inputs of the scheduler.
 #[derive(Clone, Copy)]
 pub(crate) struct SchedulerView<'a> {
-    /// Now.
+    /// Current time.
     pub(crate) now: Instant,
-    /// What is committed.
+    /// Committed state.
     pub(crate) state: &'a ControlState,
     /// Times and limits.
     pub(crate) settings: &'a LeaderSettings,
 }
 
 impl SchedulerView<'_> {
-    /// When engines of a service that swap are asked.
+    /// Returns when engines of a service that swap are polled.
     pub(super) fn swap_polling(&self, service: &ServiceId) -> SwapPolling {
         let usual = self.state.swap_time(service).map(Duration::from_millis);
         SwapPolling::new(usual, self.settings)
@@ -41,9 +41,9 @@
 }
 
 impl Engines {
-    /// Gives new orders to swap. Stores have few places: the services of which no engine has, or
-    /// fetches, what is wanted get one each before any gets more, so that all can go on from
-    /// engine to engine soon.
+    /// Creates new orders to swap. Stores serve only a few fetches at once, so each service in
+    /// which no engine has or fetches the wanted version gets one fetch from its store before any
+    /// service gets more. Engines can then soon fetch from each other in all services.
     pub(super) fn begin_swaps(&mut self, view: SchedulerView<'_>) {
         let mut unsettled = Vec::new();
         for service in self.index.unsettled() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Begins swaps of a service, at most `from_store` of them from the store.
+    /// Starts swaps of a service, at most `from_store` of them from the store.
     fn begin_swaps_of(
         &mut self,
         service: &ServiceId,
@@ -90,7 +90,7 @@
         self.index.set_settled(service, is_settled);
     }
 
-    /// Fetches that go on from the stores of these services.
+    /// Counts the fetches in progress from the stores of these services.
     fn store_fetches(&self, services: &[(ServiceId, Wanted)]) -> StoreFetches {
         let mut fetches = StoreFetches::default();
         for (service, wanted) in services {
@@ -103,7 +103,7 @@
         fetches
     }
 
-    /// Whether an engine of the service has what is wanted, or fetches it.
+    /// Returns whether an engine of the service has the wanted version or fetches it.
     fn has_source(&self, service: &ServiceId, wanted: Wanted) -> bool {
         self.members(service).any(|engine| {
             let fetches = engine.has_order() && engine.ordered_version() == Some(wanted.version);
@@ -116,7 +116,7 @@
         members.filter_map(|id| self.engines.get(id))
     }
 
-    /// Engines of a service that take work and answer.
+    /// Returns the engines of a service that accept work and are reachable.
     fn candidates<'a>(
         &self,
         service: &ServiceId,
@@ -134,7 +134,7 @@
             .collect()
     }
 
-    /// Whether all engines in use serve what is wanted, or were left where they are.
+    /// Returns whether all engines in use serve the wanted version or are held at their version.
     fn is_settled(&self, service: &ServiceId, wanted: Wanted, view: SchedulerView<'_>) -> bool {
         let servers = &view.state.configuration().servers;
         let mut members = self.index.members(service).iter();
@@ -179,15 +179,15 @@
         let boot_id = engine.boot_id().unwrap_or_default();
         let fence = self.fences.next();
         let order = SwapOrder::new(view.now, fence, version, start.source, boot_id);
-        engine.give_order(view.now, order);
+        engine.set_order(view.now, order);
         let polling = view.swap_polling(engine.service());
         let first = view.now + polling.first;
-        self.polls.ask_at(&start.server, first);
+        self.polls.reschedule(&start.server, first);
         self.ordered.insert(start.server);
     }
 }
 
-/// An engine that a stopped plan left behind counts as one that has nothing to do.
+/// Returns whether a stopped plan left the engine at its known version; it then needs no swap.
 fn is_held(id: &ServerId, engine: &Engine, view: SchedulerView<'_>) -> bool {
     engine.version().is_some() && view.state.is_held(id)
 }
--- a/crates/nodes/wingshore-control/src/leader/swap_steps.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_steps.rs
@@ -1,17 +1,17 @@
-//! Decision: does a plan move past its swaps, wait for them, or stop?
+//! Decision: does a plan advance past its swaps, wait for them, or stop?
 //!
-//! Inputs: each engine's version by its report, failed swaps in a row to the plan's version, how
-//! long it has been silent, its admission.
+//! Inputs: each engine's version by its report, its consecutive failed swaps to the plan's version,
+//! how long it has been silent, its admission.
 //!
-//! Rule: swaps that follow each other go on side by side, as the swap policy allows; the plan moves
-//! past those at its head that are done, and past engines that are gone, drained or unreachable. An
-//! engine with `swap_failures_that_stop_a_plan` failures in a row is passed over while fewer than
-//! one in [`FAILING_SHARE`] fail and some have succeeded; otherwise the plan stops.
+//! Rule: consecutive swap steps run concurrently, as the swap policy allows; the plan advances past
+//! the leading steps that are done, and past engines that are removed, drained or unreachable. An
+//! engine with `max_swap_failures` consecutive failures is skipped while fewer than
+//! one in [`FAILING_SHARE_DIVISOR`] engines fail and some have succeeded; otherwise the plan stops.
 //!
-//! Why: one bad engine must not stop a move, and a version that fails everywhere must not take away
-//! more than a quarter of the engines.
+//! Why: one faulty engine must not stop a move, and a version that fails everywhere must not make
+//! more than a quarter of the engines unavailable.
 //!
-//! Missing input: an engine without a report counts as not there yet until it is unreachable.
+//! Missing input: the swap of an engine without a report is open until the engine is unreachable.
 
 use super::executor::ExecutorView;
 use crate::command::StepResult;
@@ -19,22 +19,24 @@
 use wingshore_types::ids::{ServerId, WeightVersion};
 use wingshore_types::protocol::control::{Plan, PlanStep};
 
-/// A plan stops when one in so many of its engines keeps failing.
-const FAILING_SHARE: usize = 4;
+/// A plan stops when at least one in this many of its engines keeps failing.
+const FAILING_SHARE_DIVISOR: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SwapOutcome {
     /// The engine reports the version.
     Swapped,
-    /// It is gone, takes no work or is silent: it is brought to the version once it is reachable again.
-    PassedOver,
-    /// Not there yet.
+    /// The engine is removed, accepts no work or is unreachable; it is moved to the version once it
+    /// is reachable again.
+    Skipped,
+    /// The engine does not serve the version yet.
     Open,
-    /// It has failed too often in a row to be waited for; it is tried again all the same.
+    /// The engine has reached the limit of consecutive failures; the plan does not wait for it, but
+    /// the swap is still retried.
     Failing,
 }
 
-/// What the swaps from `next_step` on have come to.
+/// Checks the consecutive swaps from `next_step` on and returns their result, if there is one yet.
 pub(super) fn check(plan: &Plan, next_step: u32, view: &ExecutorView<'_>) -> Option<StepResult> {
     let mut done = 0;
     for step in plan.steps.iter().skip(next_step as usize) {
@@ -42,7 +44,7 @@
             break;
         };
         match outcome(server, *version, view) {
-            SwapOutcome::Swapped | SwapOutcome::PassedOver => done += 1,
+            SwapOutcome::Swapped | SwapOutcome::Skipped => done += 1,
             SwapOutcome::Open => break,
             SwapOutcome::Failing => match reason_to_stop(plan, server, *version, view) {
                 None => done += 1,
@@ -58,23 +60,23 @@
     let server = view.state.configuration().servers.get(id);
     let in_use = server.is_some_and(|server| server.admission == Admission::Open);
     let Some(engine) = view.engines.get(id).filter(|_| in_use) else {
-        return SwapOutcome::PassedOver;
+        return SwapOutcome::Skipped;
     };
     let settings = view.settings;
     if engine.version() == Some(version) && !engine.is_swapping() {
         return SwapOutcome::Swapped;
     }
     if engine.is_draining() || engine.is_unreachable(view.now, settings.unreachable_after) {
-        return SwapOutcome::PassedOver;
+        return SwapOutcome::Skipped;
     }
-    if engine.failures_at(version) >= settings.swap_failures_that_stop_a_plan {
+    if engine.failures_to(version) >= settings.max_swap_failures {
         return SwapOutcome::Failing;
     }
     SwapOutcome::Open
 }
 
-/// A failing engine among many that succeed is its own trouble; where many fail, or none has
-/// succeeded, it is the version's.
+/// Returns why the plan must stop, if it must. A failing engine among many that succeed is assumed
+/// to be faulty itself; if many fail, or none has succeeded, the version is assumed to be at fault.
 fn reason_to_stop(
     plan: &Plan,
     failing: &ServerId,
@@ -96,7 +98,7 @@
             .count()
     };
     let failed = count(SwapOutcome::Failing);
-    if failed * FAILING_SHARE < outcomes.len() && count(SwapOutcome::Swapped) > 0 {
+    if failed * FAILING_SHARE_DIVISOR < outcomes.len() && count(SwapOutcome::Swapped) > 0 {
         return None;
     }
     Some(format!(
--- a/crates/nodes/wingshore-control/src/leader/swap_times.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_times.rs
@@ -1,12 +1,12 @@
-//! Decision: when is the usual time of a service's swaps committed anew?
+//! Decision: when is a new mean of a service's swap durations committed?
 //!
-//! Inputs: the time of each swap from its order to the report that shows it, in milliseconds; the
-//! committed mean.
+//! Inputs: the duration of each swap from its order to the report that shows it, in milliseconds;
+//! the committed mean.
 //!
-//! Rule: a smoothed mean is committed when it differs from the committed one by more than a fifth,
-//! at most every [`COMMIT_INTERVAL`] for a service. Plans estimate their duration from it, and
-//! [`super::polling`] the first poll of an engine that swaps; both do with a rough figure, so that
-//! few commits are enough.
+//! Rule: an exponentially smoothed mean is committed when it differs from the committed one by more
+//! than a fifth, at most once every [`COMMIT_INTERVAL`] per service. Plans estimate their duration
+//! from it, and [`super::polling`] the time of the first poll of an engine that swaps; a rough
+//! estimate suffices for both, so few commits are enough.
 
 use super::engines::FinishedSwap;
 use crate::command::ControlCommand;
@@ -16,11 +16,11 @@
 use wingshore_types::Instant;
 use wingshore_types::ids::ServiceId;
 
-/// Weight of the earlier mean against one new measurement.
+/// Weight of the earlier mean relative to one new measurement.
 const EARLIER_WEIGHT: u64 = 3;
-/// A mean is committed when it differs from the committed one by more than one part in this.
-const CHANGE_THAT_MATTERS: u64 = 5;
-/// Least time between two commits for one service.
+/// A mean is committed when it differs from the committed one by more than one part in this many.
+const CHANGE_THRESHOLD_DIVISOR: u64 = 5;
+/// Shortest time between two commits for one service.
 const COMMIT_INTERVAL: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
@@ -29,14 +29,14 @@
     committed_at: Option<Instant>,
 }
 
-/// Smoothed means by service.
+/// Smoothed means of swap durations by service.
 #[derive(Debug, Default)]
 pub(crate) struct SwapTimes {
     means: BTreeMap<ServiceId, Mean>,
 }
 
 impl SwapTimes {
-    /// Takes a measurement in; answers a command when the committed mean is out of date.
+    /// Records a measurement; returns a command if the committed mean is out of date.
     pub(crate) fn record(
         &mut self,
         now: Instant,
@@ -53,7 +53,7 @@
         mean.milliseconds = weighted.saturating_add(measured) / (EARLIER_WEIGHT + 1);
         let is_new = committed.is_none_or(|old| {
             old.abs_diff(mean.milliseconds)
-                .saturating_mul(CHANGE_THAT_MATTERS)
+                .saturating_mul(CHANGE_THRESHOLD_DIVISOR)
                 > old
         });
         let may_commit = mean
--- a/crates/nodes/wingshore-control/src/leader/watches.rs
+++ b/crates/nodes/wingshore-control/src/leader/watches.rs
@@ -7,14 +7,14 @@
 use wingshore_types::machine::RequestTag;
 use wingshore_types::protocol::control::ControlReply;
 
-/// A watch.
+/// A watch that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenWatch {
-    /// The revision that the watcher holds.
+    /// Revision that the watcher has.
     pub(crate) have: Revision,
-    /// It is answered by then in any case.
+    /// When it is answered even without a newer revision.
     pub(crate) deadline: Instant,
-    /// The lease that comes with the answer.
+    /// Lease granted with the answer, in milliseconds.
     pub(crate) lease_ms: u64,
 }
 
@@ -24,17 +24,18 @@
     }
 }
 
-/// An answer to a watch.
+/// The request tag of a watch and its answer.
 pub(crate) type WatchAnswer = (RequestTag, ControlReply);
 
-/// All watches that wait for news.
+/// Open watches, which wait for a newer revision.
 #[derive(Debug, Default)]
 pub(crate) struct Watches {
     open: BTreeMap<RequestTag, OpenWatch>,
 }
 
 impl Watches {
-    /// Answers a watch at once when there is news, or else keeps it.
+    /// Answers a watch at once if there is a newer revision or its deadline has passed; otherwise
+    /// keeps it open.
     pub(crate) fn add(
         &mut self,
         now: Instant,
@@ -49,7 +50,7 @@
         None
     }
 
-    /// Answers for which there is news, or whose time is over.
+    /// Removes and answers the watches that have a newer revision or whose deadline has passed.
     pub(crate) fn answer_due(&mut self, now: Instant, state: &ControlState) -> Vec<WatchAnswer> {
         let newest = state.configuration().revision;
         let due = self
--- a/crates/nodes/wingshore-control/src/state/estimate.rs
+++ b/crates/nodes/wingshore-control/src/state/estimate.rs
@@ -1,4 +1,4 @@
-//! What plans cost, from the configuration and from measured times of swaps.
+//! Cost estimates of plans, from the configuration and measured swap durations.
 
 use super::is_engine_service;
 use crate::settings::LeaderSettings;
@@ -8,15 +8,16 @@
 use wingshore_types::ids::{ServerId, ServiceId, WeightVersion};
 use wingshore_types::protocol::control::PlanCost;
 
-/// Time of one swap, in milliseconds, until one has been measured.
+/// Assumed duration of one swap, in milliseconds, until one has been measured.
 pub const ASSUMED_SWAP_MS: u64 = 5_000;
 
-/// Time until a change is in force everywhere when a node has frozen: its lease runs out.
+/// Returns the longest time, in milliseconds, until a change is in force everywhere: the lease of a
+/// frozen node has to expire first.
 fn in_force_ms() -> u64 {
-    u64::try_from(LeaderSettings::default().counted_lease().as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(LeaderSettings::default().lease_with_margin().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Slots of a service, over all its servers.
+/// Returns the slots of `servers` servers of a service.
 fn slots(configuration: &Configuration, service: &ServiceId, servers: usize) -> u32 {
     let per_server = configuration
         .services
@@ -25,7 +26,7 @@
     per_server.saturating_mul(u32::try_from(servers).unwrap_or(u32::MAX))
 }
 
-fn slots_of_service(configuration: &Configuration, service: &ServiceId) -> u32 {
+fn total_slots(configuration: &Configuration, service: &ServiceId) -> u32 {
     slots(
         configuration,
         service,
@@ -37,7 +38,7 @@
     u32::try_from(servers).unwrap_or(u32::MAX)
 }
 
-/// Cost of changes made all at once.
+/// Returns the cost of changes that are applied all at once.
 pub(crate) fn apply_cost(before: &Configuration, changes: &[ConfigurationChange]) -> PlanCost {
     let leaving: BTreeSet<&ServerId> = changes.iter().filter_map(leaving_server).collect();
     let leaving: Vec<&Server> = leaving
@@ -49,9 +50,7 @@
     let away = leaving
         .iter()
         .map(|server| slots(before, &server.service, 1));
-    let total = services
-        .iter()
-        .map(|service| slots_of_service(before, service));
+    let total = services.iter().map(|service| total_slots(before, service));
     PlanCost {
         servers_affected: count(leaving.len()),
         servers_away_at_once: count(leaving.len()),
@@ -73,7 +72,7 @@
     }
 }
 
-/// Cost of moving a pool's engines to `version`, of which `engines` have to swap.
+/// Returns the cost of moving a pool to `version`, for which `engines` engines have to swap.
 pub(crate) fn move_cost(
     configuration: &Configuration,
     pool: &Pool,
@@ -98,12 +97,13 @@
         slots_away_at_once: slots_away,
         slots_total,
         duration_ms,
-        trainer_idle_ms: lost_share(duration_ms, slots_away, slots_total),
+        trainer_idle_ms: delay_of_lost_slots(duration_ms, slots_away, slots_total),
         staleness_versions: version.0.abs_diff(pool.target_version.0),
     }
 }
 
-/// Cost of draining a server: it is away from then on; idle time is counted until it is idle.
+/// Returns the cost of draining a server. The server stays unavailable, but the trainer's idle time
+/// is counted only until the server is idle.
 pub(crate) fn drain_cost(configuration: &Configuration, server: &Server) -> PlanCost {
     let service = configuration.services.get(&server.service);
     let longest_request_ms = service.map_or(0, |service| service.default_deadline_ms);
@@ -114,9 +114,9 @@
     let is_engine = is_engine_service(configuration, &server.service);
     let duration_ms = in_force_ms().saturating_add(longest_request_ms);
     let slots_away = slots(configuration, &server.service, 1);
-    let slots_total = slots_of_service(configuration, &server.service);
+    let slots_total = total_slots(configuration, &server.service);
     let trainer_idle_ms = if feeds_pool && is_engine {
-        lost_share(duration_ms, slots_away, slots_total)
+        delay_of_lost_slots(duration_ms, slots_away, slots_total)
     } else {
         0
     };
@@ -131,18 +131,19 @@
     }
 }
 
-/// Cost of opening a server again: no capacity goes away.
+/// Returns the cost of opening a server again, which makes no capacity unavailable.
 pub(crate) fn restore_cost(configuration: &Configuration, server: &Server) -> PlanCost {
     PlanCost {
         servers_affected: 1,
-        slots_total: slots_of_service(configuration, &server.service),
+        slots_total: total_slots(configuration, &server.service),
         duration_ms: in_force_ms(),
         ..PlanCost::default()
     }
 }
 
-/// The time by which work that takes all slots is drawn out when some are away.
-fn lost_share(duration_ms: u64, slots_away: u32, slots_total: u32) -> u64 {
+/// Returns the delay, in milliseconds, of work that uses all slots while some are unavailable for
+/// `duration_ms`.
+fn delay_of_lost_slots(duration_ms: u64, slots_away: u32, slots_total: u32) -> u64 {
     if slots_total == 0 {
         return 0;
     }
--- a/crates/nodes/wingshore-control/src/swaps.rs
+++ b/crates/nodes/wingshore-control/src/swaps.rs
@@ -1,20 +1,21 @@
-//! Decision: which engines of a service begin to take new weights now, and from which source each?
+//! Decision: which engines of a service start to load new weights now, and from which source?
 //!
-//! Inputs: each engine's version by its own report, its source while it fetches, whether it is
-//! ready; the wanted version; the limits, all in engines. No state and no clock.
+//! Inputs: for each engine, the version that it reports, its source while it fetches, and whether
+//! it is ready; the wanted version; the limits, counted in engines. No state and no clock.
 //!
-//! Rule: engines of unknown version go first, since they are away already; the others follow in the
-//! order given, as long as no more than [`SwapLimits::away_at_once`] are away. The store is drawn on
-//! first, then engines that have the version, each up to its number of fetches at once. An engine
-//! whose last swap failed fetches from the store only.
+//! Rule: engines of unknown version go first, since they are unavailable ("away") already; the
+//! others follow in the given order while no more than [`SwapLimits::away_at_once`] are away. The
+//! store is used as a source first, then engines that have the version, each up to its limit of
+//! concurrent fetches. An engine whose last swap failed fetches from the store only.
 //!
-//! Why: a swap takes an engine away from rollouts until its own report names the new version, so
-//! only a share swaps at once, and never more than live requests leave. The store serves a few
-//! fetches at a time; at larger services, engines that have the version serve it to others, so that
-//! the number of sources grows with each round.
+//! Why: a swap makes an engine unavailable for rollouts until its own report names the new version,
+//! so only a share swaps at once, and never more than the share that is not guaranteed to live
+//! requests. The store serves a few fetches at a time; in larger services, engines that have the
+//! version serve it to others, so that the number of sources grows with each round.
 //!
 //! Missing input: an engine without a report, or one that does not answer, is not ready and keeps
-//! its place; a version that no report names counts as unknown, and its engine as away.
+//! its position in the order; an engine whose version no report names has an unknown version and
+//! counts as away.
 
 use crate::settings::LeaderSettings;
 use std::collections::BTreeMap;
@@ -22,24 +23,24 @@
 use wingshore_types::configuration::Permille;
 use wingshore_types::ids::{ServerId, WeightVersion};
 
-/// How many swaps may go on at once.
+/// Limits on concurrent swaps and fetches of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwapLimits {
-    /// Most engines of the service away at once, at least one.
+    /// Most engines of the service that are away at once, at least one.
     pub away_at_once: usize,
-    /// Most fetches from the weight store at once.
+    /// Most concurrent fetches from the weight store.
     pub fetches_per_store: usize,
-    /// Most fetches from one engine at once; zero where engines are no sources.
+    /// Most concurrent fetches from one engine; zero if engines do not serve as sources.
     pub fetches_per_engine: usize,
 }
 
 impl SwapLimits {
-    /// The limits of a service with so many engines, of which `live_share` is guaranteed to live
-    /// requests.
+    /// Returns the limits of a service with `engines` engines, of which the share `live_share` is
+    /// guaranteed to live requests.
     pub fn new(settings: &LeaderSettings, engines: usize, live_share: Permille) -> Self {
         let beside_live = Permille::WHOLE.0.saturating_sub(live_share.0);
-        let share = usize::from(settings.away_share.0.min(beside_live));
-        let fan_out = engines >= settings.fan_out_from_engines as usize;
+        let share = usize::from(settings.max_away_share.0.min(beside_live));
+        let fan_out = engines >= settings.fan_out_min_engines as usize;
         Self {
             away_at_once: (engines * share / usize::from(Permille::WHOLE.0)).max(1),
             fetches_per_store: settings.fetches_per_store.max(1) as usize,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Rounds of swaps that `engines` engines take when all of them have to.
+    /// Returns the number of rounds that swaps of `engines` engines take.
     pub fn rounds(&self, engines: usize) -> u32 {
         let mut swapped = 0;
         let mut rounds = 0;
@@ -64,36 +65,36 @@
     }
 }
 
-/// What the policy needs to know of one engine.
+/// An engine as the swap policy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwapCandidate<'a> {
-    /// Which engine.
+    /// Id of the engine.
     pub server: &'a ServerId,
-    /// Where it listens.
+    /// Address that it listens at.
     pub address: SocketAddr,
-    /// Its version by its own newest report; `None` is unknown.
+    /// Version by its own newest report; `None` if unknown.
     pub version: Option<WeightVersion>,
-    /// Where it fetches from, while a swap is going on.
+    /// Source that it fetches from while a swap is in progress.
     pub fetching_from: Option<SocketAddr>,
-    /// Whether a swap may begin now: it answers, takes work and is not in quarantine.
+    /// Whether a swap may start now: the engine answers, accepts work and is not in quarantine.
     pub ready: bool,
-    /// Whether its last swap failed; it then fetches from the store.
+    /// Whether its last swap failed; it then fetches from the store only.
     pub failed_before: bool,
 }
 
-/// A swap to begin now.
+/// A swap to start now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SwapStart {
-    /// Which engine.
+    /// Id of the engine.
     pub server: ServerId,
-    /// Where the weights are fetched.
+    /// Address that the weights are fetched from.
     pub source: SocketAddr,
 }
 
-/// Swaps to begin now, so that all of a service's engines come to serve `wanted`.
+/// Returns the swaps to start now so that all engines of a service eventually serve `wanted`.
 ///
 /// Engines whose version is unknown go first: they are away already. The others follow in the
-/// order given, as long as no more are away at once than `limits` allow.
+/// given order while no more engines are away at once than `limits` allows.
 pub fn swaps_to_begin(
     engines: &[SwapCandidate<'_>],
     wanted: WeightVersion,
@@ -102,29 +103,29 @@
 ) -> Vec<SwapStart> {
     let mut sources = Sources::new(engines, wanted, store, limits);
     let away = engines.iter().filter(|engine| is_away(engine)).count();
-    let mut may_leave = limits.away_at_once.saturating_sub(away);
+    let mut may_start = limits.away_at_once.saturating_sub(away);
     let mut starts = Vec::new();
-    let (unknown, known) = waiting(engines, wanted);
+    let (unknown, known) = swap_candidates(engines, wanted);
     for engine in unknown {
         let Some(source) = sources.take(engine.failed_before) else {
             return starts;
         };
-        starts.push(start(engine, source));
+        starts.push(swap_start(engine, source));
     }
     for engine in known {
-        if may_leave == 0 {
+        if may_start == 0 {
             return starts;
         }
         let Some(source) = sources.take(engine.failed_before) else {
             return starts;
         };
-        may_leave -= 1;
-        starts.push(start(engine, source));
+        may_start -= 1;
+        starts.push(swap_start(engine, source));
     }
     starts
 }
 
-fn start(engine: &SwapCandidate<'_>, source: SocketAddr) -> SwapStart {
+fn swap_start(engine: &SwapCandidate<'_>, source: SocketAddr) -> SwapStart {
     SwapStart {
         server: engine.server.clone(),
         source,
@@ -135,8 +136,9 @@
     engine.version.is_none() || engine.fetching_from.is_some()
 }
 
-/// Engines that are to swap and may now: those of unknown version, and those of another one.
-fn waiting<'a, 'b>(
+/// Returns the ready engines that do not serve `wanted` and are not fetching: first those of
+/// unknown version, then those of another version.
+fn swap_candidates<'a, 'b>(
     engines: &'a [SwapCandidate<'b>],
     wanted: WeightVersion,
 ) -> (Vec<&'a SwapCandidate<'b>>, Vec<&'a SwapCandidate<'b>>) {
@@ -147,11 +149,11 @@
         .partition(|engine| engine.version.is_none())
 }
 
-/// Free places at the sources of a version.
+/// Free fetch slots at the sources of a version.
 struct Sources {
     store: SocketAddr,
     free_at_store: usize,
-    /// Engines that have the version, each with its free places; the store is drawn on first.
+    /// Engines that have the version, each with its free fetch slots; used after the store.
     engines: Vec<(SocketAddr, usize)>,
 }
 
@@ -178,7 +180,7 @@
                     free(&engine.address, limits.fetches_per_engine),
                 )
             })
-            .filter(|(_, places)| *places > 0)
+            .filter(|(_, free_slots)| *free_slots > 0)
             .collect();
         Self {
             store,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// A free place: at the store only, or else at an engine.
+    /// Takes a free fetch slot at the store or, unless `store_only` is set, at an engine.
     fn take(&mut self, store_only: bool) -> Option<SocketAddr> {
         if self.free_at_store > 0 {
             self.free_at_store -= 1;
@@ -196,10 +198,10 @@
         if store_only {
             return None;
         }
-        let (address, places) = self.engines.last_mut()?;
+        let (address, free_slots) = self.engines.last_mut()?;
         let address = *address;
-        *places -= 1;
-        if *places == 0 {
+        *free_slots -= 1;
+        if *free_slots == 0 {
             self.engines.pop();
         }
         Some(address)
