--- a/crates/nodes/wingshore-control/tests/execution.rs
+++ b/crates/nodes/wingshore-control/tests/execution.rs
@@ -1,4 +1,4 @@
-//! Plans in execution: events move them on, leader changes repeat nothing.
+//! Execution of plans: events advance them, and leader changes repeat no step.
 
 mod support;
 
@@ -91,7 +91,7 @@
     fleet.run_until(&mut group, 30_000, |_, group| is_closed(group, plan));
     expect_that!(group.plan(plan).state, eq(&PlanState::Done));
     expect_that!(fleet.count_at(2), eq(8));
-    expect_that!(fleet.most_loading, eq(2), "a quarter of the engines");
+    expect_that!(fleet.max_loading, eq(2), "a quarter of the engines");
     expect_that!(fleet.orders.len(), eq(8));
     expect_that!(group.state.swap_time(&"fare-lm".into()), some(ge(1_000)));
 }
@@ -327,7 +327,8 @@
     expect_that!(group.plan(first).state, pat!(PlanState::Running { .. }));
 }
 
-/// Loads of engines that had been swapped before the leader changed.
+/// Returns the number of loads that engines repeated although they had been swapped before the
+/// leader changed.
 fn repeated_loads(faults: Faults) -> usize {
     let mut group = Group::with(&Site::planned(8), LeaderSettings::default(), faults);
     let mut fleet = Fleet::new(8, 1);
--- a/crates/nodes/wingshore-control/tests/golden_control.rs
+++ b/crates/nodes/wingshore-control/tests/golden_control.rs
@@ -1,8 +1,8 @@
-//! Bytes of the control group's log and of its snapshots.
+//! Stored bytes of the control group's log entries and snapshots stay compatible.
 //!
 //! A golden file has one line for each example: its name and its bytes in hexadecimal digits. A
-//! line never changes: the next release reads the logs and snapshots of this one. A new kind adds a
-//! line, which the failing test prints.
+//! line never changes, since the next release must read the logs and snapshots of this one. A new
+//! kind of entry adds a line, which the failing test prints.
 
 mod support;
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Each command, with each form of what it holds.
+/// Returns each command with each variant of its contents.
 fn commands() -> Vec<(&'static str, ControlCommand)> {
     let large = 0x0123_4567_89ab_cdef_0123_4567_89ab_cdef;
     let change = set_admission("engine-00001", Admission::Draining);
@@ -125,7 +125,7 @@
         .collect()
 }
 
-/// The bytes of a golden file's lines.
+/// Returns the bytes of each line of a golden file.
 fn stored(golden: &str) -> Vec<Vec<u8>> {
     let digits = golden.lines().map(|line| line.split_once(' ').unwrap().1);
     digits.map(unhex).collect()
@@ -157,7 +157,7 @@
     }
 }
 
-/// A state after these commands, which answer what they may.
+/// Returns the state after these commands; their answers are not checked.
 fn state_after(commands: Vec<ControlCommand>) -> ControlState {
     let mut state = ControlState::default();
     for (index, command) in (1..).zip(commands) {
@@ -166,16 +166,17 @@
     state
 }
 
-fn founding(site: &Site) -> Vec<ControlCommand> {
+fn initial_commands(site: &Site) -> Vec<ControlCommand> {
     vec![
         propose(1, None, Intent::Apply(site.changes())),
         confirm(2, 1),
     ]
 }
 
-/// Open plans of each kind of use: set of members, server, service, pool and weights.
+/// Returns a state with open plans that use each kind of resource: set of members, server, service,
+/// pool and weights.
 fn open_plans() -> ControlState {
-    let mut commands = founding(&Site::planned(2));
+    let mut commands = initial_commands(&Site::planned(2));
     let remove_service = ConfigurationChange::RemoveService("fare-api".into());
     let remove_live =
         (0..3).map(|n| ConfigurationChange::RemoveServer(format!("live-{n}").as_str().into()));
@@ -200,9 +201,10 @@
     state_after(commands)
 }
 
-/// Closed plans of each end, engines held by one of them, and a revision proved in force.
+/// Returns a state with closed plans in each final state, engines held by one of them, and a
+/// revision proved in force.
 fn closed_plans() -> ControlState {
-    let mut commands = founding(&Site::planned(3));
+    let mut commands = initial_commands(&Site::planned(3));
     commands.extend([
         advance(1, 0, StepResult::InForce(Revision(9))),
         publish(3, 9),
@@ -280,7 +282,7 @@
     );
 }
 
-/// A resend after an upgrade finds its first answer: it is found by a hash of the request.
+/// A retry after an upgrade gets its first answer, which is found by a hash of the request.
 #[gtest]
 fn a_resend_finds_its_first_answer_in_a_stored_snapshot() {
     let bytes = &stored(include_str!("golden/snapshots.txt"))[1];
--- a/crates/nodes/wingshore-control/tests/growth.rs
+++ b/crates/nodes/wingshore-control/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a long life leaves behind: nothing that grows with it.
+//! Memory and state of a long-running control group stay bounded.
 
 mod support;
 
@@ -11,22 +11,22 @@
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::protocol::control::Intent;
 
-/// Longer than any lease of a node.
-const LEASE_AND_MORE: Duration = Duration::from_secs(30);
-/// After so many rounds all that is kept up to a bound is full of what rounds leave: each leaves
-/// four closed plans (one of them made stale by the newer open one) and nine answers.
-const FULL: u32 = 1_150;
-/// Rounds after that.
-const MORE: u32 = 400;
-/// Numbers take more bytes as they grow, which would look like growth: revisions and intents start
-/// where they need no more for long, and plans stay below 16,383.
+/// Longer than any lease of a node, in simulated time.
+const PAST_ANY_LEASE: Duration = Duration::from_secs(30);
+/// Number of rounds after which all bounded histories are full: each round leaves four closed plans
+/// (one of them made stale by the newer open one) and nine answers.
+const ROUNDS_UNTIL_FULL: u32 = 1_150;
+/// Number of further rounds, in which nothing may grow.
+const FURTHER_ROUNDS: u32 = 400;
+/// Larger numbers take more bytes, which would look like growth: revisions and intent ids start at
+/// values whose encoding does not lengthen during the test, and plan ids stay below 16,383.
 const FIRST_REVISION: usize = 20_000;
 const FIRST_INTENT: u128 = 1 << 100;
-/// What is kept by a bound in bytes goes up and down by one change.
+/// Tolerance in bytes: histories bounded in bytes vary by the size of one change.
 const SLACK: usize = 1_000;
 
-/// Names that were never there before come and go; a node is there for once; some plans stay
-/// proposed, one is cancelled, one is refused.
+/// Runs one round: adds and removes objects with new names, sends one watch of a new node, leaves
+/// plans proposed, and has one plan cancelled and one intent refused.
 fn round(group: &mut Group, number: u32) {
     let name = format!("{number:06}");
     let service_of = service(&name, ServiceKind::Engines { model: "m".into() });
@@ -46,20 +46,20 @@
     group.cancel(cancelled.id);
     group.propose(Intent::Drain("nobody".into()));
     group.propose(Intent::Drain("live-0".into()));
-    group.pass(100);
+    group.advance_time(100);
     group.confirm_intent(Intent::Apply(vec![
         ConfigurationChange::RemovePool(name.as_str().into()),
         ConfigurationChange::RemoveServer(name.as_str().into()),
         ConfigurationChange::RemoveService(name.as_str().into()),
     ]));
-    group.now = group.now + LEASE_AND_MORE;
+    group.now = group.now + PAST_ANY_LEASE;
     group.tick();
     group.replies.clear();
     group.effects.clear();
     group.committed.clear();
 }
 
-/// Sizes of the replicated state and of the leader's memory.
+/// Returns the sizes of the replicated state and of the leader's memory.
 fn sizes(group: &Group) -> (usize, usize) {
     let memory = format!("{:?}", group.leader).len();
     (group.state.snapshot().len(), memory)
@@ -74,15 +74,18 @@
     for _ in 0..OPEN_PLANS_LIMIT {
         group.propose(Intent::Drain("live-0".into()));
     }
-    (0..FULL).for_each(|number| round(&mut group, number));
+    (0..ROUNDS_UNTIL_FULL).for_each(|number| round(&mut group, number));
     verify_that!(
         group.state.plans().count(),
         ge(CLOSED_PLANS_KEPT + OPEN_PLANS_LIMIT - 1)
     )?;
     let early = sizes(&group);
-    (FULL..FULL + MORE).for_each(|number| round(&mut group, number));
+    (ROUNDS_UNTIL_FULL..ROUNDS_UNTIL_FULL + FURTHER_ROUNDS)
+        .for_each(|number| round(&mut group, number));
     let late = sizes(&group);
-    println!("snapshot and memory after {FULL} rounds and {MORE} more: {early:?}, {late:?}");
+    println!(
+        "snapshot and memory after {ROUNDS_UNTIL_FULL} rounds and {FURTHER_ROUNDS} more: {early:?}, {late:?}"
+    );
     let plans = group.state.plans().last().map(|plan| plan.id.0);
     verify_that!(plans, some(lt(16_384)))?;
     verify_that!(late.0, le(early.0 + SLACK))?;
--- a/crates/nodes/wingshore-control/tests/intents.rs
+++ b/crates/nodes/wingshore-control/tests/intents.rs
@@ -26,7 +26,7 @@
     let mut group = Group::new(&Site::default());
     let before = group.configuration().clone();
     let plan = plan_of(group.propose(drain(0)));
-    group.pass(10_000);
+    group.advance_time(10_000);
     expect_that!(plan.state, eq(&PlanState::Proposed));
     expect_true!(*group.configuration() == before);
 }
@@ -70,7 +70,7 @@
         let again: Vec<_> = requests.iter().map(|r| group.call(r.clone())).collect();
         expect_that!(again, eq(&first), "round {round}");
         group.change_leader_by_snapshot();
-        group.pass(1_000);
+        group.advance_time(1_000);
     }
     expect_true!(group.state.configuration() == state.configuration());
     expect_that!(group.state.plans().count(), eq(state.plans().count()));
@@ -122,7 +122,7 @@
     expect_that!(reply, pat!(ControlReply::Plan(_)));
 }
 
-/// A change made between proposal and confirmation, and whether it matters to the plan.
+/// Each case is a change made between proposal and confirmation, and whether it affects the plan.
 #[gtest]
 fn a_plan_goes_stale_by_changes_that_matter_to_it_and_by_no_others() {
     let name = engine_name(0);
@@ -203,7 +203,7 @@
 }
 
 #[gtest]
-fn a_running_plan_keeps_others_off_what_it_uses_until_it_ends() {
+fn a_running_plan_blocks_conflicting_plans_until_it_ends() {
     let mut group = Group::new(&Site::default());
     let running = group.confirm_intent(drain(0));
     let other = plan_of(group.propose(Intent::Apply(vec![set_admission(
@@ -355,7 +355,7 @@
     let open_steps: usize = group.state.open_plans().map(|plan| plan.steps.len()).sum();
     expect_that!(open_steps, le(OPEN_STEPS_LIMIT));
     expect_that!(open_steps, gt(OPEN_STEPS_LIMIT - 2 * CHANGES));
-    // It became stale, and large closed plans are not kept for long.
+    // The plan became stale, and large closed plans are evicted early.
     let mut open = group.state.open_plans();
     expect_false!(open.any(|plan| plan.id == first));
     expect_that!(group.plan(running).state, pat!(PlanState::Running { .. }));
--- a/crates/nodes/wingshore-control/tests/leases.rs
+++ b/crates/nodes/wingshore-control/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Watches, configuration leases, and what is reported in force.
+//! Watches, configuration leases, and the revision reported as in force.
 
 mod support;
 
@@ -14,13 +14,13 @@
     PlanState, WatchRequest,
 };
 
-/// One lease as the leader counts it.
-const COUNTED_MS: u64 = 5_250;
+/// A lease as the leader counts it.
+const COUNTED_LEASE_MS: u64 = 5_250;
 
-/// A group whose leader has been in office for longer than any lease.
-fn settled() -> Group {
+/// Returns a group whose leader has led for longer than any lease.
+fn group_after_any_lease() -> Group {
     let mut group = Group::new(&Site::default());
-    group.pass(COUNTED_MS);
+    group.advance_time(COUNTED_LEASE_MS);
     group
 }
 
@@ -31,7 +31,7 @@
 
 #[gtest]
 fn a_watch_is_answered_at_once_by_news_or_at_its_end() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let newest = group.configuration().revision.0;
     let behind = group.watch("a", 1, newest - 2, 1_000);
     let ControlReply::Update { update, lease_ms } = group.replies.remove(&behind).unwrap() else {
@@ -47,9 +47,9 @@
     );
 
     let ends = group.watch("a", 1, newest, 1_000);
-    group.pass(900);
+    group.advance_time(900);
     expect_that!(group.replies.contains_key(&ends), eq(false));
-    group.pass(200);
+    group.advance_time(200);
     expect_that!(
         group.replies.remove(&ends),
         some(pat!(ControlReply::Update {
@@ -71,7 +71,7 @@
 
 #[gtest]
 fn a_watch_ends_before_the_lease_and_gives_none_to_those_who_acknowledge_nothing() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let have = group.configuration().revision;
     let long = group.watch("a", 1, have.0, 60_000);
     let reader = group.send(ControlRequest::Watch(WatchRequest {
@@ -86,13 +86,13 @@
             ..
         }))
     );
-    group.pass(2_000);
+    group.advance_time(2_000);
     expect_that!(group.replies.contains_key(&long), eq(true));
 }
 
 #[gtest]
 fn a_revision_is_in_force_once_each_node_with_a_lease_has_acknowledged_it() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("a", 1, old, 2_000);
     group.watch("b", 1, old, 2_000);
@@ -111,45 +111,45 @@
 
 #[gtest]
 fn a_frozen_node_holds_a_revision_up_no_longer_than_its_lease() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("frozen", 1, old, 2_000);
     let new = drain_one(&mut group, 0);
-    group.pass(COUNTED_MS - 1);
+    group.advance_time(COUNTED_LEASE_MS - 1);
     expect_that!(
         group.in_force().everywhere,
         eq(Revision(old)),
         "the node may still act on it"
     );
-    group.pass(1);
+    group.advance_time(1);
     expect_that!(group.in_force().everywhere, eq(Revision(new)));
     expect_that!(group.status().nodes, is_empty());
 }
 
 #[gtest]
-fn a_new_leader_vouches_for_nothing_until_leases_of_the_old_one_have_run_out() {
-    let mut group = settled();
+fn a_new_leader_reports_nothing_in_force_until_earlier_leases_have_expired() {
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("unknown-to-the-new-leader", 1, old, 2_000);
     let new = drain_one(&mut group, 0);
     group.change_leader();
     group.watch("a", 1, new, 2_000);
-    group.pass(COUNTED_MS - 1);
+    group.advance_time(COUNTED_LEASE_MS - 1);
     group.watch("a", 1, new, 2_000);
     expect_that!(group.in_force().everywhere, lt(Revision(new)));
-    group.pass(1);
+    group.advance_time(1);
     expect_that!(group.in_force().everywhere, eq(Revision(new)));
 }
 
 #[gtest]
 fn what_was_proved_and_committed_is_known_to_the_next_leader() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     group.confirm_intent(Intent::Apply(vec![set_admission(
         &engine_name(0),
         Admission::Draining,
     )]));
     let revision = group.configuration().revision;
-    group.pass(200);
+    group.advance_time(200);
     expect_that!(group.state.proven_in_force(), eq(revision));
     group.change_leader_by_snapshot();
     expect_that!(group.in_force().everywhere, eq(revision));
@@ -166,7 +166,7 @@
 }
 
 #[gtest]
-fn longer_leases_told_after_the_beginning_are_waited_for_too() {
+fn longer_leases_configured_after_the_beginning_are_waited_for() {
     let mut group = Group::new(&Site::default());
     let proven = group.in_force().everywhere;
     group.watch("a", 1, proven.0, 2_000);
@@ -180,9 +180,9 @@
         replica: ReplicaId(3),
         settings: Box::new(settings),
     });
-    group.pass(8_399);
+    group.advance_time(8_399);
     expect_that!(group.in_force().everywhere, eq(proven));
-    group.pass(1);
+    group.advance_time(1);
     expect_that!(
         group.in_force().everywhere,
         eq(group.configuration().revision)
@@ -192,11 +192,11 @@
 
 #[gtest]
 fn an_older_process_of_a_node_keeps_its_lease_and_late_watches_lower_nothing() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("a", 1, old, 2_000);
     let new = drain_one(&mut group, 0);
-    group.pass(1_000);
+    group.advance_time(1_000);
     group.watch("a", 2, new, 2_000);
     group.watch("a", 2, old, 2_000);
     let in_force = group.in_force();
@@ -206,13 +206,13 @@
         "the process with boot 1 may still run"
     );
     expect_that!(in_force.waiting_for, elements_are![eq(&NodeId::new("a"))]);
-    group.pass(COUNTED_MS - 1_000);
+    group.advance_time(COUNTED_LEASE_MS - 1_000);
     expect_that!(group.in_force().everywhere, eq(Revision(new)));
 }
 
 #[gtest]
 fn a_relay_acknowledges_for_many_nodes_and_the_slowest_counts() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     for node in ["node-0", "node-1", "node-2"] {
         group.watch(node, 1, old, 2_000);
@@ -242,7 +242,7 @@
 
 #[gtest]
 fn a_plan_waits_until_its_change_is_in_force() {
-    let mut group = settled();
+    let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("a", 1, old, 2_000);
     let plan = plan_of(group.propose(Intent::Apply(vec![set_admission(
@@ -251,7 +251,7 @@
     )])));
     let running = plan_of(group.confirm(plan.id));
     expect_that!(running.state, eq(&PlanState::Running { next_step: 1 }));
-    group.pass(1_000);
+    group.advance_time(1_000);
     expect_that!(
         group.plan(plan.id).state,
         eq(&PlanState::Running { next_step: 1 })
@@ -261,16 +261,17 @@
     expect_that!(group.plan(plan.id).state, eq(&PlanState::Done));
 }
 
-/// What a node could still do against what is reported, in one run of a frozen node.
+/// Returns whether, in a run with a frozen node, a revision was reported as in force while the node
+/// could still act on an earlier one.
 fn reports_too_early(faults: Faults) -> bool {
     let mut group = Group::with(&Site::default(), LeaderSettings::default(), faults);
-    group.pass(COUNTED_MS);
+    group.advance_time(COUNTED_LEASE_MS);
     let old = group.configuration().revision.0;
     let sent_at = group.now;
     group.watch("frozen", 1, old, 2_000);
     group.publish(POOL, 2);
     while group.in_force().everywhere == Revision(old) {
-        group.pass(50);
+        group.advance_time(50);
     }
     group.now < Instant(sent_at.0 + 5_000_000_000)
 }
--- a/crates/nodes/wingshore-control/tests/orders.rs
+++ b/crates/nodes/wingshore-control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Fences of orders, and what is believed of an engine's version.
+//! Fences of orders, and the version that the leader assumes of an engine.
 
 mod support;
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn name() -> ServerId {
+fn engine_id() -> ServerId {
     engine_name(0).as_str().into()
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A state as the engine may report it.
+/// Returns a state as an engine may report it.
 fn report(version: Option<u64>, last_order: Option<OrderFence>) -> EngineState {
     EngineState {
         last_order,
@@ -40,13 +40,13 @@
 
 fn read(group: &mut Group, asked_at: Instant, state: EngineState) {
     group.event(ControlEvent::StateRead {
-        server: name(),
+        server: engine_id(),
         asked_at,
         state: Ok(state),
     });
 }
 
-/// The orders among the effects so far.
+/// Returns the orders among the effects so far.
 fn orders(group: &mut Group) -> Vec<EngineOrder> {
     let effects = std::mem::take(&mut group.effects);
     let order = |effect| match effect {
@@ -56,8 +56,8 @@
     effects.into_iter().filter_map(order).collect()
 }
 
-/// A group that has just ordered its one engine to take version 2.
-fn ordered() -> (Group, OrderFence) {
+/// Returns a group that has just ordered its only engine to load version 2, and the order's fence.
+fn group_with_order() -> (Group, OrderFence) {
     let mut group = Group::new(&one_engine());
     group.tick();
     let now = group.now;
@@ -77,17 +77,17 @@
 fn an_engine_is_not_ordered_before_it_has_reported() {
     let mut group = Group::new(&one_engine());
     group.publish(POOL, 2);
-    group.pass(5_000);
+    group.advance_time(5_000);
     expect_that!(orders(&mut group), is_empty());
 }
 
 #[gtest]
 fn an_unanswered_order_is_sent_again_under_its_fence_and_less_and_less_often() {
-    let (mut group, first) = ordered();
+    let (mut group, first) = group_with_order();
     expect_that!(first, eq(fence(1, 1)));
     let mut sent = Vec::new();
     for second in 1..=70 {
-        group.pass(1_000);
+        group.advance_time(1_000);
         sent.extend(
             orders(&mut group)
                 .into_iter()
@@ -98,15 +98,16 @@
     expect_that!(times, eq(&vec![2, 6, 14, 30, 60]));
     expect_true!(sent.iter().all(|(_, fence)| *fence == first));
     group.event(ControlEvent::OrderAnswered {
-        server: name(),
+        server: engine_id(),
         fence: first,
         answer: OrderAnswer::Accepted,
     });
-    group.pass(60_000);
+    group.advance_time(60_000);
     expect_that!(orders(&mut group), is_empty());
 }
 
-/// What a report says after an order with fence 1/1 to take version 2, and what is believed.
+/// Each case is a report after an order with fence 1/1 to load version 2, and the version that the
+/// leader assumes.
 #[gtest]
 fn only_a_report_newer_than_the_order_names_the_version() {
     let newer = Duration::from_millis(1);
@@ -156,7 +157,7 @@
         ),
     ];
     for (case, after, reported, last_order, believed) in cases {
-        let (mut group, _) = ordered();
+        let (mut group, _) = group_with_order();
         let asked_at = group.now + after;
         group.now = group.now + Duration::from_millis(50);
         read(&mut group, asked_at, report(reported, last_order));
@@ -166,7 +167,7 @@
 
 #[gtest]
 fn a_late_report_does_not_undo_a_newer_one() {
-    let (mut group, fence) = ordered();
+    let (mut group, fence) = group_with_order();
     let early = group.now + Duration::from_millis(10);
     let late = group.now + Duration::from_millis(20);
     group.now = group.now + Duration::from_millis(50);
@@ -174,7 +175,7 @@
     read(&mut group, early, report(Some(1), Some(fence)));
     expect_that!(version(&mut group), some(eq(2)));
     let failure = ControlEvent::StateRead {
-        server: name(),
+        server: engine_id(),
         asked_at: early,
         state: Err(Verdict::MayHaveRun),
     };
@@ -183,7 +184,7 @@
 }
 
 #[gtest]
-fn reports_asked_for_by_an_earlier_leadership_mean_nothing() {
+fn reports_polled_by_an_earlier_leadership_are_ignored() {
     let mut group = Group::new(&one_engine());
     let asked_at = group.now;
     group.now = group.now + Duration::from_millis(100);
@@ -247,9 +248,9 @@
 
 #[gtest]
 fn an_engine_that_follows_a_newer_leader_is_left_alone() {
-    let (mut group, fence) = ordered();
+    let (mut group, fence) = group_with_order();
     group.event(ControlEvent::OrderAnswered {
-        server: name(),
+        server: engine_id(),
         fence,
         answer: OrderAnswer::Fenced(FencedReply {
             highest_epoch: Epoch(9),
@@ -257,41 +258,41 @@
         }),
     });
     for _ in 0..20 {
-        group.pass(5_000);
+        group.advance_time(5_000);
         let now = group.now;
         read(&mut group, now, report(Some(1), None));
     }
     expect_that!(orders(&mut group), is_empty());
-    // Until it starts again: then it follows nobody, as where the newer leader was of a site that
-    // is no more.
-    group.pass(5_000);
+    // After a restart it has no highest epoch any more, as when the newer leader belonged to a site
+    // that no longer exists.
+    group.advance_time(5_000);
     let now = group.now;
     let restarted = EngineState {
         boot_id: 2,
         ..report(Some(1), None)
     };
     read(&mut group, now, restarted);
-    group.pass(5_000);
+    group.advance_time(5_000);
     expect_that!(orders(&mut group).len(), ge(1));
 }
 
 #[gtest]
-fn an_answer_to_an_earlier_order_means_nothing() {
-    let (mut group, first) = ordered();
+fn an_answer_to_an_earlier_order_is_ignored() {
+    let (mut group, first) = group_with_order();
     let asked_at = group.now + Duration::from_millis(10);
     group.now = group.now + Duration::from_millis(20);
     read(&mut group, asked_at, report(None, Some(first)));
-    group.pass(2_000);
+    group.advance_time(2_000);
     let now = group.now;
     read(&mut group, now, report(None, Some(first)));
     let second = orders(&mut group);
     expect_that!(second.len(), ge(1));
     group.event(ControlEvent::OrderAnswered {
-        server: name(),
+        server: engine_id(),
         fence: first,
         answer: OrderAnswer::Accepted,
     });
-    group.pass(10_000);
+    group.advance_time(10_000);
     let resent = orders(&mut group);
     expect_that!(resent.len(), ge(1), "the second order is still unanswered");
     expect_true!(resent.iter().all(|order| order.fence == second[0].fence));
@@ -299,13 +300,13 @@
 
 #[gtest]
 fn an_order_that_was_never_accepted_gives_way_to_a_newer_version() {
-    let (mut group, first) = ordered();
+    let (mut group, first) = group_with_order();
     group.publish(POOL, 3);
-    group.pass(200);
+    group.advance_time(200);
     let sent = orders(&mut group);
     expect_that!(sent.len(), eq(1));
     expect_that!(sent[0].fence, gt(first));
-    group.pass(10_000);
+    group.advance_time(10_000);
     let resent = orders(&mut group);
     expect_true!(
         resent.iter().all(|order| *order == sent[0]),
@@ -328,7 +329,8 @@
     expect_that!(fleet.orders.len(), eq(11));
 }
 
-/// Fences that were used for more than one order, over two leaderships in the middle of swaps.
+/// Returns the number of fences used for more than one order, over two leaderships with a change in
+/// the middle of swaps.
 fn reused_fences(faults: Faults) -> usize {
     let mut group = Group::with(&Site::default(), LeaderSettings::default(), faults);
     let mut fleet = Fleet::new(8, 1);
@@ -363,7 +365,7 @@
 }
 
 #[gtest]
-fn questions_for_state_are_spread_out_and_limited() {
+fn state_polls_are_spread_out_and_limited() {
     let site = Site {
         engines: 1_000,
         live_servers: 0,
--- a/crates/nodes/wingshore-control/tests/planner.rs
+++ b/crates/nodes/wingshore-control/tests/planner.rs
@@ -1,4 +1,4 @@
-//! From intents to plans: what is refused and why, the steps, the cost.
+//! Planner: rejected intents with their reasons, steps and costs of plans.
 
 mod support;
 
--- a/crates/nodes/wingshore-control/tests/properties.rs
+++ b/crates/nodes/wingshore-control/tests/properties.rs
@@ -1,5 +1,4 @@
-//! Properties over random histories: watchers that are behind, operators that race, members that
-//! restart.
+//! Properties over random histories: outdated watchers, racing operators, restarted members.
 
 mod support;
 
@@ -19,7 +18,7 @@
     ConfigurationUpdate, ControlRefusal, ControlReply, Intent, PlanState,
 };
 
-/// The configuration of a watcher that has taken `update` in.
+/// Returns the configuration of a watcher after it has applied `update`.
 fn updated(mut held: Configuration, update: ConfigurationUpdate) -> Configuration {
     match update {
         ConfigurationUpdate::Unchanged => held,
@@ -57,7 +56,7 @@
     let mut held = vec![Configuration::default(), group.configuration().clone()];
     for number in 0..CHANGES_KEPT + 600 {
         if number % 1_000 == 0 {
-            group.pass(6_000);
+            group.advance_time(6_000);
         }
         group.apply_change(random_change(&mut random));
         held.push(group.configuration().clone());
@@ -89,7 +88,7 @@
     expect_that!(ahead, eq(&ConfigurationUpdate::Unchanged));
 }
 
-/// One thing that an operator or the leader does.
+/// An action of an operator or of the leader.
 #[derive(Clone, Debug)]
 enum Action {
     Propose { server: u32, stated_base: bool },
@@ -113,7 +112,7 @@
     ]
 }
 
-/// What a plan of the model is about, and the state it must be in.
+/// The state of a plan in the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Model {
     Proposed,
@@ -122,8 +121,8 @@
     Closed,
 }
 
-/// A model of drains of a few servers by operators who race: which plan is in which state, and
-/// which servers drain. It knows nothing of footprints: a plan is about one server.
+/// A model of drains of a few servers by racing operators: the state of each plan, and the draining
+/// servers. The model has no footprints: each plan concerns one server.
 struct Race {
     state: ControlState,
     faults: Faults,
@@ -350,7 +349,7 @@
     }
 }
 
-/// Whether some race among the first seeds breaks the model.
+/// Returns whether the model detects a violation in a race with one of the first seeds.
 fn is_caught(faults: Faults) -> bool {
     let mut runner = proptest::test_runner::TestRunner::new_with_rng(
         ProptestConfig {
--- a/crates/nodes/wingshore-control/tests/support/engine.rs
+++ b/crates/nodes/wingshore-control/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that carry out fenced orders, and a run of a group with them.
+//! Simulated engines that execute fenced orders, and a control group running with them.
 
 use super::{Group, site};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,14 +9,14 @@
 };
 use wingshore_types::{Instant, Verdict};
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct SimEngine {
     pub state: EngineState,
     pub ready_at: Option<Instant>,
-    /// Loads that will fail from now on.
+    /// Number of upcoming loads that fail.
     pub failing_loads: u32,
-    /// Answers nothing.
+    /// Whether it leaves orders and polls unanswered.
     pub silent: bool,
     pub loads: Vec<(OrderFence, WeightVersion, String)>,
 }
@@ -86,17 +86,17 @@
     }
 }
 
-/// All engines of a site, and what was seen of them.
+/// All simulated engines of a site, and what the test recorded of them.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub engines: BTreeMap<ServerId, SimEngine>,
     pub load_ms: u64,
     pub live_in_flight: u32,
-    /// All orders as sent, resends included.
+    /// All orders as sent, including resends.
     pub orders: Vec<(Instant, ServerId, EngineOrder)>,
     pub reads: usize,
-    /// Most engines loading at once.
-    pub most_loading: usize,
+    /// Highest number of engines that were loading at once.
+    pub max_loading: usize,
 }
 
 impl Fleet {
@@ -113,7 +113,7 @@
             live_in_flight: 0,
             orders: Vec::new(),
             reads: 0,
-            most_loading: 0,
+            max_loading: 0,
         }
     }
 
@@ -127,7 +127,7 @@
         self.engines.values().filter(has).count()
     }
 
-    /// Fences, each with the bodies it was used for.
+    /// Returns the fences, each with the order bodies that it was used for.
     pub fn bodies_by_fence(&self) -> BTreeMap<OrderFence, BTreeSet<String>> {
         let mut bodies: BTreeMap<OrderFence, BTreeSet<String>> = BTreeMap::new();
         for (_, server, order) in &self.orders {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Lets time pass for the group and its engines.
+    /// Advances the time of the group and its engines.
     pub fn run(&mut self, group: &mut Group, milliseconds: u64) {
         let end = group.now.as_millis() + milliseconds;
         while group.now.as_millis() < end {
@@ -192,12 +192,12 @@
                 .engines
                 .values()
                 .filter(|engine| engine.ready_at.is_some());
-            self.most_loading = self.most_loading.max(loading.count());
+            self.max_loading = self.max_loading.max(loading.count());
         }
     }
 
     /// Runs until `done`; panics when that takes longer than `at_most_ms` of simulated time.
-    /// Answers how long it took.
+    /// Returns how long it took in milliseconds.
     pub fn run_until(
         &mut self,
         group: &mut Group,
--- a/crates/nodes/wingshore-control/tests/support/mod.rs
+++ b/crates/nodes/wingshore-control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A control group in one process: commits at once, and engines and time made by hand.
-#![allow(dead_code, missing_docs)] // each test file uses a part of it
+//! A control group in one process that commits at once, with time and engines driven by the test.
+#![allow(dead_code, missing_docs)] // each test file uses only a part of this module
 
 pub mod engine;
 pub mod site;
@@ -21,7 +21,7 @@
 };
 use wingshore_types::{Instant, WeightVersion};
 
-/// Applies one command and gives the client's answer.
+/// Applies one command and returns the client's answer.
 pub fn apply(state: &mut ControlState, command: ControlCommand) -> ControlReply {
     match state.apply(LogIndex(1), command) {
         CommandReply::Answer(reply) => *reply,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A leader, the state, and what a test has seen of them.
+/// A leader, the replicated state, and their recorded outputs.
 pub struct Group {
     pub state: ControlState,
     pub leader: ControlLeader,
@@ -55,7 +55,7 @@
     pub effects: VecDeque<ControlEffect>,
     /// Commands in the order of their commit.
     pub committed: Vec<ControlCommand>,
-    /// Proposals are kept back, as by a leader that was cut off.
+    /// Whether proposals are withheld, as with a leader that was cut off.
     pub cut_off: bool,
     next_tag: u64,
     pub next_intent: u128,
@@ -86,7 +86,7 @@
         group
     }
 
-    /// A new leader takes over; the old one's memory is gone.
+    /// Replaces the leader by a new one without the old one's volatile state.
     pub fn change_leader(&mut self) {
         self.epoch += 1;
         self.leader = ControlLeader::new(self.settings.clone(), self.faults);
@@ -95,7 +95,7 @@
         });
     }
 
-    /// The new leader has its state from a snapshot.
+    /// Replaces the leader by one that restored its state from a snapshot.
     pub fn change_leader_by_snapshot(&mut self) {
         self.state = ControlState::restore(&self.state.snapshot()).unwrap();
         self.state.set_faults(self.faults);
@@ -128,8 +128,8 @@
         self.with_leader(|leader, now, _, state, out| leader.on_tick(now, state, out));
     }
 
-    /// Lets time pass in ticks of at most 100 ms, without engines or nodes.
-    pub fn pass(&mut self, milliseconds: u64) {
+    /// Advances time in ticks of at most 100 ms, without engines or nodes.
+    pub fn advance_time(&mut self, milliseconds: u64) {
         let end = self.now.as_millis() + milliseconds;
         while self.now.as_millis() < end {
             self.now = Instant::from_millis((self.now.as_millis() + 100).min(end));
@@ -161,7 +161,7 @@
         self.call(ControlRequest::Cancel { intent_id, plan })
     }
 
-    /// Proposes and confirms.
+    /// Proposes an intent and confirms the plan.
     pub fn confirm_intent(&mut self, intent: Intent) -> Plan {
         let plan = plan_of(self.propose(intent));
         plan_of(self.confirm(plan.id))
@@ -180,7 +180,7 @@
         })
     }
 
-    /// A watch of one node that has `in_force` in force.
+    /// Sends a watch of one node that has revision `in_force` in force.
     pub fn watch(&mut self, node: &str, boot_id: u64, in_force: u64, wait_ms: u64) -> RequestTag {
         self.send(ControlRequest::Watch(WatchRequest {
             have: Revision(in_force),
@@ -221,10 +221,10 @@
         let mut out = Vec::new();
         let epoch = Epoch(self.epoch);
         act(&mut self.leader, self.now, epoch, &self.state, &mut out);
-        self.carry_out(out);
+        self.handle_outputs(out);
     }
 
-    fn carry_out(&mut self, out: LeaderOutputs<ControlLeader>) {
+    fn handle_outputs(&mut self, out: LeaderOutputs<ControlLeader>) {
         let mut queue = VecDeque::from(out);
         while let Some(output) = queue.pop_front() {
             match output {
--- a/crates/nodes/wingshore-control/tests/support/site.rs
+++ b/crates/nodes/wingshore-control/tests/support/site.rs
@@ -1,4 +1,4 @@
-//! Configurations to start from.
+//! Initial configurations of test sites.
 
 use std::net::SocketAddr;
 use wingshore_types::WeightVersion;
@@ -64,7 +64,7 @@
     format!("engine-{number:05}")
 }
 
-/// An address of its own for each number.
+/// Returns a distinct address for each number.
 pub fn address(number: u32) -> SocketAddr {
     let [_, high, middle, low] = (number + 1).to_be_bytes();
     SocketAddr::from(([10, high, middle, low], 8000))
@@ -111,7 +111,7 @@
     }
 }
 
-/// Drains or opens a server.
+/// Returns a change that drains or opens a server.
 pub fn set_admission(server: &str, admission: Admission) -> ConfigurationChange {
     ConfigurationChange::SetAdmission {
         server: server.into(),
--- a/crates/nodes/wingshore-control/tests/swaps.rs
+++ b/crates/nodes/wingshore-control/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! The swap policy: shares, sources, order, and the time that a whole fleet takes.
+//! Swap policy: shares, sources, order, and the duration of swaps of a whole fleet.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use wingshore_types::configuration::{ConfigurationChange, Permille, Pool, ServiceKind};
 use wingshore_types::ids::ServerId;
 
-/// One engine of a case: its version, where it fetches from, and whether it may swap.
+/// An engine of a test case: its version, its fetch source, and whether it may swap.
 #[derive(Clone, Copy)]
 struct Case {
     version: Option<u64>,
@@ -47,11 +47,11 @@
     }
 }
 
-/// Engines that begin, with their sources.
-type Begun = Vec<(u32, SocketAddr)>;
+/// Engines that start a swap, with their sources.
+type StartedSwaps = Vec<(u32, SocketAddr)>;
 
-/// What begins when version 2 is wanted.
-fn begin(cases: &[Case], limits: SwapLimits) -> Begun {
+/// Returns the swaps that start when version 2 is wanted.
+fn started_swaps(cases: &[Case], limits: SwapLimits) -> StartedSwaps {
     let names: Vec<ServerId> = (0..cases.len())
         .map(|n| ServerId::new(&engine_name(n as u32)))
         .collect();
@@ -113,7 +113,7 @@
         failed_before: true,
         ..at(1)
     };
-    let cases: Vec<(&str, Vec<Case>, SwapLimits, Begun)> = vec![
+    let cases: Vec<(&str, Vec<Case>, SwapLimits, StartedSwaps)> = vec![
         ("all are there", vec![at(2), at(2)], limits(2, 4, 0), vec![]),
         (
             "share",
@@ -171,7 +171,7 @@
         ),
     ];
     for (case, engines, limits, expected) in cases {
-        expect_that!(begin(&engines, limits), eq(&expected), "{case}");
+        expect_that!(started_swaps(&engines, limits), eq(&expected), "{case}");
     }
 }
 
@@ -188,7 +188,7 @@
     group.publish(POOL, 2);
     fleet.run_until(&mut group, 60_000, |fleet, _| fleet.count_at(2) > 90);
     expect_sources_within_limits(&fleet);
-    expect_that!(fleet.most_loading, all![le(25), ge(20)]);
+    expect_that!(fleet.max_loading, all![le(25), ge(20)]);
 }
 
 #[gtest]
@@ -229,7 +229,8 @@
         fleet.count_at(2) == engines as usize
     });
     expect_sources_within_limits(&fleet);
-    // All services have a first source after as many rounds of the store as it takes.
+    // Every service has a first source after as many rounds of fetches as the store needs for one
+    // fetch per service.
     let is_of = |number: u32, server: &ServerId| {
         let engines = number * of_each..(number + 1) * of_each;
         let mut names = engines.map(engine_name);
@@ -251,7 +252,7 @@
     }
 }
 
-/// No source served more at any moment than its limit.
+/// Checks that no source ever served more concurrent fetches than its limit.
 fn expect_sources_within_limits(fleet: &Fleet) {
     let settings = LeaderSettings::default();
     let load_ms = u128::from(fleet.load_ms);
@@ -287,10 +288,10 @@
     group.publish(POOL, 2);
     group.publish("transfers", 3);
     fleet.run_until(&mut group, 60_000, |fleet, _| fleet.count_at(3) == 8);
-    expect_that!(fleet.most_loading, le(2));
+    expect_that!(fleet.max_loading, le(2));
 }
 
-/// The figure is simulated time; loads take two seconds whatever the source.
+/// The limit is simulated time; a load takes two seconds from any source.
 #[gtest]
 fn ten_thousand_engines_take_a_version_within_the_limit() {
     let site = Site {
@@ -310,7 +311,7 @@
         fleet.reads - reads
     );
     expect_that!(took, le(33_000));
-    expect_that!(fleet.most_loading, le(2_500));
-    // Engines are asked when their swaps should be over, not all the while.
+    expect_that!(fleet.max_loading, le(2_500));
+    // Engines are polled when their swaps should be over, not continuously.
     expect_that!(fleet.reads - reads, le(28_000));
 }
