--- a/crates/nodes/wingshore-control/tests/execution.rs
+++ b/crates/nodes/wingshore-control/tests/execution.rs
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn a_drain_of_a_server_that_never_answers_says_that_nothing_is_known() {
+fn a_drain_of_an_unresponsive_server_fails_because_its_load_is_unknown() {
     let mut group = Group::new(&Site::default());
     let mut fleet = Fleet::new(8, 1);
     fleet.engine(0).silent = true;
@@ -81,12 +81,16 @@
 }
 
 #[gtest]
-fn a_move_swaps_every_engine_and_is_done_then() {
+fn a_move_is_done_once_every_engine_has_swapped() {
     let mut group = Group::new(&Site::planned(8));
     let mut fleet = Fleet::new(8, 1);
     group.publish(POOL, 2);
     fleet.run(&mut group, 2_000);
-    expect_that!(fleet.orders, is_empty(), "planned pools move by plans only");
+    expect_that!(
+        fleet.orders,
+        is_empty(),
+        "pools with planned swaps move by plans only"
+    );
     let plan = group.confirm_intent(move_pool(2)).id;
     fleet.run_until(&mut group, 30_000, |_, group| is_closed(group, plan));
     expect_that!(group.plan(plan).state, eq(&PlanState::Done));
@@ -128,7 +132,7 @@
 }
 
 #[gtest]
-fn a_leader_cut_off_with_progress_in_flight_costs_no_step() {
+fn a_leader_cut_off_with_progress_in_flight_loses_no_step() {
     let mut group = Group::new(&Site::planned(4));
     let mut fleet = Fleet::new(4, 1);
     group.publish(POOL, 2);
@@ -183,7 +187,7 @@
 }
 
 #[gtest]
-fn a_cancelled_move_stops_where_it_is_until_the_next_one() {
+fn a_cancelled_move_holds_remaining_engines_until_the_next_move() {
     let mut group = Group::new(&Site::planned(8));
     let mut fleet = Fleet::new(8, 1);
     group.publish(POOL, 3);
@@ -200,7 +204,7 @@
     expect_that!(
         fleet.orders.len(),
         eq(ordered + 1),
-        "a restarted one takes the target version"
+        "a restarted engine loads the target version"
     );
     let next = group.confirm_intent(move_pool(3)).id;
     fleet.run_until(&mut group, 30_000, |_, group| is_closed(group, next));
@@ -257,7 +261,7 @@
 }
 
 #[gtest]
-fn an_engine_that_drains_by_its_own_word_is_left_alone() {
+fn an_engine_that_reports_draining_is_not_swapped() {
     let mut group = Group::new(&Site::planned(8));
     let mut fleet = Fleet::new(8, 1);
     fleet.engine(5).state.draining = true;
@@ -269,7 +273,7 @@
 }
 
 #[gtest]
-fn engines_that_are_gone_drained_or_silent_are_passed_over() {
+fn removed_drained_and_silent_engines_are_skipped() {
     let mut group = Group::new(&Site::planned(8));
     let mut fleet = Fleet::new(8, 1);
     fleet.engine(7).silent = true;
@@ -309,11 +313,15 @@
         .orders
         .iter()
         .filter(|(_, _, order)| format!("{order:?}").contains("WeightVersion(4)"));
-    expect_that!(to_four.count(), eq(2), "only those that had begun");
+    expect_that!(
+        to_four.count(),
+        eq(2),
+        "only swaps that had already started"
+    );
 }
 
 #[gtest]
-fn disjoint_plans_run_side_by_side() {
+fn disjoint_plans_run_concurrently() {
     let mut group = Group::new(&Site::default());
     let mut fleet = Fleet::new(8, 1);
     fleet.engine(0).state.in_flight = 1;
--- a/crates/nodes/wingshore-control/tests/intents.rs
+++ b/crates/nodes/wingshore-control/tests/intents.rs
@@ -124,7 +124,7 @@
 
 /// Each case is a change made between proposal and confirmation, and whether it affects the plan.
 #[gtest]
-fn a_plan_goes_stale_by_changes_that_matter_to_it_and_by_no_others() {
+fn only_conflicting_changes_make_a_plan_stale() {
     let name = engine_name(0);
     let other = engine_name(1);
     let put = |id: &str, number| ConfigurationChange::PutServer(server(id, "fare-lm", number));
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn of_two_operators_with_equal_revisions_one_wins_and_the_other_is_told_why() {
+fn of_two_operators_with_equal_revisions_one_wins_and_the_other_gets_a_conflict() {
     let mut group = Group::new(&Site::default());
     let first = plan_of(group.propose(drain(2)));
     let second = plan_of(
@@ -314,7 +314,11 @@
         le(CLOSED_PLANS_KEPT + state.open_plans().count())
     );
     let renewed = plan_of(apply(&mut state, propose(3, drain(7))));
-    expect_that!(renewed.id, not(eq(open.id)), "the oldest answers have gone");
+    expect_that!(
+        renewed.id,
+        not(eq(open.id)),
+        "the oldest answers are evicted"
+    );
     let last = plan_of(apply(&mut state, propose(intent - 2, drain(1))));
     expect_that!(last.state, eq(&PlanState::Proposed), "the newest are kept");
     let restored = ControlState::restore(&state.snapshot()).unwrap();
--- a/crates/nodes/wingshore-control/tests/leases.rs
+++ b/crates/nodes/wingshore-control/tests/leases.rs
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn a_watch_is_answered_at_once_by_news_or_at_its_end() {
+fn a_watch_is_answered_by_a_newer_revision_or_at_its_deadline() {
     let mut group = group_after_any_lease();
     let newest = group.configuration().revision.0;
     let behind = group.watch("a", 1, newest - 2, 1_000);
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn a_watch_ends_before_the_lease_and_gives_none_to_those_who_acknowledge_nothing() {
+fn watches_end_before_the_lease_and_grant_none_without_acknowledgements() {
     let mut group = group_after_any_lease();
     let have = group.configuration().revision;
     let long = group.watch("a", 1, have.0, 60_000);
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn a_frozen_node_holds_a_revision_up_no_longer_than_its_lease() {
+fn a_frozen_node_delays_a_revision_no_longer_than_its_lease() {
     let mut group = group_after_any_lease();
     let old = group.configuration().revision.0;
     group.watch("frozen", 1, old, 2_000);
@@ -236,7 +236,7 @@
     expect_that!(
         relay(&[new, new, new, 0]),
         eq(new),
-        "one that starts later gets this or a later one"
+        "a node that starts later gets this revision or a later one"
     );
 }
 
--- a/crates/nodes/wingshore-control/tests/orders.rs
+++ b/crates/nodes/wingshore-control/tests/orders.rs
@@ -113,7 +113,7 @@
     let newer = Duration::from_millis(1);
     let cases = [
         (
-            "asked for before the order",
+            "polled before the order",
             Duration::ZERO,
             Some(2),
             Some(fence(1, 1)),
@@ -135,14 +135,14 @@
             Some(2),
         ),
         (
-            "failed and knows what it has",
+            "failed and reports a version",
             newer,
             Some(1),
             Some(fence(1, 1)),
             Some(1),
         ),
         (
-            "failed and does not know",
+            "failed and reports no version",
             newer,
             None,
             Some(fence(1, 1)),
@@ -221,7 +221,7 @@
 }
 
 #[gtest]
-fn a_restart_in_the_middle_of_a_swap_is_noticed_and_ordered_anew() {
+fn a_restart_during_a_swap_is_detected_and_the_swap_ordered_again() {
     let mut group = Group::new(&one_engine());
     let mut fleet = Fleet::new(1, 1);
     fleet.load_ms = 10_000;
@@ -299,7 +299,7 @@
 }
 
 #[gtest]
-fn an_order_that_was_never_accepted_gives_way_to_a_newer_version() {
+fn an_order_that_was_never_accepted_is_replaced_by_a_newer_version() {
     let (mut group, first) = group_with_order();
     group.publish(POOL, 3);
     group.advance_time(200);
@@ -310,12 +310,12 @@
     let resent = orders(&mut group);
     expect_true!(
         resent.iter().all(|order| *order == sent[0]),
-        "the older one is never sent again"
+        "the older order is never sent again"
     );
 }
 
 #[gtest]
-fn an_engine_that_has_another_version_all_at_once_is_moved_back() {
+fn an_engine_that_reports_an_unexpected_version_is_moved_back() {
     let mut group = Group::new(&Site::default());
     let mut fleet = Fleet::new(8, 1);
     group.publish(POOL, 2);
@@ -355,7 +355,7 @@
 }
 
 #[gtest]
-fn a_fence_is_used_once_and_a_new_leader_s_are_higher() {
+fn fences_are_unique_and_higher_under_a_new_leader() {
     expect_that!(reused_fences(Faults::default()), eq(0));
     let faults = Faults {
         ignore_fence_order: true,
--- a/crates/nodes/wingshore-control/tests/planner.rs
+++ b/crates/nodes/wingshore-control/tests/planner.rs
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn intents_that_make_no_sense_are_refused_with_what_where_and_what_is_allowed() {
+fn invalid_intents_are_refused_with_the_place_and_the_allowed_values() {
     let apply = |changes: Vec<ConfigurationChange>| Intent::Apply(changes);
     let move_to = |pool: &str, version| Intent::MovePool {
         pool: pool.into(),
@@ -216,7 +216,7 @@
 }
 
 #[gtest]
-fn putting_a_pool_anew_leaves_its_target_version() {
+fn replacing_a_pool_keeps_its_target_version() {
     let mut group = Group::new(&Site::default());
     group.publish(POOL, 9);
     let changed = Pool {
@@ -230,7 +230,7 @@
 }
 
 #[gtest]
-fn putting_a_server_anew_leaves_its_admission() {
+fn replacing_a_server_keeps_its_admission() {
     let mut group = Group::new(&Site::default());
     let engine = engine_name(0);
     group.apply_change(set_admission(&engine, Admission::Draining));
@@ -258,7 +258,7 @@
 }
 
 #[gtest]
-fn names_list_is_cut_where_there_are_many() {
+fn a_long_list_of_names_is_truncated() {
     let mut group = Group::new(&Site {
         engines: 30,
         ..Site::default()
--- a/crates/nodes/wingshore-control/tests/properties.rs
+++ b/crates/nodes/wingshore-control/tests/properties.rs
@@ -19,7 +19,7 @@
 };
 
 /// Returns the configuration of a watcher after it has applied `update`.
-fn updated(mut held: Configuration, update: ConfigurationUpdate) -> Configuration {
+fn apply_update(mut held: Configuration, update: ConfigurationUpdate) -> Configuration {
     match update {
         ConfigurationUpdate::Unchanged => held,
         ConfigurationUpdate::Snapshot(whole) => *whole,
@@ -81,7 +81,7 @@
             .take_while(|c| c.is_alphabetic())
             .collect::<String>();
         *kinds.entry(kind).or_insert(0) += 1;
-        expect_true!(updated(watcher, update) == newest, "{behind} behind");
+        expect_true!(apply_update(watcher, update) == newest, "{behind} behind");
     }
     expect_that!(kinds.len(), eq(3), "{kinds:?}");
     let ahead = group.state.update_since(Revision(newest.revision.0 + 5));
@@ -114,7 +114,7 @@
 
 /// The state of a plan in the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Model {
+enum PlanModel {
     Proposed,
     Stale,
     Running,
@@ -123,16 +123,16 @@
 
 /// A model of drains of a few servers by racing operators: the state of each plan, and the draining
 /// servers. The model has no footprints: each plan concerns one server.
-struct Race {
+struct RaceModel {
     state: ControlState,
     faults: Faults,
-    plans: BTreeMap<u64, (u32, Model)>,
+    plans: BTreeMap<u64, (u32, PlanModel)>,
     draining: BTreeMap<u32, bool>,
     sent: Vec<(ControlCommand, ControlReply)>,
     last_intent: u128,
 }
 
-impl Race {
+impl RaceModel {
     fn new(faults: Faults) -> Self {
         let mut state = ControlState::with_faults(faults);
         let site = ControlCommand::Propose {
@@ -179,7 +179,7 @@
                     intent: Intent::Drain(engine_name(server).as_str().into()),
                 };
                 let plan = plan_of(self.send(command));
-                self.plans.insert(plan.id.0, (server, Model::Proposed));
+                self.plans.insert(plan.id.0, (server, PlanModel::Proposed));
             }
             Action::Confirm { plan } => self.confirm(intent_id, plan)?,
             Action::Cancel { plan } => {
@@ -187,10 +187,10 @@
                     intent_id,
                     plan: PlanId(plan),
                 });
-                if let Some((_, model @ (Model::Proposed | Model::Running))) =
+                if let Some((_, model @ (PlanModel::Proposed | PlanModel::Running))) =
                     self.plans.get_mut(&plan)
                 {
-                    *model = Model::Closed;
+                    *model = PlanModel::Closed;
                 }
             }
             Action::Publish { version } => {
@@ -226,29 +226,29 @@
         let in_use = self
             .plans
             .values()
-            .any(|(other, model)| *other == server && *model == Model::Running);
+            .any(|(other, model)| *other == server && *model == PlanModel::Running);
         let is_conflict = matches!(
             reply,
             ControlReply::Refused(ControlRefusal::Conflict { .. })
         );
         match model {
-            Model::Running | Model::Closed => expect_reply(
+            PlanModel::Running | PlanModel::Closed => expect_reply(
                 matches!(
                     reply,
                     ControlReply::Refused(ControlRefusal::WrongState { .. })
                 ),
                 &reply,
             ),
-            Model::Stale => expect_reply(is_conflict, &reply),
-            Model::Proposed if in_use => expect_reply(is_conflict, &reply),
-            Model::Proposed => {
+            PlanModel::Stale => expect_reply(is_conflict, &reply),
+            PlanModel::Proposed if in_use => expect_reply(is_conflict, &reply),
+            PlanModel::Proposed => {
                 let is_change = !self.draining.get(&server).copied().unwrap_or(false);
                 for (other, model) in self.plans.values_mut() {
-                    if is_change && *other == server && *model == Model::Proposed {
-                        *model = Model::Stale;
+                    if is_change && *other == server && *model == PlanModel::Proposed {
+                        *model = PlanModel::Stale;
                     }
                 }
-                self.plans.insert(plan, (server, Model::Running));
+                self.plans.insert(plan, (server, PlanModel::Running));
                 self.draining.insert(server, true);
                 expect_reply(matches!(reply, ControlReply::Plan(_)), &reply)
             }
@@ -271,7 +271,7 @@
         self.state.apply(LogIndex(1), command);
         let is_last = step as usize + 1 == steps;
         if let Some((_, model)) = self.plans.get_mut(&plan).filter(|_| is_last) {
-            *model = Model::Closed;
+            *model = PlanModel::Closed;
         }
     }
 
@@ -284,19 +284,25 @@
             }
         }
         if *self.state.configuration() != before {
-            return Err("a resend changed the configuration".to_owned());
+            return Err("a retry changed the configuration".to_owned());
         }
         Ok(())
     }
 
     fn compare(&self) -> std::result::Result<(), String> {
         for (id, (_, model)) in &self.plans {
-            let state = &self.state.plan(PlanId(*id)).ok_or("a plan is gone")?.state;
+            let state = &self
+                .state
+                .plan(PlanId(*id))
+                .ok_or("a plan of the model is missing")?
+                .state;
             let real = match state {
-                PlanState::Proposed => Model::Proposed,
-                PlanState::Stale { .. } => Model::Stale,
-                PlanState::Running { .. } => Model::Running,
-                PlanState::Done | PlanState::Failed { .. } | PlanState::Cancelled => Model::Closed,
+                PlanState::Proposed => PlanModel::Proposed,
+                PlanState::Stale { .. } => PlanModel::Stale,
+                PlanState::Running { .. } => PlanModel::Running,
+                PlanState::Done | PlanState::Failed { .. } | PlanState::Cancelled => {
+                    PlanModel::Closed
+                }
             };
             if real != *model {
                 return Err(format!("plan {id} is {state:?}; the model says {model:?}"));
@@ -321,7 +327,7 @@
 }
 
 fn run_race(faults: Faults, actions: &[Action]) -> std::result::Result<(), String> {
-    let mut race = Race::new(faults);
+    let mut race = RaceModel::new(faults);
     for action in actions {
         race.act(action)
             .map_err(|error| format!("{action:?}: {error}"))?;
@@ -339,8 +345,8 @@
 
     #[test]
     fn members_that_apply_the_same_commands_are_equal(actions in prop::collection::vec(action(), 1..40)) {
-        let mut first = Race::new(Faults::default());
-        let mut second = Race::new(Faults::default());
+        let mut first = RaceModel::new(Faults::default());
+        let mut second = RaceModel::new(Faults::default());
         for action in &actions {
             prop_assert_eq!(first.act(action), Ok(()));
             prop_assert_eq!(second.act(action), Ok(()));
--- a/crates/nodes/wingshore-control/tests/swaps.rs
+++ b/crates/nodes/wingshore-control/tests/swaps.rs
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn limits_respect_the_live_share_and_let_at_least_one_go() {
+fn limits_respect_the_live_share_and_allow_at_least_one_swap() {
     let settings = LeaderSettings::default();
     let cases = [
         (8, 500, 2, 0),
@@ -114,7 +114,12 @@
         ..at(1)
     };
     let cases: Vec<(&str, Vec<Case>, SwapLimits, StartedSwaps)> = vec![
-        ("all are there", vec![at(2), at(2)], limits(2, 4, 0), vec![]),
+        (
+            "all engines have the version",
+            vec![at(2), at(2)],
+            limits(2, 4, 0),
+            vec![],
+        ),
         (
             "share",
             vec![at(1), at(1), at(1)],
@@ -122,31 +127,31 @@
             vec![(0, store()), (1, store())],
         ),
         (
-            "one is away already",
+            "one engine is away already",
             vec![fetching(store()), at(1), at(1)],
             limits(2, 4, 0),
             vec![(1, store())],
         ),
         (
-            "unknown first",
+            "engines of unknown version go first",
             vec![at(1), unknown(), unknown()],
             limits(1, 4, 0),
             vec![(1, store()), (2, store())],
         ),
         (
-            "quarantined ones are away",
+            "quarantined engines count as away",
             vec![quarantined, at(1), at(1)],
             limits(1, 4, 0),
             vec![],
         ),
         (
-            "store is full",
+            "store is at its limit",
             vec![fetching(store()), at(1), at(1)],
             limits(9, 1, 0),
             vec![],
         ),
         (
-            "lower versions are moved to as well",
+            "engines of a higher version also swap",
             vec![at(3)],
             limits(1, 1, 0),
             vec![(0, store())],
@@ -158,13 +163,13 @@
             vec![(1, store()), (2, engine(0)), (3, engine(0))],
         ),
         (
-            "a source with one place left",
+            "a source with one free fetch slot",
             vec![at(2), fetching(engine(0)), at(1), at(1), at(1)],
             limits(9, 1, 2),
             vec![(2, store()), (3, engine(0))],
         ),
         (
-            "after a failure from the store only",
+            "fetch from the store only after a failure",
             vec![at(2), fetching(store()), failed],
             limits(9, 1, 2),
             vec![],
@@ -176,7 +181,7 @@
 }
 
 #[gtest]
-fn no_more_are_ever_away_than_allowed_and_no_source_is_overrun() {
+fn limits_on_away_engines_and_fetches_always_hold() {
     let site = Site {
         engines: 100,
         ..Site::default()
@@ -192,7 +197,7 @@
 }
 
 #[gtest]
-fn services_that_share_a_store_share_its_places_and_none_waits_for_the_last() {
+fn services_share_the_fetch_limit_of_a_store_and_all_start_early() {
     let settings = LeaderSettings::default();
     let services = 12;
     let of_each = 70;
@@ -293,7 +298,7 @@
 
 /// The limit is simulated time; a load takes two seconds from any source.
 #[gtest]
-fn ten_thousand_engines_take_a_version_within_the_limit() {
+fn ten_thousand_engines_swap_within_the_limit() {
     let site = Site {
         engines: 10_000,
         live_servers: 0,
