--- a/crates/nodes/wingshore-control/src/leader/engines.rs
+++ b/crates/nodes/wingshore-control/src/leader/engines.rs
@@ -22,7 +22,7 @@
     /// Service that the engine belongs to.
     pub(crate) service: ServiceId,
     /// Time from the order to the report that shows the new version.
-    pub(crate) took: Duration,
+    pub(crate) duration: Duration,
 }
 
 /// The engines of the configuration.
@@ -37,7 +37,7 @@
     /// Start of the leadership; reports polled earlier belong to another leadership.
     leadership_began: Instant,
     /// Engines to order again although they have the version; set only by fault injection.
-    pub(super) repeated: BTreeSet<ServerId>,
+    pub(super) swaps_to_repeat: BTreeSet<ServerId>,
 }
 
 impl Engines {
@@ -81,8 +81,8 @@
     }
 
     /// Injected fault: orders this engine to swap again, whatever it reports.
-    pub(crate) fn repeat(&mut self, id: &ServerId) {
-        self.repeated.insert(id.clone());
+    pub(crate) fn repeat_swap(&mut self, id: &ServerId) {
+        self.swaps_to_repeat.insert(id.clone());
     }
 
     /// Handles the answer to an order.
@@ -112,7 +112,7 @@
             return None;
         }
         let version = engine.version();
-        let took = match report {
+        let duration = match report {
             Some(report) => engine.on_report(view.now, asked_at, report, view.settings),
             None => {
                 engine.on_poll_failure(asked_at);
@@ -127,7 +127,7 @@
         self.polls.on_answer(id, asked_at, polling, view.settings);
         Some(FinishedSwap {
             service: engine.service().clone(),
-            took: took?,
+            duration: duration?,
         })
     }
 
--- a/crates/nodes/wingshore-control/src/leader/executor.rs
+++ b/crates/nodes/wingshore-control/src/leader/executor.rs
@@ -153,7 +153,7 @@
                 (everywhere >= wanted).then_some(StepResult::InForce(everywhere))
             }
             PlanStep::AwaitIdle(server) => self.check_idle(server, view),
-            PlanStep::Swap { .. } => swap_steps::check(plan, next_step, view),
+            PlanStep::Swap { .. } => swap_steps::check_swaps(plan, next_step, view),
         }
     }
 
--- a/crates/nodes/wingshore-control/src/leader/leases.rs
+++ b/crates/nodes/wingshore-control/src/leader/leases.rs
@@ -52,11 +52,11 @@
         proven: Revision,
         committed: Revision,
     ) -> Self {
-        let nothing_to_hold = committed == Revision::default();
+        let is_initial = committed == Revision::default();
         Self {
             leases: BTreeMap::new(),
             leadership_began: now,
-            earlier_leases_for: (!nothing_to_hold).then_some(lease_with_margin),
+            earlier_leases_for: (!is_initial).then_some(lease_with_margin),
             everywhere: proven,
         }
     }
--- a/crates/nodes/wingshore-control/src/leader/mod.rs
+++ b/crates/nodes/wingshore-control/src/leader/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// Updates the leases and returns the newest revision in force everywhere.
-    fn everywhere(&mut self, now: Instant, committed: Revision) -> Revision {
+    fn update_in_force(&mut self, now: Instant, committed: Revision) -> Revision {
         self.leases.update(now, committed);
         if self.faults.in_force_without_acknowledgement {
             return committed;
@@ -157,7 +157,7 @@
     fn in_force(&mut self, now: Instant, committed: Revision) -> InForce {
         InForce {
             committed,
-            everywhere: self.everywhere(now, committed),
+            everywhere: self.update_in_force(now, committed),
             waiting_for: self.leases.behind(committed),
         }
     }
@@ -202,7 +202,7 @@
         if state.running_plans().next().is_none() {
             return;
         }
-        let everywhere = self.everywhere(now, state.configuration().revision);
+        let everywhere = self.update_in_force(now, state.configuration().revision);
         let progress = self.executor.advance(&ExecutorView {
             now,
             state,
@@ -269,7 +269,7 @@
             };
             for step in plan.steps.iter().take(next_step as usize) {
                 if let PlanStep::Swap { server, .. } = step {
-                    self.engines.repeat(server);
+                    self.engines.repeat_swap(server);
                 }
             }
         }
--- a/crates/nodes/wingshore-control/src/leader/polling.rs
+++ b/crates/nodes/wingshore-control/src/leader/polling.rs
@@ -63,7 +63,7 @@
 
 /// The next poll of one server, and the time of the poll that is in flight.
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct ScheduledPoll {
     due: Instant,
     asked_at: Option<Instant>,
 }
@@ -71,7 +71,7 @@
 /// Schedule of polls, limited by a token bucket.
 #[derive(Debug, Default)]
 pub(crate) struct PollSchedule {
-    slots: BTreeMap<ServerId, Slot>,
+    schedule: BTreeMap<ServerId, ScheduledPoll>,
     by_time: BTreeSet<(Instant, ServerId)>,
     /// Tokens in the bucket; a poll costs [`NANOSECONDS_PER_SECOND`] of them.
     tokens: u64,
@@ -83,7 +83,7 @@
     pub(crate) fn add(&mut self, now: Instant, server: &ServerId) {
         self.put(
             server,
-            Slot {
+            ScheduledPoll {
                 due: now,
                 asked_at: None,
             },
@@ -92,8 +92,8 @@
 
     /// Removes a server.
     pub(crate) fn remove(&mut self, server: &ServerId) {
-        if let Some(slot) = self.slots.remove(server) {
-            self.by_time.remove(&(slot.due, server.clone()));
+        if let Some(scheduled) = self.schedule.remove(server) {
+            self.by_time.remove(&(scheduled.due, server.clone()));
         }
     }
 
@@ -111,7 +111,7 @@
             self.tokens -= NANOSECONDS_PER_SECOND;
             self.put(
                 &server,
-                Slot {
+                ScheduledPoll {
                     due: now + settings.poll_timeout,
                     asked_at: Some(now),
                 },
@@ -130,10 +130,10 @@
         swap: Option<SwapPolling>,
         settings: &LeaderSettings,
     ) {
-        let Some(slot) = self.slots.get(server).copied() else {
+        let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if slot.asked_at.is_none_or(|newest| newest > asked_at) {
+        if scheduled.asked_at.is_none_or(|newest| newest > asked_at) {
             return;
         }
         let interval = match swap {
@@ -142,7 +142,7 @@
         };
         self.put(
             server,
-            Slot {
+            ScheduledPoll {
                 due: asked_at + interval,
                 asked_at: None,
             },
@@ -151,28 +151,40 @@
 
     /// Makes a server's next poll due at `at`, if it is due later and none is in flight.
     pub(crate) fn poll_by(&mut self, server: &ServerId, at: Instant) {
-        let Some(slot) = self.slots.get(server).copied() else {
+        let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if slot.asked_at.is_none() && slot.due > at {
-            self.put(server, Slot { due: at, ..slot });
+        if scheduled.asked_at.is_none() && scheduled.due > at {
+            self.put(
+                server,
+                ScheduledPoll {
+                    due: at,
+                    ..scheduled
+                },
+            );
         }
     }
 
     /// Moves a server's next poll to `at`, earlier or later, unless one is in flight.
     pub(crate) fn reschedule(&mut self, server: &ServerId, at: Instant) {
-        let Some(slot) = self.slots.get(server).copied() else {
+        let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if slot.asked_at.is_none() {
-            self.put(server, Slot { due: at, ..slot });
+        if scheduled.asked_at.is_none() {
+            self.put(
+                server,
+                ScheduledPoll {
+                    due: at,
+                    ..scheduled
+                },
+            );
         }
     }
 
     /// Returns the poll interval of engines that do not swap. They use at most half of the rate
     /// limit; the rest is for engines that swap.
     fn steady_interval(&self, settings: &LeaderSettings) -> Duration {
-        let servers = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
+        let servers = u32::try_from(self.schedule.len()).unwrap_or(u32::MAX);
         let whole_round = Duration::from_secs(1) * servers / settings.polls_per_second.max(1);
         settings.poll_interval.max(whole_round * 2)
     }
@@ -190,10 +202,10 @@
         self.updated_at = now;
     }
 
-    fn put(&mut self, server: &ServerId, slot: Slot) {
-        if let Some(old) = self.slots.insert(server.clone(), slot) {
+    fn put(&mut self, server: &ServerId, scheduled: ScheduledPoll) {
+        if let Some(old) = self.schedule.insert(server.clone(), scheduled) {
             self.by_time.remove(&(old.due, server.clone()));
         }
-        self.by_time.insert((slot.due, server.clone()));
+        self.by_time.insert((scheduled.due, server.clone()));
     }
 }
--- a/crates/nodes/wingshore-control/src/leader/swap_scheduler.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_scheduler.rs
@@ -16,7 +16,7 @@
 
 /// The version that a service's engines should serve, and the store that has it.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct WantedWeights {
     version: WeightVersion,
     store: SocketAddr,
 }
@@ -48,7 +48,7 @@
         let mut unsettled = Vec::new();
         for service in self.index.unsettled() {
             if let Some((version, store)) = view.state.wanted_weights(&service) {
-                unsettled.push((service, Wanted { version, store }));
+                unsettled.push((service, WantedWeights { version, store }));
             }
         }
         let mut fetches = self.store_fetches(&unsettled);
@@ -66,7 +66,7 @@
     fn begin_swaps_of(
         &mut self,
         service: &ServiceId,
-        wanted: Wanted,
+        wanted: WantedWeights,
         from_store: usize,
         fetches: &mut StoreFetches,
         view: SchedulerView<'_>,
@@ -86,12 +86,12 @@
             }
             self.order_swap(start, wanted.version, view);
         }
-        let is_settled = self.repeated.is_empty() && self.is_settled(service, wanted, view);
+        let is_settled = self.swaps_to_repeat.is_empty() && self.is_settled(service, wanted, view);
         self.index.set_settled(service, is_settled);
     }
 
     /// Counts the fetches in progress from the stores of these services.
-    fn store_fetches(&self, services: &[(ServiceId, Wanted)]) -> StoreFetches {
+    fn store_fetches(&self, services: &[(ServiceId, WantedWeights)]) -> StoreFetches {
         let mut fetches = StoreFetches::default();
         for (service, wanted) in services {
             for engine in self.members(service) {
@@ -104,7 +104,7 @@
     }
 
     /// Returns whether an engine of the service has the wanted version or fetches it.
-    fn has_source(&self, service: &ServiceId, wanted: Wanted) -> bool {
+    fn has_source(&self, service: &ServiceId, wanted: WantedWeights) -> bool {
         self.members(service).any(|engine| {
             let fetches = engine.has_order() && engine.ordered_version() == Some(wanted.version);
             fetches || engine.version() == Some(wanted.version)
@@ -120,7 +120,7 @@
     fn candidates<'a>(
         &self,
         service: &ServiceId,
-        wanted: Wanted,
+        wanted: WantedWeights,
         view: SchedulerView<'a>,
     ) -> Vec<SwapCandidate<'a>> {
         let servers = &view.state.configuration().servers;
@@ -135,7 +135,12 @@
     }
 
     /// Returns whether all engines in use serve the wanted version or are held at their version.
-    fn is_settled(&self, service: &ServiceId, wanted: Wanted, view: SchedulerView<'_>) -> bool {
+    fn is_settled(
+        &self,
+        service: &ServiceId,
+        wanted: WantedWeights,
+        view: SchedulerView<'_>,
+    ) -> bool {
         let servers = &view.state.configuration().servers;
         let mut members = self.index.members(service).iter();
         members.all(|id| {
@@ -153,7 +158,7 @@
     fn repeated_swaps(
         &mut self,
         service: &ServiceId,
-        wanted: Wanted,
+        wanted: WantedWeights,
         view: SchedulerView<'_>,
     ) -> Vec<SwapStart> {
         let is_due = |id: &&ServerId| {
@@ -161,9 +166,14 @@
                 engine.service() == service && engine.is_ready(view.now, wanted.version)
             })
         };
-        let due: Vec<ServerId> = self.repeated.iter().filter(is_due).cloned().collect();
+        let due: Vec<ServerId> = self
+            .swaps_to_repeat
+            .iter()
+            .filter(is_due)
+            .cloned()
+            .collect();
         for id in &due {
-            self.repeated.remove(id);
+            self.swaps_to_repeat.remove(id);
         }
         let start = |server| SwapStart {
             server,
@@ -195,7 +205,7 @@
 fn candidate<'a>(
     server: &'a Server,
     engine: &Engine,
-    wanted: Wanted,
+    wanted: WantedWeights,
     view: SchedulerView<'a>,
 ) -> SwapCandidate<'a> {
     let version = engine.version();
--- a/crates/nodes/wingshore-control/src/leader/swap_steps.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_steps.rs
@@ -37,7 +37,11 @@
 }
 
 /// Checks the consecutive swaps from `next_step` on and returns their result, if there is one yet.
-pub(super) fn check(plan: &Plan, next_step: u32, view: &ExecutorView<'_>) -> Option<StepResult> {
+pub(super) fn check_swaps(
+    plan: &Plan,
+    next_step: u32,
+    view: &ExecutorView<'_>,
+) -> Option<StepResult> {
     let mut done = 0;
     for step in plan.steps.iter().skip(next_step as usize) {
         let PlanStep::Swap { server, version } = step else {
--- a/crates/nodes/wingshore-control/src/leader/swap_times.rs
+++ b/crates/nodes/wingshore-control/src/leader/swap_times.rs
@@ -43,7 +43,7 @@
         swap: FinishedSwap,
         state: &ControlState,
     ) -> Option<ControlCommand> {
-        let measured = u64::try_from(swap.took.as_millis()).unwrap_or(u64::MAX);
+        let measured = u64::try_from(swap.duration.as_millis()).unwrap_or(u64::MAX);
         let committed = state.swap_time(&swap.service);
         let mean = self.means.entry(swap.service.clone()).or_insert(Mean {
             milliseconds: committed.unwrap_or(measured),
--- a/crates/nodes/wingshore-control/src/state/apply.rs
+++ b/crates/nodes/wingshore-control/src/state/apply.rs
@@ -75,7 +75,7 @@
     ) -> Result<ControlReply, ControlRefusal> {
         self.check_base(base_revision)?;
         let draft = self.draft(&intent)?;
-        if !self.plans.make_room(draft.steps.len()) {
+        if !self.plans.enforce_open_limits(draft.steps.len()) {
             return Err(ControlRefusal::Invalid {
                 message: format!(
                     "the running plans leave no room; {OPEN_PLANS_LIMIT} plans with \
--- a/crates/nodes/wingshore-control/src/state/plan_table.rs
+++ b/crates/nodes/wingshore-control/src/state/plan_table.rs
@@ -65,9 +65,10 @@
         PlanId(self.last_id + 1)
     }
 
-    /// Makes room for another open plan of `steps` steps: marks the oldest proposed plans as stale
-    /// until the limits allow it. Returns false if the running plans alone leave no room.
-    pub(crate) fn make_room(&mut self, steps: usize) -> bool {
+    /// Enforces the limits on open plans for one more plan of `steps` steps: marks the oldest
+    /// proposed plans as stale until the limits allow it. Returns false if they do not allow it even
+    /// with running plans only.
+    pub(crate) fn enforce_open_limits(&mut self, steps: usize) -> bool {
         let mut open_steps: usize = self.open().map(PlanRecord::steps).sum();
         while self.open.len() >= OPEN_PLANS_LIMIT || open_steps + steps > OPEN_STEPS_LIMIT {
             let oldest = self
