--- a/crates/lab/wingshore-lab/src/sim/replica/kind.rs
+++ b/crates/lab/wingshore-lab/src/sim/replica/kind.rs
@@ -25,13 +25,13 @@
         /// The engine.
         server: ServerId,
         /// When it was asked.
-        asked_at: Instant,
+        polled_at: Instant,
     },
     /// A reading of a live server's load.
     Load {
         server: ServerId,
         /// When it was asked.
-        asked_at: Instant,
+        polled_at: Instant,
     },
 }
 
@@ -85,16 +85,20 @@
                 (address, Call::Order(order), origin)
             }
             ControlEffect::ReadState { server, address } => {
-                let asked_at = now;
+                let polled_at = now;
                 (
                     address,
                     Call::State,
-                    EffectOrigin::State { server, asked_at },
+                    EffectOrigin::State { server, polled_at },
                 )
             }
             ControlEffect::ReadLoad { server, address } => {
-                let asked_at = now;
-                (address, Call::Load, EffectOrigin::Load { server, asked_at })
+                let polled_at = now;
+                (
+                    address,
+                    Call::Load,
+                    EffectOrigin::Load { server, polled_at },
+                )
             }
         };
         Some(EffectCall { to, call, origin })
@@ -107,17 +111,17 @@
                 fence,
                 answer: order_answer(answer),
             },
-            EffectOrigin::State { server, asked_at } => ControlEvent::StateRead {
+            EffectOrigin::State { server, polled_at } => ControlEvent::StateRead {
                 server,
-                asked_at,
+                polled_at,
                 state: match answer {
                     Answer::State(state) => Ok(state),
                     other => Err(verdict_of(&other)),
                 },
             },
-            EffectOrigin::Load { server, asked_at } => ControlEvent::LoadRead {
+            EffectOrigin::Load { server, polled_at } => ControlEvent::LoadRead {
                 server,
-                asked_at,
+                polled_at,
                 load: match answer {
                     Answer::Load(load) => Ok(load),
                     other => Err(verdict_of(&other)),
--- a/crates/nodes/wingshore-control/src/effect.rs
+++ b/crates/nodes/wingshore-control/src/effect.rs
@@ -59,7 +59,7 @@
         /// Id of the engine.
         server: ServerId,
         /// When the poll was sent, by the leader's clock.
-        asked_at: Instant,
+        polled_at: Instant,
         /// Reported state; the error says whether the engine may have received the poll.
         state: Result<EngineState, Verdict>,
     },
@@ -68,7 +68,7 @@
         /// Id of the server.
         server: ServerId,
         /// When the poll was sent, by the leader's clock.
-        asked_at: Instant,
+        polled_at: Instant,
         /// Reported load; the error says whether the server may have received the poll.
         load: Result<LoadReport, Verdict>,
     },
--- a/crates/nodes/wingshore-control/src/leader/engine.rs
+++ b/crates/nodes/wingshore-control/src/leader/engine.rs
@@ -12,7 +12,7 @@
 /// An engine's report and the time at which its poll was sent.
 #[derive(Clone, Debug)]
 struct Report {
-    asked_at: Instant,
+    polled_at: Instant,
     state: EngineState,
 }
 
@@ -78,7 +78,7 @@
         let report = self.report.as_ref()?;
         if let Some((fence, first_sent)) = self.last_order {
             let has_seen_order = report.state.last_order.is_some_and(|last| last >= fence);
-            if !has_seen_order || report.asked_at <= first_sent {
+            if !has_seen_order || report.polled_at <= first_sent {
                 return None;
             }
         }
@@ -193,13 +193,13 @@
     }
 
     /// Records that a poll of its state was not answered.
-    pub(crate) fn on_poll_failure(&mut self, asked_at: Instant) {
+    pub(crate) fn on_poll_failure(&mut self, polled_at: Instant) {
         let is_late = self
             .report
             .as_ref()
-            .is_some_and(|report| report.asked_at > asked_at);
+            .is_some_and(|report| report.polled_at > polled_at);
         if !is_late {
-            self.silent_since.get_or_insert(asked_at);
+            self.silent_since.get_or_insert(polled_at);
         }
     }
 
@@ -208,12 +208,12 @@
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
-        asked_at: Instant,
+        polled_at: Instant,
         state: EngineState,
         settings: &LeaderSettings,
     ) -> Option<Duration> {
-        let newest = self.report.as_ref().map(|report| report.asked_at);
-        if newest.is_some_and(|newest| asked_at < newest) {
+        let newest = self.report.as_ref().map(|report| report.polled_at);
+        if newest.is_some_and(|newest| polled_at < newest) {
             return None;
         }
         self.silent_since = None;
@@ -226,8 +226,8 @@
         let progress = self
             .order
             .as_mut()
-            .map(|order| order.on_report(now, asked_at, &state));
-        self.report = Some(Report { asked_at, state });
+            .map(|order| order.on_report(now, polled_at, &state));
+        self.report = Some(Report { polled_at, state });
         match progress {
             Some(OrderProgress::Succeeded) => self.complete_swap(now),
             Some(OrderProgress::Failed) => {
--- a/crates/nodes/wingshore-control/src/leader/engines.rs
+++ b/crates/nodes/wingshore-control/src/leader/engines.rs
@@ -103,19 +103,19 @@
     pub(crate) fn on_state(
         &mut self,
         id: &ServerId,
-        asked_at: Instant,
+        polled_at: Instant,
         report: Option<EngineState>,
         view: SchedulerView<'_>,
     ) -> Option<FinishedSwap> {
         let engine = self.engines.get_mut(id)?;
-        if asked_at < self.leadership_began {
+        if polled_at < self.leadership_began {
             return None;
         }
         let version = engine.version();
         let duration = match report {
-            Some(report) => engine.on_report(view.now, asked_at, report, view.settings),
+            Some(report) => engine.on_report(view.now, polled_at, report, view.settings),
             None => {
-                engine.on_poll_failure(asked_at);
+                engine.on_poll_failure(polled_at);
                 None
             }
         };
@@ -124,7 +124,7 @@
             self.index.set_settled(engine.service(), false);
         }
         let polling = is_busy.then(|| view.swap_polling(engine.service()));
-        self.polls.on_answer(id, asked_at, polling, view.settings);
+        self.polls.on_answer(id, polled_at, polling, view.settings);
         Some(FinishedSwap {
             service: engine.service().clone(),
             duration: duration?,
--- a/crates/nodes/wingshore-control/src/leader/executor.rs
+++ b/crates/nodes/wingshore-control/src/leader/executor.rs
@@ -62,12 +62,12 @@
         self.committing.remove(&plan);
     }
 
-    /// Handles a server's report of its load, which was measured `age` before `asked_at`; `None`
+    /// Handles a server's report of its load, which was measured `age` before `polled_at`; `None`
     /// means that the poll failed.
     pub(crate) fn on_load(
         &mut self,
         server: &ServerId,
-        asked_at: Instant,
+        polled_at: Instant,
         age: Duration,
         in_flight: Option<u32>,
     ) {
@@ -77,10 +77,10 @@
         match in_flight {
             Some(in_flight) => {
                 watched.silent_since = None;
-                watched.watch.observe(asked_at - age, in_flight == 0);
+                watched.watch.observe(polled_at - age, in_flight == 0);
             }
             None => {
-                watched.silent_since.get_or_insert(asked_at);
+                watched.silent_since.get_or_insert(polled_at);
             }
         }
     }
--- a/crates/nodes/wingshore-control/src/leader/mod.rs
+++ b/crates/nodes/wingshore-control/src/leader/mod.rs
@@ -229,7 +229,7 @@
         &mut self,
         now: Instant,
         server: &ServerId,
-        asked_at: Instant,
+        polled_at: Instant,
         read: Result<EngineState, Verdict>,
         state: &ControlState,
         out: &mut Outputs,
@@ -239,13 +239,13 @@
             .as_ref()
             .map(|report| report.in_flight.saturating_add(report.queue));
         self.executor
-            .on_load(server, asked_at, Duration::ZERO, in_flight);
+            .on_load(server, polled_at, Duration::ZERO, in_flight);
         let view = SchedulerView {
             now,
             state,
             settings: &self.settings,
         };
-        let finished = self.engines.on_state(server, asked_at, report, view);
+        let finished = self.engines.on_state(server, polled_at, report, view);
         let measured = finished.and_then(|swap| self.swap_times.record(now, swap, state));
         if let Some(command) = measured {
             self.propose(Waiter::Nobody, command, out);
@@ -370,19 +370,19 @@
             } => self.engines.on_order_answer(now, &server, fence, answer),
             ControlEvent::StateRead {
                 server,
-                asked_at,
+                polled_at,
                 state: read,
-            } => self.on_state_read(now, &server, asked_at, read, state, out),
+            } => self.on_state_read(now, &server, polled_at, read, state, out),
             ControlEvent::LoadRead {
                 server,
-                asked_at,
+                polled_at,
                 load,
             } => {
                 let age = load.map_or(0, |load| load.age_ms);
                 let in_flight = load.map(|load| load.in_flight.saturating_add(load.queue));
                 let age = Duration::from_millis(age);
                 self.executor
-                    .on_load(&server, asked_at, age, in_flight.ok());
+                    .on_load(&server, polled_at, age, in_flight.ok());
             }
         }
         self.advance_plans(now, state, out);
--- a/crates/nodes/wingshore-control/src/leader/orders.rs
+++ b/crates/nodes/wingshore-control/src/leader/orders.rs
@@ -159,16 +159,16 @@
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
-        asked_at: Instant,
+        polled_at: Instant,
         state: &EngineState,
     ) -> OrderProgress {
-        if asked_at <= self.first_sent {
+        if polled_at <= self.first_sent {
             return OrderProgress::Open;
         }
         if state.last_order.is_some_and(|last| last >= self.fence()) {
             return self.progress_of_seen_order(now, state);
         }
-        let asked_after_acceptance = self.accepted_at.is_some_and(|at| asked_at > at);
+        let asked_after_acceptance = self.accepted_at.is_some_and(|at| polled_at > at);
         if state.boot_id != self.boot_id || asked_after_acceptance {
             return OrderProgress::Failed;
         }
--- a/crates/nodes/wingshore-control/src/leader/polling.rs
+++ b/crates/nodes/wingshore-control/src/leader/polling.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ScheduledPoll {
     due: Instant,
-    asked_at: Option<Instant>,
+    polled_at: Option<Instant>,
 }
 
 /// Schedule of polls, limited by a token bucket.
@@ -85,7 +85,7 @@
             server,
             ScheduledPoll {
                 due: now,
-                asked_at: None,
+                polled_at: None,
             },
         );
     }
@@ -113,7 +113,7 @@
                 &server,
                 ScheduledPoll {
                     due: now + settings.poll_timeout,
-                    asked_at: Some(now),
+                    polled_at: Some(now),
                 },
             );
             due.push(server);
@@ -126,14 +126,14 @@
     pub(crate) fn on_answer(
         &mut self,
         server: &ServerId,
-        asked_at: Instant,
+        polled_at: Instant,
         swap: Option<SwapPolling>,
         settings: &LeaderSettings,
     ) {
         let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if scheduled.asked_at.is_none_or(|newest| newest > asked_at) {
+        if scheduled.polled_at.is_none_or(|newest| newest > polled_at) {
             return;
         }
         let interval = match swap {
@@ -143,8 +143,8 @@
         self.put(
             server,
             ScheduledPoll {
-                due: asked_at + interval,
-                asked_at: None,
+                due: polled_at + interval,
+                polled_at: None,
             },
         );
     }
@@ -154,7 +154,7 @@
         let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if scheduled.asked_at.is_none() && scheduled.due > at {
+        if scheduled.polled_at.is_none() && scheduled.due > at {
             self.put(
                 server,
                 ScheduledPoll {
@@ -170,7 +170,7 @@
         let Some(scheduled) = self.schedule.get(server).copied() else {
             return;
         };
-        if scheduled.asked_at.is_none() {
+        if scheduled.polled_at.is_none() {
             self.put(
                 server,
                 ScheduledPoll {
--- a/crates/nodes/wingshore-control/tests/orders.rs
+++ b/crates/nodes/wingshore-control/tests/orders.rs
@@ -38,10 +38,10 @@
     }
 }
 
-fn read(group: &mut Group, asked_at: Instant, state: EngineState) {
+fn read(group: &mut Group, polled_at: Instant, state: EngineState) {
     group.event(ControlEvent::StateRead {
         server: engine_id(),
-        asked_at,
+        polled_at,
         state: Ok(state),
     });
 }
@@ -158,9 +158,9 @@
     ];
     for (case, after, reported, last_order, believed) in cases {
         let (mut group, _) = group_with_order();
-        let asked_at = group.now + after;
+        let polled_at = group.now + after;
         group.now = group.now + Duration::from_millis(50);
-        read(&mut group, asked_at, report(reported, last_order));
+        read(&mut group, polled_at, report(reported, last_order));
         expect_that!(version(&mut group), eq(believed), "{case}");
     }
 }
@@ -176,7 +176,7 @@
     expect_that!(version(&mut group), some(eq(2)));
     let failure = ControlEvent::StateRead {
         server: engine_id(),
-        asked_at: early,
+        polled_at: early,
         state: Err(Verdict::MayHaveRun),
     };
     group.event(failure);
@@ -186,10 +186,10 @@
 #[gtest]
 fn reports_polled_by_an_earlier_leadership_are_ignored() {
     let mut group = Group::new(&one_engine());
-    let asked_at = group.now;
+    let polled_at = group.now;
     group.now = group.now + Duration::from_millis(100);
     group.change_leader();
-    read(&mut group, asked_at, report(Some(1), None));
+    read(&mut group, polled_at, report(Some(1), None));
     expect_that!(version(&mut group), none());
 }
 
@@ -279,9 +279,9 @@
 #[gtest]
 fn an_answer_to_an_earlier_order_is_ignored() {
     let (mut group, first) = group_with_order();
-    let asked_at = group.now + Duration::from_millis(10);
+    let polled_at = group.now + Duration::from_millis(10);
     group.now = group.now + Duration::from_millis(20);
-    read(&mut group, asked_at, report(None, Some(first)));
+    read(&mut group, polled_at, report(None, Some(first)));
     group.advance_time(2_000);
     let now = group.now;
     read(&mut group, now, report(None, Some(first)));
--- a/crates/nodes/wingshore-control/tests/support/engine.rs
+++ b/crates/nodes/wingshore-control/tests/support/engine.rs
@@ -156,7 +156,7 @@
                 self.reads += 1;
                 let engine = self.engines.get(&server).filter(|engine| !engine.silent);
                 ControlEvent::StateRead {
-                    asked_at: now,
+                    polled_at: now,
                     state: engine
                         .map(|engine| engine.state.clone())
                         .ok_or(Verdict::MayHaveRun),
@@ -165,7 +165,7 @@
             }
             ControlEffect::ReadLoad { server, .. } => ControlEvent::LoadRead {
                 server,
-                asked_at: now,
+                polled_at: now,
                 load: Ok(LoadReport {
                     in_flight: self.live_in_flight,
                     queue: 0,
--- a/crates/nodes/wingshore-replica/src/effects/carrier.rs
+++ b/crates/nodes/wingshore-replica/src/effects/carrier.rs
@@ -135,20 +135,20 @@
                 order,
             } => self.send_order(server, address, &order),
             ControlEffect::ReadState { server, address } => {
-                let asked_at = self.clock.now();
+                let polled_at = self.clock.now();
                 let state = self.client.read_state(address);
                 ControlEvent::StateRead {
                     server,
-                    asked_at,
+                    polled_at,
                     state,
                 }
             }
             ControlEffect::ReadLoad { server, address } => {
-                let asked_at = self.clock.now();
+                let polled_at = self.clock.now();
                 let load = self.client.read_load(address);
                 ControlEvent::LoadRead {
                     server,
-                    asked_at,
+                    polled_at,
                     load,
                 }
             }
@@ -188,12 +188,12 @@
         },
         ControlEffect::ReadState { server, .. } => ControlEvent::StateRead {
             server,
-            asked_at: now,
+            polled_at: now,
             state: Err(Verdict::NotRun),
         },
         ControlEffect::ReadLoad { server, .. } => ControlEvent::LoadRead {
             server,
-            asked_at: now,
+            polled_at: now,
             load: Err(Verdict::NotRun),
         },
     }
