--- a/crates/nodes/wingshore-control/src/leader/orders.rs
+++ b/crates/nodes/wingshore-control/src/leader/orders.rs
@@ -168,8 +168,8 @@
         if state.last_order.is_some_and(|last| last >= self.fence()) {
             return self.progress_of_seen_order(now, state);
         }
-        let asked_after_acceptance = self.accepted_at.is_some_and(|at| polled_at > at);
-        if state.boot_id != self.boot_id || asked_after_acceptance {
+        let polled_after_acceptance = self.accepted_at.is_some_and(|at| polled_at > at);
+        if state.boot_id != self.boot_id || polled_after_acceptance {
             return OrderProgress::Failed;
         }
         OrderProgress::Open
