--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -194,8 +194,8 @@
                 self.finished = Some((reason, usage));
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status: 200,
-                    body: AnswerBody::Whole,
-                    kept: self.kept(reason, usage),
+                    body: AnswerBody::Complete,
+                    stored_answer: self.kept(reason, usage),
                 })
             }
             EngineEnd::Rejected(answer) => {
@@ -203,8 +203,8 @@
                 self.rejected = Some(answer);
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status,
-                    body: AnswerBody::Whole,
-                    kept: None,
+                    body: AnswerBody::Complete,
+                    stored_answer: None,
                 })
             }
             EngineEnd::Failed(failure) => {
@@ -215,7 +215,7 @@
             }
             EngineEnd::Stopped => {
                 node.cancel_at_engine(send.address, &request.request_id);
-                AttemptResult::CallerGone
+                AttemptResult::CallerDisconnected
             }
         }
     }
--- a/crates/shared/wingshore-storage/src/memory/disk.rs
+++ b/crates/shared/wingshore-storage/src/memory/disk.rs
@@ -1,22 +1,22 @@
-//! The disk itself: what programs see now, and what would be found after a loss of power.
+//! The simulated disk: the content that programs see and the content that survives a power loss.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Names a file's content, whatever its name in a directory.
+/// Identifies the content of a file independently of its name, like an inode number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FileId(u64);
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// What programs read.
+    /// The bytes that programs read.
     current: Vec<u8>,
-    /// What is on the medium.
+    /// The bytes that are durable.
     synced: Vec<u8>,
 }
 
-/// A change of names that is not yet synced.
+/// A directory change that is not yet synced.
 #[derive(Clone, Debug)]
 enum NameChange {
     Link {
@@ -42,7 +42,7 @@
     pending: Vec<NameChange>,
 }
 
-/// A disk. Directories themselves are durable at once; the names of files in them are not.
+/// A simulated disk. Directories are durable at once; the file names in them are not.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     contents: BTreeMap<FileId, Content>,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Names of files and of directories.
+    /// Returns the names of files and of subdirectories, sorted.
     pub(super) fn list(&self, directory: &Path) -> io::Result<Vec<String>> {
         let files = self.directory(directory)?.current.keys().cloned();
         let inner = self
@@ -164,14 +164,14 @@
         Ok(())
     }
 
-    /// Keeps what was synced, and of the rest a part that depends on `seed`.
-    pub(super) fn lose_unsynced(&mut self, seed: u64) {
-        let mut chance = Chance(seed);
+    /// Keeps the synced data and a part of the unsynced data that depends on `seed`.
+    pub(super) fn drop_unsynced(&mut self, seed: u64) {
+        let mut random = SplitMix64(seed);
         for content in self.contents.values_mut() {
-            content.lose_unsynced(&mut chance);
+            content.drop_unsynced(&mut random);
         }
         for directory in self.directories.values_mut() {
-            directory.lose_unsynced(&mut chance);
+            directory.drop_unsynced(&mut random);
         }
         let directories = &self.directories;
         self.contents.retain(|id, _| {
@@ -195,9 +195,9 @@
 }
 
 impl Content {
-    /// Unsynced bytes survive up to some place, and some of them may have become zeros: a
-    /// disk writes pages in any order.
-    fn lose_unsynced(&mut self, chance: &mut Chance) {
+    /// Keeps the unsynced bytes up to a random offset and may zero a range of them, since a disk
+    /// writes pages in any order.
+    fn drop_unsynced(&mut self, random: &mut SplitMix64) {
         let common = self
             .synced
             .iter()
@@ -205,15 +205,15 @@
             .take_while(|(synced, current)| synced == current)
             .count();
         if self.current.len() < self.synced.len() {
-            let cut = chance.below(2) == 0;
+            let cut = random.below(2) == 0;
             let kept = if cut { &self.current } else { &self.synced };
             self.synced = kept.clone();
         } else {
-            let kept = chance.within(common, self.current.len());
+            let kept = random.in_range(common, self.current.len());
             let mut found = self.current[..kept].to_vec();
-            if chance.below(3) == 0 {
-                let hole_start = chance.within(common, kept);
-                let hole_end = chance.within(hole_start, kept);
+            if random.below(3) == 0 {
+                let hole_start = random.in_range(common, kept);
+                let hole_end = random.in_range(hole_start, kept);
                 found[hole_start..hole_end].fill(0);
             }
             let longer_kept = self.synced.len().saturating_sub(found.len());
@@ -231,10 +231,10 @@
         self.pending.push(change);
     }
 
-    /// Any of the unsynced changes of names may survive: nothing orders them.
-    fn lose_unsynced(&mut self, chance: &mut Chance) {
+    /// Keeps a random subset of the unsynced directory changes, since their order is undefined.
+    fn drop_unsynced(&mut self, random: &mut SplitMix64) {
         for change in self.pending.drain(..) {
-            if chance.below(2) == 0 {
+            if random.below(2) == 0 {
                 change.apply_to(&mut self.synced);
             }
         }
@@ -261,10 +261,10 @@
     }
 }
 
-/// A small seeded generator (SplitMix64); one seed gives one outcome.
-struct Chance(u64);
+/// A seeded pseudo-random number generator (SplitMix64); equal seeds give equal results.
+struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let value = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -276,8 +276,8 @@
         self.next() % bound
     }
 
-    /// A place from `low` to `high`, both included.
-    fn within(&mut self, low: usize, high: usize) -> usize {
+    /// Returns a number between `low` and `high`, both inclusive.
+    fn in_range(&mut self, low: usize, high: usize) -> usize {
         low + self.below((high - low) as u64 + 1) as usize
     }
 }
