--- a/crates/nodes/wingshore-ledger/tests/golden_samples.rs
+++ b/crates/nodes/wingshore-ledger/tests/golden_samples.rs
@@ -1,4 +1,4 @@
-//! Bytes of a ledger group's commands and snapshots.
+//! Encoding of the commands and snapshots of a ledger group.
 
 mod golden;
 
@@ -82,7 +82,7 @@
     }
 }
 
-fn give_back(lease: u64) -> Operation {
+fn return_lease(lease: u64) -> Operation {
     Operation::Return {
         pool: pool(),
         lease: LeaseId(lease),
@@ -130,7 +130,7 @@
             pool: pool(),
             leases: vec![LeaseId(4), LeaseId(5_000_000_000)],
         },
-        give_back(5),
+        return_lease(5),
         finish(300, 6),
         score(300, 6),
         observe(131),
@@ -189,8 +189,8 @@
     state
 }
 
-/// A pool with a sample in each stage, with and without a partial generation where it may have one.
-/// Leases count from 0, in the order of the sample numbers.
+/// Returns a pool with a sample in each stage, with and without a partial generation where the
+/// stage allows one. Lease ids count from 0, in the order of the sample numbers.
 fn state_of_every_stage() -> LedgerState {
     let state = state_after(vec![
         Operation::Configure {
@@ -210,11 +210,11 @@
         score(302, 2),
         finish(303, 3),
         finish(303, 3),
-        give_back(4),
+        return_lease(4),
         lease(1),
         submit([306, 307]),
         lease(2),
-        give_back(6),
+        return_lease(6),
     ]);
     let pool = state.pool(&pool()).unwrap();
     let expected = LedgerCounts {
