--- a/crates/lab/wingshore-lab/src/sim/client.rs
+++ b/crates/lab/wingshore-lab/src/sim/client.rs
@@ -268,11 +268,11 @@
             Next::AskAnother
         }
         GroupReply::Unknown => {
-            route.on_unable(group, address);
+            route.on_unavailable(group, address);
             Next::BackOff
         }
         GroupReply::Rejected(_) => {
-            route.on_unable(group, address);
+            route.on_unavailable(group, address);
             Next::Return(body.clone())
         }
         _ => {
--- a/crates/nodes/wingshore-client/src/call.rs
+++ b/crates/nodes/wingshore-client/src/call.rs
@@ -200,11 +200,11 @@
                 route.on_not_leader(group, address, leader, now);
             }
             Attempt::Reply(GroupReply::Unknown) => {
-                route.on_unable(group, address);
+                route.on_unavailable(group, address);
                 return Next::BackOff;
             }
             Attempt::Reply(reply @ GroupReply::Rejected(_)) => {
-                route.on_unable(group, address);
+                route.on_unavailable(group, address);
                 return Next::Return(reply);
             }
             Attempt::Reply(reply) => {
--- a/crates/nodes/wingshore-client/src/route.rs
+++ b/crates/nodes/wingshore-client/src/route.rs
@@ -86,7 +86,7 @@
     }
 
     /// `address` answers, but cannot serve the group now: another may.
-    pub fn on_unable(&mut self, group: GroupId, address: SocketAddr) {
+    pub fn on_unavailable(&mut self, group: GroupId, address: SocketAddr) {
         self.forget_leader(group, address);
     }
 
--- a/crates/nodes/wingshore-client/tests/routes.rs
+++ b/crates/nodes/wingshore-client/tests/routes.rs
@@ -81,7 +81,7 @@
                 Event::NotLeader(number, hint) => {
                     route.on_not_leader(GROUP, address(number), hint.map(address), now);
                 }
-                Event::Unable(number) => route.on_unable(GROUP, address(number)),
+                Event::Unable(number) => route.on_unavailable(GROUP, address(number)),
                 Event::Failure(number) => route.on_failure(GROUP, address(number), now),
             }
             prop_assert!(route.choose(GROUP, now).is_some());
