--- a/crates/lab/wingshore-lab/src/sim/client.rs
+++ b/crates/lab/wingshore-lab/src/sim/client.rs
@@ -221,7 +221,7 @@
     fn back_off(&mut self, now: Instant, key: u64) {
         if let Some(call) = self.calls.get_mut(&key) {
             call.attempts_since_backoff = 0;
-            let until = now + call.backoff.next_pause(&mut self.generator);
+            let until = now + call.backoff.next_delay(&mut self.generator);
             let until = until.min(call.deadline);
             call.phase = Phase::Backoff { until };
         }
--- a/crates/nodes/wingshore-client/src/call.rs
+++ b/crates/nodes/wingshore-client/src/call.rs
@@ -229,7 +229,7 @@
         progress.attempts_since_backoff = 0;
         let backoff = {
             let mut generator = lock(&self.inner.generator);
-            progress.backoff.next_pause(&mut generator)
+            progress.backoff.next_delay(&mut generator)
         };
         let remaining = deadline.saturating_duration_since(Instant::now());
         let closed = lock(&self.inner.closed);
--- a/crates/nodes/wingshore-client/src/retry.rs
+++ b/crates/nodes/wingshore-client/src/retry.rs
@@ -66,7 +66,7 @@
 
 impl Backoff {
     /// The next backoff: between half of the current step and the whole of it.
-    pub fn next_pause(&mut self, generator: &mut ChaCha8Rng) -> Duration {
+    pub fn next_delay(&mut self, generator: &mut ChaCha8Rng) -> Duration {
         let step = self.next;
         self.next = (step * 2).min(MAX_BACKOFF);
         step.mul_f64(generator.random_range(0.5..=1.0))
--- a/crates/nodes/wingshore-client/tests/routes.rs
+++ b/crates/nodes/wingshore-client/tests/routes.rs
@@ -107,7 +107,7 @@
         let mut generator = ChaCha8Rng::seed_from_u64(seed);
         let mut backoff = Backoff::default();
         for _ in 0..20 {
-            let pause = backoff.next_pause(&mut generator);
+            let pause = backoff.next_delay(&mut generator);
             prop_assert!(pause >= Duration::from_millis(5));
             prop_assert!(pause <= Duration::from_millis(250));
         }
