--- a/crates/nodes/wingshore-http/src/agents.rs
+++ b/crates/nodes/wingshore-http/src/agents.rs
@@ -1,32 +1,34 @@
-//! Agents by server.
+//! A pool of HTTP agents, partitioned by server address.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use ureq::Agent;
 
-/// Agents of one pool.
-const SHARDS: u64 = 128;
+/// Number of agents in a pool.
+const SHARD_COUNT: u64 = 128;
 
-/// Several agents, each for a part of all servers. The work that the library's pool does for each
-/// request grows with the square of its idle connections; so each pool stays small.
+/// HTTP agents, each of which handles a share of the servers. The cost of a request in the
+/// connection pool of the HTTP library grows with the square of the pool's idle connections, so
+/// each agent's pool is kept small.
 #[derive(Clone, Debug)]
 pub struct AgentPool {
     shards: Arc<[Agent]>,
 }
 
 impl AgentPool {
-    /// A pool of agents that `make` makes; the limits of each hold for its part of the servers.
-    pub fn new(make: impl Fn() -> Agent) -> Self {
+    /// Creates a pool of agents built by `make_agent`; the limits of an agent apply to its share of
+    /// the servers.
+    pub fn new(make_agent: impl Fn() -> Agent) -> Self {
         Self {
-            shards: (0..SHARDS).map(|_| make()).collect(),
+            shards: (0..SHARD_COUNT).map(|_| make_agent()).collect(),
         }
     }
 
-    /// The agent for a server; always the same.
+    /// Returns the agent of a server, always the same one.
     pub fn agent(&self, server: SocketAddr) -> &Agent {
         let mut hasher = DefaultHasher::new();
         server.hash(&mut hasher);
-        &self.shards[(hasher.finish() % SHARDS) as usize]
+        &self.shards[(hasher.finish() % SHARD_COUNT) as usize]
     }
 }
--- a/crates/nodes/wingshore-http/src/lib.rs
+++ b/crates/nodes/wingshore-http/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the HTTP clients and servers of the processes share.
+//! Shared parts of the HTTP clients and servers.
 //!
-//! Clients call thousands of servers by IP number, which the HTTP library is not made for: its
-//! pool compares every idle connection with every other, and its resolver starts a thread for each
-//! connection. The library of servers may leave an accepted connection without a thread.
+//! Clients call thousands of servers by IP address, which the HTTP client library is not designed
+//! for: its pool compares every idle connection with every other, and its resolver starts a thread
+//! for each connection. The HTTP server library may leave an accepted connection without a thread.
 
 mod agents;
 mod nudger;
--- a/crates/nodes/wingshore-http/src/nudger.rs
+++ b/crates/nodes/wingshore-http/src/nudger.rs
@@ -1,10 +1,10 @@
-//! Frees connections that the HTTP library has accepted and left without a thread.
+//! Unblocks connections that the HTTP server library has accepted but not assigned to a thread.
 //!
-//! Its pool of threads counts a thread as waiting until that thread has woken up. Connections that
-//! are accepted meanwhile are queued for it and then wait until some other connection ends, which
-//! callers that keep theirs may never do. Each further connection makes one thread look at that
-//! queue, so a server connects to itself: once for each new caller, because connections come in
-//! bursts, and now and then besides.
+//! The thread pool of the library counts a thread as idle until that thread has woken up.
+//! Connections accepted in the meantime are queued for it and then wait until another connection
+//! ends, which may never happen with keep-alive connections. Each new connection makes one thread
+//! check the queue, so the server connects to itself (a nudge): once for each new caller, because
+//! connections arrive in bursts, and also periodically.
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use socket2::SockRef;
@@ -15,53 +15,56 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Nudges that wait; more would be of no use at the same moment.
-const QUEUE: usize = 1024;
-/// A nudge without cause comes after this time.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Between two nudges, so that a flood of connections is not doubled.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(2);
-/// Longest time for connecting.
+/// Maximum number of queued nudges; more at the same time would have no effect.
+const MAX_QUEUED_NUDGES: usize = 1024;
+/// Interval of periodic nudges while there are no new callers.
+const NUDGE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum delay between two nudges, so that they do not double a burst of connections.
+const MIN_NUDGE_INTERVAL: Duration = Duration::from_millis(2);
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Most callers that are remembered; a forgotten one costs a nudge.
-const MOST_CALLERS: usize = 8192;
+/// Maximum number of remembered callers; a forgotten caller only costs another nudge.
+const MAX_REMEMBERED_CALLERS: usize = 8192;
 
-/// Connects to the process's own server; see the module's page.
+/// Requests connections to the process's own server, which unblock queued connections.
 pub struct Nudger {
     nudges: Sender<()>,
-    known: Mutex<BTreeSet<SocketAddr>>,
+    known_callers: Mutex<BTreeSet<SocketAddr>>,
 }
 
-/// The thread that nudges; ends when its [`Nudger`] has gone.
+/// The thread that connects to the server; ends when its [`Nudger`] is dropped.
 pub struct NudgerThread(JoinHandle<()>);
 
 impl Nudger {
-    /// Starts nudging the server at `address`.
+    /// Starts the thread that connects to the server at `address`.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// When the thread cannot be started.
     pub fn start(address: SocketAddr) -> io::Result<(Self, NudgerThread)> {
-        let (nudges, wanted) = bounded(QUEUE);
+        let (nudges, requests) = bounded(MAX_QUEUED_NUDGES);
         let thread = thread::Builder::new()
             .name("nudge".to_owned())
-            .spawn(move || run(address, &wanted))?;
+            .spawn(move || run(address, &requests))?;
         let nudger = Self {
             nudges,
-            known: Mutex::default(),
+            known_callers: Mutex::default(),
         };
         Ok((nudger, NudgerThread(thread)))
     }
 
-    /// A request came from `caller`.
+    /// Records a request from `caller`; requests a nudge if the caller is new.
     pub fn on_request(&self, caller: Option<&SocketAddr>) {
         let Some(caller) = caller else {
             return;
         };
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        if known.len() >= MOST_CALLERS {
-            known.clear();
+        let mut known_callers = self
+            .known_callers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if known_callers.len() >= MAX_REMEMBERED_CALLERS {
+            known_callers.clear();
         }
-        if known.insert(*caller) {
+        if known_callers.insert(*caller) {
             match self.nudges.try_send(()) {
                 Ok(()) | Err(TrySendError::Full(()) | TrySendError::Disconnected(())) => {}
             }
@@ -70,26 +73,26 @@
 }
 
 impl NudgerThread {
-    /// Waits for its end.
+    /// Waits for the thread to end.
     pub fn join(self) {
-        // A panic was reported when it happened.
+        // A panic has already been reported by the panic hook.
         let _ = self.0.join();
     }
 }
 
-fn run(address: SocketAddr, wanted: &Receiver<()>) {
+fn run(address: SocketAddr, requests: &Receiver<()>) {
     loop {
-        match wanted.recv_timeout(LONGEST_PAUSE) {
+        match requests.recv_timeout(NUDGE_INTERVAL) {
             Ok(()) | Err(RecvTimeoutError::Timeout) => nudge(address),
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        thread::sleep(SHORTEST_PAUSE);
+        thread::sleep(MIN_NUDGE_INTERVAL);
     }
 }
 
-/// Connects and lets go. Without lingering no closed connection is kept by the system.
+/// Connects and closes the connection at once. A linger time of zero avoids the TIME_WAIT state.
 fn nudge(address: SocketAddr) {
-    // Where no connection can be made, callers cannot make one either.
+    // If this connection fails, callers cannot connect either.
     if let Ok(connection) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
         let _ = SockRef::from(&connection).set_linger(Some(Duration::ZERO));
     }
--- a/crates/nodes/wingshore-http/src/resolver.rs
+++ b/crates/nodes/wingshore-http/src/resolver.rs
@@ -1,4 +1,4 @@
-//! Addresses without names.
+//! A resolver for IP addresses only.
 
 use std::net::SocketAddr;
 use ureq::Error;
@@ -7,7 +7,7 @@
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::NextTimeout;
 
-/// Takes IP numbers with ports only, without a thread; anything else is not found.
+/// Resolves only IP addresses with ports, without starting a thread; any other host is not found.
 #[derive(Debug, Default)]
 pub struct IpResolver;
 
--- a/crates/nodes/wingshore-http/tests/http.rs
+++ b/crates/nodes/wingshore-http/tests/http.rs
@@ -1,4 +1,4 @@
-//! Calls by IP number, and the agents of many servers.
+//! Calls to IP addresses, and the distribution of servers over agents.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
@@ -14,27 +14,27 @@
     Agent::with_parts(config, DefaultConnector::default(), IpResolver)
 }
 
-/// Answers one request with nothing.
+/// Starts a server that answers one request without content.
 fn serve_once() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener is bound");
+    let address = listener.local_addr().expect("local address is known");
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("connection is accepted");
         let mut request = [0; 1024];
-        let length = stream.read(&mut request).expect("a request");
-        assert!(length > 0, "the caller closed");
+        let length = stream.read(&mut request).expect("request is read");
+        assert!(length > 0, "the caller closed the connection");
         stream
             .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
-            .expect("an answer");
+            .expect("answer is written");
     });
     address
 }
 
 #[gtest]
-fn numbers_are_called_and_names_are_not_found() {
+fn ip_addresses_are_resolved_and_host_names_are_not() {
     let address = serve_once();
     let answer = agent().get(format!("http://{address}/")).call();
-    expect_that!(answer.expect("an answer").status().as_u16(), eq(204));
+    expect_that!(answer.expect("call is answered").status().as_u16(), eq(204));
     for address in ["localhost:1", "127.0.0.1", "example.org"] {
         let answer = agent().get(format!("http://{address}/")).call();
         expect_that!(answer, err(matches_pattern!(Error::HostNotFound)));
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn servers_are_spread_over_agents_and_keep_theirs() {
+fn servers_are_spread_over_agents_and_keep_their_agent() {
     let pool = AgentPool::new(agent);
     let address_of = |agent: &Agent| std::ptr::from_ref(agent) as usize;
     let servers: Vec<SocketAddr> = (1..=1000)
