--- a/crates/nodes/wingshore-transport/src/codec.rs
+++ b/crates/nodes/wingshore-transport/src/codec.rs
@@ -1,6 +1,7 @@
-//! Frames as bytes: a fixed header (magic, version, length, checksum) and a `postcard` body.
+//! Encoding of frames: a fixed header (magic, version, length, checksum) and a `postcard` body.
 //!
-//! The header's layout never changes, so that sides of different versions recognise each other.
+//! The layout of the header never changes, so that peers of different versions recognise each
+//! other.
 
 use crate::error::{
     BadChecksumSnafu, BadMagicSnafu, ClosedSnafu, FrameError, MalformedSnafu, TooLargeSnafu,
@@ -10,22 +11,23 @@
 use std::io::{self, Read};
 use wingshore_types::protocol::wire::{Frame, WIRE_VERSION};
 
-/// Largest body of a frame, in bytes.
+/// Maximum size of a frame body, in bytes.
 pub const MAX_FRAME_BYTES: u32 = 64 << 20;
 
-/// Largest body of the frames of a handshake, in bytes.
+/// Maximum size of the body of a handshake frame, in bytes.
 pub const MAX_HELLO_BYTES: u32 = 4 << 10;
 
 /// First bytes of each frame.
 const MAGIC: [u8; 4] = *b"WSHR";
 
-/// Bytes of the header: magic, version (2), length (4), checksum (4); numbers little-endian.
+/// Size of the header in bytes: magic (4), version (2), length (4), checksum (4); little-endian.
 pub const HEADER_BYTES: usize = 14;
 
-/// Space reserved for a body before its bytes have come; larger bodies grow as they arrive.
+/// Bytes allocated for a body before any of it has arrived; the buffer of a larger body grows as
+/// its bytes arrive.
 const BODY_RESERVE_BYTES: usize = 64 << 10;
 
-/// What a frame's header says of its body.
+/// The length and checksum of a frame body, from the frame's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Header {
     /// Length of the body, in bytes.
@@ -34,7 +36,7 @@
     checksum: u32,
 }
 
-/// A frame as bytes, header included.
+/// Encodes a frame, including its header.
 ///
 /// # Errors
 /// When the body is larger than [`MAX_FRAME_BYTES`] or cannot be encoded.
@@ -51,7 +53,7 @@
     Ok(bytes)
 }
 
-/// Checks a header; `limit` is the largest body allowed here, in bytes.
+/// Decodes and checks a header; `limit` is the maximum size of the body, in bytes.
 fn decode_header(bytes: [u8; HEADER_BYTES], limit: u32) -> Result<Header, FrameError> {
     let [m0, m1, m2, m3, v0, v1, l0, l1, l2, l3, c0, c1, c2, c3] = bytes;
     let magic = [m0, m1, m2, m3];
@@ -65,7 +67,7 @@
     Ok(Header { length, checksum })
 }
 
-/// Decodes a body, which must be exactly one message, after checking it against its header.
+/// Verifies the checksum of a body and decodes it; the body must be exactly one message.
 fn decode_body(header: Header, body: &[u8]) -> Result<Frame, FrameError> {
     let found = crc32fast::hash(body);
     let expected = header.checksum;
@@ -79,8 +81,8 @@
 /// Reads one frame whose body has at most `limit` bytes.
 ///
 /// # Errors
-/// When the bytes are no frame, end early, or the reader fails. [`FrameError::Closed`] only where
-/// they end between two frames.
+/// When the bytes are not a valid frame, end early, or the reader fails. [`FrameError::Closed`]
+/// only if they end between two frames.
 pub fn read_frame(reader: &mut impl Read, limit: u32) -> Result<Frame, FrameError> {
     let header = decode_header(read_header(reader)?, limit)?;
     let body = read_body(reader, header.length)?;
@@ -113,7 +115,7 @@
     Ok(header)
 }
 
-/// Memory follows the bytes that really came, not the length that the header claims.
+/// Reads a body. Allocates memory for the bytes that arrive, not for the length in the header.
 fn read_body(reader: &mut impl Read, length: u32) -> Result<Vec<u8>, FrameError> {
     let expected = length as usize;
     let mut body = Vec::with_capacity(expected.min(BODY_RESERVE_BYTES));
@@ -125,7 +127,7 @@
     Ok(body)
 }
 
-/// A read that ran into the socket's read timeout means a silent peer.
+/// Converts an error of the socket. A read timeout means that the peer sent nothing.
 fn from_io(source: io::Error) -> FrameError {
     match source.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => FrameError::Idle,
--- a/crates/nodes/wingshore-transport/src/connection.rs
+++ b/crates/nodes/wingshore-transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One open connection: a reader thread, a writer thread and the handle that both share.
+//! An open connection: a reader thread, a writer thread and the handle that they share.
 
 use crate::codec::{MAX_FRAME_BYTES, encode, read_frame};
 use crate::error::{EncodeSnafu, FrameError, SendError};
@@ -14,33 +14,32 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, Hello};
 use wingshore_types::{ReplicaId, RequestId};
 
-/// A connection on which nothing was received for this long is closed: three keep-alives were then
-/// lost.
+/// A connection that received nothing for this long is closed; three keep-alives are then missing.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(5);
 
-/// A side that has sent nothing for this long sends [`Frame::KeepAlive`].
+/// A peer that has sent nothing for this long sends [`Frame::KeepAlive`].
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// A write that takes longer than this means that the peer no longer reads.
+/// A write that takes longer than this fails: the peer no longer reads.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Names a connection within this process, for its whole life.
+/// Identifies a connection within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Receives the frames of connections. Calls for one connection come from one thread, in order;
-/// as long as a call lasts, nothing more is read from that connection.
+/// Receives the frames of connections. Calls for one connection are made by one thread, in order;
+/// the next frame is read only after the call has returned.
 pub trait FrameHandler: Send + Sync + 'static {
-    /// A frame came; never a hello or a keep-alive.
+    /// Handles a received frame, which is never a hello or a keep-alive.
     fn on_frame(&self, connection: &ConnectionHandle, frame: Frame);
 
-    /// The connection is closed; no more frames come from it.
+    /// Called once the connection is closed; no frames follow.
     fn on_closed(&self, connection: &ConnectionHandle) {
         let _ = connection;
     }
 }
 
-/// Sends on one connection; cheap to clone. Dropping it does not close the connection.
+/// Sends frames on one connection; cheap to clone. Dropping a handle does not close the connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionHandle {
     shared: Arc<Shared>,
@@ -55,7 +54,7 @@
 }
 
 impl ConnectionHandle {
-    /// Makes the handle of a connection whose handshake is done.
+    /// Creates the handle of a connection whose handshake is complete.
     pub(crate) fn new(stream: TcpStream, peer: Hello) -> Self {
         let shared = Shared {
             id: next_id(),
@@ -68,17 +67,17 @@
         }
     }
 
-    /// This connection's name within the process.
+    /// Returns the id of this connection, unique within the process.
     pub fn id(&self) -> ConnectionId {
         self.shared.id
     }
 
-    /// The other side's identity, when it is a replica.
+    /// Returns the peer's replica id, or `None` if it is not a replica.
     pub fn peer_replica(&self) -> Option<ReplicaId> {
         self.shared.peer.replica
     }
 
-    /// Whether frames are no longer taken.
+    /// Returns whether the connection no longer accepts frames to send.
     pub fn is_closed(&self) -> bool {
         self.shared.queue.is_finished()
     }
@@ -86,7 +85,7 @@
     /// Queues a frame without waiting. `Ok` means queued, not received.
     ///
     /// # Errors
-    /// When the frame was not queued; then no byte of it leaves.
+    /// When the frame was not queued; no byte of it is sent.
     pub fn send(&self, frame: &Frame) -> Result<(), SendError> {
         let bytes = encode(frame).context(EncodeSnafu)?;
         self.shared.queue.push(bytes)?;
@@ -94,8 +93,9 @@
         Ok(())
     }
 
-    /// Answers a request. A peer that does not read its replies loses the connection, so that it
-    /// asks again; a reply that is too large becomes a rejection.
+    /// Replies to a request. If the queue is full because the peer does not read its replies,
+    /// closes the connection, so that the peer retries. A reply that cannot be encoded, for example
+    /// because it is too large, is replaced by a rejection.
     pub fn reply(&self, id: RequestId, body: GroupReply) {
         match self.send(&Frame::Reply { id, body }) {
             Ok(()) | Err(SendError::NotConnected) => {}
@@ -109,19 +109,19 @@
         }
     }
 
-    /// Closes at once; queued frames are dropped.
+    /// Closes the connection at once and drops queued frames.
     pub fn close(&self) {
         self.shared.queue.abort();
         shut_down(&self.shared.stream, Shutdown::Both);
     }
 
-    /// Closes once the queued frames are written.
+    /// Closes the connection once the queued frames are written.
     pub(crate) fn finish(&self) {
         self.shared.queue.finish();
     }
 
-    /// Reads and writes until the connection ends, then notifies the handler. Runs on the
-    /// connection's own thread.
+    /// Reads and writes frames until the connection ends, then notifies the handler. Runs on the
+    /// reader thread of the connection.
     pub(crate) fn run(&self, handler: &dyn FrameHandler) {
         let connection = self.clone();
         let writer = thread::Builder::new()
@@ -130,7 +130,7 @@
         if let Ok(writer) = writer {
             self.read_frames(handler);
             self.close();
-            // A writer that panicked has written what it could; there is nothing to hand on.
+            // Nothing more can be written if the writer panicked, so the result is ignored.
             let _ = writer.join();
         }
         self.close();
@@ -175,26 +175,27 @@
     }
 }
 
-/// Settings of a fresh socket, for the handshake.
-pub(crate) fn prepare_handshake(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+/// Configures a new socket for the handshake.
+pub(crate) fn configure_for_handshake(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(timeout))?;
     stream.set_read_timeout(Some(timeout))
 }
 
-/// Settings of a socket whose handshake is done.
-pub(crate) fn prepare_frames(stream: &TcpStream) -> io::Result<()> {
+/// Configures a socket for frames after the handshake.
+pub(crate) fn configure_after_handshake(stream: &TcpStream) -> io::Result<()> {
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     stream.set_read_timeout(Some(IDLE_LIMIT))
 }
 
-/// Fails only where the peer has closed already, which is what is wanted.
+/// Shuts down a socket. The call fails only if the peer has already closed it, so errors are
+/// ignored.
 pub(crate) fn shut_down(stream: &TcpStream, how: Shutdown) {
     let _ = stream.shutdown(how);
 }
 
 fn next_id() -> ConnectionId {
-    /// Identity of the next connection of this process.
+    /// Id of the next connection of this process.
     static NEXT: AtomicU64 = AtomicU64::new(1);
     ConnectionId(NEXT.fetch_add(1, Ordering::Relaxed))
 }
--- a/crates/nodes/wingshore-transport/src/error.rs
+++ b/crates/nodes/wingshore-transport/src/error.rs
@@ -17,16 +17,17 @@
     /// The bytes end inside a frame.
     #[snafu(display("the connection ended inside a frame"))]
     Truncated,
-    /// Nothing came for longer than the idle limit.
-    #[snafu(display("the peer was silent for too long"))]
+    /// Nothing was received within the read timeout: the idle limit, or the timeout of the
+    /// handshake.
+    #[snafu(display("the peer sent nothing within the read timeout"))]
     Idle,
-    /// The bytes are not a frame of wingshore.
+    /// The bytes are not a wingshore frame.
     #[snafu(display("not a wingshore frame: it begins with {found:02x?}"))]
     BadMagic {
         /// The first bytes.
         found: [u8; 4],
     },
-    /// The peer speaks another format.
+    /// The peer uses another wire version.
     #[snafu(display("the peer speaks wire version {theirs}, this process {ours}"))]
     WrongVersion {
         /// This process's version.
@@ -34,43 +35,43 @@
         /// The peer's version.
         theirs: u16,
     },
-    /// The frame is larger than allowed.
+    /// The frame body is larger than allowed.
     #[snafu(display("a frame of {length} bytes is larger than the allowed {limit}"))]
     TooLarge {
-        /// Its length in bytes.
+        /// Length of the body, in bytes.
         length: u64,
-        /// The most that is allowed here, in bytes.
+        /// Maximum length of the body, in bytes.
         limit: u32,
     },
     /// The body does not match its checksum.
     #[snafu(display("frame checksum is {found:08x}, its header says {expected:08x}"))]
     BadChecksum {
-        /// From the header.
+        /// Checksum in the header.
         expected: u32,
-        /// Of the bytes.
+        /// Checksum of the received body.
         found: u32,
     },
     /// The body is not a message of this format version.
     #[snafu(display("malformed frame body: {source}"))]
     Malformed {
-        /// From the codec.
+        /// Error of the decoder or encoder.
         source: postcard::Error,
     },
-    /// The body goes on after its message.
+    /// The body contains bytes after its message.
     #[snafu(display("{count} bytes follow the message in a frame body"))]
     TrailingBytes {
-        /// How many.
+        /// Number of extra bytes.
         count: usize,
     },
     /// The socket failed.
-    #[snafu(display("socket: {source}"))]
+    #[snafu(display("socket error: {source}"))]
     Io {
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a frame was not queued; no byte of it left.
+/// Why a frame was not queued; no byte of it was sent.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -78,66 +79,66 @@
     /// The connection is closed or closing.
     #[snafu(display("the connection is closed"))]
     NotConnected,
-    /// The peer reads more slowly than frames are sent to it.
+    /// The outgoing queue is full: the peer reads more slowly than frames are sent to it.
     #[snafu(display("the connection's outgoing queue is full"))]
     QueueFull,
     /// The frame cannot be encoded.
     #[snafu(display("cannot encode the frame: {source}"))]
     Encode {
-        /// Why.
+        /// Error of the encoder.
         source: FrameError,
     },
 }
 
-/// Why a connection was not opened; nothing but the handshake was sent.
+/// Why a connection was not opened; nothing except the handshake was sent.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum ConnectError {
-    /// No connection.
+    /// The TCP connection could not be established.
     #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The connection ended up at its own socket, because nobody listens there.
+    /// The socket connected to itself, because no process listens at the address.
     #[snafu(display("nobody listens at {address}"))]
     SelfConnect {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
     },
     /// The handshake failed.
-    #[snafu(display("handshake with {address}: {source}"))]
+    #[snafu(display("handshake with {address} failed: {source}"))]
     Handshake {
-        /// With whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Why.
+        /// Error of the handshake.
         source: FrameError,
     },
-    /// One side refused the other.
-    #[snafu(display("connection with {address} refused: {}", explain(refusal)))]
+    /// One of the two processes refused the connection.
+    #[snafu(display("connection with {address} refused: {}", describe_refusal(refusal)))]
     Refused {
-        /// With whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Why.
+        /// Reason for the refusal.
         refusal: ConnectionRefusal,
     },
-    /// Another replica listens there than the one that was expected.
+    /// The process at the address is not the expected replica.
     #[snafu(display("{address} is replica {found:?}, expected replica {expected}"))]
     WrongReplica {
-        /// With whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Who was expected.
+        /// The expected replica.
         expected: ReplicaId,
-        /// Who is there.
+        /// The replica found, or `None` if the process is not a replica.
         found: Option<ReplicaId>,
     },
     /// A thread could not be started.
     #[snafu(display("cannot start a connection thread: {source}"))]
     Thread {
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -147,23 +148,23 @@
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum BindError {
-    /// The address cannot be listened on.
+    /// The server could not listen on the address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A thread could not be started.
     #[snafu(display("cannot start the accepting thread: {source}"))]
     Accept {
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-fn explain(refusal: &ConnectionRefusal) -> String {
+fn describe_refusal(refusal: &ConnectionRefusal) -> String {
     match refusal {
         ConnectionRefusal::WrongVersion { ours, theirs } => {
             format!("the refusing side speaks wire version {ours}, the other side {theirs}")
@@ -172,7 +173,7 @@
             format!("the refusing side belongs to site `{ours}`, the other side to `{theirs}`")
         }
         ConnectionRefusal::TooManyConnections { limit } => {
-            format!("it holds all {limit} connections it may")
+            format!("the refusing side is at its limit of {limit} connections")
         }
         ConnectionRefusal::NoHello => "the first frame was not a hello".to_owned(),
     }
--- a/crates/nodes/wingshore-transport/src/handshake.rs
+++ b/crates/nodes/wingshore-transport/src/handshake.rs
@@ -1,16 +1,16 @@
-//! The first frames of a connection: each side checks the other's version and site.
+//! Handshake of a connection: each process checks the other's wire version and site.
 
 use crate::codec::{MAX_HELLO_BYTES, encode, read_frame};
 use crate::error::FrameError;
 use std::io::{Read, Write};
 use wingshore_types::protocol::wire::{ConnectionRefusal, Frame, Hello, WIRE_VERSION};
 
-/// Why a handshake did not succeed.
+/// Why a handshake failed.
 #[derive(Debug)]
 pub(crate) enum HandshakeError {
-    /// Bytes could not be read or written, or were no frame.
+    /// A frame could not be read or written.
     Frame(FrameError),
-    /// One side refused the other.
+    /// One of the two processes refused the connection.
     Refused(ConnectionRefusal),
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The opening side: says hello and checks the answer.
+/// Performs the handshake of the connecting process: sends its hello and checks the answer.
 pub(crate) fn open(
     stream: &mut (impl Read + Write),
     hello: &Hello,
@@ -36,7 +36,8 @@
     Ok(theirs)
 }
 
-/// The accepting side: checks the other's hello and answers with its own, or refuses.
+/// Performs the handshake of the accepting process: checks the received hello and answers with its
+/// own, or refuses the connection.
 pub(crate) fn accept(
     stream: &mut (impl Read + Write),
     hello: &Hello,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Refuses a connection, whatever its hello says.
+/// Reads the hello of a connection and refuses it unconditionally.
 pub(crate) fn refuse(
     stream: &mut (impl Read + Write),
     refusal: ConnectionRefusal,
@@ -92,8 +93,9 @@
     Ok(())
 }
 
-/// An operator's tool that was pointed at a process by its address names no site and takes that
-/// process's own. Replicas, relays and nodes always name theirs, so they never mix by accident.
+/// Returns whether two processes belong to the same site. An operator's tool that connects to a
+/// process by its address sends no site name and is accepted by any site. Replicas, relays and
+/// nodes always send theirs, so those of different sites never connect by accident.
 fn same_site(ours: &Hello, theirs: &Hello) -> bool {
     let is_tool = |hello: &Hello| hello.site.is_empty() && hello.replica.is_none();
     ours.site == theirs.site || is_tool(ours) || is_tool(theirs)
--- a/crates/nodes/wingshore-transport/src/lib.rs
+++ b/crates/nodes/wingshore-transport/src/lib.rs
@@ -1,9 +1,10 @@
-//! Framed `postcard` messages over TCP, between wingshore's own processes.
+//! Framed `postcard` messages over TCP between wingshore processes.
 //!
-//! A [`Server`] accepts connections and hands their frames to a [`FrameHandler`]. A
-//! [`Connection`] is an outgoing one; a [`Peer`] keeps one open to a replica for consensus
-//! messages. Both sides check version and site at the handshake, send [`Frame::KeepAlive`] on idle
-//! connections and close those that stay silent, so that a peer cut off silently is noticed.
+//! A [`Server`] accepts connections and passes their frames to a [`FrameHandler`]. A [`Connection`]
+//! is an outgoing connection; a [`Peer`] keeps one open to a replica for consensus messages. Both
+//! sides check wire version and site in the handshake, send [`Frame::KeepAlive`] on idle
+//! connections, and close connections that receive nothing, so that a silently partitioned peer is
+//! detected.
 //!
 //! [`Frame::KeepAlive`]: wingshore_types::protocol::wire::Frame::KeepAlive
 
--- a/crates/nodes/wingshore-transport/src/outgoing.rs
+++ b/crates/nodes/wingshore-transport/src/outgoing.rs
@@ -1,6 +1,8 @@
-//! An outgoing connection.
+//! Outgoing connections.
 
-use crate::connection::{ConnectionHandle, FrameHandler, prepare_frames, prepare_handshake};
+use crate::connection::{
+    ConnectionHandle, FrameHandler, configure_after_handshake, configure_for_handshake,
+};
 use crate::error::{
     ConnectError, ConnectSnafu, HandshakeSnafu, RefusedSnafu, SelfConnectSnafu, ThreadSnafu,
     WrongReplicaSnafu,
@@ -18,18 +20,18 @@
 /// How to open a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectOptions {
-    /// The site both sides must belong to.
+    /// Site that both processes must belong to.
     pub site: String,
-    /// This process's identity, when it is a replica.
+    /// Replica id of this process, if it is a replica.
     pub replica: Option<ReplicaId>,
-    /// The replica that must listen there; `None` takes any process of the site.
+    /// Replica expected at the address; `None` accepts any process of the site.
     pub expected: Option<ReplicaId>,
-    /// Longest time until the TCP connection stands, and longest silence during the handshake.
+    /// Timeout for connecting, and for each read and write of the handshake.
     pub timeout: Duration,
 }
 
 impl ConnectOptions {
-    /// Options of a process that is no replica and takes any process of the site.
+    /// Returns options for a process that is not a replica and accepts any process of the site.
     pub fn new(site: &str, timeout: Duration) -> Self {
         Self {
             site: site.to_owned(),
@@ -40,8 +42,8 @@
     }
 }
 
-/// An outgoing connection. Dropping it closes it and waits for its threads, except when that
-/// happens on one of those threads.
+/// An outgoing connection. Dropping it closes it and waits for its threads, unless it is dropped on
+/// its own reader thread.
 #[derive(Debug)]
 pub struct Connection {
     handle: ConnectionHandle,
@@ -49,10 +51,11 @@
 }
 
 impl Connection {
-    /// Connects and does the handshake; frames then go to `handler`.
+    /// Connects and performs the handshake; received frames are passed to `handler`.
     ///
     /// # Errors
-    /// When nobody answers, or one side refuses the other.
+    /// When the connection or the handshake fails, one of the two processes refuses the connection,
+    /// another replica than the expected one answers, or a thread cannot be started.
     pub fn open(
         address: SocketAddr,
         options: &ConnectOptions,
@@ -64,10 +67,10 @@
             site: options.site.clone(),
             replica: options.replica,
         };
-        let peer =
-            handshake::open(&mut stream, &hello).map_err(|error| describe(address, error))?;
+        let peer = handshake::open(&mut stream, &hello)
+            .map_err(|error| to_connect_error(address, error))?;
         check_replica(address, options.expected, peer.replica)?;
-        prepare_frames(&stream).context(ConnectSnafu { address })?;
+        configure_after_handshake(&stream).context(ConnectSnafu { address })?;
         let handle = ConnectionHandle::new(stream, peer);
         let running = handle.clone();
         let thread = thread::Builder::new()
@@ -80,7 +83,7 @@
         })
     }
 
-    /// The handle, to keep or hand on.
+    /// Returns the handle, which can be cloned and outlives the connection.
     pub fn handle(&self) -> &ConnectionHandle {
         &self.handle
     }
@@ -101,7 +104,7 @@
             return;
         };
         if thread.thread().id() != thread::current().id() {
-            // A handler that panicked has ended its connection, which is closed here anyway.
+            // A panic of the handler ended the reader thread; the connection is closed in any case.
             let _ = thread.join();
         }
     }
@@ -110,13 +113,13 @@
 fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream, ConnectError> {
     let stream = TcpStream::connect_timeout(&address, timeout).context(ConnectSnafu { address })?;
     let local = stream.local_addr().context(ConnectSnafu { address })?;
-    // On loopback, connecting to a free port can meet itself.
+    // On loopback, a connection to an unused port can connect to itself.
     ensure!(local != address, SelfConnectSnafu { address });
-    prepare_handshake(&stream, timeout).context(ConnectSnafu { address })?;
+    configure_for_handshake(&stream, timeout).context(ConnectSnafu { address })?;
     Ok(stream)
 }
 
-fn describe(address: SocketAddr, error: HandshakeError) -> ConnectError {
+fn to_connect_error(address: SocketAddr, error: HandshakeError) -> ConnectError {
     match error {
         HandshakeError::Frame(source) => HandshakeSnafu { address }.into_error(source),
         HandshakeError::Refused(refusal) => RefusedSnafu { address, refusal }.build(),
--- a/crates/nodes/wingshore-transport/src/peer.rs
+++ b/crates/nodes/wingshore-transport/src/peer.rs
@@ -1,4 +1,4 @@
-//! A connection to a replica that is opened again whenever it is lost.
+//! A connection to a replica that is reopened whenever it is lost.
 
 use crate::connection::{ConnectionHandle, FrameHandler};
 use crate::error::{ConnectError, ThreadSnafu};
@@ -13,33 +13,33 @@
 use wingshore_types::protocol::wire::Frame;
 use wingshore_types::{GroupId, ReplicaId};
 
-/// Longest time until a TCP connection is open.
+/// Timeout for connecting, and for each read and write of the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Backoff after the first failed attempt; doubles with each further one.
+/// Backoff after the first failed attempt; doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest backoff between attempts.
+/// Maximum backoff between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Which replica to hold a connection to.
+/// Options of a [`Peer`].
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Where it listens.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// Who must listen there; a replica that came back under another identity is another member.
+    /// Replica expected at the address. A replica that returned with another id is another member.
     pub expected: Option<ReplicaId>,
-    /// The site of both.
+    /// Site that both processes must belong to.
     pub site: String,
-    /// This process's identity.
+    /// Replica id of this process, if it is a replica.
     pub replica: Option<ReplicaId>,
-    /// Seed of the jitter between attempts.
+    /// Seed of the jitter of backoffs.
     pub seed: u64,
 }
 
-/// An outgoing connection to a replica that reconnects by itself. Consensus frames are dropped
-/// while it is down or its queue is full, since consensus sends again by itself. Dropping the peer
-/// stops it.
+/// An outgoing connection to a replica that reconnects automatically. Frames are dropped while it
+/// is disconnected or its queue is full, since consensus retransmits its messages. Dropping the
+/// peer stops it.
 #[derive(Debug)]
 pub struct Peer {
     shared: Arc<Shared>,
@@ -61,11 +61,11 @@
 }
 
 impl Peer {
-    /// Starts connecting in the background. Received frames go to `handler`: a replica that does
-    /// not know yet where this process listens answers on the connection that it was asked on.
+    /// Starts connecting in the background. Received frames are passed to `handler`: a replica that
+    /// does not know the address of this process yet replies on the connection of the request.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// When the thread cannot be started.
     pub fn start(
         options: PeerOptions,
         handler: Arc<dyn FrameHandler>,
@@ -84,17 +84,17 @@
         })
     }
 
-    /// Where the replica listens.
+    /// Returns the address of the replica.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether the connection stands now.
+    /// Returns whether the connection is open.
     pub fn is_connected(&self) -> bool {
         self.shared.lock().current.is_some()
     }
 
-    /// Why the last attempt to connect failed; `None` while connected.
+    /// Returns why the last attempt to connect failed; `None` while connected.
     pub fn last_error(&self) -> Option<String> {
         self.shared.lock().last_error.clone()
     }
@@ -110,14 +110,14 @@
         current.is_some_and(|connection| connection.send(frame).is_ok())
     }
 
-    /// Closes the connection and waits for its threads.
+    /// Stops reconnecting, closes the connection and waits for its threads.
     pub fn stop(&mut self) {
         let Some(thread) = self.thread.take() else {
             return;
         };
         self.shared.lock().stopping = true;
         self.shared.changed.notify_all();
-        // A panicked thread has no connection left to wait for.
+        // If the thread panicked, its connection is already closed.
         let _ = thread.join();
     }
 }
@@ -143,13 +143,13 @@
             timeout: CONNECT_TIMEOUT,
         };
         while !self.lock().stopping {
-            let handler = Arc::new(ConnectionWatch {
+            let handler = Arc::new(PeerFrameHandler {
                 peer: Arc::clone(self),
                 frames: Arc::clone(frames),
             });
             match Connection::open(options.address, &connect_options, handler) {
                 Ok(connection) => {
-                    self.hold(&connection);
+                    self.use_until_lost(&connection);
                     backoff = INITIAL_BACKOFF;
                 }
                 Err(error) => self.lock().last_error = Some(error.to_string()),
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Offers the connection to senders until it is lost or the peer stops.
-    fn hold(&self, connection: &Connection) {
+    /// Makes the connection available to senders until it is lost or the peer is stopped.
+    fn use_until_lost(&self, connection: &Connection) {
         let mut state = self.lock();
         state.current = Some(connection.handle().clone());
         state.last_error = None;
@@ -180,20 +180,21 @@
     }
 }
 
-/// Hands frames on, and wakes the connecting thread once its connection is lost.
-struct ConnectionWatch {
+/// Forwards frames, and wakes the connecting thread once its connection is lost.
+struct PeerFrameHandler {
     peer: Arc<Shared>,
     frames: Arc<dyn FrameHandler>,
 }
 
-impl FrameHandler for ConnectionWatch {
+impl FrameHandler for PeerFrameHandler {
     fn on_frame(&self, connection: &ConnectionHandle, frame: Frame) {
         self.frames.on_frame(connection, frame);
     }
 
     fn on_closed(&self, connection: &ConnectionHandle) {
         self.frames.on_closed(connection);
-        // Taking the lock orders this after a check of the closed flag that is under way.
+        // Taking the lock prevents a lost wakeup: a concurrent check of the closed flag completes
+        // first.
         drop(self.peer.lock());
         self.peer.changed.notify_all();
     }
--- a/crates/nodes/wingshore-transport/src/queue.rs
+++ b/crates/nodes/wingshore-transport/src/queue.rs
@@ -1,32 +1,32 @@
-//! The bounded queue between the threads that send frames and a connection's writer.
+//! Bounded queue between the threads that send frames and the writer thread of a connection.
 
 use crate::error::SendError;
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Most frames that wait for the writer.
+/// Maximum number of queued frames.
 const MAX_QUEUED_FRAMES: usize = 16_384;
 
-/// Most bytes that wait for the writer; a single frame may always wait alone. As large as the largest
-/// frame.
+/// Maximum total size of queued frames, in bytes, equal to the maximum size of a frame body. An
+/// empty queue accepts a frame of any size.
 const MAX_QUEUED_BYTES: usize = 64 << 20;
 
-/// Most bytes that one write hands to the socket, except for a single larger frame.
+/// Maximum size of one write to the socket, in bytes, except for a single larger frame.
 const MAX_BATCH_BYTES: usize = 256 << 10;
 
-/// What the writer is to do next.
+/// Next action of the writer thread.
 #[derive(Debug)]
 pub(crate) enum NextWrite {
-    /// Write these bytes: whole frames.
+    /// Write these bytes, which are complete frames.
     Bytes(Vec<u8>),
-    /// Nothing came within the time.
+    /// No frame was queued within the timeout.
     Idle,
-    /// Nothing more will come.
+    /// The queue is empty and accepts no more frames.
     Finished,
 }
 
-/// Encoded frames on their way to the writer.
+/// Queue of encoded frames for the writer thread.
 #[derive(Debug, Default)]
 pub(crate) struct OutboundQueue {
     state: Mutex<State>,
@@ -41,7 +41,7 @@
 }
 
 impl OutboundQueue {
-    /// Adds a frame's bytes without waiting.
+    /// Queues an encoded frame without waiting.
     pub(crate) fn push(&self, frame: Vec<u8>) -> Result<(), SendError> {
         let mut state = self.lock();
         if state.finished {
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Takes what waits, as much as one write should carry; waits at most `timeout` for it.
+    /// Takes the queued frames, up to the size of one write; waits up to `timeout` for the first.
     pub(crate) fn take(&self, timeout: Duration) -> NextWrite {
         let state = self.lock();
         let (mut state, _) = self
@@ -74,13 +74,13 @@
         }
     }
 
-    /// Takes no more frames; those that wait are still written.
+    /// Accepts no more frames; queued frames are still written.
     pub(crate) fn finish(&self) {
         self.lock().finished = true;
         self.changed.notify_all();
     }
 
-    /// Takes no more frames and drops those that wait.
+    /// Accepts no more frames and drops the queued ones.
     pub(crate) fn abort(&self) {
         let mut state = self.lock();
         state.finished = true;
--- a/crates/nodes/wingshore-transport/src/server.rs
+++ b/crates/nodes/wingshore-transport/src/server.rs
@@ -1,11 +1,11 @@
-//! Accepts connections and keeps them within a limit.
+//! Accepts connections up to a limit.
 //!
-//! Owns the listener, one thread that accepts and one a connection. A connection beyond the limit
-//! is refused with the reason. A failed accept, for instance without file descriptors, is repeated
-//! after [`ACCEPT_RETRY`].
+//! Owns the listener, an accepting thread and one reader thread per connection. A connection beyond
+//! the limit is refused with the reason. A failed accept, for example when file descriptors run
+//! out, is retried after [`ACCEPT_RETRY_DELAY`].
 
 use crate::connection::{
-    ConnectionHandle, FrameHandler, prepare_frames, prepare_handshake, shut_down,
+    ConnectionHandle, FrameHandler, configure_after_handshake, configure_for_handshake, shut_down,
 };
 use crate::error::{AcceptSnafu, BindError, ListenSnafu};
 use crate::handshake;
@@ -20,51 +20,51 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::wire::{ConnectionRefusal, Hello, WIRE_VERSION};
 
-/// How long a stopping server waits for its peers to take the last frames.
-const DRAIN_LIMIT: Duration = Duration::from_millis(500);
+/// How long a stopping server waits for its connections to write their queued frames.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between checks whether a stopping server's connections have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a stopping server checks whether its connections have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Backoff after a failed accept, for instance while the process is out of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example while the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest silence of a connecting process during the handshake.
+/// Timeout for each read and write of the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a connection beyond the limit may take to say hello before it is dropped. Short, since the
-/// accepting thread waits for it.
+/// Timeout for reading the hello of a connection beyond the limit. Short, because the accepting
+/// thread waits for it.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How a server presents itself and what it allows.
+/// Options of a [`Server`].
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// The site that connecting processes must belong to.
+    /// Site that connecting processes must belong to.
     pub site: String,
-    /// This process's identity, when it is a replica.
+    /// Replica id of this process, if it is a replica.
     pub replica: Option<ReplicaId>,
-    /// Most connections at a time; further ones are refused.
+    /// Maximum number of open connections; further ones are refused.
     pub max_connections: u32,
 }
 
-/// Listens for connections and hands their frames to a handler. Dropping it stops it.
+/// Listens for connections and passes their frames to a handler. Dropping the server stops it.
 #[derive(Debug)]
 pub struct Server {
     shared: Arc<Shared>,
     address: SocketAddr,
-    accepting: Option<JoinHandle<()>>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
 struct Shared {
     listener: TcpListener,
     options: ServerOptions,
     handler: Arc<dyn FrameHandler>,
-    connections: Mutex<Vec<Accepted>>,
+    connections: Mutex<Vec<AcceptedConnection>>,
     stopping: AtomicBool,
 }
 
-/// An accepted connection; `handle` is there once its handshake is done.
-struct Accepted {
+/// An accepted connection; `slot` holds its handle once the handshake is complete.
+struct AcceptedConnection {
     slot: Arc<Mutex<Option<ConnectionHandle>>>,
     socket: TcpStream,
     thread: JoinHandle<()>,
@@ -80,10 +80,10 @@
 }
 
 impl Server {
-    /// Listens on `address`; port 0 takes a free one.
+    /// Listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// When the server cannot listen on the address, or the accepting thread cannot be started.
     pub fn bind(
         address: SocketAddr,
         options: ServerOptions,
@@ -99,41 +99,41 @@
             stopping: AtomicBool::new(false),
         });
         let accepting_shared = Arc::clone(&shared);
-        let accepting = thread::Builder::new()
+        let accept_thread = thread::Builder::new()
             .name("frame-accept".to_owned())
             .spawn(move || accepting_shared.accept_connections())
             .context(AcceptSnafu)?;
         Ok(Self {
             shared,
             address,
-            accepting: Some(accepting),
+            accept_thread: Some(accept_thread),
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         let mut connections = self.shared.lock();
         connections.retain(|accepted| !accepted.thread.is_finished());
         connections.len()
     }
 
-    /// Accepts nothing more, writes the frames that are queued, closes all connections and waits
-    /// for their threads. Must not be called from a handler.
+    /// Stops accepting, writes the queued frames within a time limit, closes all connections and
+    /// waits for their threads. Must not be called from a handler.
     pub fn stop(&mut self) {
-        let Some(accepting) = self.accepting.take() else {
+        let Some(accept_thread) = self.accept_thread.take() else {
             return;
         };
         self.shared.stopping.store(true, Ordering::SeqCst);
-        // Wakes the blocked accept; a listener that is gone already needs no waking.
+        // Unblocks the accept; an error means that the listener is already closed.
         let _ = SockRef::from(&self.shared.listener).shutdown(Shutdown::Both);
-        let _ = accepting.join();
+        let _ = accept_thread.join();
         let connections = std::mem::take(&mut *self.shared.lock());
-        finish_all(&connections);
+        drain_connections(&connections);
         for accepted in connections {
             shut_down(&accepted.socket, Shutdown::Both);
             let _ = accepted.thread.join();
@@ -148,7 +148,7 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Vec<Accepted>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<AcceptedConnection>> {
         self.connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -161,15 +161,15 @@
     fn accept_connections(self: &Arc<Self>) {
         while !self.is_stopping() {
             match self.listener.accept() {
-                Ok((stream, _)) => self.take_in(stream),
+                Ok((stream, _)) => self.admit(stream),
                 Err(_) if self.is_stopping() => return,
-                Err(_) => thread::sleep(ACCEPT_RETRY),
+                Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
             }
         }
     }
 
-    fn take_in(self: &Arc<Self>, stream: TcpStream) {
-        if prepare_handshake(&stream, HANDSHAKE_TIMEOUT).is_err() {
+    fn admit(self: &Arc<Self>, stream: TcpStream) {
+        if configure_for_handshake(&stream, HANDSHAKE_TIMEOUT).is_err() {
             return;
         }
         let mut connections = self.lock();
@@ -180,21 +180,21 @@
             refuse(stream, limit);
             return;
         }
-        // Without memory or threads the connection is dropped; the peer retries.
+        // If no thread or socket can be created, the connection is dropped; the peer retries.
         if let Ok(accepted) = self.spawn(stream) {
             connections.push(accepted);
         }
     }
 
-    fn spawn(self: &Arc<Self>, stream: TcpStream) -> io::Result<Accepted> {
+    fn spawn(self: &Arc<Self>, stream: TcpStream) -> io::Result<AcceptedConnection> {
         let socket = stream.try_clone()?;
         let slot = Arc::new(Mutex::new(None));
         let shared = Arc::clone(self);
-        let filled = Arc::clone(&slot);
+        let thread_slot = Arc::clone(&slot);
         let thread = thread::Builder::new()
             .name("frame-reader".to_owned())
-            .spawn(move || shared.serve(stream, &filled))?;
-        Ok(Accepted {
+            .spawn(move || shared.serve(stream, &thread_slot))?;
+        Ok(AcceptedConnection {
             slot,
             socket,
             thread,
@@ -211,7 +211,7 @@
             shut_down(&stream, Shutdown::Both);
             return;
         };
-        if prepare_frames(&stream).is_err() {
+        if configure_after_handshake(&stream).is_err() {
             return;
         }
         let handle = ConnectionHandle::new(stream, peer);
@@ -224,26 +224,26 @@
     if stream.set_read_timeout(Some(REFUSAL_TIMEOUT)).is_err() {
         return;
     }
-    // The peer learns the reason where it can; it is refused in any case.
+    // Sending the reason is best effort; the connection is closed in any case.
     let _ = handshake::refuse(&mut stream, ConnectionRefusal::TooManyConnections { limit });
     shut_down(&stream, Shutdown::Both);
 }
 
-/// Lets all connections write what is queued, for at most [`DRAIN_LIMIT`].
-fn finish_all(connections: &[Accepted]) {
+/// Lets all connections write their queued frames, for at most [`DRAIN_TIMEOUT`].
+fn drain_connections(connections: &[AcceptedConnection]) {
     for accepted in connections {
         let slot = accepted.slot.lock();
         if let Some(handle) = slot.unwrap_or_else(PoisonError::into_inner).as_ref() {
             handle.finish();
         }
     }
-    let deadline = Instant::now() + DRAIN_LIMIT;
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
     let all_ended = || {
         connections
             .iter()
             .all(|accepted| accepted.thread.is_finished())
     };
     while !all_ended() && Instant::now() < deadline {
-        thread::sleep(DRAIN_POLL);
+        thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
--- a/crates/nodes/wingshore-transport/src/traffic.rs
+++ b/crates/nodes/wingshore-transport/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Frames and bytes of all connections of this process.
+//! Counters of the frames and bytes of all connections of this process.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
@@ -7,31 +7,31 @@
 use std::io::{self, Read};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Frames handed to all connections of this process since its start.
+/// Frames queued on all connections of this process since its start, and keep-alives sent.
 static FRAMES_SENT: AtomicU64 = AtomicU64::new(0);
-/// Bytes written to them.
+/// Bytes written to all connections of this process since its start.
 static BYTES_SENT: AtomicU64 = AtomicU64::new(0);
-/// Whole frames read from them.
+/// Complete frames read from all connections of this process since its start.
 static FRAMES_RECEIVED: AtomicU64 = AtomicU64::new(0);
-/// Bytes read from them.
+/// Bytes read from all connections of this process since its start.
 static BYTES_RECEIVED: AtomicU64 = AtomicU64::new(0);
 
-/// What went over this process's connections since its start, keep-alives included, handshakes
-/// and the headers of TCP and IP not.
+/// Traffic of this process's connections since its start. Includes keep-alives, but not handshakes
+/// or TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Frames handed to connections.
+    /// Frames queued on connections, and keep-alives sent.
     pub frames_sent: u64,
     /// Bytes written to sockets.
     pub bytes_sent: u64,
-    /// Frames received whole.
+    /// Complete frames received.
     pub frames_received: u64,
     /// Bytes read from sockets.
     pub bytes_received: u64,
 }
 
 impl Traffic {
-    /// The counts at this moment.
+    /// Returns the current counts.
     pub fn now() -> Self {
         Self {
             frames_sent: FRAMES_SENT.load(Ordering::Relaxed),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Shows [`Traffic::now`] as counters of a metrics registry.
+/// Exports [`Traffic::now`] as counters of a metrics registry.
 #[derive(Debug, Default)]
 pub struct TrafficCollector;
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts a frame that was queued.
+/// Counts a frame that was queued, or a keep-alive.
 pub(crate) fn count_sent_frame() {
     FRAMES_SENT.fetch_add(1, Ordering::Relaxed);
 }
@@ -86,12 +86,12 @@
     BYTES_SENT.fetch_add(count as u64, Ordering::Relaxed);
 }
 
-/// Counts a frame that came whole.
+/// Counts a frame that was received completely.
 pub(crate) fn count_received_frame() {
     FRAMES_RECEIVED.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Counts the bytes read through it.
+/// A reader that counts the bytes read.
 pub(crate) struct CountingReader<R>(pub(crate) R);
 
 impl<R: Read> Read for CountingReader<R> {
