--- a/crates/nodes/wingshore-transport/tests/connections.rs
+++ b/crates/nodes/wingshore-transport/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Servers, outgoing connections and peers over loopback.
+//! Servers, outgoing connections and peers on the loopback interface.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use googletest::prelude::*;
@@ -17,9 +17,9 @@
 use wingshore_types::{GroupId, ReplicaId, RequestId};
 
 const SITE: &str = "regina";
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers requests and hands all other frames and closings to the test.
+/// Replies to requests, and passes all other frames and closed connections to the test.
 struct Recorder {
     frames: Sender<Frame>,
     closed: Sender<()>,
@@ -77,7 +77,7 @@
 }
 
 fn options() -> ConnectOptions {
-    ConnectOptions::new(SITE, PATIENCE)
+    ConnectOptions::new(SITE, TIMEOUT)
 }
 
 fn open(address: SocketAddr) -> (Connection, Recorded) {
@@ -120,11 +120,11 @@
         connection.send(&consensus(vec![number; 1000])).unwrap();
     }
     for number in 0..100 {
-        let frame = at_server.frames.recv_timeout(PATIENCE).unwrap();
+        let frame = at_server.frames.recv_timeout(TIMEOUT).unwrap();
         expect_that!(frame, eq(&consensus(vec![number; 1000])));
     }
     connection.send(&request(7)).unwrap();
-    let reply = at_client.frames.recv_timeout(PATIENCE).unwrap();
+    let reply = at_client.frames.recv_timeout(TIMEOUT).unwrap();
     expect_that!(
         reply,
         pat!(Frame::Reply {
@@ -138,7 +138,7 @@
 fn another_site_is_refused_with_both_names() {
     let (server, _recorded) = server(1, 10);
     let (handler, _at_client) = recorder();
-    let other = ConnectOptions::new("zagreb", PATIENCE);
+    let other = ConnectOptions::new("zagreb", TIMEOUT);
     let error = Connection::open(server.local_address(), &other, handler).unwrap_err();
     expect_that!(error.to_string(), contains_substring("`regina`"));
     expect_that!(error.to_string(), contains_substring("`zagreb`"));
@@ -152,9 +152,9 @@
 }
 
 #[gtest]
-fn a_tool_that_names_no_site_takes_the_servers_own() {
+fn a_tool_without_a_site_is_accepted() {
     let (server, _recorded) = server(1, 10);
-    let tool = ConnectOptions::new("", PATIENCE);
+    let tool = ConnectOptions::new("", TIMEOUT);
     let connected = Connection::open(server.local_address(), &tool, recorder().0);
     expect_that!(connected.is_ok(), eq(true));
 }
@@ -197,7 +197,7 @@
         theirs: WIRE_VERSION + 1,
     };
     expect_that!(answer, ok(eq(&Frame::Refused(refusal))));
-    // Closed, by an end or by a reset.
+    // The connection is closed, by an end of stream or by a reset.
     expect_that!(stream.read(&mut [0]).unwrap_or(0), eq(0));
 }
 
@@ -228,7 +228,7 @@
 }
 
 #[gtest]
-fn connections_beyond_the_limit_are_refused_and_closing_one_makes_room() {
+fn connections_beyond_the_limit_are_refused_until_one_closes() {
     let (server, _recorded) = server(1, 2);
     let address = server.local_address();
     let (first, _a) = open(address);
@@ -248,7 +248,7 @@
 }
 
 #[gtest]
-fn garbage_after_the_handshake_closes_only_that_connection() {
+fn invalid_bytes_after_the_handshake_close_only_that_connection() {
     let (server, at_server) = server(1, 10);
     let (good, at_client) = open(server.local_address());
     let mut stream = TcpStream::connect(server.local_address()).unwrap();
@@ -260,16 +260,16 @@
     stream.write_all(&encode(&hello).unwrap()).unwrap();
     read_frame(&mut stream, MAX_HELLO_BYTES).unwrap();
     stream.write_all(&[0xff; 64]).unwrap();
-    expect_that!(at_server.closed.recv_timeout(PATIENCE), ok(anything()));
+    expect_that!(at_server.closed.recv_timeout(TIMEOUT), ok(anything()));
     good.send(&request(1)).unwrap();
-    expect_that!(at_client.frames.recv_timeout(PATIENCE), ok(anything()));
+    expect_that!(at_client.frames.recv_timeout(TIMEOUT), ok(anything()));
 }
 
 #[gtest]
-fn a_silent_peer_is_noticed_and_an_idle_one_is_kept() {
+fn a_silent_peer_is_closed_and_an_idle_one_stays_open() {
     let (server, at_server) = server(1, 10);
     let (idle, at_client) = open(server.local_address());
-    // Says hello and nothing more, like a frozen process.
+    // Sends only a hello, like a process that hangs.
     let mut silent = TcpStream::connect(server.local_address()).unwrap();
     let hello = Frame::Hello(Hello {
         version: WIRE_VERSION,
@@ -277,10 +277,10 @@
         replica: None,
     });
     silent.write_all(&encode(&hello).unwrap()).unwrap();
-    expect_that!(at_server.closed.recv_timeout(PATIENCE), ok(anything()));
+    expect_that!(at_server.closed.recv_timeout(TIMEOUT), ok(anything()));
     expect_false!(idle.is_closed());
     idle.send(&request(1)).unwrap();
-    expect_that!(at_client.frames.recv_timeout(PATIENCE), ok(anything()));
+    expect_that!(at_client.frames.recv_timeout(TIMEOUT), ok(anything()));
     expect_that!(at_server.closed.try_recv(), err(anything()));
 }
 
@@ -315,10 +315,10 @@
         connection.send(&request(id)).unwrap();
     }
     connection.send(&consensus(vec![1])).unwrap();
-    at_server.frames.recv_timeout(PATIENCE).unwrap();
+    at_server.frames.recv_timeout(TIMEOUT).unwrap();
     server.stop();
     for id in 0..1000 {
-        let reply = at_client.frames.recv_timeout(PATIENCE).unwrap();
+        let reply = at_client.frames.recv_timeout(TIMEOUT).unwrap();
         expect_that!(
             reply,
             pat!(Frame::Reply {
@@ -327,13 +327,13 @@
             })
         );
     }
-    expect_that!(at_client.closed.recv_timeout(PATIENCE), ok(anything()));
-    expect_that!(at_server.closed.recv_timeout(PATIENCE), ok(anything()));
+    expect_that!(at_client.closed.recv_timeout(TIMEOUT), ok(anything()));
+    expect_that!(at_server.closed.recv_timeout(TIMEOUT), ok(anything()));
     expect_that!(server.connection_count(), eq(0));
 }
 
 #[gtest]
-fn a_stopped_port_can_be_taken_again_at_once() {
+fn the_port_of_a_stopped_server_can_be_bound_at_once() {
     let (mut first, _a) = server(1, 10);
     let address = first.local_address();
     let (_connection, _b) = open(address);
@@ -346,7 +346,7 @@
 }
 
 #[gtest]
-fn a_peer_reconnects_and_drops_while_down() {
+fn a_peer_reconnects_and_drops_frames_while_disconnected() {
     let (mut first, at_first) = server(1, 10);
     let address = first.local_address();
     let (at_peer, _received) = recorder();
@@ -361,7 +361,7 @@
     expect_true!(wait_until(|| peer.is_connected()));
     expect_true!(peer.send_consensus(GroupId::Control, vec![1]));
     expect_that!(
-        at_first.frames.recv_timeout(PATIENCE),
+        at_first.frames.recv_timeout(TIMEOUT),
         ok(eq(&consensus(vec![1])))
     );
     first.stop();
@@ -373,7 +373,7 @@
     let _second = Server::bind(address, server_options(1, 10), handler).unwrap();
     expect_true!(wait_until(|| peer.send_consensus(GroupId::Control, vec![3])));
     expect_that!(
-        at_second.frames.recv_timeout(PATIENCE),
+        at_second.frames.recv_timeout(TIMEOUT),
         ok(eq(&consensus(vec![3])))
     );
 }
--- a/crates/nodes/wingshore-transport/tests/frames.rs
+++ b/crates/nodes/wingshore-transport/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames against arbitrary bytes, truncation and damage.
+//! Decoding of valid frames, arbitrary bytes, truncated frames and corrupted frames.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn frames_survive_the_wire(frames in proptest::collection::vec(any_frame(), 0..5)) {
+    fn frames_round_trip(frames in proptest::collection::vec(any_frame(), 0..5)) {
         let mut bytes = Vec::new();
         for frame in &frames {
             bytes.extend(encode(frame).unwrap());
@@ -61,7 +61,7 @@
         bytes.extend((body.len() as u32).to_le_bytes());
         bytes.extend(crc32fast::hash(&body).to_le_bytes());
         bytes.extend(&body);
-        // A random body may happen to be a message; it must then be exactly that message.
+        // A random body may be a valid message; encoding it again must then give a valid frame.
         if let Ok(frame) = read_frame(&mut bytes.as_slice(), MAX_FRAME_BYTES) {
             let again = encode(&frame).unwrap();
             prop_assert!(read_frame(&mut again.as_slice(), MAX_FRAME_BYTES).is_ok());
@@ -94,13 +94,13 @@
     }
 }
 
-/// Counts how many bytes are asked for, and has none.
-struct EmptyAfterHeader {
+/// Returns a header and then the end of the stream; records the largest buffer passed to a read.
+struct HeaderOnlyReader {
     header: Vec<u8>,
     largest_request: usize,
 }
 
-impl Read for EmptyAfterHeader {
+impl Read for HeaderOnlyReader {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         self.largest_request = self.largest_request.max(buffer.len());
         let count = self.header.len().min(buffer.len());
@@ -118,8 +118,8 @@
 }
 
 #[gtest]
-fn a_claimed_length_is_not_allocated_before_its_bytes_come() {
-    let mut reader = EmptyAfterHeader {
+fn the_claimed_length_is_not_allocated_in_advance() {
+    let mut reader = HeaderOnlyReader {
         header: header_with_length(MAX_FRAME_BYTES),
         largest_request: 0,
     };
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn another_wire_version_is_named() {
+fn a_wire_version_mismatch_reports_both_versions() {
     let mut bytes = encode(&Frame::KeepAlive).unwrap();
     bytes[4..6].copy_from_slice(&(WIRE_VERSION + 1).to_le_bytes());
     let error = read_frame(&mut bytes.as_slice(), MAX_FRAME_BYTES);
--- a/crates/nodes/wingshore-transport/tests/golden_frames.rs
+++ b/crates/nodes/wingshore-transport/tests/golden_frames.rs
@@ -1,7 +1,7 @@
-//! Bytes that a connection begins with: the header of each frame, and the handshake.
+//! Golden bytes of frame headers and of the handshake.
 //!
-//! They never change: processes of two releases talk to each other during an upgrade. What frames
-//! hold after the handshake is compared in `wingshore-types`.
+//! They never change, because processes of two releases communicate during an upgrade. The bodies
+//! of frames after the handshake are checked in `wingshore-types`.
 
 use googletest::prelude::*;
 use std::io::{Read, Write};
@@ -33,7 +33,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(digits: &str) -> Vec<u8> {
+fn from_hex(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2);
     pairs
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn frames_keep_their_headers() {
+fn frame_encodings_match_the_golden_bytes() {
     let consensus = Frame::Consensus {
         group: GroupId::Ledger(300),
         message: vec![1, 2, 3],
@@ -77,14 +77,14 @@
     for (golden, frame) in examples {
         let bytes = encode(&frame).unwrap();
         expect_that!(hex(&bytes), eq(golden), "{frame:?}");
-        let read = read_frame(&mut unhex(golden).as_slice(), u32::MAX);
+        let read = read_frame(&mut from_hex(golden).as_slice(), u32::MAX);
         expect_that!(read.ok(), some(eq(&frame)), "{golden}");
     }
 }
 
-struct Ignore;
+struct DiscardFrames;
 
-impl FrameHandler for Ignore {
+impl FrameHandler for DiscardFrames {
     fn on_frame(&self, _connection: &ConnectionHandle, _frame: Frame) {}
 
     fn on_closed(&self, _connection: &ConnectionHandle) {}
@@ -97,10 +97,10 @@
         max_connections,
     };
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    Server::bind(any_port, options, Arc::new(Ignore)).unwrap()
+    Server::bind(any_port, options, Arc::new(DiscardFrames)).unwrap()
 }
 
-/// Reads one frame and gives its bytes as they came.
+/// Reads one frame and returns its bytes in hexadecimal.
 fn receive(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut bytes = vec![0; HEADER_BYTES];
@@ -111,16 +111,16 @@
     hex(&bytes)
 }
 
-/// What a server answers to the first frame of a connection.
+/// Opens a connection, sends `first` and returns the connection and the server's answer.
 fn answer(server: &Server, first: &str) -> (TcpStream, String) {
     let mut stream = TcpStream::connect(server.local_address()).unwrap();
-    stream.write_all(&unhex(first)).unwrap();
+    stream.write_all(&from_hex(first)).unwrap();
     let answer = receive(&mut stream);
     (stream, answer)
 }
 
 #[gtest]
-fn a_server_answers_the_first_frame_with_the_same_bytes() {
+fn server_handshake_answers_match_the_golden_bytes() {
     let server = server(10);
     let cases = [
         (HELLO_OF_TOOL, HELLO_OF_REPLICA),
@@ -135,34 +135,35 @@
 }
 
 #[gtest]
-fn a_full_server_refuses_with_the_same_bytes() {
+fn refusals_of_a_full_server_match_the_golden_bytes() {
     let server = server(1);
-    let (_kept, first) = answer(&server, HELLO_OF_TOOL);
+    let (_open, first) = answer(&server, HELLO_OF_TOOL);
     expect_that!(first, eq(HELLO_OF_REPLICA));
     let (_, second) = answer(&server, HELLO_OF_TOOL);
     expect_that!(second, eq(REFUSED_TOO_MANY));
 }
 
-/// Opens a connection to a listener that answers with `reply`; gives the first frame it got.
+/// Opens a connection to a listener that answers with `reply`; returns the error of the connection,
+/// if any, and the first frame that the listener received.
 fn open(reply: &'static str) -> (Option<ConnectError>, String) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let accepting = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let first = receive(&mut stream);
-        stream.write_all(&unhex(reply)).unwrap();
+        stream.write_all(&from_hex(reply)).unwrap();
         first
     });
     let options = ConnectOptions {
         replica: Some(ReplicaId(300)),
         ..ConnectOptions::new("site-a", TIMEOUT)
     };
-    let opened = Connection::open(address, &options, Arc::new(Ignore));
+    let opened = Connection::open(address, &options, Arc::new(DiscardFrames));
     (opened.err(), accepting.join().unwrap())
 }
 
 #[gtest]
-fn a_connection_opens_with_the_same_bytes() {
+fn client_hellos_match_the_golden_bytes() {
     let (error, first) = open(HELLO_OF_REPLICA);
     expect_that!(error.map(|error| error.to_string()), none());
     expect_that!(first, eq(HELLO_OF_REPLICA));
--- a/crates/nodes/wingshore-transport/tests/traffic.rs
+++ b/crates/nodes/wingshore-transport/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! The process's counts of frames and bytes; alone in its file, since they are the process's.
+//! Counters of frames and bytes. A separate test binary, because they are global to the process.
 
 use googletest::prelude::*;
 use prometheus_client::encoding::text::encode;
@@ -12,40 +12,42 @@
 use wingshore_types::GroupId;
 use wingshore_types::protocol::wire::Frame;
 
-/// Tells of each frame that came.
-struct Tell(crossbeam_channel::Sender<Frame>);
+/// Sends each received frame to a channel.
+struct FrameSender(crossbeam_channel::Sender<Frame>);
 
-impl FrameHandler for Tell {
+impl FrameHandler for FrameSender {
     fn on_frame(&self, _connection: &ConnectionHandle, frame: Frame) {
-        self.0.send(frame).expect("the test listens");
+        self.0.send(frame).expect("receiver is open");
     }
 }
 
 #[gtest]
 fn frames_and_their_bytes_are_counted_on_both_sides() {
-    let (tell, told) = crossbeam_channel::unbounded();
+    let (sender, received) = crossbeam_channel::unbounded();
     let options = ServerOptions {
         site: "site".to_owned(),
         replica: None,
         max_connections: 4,
     };
-    let address = "127.0.0.1:0".parse().expect("an address");
-    let handler = Arc::new(Tell(tell));
-    let server = Server::bind(address, options, handler.clone()).expect("a listener");
+    let address = "127.0.0.1:0".parse().expect("address is valid");
+    let handler = Arc::new(FrameSender(sender));
+    let server = Server::bind(address, options, handler.clone()).expect("listener is bound");
     let connect = ConnectOptions::new("site", Duration::from_secs(5));
     let connection =
-        Connection::open(server.local_address(), &connect, handler).expect("a connection");
+        Connection::open(server.local_address(), &connect, handler).expect("connection is opened");
     let frame = Frame::Consensus {
         group: GroupId::Control,
         message: vec![7; 1000],
     };
-    let length = encode_frame(&frame).expect("a frame").len() as u64;
+    let length = encode_frame(&frame).expect("frame is encoded").len() as u64;
     let before = Traffic::now();
 
-    connection.send(&frame).expect("queued");
-    told.recv_timeout(Duration::from_secs(10)).expect("a frame");
+    connection.send(&frame).expect("frame is queued");
+    received
+        .recv_timeout(Duration::from_secs(10))
+        .expect("frame is received");
 
-    // A keep-alive may have been sent besides.
+    // Keep-alives may have been sent as well.
     let after = Traffic::now();
     expect_that!(after.frames_sent - before.frames_sent, ge(1));
     expect_that!(after.frames_received - before.frames_received, ge(1));
@@ -53,7 +55,7 @@
     let mut registry = Registry::with_prefix("role");
     registry.register_collector(Box::new(TrafficCollector));
     let mut text = String::new();
-    encode(&mut text, &registry).expect("text");
+    encode(&mut text, &registry).expect("metrics are encoded");
     for name in [
         "role_frames_sent_total ",
         "role_frame_bytes_sent_total ",
