--- a/crates/nodes/wingshore-client/src/call.rs
+++ b/crates/nodes/wingshore-client/src/call.rs
@@ -1,8 +1,8 @@
-//! Calls to groups.
+//! Calls to replicated groups: the attempts of a call and the client that makes them.
 
 use crate::error::CallError;
 use crate::lock::lock;
-use crate::multiplexed::{Attempt, PendingReply};
+use crate::multiplexed::{AttemptOutcome, PendingReply};
 use crate::pool::ConnectionPool;
 use crate::retry::{Backoff, attempt_timeout};
 use crate::route::Route;
@@ -14,10 +14,10 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId, Verdict};
 
-/// Attempts of a call to one process: a second one where the connection turned out to be lost.
+/// Attempts of [`GroupClient::call_at`]: the second one replaces a lost connection.
 const ATTEMPTS_AT_ONE_ADDRESS: u32 = 2;
 
-/// Calls replicated groups. Clones share their connections and what they know about leaders.
+/// Calls replicated groups. Clones share their connections and their knowledge of leaders.
 #[derive(Clone, Debug)]
 pub struct GroupClient {
     inner: Arc<Inner>,
@@ -32,9 +32,9 @@
     closing: Condvar,
 }
 
-/// The attempts of one call so far.
+/// Progress of one call: its attempts so far and its backoff.
 #[derive(Debug, Default)]
-pub(crate) struct Progress {
+pub(crate) struct CallProgress {
     attempts: u32,
     may_have_run: bool,
     last: String,
@@ -43,20 +43,20 @@
 }
 
 /// What to do after an attempt.
-pub(crate) enum Next {
-    /// The call is answered.
+pub(crate) enum NextStep {
+    /// Return this reply to the caller.
     Return(GroupReply),
-    /// The call cannot be answered.
+    /// Return this error to the caller.
     Fail(CallError),
-    /// Another replica is asked at once.
+    /// Try another replica at once.
     TryAnother,
-    /// Another replica is asked after a pause.
+    /// Try another replica after a backoff.
     BackOff,
 }
 
 impl GroupClient {
-    /// A client of the groups that the replicas at `replicas` hold. `seed` draws the replica to
-    /// begin with and the jitter of backoffs.
+    /// Creates a client of the groups that the replicas at `replicas` host. `seed` determines the
+    /// first replica to try and the jitter of backoffs.
     pub fn new(site: &str, replicas: Vec<SocketAddr>, seed: u64) -> Self {
         let mut generator = ChaCha8Rng::seed_from_u64(seed);
         let start = generator.random_range(0..replicas.len().max(1));
@@ -72,12 +72,13 @@
         }
     }
 
-    /// Calls the leader of `group`. Sends again on a lost connection, on silence and on
-    /// [`GroupReply::Unknown`] until `timeout`, so the request must be safe to repeat, as all of
-    /// [`GroupRequest`] are. Never returns [`GroupReply::NotLeader`] or [`GroupReply::Unknown`].
+    /// Calls the leader of `group`. Retries until `timeout` after a lost connection, an attempt
+    /// without a reply or [`GroupReply::Unknown`], so the request must be idempotent, as every
+    /// [`GroupRequest`] is. Never returns [`GroupReply::NotLeader`] or [`GroupReply::Unknown`].
     ///
     /// # Errors
-    /// When there is no answer in time, or the client is closed.
+    /// When no reply arrives in time, no replica is known, the request cannot be sent, or the
+    /// client is closed.
     pub fn call(
         &self,
         group: GroupId,
@@ -87,25 +88,25 @@
         let deadline = Instant::now() + timeout;
         let longest_attempt = attempt_timeout(&request, timeout);
         let mut frame = request_frame(group, request);
-        let mut progress = Progress::default();
+        let mut progress = CallProgress::default();
         loop {
             let address = self.next_address(group, &mut progress, deadline)?;
             let attempt_deadline = deadline.min(Instant::now() + longest_attempt);
             let attempt = self.attempt(address, &mut frame, attempt_deadline);
-            match self.judge(&mut progress, group, address, attempt) {
-                Next::Return(reply) => return Ok(reply),
-                Next::Fail(error) => return Err(error),
-                Next::TryAnother => {}
-                Next::BackOff => self.back_off(&mut progress, deadline),
+            match self.next_step(&mut progress, group, address, attempt) {
+                NextStep::Return(reply) => return Ok(reply),
+                NextStep::Fail(error) => return Err(error),
+                NextStep::TryAnother => {}
+                NextStep::BackOff => self.back_off(&mut progress, deadline),
             }
         }
     }
 
-    /// Asks one process, whatever its role in the group; returns its answer as it is. A connection
-    /// that turns out to be lost is opened again once.
+    /// Calls one process, whatever its role in the group, and returns its reply unchanged.
+    /// Reconnects once if the connection turns out to be lost.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// When the process does not reply, or the request cannot be sent.
     pub fn call_at(
         &self,
         address: SocketAddr,
@@ -115,12 +116,14 @@
     ) -> Result<GroupReply, CallError> {
         let deadline = Instant::now() + timeout;
         let mut frame = request_frame(group, request);
-        let mut progress = Progress::default();
+        let mut progress = CallProgress::default();
         for _ in 0..ATTEMPTS_AT_ONE_ADDRESS {
             match self.attempt(address, &mut frame, deadline) {
-                Attempt::Reply(reply) => return Ok(reply),
-                Attempt::Unsendable { reason } => return Err(CallError::Unsendable { reason }),
-                failed => progress.note(&failed),
+                AttemptOutcome::Reply(reply) => return Ok(reply),
+                AttemptOutcome::Unsendable { reason } => {
+                    return Err(CallError::Unsendable { reason });
+                }
+                failed => progress.record_attempt(&failed),
             }
             if Instant::now() >= deadline {
                 break;
@@ -133,21 +136,21 @@
         })
     }
 
-    /// Ends all calls of all clones with [`CallError::Closed`] and closes the connections.
+    /// Fails all calls of all clones with [`CallError::Closed`] and closes the connections.
     pub fn close(&self) {
         *lock(&self.inner.closed) = true;
         self.inner.closing.notify_all();
         self.inner.pool.close();
     }
 
-    /// Whom to ask next.
+    /// Returns the address of the replica to try next.
     ///
     /// # Errors
-    /// When the client is closed, the time is up, or no replica is known.
+    /// When the client is closed, the deadline has passed, or no replica is known.
     pub(crate) fn next_address(
         &self,
         group: GroupId,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
         deadline: Instant,
     ) -> Result<SocketAddr, CallError> {
         let now = Instant::now();
@@ -164,68 +167,70 @@
     /// Sends a request to `address` without waiting for its reply.
     ///
     /// # Errors
-    /// The end of the attempt, where it was not sent by `deadline`.
+    /// The outcome of the attempt, if the request was not sent by `deadline`.
     pub(crate) fn send(
         &self,
         address: SocketAddr,
         frame: &mut Frame,
         deadline: Instant,
-    ) -> Result<PendingReply, Attempt> {
+    ) -> Result<PendingReply, AttemptOutcome> {
         match self.inner.pool.get(address, deadline) {
             Ok(connection) => connection.send(frame),
-            Err(reason) => Err(Attempt::NotSent { reason }),
+            Err(reason) => Err(AttemptOutcome::NotSent { reason }),
         }
     }
 
-    fn attempt(&self, address: SocketAddr, frame: &mut Frame, deadline: Instant) -> Attempt {
+    fn attempt(&self, address: SocketAddr, frame: &mut Frame, deadline: Instant) -> AttemptOutcome {
         match self.inner.pool.get(address, deadline) {
             Ok(connection) => connection.request(frame, deadline),
-            Err(reason) => Attempt::NotSent { reason },
+            Err(reason) => AttemptOutcome::NotSent { reason },
         }
     }
 
-    /// Learns from an attempt, and says what follows it.
-    pub(crate) fn judge(
+    /// Updates the route with the outcome of an attempt and returns the next step of the call.
+    pub(crate) fn next_step(
         &self,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
         group: GroupId,
         address: SocketAddr,
-        attempt: Attempt,
-    ) -> Next {
-        progress.note(&attempt);
+        attempt: AttemptOutcome,
+    ) -> NextStep {
+        progress.record_attempt(&attempt);
         let now = Instant::now();
         let mut route = self.inner.route();
         match attempt {
-            Attempt::Reply(GroupReply::NotLeader { leader }) => {
+            AttemptOutcome::Reply(GroupReply::NotLeader { leader }) => {
                 route.on_not_leader(group, address, leader, now);
             }
-            Attempt::Reply(GroupReply::Unknown) => {
+            AttemptOutcome::Reply(GroupReply::Unknown) => {
                 route.on_unavailable(group, address);
-                return Next::BackOff;
+                return NextStep::BackOff;
             }
-            Attempt::Reply(reply @ GroupReply::Rejected(_)) => {
+            AttemptOutcome::Reply(reply @ GroupReply::Rejected(_)) => {
                 route.on_unavailable(group, address);
-                return Next::Return(reply);
+                return NextStep::Return(reply);
             }
-            Attempt::Reply(reply) => {
+            AttemptOutcome::Reply(reply) => {
                 route.on_answer(group, address);
-                return Next::Return(reply);
+                return NextStep::Return(reply);
             }
-            Attempt::Unsendable { reason } => return Next::Fail(CallError::Unsendable { reason }),
-            Attempt::NotSent { .. } | Attempt::Unanswered { .. } => {
+            AttemptOutcome::Unsendable { reason } => {
+                return NextStep::Fail(CallError::Unsendable { reason });
+            }
+            AttemptOutcome::NotSent { .. } | AttemptOutcome::Unanswered { .. } => {
                 route.on_failure(group, address, now);
             }
         }
-        // One round over all replicas without backoff, and one more for a fresh hint.
+        // One attempt per replica without backoff, and one more for a new leader hint.
         if progress.attempts_since_backoff <= route.candidate_count() {
-            Next::TryAnother
+            NextStep::TryAnother
         } else {
-            Next::BackOff
+            NextStep::BackOff
         }
     }
 
-    /// Waits before the next attempt, not beyond `deadline` nor beyond the client's closing.
-    pub(crate) fn back_off(&self, progress: &mut Progress, deadline: Instant) {
+    /// Waits before the next attempt, at most until `deadline` or until the client is closed.
+    pub(crate) fn back_off(&self, progress: &mut CallProgress, deadline: Instant) {
         progress.attempts_since_backoff = 0;
         let backoff = {
             let mut generator = lock(&self.inner.generator);
@@ -247,21 +252,21 @@
     }
 }
 
-impl Progress {
-    fn note(&mut self, attempt: &Attempt) {
+impl CallProgress {
+    fn record_attempt(&mut self, attempt: &AttemptOutcome) {
         self.attempts += 1;
         self.attempts_since_backoff += 1;
         self.last = match attempt {
-            Attempt::Reply(GroupReply::NotLeader { .. }) => "not the leader".to_owned(),
-            Attempt::Reply(GroupReply::Unknown) => "leadership was lost".to_owned(),
-            Attempt::Reply(_) => String::new(),
-            Attempt::NotSent { reason }
-            | Attempt::Unanswered { reason }
-            | Attempt::Unsendable { reason } => reason.clone(),
+            AttemptOutcome::Reply(GroupReply::NotLeader { .. }) => "not the leader".to_owned(),
+            AttemptOutcome::Reply(GroupReply::Unknown) => "leadership was lost".to_owned(),
+            AttemptOutcome::Reply(_) => String::new(),
+            AttemptOutcome::NotSent { reason }
+            | AttemptOutcome::Unanswered { reason }
+            | AttemptOutcome::Unsendable { reason } => reason.clone(),
         };
         let unsent = matches!(
             attempt,
-            Attempt::NotSent { .. } | Attempt::Unsendable { .. }
+            AttemptOutcome::NotSent { .. } | AttemptOutcome::Unsendable { .. }
         );
         self.may_have_run |= !unsent;
     }
@@ -289,7 +294,7 @@
     }
 }
 
-/// A request frame; each attempt sets its own id.
+/// Returns a request frame with a placeholder id; each attempt sets its own.
 pub(crate) fn request_frame(group: GroupId, body: GroupRequest) -> Frame {
     let id = RequestId(0);
     Frame::Request { id, group, body }
--- a/crates/nodes/wingshore-client/src/error.rs
+++ b/crates/nodes/wingshore-client/src/error.rs
@@ -1,43 +1,43 @@
-//! Why a call has no answer.
+//! Errors of calls and watches.
 
 use snafu::Snafu;
 use std::net::SocketAddr;
 use wingshore_types::{GroupId, Verdict};
 
-/// A call without an answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum CallError {
-    /// No attempt was answered in time.
+    /// No attempt received a usable reply in time.
     #[snafu(display("no answer from group {group} in time, {attempts} attempts; last: {last}"))]
     TimedOut {
-        /// The group meant.
+        /// The group that was called.
         group: GroupId,
-        /// How many attempts were made.
+        /// Number of attempts made.
         attempts: u32,
-        /// How the last one failed.
+        /// Why the last attempt failed.
         last: String,
         /// Whether the request may have run.
         verdict: Verdict,
     },
-    /// One named process did not answer.
+    /// The process at the given address did not reply.
     #[snafu(display("no answer from {address}: {reason}"))]
     Unreachable {
-        /// Where it should listen.
+        /// Address of the process.
         address: SocketAddr,
-        /// What failed.
+        /// Why the last attempt failed.
         reason: String,
         /// Whether the request may have run.
         verdict: Verdict,
     },
-    /// The request is too large to be sent at all.
+    /// The request cannot be encoded, for example because it is too large.
     #[snafu(display("cannot send the request: {reason}"))]
     Unsendable {
-        /// What is wrong with it.
+        /// Why the request cannot be encoded.
         reason: String,
     },
-    /// The client knows no replica to ask.
+    /// The client knows no replica addresses.
     #[snafu(display("no replica addresses are known"))]
     NoReplicas,
     /// The client was closed during the call.
@@ -48,33 +48,33 @@
     },
 }
 
-/// A watch for configuration without an answer.
+/// Why a configuration watch failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum WatchError {
-    /// No answer came.
+    /// The call failed.
     #[snafu(display("{source}"))]
     NoAnswer {
-        /// Why.
+        /// The error of the call.
         source: CallError,
     },
-    /// The replica refuses it.
+    /// The replica rejected the watch.
     #[snafu(display("{reason}"))]
     Refused {
-        /// In its own words.
+        /// The reason that the replica gave.
         reason: String,
     },
-    /// An answer came that is none to a watch.
-    #[snafu(display("not an answer to a watch: {answer}"))]
-    OfAnotherKind {
-        /// The answer, as far as it can be shown.
+    /// The reply is not an answer to a watch.
+    #[snafu(display("unexpected reply to a watch: {answer}"))]
+    UnexpectedAnswer {
+        /// Debug representation of the reply.
         answer: String,
     },
 }
 
 impl CallError {
-    /// Whether the request may have run. [`Verdict::NotRun`] only where no byte of any attempt
+    /// Returns whether the request may have run: [`Verdict::NotRun`] only if no byte of any attempt
     /// left this process.
     pub fn verdict(&self) -> Verdict {
         match self {
--- a/crates/nodes/wingshore-client/src/lib.rs
+++ b/crates/nodes/wingshore-client/src/lib.rs
@@ -1,8 +1,8 @@
-//! Client of the replicated groups: finds the leader, follows hints, sends again until it has an
-//! answer or the time is up.
+//! Client of the replicated groups: finds the leader, follows leader hints, and retries until a
+//! reply arrives or the call times out.
 //!
 //! [`GroupClient`] calls groups; all calls of a process share one connection per replica.
-//! [`ConfigurationWatcher`] keeps a node's or relay's long poll for configuration going.
+//! [`ConfigurationWatcher`] long-polls for configuration on behalf of a node or relay.
 
 mod call;
 mod error;
--- a/crates/nodes/wingshore-client/src/lock.rs
+++ b/crates/nodes/wingshore-client/src/lock.rs
@@ -1,8 +1,8 @@
-//! Locks of this crate.
+//! Mutex locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks `mutex`. A thread that panicked while it held the lock keeps no other one out.
+/// Locks `mutex`, even if a thread panicked while it held the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/nodes/wingshore-client/src/multiplexed.rs
+++ b/crates/nodes/wingshore-client/src/multiplexed.rs
@@ -1,4 +1,4 @@
-//! One connection that many calls share: replies find their calls by request id.
+//! A connection shared by concurrent calls: replies are matched to calls by request id.
 
 use crate::lock::lock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
@@ -15,27 +15,27 @@
 
 /// How one attempt ended.
 #[derive(Debug)]
-pub(crate) enum Attempt {
-    /// Answered.
+pub(crate) enum AttemptOutcome {
+    /// A reply arrived.
     Reply(GroupReply),
-    /// Not answered, and no byte of it left.
+    /// The request failed before any byte of it was sent.
     NotSent {
         /// What failed.
         reason: String,
     },
-    /// Not answered; it may have arrived.
+    /// No reply arrived; the request may have reached the replica.
     Unanswered {
         /// What failed.
         reason: String,
     },
-    /// It can never be sent.
+    /// The request cannot be encoded, so a retry is useless.
     Unsendable {
-        /// What is wrong with it.
+        /// Why the request cannot be encoded.
         reason: String,
     },
 }
 
-/// A connection shared by calls.
+/// A connection shared by concurrent calls.
 #[derive(Debug)]
 pub(crate) struct MultiplexedConnection {
     connection: Connection,
@@ -43,7 +43,7 @@
     next_request: AtomicU64,
 }
 
-/// Calls that wait for their replies.
+/// Calls that are waiting for a reply.
 #[derive(Debug, Default)]
 struct PendingReplies {
     state: Mutex<PendingState>,
@@ -56,7 +56,7 @@
 }
 
 impl MultiplexedConnection {
-    /// Connects and does the handshake.
+    /// Connects and performs the handshake.
     pub(crate) fn open(
         address: SocketAddr,
         options: &ConnectOptions,
@@ -71,29 +71,29 @@
         })
     }
 
-    /// Whether it takes no more requests.
+    /// Returns whether the connection accepts no more requests.
     pub(crate) fn is_closed(&self) -> bool {
         self.connection.is_closed()
     }
 
-    /// Fails all calls that wait and takes no more.
+    /// Fails all pending calls and accepts no more.
     pub(crate) fn close(&self) {
         self.connection.close();
     }
 
-    /// Sends a request frame under a fresh id and waits for its reply until `deadline`.
-    pub(crate) fn request(&self, frame: &mut Frame, deadline: Instant) -> Attempt {
+    /// Sends a request frame with a new id and waits for its reply until `deadline`.
+    pub(crate) fn request(&self, frame: &mut Frame, deadline: Instant) -> AttemptOutcome {
         match self.send(frame) {
             Ok(pending) => pending.wait(deadline),
             Err(failed) => failed,
         }
     }
 
-    /// Sends a request frame under a fresh id.
+    /// Sends a request frame with a new id.
     ///
     /// # Errors
-    /// The end of the attempt, where the frame was not sent.
-    pub(crate) fn send(&self, frame: &mut Frame) -> Result<PendingReply, Attempt> {
+    /// The outcome of the attempt, if the frame was not sent.
+    pub(crate) fn send(&self, frame: &mut Frame) -> Result<PendingReply, AttemptOutcome> {
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         if let Frame::Request { id: field, .. } = frame {
             *field = id;
@@ -101,7 +101,7 @@
         let (sender, receiver) = bounded(1);
         if !self.pending.register(id, sender) {
             let reason = "the connection was lost".to_owned();
-            return Err(Attempt::NotSent { reason });
+            return Err(AttemptOutcome::NotSent { reason });
         }
         let pending = PendingReply {
             replies: Arc::clone(&self.pending),
@@ -110,12 +110,12 @@
         };
         match self.connection.send(frame) {
             Ok(()) => Ok(pending),
-            Err(error) => Err(not_queued(&error)),
+            Err(error) => Err(send_failure(&error)),
         }
     }
 }
 
-/// The reply of a request that was sent; dropping it forgets the request.
+/// The pending reply to a request that was sent. Dropping it discards a later reply.
 #[derive(Debug)]
 pub(crate) struct PendingReply {
     replies: Arc<PendingReplies>,
@@ -124,16 +124,16 @@
 }
 
 impl PendingReply {
-    /// Waits until `deadline`.
-    fn wait(&self, deadline: Instant) -> Attempt {
+    /// Waits for the reply until `deadline`.
+    fn wait(&self, deadline: Instant) -> AttemptOutcome {
         match self.receiver.recv_deadline(deadline) {
-            Ok(reply) => Attempt::Reply(reply),
-            Err(RecvTimeoutError::Timeout) => Attempt::silent(),
-            Err(RecvTimeoutError::Disconnected) => Attempt::lost(),
+            Ok(reply) => AttemptOutcome::Reply(reply),
+            Err(RecvTimeoutError::Timeout) => AttemptOutcome::no_reply(),
+            Err(RecvTimeoutError::Disconnected) => AttemptOutcome::connection_lost(),
         }
     }
 
-    /// Where the reply comes; disconnected once the connection is lost.
+    /// Returns the channel that receives the reply; it disconnects once the connection is lost.
     pub(crate) fn receiver(&self) -> &Receiver<GroupReply> {
         &self.receiver
     }
@@ -145,25 +145,25 @@
     }
 }
 
-impl Attempt {
-    /// No reply came in time.
-    pub(crate) fn silent() -> Self {
+impl AttemptOutcome {
+    /// Outcome of an attempt without a reply in time.
+    pub(crate) fn no_reply() -> Self {
         let reason = "no reply in time".to_owned();
         Self::Unanswered { reason }
     }
 
-    /// The connection ended before the reply.
-    pub(crate) fn lost() -> Self {
+    /// Outcome of an attempt whose connection was lost before the reply.
+    pub(crate) fn connection_lost() -> Self {
         let reason = "the connection was lost before the reply".to_owned();
         Self::Unanswered { reason }
     }
 }
 
-fn not_queued(error: &SendError) -> Attempt {
+fn send_failure(error: &SendError) -> AttemptOutcome {
     let reason = error.to_string();
     match error {
-        SendError::Encode { .. } => Attempt::Unsendable { reason },
-        _ => Attempt::NotSent { reason },
+        SendError::Encode { .. } => AttemptOutcome::Unsendable { reason },
+        _ => AttemptOutcome::NotSent { reason },
     }
 }
 
@@ -191,10 +191,10 @@
             connection.close();
             return;
         };
-        // A reply that nobody waits for is late or a duplicate.
+        // A reply without a pending call is late or a duplicate.
         let waiting = self.lock().waiting.remove(&id);
         if let Some(sender) = waiting {
-            // The call may have given up in this very moment.
+            // Fails if the call has just timed out.
             let _ = sender.send(body);
         }
     }
--- a/crates/nodes/wingshore-client/src/pool.rs
+++ b/crates/nodes/wingshore-client/src/pool.rs
@@ -1,4 +1,4 @@
-//! One connection per replica, opened when first wanted and shared by all calls.
+//! Connection pool: one connection per replica, opened on first use and shared by all calls.
 
 use crate::lock::lock;
 use crate::multiplexed::MultiplexedConnection;
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 use wingshore_transport::ConnectOptions;
 
-/// Longest time until a connection is open, and longest silence during its handshake: below the most
-/// that an attempt gets, so that another replica still has its turn.
+/// Timeout for connecting, and for each read and write of the handshake. Shorter than the longest
+/// attempt, so that time remains to try another replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Calls that come this soon after a failed attempt to connect share its failure.
-const FAILURE_SHARED_FOR: Duration = Duration::from_millis(20);
+/// How long a failure to connect is returned to further calls without a new attempt.
+const FAILURE_CACHE_TIME: Duration = Duration::from_millis(20);
 
 /// Connections by address.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
 struct SlotState {
     closed: bool,
     connection: Option<Arc<MultiplexedConnection>>,
-    opener: Option<JoinHandle<()>>,
+    connect_thread: Option<JoinHandle<()>>,
     connecting: bool,
     failure: Option<Failure>,
 }
@@ -47,7 +47,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool of connections to processes of `site`.
+    /// Creates an empty pool for connections to processes of `site`.
     pub(crate) fn new(site: &str) -> Self {
         Self {
             options: ConnectOptions::new(site, CONNECT_TIMEOUT),
@@ -55,10 +55,10 @@
         }
     }
 
-    /// The connection to `address`; opens it if there is none, and waits until `deadline`.
+    /// Returns the connection to `address`; opens it if needed and waits for it until `deadline`.
     ///
     /// # Errors
-    /// The reason, when there is none by then.
+    /// The reason, if no connection is open by `deadline`.
     pub(crate) fn get(
         &self,
         address: SocketAddr,
@@ -68,7 +68,7 @@
         slot.get(&self.options, deadline)
     }
 
-    /// Closes all connections, now and later, and waits for attempts to open some.
+    /// Closes all connections, including those still being opened, and waits for their threads.
     pub(crate) fn close(&self) {
         let slots: Vec<_> = lock(&self.slots).values().cloned().collect();
         for slot in slots {
@@ -123,7 +123,7 @@
         Err(failure.unwrap_or_else(|| "not connected in time".to_owned()))
     }
 
-    /// Connects on a thread of its own, so that each call waits only as long as it may.
+    /// Connects on a separate thread, so that each call waits only until its own deadline.
     fn start_connecting(
         self: &Arc<Self>,
         state: &mut SlotState,
@@ -134,12 +134,12 @@
         }
         let slot = Arc::clone(self);
         let options = options.clone();
-        let opener = thread::Builder::new()
+        let connect_thread = thread::Builder::new()
             .name("client-connect".to_owned())
             .spawn(move || slot.connect(&options))
             .map_err(|error| error.to_string())?;
-        // An earlier opener has ended: `connecting` was false.
-        state.opener = Some(opener);
+        // An earlier connecting thread has finished, since `connecting` was false.
+        state.connect_thread = Some(connect_thread);
         state.connecting = true;
         state.connection = None;
         Ok(())
@@ -169,14 +169,14 @@
         let mut state = lock(&self.state);
         state.closed = true;
         let connection = state.connection.take();
-        let opener = state.opener.take();
+        let connect_thread = state.connect_thread.take();
         drop(state);
         if let Some(connection) = connection {
             connection.close();
         }
-        if let Some(opener) = opener {
-            // A panicked opener has left no connection behind.
-            let _ = opener.join();
+        if let Some(connect_thread) = connect_thread {
+            // A connecting thread that panicked left no connection to close.
+            let _ = connect_thread.join();
         }
     }
 }
@@ -189,7 +189,7 @@
 
     fn recent_failure(&self) -> Option<String> {
         let failure = self.failure.as_ref()?;
-        let recent = failure.at.elapsed() < FAILURE_SHARED_FOR;
+        let recent = failure.at.elapsed() < FAILURE_CACHE_TIME;
         recent.then(|| failure.reason.clone())
     }
 }
--- a/crates/nodes/wingshore-client/src/retry.rs
+++ b/crates/nodes/wingshore-client/src/retry.rs
@@ -1,14 +1,14 @@
-//! Decision: how long may one attempt of a call take, and how long is the wait before the next?
+//! Decision: how long one attempt of a call may take, and how long to back off before the next.
 //!
-//! Inputs: the time of the whole call, how long the request asks the group to wait, the number of
-//! backoffs so far, a source of random numbers.
+//! Inputs: the timeout of the call, how long the request asks the group to wait, the number of
+//! backoffs so far, and a random number generator.
 //!
-//! Rule: an attempt gets a quarter of the call's time, within bounds, and what the group may wait on
-//! top. Backoffs double from [`INITIAL_BACKOFF`] to [`MAX_BACKOFF`], each drawn between half of the
-//! step and the whole.
+//! Rule: the timeout of an attempt is a quarter of the call timeout, within bounds, plus the time
+//! that the group may wait. Backoffs double from [`INITIAL_BACKOFF`] to [`MAX_BACKOFF`]; each delay
+//! is drawn between half of the current step and the full step.
 //!
-//! Why: a leader that was cut off silently must not use up the whole call, and callers that failed
-//! at the same moment must not return at the same moment.
+//! Reason: a leader that is silently partitioned must not use up the whole call, and callers that
+//! failed at the same time must not all retry at the same time.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -17,31 +17,32 @@
 use wingshore_types::protocol::ledger::LedgerRequest;
 use wingshore_types::protocol::wire::GroupRequest;
 
-/// Shortest time an attempt gets, unless the whole call has less.
+/// Minimum timeout of an attempt, unless the call has less time left.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Longest time an attempt gets beyond what the request itself asks the group to wait.
+/// Maximum timeout of an attempt, not counting the time that the request asks the group to wait.
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call's time is divided into at least this many attempts.
+/// The timeout of an attempt is the call timeout divided by this, within the bounds.
 const ATTEMPTS_PER_CALL: u32 = 4;
 
-/// First backoff.
+/// First step of a backoff.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Longest backoff.
+/// Largest step of a backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// How long one attempt of a call of `whole` may take, so that a leader that was cut off silently
-/// does not eat the whole call. A request that asks the group to wait gets that time on top.
-pub fn attempt_timeout(request: &GroupRequest, whole: Duration) -> Duration {
-    let share = whole / ATTEMPTS_PER_CALL;
-    let own = share.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
-    own + wait_of(request)
+/// Returns the timeout of one attempt of a call with `call_timeout`, so that a silently partitioned
+/// leader does not use up the whole call. The time that the request asks the group to wait is
+/// added.
+pub fn attempt_timeout(request: &GroupRequest, call_timeout: Duration) -> Duration {
+    let share = call_timeout / ATTEMPTS_PER_CALL;
+    let base = share.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
+    base + requested_wait(request)
 }
 
-/// How long the group itself may hold the request before it answers.
-fn wait_of(request: &GroupRequest) -> Duration {
+/// Returns how long the request allows the group to wait before it replies.
+fn requested_wait(request: &GroupRequest) -> Duration {
     let milliseconds = match request {
         GroupRequest::Control(ControlRequest::Watch(watch)) => watch.wait_ms,
         GroupRequest::Ledger(LedgerRequest::Pull { pull, .. }) => pull.wait_ms,
@@ -50,7 +51,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Backoffs that double, with jitter, so that many callers do not retry at the same time.
+/// Exponential backoff with jitter, so that many callers do not retry at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     next: Duration,
@@ -65,7 +66,7 @@
 }
 
 impl Backoff {
-    /// The next backoff: between half of the current step and the whole of it.
+    /// Returns the next delay, between half of the current step and the full step.
     pub fn next_delay(&mut self, generator: &mut ChaCha8Rng) -> Duration {
         let step = self.next;
         self.next = (step * 2).min(MAX_BACKOFF);
--- a/crates/nodes/wingshore-client/src/route.rs
+++ b/crates/nodes/wingshore-client/src/route.rs
@@ -1,25 +1,26 @@
-//! Decision: which replica is asked next?
+//! Decision: which replica to try next.
 //!
-//! Inputs: the listed replicas, answers and failures with their times, hints of replicas that do not
-//! lead.
+//! Inputs: the configured replicas, replies and failures with their times, and the leader hints of
+//! followers.
 //!
-//! Rule: the group's leader where it is known and has not just failed, otherwise the next replica in
-//! turn that has not just failed, otherwise the next one. A hint to a replica that has just failed
-//! is ignored: followers name a leader that was cut off until they elect another.
+//! Rule: the leader of the group if it is known and has not failed recently, otherwise the next
+//! replica in round-robin order that has not failed recently, otherwise the next one. A hint to a
+//! replica that failed recently is ignored: followers name a partitioned leader until they elect
+//! another.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use wingshore_types::GroupId;
 
-/// How long a replica that failed an attempt is passed over while there are others: half of the
-/// default election timeout.
+/// How long a replica that failed an attempt is skipped while there are others: half of the default
+/// election timeout.
 const SUSPECT_TIME: Duration = Duration::from_millis(500);
 
-/// Most addresses learned from hints that are kept beside the listed ones.
-const MAX_LEARNED: usize = 16;
+/// Maximum number of addresses learned from hints, in addition to the configured ones.
+const MAX_LEARNED_ADDRESSES: usize = 16;
 
-/// What a client knows about where groups are led. Reads no clock.
+/// A client's knowledge of replicas and group leaders. Callers pass the current time.
 #[derive(Clone, Debug)]
 pub struct Route {
     listed: Vec<SocketAddr>,
@@ -30,7 +31,7 @@
 }
 
 impl Route {
-    /// Knows the listed replicas; `start` picks the one to begin with.
+    /// Creates a route over the replicas `listed`; `start` is the index of the first one to try.
     pub fn new(listed: Vec<SocketAddr>, start: usize) -> Self {
         Self {
             listed,
@@ -41,13 +42,14 @@
         }
     }
 
-    /// How many replicas are known.
+    /// Returns the number of known replicas.
     pub fn candidate_count(&self) -> usize {
         self.listed.len() + self.learned.len()
     }
 
-    /// Whom to ask: the group's leader where it is known and not suspect, otherwise the next
-    /// replica that is not suspect, otherwise the next one.
+    /// Returns the replica to try: the leader of the group if it is known and not suspect,
+    /// otherwise the next replica that is not suspect, otherwise the next one. `None` if no replica
+    /// is known.
     pub fn choose(&self, group: GroupId, now: Instant) -> Option<SocketAddr> {
         let leader = self.leaders.get(&group).copied();
         if let Some(leader) = leader.filter(|leader| !self.is_suspect(*leader, now)) {
@@ -61,14 +63,14 @@
         trusted.or_else(|| in_turn.clone().next())
     }
 
-    /// `address` has answered for the group.
+    /// Records that `address` served a request as the leader of the group.
     pub fn on_answer(&mut self, group: GroupId, address: SocketAddr) {
         self.leaders.insert(group, address);
         self.suspects.remove(&address);
     }
 
-    /// `address` does not lead the group. Its hint is taken unless it names a replica that is
-    /// suspect: followers go on naming a leader that was cut off until they elect another.
+    /// Records that `address` does not lead the group. Follows its hint unless that names a suspect
+    /// replica: followers name a partitioned leader until they elect another.
     pub fn on_not_leader(
         &mut self,
         group: GroupId,
@@ -85,19 +87,19 @@
         }
     }
 
-    /// `address` answers, but cannot serve the group now: another may.
+    /// Records that `address` replied but cannot serve the group now; another replica may.
     pub fn on_unavailable(&mut self, group: GroupId, address: SocketAddr) {
         self.forget_leader(group, address);
     }
 
-    /// `address` was not reached, or did not answer in time.
+    /// Records that `address` could not be reached or did not reply in time.
     pub fn on_failure(&mut self, group: GroupId, address: SocketAddr, now: Instant) {
         self.forget_leader(group, address);
         self.suspects.retain(|_, until| *until > now);
         self.suspects.insert(address, now + SUSPECT_TIME);
     }
 
-    /// Forgets `address` as the leader and lets the next replica have its turn.
+    /// Removes `address` as the known leader and moves the cursor to the replica after it.
     fn forget_leader(&mut self, group: GroupId, address: SocketAddr) {
         if self.leaders.get(&group) == Some(&address) {
             self.leaders.remove(&group);
@@ -126,7 +128,7 @@
         if self.listed.contains(&address) || self.learned.contains(&address) {
             return;
         }
-        if self.learned.len() == MAX_LEARNED {
+        if self.learned.len() == MAX_LEARNED_ADDRESSES {
             self.learned.pop_front();
         }
         self.learned.push_back(address);
--- a/crates/nodes/wingshore-client/src/watch.rs
+++ b/crates/nodes/wingshore-client/src/watch.rs
@@ -1,13 +1,14 @@
-//! One watch for configuration: the request whose answer may be as long as the whole configuration.
+//! A configuration watch: a request whose answer may contain the complete configuration.
 //!
-//! A long answer takes its time on a busy link, and is as true when it is late. So an attempt whose time is
-//! over stays open while another replica is asked, the first answer of any attempt counts, and a replica
-//! that still has the watch is not sent it again: each more would put another whole configuration on the
-//! link that is too slow for the first.
+//! A large answer takes long on a congested link, and is still valid when it arrives late. An
+//! attempt that timed out therefore stays open while another replica is tried, and the first answer
+//! to any attempt is accepted. A replica with an open attempt is not sent the watch again: every
+//! repetition would send another complete configuration over a link that is too slow for the first
+//! one.
 
-use crate::call::{GroupClient, Next, Progress, request_frame};
+use crate::call::{CallProgress, GroupClient, NextStep, request_frame};
 use crate::error::{CallError, NoAnswerSnafu, WatchError};
-use crate::multiplexed::{Attempt, PendingReply};
+use crate::multiplexed::{AttemptOutcome, PendingReply};
 use crate::retry::attempt_timeout;
 use crossbeam_channel::Select;
 use snafu::ResultExt;
@@ -20,47 +21,48 @@
 };
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 
-/// Time that is divided into the attempts of a watch, beyond what it asks the other side to wait.
+/// Time that is divided into the attempts of a watch, in addition to the wait it requests.
 const ATTEMPTS_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Time for an answer, beyond what the watch asks the other side to wait: what a lost disk may take to be
-/// whole again holds for a configuration too.
+/// Time limit for an answer, in addition to the wait that the watch requests. The same limit as for
+/// the recovery from a lost disk.
 const ANSWER_MARGIN: Duration = Duration::from_secs(6);
 
 /// The answer to a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchAnswer {
-    /// What is new.
+    /// The changes to the configuration.
     pub update: ConfigurationUpdate,
-    /// The lease in milliseconds, from `sent_at` on.
+    /// Duration of the lease in milliseconds, starting at `sent_at`.
     pub lease_ms: u64,
-    /// Before the attempt that was answered was sent.
+    /// Time immediately before the answered attempt was sent.
     pub sent_at: BootTime,
 }
 
-/// An attempt that was sent and whose answer may still come.
+/// An attempt that was sent and may still be answered.
 struct OpenAttempt {
     address: SocketAddr,
     sent_at: BootTime,
     reply: PendingReply,
 }
 
-/// The open attempts of one watch, at most one for each address.
+/// The open attempts of one watch, at most one per address.
 #[derive(Default)]
 struct OpenAttempts(Vec<OpenAttempt>);
 
-/// An open attempt has ended.
+/// An attempt that ended, and its outcome.
 struct EndedAttempt {
     address: SocketAddr,
     sent_at: BootTime,
-    outcome: Attempt,
+    outcome: AttemptOutcome,
 }
 
 impl GroupClient {
-    /// Watches for configuration at the leader of the control group, or at a relay.
+    /// Sends a configuration watch to the leader of the control group, or to a relay, and waits for
+    /// the answer.
     ///
     /// # Errors
-    /// When there is no answer in time, it is refused, or the client is closed.
+    /// When no answer arrives in time, the watch is rejected, or the client is closed.
     pub fn watch(&self, request: WatchRequest) -> Result<WatchAnswer, WatchError> {
         let wait = Duration::from_millis(request.wait_ms);
         let body = GroupRequest::Control(ControlRequest::Watch(request));
@@ -69,10 +71,10 @@
         let (reply, sent_at) = self
             .first_answer(body, longest_attempt, deadline)
             .context(NoAnswerSnafu)?;
-        answer_of(reply, sent_at)
+        to_watch_answer(reply, sent_at)
     }
 
-    /// The first answer to any attempt, and when that one was sent.
+    /// Returns the first reply to any attempt, and when that attempt was sent.
     fn first_answer(
         &self,
         body: GroupRequest,
@@ -81,25 +83,25 @@
     ) -> Result<(GroupReply, BootTime), CallError> {
         let group = GroupId::Control;
         let mut frame = request_frame(group, body);
-        let mut progress = Progress::default();
+        let mut progress = CallProgress::default();
         let mut open = OpenAttempts::default();
         loop {
             let address = self.next_address(group, &mut progress, deadline)?;
             let attempt_deadline = deadline.min(Instant::now() + longest_attempt);
-            let ended = self.ask_and_wait(&mut open, address, &mut frame, attempt_deadline);
+            let ended = self.send_and_wait(&mut open, address, &mut frame, attempt_deadline);
             let sent_at = ended.sent_at;
-            match self.judge(&mut progress, group, ended.address, ended.outcome) {
-                Next::Return(reply) => return Ok((reply, sent_at)),
-                Next::Fail(error) => return Err(error),
-                Next::TryAnother => {}
-                Next::BackOff => self.back_off(&mut progress, deadline),
+            match self.next_step(&mut progress, group, ended.address, ended.outcome) {
+                NextStep::Return(reply) => return Ok((reply, sent_at)),
+                NextStep::Fail(error) => return Err(error),
+                NextStep::TryAnother => {}
+                NextStep::BackOff => self.back_off(&mut progress, deadline),
             }
         }
     }
 
-    /// Asks `address`, unless it still has the watch, and waits for the end of any open attempt; without
-    /// one by `deadline`, `address` was silent.
-    fn ask_and_wait(
+    /// Sends the watch to `address`, unless an attempt there is still open, and waits for any open
+    /// attempt to end. If none ends by `deadline`, returns that `address` did not reply.
+    fn send_and_wait(
         &self,
         open: &mut OpenAttempts,
         address: SocketAddr,
@@ -107,7 +109,7 @@
         deadline: Instant,
     ) -> EndedAttempt {
         let sent_at = BootTime::now();
-        if !open.has(address) {
+        if !open.contains(address) {
             match self.send(address, frame, deadline) {
                 Ok(reply) => open.0.push(OpenAttempt {
                     address,
@@ -126,17 +128,17 @@
         open.wait(deadline).unwrap_or_else(|| EndedAttempt {
             address,
             sent_at,
-            outcome: Attempt::silent(),
+            outcome: AttemptOutcome::no_reply(),
         })
     }
 }
 
 impl OpenAttempts {
-    fn has(&self, address: SocketAddr) -> bool {
+    fn contains(&self, address: SocketAddr) -> bool {
         self.0.iter().any(|attempt| attempt.address == address)
     }
 
-    /// Waits until `deadline` for the end of any attempt.
+    /// Waits until `deadline` for any attempt to end.
     fn wait(&mut self, deadline: Instant) -> Option<EndedAttempt> {
         let mut select = Select::new();
         for attempt in &self.0 {
@@ -149,12 +151,13 @@
         Some(EndedAttempt {
             address: attempt.address,
             sent_at: attempt.sent_at,
-            outcome: received.map_or_else(|_| Attempt::lost(), Attempt::Reply),
+            outcome: received
+                .map_or_else(|_| AttemptOutcome::connection_lost(), AttemptOutcome::Reply),
         })
     }
 }
 
-fn answer_of(reply: GroupReply, sent_at: BootTime) -> Result<WatchAnswer, WatchError> {
+fn to_watch_answer(reply: GroupReply, sent_at: BootTime) -> Result<WatchAnswer, WatchError> {
     match reply {
         GroupReply::Control(ControlReply::Update { update, lease_ms }) => Ok(WatchAnswer {
             update,
@@ -162,7 +165,7 @@
             sent_at,
         }),
         GroupReply::Rejected(reason) => Err(WatchError::Refused { reason }),
-        other => Err(WatchError::OfAnotherKind {
+        other => Err(WatchError::UnexpectedAnswer {
             answer: format!("{other:?}"),
         }),
     }
--- a/crates/nodes/wingshore-client/src/watcher.rs
+++ b/crates/nodes/wingshore-client/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Keeps the long poll for configuration going.
+//! A thread that long-polls for configuration.
 
 use crate::call::GroupClient;
 use crate::lock::lock;
@@ -9,47 +9,48 @@
 use wingshore_clock::BootTime;
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 
-/// Backoff after a watch that failed or was refused.
+/// Backoff after a watch that failed or was rejected.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What the watcher asks for and reports; called from the watcher's thread only.
+/// Supplies the watches of a [`ConfigurationWatcher`] and receives their results. Called only from
+/// the watcher's thread.
 pub trait WatchHandler: Send + 'static {
-    /// The next watch: the revision held, and the acknowledgements to send. Called right before
-    /// it is sent; may block for a moment to let acknowledgements gather.
+    /// Returns the next watch: the current revision and the acknowledgements to send. Called right
+    /// before it is sent; may block briefly to batch acknowledgements.
     fn next_watch(&mut self) -> WatchRequest;
 
-    /// An answer came. The lease counts from `sent_at`, which lies before the attempt that was
-    /// answered; it never shortens one that was granted before.
+    /// Receives an answer. The lease of `lease_ms` milliseconds starts at `sent_at`, which precedes
+    /// the answered attempt; it never shortens a lease granted earlier.
     fn on_update(&mut self, sent_at: BootTime, update: ConfigurationUpdate, lease_ms: u64);
 
-    /// The watch failed; it is sent again after a short backoff.
+    /// Called after a failed watch; the next one is sent after a short backoff.
     fn on_failure(&mut self, reason: &str) {
         let _ = reason;
     }
 }
 
-/// A thread that long-polls for configuration. Dropping it stops it.
+/// Long-polls for configuration on a thread. Dropping the watcher stops the thread.
 #[derive(Debug)]
 pub struct ConfigurationWatcher {
     client: GroupClient,
-    stop: Arc<Stop>,
+    stop: Arc<StopSignal>,
     thread: Option<JoinHandle<()>>,
 }
 
 #[derive(Debug, Default)]
-struct Stop {
+struct StopSignal {
     stopping: Mutex<bool>,
     changed: Condvar,
 }
 
 impl ConfigurationWatcher {
-    /// Starts polling through `client`, which must be the watcher's own: stopping closes it. Its
-    /// addresses are those of the control group's replicas, or of relays.
+    /// Starts polling through `client`, which must not be shared, because stopping the watcher
+    /// closes it. Its addresses are those of the control group's replicas, or of relays.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// When the thread cannot be started.
     pub fn start(client: GroupClient, handler: Box<dyn WatchHandler>) -> io::Result<Self> {
-        let stop = Arc::new(Stop::default());
+        let stop = Arc::new(StopSignal::default());
         let running_client = client.clone();
         let running_stop = Arc::clone(&stop);
         let thread = thread::Builder::new()
@@ -62,7 +63,7 @@
         })
     }
 
-    /// Ends the poll, closes the client and waits for the thread.
+    /// Stops polling, closes the client and waits for the thread.
     pub fn stop(&mut self) {
         let Some(thread) = self.thread.take() else {
             return;
@@ -70,7 +71,7 @@
         *lock(&self.stop.stopping) = true;
         self.stop.changed.notify_all();
         self.client.close();
-        // A handler that panicked has ended the poll already.
+        // If the handler panicked, the thread has already stopped polling.
         let _ = thread.join();
     }
 }
@@ -81,7 +82,7 @@
     }
 }
 
-impl Stop {
+impl StopSignal {
     fn is_stopping(&self) -> bool {
         *lock(&self.stopping)
     }
@@ -95,7 +96,7 @@
     }
 }
 
-fn watch(client: &GroupClient, mut handler: Box<dyn WatchHandler>, stop: &Stop) {
+fn watch(client: &GroupClient, mut handler: Box<dyn WatchHandler>, stop: &StopSignal) {
     while !stop.is_stopping() {
         let request = handler.next_watch();
         match client.watch(request) {
