--- a/crates/nodes/wingshore-client/tests/calls.rs
+++ b/crates/nodes/wingshore-client/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls against scripted replicas.
+//! Calls to scripted replicas.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, Verdict};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn client(replicas: Vec<SocketAddr>) -> GroupClient {
     GroupClient::new(SITE, replicas, 1)
@@ -24,68 +24,68 @@
     client.call(GroupId::Control, GroupRequest::DumpLog, timeout)
 }
 
-/// An address where nobody listens.
+/// Returns an address on which no process listens.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     listener.local_addr().unwrap()
 }
 
 fn leader() -> Server {
-    replica(|asked| asked.reply(answer("done")))
+    replica(|request| request.reply(answer("done")))
 }
 
 fn follower_of(leader: Option<SocketAddr>) -> Server {
-    replica(move |asked| asked.reply(GroupReply::NotLeader { leader }))
+    replica(move |request| request.reply(GroupReply::NotLeader { leader }))
 }
 
 #[gtest]
-fn a_hint_is_followed_also_to_an_address_that_was_not_listed() {
+fn a_leader_hint_is_followed_to_an_unlisted_address() {
     let leader = leader();
     let follower = follower_of(Some(leader.local_address()));
     let client = client(vec![follower.local_address()]);
-    expect_that!(dump(&client, PATIENCE), ok(eq(&answer("done"))));
+    expect_that!(dump(&client, TIMEOUT), ok(eq(&answer("done"))));
 }
 
 #[gtest]
 fn the_leader_is_remembered_per_group() {
     let leader = leader();
     let address = leader.local_address();
-    let asked_followers = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&asked_followers);
-    let follower = replica(move |asked| {
+    let follower_calls = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&follower_calls);
+    let follower = replica(move |request| {
         count.fetch_add(1, Ordering::SeqCst);
         let leader = Some(address);
-        asked.reply(GroupReply::NotLeader { leader });
+        request.reply(GroupReply::NotLeader { leader });
     });
     let client = client(vec![follower.local_address()]);
     for group in [GroupId::Control, GroupId::Ledger(0), GroupId::Claims(0)] {
-        let before = asked_followers.load(Ordering::SeqCst);
+        let before = follower_calls.load(Ordering::SeqCst);
         for _ in 0..5 {
-            let reply = client.call(group, GroupRequest::DumpLog, PATIENCE);
+            let reply = client.call(group, GroupRequest::DumpLog, TIMEOUT);
             expect_that!(reply, ok(eq(&answer("done"))));
         }
-        // Later groups may meet the learned address first.
-        let most = before + 1;
-        expect_that!(asked_followers.load(Ordering::SeqCst), le(most));
+        // Later groups may try the learned address first.
+        let limit = before + 1;
+        expect_that!(follower_calls.load(Ordering::SeqCst), le(limit));
     }
-    expect_that!(asked_followers.load(Ordering::SeqCst), ge(1));
+    expect_that!(follower_calls.load(Ordering::SeqCst), ge(1));
 }
 
 #[gtest]
-fn a_leader_that_moves_is_found_again() {
+fn a_new_leader_is_found() {
     let leader_number = Arc::new(AtomicUsize::new(0));
     let addresses = Arc::new(Mutex::new(Vec::new()));
     let servers: Vec<_> = (0..3)
         .map(|number| {
             let leader_number = Arc::clone(&leader_number);
             let addresses = Arc::clone(&addresses);
-            replica(move |asked| {
+            replica(move |request| {
                 let leads = leader_number.load(Ordering::SeqCst);
                 if leads == number {
-                    asked.reply(answer(&number.to_string()));
+                    request.reply(answer(&number.to_string()));
                 } else {
                     let leader = addresses.lock().unwrap().get(leads).copied();
-                    asked.reply(GroupReply::NotLeader { leader });
+                    request.reply(GroupReply::NotLeader { leader });
                 }
             })
         })
@@ -95,29 +95,26 @@
     let client = client(listed);
     for number in [0, 1, 2, 0, 2] {
         leader_number.store(number, Ordering::SeqCst);
-        expect_that!(
-            dump(&client, PATIENCE),
-            ok(eq(&answer(&number.to_string())))
-        );
+        expect_that!(dump(&client, TIMEOUT), ok(eq(&answer(&number.to_string()))));
     }
 }
 
 #[gtest]
-fn a_silently_cut_leader_does_not_eat_the_whole_call() {
-    let cut = replica(|_| {});
-    let cut_address = cut.local_address();
-    let asked_other = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&asked_other);
-    // For a while the other still names the cut one, then it leads itself.
-    let other = replica(move |asked| {
+fn an_unresponsive_leader_does_not_use_up_the_call_timeout() {
+    let unresponsive = replica(|_| {});
+    let unresponsive_address = unresponsive.local_address();
+    let other_calls = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&other_calls);
+    // The other replica first names the unresponsive leader, then leads the group itself.
+    let other = replica(move |request| {
         if count.fetch_add(1, Ordering::SeqCst) < 2 {
-            let leader = Some(cut_address);
-            asked.reply(GroupReply::NotLeader { leader });
+            let leader = Some(unresponsive_address);
+            request.reply(GroupReply::NotLeader { leader });
         } else {
-            asked.reply(answer("other"));
+            request.reply(answer("other"));
         }
     });
-    let client = GroupClient::new(SITE, vec![cut_address, other.local_address()], 1);
+    let client = GroupClient::new(SITE, vec![unresponsive_address, other.local_address()], 1);
     expect_that!(
         dump(&client, Duration::from_secs(10)),
         ok(eq(&answer("other")))
@@ -125,61 +122,61 @@
 }
 
 #[gtest]
-fn dead_replicas_are_passed_over() {
+fn unreachable_replicas_are_skipped() {
     let alive = leader();
     let client = client(vec![free_address(), free_address(), alive.local_address()]);
-    expect_that!(dump(&client, PATIENCE), ok(eq(&answer("done"))));
+    expect_that!(dump(&client, TIMEOUT), ok(eq(&answer("done"))));
 }
 
 #[gtest]
-fn unknown_and_lost_connections_are_sent_again() {
-    let times = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&times);
-    let server = replica(move |asked| match count.fetch_add(1, Ordering::SeqCst) {
-        0 => asked.reply(GroupReply::Unknown),
-        1 => asked.connection.close(),
-        _ => asked.reply(answer("done")),
+fn a_call_is_retried_after_unknown_and_a_lost_connection() {
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&request_count);
+    let server = replica(move |request| match count.fetch_add(1, Ordering::SeqCst) {
+        0 => request.reply(GroupReply::Unknown),
+        1 => request.connection.close(),
+        _ => request.reply(answer("done")),
     });
     let client = client(vec![server.local_address()]);
-    expect_that!(dump(&client, PATIENCE), ok(eq(&answer("done"))));
-    expect_that!(times.load(Ordering::SeqCst), eq(3));
+    expect_that!(dump(&client, TIMEOUT), ok(eq(&answer("done"))));
+    expect_that!(request_count.load(Ordering::SeqCst), eq(3));
 }
 
 #[gtest]
 fn a_restarted_replica_is_reached_again() {
-    let mut first = replica(|asked| asked.reply(answer("first")));
+    let mut first = replica(|request| request.reply(answer("first")));
     let address = first.local_address();
     let client = client(vec![address]);
-    expect_that!(dump(&client, PATIENCE), ok(eq(&answer("first"))));
+    expect_that!(dump(&client, TIMEOUT), ok(eq(&answer("first"))));
     first.stop();
-    let _second = replica_at(address, |asked| asked.reply(answer("second")));
-    expect_that!(dump(&client, PATIENCE), ok(eq(&answer("second"))));
+    let _second = replica_at(address, |request| request.reply(answer("second")));
+    expect_that!(dump(&client, TIMEOUT), ok(eq(&answer("second"))));
 }
 
 #[gtest]
 fn late_and_duplicate_replies_never_reach_another_call() {
-    let times = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&times);
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&request_count);
     let held = Mutex::new(None);
-    let server = replica(move |asked| {
+    let server = replica(move |request| {
         let number = count.fetch_add(1, Ordering::SeqCst);
         if number == 0 {
-            *held.lock().unwrap() = Some(asked.id);
+            *held.lock().unwrap() = Some(request.id);
             return;
         }
         if let Some(late) = held.lock().unwrap().take() {
-            asked.connection.reply(late, answer("late"));
+            request.connection.reply(late, answer("late"));
         }
         let text = number.to_string();
-        asked.reply(answer(&text));
-        asked.reply(answer("duplicate"));
+        request.reply(answer(&text));
+        request.reply(answer("duplicate"));
     });
     let client = client(vec![server.local_address()]);
-    // The first attempt is never answered in time; a later one is.
+    // The first attempt is never answered in time; later attempts are.
     for _ in 0..50 {
-        let before = times.load(Ordering::SeqCst);
-        let reply = dump(&client, PATIENCE).unwrap();
-        let after = times.load(Ordering::SeqCst);
+        let before = request_count.load(Ordering::SeqCst);
+        let reply = dump(&client, TIMEOUT).unwrap();
+        let after = request_count.load(Ordering::SeqCst);
         expect_that!(after, gt(before));
         expect_that!(reply, eq(&answer(&(after - 1).to_string())));
     }
@@ -189,16 +186,16 @@
 fn replies_in_any_order_reach_their_own_calls() {
     const CALLS: usize = 64;
     let waiting = Mutex::new(Vec::new());
-    let server = replica(move |asked| {
-        let GroupId::Ledger(shard) = asked.group else {
+    let server = replica(move |request| {
+        let GroupId::Ledger(shard) = request.group else {
             return;
         };
         let mut waiting = waiting.lock().unwrap();
-        waiting.push((asked.id, shard));
+        waiting.push((request.id, shard));
         if waiting.len() == CALLS {
             for (id, shard) in waiting.drain(..).rev() {
                 let text = shard.to_string();
-                asked.connection.reply(id, answer(&text));
+                request.connection.reply(id, answer(&text));
             }
         }
     });
@@ -207,8 +204,7 @@
         for shard in 0..CALLS as u16 {
             let client = client.clone();
             scope.spawn(move || {
-                let reply =
-                    client.call(GroupId::Ledger(shard), GroupRequest::DumpLog, PATIENCE * 4);
+                let reply = client.call(GroupId::Ledger(shard), GroupRequest::DumpLog, TIMEOUT * 4);
                 assert_eq!(reply, Ok(answer(&shard.to_string())));
             });
         }
@@ -217,7 +213,7 @@
 }
 
 #[gtest]
-fn verdicts_are_not_run_only_where_nothing_left() {
+fn the_verdict_is_not_run_only_when_nothing_was_sent() {
     let short = Duration::from_millis(300);
     let mute = replica(|_| {});
     let follower = follower_of(None);
@@ -236,7 +232,7 @@
 }
 
 #[gtest]
-fn another_site_is_an_error_that_says_so() {
+fn a_site_mismatch_error_names_the_site() {
     let server = leader();
     let client = GroupClient::new("zagreb", vec![server.local_address()], 1);
     let error = dump(&client, Duration::from_millis(200)).unwrap_err();
@@ -248,32 +244,37 @@
 }
 
 #[gtest]
-fn a_leaderless_group_is_not_asked_in_a_busy_loop() {
-    let times = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&times);
-    let server = replica(move |asked| {
+fn calls_to_a_leaderless_group_back_off() {
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&request_count);
+    let server = replica(move |request| {
         count.fetch_add(1, Ordering::SeqCst);
-        asked.reply(GroupReply::NotLeader { leader: None });
+        request.reply(GroupReply::NotLeader { leader: None });
     });
     let client = client(vec![server.local_address()]);
     let error = dump(&client, Duration::from_secs(1)).unwrap_err();
     expect_that!(error, pat!(CallError::TimedOut { .. }));
-    expect_that!(times.load(Ordering::SeqCst), lt(100));
+    expect_that!(request_count.load(Ordering::SeqCst), lt(100));
 }
 
 #[gtest]
-fn call_at_returns_what_the_process_says() {
+fn call_at_returns_the_reply_of_the_process() {
     let follower = follower_of(None);
     let client = client(Vec::new());
     let address = follower.local_address();
-    let reply = client.call_at(address, GroupId::Control, GroupRequest::DumpLog, PATIENCE);
+    let reply = client.call_at(address, GroupId::Control, GroupRequest::DumpLog, TIMEOUT);
     expect_that!(reply, ok(eq(&GroupReply::NotLeader { leader: None })));
-    let nobody = free_address();
-    let error = client.call_at(nobody, GroupId::Control, GroupRequest::DumpLog, PATIENCE);
+    let unused_address = free_address();
+    let error = client.call_at(
+        unused_address,
+        GroupId::Control,
+        GroupRequest::DumpLog,
+        TIMEOUT,
+    );
     expect_that!(
         error,
         err(pat!(CallError::Unreachable {
-            address: eq(&nobody),
+            address: eq(&unused_address),
             verdict: eq(&Verdict::NotRun),
             ..
         }))
@@ -281,16 +282,16 @@
 }
 
 #[gtest]
-fn closing_ends_calls_that_wait() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&asked);
+fn closing_the_client_ends_pending_calls() {
+    let call_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&call_count);
     let server = replica(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
     });
     let client = client(vec![server.local_address()]);
     let calling = client.clone();
     let call = thread::spawn(move || dump(&calling, Duration::from_secs(3600)));
-    expect_true!(wait_until(|| asked.load(Ordering::SeqCst) > 0));
+    expect_true!(wait_until(|| call_count.load(Ordering::SeqCst) > 0));
     client.close();
     let error = call.join().unwrap().unwrap_err();
     expect_that!(
--- a/crates/nodes/wingshore-client/tests/routes.rs
+++ b/crates/nodes/wingshore-client/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The choice of the replica to ask, and the times of attempts, without sockets.
+//! Choice of the replica to try, attempt timeouts and backoffs, without sockets.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn failures_move_on_and_a_suspect_leader_is_not_followed_back_to() {
+fn a_failure_selects_the_next_replica_and_hints_to_suspects_are_ignored() {
     let now = Instant::now();
     let mut route = route(3);
     expect_that!(route.choose(GROUP, now), some(eq(address(0))));
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn when_all_are_suspect_they_still_take_turns() {
+fn suspect_replicas_take_turns_when_all_are_suspect() {
     let now = Instant::now();
     let mut route = route(2);
     for expected in [0, 1, 0, 1] {
@@ -72,7 +72,7 @@
 
 proptest! {
     #[test]
-    fn there_is_always_somebody_to_ask(events in proptest::collection::vec(event(), 0..200)) {
+    fn a_replica_is_always_chosen(events in proptest::collection::vec(event(), 0..200)) {
         let now = Instant::now();
         let mut route = route(3);
         for event in events {
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn every_listed_replica_gets_its_turn(start in 0usize..10, count in 1u16..6) {
+    fn every_listed_replica_is_chosen_in_turn(start in 0usize..10, count in 1u16..6) {
         let now = Instant::now();
         let mut route = Route::new((0..count).map(address).collect(), start);
         let mut asked = std::collections::BTreeSet::new();
@@ -103,7 +103,7 @@
     }
 
     #[test]
-    fn pauses_grow_to_a_bound_and_never_vanish(seed: u64) {
+    fn backoff_delays_stay_within_bounds(seed: u64) {
         let mut generator = ChaCha8Rng::seed_from_u64(seed);
         let mut backoff = Backoff::default();
         for _ in 0..20 {
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn an_attempt_gets_a_share_of_the_call_and_the_time_it_asks_the_group_to_wait() {
+fn attempt_timeout_is_a_share_of_the_call_plus_the_requested_wait() {
     let watch = |wait_ms| {
         GroupRequest::Control(ControlRequest::Watch(WatchRequest {
             have: Revision(0),
--- a/crates/nodes/wingshore-client/tests/support/mod.rs
+++ b/crates/nodes/wingshore-client/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Scripted replicas in this process.
+//! Scripted replicas that run in the test process.
 
-// Each test file is a crate of its own and uses a part of this.
+// Each test file is a separate crate and uses only a part of this module.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,23 +11,23 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId};
 
-/// The site of all replicas.
+/// Site name of all scripted replicas.
 pub const SITE: &str = "regina";
 
-/// One request as a scripted replica sees it.
-pub struct Asked<'a> {
-    /// Where to answer.
+/// A request received by a scripted replica.
+pub struct ReceivedRequest<'a> {
+    /// The connection that the request arrived on.
     pub connection: &'a ConnectionHandle,
-    /// Under which id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The group meant.
+    /// The group that is called.
     pub group: GroupId,
-    /// What is asked.
+    /// Body of the request.
     pub body: GroupRequest,
 }
 
-impl Asked<'_> {
-    /// Answers.
+impl ReceivedRequest<'_> {
+    /// Replies to the request.
     pub fn reply(&self, body: GroupReply) {
         self.connection.reply(self.id, body);
     }
@@ -35,10 +35,10 @@
 
 struct Script<F>(F);
 
-impl<F: Fn(Asked<'_>) + Send + Sync + 'static> FrameHandler for Script<F> {
+impl<F: Fn(ReceivedRequest<'_>) + Send + Sync + 'static> FrameHandler for Script<F> {
     fn on_frame(&self, connection: &ConnectionHandle, frame: Frame) {
         if let Frame::Request { id, group, body } = frame {
-            (self.0)(Asked {
+            (self.0)(ReceivedRequest {
                 connection,
                 id,
                 group,
@@ -48,15 +48,15 @@
     }
 }
 
-/// Starts a replica that does as `script` says.
-pub fn replica(script: impl Fn(Asked<'_>) + Send + Sync + 'static) -> Server {
+/// Starts a replica on a free port that handles each request with `script`.
+pub fn replica(script: impl Fn(ReceivedRequest<'_>) + Send + Sync + 'static) -> Server {
     replica_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), script)
 }
 
-/// Starts a replica at an address.
+/// Starts a replica at `address` that handles each request with `script`.
 pub fn replica_at(
     address: SocketAddr,
-    script: impl Fn(Asked<'_>) + Send + Sync + 'static,
+    script: impl Fn(ReceivedRequest<'_>) + Send + Sync + 'static,
 ) -> Server {
     let options = ServerOptions {
         site: SITE.to_owned(),
@@ -66,12 +66,12 @@
     Server::bind(address, options, Arc::new(Script(script))).unwrap()
 }
 
-/// An answer that tests tell apart by its text.
+/// Returns a reply that carries `text`, by which tests distinguish replies.
 pub fn answer(text: &str) -> GroupReply {
     GroupReply::LogDumped(text.to_owned())
 }
 
-/// Waits for a condition; whether it came.
+/// Polls `condition` for up to 20 s and returns whether it became true.
 pub fn wait_until(condition: impl Fn() -> bool) -> bool {
     for _ in 0..4000 {
         if condition() {
--- a/crates/nodes/wingshore-client/tests/watcher.rs
+++ b/crates/nodes/wingshore-client/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! The long poll for configuration.
+//! Long polls for configuration by [`ConfigurationWatcher`].
 
 mod support;
 
@@ -14,16 +14,16 @@
 };
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Holds a revision that grows by one with each answer.
-struct Counting {
+/// Increments its revision with each answer.
+struct CountingHandler {
     have: Revision,
     updates: Sender<(BootTime, u64, Revision)>,
     failures: Sender<String>,
 }
 
-impl WatchHandler for Counting {
+impl WatchHandler for CountingHandler {
     fn next_watch(&mut self) -> WatchRequest {
         WatchRequest {
             have: self.have,
@@ -43,26 +43,26 @@
 }
 
 #[gtest]
-fn watches_follow_each_other_and_failures_are_tried_again() {
-    let server = replica(|asked| {
-        let GroupRequest::Control(ControlRequest::Watch(watch)) = &asked.body else {
+fn watches_are_repeated_and_failures_are_retried() {
+    let server = replica(|request| {
+        let GroupRequest::Control(ControlRequest::Watch(watch)) = &request.body else {
             return;
         };
-        if watch.have == Revision(2) && asked.id.0 % 2 == 1 {
-            asked.reply(GroupReply::Rejected("not now".to_owned()));
+        if watch.have == Revision(2) && request.id.0 % 2 == 1 {
+            request.reply(GroupReply::Rejected("not now".to_owned()));
             return;
         }
         let update = ConfigurationUpdate::Unchanged;
         let lease_ms = 5000 + watch.have.0;
-        asked.reply(GroupReply::Control(ControlReply::Update {
+        request.reply(GroupReply::Control(ControlReply::Update {
             update,
             lease_ms,
         }));
     });
-    let (updates, seen) = unbounded();
-    let (failures, failed) = unbounded();
+    let (updates, received_updates) = unbounded();
+    let (failures, received_failures) = unbounded();
     let client = GroupClient::new(SITE, vec![server.local_address()], 1);
-    let handler = Counting {
+    let handler = CountingHandler {
         have: Revision(0),
         updates,
         failures,
@@ -70,31 +70,31 @@
     let before = BootTime::now();
     let mut watcher = ConfigurationWatcher::start(client, Box::new(handler)).unwrap();
     for number in 0..5 {
-        let (sent_at, lease_ms, have) = seen.recv_timeout(PATIENCE).unwrap();
+        let (sent_at, lease_ms, have) = received_updates.recv_timeout(TIMEOUT).unwrap();
         expect_that!(lease_ms, eq(5000 + number));
         expect_that!(have, eq(Revision(number + 1)));
         expect_that!(sent_at, ge(before));
         expect_that!(sent_at, le(BootTime::now()));
     }
-    expect_that!(failed.recv_timeout(PATIENCE), ok(eq("not now")));
+    expect_that!(received_failures.recv_timeout(TIMEOUT), ok(eq("not now")));
     watcher.stop();
 }
 
 #[gtest]
-fn stopping_ends_a_poll_that_waits() {
-    let (arrived, at_server) = unbounded();
+fn stopping_ends_a_pending_poll() {
+    let (arrived, arrivals) = unbounded();
     let server = replica(move |_| {
         let _ = arrived.send(());
     });
-    let (updates, _seen) = unbounded();
-    let (failures, _failed) = unbounded();
+    let (updates, _received_updates) = unbounded();
+    let (failures, _received_failures) = unbounded();
     let client = GroupClient::new(SITE, vec![server.local_address()], 1);
-    let handler = Counting {
+    let handler = CountingHandler {
         have: Revision(0),
         updates,
         failures,
     };
     let mut watcher = ConfigurationWatcher::start(client, Box::new(handler)).unwrap();
-    at_server.recv_timeout(PATIENCE).unwrap();
+    arrivals.recv_timeout(TIMEOUT).unwrap();
     watcher.stop();
 }
--- a/crates/nodes/wingshore-client/tests/watcher_review.rs
+++ b/crates/nodes/wingshore-client/tests/watcher_review.rs
@@ -1,4 +1,4 @@
-//! The long poll for configuration where an answer takes its time to arrive.
+//! Long polls for configuration whose answers arrive late.
 
 mod support;
 
@@ -15,15 +15,16 @@
 };
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 
-/// What a lost disk may take to be whole again: what is asked of it holds for a configuration too.
-const LIMIT: Duration = Duration::from_secs(6);
+/// Time within which a configuration must arrive; the same limit as for the recovery from a lost
+/// disk.
+const RECOVERY_TIME_LIMIT: Duration = Duration::from_secs(6);
 
-/// Holds nothing yet, and asks for all of it at once.
-struct Empty {
+/// Has no configuration and requests the complete one without waiting.
+struct EmptyHandler {
     updates: Sender<()>,
 }
 
-impl WatchHandler for Empty {
+impl WatchHandler for EmptyHandler {
     fn next_watch(&mut self) -> WatchRequest {
         WatchRequest {
             have: Revision(0),
@@ -37,17 +38,18 @@
     }
 }
 
-/// Whether an update comes within the limit where each answer takes `way`; and the watches that were asked.
-fn update_comes(way: Duration) -> (bool, usize) {
-    let (asked_for, watches) = unbounded();
-    let server = replica(move |asked| {
-        let GroupRequest::Control(ControlRequest::Watch(_)) = &asked.body else {
+/// Returns whether an update arrives within the limit when each answer takes `delay`, and the
+/// number of watches that the server received.
+fn receives_update(delay: Duration) -> (bool, usize) {
+    let (watch_sender, watches) = unbounded();
+    let server = replica(move |request| {
+        let GroupRequest::Control(ControlRequest::Watch(_)) = &request.body else {
             return;
         };
-        let _ = asked_for.send(());
-        let (connection, id) = (asked.connection.clone(), asked.id);
+        let _ = watch_sender.send(());
+        let (connection, id) = (request.connection.clone(), request.id);
         thread::spawn(move || {
-            thread::sleep(way);
+            thread::sleep(delay);
             let update = ConfigurationUpdate::Unchanged;
             let body = GroupReply::Control(ControlReply::Update {
                 update,
@@ -56,24 +58,24 @@
             connection.reply(id, body);
         });
     });
-    let (updates, seen) = unbounded();
+    let (updates, received_updates) = unbounded();
     let client = GroupClient::new(SITE, vec![server.local_address()], 1);
-    let mut watcher = ConfigurationWatcher::start(client, Box::new(Empty { updates })).unwrap();
-    let has_come = seen.recv_timeout(LIMIT).is_ok();
+    let mut watcher =
+        ConfigurationWatcher::start(client, Box::new(EmptyHandler { updates })).unwrap();
+    let received = received_updates.recv_timeout(RECOVERY_TIME_LIMIT).is_ok();
     watcher.stop();
-    (has_come, watches.len())
+    (received, watches.len())
 }
 
-/// What is seen: a node or relay whose whole configuration takes longer to arrive than an attempt is without one, and
-/// asks for it again and again.
-/// How it comes about: after a restart of a site many are sent the whole over one link; with each attempt
-/// another whole is put on its way.
-/// Cause: `call` gives an attempt up after a quarter of the call's time, and `PendingReplies` drops the answer of an attempt that
-/// was given up, though it is as true as that of the next one.
-/// Proof: each answer takes 1.2 s, none of them is taken in 6 s.
+/// Guards against a node or relay that never gets its configuration, and requests it again and
+/// again, because the complete configuration takes longer to arrive than an attempt lasts. This
+/// happens when many nodes load the configuration over one link after a restart of the site; each
+/// attempt then sends another copy. The cause was that `call` ends an attempt after a quarter of
+/// the call timeout and `PendingReplies` drops the late answer, although it is still valid. With
+/// answers that take 1.2 s, none was accepted within 6 s.
 #[gtest]
-fn an_answer_that_is_later_than_an_attempt_is_taken() {
-    let (has_come, watches) = update_comes(Duration::from_millis(1_200));
-    println!("an update came: {has_come}, watches {watches}");
-    expect_that!(has_come, eq(true));
+fn an_answer_after_the_attempt_timeout_is_accepted() {
+    let (received, watches) = receives_update(Duration::from_millis(1_200));
+    println!("update received: {received}, watches: {watches}");
+    expect_that!(received, eq(true));
 }
