--- a/crates/shared/wingshore-storage/src/store.rs
+++ b/crates/shared/wingshore-storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The log, hard state and snapshot of one replicated group, on disk.
+//! Durable log, hard state and snapshot of one replicated group.
 
 use crate::error::{IoContext, StorageError, damaged};
 use crate::file_system::FileSystem;
@@ -11,16 +11,16 @@
 use wingshore_types::LogIndex;
 use wingshore_types::log::{RecoveredLog, StoredSnapshot, WriteBatch};
 
-/// Size from which on a segment is closed and a new one begun, in bytes; space is given back in steps
-/// of it.
+/// Size at which a segment is closed and a new one is created, in bytes; also the granularity in
+/// which space is freed.
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Number of the first segment of a log.
+/// Sequence number of the first segment of a log.
 const FIRST_SEGMENT: u64 = 1;
 
-/// Durable storage of one group; one thread owns it.
+/// Durable storage of one group, owned by a single thread.
 ///
-/// Its directory holds `log-N` segments, of which only the last is written, and `snapshot`.
+/// Its directory holds `log-N` segments, of which only the last is written to, and `snapshot`.
 pub struct GroupStore {
     fs: Arc<dyn FileSystem>,
     directory: PathBuf,
@@ -28,18 +28,18 @@
     closed: Vec<ClosedSegment>,
     active: ActiveSegment,
     hard_state: Option<Vec<u8>>,
-    /// The last entry's index; `None` when the log is empty.
+    /// The index of the last entry; `None` if the log is empty.
     last_index: Option<LogIndex>,
-    /// The last entry in the snapshot; 0 without one.
+    /// The index of the last entry in the snapshot; 0 without a snapshot.
     snapshot_index: LogIndex,
     poisoned: bool,
 }
 
 impl GroupStore {
-    /// Opens, or begins, the store in `directory` and reads all of it.
+    /// Opens the store in `directory`, creating it if it does not exist, and recovers the log.
     ///
     /// # Errors
-    /// When the disk fails, or when something that was durable is damaged.
+    /// Returns an error if the disk fails or if durable data is damaged.
     pub fn open(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -47,10 +47,10 @@
         Self::open_with(fs, directory, DEFAULT_SEGMENT_BYTES)
     }
 
-    /// As [`GroupStore::open`], with segments of another size.
+    /// Like [`GroupStore::open`], with a segment size of `segment_bytes`.
     ///
     /// # Errors
-    /// As [`GroupStore::open`].
+    /// Returns the same errors as [`GroupStore::open`].
     pub fn open_with(
         fs: Arc<dyn FileSystem>,
         directory: &Path,
@@ -60,13 +60,13 @@
         let snapshot = snapshot::open_snapshot(fs.as_ref(), directory)?;
         let mut replay = Replay::default();
         let (closed, active) = replay_segments(fs.as_ref(), directory, &mut replay)?;
-        let (recovered, overridden) = replay
+        let (recovered, superseded) = replay
             .finish(snapshot)
             .map_err(|reason| damaged(&directory.join(SNAPSHOT_FILE), 0, reason))?;
-        refuse_lost_log(directory, &recovered, &active)?;
+        reject_lost_log(directory, &recovered, &active)?;
         let active = match active {
-            Found::Active(active) => active,
-            Found::Missing { sequence } => ActiveSegment::create(
+            LastSegment::Active(active) => active,
+            LastSegment::Missing { sequence } => ActiveSegment::create(
                 fs.as_ref(),
                 directory,
                 sequence,
@@ -84,27 +84,27 @@
             snapshot_index: index_of(recovered.snapshot.as_ref()),
             poisoned: false,
         };
-        if overridden {
+        if superseded {
             store.active.write(&[Record::TruncateFrom(LogIndex(1))])?;
         }
         Ok((store, recovered))
     }
 
-    /// Makes `batch` durable, its fields in order. An append-only batch, with or without a
-    /// hard state, costs one write and one sync.
+    /// Makes `batch` durable, applying its fields in order. An append-only batch, with or without
+    /// a hard state, costs one write and one sync.
     ///
     /// # Errors
-    /// All are fatal: the store takes no more writes. How much of the batch is on disk is then
-    /// known only after a restart.
+    /// All errors are fatal: the store rejects further writes. Which part of the batch is on disk
+    /// is unknown until a restart.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
         self.write_all(std::slice::from_ref(batch))
     }
 
-    /// Makes several batches durable, in order. Together they cost as little as one: this is how
-    /// requests that arrive during a sync share the next one.
+    /// Makes several batches durable, in order, at the cost of a single one (group commit):
+    /// requests that arrive during a sync share the next sync.
     ///
     /// # Errors
-    /// As [`GroupStore::write`].
+    /// Returns the same errors as [`GroupStore::write`].
     pub fn write_all(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned {
@@ -119,8 +119,8 @@
     fn write_in_order(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         let mut records = Vec::new();
         for batch in batches {
-            self.check(batch)?;
-            self.take_batch(batch, &mut records)?;
+            self.check_batch(batch)?;
+            self.collect_records(batch, &mut records)?;
         }
         self.write_records(&mut records)?;
         self.roll_over()?;
@@ -131,8 +131,9 @@
         }
     }
 
-    /// Gathers the records of `batch`; writes them only where a snapshot must come after them.
-    fn take_batch<'batch>(
+    /// Adds the records of `batch` to `records`. Writes the pending records only before a snapshot,
+    /// which must follow them.
+    fn collect_records<'batch>(
         &mut self,
         batch: &'batch WriteBatch,
         records: &mut Vec<Record<'batch>>,
@@ -148,10 +149,10 @@
         }
         if let Some(from) = batch.truncate_from {
             records.push(Record::TruncateFrom(from));
-            self.forget_from(from);
+            self.truncate_last_index(from);
         }
         if !batch.append.is_empty() {
-            self.drop_overridden(records);
+            self.truncate_superseded(records);
         }
         for record in &batch.append {
             records.push(Record::Append(Cow::Borrowed(record)));
@@ -164,9 +165,9 @@
         Ok(())
     }
 
-    /// Removes a log that ends before the snapshot does, so that the entry after the snapshot
-    /// can follow.
-    fn drop_overridden(&mut self, records: &mut Vec<Record<'_>>) {
+    /// Truncates a log that ends before the snapshot, so that the entry after the snapshot can be
+    /// appended.
+    fn truncate_superseded(&mut self, records: &mut Vec<Record<'_>>) {
         if self
             .last_index
             .is_some_and(|last| last < self.snapshot_index)
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Begins a new segment when the active one is large enough.
+    /// Starts a new segment if the active one has reached the segment size.
     fn roll_over(&mut self) -> Result<(), StorageError> {
         if self.active.length() < self.segment_bytes {
             return Ok(());
@@ -201,8 +202,8 @@
         Ok(())
     }
 
-    /// Removes closed segments, oldest first, whose entries all went. Each removal is synced, so
-    /// that no crash leaves a gap between segments.
+    /// Removes closed segments whose entries are all discarded, oldest first. Each removal is
+    /// synced, so that a crash never leaves a gap between segments.
     fn remove_segments(&mut self, through: LogIndex) -> Result<(), StorageError> {
         let removable = self
             .closed
@@ -220,7 +221,7 @@
         Ok(())
     }
 
-    fn forget_from(&mut self, from: LogIndex) {
+    fn truncate_last_index(&mut self, from: LogIndex) {
         let Some(last) = self.last_index else {
             return;
         };
@@ -231,32 +232,32 @@
         self.last_index = Some(kept).filter(|kept| *kept > LogIndex(0));
     }
 
-    /// Checks that appended entries follow what is kept, without gaps, and that only entries in
-    /// the snapshot are discarded.
-    fn check(&self, batch: &WriteBatch) -> Result<(), StorageError> {
+    /// Checks that the appended entries follow the remaining log without gaps, and that only
+    /// entries in the snapshot are discarded.
+    fn check_batch(&self, batch: &WriteBatch) -> Result<(), StorageError> {
         let snapshot = batch
             .snapshot
             .as_ref()
             .map_or(self.snapshot_index, |snapshot| snapshot.index);
-        let first = self.kept_by(batch).max(snapshot.0) + 1;
+        let first = self.last_index_after_truncation(batch).max(snapshot.0) + 1;
         for (expected, record) in (first..).zip(&batch.append) {
             if record.index.0 != expected {
-                return self.refuse(format!(
-                    "entry {} where entry {expected} is due",
+                return self.invalid_batch(format!(
+                    "found entry {}, expected entry {expected}",
                     record.index
                 ));
             }
         }
         match batch.discard_through {
-            Some(through) if through > snapshot => self.refuse(format!(
-                "entries through {through} are to go, and the snapshot ends at {snapshot}"
+            Some(through) if through > snapshot => self.invalid_batch(format!(
+                "cannot discard entries through {through}: the snapshot ends at {snapshot}"
             )),
             _ => Ok(()),
         }
     }
 
-    /// The last entry that `batch` leaves before it appends; 0 for none.
-    fn kept_by(&self, batch: &WriteBatch) -> u64 {
+    /// Returns the index of the last entry after the truncation by `batch`; 0 if there is none.
+    fn last_index_after_truncation(&self, batch: &WriteBatch) -> u64 {
         let last = self.last_index.map_or(0, |last| last.0);
         match batch.truncate_from {
             Some(from) => last.min(from.0.saturating_sub(1)),
@@ -264,7 +265,7 @@
         }
     }
 
-    fn refuse(&self, reason: String) -> Result<(), StorageError> {
+    fn invalid_batch(&self, reason: String) -> Result<(), StorageError> {
         Err(StorageError::InvalidBatch {
             directory: self.directory.clone(),
             reason,
@@ -285,13 +286,13 @@
     snapshot.map_or(LogIndex(0), |snapshot| snapshot.index)
 }
 
-/// The last segment.
-enum Found {
-    /// It can be written on.
+/// State of the last segment at startup.
+enum LastSegment {
+    /// The segment exists and can be appended to.
     Active(ActiveSegment),
-    /// It has to be created.
+    /// The segment has to be created.
     Missing {
-        /// With this number.
+        /// The sequence number of the new segment.
         sequence: u64,
     },
 }
@@ -300,7 +301,7 @@
     fs: &dyn FileSystem,
     directory: &Path,
     replay: &mut Replay,
-) -> Result<(Vec<ClosedSegment>, Found), StorageError> {
+) -> Result<(Vec<ClosedSegment>, LastSegment), StorageError> {
     let names = fs.list(directory).during("list", directory)?;
     let mut sequences: Vec<u64> = names
         .iter()
@@ -310,42 +311,48 @@
     let Some((&last, earlier)) = sequences.split_last() else {
         return Ok((
             Vec::new(),
-            Found::Missing {
+            LastSegment::Missing {
                 sequence: FIRST_SEGMENT,
             },
         ));
     };
-    refuse_gaps(directory, &sequences)?;
+    reject_gaps(directory, &sequences)?;
     let mut closed = Vec::with_capacity(earlier.len());
     for &sequence in earlier {
         closed.push(segment::replay_closed(fs, directory, sequence, replay)?);
     }
     match segment::replay_last(fs, directory, last, replay)? {
-        Some(active) => Ok((closed, Found::Active(active))),
+        Some(active) => Ok((closed, LastSegment::Active(active))),
         None if last > FIRST_SEGMENT && closed.is_empty() => Err(damaged(
             &segment::path_of(directory, last),
             0,
-            "the only segment holds nothing readable",
+            "the only segment holds no valid frame",
         )),
-        None => Ok((closed, Found::Missing { sequence: last })),
+        None => Ok((closed, LastSegment::Missing { sequence: last })),
     }
 }
 
-/// The first segment is created before anything else is written.
-fn refuse_lost_log(
+/// Returns an error if there is a snapshot but no log. The first segment is created before anything
+/// else is written, so the log must have been lost.
+fn reject_lost_log(
     directory: &Path,
     recovered: &RecoveredLog,
-    found: &Found,
+    found: &LastSegment,
 ) -> Result<(), StorageError> {
-    let begins = matches!(found, Found::Missing { sequence } if *sequence == FIRST_SEGMENT);
-    if begins && recovered.snapshot.is_some() {
+    let is_new_log =
+        matches!(found, LastSegment::Missing { sequence } if *sequence == FIRST_SEGMENT);
+    if is_new_log && recovered.snapshot.is_some() {
         let missing = segment::path_of(directory, FIRST_SEGMENT);
-        return Err(damaged(&missing, 0, "a snapshot is there, the log is not"));
+        return Err(damaged(
+            &missing,
+            0,
+            "a snapshot exists but the log is missing",
+        ));
     }
     Ok(())
 }
 
-fn refuse_gaps(directory: &Path, sequences: &[u64]) -> Result<(), StorageError> {
+fn reject_gaps(directory: &Path, sequences: &[u64]) -> Result<(), StorageError> {
     for pair in sequences.windows(2) {
         if pair[0] + 1 != pair[1] {
             let missing = segment::path_of(directory, pair[0] + 1);
