--- a/crates/nodes/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/numbers.rs
@@ -1,76 +1,77 @@
-//! Remembers numbers as ranges, so that millions of them cost little.
+//! Set of numbers, stored as ranges so that millions of consecutive numbers take little space.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a [`NumberSet`] knows of a number.
+/// Membership of a number in a [`NumberSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remembered {
-    /// It was inserted.
-    Yes,
-    /// It was not inserted.
-    No,
-    /// It lies below the lowest number that is still told apart.
+pub enum Membership {
+    /// The number was inserted.
+    Present,
+    /// The number was not inserted.
+    Absent,
+    /// The number lies below the lowest tracked number, so it is unknown whether it was inserted.
     Forgotten,
 }
 
-/// A set of numbers, kept as ranges. When there are more than `MAX_RANGES`, the lowest ones are
-/// forgotten: numbers there are then [`Remembered::Forgotten`], neither known nor new.
+/// Set of numbers, stored as ranges. When there are more than [`NumberSet::MAX_RANGES`] ranges, the
+/// lowest ones are dropped, and numbers up to the end of a dropped range are
+/// [`Membership::Forgotten`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberSet {
     floor: u64,
-    /// First number of each range -> its last number. Ranges neither touch nor overlap.
+    /// First number of each range -> its last number. Ranges are neither adjacent nor overlapping.
     ranges: BTreeMap<u64, u64>,
 }
 
 impl NumberSet {
-    /// Most ranges that are kept.
+    /// Maximum number of stored ranges.
     pub const MAX_RANGES: usize = 16_384;
 
-    /// What is known of `number`.
-    pub fn remembers(&self, number: u64) -> Remembered {
+    /// Returns whether `number` was inserted, as far as it is known.
+    pub fn membership(&self, number: u64) -> Membership {
         if number < self.floor {
-            return Remembered::Forgotten;
+            return Membership::Forgotten;
         }
-        match self.range_at(number) {
-            Some(_) => Remembered::Yes,
-            None => Remembered::No,
+        match self.range_containing(number) {
+            Some(_) => Membership::Present,
+            None => Membership::Absent,
         }
     }
 
-    /// The lowest number that is still told apart.
+    /// Returns the lowest tracked number.
     pub(super) fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Ranges kept now.
+    /// Returns the number of stored ranges.
     pub fn ranges(&self) -> usize {
         self.ranges.len()
     }
 
     /// Adds a number.
     pub fn insert(&mut self, number: u64) {
-        if self.remembers(number) != Remembered::No {
+        if self.membership(number) != Membership::Absent {
             return;
         }
         let below = number
             .checked_sub(1)
-            .and_then(|previous| self.range_at(previous));
+            .and_then(|previous| self.range_containing(previous));
         let above = number
             .checked_add(1)
             .and_then(|next| self.ranges.remove(&next));
         let first = below.map_or(number, |(first, _)| first);
         let last = above.unwrap_or(number);
         self.ranges.insert(first, last);
-        self.forget_lowest();
+        self.drop_lowest_ranges();
     }
 
-    fn range_at(&self, number: u64) -> Option<(u64, u64)> {
+    fn range_containing(&self, number: u64) -> Option<(u64, u64)> {
         let (&first, &last) = self.ranges.range(..=number).next_back()?;
         (number <= last).then_some((first, last))
     }
 
-    fn forget_lowest(&mut self) {
+    fn drop_lowest_ranges(&mut self) {
         while self.ranges.len() > Self::MAX_RANGES {
             if let Some((_, last)) = self.ranges.pop_first() {
                 self.floor = last.saturating_add(1);
--- a/crates/nodes/wingshore-ledger/tests/batch_parts.rs
+++ b/crates/nodes/wingshore-ledger/tests/batch_parts.rs
@@ -1,4 +1,5 @@
-//! A batch that is larger than one answer is read in parts; the parts are what was recorded.
+//! A batch that is larger than one answer is read in parts, which must cover the recorded batch
+//! exactly.
 
 mod support;
 
@@ -8,10 +9,10 @@
 use wingshore_types::protocol::ledger::{Batch, LedgerRefusal, LedgerReply, LedgerRequest};
 use wingshore_types::{StepId, TrainerId};
 
-/// Tokens of a prompt that takes 5 MiB: an answer has room for two of them.
+/// Tokens of a prompt that takes 5 MiB, so that an answer contains two of them.
 const TOKENS: usize = 1 << 20;
 const SAMPLES: u64 = 5;
-/// Limit of a frame between processes, as in `wingshore_transport`.
+/// Maximum size of a frame between processes, as in `wingshore_transport`.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
 fn large_prompts() -> LedgerRequest {
@@ -38,20 +39,20 @@
 fn batch(reply: Option<LedgerReply>) -> Batch {
     match reply {
         Some(LedgerReply::Batch(batch)) => *batch,
-        _ => panic!("not a batch"),
+        _ => panic!("expected a batch"),
     }
 }
 
-fn with_large_samples() -> Ledger {
+fn ledger_with_large_samples() -> Ledger {
     let mut group = ledger(Faults::default());
     group.call(large_prompts());
-    ready(&mut group, 0..SAMPLES, 1);
+    submit_and_score(&mut group, 0..SAMPLES, 1);
     group
 }
 
 #[gtest]
-fn the_parts_of_a_large_batch_make_it_whole_also_after_a_restore() {
-    let mut group = with_large_samples();
+fn the_parts_of_a_large_batch_cover_it_also_after_a_restore() {
+    let mut group = ledger_with_large_samples();
     let first = batch(group.call(pull(0, 1, SAMPLES as u32, 0)));
     expect_that!(first.total, eq(SAMPLES as u32));
     let mut numbers: Vec<u64> = Vec::new();
@@ -80,8 +81,8 @@
 }
 
 #[gtest]
-fn a_part_that_cannot_be_given_is_refused() {
-    let mut group = with_large_samples();
+fn a_part_that_does_not_exist_is_refused() {
+    let mut group = ledger_with_large_samples();
     let not_handed_over = group.call(part(trainer(), 0));
     expect_that!(
         not_handed_over,
