--- a/crates/nodes/wingshore-settings/src/error.rs
+++ b/crates/nodes/wingshore-settings/src/error.rs
@@ -70,7 +70,7 @@
     }
 
     /// Notes a key that was asked for; asked twice it counts once.
-    pub(crate) fn note_key(&self, key: String, default: Option<String>, allowed: &str) {
+    pub(crate) fn record_key(&self, key: String, default: Option<String>, allowed: &str) {
         let mut keys = self.keys.borrow_mut();
         if keys.iter().all(|known| known.key != key) {
             let allowed = allowed.to_owned();
--- a/crates/nodes/wingshore-settings/src/node.rs
+++ b/crates/nodes/wingshore-settings/src/node.rs
@@ -226,12 +226,12 @@
 }
 
 pub(crate) fn read(keys: TableReader<'_>) -> Option<NodeSettings> {
-    let process = relay::read_process(&keys, "node");
-    let replicas = keys.some_addresses("replicas");
+    let common = relay::read_common(&keys, "node");
+    let replicas = keys.non_empty_addresses("replicas");
     let relays = keys.addresses("relays");
     let machine_list = keys.optional_address("machine_list");
     let machine_list_poll = keys.ranged(&MACHINE_LIST_POLL);
-    let claims_groups = keys.small_integer(&CLAIMS_GROUPS);
+    let claims_groups = keys.ranged_integer(&CLAIMS_GROUPS);
     let without_lease = keys.choice(
         "without_lease",
         WithoutLease::Refuse,
@@ -245,14 +245,14 @@
     let routing = read_routing(keys.table("routing"));
     let rollout = read_rollout(keys.table("rollout"));
     let dump_folder = keys.optional_text("data").map(PathBuf::from);
-    let log_lines = keys.small_integer(&LOG_LINES);
+    let log_lines = keys.ranged_integer(&LOG_LINES);
     keys.finish();
-    let process = process?;
+    let common = common?;
     Some(NodeSettings {
-        site: process.site,
-        node: NodeId::new(&process.name),
-        zone: ZoneId::new(&process.zone),
-        listen: process.listen,
+        site: common.site,
+        node: NodeId::new(&common.name),
+        zone: ZoneId::new(&common.zone),
+        listen: common.listen,
         replicas,
         relays,
         machine_list,
@@ -270,7 +270,7 @@
 
 fn read_http(keys: TableReader<'_>) -> HttpSettings {
     let http = HttpSettings {
-        workers: keys.small_integer(&WORKERS),
+        workers: keys.ranged_integer(&WORKERS),
         max_request_body: keys.ranged(&MAX_REQUEST_BODY).0,
         max_answer_body: keys.ranged(&MAX_ANSWER_BODY).0,
         slow_caller_limit: keys.ranged(&SLOW_CALLER_LIMIT),
@@ -281,13 +281,13 @@
 
 fn read_routing(keys: TableReader<'_>) -> RoutingSettings {
     let routing = RoutingSettings {
-        choices: keys.small_integer(&CHOICES),
-        subset: keys.small_integer(&SUBSET),
+        choices: keys.ranged_integer(&CHOICES),
+        subset: keys.ranged_integer(&SUBSET),
         probe_interval: keys.ranged(&PROBE_INTERVAL),
-        probes_per_second: keys.small_integer(&PROBES_PER_SECOND),
+        probes_per_second: keys.ranged_integer(&PROBES_PER_SECOND),
         probe_timeout: keys.ranged(&PROBE_TIMEOUT),
-        retry_budget: Permille(keys.small_integer(&RETRY_BUDGET)),
-        max_ejected: Permille(keys.small_integer(&MAX_EJECTED)),
+        retry_budget: Permille(keys.ranged_integer(&RETRY_BUDGET)),
+        max_ejected: Permille(keys.ranged_integer(&MAX_EJECTED)),
     };
     keys.finish();
     routing
@@ -296,8 +296,8 @@
 fn read_rollout(keys: TableReader<'_>) -> RolloutSettings {
     let rollout = RolloutSettings {
         pools: keys.names("pools"),
-        max_streams: keys.small_integer(&MAX_STREAMS),
-        max_scorings: keys.small_integer(&MAX_SCORINGS),
+        max_streams: keys.ranged_integer(&MAX_STREAMS),
+        max_scorings: keys.ranged_integer(&MAX_SCORINGS),
         over_issue: keys.boolean("over_issue", true),
     };
     keys.finish();
--- a/crates/nodes/wingshore-settings/src/reader.rs
+++ b/crates/nodes/wingshore-settings/src/reader.rs
@@ -2,8 +2,8 @@
 
 use crate::document::{Entries, Located, Value};
 use crate::error::ErrorSink;
-use crate::rules::{ABSENT, ADDRESS_RULE, NAME_RULE, TEXT_RULE, choice_rule, is_name};
-use crate::units::{IntegerSetting, RangedValue, Setting};
+use crate::rules::{ABSENT, ADDRESS_RULE, NAME_RULE, TEXT_RULE, choice_rule, is_valid_name};
+use crate::units::{IntegerSetting, RangedSetting, RangedValue};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     path: String,
     line: usize,
     entries: &'a Entries,
-    known: RefCell<Vec<&'static str>>,
+    requested_keys: RefCell<Vec<&'static str>>,
 }
 
 impl<'a> TableReader<'a> {
@@ -28,26 +28,26 @@
             path,
             line,
             entries,
-            known: RefCell::default(),
+            requested_keys: RefCell::default(),
         }
     }
 
     /// A name of a thing, checked for its spelling.
     pub(crate) fn name<T: for<'t> From<&'t str>>(&self, key: &'static str) -> Option<T> {
-        self.note(key, None, NAME_RULE);
+        self.describe_key(key, None, NAME_RULE);
         let located = self.required(key, NAME_RULE)?;
         self.parse_name(key, located)
     }
 
     /// A list of names without repeats; absent is empty.
     pub(crate) fn names<T: for<'t> From<&'t str>>(&self, key: &'static str) -> Vec<T> {
-        self.note(
+        self.describe_key(
             key,
             Some("[]".to_owned()),
             &format!("a list of names, each {NAME_RULE}"),
         );
         let items = self.list(key);
-        self.refuse_repeats(key, items);
+        self.reject_duplicates(key, items);
         items
             .iter()
             .filter_map(|item| self.parse_name(key, item))
@@ -56,35 +56,35 @@
 
     /// Free text that must be there and not be empty.
     pub(crate) fn text(&self, key: &'static str) -> Option<String> {
-        self.note(key, None, TEXT_RULE);
+        self.describe_key(key, None, TEXT_RULE);
         let located = self.required(key, TEXT_RULE)?;
         self.parse_text(key, located)
     }
 
     /// Free text that may be absent.
     pub(crate) fn optional_text(&self, key: &'static str) -> Option<String> {
-        self.note(key, Some(ABSENT.to_owned()), TEXT_RULE);
+        self.describe_key(key, Some(ABSENT.to_owned()), TEXT_RULE);
         let located = self.get(key)?;
         self.parse_text(key, located)
     }
 
     /// An address that must be there.
     pub(crate) fn address(&self, key: &'static str) -> Option<SocketAddr> {
-        self.note(key, None, ADDRESS_RULE);
+        self.describe_key(key, None, ADDRESS_RULE);
         let located = self.required(key, ADDRESS_RULE)?;
         self.parse_address(key, located)
     }
 
     /// An address that may be absent.
     pub(crate) fn optional_address(&self, key: &'static str) -> Option<SocketAddr> {
-        self.note(key, Some(ABSENT.to_owned()), ADDRESS_RULE);
+        self.describe_key(key, Some(ABSENT.to_owned()), ADDRESS_RULE);
         let located = self.get(key)?;
         self.parse_address(key, located)
     }
 
     /// A list of addresses without repeats; absent is empty.
     pub(crate) fn addresses(&self, key: &'static str) -> Vec<SocketAddr> {
-        self.note(
+        self.describe_key(
             key,
             Some("[]".to_owned()),
             &format!("a list, each {ADDRESS_RULE}"),
@@ -93,9 +93,9 @@
     }
 
     /// A list of addresses without repeats that must hold one at least.
-    pub(crate) fn some_addresses(&self, key: &'static str) -> Vec<SocketAddr> {
+    pub(crate) fn non_empty_addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let rule = format!("a list of at least one, each {ADDRESS_RULE}");
-        self.note(key, None, &rule);
+        self.describe_key(key, None, &rule);
         let addresses = self.parse_addresses(key);
         if addresses.is_empty() {
             self.reject(key, "no address", &rule);
@@ -104,36 +104,36 @@
     }
 
     /// A value within a range; absent is the default.
-    pub(crate) fn ranged<T: RangedValue>(&self, setting: &Setting<T>) -> T {
-        self.note(setting.key, Some(setting.default.show()), &setting.rule());
+    pub(crate) fn ranged<T: RangedValue>(&self, setting: &RangedSetting<T>) -> T {
+        self.describe_key(setting.key, Some(setting.default.show()), &setting.rule());
         let located = self.get(setting.key);
         let valid = located.and_then(|located| self.parse_ranged(setting, located));
         valid.unwrap_or(setting.default)
     }
 
     /// A value within a range that must be there.
-    pub(crate) fn required_ranged<T: RangedValue>(&self, setting: &Setting<T>) -> Option<T> {
+    pub(crate) fn required_ranged<T: RangedValue>(&self, setting: &RangedSetting<T>) -> Option<T> {
         let rule = setting.rule();
-        self.note(setting.key, None, &rule);
+        self.describe_key(setting.key, None, &rule);
         let located = self.required(setting.key, &rule)?;
         self.parse_ranged(setting, located)
     }
 
     /// A whole number that fits the range of `setting` and a smaller type.
-    pub(crate) fn small_integer<T: TryFrom<u64> + Default>(&self, setting: &IntegerSetting) -> T {
+    pub(crate) fn ranged_integer<T: TryFrom<u64> + Default>(&self, setting: &IntegerSetting) -> T {
         T::try_from(self.ranged(setting)).unwrap_or_default()
     }
 
     /// True or false; absent is the default.
     pub(crate) fn boolean(&self, key: &'static str, default: bool) -> bool {
-        self.note(key, Some(default.to_string()), "true or false");
+        self.describe_key(key, Some(default.to_string()), "true or false");
         let Some(located) = self.get(key) else {
             return default;
         };
         match &located.value {
             Value::Boolean(boolean) => *boolean,
             other => self
-                .refuse(located.line, key, other.describe(), "true or false")
+                .report_invalid(located.line, key, other.describe(), "true or false")
                 .unwrap_or(default),
         }
     }
@@ -148,7 +148,7 @@
         let rule = choice_rule(choices);
         let mut words = choices.iter();
         let word = words.find(|(_, choice)| *choice == default);
-        self.note(key, word.map(|(word, _)| (*word).to_owned()), &rule);
+        self.describe_key(key, word.map(|(word, _)| (*word).to_owned()), &rule);
         match self.get(key) {
             Some(located) => self
                 .parse_choice(key, located, choices, &rule)
@@ -164,7 +164,7 @@
         choices: &[(&str, T)],
     ) -> Option<T> {
         let rule = choice_rule(choices);
-        self.note(key, None, &rule);
+        self.describe_key(key, None, &rule);
         let located = self.required(key, &rule)?;
         self.parse_choice(key, located, choices, &rule)
     }
@@ -210,10 +210,10 @@
 
     /// Refuses keys that were not asked for.
     pub(crate) fn finish(self) {
-        let known = self.known.borrow();
-        let allowed = known.join(", ");
+        let requested_keys = self.requested_keys.borrow();
+        let allowed = requested_keys.join(", ");
         for (key, entry) in self.entries {
-            if !known.contains(&key.as_str()) {
+            if !requested_keys.contains(&key.as_str()) {
                 let found = "an unknown key".to_owned();
                 self.sink
                     .add(entry.line, &self.path_of(key), found, &allowed);
@@ -222,14 +222,14 @@
     }
 
     /// Notes a key for the list of settings; without a default it must be there.
-    fn note(&self, key: &'static str, default: Option<String>, allowed: &str) {
-        self.sink.note_key(self.path_of(key), default, allowed);
+    fn describe_key(&self, key: &'static str, default: Option<String>, allowed: &str) {
+        self.sink.record_key(self.path_of(key), default, allowed);
     }
 
     fn get(&self, key: &'static str) -> Option<&'a Located> {
-        let mut known = self.known.borrow_mut();
-        if !known.contains(&key) {
-            known.push(key);
+        let mut requested_keys = self.requested_keys.borrow_mut();
+        if !requested_keys.contains(&key) {
+            requested_keys.push(key);
         }
         self.entries.get(key)
     }
@@ -258,7 +258,7 @@
         }
     }
 
-    fn refuse_repeats(&self, key: &'static str, items: &[Located]) {
+    fn reject_duplicates(&self, key: &'static str, items: &[Located]) {
         let mut seen = std::collections::BTreeSet::new();
         for item in items {
             let shown = item.value.describe();
@@ -275,7 +275,7 @@
             Value::Text(text) if !text.is_empty() => Some(text.clone()),
             _ => None,
         };
-        self.or_refuse(key, located, valid, TEXT_RULE)
+        self.or_report_invalid(key, located, valid, TEXT_RULE)
     }
 
     fn parse_choice<T: Copy>(
@@ -289,7 +289,7 @@
             Value::Text(text) => choices.iter().find(|(word, _)| word == text),
             _ => None,
         };
-        self.or_refuse(key, located, chosen.map(|(_, choice)| *choice), rule)
+        self.or_report_invalid(key, located, chosen.map(|(_, choice)| *choice), rule)
     }
 
     fn parse_name<T: for<'t> From<&'t str>>(
@@ -298,20 +298,24 @@
         located: &Located,
     ) -> Option<T> {
         let valid = match &located.value {
-            Value::Text(text) if is_name(text) => Some(T::from(text)),
+            Value::Text(text) if is_valid_name(text) => Some(T::from(text)),
             _ => None,
         };
-        self.or_refuse(key, located, valid, NAME_RULE)
+        self.or_report_invalid(key, located, valid, NAME_RULE)
     }
 
-    fn parse_ranged<T: RangedValue>(&self, setting: &Setting<T>, located: &Located) -> Option<T> {
+    fn parse_ranged<T: RangedValue>(
+        &self,
+        setting: &RangedSetting<T>,
+        located: &Located,
+    ) -> Option<T> {
         let valid = setting.parse(&located.value);
-        self.or_refuse(setting.key, located, valid, &setting.rule())
+        self.or_report_invalid(setting.key, located, valid, &setting.rule())
     }
 
     fn parse_addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let items = self.list(key);
-        self.refuse_repeats(key, items);
+        self.reject_duplicates(key, items);
         items
             .iter()
             .filter_map(|item| self.parse_address(key, item))
@@ -323,10 +327,10 @@
             Value::Text(text) => text.parse().ok(),
             _ => None,
         };
-        self.or_refuse(key, located, valid, ADDRESS_RULE)
+        self.or_report_invalid(key, located, valid, ADDRESS_RULE)
     }
 
-    fn or_refuse<T>(
+    fn or_report_invalid<T>(
         &self,
         key: &'static str,
         located: &Located,
@@ -335,11 +339,17 @@
     ) -> Option<T> {
         match valid {
             Some(value) => Some(value),
-            None => self.refuse(located.line, key, located.value.describe(), rule),
+            None => self.report_invalid(located.line, key, located.value.describe(), rule),
         }
     }
 
-    fn refuse<T>(&self, line: usize, key: &'static str, found: String, rule: &str) -> Option<T> {
+    fn report_invalid<T>(
+        &self,
+        line: usize,
+        key: &'static str,
+        found: String,
+        rule: &str,
+    ) -> Option<T> {
         self.sink.add(line, &self.path_of(key), found, rule);
         None
     }
--- a/crates/nodes/wingshore-settings/src/relay.rs
+++ b/crates/nodes/wingshore-settings/src/relay.rs
@@ -30,7 +30,7 @@
 }
 
 /// The keys that every role has.
-pub(crate) struct Process {
+pub(crate) struct CommonSettings {
     pub(crate) site: String,
     pub(crate) name: String,
     pub(crate) zone: String,
@@ -38,14 +38,14 @@
 }
 
 /// Reads the keys that every role has; `role` must be the one meant.
-pub(crate) fn read_process(keys: &TableReader<'_>, role: &str) -> Option<Process> {
+pub(crate) fn read_common(keys: &TableReader<'_>, role: &str) -> Option<CommonSettings> {
     let role = keys.required_choice("role", &[(role, ())]);
     let site = keys.name::<Name>("site");
     let name = keys.name::<Name>("name");
     let zone = keys.name::<Name>("zone");
     let listen = keys.address("listen");
     role?;
-    Some(Process {
+    Some(CommonSettings {
         site: site?.0,
         name: name?.0,
         zone: zone?.0,
@@ -75,18 +75,18 @@
 }
 
 pub(crate) fn read(keys: TableReader<'_>) -> Option<RelaySettings> {
-    let process = read_process(&keys, "relay");
+    let common = read_common(&keys, "relay");
     let admin = keys.optional_address("admin");
-    let upstream = keys.some_addresses("upstream");
+    let upstream = keys.non_empty_addresses("upstream");
     let dump_folder = keys.optional_text("data").map(PathBuf::from);
-    let log_lines = keys.small_integer(&LOG_LINES);
+    let log_lines = keys.ranged_integer(&LOG_LINES);
     keys.finish();
-    let process = process?;
+    let common = common?;
     Some(RelaySettings {
-        site: process.site,
-        name: process.name,
-        zone: process.zone,
-        listen: process.listen,
+        site: common.site,
+        name: common.name,
+        zone: common.zone,
+        listen: common.listen,
         admin,
         upstream,
         dump_folder,
--- a/crates/nodes/wingshore-settings/src/replica.rs
+++ b/crates/nodes/wingshore-settings/src/replica.rs
@@ -192,25 +192,25 @@
 }
 
 pub(crate) fn read(keys: TableReader<'_>) -> Option<ReplicaSettings> {
-    let process = relay::read_process(&keys, "replica");
+    let common = relay::read_common(&keys, "replica");
     let admin = keys.optional_address("admin");
     let data = keys.text("data");
-    let ledger_groups = keys.small_integer(&LEDGER_GROUPS);
-    let claims_groups = keys.small_integer(&CLAIMS_GROUPS);
+    let ledger_groups = keys.ranged_integer(&LEDGER_GROUPS);
+    let claims_groups = keys.ranged_integer(&CLAIMS_GROUPS);
     let founding = read_founding(&keys);
     let timing = read_timing(keys.table("timing"));
     let snapshot_every = keys.ranged(&SNAPSHOT_EVERY).0;
     let orders = read_orders(keys.table("orders"));
     let configuration_lease = keys.ranged(&CONFIGURATION_LEASE);
-    let log_lines = keys.small_integer(&LOG_LINES);
+    let log_lines = keys.ranged_integer(&LOG_LINES);
     check_founding_size(&keys, keys.tables("founding").len());
     keys.finish();
-    let process = process?;
+    let common = common?;
     Some(ReplicaSettings {
-        site: process.site,
-        name: process.name,
-        zone: process.zone,
-        listen: process.listen,
+        site: common.site,
+        name: common.name,
+        zone: common.zone,
+        listen: common.listen,
         admin,
         data: PathBuf::from(data?),
         ledger_groups,
@@ -261,20 +261,20 @@
         heartbeat: keys.ranged(&HEARTBEAT),
         election_timeout: keys.ranged(&ELECTION_TIMEOUT),
         lease: keys.ranged(&LEASE),
-        clock_drift: Permille(keys.small_integer(&CLOCK_DRIFT)),
+        clock_drift: Permille(keys.ranged_integer(&CLOCK_DRIFT)),
     };
     if timing.election_timeout < timing.heartbeat * 4 {
         let found = humantime::format_duration(timing.election_timeout).to_string();
         keys.reject("election_timeout", &found, "at least four heartbeats");
     }
-    let safe = timing
+    let max_lease = timing
         .election_timeout
         .mul_f64(1.0 - 2.0 * timing.clock_drift.fraction());
-    if timing.lease > safe {
+    if timing.lease > max_lease {
         let found = humantime::format_duration(timing.lease).to_string();
         let allowed = format!(
             "at most {}ms: the election timeout less twice the clock drift",
-            safe.as_millis()
+            max_lease.as_millis()
         );
         keys.reject("lease", &found, &allowed);
     }
@@ -286,7 +286,7 @@
     let orders = OrderSettings {
         state_poll: keys.ranged(&STATE_POLL),
         timeout: keys.ranged(&ORDER_TIMEOUT),
-        workers: keys.small_integer(&ORDER_WORKERS),
+        workers: keys.ranged_integer(&ORDER_WORKERS),
     };
     keys.finish();
     orders
--- a/crates/nodes/wingshore-settings/src/rules.rs
+++ b/crates/nodes/wingshore-settings/src/rules.rs
@@ -10,7 +10,7 @@
 pub(crate) const ABSENT: &str = "none";
 
 /// Whether a name is spelled as [`NAME_RULE`] says.
-pub(crate) fn is_name(text: &str) -> bool {
+pub(crate) fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     (1..=64).contains(&text.len())
         && text.starts_with(|c: char| c.is_ascii_lowercase())
--- a/crates/nodes/wingshore-settings/src/site.rs
+++ b/crates/nodes/wingshore-settings/src/site.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Kind {
+enum DeclaredKind {
     Engines,
     Live,
 }
@@ -117,7 +117,7 @@
     let pools = read_pools(&keys, &services);
     keys.finish();
     SiteFile {
-        services: services.whole,
+        services: services.valid,
         servers,
         pools,
     }
@@ -127,8 +127,8 @@
 /// refers to it is not called wrong for that.
 #[derive(Default)]
 struct Services {
-    whole: Vec<Service>,
-    names: Vec<ServiceId>,
+    valid: Vec<Service>,
+    ids_in_file: Vec<ServiceId>,
 }
 
 fn read_services(keys: &TableReader<'_>) -> Services {
@@ -136,12 +136,14 @@
     let mut ids = BTreeSet::new();
     for table in keys.tables("service") {
         let id = table.name::<ServiceId>("id");
-        refuse_duplicate(&table, id.as_ref().map(ServiceId::as_str), &mut ids);
-        let is_new = id.as_ref().is_some_and(|id| !services.names.contains(id));
+        reject_duplicate_id(&table, id.as_ref().map(ServiceId::as_str), &mut ids);
+        let is_new = id
+            .as_ref()
+            .is_some_and(|id| !services.ids_in_file.contains(id));
         let service = read_service(&table, id.clone());
         if is_new {
-            services.names.extend(id);
-            services.whole.extend(service);
+            services.ids_in_file.extend(id);
+            services.valid.extend(service);
         }
         table.finish();
     }
@@ -149,20 +151,23 @@
 }
 
 fn read_service(keys: &TableReader<'_>, id: Option<ServiceId>) -> Option<Service> {
-    let kinds = [("engines", Kind::Engines), ("live", Kind::Live)];
+    let kinds = [
+        ("engines", DeclaredKind::Engines),
+        ("live", DeclaredKind::Live),
+    ];
     let kind = match keys.required_choice("kind", &kinds) {
-        Some(Kind::Engines) => keys
+        Some(DeclaredKind::Engines) => keys
             .text("model")
             .map(|model| ServiceKind::Engines { model }),
-        Some(Kind::Live) => Some(ServiceKind::Live),
+        Some(DeclaredKind::Live) => Some(ServiceKind::Live),
         None => {
             // Whether it is to have a model is not known.
             let _ = keys.optional_text("model");
             None
         }
     };
-    let slots_per_server = keys.small_integer(&SLOTS_PER_SERVER);
-    let live_share = Permille(keys.small_integer(&LIVE_SHARE));
+    let slots_per_server = keys.ranged_integer(&SLOTS_PER_SERVER);
+    let live_share = Permille(keys.ranged_integer(&LIVE_SHARE));
     let default_deadline_ms = milliseconds(keys.ranged(&DEFAULT_DEADLINE));
     Some(Service {
         id: id?,
@@ -183,7 +188,7 @@
     let mut addresses = BTreeSet::new();
     for table in keys.tables("server") {
         let server = read_server(&table, services, zones);
-        refuse_duplicate(&table, server.as_ref().map(|s| s.id.as_str()), &mut ids);
+        reject_duplicate_id(&table, server.as_ref().map(|s| s.id.as_str()), &mut ids);
         if let Some(server) = server {
             if !addresses.insert(server.address) {
                 let found = format!("{} twice", server.address);
@@ -212,7 +217,11 @@
         && !zones.contains(zone)
     {
         let known: Vec<&str> = zones.iter().map(ZoneId::as_str).collect();
-        keys.reject("zone", &format!("\"{zone}\""), &one_of("zones", &known));
+        keys.reject(
+            "zone",
+            &format!("\"{zone}\""),
+            &listed_names_rule("zones", &known),
+        );
     }
     Some(Server {
         id: id?,
@@ -228,7 +237,7 @@
     let mut ids = BTreeSet::new();
     for table in keys.tables("pool") {
         let pool = read_pool(&table, services);
-        refuse_duplicate(&table, pool.as_ref().map(|p| p.id.as_str()), &mut ids);
+        reject_duplicate_id(&table, pool.as_ref().map(|p| p.id.as_str()), &mut ids);
         pools.extend(pool);
         table.finish();
     }
@@ -250,13 +259,13 @@
         ],
     );
     let staleness_bound = keys.ranged(&STALENESS_BOUND);
-    let idle_weight = Permille(keys.small_integer(&IDLE_WEIGHT));
-    let ledger = keys.small_integer(&LEDGER);
-    let max_open_samples = keys.small_integer(&MAX_OPEN_SAMPLES);
+    let idle_weight = Permille(keys.ranged_integer(&IDLE_WEIGHT));
+    let ledger = keys.ranged_integer(&LEDGER);
+    let max_open_samples = keys.ranged_integer(&MAX_OPEN_SAMPLES);
     let sample_lease_ms = milliseconds(keys.ranged(&SAMPLE_LEASE));
     if let Some(service) = &service {
         check_service(keys, service, services);
-        check_engines(keys, service, services);
+        check_serves_engines(keys, service, services);
     }
     Some(Pool {
         id: id?,
@@ -275,16 +284,20 @@
 }
 
 fn check_service(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
-    if services.names.contains(id) {
+    if services.ids_in_file.contains(id) {
         return;
     }
-    let known: Vec<&str> = services.names.iter().map(ServiceId::as_str).collect();
-    keys.reject("service", &format!("\"{id}\""), &one_of("service", &known));
+    let known: Vec<&str> = services.ids_in_file.iter().map(ServiceId::as_str).collect();
+    keys.reject(
+        "service",
+        &format!("\"{id}\""),
+        &listed_names_rule("service", &known),
+    );
 }
 
-fn check_engines(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
+fn check_serves_engines(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
     let live = services
-        .whole
+        .valid
         .iter()
         .any(|service| &service.id == id && service.kind == ServiceKind::Live);
     if live {
@@ -293,14 +306,14 @@
     }
 }
 
-fn refuse_duplicate(keys: &TableReader<'_>, id: Option<&str>, ids: &mut BTreeSet<String>) {
+fn reject_duplicate_id(keys: &TableReader<'_>, id: Option<&str>, ids: &mut BTreeSet<String>) {
     let Some(id) = id else { return };
     if !ids.insert(id.to_owned()) {
         keys.reject("id", &format!("\"{id}\" twice"), "each id once");
     }
 }
 
-fn one_of(kind: &str, known: &[&str]) -> String {
+fn listed_names_rule(kind: &str, known: &[&str]) -> String {
     if known.is_empty() {
         return format!("a name listed under `{kind}`; none is");
     }
--- a/crates/nodes/wingshore-settings/src/units.rs
+++ b/crates/nodes/wingshore-settings/src/units.rs
@@ -5,7 +5,7 @@
 
 /// A setting with a range.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Setting<T> {
+pub(crate) struct RangedSetting<T> {
     pub(crate) key: &'static str,
     pub(crate) default: T,
     pub(crate) minimum: T,
@@ -13,17 +13,17 @@
 }
 
 /// A duration setting.
-pub(crate) type DurationSetting = Setting<Duration>;
+pub(crate) type DurationSetting = RangedSetting<Duration>;
 /// A whole-number setting.
-pub(crate) type IntegerSetting = Setting<u64>;
+pub(crate) type IntegerSetting = RangedSetting<u64>;
 /// A size setting.
-pub(crate) type SizeSetting = Setting<Bytes>;
+pub(crate) type SizeSetting = RangedSetting<Bytes>;
 
 /// A number of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct Bytes(pub(crate) u64);
 
-impl<T: RangedValue> Setting<T> {
+impl<T: RangedValue> RangedSetting<T> {
     /// The range as errors and the list of settings show it.
     pub(crate) fn rule(&self) -> String {
         T::rule(&self.minimum.show(), &self.maximum.show())
--- a/crates/nodes/wingshore-settings/tests/broken_files.rs
+++ b/crates/nodes/wingshore-settings/tests/broken_files.rs
@@ -52,9 +52,9 @@
 
 /// One way to break a file: what to replace, and what the error must say.
 struct Case {
-    whole: &'static str,
-    from: &'static str,
-    to: &'static str,
+    valid_file: &'static str,
+    original: &'static str,
+    replacement: &'static str,
     line: usize,
     key: &'static str,
     found: &'static str,
@@ -73,40 +73,40 @@
 
 #[rustfmt::skip]
 const CASES: &[Case] = &[
-    Case { whole: REPLICA, from: "data =", to: "date =", line: 6, key: "date", found: "an unknown key", allowed: "data" },
-    Case { whole: REPLICA, from: "\n[[founding]]", to: "configuration_lease = 5\n[[founding]]", line: 7, key: "configuration_lease", found: "5", allowed: "a duration with unit from \"500ms\" to \"30s\"" },
-    Case { whole: REPLICA, from: "\n[[founding]]", to: "snapshot_every = \"16MB\"\n[[founding]]", line: 7, key: "snapshot_every", found: "\"16MB\"", allowed: "KiB, MiB, GiB" },
-    Case { whole: REPLICA, from: "\n[[founding]]", to: "ledger_groups = 65\n[[founding]]", line: 7, key: "ledger_groups", found: "65", allowed: "from 1 to 64" },
-    Case { whole: REPLICA, from: "\n[[founding]]", to: "[timing]\nlease = \"2s\"\n[[founding]]", line: 8, key: "timing.lease", found: "2s", allowed: "at most 900ms" },
-    Case { whole: REPLICA, from: "\"127.0.0.1:7101\"\ndata", to: "\"localhost\"\ndata", line: 5, key: "listen", found: "\"localhost\"", allowed: "an IP address and port" },
-    Case { whole: REPLICA, from: "id = 1\naddress = \"127.0.0.1:7101\"", to: "id = 1\naddress = \"127.0.0.1:7101\"\n[[founding]]\nid = 1\naddress = \"127.0.0.1:7102\"", line: 12, key: "founding[2].id", found: "1 twice", allowed: "each identity once" },
-    Case { whole: NODE, from: "\"127.0.0.1:7101\"", to: "", line: 6, key: "replicas", found: "no address", allowed: "at least one" },
-    Case { whole: NODE, from: "zone = \"regina-hall\"", to: "zone = \"Regina Hall\"", line: 4, key: "zone", found: "\"Regina Hall\"", allowed: "a-z" },
-    Case { whole: NODE, from: "replicas", to: "without_lease = \"hope\"\nreplicas", line: 6, key: "without_lease", found: "\"hope\"", allowed: "\"refuse\", \"serve\"" },
-    Case { whole: SITE, from: "zone = \"regina-hall\"", to: "zone = \"moose-jaw\"", line: 17, key: "server[1].zone", found: "\"moose-jaw\"", allowed: "\"regina-hall\"" },
-    Case { whole: SITE, from: "service = \"fare-lm\"\naddress", to: "service = \"fare-ml\"\naddress", line: 15, key: "server[1].service", found: "\"fare-ml\"", allowed: "\"fare-lm\", \"fare-api\"" },
-    Case { whole: SITE, from: "id = \"fare-api\"", to: "id = \"fare-lm\"", line: 10, key: "service[2].id", found: "\"fare-lm\" twice", allowed: "each id once" },
-    Case { whole: SITE, from: "service = \"fare-lm\"\ntrainer", to: "service = \"fare-api\"\ntrainer", line: 21, key: "pool[1].service", found: "whose kind is live", allowed: "kind is engines" },
-    Case { whole: NODE, from: "role = \"node\"", to: "role = \"nod\"", line: 1, key: "role", found: "\"nod\"", allowed: "\"replica\", \"relay\", \"node\", \"site\"" },
-    Case { whole: NODE, from: "name = ", to: "name ", line: 3, key: "(syntax)", found: "", allowed: "TOML" },
+    Case { valid_file: REPLICA, original: "data =", replacement: "date =", line: 6, key: "date", found: "an unknown key", allowed: "data" },
+    Case { valid_file: REPLICA, original: "\n[[founding]]", replacement: "configuration_lease = 5\n[[founding]]", line: 7, key: "configuration_lease", found: "5", allowed: "a duration with unit from \"500ms\" to \"30s\"" },
+    Case { valid_file: REPLICA, original: "\n[[founding]]", replacement: "snapshot_every = \"16MB\"\n[[founding]]", line: 7, key: "snapshot_every", found: "\"16MB\"", allowed: "KiB, MiB, GiB" },
+    Case { valid_file: REPLICA, original: "\n[[founding]]", replacement: "ledger_groups = 65\n[[founding]]", line: 7, key: "ledger_groups", found: "65", allowed: "from 1 to 64" },
+    Case { valid_file: REPLICA, original: "\n[[founding]]", replacement: "[timing]\nlease = \"2s\"\n[[founding]]", line: 8, key: "timing.lease", found: "2s", allowed: "at most 900ms" },
+    Case { valid_file: REPLICA, original: "\"127.0.0.1:7101\"\ndata", replacement: "\"localhost\"\ndata", line: 5, key: "listen", found: "\"localhost\"", allowed: "an IP address and port" },
+    Case { valid_file: REPLICA, original: "id = 1\naddress = \"127.0.0.1:7101\"", replacement: "id = 1\naddress = \"127.0.0.1:7101\"\n[[founding]]\nid = 1\naddress = \"127.0.0.1:7102\"", line: 12, key: "founding[2].id", found: "1 twice", allowed: "each identity once" },
+    Case { valid_file: NODE, original: "\"127.0.0.1:7101\"", replacement: "", line: 6, key: "replicas", found: "no address", allowed: "at least one" },
+    Case { valid_file: NODE, original: "zone = \"regina-hall\"", replacement: "zone = \"Regina Hall\"", line: 4, key: "zone", found: "\"Regina Hall\"", allowed: "a-z" },
+    Case { valid_file: NODE, original: "replicas", replacement: "without_lease = \"hope\"\nreplicas", line: 6, key: "without_lease", found: "\"hope\"", allowed: "\"refuse\", \"serve\"" },
+    Case { valid_file: SITE, original: "zone = \"regina-hall\"", replacement: "zone = \"moose-jaw\"", line: 17, key: "server[1].zone", found: "\"moose-jaw\"", allowed: "\"regina-hall\"" },
+    Case { valid_file: SITE, original: "service = \"fare-lm\"\naddress", replacement: "service = \"fare-ml\"\naddress", line: 15, key: "server[1].service", found: "\"fare-ml\"", allowed: "\"fare-lm\", \"fare-api\"" },
+    Case { valid_file: SITE, original: "id = \"fare-api\"", replacement: "id = \"fare-lm\"", line: 10, key: "service[2].id", found: "\"fare-lm\" twice", allowed: "each id once" },
+    Case { valid_file: SITE, original: "service = \"fare-lm\"\ntrainer", replacement: "service = \"fare-api\"\ntrainer", line: 21, key: "pool[1].service", found: "whose kind is live", allowed: "kind is engines" },
+    Case { valid_file: NODE, original: "role = \"node\"", replacement: "role = \"nod\"", line: 1, key: "role", found: "\"nod\"", allowed: "\"replica\", \"relay\", \"node\", \"site\"" },
+    Case { valid_file: NODE, original: "name = ", replacement: "name ", line: 3, key: "(syntax)", found: "", allowed: "TOML" },
 ];
 
 #[gtest]
-fn every_broken_file_names_its_fault() {
+fn every_broken_file_reports_the_expected_error() {
     for case in CASES {
-        expect_that!(case.whole, contains_substring(case.from));
-        let text = case.whole.replacen(case.from, case.to, 1);
+        expect_that!(case.valid_file, contains_substring(case.original));
+        let text = case.valid_file.replacen(case.original, case.replacement, 1);
         let Err(errors) = any_from_text("file.toml", &text) else {
             expect_that!(text, eq("accepted"));
             continue;
         };
         let named = errors.0.iter().any(|error| case.matches(error));
-        expect_that!(named, eq(true), "{} gave {errors}", case.to);
+        expect_that!(named, eq(true), "{} gave {errors}", case.replacement);
     }
 }
 
 #[gtest]
-fn the_whole_files_are_accepted() {
+fn unmodified_files_are_accepted() {
     expect_that!(
         any_from_text("replica.toml", REPLICA),
         ok(pat!(AnySettings::Replica(_)))
@@ -122,7 +122,7 @@
 }
 
 #[gtest]
-fn all_errors_are_named_at_once() {
+fn all_errors_are_reported_together() {
     let text = REPLICA
         .replace("zone = \"regina-hall\"", "zone = 7")
         .replace("data = ", "date = ")
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn flags_go_before_the_file() -> Result<()> {
+fn flags_override_the_file() -> Result<()> {
     let overrides = Overrides {
         name: Some("replica-9".to_owned()),
         zone: Some("winnipeg-hall".to_owned()),
--- a/crates/nodes/wingshore-settings/tests/golden_keys.rs
+++ b/crates/nodes/wingshore-settings/tests/golden_keys.rs
@@ -14,26 +14,26 @@
     /// A value that differs from the default.
     value: &'static str,
     /// Another such value; none where the file allows a single one.
-    other: Option<&'static str>,
+    other_value: Option<&'static str>,
     /// What the file says where the key is left out; `None` where it must be there.
     default: Option<&'static str>,
     /// A value of a wrong form or out of range.
-    refused: &'static str,
+    invalid: &'static str,
 }
 
 const fn key(
     path: &'static str,
     value: &'static str,
-    other: Option<&'static str>,
+    other_value: Option<&'static str>,
     default: Option<&'static str>,
-    refused: &'static str,
+    invalid: &'static str,
 ) -> Key {
     Key {
         path,
         value,
-        other,
+        other_value,
         default,
-        refused,
+        invalid,
     }
 }
 
@@ -143,7 +143,7 @@
 ];
 
 /// A file with all keys of a role, where one has another value, or is left out.
-fn file(keys: &[Key], path: &str, value: Option<&str>) -> String {
+fn file_with(keys: &[Key], path: &str, value: Option<&str>) -> String {
     let mut text = String::new();
     let mut open_table = "";
     for key in keys {
@@ -167,12 +167,16 @@
     text
 }
 
-fn read(keys: &[Key], path: &str, value: Option<&str>) -> Result<AnySettings, SettingsErrors> {
-    any_from_text("file.toml", &file(keys, path, value))
+fn parse_with(
+    keys: &[Key],
+    path: &str,
+    value: Option<&str>,
+) -> Result<AnySettings, SettingsErrors> {
+    any_from_text("file.toml", &file_with(keys, path, value))
 }
 
 /// Whether the error is one of this key.
-fn names(errors: &SettingsErrors, path: &str) -> bool {
+fn has_error_for(errors: &SettingsErrors, path: &str) -> bool {
     let path = path.replace("[]", "[1]");
     errors
         .0
@@ -183,31 +187,33 @@
 #[gtest]
 fn files_with_every_key_are_read() {
     for (role, keys) in ROLES {
-        expect_that!(read(keys, "", None), ok(anything()), "{role}");
+        expect_that!(parse_with(keys, "", None), ok(anything()), "{role}");
     }
 }
 
 #[gtest]
-fn every_key_decides_what_is_read() {
+fn every_key_affects_the_settings() {
     for (role, keys) in ROLES {
-        let whole = read(keys, "", None).ok();
+        let unchanged = parse_with(keys, "", None).ok();
         for key in keys {
-            let Some(other) = key.other else { continue };
-            let changed = read(keys, key.path, Some(other));
+            let Some(other) = key.other_value else {
+                continue;
+            };
+            let changed = parse_with(keys, key.path, Some(other));
             expect_that!(changed, ok(anything()), "{role}: {} = {other}", key.path);
-            let differs = changed.ok() != whole;
+            let differs = changed.ok() != unchanged;
             expect_that!(differs, eq(true), "{role}: {} = {other}", key.path);
         }
     }
 }
 
 #[gtest]
-fn every_key_refuses_a_wrong_form() {
+fn every_key_rejects_an_invalid_value() {
     for (role, keys) in ROLES {
         for key in keys {
-            let refused = read(keys, key.path, Some(key.refused));
-            let named = refused.is_err_and(|errors| names(&errors, key.path));
-            expect_that!(named, eq(true), "{role}: {} = {}", key.path, key.refused);
+            let result = parse_with(keys, key.path, Some(key.invalid));
+            let named = result.is_err_and(|errors| has_error_for(&errors, key.path));
+            expect_that!(named, eq(true), "{role}: {} = {}", key.path, key.invalid);
         }
     }
 }
@@ -217,11 +223,15 @@
     for (role, keys) in ROLES {
         // Without zones, the zone of the server is an unknown one.
         for key in keys.iter().filter(|key| key.path != "zones") {
-            match read(keys, key.path, None) {
+            match parse_with(keys, key.path, None) {
                 Ok(_) => expect_that!(key.default, some(anything()), "{role}: {}", key.path),
                 Err(errors) => {
                     expect_that!(key.default, none(), "{role}: {}: {errors}", key.path);
-                    expect_that!(names(&errors, key.path), eq(true), "{role}: {errors}");
+                    expect_that!(
+                        has_error_for(&errors, key.path),
+                        eq(true),
+                        "{role}: {errors}"
+                    );
                 }
             }
         }
--- a/crates/nodes/wingshore-settings/tests/page.rs
+++ b/crates/nodes/wingshore-settings/tests/page.rs
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn the_page_lists_every_setting_as_it_is_parsed() -> Result<()> {
+fn page_lists_every_setting_with_default_and_allowed_values() -> Result<()> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../docs/operations/settings.md");
     let page = std::fs::read_to_string(path)?;
     for role in catalogue() {
