--- a/crates/nodes/wingshore-settings/src/catalogue.rs
+++ b/crates/nodes/wingshore-settings/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! The list of all settings, read off the parsers themselves: whatever key a parser asks for is
-//! listed, with its default and what is allowed.
+//! The list of all settings, derived from the parsers: every key that a parser requests is listed
+//! with its default and its allowed values.
 
 use crate::document::Document;
 use crate::error::ErrorSink;
@@ -9,24 +9,24 @@
 /// One key of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyDescription {
-    /// The key, with the tables it stands in; `[1]` stands for each table of a list.
+    /// The key, qualified with the tables that contain it; `[1]` stands for each table of a list.
     pub key: String,
-    /// What holds when it is left out; `None` must be there.
+    /// Default if the key is absent; `None` if the key is required.
     pub default: Option<String>,
-    /// What is allowed, with unit and range.
+    /// Description of the allowed values, with unit and range.
     pub allowed: String,
 }
 
-/// The keys of one role's files.
+/// The keys of the settings files of one role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleDescription {
-    /// The value of `role`.
+    /// The value of the `role` key.
     pub role: &'static str,
-    /// Its keys, in the order in which they are read.
+    /// The keys, in the order in which the parser reads them.
     pub keys: Vec<KeyDescription>,
 }
 
-/// The settings of every role.
+/// Returns the settings of every role.
 pub fn catalogue() -> Vec<RoleDescription> {
     vec![
         describe("replica", "[[founding]]", |keys| {
@@ -48,7 +48,8 @@
     ]
 }
 
-/// Reads a file that holds little more than one table of each list, and notes what is asked for.
+/// Lists the keys that `read` requests. `tables` holds one table of each list, without which the
+/// keys of that list would not be requested.
 fn describe(
     role: &'static str,
     tables: &str,
--- a/crates/nodes/wingshore-settings/src/document.rs
+++ b/crates/nodes/wingshore-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! A parsed TOML document in which every value knows its line.
+//! A parsed TOML document that records the line of every value.
 
 use crate::Overrides;
 use crate::error::{ErrorSink, SettingsErrors};
@@ -10,14 +10,14 @@
 /// Entries of a table by key.
 pub(crate) type Entries = BTreeMap<String, Located>;
 
-/// A value and the line it stands in.
+/// A value and its line number in the file; line 0 is a command-line flag.
 #[derive(Clone, Debug)]
 pub(crate) struct Located {
     pub(crate) line: usize,
     pub(crate) value: Value,
 }
 
-/// A TOML value, reduced to what settings use.
+/// A TOML value, reduced to the types that settings use.
 #[derive(Clone, Debug)]
 pub(crate) enum Value {
     Text(String),
@@ -25,12 +25,13 @@
     Boolean(bool),
     List(Vec<Located>),
     Table(Entries),
-    /// A kind that no setting takes (fraction, date); as text.
+    /// The text of a value that no setting accepts: a float, a date-time or an integer beyond 64
+    /// bits.
     Other(String),
 }
 
 impl Value {
-    /// The value as an error shows it.
+    /// Formats the value for an error message.
     pub(crate) fn describe(&self) -> String {
         match self {
             Self::Text(text) => format!("\"{text}\""),
@@ -49,7 +50,7 @@
 }
 
 impl Document {
-    /// Parses `text`; syntax errors go to `sink`.
+    /// Parses `text`; a syntax error is added to `sink`.
     pub(crate) fn parse(text: &str, sink: &ErrorSink) -> Option<Self> {
         match DeTable::parse(text) {
             Ok(table) => Some(Self {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Lets flags take the place of what the file says.
+    /// Replaces values of the file by those of command-line flags.
     pub(crate) fn override_with(&mut self, overrides: &Overrides) {
         let pairs = [
             ("name", &overrides.name),
@@ -80,16 +81,16 @@
         }
     }
 
-    /// A reader of the root table.
+    /// Returns a reader of the root table.
     pub(crate) fn reader<'a>(&'a self, sink: &'a ErrorSink) -> TableReader<'a> {
         TableReader::new(sink, String::new(), 1, &self.entries)
     }
 }
 
-/// Parses a file of one role: flags first, then `read`, which asks for every key.
+/// Parses a file of one role: applies the flags, then calls `read`, which requests every key.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Returns every error in the file.
 pub(crate) fn parse_role<T>(
     file: &str,
     text: &str,
@@ -130,6 +131,7 @@
     }
 }
 
+/// Returns the line number, from 1, of a byte offset in `text`.
 fn line_of(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().iter().take(offset);
     1 + before.filter(|byte| **byte == b'\n').count()
--- a/crates/nodes/wingshore-settings/src/error.rs
+++ b/crates/nodes/wingshore-settings/src/error.rs
@@ -1,21 +1,21 @@
-//! Errors of settings files, gathered so that all are shown at once.
+//! Errors in settings files, collected so that all are reported together.
 
 use crate::KeyDescription;
 use std::cell::RefCell;
 use std::fmt;
 
-/// One thing that is wrong with a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// The line, from 1; 0 is a flag.
+    /// Line number from 1; 0 if the value comes from a command-line flag.
     pub line: usize,
-    /// The key, with the tables it stands in.
+    /// The key, qualified with the tables that contain it.
     pub key: String,
-    /// What was found.
+    /// Description of the value found.
     pub found: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// All that is wrong with a settings file.
+/// All errors in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsErrors(pub Vec<SettingsError>);
 
@@ -53,7 +53,7 @@
 
 impl std::error::Error for SettingsErrors {}
 
-/// Gathers errors while a file is read.
+/// Collects errors and descriptions of the requested keys while a file is read.
 pub(crate) struct ErrorSink {
     file: String,
     errors: RefCell<Vec<SettingsError>>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Notes a key that was asked for; asked twice it counts once.
+    /// Records a requested key, unless it is recorded already.
     pub(crate) fn record_key(&self, key: String, default: Option<String>, allowed: &str) {
         let mut keys = self.keys.borrow_mut();
         if keys.iter().all(|known| known.key != key) {
@@ -82,11 +82,12 @@
         }
     }
 
-    /// All keys that were asked for, in that order.
+    /// Returns all requested keys in the order of the first request.
     pub(crate) fn into_keys(self) -> Vec<KeyDescription> {
         self.keys.into_inner()
     }
 
+    /// Records an error.
     pub(crate) fn add(&self, line: usize, key: &str, found: String, allowed: &str) {
         self.errors.borrow_mut().push(SettingsError {
             file: self.file.clone(),
@@ -97,13 +98,14 @@
         });
     }
 
+    /// Returns the errors sorted by line.
     pub(crate) fn into_errors(self) -> SettingsErrors {
         let mut errors = self.errors.into_inner();
         errors.sort_by_key(|error| error.line);
         SettingsErrors(errors)
     }
 
-    /// The settings, when nothing was wrong.
+    /// Returns the settings, or the errors if any were recorded.
     pub(crate) fn finish<T>(self, settings: Option<T>) -> Result<T, SettingsErrors> {
         match settings {
             Some(settings) if self.errors.borrow().is_empty() => Ok(settings),
--- a/crates/nodes/wingshore-settings/src/lib.rs
+++ b/crates/nodes/wingshore-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings files: TOML, checked whole, all errors at once.
+//! Parses settings files (TOML) and reports all errors of a file together.
 //!
 //! Every error names the file, line and key, what was found and what is allowed. Durations
-//! (`"250ms"`) and sizes (`"16MiB"`) carry their units. A role's settings may be overridden by
-//! flags through [`Overrides`].
+//! (`"250ms"`) and sizes (`"16MiB"`) carry their units. Command-line flags override some settings
+//! of a role through [`Overrides`].
 
 mod catalogue;
 mod document;
@@ -29,16 +29,16 @@
 use document::Document;
 use error::ErrorSink;
 
-/// What flags may say instead of the file; flags go first.
+/// Values of command-line flags, which take precedence over the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
-    /// Instead of `name`.
+    /// Replaces `name`.
     pub name: Option<String>,
-    /// Instead of `zone`.
+    /// Replaces `zone`.
     pub zone: Option<String>,
-    /// Instead of `listen`.
+    /// Replaces `listen`.
     pub listen: Option<String>,
-    /// Instead of `data`.
+    /// Replaces `data`.
     pub data: Option<String>,
 }
 
@@ -55,10 +55,10 @@
     Site(Box<SiteFile>),
 }
 
-/// Parses any settings file by its `role` key.
+/// Parses a settings file of any role; its `role` key decides which.
 ///
 /// # Errors
-/// All that is wrong with the file.
+/// Returns every error in the file.
 pub fn any_from_text(file: &str, text: &str) -> Result<AnySettings, SettingsErrors> {
     const ROLES: &[(&str, Role)] = &[
         ("replica", Role::Replica),
--- a/crates/nodes/wingshore-settings/src/node.rs
+++ b/crates/nodes/wingshore-settings/src/node.rs
@@ -1,6 +1,6 @@
 //! Settings of the node role: keys, defaults and ranges.
 //!
-//! Relies on [`crate::reader`] for the checks and on [`crate::relay`] for the keys of every role.
+//! [`crate::reader`] checks the values, [`crate::relay`] reads the keys that all roles share.
 
 use crate::document::parse_role;
 use crate::error::SettingsErrors;
@@ -17,104 +17,105 @@
 /// Settings of one node process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// This node; unique at the site.
+    /// Identity of this node, unique within the site.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneId,
-    /// Where callers reach it; it stands beside its caller, so usually on loopback.
+    /// Address for callers; usually loopback, because a node runs beside its callers.
     pub listen: SocketAddr,
-    /// Replicas; at least one.
+    /// Addresses of replicas; at least one.
     pub replicas: Vec<SocketAddr>,
-    /// Relays to watch the configuration through; empty watches the replicas.
+    /// Relays that the node watches the configuration through; if empty, it watches the replicas.
     pub relays: Vec<SocketAddr>,
-    /// The platform's machine list; absent does without.
+    /// Address of the platform's machine list; `None` if the node uses no machine list.
     pub machine_list: Option<SocketAddr>,
-    /// Between readings of the machine list. Default 1s, 100ms to 60s.
+    /// Interval between polls of the machine list. Default 1s, 100ms to 60s.
     pub machine_list_poll: Duration,
     /// Number of claims groups of the site. Default 1, 1 to 64.
     pub claims_groups: u16,
-    /// What the node does when its configuration lease has run out.
+    /// Behaviour of the node after its configuration lease has expired.
     pub without_lease: WithoutLease,
-    /// How long a planned stop waits for what runs. Default 30s, 0s to 1h.
+    /// Maximum time that a planned stop waits for work in progress. Default 30s, 0s to 1h.
     pub stop_grace: Duration,
-    /// The HTTP edge.
+    /// HTTP server of the node.
     pub http: HttpSettings,
-    /// Choice of back ends.
+    /// Choice of servers for requests.
     pub routing: RoutingSettings,
     /// Rollouts run by this node.
     pub rollout: RolloutSettings,
-    /// Folder that the log ring is written to; absent is standard error.
+    /// Directory that the log ring buffer is dumped to; `None` dumps it to standard error.
     pub dump_folder: Option<PathBuf>,
-    /// Lines kept in the log ring. Default 4096, 64 to 1,000,000.
+    /// Capacity of the log ring buffer, in lines. Default 4096, 64 to 1,000,000.
     pub log_lines: usize,
 }
 
-/// What a node does when its configuration lease has run out: it may then act on a configuration
-/// that is no longer in force.
+/// Behaviour of a node after its configuration lease has expired, when its configuration may no
+/// longer be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutLease {
-    /// Takes no new requests: keeps the promise that a change is in force everywhere.
+    /// Rejects new requests, which preserves the guarantee that a change is in force everywhere.
     Refuse,
-    /// Goes on by the last configuration: keeps serving when the control group is unreachable.
+    /// Keeps using the last configuration, so that the node serves while the control group is
+    /// unreachable.
     Serve,
 }
 
-/// The HTTP edge of a node.
+/// HTTP server of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpSettings {
     /// Threads that serve requests. Default 64, 1 to 4096.
     pub workers: usize,
-    /// Largest body of a request. Default 16MiB, 1KiB to 1GiB.
+    /// Maximum size of a request body, in bytes. Default 16MiB, 1KiB to 1GiB.
     pub max_request_body: u64,
-    /// Largest buffered body of an answer. Default 64MiB, 1KiB to 1GiB.
+    /// Maximum size of a buffered response body, in bytes. Default 64MiB, 1KiB to 1GiB.
     pub max_answer_body: u64,
-    /// How long a caller may take nothing of its answer before its connection is closed. Default
-    /// 10s, 100ms to 1h.
+    /// Time without progress in sending a response after which the caller's connection is closed.
+    /// Default 10s, 100ms to 1h.
     pub slow_caller_limit: Duration,
 }
 
-/// Choice of back ends.
+/// Choice of servers for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutingSettings {
-    /// Servers compared for each choice. Default 2, 1 to 8.
+    /// Number of servers compared for each choice. Default 2, 1 to 8.
     pub choices: usize,
-    /// Servers of each service that this node uses and polls. Default 40, 1 to 1000.
+    /// Number of servers of each service that this node uses and polls. Default 40, 1 to 1000.
     pub subset: usize,
-    /// Between polls of one server. Default 500ms, 50ms to 60s.
+    /// Interval between polls of one server. Default 500ms, 50ms to 60s.
     pub probe_interval: Duration,
-    /// Most polls in a second, over all servers. Default 40, 1 to 10000.
+    /// Maximum polls per second over all servers. Default 40, 1 to 10000.
     pub probes_per_second: u32,
-    /// After which a poll has failed. Default 1s, 20ms to 60s.
+    /// Timeout of a poll. Default 1s, 20ms to 60s.
     pub probe_timeout: Duration,
-    /// Retries allowed, in thousandths of requests. Default 200, 0 to 1000.
+    /// Maximum retries, in thousandths of requests. Default 200, 0 to 1000.
     pub retry_budget: Permille,
-    /// Most servers of a service ejected as failing. Default 500 thousandths, 0 to 1000.
+    /// Maximum share of a service's servers ejected as failing. Default 500 thousandths, 0 to 1000.
     pub max_ejected: Permille,
 }
 
 /// Rollouts run by a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutSettings {
-    /// Pools whose samples it leases; empty runs none.
+    /// Pools whose samples the node leases; if empty, it runs no rollouts.
     pub pools: Vec<PoolId>,
-    /// Most samples being generated at once. Default 64, 1 to 4096.
+    /// Maximum number of samples generated concurrently. Default 64, 1 to 4096.
     pub max_streams: usize,
-    /// Most samples being scored at once. Default 16, 1 to 1024.
+    /// Maximum number of samples scored concurrently. Default 16, 1 to 1024.
     pub max_scorings: usize,
-    /// Whether a straggler is tried on a second engine. Default true.
+    /// Whether a straggling sample gets a second attempt on another engine. Default true.
     pub over_issue: bool,
 }
 
-/// Time between readings of the machine list.
+/// Interval between polls of the machine list.
 const MACHINE_LIST_POLL: DurationSetting = DurationSetting {
     key: "machine_list_poll",
     default: Duration::from_secs(1),
     minimum: Duration::from_millis(100),
     maximum: Duration::from_secs(60),
 };
-/// How long a planned stop waits for what runs.
+/// Maximum time that a planned stop waits for work in progress.
 const STOP_GRACE: DurationSetting = DurationSetting {
     key: "stop_grace",
     default: Duration::from_secs(30),
@@ -128,84 +129,84 @@
     minimum: 1,
     maximum: 4096,
 };
-/// Bytes of the largest body of a request.
+/// Maximum size of a request body.
 const MAX_REQUEST_BODY: SizeSetting = SizeSetting {
     key: "max_request_body",
     default: Bytes(16 * MIB),
     minimum: Bytes(KIB),
     maximum: Bytes(GIB),
 };
-/// Bytes of the largest buffered body of an answer.
+/// Maximum size of a buffered response body.
 const MAX_ANSWER_BODY: SizeSetting = SizeSetting {
     key: "max_answer_body",
     default: Bytes(64 * MIB),
     minimum: Bytes(KIB),
     maximum: Bytes(GIB),
 };
-/// How long a caller may take nothing of its answer before its connection is closed.
+/// Time without progress in sending a response after which the caller's connection is closed.
 const SLOW_CALLER_LIMIT: DurationSetting = DurationSetting {
     key: "slow_caller_limit",
     default: Duration::from_secs(10),
     minimum: Duration::from_millis(100),
     maximum: Duration::from_secs(3600),
 };
-/// Servers compared for each choice.
+/// Number of servers compared for each choice.
 const CHOICES: IntegerSetting = IntegerSetting {
     key: "choices",
     default: 2,
     minimum: 1,
     maximum: 8,
 };
-/// Servers of each service that a node uses and polls.
+/// Number of servers of each service that a node uses and polls.
 const SUBSET: IntegerSetting = IntegerSetting {
     key: "subset",
     default: 40,
     minimum: 1,
     maximum: 1000,
 };
-/// Time between polls of one server.
+/// Interval between polls of one server.
 const PROBE_INTERVAL: DurationSetting = DurationSetting {
     key: "probe_interval",
     default: Duration::from_millis(500),
     minimum: Duration::from_millis(50),
     maximum: Duration::from_secs(60),
 };
-/// Most polls in a second, over all servers.
+/// Maximum polls per second over all servers.
 const PROBES_PER_SECOND: IntegerSetting = IntegerSetting {
     key: "probes_per_second",
     default: 40,
     minimum: 1,
     maximum: 10_000,
 };
-/// Time after which a poll has failed.
+/// Timeout of a poll.
 const PROBE_TIMEOUT: DurationSetting = DurationSetting {
     key: "probe_timeout",
     default: Duration::from_secs(1),
     minimum: Duration::from_millis(20),
     maximum: Duration::from_secs(60),
 };
-/// Retries allowed, in thousandths of requests.
+/// Maximum retries, in thousandths of requests.
 const RETRY_BUDGET: IntegerSetting = IntegerSetting {
     key: "retry_budget",
     default: 200,
     minimum: 0,
     maximum: 1000,
 };
-/// Most servers of a service ejected as failing, in thousandths of its servers.
+/// Maximum share of a service's servers ejected as failing, in thousandths.
 const MAX_EJECTED: IntegerSetting = IntegerSetting {
     key: "max_ejected",
     default: 500,
     minimum: 0,
     maximum: 1000,
 };
-/// Most samples being generated at once.
+/// Maximum number of samples generated concurrently.
 const MAX_STREAMS: IntegerSetting = IntegerSetting {
     key: "max_streams",
     default: 64,
     minimum: 1,
     maximum: 4096,
 };
-/// Most samples being scored at once.
+/// Maximum number of samples scored concurrently.
 const MAX_SCORINGS: IntegerSetting = IntegerSetting {
     key: "max_scorings",
     default: 16,
@@ -216,7 +217,7 @@
 /// Parses the settings of a node.
 ///
 /// # Errors
-/// All that is wrong with them.
+/// Returns every error in the file.
 pub fn node_from_text(
     file: &str,
     text: &str,
--- a/crates/nodes/wingshore-settings/src/reader.rs
+++ b/crates/nodes/wingshore-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one table key by key, gathers what is wrong, and finds unknown keys at the end.
+//! Reads one table key by key, collects its errors, and reports unknown keys at the end.
 
 use crate::document::{Entries, Located, Value};
 use crate::error::ErrorSink;
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Reads one table.
+/// Reads one table and records every key that is requested from it.
 pub(crate) struct TableReader<'a> {
     sink: &'a ErrorSink,
     path: String,
@@ -32,14 +32,14 @@
         }
     }
 
-    /// A name of a thing, checked for its spelling.
+    /// Reads a required name that follows [`NAME_RULE`].
     pub(crate) fn name<T: for<'t> From<&'t str>>(&self, key: &'static str) -> Option<T> {
         self.describe_key(key, None, NAME_RULE);
         let located = self.required(key, NAME_RULE)?;
         self.parse_name(key, located)
     }
 
-    /// A list of names without repeats; absent is empty.
+    /// Reads a list of distinct names; empty if the key is absent.
     pub(crate) fn names<T: for<'t> From<&'t str>>(&self, key: &'static str) -> Vec<T> {
         self.describe_key(
             key,
@@ -54,35 +54,35 @@
             .collect()
     }
 
-    /// Free text that must be there and not be empty.
+    /// Reads required, non-empty text.
     pub(crate) fn text(&self, key: &'static str) -> Option<String> {
         self.describe_key(key, None, TEXT_RULE);
         let located = self.required(key, TEXT_RULE)?;
         self.parse_text(key, located)
     }
 
-    /// Free text that may be absent.
+    /// Reads optional, non-empty text.
     pub(crate) fn optional_text(&self, key: &'static str) -> Option<String> {
         self.describe_key(key, Some(ABSENT.to_owned()), TEXT_RULE);
         let located = self.get(key)?;
         self.parse_text(key, located)
     }
 
-    /// An address that must be there.
+    /// Reads a required address.
     pub(crate) fn address(&self, key: &'static str) -> Option<SocketAddr> {
         self.describe_key(key, None, ADDRESS_RULE);
         let located = self.required(key, ADDRESS_RULE)?;
         self.parse_address(key, located)
     }
 
-    /// An address that may be absent.
+    /// Reads an optional address.
     pub(crate) fn optional_address(&self, key: &'static str) -> Option<SocketAddr> {
         self.describe_key(key, Some(ABSENT.to_owned()), ADDRESS_RULE);
         let located = self.get(key)?;
         self.parse_address(key, located)
     }
 
-    /// A list of addresses without repeats; absent is empty.
+    /// Reads a list of distinct addresses; empty if the key is absent.
     pub(crate) fn addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         self.describe_key(
             key,
@@ -92,7 +92,7 @@
         self.parse_addresses(key)
     }
 
-    /// A list of addresses without repeats that must hold one at least.
+    /// Reads a required list of distinct addresses that holds at least one.
     pub(crate) fn non_empty_addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let rule = format!("a list of at least one, each {ADDRESS_RULE}");
         self.describe_key(key, None, &rule);
@@ -103,7 +103,7 @@
         addresses
     }
 
-    /// A value within a range; absent is the default.
+    /// Reads a value within a range; the default if the key is absent or its value is invalid.
     pub(crate) fn ranged<T: RangedValue>(&self, setting: &RangedSetting<T>) -> T {
         self.describe_key(setting.key, Some(setting.default.show()), &setting.rule());
         let located = self.get(setting.key);
@@ -111,7 +111,7 @@
         valid.unwrap_or(setting.default)
     }
 
-    /// A value within a range that must be there.
+    /// Reads a required value within a range.
     pub(crate) fn required_ranged<T: RangedValue>(&self, setting: &RangedSetting<T>) -> Option<T> {
         let rule = setting.rule();
         self.describe_key(setting.key, None, &rule);
@@ -119,12 +119,12 @@
         self.parse_ranged(setting, located)
     }
 
-    /// A whole number that fits the range of `setting` and a smaller type.
+    /// Reads a whole number within the range of `setting`, which must fit `T`.
     pub(crate) fn ranged_integer<T: TryFrom<u64> + Default>(&self, setting: &IntegerSetting) -> T {
         T::try_from(self.ranged(setting)).unwrap_or_default()
     }
 
-    /// True or false; absent is the default.
+    /// Reads a boolean; the default if the key is absent or its value is invalid.
     pub(crate) fn boolean(&self, key: &'static str, default: bool) -> bool {
         self.describe_key(key, Some(default.to_string()), "true or false");
         let Some(located) = self.get(key) else {
@@ -138,7 +138,8 @@
         }
     }
 
-    /// One of several words; absent is the default, which is one of them too.
+    /// Reads one of several words; the default, which must be one of `choices`, if the key is
+    /// absent or its value is invalid.
     pub(crate) fn choice<T: Copy + PartialEq>(
         &self,
         key: &'static str,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// One of several words, which must be there.
+    /// Reads a required key whose value is one of several words.
     pub(crate) fn required_choice<T: Copy>(
         &self,
         key: &'static str,
@@ -169,7 +170,7 @@
         self.parse_choice(key, located, choices, &rule)
     }
 
-    /// A table below this one; where it is absent every key of it takes its default.
+    /// Returns a reader of a nested table; if the table is absent, its keys have their defaults.
     pub(crate) fn table(&self, key: &'static str) -> TableReader<'a> {
         static EMPTY: Entries = Entries::new();
         let path = self.path_of(key);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The tables of a `[[key]]` list.
+    /// Returns a reader of each table of a `[[key]]` list.
     pub(crate) fn tables(&self, key: &'static str) -> Vec<TableReader<'a>> {
         let mut readers = Vec::new();
         for (position, item) in self.list(key).iter().enumerate() {
@@ -201,14 +202,14 @@
         readers
     }
 
-    /// Refuses what the caller found wrong with the value of `key`.
+    /// Reports an error that the caller found in the value of `key`.
     pub(crate) fn reject(&self, key: &'static str, found: &str, allowed: &str) {
         let line = self.entries.get(key).map_or(self.line, |entry| entry.line);
         self.sink
             .add(line, &self.path_of(key), found.to_owned(), allowed);
     }
 
-    /// Refuses keys that were not asked for.
+    /// Reports every key of the table that was not requested.
     pub(crate) fn finish(self) {
         let requested_keys = self.requested_keys.borrow();
         let allowed = requested_keys.join(", ");
@@ -221,11 +222,12 @@
         }
     }
 
-    /// Notes a key for the list of settings; without a default it must be there.
+    /// Records a key for the list of settings; a key without a default is required.
     fn describe_key(&self, key: &'static str, default: Option<String>, allowed: &str) {
         self.sink.record_key(self.path_of(key), default, allowed);
     }
 
+    /// Returns the value of a key, and marks the key as requested.
     fn get(&self, key: &'static str) -> Option<&'a Located> {
         let mut requested_keys = self.requested_keys.borrow_mut();
         if !requested_keys.contains(&key) {
@@ -234,6 +236,7 @@
         self.entries.get(key)
     }
 
+    /// Returns the value of a key, and reports an error if it is absent.
     fn required(&self, key: &'static str, rule: &str) -> Option<&'a Located> {
         let located = self.get(key);
         if located.is_none() {
@@ -243,6 +246,7 @@
         located
     }
 
+    /// Returns the items of a list; none if the key is absent or its value is not a list.
     fn list(&self, key: &'static str) -> &'a [Located] {
         let Some(located) = self.get(key) else {
             return &[];
@@ -330,6 +334,7 @@
         self.or_report_invalid(key, located, valid, ADDRESS_RULE)
     }
 
+    /// Returns `valid`, or reports the value as invalid if it is `None`.
     fn or_report_invalid<T>(
         &self,
         key: &'static str,
@@ -343,6 +348,7 @@
         }
     }
 
+    /// Reports an invalid value; always returns `None`.
     fn report_invalid<T>(
         &self,
         line: usize,
@@ -354,6 +360,7 @@
         None
     }
 
+    /// Returns `key` qualified with the path of this table.
     fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
--- a/crates/nodes/wingshore-settings/src/relay.rs
+++ b/crates/nodes/wingshore-settings/src/relay.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay role, and the keys that every role has.
+//! Settings of the relay role, and the keys that all process roles share.
 
 use crate::Overrides;
 use crate::document::parse_role;
@@ -11,25 +11,25 @@
 /// Settings of one relay process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// This process's name.
+    /// Name of this process.
     pub name: String,
-    /// Its zone.
+    /// Zone of this process.
     pub zone: String,
-    /// Where it listens for frames.
+    /// Address on which the process accepts frames.
     pub listen: SocketAddr,
-    /// Where it serves `/healthz`, `/readyz` and `/metrics`; absent is nowhere.
+    /// Address of `/healthz`, `/readyz` and `/metrics`; `None` does not serve them.
     pub admin: Option<SocketAddr>,
-    /// Replicas, or relays nearer to them; at least one.
+    /// Replicas, or relays closer to the replicas; at least one.
     pub upstream: Vec<SocketAddr>,
-    /// Folder that the log ring is written to; absent is standard error.
+    /// Directory that the log ring buffer is dumped to; `None` dumps it to standard error.
     pub dump_folder: Option<PathBuf>,
-    /// Lines kept in the log ring. Default 4096, 64 to 1,000,000.
+    /// Capacity of the log ring buffer, in lines. Default 4096, 64 to 1,000,000.
     pub log_lines: usize,
 }
 
-/// The keys that every role has.
+/// The settings that all process roles share.
 pub(crate) struct CommonSettings {
     pub(crate) site: String,
     pub(crate) name: String,
@@ -37,7 +37,7 @@
     pub(crate) listen: SocketAddr,
 }
 
-/// Reads the keys that every role has; `role` must be the one meant.
+/// Reads the keys that all process roles share; the file must declare `role`.
 pub(crate) fn read_common(keys: &TableReader<'_>, role: &str) -> Option<CommonSettings> {
     let role = keys.required_choice("role", &[(role, ())]);
     let site = keys.name::<Name>("site");
@@ -53,7 +53,7 @@
     })
 }
 
-/// A checked name as plain text.
+/// A validated name, for names that have no type of their own.
 struct Name(String);
 
 impl From<&str> for Name {
@@ -65,7 +65,7 @@
 /// Parses the settings of a relay.
 ///
 /// # Errors
-/// All that is wrong with them.
+/// Returns every error in the file.
 pub fn relay_from_text(
     file: &str,
     text: &str,
--- a/crates/nodes/wingshore-settings/src/replica.rs
+++ b/crates/nodes/wingshore-settings/src/replica.rs
@@ -1,8 +1,8 @@
 //! Settings of the replica role: keys, defaults and ranges.
 //!
-//! Relies on [`crate::reader`] for the checks and on [`crate::relay`] for the keys of every role. The
-//! lease of a group must end before any quorum can elect another leader, so it is checked against
-//! the election timeout and the clock drift here.
+//! [`crate::reader`] checks single values, [`crate::relay`] reads the keys that all roles share. A
+//! group's lease must end before any quorum can elect another leader, so this module checks it
+//! against the election timeout and the clock drift.
 
 use crate::document::parse_role;
 use crate::error::SettingsErrors;
@@ -19,80 +19,80 @@
 /// Settings of one replica process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaSettings {
-    /// The site's name; processes of different sites refuse each other.
+    /// Name of the site; processes of different sites reject each other.
     pub site: String,
-    /// This process's name, for people.
+    /// Name of this process, for display only.
     pub name: String,
-    /// Its zone.
+    /// Zone of this process.
     pub zone: String,
-    /// Where it listens for frames.
+    /// Address on which the process accepts frames.
     pub listen: SocketAddr,
-    /// Where it serves `/healthz`, `/readyz` and `/metrics`; absent is nowhere.
+    /// Address of `/healthz`, `/readyz` and `/metrics`; `None` does not serve them.
     pub admin: Option<SocketAddr>,
-    /// Its data folder.
+    /// Data directory.
     pub data: PathBuf,
     /// Number of ledger groups; the same on every replica of a site. Default 1, 1 to 64.
     pub ledger_groups: u16,
     /// Number of claims groups; the same on every replica of a site. Default 1, 1 to 64.
     pub claims_groups: u16,
-    /// Members that the site was founded with; read by `wingshore format`, and for finding peers.
+    /// Initial members of the site, used by `wingshore format` and for peer discovery.
     pub founding: Vec<FoundingMember>,
-    /// Elections and leases.
+    /// Timing of elections and leases.
     pub timing: TimingSettings,
-    /// Log bytes after which a group writes a snapshot. Default 16MiB, 64KiB to 4GiB.
+    /// Bytes of log after which a group writes a snapshot. Default 16MiB, 64KiB to 4GiB.
     pub snapshot_every: u64,
-    /// Orders to engines.
+    /// Orders to engines and polls of their state.
     pub orders: OrderSettings,
-    /// How long a node's configuration lease lasts. Default 5s, 500ms to 30s.
+    /// Duration of a node's configuration lease. Default 5s, 500ms to 30s.
     pub configuration_lease: Duration,
-    /// Lines kept in the log ring. Default 4096, 64 to 1,000,000.
+    /// Capacity of the log ring buffer, in lines. Default 4096, 64 to 1,000,000.
     pub log_lines: usize,
 }
 
-/// One of the members that a site is founded with.
+/// One of the initial members of a site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FoundingMember {
-    /// Its identity.
+    /// Identity of the member.
     pub id: ReplicaId,
-    /// Where it listens for frames.
+    /// Address on which the member accepts frames.
     pub address: SocketAddr,
 }
 
-/// Elections and leases of replicated groups.
+/// Timing of elections and leases in replicated groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingSettings {
-    /// Between a leader's heartbeats. Default 100ms, 5ms to 5s.
+    /// Interval between a leader's heartbeats. Default 100ms, 5ms to 5s.
     pub heartbeat: Duration,
-    /// Shortest silence after which a member campaigns; the longest is a quarter more.
-    /// Default 1s, 50ms to 60s, at least four heartbeats.
+    /// Minimum time without a heartbeat after which a member starts an election; the maximum is a
+    /// quarter longer. Default 1s, 50ms to 60s, at least four heartbeats.
     pub election_timeout: Duration,
-    /// How long a quorum's answer lets a leader act. Default 700ms, below `election_timeout`
-    /// less the clock drift.
+    /// Duration of the leader lease that acknowledgements of a quorum grant. Default 700ms, 10ms to
+    /// 60s, at most `election_timeout` less twice the clock drift.
     pub lease: Duration,
-    /// Most that two clocks' rates differ. Default 50 thousandths, 0 to 200.
+    /// Maximum difference between the rates of two clocks. Default 50 thousandths, 0 to 200.
     pub clock_drift: Permille,
 }
 
-/// Orders to engines and readings of their states.
+/// Orders to engines and polls of their state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Between readings of an engine's state. Default 500ms, 50ms to 60s.
+    /// Interval between polls of an engine's state. Default 500ms, 50ms to 60s.
     pub state_poll: Duration,
-    /// After which an order or reading is given up. Default 2s, 50ms to 60s.
+    /// Timeout of an order or poll. Default 2s, 50ms to 60s.
     pub timeout: Duration,
-    /// Threads that carry them. Default 8, 1 to 256. A reading that takes 10 ms allows 600 a second
-    /// with 8; a leader of 9,500 engines ran with 64.
+    /// Threads that send orders and polls. Default 8, 1 to 256. With polls of 10 ms, 8 threads
+    /// handle 600 polls per second; a leader of 9,500 engines ran with 64 threads.
     pub workers: usize,
 }
 
-/// Ledger groups of the site.
+/// Number of ledger groups of the site.
 const LEDGER_GROUPS: IntegerSetting = IntegerSetting {
     key: "ledger_groups",
     default: 1,
     minimum: 1,
     maximum: 64,
 };
-/// Claims groups of the site.
+/// Number of claims groups of the site.
 pub(crate) const CLAIMS_GROUPS: IntegerSetting = IntegerSetting {
     key: "claims_groups",
     default: 1,
@@ -106,83 +106,84 @@
     minimum: Bytes(MIB / 16),
     maximum: Bytes(4 * GIB),
 };
-/// How long a node's configuration lease lasts.
+/// Duration of a node's configuration lease.
 const CONFIGURATION_LEASE: DurationSetting = DurationSetting {
     key: "configuration_lease",
     default: Duration::from_secs(5),
     minimum: Duration::from_millis(500),
     maximum: Duration::from_secs(30),
 };
-/// Lines kept in the log ring.
+/// Capacity of the log ring buffer, in lines.
 pub(crate) const LOG_LINES: IntegerSetting = IntegerSetting {
     key: "log_lines",
     default: 4096,
     minimum: 64,
     maximum: 1_000_000,
 };
-/// Time between a leader's heartbeats.
+/// Interval between a leader's heartbeats.
 const HEARTBEAT: DurationSetting = DurationSetting {
     key: "heartbeat",
     default: Duration::from_millis(100),
     minimum: Duration::from_millis(5),
     maximum: Duration::from_secs(5),
 };
-/// Shortest silence after which a member campaigns.
+/// Minimum time without a heartbeat after which a member starts an election.
 const ELECTION_TIMEOUT: DurationSetting = DurationSetting {
     key: "election_timeout",
     default: Duration::from_secs(1),
     minimum: Duration::from_millis(50),
     maximum: Duration::from_secs(60),
 };
-/// How long a quorum's answer lets a leader act.
+/// Duration of the leader lease that acknowledgements of a quorum grant.
 const LEASE: DurationSetting = DurationSetting {
     key: "lease",
     default: Duration::from_millis(700),
     minimum: Duration::from_millis(10),
     maximum: Duration::from_secs(60),
 };
-/// Most that two clocks' rates differ, in thousandths.
+/// Maximum difference between the rates of two clocks, in thousandths.
 const CLOCK_DRIFT: IntegerSetting = IntegerSetting {
     key: "clock_drift",
     default: 50,
     minimum: 0,
     maximum: 200,
 };
-/// Time between readings of an engine's state.
+/// Interval between polls of an engine's state.
 const STATE_POLL: DurationSetting = DurationSetting {
     key: "state_poll",
     default: Duration::from_millis(500),
     minimum: Duration::from_millis(50),
     maximum: Duration::from_secs(60),
 };
-/// Time after which an order or a reading is given up.
+/// Timeout of an order or poll.
 const ORDER_TIMEOUT: DurationSetting = DurationSetting {
     key: "timeout",
     default: Duration::from_secs(2),
     minimum: Duration::from_millis(50),
     maximum: Duration::from_secs(60),
 };
-/// Threads that carry orders and readings.
+/// Threads that send orders and polls.
 const ORDER_WORKERS: IntegerSetting = IntegerSetting {
     key: "workers",
     default: 8,
     minimum: 1,
     maximum: 256,
 };
-/// Identity of a founding member; it must be there, so the default is not used.
+/// Identity of a founding member; the key is required, so the default is unused.
 const FOUNDING_ID: IntegerSetting = IntegerSetting {
     key: "id",
     default: 0,
     minimum: 1,
     maximum: u32::MAX as u64,
 };
-/// A site is founded with an odd number of members, so that no member is there in vain.
+/// Allowed numbers of initial members. They are odd, because an additional member that makes the
+/// number even does not increase the number of failures a group tolerates.
 const FOUNDING_SIZES: [usize; 4] = [1, 3, 5, 7];
 
 /// Parses the settings of a replica.
 ///
 /// # Errors
-/// All that is wrong with them.
+/// Returns every error in the file.
 pub fn replica_from_text(
     file: &str,
     text: &str,
--- a/crates/nodes/wingshore-settings/src/site.rs
+++ b/crates/nodes/wingshore-settings/src/site.rs
@@ -1,4 +1,4 @@
-//! The site file: services, servers and pools, as an operator applies them by a plan.
+//! The site file: services, servers and pools, which an operator applies through a plan.
 
 use crate::document::Document;
 use crate::error::{ErrorSink, SettingsErrors};
@@ -23,7 +23,7 @@
 }
 
 impl SiteFile {
-    /// The changes that bring an empty configuration to this one.
+    /// Returns the changes that turn an empty configuration into this one.
     pub fn changes(&self) -> Vec<ConfigurationChange> {
         let services = self.services.iter().cloned();
         let servers = self.servers.iter().cloned();
@@ -36,41 +36,42 @@
     }
 }
 
+/// Value of a service's `kind` key.
 #[derive(Clone, Copy)]
 enum DeclaredKind {
     Engines,
     Live,
 }
 
-/// Most requests in flight on one server.
+/// Maximum requests in flight on one server.
 const SLOTS_PER_SERVER: IntegerSetting = IntegerSetting {
     key: "slots_per_server",
     default: 16,
     minimum: 1,
     maximum: 4096,
 };
-/// Slots guaranteed to live requests, in thousandths.
+/// Share of slots guaranteed to live requests, in thousandths.
 const LIVE_SHARE: IntegerSetting = IntegerSetting {
     key: "live_share",
     default: 500,
     minimum: 0,
     maximum: 1000,
 };
-/// Longest time that a request takes whose caller states no deadline.
+/// Deadline of a request whose caller sets none.
 const DEFAULT_DEADLINE: DurationSetting = DurationSetting {
     key: "default_deadline",
     default: Duration::from_secs(30),
     minimum: Duration::from_millis(10),
     maximum: Duration::from_secs(3600),
 };
-/// Most versions by which a delivered sample lags the trainer's.
+/// Maximum number of weight versions by which a delivered sample is older than the trainer's.
 const STALENESS_BOUND: IntegerSetting = IntegerSetting {
     key: "staleness_bound",
     default: 2,
     minimum: 0,
     maximum: 1000,
 };
-/// Weight of the trainer's idle time against staleness, in thousandths.
+/// Weight of the trainer's idle time relative to staleness, in thousandths.
 const IDLE_WEIGHT: IntegerSetting = IntegerSetting {
     key: "idle_weight",
     default: 500,
@@ -84,14 +85,14 @@
     minimum: 1,
     maximum: 64,
 };
-/// Most samples submitted and not yet acknowledged.
+/// Maximum number of samples submitted and not yet acknowledged.
 const MAX_OPEN_SAMPLES: IntegerSetting = IntegerSetting {
     key: "max_open_samples",
     default: 65_536,
     minimum: 1,
     maximum: 1_000_000,
 };
-/// How long a node may hold a sample without renewing its lease.
+/// Duration of a node's lease on a sample, unless renewed.
 const SAMPLE_LEASE: DurationSetting = DurationSetting {
     key: "sample_lease",
     default: Duration::from_secs(10),
@@ -102,7 +103,7 @@
 /// Parses a site file.
 ///
 /// # Errors
-/// All that is wrong with it, duplicate ids and dangling names too.
+/// Returns every error in the file, including duplicate ids and references to undefined names.
 pub fn site_from_text(file: &str, text: &str) -> Result<SiteFile, SettingsErrors> {
     let sink = ErrorSink::new(file);
     let site = Document::parse(text, &sink).map(|document| read(document.reader(&sink)));
@@ -123,8 +124,8 @@
     }
 }
 
-/// Services as far as they can be read. One with an error still has its name, so that what
-/// refers to it is not called wrong for that.
+/// The services of the file. A service with errors is missing from `valid`, but its id is in
+/// `ids_in_file`, so that references to it are not reported as errors.
 #[derive(Default)]
 struct Services {
     valid: Vec<Service>,
@@ -161,7 +162,8 @@
             .map(|model| ServiceKind::Engines { model }),
         Some(DeclaredKind::Live) => Some(ServiceKind::Live),
         None => {
-            // Whether it is to have a model is not known.
+            // Without a valid kind it is unknown whether the service needs a model, so the key is
+            // accepted.
             let _ = keys.optional_text("model");
             None
         }
@@ -283,6 +285,7 @@
     })
 }
 
+/// Reports a reference to a service that the file does not define.
 fn check_service(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
     if services.ids_in_file.contains(id) {
         return;
@@ -295,6 +298,7 @@
     );
 }
 
+/// Reports a pool whose service is of kind live.
 fn check_serves_engines(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
     let live = services
         .valid
@@ -313,6 +317,7 @@
     }
 }
 
+/// Describes a reference to one of the names listed under `kind`.
 fn listed_names_rule(kind: &str, known: &[&str]) -> String {
     if known.is_empty() {
         return format!("a name listed under `{kind}`; none is");
--- a/crates/nodes/wingshore-settings/src/units.rs
+++ b/crates/nodes/wingshore-settings/src/units.rs
@@ -1,9 +1,9 @@
-//! Settings with a range, and numbers with units.
+//! Settings with a range, and values with units.
 
 use crate::document::Value;
 use std::time::Duration;
 
-/// A setting with a range.
+/// Key, default and inclusive range of a setting.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RangedSetting<T> {
     pub(crate) key: &'static str,
@@ -12,11 +12,11 @@
     pub(crate) maximum: T,
 }
 
-/// A duration setting.
+/// A setting that is a duration.
 pub(crate) type DurationSetting = RangedSetting<Duration>;
-/// A whole-number setting.
+/// A setting that is a whole number.
 pub(crate) type IntegerSetting = RangedSetting<u64>;
-/// A size setting.
+/// A setting that is a size in bytes.
 pub(crate) type SizeSetting = RangedSetting<Bytes>;
 
 /// A number of bytes.
@@ -24,27 +24,27 @@
 pub(crate) struct Bytes(pub(crate) u64);
 
 impl<T: RangedValue> RangedSetting<T> {
-    /// The range as errors and the list of settings show it.
+    /// Describes the range for errors and for the list of settings.
     pub(crate) fn rule(&self) -> String {
         T::rule(&self.minimum.show(), &self.maximum.show())
     }
 
-    /// What `value` says, if that is within the range.
+    /// Parses `value`; `None` if it has the wrong type or is out of range.
     pub(crate) fn parse(&self, value: &Value) -> Option<T> {
         let parsed = T::parse(value);
         parsed.filter(|value| (self.minimum..=self.maximum).contains(value))
     }
 }
 
-/// What a setting with a range may be.
+/// A type of value that a [`RangedSetting`] can have.
 pub(crate) trait RangedValue: Copy + PartialOrd {
-    /// The value as errors and the list of settings show it.
+    /// Formats the value for errors and for the list of settings.
     fn show(self) -> String;
 
-    /// What is allowed from `minimum` to `maximum`.
+    /// Describes the values from `minimum` to `maximum`.
     fn rule(minimum: &str, maximum: &str) -> String;
 
-    /// The value in a file, whatever its size; `None` where it is another kind of value.
+    /// Parses a value of a file without a range check; `None` if it is not of this type.
     fn parse(value: &Value) -> Option<Self>;
 }
 
@@ -57,7 +57,7 @@
         format!("a duration with unit from \"{minimum}\" to \"{maximum}\"")
     }
 
-    /// Parses `"250ms"`, `"5s"`, `"1h 30m"`; a number without a unit is refused.
+    /// Parses `"250ms"`, `"5s"`, `"1h 30m"`; a number without a unit is rejected.
     fn parse(value: &Value) -> Option<Self> {
         let Value::Text(text) = value else {
             return None;
@@ -99,7 +99,7 @@
         format!("a size with unit (KiB, MiB, GiB) from \"{minimum}\" to \"{maximum}\"")
     }
 
-    /// Parses `"512KiB"`, `"16MiB"`, `"2GiB"`; a number without a unit is refused.
+    /// Parses `"512KiB"`, `"16MiB"`, `"2GiB"`; a number without a unit is rejected.
     fn parse(value: &Value) -> Option<Self> {
         const UNITS: [(&str, u64); 3] = [("KiB", KIB), ("MiB", MIB), ("GiB", GIB)];
         let Value::Text(text) = value else {
@@ -113,9 +113,9 @@
     }
 }
 
-/// One kibibyte.
+/// Bytes in a kibibyte.
 pub(crate) const KIB: u64 = 1024;
-/// One mebibyte.
+/// Bytes in a mebibyte.
 pub(crate) const MIB: u64 = 1024 * KIB;
-/// One gibibyte.
+/// Bytes in a gibibyte.
 pub(crate) const GIB: u64 = 1024 * MIB;
