--- a/crates/nodes/wingshore-settings/tests/arbitrary_text.rs
+++ b/crates/nodes/wingshore-settings/tests/arbitrary_text.rs
@@ -1,4 +1,5 @@
-//! No text makes the parser panic, and no accepted text is outside the ranges.
+//! Tests that no text makes the parser panic, and that a lease is accepted exactly if it is within
+//! its range.
 
 use proptest::prelude::*;
 use wingshore_settings::{AnySettings, any_from_text};
--- a/crates/nodes/wingshore-settings/tests/broken_files.rs
+++ b/crates/nodes/wingshore-settings/tests/broken_files.rs
@@ -1,5 +1,5 @@
-//! Each broken file is refused with its key, line, what was found and what is allowed; several
-//! errors are named at once.
+//! Tests that each broken file is rejected with the key, the line, the value found and the allowed
+//! values, and that several errors are reported together.
 
 use googletest::prelude::*;
 use wingshore_settings::{AnySettings, Overrides, SettingsError, any_from_text, replica_from_text};
@@ -50,7 +50,7 @@
 weight_store = "127.0.0.1:9301"
 "#;
 
-/// One way to break a file: what to replace, and what the error must say.
+/// One way to break a valid file, and the expected error.
 struct Case {
     valid_file: &'static str,
     original: &'static str,
@@ -132,7 +132,7 @@
         .err()
         .map(|errors| errors.0.iter().map(|error| error.line).collect())
         .unwrap_or_default();
-    // Nothing for `data`, a number for the zone, an unknown key, an identity below 1.
+    // By line: `data` is missing, the zone is a number, `date` is unknown, the identity is below 1.
     expect_that!(lines, eq(&vec![1, 4, 6, 9]));
 }
 
--- a/crates/nodes/wingshore-settings/tests/golden_keys.rs
+++ b/crates/nodes/wingshore-settings/tests/golden_keys.rs
@@ -1,7 +1,8 @@
-//! Names and forms of the keys of all settings files, as users have written them.
+//! Tests that the keys of all settings files, and the form of their values, stay compatible with
+//! existing files.
 //!
-//! A key that is no longer read is noticed twice: a file that has it is refused, and another value
-//! of it reads as the same settings.
+//! Two tests detect a key that is no longer read: a file that contains it is rejected, and a change
+//! of its value does not change the settings.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
@@ -9,15 +10,15 @@
 
 /// A key of a settings file.
 struct Key {
-    /// With its table; `[]` stands for the table of a list.
+    /// The key, qualified with its table; `[]` marks a list of tables.
     path: &'static str,
     /// A value that differs from the default.
     value: &'static str,
-    /// Another such value; none where the file allows a single one.
+    /// Another valid value; `None` if the rest of the file allows only `value`.
     other_value: Option<&'static str>,
-    /// What the file says where the key is left out; `None` where it must be there.
+    /// Default as the list of settings shows it; `None` if the key is required.
     default: Option<&'static str>,
-    /// A value of a wrong form or out of range.
+    /// A value that has the wrong form or is out of range.
     invalid: &'static str,
 }
 
@@ -142,7 +143,8 @@
     ("site", SITE),
 ];
 
-/// A file with all keys of a role, where one has another value, or is left out.
+/// Returns a file with all keys of a role, in which the key at `path` has `value`, or is omitted if
+/// `value` is `None`.
 fn file_with(keys: &[Key], path: &str, value: Option<&str>) -> String {
     let mut text = String::new();
     let mut open_table = "";
@@ -175,7 +177,7 @@
     any_from_text("file.toml", &file_with(keys, path, value))
 }
 
-/// Whether the error is one of this key.
+/// Returns whether one of the errors is about the key at `path`.
 fn has_error_for(errors: &SettingsErrors, path: &str) -> bool {
     let path = path.replace("[]", "[1]");
     errors
@@ -221,7 +223,7 @@
 #[gtest]
 fn only_keys_with_a_default_may_be_left_out() {
     for (role, keys) in ROLES {
-        // Without zones, the zone of the server is an unknown one.
+        // Without `zones`, the file is rejected because the server refers to an unknown zone.
         for key in keys.iter().filter(|key| key.path != "zones") {
             match parse_with(keys, key.path, None) {
                 Ok(_) => expect_that!(key.default, some(anything()), "{role}: {}", key.path),
--- a/crates/nodes/wingshore-settings/tests/page.rs
+++ b/crates/nodes/wingshore-settings/tests/page.rs
@@ -1,10 +1,12 @@
-//! `docs/operations/settings.md` lists every key with its default and what is allowed, and no other.
+//! Tests that `docs/operations/settings.md` lists exactly the keys that exist, with their defaults
+//! and allowed values.
 
 use googletest::prelude::*;
 use std::path::Path;
 use wingshore_settings::{KeyDescription, catalogue};
 
-/// The cells of a key's row that the parsers decide; the last one is for people.
+/// Returns the expected cells of a key's row: name, default and allowed values. The last cell, the
+/// purpose of the key, is free text.
 fn cells(key: &KeyDescription) -> [String; 3] {
     let default = match &key.default {
         Some(default) => format!("`{default}`"),
@@ -14,7 +16,7 @@
     [format!("`{name}`"), default, key.allowed.clone()]
 }
 
-/// The rows of the table under the heading of `role`.
+/// Returns the rows of the table under the heading of `role`.
 fn rows(page: &str, role: &str) -> Vec<Vec<String>> {
     let heading = format!("\n## `role = \"{role}\"`\n");
     let section = page.split(&heading).nth(1).unwrap_or_default();
