--- a/crates/nodes/wingshore-ledger/src/samples/requests.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/requests.rs
@@ -1,12 +1,12 @@
-//! What a request to a ledger group asks for: its pool, an answer that needs no log entry, or an
-//! operation for the log.
+//! Mapping of requests to a ledger group: the pool, an answer that needs no log entry, or the log
+//! operation.
 
 use super::command::Operation;
 use super::pool::PoolLedger;
 use wingshore_types::PoolId;
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
 
-/// The pool a request is about.
+/// Returns the pool of a request.
 pub(super) fn request_pool(request: &LedgerRequest) -> &PoolId {
     match request {
         LedgerRequest::Configure { pool, .. }
@@ -24,7 +24,7 @@
     }
 }
 
-/// The answer to a request that would change nothing; it costs no log entry.
+/// Returns the answer to a request that would not change the state and needs no log entry.
 pub(super) fn answer_from_state(request: &LedgerRequest, pool: &PoolLedger) -> Option<LedgerReply> {
     match request {
         LedgerRequest::Submit { prompts, .. } => pool.answer_submission(prompts),
@@ -34,7 +34,7 @@
             most,
             ..
         } => {
-            let changes = pool.lease_would_change(node, *boot_id, *most);
+            let changes = pool.lease_changes_state(node, *boot_id, *most);
             (!changes).then(|| LedgerReply::Leases(Vec::new()))
         }
         LedgerRequest::Return { lease, .. } => {
@@ -60,8 +60,8 @@
     }
 }
 
-/// The operation a request asks for, when it is one that changes the state.
-pub(super) fn operation_of(request: LedgerRequest) -> Option<Operation> {
+/// Returns the log operation of a request, if the request maps directly to one.
+pub(super) fn operation_for(request: LedgerRequest) -> Option<Operation> {
     match request {
         LedgerRequest::Submit { pool, prompts } => Some(Operation::Submit { pool, prompts }),
         LedgerRequest::Acknowledge {
@@ -76,7 +76,7 @@
         LedgerRequest::Lease { .. }
         | LedgerRequest::Return { .. }
         | LedgerRequest::Finish { .. }
-        | LedgerRequest::Score { .. } => operation_of_node(request),
+        | LedgerRequest::Score { .. } => operation_for_node_request(request),
         LedgerRequest::Configure { .. }
         | LedgerRequest::Renew { .. }
         | LedgerRequest::Unscored { .. }
@@ -86,8 +86,8 @@
     }
 }
 
-/// The operation that a node asks for about samples it leases.
-fn operation_of_node(request: LedgerRequest) -> Option<Operation> {
+/// Returns the log operation of a node's request about its leases.
+fn operation_for_node_request(request: LedgerRequest) -> Option<Operation> {
     let operation = match request {
         LedgerRequest::Lease {
             pool,
