--- a/crates/nodes/wingshore-settings/tests/golden_keys.rs
+++ b/crates/nodes/wingshore-settings/tests/golden_keys.rs
@@ -15,7 +15,7 @@
     /// A value that differs from the default.
     value: &'static str,
     /// Another valid value; `None` if the rest of the file allows only `value`.
-    other_value: Option<&'static str>,
+    other: Option<&'static str>,
     /// Default as the list of settings shows it; `None` if the key is required.
     default: Option<&'static str>,
     /// A value that has the wrong form or is out of range.
@@ -25,14 +25,14 @@
 const fn key(
     path: &'static str,
     value: &'static str,
-    other_value: Option<&'static str>,
+    other: Option<&'static str>,
     default: Option<&'static str>,
     invalid: &'static str,
 ) -> Key {
     Key {
         path,
         value,
-        other_value,
+        other,
         default,
         invalid,
     }
@@ -198,9 +198,7 @@
     for (role, keys) in ROLES {
         let unchanged = parse_with(keys, "", None).ok();
         for key in keys {
-            let Some(other) = key.other_value else {
-                continue;
-            };
+            let Some(other) = key.other else { continue };
             let changed = parse_with(keys, key.path, Some(other));
             expect_that!(changed, ok(anything()), "{role}: {} = {other}", key.path);
             let differs = changed.ok() != unchanged;
