--- a/crates/nodes/wingshore-settings/src/site.rs
+++ b/crates/nodes/wingshore-settings/src/site.rs
@@ -1,4 +1,4 @@
-//! The site file: services, servers and pools, as an operator applies them by a plan.
+//! The site file: services, servers and pools, which an operator applies through a plan.
 
 use crate::document::Document;
 use crate::error::{ErrorSink, SettingsErrors};
@@ -23,7 +23,7 @@
 }
 
 impl SiteFile {
-    /// The changes that bring an empty configuration to this one.
+    /// Returns the changes that turn an empty configuration into this one.
     pub fn changes(&self) -> Vec<ConfigurationChange> {
         let services = self.services.iter().cloned();
         let servers = self.servers.iter().cloned();
@@ -36,41 +36,42 @@
     }
 }
 
+/// Value of a service's `kind` key.
 #[derive(Clone, Copy)]
-enum Kind {
+enum DeclaredKind {
     Engines,
     Live,
 }
 
-/// Most requests in flight on one server.
+/// Maximum requests in flight on one server.
 const SLOTS_PER_SERVER: IntegerSetting = IntegerSetting {
     key: "slots_per_server",
     default: 16,
     minimum: 1,
     maximum: 4096,
 };
-/// Slots guaranteed to live requests, in thousandths.
+/// Share of slots guaranteed to live requests, in thousandths.
 const LIVE_SHARE: IntegerSetting = IntegerSetting {
     key: "live_share",
     default: 500,
     minimum: 0,
     maximum: 1000,
 };
-/// Longest time that a request takes whose caller states no deadline.
+/// Deadline of a request whose caller sets none.
 const DEFAULT_DEADLINE: DurationSetting = DurationSetting {
     key: "default_deadline",
     default: Duration::from_secs(30),
     minimum: Duration::from_millis(10),
     maximum: Duration::from_secs(3600),
 };
-/// Most versions by which a delivered sample lags the trainer's.
+/// Maximum number of weight versions by which a delivered sample is older than the trainer's.
 const STALENESS_BOUND: IntegerSetting = IntegerSetting {
     key: "staleness_bound",
     default: 2,
     minimum: 0,
     maximum: 1000,
 };
-/// Weight of the trainer's idle time against staleness, in thousandths.
+/// Weight of the trainer's idle time relative to staleness, in thousandths.
 const IDLE_WEIGHT: IntegerSetting = IntegerSetting {
     key: "idle_weight",
     default: 500,
@@ -84,14 +85,14 @@
     minimum: 1,
     maximum: 64,
 };
-/// Most samples submitted and not yet acknowledged.
+/// Maximum number of samples submitted and not yet acknowledged.
 const MAX_OPEN_SAMPLES: IntegerSetting = IntegerSetting {
     key: "max_open_samples",
     default: 65_536,
     minimum: 1,
     maximum: 1_000_000,
 };
-/// How long a node may hold a sample without renewing its lease.
+/// Duration of a node's lease on a sample, unless renewed.
 const SAMPLE_LEASE: DurationSetting = DurationSetting {
     key: "sample_lease",
     default: Duration::from_secs(10),
@@ -102,7 +103,7 @@
 /// Parses a site file.
 ///
 /// # Errors
-/// All that is wrong with it, duplicate ids and dangling names too.
+/// Returns every error in the file, including duplicate ids and references to undefined names.
 pub fn site_from_text(file: &str, text: &str) -> Result<SiteFile, SettingsErrors> {
     let sink = ErrorSink::new(file);
     let site = Document::parse(text, &sink).map(|document| read(document.reader(&sink)));
@@ -117,18 +118,18 @@
     let pools = read_pools(&keys, &services);
     keys.finish();
     SiteFile {
-        services: services.whole,
+        services: services.valid,
         servers,
         pools,
     }
 }
 
-/// Services as far as they can be read. One with an error still has its name, so that what
-/// refers to it is not called wrong for that.
+/// The services of the file. A service with errors is missing from `valid`, but its id is in
+/// `ids_in_file`, so that references to it are not reported as errors.
 #[derive(Default)]
 struct Services {
-    whole: Vec<Service>,
-    names: Vec<ServiceId>,
+    valid: Vec<Service>,
+    ids_in_file: Vec<ServiceId>,
 }
 
 fn read_services(keys: &TableReader<'_>) -> Services {
@@ -136,12 +137,14 @@
     let mut ids = BTreeSet::new();
     for table in keys.tables("service") {
         let id = table.name::<ServiceId>("id");
-        refuse_duplicate(&table, id.as_ref().map(ServiceId::as_str), &mut ids);
-        let is_new = id.as_ref().is_some_and(|id| !services.names.contains(id));
+        reject_duplicate_id(&table, id.as_ref().map(ServiceId::as_str), &mut ids);
+        let is_new = id
+            .as_ref()
+            .is_some_and(|id| !services.ids_in_file.contains(id));
         let service = read_service(&table, id.clone());
         if is_new {
-            services.names.extend(id);
-            services.whole.extend(service);
+            services.ids_in_file.extend(id);
+            services.valid.extend(service);
         }
         table.finish();
     }
@@ -149,20 +152,24 @@
 }
 
 fn read_service(keys: &TableReader<'_>, id: Option<ServiceId>) -> Option<Service> {
-    let kinds = [("engines", Kind::Engines), ("live", Kind::Live)];
+    let kinds = [
+        ("engines", DeclaredKind::Engines),
+        ("live", DeclaredKind::Live),
+    ];
     let kind = match keys.required_choice("kind", &kinds) {
-        Some(Kind::Engines) => keys
+        Some(DeclaredKind::Engines) => keys
             .text("model")
             .map(|model| ServiceKind::Engines { model }),
-        Some(Kind::Live) => Some(ServiceKind::Live),
+        Some(DeclaredKind::Live) => Some(ServiceKind::Live),
         None => {
-            // Whether it is to have a model is not known.
+            // Without a valid kind it is unknown whether the service needs a model, so the key is
+            // accepted.
             let _ = keys.optional_text("model");
             None
         }
     };
-    let slots_per_server = keys.small_integer(&SLOTS_PER_SERVER);
-    let live_share = Permille(keys.small_integer(&LIVE_SHARE));
+    let slots_per_server = keys.ranged_integer(&SLOTS_PER_SERVER);
+    let live_share = Permille(keys.ranged_integer(&LIVE_SHARE));
     let default_deadline_ms = milliseconds(keys.ranged(&DEFAULT_DEADLINE));
     Some(Service {
         id: id?,
@@ -183,7 +190,7 @@
     let mut addresses = BTreeSet::new();
     for table in keys.tables("server") {
         let server = read_server(&table, services, zones);
-        refuse_duplicate(&table, server.as_ref().map(|s| s.id.as_str()), &mut ids);
+        reject_duplicate_id(&table, server.as_ref().map(|s| s.id.as_str()), &mut ids);
         if let Some(server) = server {
             if !addresses.insert(server.address) {
                 let found = format!("{} twice", server.address);
@@ -212,7 +219,11 @@
         && !zones.contains(zone)
     {
         let known: Vec<&str> = zones.iter().map(ZoneId::as_str).collect();
-        keys.reject("zone", &format!("\"{zone}\""), &one_of("zones", &known));
+        keys.reject(
+            "zone",
+            &format!("\"{zone}\""),
+            &listed_names_rule("zones", &known),
+        );
     }
     Some(Server {
         id: id?,
@@ -228,7 +239,7 @@
     let mut ids = BTreeSet::new();
     for table in keys.tables("pool") {
         let pool = read_pool(&table, services);
-        refuse_duplicate(&table, pool.as_ref().map(|p| p.id.as_str()), &mut ids);
+        reject_duplicate_id(&table, pool.as_ref().map(|p| p.id.as_str()), &mut ids);
         pools.extend(pool);
         table.finish();
     }
@@ -250,13 +261,13 @@
         ],
     );
     let staleness_bound = keys.ranged(&STALENESS_BOUND);
-    let idle_weight = Permille(keys.small_integer(&IDLE_WEIGHT));
-    let ledger = keys.small_integer(&LEDGER);
-    let max_open_samples = keys.small_integer(&MAX_OPEN_SAMPLES);
+    let idle_weight = Permille(keys.ranged_integer(&IDLE_WEIGHT));
+    let ledger = keys.ranged_integer(&LEDGER);
+    let max_open_samples = keys.ranged_integer(&MAX_OPEN_SAMPLES);
     let sample_lease_ms = milliseconds(keys.ranged(&SAMPLE_LEASE));
     if let Some(service) = &service {
         check_service(keys, service, services);
-        check_engines(keys, service, services);
+        check_serves_engines(keys, service, services);
     }
     Some(Pool {
         id: id?,
@@ -274,17 +285,23 @@
     })
 }
 
+/// Reports a reference to a service that the file does not define.
 fn check_service(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
-    if services.names.contains(id) {
+    if services.ids_in_file.contains(id) {
         return;
     }
-    let known: Vec<&str> = services.names.iter().map(ServiceId::as_str).collect();
-    keys.reject("service", &format!("\"{id}\""), &one_of("service", &known));
+    let known: Vec<&str> = services.ids_in_file.iter().map(ServiceId::as_str).collect();
+    keys.reject(
+        "service",
+        &format!("\"{id}\""),
+        &listed_names_rule("service", &known),
+    );
 }
 
-fn check_engines(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
+/// Reports a pool whose service is of kind live.
+fn check_serves_engines(keys: &TableReader<'_>, id: &ServiceId, services: &Services) {
     let live = services
-        .whole
+        .valid
         .iter()
         .any(|service| &service.id == id && service.kind == ServiceKind::Live);
     if live {
@@ -293,14 +310,15 @@
     }
 }
 
-fn refuse_duplicate(keys: &TableReader<'_>, id: Option<&str>, ids: &mut BTreeSet<String>) {
+fn reject_duplicate_id(keys: &TableReader<'_>, id: Option<&str>, ids: &mut BTreeSet<String>) {
     let Some(id) = id else { return };
     if !ids.insert(id.to_owned()) {
         keys.reject("id", &format!("\"{id}\" twice"), "each id once");
     }
 }
 
-fn one_of(kind: &str, known: &[&str]) -> String {
+/// Describes a reference to one of the names listed under `kind`.
+fn listed_names_rule(kind: &str, known: &[&str]) -> String {
     if known.is_empty() {
         return format!("a name listed under `{kind}`; none is");
     }
