--- a/crates/nodes/wingshore-relay/src/driver/frames.rs
+++ b/crates/nodes/wingshore-relay/src/driver/frames.rs
@@ -58,29 +58,29 @@
 
 /// Where watches came from.
 #[derive(Debug, Default)]
-pub(super) struct Watchers {
+pub(super) struct PendingWatches {
     next: u64,
-    waiting: HashMap<WatchTag, Watcher>,
+    waiting: HashMap<WatchTag, PendingWatch>,
 }
 
 #[derive(Debug)]
-struct Watcher {
+struct PendingWatch {
     connection: ConnectionHandle,
     id: RequestId,
 }
 
-impl Watchers {
+impl PendingWatches {
     /// Remembers a watch under a fresh tag.
     pub(super) fn add(&mut self, connection: ConnectionHandle, id: RequestId) -> WatchTag {
         let tag = WatchTag(self.next);
         self.next += 1;
-        self.waiting.insert(tag, Watcher { connection, id });
+        self.waiting.insert(tag, PendingWatch { connection, id });
         tag
     }
 
     /// Forgets the watches of a closed connection and returns their tags.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Vec<WatchTag> {
-        let is_of = |watcher: &Watcher| watcher.connection.id() == connection;
+        let is_of = |watcher: &PendingWatch| watcher.connection.id() == connection;
         let gone: Vec<WatchTag> = self
             .waiting
             .extract_if(|_, watcher| is_of(watcher))
@@ -102,7 +102,7 @@
     }
 
     /// Sends a watcher on to another relay or replica.
-    pub(super) fn send_elsewhere(&mut self, tag: WatchTag) {
+    pub(super) fn redirect(&mut self, tag: WatchTag) {
         self.reply(tag, GroupReply::NotLeader { leader: None });
     }
 
--- a/crates/nodes/wingshore-relay/src/driver/metrics.rs
+++ b/crates/nodes/wingshore-relay/src/driver/metrics.rs
@@ -19,7 +19,7 @@
     /// Watches answered.
     pub(super) answers: Counter,
     /// Watchers sent to another relay.
-    pub(super) sent_elsewhere: Counter,
+    pub(super) redirects: Counter,
     /// Watches sent upstream.
     pub(super) upstream_watches: Counter,
     /// Watches upstream without an answer.
@@ -36,7 +36,7 @@
             nodes: Gauge::default(),
             ready: AtomicBool::new(false),
             answers: Counter::default(),
-            sent_elsewhere: Counter::default(),
+            redirects: Counter::default(),
             upstream_watches: Counter::default(),
             upstream_failures: Counter::default(),
         };
@@ -49,7 +49,7 @@
     }
 
     /// Takes the relay's state over.
-    pub(super) fn show(&self, summary: RelaySummary) {
+    pub(super) fn set_summary(&self, summary: RelaySummary) {
         let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         self.revision
             .set(i64::try_from(summary.revision.0).unwrap_or(i64::MAX));
@@ -92,7 +92,7 @@
         registry.register(
             "sent_elsewhere",
             "Watchers sent to another relay",
-            self.sent_elsewhere.clone(),
+            self.redirects.clone(),
         );
         registry.register(
             "upstream_watches",
--- a/crates/nodes/wingshore-relay/src/driver/run.rs
+++ b/crates/nodes/wingshore-relay/src/driver/run.rs
@@ -1,7 +1,7 @@
 //! The relay's main loop.
 
 use super::admin::AdminServer;
-use super::frames::{RelayFrames, Watchers};
+use super::frames::{PendingWatches, RelayFrames};
 use super::metrics::Metrics;
 use super::upstream;
 use crate::state::{RelayInput, RelayOutput, RelayState, RelayTiming};
@@ -28,7 +28,7 @@
 const MAX_QUEUED_EVENTS: usize = 16_384;
 
 /// Longest time between two looks at the stop signal.
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a relay could not start.
 #[derive(Debug, Snafu)]
@@ -114,7 +114,7 @@
         let logger = diagnostics.logger().clone();
         let upstream =
             upstream::spawn(client.clone(), sent, events, logger).context(ThreadSnafu)?;
-        let parts = Parts {
+        let parts = RelayResources {
             server,
             admin,
             client,
@@ -158,7 +158,7 @@
 }
 
 /// What has to be stopped with a relay.
-struct Parts {
+struct RelayResources {
     server: Server,
     admin: Option<AdminServer>,
     client: GroupClient,
@@ -166,12 +166,17 @@
     diagnostics: Diagnostics,
 }
 
-fn serve(mut relay: Relay, incoming: Receiver<Event>, mut parts: Parts, stop: &StopSignal) {
+fn serve(
+    mut relay: Relay,
+    incoming: Receiver<Event>,
+    mut parts: RelayResources,
+    stop: &StopSignal,
+) {
     let logger = parts.diagnostics.logger();
     info!(logger, "relay started"; "address" => %parts.server.local_address());
     relay.serve(&incoming, stop);
     info!(logger, "relay stopping");
-    relay.send_all_elsewhere();
+    relay.redirect_all();
     // Threads that wait to hand an event over must not wait for a loop that has ended.
     drop(incoming);
     parts.server.stop();
@@ -215,7 +220,7 @@
 struct Relay {
     clock: Clock,
     state: RelayState,
-    watchers: Watchers,
+    pending_watches: PendingWatches,
     watches: Sender<WatchRequest>,
     metrics: Arc<Metrics>,
 }
@@ -226,7 +231,7 @@
         Self {
             clock,
             state: RelayState::new(clock.now(), RelayTiming::default()),
-            watchers: Watchers::default(),
+            pending_watches: PendingWatches::default(),
             watches,
             metrics,
         }
@@ -234,20 +239,21 @@
 
     fn serve(&mut self, incoming: &Receiver<Event>, stop: &StopSignal) {
         while !stop.is_stopping() {
-            let patience = self.patience();
-            match incoming.recv_timeout(patience) {
+            let wait_time = self.wait_time();
+            match incoming.recv_timeout(wait_time) {
                 Ok(event) => self.on_event(event),
                 Err(RecvTimeoutError::Timeout) => self.step(RelayInput::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.metrics.show(self.state.summary(self.clock.now()));
+            self.metrics
+                .set_summary(self.state.summary(self.clock.now()));
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn wait_time(&self) -> Duration {
         let next = self.state.next_tick();
-        next.map_or(STOP_POLL, |next| {
-            next.since(self.clock.now()).min(STOP_POLL)
+        next.map_or(STOP_POLL_INTERVAL, |next| {
+            next.since(self.clock.now()).min(STOP_POLL_INTERVAL)
         })
     }
 
@@ -258,12 +264,12 @@
                 id,
                 request,
             } => {
-                let tag = self.watchers.add(connection, id);
+                let tag = self.pending_watches.add(connection, id);
                 self.step(RelayInput::Watch { tag, request });
             }
             Event::ConnectionClosed(connection) => {
-                for tag in self.watchers.remove_connection(connection) {
-                    self.step(RelayInput::WatchGone(tag));
+                for tag in self.pending_watches.remove_connection(connection) {
+                    self.step(RelayInput::WatchClosed(tag));
                 }
             }
             Event::UpstreamAnswered { update, lease } => {
@@ -280,19 +286,19 @@
         let mut outputs = Vec::new();
         self.state.step(self.clock.now(), input, &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.apply_output(output);
         }
     }
 
-    fn carry_out(&mut self, output: RelayOutput) {
+    fn apply_output(&mut self, output: RelayOutput) {
         match output {
             RelayOutput::Answer { tag, update, lease } => {
                 self.metrics.answers.inc();
-                self.watchers.answer(tag, update, lease);
+                self.pending_watches.answer(tag, update, lease);
             }
             RelayOutput::Unavailable(tag) => {
-                self.metrics.sent_elsewhere.inc();
-                self.watchers.send_elsewhere(tag);
+                self.metrics.redirects.inc();
+                self.pending_watches.redirect(tag);
             }
             RelayOutput::SendUpstream(request) => {
                 self.metrics.upstream_watches.inc();
@@ -302,9 +308,9 @@
         }
     }
 
-    fn send_all_elsewhere(&mut self) {
-        for tag in self.watchers.tags() {
-            self.carry_out(RelayOutput::Unavailable(tag));
+    fn redirect_all(&mut self) {
+        for tag in self.pending_watches.tags() {
+            self.apply_output(RelayOutput::Unavailable(tag));
         }
     }
 }
--- a/crates/nodes/wingshore-relay/src/state/copy.rs
+++ b/crates/nodes/wingshore-relay/src/state/copy.rs
@@ -11,18 +11,18 @@
     configuration: Configuration,
     /// The changes up to `configuration`, the last one being that of its revision.
     changes: VecDeque<ConfigurationChange>,
-    kept_changes: usize,
-    wants_whole: bool,
+    retained_changes: usize,
+    needs_snapshot: bool,
     received: bool,
 }
 
 impl ConfigurationCopy {
-    pub(super) fn new(kept_changes: usize) -> Self {
+    pub(super) fn new(retained_changes: usize) -> Self {
         Self {
             configuration: Configuration::default(),
             changes: VecDeque::new(),
-            kept_changes,
-            wants_whole: false,
+            retained_changes,
+            needs_snapshot: false,
             received: false,
         }
     }
@@ -32,13 +32,13 @@
     }
 
     /// Whether any answer has come from upstream.
-    pub(super) fn is_received(&self) -> bool {
+    pub(super) fn has_received_update(&self) -> bool {
         self.received
     }
 
     /// The revision to ask upstream from; zero asks for the whole.
-    pub(super) fn wanted_from(&self) -> Revision {
-        if self.wants_whole {
+    pub(super) fn request_revision(&self) -> Revision {
+        if self.needs_snapshot {
             Revision(0)
         } else {
             self.revision()
@@ -48,11 +48,13 @@
     /// Takes an update in; returns whether it fits.
     pub(super) fn apply(&mut self, update: ConfigurationUpdate) -> bool {
         let fits = match update {
-            ConfigurationUpdate::Unchanged => !self.wants_whole || self.revision() == Revision(0),
+            ConfigurationUpdate::Unchanged => {
+                !self.needs_snapshot || self.revision() == Revision(0)
+            }
             ConfigurationUpdate::Delta { from, changes } => self.apply_delta(from, changes),
             ConfigurationUpdate::Snapshot(whole) => self.replace(*whole),
         };
-        self.wants_whole = !fits;
+        self.needs_snapshot = !fits;
         self.received |= fits;
         fits
     }
@@ -93,7 +95,7 @@
             return false;
         }
         self.changes.push_back(change);
-        if self.changes.len() > self.kept_changes {
+        if self.changes.len() > self.retained_changes {
             self.changes.pop_front();
         }
         true
--- a/crates/nodes/wingshore-relay/src/state/mod.rs
+++ b/crates/nodes/wingshore-relay/src/state/mod.rs
@@ -22,35 +22,35 @@
     /// here before it is passed on.
     pub upstream_wait: Duration,
     /// The same while some node waits for its first lease.
-    pub urgent_wait: Duration,
+    pub first_lease_wait: Duration,
     /// After news, time for the nodes' acknowledgements to come in before the next watch is sent.
-    pub gather: Duration,
+    pub acknowledgement_window: Duration,
     /// Pause after a failed watch.
-    pub retry_pause: Duration,
+    pub retry_delay: Duration,
     /// Longest time a watch of a node is held open.
-    pub longest_watch: Duration,
+    pub max_watch: Duration,
     /// Without any answer from upstream for this long, nodes are sent to other relays.
-    pub upstream_limit: Duration,
+    pub upstream_timeout: Duration,
     /// Acknowledgements older than this are not passed on: the node may be gone.
-    pub acknowledgement_limit: Duration,
+    pub max_acknowledgement_age: Duration,
     /// Nodes not heard of for this long are forgotten; longer than any lease.
-    pub forget_after: Duration,
+    pub node_retention: Duration,
     /// Changes kept for answers by delta; nodes further behind get the whole configuration.
-    pub kept_changes: usize,
+    pub retained_changes: usize,
 }
 
 impl Default for RelayTiming {
     fn default() -> Self {
         Self {
             upstream_wait: Duration::from_millis(500),
-            urgent_wait: Duration::from_millis(20),
-            gather: Duration::from_millis(30),
-            retry_pause: Duration::from_millis(100),
-            longest_watch: Duration::from_secs(1),
-            upstream_limit: Duration::from_millis(2500),
-            acknowledgement_limit: Duration::from_secs(2),
-            forget_after: Duration::from_secs(60),
-            kept_changes: 4096,
+            first_lease_wait: Duration::from_millis(20),
+            acknowledgement_window: Duration::from_millis(30),
+            retry_delay: Duration::from_millis(100),
+            max_watch: Duration::from_secs(1),
+            upstream_timeout: Duration::from_millis(2500),
+            max_acknowledgement_age: Duration::from_secs(2),
+            node_retention: Duration::from_secs(60),
+            retained_changes: 4096,
         }
     }
 }
@@ -66,7 +66,7 @@
         request: WatchRequest,
     },
     /// Nobody waits for the answer to this watch any more.
-    WatchGone(WatchTag),
+    WatchClosed(WatchTag),
     /// Upstream answered the watch that was sent last.
     UpstreamAnswered {
         /// News.
@@ -140,7 +140,7 @@
     /// A relay that holds nothing yet.
     pub fn new(now: Instant, timing: RelayTiming) -> Self {
         Self {
-            copy: ConfigurationCopy::new(timing.kept_changes),
+            copy: ConfigurationCopy::new(timing.retained_changes),
             nodes: NodeTable::default(),
             watches: OpenWatches::default(),
             upstream: Upstream::Idle { next: now },
@@ -153,27 +153,27 @@
     pub fn step(&mut self, now: Instant, input: RelayInput, out: &mut Vec<RelayOutput>) {
         match input {
             RelayInput::Watch { tag, request } => self.on_watch(now, tag, request, out),
-            RelayInput::WatchGone(tag) => {
+            RelayInput::WatchClosed(tag) => {
                 self.watches.remove(tag);
             }
             RelayInput::UpstreamAnswered { update, lease } => {
                 self.on_upstream_answer(now, update, lease);
                 self.answer(
                     now,
-                    self.watches.due(|watch| self.has_news(now, watch)),
+                    self.watches.matching(|watch| self.has_news(now, watch)),
                     out,
                 );
             }
             RelayInput::UpstreamFailed => self.on_upstream_failure(now),
-            RelayInput::Tick => self.nodes.forget(now, self.timing.forget_after),
+            RelayInput::Tick => self.nodes.remove_idle(now, self.timing.node_retention),
         }
-        self.answer_overdue(now, out);
+        self.answer_expired(now, out);
         self.send_upstream(now, out);
     }
 
     /// When [`RelayInput::Tick`] is wanted at the latest; `None` when only other inputs matter.
     pub fn next_tick(&self) -> Option<Instant> {
-        let cut_off = self.last_answer + self.timing.upstream_limit;
+        let cut_off = self.last_answer + self.timing.upstream_timeout;
         let first_deadline = self.watches.first_deadline();
         let first_answer = first_deadline.map(|deadline| deadline.min(cut_off));
         let next_watch = match self.upstream {
@@ -189,7 +189,7 @@
             revision: self.copy.revision(),
             open_watches: self.watches.len(),
             nodes: self.nodes.len(),
-            upstream_alive: self.copy.is_received() && !self.is_cut_off(now),
+            upstream_alive: self.copy.has_received_update() && !self.is_upstream_timed_out(now),
         }
     }
 
@@ -200,10 +200,10 @@
         request: WatchRequest,
         out: &mut Vec<RelayOutput>,
     ) {
-        let wait = Duration::from_millis(request.wait_ms).min(self.timing.longest_watch);
+        let wait = Duration::from_millis(request.wait_ms).min(self.timing.max_watch);
         let mut processes = Vec::with_capacity(request.acknowledgements.len());
         for acknowledgement in request.acknowledgements {
-            processes.push(self.nodes.hear(now, acknowledgement));
+            processes.push(self.nodes.record_acknowledgement(now, acknowledgement));
         }
         let lacked_lease = self.nodes.lease_left(now, &processes).is_zero();
         let watch = OpenWatch {
@@ -214,7 +214,7 @@
         };
         let has_news = self.has_news(now, &watch);
         self.watches.insert(tag, watch);
-        if has_news && !self.is_cut_off(now) {
+        if has_news && !self.is_upstream_timed_out(now) {
             self.answer(now, vec![tag], out);
         }
     }
@@ -230,10 +230,10 @@
             return;
         }
         self.last_answer = now;
-        self.nodes.grant(sent_at + lease);
+        self.nodes.grant_leases(sent_at + lease);
         let has_news = self.copy.revision() > before;
         let pause = if has_news {
-            self.timing.gather
+            self.timing.acknowledgement_window
         } else {
             Duration::ZERO
         };
@@ -241,15 +241,15 @@
     }
 
     fn on_upstream_failure(&mut self, now: Instant) {
-        self.nodes.send_again();
-        let next = now + self.timing.retry_pause;
+        self.nodes.requeue_in_flight();
+        let next = now + self.timing.retry_delay;
         self.upstream = Upstream::Idle { next };
     }
 
     /// Answers watches whose time is over; all of them, when nothing comes from upstream.
-    fn answer_overdue(&mut self, now: Instant, out: &mut Vec<RelayOutput>) {
-        if !self.is_cut_off(now) {
-            self.answer(now, self.watches.overdue(now), out);
+    fn answer_expired(&mut self, now: Instant, out: &mut Vec<RelayOutput>) {
+        if !self.is_upstream_timed_out(now) {
+            self.answer(now, self.watches.expired(now), out);
             return;
         }
         for tag in self.watches.tags() {
@@ -263,7 +263,7 @@
             let Some(watch) = self.watches.remove(tag) else {
                 continue;
             };
-            if !self.copy.is_received() {
+            if !self.copy.has_received_update() {
                 // "Unchanged" would say that there is no configuration.
                 out.push(RelayOutput::Unavailable(tag));
                 continue;
@@ -288,21 +288,21 @@
             Upstream::Idle { next } if next <= now => {}
             _ => return,
         }
-        let limit = self.timing.acknowledgement_limit;
+        let limit = self.timing.max_acknowledgement_age;
         let (acknowledgements, reason) = self.nodes.take_for_upstream(now, limit);
         let wait = match reason {
-            SendReason::FirstLease => self.timing.urgent_wait,
+            SendReason::FirstLease => self.timing.first_lease_wait,
             SendReason::Renewal => self.timing.upstream_wait,
         };
         self.upstream = Upstream::Waiting { sent_at: now };
         out.push(RelayOutput::SendUpstream(WatchRequest {
-            have: self.copy.wanted_from(),
+            have: self.copy.request_revision(),
             acknowledgements,
             wait_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
         }));
     }
 
-    fn is_cut_off(&self, now: Instant) -> bool {
-        now.since(self.last_answer) >= self.timing.upstream_limit
+    fn is_upstream_timed_out(&self, now: Instant) -> bool {
+        now.since(self.last_answer) >= self.timing.upstream_timeout
     }
 }
--- a/crates/nodes/wingshore-relay/src/state/nodes.rs
+++ b/crates/nodes/wingshore-relay/src/state/nodes.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Debug)]
 struct Node {
     in_force: Revision,
-    heard_at: Instant,
+    last_acknowledged_at: Instant,
     /// Whether its newest acknowledgement is to be part of the next upstream watch.
     pending: bool,
     /// Whether it is part of the upstream watch that is out, whatever came since.
     in_flight: bool,
-    lease_until: Option<Instant>,
+    lease_expires_at: Option<Instant>,
 }
 
 /// All nodes heard of lately.
@@ -40,7 +40,7 @@
     }
 
     /// Takes an acknowledgement in, to be passed on.
-    pub(super) fn hear(
+    pub(super) fn record_acknowledgement(
         &mut self,
         now: Instant,
         acknowledgement: NodeAcknowledgement,
@@ -48,13 +48,13 @@
         let process = (acknowledgement.node, acknowledgement.boot_id);
         let node = self.nodes.entry(process.clone()).or_insert(Node {
             in_force: Revision(0),
-            heard_at: now,
+            last_acknowledged_at: now,
             pending: true,
             in_flight: false,
-            lease_until: None,
+            lease_expires_at: None,
         });
         node.in_force = node.in_force.max(acknowledgement.in_force);
-        node.heard_at = now;
+        node.last_acknowledged_at = now;
         node.pending = true;
         process
     }
@@ -64,7 +64,7 @@
     pub(super) fn lease_left(&self, now: Instant, processes: &[NodeProcess]) -> Duration {
         let ends = processes.iter().map(|process| {
             let node = self.nodes.get(process);
-            node.and_then(|node| node.lease_until)
+            node.and_then(|node| node.lease_expires_at)
         });
         let shortest = ends.min().flatten();
         shortest.map_or(Duration::ZERO, |until| until.since(now))
@@ -80,13 +80,13 @@
         let mut acknowledgements = Vec::new();
         let mut reason = SendReason::Renewal;
         for ((name, boot_id), node) in &mut self.nodes {
-            let is_fresh = now.since(node.heard_at) <= limit;
+            let is_fresh = now.since(node.last_acknowledged_at) <= limit;
             node.in_flight = node.pending && is_fresh;
             node.pending = false;
             if !node.in_flight {
                 continue;
             }
-            if node.lease_until.is_none_or(|until| until <= now) {
+            if node.lease_expires_at.is_none_or(|until| until <= now) {
                 reason = SendReason::FirstLease;
             }
             acknowledgements.push(NodeAcknowledgement {
@@ -99,15 +99,15 @@
     }
 
     /// Upstream has answered: all nodes that were part of its watch hold a lease until then.
-    pub(super) fn grant(&mut self, until: Instant) {
+    pub(super) fn grant_leases(&mut self, until: Instant) {
         for node in self.nodes.values_mut().filter(|node| node.in_flight) {
             node.in_flight = false;
-            node.lease_until = node.lease_until.max(Some(until));
+            node.lease_expires_at = node.lease_expires_at.max(Some(until));
         }
     }
 
     /// Upstream has not answered: what was part of its watch goes into the next one.
-    pub(super) fn send_again(&mut self) {
+    pub(super) fn requeue_in_flight(&mut self) {
         for node in self.nodes.values_mut().filter(|node| node.in_flight) {
             node.in_flight = false;
             node.pending = true;
@@ -115,8 +115,8 @@
     }
 
     /// Forgets nodes not heard of for `limit`.
-    pub(super) fn forget(&mut self, now: Instant, limit: Duration) {
+    pub(super) fn remove_idle(&mut self, now: Instant, limit: Duration) {
         self.nodes
-            .retain(|_, node| node.in_flight || now.since(node.heard_at) < limit);
+            .retain(|_, node| node.in_flight || now.since(node.last_acknowledged_at) < limit);
     }
 }
--- a/crates/nodes/wingshore-relay/src/state/watches.rs
+++ b/crates/nodes/wingshore-relay/src/state/watches.rs
@@ -50,7 +50,7 @@
     }
 
     /// Those whose deadline has passed.
-    pub(super) fn overdue(&self, now: Instant) -> Vec<WatchTag> {
+    pub(super) fn expired(&self, now: Instant) -> Vec<WatchTag> {
         let passed = self
             .deadlines
             .iter()
@@ -59,8 +59,8 @@
     }
 
     /// Those that `is_due` says something of, in the order of their tags.
-    pub(super) fn due(&self, is_due: impl Fn(&OpenWatch) -> bool) -> Vec<WatchTag> {
-        let due = self.open.iter().filter(|(_, watch)| is_due(watch));
-        due.map(|(tag, _)| *tag).collect()
+    pub(super) fn matching(&self, is_match: impl Fn(&OpenWatch) -> bool) -> Vec<WatchTag> {
+        let matching = self.open.iter().filter(|(_, watch)| is_match(watch));
+        matching.map(|(tag, _)| *tag).collect()
     }
 }
--- a/crates/nodes/wingshore-relay/tests/fan_out.rs
+++ b/crates/nodes/wingshore-relay/tests/fan_out.rs
@@ -35,7 +35,7 @@
 }
 
 struct ControlState {
-    leads: usize,
+    leader_number: usize,
     leader: Leader,
     next: u64,
     waiting: BTreeMap<u64, (ConnectionHandle, RequestId)>,
@@ -58,7 +58,7 @@
     fn answer_due(&self) {
         let now = self.now();
         let mut state = self.lock();
-        state.leader.update_everywhere(now);
+        state.leader.update_in_force_everywhere(now);
         for answer in state.leader.due(now) {
             if let Some((connection, id)) = state.waiting.remove(&answer.number) {
                 let lease_ms = answer.lease.as_millis() as u64;
@@ -75,15 +75,15 @@
         state.leader.committed()
     }
 
-    fn everywhere(&self) -> Revision {
-        self.lock().leader.everywhere()
+    fn in_force_everywhere(&self) -> Revision {
+        self.lock().leader.in_force_everywhere()
     }
 
     /// The other replica leads from now on; what waits at the old one is never answered.
     fn move_leadership(&self) {
         let mut state = self.lock();
         let committed = state.leader.committed();
-        state.leads = 1 - state.leads;
+        state.leader_number = 1 - state.leader_number;
         state.leader = Leader::new(LEASE);
         state.waiting.clear();
         for _ in 0..committed.0 {
@@ -102,7 +102,7 @@
         };
         let now = self.control.now();
         let mut state = self.control.lock();
-        if state.leads != self.number {
+        if state.leader_number != self.number {
             return;
         }
         state.next += 1;
@@ -186,7 +186,7 @@
         let control = Arc::new(Control {
             clock: Clock::start(),
             state: Mutex::new(ControlState {
-                leads: 0,
+                leader_number: 0,
                 leader: Leader::new(LEASE),
                 next: 0,
                 waiting: BTreeMap::new(),
@@ -233,11 +233,11 @@
     /// Nodes with a lease that hold this revision.
     fn nodes_at(&self, revision: Revision) -> usize {
         let now = self.control.now();
-        let is_there = |view: &&Arc<Mutex<ConfigurationView>>| {
+        let has_revision = |view: &&Arc<Mutex<ConfigurationView>>| {
             let view = view.lock().unwrap();
             view.revision() == revision && view.holds_lease(now)
         };
-        self.views.iter().filter(is_there).count()
+        self.views.iter().filter(has_revision).count()
     }
 
     /// Drives the scripted replicas until the condition holds; whether it came.
@@ -252,9 +252,9 @@
         false
     }
 
-    fn reaches_all(&self, revision: Revision) -> bool {
+    fn wait_until_in_force(&self, revision: Revision) -> bool {
         self.wait_until(|site| {
-            site.nodes_at(revision) == NODES && site.control.everywhere() == revision
+            site.nodes_at(revision) == NODES && site.control.in_force_everywhere() == revision
         })
     }
 }
@@ -265,15 +265,18 @@
     site.control.commit();
     site.control.commit();
     let revision = site.control.commit();
-    expect_true!(site.reaches_all(revision), "after the start");
+    expect_true!(site.wait_until_in_force(revision), "after the start");
 
     site.control.move_leadership();
     let revision = site.control.commit();
-    expect_true!(site.reaches_all(revision), "after a leader change");
+    expect_true!(site.wait_until_in_force(revision), "after a leader change");
 
     site.relays[0].stop();
     let revision = site.control.commit();
-    expect_true!(site.reaches_all(revision), "after the loss of a relay");
+    expect_true!(
+        site.wait_until_in_force(revision),
+        "after the loss of a relay"
+    );
 
     // The replicas never met a node, only relays.
     for replica in &site.replicas {
--- a/crates/nodes/wingshore-relay/tests/leases.rs
+++ b/crates/nodes/wingshore-relay/tests/leases.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use googletest::prelude::*;
-use simulation::{Fault, LEASE, Parent, World};
+use simulation::{Fault, LEASE, Parent, Simulation};
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..60;
@@ -29,17 +29,25 @@
 fn no_lease_outlives_the_leaders_belief_and_all_catch_up_after_trouble() {
     for (name, parents) in topologies() {
         for seed in SEEDS {
-            let mut world = World::new(seed, &parents, NODES, Fault::None);
-            world.run_with_faults(Duration::from_secs(60));
-            expect_that!(world.violations, is_empty(), "{name}, seed {seed}");
+            let mut simulation = Simulation::new(seed, &parents, NODES, Fault::None);
+            simulation.run_with_faults(Duration::from_secs(60));
+            expect_that!(simulation.violations, is_empty(), "{name}, seed {seed}");
             // The longest freeze, then some watches.
-            world.run_healed(Duration::from_secs(20));
-            world.commit();
-            world.run_until(world.now() + Duration::from_secs(3));
-            expect_that!(world.violations, is_empty(), "{name}, seed {seed}");
-            expect_that!(world.up_to_date_nodes(), eq(NODES), "{name}, seed {seed}");
-            let committed = world.committed();
-            expect_that!(world.everywhere(), eq(committed), "{name}, seed {seed}");
+            simulation.run_healed(Duration::from_secs(20));
+            simulation.commit();
+            simulation.run_until(simulation.now() + Duration::from_secs(3));
+            expect_that!(simulation.violations, is_empty(), "{name}, seed {seed}");
+            expect_that!(
+                simulation.up_to_date_nodes(),
+                eq(NODES),
+                "{name}, seed {seed}"
+            );
+            let committed = simulation.committed();
+            expect_that!(
+                simulation.in_force_everywhere(),
+                eq(committed),
+                "{name}, seed {seed}"
+            );
         }
     }
 }
@@ -49,12 +57,12 @@
     for fault in [
         Fault::LeaseNotShortened,
         Fault::LeaseWithoutForwarding,
-        Fault::CountedFromArrival,
+        Fault::LeaseCountedFromArrival,
     ] {
         let caught = SEEDS.clone().any(|seed| {
-            let mut world = World::new(seed, &[Parent::Leader; 3], NODES, fault);
-            world.run_with_faults(Duration::from_secs(60));
-            !world.violations.is_empty()
+            let mut simulation = Simulation::new(seed, &[Parent::Leader; 3], NODES, fault);
+            simulation.run_with_faults(Duration::from_secs(60));
+            !simulation.violations.is_empty()
         });
         expect_true!(caught, "{fault:?}");
     }
@@ -62,16 +70,16 @@
 
 #[gtest]
 fn a_frozen_node_delays_in_force_by_its_lease_and_no_more() {
-    let mut world = World::new(1, &[Parent::Leader; 2], NODES, Fault::None);
-    world.run_healed(Duration::from_secs(10));
-    expect_that!(world.up_to_date_nodes(), eq(NODES));
-    world.freeze_for(0, Duration::from_secs(60));
-    world.commit();
-    world.run_until(world.now() + Duration::from_secs(1));
-    expect_that!(world.everywhere(), lt(world.committed()));
-    expect_that!(world.up_to_date_nodes(), eq(NODES - 1));
-    world.run_until(world.now() + LEASE);
-    expect_that!(world.everywhere(), eq(world.committed()));
-    expect_false!(world.holds_lease(0));
-    expect_that!(world.violations, is_empty());
+    let mut simulation = Simulation::new(1, &[Parent::Leader; 2], NODES, Fault::None);
+    simulation.run_healed(Duration::from_secs(10));
+    expect_that!(simulation.up_to_date_nodes(), eq(NODES));
+    simulation.freeze_for(0, Duration::from_secs(60));
+    simulation.commit();
+    simulation.run_until(simulation.now() + Duration::from_secs(1));
+    expect_that!(simulation.in_force_everywhere(), lt(simulation.committed()));
+    expect_that!(simulation.up_to_date_nodes(), eq(NODES - 1));
+    simulation.run_until(simulation.now() + LEASE);
+    expect_that!(simulation.in_force_everywhere(), eq(simulation.committed()));
+    expect_false!(simulation.holds_lease(0));
+    expect_that!(simulation.violations, is_empty());
 }
--- a/crates/nodes/wingshore-relay/tests/simulation/events.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/events.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     NodeSends(usize),
-    NodeGivesUp {
+    NodeTimesOut {
         node: usize,
         number: u64,
     },
@@ -42,7 +42,7 @@
         number: u64,
         request: WatchRequest,
     },
-    UpstreamGivesUp {
+    UpstreamTimesOut {
         relay: usize,
         number: u64,
     },
@@ -50,7 +50,7 @@
     RelayTick(usize),
     Commit,
     NodeRestarts(usize),
-    NodeMoves(usize),
+    NodeSwitchesRelay(usize),
     NodeFreezes(usize),
     RelayRestarts(usize),
 }
@@ -82,7 +82,7 @@
 
 pub fn new_relay(now: Instant, parent: Parent) -> Relay {
     let timing = RelayTiming {
-        kept_changes: 4,
+        retained_changes: 4,
         ..RelayTiming::default()
     };
     Relay {
--- a/crates/nodes/wingshore-relay/tests/simulation/leader.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/leader.rs
@@ -11,9 +11,9 @@
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 use wingshore_types::{Instant, NodeId, Revision, ServiceId};
 
-struct Belief {
+struct LeaseRecord {
     in_force: Revision,
-    ends: Instant,
+    expires_at: Instant,
 }
 
 struct OpenWatch {
@@ -34,9 +34,9 @@
 pub struct Leader {
     lease: Duration,
     changes: Vec<ConfigurationChange>,
-    beliefs: BTreeMap<(NodeId, u64), Belief>,
+    lease_records: BTreeMap<(NodeId, u64), LeaseRecord>,
     watches: Vec<OpenWatch>,
-    everywhere: Revision,
+    in_force_everywhere: Revision,
 }
 
 impl Leader {
@@ -44,9 +44,9 @@
         Self {
             lease,
             changes: Vec::new(),
-            beliefs: BTreeMap::new(),
+            lease_records: BTreeMap::new(),
             watches: Vec::new(),
-            everywhere: Revision(0),
+            in_force_everywhere: Revision(0),
         }
     }
 
@@ -54,8 +54,8 @@
         Revision(self.changes.len() as u64)
     }
 
-    pub fn everywhere(&self) -> Revision {
-        self.everywhere
+    pub fn in_force_everywhere(&self) -> Revision {
+        self.in_force_everywhere
     }
 
     pub fn commit(&mut self) {
@@ -76,12 +76,12 @@
         };
         for acknowledgement in request.acknowledgements {
             let process = (acknowledgement.node, acknowledgement.boot_id);
-            let belief = self.beliefs.entry(process).or_insert(Belief {
+            let record = self.lease_records.entry(process).or_insert(LeaseRecord {
                 in_force: Revision(0),
-                ends: now,
+                expires_at: now,
             });
-            belief.in_force = belief.in_force.max(acknowledgement.in_force);
-            belief.ends = belief.ends.max(now + self.lease);
+            record.in_force = record.in_force.max(acknowledgement.in_force);
+            record.expires_at = record.expires_at.max(now + self.lease);
         }
         self.watches.push(OpenWatch {
             relay,
@@ -112,16 +112,23 @@
     }
 
     /// Takes in what runs out, and returns the newest revision in force everywhere.
-    pub fn update_everywhere(&mut self, now: Instant) -> Revision {
-        self.beliefs.retain(|_, belief| belief.ends > now);
-        let lowest = self.beliefs.values().map(|belief| belief.in_force).min();
-        self.everywhere = self.everywhere.max(lowest.unwrap_or(self.committed()));
-        self.everywhere
+    pub fn update_in_force_everywhere(&mut self, now: Instant) -> Revision {
+        self.lease_records
+            .retain(|_, record| record.expires_at > now);
+        let lowest = self
+            .lease_records
+            .values()
+            .map(|record| record.in_force)
+            .min();
+        self.in_force_everywhere = self
+            .in_force_everywhere
+            .max(lowest.unwrap_or(self.committed()));
+        self.in_force_everywhere
     }
 
-    pub fn believed_end(&self, node: &NodeId, boot_id: u64) -> Option<Instant> {
-        let belief = self.beliefs.get(&(node.clone(), boot_id));
-        belief.map(|belief| belief.ends)
+    pub fn lease_expiry(&self, node: &NodeId, boot_id: u64) -> Option<Instant> {
+        let record = self.lease_records.get(&(node.clone(), boot_id));
+        record.map(|record| record.expires_at)
     }
 
     fn update_since(&self, have: Revision) -> ConfigurationUpdate {
--- a/crates/nodes/wingshore-relay/tests/simulation/mod.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/mod.rs
@@ -19,9 +19,9 @@
 pub const LEASE: Duration = Duration::from_secs(5);
 
 const NODE_WAIT_MS: u64 = 1000;
-const NODE_PATIENCE: Duration = Duration::from_millis(2500);
-const UPSTREAM_PATIENCE: Duration = Duration::from_secs(2);
-const NODE_PAUSE: Duration = Duration::from_millis(100);
+const NODE_TIMEOUT: Duration = Duration::from_millis(2500);
+const UPSTREAM_TIMEOUT: Duration = Duration::from_secs(2);
+const NODE_RETRY_DELAY: Duration = Duration::from_millis(100);
 const RELAY_TICK: Duration = Duration::from_millis(20);
 
 /// A deliberate mistake, to see that the checks can fail.
@@ -33,7 +33,7 @@
     /// Relays grant a lease whether or not the acknowledgement went upstream.
     LeaseWithoutForwarding,
     /// Nodes count the lease from the arrival of the answer.
-    CountedFromArrival,
+    LeaseCountedFromArrival,
 }
 
 /// Where a relay's watches go.
@@ -44,7 +44,7 @@
 }
 
 /// Everything, and the events to come.
-pub struct World {
+pub struct Simulation {
     now: Instant,
     generator: ChaCha8Rng,
     events: BTreeMap<(Instant, u64), Event>,
@@ -58,9 +58,9 @@
     pub violations: BTreeSet<String>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, parents: &[Parent], nodes: usize, fault: Fault) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Instant::ZERO,
             generator: ChaCha8Rng::seed_from_u64(seed),
             events: BTreeMap::new(),
@@ -76,23 +76,23 @@
             violations: BTreeSet::new(),
         };
         for node in 0..nodes {
-            let relay = world.generator.random_range(0..parents.len());
-            let boot_id = world.number();
-            world.nodes.push(new_node(boot_id, relay));
-            world.after(Duration::ZERO, Event::NodeSends(node));
+            let relay = simulation.generator.random_range(0..parents.len());
+            let boot_id = simulation.number();
+            simulation.nodes.push(new_node(boot_id, relay));
+            simulation.after(Duration::ZERO, Event::NodeSends(node));
         }
         for relay in 0..parents.len() {
-            world.after(Duration::ZERO, Event::RelayTick(relay));
+            simulation.after(Duration::ZERO, Event::RelayTick(relay));
         }
-        world.after(Duration::ZERO, Event::LeaderTick);
-        world
+        simulation.after(Duration::ZERO, Event::LeaderTick);
+        simulation
     }
 
     /// Lets `duration` pass with losses, restarts, moves, freezes and changes.
     pub fn run_with_faults(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
-            let event = self.random_trouble();
+            let event = self.random_fault_or_commit();
             self.after(Duration::ZERO, event);
             let pause = Duration::from_millis(self.generator.random_range(50..1500));
             self.run_until((self.now + pause).min(end));
@@ -113,8 +113,8 @@
         self.leader.committed()
     }
 
-    pub fn everywhere(&self) -> Revision {
-        self.leader.everywhere()
+    pub fn in_force_everywhere(&self) -> Revision {
+        self.leader.in_force_everywhere()
     }
 
     /// Nodes that hold a lease and the newest revision.
@@ -150,13 +150,13 @@
         self.now
     }
 
-    fn random_trouble(&mut self) -> Event {
+    fn random_fault_or_commit(&mut self) -> Event {
         let node = self.generator.random_range(0..self.nodes.len());
         let relay = self.generator.random_range(0..self.relays.len());
         match self.generator.random_range(0..10) {
             0..=4 => Event::Commit,
             5 => Event::NodeRestarts(node),
-            6 | 7 => Event::NodeMoves(node),
+            6 | 7 => Event::NodeSwitchesRelay(node),
             8 => Event::NodeFreezes(node),
             _ => Event::RelayRestarts(relay),
         }
@@ -165,7 +165,7 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::NodeSends(node) => self.node_sends(node),
-            Event::NodeGivesUp { node, number } => self.node_gives_up(node, number),
+            Event::NodeTimesOut { node, number } => self.on_node_timeout(node, number),
             Event::AtRelay {
                 relay,
                 from,
@@ -195,7 +195,7 @@
                 self.leader.on_watch(self.now, relay, number, request);
                 self.send_leader_answers();
             }
-            Event::UpstreamGivesUp { relay, number } => {
+            Event::UpstreamTimesOut { relay, number } => {
                 if self.relays[relay].outstanding == Some(number) {
                     self.relays[relay].outstanding = None;
                     self.step_relay(relay, RelayInput::UpstreamFailed);
@@ -214,7 +214,7 @@
                 self.send_leader_answers();
             }
             Event::NodeRestarts(node) => self.restart_node(node),
-            Event::NodeMoves(node) => self.move_node(node),
+            Event::NodeSwitchesRelay(node) => self.switch_relay(node),
             Event::NodeFreezes(node) => {
                 let time = Duration::from_millis(self.generator.random_range(100..12_000));
                 self.freeze_for(node, time);
@@ -250,20 +250,20 @@
         };
         let relay = state.relay;
         let from = Watcher::Node { node, number };
-        self.post(Event::AtRelay {
+        self.send_over_network(Event::AtRelay {
             relay,
             from,
             request,
         });
-        self.after(NODE_PATIENCE, Event::NodeGivesUp { node, number });
+        self.after(NODE_TIMEOUT, Event::NodeTimesOut { node, number });
     }
 
-    fn node_gives_up(&mut self, node: usize, number: u64) {
+    fn on_node_timeout(&mut self, node: usize, number: u64) {
         let is_current = self.nodes[node]
             .outstanding
             .is_some_and(|(sent, _)| sent == number);
         if is_current {
-            self.move_node(node);
+            self.switch_relay(node);
         }
     }
 
@@ -283,7 +283,7 @@
         match answer {
             Answer::Update(update, lease) => {
                 let counted_from = match self.fault {
-                    Fault::CountedFromArrival => self.now,
+                    Fault::LeaseCountedFromArrival => self.now,
                     _ => sent_at,
                 };
                 let state = &mut self.nodes[node];
@@ -291,7 +291,7 @@
                 state.view.apply(counted_from, update, lease);
                 self.after(Duration::ZERO, Event::NodeSends(node));
             }
-            Answer::Unavailable => self.move_node(node),
+            Answer::Unavailable => self.switch_relay(node),
         }
     }
 
@@ -313,7 +313,7 @@
         for output in out {
             match output {
                 RelayOutput::Answer { tag, update, lease } => {
-                    let lease = self.distort(lease);
+                    let lease = self.inject_lease_fault(lease);
                     self.answer(relay, tag, Answer::Update(update, lease));
                 }
                 RelayOutput::Unavailable(tag) => self.answer(relay, tag, Answer::Unavailable),
@@ -322,7 +322,7 @@
         }
     }
 
-    fn distort(&self, lease: Duration) -> Duration {
+    fn inject_lease_fault(&self, lease: Duration) -> Duration {
         match self.fault {
             Fault::LeaseNotShortened if !lease.is_zero() => LEASE,
             Fault::LeaseWithoutForwarding if lease.is_zero() => LEASE,
@@ -332,7 +332,7 @@
 
     fn answer(&mut self, relay: usize, tag: WatchTag, answer: Answer) {
         if let Some(to) = self.relays[relay].watchers.remove(&tag) {
-            self.post(Event::Answered { to, answer });
+            self.send_over_network(Event::Answered { to, answer });
         }
     }
 
@@ -352,7 +352,7 @@
         };
         for _ in 0..copies {
             let request = request.clone();
-            self.post(match parent {
+            self.send_over_network(match parent {
                 Parent::Leader => Event::AtLeader {
                     relay,
                     number,
@@ -365,7 +365,7 @@
                 },
             });
         }
-        self.after(UPSTREAM_PATIENCE, Event::UpstreamGivesUp { relay, number });
+        self.after(UPSTREAM_TIMEOUT, Event::UpstreamTimesOut { relay, number });
     }
 
     fn send_leader_answers(&mut self) {
@@ -378,7 +378,7 @@
         {
             let to = Watcher::Relay { relay, number };
             let answer = Answer::Update(update, lease);
-            self.post(Event::Answered { to, answer });
+            self.send_over_network(Event::Answered { to, answer });
         }
     }
 
@@ -386,19 +386,19 @@
         let relay = self.nodes[node].relay;
         let boot_id = self.number();
         self.nodes[node] = new_node(boot_id, relay);
-        self.after(NODE_PAUSE, Event::NodeSends(node));
+        self.after(NODE_RETRY_DELAY, Event::NodeSends(node));
     }
 
-    fn move_node(&mut self, node: usize) {
+    fn switch_relay(&mut self, node: usize) {
         let count = self.relays.len();
         let state = &mut self.nodes[node];
         state.relay = (state.relay + 1) % count;
         state.outstanding = None;
-        self.after(NODE_PAUSE, Event::NodeSends(node));
+        self.after(NODE_RETRY_DELAY, Event::NodeSends(node));
     }
 
     /// Delivers after a random delay, or never.
-    fn post(&mut self, event: Event) {
+    fn send_over_network(&mut self, event: Event) {
         let milliseconds = match self.generator.random_range(0..100) {
             0..3 if self.is_lossy => return,
             3..8 if self.is_lossy => self.generator.random_range(100..3000),
@@ -424,18 +424,18 @@
     /// A node that holds a lease is one that the leader believes to hold it, for at least as
     /// long, and has in force what the leader says is in force everywhere.
     fn check(&mut self) {
-        let everywhere = self.leader.update_everywhere(self.now);
+        let in_force_everywhere = self.leader.update_in_force_everywhere(self.now);
         for (number, node) in self.nodes.iter().enumerate() {
             if !node.view.holds_lease(self.now) {
                 continue;
             }
             let ends = self.now + node.view.lease_left(self.now);
             let name = NodeId::new(&format!("node-{number}"));
-            if self.leader.believed_end(&name, node.boot_id) < Some(ends) {
+            if self.leader.lease_expiry(&name, node.boot_id) < Some(ends) {
                 self.violations
                     .insert("a lease outlives the leader's belief".to_owned());
             }
-            if node.view.revision() < everywhere {
+            if node.view.revision() < in_force_everywhere {
                 self.violations
                     .insert("an older revision is in force under a lease".to_owned());
             }
--- a/crates/nodes/wingshore-relay/tests/state.rs
+++ b/crates/nodes/wingshore-relay/tests/state.rs
@@ -49,16 +49,16 @@
 }
 
 /// A relay, its clock, and what it wants done.
-struct Bench {
+struct TestRelay {
     state: RelayState,
     now: Instant,
     out: Vec<RelayOutput>,
 }
 
-impl Bench {
+impl TestRelay {
     fn new() -> Self {
         let timing = RelayTiming {
-            kept_changes: 10,
+            retained_changes: 10,
             ..RelayTiming::default()
         };
         let now = Instant::from_millis(1000);
@@ -74,7 +74,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn pass(&mut self, milliseconds: u64) -> Vec<RelayOutput> {
+    fn advance(&mut self, milliseconds: u64) -> Vec<RelayOutput> {
         self.now = self.now + Duration::from_millis(milliseconds);
         self.step(RelayInput::Tick)
     }
@@ -97,11 +97,11 @@
 
     /// A relay that holds `revision` and has a watch out without acknowledgements.
     fn at(revision: u64) -> Self {
-        let mut bench = Self::new();
-        bench.pass(0);
-        bench.upstream(snapshot(revision));
-        bench.pass(30);
-        bench
+        let mut relay = Self::new();
+        relay.advance(0);
+        relay.upstream(snapshot(revision));
+        relay.advance(30);
+        relay
     }
 }
 
@@ -120,15 +120,15 @@
 
 #[gtest]
 fn a_lease_is_shortened_by_the_time_since_the_upstream_watch_was_sent() {
-    let mut bench = Bench::at(3);
-    let parked = bench.watch(1, 3, acknowledgement("a", 1, 3));
+    let mut relay = TestRelay::at(3);
+    let parked = relay.watch(1, 3, acknowledgement("a", 1, 3));
     expect_that!(parked, is_empty());
     // The answer to a watch that was sent before the node was heard of is no lease for it.
-    let sent = bench.upstream(ConfigurationUpdate::Unchanged);
+    let sent = relay.upstream(ConfigurationUpdate::Unchanged);
     expect_that!(sent_acknowledgements(&sent), len(eq(1)));
-    let sent_at = bench.now;
-    bench.pass(300);
-    let answered = bench.upstream(ConfigurationUpdate::Unchanged);
+    let sent_at = relay.now;
+    relay.advance(300);
+    let answered = relay.upstream(ConfigurationUpdate::Unchanged);
     let left = LEASE - Duration::from_millis(300);
     expect_that!(
         answered,
@@ -136,10 +136,10 @@
     );
 
     // 900 ms later: counted from the same upstream watch, in which the node was.
-    bench.pass(400);
-    bench.watch(2, 3, acknowledgement("a", 1, 3));
-    let over = bench.pass(1000);
-    let left = LEASE - bench.now.since(sent_at);
+    relay.advance(400);
+    relay.watch(2, 3, acknowledgement("a", 1, 3));
+    let over = relay.advance(1000);
+    let left = LEASE - relay.now.since(sent_at);
     expect_that!(
         over,
         contains(eq(&answer(2, ConfigurationUpdate::Unchanged, left)))
@@ -148,25 +148,25 @@
 
 #[gtest]
 fn news_goes_out_at_once_and_without_a_lease_where_none_is_held() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.watch(2, 1, acknowledgement("b", 1, 1));
-    let answered = bench.upstream(delta(3, 4));
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.watch(2, 1, acknowledgement("b", 1, 1));
+    let answered = relay.upstream(delta(3, 4));
     expect_that!(
         answered,
         contains(eq(&answer(1, delta(3, 4), Duration::ZERO)))
     );
     // Node b was behind from the beginning, and was answered from the copy; it asks again.
     expect_that!(
-        bench.watch(3, 1, acknowledgement("b", 1, 1)),
+        relay.watch(3, 1, acknowledgement("b", 1, 1)),
         contains(eq(&answer(3, snapshot(4), Duration::ZERO)))
     );
 }
 
 #[gtest]
 fn watchers_get_a_delta_where_the_changes_are_kept_and_the_whole_otherwise() {
-    let mut bench = Bench::at(3);
-    bench.upstream(delta(3, 20));
+    let mut relay = TestRelay::at(3);
+    relay.upstream(delta(3, 20));
     for (have, expected) in [
         (20, None),
         (25, None),
@@ -175,7 +175,7 @@
         (9, Some(snapshot(20))),
         (0, Some(snapshot(20))),
     ] {
-        let answered = bench.watch(have, have, acknowledgement("a", 1, have));
+        let answered = relay.watch(have, have, acknowledgement("a", 1, have));
         let expected = expected.map(|update| answer(have, update, Duration::ZERO));
         let answered = answered
             .into_iter()
@@ -186,12 +186,12 @@
 
 #[gtest]
 fn only_nodes_heard_of_since_the_last_watch_are_passed_on_each_with_its_newest() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.watch(2, 3, acknowledgement("b", 1, 2));
-    bench.watch(3, 3, acknowledgement("b", 1, 3));
-    bench.watch(4, 3, acknowledgement("b", 2, 0));
-    let sent = bench.upstream(ConfigurationUpdate::Unchanged);
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.watch(2, 3, acknowledgement("b", 1, 2));
+    relay.watch(3, 3, acknowledgement("b", 1, 3));
+    relay.watch(4, 3, acknowledgement("b", 2, 0));
+    let sent = relay.upstream(ConfigurationUpdate::Unchanged);
     expect_that!(
         sent_acknowledgements(&sent),
         elements_are![
@@ -200,17 +200,17 @@
             eq(&acknowledgement("b", 2, 0)),
         ]
     );
-    let sent = bench.upstream(ConfigurationUpdate::Unchanged);
+    let sent = relay.upstream(ConfigurationUpdate::Unchanged);
     expect_that!(sent_acknowledgements(&sent), is_empty());
 }
 
 #[gtest]
 fn a_later_boot_of_a_node_does_not_inherit_its_lease() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    let answered = bench.watch(2, 0, acknowledgement("a", 2, 0));
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    let answered = relay.watch(2, 0, acknowledgement("a", 2, 0));
     expect_that!(
         answered,
         contains(eq(&answer(2, snapshot(3), Duration::ZERO)))
@@ -219,70 +219,70 @@
 
 #[gtest]
 fn a_relay_that_is_cut_off_sends_its_watchers_elsewhere() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.step(RelayInput::UpstreamFailed);
-    bench.now = bench.now + RelayTiming::default().upstream_limit;
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.step(RelayInput::UpstreamFailed);
+    relay.now = relay.now + RelayTiming::default().upstream_timeout;
     expect_that!(
-        bench.step(RelayInput::Tick),
+        relay.step(RelayInput::Tick),
         contains(eq(&RelayOutput::Unavailable(WatchTag(1))))
     );
-    expect_false!(bench.state.summary(bench.now).upstream_alive);
-    let refused = bench.watch(2, 0, acknowledgement("a", 1, 3));
+    expect_false!(relay.state.summary(relay.now).upstream_alive);
+    let refused = relay.watch(2, 0, acknowledgement("a", 1, 3));
     expect_that!(
         refused,
         contains(eq(&RelayOutput::Unavailable(WatchTag(2))))
     );
     // Nothing is open and a watch is out: only an answer matters, no tick.
-    expect_that!(bench.state.next_tick(), none());
+    expect_that!(relay.state.next_tick(), none());
 
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    expect_true!(bench.state.summary(bench.now).upstream_alive);
-    expect_that!(bench.watch(3, 3, acknowledgement("a", 1, 3)), is_empty());
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    expect_true!(relay.state.summary(relay.now).upstream_alive);
+    expect_that!(relay.watch(3, 3, acknowledgement("a", 1, 3)), is_empty());
 }
 
 #[gtest]
 fn a_failed_watch_passes_its_acknowledgements_on_again_but_not_old_ones() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    bench.step(RelayInput::UpstreamFailed);
-    expect_that!(sent_acknowledgements(&bench.pass(100)), len(eq(1)));
-    bench.now = bench.now + Duration::from_secs(10);
-    bench.step(RelayInput::UpstreamFailed);
-    expect_that!(sent_acknowledgements(&bench.pass(100)), is_empty());
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    relay.step(RelayInput::UpstreamFailed);
+    expect_that!(sent_acknowledgements(&relay.advance(100)), len(eq(1)));
+    relay.now = relay.now + Duration::from_secs(10);
+    relay.step(RelayInput::UpstreamFailed);
+    expect_that!(sent_acknowledgements(&relay.advance(100)), is_empty());
 }
 
 #[gtest]
 fn an_update_that_does_not_fit_grants_nothing_and_asks_for_the_whole() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    bench.upstream(delta(7, 8));
-    let sent = bench.pass(100);
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    relay.upstream(delta(7, 8));
+    let sent = relay.advance(100);
     let asks_for_whole = |output: &RelayOutput| match output {
         RelayOutput::SendUpstream(request) => request.have == Revision(0),
         _ => false,
     };
     expect_true!(sent.iter().any(asks_for_whole));
-    expect_that!(bench.state.summary(bench.now).revision, eq(Revision(3)));
+    expect_that!(relay.state.summary(relay.now).revision, eq(Revision(3)));
     // A lower revision than the one held is no answer either.
-    bench.upstream(snapshot(2));
-    expect_that!(bench.state.summary(bench.now).revision, eq(Revision(3)));
-    bench.pass(100);
-    bench.upstream(snapshot(8));
-    expect_that!(bench.state.summary(bench.now).revision, eq(Revision(8)));
+    relay.upstream(snapshot(2));
+    expect_that!(relay.state.summary(relay.now).revision, eq(Revision(3)));
+    relay.advance(100);
+    relay.upstream(snapshot(8));
+    expect_that!(relay.state.summary(relay.now).revision, eq(Revision(8)));
 }
 
 #[gtest]
 fn forgotten_watches_and_nodes_leave_nothing_behind() {
-    let mut bench = Bench::at(3);
-    bench.watch(1, 3, acknowledgement("a", 1, 3));
-    bench.step(RelayInput::WatchGone(WatchTag(1)));
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    bench.upstream(ConfigurationUpdate::Unchanged);
-    let summary = bench.state.summary(bench.now);
+    let mut relay = TestRelay::at(3);
+    relay.watch(1, 3, acknowledgement("a", 1, 3));
+    relay.step(RelayInput::WatchClosed(WatchTag(1)));
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    relay.upstream(ConfigurationUpdate::Unchanged);
+    let summary = relay.state.summary(relay.now);
     expect_that!((summary.open_watches, summary.nodes), eq((0, 1)));
-    bench.pass(60_000);
-    expect_that!(bench.state.summary(bench.now).nodes, eq(0));
+    relay.advance(60_000);
+    expect_that!(relay.state.summary(relay.now).nodes, eq(0));
 }
--- a/crates/nodes/wingshore-replica/src/admin.rs
+++ b/crates/nodes/wingshore-replica/src/admin.rs
@@ -45,13 +45,13 @@
             AdminSnafu { address, message }.build()
         })?;
         let own = server.server_addr().to_ip().unwrap_or(address);
-        let (wake_up, _) = Nudger::start(own).context(ThreadSnafu { name: "nudge" })?;
+        let (nudger, _) = Nudger::start(own).context(ThreadSnafu { name: "nudge" })?;
         let server = Arc::new(server);
         let serving = Arc::clone(&server);
         let name = "admin".to_owned();
         let thread = thread::Builder::new()
             .name(name.clone())
-            .spawn(move || serve(&serving, &state, &wake_up))
+            .spawn(move || serve(&serving, &state, &nudger))
             .context(ThreadSnafu { name })?;
         Ok(Self {
             server,
@@ -75,9 +75,9 @@
     }
 }
 
-fn serve(server: &Server, state: &AdminState, wake_up: &Nudger) {
+fn serve(server: &Server, state: &AdminState, nudger: &Nudger) {
     for request in server.incoming_requests() {
-        wake_up.on_request(request.remote_addr());
+        nudger.on_request(request.remote_addr());
         let answer = state.answer(request.method(), request.url());
         respond(request, answer);
     }
--- a/crates/nodes/wingshore-replica/src/effects/carrier.rs
+++ b/crates/nodes/wingshore-replica/src/effects/carrier.rs
@@ -1,7 +1,7 @@
 //! Threads that carry the control group's effects.
 
 use super::engine::EngineClient;
-use super::lease::LeaseView;
+use super::lease::SharedLease;
 use crate::error::{ReplicaError, ThreadSnafu};
 use crate::group::{EffectRunner, GroupEvent, Inbox};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
@@ -16,10 +16,10 @@
 use wingshore_types::{Epoch, Instant, ReplicaId, ServerId, Verdict};
 
 /// Effects of one kind that may wait for a thread; beyond that they fail as not run.
-const WAITING_EFFECTS: usize = 1024;
+const MAX_QUEUED_EFFECTS: usize = 1024;
 /// One thread of this many carries orders; a server that does not answer readings of its state
 /// then holds up no order.
-const ORDER_SHARE: usize = 4;
+const WORKERS_PER_ORDER_WORKER: usize = 4;
 
 /// What the carrying of effects needs to know.
 pub(crate) struct EffectSettings {
@@ -32,24 +32,24 @@
 pub(crate) struct ControlEffects {
     replica: ReplicaId,
     leader: LeaderSettings,
-    lease: Arc<LeaseView>,
+    lease: Arc<SharedLease>,
     clock: Clock,
     orders: Sender<ControlEffect>,
-    readings: Sender<ControlEffect>,
+    reads: Sender<ControlEffect>,
 }
 
 impl ControlEffects {
     /// Starts the threads; they end when the group does.
     pub(crate) fn start(
         settings: EffectSettings,
-        lease: Arc<LeaseView>,
+        lease: Arc<SharedLease>,
         clock: Clock,
         inbox: &Inbox<ControlLeader>,
     ) -> Result<Self, ReplicaError> {
         let workers = settings.orders.workers;
-        let order_workers = (workers / ORDER_SHARE).max(1);
+        let order_workers = (workers / WORKERS_PER_ORDER_WORKER).max(1);
         let reading_workers = workers.saturating_sub(order_workers).max(1);
-        let carrier = Carrier {
+        let worker = EffectWorker {
             client: EngineClient::new(settings.orders.timeout),
             lease: Arc::clone(&lease),
             clock,
@@ -60,14 +60,14 @@
             leader: settings.leader,
             lease,
             clock,
-            orders: carrier.start_threads("orders", order_workers)?,
-            readings: carrier.start_threads("readings", reading_workers)?,
+            orders: worker.start_threads("orders", order_workers)?,
+            reads: worker.start_threads("readings", reading_workers)?,
         })
     }
 }
 
 impl EffectRunner<ControlLeader> for ControlEffects {
-    fn on_leading(&mut self, epoch: Epoch) -> Option<ControlEvent> {
+    fn on_leadership_acquired(&mut self, epoch: Epoch) -> Option<ControlEvent> {
         self.lease.set_epoch(epoch);
         Some(ControlEvent::Configured {
             replica: self.replica,
@@ -75,19 +75,19 @@
         })
     }
 
-    fn on_lease(&mut self, until: Option<Instant>) {
-        self.lease.set_until(until);
+    fn set_lease_expiry(&mut self, expires_at: Option<Instant>) {
+        self.lease.set_expiry(expires_at);
     }
 
-    fn begin(&mut self, effect: ControlEffect) -> Option<ControlEvent> {
+    fn start_effect(&mut self, effect: ControlEffect) -> Option<ControlEvent> {
         let queue = match &effect {
             ControlEffect::SendOrder { .. } => &self.orders,
-            ControlEffect::ReadState { .. } | ControlEffect::ReadLoad { .. } => &self.readings,
+            ControlEffect::ReadState { .. } | ControlEffect::ReadLoad { .. } => &self.reads,
         };
         match queue.try_send(effect) {
             Ok(()) => None,
             Err(TrySendError::Full(effect) | TrySendError::Disconnected(effect)) => {
-                Some(not_begun(effect, self.clock.now()))
+                Some(not_run_event(effect, self.clock.now()))
             }
         }
     }
@@ -95,26 +95,26 @@
 
 /// What one thread needs.
 #[derive(Clone)]
-struct Carrier {
+struct EffectWorker {
     client: EngineClient,
-    lease: Arc<LeaseView>,
+    lease: Arc<SharedLease>,
     clock: Clock,
     inbox: Inbox<ControlLeader>,
 }
 
-impl Carrier {
+impl EffectWorker {
     fn start_threads(
         &self,
         name: &str,
         count: usize,
     ) -> Result<Sender<ControlEffect>, ReplicaError> {
-        let (sender, receiver) = bounded(WAITING_EFFECTS);
+        let (sender, receiver) = bounded(MAX_QUEUED_EFFECTS);
         for _ in 0..count {
-            let carrier = self.clone();
+            let worker = self.clone();
             let receiver = receiver.clone();
             thread::Builder::new()
                 .name(name.to_owned())
-                .spawn(move || carrier.run(&receiver))
+                .spawn(move || worker.run(&receiver))
                 .context(ThreadSnafu { name })?;
         }
         Ok(sender)
@@ -122,12 +122,12 @@
 
     fn run(&self, effects: &Receiver<ControlEffect>) {
         for effect in effects {
-            let event = self.carry_out(effect);
+            let event = self.execute(effect);
             self.inbox.event(GroupEvent::Effect(event));
         }
     }
 
-    fn carry_out(&self, effect: ControlEffect) -> ControlEvent {
+    fn execute(&self, effect: ControlEffect) -> ControlEvent {
         match effect {
             ControlEffect::SendOrder {
                 server,
@@ -179,7 +179,7 @@
 }
 
 /// No thread is free to carry the effect.
-fn not_begun(effect: ControlEffect, now: Instant) -> ControlEvent {
+fn not_run_event(effect: ControlEffect, now: Instant) -> ControlEvent {
     match effect {
         ControlEffect::SendOrder { server, order, .. } => ControlEvent::OrderAnswered {
             server,
--- a/crates/nodes/wingshore-replica/src/effects/engine.rs
+++ b/crates/nodes/wingshore-replica/src/effects/engine.rs
@@ -13,13 +13,13 @@
 use wingshore_types::platform::{EngineOrder, EngineState, LoadReport, NOT_RUN_HEADER};
 
 /// Connections kept open to one server.
-const IDLE_PER_SERVER: usize = 1;
+const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 1;
 /// Connections kept open to the servers that share an agent: engines that swap are read often.
-const IDLE_PER_AGENT: usize = 8;
+const MAX_IDLE_CONNECTIONS_PER_AGENT: usize = 8;
 /// A connection is not kept longer than this.
-const MAX_IDLE: Duration = Duration::from_secs(2);
+const MAX_IDLE_AGE: Duration = Duration::from_secs(2);
 /// Buffers of a connection, each way, in bytes; questions and answers are small.
-const BUFFER: usize = 8 << 10;
+const BUFFER_SIZE: usize = 8 << 10;
 
 /// Calls engines; clones share their connections.
 #[derive(Clone)]
@@ -40,7 +40,7 @@
         let url = format!("http://{address}/orders");
         match self.agents.agent(address).post(&url).send_json(order) {
             Ok(response) => order_answer(response),
-            Err(error) => OrderAnswer::Failed(verdict_of(&error)),
+            Err(error) => OrderAnswer::Failed(verdict_of_error(&error)),
         }
     }
 
@@ -57,9 +57,9 @@
     fn read<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Result<T, Verdict> {
         let url = format!("http://{address}{path}");
         let called = self.agents.agent(address).get(&url).call();
-        let mut response = called.map_err(|error| verdict_of(&error))?;
+        let mut response = called.map_err(|error| verdict_of_error(&error))?;
         if response.status() != StatusCode::OK {
-            return Err(verdict_of_refusal(&response));
+            return Err(verdict_of_response(&response));
         }
         response.body_mut().read_json().map_err(|_| Verdict::Ran)
     }
@@ -69,13 +69,13 @@
     let config = Agent::config_builder()
         .timeout_global(Some(timeout))
         .http_status_as_error(false)
-        .max_idle_connections(IDLE_PER_AGENT)
-        .max_idle_connections_per_host(IDLE_PER_SERVER)
-        .max_idle_age(MAX_IDLE)
+        .max_idle_connections(MAX_IDLE_CONNECTIONS_PER_AGENT)
+        .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS_PER_SERVER)
+        .max_idle_age(MAX_IDLE_AGE)
         .max_redirects(0)
         .proxy(None)
-        .input_buffer_size(BUFFER)
-        .output_buffer_size(BUFFER)
+        .input_buffer_size(BUFFER_SIZE)
+        .output_buffer_size(BUFFER_SIZE)
         .build();
     Agent::with_parts(config, DefaultConnector::default(), IpResolver)
 }
@@ -87,12 +87,12 @@
             Ok(fenced) => OrderAnswer::Fenced(fenced),
             Err(_) => OrderAnswer::Failed(Verdict::MayHaveRun),
         },
-        _ => OrderAnswer::Failed(verdict_of_refusal(&response)),
+        _ => OrderAnswer::Failed(verdict_of_response(&response)),
     }
 }
 
 /// An answer that is neither success nor a fence: only the server's own word makes it "not run".
-fn verdict_of_refusal(response: &Response<ureq::Body>) -> Verdict {
+fn verdict_of_response(response: &Response<ureq::Body>) -> Verdict {
     let not_run = response
         .headers()
         .get(NOT_RUN_HEADER)
@@ -105,7 +105,7 @@
 }
 
 /// Only a connection that never stood rules execution out.
-fn verdict_of(error: &ureq::Error) -> Verdict {
+fn verdict_of_error(error: &ureq::Error) -> Verdict {
     match error {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
--- a/crates/nodes/wingshore-replica/src/effects/mod.rs
+++ b/crates/nodes/wingshore-replica/src/effects/mod.rs
@@ -5,4 +5,4 @@
 mod lease;
 
 pub(crate) use carrier::{ControlEffects, EffectSettings};
-pub(crate) use lease::LeaseView;
+pub(crate) use lease::SharedLease;
--- a/crates/nodes/wingshore-replica/src/frames.rs
+++ b/crates/nodes/wingshore-replica/src/frames.rs
@@ -76,7 +76,7 @@
                 let Some(from) = connection.peer_replica() else {
                     return;
                 };
-                self.peers.note_incoming(from, connection);
+                self.peers.record_incoming(from, connection);
                 if let Some(port) = self.groups.get(&group) {
                     port.consensus(from, message);
                 }
@@ -86,6 +86,6 @@
     }
 
     fn on_closed(&self, connection: &ConnectionHandle) {
-        self.peers.note_closed(connection);
+        self.peers.remove_incoming(connection);
     }
 }
--- a/crates/nodes/wingshore-replica/src/group/delays.rs
+++ b/crates/nodes/wingshore-replica/src/group/delays.rs
@@ -6,41 +6,41 @@
 use wingshore_types::Instant;
 
 /// Most numbers that are waited for; further ones are left out of the histogram.
-const MAX_OPEN: usize = 1024;
+const MAX_PENDING: usize = 1024;
 
 /// Numbers that were reached on one side and not yet on the other.
 #[derive(Debug, Default)]
-pub(crate) struct Delays {
-    open: VecDeque<(u64, Instant)>,
+pub(crate) struct DelayTracker {
+    pending: VecDeque<(u64, Instant)>,
     newest: u64,
 }
 
-impl Delays {
+impl DelayTracker {
     /// Nothing up to `newest` is measured.
-    pub(crate) fn after(newest: u64) -> Self {
+    pub(crate) fn starting_at(newest: u64) -> Self {
         Self {
-            open: VecDeque::new(),
+            pending: VecDeque::new(),
             newest,
         }
     }
 
     /// The first side is at `number` now.
-    pub(crate) fn begin(&mut self, number: u64, now: Instant) {
+    pub(crate) fn record_start(&mut self, number: u64, now: Instant) {
         if number > self.newest {
             self.newest = number;
-            if self.open.len() < MAX_OPEN {
-                self.open.push_back((number, now));
+            if self.pending.len() < MAX_PENDING {
+                self.pending.push_back((number, now));
             }
         }
     }
 
     /// The other side is at `number` now: the delays of all that it has caught up with.
-    pub(crate) fn end(&mut self, number: u64, now: Instant) -> Vec<Duration> {
+    pub(crate) fn record_reached(&mut self, number: u64, now: Instant) -> Vec<Duration> {
         let mut delays = Vec::new();
-        while let Some((open, began)) = self.open.front().copied()
-            && open <= number
+        while let Some((pending, began)) = self.pending.front().copied()
+            && pending <= number
         {
-            self.open.pop_front();
+            self.pending.pop_front();
             delays.push(now.since(began));
         }
         delays
--- a/crates/nodes/wingshore-replica/src/group/driver.rs
+++ b/crates/nodes/wingshore-replica/src/group/driver.rs
@@ -1,8 +1,8 @@
 //! The thread that owns a group's host.
 
-use super::delays::Delays;
+use super::delays::DelayTracker;
 use super::kind::HostedLeader;
-use super::port::{GroupCall, GroupEvent, Inbox, Outbox, RequestOrigin};
+use super::port::{GroupCall, GroupEvent, Inbox, InboxReceiver, RequestOrigin};
 use super::writer::{self, WriteJob};
 use crate::error::{HostSnafu, ReplicaError, StorageSnafu, ThreadSnafu};
 use crate::metrics::GroupMetrics;
@@ -35,24 +35,24 @@
 /// Carries out what a leader machine wants done outside.
 pub(crate) trait EffectRunner<L: HostedLeader>: Send {
     /// A leadership begins: what the leader machine is to know first.
-    fn on_leading(&mut self, epoch: Epoch) -> Option<L::Event>;
+    fn on_leadership_acquired(&mut self, epoch: Epoch) -> Option<L::Event>;
     /// The lease, as of the last step; `None` when it is not held.
-    fn on_lease(&mut self, until: Option<Instant>);
+    fn set_lease_expiry(&mut self, until: Option<Instant>);
     /// Begins an effect; gives an event at once where it cannot even begin.
-    fn begin(&mut self, effect: L::Effect) -> Option<L::Event>;
+    fn start_effect(&mut self, effect: L::Effect) -> Option<L::Event>;
 }
 
 /// For leaders that want nothing done outside.
 pub(crate) struct NoEffects;
 
 impl<L: HostedLeader> EffectRunner<L> for NoEffects {
-    fn on_leading(&mut self, _epoch: Epoch) -> Option<L::Event> {
+    fn on_leadership_acquired(&mut self, _epoch: Epoch) -> Option<L::Event> {
         None
     }
 
-    fn on_lease(&mut self, _until: Option<Instant>) {}
+    fn set_lease_expiry(&mut self, _until: Option<Instant>) {}
 
-    fn begin(&mut self, _effect: L::Effect) -> Option<L::Event> {
+    fn start_effect(&mut self, _effect: L::Effect) -> Option<L::Event> {
         None
     }
 }
@@ -73,20 +73,20 @@
 pub(crate) fn start<L: HostedLeader>(
     setup: GroupSetup,
     inbox: Inbox<L>,
-    outbox: Outbox<L>,
+    receiver: InboxReceiver<L>,
     effects: impl EffectRunner<L> + 'static,
 ) -> Result<JoinHandle<Result<(), ReplicaError>>, ReplicaError> {
     let name = setup.group.to_string();
     thread::Builder::new()
         .name(name.clone())
-        .spawn(move || run(setup, inbox, outbox, effects))
+        .spawn(move || run(setup, inbox, receiver, effects))
         .context(ThreadSnafu { name })
 }
 
 fn run<L: HostedLeader>(
     setup: GroupSetup,
     inbox: Inbox<L>,
-    outbox: Outbox<L>,
+    receiver: InboxReceiver<L>,
     effects: impl EffectRunner<L>,
 ) -> Result<(), ReplicaError> {
     let group = setup.group;
@@ -109,18 +109,18 @@
         peers: setup.peers,
         metrics: setup.metrics,
         logger: setup.logger,
-        waiting: BTreeMap::new(),
+        pending_requests: BTreeMap::new(),
         next_tag: 0,
         events: Vec::new(),
         stopped: false,
-        commits: Delays::default(),
+        commits: DelayTracker::default(),
         revisions: None,
         next_progress: Instant::default(),
     };
-    let ended = driver.run(&outbox);
-    refuse_waiting(&outbox);
+    let ended = driver.run(&receiver);
+    reject_queued_requests(&receiver);
     // Whoever waits for room in a full queue goes on, the writer among them.
-    drop(outbox);
+    drop(receiver);
     // The driver and with it the writer's channel are gone: the writer ends.
     let written = writer.join();
     ended?;
@@ -128,8 +128,8 @@
 }
 
 /// Answers the requests that the group's end left in the queue: none of them has had an effect.
-fn refuse_waiting<L: HostedLeader>(outbox: &Outbox<L>) {
-    for (origin, _) in outbox.requests.try_iter() {
+fn reject_queued_requests<L: HostedLeader>(receiver: &InboxReceiver<L>) {
+    for (origin, _) in receiver.requests.try_iter() {
         origin.reply(GroupReply::NotLeader { leader: None });
     }
 }
@@ -143,25 +143,25 @@
     peers: Arc<Peers>,
     metrics: Arc<GroupMetrics>,
     logger: Logger,
-    waiting: BTreeMap<RequestTag, RequestOrigin>,
+    pending_requests: BTreeMap<RequestTag, RequestOrigin>,
     next_tag: u64,
     /// Events that arose in this thread, for the next step.
     events: Vec<L::Event>,
     stopped: bool,
     /// Own log entries until they are committed.
-    commits: Delays,
+    commits: DelayTracker,
     /// Revisions of this leadership until they are in force everywhere.
-    revisions: Option<Delays>,
+    revisions: Option<DelayTracker>,
     next_progress: Instant,
 }
 
 impl<L: HostedLeader, E: EffectRunner<L>> Driver<L, E> {
-    fn run(mut self, outbox: &Outbox<L>) -> Result<(), ReplicaError> {
+    fn run(mut self, receiver: &InboxReceiver<L>) -> Result<(), ReplicaError> {
         let mut inputs = Vec::new();
         let mut outputs = Vec::new();
         while !self.stopped {
-            self.await_input(outbox, &mut inputs)?;
-            self.drain(outbox, &mut inputs)?;
+            self.await_input(receiver, &mut inputs)?;
+            self.drain(receiver, &mut inputs)?;
             if self.stopped {
                 return Ok(());
             }
@@ -170,9 +170,9 @@
                 inputs.push(HostInput::Tick);
             }
             self.host.step_all(now, inputs.drain(..), &mut outputs);
-            self.effects.on_lease(lease_until(&self.host, now));
+            self.effects.set_lease_expiry(lease_expiry(&self.host, now));
             for output in outputs.drain(..) {
-                self.carry_out(output)?;
+                self.apply_output(output)?;
             }
             self.update_metrics(now);
         }
@@ -182,7 +182,7 @@
     /// Waits until there is something to do.
     fn await_input(
         &mut self,
-        outbox: &Outbox<L>,
+        receiver: &InboxReceiver<L>,
         inputs: &mut Vec<HostInput<L>>,
     ) -> Result<(), ReplicaError> {
         inputs.extend(self.events.drain(..).map(HostInput::Event));
@@ -191,8 +191,8 @@
             false => Duration::ZERO,
         };
         let received = select! {
-            recv(outbox.events) -> event => event.ok().and_then(|event| self.event_input(event).transpose()),
-            recv(outbox.requests) -> call => call.ok().map(|call| Ok(self.call_input(call))),
+            recv(receiver.events) -> event => event.ok().and_then(|event| self.event_input(event).transpose()),
+            recv(receiver.requests) -> call => call.ok().map(|call| Ok(self.call_input(call))),
             default(sleep.min(MAX_SLEEP)) => None,
         };
         inputs.extend(received.transpose()?);
@@ -202,17 +202,17 @@
     /// Takes what else is there, so that it shares one write.
     fn drain(
         &mut self,
-        outbox: &Outbox<L>,
+        receiver: &InboxReceiver<L>,
         inputs: &mut Vec<HostInput<L>>,
     ) -> Result<(), ReplicaError> {
         while inputs.len() < MAX_INPUTS_PER_STEP {
-            let Ok(event) = outbox.events.try_recv() else {
+            let Ok(event) = receiver.events.try_recv() else {
                 break;
             };
             inputs.extend(self.event_input(event)?);
         }
         while inputs.len() < MAX_INPUTS_PER_STEP {
-            let Ok(call) = outbox.requests.try_recv() else {
+            let Ok(call) = receiver.requests.try_recv() else {
                 break;
             };
             inputs.push(self.call_input(call));
@@ -244,23 +244,23 @@
         let (origin, call) = call;
         let tag = RequestTag(self.next_tag);
         self.next_tag += 1;
-        self.waiting.insert(tag, origin);
+        self.pending_requests.insert(tag, origin);
         match call {
             GroupCall::Machine(request) => HostInput::Request { tag, request },
             GroupCall::Membership(request) => HostInput::Membership { tag, request },
         }
     }
 
-    fn carry_out(&mut self, output: HostOutput<L>) -> Result<(), ReplicaError> {
+    fn apply_output(&mut self, output: HostOutput<L>) -> Result<(), ReplicaError> {
         match output {
             HostOutput::Send { to, message } => self.peers.send(to, self.group, message),
             HostOutput::Write { token, batch } => {
-                self.note_appended(&batch);
+                self.track_commits(&batch);
                 // A writer that is gone has reported why.
                 let _ = self.writes.send(WriteJob { token, batch });
             }
             HostOutput::Reply { tag, reply } => self.reply(tag, reply),
-            HostOutput::Effect(effect) => self.events.extend(self.effects.begin(effect)),
+            HostOutput::Effect(effect) => self.events.extend(self.effects.start_effect(effect)),
             HostOutput::MembershipChanged(membership) => {
                 self.peers.set_members(self.group, &membership);
             }
@@ -274,7 +274,7 @@
     }
 
     fn reply(&mut self, tag: RequestTag, reply: HostReply<L::Reply>) {
-        let Some(origin) = self.waiting.remove(&tag) else {
+        let Some(origin) = self.pending_requests.remove(&tag) else {
             return;
         };
         let body = match reply {
@@ -293,7 +293,8 @@
             Leadership::Leading { epoch } => {
                 info!(self.logger, "leading"; "group" => %self.group, "epoch" => epoch.0);
                 self.metrics.leaderships.inc();
-                self.events.extend(self.effects.on_leading(epoch));
+                self.events
+                    .extend(self.effects.on_leadership_acquired(epoch));
             }
             Leadership::Following { leader } => {
                 let leader = leader.map_or(0, |ReplicaId(leader)| leader);
@@ -303,69 +304,74 @@
     }
 
     /// A leader's own entries are followed until they are committed.
-    fn note_appended(&mut self, batch: &WriteBatch) {
+    fn track_commits(&mut self, batch: &WriteBatch) {
         if self.host.is_leader()
             && let Some(last) = batch.append.last()
         {
-            self.commits.begin(last.index.0, self.clock.now());
+            self.commits.record_start(last.index.0, self.clock.now());
         }
     }
 
     fn update_metrics(&mut self, now: Instant) {
         let leader = self.host.leader().is_some();
         self.metrics
-            .update(self.host.is_leader(), leader, self.host.term());
+            .set_leadership(self.host.is_leader(), leader, self.host.term());
         let commit = self.host.commit_index();
-        self.metrics
-            .update_log(commit, self.host.applied_index(), self.waiting.len());
+        self.metrics.set_log_progress(
+            commit,
+            self.host.applied_index(),
+            self.pending_requests.len(),
+        );
         if self.host.is_leader() {
-            let delays = self.commits.end(commit.0, now);
-            self.metrics.on_committed(&delays);
+            let delays = self.commits.record_reached(commit.0, now);
+            self.metrics.observe_commits(&delays);
         } else {
-            self.commits = Delays::after(commit.0);
+            self.commits = DelayTracker::starting_at(commit.0);
         }
-        self.update_configuration(now);
+        self.update_configuration_metrics(now);
     }
 
-    fn update_configuration(&mut self, now: Instant) {
+    fn update_configuration_metrics(&mut self, now: Instant) {
         if now < self.next_progress {
             return;
         }
         self.next_progress = now + PROGRESS_INTERVAL;
-        if !L::KNOWS_CONFIGURATION {
+        if !L::TRACKS_CONFIGURATION {
             return;
         }
         let machine = self.host.leader_machine();
         let progress = machine.and_then(|leader| leader.configuration_progress(self.host.state()));
-        self.metrics.on_configuration(progress.as_ref());
+        self.metrics.set_configuration_progress(progress.as_ref());
         let Some(progress) = progress else {
             self.revisions = None;
             return;
         };
         // Revisions from before this leadership are not measured.
         let newest = progress.committed.0;
-        let revisions = self.revisions.get_or_insert_with(|| Delays::after(newest));
-        revisions.begin(newest, now);
-        let delays = revisions.end(progress.everywhere.0, now);
-        self.metrics.on_in_force(&delays);
+        let revisions = self
+            .revisions
+            .get_or_insert_with(|| DelayTracker::starting_at(newest));
+        revisions.record_start(newest, now);
+        let delays = revisions.record_reached(progress.everywhere.0, now);
+        self.metrics.observe_in_force(&delays);
     }
 }
 
 /// When the lease that is held at `now` ends, to the millisecond below; `None` when it is not held.
-fn lease_until<L: HostedLeader>(host: &Host<L>, now: Instant) -> Option<Instant> {
+fn lease_expiry<L: HostedLeader>(host: &Host<L>, now: Instant) -> Option<Instant> {
     /// How exactly the end is found: the answer is early by less than this, never late. Small beside
     /// leases, which last hundreds of milliseconds.
-    const STEP: Duration = Duration::from_millis(1);
+    const PRECISION: Duration = Duration::from_millis(1);
     if !host.holds_lease(now) {
         return None;
     }
     let (mut held, mut ended) = (0_u32, MAX_LEASE_MS);
     while ended - held > 1 {
         let middle = held.midpoint(ended);
-        match host.holds_lease(now + STEP * middle) {
+        match host.holds_lease(now + PRECISION * middle) {
             true => held = middle,
             false => ended = middle,
         }
     }
-    Some(now + STEP * held)
+    Some(now + PRECISION * held)
 }
--- a/crates/nodes/wingshore-replica/src/group/kind.rs
+++ b/crates/nodes/wingshore-replica/src/group/kind.rs
@@ -17,7 +17,7 @@
     + 'static
 {
     /// Whether this kind knows how far the configuration has come.
-    const KNOWS_CONFIGURATION: bool = false;
+    const TRACKS_CONFIGURATION: bool = false;
     /// How far the configuration has come, where this kind knows.
     fn configuration_progress(&self, _state: &Self::State) -> Option<ConfigurationProgress> {
         None
@@ -25,7 +25,7 @@
 }
 
 impl HostedLeader for ControlLeader {
-    const KNOWS_CONFIGURATION: bool = true;
+    const TRACKS_CONFIGURATION: bool = true;
 
     fn configuration_progress(&self, state: &Self::State) -> Option<ConfigurationProgress> {
         Some(self.progress(state))
--- a/crates/nodes/wingshore-replica/src/group/port.rs
+++ b/crates/nodes/wingshore-replica/src/group/port.rs
@@ -9,9 +9,9 @@
 use wingshore_types::{ReplicaId, RequestId};
 
 /// Requests that may wait for a group; beyond that their connections are read no further.
-const WAITING_REQUESTS: usize = 4096;
+const MAX_QUEUED_REQUESTS: usize = 4096;
 /// Other inputs that may wait; beyond that consensus messages are dropped.
-const WAITING_EVENTS: usize = 4096;
+const MAX_QUEUED_EVENTS: usize = 4096;
 
 /// Where a request came from. One that is dropped without an answer, as when its group ends, is
 /// answered [`GroupReply::Unknown`].
@@ -77,7 +77,7 @@
 }
 
 /// The group thread's end of an [`Inbox`].
-pub(crate) struct Outbox<L: HostedLeader> {
+pub(crate) struct InboxReceiver<L: HostedLeader> {
     pub(crate) requests: Receiver<(RequestOrigin, GroupCall<L::Request>)>,
     pub(crate) events: Receiver<GroupEvent<L::Event>>,
 }
@@ -93,14 +93,14 @@
 
 impl<L: HostedLeader> Inbox<L> {
     /// Both ends.
-    pub(crate) fn new() -> (Self, Outbox<L>) {
-        let (request_sender, requests) = bounded(WAITING_REQUESTS);
-        let (event_sender, events) = bounded(WAITING_EVENTS);
+    pub(crate) fn new() -> (Self, InboxReceiver<L>) {
+        let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
+        let (event_sender, events) = bounded(MAX_QUEUED_EVENTS);
         let inbox = Self {
             requests: request_sender,
             events: event_sender,
         };
-        (inbox, Outbox { requests, events })
+        (inbox, InboxReceiver { requests, events })
     }
 
     /// Sends an event that must not be lost. A group that has ended needs none.
--- a/crates/nodes/wingshore-replica/src/metrics.rs
+++ b/crates/nodes/wingshore-replica/src/metrics.rs
@@ -16,14 +16,14 @@
 use wingshore_types::{GroupId, LogIndex};
 
 /// Shortest write that the histogram distinguishes, in seconds.
-const SHORTEST_WRITE: f64 = 0.000_1;
+const MIN_WRITE_BUCKET_SECONDS: f64 = 0.000_1;
 /// Each bucket of the histogram reaches twice as far as the one before.
 const BUCKET_FACTOR: f64 = 2.0;
 /// Buckets of the histogram; the last one ends at 3.3 s.
-const BUCKETS: u16 = 16;
+const WRITE_BUCKETS: u16 = 16;
 
 /// Shortest time until a revision is in force everywhere that is distinguished, in seconds.
-const SHORTEST_IN_FORCE: f64 = 0.05;
+const MIN_IN_FORCE_BUCKET_SECONDS: f64 = 0.05;
 /// Buckets for it; the last one ends at 25.6 s.
 const IN_FORCE_BUCKETS: u16 = 10;
 
@@ -37,7 +37,7 @@
 
 impl MetricConstructor<Histogram> for WriteBuckets {
     fn new_metric(&self) -> Histogram {
-        let buckets = exponential_buckets(SHORTEST_WRITE, BUCKET_FACTOR, BUCKETS);
+        let buckets = exponential_buckets(MIN_WRITE_BUCKET_SECONDS, BUCKET_FACTOR, WRITE_BUCKETS);
         Histogram::new(buckets)
     }
 }
@@ -165,7 +165,7 @@
             nodes: Gauge::default(),
             nodes_behind: Gauge::default(),
             in_force_seconds: Histogram::new(exponential_buckets(
-                SHORTEST_IN_FORCE,
+                MIN_IN_FORCE_BUCKET_SECONDS,
                 BUCKET_FACTOR,
                 IN_FORCE_BUCKETS,
             )),
@@ -198,14 +198,14 @@
 
 impl GroupMetrics {
     /// Notes how long entries took until they were committed.
-    pub(crate) fn on_committed(&self, delays: &[Duration]) {
+    pub(crate) fn observe_commits(&self, delays: &[Duration]) {
         for delay in delays {
             self.commit_seconds.observe(delay.as_secs_f64());
         }
     }
 
     /// Notes how far the configuration has come; `None` where this replica does not lead.
-    pub(crate) fn on_configuration(&self, progress: Option<&ConfigurationProgress>) {
+    pub(crate) fn set_configuration_progress(&self, progress: Option<&ConfigurationProgress>) {
         let metrics = &self.configuration;
         let gauge = |value: u64| saturate(value);
         metrics
@@ -222,7 +222,7 @@
     }
 
     /// Notes how long revisions took until they were in force everywhere.
-    pub(crate) fn on_in_force(&self, delays: &[Duration]) {
+    pub(crate) fn observe_in_force(&self, delays: &[Duration]) {
         for delay in delays {
             let histogram = &self.configuration.in_force_seconds;
             histogram.observe(delay.as_secs_f64());
@@ -230,7 +230,7 @@
     }
 
     /// Sets what concerns leadership.
-    pub(crate) fn update(&self, leading: bool, leader_known: bool, term: u64) {
+    pub(crate) fn set_leadership(&self, leading: bool, leader_known: bool, term: u64) {
         self.leading.set(i64::from(leading));
         self.leader_known.set(i64::from(leader_known));
         self.term.set(saturate(term));
@@ -238,7 +238,7 @@
     }
 
     /// Sets what concerns the log.
-    pub(crate) fn update_log(&self, commit: LogIndex, applied: LogIndex, waiting: usize) {
+    pub(crate) fn set_log_progress(&self, commit: LogIndex, applied: LogIndex, waiting: usize) {
         self.commit_index.set(saturate(commit.0));
         self.applied_index.set(saturate(applied.0));
         self.requests_waiting.set(saturate(waiting as u64));
--- a/crates/nodes/wingshore-replica/src/peers.rs
+++ b/crates/nodes/wingshore-replica/src/peers.rs
@@ -88,15 +88,15 @@
             return;
         }
         table.memberships.insert(group, membership.clone());
-        let wanted = table.wanted(self.own);
-        let superfluous = table.take_superfluous(&wanted);
-        for (id, address) in wanted {
+        let required_peers = table.required_peers(self.own);
+        let obsolete = table.take_obsolete(&required_peers);
+        for (id, address) in required_peers {
             if !table.outgoing.contains_key(&id) {
                 self.connect(&mut table, id, address);
             }
         }
         drop(table);
-        stop_apart(superfluous);
+        close_in_background(obsolete);
     }
 
     /// Where a replica listens, as far as known.
@@ -105,7 +105,7 @@
     }
 
     /// A replica has opened a connection, or sent something on it.
-    pub(crate) fn note_incoming(&self, id: ReplicaId, connection: &ConnectionHandle) {
+    pub(crate) fn record_incoming(&self, id: ReplicaId, connection: &ConnectionHandle) {
         let mut table = self.lock();
         let known = table.incoming.get(&id).map(ConnectionHandle::id);
         if known != Some(connection.id()) {
@@ -114,7 +114,7 @@
     }
 
     /// A connection is closed.
-    pub(crate) fn note_closed(&self, connection: &ConnectionHandle) {
+    pub(crate) fn remove_incoming(&self, connection: &ConnectionHandle) {
         let mut table = self.lock();
         table
             .incoming
@@ -170,7 +170,7 @@
     }
 
     /// To whom there should be a connection.
-    fn wanted(&self, own: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
+    fn required_peers(&self, own: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
         self.members()
             .filter(|member| member.id != own)
             .map(|member| (member.id, member.address))
@@ -184,21 +184,24 @@
     }
 
     /// Takes out connections to replicas that left or moved.
-    fn take_superfluous(&mut self, wanted: &BTreeMap<ReplicaId, SocketAddr>) -> Vec<Arc<Peer>> {
-        let mut superfluous = Vec::new();
+    fn take_obsolete(
+        &mut self,
+        required_peers: &BTreeMap<ReplicaId, SocketAddr>,
+    ) -> Vec<Arc<Peer>> {
+        let mut obsolete = Vec::new();
         self.outgoing.retain(|id, peer| {
-            let keep = wanted.get(id) == Some(&peer.address());
+            let keep = required_peers.get(id) == Some(&peer.address());
             if !keep {
-                superfluous.push(Arc::clone(peer));
+                obsolete.push(Arc::clone(peer));
             }
             keep
         });
-        superfluous
+        obsolete
     }
 }
 
 /// Closing a connection may wait for an attempt to connect: not on a group's thread.
-fn stop_apart(peers: Vec<Arc<Peer>>) {
+fn close_in_background(peers: Vec<Arc<Peer>>) {
     if peers.is_empty() {
         return;
     }
--- a/crates/nodes/wingshore-replica/src/process.rs
+++ b/crates/nodes/wingshore-replica/src/process.rs
@@ -8,7 +8,7 @@
 use crate::error::{FolderSnafu, ListenSnafu, ReplicaError};
 use crate::frames::FrameDispatcher;
 use crate::peers::Peers;
-use crate::start::{PreparedGroups, RunningGroup, Shared};
+use crate::start::{GroupContext, PreparedGroups, RunningGroup};
 use slog::{error, info};
 use snafu::ResultExt;
 use std::net::SocketAddr;
@@ -25,13 +25,13 @@
 /// Most connections of other processes at a time. Each takes threads and some hundred kB of memory.
 const MAX_CONNECTIONS: u32 = 4096;
 /// Most time that groups have to hand their leaderships over in a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(10);
+const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Most time that groups have to finish the write that is under way when all is to end at once.
-const ABORT_LIMIT: Duration = Duration::from_secs(2);
+const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between checks whether a group has failed.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const FAILURE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between checks whether all groups have ended.
-const END_POLL: Duration = Duration::from_millis(5);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs a replica until a planned stop, in which it hands its leaderships over.
 ///
@@ -43,9 +43,9 @@
     stop: StopSignal,
 ) -> Result<(), ReplicaError> {
     let replica = Replica::start(settings, diagnostics)?;
-    replica.announce();
+    replica.print_join_instructions();
     loop {
-        if stop.wait_timeout(WATCH_INTERVAL) {
+        if stop.wait_timeout(FAILURE_POLL_INTERVAL) {
             return replica.stop();
         }
         if replica.has_ended() {
@@ -93,7 +93,7 @@
         let logger = diagnostics.logger().clone();
         let peers = Peers::new(&settings.site, replica, &settings.founding, logger);
         let peers = Arc::new(peers);
-        let prepared = PreparedGroups::open(&Shared {
+        let prepared = PreparedGroups::open(&GroupContext {
             fs,
             folder: &folder,
             settings: &settings,
@@ -162,7 +162,7 @@
     pub fn stop(self) -> Result<(), ReplicaError> {
         info!(self.diagnostics.logger(), "planned stop");
         self.dispatcher.stop_groups();
-        self.await_groups(STOP_LIMIT);
+        self.await_groups(PLANNED_STOP_TIMEOUT);
         self.finish()
     }
 
@@ -172,12 +172,12 @@
     /// When a group had failed.
     pub fn abort(self) -> Result<(), ReplicaError> {
         self.dispatcher.abort_groups();
-        self.await_groups(ABORT_LIMIT);
+        self.await_groups(ABORT_TIMEOUT);
         self.finish()
     }
 
     /// Says on standard error how a replica that was not formatted gets into the groups.
-    fn announce(&self) {
+    fn print_join_instructions(&self) {
         if self.folder.identity().founding.is_some() {
             return;
         }
@@ -197,7 +197,7 @@
         let deadline = Instant::now() + limit;
         let all_ended = || self.groups.iter().all(|group| group.thread.is_finished());
         while !all_ended() && Instant::now() < deadline {
-            thread::sleep(END_POLL);
+            thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
--- a/crates/nodes/wingshore-replica/src/start.rs
+++ b/crates/nodes/wingshore-replica/src/start.rs
@@ -1,6 +1,6 @@
 //! Opens the groups of a replica.
 
-use crate::effects::{ControlEffects, EffectSettings, LeaseView};
+use crate::effects::{ControlEffects, EffectSettings, SharedLease};
 use crate::error::{ReplicaError, StorageSnafu};
 use crate::group::{self, EffectRunner, GroupPort, GroupSetup, HostedLeader, Inbox, NoEffects};
 use crate::metrics::{GroupMetrics, ReplicaMetrics};
@@ -20,7 +20,7 @@
 use wingshore_types::GroupId;
 
 /// Election timeouts differ by up to this part of the shortest one.
-const ELECTION_SPREAD_PART: u32 = 4;
+const ELECTION_SPREAD_DIVISOR: u32 = 4;
 
 /// Longest watch of the configuration, in fifths of the lease: a node that loses one watch renews its
 /// lease by the next.
@@ -37,7 +37,7 @@
 pub(crate) type PreparedGroup = Box<dyn FnOnce() -> Result<RunningGroup, ReplicaError>>;
 
 /// What the groups of a replica share.
-pub(crate) struct Shared<'a> {
+pub(crate) struct GroupContext<'a> {
     pub(crate) fs: Arc<dyn FileSystem>,
     pub(crate) folder: &'a DataFolder,
     pub(crate) settings: &'a ReplicaSettings,
@@ -59,86 +59,86 @@
     ///
     /// # Errors
     /// When the storage of one cannot be opened.
-    pub(crate) fn open(shared: &Shared<'_>) -> Result<Self, ReplicaError> {
+    pub(crate) fn open(context: &GroupContext<'_>) -> Result<Self, ReplicaError> {
         let mut prepared = Self {
             metrics: ReplicaMetrics::new(),
             group_metrics: Vec::new(),
             ports: BTreeMap::new(),
             groups: Vec::new(),
         };
-        let settings = shared.settings;
+        let settings = context.settings;
         for group in GroupId::all(settings.ledger_groups, settings.claims_groups) {
             match group {
-                GroupId::Control => prepared.open_control(shared)?,
+                GroupId::Control => prepared.open_control(context)?,
                 GroupId::Ledger(_) => {
-                    prepared.open_group(shared, group, |_: &Inbox<LedgerLeader>| Ok(NoEffects))?;
+                    prepared.open_group(context, group, |_: &Inbox<LedgerLeader>| Ok(NoEffects))?;
                 }
                 GroupId::Claims(_) => {
-                    prepared.open_group(shared, group, |_: &Inbox<ClaimsLeader>| Ok(NoEffects))?;
+                    prepared.open_group(context, group, |_: &Inbox<ClaimsLeader>| Ok(NoEffects))?;
                 }
             }
         }
         Ok(prepared)
     }
 
-    fn open_control(&mut self, shared: &Shared<'_>) -> Result<(), ReplicaError> {
+    fn open_control(&mut self, context: &GroupContext<'_>) -> Result<(), ReplicaError> {
         let settings = EffectSettings {
-            replica: shared.folder.identity().replica,
-            leader: leader_settings(shared.settings),
-            orders: shared.settings.orders,
+            replica: context.folder.identity().replica,
+            leader: leader_settings(context.settings),
+            orders: context.settings.orders,
         };
-        let clock = shared.clock;
+        let clock = context.clock;
         let effects = move |inbox: &Inbox<ControlLeader>| {
-            ControlEffects::start(settings, Arc::new(LeaseView::default()), clock, inbox)
+            ControlEffects::start(settings, Arc::new(SharedLease::default()), clock, inbox)
         };
-        self.open_group(shared, GroupId::Control, effects)
+        self.open_group(context, GroupId::Control, effects)
     }
 
     fn open_group<L: HostedLeader, E: EffectRunner<L> + 'static>(
         &mut self,
-        shared: &Shared<'_>,
+        context: &GroupContext<'_>,
         group: GroupId,
         effects: impl FnOnce(&Inbox<L>) -> Result<E, ReplicaError> + 'static,
     ) -> Result<(), ReplicaError> {
-        let directory = shared.folder.group_directory(group);
-        let (store, recovered) =
-            GroupStore::open(Arc::clone(&shared.fs), &directory).context(StorageSnafu { group })?;
+        let directory = context.folder.group_directory(group);
+        let (store, recovered) = GroupStore::open(Arc::clone(&context.fs), &directory)
+            .context(StorageSnafu { group })?;
         let metrics = self.metrics.group(group);
         self.group_metrics.push((group, Arc::clone(&metrics)));
         let setup = GroupSetup {
             group,
-            config: host_config(shared),
+            config: host_config(context),
             store,
             recovered,
-            clock: shared.clock,
-            peers: Arc::clone(&shared.peers),
+            clock: context.clock,
+            peers: Arc::clone(&context.peers),
             metrics,
-            logger: shared.diagnostics.logger().clone(),
+            logger: context.diagnostics.logger().clone(),
         };
-        let (inbox, outbox) = Inbox::<L>::new();
+        let (inbox, receiver) = Inbox::<L>::new();
         self.ports.insert(group, Box::new(inbox.clone()));
         self.groups.push(Box::new(move || {
             let effects = effects(&inbox)?;
-            let thread = group::start(setup, inbox, outbox, effects)?;
+            let thread = group::start(setup, inbox, receiver, effects)?;
             Ok(RunningGroup { group, thread })
         }));
         Ok(())
     }
 }
 
-fn host_config(shared: &Shared<'_>) -> HostConfig {
-    let identity = shared.folder.identity();
-    let timing = shared.settings.timing;
+fn host_config(context: &GroupContext<'_>) -> HostConfig {
+    let identity = context.folder.identity();
+    let timing = context.settings.timing;
     let founding = identity.founding.clone();
     HostConfig {
         timing: Timing {
             election_timeout: timing.election_timeout,
-            election_spread: timing.election_timeout / ELECTION_SPREAD_PART,
+            election_spread: timing.election_timeout / ELECTION_SPREAD_DIVISOR,
             heartbeat_interval: timing.heartbeat,
             lease: timing.lease,
             drift: timing.clock_drift,
         },
-        snapshot_every_bytes: shared.settings.snapshot_every,
+        snapshot_every_bytes: context.settings.snapshot_every,
         ..HostConfig::new(identity.replica, founding, rand::random())
     }
 }
--- a/crates/nodes/wingshore-replica/tests/planned_stop.rs
+++ b/crates/nodes/wingshore-replica/tests/planned_stop.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use support::{CLAIMS, PATIENCE, SITE, TestSite, claim_request, wait_for, wait_until};
+use support::{CLAIMS, SITE, TIMEOUT, TestSite, claim_request, wait_for, wait_until};
 use wingshore_transport::{ConnectOptions, Connection, ConnectionHandle, FrameHandler};
 use wingshore_types::protocol::claims::ClaimsReply;
 use wingshore_types::protocol::control::{ControlRequest, WatchRequest};
@@ -57,7 +57,7 @@
     site.call(GroupId::Control, status);
     let replies = Arc::new(Replies::default());
     let handler = Arc::clone(&replies) as Arc<dyn FrameHandler>;
-    let options = ConnectOptions::new(SITE, PATIENCE);
+    let options = ConnectOptions::new(SITE, TIMEOUT);
     let connection = wait_for("a connection", || {
         Connection::open(site.addresses[leader], &options, Arc::clone(&handler)).ok()
     });
--- a/crates/nodes/wingshore-replica/tests/site.rs
+++ b/crates/nodes/wingshore-replica/tests/site.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::disk::FailingDisk;
-use support::{CLAIMS, PATIENCE, SITE, TestSite, claim_request, wait_for, wait_until};
+use support::{CLAIMS, SITE, TIMEOUT, TestSite, claim_request, wait_for, wait_until};
 use wingshore_replica::ReplicaError;
 use wingshore_storage::{RealFileSystem, StorageError};
 use wingshore_transport::{ConnectOptions, Connection, FrameHandler, encode};
@@ -48,26 +48,26 @@
 fn crashed_replicas_come_back_with_all_they_had() -> Result<()> {
     let mut site = TestSite::start(3);
     let mut keys = Vec::new();
-    for place in 0..3 {
-        for moment in ["before", "away"] {
-            if moment == "away" {
-                site.crash(place);
+    for index in 0..3 {
+        for phase in ["before", "away"] {
+            if phase == "away" {
+                site.crash(index);
             }
-            let key = format!("{moment} {place}");
+            let key = format!("{phase} {index}");
             verify_that!(site.claim(&key, "one"), eq(&ClaimsReply::Granted))?;
             keys.push(key);
         }
-        site.start_replica(place);
+        site.start_replica(index);
     }
-    (0..3).for_each(|place| site.crash(place));
-    (0..3).for_each(|place| site.start_replica(place));
+    (0..3).for_each(|index| site.crash(index));
+    (0..3).for_each(|index| site.start_replica(index));
     for key in &keys {
         verify_that!(
             site.claim(key, "two"),
             matches_pattern!(ClaimsReply::Taken { .. })
         )?;
     }
-    let ids: Vec<_> = (0..3).map(|place| site.replica(place).id().0).collect();
+    let ids: Vec<_> = (0..3).map(|index| site.replica(index).id().0).collect();
     verify_that!(ids, elements_are![eq(&1), eq(&2), eq(&3)])
 }
 
@@ -104,7 +104,7 @@
     replace(&site, old, new, lost);
     // Now it counts: the other follower may go.
     let other = (0..3)
-        .find(|place| *place != lost && *place != site_leader(&site))
+        .find(|index| *index != lost && *index != site_leader(&site))
         .expect("one of three");
     site.crash(other);
     for key in ["early", "meanwhile"] {
@@ -120,10 +120,10 @@
 }
 
 /// As `ctl members replace` does where the address stays.
-fn replace(site: &TestSite, old: ReplicaId, new: ReplicaId, place: usize) {
+fn replace(site: &TestSite, old: ReplicaId, new: ReplicaId, index: usize) {
     let member = Member {
         id: new,
-        address: site.addresses[place],
+        address: site.addresses[index],
     };
     let steps = [
         MembershipRequest::Remove(old),
@@ -141,7 +141,7 @@
 fn site_leader(site: &TestSite) -> usize {
     let (_, leader, ..) = site.members();
     (0..3)
-        .find(|place| site.replica(*place).id() == leader)
+        .find(|index| site.replica(*index).id() == leader)
         .expect("one of the replicas")
 }
 
@@ -149,9 +149,9 @@
 fn folders_of_others_are_refused() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
-    let start = |place: usize, change: &dyn Fn(&TestSite)| {
+    let start = |index: usize, change: &dyn Fn(&TestSite)| {
         change(&site);
-        site.try_start(place, Arc::new(RealFileSystem)).err()
+        site.try_start(index, Arc::new(RealFileSystem)).err()
     };
     // In use by a replica that runs.
     verify_that!(
@@ -235,7 +235,7 @@
     wait_until("two of three are ready", || {
         [0, 1]
             .iter()
-            .all(|&place| site.admin(place, "/readyz").0 == 200)
+            .all(|&index| site.admin(index, "/readyz").0 == 200)
     });
     verify_that!(site.claim("key", "one"), eq(&ClaimsReply::Granted))?;
     let leader = site.leader();
@@ -287,7 +287,7 @@
     for (case, bytes) in cases.iter().enumerate() {
         for address in &site.addresses {
             let mut stream = TcpStream::connect(address).expect("connected");
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
+            stream.set_read_timeout(Some(TIMEOUT)).expect("set");
             // The replica may close before all is written.
             let _ = stream.write_all(bytes);
             let mut answer = Vec::new();
@@ -300,7 +300,7 @@
     // Consensus messages that mean nothing, from one who claims to be a member.
     let options = ConnectOptions {
         replica: Some(ReplicaId(2)),
-        ..ConnectOptions::new(SITE, PATIENCE)
+        ..ConnectOptions::new(SITE, TIMEOUT)
     };
     let connection = wait_for("a connection", || {
         Connection::open(site.addresses[0], &options, Arc::new(NoFrames)).ok()
@@ -314,7 +314,7 @@
     }
     verify_that!(site.claim("late", "one"), eq(&ClaimsReply::Granted))?;
     let ended: Vec<bool> = (0..3)
-        .map(|place| site.replica(place).has_ended())
+        .map(|index| site.replica(index).has_ended())
         .collect();
     verify_that!(ended, each(eq(&false)))
 }
--- a/crates/nodes/wingshore-replica/tests/support/mod.rs
+++ b/crates/nodes/wingshore-replica/tests/support/mod.rs
@@ -22,13 +22,13 @@
 use wingshore_types::{GroupId, NodeId, ReplicaId};
 
 /// Longest wait for anything a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 /// The group that most tests write to.
 pub const CLAIMS: GroupId = GroupId::Claims(1);
 /// Name of the site.
 pub const SITE: &str = "test";
 /// Between two looks at a condition.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Replicas of one site; each may be away.
 pub struct TestSite {
@@ -42,13 +42,13 @@
     /// Formats and starts founding members 1 to `count`.
     pub fn start(count: usize) -> Self {
         let mut site = Self::formatted(count);
-        (0..count).for_each(|place| site.start_replica(place));
+        (0..count).for_each(|index| site.start_replica(index));
         site
     }
 
     /// Formats founding members 1 to `count`.
     pub fn formatted(count: usize) -> Self {
-        let host = own_host();
+        let host = unique_loopback_address();
         let listeners: Vec<_> = (0..count)
             .map(|_| TcpListener::bind((host, 0)).expect("a free port"))
             .collect();
@@ -63,50 +63,50 @@
             replicas: (0..count).map(|_| None).collect(),
             client,
         };
-        (0..count).for_each(|place| site.format(place));
+        (0..count).for_each(|index| site.format(index));
         site
     }
 
-    pub fn id(place: usize) -> ReplicaId {
-        ReplicaId(place as u64 + 1)
+    pub fn id(index: usize) -> ReplicaId {
+        ReplicaId(index as u64 + 1)
     }
 
-    pub fn data(&self, place: usize) -> PathBuf {
-        self.folder.path().join(format!("replica-{place}"))
+    pub fn data(&self, index: usize) -> PathBuf {
+        self.folder.path().join(format!("replica-{index}"))
     }
 
-    fn format(&self, place: usize) {
+    fn format(&self, index: usize) {
         let voters = self.addresses.iter().enumerate();
         let membership = Membership {
             voters: voters
-                .map(|(place, address)| Member {
-                    id: Self::id(place),
+                .map(|(index, address)| Member {
+                    id: Self::id(index),
                     address: *address,
                 })
                 .collect(),
             learners: Vec::new(),
         };
         let fs: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
-        let path = self.data(place);
-        DataFolder::format(&fs, &path, SITE, Self::id(place), membership).expect("formatted");
+        let path = self.data(index);
+        DataFolder::format(&fs, &path, SITE, Self::id(index), membership).expect("formatted");
     }
 
-    pub fn settings(&self, place: usize) -> ReplicaSettings {
+    pub fn settings(&self, index: usize) -> ReplicaSettings {
         let founding: String = self
             .addresses
             .iter()
             .enumerate()
-            .map(|(place, address)| {
-                let id = Self::id(place);
+            .map(|(index, address)| {
+                let id = Self::id(index);
                 format!("[[founding]]\nid = {id}\naddress = \"{address}\"\n")
             })
             .collect();
-        let (listen, data) = (self.addresses[place], self.data(place));
+        let (listen, data) = (self.addresses[index], self.data(index));
         let text = format!(
             r#"
 role = "replica"
 site = "{SITE}"
-name = "replica-{place}"
+name = "replica-{index}"
 zone = "zone"
 listen = "{listen}"
 admin = "127.0.0.1:0"
@@ -123,51 +123,51 @@
     }
 
     /// Starts a replica on the machine's own disk.
-    pub fn start_replica(&mut self, place: usize) {
-        self.start_replica_on(place, &(Arc::new(RealFileSystem) as _));
+    pub fn start_replica(&mut self, index: usize) {
+        self.start_replica_on(index, &(Arc::new(RealFileSystem) as _));
     }
 
     /// Starts a replica. Its address may be in use for a moment by an outgoing connection.
-    pub fn start_replica_on(&mut self, place: usize, fs: &Arc<dyn FileSystem>) {
+    pub fn start_replica_on(&mut self, index: usize, fs: &Arc<dyn FileSystem>) {
         let replica = wait_for("a replica starts", || {
-            match self.try_start(place, Arc::clone(fs)) {
+            match self.try_start(index, Arc::clone(fs)) {
                 Ok(replica) => Some(replica),
                 Err(ReplicaError::Listen { .. }) => None,
-                Err(error) => panic!("replica {place}: {error}"),
+                Err(error) => panic!("replica {index}: {error}"),
             }
         });
-        self.replicas[place] = Some(replica);
+        self.replicas[index] = Some(replica);
     }
 
     pub fn try_start(
         &self,
-        place: usize,
+        index: usize,
         fs: Arc<dyn FileSystem>,
     ) -> Result<Replica, ReplicaError> {
         let logs = self.folder.path().join("logs");
         let diagnostics = Diagnostics::new("replica", 1024, Some(&logs));
-        Replica::start_on(fs, self.settings(place), diagnostics)
+        Replica::start_on(fs, self.settings(index), diagnostics)
     }
 
-    pub fn replica(&self, place: usize) -> &Replica {
-        self.replicas[place].as_ref().expect("it runs")
+    pub fn replica(&self, index: usize) -> &Replica {
+        self.replicas[index].as_ref().expect("it runs")
     }
 
     /// Ends a replica without any hand-over.
-    pub fn crash(&mut self, place: usize) {
-        let replica = self.replicas[place].take().expect("it runs");
+    pub fn crash(&mut self, index: usize) {
+        let replica = self.replicas[index].take().expect("it runs");
         replica.abort().expect("no group had failed");
     }
 
     /// Ends a replica in a planned stop.
-    pub fn stop(&mut self, place: usize) {
-        let replica = self.replicas[place].take().expect("it runs");
+    pub fn stop(&mut self, index: usize) {
+        let replica = self.replicas[index].take().expect("it runs");
         replica.stop().expect("no group had failed");
     }
 
     /// The answer of `group`'s leader.
     pub fn call(&self, group: GroupId, request: GroupRequest) -> GroupReply {
-        let reply = self.client.call(group, request, PATIENCE);
+        let reply = self.client.call(group, request, TIMEOUT);
         reply.expect("an answer")
     }
 
@@ -206,8 +206,8 @@
     }
 
     /// The response of a replica's admin listener, head and body.
-    pub fn admin(&self, place: usize, path: &str) -> (u16, String) {
-        let address = self.replica(place).admin_address().expect("it has one");
+    pub fn admin(&self, index: usize, path: &str) -> (u16, String) {
+        let address = self.replica(index).admin_address().expect("it has one");
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .build()
@@ -237,14 +237,14 @@
 }
 
 /// Waits until `look` finds something.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < deadline, "waited in vain: {what}");
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -255,7 +255,7 @@
 
 /// A loopback address that no other site uses. Ports that are found free on a shared one are taken
 /// at times by other listeners, before the replica that they were found for starts.
-fn own_host() -> IpAddr {
+fn unique_loopback_address() -> IpAddr {
     static SITES: AtomicU8 = AtomicU8::new(1);
     /// Second parts of the addresses of these sites begin here.
     const FIRST: u32 = 20;
