--- a/crates/nodes/wingshore-replica/src/admin.rs
+++ b/crates/nodes/wingshore-replica/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin listener: health, readiness and metrics over HTTP.
 //!
-//! The HTTP library bounds neither the time nor the size of a request's head, so the admin
-//! address belongs to a network that only operators reach.
+//! The HTTP library limits neither the time to receive a request's head nor the head's size, so
+//! the admin address must be on a network that only operators can reach.
 
 use crate::error::{AdminSnafu, ReplicaError, ThreadSnafu};
 use crate::metrics::{GroupMetrics, ReplicaMetrics};
@@ -14,12 +14,12 @@
 use wingshore_http::Nudger;
 use wingshore_types::GroupId;
 
-/// Content type of the metrics.
+/// Content type of `/metrics`: OpenMetrics text.
 const METRICS_TYPE: &[u8] = b"application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Content type of everything else.
+/// Content type of all other responses.
 const TEXT_TYPE: &[u8] = b"text/plain; charset=utf-8";
 
-/// What the admin listener reports.
+/// Data that the admin listener reports.
 pub(crate) struct AdminState {
     pub(crate) metrics: ReplicaMetrics,
     pub(crate) groups: Vec<(GroupId, Arc<GroupMetrics>)>,
@@ -38,7 +38,7 @@
 }
 
 impl Admin {
-    /// Begins to listen.
+    /// Binds `address` and serves requests on a thread of its own.
     pub(crate) fn start(address: SocketAddr, state: AdminState) -> Result<Self, ReplicaError> {
         let server = Server::http(address).map_err(|error| {
             let message = error.to_string();
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the listener is bound to.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.server.server_addr().to_ip()
     }
@@ -69,7 +69,7 @@
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
-            // A panicked listener has nothing to hand on.
+            // The result of a panicked listener is not needed.
             let _ = thread.join();
         }
     }
@@ -94,7 +94,7 @@
         Some(length),
         None,
     );
-    // A caller that is gone needs no answer.
+    // The client may have closed the connection.
     let _ = request.respond(response);
 }
 
--- a/crates/nodes/wingshore-replica/src/effects/carrier.rs
+++ b/crates/nodes/wingshore-replica/src/effects/carrier.rs
@@ -1,4 +1,4 @@
-//! Threads that carry the control group's effects.
+//! Worker threads that execute the control group's effects.
 
 use super::engine::EngineClient;
 use super::lease::SharedLease;
@@ -15,20 +15,20 @@
 use wingshore_types::platform::EngineOrder;
 use wingshore_types::{Epoch, Instant, ReplicaId, ServerId, Verdict};
 
-/// Effects of one kind that may wait for a thread; beyond that they fail as not run.
+/// Capacity of each effect queue; effects beyond it fail as not run.
 const MAX_QUEUED_EFFECTS: usize = 1024;
-/// One thread of this many carries orders; a server that does not answer readings of its state
-/// then holds up no order.
+/// Worker threads per thread that is reserved for orders. Orders have threads of their own so that
+/// a server that does not answer state reads cannot delay them.
 const WORKERS_PER_ORDER_WORKER: usize = 4;
 
-/// What the carrying of effects needs to know.
+/// Settings for the execution of effects.
 pub(crate) struct EffectSettings {
     pub(crate) replica: ReplicaId,
     pub(crate) leader: LeaderSettings,
     pub(crate) orders: OrderSettings,
 }
 
-/// Hands effects of the control group to threads.
+/// Queues effects of the control group for the worker threads.
 pub(crate) struct ControlEffects {
     replica: ReplicaId,
     leader: LeaderSettings,
@@ -39,7 +39,7 @@
 }
 
 impl ControlEffects {
-    /// Starts the threads; they end when the group does.
+    /// Starts the worker threads; they end when the group ends.
     pub(crate) fn start(
         settings: EffectSettings,
         lease: Arc<SharedLease>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// What one thread needs.
+/// State of one worker thread.
 #[derive(Clone)]
 struct EffectWorker {
     client: EngineClient,
@@ -155,9 +155,11 @@
         }
     }
 
-    /// The order may have waited here, or the process may have been frozen: the lease is checked
-    /// again right before the order leaves. A freeze after this very check is left to the fence
-    /// that the engine checks.
+    /// Sends an order if the lease still holds.
+    ///
+    /// The order may have waited in the queue, or the process may have been suspended, so the
+    /// lease is checked again directly before sending. If the process is suspended after this
+    /// check, the engine rejects the order by its fence.
     fn send_order(
         &self,
         server: ServerId,
@@ -178,7 +180,7 @@
     }
 }
 
-/// No thread is free to carry the effect.
+/// Returns the event for an effect that could not be queued.
 fn not_run_event(effect: ControlEffect, now: Instant) -> ControlEvent {
     match effect {
         ControlEffect::SendOrder { server, order, .. } => ControlEvent::OrderAnswered {
--- a/crates/nodes/wingshore-replica/src/effects/engine.rs
+++ b/crates/nodes/wingshore-replica/src/effects/engine.rs
@@ -12,30 +12,31 @@
 use wingshore_types::Verdict;
 use wingshore_types::platform::{EngineOrder, EngineState, LoadReport, NOT_RUN_HEADER};
 
-/// Connections kept open to one server.
+/// Idle connections kept open to one server.
 const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 1;
-/// Connections kept open to the servers that share an agent: engines that swap are read often.
+/// Idle connections kept open to all servers that share an agent; engines that swap versions are
+/// polled often.
 const MAX_IDLE_CONNECTIONS_PER_AGENT: usize = 8;
-/// A connection is not kept longer than this.
+/// Longest time that an idle connection is kept open.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(2);
-/// Buffers of a connection, each way, in bytes; questions and answers are small.
+/// Size of a connection's input and output buffer, in bytes; requests and responses are small.
 const BUFFER_SIZE: usize = 8 << 10;
 
-/// Calls engines; clones share their connections.
+/// HTTP client for engines and live servers. Clones share their connections.
 #[derive(Clone)]
 pub(crate) struct EngineClient {
     agents: AgentPool,
 }
 
 impl EngineClient {
-    /// A client that gives a call up after `timeout`.
+    /// Returns a client whose calls fail after `timeout`.
     pub(crate) fn new(timeout: Duration) -> Self {
         Self {
             agents: AgentPool::new(|| agent(timeout)),
         }
     }
 
-    /// `POST /orders`.
+    /// Sends an order with `POST /orders`.
     pub(crate) fn send_order(&self, address: SocketAddr, order: &EngineOrder) -> OrderAnswer {
         let url = format!("http://{address}/orders");
         match self.agents.agent(address).post(&url).send_json(order) {
@@ -44,12 +45,12 @@
         }
     }
 
-    /// `GET /state`.
+    /// Reads an engine's state with `GET /state`.
     pub(crate) fn read_state(&self, address: SocketAddr) -> Result<EngineState, Verdict> {
         self.read(address, "/state")
     }
 
-    /// `GET /load`.
+    /// Reads a server's load with `GET /load`.
     pub(crate) fn read_load(&self, address: SocketAddr) -> Result<LoadReport, Verdict> {
         self.read(address, "/load")
     }
@@ -91,7 +92,8 @@
     }
 }
 
-/// An answer that is neither success nor a fence: only the server's own word makes it "not run".
+/// Classifies a response that is neither a success nor a fence conflict: the request counts as not
+/// run only if the server says so in [`NOT_RUN_HEADER`].
 fn verdict_of_response(response: &Response<ureq::Body>) -> Verdict {
     let not_run = response
         .headers()
@@ -104,7 +106,8 @@
     }
 }
 
-/// Only a connection that never stood rules execution out.
+/// Classifies a failed call: only a connection that was never established rules out that the
+/// request has run.
 fn verdict_of_error(error: &ureq::Error) -> Verdict {
     match error {
         ureq::Error::ConnectionFailed
--- a/crates/nodes/wingshore-replica/src/effects/lease.rs
+++ b/crates/nodes/wingshore-replica/src/effects/lease.rs
@@ -1,9 +1,9 @@
-//! The control group's lease, as other threads than the group's own may check it.
+//! The control group's lease, shared with threads other than the group's own.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use wingshore_types::{Epoch, Instant};
 
-/// The lease as of the group's last step.
+/// The leader's lease as of the group's last step.
 #[derive(Debug, Default)]
 pub(crate) struct SharedLease {
     state: Mutex<State>,
@@ -16,17 +16,17 @@
 }
 
 impl SharedLease {
-    /// A leadership begins.
+    /// Sets the epoch of a leadership that begins.
     pub(crate) fn set_epoch(&self, epoch: Epoch) {
         self.lock().epoch = epoch;
     }
 
-    /// The lease lasts until then; `None` when it is not held.
+    /// Sets the time when the lease expires; `None` if no lease is held.
     pub(crate) fn set_expiry(&self, expires_at: Option<Instant>) {
         self.lock().expires_at = expires_at;
     }
 
-    /// Whether the leadership `epoch` may still act at `now`.
+    /// Returns whether the leader of `epoch` holds the lease at `now`.
     pub(crate) fn allows(&self, epoch: Epoch, now: Instant) -> bool {
         let state = *self.lock();
         state.epoch == epoch && state.expires_at.is_some_and(|expires_at| now < expires_at)
--- a/crates/nodes/wingshore-replica/src/effects/mod.rs
+++ b/crates/nodes/wingshore-replica/src/effects/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and readings of their states: carried by threads of their own.
+//! Orders to engines and reads of their state, executed on threads of their own.
 
 mod carrier;
 mod engine;
--- a/crates/nodes/wingshore-replica/src/error.rs
+++ b/crates/nodes/wingshore-replica/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica cannot start or go on.
+//! Errors of a replica.
 
 use snafu::Snafu;
 use std::io;
@@ -8,7 +8,7 @@
 use wingshore_transport::BindError;
 use wingshore_types::GroupId;
 
-/// Why a replica cannot start or go on.
+/// A reason why a replica cannot start or continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -16,51 +16,51 @@
     /// The data folder cannot be used.
     #[snafu(display("data folder: {source}"))]
     Folder {
-        /// Why.
+        /// Cause.
         source: StorageError,
     },
     /// A group's storage cannot be opened or written.
     #[snafu(display("storage of group {group}: {source}"))]
     Storage {
-        /// Which group.
+        /// Group concerned.
         group: GroupId,
-        /// Why.
+        /// Cause.
         source: StorageError,
     },
-    /// A group cannot start or go on.
+    /// A group cannot start or continue.
     #[snafu(display("group {group}: {source}"))]
     Host {
-        /// Which group.
+        /// Group concerned.
         group: GroupId,
-        /// Why.
+        /// Cause.
         source: HostError,
     },
     /// A thread of a group has panicked.
     #[snafu(display("a thread of group {group} has panicked"))]
     Panicked {
-        /// Which group.
+        /// Group concerned.
         group: GroupId,
     },
-    /// The address for frames cannot be listened on.
+    /// The listen address for frames cannot be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// Why.
+        /// Cause.
         source: BindError,
     },
-    /// The address for health and metrics cannot be listened on.
+    /// The admin address, for health and metrics, cannot be bound.
     #[snafu(display("cannot listen on the admin address {address}: {message}"))]
     Admin {
-        /// Where.
+        /// Admin address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Cause, as reported by the HTTP library.
         message: String,
     },
     /// A thread could not be started.
     #[snafu(display("cannot start the thread {name}: {source}"))]
     Thread {
-        /// Which.
+        /// Name of the thread.
         name: String,
-        /// From the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/nodes/wingshore-replica/src/frames.rs
+++ b/crates/nodes/wingshore-replica/src/frames.rs
@@ -1,4 +1,4 @@
-//! Hands the frames of connections to the groups.
+//! Dispatches received frames to the groups.
 
 use crate::group::{GroupPort, RequestOrigin};
 use crate::peers::Peers;
@@ -9,7 +9,7 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId};
 
-/// Takes the frames of all connections, incoming and outgoing.
+/// Dispatches the frames of all connections, incoming and outgoing.
 pub(crate) struct FrameDispatcher {
     groups: BTreeMap<GroupId, Box<dyn GroupPort>>,
     peers: Arc<Peers>,
@@ -17,7 +17,7 @@
 }
 
 impl FrameDispatcher {
-    /// Hands frames to `groups`.
+    /// Creates a dispatcher for `groups`.
     pub(crate) fn new(
         groups: BTreeMap<GroupId, Box<dyn GroupPort>>,
         peers: Arc<Peers>,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Begins the planned stop of all groups.
+    /// Starts the planned stop of all groups.
     pub(crate) fn stop_groups(&self) {
         self.groups.values().for_each(|port| port.stop());
     }
 
-    /// Ends all groups at once.
+    /// Ends all groups immediately, without a handover.
     pub(crate) fn abort_groups(&self) {
         self.groups.values().for_each(|port| port.abort());
     }
--- a/crates/nodes/wingshore-replica/src/group/delays.rs
+++ b/crates/nodes/wingshore-replica/src/group/delays.rs
@@ -1,14 +1,14 @@
-//! How long it takes until a growing number is caught up with: a log entry until it is committed,
-//! a revision until it is in force everywhere.
+//! Measures how long a sequence number takes from its start until it is reached: a log entry until
+//! it is committed, a revision until it is in force everywhere.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Most numbers that are waited for; further ones are left out of the histogram.
+/// Most pending numbers; further ones are left out of the histogram.
 const MAX_PENDING: usize = 1024;
 
-/// Numbers that were reached on one side and not yet on the other.
+/// Sequence numbers that have started and are not yet reached, with their start times.
 #[derive(Debug, Default)]
 pub(crate) struct DelayTracker {
     pending: VecDeque<(u64, Instant)>,
@@ -16,7 +16,7 @@
 }
 
 impl DelayTracker {
-    /// Nothing up to `newest` is measured.
+    /// Returns a tracker that ignores all numbers up to `newest`.
     pub(crate) fn starting_at(newest: u64) -> Self {
         Self {
             pending: VecDeque::new(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The first side is at `number` now.
+    /// Records that `number` starts at `now`, unless it is not above the newest one.
     pub(crate) fn record_start(&mut self, number: u64, now: Instant) {
         if number > self.newest {
             self.newest = number;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The other side is at `number` now: the delays of all that it has caught up with.
+    /// Records that all numbers up to `number` are reached at `now`, and returns their delays.
     pub(crate) fn record_reached(&mut self, number: u64, now: Instant) -> Vec<Duration> {
         let mut delays = Vec::new();
         while let Some((pending, began)) = self.pending.front().copied()
--- a/crates/nodes/wingshore-replica/src/group/driver.rs
+++ b/crates/nodes/wingshore-replica/src/group/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that owns a group's host.
+//! The thread that owns and drives a group's host.
 
 use super::delays::DelayTracker;
 use super::kind::HostedLeader;
@@ -22,27 +22,28 @@
 use wingshore_types::protocol::wire::GroupReply;
 use wingshore_types::{Epoch, GroupId, Instant, ReplicaId};
 
-/// Most inputs that one step takes; what they write goes out as one batch.
+/// Most inputs in one step; everything they write goes to disk as one batch.
 const MAX_INPUTS_PER_STEP: usize = 1024;
-/// Longest sleep without any input.
+/// Longest wait for an input.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Time between checks how far the configuration has come; the error of what is measured.
+/// Interval at which the progress of the configuration is checked; also the resolution of the
+/// delays measured from it.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
-/// No lease lasts longer, in milliseconds: the upper bound of the setting `timing.lease`.
+/// Longest possible lease, in milliseconds: the upper bound of the setting `timing.lease`.
 const MAX_LEASE_MS: u32 = 60_000;
 
-/// Carries out what a leader machine wants done outside.
+/// Executes the external effects that a leader machine requests.
 pub(crate) trait EffectRunner<L: HostedLeader>: Send {
-    /// A leadership begins: what the leader machine is to know first.
+    /// Called when a leadership begins; returns the first event for the leader machine, if any.
     fn on_leadership_acquired(&mut self, epoch: Epoch) -> Option<L::Event>;
-    /// The lease, as of the last step; `None` when it is not held.
+    /// Sets when the lease expires, as of the last step; `None` if it is not held.
     fn set_lease_expiry(&mut self, until: Option<Instant>);
-    /// Begins an effect; gives an event at once where it cannot even begin.
+    /// Starts an effect. Returns its result event immediately if the effect cannot be started.
     fn start_effect(&mut self, effect: L::Effect) -> Option<L::Event>;
 }
 
-/// For leaders that want nothing done outside.
+/// Effect runner for leader machines without external effects.
 pub(crate) struct NoEffects;
 
 impl<L: HostedLeader> EffectRunner<L> for NoEffects {
@@ -57,7 +58,7 @@
     }
 }
 
-/// What a group starts from.
+/// Everything that a group needs to start.
 pub(crate) struct GroupSetup {
     pub(crate) group: GroupId,
     pub(crate) config: HostConfig,
@@ -69,7 +70,7 @@
     pub(crate) logger: Logger,
 }
 
-/// Starts the group's threads. The handle gives how the group ended.
+/// Starts the group's threads. The handle returns the group's result.
 pub(crate) fn start<L: HostedLeader>(
     setup: GroupSetup,
     inbox: Inbox<L>,
@@ -119,15 +120,15 @@
     };
     let ended = driver.run(&receiver);
     reject_queued_requests(&receiver);
-    // Whoever waits for room in a full queue goes on, the writer among them.
+    // Unblocks all threads that wait for space in a full queue, including the writer.
     drop(receiver);
-    // The driver and with it the writer's channel are gone: the writer ends.
+    // The driver was dropped and with it the writer's channel, so the writer ends.
     let written = writer.join();
     ended?;
     written.map_err(|_| ReplicaError::Panicked { group })
 }
 
-/// Answers the requests that the group's end left in the queue: none of them has had an effect.
+/// Answers the requests that were still queued when the group ended; none of them had an effect.
 fn reject_queued_requests<L: HostedLeader>(receiver: &InboxReceiver<L>) {
     for (origin, _) in receiver.requests.try_iter() {
         origin.reply(GroupReply::NotLeader { leader: None });
@@ -145,12 +146,12 @@
     logger: Logger,
     pending_requests: BTreeMap<RequestTag, RequestOrigin>,
     next_tag: u64,
-    /// Events that arose in this thread, for the next step.
+    /// Events created by this thread, for the next step.
     events: Vec<L::Event>,
     stopped: bool,
-    /// Own log entries until they are committed.
+    /// Delays of this leader's log entries until they are committed.
     commits: DelayTracker,
-    /// Revisions of this leadership until they are in force everywhere.
+    /// Delays of this leadership's revisions until they are in force everywhere.
     revisions: Option<DelayTracker>,
     next_progress: Instant,
 }
@@ -179,7 +180,7 @@
         Ok(())
     }
 
-    /// Waits until there is something to do.
+    /// Waits for the first input, at most until the host's next tick.
     fn await_input(
         &mut self,
         receiver: &InboxReceiver<L>,
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    /// Takes what else is there, so that it shares one write.
+    /// Takes all further queued inputs, so that they share one write.
     fn drain(
         &mut self,
         receiver: &InboxReceiver<L>,
@@ -256,7 +257,7 @@
             HostOutput::Send { to, message } => self.peers.send(to, self.group, message),
             HostOutput::Write { token, batch } => {
                 self.track_commits(&batch);
-                // A writer that is gone has reported why.
+                // A writer that has ended has already reported its error.
                 let _ = self.writes.send(WriteJob { token, batch });
             }
             HostOutput::Reply { tag, reply } => self.reply(tag, reply),
@@ -291,19 +292,19 @@
     fn on_leadership(&mut self, leadership: Leadership) {
         match leadership {
             Leadership::Leading { epoch } => {
-                info!(self.logger, "leading"; "group" => %self.group, "epoch" => epoch.0);
+                info!(self.logger, "became leader"; "group" => %self.group, "epoch" => epoch.0);
                 self.metrics.leaderships.inc();
                 self.events
                     .extend(self.effects.on_leadership_acquired(epoch));
             }
             Leadership::Following { leader } => {
                 let leader = leader.map_or(0, |ReplicaId(leader)| leader);
-                info!(self.logger, "following"; "group" => %self.group, "leader" => leader);
+                info!(self.logger, "became follower"; "group" => %self.group, "leader" => leader);
             }
         }
     }
 
-    /// A leader's own entries are followed until they are committed.
+    /// Starts to measure the commit delay of the entries that a leader appends.
     fn track_commits(&mut self, batch: &WriteBatch) {
         if self.host.is_leader()
             && let Some(last) = batch.append.last()
@@ -357,10 +358,11 @@
     }
 }
 
-/// When the lease that is held at `now` ends, to the millisecond below; `None` when it is not held.
+/// Returns when the lease held at `now` expires, rounded down to the millisecond; `None` if no
+/// lease is held.
 fn lease_expiry<L: HostedLeader>(host: &Host<L>, now: Instant) -> Option<Instant> {
-    /// How exactly the end is found: the answer is early by less than this, never late. Small beside
-    /// leases, which last hundreds of milliseconds.
+    /// Resolution of the search: the result is early by less than this and never late. Small
+    /// compared to leases, which last hundreds of milliseconds.
     const PRECISION: Duration = Duration::from_millis(1);
     if !host.holds_lease(now) {
         return None;
--- a/crates/nodes/wingshore-replica/src/group/kind.rs
+++ b/crates/nodes/wingshore-replica/src/group/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of groups, and how their requests and replies travel.
+//! The kinds of groups, and the conversion of their requests and replies to frames.
 
 use wingshore_control::{ConfigurationProgress, ControlLeader};
 use wingshore_ledger::claims::ClaimsLeader;
@@ -6,7 +6,7 @@
 use wingshore_types::machine::LeaderMachine;
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 
-/// A leader machine whose requests and replies travel in frames.
+/// A leader machine whose requests and replies can be sent in frames.
 pub(crate) trait HostedLeader:
     LeaderMachine<
         State: Default,
@@ -16,9 +16,9 @@
     > + Default
     + 'static
 {
-    /// Whether this kind knows how far the configuration has come.
+    /// Whether this kind of group tracks the progress of the configuration.
     const TRACKS_CONFIGURATION: bool = false;
-    /// How far the configuration has come, where this kind knows.
+    /// Returns the progress of the configuration; `None` if this kind does not track it.
     fn configuration_progress(&self, _state: &Self::State) -> Option<ConfigurationProgress> {
         None
     }
--- a/crates/nodes/wingshore-replica/src/group/mod.rs
+++ b/crates/nodes/wingshore-replica/src/group/mod.rs
@@ -1,4 +1,4 @@
-//! One replicated group in this process: its threads and the way to them.
+//! One replicated group in this process: its threads and their queues.
 
 mod delays;
 mod driver;
--- a/crates/nodes/wingshore-replica/src/group/port.rs
+++ b/crates/nodes/wingshore-replica/src/group/port.rs
@@ -1,4 +1,4 @@
-//! The way to a group's thread.
+//! The queues into a group's thread.
 
 use super::kind::HostedLeader;
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -8,13 +8,14 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{ReplicaId, RequestId};
 
-/// Requests that may wait for a group; beyond that their connections are read no further.
+/// Capacity of a group's request queue; when it is full, no more is read from the connections that
+/// send requests.
 const MAX_QUEUED_REQUESTS: usize = 4096;
-/// Other inputs that may wait; beyond that consensus messages are dropped.
+/// Capacity of a group's event queue; when it is full, consensus messages are dropped.
 const MAX_QUEUED_EVENTS: usize = 4096;
 
-/// Where a request came from. One that is dropped without an answer, as when its group ends, is
-/// answered [`GroupReply::Unknown`].
+/// The connection and id of a request. When dropped without a reply, as when the group ends, it
+/// replies [`GroupReply::Unknown`].
 pub(crate) struct RequestOrigin {
     connection: ConnectionHandle,
     id: RequestId,
@@ -22,7 +23,7 @@
 }
 
 impl RequestOrigin {
-    /// The request `id` of `connection`.
+    /// Returns the origin of request `id` of `connection`.
     pub(crate) fn new(connection: &ConnectionHandle, id: RequestId) -> Self {
         Self {
             connection: connection.clone(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Answers the request.
+    /// Sends the reply.
     pub(crate) fn reply(mut self, body: GroupReply) {
         self.answered = true;
         self.connection.reply(self.id, body);
@@ -46,17 +47,17 @@
     }
 }
 
-/// A request on its way to a group's thread.
+/// A request queued for a group's thread.
 pub(crate) enum GroupCall<R> {
-    /// To the leader machine.
+    /// Request for the leader machine.
     Machine(R),
-    /// About members.
+    /// Request about the group's membership.
     Membership(MembershipRequest),
 }
 
-/// What reaches a group's thread beside requests; none of it waits behind them.
+/// An input of a group's thread other than a request. Events never wait behind requests.
 pub(crate) enum GroupEvent<E> {
-    /// A message of another member.
+    /// A consensus message from another member.
     Consensus { from: ReplicaId, message: Vec<u8> },
     /// The result of an effect.
     Effect(E),
@@ -64,19 +65,19 @@
     Persisted { token: u64 },
     /// A write failed.
     WriteFailed(StorageError),
-    /// The planned stop begins.
+    /// Starts the planned stop.
     Stop,
-    /// The group ends at once.
+    /// Ends the group immediately.
     Abort,
 }
 
-/// The way to a group's thread.
+/// The sending side of a group's queues.
 pub(crate) struct Inbox<L: HostedLeader> {
     requests: Sender<(RequestOrigin, GroupCall<L::Request>)>,
     events: Sender<GroupEvent<L::Event>>,
 }
 
-/// The group thread's end of an [`Inbox`].
+/// The receiving side of an [`Inbox`], owned by the group's thread.
 pub(crate) struct InboxReceiver<L: HostedLeader> {
     pub(crate) requests: Receiver<(RequestOrigin, GroupCall<L::Request>)>,
     pub(crate) events: Receiver<GroupEvent<L::Event>>,
@@ -92,7 +93,7 @@
 }
 
 impl<L: HostedLeader> Inbox<L> {
-    /// Both ends.
+    /// Creates the queues and returns both sides.
     pub(crate) fn new() -> (Self, InboxReceiver<L>) {
         let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
         let (event_sender, events) = bounded(MAX_QUEUED_EVENTS);
@@ -103,21 +104,22 @@
         (inbox, InboxReceiver { requests, events })
     }
 
-    /// Sends an event that must not be lost. A group that has ended needs none.
+    /// Sends an event that must not be lost; waits while the queue is full. Has no effect once the
+    /// group has ended.
     pub(crate) fn event(&self, event: GroupEvent<L::Event>) {
         let _ = self.events.send(event);
     }
 }
 
-/// The way to a group of any kind.
+/// Interface to a group of any kind.
 pub(crate) trait GroupPort: Send + Sync {
-    /// Hands a request over; waits while too many others wait.
+    /// Queues a request; waits while the queue is full.
     fn request(&self, origin: RequestOrigin, body: GroupRequest);
-    /// Hands a consensus message over, or drops it.
+    /// Queues a consensus message, or drops it if the queue is full.
     fn consensus(&self, from: ReplicaId, message: Vec<u8>);
-    /// Begins the planned stop.
+    /// Starts the planned stop.
     fn stop(&self);
-    /// Ends the group at once.
+    /// Ends the group immediately.
     fn abort(&self);
 }
 
@@ -141,7 +143,7 @@
     }
 
     fn consensus(&self, from: ReplicaId, message: Vec<u8>) {
-        // Consensus sends again what is lost.
+        // The consensus protocol retransmits lost messages.
         let _ = self
             .events
             .try_send(GroupEvent::Consensus { from, message });
--- a/crates/nodes/wingshore-replica/src/group/writer.rs
+++ b/crates/nodes/wingshore-replica/src/group/writer.rs
@@ -9,15 +9,15 @@
 use wingshore_storage::GroupStore;
 use wingshore_types::log::WriteBatch;
 
-/// One write asked for.
+/// One requested write.
 pub(crate) struct WriteJob {
-    /// Names it.
+    /// Identifies the write in the event that confirms it.
     pub(crate) token: u64,
-    /// What to write.
+    /// Records to write.
     pub(crate) batch: WriteBatch,
 }
 
-/// Writes until no more can come, or a write fails.
+/// Executes writes until the channel is closed or a write fails.
 pub(crate) fn run<L: HostedLeader>(
     mut store: GroupStore,
     jobs: &Receiver<WriteJob>,
--- a/crates/nodes/wingshore-replica/src/metrics.rs
+++ b/crates/nodes/wingshore-replica/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a replica reports to monitoring about its groups.
+//! Metrics of a replica and its groups.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -15,16 +15,17 @@
 use wingshore_transport::TrafficCollector;
 use wingshore_types::{GroupId, LogIndex};
 
-/// Shortest write that the histogram distinguishes, in seconds.
+/// Upper bound of the first bucket of the write and commit histograms, in seconds.
 const MIN_WRITE_BUCKET_SECONDS: f64 = 0.000_1;
-/// Each bucket of the histogram reaches twice as far as the one before.
+/// Ratio of the upper bounds of successive buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Buckets of the histogram; the last one ends at 3.3 s.
+/// Buckets of the write and commit histograms; the last one ends at 3.3 s.
 const WRITE_BUCKETS: u16 = 16;
 
-/// Shortest time until a revision is in force everywhere that is distinguished, in seconds.
+/// Upper bound of the first bucket of the histogram of the time until a revision is in force
+/// everywhere, in seconds.
 const MIN_IN_FORCE_BUCKET_SECONDS: f64 = 0.05;
-/// Buckets for it; the last one ends at 25.6 s.
+/// Buckets of the in-force histogram; the last one ends at 25.6 s.
 const IN_FORCE_BUCKETS: u16 = 10;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -59,7 +60,7 @@
     configuration: Arc<ConfigurationMetrics>,
 }
 
-/// How far the configuration has come, as the leader of the control group knows.
+/// Progress of the configuration, as known to the leader of the control group.
 struct ConfigurationMetrics {
     committed_revision: Gauge,
     in_force_revision: Gauge,
@@ -68,7 +69,7 @@
     in_force_seconds: Histogram,
 }
 
-/// Those of one group.
+/// Metrics of one group.
 pub(crate) struct GroupMetrics {
     leading: Gauge,
     leader_known: Gauge,
@@ -76,9 +77,9 @@
     commit_index: Gauge,
     applied_index: Gauge,
     requests_waiting: Gauge,
-    /// Leaderships that began here.
+    /// Leaderships that began on this replica.
     pub(crate) leaderships: Counter,
-    /// How long writes took until they were durable.
+    /// Times until writes were durable, in seconds.
     pub(crate) write_seconds: Histogram,
     commit_seconds: Histogram,
     configuration: Arc<ConfigurationMetrics>,
@@ -86,7 +87,7 @@
 }
 
 impl ReplicaMetrics {
-    /// No group yet.
+    /// Registers all metrics, without any group.
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("wingshore_replica");
         registry.register_collector(Box::new(TrafficCollector));
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Adds a group.
+    /// Returns the metrics of a group, registered under its label.
     pub(crate) fn group(&self, group: GroupId) -> Arc<GroupMetrics> {
         let label = GroupLabel {
             group: group.to_string(),
@@ -146,10 +147,10 @@
         })
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as OpenMetrics text.
     ///
     /// # Errors
-    /// When the text cannot be formed.
+    /// When the encoding fails.
     pub(crate) fn text(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
@@ -197,14 +198,14 @@
 }
 
 impl GroupMetrics {
-    /// Notes how long entries took until they were committed.
+    /// Records the times from append to commit of log entries.
     pub(crate) fn observe_commits(&self, delays: &[Duration]) {
         for delay in delays {
             self.commit_seconds.observe(delay.as_secs_f64());
         }
     }
 
-    /// Notes how far the configuration has come; `None` where this replica does not lead.
+    /// Sets the progress of the configuration; `None` if this replica is not the leader.
     pub(crate) fn set_configuration_progress(&self, progress: Option<&ConfigurationProgress>) {
         let metrics = &self.configuration;
         let gauge = |value: u64| saturate(value);
@@ -221,7 +222,7 @@
         metrics.nodes_behind.set(gauge(behind));
     }
 
-    /// Notes how long revisions took until they were in force everywhere.
+    /// Records the times from commit until revisions were in force everywhere.
     pub(crate) fn observe_in_force(&self, delays: &[Duration]) {
         for delay in delays {
             let histogram = &self.configuration.in_force_seconds;
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Sets what concerns leadership.
+    /// Sets the metrics of the leadership, and the readiness.
     pub(crate) fn set_leadership(&self, leading: bool, leader_known: bool, term: u64) {
         self.leading.set(i64::from(leading));
         self.leader_known.set(i64::from(leader_known));
@@ -237,14 +238,14 @@
         self.ready.store(leader_known, Ordering::Relaxed);
     }
 
-    /// Sets what concerns the log.
+    /// Sets the log indexes and the number of requests without a reply.
     pub(crate) fn set_log_progress(&self, commit: LogIndex, applied: LogIndex, waiting: usize) {
         self.commit_index.set(saturate(commit.0));
         self.applied_index.set(saturate(applied.0));
         self.requests_waiting.set(saturate(waiting as u64));
     }
 
-    /// Whether the group has a leader that this replica knows.
+    /// Returns whether this replica knows the group's leader.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
--- a/crates/nodes/wingshore-replica/src/peers.rs
+++ b/crates/nodes/wingshore-replica/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other members, and who listens where.
+//! Connections to the other members, and the members' addresses.
 
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
@@ -12,8 +12,8 @@
 use wingshore_types::{GroupId, ReplicaId};
 
 /// One outgoing connection for each other member of any group, and the connections that other
-/// replicas have opened. A replica answers on those as long as it does not know where the other
-/// one listens, as a new member does not before it has seen the membership.
+/// replicas have opened. A replica replies on an incoming connection while it has no connection of
+/// its own to the sender: a new member knows no addresses until it has received the membership.
 pub(crate) struct Peers {
     site: String,
     own: ReplicaId,
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 struct Table {
-    /// From the settings; the membership of a group overrides it.
+    /// Addresses from the settings; the membership of a group overrides them.
     founding: BTreeMap<ReplicaId, SocketAddr>,
     memberships: BTreeMap<GroupId, Membership>,
     outgoing: BTreeMap<ReplicaId, Arc<Peer>>,
@@ -33,7 +33,7 @@
 }
 
 impl Peers {
-    /// No connections yet.
+    /// Creates the table without any connection.
     pub(crate) fn new(
         site: &str,
         own: ReplicaId,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Sets who takes the frames that are received; once, before the first membership.
+    /// Sets the handler of received frames; to be called once, before the first membership.
     pub(crate) fn set_handler(&self, handler: &Arc<dyn FrameHandler>) {
-        // A second handler is never set.
+        // The handler is set only once.
         let _ = self.handler.set(Arc::downgrade(handler));
     }
 
-    /// Queues a consensus message, or drops it where there is no connection.
+    /// Queues a consensus message, or drops it if there is no connection.
     pub(crate) fn send(&self, to: ReplicaId, group: GroupId, message: Vec<u8>) {
         let (outgoing, incoming) = {
             let table = self.lock();
@@ -74,14 +74,14 @@
                 peer.send_consensus(group, message);
             }
             (None, Some(connection)) => {
-                // Consensus sends again what is lost.
+                // The consensus protocol retransmits lost messages.
                 let _ = connection.send(&Frame::Consensus { group, message });
             }
             (None, None) => {}
         }
     }
 
-    /// A group's members are these now: opens and closes connections.
+    /// Sets the members of a group; opens and closes connections accordingly.
     pub(crate) fn set_members(&self, group: GroupId, membership: &Membership) {
         let mut table = self.lock();
         if table.closed {
@@ -99,12 +99,12 @@
         close_in_background(obsolete);
     }
 
-    /// Where a replica listens, as far as known.
+    /// Returns the address of a replica, if known.
     pub(crate) fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
         self.lock().addresses().remove(&id)
     }
 
-    /// A replica has opened a connection, or sent something on it.
+    /// Records the connection on which a replica last sent a message.
     pub(crate) fn record_incoming(&self, id: ReplicaId, connection: &ConnectionHandle) {
         let mut table = self.lock();
         let known = table.incoming.get(&id).map(ConnectionHandle::id);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A connection is closed.
+    /// Removes a connection that was closed.
     pub(crate) fn remove_incoming(&self, connection: &ConnectionHandle) {
         let mut table = self.lock();
         table
@@ -121,7 +121,7 @@
             .retain(|_, known| known.id() != connection.id());
     }
 
-    /// Closes all connections, for good.
+    /// Closes all connections permanently.
     pub(crate) fn close(&self) {
         let outgoing = {
             let mut table = self.lock();
@@ -160,7 +160,7 @@
 }
 
 impl Table {
-    /// Where each known replica listens.
+    /// Returns the address of each known replica.
     fn addresses(&self) -> BTreeMap<ReplicaId, SocketAddr> {
         let mut addresses = self.founding.clone();
         for member in self.members() {
@@ -169,7 +169,7 @@
         addresses
     }
 
-    /// To whom there should be a connection.
+    /// Returns the members that need an outgoing connection, with their addresses.
     fn required_peers(&self, own: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
         self.members()
             .filter(|member| member.id != own)
@@ -183,7 +183,7 @@
             .flat_map(|membership| membership.voters.iter().chain(&membership.learners))
     }
 
-    /// Takes out connections to replicas that left or moved.
+    /// Removes and returns the connections to replicas that left or changed their address.
     fn take_obsolete(
         &mut self,
         required_peers: &BTreeMap<ReplicaId, SocketAddr>,
@@ -200,12 +200,13 @@
     }
 }
 
-/// Closing a connection may wait for an attempt to connect: not on a group's thread.
+/// Closes connections on a separate thread: closing may wait for a connection attempt, which must
+/// not block a group's thread.
 fn close_in_background(peers: Vec<Arc<Peer>>) {
     if peers.is_empty() {
         return;
     }
-    // Without a thread they are closed here and now, as the closure is dropped.
+    // If no thread can be started, dropping the closure closes the connections on this thread.
     let _ = thread::Builder::new()
         .name("peer-close".to_owned())
         .spawn(move || drop(peers));
--- a/crates/nodes/wingshore-replica/src/process.rs
+++ b/crates/nodes/wingshore-replica/src/process.rs
@@ -1,8 +1,8 @@
-//! One replica process from start to end.
+//! Lifecycle of a replica process.
 //!
 //! Owns the data folder, the threads of its groups, the frame server and the admin listener. Relies
-//! on [`crate::start`] to open the groups before the server listens, so that no frame comes for a
-//! group that is not there.
+//! on [`crate::start`] to open the groups before the server listens, so that every frame finds its
+//! group.
 
 use crate::admin::{Admin, AdminState};
 use crate::error::{FolderSnafu, ListenSnafu, ReplicaError};
@@ -22,21 +22,22 @@
 use wingshore_transport::{FrameHandler, Server, ServerOptions};
 use wingshore_types::ReplicaId;
 
-/// Most connections of other processes at a time. Each takes threads and some hundred kB of memory.
+/// Most simultaneous incoming connections. Each uses threads and several hundred kB of memory.
 const MAX_CONNECTIONS: u32 = 4096;
-/// Most time that groups have to hand their leaderships over in a planned stop.
+/// Time limit for groups to hand over their leaderships in a planned stop.
 const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Most time that groups have to finish the write that is under way when all is to end at once.
+/// Time limit for groups to finish the write in progress when the replica is aborted.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between checks whether a group has failed.
+/// Interval at which the process checks whether a group has failed.
 const FAILURE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between checks whether all groups have ended.
+/// Interval at which a stop checks whether all groups have ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Runs a replica until a planned stop, in which it hands its leaderships over.
+/// Runs a replica until a planned stop, in which it hands over its leaderships.
 ///
 /// # Errors
-/// When it cannot start, or a group cannot go on: a failed write, damaged storage.
+/// When the replica cannot start, or a group cannot continue because of a failed write or damaged
+/// storage.
 pub fn run(
     settings: ReplicaSettings,
     diagnostics: Diagnostics,
@@ -67,10 +68,10 @@
 }
 
 impl Replica {
-    /// Starts all groups and listens.
+    /// Starts all groups and the listeners.
     ///
     /// # Errors
-    /// When the folder, a group's storage or an address cannot be used.
+    /// When the data folder, a group's storage or an address cannot be used.
     pub fn start(
         settings: ReplicaSettings,
         diagnostics: Diagnostics,
@@ -78,10 +79,10 @@
         Self::start_on(Arc::new(RealFileSystem), settings, diagnostics)
     }
 
-    /// As [`Replica::start`], on a file system of the caller's choice.
+    /// Starts a replica as [`Replica::start`] does, on the given file system.
     ///
     /// # Errors
-    /// As [`Replica::start`].
+    /// As for [`Replica::start`].
     pub fn start_on(
         fs: Arc<dyn FileSystem>,
         settings: ReplicaSettings,
@@ -122,7 +123,7 @@
             .into_iter()
             .map(|start| start())
             .collect::<Result<Vec<_>, _>>()?;
-        info!(diagnostics.logger(), "started"; "replica" => replica.0, "groups" => groups.len());
+        info!(diagnostics.logger(), "replica started"; "replica" => replica.0, "groups" => groups.len());
         Ok(Self {
             site: settings.site,
             folder,
@@ -135,30 +136,30 @@
         })
     }
 
-    /// Who it is.
+    /// Returns the id of this replica.
     pub fn id(&self) -> ReplicaId {
         self.folder.identity().replica
     }
 
-    /// Where it listens for frames.
+    /// Returns the address that the frame server is bound to.
     pub fn address(&self) -> SocketAddr {
         self.server.local_address()
     }
 
-    /// Where it serves health and metrics.
+    /// Returns the address of the admin listener, if there is one.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.as_ref().and_then(Admin::address)
     }
 
-    /// Whether a group has ended, which none does by itself unless it failed.
+    /// Returns whether a group has ended; while the replica runs, a group ends only if it fails.
     pub fn has_ended(&self) -> bool {
         self.groups.iter().any(|group| group.thread.is_finished())
     }
 
-    /// Planned stop: takes no more requests, hands leaderships over, ends.
+    /// Performs a planned stop: accepts no more requests, hands over leaderships and ends.
     ///
     /// # Errors
-    /// When a group has failed meanwhile.
+    /// When a group failed before or during the stop.
     pub fn stop(self) -> Result<(), ReplicaError> {
         info!(self.diagnostics.logger(), "planned stop");
         self.dispatcher.stop_groups();
@@ -166,24 +167,24 @@
         self.finish()
     }
 
-    /// Ends at once and hands nothing over: after a failure, or to simulate a crash.
+    /// Ends immediately, without a handover: after a failure, or to simulate a crash.
     ///
     /// # Errors
-    /// When a group had failed.
+    /// When a group has failed.
     pub fn abort(self) -> Result<(), ReplicaError> {
         self.dispatcher.abort_groups();
         self.await_groups(ABORT_TIMEOUT);
         self.finish()
     }
 
-    /// Says on standard error how a replica that was not formatted gets into the groups.
+    /// Prints to standard error how a replica that was not formatted can join the groups.
     fn print_join_instructions(&self) {
         if self.folder.identity().founding.is_some() {
             return;
         }
         eprintln!(
-            "replica {} of site `{}` at {} was not founded with the site: it waits until it is a \
-             member. To have it take the place of lost member OLD:\n  \
+            "replica {} of site `{}` at {} is not a founding member: it waits until it is \
+             added as a member. To replace the lost member OLD with it:\n  \
              wingshore ctl --replicas … members replace OLD {} {}",
             self.id(),
             self.site,
@@ -201,15 +202,15 @@
         }
     }
 
-    /// Closes all connections; gives the first error of a group. Threads of groups that have
-    /// not ended are left to the end of the process.
+    /// Closes all connections and returns the first error of a group. Does not wait for threads of
+    /// groups that have not ended; they end with the process.
     fn finish(mut self) -> Result<(), ReplicaError> {
         self.server.stop();
         self.peers.close();
         let mut result = Ok(());
         for RunningGroup { group, thread } in self.groups {
             if !thread.is_finished() {
-                error!(self.diagnostics.logger(), "group has not ended"; "group" => %group);
+                error!(self.diagnostics.logger(), "group did not end within the time limit"; "group" => %group);
                 continue;
             }
             let ended = thread
--- a/crates/nodes/wingshore-replica/src/start.rs
+++ b/crates/nodes/wingshore-replica/src/start.rs
@@ -19,24 +19,24 @@
 use wingshore_storage::{DataFolder, FileSystem, GroupStore};
 use wingshore_types::GroupId;
 
-/// Election timeouts differ by up to this part of the shortest one.
+/// Divisor of the shortest election timeout; the quotient is the spread of election timeouts.
 const ELECTION_SPREAD_DIVISOR: u32 = 4;
 
-/// Longest watch of the configuration, in fifths of the lease: a node that loses one watch renews its
-/// lease by the next.
+/// Longest watch of the configuration, in fifths of the lease: a node that loses one watch can
+/// still renew its lease with the next one.
 const MAX_WATCH_FIFTHS: u32 = 2;
 
-/// A group whose thread runs.
+/// A group whose thread is running.
 pub(crate) struct RunningGroup {
     pub(crate) group: GroupId,
-    /// Gives how it ended.
+    /// Returns the group's result when joined.
     pub(crate) thread: JoinHandle<Result<(), ReplicaError>>,
 }
 
-/// Starts the threads of a group that is open.
+/// Starts the threads of an opened group.
 pub(crate) type PreparedGroup = Box<dyn FnOnce() -> Result<RunningGroup, ReplicaError>>;
 
-/// What the groups of a replica share.
+/// Resources and settings that all groups of a replica share.
 pub(crate) struct GroupContext<'a> {
     pub(crate) fs: Arc<dyn FileSystem>,
     pub(crate) folder: &'a DataFolder,
@@ -46,7 +46,7 @@
     pub(crate) peers: Arc<Peers>,
 }
 
-/// Groups that are open; their threads are started only once connections can be taken.
+/// Opened groups; their threads are started only once the replica accepts connections.
 pub(crate) struct PreparedGroups {
     pub(crate) metrics: ReplicaMetrics,
     pub(crate) group_metrics: Vec<(GroupId, Arc<GroupMetrics>)>,
@@ -58,7 +58,7 @@
     /// Opens all groups of the settings.
     ///
     /// # Errors
-    /// When the storage of one cannot be opened.
+    /// When the storage of a group cannot be opened.
     pub(crate) fn open(context: &GroupContext<'_>) -> Result<Self, ReplicaError> {
         let mut prepared = Self {
             metrics: ReplicaMetrics::new(),
