--- a/crates/nodes/wingshore-replica/src/group/driver.rs
+++ b/crates/nodes/wingshore-replica/src/group/driver.rs
@@ -292,14 +292,14 @@
     fn on_leadership(&mut self, leadership: Leadership) {
         match leadership {
             Leadership::Leading { epoch } => {
-                info!(self.logger, "became leader"; "group" => %self.group, "epoch" => epoch.0);
+                info!(self.logger, "leading"; "group" => %self.group, "epoch" => epoch.0);
                 self.metrics.leaderships.inc();
                 self.events
                     .extend(self.effects.on_leadership_acquired(epoch));
             }
             Leadership::Following { leader } => {
                 let leader = leader.map_or(0, |ReplicaId(leader)| leader);
-                info!(self.logger, "became follower"; "group" => %self.group, "leader" => leader);
+                info!(self.logger, "following"; "group" => %self.group, "leader" => leader);
             }
         }
     }
--- a/crates/nodes/wingshore-replica/src/process.rs
+++ b/crates/nodes/wingshore-replica/src/process.rs
@@ -123,7 +123,7 @@
             .into_iter()
             .map(|start| start())
             .collect::<Result<Vec<_>, _>>()?;
-        info!(diagnostics.logger(), "replica started"; "replica" => replica.0, "groups" => groups.len());
+        info!(diagnostics.logger(), "started"; "replica" => replica.0, "groups" => groups.len());
         Ok(Self {
             site: settings.site,
             folder,
