--- a/crates/nodes/wingshore-relay/src/driver/admin.rs
+++ b/crates/nodes/wingshore-relay/src/driver/admin.rs
@@ -1,4 +1,4 @@
-//! `/healthz`, `/readyz` and `/metrics` of a relay.
+//! The admin listener of a relay: `/healthz`, `/readyz` and `/metrics` over HTTP.
 
 use super::metrics::Metrics;
 use std::io;
@@ -8,20 +8,20 @@
 use tiny_http::{Header, Request, Response, Server};
 use wingshore_http::Nudger;
 
-/// Media type of Prometheus text.
+/// Content type of `/metrics`: OpenMetrics text.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Media type of all other answers.
+/// Content type of all other responses.
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
-/// Serves the operator's HTTP port. Dropping it stops it.
+/// A running admin listener. Dropping it stops it.
 pub(super) struct AdminServer {
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl AdminServer {
-    /// Listens on `address`.
+    /// Binds `address` and serves requests on a thread of its own.
     pub(super) fn start(address: SocketAddr, metrics: Arc<Metrics>) -> io::Result<Self> {
         let server = Server::http(address).map_err(io::Error::other)?;
         let own = server.server_addr().to_ip().unwrap_or(address);
@@ -47,7 +47,7 @@
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
-            // A panicked thread serves nothing any more.
+            // A panicked thread has already ended.
             let _ = thread.join();
         }
     }
@@ -65,6 +65,6 @@
     if let Ok(header) = Header::from_bytes("Content-Type", media_type) {
         response.add_header(header);
     }
-    // Who asked may have gone.
+    // The client may have closed the connection.
     let _ = request.respond(response);
 }
--- a/crates/nodes/wingshore-relay/src/driver/frames.rs
+++ b/crates/nodes/wingshore-relay/src/driver/frames.rs
@@ -1,4 +1,4 @@
-//! Watches of nodes, as frames: where each came from, and the answers to them.
+//! Receives watches as frames and sends the replies to them.
 
 use super::run::Event;
 use crate::state::WatchTag;
@@ -11,11 +11,11 @@
 use wingshore_types::protocol::control::{ConfigurationUpdate, ControlReply, ControlRequest};
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 
-/// Why a relay takes nothing but watches.
+/// Reply to requests other than configuration watches.
 const ONLY_WATCHES: &str = "this process is a relay: it answers configuration watches only; send \
                             other requests to a replica";
 
-/// Hands watches to the relay's main loop.
+/// Passes received watches to the relay's main loop.
 pub(super) struct RelayFrames {
     pub(super) events: Sender<Event>,
     pub(super) diagnostics: Diagnostics,
@@ -30,7 +30,7 @@
         match body {
             GroupRequest::Control(ControlRequest::Watch(request)) => {
                 let connection = connection.clone();
-                // A relay that is stopping takes nothing more; its connections end with it.
+                // A stopping relay accepts no more watches; its connections are closed with it.
                 let _ = self.events.send(Event::Watch {
                     connection,
                     id,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Where watches came from.
+/// Watches without a reply, by tag.
 #[derive(Debug, Default)]
 pub(super) struct PendingWatches {
     next: u64,
@@ -70,7 +70,7 @@
 }
 
 impl PendingWatches {
-    /// Remembers a watch under a fresh tag.
+    /// Adds a watch and returns its new tag.
     pub(super) fn add(&mut self, connection: ConnectionHandle, id: RequestId) -> WatchTag {
         let tag = WatchTag(self.next);
         self.next += 1;
@@ -78,7 +78,7 @@
         tag
     }
 
-    /// Forgets the watches of a closed connection and returns their tags.
+    /// Removes the watches of a closed connection and returns their tags.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Vec<WatchTag> {
         let is_of = |watcher: &PendingWatch| watcher.connection.id() == connection;
         let gone: Vec<WatchTag> = self
@@ -89,19 +89,19 @@
         gone
     }
 
-    /// All watches without an answer.
+    /// Returns the tags of all watches without a reply.
     pub(super) fn tags(&self) -> Vec<WatchTag> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Answers a watch. The lease is rounded down.
+    /// Replies to a watch. The lease is rounded down to milliseconds.
     pub(super) fn answer(&mut self, tag: WatchTag, update: ConfigurationUpdate, lease: Duration) {
         let lease_ms = u64::try_from(lease.as_millis()).unwrap_or(u64::MAX);
         let reply = ControlReply::Update { update, lease_ms };
         self.reply(tag, GroupReply::Control(reply));
     }
 
-    /// Sends a watcher on to another relay or replica.
+    /// Replies that the watcher should try another relay or replica.
     pub(super) fn redirect(&mut self, tag: WatchTag) {
         self.reply(tag, GroupReply::NotLeader { leader: None });
     }
--- a/crates/nodes/wingshore-relay/src/driver/metrics.rs
+++ b/crates/nodes/wingshore-relay/src/driver/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a relay, as Prometheus text.
+//! Metrics of a relay, encoded as OpenMetrics text.
 
 use crate::state::RelaySummary;
 use prometheus_client::encoding::text::encode;
@@ -18,16 +18,16 @@
     ready: AtomicBool,
     /// Watches answered.
     pub(super) answers: Counter,
-    /// Watchers sent to another relay.
+    /// Watches redirected to another relay.
     pub(super) redirects: Counter,
     /// Watches sent upstream.
     pub(super) upstream_watches: Counter,
-    /// Watches upstream without an answer.
+    /// Watches sent upstream that got no answer.
     pub(super) upstream_failures: Counter,
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Registers all metrics, with value zero.
     pub(super) fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore_relay"),
@@ -48,7 +48,7 @@
         metrics
     }
 
-    /// Takes the relay's state over.
+    /// Sets the gauges and the readiness from the relay's summary.
     pub(super) fn set_summary(&self, summary: RelaySummary) {
         let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         self.revision
@@ -58,12 +58,12 @@
         self.ready.store(summary.upstream_alive, Ordering::Relaxed);
     }
 
-    /// Whether upstream has answered lately.
+    /// Returns whether upstream has answered within the upstream timeout.
     pub(super) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as OpenMetrics text.
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/nodes/wingshore-relay/src/driver/run.rs
+++ b/crates/nodes/wingshore-relay/src/driver/run.rs
@@ -21,65 +21,65 @@
 use wingshore_types::RequestId;
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 
-/// Most connections of nodes and relays further down.
+/// Most simultaneous connections of nodes and downstream relays.
 const MAX_CONNECTIONS: u32 = 4096;
 
-/// Most events that wait for the main loop; connections wait beyond that.
+/// Capacity of the main loop's event queue; when it is full, connections wait.
 const MAX_QUEUED_EVENTS: usize = 16_384;
 
-/// Longest time between two looks at the stop signal.
+/// Longest interval between two checks of the stop signal.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a relay could not start.
+/// A reason why a relay cannot start.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum RelayError {
-    /// The address for frames cannot be listened on.
+    /// The listen address for frames cannot be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// The cause.
+        /// Cause.
         source: BindError,
     },
-    /// The address for operators cannot be listened on.
-    #[snafu(display("cannot serve operators on {address}: {source}"))]
+    /// The admin address cannot be bound.
+    #[snafu(display("cannot listen on the admin address {address}: {source}"))]
     Admin {
-        /// Where.
+        /// Admin address from the settings.
         address: SocketAddr,
-        /// The cause.
+        /// Cause.
         source: io::Error,
     },
     /// A thread could not be started.
     #[snafu(display("cannot start a thread of the relay: {source}"))]
     Thread {
-        /// The cause.
+        /// Cause.
         source: io::Error,
     },
 }
 
-/// What the main loop reacts to.
+/// An input of the main loop.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A watch came.
+    /// A watch was received.
     Watch {
         connection: ConnectionHandle,
         id: RequestId,
         request: WatchRequest,
     },
-    /// A connection is closed.
+    /// A connection was closed.
     ConnectionClosed(ConnectionId),
-    /// Upstream answered.
+    /// Upstream answered the watch.
     UpstreamAnswered {
         update: ConfigurationUpdate,
         lease: Duration,
     },
-    /// Upstream did not answer.
+    /// Upstream did not answer the watch.
     UpstreamFailed,
 }
 
-/// Runs a relay until `stop` is given; then watchers are sent elsewhere and all threads joined.
+/// Runs a relay until `stop` is signalled, then redirects all watchers and joins all threads.
 ///
 /// # Errors
-/// When it cannot start.
+/// When the relay cannot start.
 pub fn run(
     settings: RelaySettings,
     diagnostics: Diagnostics,
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// A relay that runs on threads of its own. Dropping it stops it.
+/// A relay running on its own threads. Dropping it stops it.
 pub struct RunningRelay {
     address: SocketAddr,
     stop: StopSignal,
@@ -102,7 +102,7 @@
     /// Starts a relay.
     ///
     /// # Errors
-    /// When an address cannot be listened on, or a thread not be started.
+    /// When an address cannot be bound or a thread cannot be started.
     pub fn start(settings: RelaySettings, diagnostics: Diagnostics) -> Result<Self, RelayError> {
         let metrics = Arc::new(Metrics::new());
         let (events, incoming) = bounded(MAX_QUEUED_EVENTS);
@@ -135,18 +135,18 @@
         })
     }
 
-    /// Where it listens for frames.
+    /// Returns the address that the frame server is bound to.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends all watchers elsewhere and waits for all threads.
+    /// Redirects all watchers to other relays and joins all threads.
     pub fn stop(&mut self) {
         let Some(thread) = self.thread.take() else {
             return;
         };
         self.stop.stop();
-        // A panic was written out by the panic hook; nothing is left to stop.
+        // The panic hook has already logged a panic; nothing is left to stop.
         let _ = thread.join();
     }
 }
@@ -157,7 +157,7 @@
     }
 }
 
-/// What has to be stopped with a relay.
+/// Components that are stopped together with the relay.
 struct RelayResources {
     server: Server,
     admin: Option<AdminServer>,
@@ -177,7 +177,7 @@
     relay.serve(&incoming, stop);
     info!(logger, "relay stopping");
     relay.redirect_all();
-    // Threads that wait to hand an event over must not wait for a loop that has ended.
+    // Unblocks threads that wait to queue an event, as the main loop has ended.
     drop(incoming);
     parts.server.stop();
     drop(relay);
@@ -216,7 +216,7 @@
     Server::bind(settings.listen, options, Arc::new(handler)).context(ListenSnafu)
 }
 
-/// The state, and where its outputs go.
+/// The relay's state and the destinations of its outputs.
 struct Relay {
     clock: Clock,
     state: RelayState,
--- a/crates/nodes/wingshore-relay/src/driver/upstream.rs
+++ b/crates/nodes/wingshore-relay/src/driver/upstream.rs
@@ -1,4 +1,4 @@
-//! The one watch upstream, on a thread of its own.
+//! The thread that sends the relay's watches upstream, one at a time.
 
 use super::run::Event;
 use crossbeam_channel::{Receiver, Sender};
@@ -11,7 +11,7 @@
 use wingshore_types::Instant;
 use wingshore_types::protocol::control::WatchRequest;
 
-/// Sends each watch that comes by `watches` and hands what follows to the main loop.
+/// Starts the thread that sends each request from `watches` and passes the result to the main loop.
 pub(super) fn spawn(
     client: GroupClient,
     watches: Receiver<WatchRequest>,
@@ -30,8 +30,9 @@
         })
 }
 
-/// Sends one watch. The lease of its answer counts from the sending of the attempt that was answered; the
-/// main loop counts from its own, which lies before this call: what lies between is added.
+/// Sends one watch. The lease in the answer counts from when the answered attempt was sent, but the
+/// main loop counts it from when it requested the watch, before this call; the time in between is
+/// added to the lease.
 fn watch(client: &GroupClient, request: WatchRequest, logger: &Logger) -> Event {
     let clock = Clock::start();
     match client.watch(request) {
--- a/crates/nodes/wingshore-relay/src/lib.rs
+++ b/crates/nodes/wingshore-relay/src/lib.rs
@@ -1,8 +1,9 @@
-//! The relay role: fans the configuration out to nodes and folds their acknowledgements in, so
-//! that the control group's leader talks to tens of relays instead of thousands of nodes.
+//! The relay role: distributes the configuration to nodes and aggregates their acknowledgements, so
+//! that the control group's leader serves tens of relays instead of thousands of nodes.
 //!
-//! [`RelayState`] decides, without I/O; [`run`] and [`RunningRelay`] drive it with sockets, threads and a clock.
-//! `docs/design/0003-configuration-leases.md` says why a node's lease holds through relays.
+//! [`RelayState`] contains the decisions, without I/O; [`run`] and [`RunningRelay`] drive it with
+//! sockets, threads and a clock. `docs/design/0003-configuration-leases.md` explains why a node's
+//! lease is valid through relays.
 
 mod driver;
 mod state;
--- a/crates/nodes/wingshore-relay/src/state/copy.rs
+++ b/crates/nodes/wingshore-relay/src/state/copy.rs
@@ -1,15 +1,15 @@
-//! The relay's copy of the configuration, and its newest changes.
+//! The relay's copy of the configuration, with its most recent changes.
 
 use std::collections::VecDeque;
 use wingshore_types::Revision;
 use wingshore_types::configuration::{Configuration, ConfigurationChange};
 use wingshore_types::protocol::control::ConfigurationUpdate;
 
-/// A configuration whose revision never goes down, with the changes that led to it.
+/// A configuration whose revision never decreases, with the most recent changes.
 #[derive(Debug)]
 pub(super) struct ConfigurationCopy {
     configuration: Configuration,
-    /// The changes up to `configuration`, the last one being that of its revision.
+    /// The most recent changes; the last one led to the revision of `configuration`.
     changes: VecDeque<ConfigurationChange>,
     retained_changes: usize,
     needs_snapshot: bool,
@@ -31,12 +31,12 @@
         self.configuration.revision
     }
 
-    /// Whether any answer has come from upstream.
+    /// Returns whether an update from upstream has been applied.
     pub(super) fn has_received_update(&self) -> bool {
         self.received
     }
 
-    /// The revision to ask upstream from; zero asks for the whole.
+    /// Returns the revision to send in the next upstream watch; zero requests a snapshot.
     pub(super) fn request_revision(&self) -> Revision {
         if self.needs_snapshot {
             Revision(0)
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Takes an update in; returns whether it fits.
+    /// Applies an update. Returns whether it is consistent with the copy; if it is not, a snapshot
+    /// is requested next.
     pub(super) fn apply(&mut self, update: ConfigurationUpdate) -> bool {
         let fits = match update {
             ConfigurationUpdate::Unchanged => {
@@ -59,7 +60,7 @@
         fits
     }
 
-    /// What a watcher that holds `have` lacks.
+    /// Returns the update for a watcher that holds revision `have`.
     pub(super) fn update_since(&self, have: Revision) -> ConfigurationUpdate {
         let revision = self.revision();
         if have >= revision {
@@ -88,8 +89,8 @@
         fits && self.replace(whole)
     }
 
-    /// One change after another, each complete, so that one that does not fit leaves a revision
-    /// that was really committed.
+    /// Applies one change completely or not at all, so that an inconsistent change leaves the copy at
+    /// a committed revision.
     fn apply_change(&mut self, change: ConfigurationChange) -> bool {
         if self.configuration.apply(&change).is_err() {
             return false;
--- a/crates/nodes/wingshore-relay/src/state/mod.rs
+++ b/crates/nodes/wingshore-relay/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The relay's decisions: whom to answer with what, and what to ask upstream.
+//! The relay's decisions: when and how to answer watches, and what to send upstream.
 
 mod copy;
 mod nodes;
@@ -11,31 +11,32 @@
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 use wingshore_types::{Instant, Revision};
 
-/// Names one watch of a node or of a relay further down, within this process.
+/// Identifies one watch of a node or downstream relay, within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatchTag(pub u64);
 
-/// Times of a relay.
+/// Time limits of a relay, and the number of changes it retains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayTiming {
-    /// How long upstream may hold a watch open; also the longest time an acknowledgement waits
-    /// here before it is passed on.
+    /// Longest time that upstream may hold a watch open; also the longest time that an
+    /// acknowledgement waits in the relay before it is forwarded.
     pub upstream_wait: Duration,
-    /// The same while some node waits for its first lease.
+    /// Replaces `upstream_wait` while some node waits for its first lease.
     pub first_lease_wait: Duration,
-    /// After news, time for the nodes' acknowledgements to come in before the next watch is sent.
+    /// Delay of the next upstream watch after a new revision, so that it can include the nodes'
+    /// acknowledgements of that revision.
     pub acknowledgement_window: Duration,
-    /// Pause after a failed watch.
+    /// Delay of the next upstream watch after a failed one.
     pub retry_delay: Duration,
     /// Longest time a watch of a node is held open.
     pub max_watch: Duration,
-    /// Without any answer from upstream for this long, nodes are sent to other relays.
+    /// Time without an answer from upstream after which nodes are redirected to other relays.
     pub upstream_timeout: Duration,
-    /// Acknowledgements older than this are not passed on: the node may be gone.
+    /// Acknowledgements older than this are not forwarded, as the node may have ended.
     pub max_acknowledgement_age: Duration,
-    /// Nodes not heard of for this long are forgotten; longer than any lease.
+    /// Time after a node's last acknowledgement until the node is removed; longer than any lease.
     pub node_retention: Duration,
-    /// Changes kept for answers by delta; nodes further behind get the whole configuration.
+    /// Changes retained to answer with a delta; nodes that are further behind get a snapshot.
     pub retained_changes: usize,
 }
 
@@ -55,77 +56,77 @@
     }
 }
 
-/// What a relay reacts to.
+/// An input of a relay.
 #[derive(Clone, Debug)]
 pub enum RelayInput {
-    /// A node or a relay further down watches.
+    /// A node or downstream relay sent a watch.
     Watch {
-        /// Comes back with the answer.
+        /// Identifies the watch in the output that answers it.
         tag: WatchTag,
-        /// What it asks and acknowledges.
+        /// The revision held and the acknowledgements.
         request: WatchRequest,
     },
-    /// Nobody waits for the answer to this watch any more.
+    /// The connection of this watch was closed, so no answer is needed.
     WatchClosed(WatchTag),
-    /// Upstream answered the watch that was sent last.
+    /// Upstream answered the last watch that was sent.
     UpstreamAnswered {
-        /// News.
+        /// Update of the configuration.
         update: ConfigurationUpdate,
-        /// The lease, counted from when the watch was sent.
+        /// Duration of the lease, counted from when the watch was sent.
         lease: Duration,
     },
-    /// The watch that was sent last got no answer.
+    /// The last watch that was sent upstream got no answer.
     UpstreamFailed,
-    /// Time has passed.
+    /// Time has passed; checks deadlines.
     Tick,
 }
 
-/// What a relay wants done.
+/// An action requested by a relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayOutput {
     /// Answer a watch.
     Answer {
-        /// Which.
+        /// Tag of the watch.
         tag: WatchTag,
-        /// News.
+        /// Update of the configuration.
         update: ConfigurationUpdate,
-        /// The lease, counted from when the watcher sent its watch.
+        /// Remaining lease. The watcher counts it from when it sent the watch.
         lease: Duration,
     },
-    /// Tell a watcher to ask another relay: this one is cut off from the control group, or has
-    /// not reached it yet.
+    /// Redirect a watcher to another relay: this one has lost the control group, or has not reached
+    /// it yet.
     Unavailable(WatchTag),
-    /// Send this watch upstream now; exactly one answer or failure follows.
+    /// Send this watch upstream; exactly one answer or failure follows.
     SendUpstream(WatchRequest),
 }
 
-/// A relay at a glance.
+/// Summary of a relay's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelaySummary {
-    /// The revision held.
+    /// Revision of the configuration held.
     pub revision: Revision,
     /// Watches held open.
     pub open_watches: usize,
-    /// Nodes heard of lately.
+    /// Node processes with an acknowledgement within [`RelayTiming::node_retention`].
     pub nodes: usize,
-    /// Whether upstream has answered lately.
+    /// Whether upstream has answered within [`RelayTiming::upstream_timeout`].
     pub upstream_alive: bool,
 }
 
-/// Where the one watch upstream stands.
+/// State of the upstream watch; at most one is in flight.
 #[derive(Clone, Copy, Debug)]
 enum Upstream {
-    /// None is out; the next one is due at `next`.
+    /// No watch is in flight; the next one is due at `next`.
     Idle { next: Instant },
-    /// One is out since `sent_at`.
+    /// A watch sent at `sent_at` is in flight.
     Waiting { sent_at: Instant },
 }
 
-/// A relay without its I/O.
+/// The state machine of a relay, without I/O.
 ///
-/// Every lease that it passes on ends no later than the control group's leader believes: a node
-/// is granted what is left of an upstream lease only if its own acknowledgement was part of the
-/// upstream watch, and what is left counts from when that watch was sent.
+/// Every lease that a relay grants expires no later than the leader of the control group assumes: a
+/// node is granted the remainder of an upstream lease only if the upstream watch included the
+/// node's acknowledgement, and the lease counts from when that watch was sent.
 #[derive(Debug)]
 pub struct RelayState {
     timing: RelayTiming,
@@ -137,7 +138,7 @@
 }
 
 impl RelayState {
-    /// A relay that holds nothing yet.
+    /// Creates a relay without a configuration.
     pub fn new(now: Instant, timing: RelayTiming) -> Self {
         Self {
             copy: ConfigurationCopy::new(timing.retained_changes),
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Handles one input at `now`.
+    /// Handles one input at `now` and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Instant, input: RelayInput, out: &mut Vec<RelayOutput>) {
         match input {
             RelayInput::Watch { tag, request } => self.on_watch(now, tag, request, out),
@@ -171,7 +172,7 @@
         self.send_upstream(now, out);
     }
 
-    /// When [`RelayInput::Tick`] is wanted at the latest; `None` when only other inputs matter.
+    /// Returns when the next [`RelayInput::Tick`] is due; `None` if only other inputs matter.
     pub fn next_tick(&self) -> Option<Instant> {
         let cut_off = self.last_answer + self.timing.upstream_timeout;
         let first_deadline = self.watches.first_deadline();
@@ -183,7 +184,7 @@
         [next_watch, first_answer].into_iter().flatten().min()
     }
 
-    /// The relay at a glance.
+    /// Returns a summary of the state at `now`.
     pub fn summary(&self, now: Instant) -> RelaySummary {
         RelaySummary {
             revision: self.copy.revision(),
@@ -225,7 +226,7 @@
         };
         let before = self.copy.revision();
         if !self.copy.apply(update) {
-            // What does not fit is asked for as a whole, and its lease is not passed on.
+            // After an inconsistent update a snapshot is requested, and its lease is not granted.
             self.on_upstream_failure(now);
             return;
         }
@@ -246,7 +247,7 @@
         self.upstream = Upstream::Idle { next };
     }
 
-    /// Answers watches whose time is over; all of them, when nothing comes from upstream.
+    /// Answers watches whose deadline has passed; redirects all watches if upstream timed out.
     fn answer_expired(&mut self, now: Instant, out: &mut Vec<RelayOutput>) {
         if !self.is_upstream_timed_out(now) {
             self.answer(now, self.watches.expired(now), out);
@@ -264,7 +265,7 @@
                 continue;
             };
             if !self.copy.has_received_update() {
-                // "Unchanged" would say that there is no configuration.
+                // `Unchanged` would mean that the configuration is empty.
                 out.push(RelayOutput::Unavailable(tag));
                 continue;
             }
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Whether there is a later revision, or a first lease.
+    /// Returns whether the watch can be answered with a newer revision or a first lease.
     fn has_news(&self, now: Instant, watch: &OpenWatch) -> bool {
         let has_later_revision = watch.have < self.copy.revision();
         let has_lease = || !self.nodes.lease_left(now, &watch.processes).is_zero();
--- a/crates/nodes/wingshore-relay/src/state/nodes.rs
+++ b/crates/nodes/wingshore-relay/src/state/nodes.rs
@@ -1,11 +1,11 @@
-//! Each node's newest acknowledgement, and until when it holds a lease.
+//! The newest acknowledgement and the lease of each node process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_types::protocol::control::NodeAcknowledgement;
 use wingshore_types::{Instant, NodeId, Revision};
 
-/// One boot of a node. A node that starts again holds nothing of its earlier boot's.
+/// A node and its boot id. A restarted node does not inherit the lease of its earlier boot.
 pub(super) type NodeProcess = (NodeId, u64);
 
 /// Why the next upstream watch is sent.
@@ -13,7 +13,7 @@
 pub(super) enum SendReason {
     /// Some node has no lease yet.
     FirstLease,
-    /// Nodes renew their leases, or nothing is new.
+    /// Nodes renew their leases, or there are no acknowledgements to forward.
     Renewal,
 }
 
@@ -21,14 +21,15 @@
 struct Node {
     in_force: Revision,
     last_acknowledged_at: Instant,
-    /// Whether its newest acknowledgement is to be part of the next upstream watch.
+    /// Whether the newest acknowledgement must be included in the next upstream watch.
     pending: bool,
-    /// Whether it is part of the upstream watch that is out, whatever came since.
+    /// Whether the upstream watch in flight includes an acknowledgement of the node, even if a
+    /// newer one was received since.
     in_flight: bool,
     lease_expires_at: Option<Instant>,
 }
 
-/// All nodes heard of lately.
+/// All node processes with a recent acknowledgement.
 #[derive(Debug, Default)]
 pub(super) struct NodeTable {
     nodes: BTreeMap<NodeProcess, Node>,
@@ -39,7 +40,7 @@
         self.nodes.len()
     }
 
-    /// Takes an acknowledgement in, to be passed on.
+    /// Records an acknowledgement to be forwarded upstream.
     pub(super) fn record_acknowledgement(
         &mut self,
         now: Instant,
@@ -59,8 +60,8 @@
         process
     }
 
-    /// What is left of the shortest lease among `processes`; zero when one has none, or there
-    /// are none.
+    /// Returns the remainder of the shortest lease among `processes`; zero if one has no lease or
+    /// `processes` is empty.
     pub(super) fn lease_left(&self, now: Instant, processes: &[NodeProcess]) -> Duration {
         let ends = processes.iter().map(|process| {
             let node = self.nodes.get(process);
@@ -70,8 +71,8 @@
         shortest.map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// The newest acknowledgement of each node heard of since the last upstream watch, except for
-    /// those heard of longer than `limit` ago.
+    /// Marks as in flight and returns the newest acknowledgement of each node that sent one since
+    /// the last upstream watch, except for those older than `limit`.
     pub(super) fn take_for_upstream(
         &mut self,
         now: Instant,
@@ -98,7 +99,7 @@
         (acknowledgements, reason)
     }
 
-    /// Upstream has answered: all nodes that were part of its watch hold a lease until then.
+    /// Grants a lease until `until` to all nodes in the upstream watch that was answered.
     pub(super) fn grant_leases(&mut self, until: Instant) {
         for node in self.nodes.values_mut().filter(|node| node.in_flight) {
             node.in_flight = false;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Upstream has not answered: what was part of its watch goes into the next one.
+    /// Queues the acknowledgements of a failed upstream watch for the next one.
     pub(super) fn requeue_in_flight(&mut self) {
         for node in self.nodes.values_mut().filter(|node| node.in_flight) {
             node.in_flight = false;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Forgets nodes not heard of for `limit`.
+    /// Removes nodes without an acknowledgement for `limit`, unless one is in flight.
     pub(super) fn remove_idle(&mut self, now: Instant, limit: Duration) {
         self.nodes
             .retain(|_, node| node.in_flight || now.since(node.last_acknowledged_at) < limit);
--- a/crates/nodes/wingshore-relay/src/state/watches.rs
+++ b/crates/nodes/wingshore-relay/src/state/watches.rs
@@ -1,24 +1,24 @@
-//! Watches that wait for news.
+//! Open watches, which wait for an update or their deadline.
 
 use super::WatchTag;
 use super::nodes::NodeProcess;
 use std::collections::{BTreeMap, BTreeSet};
 use wingshore_types::{Instant, Revision};
 
-/// One watch that waits.
+/// One open watch.
 #[derive(Clone, Debug)]
 pub(super) struct OpenWatch {
-    /// The revision the watcher holds.
+    /// Revision that the watcher holds.
     pub(super) have: Revision,
-    /// Answer by then, also without news.
+    /// Time by which the watch is answered, also without an update.
     pub(super) deadline: Instant,
-    /// Whether it had no lease when it came: then a lease is news too.
+    /// Whether the watcher had no lease on arrival; a first lease then is a reason to answer.
     pub(super) lacked_lease: bool,
-    /// Whose acknowledgements came with it; the lease holds for all of them.
+    /// Node processes whose acknowledgements the watch contained; the lease applies to all of them.
     pub(super) processes: Vec<NodeProcess>,
 }
 
-/// All watches that wait, by tag and by deadline.
+/// All open watches, indexed by tag and by deadline.
 #[derive(Debug, Default)]
 pub(super) struct OpenWatches {
     open: BTreeMap<WatchTag, OpenWatch>,
@@ -49,7 +49,7 @@
         self.open.keys().copied().collect()
     }
 
-    /// Those whose deadline has passed.
+    /// Returns the watches whose deadline has passed.
     pub(super) fn expired(&self, now: Instant) -> Vec<WatchTag> {
         let passed = self
             .deadlines
@@ -58,7 +58,7 @@
         passed.map(|(_, tag)| *tag).collect()
     }
 
-    /// Those that `is_due` says something of, in the order of their tags.
+    /// Returns the watches for which `is_match` holds, in the order of their tags.
     pub(super) fn matching(&self, is_match: impl Fn(&OpenWatch) -> bool) -> Vec<WatchTag> {
         let matching = self.open.iter().filter(|(_, watch)| is_match(watch));
         matching.map(|(tag, _)| *tag).collect()
