--- a/crates/nodes/wingshore-relay/src/driver/admin.rs
+++ b/crates/nodes/wingshore-relay/src/driver/admin.rs
@@ -24,8 +24,8 @@
     /// Binds `address` and serves requests on a thread of its own.
     pub(super) fn start(address: SocketAddr, metrics: Arc<Metrics>) -> io::Result<Self> {
         let server = Server::http(address).map_err(io::Error::other)?;
-        let own = server.server_addr().to_ip().unwrap_or(address);
-        let (nudger, _) = Nudger::start(own)?;
+        let bound_address = server.server_addr().to_ip().unwrap_or(address);
+        let (nudger, _) = Nudger::start(bound_address)?;
         let server = Arc::new(server);
         let serving = Arc::clone(&server);
         let thread = thread::Builder::new()
--- a/crates/nodes/wingshore-relay/src/driver/frames.rs
+++ b/crates/nodes/wingshore-relay/src/driver/frames.rs
@@ -16,12 +16,12 @@
                             other requests to a replica";
 
 /// Passes received watches to the relay's main loop.
-pub(super) struct RelayFrames {
+pub(super) struct RelayFrameHandler {
     pub(super) events: Sender<Event>,
     pub(super) diagnostics: Diagnostics,
 }
 
-impl FrameHandler for RelayFrames {
+impl FrameHandler for RelayFrameHandler {
     fn on_frame(&self, connection: &ConnectionHandle, frame: Frame) {
         let Frame::Request { id, body, .. } = frame else {
             connection.close();
@@ -47,7 +47,7 @@
     }
 }
 
-impl RelayFrames {
+impl RelayFrameHandler {
     fn dump_log(&self) -> GroupReply {
         match self.diagnostics.dump("asked by an operator") {
             Ok(place) => GroupReply::LogDumped(place),
@@ -59,8 +59,8 @@
 /// Watches without a reply, by tag.
 #[derive(Debug, Default)]
 pub(super) struct PendingWatches {
-    next: u64,
-    waiting: HashMap<WatchTag, PendingWatch>,
+    next_tag: u64,
+    pending: HashMap<WatchTag, PendingWatch>,
 }
 
 #[derive(Debug)]
@@ -72,26 +72,26 @@
 impl PendingWatches {
     /// Adds a watch and returns its new tag.
     pub(super) fn add(&mut self, connection: ConnectionHandle, id: RequestId) -> WatchTag {
-        let tag = WatchTag(self.next);
-        self.next += 1;
-        self.waiting.insert(tag, PendingWatch { connection, id });
+        let tag = WatchTag(self.next_tag);
+        self.next_tag += 1;
+        self.pending.insert(tag, PendingWatch { connection, id });
         tag
     }
 
     /// Removes the watches of a closed connection and returns their tags.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Vec<WatchTag> {
-        let is_of = |watcher: &PendingWatch| watcher.connection.id() == connection;
-        let gone: Vec<WatchTag> = self
-            .waiting
-            .extract_if(|_, watcher| is_of(watcher))
+        let belongs_to_connection = |watcher: &PendingWatch| watcher.connection.id() == connection;
+        let closed: Vec<WatchTag> = self
+            .pending
+            .extract_if(|_, watcher| belongs_to_connection(watcher))
             .map(|(tag, _)| tag)
             .collect();
-        gone
+        closed
     }
 
     /// Returns the tags of all watches without a reply.
     pub(super) fn tags(&self) -> Vec<WatchTag> {
-        self.waiting.keys().copied().collect()
+        self.pending.keys().copied().collect()
     }
 
     /// Replies to a watch. The lease is rounded down to milliseconds.
@@ -107,7 +107,7 @@
     }
 
     fn reply(&mut self, tag: WatchTag, body: GroupReply) {
-        if let Some(watcher) = self.waiting.remove(&tag) {
+        if let Some(watcher) = self.pending.remove(&tag) {
             watcher.connection.reply(watcher.id, body);
         }
     }
--- a/crates/nodes/wingshore-relay/src/driver/run.rs
+++ b/crates/nodes/wingshore-relay/src/driver/run.rs
@@ -1,7 +1,7 @@
 //! The relay's main loop.
 
 use super::admin::AdminServer;
-use super::frames::{PendingWatches, RelayFrames};
+use super::frames::{PendingWatches, RelayFrameHandler};
 use super::metrics::Metrics;
 use super::upstream;
 use crate::state::{RelayInput, RelayOutput, RelayState, RelayTiming};
@@ -110,11 +110,11 @@
         let server = listen(&settings, &diagnostics, &events)?;
         let address = server.local_address();
         let client = GroupClient::new(&settings.site, settings.upstream, rand::random());
-        let (watches, sent) = unbounded();
+        let (watches, watch_requests) = unbounded();
         let logger = diagnostics.logger().clone();
         let upstream =
-            upstream::spawn(client.clone(), sent, events, logger).context(ThreadSnafu)?;
-        let parts = RelayResources {
+            upstream::spawn(client.clone(), watch_requests, events, logger).context(ThreadSnafu)?;
+        let resources = RelayResources {
             server,
             admin,
             client,
@@ -126,7 +126,7 @@
         let stopping = stop.clone();
         let thread = thread::Builder::new()
             .name("relay".to_owned())
-            .spawn(move || serve(relay, incoming, parts, &stopping))
+            .spawn(move || serve(relay, incoming, resources, &stopping))
             .context(ThreadSnafu)?;
         Ok(Self {
             address,
@@ -169,23 +169,23 @@
 fn serve(
     mut relay: Relay,
     incoming: Receiver<Event>,
-    mut parts: RelayResources,
+    mut resources: RelayResources,
     stop: &StopSignal,
 ) {
-    let logger = parts.diagnostics.logger();
-    info!(logger, "relay started"; "address" => %parts.server.local_address());
+    let logger = resources.diagnostics.logger();
+    info!(logger, "relay started"; "address" => %resources.server.local_address());
     relay.serve(&incoming, stop);
     info!(logger, "relay stopping");
     relay.redirect_all();
     // Unblocks threads that wait to queue an event, as the main loop has ended.
     drop(incoming);
-    parts.server.stop();
+    resources.server.stop();
     drop(relay);
-    parts.client.close();
-    if parts.upstream.join().is_err() {
+    resources.client.close();
+    if resources.upstream.join().is_err() {
         warn!(logger, "the upstream thread panicked");
     }
-    drop(parts.admin);
+    drop(resources.admin);
 }
 
 fn start_admin(
@@ -209,7 +209,7 @@
         replica: None,
         max_connections: MAX_CONNECTIONS,
     };
-    let handler = RelayFrames {
+    let handler = RelayFrameHandler {
         events: events.clone(),
         diagnostics: diagnostics.clone(),
     };
--- a/crates/nodes/wingshore-relay/src/state/copy.rs
+++ b/crates/nodes/wingshore-relay/src/state/copy.rs
@@ -48,16 +48,16 @@
     /// Applies an update. Returns whether it is consistent with the copy; if it is not, a snapshot
     /// is requested next.
     pub(super) fn apply(&mut self, update: ConfigurationUpdate) -> bool {
-        let fits = match update {
+        let is_consistent = match update {
             ConfigurationUpdate::Unchanged => {
                 !self.needs_snapshot || self.revision() == Revision(0)
             }
             ConfigurationUpdate::Delta { from, changes } => self.apply_delta(from, changes),
-            ConfigurationUpdate::Snapshot(whole) => self.replace(*whole),
+            ConfigurationUpdate::Snapshot(snapshot) => self.replace(*snapshot),
         };
-        self.needs_snapshot = !fits;
-        self.received |= fits;
-        fits
+        self.needs_snapshot = !is_consistent;
+        self.received |= is_consistent;
+        is_consistent
     }
 
     /// Returns the update for a watcher that holds revision `have`.
@@ -84,9 +84,9 @@
         if from != Revision(0) {
             return false;
         }
-        let mut whole = Configuration::default();
-        let fits = changes.iter().all(|change| whole.apply(change).is_ok());
-        fits && self.replace(whole)
+        let mut snapshot = Configuration::default();
+        let is_consistent = changes.iter().all(|change| snapshot.apply(change).is_ok());
+        is_consistent && self.replace(snapshot)
     }
 
     /// Applies one change completely or not at all, so that an inconsistent change leaves the copy at
@@ -102,12 +102,12 @@
         true
     }
 
-    fn replace(&mut self, whole: Configuration) -> bool {
-        if whole.revision < self.revision() {
+    fn replace(&mut self, snapshot: Configuration) -> bool {
+        if snapshot.revision < self.revision() {
             return false;
         }
-        if whole.revision > self.revision() {
-            self.configuration = whole;
+        if snapshot.revision > self.revision() {
+            self.configuration = snapshot;
             self.changes.clear();
         }
         true
--- a/crates/nodes/wingshore-relay/src/state/mod.rs
+++ b/crates/nodes/wingshore-relay/src/state/mod.rs
@@ -115,11 +115,11 @@
 
 /// State of the upstream watch; at most one is in flight.
 #[derive(Clone, Copy, Debug)]
-enum Upstream {
+enum UpstreamWatch {
     /// No watch is in flight; the next one is due at `next`.
     Idle { next: Instant },
     /// A watch sent at `sent_at` is in flight.
-    Waiting { sent_at: Instant },
+    InFlight { sent_at: Instant },
 }
 
 /// The state machine of a relay, without I/O.
@@ -133,7 +133,7 @@
     copy: ConfigurationCopy,
     nodes: NodeTable,
     watches: OpenWatches,
-    upstream: Upstream,
+    upstream: UpstreamWatch,
     last_answer: Instant,
 }
 
@@ -144,7 +144,7 @@
             copy: ConfigurationCopy::new(timing.retained_changes),
             nodes: NodeTable::default(),
             watches: OpenWatches::default(),
-            upstream: Upstream::Idle { next: now },
+            upstream: UpstreamWatch::Idle { next: now },
             last_answer: now,
             timing,
         }
@@ -161,7 +161,7 @@
                 self.on_upstream_answer(now, update, lease);
                 self.answer(
                     now,
-                    self.watches.matching(|watch| self.has_news(now, watch)),
+                    self.watches.matching(|watch| self.has_update(now, watch)),
                     out,
                 );
             }
@@ -174,12 +174,12 @@
 
     /// Returns when the next [`RelayInput::Tick`] is due; `None` if only other inputs matter.
     pub fn next_tick(&self) -> Option<Instant> {
-        let cut_off = self.last_answer + self.timing.upstream_timeout;
+        let upstream_deadline = self.last_answer + self.timing.upstream_timeout;
         let first_deadline = self.watches.first_deadline();
-        let first_answer = first_deadline.map(|deadline| deadline.min(cut_off));
+        let first_answer = first_deadline.map(|deadline| deadline.min(upstream_deadline));
         let next_watch = match self.upstream {
-            Upstream::Idle { next } => Some(next),
-            Upstream::Waiting { .. } => None,
+            UpstreamWatch::Idle { next } => Some(next),
+            UpstreamWatch::InFlight { .. } => None,
         };
         [next_watch, first_answer].into_iter().flatten().min()
     }
@@ -213,15 +213,15 @@
             lacked_lease: lacked_lease && !processes.is_empty(),
             processes,
         };
-        let has_news = self.has_news(now, &watch);
+        let has_update = self.has_update(now, &watch);
         self.watches.insert(tag, watch);
-        if has_news && !self.is_upstream_timed_out(now) {
+        if has_update && !self.is_upstream_timed_out(now) {
             self.answer(now, vec![tag], out);
         }
     }
 
     fn on_upstream_answer(&mut self, now: Instant, update: ConfigurationUpdate, lease: Duration) {
-        let Upstream::Waiting { sent_at } = self.upstream else {
+        let UpstreamWatch::InFlight { sent_at } = self.upstream else {
             return;
         };
         let before = self.copy.revision();
@@ -232,19 +232,19 @@
         }
         self.last_answer = now;
         self.nodes.grant_leases(sent_at + lease);
-        let has_news = self.copy.revision() > before;
-        let pause = if has_news {
+        let has_update = self.copy.revision() > before;
+        let pause = if has_update {
             self.timing.acknowledgement_window
         } else {
             Duration::ZERO
         };
-        self.upstream = Upstream::Idle { next: now + pause };
+        self.upstream = UpstreamWatch::Idle { next: now + pause };
     }
 
     fn on_upstream_failure(&mut self, now: Instant) {
         self.nodes.requeue_in_flight();
         let next = now + self.timing.retry_delay;
-        self.upstream = Upstream::Idle { next };
+        self.upstream = UpstreamWatch::Idle { next };
     }
 
     /// Answers watches whose deadline has passed; redirects all watches if upstream timed out.
@@ -278,7 +278,7 @@
     }
 
     /// Returns whether the watch can be answered with a newer revision or a first lease.
-    fn has_news(&self, now: Instant, watch: &OpenWatch) -> bool {
+    fn has_update(&self, now: Instant, watch: &OpenWatch) -> bool {
         let has_later_revision = watch.have < self.copy.revision();
         let has_lease = || !self.nodes.lease_left(now, &watch.processes).is_zero();
         has_later_revision || (watch.lacked_lease && has_lease())
@@ -286,7 +286,7 @@
 
     fn send_upstream(&mut self, now: Instant, out: &mut Vec<RelayOutput>) {
         match self.upstream {
-            Upstream::Idle { next } if next <= now => {}
+            UpstreamWatch::Idle { next } if next <= now => {}
             _ => return,
         }
         let limit = self.timing.max_acknowledgement_age;
@@ -295,7 +295,7 @@
             SendReason::FirstLease => self.timing.first_lease_wait,
             SendReason::Renewal => self.timing.upstream_wait,
         };
-        self.upstream = Upstream::Waiting { sent_at: now };
+        self.upstream = UpstreamWatch::InFlight { sent_at: now };
         out.push(RelayOutput::SendUpstream(WatchRequest {
             have: self.copy.request_revision(),
             acknowledgements,
--- a/crates/nodes/wingshore-relay/tests/fan_out.rs
+++ b/crates/nodes/wingshore-relay/tests/fan_out.rs
@@ -260,7 +260,7 @@
 }
 
 #[gtest]
-fn fifty_nodes_follow_through_a_leader_change_and_the_loss_of_a_relay() {
+fn nodes_follow_across_leader_change_and_loss_of_a_relay() {
     let mut site = Site::start();
     site.control.commit();
     site.control.commit();
@@ -285,7 +285,7 @@
 }
 
 #[gtest]
-fn a_relay_takes_nothing_but_watches_and_the_order_to_write_its_log() {
+fn relay_accepts_only_watches_and_log_dumps() {
     let relay = start_relay(0, vec![loopback()]);
     let address = relay.local_address();
     let client = GroupClient::new(SITE, vec![address], 1);
@@ -306,7 +306,7 @@
 }
 
 #[gtest]
-fn a_relay_without_upstream_sends_watchers_elsewhere_and_stops_at_once() {
+fn relay_without_upstream_redirects_watchers_and_stops_immediately() {
     let mut relay = start_relay(0, vec![loopback()]);
     let address = relay.local_address();
     let client = GroupClient::new(SITE, vec![address], 1);
--- a/crates/nodes/wingshore-relay/tests/leases.rs
+++ b/crates/nodes/wingshore-relay/tests/leases.rs
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn no_lease_outlives_the_leaders_belief_and_all_catch_up_after_trouble() {
+fn no_lease_outlives_the_leaders_record_and_all_nodes_catch_up() {
     for (name, parents) in topologies() {
         for seed in SEEDS {
             let mut simulation = Simulation::new(seed, &parents, NODES, Fault::None);
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn a_frozen_node_delays_in_force_by_its_lease_and_no_more() {
+fn frozen_node_delays_in_force_by_at_most_its_lease() {
     let mut simulation = Simulation::new(1, &[Parent::Leader; 2], NODES, Fault::None);
     simulation.run_healed(Duration::from_secs(10));
     expect_that!(simulation.up_to_date_nodes(), eq(NODES));
--- a/crates/nodes/wingshore-relay/tests/simulation/mod.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/mod.rs
@@ -53,7 +53,7 @@
     relays: Vec<Relay>,
     nodes: Vec<Node>,
     fault: Fault,
-    is_lossy: bool,
+    is_network_lossy: bool,
     /// Promises found broken.
     pub violations: BTreeSet<String>,
 }
@@ -72,7 +72,7 @@
                 .collect(),
             nodes: Vec::new(),
             fault,
-            is_lossy: true,
+            is_network_lossy: true,
             violations: BTreeSet::new(),
         };
         for node in 0..nodes {
@@ -101,7 +101,7 @@
 
     /// Lets `duration` pass on a network that loses nothing.
     pub fn run_healed(&mut self, duration: Duration) {
-        self.is_lossy = false;
+        self.is_network_lossy = false;
         self.run_until(self.now + duration);
     }
 
@@ -345,7 +345,7 @@
         );
         self.relays[relay].outstanding = Some(number);
         // Clients send again by themselves: a watch may arrive twice.
-        let copies = if self.is_lossy && self.generator.random_bool(0.1) {
+        let copies = if self.is_network_lossy && self.generator.random_bool(0.1) {
             2
         } else {
             1
@@ -400,8 +400,8 @@
     /// Delivers after a random delay, or never.
     fn send_over_network(&mut self, event: Event) {
         let milliseconds = match self.generator.random_range(0..100) {
-            0..3 if self.is_lossy => return,
-            3..8 if self.is_lossy => self.generator.random_range(100..3000),
+            0..3 if self.is_network_lossy => return,
+            3..8 if self.is_network_lossy => self.generator.random_range(100..3000),
             _ => self.generator.random_range(0..10),
         };
         self.after(Duration::from_millis(milliseconds), event);
--- a/crates/nodes/wingshore-relay/tests/state.rs
+++ b/crates/nodes/wingshore-relay/tests/state.rs
@@ -121,8 +121,8 @@
 #[gtest]
 fn a_lease_is_shortened_by_the_time_since_the_upstream_watch_was_sent() {
     let mut relay = TestRelay::at(3);
-    let parked = relay.watch(1, 3, acknowledgement("a", 1, 3));
-    expect_that!(parked, is_empty());
+    let immediate_answer = relay.watch(1, 3, acknowledgement("a", 1, 3));
+    expect_that!(immediate_answer, is_empty());
     // The answer to a watch that was sent before the node was heard of is no lease for it.
     let sent = relay.upstream(ConfigurationUpdate::Unchanged);
     expect_that!(sent_acknowledgements(&sent), len(eq(1)));
@@ -138,16 +138,16 @@
     // 900 ms later: counted from the same upstream watch, in which the node was.
     relay.advance(400);
     relay.watch(2, 3, acknowledgement("a", 1, 3));
-    let over = relay.advance(1000);
+    let answered_at_deadline = relay.advance(1000);
     let left = LEASE - relay.now.since(sent_at);
     expect_that!(
-        over,
+        answered_at_deadline,
         contains(eq(&answer(2, ConfigurationUpdate::Unchanged, left)))
     );
 }
 
 #[gtest]
-fn news_goes_out_at_once_and_without_a_lease_where_none_is_held() {
+fn new_revisions_are_sent_immediately_without_a_lease_if_none_is_held() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.watch(2, 1, acknowledgement("b", 1, 1));
@@ -164,7 +164,7 @@
 }
 
 #[gtest]
-fn watchers_get_a_delta_where_the_changes_are_kept_and_the_whole_otherwise() {
+fn watchers_get_a_delta_of_retained_changes_or_else_a_snapshot() {
     let mut relay = TestRelay::at(3);
     relay.upstream(delta(3, 20));
     for (have, expected) in [
@@ -185,7 +185,7 @@
 }
 
 #[gtest]
-fn only_nodes_heard_of_since_the_last_watch_are_passed_on_each_with_its_newest() {
+fn only_new_acknowledgements_are_forwarded_and_only_the_newest_of_each_node() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.watch(2, 3, acknowledgement("b", 1, 2));
@@ -218,7 +218,7 @@
 }
 
 #[gtest]
-fn a_relay_that_is_cut_off_sends_its_watchers_elsewhere() {
+fn relay_without_upstream_answer_redirects_its_watchers() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.step(RelayInput::UpstreamFailed);
@@ -242,7 +242,7 @@
 }
 
 #[gtest]
-fn a_failed_watch_passes_its_acknowledgements_on_again_but_not_old_ones() {
+fn failed_watch_requeues_recent_acknowledgements_only() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.upstream(ConfigurationUpdate::Unchanged);
@@ -254,17 +254,17 @@
 }
 
 #[gtest]
-fn an_update_that_does_not_fit_grants_nothing_and_asks_for_the_whole() {
+fn inconsistent_update_grants_no_lease_and_requests_a_snapshot() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.upstream(ConfigurationUpdate::Unchanged);
     relay.upstream(delta(7, 8));
     let sent = relay.advance(100);
-    let asks_for_whole = |output: &RelayOutput| match output {
+    let requests_snapshot = |output: &RelayOutput| match output {
         RelayOutput::SendUpstream(request) => request.have == Revision(0),
         _ => false,
     };
-    expect_true!(sent.iter().any(asks_for_whole));
+    expect_true!(sent.iter().any(requests_snapshot));
     expect_that!(relay.state.summary(relay.now).revision, eq(Revision(3)));
     // A lower revision than the one held is no answer either.
     relay.upstream(snapshot(2));
@@ -275,7 +275,7 @@
 }
 
 #[gtest]
-fn forgotten_watches_and_nodes_leave_nothing_behind() {
+fn closed_watches_and_idle_nodes_are_removed() {
     let mut relay = TestRelay::at(3);
     relay.watch(1, 3, acknowledgement("a", 1, 3));
     relay.step(RelayInput::WatchClosed(WatchTag(1)));
--- a/crates/nodes/wingshore-replica/src/admin.rs
+++ b/crates/nodes/wingshore-replica/src/admin.rs
@@ -44,8 +44,8 @@
             let message = error.to_string();
             AdminSnafu { address, message }.build()
         })?;
-        let own = server.server_addr().to_ip().unwrap_or(address);
-        let (nudger, _) = Nudger::start(own).context(ThreadSnafu { name: "nudge" })?;
+        let local_address = server.server_addr().to_ip().unwrap_or(address);
+        let (nudger, _) = Nudger::start(local_address).context(ThreadSnafu { name: "nudge" })?;
         let server = Arc::new(server);
         let serving = Arc::clone(&server);
         let name = "admin".to_owned();
--- a/crates/nodes/wingshore-replica/src/group/delays.rs
+++ b/crates/nodes/wingshore-replica/src/group/delays.rs
@@ -12,36 +12,36 @@
 #[derive(Debug, Default)]
 pub(crate) struct DelayTracker {
     pending: VecDeque<(u64, Instant)>,
-    newest: u64,
+    newest_started: u64,
 }
 
 impl DelayTracker {
-    /// Returns a tracker that ignores all numbers up to `newest`.
-    pub(crate) fn starting_at(newest: u64) -> Self {
+    /// Returns a tracker that ignores all numbers up to `newest_started`.
+    pub(crate) fn starting_at(newest_started: u64) -> Self {
         Self {
             pending: VecDeque::new(),
-            newest,
+            newest_started,
         }
     }
 
-    /// Records that `number` starts at `now`, unless it is not above the newest one.
-    pub(crate) fn record_start(&mut self, number: u64, now: Instant) {
-        if number > self.newest {
-            self.newest = number;
+    /// Records that `sequence_number` starts at `now`; ignored unless it is above the newest one.
+    pub(crate) fn record_start(&mut self, sequence_number: u64, now: Instant) {
+        if sequence_number > self.newest_started {
+            self.newest_started = sequence_number;
             if self.pending.len() < MAX_PENDING {
-                self.pending.push_back((number, now));
+                self.pending.push_back((sequence_number, now));
             }
         }
     }
 
-    /// Records that all numbers up to `number` are reached at `now`, and returns their delays.
-    pub(crate) fn record_reached(&mut self, number: u64, now: Instant) -> Vec<Duration> {
+    /// Records that all numbers up to `sequence_number` are reached at `now`, and returns their delays.
+    pub(crate) fn record_reached(&mut self, sequence_number: u64, now: Instant) -> Vec<Duration> {
         let mut delays = Vec::new();
-        while let Some((pending, began)) = self.pending.front().copied()
-            && pending <= number
+        while let Some((pending, started_at)) = self.pending.front().copied()
+            && pending <= sequence_number
         {
             self.pending.pop_front();
-            delays.push(now.since(began));
+            delays.push(now.since(started_at));
         }
         delays
     }
--- a/crates/nodes/wingshore-replica/src/group/driver.rs
+++ b/crates/nodes/wingshore-replica/src/group/driver.rs
@@ -114,18 +114,18 @@
         next_tag: 0,
         events: Vec::new(),
         stopped: false,
-        commits: DelayTracker::default(),
-        revisions: None,
-        next_progress: Instant::default(),
+        commit_delays: DelayTracker::default(),
+        revision_delays: None,
+        next_progress_check: Instant::default(),
     };
-    let ended = driver.run(&receiver);
+    let driver_result = driver.run(&receiver);
     reject_queued_requests(&receiver);
     // Unblocks all threads that wait for space in a full queue, including the writer.
     drop(receiver);
     // The driver was dropped and with it the writer's channel, so the writer ends.
-    let written = writer.join();
-    ended?;
-    written.map_err(|_| ReplicaError::Panicked { group })
+    let writer_result = writer.join();
+    driver_result?;
+    writer_result.map_err(|_| ReplicaError::Panicked { group })
 }
 
 /// Answers the requests that were still queued when the group ended; none of them had an effect.
@@ -150,10 +150,10 @@
     events: Vec<L::Event>,
     stopped: bool,
     /// Delays of this leader's log entries until they are committed.
-    commits: DelayTracker,
+    commit_delays: DelayTracker,
     /// Delays of this leadership's revisions until they are in force everywhere.
-    revisions: Option<DelayTracker>,
-    next_progress: Instant,
+    revision_delays: Option<DelayTracker>,
+    next_progress_check: Instant,
 }
 
 impl<L: HostedLeader, E: EffectRunner<L>> Driver<L, E> {
@@ -309,7 +309,8 @@
         if self.host.is_leader()
             && let Some(last) = batch.append.last()
         {
-            self.commits.record_start(last.index.0, self.clock.now());
+            self.commit_delays
+                .record_start(last.index.0, self.clock.now());
         }
     }
 
@@ -324,19 +325,19 @@
             self.pending_requests.len(),
         );
         if self.host.is_leader() {
-            let delays = self.commits.record_reached(commit.0, now);
+            let delays = self.commit_delays.record_reached(commit.0, now);
             self.metrics.observe_commits(&delays);
         } else {
-            self.commits = DelayTracker::starting_at(commit.0);
+            self.commit_delays = DelayTracker::starting_at(commit.0);
         }
         self.update_configuration_metrics(now);
     }
 
     fn update_configuration_metrics(&mut self, now: Instant) {
-        if now < self.next_progress {
+        if now < self.next_progress_check {
             return;
         }
-        self.next_progress = now + PROGRESS_INTERVAL;
+        self.next_progress_check = now + PROGRESS_INTERVAL;
         if !L::TRACKS_CONFIGURATION {
             return;
         }
@@ -344,16 +345,16 @@
         let progress = machine.and_then(|leader| leader.configuration_progress(self.host.state()));
         self.metrics.set_configuration_progress(progress.as_ref());
         let Some(progress) = progress else {
-            self.revisions = None;
+            self.revision_delays = None;
             return;
         };
         // Revisions from before this leadership are not measured.
         let newest = progress.committed.0;
-        let revisions = self
-            .revisions
+        let revision_delays = self
+            .revision_delays
             .get_or_insert_with(|| DelayTracker::starting_at(newest));
-        revisions.record_start(newest, now);
-        let delays = revisions.record_reached(progress.everywhere.0, now);
+        revision_delays.record_start(newest, now);
+        let delays = revision_delays.record_reached(progress.everywhere.0, now);
         self.metrics.observe_in_force(&delays);
     }
 }
--- a/crates/nodes/wingshore-replica/src/peers.rs
+++ b/crates/nodes/wingshore-replica/src/peers.rs
@@ -16,7 +16,7 @@
 /// its own to the sender: a new member knows no addresses until it has received the membership.
 pub(crate) struct Peers {
     site: String,
-    own: ReplicaId,
+    own_id: ReplicaId,
     logger: Logger,
     handler: OnceLock<Weak<dyn FrameHandler>>,
     table: Mutex<Table>,
@@ -36,7 +36,7 @@
     /// Creates the table without any connection.
     pub(crate) fn new(
         site: &str,
-        own: ReplicaId,
+        own_id: ReplicaId,
         founding: &[FoundingMember],
         logger: Logger,
     ) -> Self {
@@ -46,7 +46,7 @@
             .collect();
         Self {
             site: site.to_owned(),
-            own,
+            own_id,
             logger,
             handler: OnceLock::new(),
             table: Mutex::new(Table {
@@ -88,7 +88,7 @@
             return;
         }
         table.memberships.insert(group, membership.clone());
-        let required_peers = table.required_peers(self.own);
+        let required_peers = table.required_peers(self.own_id);
         let obsolete = table.take_obsolete(&required_peers);
         for (id, address) in required_peers {
             if !table.outgoing.contains_key(&id) {
@@ -140,8 +140,8 @@
             address,
             expected: Some(id),
             site: self.site.clone(),
-            replica: Some(self.own),
-            seed: self.own.0 ^ id.0.rotate_left(32),
+            replica: Some(self.own_id),
+            seed: self.own_id.0 ^ id.0.rotate_left(32),
         };
         match Peer::start(options, handler) {
             Ok(peer) => {
@@ -170,9 +170,9 @@
     }
 
     /// Returns the members that need an outgoing connection, with their addresses.
-    fn required_peers(&self, own: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
+    fn required_peers(&self, own_id: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
         self.members()
-            .filter(|member| member.id != own)
+            .filter(|member| member.id != own_id)
             .map(|member| (member.id, member.address))
             .collect()
     }
--- a/crates/nodes/wingshore-replica/tests/planned_stop.rs
+++ b/crates/nodes/wingshore-replica/tests/planned_stop.rs
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn a_planned_stop_hands_over_and_answers_all_requests() -> Result<()> {
+fn planned_stop_transfers_leadership_and_answers_all_requests() -> Result<()> {
     let mut site = TestSite::start(3);
     let replies = stop_under_load(&mut site);
     verify_that!(
@@ -108,7 +108,7 @@
 
 /// Without anyone to hand over to, requests are answered too.
 #[gtest]
-fn the_only_member_answers_all_requests_at_its_stop() -> Result<()> {
+fn single_member_answers_all_requests_in_planned_stop() -> Result<()> {
     let mut site = TestSite::start(1);
     let replies = stop_under_load(&mut site);
     let unanswered: Vec<u64> = (0..CLAIM_COUNT + 2)
--- a/crates/nodes/wingshore-replica/tests/site.rs
+++ b/crates/nodes/wingshore-replica/tests/site.rs
@@ -45,7 +45,7 @@
 
 /// Each in turn, then all at once: what was granted stays granted.
 #[gtest]
-fn crashed_replicas_come_back_with_all_they_had() -> Result<()> {
+fn restarted_replicas_retain_all_granted_claims() -> Result<()> {
     let mut site = TestSite::start(3);
     let mut keys = Vec::new();
     for index in 0..3 {
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn an_empty_folder_comes_back_as_a_new_member_and_only_by_replacement() -> Result<()> {
+fn replica_with_empty_folder_joins_only_by_replacement() -> Result<()> {
     let mut site = TestSite::start(3);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
     let lost = (site.leader() + 1) % 3;
@@ -104,7 +104,7 @@
     replace(&site, old, new, lost);
     // Now it counts: the other follower may go.
     let other = (0..3)
-        .find(|index| *index != lost && *index != site_leader(&site))
+        .find(|index| *index != lost && *index != claims_leader_index(&site))
         .expect("one of three");
     site.crash(other);
     for key in ["early", "meanwhile"] {
@@ -138,7 +138,7 @@
 }
 
 /// Place of the leader, new members included.
-fn site_leader(site: &TestSite) -> usize {
+fn claims_leader_index(site: &TestSite) -> usize {
     let (_, leader, ..) = site.members();
     (0..3)
         .find(|index| site.replica(*index).id() == leader)
@@ -146,7 +146,7 @@
 }
 
 #[gtest]
-fn folders_of_others_are_refused() -> Result<()> {
+fn foreign_data_folders_are_rejected() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
     let start = |index: usize, change: &dyn Fn(&TestSite)| {
@@ -185,14 +185,14 @@
 }
 
 #[gtest]
-fn a_failed_sync_ends_the_replica_and_loses_nothing() -> Result<()> {
+fn failed_sync_ends_the_replica_without_data_loss() -> Result<()> {
     let mut site = TestSite::formatted(3);
     let disk = FailingDisk::default();
     site.start_replica_on(0, &(Arc::new(disk.clone()) as _));
     site.start_replica(1);
     site.start_replica(2);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
-    disk.fail();
+    disk.fail_syncs();
     // Followers write too, so the next commit reaches the broken disk.
     verify_that!(site.claim("late", "one"), eq(&ClaimsReply::Granted))?;
     wait_until("the replica notices", || site.replica(0).has_ended());
@@ -222,7 +222,7 @@
 }
 
 #[gtest]
-fn the_admin_listener_tells_health_readiness_and_metrics() -> Result<()> {
+fn admin_listener_reports_health_readiness_and_metrics() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
     // Alone it is healthy, and not ready.
@@ -257,7 +257,7 @@
 
 /// What a stranger sends after its connection stands: each is refused by closing.
 #[gtest]
-fn garbage_is_refused_without_harm() -> Result<()> {
+fn malformed_input_is_rejected_and_groups_continue() -> Result<()> {
     let site = TestSite::start(3);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
     let hello = |site: &str, replica| {
--- a/crates/nodes/wingshore-replica/tests/support/disk.rs
+++ b/crates/nodes/wingshore-replica/tests/support/disk.rs
@@ -6,25 +6,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use wingshore_storage::{File, FileSystem, Lock, ReadableFile, RealFileSystem};
 
-/// A disk whose syncs of files fail once [`FailingDisk::fail`] was called.
+/// A disk whose syncs of files fail once [`FailingDisk::fail_syncs`] was called.
 #[derive(Clone, Default)]
 pub struct FailingDisk {
-    fails: Arc<AtomicBool>,
+    sync_fails: Arc<AtomicBool>,
 }
 
 struct FailingFile {
     file: Box<dyn File>,
-    fails: Arc<AtomicBool>,
+    sync_fails: Arc<AtomicBool>,
 }
 
 impl FailingDisk {
-    pub fn fail(&self) {
-        self.fails.store(true, Ordering::SeqCst);
+    pub fn fail_syncs(&self) {
+        self.sync_fails.store(true, Ordering::SeqCst);
     }
 
     fn wrap(&self, file: io::Result<Box<dyn File>>) -> io::Result<Box<dyn File>> {
-        let fails = Arc::clone(&self.fails);
-        file.map(|file| Box::new(FailingFile { file, fails }) as _)
+        let sync_fails = Arc::clone(&self.sync_fails);
+        file.map(|file| Box::new(FailingFile { file, sync_fails }) as _)
     }
 }
 
@@ -34,7 +34,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        if self.fails.load(Ordering::SeqCst) {
+        if self.sync_fails.load(Ordering::SeqCst) {
             return Err(io::Error::other("the disk is broken"));
         }
         self.file.sync()
