--- a/crates/nodes/wingshore-relay/tests/fan_out.rs
+++ b/crates/nodes/wingshore-relay/tests/fan_out.rs
@@ -1,4 +1,4 @@
-//! Real relays over loopback between scripted replicas and fifty watchers.
+//! Real relays over loopback, between scripted replicas and fifty watching nodes.
 
 #[path = "simulation/leader.rs"]
 mod leader;
@@ -28,7 +28,7 @@
 const RELAYS: usize = 3;
 const LEASE: Duration = Duration::from_secs(5);
 
-/// Two scripted replicas, one of which leads; the other one is silent, as if cut off.
+/// Two scripted replicas. One is the leader; the other does not answer, as if partitioned.
 struct Control {
     clock: Clock,
     state: Mutex<ControlState>,
@@ -79,7 +79,7 @@
         self.lock().leader.in_force_everywhere()
     }
 
-    /// The other replica leads from now on; what waits at the old one is never answered.
+    /// Makes the other replica the leader; watches open at the old leader are never answered.
     fn move_leadership(&self) {
         let mut state = self.lock();
         let committed = state.leader.committed();
@@ -112,7 +112,7 @@
     }
 }
 
-/// A node's part of the watch.
+/// A node's handler of the configuration watch.
 struct Node {
     name: NodeId,
     clock: Clock,
@@ -230,7 +230,7 @@
             .push(ConfigurationWatcher::start(client, Box::new(node)).unwrap());
     }
 
-    /// Nodes with a lease that hold this revision.
+    /// Counts the nodes that hold a lease and this revision.
     fn nodes_at(&self, revision: Revision) -> usize {
         let now = self.control.now();
         let has_revision = |view: &&Arc<Mutex<ConfigurationView>>| {
@@ -240,7 +240,8 @@
         self.views.iter().filter(has_revision).count()
     }
 
-    /// Drives the scripted replicas until the condition holds; whether it came.
+    /// Drives the scripted replicas until the condition holds. Returns false if it does not hold
+    /// after at least 20 seconds.
     fn wait_until(&self, condition: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..10_000 {
             self.control.answer_due();
@@ -278,7 +279,7 @@
         "after the loss of a relay"
     );
 
-    // The replicas never met a node, only relays.
+    // Only relays connect to the replicas, never nodes.
     for replica in &site.replicas {
         expect_that!(replica.connection_count(), le(RELAYS));
     }
--- a/crates/nodes/wingshore-relay/tests/leases.rs
+++ b/crates/nodes/wingshore-relay/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Configuration leases through relays: none outlives what the leader believes.
+//! Configuration leases through relays: no lease outlives the leader's record of it.
 
 mod simulation;
 
@@ -32,7 +32,7 @@
             let mut simulation = Simulation::new(seed, &parents, NODES, Fault::None);
             simulation.run_with_faults(Duration::from_secs(60));
             expect_that!(simulation.violations, is_empty(), "{name}, seed {seed}");
-            // The longest freeze, then some watches.
+            // Covers the longest freeze (12 s) and some watches.
             simulation.run_healed(Duration::from_secs(20));
             simulation.commit();
             simulation.run_until(simulation.now() + Duration::from_secs(3));
--- a/crates/nodes/wingshore-relay/tests/simulation/events.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the simulated site, and the processes it happens to.
+//! Events and processes of the simulated site.
 
 use super::Parent;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use wingshore_types::Instant;
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 
-/// Who sent a watch to a relay, and the sender's number for it.
+/// The sender of a watch to a relay, and the sender's number for the watch.
 #[derive(Clone, Copy, Debug)]
 pub enum Watcher {
     Node { node: usize, number: u64 },
--- a/crates/nodes/wingshore-relay/tests/simulation/leader.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/leader.rs
@@ -1,6 +1,6 @@
-//! A model of the control group's leader, as far as watches and leases go.
+//! A model of the control group's leader, limited to watches and leases.
 
-// Each test file is a crate of its own and uses a part of this.
+// Each test file is a separate crate and uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
         });
     }
 
-    /// Answers for which there is news or whose time is over.
+    /// Removes and answers the watches with a newer revision or a passed deadline.
     pub fn due(&mut self, now: Instant) -> Vec<LeaderAnswer> {
         let newest = self.committed();
         let is_due = |watch: &OpenWatch| watch.have < newest || watch.deadline <= now;
@@ -111,7 +111,7 @@
             .collect()
     }
 
-    /// Takes in what runs out, and returns the newest revision in force everywhere.
+    /// Removes expired leases and returns the newest revision in force everywhere.
     pub fn update_in_force_everywhere(&mut self, now: Instant) -> Revision {
         self.lease_records
             .retain(|_, record| record.expires_at > now);
--- a/crates/nodes/wingshore-relay/tests/simulation/mod.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A control leader, relays and nodes on a simulated network, to check configuration leases.
+//! A leader, relays and nodes on a simulated network, to check configuration leases.
 //!
-//! The leader is a model written for this test; relays and the nodes' views are the real ones.
+//! The leader is a model written for this test; the relays and the nodes' views are the real code.
 
 mod events;
 pub mod leader;
@@ -15,7 +15,7 @@
 use wingshore_types::protocol::control::{NodeAcknowledgement, WatchRequest};
 use wingshore_types::{Instant, NodeId, Revision};
 
-/// The lease as nodes count it; the leader counts the same, without any margin.
+/// Duration of a lease, for nodes and leader alike, without any margin.
 pub const LEASE: Duration = Duration::from_secs(5);
 
 const NODE_WAIT_MS: u64 = 1000;
@@ -24,26 +24,26 @@
 const NODE_RETRY_DELAY: Duration = Duration::from_millis(100);
 const RELAY_TICK: Duration = Duration::from_millis(20);
 
-/// A deliberate mistake, to see that the checks can fail.
+/// A deliberate fault, to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Relays pass the whole lease on, however old it is.
+    /// Relays grant the full lease, regardless of its age.
     LeaseNotShortened,
-    /// Relays grant a lease whether or not the acknowledgement went upstream.
+    /// Relays grant a lease even if the acknowledgement was not sent upstream.
     LeaseWithoutForwarding,
-    /// Nodes count the lease from the arrival of the answer.
+    /// Nodes count the lease from the arrival of the answer, not from sending the watch.
     LeaseCountedFromArrival,
 }
 
-/// Where a relay's watches go.
+/// The destination of a relay's watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parent {
     Leader,
     Relay(usize),
 }
 
-/// Everything, and the events to come.
+/// The simulated site and its scheduled events.
 pub struct Simulation {
     now: Instant,
     generator: ChaCha8Rng,
@@ -54,7 +54,7 @@
     nodes: Vec<Node>,
     fault: Fault,
     is_network_lossy: bool,
-    /// Promises found broken.
+    /// Descriptions of violated guarantees.
     pub violations: BTreeSet<String>,
 }
 
@@ -88,7 +88,7 @@
         simulation
     }
 
-    /// Lets `duration` pass with losses, restarts, moves, freezes and changes.
+    /// Runs for `duration` with message loss, restarts, relay switches, freezes and commits.
     pub fn run_with_faults(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Lets `duration` pass on a network that loses nothing.
+    /// Runs for `duration` on a network that loses no messages.
     pub fn run_healed(&mut self, duration: Duration) {
         self.is_network_lossy = false;
         self.run_until(self.now + duration);
@@ -344,7 +344,7 @@
             "two watches at once"
         );
         self.relays[relay].outstanding = Some(number);
-        // Clients send again by themselves: a watch may arrive twice.
+        // Clients retransmit, so a watch may arrive twice.
         let copies = if self.is_network_lossy && self.generator.random_bool(0.1) {
             2
         } else {
@@ -397,7 +397,7 @@
         self.after(NODE_RETRY_DELAY, Event::NodeSends(node));
     }
 
-    /// Delivers after a random delay, or never.
+    /// Delivers a message after a random delay, or loses it.
     fn send_over_network(&mut self, event: Event) {
         let milliseconds = match self.generator.random_range(0..100) {
             0..3 if self.is_network_lossy => return,
@@ -421,8 +421,9 @@
         self.next_number
     }
 
-    /// A node that holds a lease is one that the leader believes to hold it, for at least as
-    /// long, and has in force what the leader says is in force everywhere.
+    /// Checks each node that holds a lease: the leader's record of the lease must not expire earlier,
+    /// and the node must have in force at least the revision that the leader reports as in force
+    /// everywhere.
     fn check(&mut self) {
         let in_force_everywhere = self.leader.update_in_force_everywhere(self.now);
         for (number, node) in self.nodes.iter().enumerate() {
@@ -433,7 +434,7 @@
             let name = NodeId::new(&format!("node-{number}"));
             if self.leader.lease_expiry(&name, node.boot_id) < Some(ends) {
                 self.violations
-                    .insert("a lease outlives the leader's belief".to_owned());
+                    .insert("a lease outlives the leader's record of it".to_owned());
             }
             if node.view.revision() < in_force_everywhere {
                 self.violations
--- a/crates/nodes/wingshore-relay/tests/state.rs
+++ b/crates/nodes/wingshore-relay/tests/state.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a relay, without sockets or clocks.
+//! Unit tests of a relay's decisions, without sockets or clocks.
 
 use googletest::prelude::*;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     }
 }
 
-/// A relay, its clock, and what it wants done.
+/// A relay state machine with a manual clock and its pending outputs.
 struct TestRelay {
     state: RelayState,
     now: Instant,
@@ -95,7 +95,8 @@
         self.step(RelayInput::UpstreamAnswered { update, lease })
     }
 
-    /// A relay that holds `revision` and has a watch out without acknowledgements.
+    /// Returns a relay that holds `revision` and has an upstream watch without acknowledgements in
+    /// flight.
     fn at(revision: u64) -> Self {
         let mut relay = Self::new();
         relay.advance(0);
@@ -123,7 +124,7 @@
     let mut relay = TestRelay::at(3);
     let immediate_answer = relay.watch(1, 3, acknowledgement("a", 1, 3));
     expect_that!(immediate_answer, is_empty());
-    // The answer to a watch that was sent before the node was heard of is no lease for it.
+    // The answer to an upstream watch sent before the node's acknowledgement grants it no lease.
     let sent = relay.upstream(ConfigurationUpdate::Unchanged);
     expect_that!(sent_acknowledgements(&sent), len(eq(1)));
     let sent_at = relay.now;
@@ -135,7 +136,7 @@
         contains(eq(&answer(1, ConfigurationUpdate::Unchanged, left)))
     );
 
-    // 900 ms later: counted from the same upstream watch, in which the node was.
+    // 1700 ms after the same upstream watch, which included the node: the lease still counts from it.
     relay.advance(400);
     relay.watch(2, 3, acknowledgement("a", 1, 3));
     let answered_at_deadline = relay.advance(1000);
@@ -156,7 +157,7 @@
         answered,
         contains(eq(&answer(1, delta(3, 4), Duration::ZERO)))
     );
-    // Node b was behind from the beginning, and was answered from the copy; it asks again.
+    // Node b was behind from the start and was answered from the copy; it sends another watch.
     expect_that!(
         relay.watch(3, 1, acknowledgement("b", 1, 1)),
         contains(eq(&answer(3, snapshot(4), Duration::ZERO)))
@@ -233,7 +234,7 @@
         refused,
         contains(eq(&RelayOutput::Unavailable(WatchTag(2))))
     );
-    // Nothing is open and a watch is out: only an answer matters, no tick.
+    // No watch is open and an upstream watch is in flight, so no tick is needed.
     expect_that!(relay.state.next_tick(), none());
 
     relay.upstream(ConfigurationUpdate::Unchanged);
@@ -266,7 +267,7 @@
     };
     expect_true!(sent.iter().any(requests_snapshot));
     expect_that!(relay.state.summary(relay.now).revision, eq(Revision(3)));
-    // A lower revision than the one held is no answer either.
+    // A snapshot with a lower revision than the one held is rejected too.
     relay.upstream(snapshot(2));
     expect_that!(relay.state.summary(relay.now).revision, eq(Revision(3)));
     relay.advance(100);
--- a/crates/nodes/wingshore-replica/tests/planned_stop.rs
+++ b/crates/nodes/wingshore-replica/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: leadership goes to another, and every request that was taken is answered.
+//! Planned stops: leadership is transferred, and every received request gets a reply.
 
 mod support;
 
@@ -12,9 +12,9 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId, Revision};
 
-/// Requests under way when the stop begins.
+/// Claims in flight when the stop begins.
 const CLAIM_COUNT: u64 = 300;
-/// The last request before the stop: its answer says that all before it were taken.
+/// The last request before the stop: its reply shows that all earlier requests were received.
 const BARRIER: RequestId = RequestId(CLAIM_COUNT + 1);
 const WATCH: RequestId = RequestId(CLAIM_COUNT);
 
@@ -39,7 +39,7 @@
 
 fn watch() -> GroupRequest {
     GroupRequest::Control(ControlRequest::Watch(WatchRequest {
-        // No news is newer than this: it waits.
+        // No revision is newer, so the watch stays open.
         have: Revision(u64::MAX),
         acknowledgements: Vec::new(),
         wait_ms: 600_000,
@@ -95,9 +95,10 @@
         let free = again == ClaimsReply::Granted;
         match reply {
             None => return fail!("claim {number} was not answered"),
-            // What was granted stays granted under the next leader; what had no effect is free.
+            // A granted claim must remain granted under the next leader; a refused claim must have
+            // had no effect.
             Some(GroupReply::NotLeader { .. }) if !free => {
-                return fail!("claim {number} was refused, and took effect: {again:?}");
+                return fail!("claim {number} was refused but took effect: {again:?}");
             }
             Some(_) if granted && free => return fail!("claim {number} was granted twice"),
             Some(_) => {}
@@ -106,7 +107,7 @@
     Ok(())
 }
 
-/// Without anyone to hand over to, requests are answered too.
+/// All requests get a reply even if no other member can take over the leadership.
 #[gtest]
 fn single_member_answers_all_requests_in_planned_stop() -> Result<()> {
     let mut site = TestSite::start(1);
--- a/crates/nodes/wingshore-replica/tests/site.rs
+++ b/crates/nodes/wingshore-replica/tests/site.rs
@@ -1,4 +1,4 @@
-//! Three replicas of one site in one process: forming groups, crashes, new members, faults.
+//! Three replicas of one site in one process: group formation, crashes, new members and faults.
 
 mod support;
 
@@ -43,7 +43,7 @@
     )
 }
 
-/// Each in turn, then all at once: what was granted stays granted.
+/// Crashes the replicas one by one, then all together: granted claims must remain granted.
 #[gtest]
 fn restarted_replicas_retain_all_granted_claims() -> Result<()> {
     let mut site = TestSite::start(3);
@@ -83,7 +83,7 @@
     let new = site.replica(lost).id();
     verify_that!(new.0, gt(u64::from(u32::MAX)))?;
 
-    // It is no member by itself, and has no say.
+    // The new replica does not become a member by itself and does not count for the quorum.
     verify_that!(site.claim("meanwhile", "one"), eq(&ClaimsReply::Granted))?;
     let (membership, ..) = site.members();
     let voters: Vec<ReplicaId> = membership.voters.iter().map(|voter| voter.id).collect();
@@ -102,7 +102,7 @@
     site.start_replica(survivor);
 
     replace(&site, old, new, lost);
-    // Now it counts: the other follower may go.
+    // The new member counts for the quorum: the other follower may crash.
     let other = (0..3)
         .find(|index| *index != lost && *index != claims_leader_index(&site))
         .expect("one of three");
@@ -113,13 +113,13 @@
             matches_pattern!(ClaimsReply::Taken { .. })
         )?;
     }
-    // Its folder keeps the new identity.
+    // The data folder keeps the new identity.
     site.crash(lost);
     site.start_replica(lost);
     verify_that!(site.replica(lost).id(), eq(new))
 }
 
-/// As `ctl members replace` does where the address stays.
+/// Replaces a member as `ctl members replace` does if the address stays the same.
 fn replace(site: &TestSite, old: ReplicaId, new: ReplicaId, index: usize) {
     let member = Member {
         id: new,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Place of the leader, new members included.
+/// Returns the index of the leader of the claims group, which may be a new member.
 fn claims_leader_index(site: &TestSite) -> usize {
     let (_, leader, ..) = site.members();
     (0..3)
@@ -153,14 +153,14 @@
         change(&site);
         site.try_start(index, Arc::new(RealFileSystem)).err()
     };
-    // In use by a replica that runs.
+    // A folder in use by a running replica.
     verify_that!(
         start(0, &|_| ()),
         some(matches_pattern!(ReplicaError::Folder {
             source: matches_pattern!(StorageError::Locked { .. })
         }))
     )?;
-    // Data without an identity.
+    // A folder with data but without an identity.
     let lose_identity = |site: &TestSite| {
         std::fs::remove_file(site.data(1).join("identity")).expect("removed");
         std::fs::create_dir_all(site.data(1).join("control")).expect("created");
@@ -171,7 +171,7 @@
             source: matches_pattern!(StorageError::NoIdentity { .. })
         }))
     )?;
-    // Another site's.
+    // A folder of another site.
     let mut settings = site.settings(2);
     settings.site = "elsewhere".to_owned();
     let diagnostics = wingshore_diagnostics::Diagnostics::new("replica", 64, None);
@@ -193,10 +193,12 @@
     site.start_replica(2);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
     disk.fail_syncs();
-    // Followers write too, so the next commit reaches the broken disk.
+    // Followers write every commit too, so the next commit reaches the failing disk.
     verify_that!(site.claim("late", "one"), eq(&ClaimsReply::Granted))?;
-    wait_until("the replica notices", || site.replica(0).has_ended());
-    let ended = site.replicas[0].take().expect("it ran").abort();
+    wait_until("the replica detects the failure", || {
+        site.replica(0).has_ended()
+    });
+    let ended = site.replicas[0].take().expect("running replica").abort();
     verify_that!(
         ended,
         err(matches_pattern!(ReplicaError::Storage {
@@ -225,7 +227,7 @@
 fn admin_listener_reports_health_readiness_and_metrics() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
-    // Alone it is healthy, and not ready.
+    // A single replica of three is healthy but not ready.
     verify_that!(site.admin(0, "/healthz").0, eq(200))?;
     let (status, body) = site.admin(0, "/readyz");
     verify_that!(status, eq(503))?;
@@ -239,7 +241,7 @@
     });
     verify_that!(site.claim("key", "one"), eq(&ClaimsReply::Granted))?;
     let leader = site.leader();
-    wait_until("the metrics tell of the commit", || {
+    wait_until("the metrics show the commit", || {
         let (status, text) = site.admin(leader, "/metrics");
         status == 200
             && text.contains("wingshore_replica_leading{group=\"claims-1\"} 1")
@@ -255,7 +257,7 @@
     fn on_frame(&self, _: &wingshore_transport::ConnectionHandle, _: Frame) {}
 }
 
-/// What a stranger sends after its connection stands: each is refused by closing.
+/// Invalid data sent by an unknown client after connecting: each connection must be closed.
 #[gtest]
 fn malformed_input_is_rejected_and_groups_continue() -> Result<()> {
     let site = TestSite::start(3);
@@ -288,7 +290,7 @@
         for address in &site.addresses {
             let mut stream = TcpStream::connect(address).expect("connected");
             stream.set_read_timeout(Some(TIMEOUT)).expect("set");
-            // The replica may close before all is written.
+            // The replica may close the connection before everything is written.
             let _ = stream.write_all(bytes);
             let mut answer = Vec::new();
             let ended = stream.read_to_end(&mut answer);
@@ -297,7 +299,7 @@
             verify_that!((case, timed_out), eq((case, false)))?;
         }
     }
-    // Consensus messages that mean nothing, from one who claims to be a member.
+    // Malformed consensus messages from a client that claims to be a member.
     let options = ConnectOptions {
         replica: Some(ReplicaId(2)),
         ..ConnectOptions::new(SITE, TIMEOUT)
--- a/crates/nodes/wingshore-replica/tests/support/disk.rs
+++ b/crates/nodes/wingshore-replica/tests/support/disk.rs
@@ -1,4 +1,4 @@
-//! The machine's own disk, whose syncs can be made to fail.
+//! The real file system, with injectable sync failures.
 
 use std::io;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use wingshore_storage::{File, FileSystem, Lock, ReadableFile, RealFileSystem};
 
-/// A disk whose syncs of files fail once [`FailingDisk::fail_syncs`] was called.
+/// A file system whose file syncs fail after [`FailingDisk::fail_syncs`] was called.
 #[derive(Clone, Default)]
 pub struct FailingDisk {
     sync_fails: Arc<AtomicBool>,
@@ -35,7 +35,7 @@
 
     fn sync(&mut self) -> io::Result<()> {
         if self.sync_fails.load(Ordering::SeqCst) {
-            return Err(io::Error::other("the disk is broken"));
+            return Err(io::Error::other("injected sync failure"));
         }
         self.file.sync()
     }
--- a/crates/nodes/wingshore-replica/tests/support/mod.rs
+++ b/crates/nodes/wingshore-replica/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A site of replicas in one process: real sockets, real folders.
+//! A site of replicas in one process, with real sockets and folders.
 #![allow(dead_code)]
 
 pub mod disk;
@@ -21,16 +21,16 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, NodeId, ReplicaId};
 
-/// Longest wait for anything a test waits for.
+/// Time limit of every wait in a test.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 /// The group that most tests write to.
 pub const CLAIMS: GroupId = GroupId::Claims(1);
-/// Name of the site.
+/// Name of the test site.
 pub const SITE: &str = "test";
-/// Between two looks at a condition.
+/// Interval at which conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Replicas of one site; each may be away.
+/// Replicas of one site; a stopped replica is `None`.
 pub struct TestSite {
     pub folder: TempDir,
     pub addresses: Vec<SocketAddr>,
@@ -39,14 +39,14 @@
 }
 
 impl TestSite {
-    /// Formats and starts founding members 1 to `count`.
+    /// Formats and starts the founding members 1 to `count`.
     pub fn start(count: usize) -> Self {
         let mut site = Self::formatted(count);
         (0..count).for_each(|index| site.start_replica(index));
         site
     }
 
-    /// Formats founding members 1 to `count`.
+    /// Formats the founding members 1 to `count` without starting them.
     pub fn formatted(count: usize) -> Self {
         let host = unique_loopback_address();
         let listeners: Vec<_> = (0..count)
@@ -122,12 +122,13 @@
         replica_from_text("test", &text, &Overrides::default()).expect("settings")
     }
 
-    /// Starts a replica on the machine's own disk.
+    /// Starts a replica on the real file system.
     pub fn start_replica(&mut self, index: usize) {
         self.start_replica_on(index, &(Arc::new(RealFileSystem) as _));
     }
 
-    /// Starts a replica. Its address may be in use for a moment by an outgoing connection.
+    /// Starts a replica on `fs`. Retries while its address is in use, as an outgoing connection may
+    /// use it briefly.
     pub fn start_replica_on(&mut self, index: usize, fs: &Arc<dyn FileSystem>) {
         let replica = wait_for("a replica starts", || {
             match self.try_start(index, Arc::clone(fs)) {
@@ -150,22 +151,22 @@
     }
 
     pub fn replica(&self, index: usize) -> &Replica {
-        self.replicas[index].as_ref().expect("it runs")
+        self.replicas[index].as_ref().expect("running replica")
     }
 
-    /// Ends a replica without any hand-over.
+    /// Ends a replica without a handover.
     pub fn crash(&mut self, index: usize) {
-        let replica = self.replicas[index].take().expect("it runs");
+        let replica = self.replicas[index].take().expect("running replica");
         replica.abort().expect("no group had failed");
     }
 
     /// Ends a replica in a planned stop.
     pub fn stop(&mut self, index: usize) {
-        let replica = self.replicas[index].take().expect("it runs");
+        let replica = self.replicas[index].take().expect("running replica");
         replica.stop().expect("no group had failed");
     }
 
-    /// The answer of `group`'s leader.
+    /// Returns the reply of `group`'s leader.
     pub fn call(&self, group: GroupId, request: GroupRequest) -> GroupReply {
         let reply = self.client.call(group, request, TIMEOUT);
         reply.expect("an answer")
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Members of the claims group, its leader, and how far each has synced beside the last index.
+    /// Returns the membership of the claims group, its leader, the synced index of each member and
+    /// the last index of the log.
     pub fn members(&self) -> (Membership, ReplicaId, Vec<(ReplicaId, u64)>, u64) {
         match self.change_members(MembershipRequest::Show) {
             MembershipReply::Members {
@@ -199,15 +201,15 @@
         }
     }
 
-    /// Place of the replica that leads the claims group.
+    /// Returns the index of the founding member that leads the claims group.
     pub fn leader(&self) -> usize {
         let (_, leader, _, _) = self.members();
         usize::try_from(leader.0 - 1).expect("a founding member")
     }
 
-    /// The response of a replica's admin listener, head and body.
+    /// Returns the status and body of a response of a replica's admin listener.
     pub fn admin(&self, index: usize, path: &str) -> (u16, String) {
-        let address = self.replica(index).admin_address().expect("it has one");
+        let address = self.replica(index).admin_address().expect("admin listener");
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .build()
@@ -236,28 +238,28 @@
     }
 }
 
-/// Waits until `look` finds something.
+/// Polls until `poll` returns a value; panics after [`TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < deadline, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Waits until `condition` holds.
+/// Polls until `condition` holds; panics after [`TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     wait_for(what, || condition().then_some(()));
 }
 
-/// A loopback address that no other site uses. Ports that are found free on a shared one are taken
-/// at times by other listeners, before the replica that they were found for starts.
+/// Returns a loopback address that no other test site uses. On a shared address, another listener
+/// may bind a port that was found free before the replica that needs it starts.
 fn unique_loopback_address() -> IpAddr {
     static SITES: AtomicU8 = AtomicU8::new(1);
-    /// Second parts of the addresses of these sites begin here.
+    /// Lowest second octet of the addresses of test sites.
     const FIRST: u32 = 20;
     const COUNT: u32 = 60;
     let process = FIRST + std::process::id() % COUNT;
