--- a/crates/nodes/wingshore-relay/src/state/copy.rs
+++ b/crates/nodes/wingshore-relay/src/state/copy.rs
@@ -89,8 +89,8 @@
         is_consistent && self.replace(snapshot)
     }
 
-    /// Applies one change completely or not at all, so that an inconsistent change leaves the copy at
-    /// a committed revision.
+    /// Applies one change completely or not at all, so that an inconsistent change leaves the copy
+    /// at a committed revision.
     fn apply_change(&mut self, change: ConfigurationChange) -> bool {
         if self.configuration.apply(&change).is_err() {
             return false;
--- a/crates/nodes/wingshore-relay/tests/simulation/mod.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/mod.rs
@@ -421,8 +421,8 @@
         self.next_number
     }
 
-    /// Checks each node that holds a lease: the leader's record of the lease must not expire earlier,
-    /// and the node must have in force at least the revision that the leader reports as in force
+    /// Checks each node that holds a lease: the leader's record of the lease must not expire
+    /// earlier, and the node must have in force at least the revision that the leader reports as in force
     /// everywhere.
     fn check(&mut self) {
         let in_force_everywhere = self.leader.update_in_force_everywhere(self.now);
--- a/crates/nodes/wingshore-relay/tests/state.rs
+++ b/crates/nodes/wingshore-relay/tests/state.rs
@@ -136,7 +136,8 @@
         contains(eq(&answer(1, ConfigurationUpdate::Unchanged, left)))
     );
 
-    // 1700 ms after the same upstream watch, which included the node: the lease still counts from it.
+    // 1700 ms after sending: the lease still counts from the same upstream watch, which included
+    // the node.
     relay.advance(400);
     relay.watch(2, 3, acknowledgement("a", 1, 3));
     let answered_at_deadline = relay.advance(1000);
--- a/crates/nodes/wingshore-replica/src/group/delays.rs
+++ b/crates/nodes/wingshore-replica/src/group/delays.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Records that all numbers up to `sequence_number` are reached at `now`, and returns their delays.
+    /// Records that all numbers up to `sequence_number` are reached at `now`, and returns their
+    /// delays.
     pub(crate) fn record_reached(&mut self, sequence_number: u64, now: Instant) -> Vec<Duration> {
         let mut delays = Vec::new();
         while let Some((pending, started_at)) = self.pending.front().copied()
