--- a/crates/nodes/wingshore-relay/tests/simulation/mod.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/mod.rs
@@ -430,9 +430,9 @@
             if !node.view.holds_lease(self.now) {
                 continue;
             }
-            let ends = self.now + node.view.lease_left(self.now);
+            let expires_at = self.now + node.view.lease_left(self.now);
             let name = NodeId::new(&format!("node-{number}"));
-            if self.leader.lease_expiry(&name, node.boot_id) < Some(ends) {
+            if self.leader.lease_expiry(&name, node.boot_id) < Some(expires_at) {
                 self.violations
                     .insert("a lease outlives the leader's record of it".to_owned());
             }
--- a/crates/nodes/wingshore-replica/src/group/driver.rs
+++ b/crates/nodes/wingshore-replica/src/group/driver.rs
@@ -368,13 +368,13 @@
     if !host.holds_lease(now) {
         return None;
     }
-    let (mut held, mut ended) = (0_u32, MAX_LEASE_MS);
-    while ended - held > 1 {
-        let middle = held.midpoint(ended);
+    let (mut latest_held, mut earliest_ended) = (0_u32, MAX_LEASE_MS);
+    while earliest_ended - latest_held > 1 {
+        let middle = latest_held.midpoint(earliest_ended);
         match host.holds_lease(now + PRECISION * middle) {
-            true => held = middle,
-            false => ended = middle,
+            true => latest_held = middle,
+            false => earliest_ended = middle,
         }
     }
-    Some(now + PRECISION * held)
+    Some(now + PRECISION * latest_held)
 }
--- a/crates/nodes/wingshore-replica/tests/planned_stop.rs
+++ b/crates/nodes/wingshore-replica/tests/planned_stop.rs
@@ -90,17 +90,17 @@
     )?;
     for number in 0..CLAIM_COUNT {
         let reply = replies.get(RequestId(number));
-        let again = site.claim(&key(number), "two");
+        let second_claim = site.claim(&key(number), "two");
         let granted = reply == Some(GroupReply::Claims(ClaimsReply::Granted));
-        let free = again == ClaimsReply::Granted;
+        let is_free = second_claim == ClaimsReply::Granted;
         match reply {
             None => return fail!("claim {number} was not answered"),
             // A granted claim must remain granted under the next leader; a refused claim must have
             // had no effect.
-            Some(GroupReply::NotLeader { .. }) if !free => {
-                return fail!("claim {number} was refused but took effect: {again:?}");
+            Some(GroupReply::NotLeader { .. }) if !is_free => {
+                return fail!("claim {number} was refused but took effect: {second_claim:?}");
             }
-            Some(_) if granted && free => return fail!("claim {number} was granted twice"),
+            Some(_) if granted && is_free => return fail!("claim {number} was granted twice"),
             Some(_) => {}
         }
     }
@@ -118,10 +118,10 @@
     verify_that!(unanswered, is_empty())?;
     site.start_replica(0);
     for number in 0..CLAIM_COUNT {
-        let again = site.claim(&key(number), "two");
+        let second_claim = site.claim(&key(number), "two");
         let granted = GroupReply::Claims(ClaimsReply::Granted);
         if replies.get(RequestId(number)) == Some(granted) {
-            verify_that!(again, matches_pattern!(ClaimsReply::Taken { .. }))?;
+            verify_that!(second_claim, matches_pattern!(ClaimsReply::Taken { .. }))?;
         }
     }
     Ok(())
