--- a/crates/nodes/wingshore-relay/tests/simulation/leader.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/leader.rs
@@ -140,11 +140,11 @@
                 changes: missing.to_vec(),
             },
             _ => {
-                let mut whole = Configuration::default();
+                let mut full_configuration = Configuration::default();
                 for change in &self.changes {
-                    whole.apply(change).unwrap();
+                    full_configuration.apply(change).unwrap();
                 }
-                ConfigurationUpdate::Snapshot(Box::new(whole))
+                ConfigurationUpdate::Snapshot(Box::new(full_configuration))
             }
         }
     }
--- a/crates/nodes/wingshore-relay/tests/state.rs
+++ b/crates/nodes/wingshore-relay/tests/state.rs
@@ -33,11 +33,11 @@
 }
 
 fn snapshot(revision: u64) -> ConfigurationUpdate {
-    let mut whole = Configuration::default();
+    let mut full_configuration = Configuration::default();
     for change in changes(1..=revision) {
-        whole.apply(&change).unwrap();
+        full_configuration.apply(&change).unwrap();
     }
-    ConfigurationUpdate::Snapshot(Box::new(whole))
+    ConfigurationUpdate::Snapshot(Box::new(full_configuration))
 }
 
 fn acknowledgement(node: &str, boot_id: u64, in_force: u64) -> NodeAcknowledgement {
