--- a/crates/nodes/wingshore-relay/src/driver/frames.rs
+++ b/crates/nodes/wingshore-relay/src/driver/frames.rs
@@ -1,4 +1,4 @@
-//! Watches of nodes, as frames: where each came from, and the answers to them.
+//! Receives watches as frames and sends the replies to them.
 
 use super::run::Event;
 use crate::state::WatchTag;
@@ -11,17 +11,17 @@
 use wingshore_types::protocol::control::{ConfigurationUpdate, ControlReply, ControlRequest};
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 
-/// Why a relay takes nothing but watches.
+/// Reply to requests other than configuration watches.
 const ONLY_WATCHES: &str = "this process is a relay: it answers configuration watches only; send \
                             other requests to a replica";
 
-/// Hands watches to the relay's main loop.
-pub(super) struct RelayFrames {
+/// Passes received watches to the relay's main loop.
+pub(super) struct RelayFrameHandler {
     pub(super) events: Sender<Event>,
     pub(super) diagnostics: Diagnostics,
 }
 
-impl FrameHandler for RelayFrames {
+impl FrameHandler for RelayFrameHandler {
     fn on_frame(&self, connection: &ConnectionHandle, frame: Frame) {
         let Frame::Request { id, body, .. } = frame else {
             connection.close();
@@ -30,7 +30,7 @@
         match body {
             GroupRequest::Control(ControlRequest::Watch(request)) => {
                 let connection = connection.clone();
-                // A relay that is stopping takes nothing more; its connections end with it.
+                // A stopping relay accepts no more watches; its connections are closed with it.
                 let _ = self.events.send(Event::Watch {
                     connection,
                     id,
@@ -47,7 +47,7 @@
     }
 }
 
-impl RelayFrames {
+impl RelayFrameHandler {
     fn dump_log(&self) -> GroupReply {
         match self.diagnostics.dump("asked by an operator") {
             Ok(place) => GroupReply::LogDumped(place),
@@ -56,58 +56,58 @@
     }
 }
 
-/// Where watches came from.
+/// Watches without a reply, by tag.
 #[derive(Debug, Default)]
-pub(super) struct Watchers {
-    next: u64,
-    waiting: HashMap<WatchTag, Watcher>,
+pub(super) struct PendingWatches {
+    next_tag: u64,
+    pending: HashMap<WatchTag, PendingWatch>,
 }
 
 #[derive(Debug)]
-struct Watcher {
+struct PendingWatch {
     connection: ConnectionHandle,
     id: RequestId,
 }
 
-impl Watchers {
-    /// Remembers a watch under a fresh tag.
+impl PendingWatches {
+    /// Adds a watch and returns its new tag.
     pub(super) fn add(&mut self, connection: ConnectionHandle, id: RequestId) -> WatchTag {
-        let tag = WatchTag(self.next);
-        self.next += 1;
-        self.waiting.insert(tag, Watcher { connection, id });
+        let tag = WatchTag(self.next_tag);
+        self.next_tag += 1;
+        self.pending.insert(tag, PendingWatch { connection, id });
         tag
     }
 
-    /// Forgets the watches of a closed connection and returns their tags.
+    /// Removes the watches of a closed connection and returns their tags.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Vec<WatchTag> {
-        let is_of = |watcher: &Watcher| watcher.connection.id() == connection;
-        let gone: Vec<WatchTag> = self
-            .waiting
-            .extract_if(|_, watcher| is_of(watcher))
+        let belongs_to_connection = |watcher: &PendingWatch| watcher.connection.id() == connection;
+        let closed: Vec<WatchTag> = self
+            .pending
+            .extract_if(|_, watcher| belongs_to_connection(watcher))
             .map(|(tag, _)| tag)
             .collect();
-        gone
+        closed
     }
 
-    /// All watches without an answer.
+    /// Returns the tags of all watches without a reply.
     pub(super) fn tags(&self) -> Vec<WatchTag> {
-        self.waiting.keys().copied().collect()
+        self.pending.keys().copied().collect()
     }
 
-    /// Answers a watch. The lease is rounded down.
+    /// Replies to a watch. The lease is rounded down to milliseconds.
     pub(super) fn answer(&mut self, tag: WatchTag, update: ConfigurationUpdate, lease: Duration) {
         let lease_ms = u64::try_from(lease.as_millis()).unwrap_or(u64::MAX);
         let reply = ControlReply::Update { update, lease_ms };
         self.reply(tag, GroupReply::Control(reply));
     }
 
-    /// Sends a watcher on to another relay or replica.
-    pub(super) fn send_elsewhere(&mut self, tag: WatchTag) {
+    /// Replies that the watcher should try another relay or replica.
+    pub(super) fn redirect(&mut self, tag: WatchTag) {
         self.reply(tag, GroupReply::NotLeader { leader: None });
     }
 
     fn reply(&mut self, tag: WatchTag, body: GroupReply) {
-        if let Some(watcher) = self.waiting.remove(&tag) {
+        if let Some(watcher) = self.pending.remove(&tag) {
             watcher.connection.reply(watcher.id, body);
         }
     }
--- a/crates/nodes/wingshore-relay/src/driver/run.rs
+++ b/crates/nodes/wingshore-relay/src/driver/run.rs
@@ -1,7 +1,7 @@
 //! The relay's main loop.
 
 use super::admin::AdminServer;
-use super::frames::{RelayFrames, Watchers};
+use super::frames::{PendingWatches, RelayFrameHandler};
 use super::metrics::Metrics;
 use super::upstream;
 use crate::state::{RelayInput, RelayOutput, RelayState, RelayTiming};
@@ -21,65 +21,65 @@
 use wingshore_types::RequestId;
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 
-/// Most connections of nodes and relays further down.
+/// Most simultaneous connections of nodes and downstream relays.
 const MAX_CONNECTIONS: u32 = 4096;
 
-/// Most events that wait for the main loop; connections wait beyond that.
+/// Capacity of the main loop's event queue; when it is full, connections wait.
 const MAX_QUEUED_EVENTS: usize = 16_384;
 
-/// Longest time between two looks at the stop signal.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// Longest interval between two checks of the stop signal.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a relay could not start.
+/// A reason why a relay cannot start.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum RelayError {
-    /// The address for frames cannot be listened on.
+    /// The listen address for frames cannot be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// The cause.
+        /// Cause.
         source: BindError,
     },
-    /// The address for operators cannot be listened on.
-    #[snafu(display("cannot serve operators on {address}: {source}"))]
+    /// The admin address cannot be bound.
+    #[snafu(display("cannot listen on the admin address {address}: {source}"))]
     Admin {
-        /// Where.
+        /// Admin address from the settings.
         address: SocketAddr,
-        /// The cause.
+        /// Cause.
         source: io::Error,
     },
     /// A thread could not be started.
     #[snafu(display("cannot start a thread of the relay: {source}"))]
     Thread {
-        /// The cause.
+        /// Cause.
         source: io::Error,
     },
 }
 
-/// What the main loop reacts to.
+/// An input of the main loop.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A watch came.
+    /// A watch was received.
     Watch {
         connection: ConnectionHandle,
         id: RequestId,
         request: WatchRequest,
     },
-    /// A connection is closed.
+    /// A connection was closed.
     ConnectionClosed(ConnectionId),
-    /// Upstream answered.
+    /// Upstream answered the watch.
     UpstreamAnswered {
         update: ConfigurationUpdate,
         lease: Duration,
     },
-    /// Upstream did not answer.
+    /// Upstream did not answer the watch.
     UpstreamFailed,
 }
 
-/// Runs a relay until `stop` is given; then watchers are sent elsewhere and all threads joined.
+/// Runs a relay until `stop` is signalled, then redirects all watchers and joins all threads.
 ///
 /// # Errors
-/// When it cannot start.
+/// When the relay cannot start.
 pub fn run(
     settings: RelaySettings,
     diagnostics: Diagnostics,
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// A relay that runs on threads of its own. Dropping it stops it.
+/// A relay running on its own threads. Dropping it stops it.
 pub struct RunningRelay {
     address: SocketAddr,
     stop: StopSignal,
@@ -102,7 +102,7 @@
     /// Starts a relay.
     ///
     /// # Errors
-    /// When an address cannot be listened on, or a thread not be started.
+    /// When an address cannot be bound or a thread cannot be started.
     pub fn start(settings: RelaySettings, diagnostics: Diagnostics) -> Result<Self, RelayError> {
         let metrics = Arc::new(Metrics::new());
         let (events, incoming) = bounded(MAX_QUEUED_EVENTS);
@@ -110,11 +110,11 @@
         let server = listen(&settings, &diagnostics, &events)?;
         let address = server.local_address();
         let client = GroupClient::new(&settings.site, settings.upstream, rand::random());
-        let (watches, sent) = unbounded();
+        let (watches, watch_requests) = unbounded();
         let logger = diagnostics.logger().clone();
         let upstream =
-            upstream::spawn(client.clone(), sent, events, logger).context(ThreadSnafu)?;
-        let parts = Parts {
+            upstream::spawn(client.clone(), watch_requests, events, logger).context(ThreadSnafu)?;
+        let resources = RelayResources {
             server,
             admin,
             client,
@@ -126,7 +126,7 @@
         let stopping = stop.clone();
         let thread = thread::Builder::new()
             .name("relay".to_owned())
-            .spawn(move || serve(relay, incoming, parts, &stopping))
+            .spawn(move || serve(relay, incoming, resources, &stopping))
             .context(ThreadSnafu)?;
         Ok(Self {
             address,
@@ -135,18 +135,18 @@
         })
     }
 
-    /// Where it listens for frames.
+    /// Returns the address that the frame server is bound to.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends all watchers elsewhere and waits for all threads.
+    /// Redirects all watchers to other relays and joins all threads.
     pub fn stop(&mut self) {
         let Some(thread) = self.thread.take() else {
             return;
         };
         self.stop.stop();
-        // A panic was written out by the panic hook; nothing is left to stop.
+        // The panic hook has already logged a panic; nothing is left to stop.
         let _ = thread.join();
     }
 }
@@ -157,8 +157,8 @@
     }
 }
 
-/// What has to be stopped with a relay.
-struct Parts {
+/// Components that are stopped together with the relay.
+struct RelayResources {
     server: Server,
     admin: Option<AdminServer>,
     client: GroupClient,
@@ -166,21 +166,26 @@
     diagnostics: Diagnostics,
 }
 
-fn serve(mut relay: Relay, incoming: Receiver<Event>, mut parts: Parts, stop: &StopSignal) {
-    let logger = parts.diagnostics.logger();
-    info!(logger, "relay started"; "address" => %parts.server.local_address());
+fn serve(
+    mut relay: Relay,
+    incoming: Receiver<Event>,
+    mut resources: RelayResources,
+    stop: &StopSignal,
+) {
+    let logger = resources.diagnostics.logger();
+    info!(logger, "relay started"; "address" => %resources.server.local_address());
     relay.serve(&incoming, stop);
     info!(logger, "relay stopping");
-    relay.send_all_elsewhere();
-    // Threads that wait to hand an event over must not wait for a loop that has ended.
+    relay.redirect_all();
+    // Unblocks threads that wait to queue an event, as the main loop has ended.
     drop(incoming);
-    parts.server.stop();
+    resources.server.stop();
     drop(relay);
-    parts.client.close();
-    if parts.upstream.join().is_err() {
+    resources.client.close();
+    if resources.upstream.join().is_err() {
         warn!(logger, "the upstream thread panicked");
     }
-    drop(parts.admin);
+    drop(resources.admin);
 }
 
 fn start_admin(
@@ -204,18 +209,18 @@
         replica: None,
         max_connections: MAX_CONNECTIONS,
     };
-    let handler = RelayFrames {
+    let handler = RelayFrameHandler {
         events: events.clone(),
         diagnostics: diagnostics.clone(),
     };
     Server::bind(settings.listen, options, Arc::new(handler)).context(ListenSnafu)
 }
 
-/// The state, and where its outputs go.
+/// The relay's state and the destinations of its outputs.
 struct Relay {
     clock: Clock,
     state: RelayState,
-    watchers: Watchers,
+    pending_watches: PendingWatches,
     watches: Sender<WatchRequest>,
     metrics: Arc<Metrics>,
 }
@@ -226,7 +231,7 @@
         Self {
             clock,
             state: RelayState::new(clock.now(), RelayTiming::default()),
-            watchers: Watchers::default(),
+            pending_watches: PendingWatches::default(),
             watches,
             metrics,
         }
@@ -234,20 +239,21 @@
 
     fn serve(&mut self, incoming: &Receiver<Event>, stop: &StopSignal) {
         while !stop.is_stopping() {
-            let patience = self.patience();
-            match incoming.recv_timeout(patience) {
+            let wait_time = self.wait_time();
+            match incoming.recv_timeout(wait_time) {
                 Ok(event) => self.on_event(event),
                 Err(RecvTimeoutError::Timeout) => self.step(RelayInput::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.metrics.show(self.state.summary(self.clock.now()));
+            self.metrics
+                .set_summary(self.state.summary(self.clock.now()));
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn wait_time(&self) -> Duration {
         let next = self.state.next_tick();
-        next.map_or(STOP_POLL, |next| {
-            next.since(self.clock.now()).min(STOP_POLL)
+        next.map_or(STOP_POLL_INTERVAL, |next| {
+            next.since(self.clock.now()).min(STOP_POLL_INTERVAL)
         })
     }
 
@@ -258,12 +264,12 @@
                 id,
                 request,
             } => {
-                let tag = self.watchers.add(connection, id);
+                let tag = self.pending_watches.add(connection, id);
                 self.step(RelayInput::Watch { tag, request });
             }
             Event::ConnectionClosed(connection) => {
-                for tag in self.watchers.remove_connection(connection) {
-                    self.step(RelayInput::WatchGone(tag));
+                for tag in self.pending_watches.remove_connection(connection) {
+                    self.step(RelayInput::WatchClosed(tag));
                 }
             }
             Event::UpstreamAnswered { update, lease } => {
@@ -280,19 +286,19 @@
         let mut outputs = Vec::new();
         self.state.step(self.clock.now(), input, &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.apply_output(output);
         }
     }
 
-    fn carry_out(&mut self, output: RelayOutput) {
+    fn apply_output(&mut self, output: RelayOutput) {
         match output {
             RelayOutput::Answer { tag, update, lease } => {
                 self.metrics.answers.inc();
-                self.watchers.answer(tag, update, lease);
+                self.pending_watches.answer(tag, update, lease);
             }
             RelayOutput::Unavailable(tag) => {
-                self.metrics.sent_elsewhere.inc();
-                self.watchers.send_elsewhere(tag);
+                self.metrics.redirects.inc();
+                self.pending_watches.redirect(tag);
             }
             RelayOutput::SendUpstream(request) => {
                 self.metrics.upstream_watches.inc();
@@ -302,9 +308,9 @@
         }
     }
 
-    fn send_all_elsewhere(&mut self) {
-        for tag in self.watchers.tags() {
-            self.carry_out(RelayOutput::Unavailable(tag));
+    fn redirect_all(&mut self) {
+        for tag in self.pending_watches.tags() {
+            self.apply_output(RelayOutput::Unavailable(tag));
         }
     }
 }
--- a/crates/nodes/wingshore-relay/tests/simulation/events.rs
+++ b/crates/nodes/wingshore-relay/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the simulated site, and the processes it happens to.
+//! Events and processes of the simulated site.
 
 use super::Parent;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use wingshore_types::Instant;
 use wingshore_types::protocol::control::{ConfigurationUpdate, WatchRequest};
 
-/// Who sent a watch to a relay, and the sender's number for it.
+/// The sender of a watch to a relay, and the sender's number for the watch.
 #[derive(Clone, Copy, Debug)]
 pub enum Watcher {
     Node { node: usize, number: u64 },
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     NodeSends(usize),
-    NodeGivesUp {
+    NodeTimesOut {
         node: usize,
         number: u64,
     },
@@ -42,7 +42,7 @@
         number: u64,
         request: WatchRequest,
     },
-    UpstreamGivesUp {
+    UpstreamTimesOut {
         relay: usize,
         number: u64,
     },
@@ -50,7 +50,7 @@
     RelayTick(usize),
     Commit,
     NodeRestarts(usize),
-    NodeMoves(usize),
+    NodeSwitchesRelay(usize),
     NodeFreezes(usize),
     RelayRestarts(usize),
 }
@@ -82,7 +82,7 @@
 
 pub fn new_relay(now: Instant, parent: Parent) -> Relay {
     let timing = RelayTiming {
-        kept_changes: 4,
+        retained_changes: 4,
         ..RelayTiming::default()
     };
     Relay {
--- a/crates/nodes/wingshore-replica/src/group/delays.rs
+++ b/crates/nodes/wingshore-replica/src/group/delays.rs
@@ -1,47 +1,48 @@
-//! How long it takes until a growing number is caught up with: a log entry until it is committed,
-//! a revision until it is in force everywhere.
+//! Measures how long a sequence number takes from its start until it is reached: a log entry until
+//! it is committed, a revision until it is in force everywhere.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use wingshore_types::Instant;
 
-/// Most numbers that are waited for; further ones are left out of the histogram.
-const MAX_OPEN: usize = 1024;
+/// Most pending numbers; further ones are left out of the histogram.
+const MAX_PENDING: usize = 1024;
 
-/// Numbers that were reached on one side and not yet on the other.
+/// Sequence numbers that have started and are not yet reached, with their start times.
 #[derive(Debug, Default)]
-pub(crate) struct Delays {
-    open: VecDeque<(u64, Instant)>,
-    newest: u64,
+pub(crate) struct DelayTracker {
+    pending: VecDeque<(u64, Instant)>,
+    newest_started: u64,
 }
 
-impl Delays {
-    /// Nothing up to `newest` is measured.
-    pub(crate) fn after(newest: u64) -> Self {
+impl DelayTracker {
+    /// Returns a tracker that ignores all numbers up to `newest_started`.
+    pub(crate) fn starting_at(newest_started: u64) -> Self {
         Self {
-            open: VecDeque::new(),
-            newest,
+            pending: VecDeque::new(),
+            newest_started,
         }
     }
 
-    /// The first side is at `number` now.
-    pub(crate) fn begin(&mut self, number: u64, now: Instant) {
-        if number > self.newest {
-            self.newest = number;
-            if self.open.len() < MAX_OPEN {
-                self.open.push_back((number, now));
+    /// Records that `sequence_number` starts at `now`; ignored unless it is above the newest one.
+    pub(crate) fn record_start(&mut self, sequence_number: u64, now: Instant) {
+        if sequence_number > self.newest_started {
+            self.newest_started = sequence_number;
+            if self.pending.len() < MAX_PENDING {
+                self.pending.push_back((sequence_number, now));
             }
         }
     }
 
-    /// The other side is at `number` now: the delays of all that it has caught up with.
-    pub(crate) fn end(&mut self, number: u64, now: Instant) -> Vec<Duration> {
+    /// Records that all numbers up to `sequence_number` are reached at `now`, and returns their
+    /// delays.
+    pub(crate) fn record_reached(&mut self, sequence_number: u64, now: Instant) -> Vec<Duration> {
         let mut delays = Vec::new();
-        while let Some((open, began)) = self.open.front().copied()
-            && open <= number
+        while let Some((pending, started_at)) = self.pending.front().copied()
+            && pending <= sequence_number
         {
-            self.open.pop_front();
-            delays.push(now.since(began));
+            self.pending.pop_front();
+            delays.push(now.since(started_at));
         }
         delays
     }
--- a/crates/nodes/wingshore-replica/src/peers.rs
+++ b/crates/nodes/wingshore-replica/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other members, and who listens where.
+//! Connections to the other members, and the members' addresses.
 
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
@@ -12,11 +12,11 @@
 use wingshore_types::{GroupId, ReplicaId};
 
 /// One outgoing connection for each other member of any group, and the connections that other
-/// replicas have opened. A replica answers on those as long as it does not know where the other
-/// one listens, as a new member does not before it has seen the membership.
+/// replicas have opened. A replica replies on an incoming connection while it has no connection of
+/// its own to the sender: a new member knows no addresses until it has received the membership.
 pub(crate) struct Peers {
     site: String,
-    own: ReplicaId,
+    own_id: ReplicaId,
     logger: Logger,
     handler: OnceLock<Weak<dyn FrameHandler>>,
     table: Mutex<Table>,
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 struct Table {
-    /// From the settings; the membership of a group overrides it.
+    /// Addresses from the settings; the membership of a group overrides them.
     founding: BTreeMap<ReplicaId, SocketAddr>,
     memberships: BTreeMap<GroupId, Membership>,
     outgoing: BTreeMap<ReplicaId, Arc<Peer>>,
@@ -33,10 +33,10 @@
 }
 
 impl Peers {
-    /// No connections yet.
+    /// Creates the table without any connection.
     pub(crate) fn new(
         site: &str,
-        own: ReplicaId,
+        own_id: ReplicaId,
         founding: &[FoundingMember],
         logger: Logger,
     ) -> Self {
@@ -46,7 +46,7 @@
             .collect();
         Self {
             site: site.to_owned(),
-            own,
+            own_id,
             logger,
             handler: OnceLock::new(),
             table: Mutex::new(Table {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Sets who takes the frames that are received; once, before the first membership.
+    /// Sets the handler of received frames; to be called once, before the first membership.
     pub(crate) fn set_handler(&self, handler: &Arc<dyn FrameHandler>) {
-        // A second handler is never set.
+        // The handler is set only once.
         let _ = self.handler.set(Arc::downgrade(handler));
     }
 
-    /// Queues a consensus message, or drops it where there is no connection.
+    /// Queues a consensus message, or drops it if there is no connection.
     pub(crate) fn send(&self, to: ReplicaId, group: GroupId, message: Vec<u8>) {
         let (outgoing, incoming) = {
             let table = self.lock();
@@ -74,38 +74,38 @@
                 peer.send_consensus(group, message);
             }
             (None, Some(connection)) => {
-                // Consensus sends again what is lost.
+                // The consensus protocol retransmits lost messages.
                 let _ = connection.send(&Frame::Consensus { group, message });
             }
             (None, None) => {}
         }
     }
 
-    /// A group's members are these now: opens and closes connections.
+    /// Sets the members of a group; opens and closes connections accordingly.
     pub(crate) fn set_members(&self, group: GroupId, membership: &Membership) {
         let mut table = self.lock();
         if table.closed {
             return;
         }
         table.memberships.insert(group, membership.clone());
-        let wanted = table.wanted(self.own);
-        let superfluous = table.take_superfluous(&wanted);
-        for (id, address) in wanted {
+        let required_peers = table.required_peers(self.own_id);
+        let obsolete = table.take_obsolete(&required_peers);
+        for (id, address) in required_peers {
             if !table.outgoing.contains_key(&id) {
                 self.connect(&mut table, id, address);
             }
         }
         drop(table);
-        stop_apart(superfluous);
+        close_in_background(obsolete);
     }
 
-    /// Where a replica listens, as far as known.
+    /// Returns the address of a replica, if known.
     pub(crate) fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
         self.lock().addresses().remove(&id)
     }
 
-    /// A replica has opened a connection, or sent something on it.
-    pub(crate) fn note_incoming(&self, id: ReplicaId, connection: &ConnectionHandle) {
+    /// Records the connection on which a replica last sent a message.
+    pub(crate) fn record_incoming(&self, id: ReplicaId, connection: &ConnectionHandle) {
         let mut table = self.lock();
         let known = table.incoming.get(&id).map(ConnectionHandle::id);
         if known != Some(connection.id()) {
@@ -113,15 +113,15 @@
         }
     }
 
-    /// A connection is closed.
-    pub(crate) fn note_closed(&self, connection: &ConnectionHandle) {
+    /// Removes a connection that was closed.
+    pub(crate) fn remove_incoming(&self, connection: &ConnectionHandle) {
         let mut table = self.lock();
         table
             .incoming
             .retain(|_, known| known.id() != connection.id());
     }
 
-    /// Closes all connections, for good.
+    /// Closes all connections permanently.
     pub(crate) fn close(&self) {
         let outgoing = {
             let mut table = self.lock();
@@ -140,8 +140,8 @@
             address,
             expected: Some(id),
             site: self.site.clone(),
-            replica: Some(self.own),
-            seed: self.own.0 ^ id.0.rotate_left(32),
+            replica: Some(self.own_id),
+            seed: self.own_id.0 ^ id.0.rotate_left(32),
         };
         match Peer::start(options, handler) {
             Ok(peer) => {
@@ -160,7 +160,7 @@
 }
 
 impl Table {
-    /// Where each known replica listens.
+    /// Returns the address of each known replica.
     fn addresses(&self) -> BTreeMap<ReplicaId, SocketAddr> {
         let mut addresses = self.founding.clone();
         for member in self.members() {
@@ -169,10 +169,10 @@
         addresses
     }
 
-    /// To whom there should be a connection.
-    fn wanted(&self, own: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
+    /// Returns the members that need an outgoing connection, with their addresses.
+    fn required_peers(&self, own_id: ReplicaId) -> BTreeMap<ReplicaId, SocketAddr> {
         self.members()
-            .filter(|member| member.id != own)
+            .filter(|member| member.id != own_id)
             .map(|member| (member.id, member.address))
             .collect()
     }
@@ -183,26 +183,30 @@
             .flat_map(|membership| membership.voters.iter().chain(&membership.learners))
     }
 
-    /// Takes out connections to replicas that left or moved.
-    fn take_superfluous(&mut self, wanted: &BTreeMap<ReplicaId, SocketAddr>) -> Vec<Arc<Peer>> {
-        let mut superfluous = Vec::new();
+    /// Removes and returns the connections to replicas that left or changed their address.
+    fn take_obsolete(
+        &mut self,
+        required_peers: &BTreeMap<ReplicaId, SocketAddr>,
+    ) -> Vec<Arc<Peer>> {
+        let mut obsolete = Vec::new();
         self.outgoing.retain(|id, peer| {
-            let keep = wanted.get(id) == Some(&peer.address());
+            let keep = required_peers.get(id) == Some(&peer.address());
             if !keep {
-                superfluous.push(Arc::clone(peer));
+                obsolete.push(Arc::clone(peer));
             }
             keep
         });
-        superfluous
+        obsolete
     }
 }
 
-/// Closing a connection may wait for an attempt to connect: not on a group's thread.
-fn stop_apart(peers: Vec<Arc<Peer>>) {
+/// Closes connections on a separate thread: closing may wait for a connection attempt, which must
+/// not block a group's thread.
+fn close_in_background(peers: Vec<Arc<Peer>>) {
     if peers.is_empty() {
         return;
     }
-    // Without a thread they are closed here and now, as the closure is dropped.
+    // If no thread can be started, dropping the closure closes the connections on this thread.
     let _ = thread::Builder::new()
         .name("peer-close".to_owned())
         .spawn(move || drop(peers));
--- a/crates/nodes/wingshore-replica/tests/planned_stop.rs
+++ b/crates/nodes/wingshore-replica/tests/planned_stop.rs
@@ -1,20 +1,20 @@
-//! Planned stops: leadership goes to another, and every request that was taken is answered.
+//! Planned stops: leadership is transferred, and every received request gets a reply.
 
 mod support;
 
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use support::{CLAIMS, PATIENCE, SITE, TestSite, claim_request, wait_for, wait_until};
+use support::{CLAIMS, SITE, TIMEOUT, TestSite, claim_request, wait_for, wait_until};
 use wingshore_transport::{ConnectOptions, Connection, ConnectionHandle, FrameHandler};
 use wingshore_types::protocol::claims::ClaimsReply;
 use wingshore_types::protocol::control::{ControlRequest, WatchRequest};
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{GroupId, RequestId, Revision};
 
-/// Requests under way when the stop begins.
+/// Claims in flight when the stop begins.
 const CLAIM_COUNT: u64 = 300;
-/// The last request before the stop: its answer says that all before it were taken.
+/// The last request before the stop: its reply shows that all earlier requests were received.
 const BARRIER: RequestId = RequestId(CLAIM_COUNT + 1);
 const WATCH: RequestId = RequestId(CLAIM_COUNT);
 
@@ -39,7 +39,7 @@
 
 fn watch() -> GroupRequest {
     GroupRequest::Control(ControlRequest::Watch(WatchRequest {
-        // No news is newer than this: it waits.
+        // No revision is newer, so the watch stays open.
         have: Revision(u64::MAX),
         acknowledgements: Vec::new(),
         wait_ms: 600_000,
@@ -57,7 +57,7 @@
     site.call(GroupId::Control, status);
     let replies = Arc::new(Replies::default());
     let handler = Arc::clone(&replies) as Arc<dyn FrameHandler>;
-    let options = ConnectOptions::new(SITE, PATIENCE);
+    let options = ConnectOptions::new(SITE, TIMEOUT);
     let connection = wait_for("a connection", || {
         Connection::open(site.addresses[leader], &options, Arc::clone(&handler)).ok()
     });
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn a_planned_stop_hands_over_and_answers_all_requests() -> Result<()> {
+fn planned_stop_transfers_leadership_and_answers_all_requests() -> Result<()> {
     let mut site = TestSite::start(3);
     let replies = stop_under_load(&mut site);
     verify_that!(
@@ -90,25 +90,26 @@
     )?;
     for number in 0..CLAIM_COUNT {
         let reply = replies.get(RequestId(number));
-        let again = site.claim(&key(number), "two");
+        let second_claim = site.claim(&key(number), "two");
         let granted = reply == Some(GroupReply::Claims(ClaimsReply::Granted));
-        let free = again == ClaimsReply::Granted;
+        let is_free = second_claim == ClaimsReply::Granted;
         match reply {
             None => return fail!("claim {number} was not answered"),
-            // What was granted stays granted under the next leader; what had no effect is free.
-            Some(GroupReply::NotLeader { .. }) if !free => {
-                return fail!("claim {number} was refused, and took effect: {again:?}");
+            // A granted claim must remain granted under the next leader; a refused claim must have
+            // had no effect.
+            Some(GroupReply::NotLeader { .. }) if !is_free => {
+                return fail!("claim {number} was refused but took effect: {second_claim:?}");
             }
-            Some(_) if granted && free => return fail!("claim {number} was granted twice"),
+            Some(_) if granted && is_free => return fail!("claim {number} was granted twice"),
             Some(_) => {}
         }
     }
     Ok(())
 }
 
-/// Without anyone to hand over to, requests are answered too.
+/// All requests get a reply even if no other member can take over the leadership.
 #[gtest]
-fn the_only_member_answers_all_requests_at_its_stop() -> Result<()> {
+fn single_member_answers_all_requests_in_planned_stop() -> Result<()> {
     let mut site = TestSite::start(1);
     let replies = stop_under_load(&mut site);
     let unanswered: Vec<u64> = (0..CLAIM_COUNT + 2)
@@ -117,10 +118,10 @@
     verify_that!(unanswered, is_empty())?;
     site.start_replica(0);
     for number in 0..CLAIM_COUNT {
-        let again = site.claim(&key(number), "two");
+        let second_claim = site.claim(&key(number), "two");
         let granted = GroupReply::Claims(ClaimsReply::Granted);
         if replies.get(RequestId(number)) == Some(granted) {
-            verify_that!(again, matches_pattern!(ClaimsReply::Taken { .. }))?;
+            verify_that!(second_claim, matches_pattern!(ClaimsReply::Taken { .. }))?;
         }
     }
     Ok(())
