--- a/crates/nodes/wingshore/src/ctl/diff.rs
+++ b/crates/nodes/wingshore/src/ctl/diff.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration as people read them: what is added, what is removed, and which
-//! fields of what is there already get which values.
+//! Readable descriptions of configuration changes: added and removed objects, and the old and new
+//! values of changed fields.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -7,8 +7,8 @@
     Configuration, ConfigurationChange, Pool, Server, Service, ServiceKind,
 };
 
-/// One change in words, against what the configuration holds now. Without a configuration only
-/// what is wanted is told.
+/// Describes one change relative to the `current` configuration. Without a configuration, the text
+/// holds only the new values.
 pub fn change_text(change: &ConfigurationChange, current: Option<&Configuration>) -> String {
     match change {
         ConfigurationChange::PutService(service) => put_text(
@@ -33,23 +33,23 @@
         ConfigurationChange::RemoveServer(id) => format!("remove server {id}"),
         ConfigurationChange::RemovePool(id) => format!("remove pool {id}"),
         ConfigurationChange::SetAdmission { server, admission } => {
-            let now = current
+            let old = current
                 .and_then(|current| current.servers.get(server))
-                .map(|server| word(&server.admission));
-            let arrow = arrow_text(now, word(admission));
-            format!("admission of server {server}: {arrow}")
+                .map(|server| plain_json(&server.admission));
+            let transition = transition_text(old, plain_json(admission));
+            format!("admission of server {server}: {transition}")
         }
         ConfigurationChange::SetTargetVersion { pool, version } => {
-            let now = current
+            let old = current
                 .and_then(|current| current.pools.get(pool))
                 .map(|pool| pool.target_version.to_string());
-            let arrow = arrow_text(now, version.to_string());
-            format!("target version of pool {pool}: {arrow}")
+            let transition = transition_text(old, version.to_string());
+            format!("target version of pool {pool}: {transition}")
         }
     }
 }
 
-/// A service's fields in a few words.
+/// Summarizes the fields of a service.
 pub fn service_text(service: &Service) -> String {
     let kind = match &service.kind {
         ServiceKind::Engines { model } => format!("engines of {model}"),
@@ -61,43 +61,43 @@
     )
 }
 
-/// A server's fields in a few words.
+/// Summarizes the fields of a server.
 pub fn server_text(server: &Server) -> String {
     format!(
         "{} in zone {}, service {}, {}",
         server.address,
         server.zone,
         server.service,
-        word(&server.admission)
+        plain_json(&server.admission)
     )
 }
 
-/// A pool's fields in a few words.
+/// Summarizes the fields of a pool.
 pub fn pool_text(pool: &Pool) -> String {
     format!(
         "service {}, trainer {}, staleness bound {}, swaps {}, target version {}",
         pool.service,
         pool.trainer,
         pool.staleness_bound,
-        word(&pool.swap),
+        plain_json(&pool.swap),
         pool.target_version
     )
 }
 
-/// A value that JSON writes as one word.
-fn word(value: &impl Serialize) -> String {
-    show(&serde_json::to_value(value).unwrap_or_default())
+/// Formats a value as JSON, a string without its quotes.
+fn plain_json(value: &impl Serialize) -> String {
+    value_text(&serde_json::to_value(value).unwrap_or_default())
 }
 
 fn put_text<T: Serialize>(
     name: &str,
     wanted: &T,
     current: Option<Option<&T>>,
-    whole: impl Fn(&T) -> String,
+    full_text: impl Fn(&T) -> String,
 ) -> String {
     match current {
-        None => format!("{name}: {}", whole(wanted)),
-        Some(None) => format!("add {name}: {}", whole(wanted)),
+        None => format!("{name}: {}", full_text(wanted)),
+        Some(None) => format!("add {name}: {}", full_text(wanted)),
         Some(Some(existing)) => {
             let fields = field_changes(existing, wanted);
             if fields.is_empty() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// `key old -> new` for each field that differs.
+/// Returns `key old -> new` for each field that differs.
 fn field_changes<T: Serialize>(existing: &T, wanted: &T) -> Vec<String> {
     let existing = serde_json::to_value(existing).unwrap_or_default();
     let wanted = serde_json::to_value(wanted).unwrap_or_default();
@@ -116,20 +116,20 @@
     fields
         .filter(|(key, value)| existing.get(key) != Some(value))
         .map(|(key, value)| {
-            let now = existing.get(key).map(show);
-            format!("{key} {}", arrow_text(now, show(value)))
+            let old = existing.get(key).map(value_text);
+            format!("{key} {}", transition_text(old, value_text(value)))
         })
         .collect()
 }
 
-fn arrow_text(now: Option<String>, wanted: String) -> String {
-    match now {
-        Some(now) => format!("{now} -> {wanted}"),
+fn transition_text(old: Option<String>, wanted: String) -> String {
+    match old {
+        Some(old) => format!("{old} -> {wanted}"),
         None => wanted,
     }
 }
 
-fn show(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/nodes/wingshore/src/ctl/members.rs
+++ b/crates/nodes/wingshore/src/ctl/members.rs
@@ -1,7 +1,7 @@
-//! Members of replicated groups.
+//! The `members` and `dump-log` commands: members of replicated groups, and their logs.
 
 use crate::ctl::arguments::{MembersArguments, MembersCommand, MembersReplaceArguments};
-use crate::ctl::session::{Session, unexpected};
+use crate::ctl::session::{Session, unexpected_answer};
 use crate::failure::{ArgumentSnafu, Failure};
 use serde::Serialize;
 use snafu::OptionExt;
@@ -14,10 +14,10 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, ReplicaId};
 
-/// Between two looks at a member that catches up.
-const CATCH_UP_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two lines about what is waited for.
-const TELL_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between polls of a member that catches up, and between retries of a refused change.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between progress messages during a wait.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The members of one group.
 #[derive(Serialize)]
@@ -31,8 +31,8 @@
 }
 
 impl GroupMembers {
-    /// Every member, and what it is.
-    pub fn all(&self) -> impl Iterator<Item = (&Member, &'static str)> {
+    /// Returns every member with its kind, `voter` or `learner`.
+    pub fn members_with_kinds(&self) -> impl Iterator<Item = (&Member, &'static str)> {
         let voters = self
             .membership
             .voters
@@ -42,14 +42,15 @@
         voters.chain(learners.map(|member| (member, "learner")))
     }
 
-    /// Entries that a member does not have on its disk yet, as far as known.
+    /// Returns the number of log entries that the member has not synced to disk yet, or nothing
+    /// when the member's synced index is unknown.
     pub fn entries_behind(&self, id: ReplicaId) -> Option<u64> {
         let synced = self.synced_index(id)?;
         Some(self.last_index.saturating_sub(synced))
     }
 
-    fn has(&self, id: ReplicaId) -> bool {
-        self.all().any(|(member, _)| member.id == id)
+    fn contains(&self, id: ReplicaId) -> bool {
+        self.members_with_kinds().any(|(member, _)| member.id == id)
     }
 
     fn is_voter(&self, id: ReplicaId) -> bool {
@@ -57,7 +58,7 @@
     }
 
     fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let mut members = self.all();
+        let mut members = self.members_with_kinds();
         members
             .find(|(member, _)| member.id == id)
             .map(|(member, _)| member.address)
@@ -71,17 +72,17 @@
     }
 }
 
-/// What one replica wrote its log ring to.
+/// Path of the file to which one replica wrote its log ring.
 #[derive(Serialize)]
 struct DumpedLog {
     replica: String,
     written_to: String,
 }
 
-/// Runs a command about members.
+/// Runs a subcommand of `members`.
 ///
 /// # Errors
-/// When a group does not answer or refuses.
+/// When an argument is invalid, or a group does not answer or refuses.
 pub fn run(session: &Session, flags: &MembersArguments) -> Result<(), Failure> {
     let groups = GroupId::all(flags.ledger_groups, flags.claims_groups);
     match &flags.command {
@@ -127,7 +128,7 @@
     }
     check_known(&read_all(session, groups)?, old, new.id)?;
     for group in groups {
-        replace_in(session, *group, old, &new)?;
+        replace_in_group(session, *group, old, &new)?;
     }
     Ok(())
 }
@@ -135,16 +136,16 @@
 /// Makes every replica named on the command line write its log ring out.
 ///
 /// # Errors
-/// When one of them does not answer.
+/// When a replica does not answer.
 pub fn dump_logs(session: &Session) -> Result<(), Failure> {
     let mut dumped = Vec::new();
     for address in session.replicas() {
-        match session.at(*address, GroupRequest::DumpLog)? {
+        match session.call_replica(*address, GroupRequest::DumpLog)? {
             GroupReply::LogDumped(path) => dumped.push(DumpedLog {
                 replica: address.to_string(),
                 written_to: path,
             }),
-            other => return Err(unexpected(&other)),
+            other => return Err(unexpected_answer(&other)),
         }
     }
     session.print(&dumped, |dumped| {
@@ -174,7 +175,7 @@
 /// Reads the members of one group.
 ///
 /// # Errors
-/// When it does not answer.
+/// When the group does not answer or refuses.
 pub fn read_members(session: &Session, group: GroupId) -> Result<GroupMembers, Failure> {
     match session.membership(group, MembershipRequest::Show)? {
         MembershipReply::Members {
@@ -189,13 +190,13 @@
             synced,
             last_index,
         }),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
-/// Refuses identities that no group knows, before anything is changed.
+/// Checks, before anything is changed, that a group knows the old or the new member.
 fn check_known(all: &[GroupMembers], old: ReplicaId, new: ReplicaId) -> Result<(), Failure> {
-    let is_known = |id| all.iter().any(|members| members.has(id));
+    let is_known = |id| all.iter().any(|members| members.contains(id));
     if is_known(old) || is_known(new) {
         return Ok(());
     }
@@ -206,66 +207,74 @@
     Err(Failure::Refused { message })
 }
 
-/// Each step is left out where it was done before, so the command may be run again.
-fn replace_in(
+/// Replaces a member in one group. Skips each step that was done before, so that the command can be
+/// run again.
+fn replace_in_group(
     session: &Session,
     group: GroupId,
     old: ReplicaId,
     new: &Member,
 ) -> Result<(), Failure> {
     let before = read_members(session, group)?;
-    if !before.has(new.id) {
-        // The new member listens where the lost one did: one address, one member. The lost one
-        // does not vote any more, so the group bears no fewer losses without it.
+    if !before.contains(new.id) {
+        // An address belongs to one member only. When the new member listens at the address of the
+        // lost one, the lost one is removed first: it no longer votes, so the group does not
+        // tolerate fewer failures without it.
         if before.address_of(old) == Some(new.address) {
-            change(session, group, &MembershipRequest::Remove(old))?;
+            change_members(session, group, &MembershipRequest::Remove(old))?;
         }
-        change(session, group, &MembershipRequest::AddLearner(new.clone()))?;
+        change_members(session, group, &MembershipRequest::AddLearner(new.clone()))?;
     }
     if !before.is_voter(new.id) {
         await_synced(session, group, &[new.id])?;
-        change(session, group, &MembershipRequest::Promote(new.id))?;
+        change_members(session, group, &MembershipRequest::Promote(new.id))?;
     }
     let promoted = read_members(session, group)?;
-    if promoted.has(old) {
+    if promoted.contains(old) {
         if promoted.leader == old {
-            change(
+            change_members(
                 session,
                 group,
                 &MembershipRequest::TransferLeadership(new.id),
             )?;
         }
-        change(session, group, &MembershipRequest::Remove(old))?;
+        change_members(session, group, &MembershipRequest::Remove(old))?;
     }
     await_all_synced(session, group)
 }
 
-/// Waits until every voter has all entries on its disk: then any one may be lost.
+/// Waits until every voter has synced all entries to disk, so that the loss of any one voter is
+/// harmless.
 fn await_all_synced(session: &Session, group: GroupId) -> Result<(), Failure> {
     let voters = read_members(session, group)?.membership.voters;
     let voters: Vec<ReplicaId> = voters.iter().map(|member| member.id).collect();
     await_synced(session, group, &voters)
 }
 
-/// Has a group change its members. Refusals may pass by themselves (a leader that is new, an
-/// earlier change, a learner just behind), so it asks again for a while.
-fn change(session: &Session, group: GroupId, request: &MembershipRequest) -> Result<(), Failure> {
+/// Changes the members of a group. A refusal may be transient (a new leader, an earlier change in
+/// progress, a learner slightly behind), so the request is retried until the session's timeout.
+fn change_members(
+    session: &Session,
+    group: GroupId,
+    request: &MembershipRequest,
+) -> Result<(), Failure> {
     let deadline = Instant::now() + session.timeout();
     loop {
         match session.membership(group, request.clone()) {
             Ok(_) => return Ok(()),
             Err(Failure::MembersRefused { .. }) if Instant::now() < deadline => {
-                std::thread::sleep(CATCH_UP_INTERVAL);
+                std::thread::sleep(POLL_INTERVAL);
             }
             Err(failure) => return Err(failure),
         }
     }
 }
 
-/// Waits until these members have on disk all that the leader had at the beginning.
+/// Waits until the members have synced to disk every entry that the leader's log held when the wait
+/// began.
 fn await_synced(session: &Session, group: GroupId, ids: &[ReplicaId]) -> Result<(), Failure> {
     let goal = read_members(session, group)?.last_index;
-    let mut told = Instant::now();
+    let mut last_message = Instant::now();
     loop {
         let members = read_members(session, group)?;
         let behind = ids
@@ -274,12 +283,12 @@
         let Some(behind) = behind else {
             return Ok(());
         };
-        if told.elapsed() >= TELL_INTERVAL {
-            told = Instant::now();
+        if last_message.elapsed() >= PROGRESS_INTERVAL {
+            last_message = Instant::now();
             let synced = members.synced_index(*behind).unwrap_or(0);
             eprintln!("{group}: waiting for member {behind}, which has {synced} of {goal} entries");
         }
-        std::thread::sleep(CATCH_UP_INTERVAL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -288,7 +297,7 @@
         "{}: leader {}, last index {}",
         members.group, members.leader, members.last_index
     );
-    for (member, kind) in members.all() {
+    for (member, kind) in members.members_with_kinds() {
         let synced = members.synced_index(member.id).unwrap_or(0);
         text.push_str(&format!(
             "\n  {kind} {} at {}, synced up to {synced}",
--- a/crates/nodes/wingshore/src/ctl/mod.rs
+++ b/crates/nodes/wingshore/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! `wingshore ctl`: intents, plans, confirmations, status, members.
+//! The `ctl` command: intents, plans, confirmations, status and members.
 
 pub mod arguments;
 mod diff;
@@ -13,10 +13,10 @@
 use session::Session;
 use wingshore_types::protocol::control::Intent;
 
-/// Runs one operator's command.
+/// Runs one subcommand of `ctl`.
 ///
 /// # Errors
-/// When an argument is wrong, the group does not answer, or it refuses.
+/// When an argument is invalid, or a group does not answer or refuses.
 pub fn run(flags: &CtlArguments) -> Result<(), Failure> {
     let session = Session::open(flags)?;
     match &flags.command {
--- a/crates/nodes/wingshore/src/ctl/plans.rs
+++ b/crates/nodes/wingshore/src/ctl/plans.rs
@@ -1,8 +1,8 @@
-//! Status, plans and confirmations.
+//! The commands about the configuration and plans, among them confirmations.
 
 use crate::ctl::arguments::{CancelArguments, ConfirmArguments, PlanArguments, PlanCommand};
 use crate::ctl::render;
-use crate::ctl::session::{Session, intent_id, unexpected};
+use crate::ctl::session::{Session, intent_id, unexpected_answer};
 use crate::failure::{Failure, SettingsSnafu};
 use crate::settings_file;
 use serde::Serialize;
@@ -13,10 +13,10 @@
 use wingshore_types::protocol::control::{ControlReply, ControlRequest, Intent, Plan, PlanState};
 use wingshore_types::{PlanId, Revision, WeightVersion};
 
-/// Between two looks at a running plan.
-const WAIT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between polls of a running plan.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The answer to a site file that the configuration equals already; there is no plan then.
+/// Output for a site file that equals the configuration; no plan is made.
 #[derive(Serialize)]
 struct NothingToChange {
     nothing_to_change: bool,
@@ -33,10 +33,10 @@
     Ok(())
 }
 
-/// Makes a plan as the command line says.
+/// Makes a plan from the command line.
 ///
 /// # Errors
-/// When an argument is wrong, or the control group does not answer or refuses.
+/// When an argument is invalid, or the control group does not answer or refuses.
 pub fn propose(session: &Session, flags: &PlanArguments) -> Result<(), Failure> {
     let mut base = flags.base.map(Revision);
     let intent = match &flags.wanted {
@@ -44,7 +44,7 @@
             let text = settings_file::read(&apply.file)?;
             let site = site_from_text(&apply.file, &text).context(SettingsSnafu)?;
             let current = read_configuration(session)?;
-            let changes = changes(&current, &site, apply.prune);
+            let changes = changes_to_site(&current, &site, apply.prune);
             if changes.is_empty() {
                 print_nothing_to_change(session, &current, &apply.file);
                 return Ok(());
@@ -62,31 +62,31 @@
     propose_intent(session, flags.intent.as_deref(), base, intent)
 }
 
-/// Makes a plan of `intent`.
+/// Makes a plan that carries out `intent`.
 ///
 /// # Errors
 /// When the control group does not answer or refuses.
 pub fn propose_intent(
     session: &Session,
-    named: Option<&str>,
+    hex_id: Option<&str>,
     base_revision: Option<Revision>,
     intent: Intent,
 ) -> Result<(), Failure> {
     let request = ControlRequest::Propose {
-        intent_id: intent_id(named)?,
+        intent_id: intent_id(hex_id)?,
         base_revision,
         intent,
     };
-    print_plan(session, &ask_for_plan(session, request)?)
+    print_plan(session, &request_plan(session, request)?)
 }
 
 /// Shows one plan.
 ///
 /// # Errors
-/// When the control group does not answer, or knows no such plan.
+/// When the control group does not answer, or the plan does not exist.
 pub fn show(session: &Session, plan: u64) -> Result<(), Failure> {
     let request = ControlRequest::ShowPlan(PlanId(plan));
-    print_plan(session, &ask_for_plan(session, request)?)
+    print_plan(session, &request_plan(session, request)?)
 }
 
 /// Shows all plans.
@@ -99,14 +99,14 @@
             session.print(&plans, |plans| render::plans_text(plans));
             Ok(())
         }
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
-/// Carries a plan out.
+/// Confirms a plan, and on request waits until the plan has ended.
 ///
 /// # Errors
-/// When the control group does not answer or refuses, or the plan, waited for, ends otherwise
+/// When the control group does not answer or refuses, or the plan ended in a state other
 /// than done.
 pub fn confirm(session: &Session, flags: &ConfirmArguments) -> Result<(), Failure> {
     let plan = PlanId(flags.plan);
@@ -114,10 +114,10 @@
         intent_id: intent_id(flags.intent.as_deref())?,
         plan,
     };
-    let mut current = ask_for_plan(session, request)?;
+    let mut current = request_plan(session, request)?;
     while flags.wait && matches!(current.state, PlanState::Running { .. }) {
-        std::thread::sleep(WAIT_INTERVAL);
-        current = ask_for_plan(session, ControlRequest::ShowPlan(plan))?;
+        std::thread::sleep(POLL_INTERVAL);
+        current = request_plan(session, ControlRequest::ShowPlan(plan))?;
     }
     print_plan(session, &current)?;
     match current.state {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Withdraws or stops a plan.
+/// Withdraws a proposed plan or stops a running one.
 ///
 /// # Errors
 /// When the control group does not answer or refuses.
@@ -138,17 +138,18 @@
         intent_id: intent_id(flags.intent.as_deref())?,
         plan: PlanId(flags.plan),
     };
-    print_plan(session, &ask_for_plan(session, request)?)
+    print_plan(session, &request_plan(session, request)?)
 }
 
-fn ask_for_plan(session: &Session, request: ControlRequest) -> Result<Plan, Failure> {
+fn request_plan(session: &Session, request: ControlRequest) -> Result<Plan, Failure> {
     match session.control(request)? {
         ControlReply::Plan(plan) => Ok(*plan),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
-/// A proposed plan is told against the configuration as it is, so that it can be judged.
+/// Prints a plan. The changes of a proposed plan are shown relative to the current configuration,
+/// so that an operator can review them.
 fn print_plan(session: &Session, plan: &Plan) -> Result<(), Failure> {
     let current = match plan.state {
         PlanState::Proposed if !session.prints_json() => Some(read_configuration(session)?),
@@ -171,20 +172,25 @@
     });
 }
 
-/// The configuration as committed.
+/// Reads the committed configuration.
 ///
 /// # Errors
 /// When the control group does not answer.
 pub fn read_configuration(session: &Session) -> Result<Configuration, Failure> {
     match session.control(ControlRequest::ReadConfiguration)? {
         ControlReply::Configuration(configuration) => Ok(*configuration),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_answer(&other)),
     }
 }
 
-/// The changes that lead from `current` to `site`; what is equal already is left out. A server's
-/// admission and a pool's version are not the file's to say.
-fn changes(current: &Configuration, site: &SiteFile, prune: bool) -> Vec<ConfigurationChange> {
+/// Returns the changes that lead from `current` to `site`, without objects that are equal already.
+/// A site file does not change the admission of an existing server or the target version of an
+/// existing pool.
+fn changes_to_site(
+    current: &Configuration,
+    site: &SiteFile,
+    prune: bool,
+) -> Vec<ConfigurationChange> {
     let mut wanted = site.clone();
     for server in &mut wanted.servers {
         if let Some(existing) = current.servers.get(&server.id) {
@@ -205,12 +211,12 @@
         wanted
             .changes()
             .into_iter()
-            .filter(|change| !holds_already(current, change)),
+            .filter(|change| !is_already_applied(current, change)),
     );
     changes
 }
 
-fn holds_already(current: &Configuration, change: &ConfigurationChange) -> bool {
+fn is_already_applied(current: &Configuration, change: &ConfigurationChange) -> bool {
     match change {
         ConfigurationChange::PutService(service) => {
             current.services.get(&service.id) == Some(service)
--- a/crates/nodes/wingshore/src/ctl/render.rs
+++ b/crates/nodes/wingshore/src/ctl/render.rs
@@ -1,4 +1,4 @@
-//! Plain text for people.
+//! Plain-text output of plans and the configuration.
 
 use crate::ctl::diff::{change_text, pool_text, server_text, service_text};
 use std::fmt::Write as _;
@@ -12,7 +12,7 @@
     }};
 }
 
-/// A plan's state in a few words.
+/// Describes the state of a plan.
 pub fn state_text(state: &PlanState) -> String {
     match state {
         PlanState::Proposed => "proposed".to_owned(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A plan with its steps and cost; `current` is what the changes are told against.
+/// Formats a plan with its steps and cost; changes are shown relative to `current`.
 pub fn plan_text(plan: &Plan, current: Option<&Configuration>) -> String {
     let mut text = plan_line(plan);
     for (position, step) in plan.steps.iter().enumerate() {
@@ -42,7 +42,7 @@
     text
 }
 
-/// Plans, a line each.
+/// Formats a list of plans, one line each.
 pub fn plans_text(plans: &[Plan]) -> String {
     if plans.is_empty() {
         return "no plans".to_owned();
@@ -51,7 +51,7 @@
     lines.join("\n")
 }
 
-/// The configuration.
+/// Formats the configuration.
 pub fn configuration_text(configuration: &Configuration) -> String {
     let mut text = format!("revision {}\n", configuration.revision);
     for service in configuration.services.values() {
@@ -66,7 +66,7 @@
     text.trim_end().to_owned()
 }
 
-/// A plan in one line.
+/// Formats a plan in one line.
 pub fn plan_line(plan: &Plan) -> String {
     format!(
         "plan {} (to {}; base revision {}, intent {}): {}",
@@ -78,7 +78,7 @@
     )
 }
 
-/// A time in the unit that people would use.
+/// Formats a duration in milliseconds, seconds or minutes, according to its length.
 pub fn duration_text(milliseconds: u64) -> String {
     let seconds = milliseconds as f64 / 1000.0;
     match milliseconds {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A plan's step in a few words.
+/// Describes one step of a plan.
 fn step_text(step: &PlanStep, current: Option<&Configuration>) -> String {
     match step {
         PlanStep::Change(change) => change_text(change, current),
--- a/crates/nodes/wingshore/src/ctl/session.rs
+++ b/crates/nodes/wingshore/src/ctl/session.rs
@@ -1,4 +1,4 @@
-//! One operator's connection to the groups of a site.
+//! Session of one `ctl` command with the groups of a site.
 
 use crate::ctl::arguments::CtlArguments;
 use crate::failure::{ArgumentSnafu, CallSnafu, Failure};
@@ -14,7 +14,7 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, IntentId};
 
-/// Client, replicas and how to print.
+/// Client, addresses of the replicas, timeout and output format of one `ctl` command.
 pub struct Session {
     client: GroupClient,
     replicas: Vec<SocketAddr>,
@@ -23,10 +23,10 @@
 }
 
 impl Session {
-    /// Parses the addresses and makes the client; connections are opened by the first call.
+    /// Parses the addresses and creates the client; connections are opened by the first call.
     ///
     /// # Errors
-    /// When an address is wrong.
+    /// When an address is invalid.
     pub fn open(flags: &CtlArguments) -> Result<Self, Failure> {
         let replicas = parse_replicas(&flags.replicas)?;
         let seed = rand::rng().random();
@@ -38,25 +38,25 @@
         })
     }
 
-    /// The replicas named on the command line.
+    /// Returns the addresses of the replicas that the command line names.
     pub fn replicas(&self) -> &[SocketAddr] {
         &self.replicas
     }
 
-    /// How long one answer is waited for.
+    /// Returns the timeout of one call.
     pub fn timeout(&self) -> Duration {
         self.timeout
     }
 
-    /// Whether output is for scripts.
+    /// Returns whether the output is JSON.
     pub fn prints_json(&self) -> bool {
         self.json
     }
 
-    /// Asks the control group.
+    /// Sends a request to the control group.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// When the group does not answer, or refuses.
     pub fn control(&self, request: ControlRequest) -> Result<ControlReply, Failure> {
         let hint = no_answer_hint(&request);
         let request = GroupRequest::Control(request);
@@ -69,14 +69,14 @@
                 message: refusal_text(&refusal),
             }),
             GroupReply::Control(reply) => Ok(reply),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_answer(&other)),
         }
     }
 
-    /// Asks a group about its members.
+    /// Sends a request about the members of a group.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// When the group does not answer, or refuses.
     pub fn membership(
         &self,
         group: GroupId,
@@ -86,45 +86,53 @@
         let reply = self
             .client
             .call(group, request, self.timeout)
-            .context(CallSnafu { hint: NO_ANSWER })?;
+            .context(CallSnafu {
+                hint: NO_ANSWER_HINT,
+            })?;
         match reply {
             GroupReply::Membership(MembershipReply::Refused { message }) => {
                 Err(Failure::MembersRefused { group, message })
             }
             GroupReply::Membership(reply) => Ok(reply),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_answer(&other)),
         }
     }
 
-    /// Asks one process.
+    /// Sends a request to one replica.
     ///
     /// # Errors
-    /// When it does not answer.
-    pub fn at(&self, address: SocketAddr, request: GroupRequest) -> Result<GroupReply, Failure> {
+    /// When the replica does not answer.
+    pub fn call_replica(
+        &self,
+        address: SocketAddr,
+        request: GroupRequest,
+    ) -> Result<GroupReply, Failure> {
         self.client
             .call_at(address, GroupId::Control, request, self.timeout)
-            .context(CallSnafu { hint: NO_ANSWER })
+            .context(CallSnafu {
+                hint: NO_ANSWER_HINT,
+            })
     }
 
-    /// Prints `value` as JSON, or what `text` makes of it.
+    /// Prints `value` as JSON, or as the text that `text` returns.
     pub fn print<T: Serialize>(&self, value: &T, text: impl FnOnce(&T) -> String) {
         if self.json {
             match serde_json::to_string(value) {
-                Ok(json) => output::line(&json),
+                Ok(json) => output::print_line(&json),
                 Err(error) => eprintln!("cannot print as JSON: {error}"),
             }
         } else {
-            output::line(&text(value));
+            output::print_line(&text(value));
         }
     }
 }
 
-/// The intent named on the command line, or a new one.
+/// Parses the intent identity of the command line, or generates a random one.
 ///
 /// # Errors
-/// When it is not hexadecimal.
-pub fn intent_id(named: Option<&str>) -> Result<IntentId, Failure> {
-    match named {
+/// When the identity is not 1 to 32 hexadecimal digits.
+pub fn intent_id(hex_id: Option<&str>) -> Result<IntentId, Failure> {
+    match hex_id {
         None => Ok(IntentId(rand::rng().random())),
         Some(text) => IntentId::from_hex(text).context(ArgumentSnafu {
             argument: "--intent",
@@ -134,8 +142,8 @@
     }
 }
 
-/// The failure of an answer that does not fit its question.
-pub fn unexpected(answer: &impl std::fmt::Debug) -> Failure {
+/// Returns the failure for an answer whose type does not match the request.
+pub fn unexpected_answer(answer: &impl std::fmt::Debug) -> Failure {
     Failure::UnexpectedAnswer {
         answer: format!("{answer:?}"),
     }
@@ -153,20 +161,21 @@
         .collect()
 }
 
-/// What to look at when nobody answers.
-const NO_ANSWER: &str = "\nnext: are the addresses of --replicas right, and does more than half \
-                         of the members run? GET /readyz at a replica's `admin` address says \
-                         whether it knows a leader";
+/// Hint of what to check when no replica answers.
+const NO_ANSWER_HINT: &str = "\nnext: are the addresses of --replicas right, and does more than \
+                              half of the members run? GET /readyz at a replica's `admin` address \
+                              says whether it knows a leader";
 
-/// What to look at, and how to ask again without asking twice.
+/// Returns the hint for a request without an answer: what to check and, for a request that changes
+/// state, the intent identity that lets it be repeated without being applied twice.
 fn no_answer_hint(request: &ControlRequest) -> String {
     match request {
         ControlRequest::Propose { intent_id, .. }
         | ControlRequest::Confirm { intent_id, .. }
         | ControlRequest::Cancel { intent_id, .. } => {
-            format!("{NO_ANSWER}\nto ask again safely, add: --intent {intent_id}")
+            format!("{NO_ANSWER_HINT}\nto ask again safely, add: --intent {intent_id}")
         }
-        _ => NO_ANSWER.to_owned(),
+        _ => NO_ANSWER_HINT.to_owned(),
     }
 }
 
--- a/crates/nodes/wingshore/src/ctl/site_status.rs
+++ b/crates/nodes/wingshore/src/ctl/site_status.rs
@@ -1,9 +1,9 @@
-//! The site at a glance: leader, members, configuration in force, nodes, pools, engines, plans.
+//! The `status` command: leader, members, configuration in force, nodes, pools, engines, plans.
 
 use crate::ctl::members::{self, GroupMembers};
 use crate::ctl::plans;
 use crate::ctl::render::{duration_text, plan_line};
-use crate::ctl::session::{Session, unexpected};
+use crate::ctl::session::{Session, unexpected_answer};
 use crate::failure::Failure;
 use serde::Serialize;
 use std::fmt::Write as _;
@@ -13,10 +13,10 @@
 };
 use wingshore_types::{GroupId, PoolId, ServerId, WeightVersion};
 
-/// Lines of one list; `--json` has all.
-const LINES_SHOWN: usize = 20;
+/// Maximum number of items shown of one list; `--json` prints all.
+const MAX_ITEMS_SHOWN: usize = 20;
 
-/// What `wingshore ctl status` shows.
+/// Output of `wingshore ctl status`.
 #[derive(Serialize)]
 struct SiteStatus {
     #[serde(flatten)]
@@ -24,41 +24,41 @@
     /// Members of the control group.
     members: GroupMembers,
     pools: Vec<PoolStatus>,
-    /// Servers that take no new work, as the configuration says.
+    /// Servers that the configuration sets to draining: they take no new work.
     draining: Vec<ServerId>,
 }
 
-/// How far a pool's engines are.
+/// Progress of a pool's engines toward the target version.
 #[derive(Serialize)]
 struct PoolStatus {
     pool: PoolId,
     target_version: WeightVersion,
-    /// Engines of its service.
+    /// Number of engines of the pool's service.
     engines: usize,
-    /// Those that serve the target version by their own report.
+    /// Number of engines that report the target version.
     engines_at_target: usize,
 }
 
-/// Shows the site at a glance.
+/// Prints an overview of the site.
 ///
 /// # Errors
 /// When the control group does not answer.
 pub fn show(session: &Session) -> Result<(), Failure> {
     let ControlReply::Status(status) = session.control(ControlRequest::Status)? else {
-        return Err(unexpected(&"no status"));
+        return Err(unexpected_answer(&"no status"));
     };
     let configuration = plans::read_configuration(session)?;
     let site = SiteStatus {
         members: members::read_members(session, GroupId::Control)?,
-        pools: pools(&configuration, &status.engines),
-        draining: draining(&configuration),
+        pools: pool_statuses(&configuration, &status.engines),
+        draining: draining_servers(&configuration),
         status: *status,
     };
-    session.print(&site, text);
+    session.print(&site, status_text);
     Ok(())
 }
 
-fn pools(configuration: &Configuration, engines: &[EngineStatus]) -> Vec<PoolStatus> {
+fn pool_statuses(configuration: &Configuration, engines: &[EngineStatus]) -> Vec<PoolStatus> {
     let is_at = |server: &ServerId, version| {
         let mut engines = engines.iter();
         engines.any(|engine| engine.server == *server && engine.version == Some(version))
@@ -80,7 +80,7 @@
         .collect()
 }
 
-fn draining(configuration: &Configuration) -> Vec<ServerId> {
+fn draining_servers(configuration: &Configuration) -> Vec<ServerId> {
     let servers = configuration.servers.values();
     servers
         .filter(|server| server.admission == Admission::Draining)
@@ -88,7 +88,7 @@
         .collect()
 }
 
-fn text(site: &SiteStatus) -> String {
+fn status_text(site: &SiteStatus) -> String {
     let sections = [
         leader_text(site),
         in_force_text(&site.status),
@@ -109,7 +109,7 @@
         site.status.epoch,
         members.membership.voters.len()
     );
-    for (member, kind) in members.all() {
+    for (member, kind) in members.members_with_kinds() {
         let behind = members.entries_behind(member.id);
         let state = match behind {
             Some(0) => "in step".to_owned(),
@@ -176,7 +176,7 @@
 
 fn engines_text(engines: &[EngineStatus]) -> String {
     let mut engines: Vec<&EngineStatus> = engines.iter().collect();
-    // Those that an operator may have to look at come first.
+    // Engines with an unknown version or failed swaps come first: they may need an operator.
     engines.sort_by_key(|engine| (engine.version.is_some(), std::cmp::Reverse(engine.failures)));
     let lines: Vec<String> = engines.iter().map(|engine| engine_text(engine)).collect();
     section("engines", &lines)
@@ -228,16 +228,16 @@
     text
 }
 
-/// The first items; further ones are counted.
+/// Joins the first `MAX_ITEMS_SHOWN` items and appends the number of the rest.
 fn shortened(items: &[&str], separator: &str) -> String {
     let mut text = items
         .iter()
-        .take(LINES_SHOWN)
+        .take(MAX_ITEMS_SHOWN)
         .copied()
         .collect::<Vec<&str>>()
         .join(separator);
-    if items.len() > LINES_SHOWN {
-        let more = items.len() - LINES_SHOWN;
+    if items.len() > MAX_ITEMS_SHOWN {
+        let more = items.len() - MAX_ITEMS_SHOWN;
         let _ = write!(text, "{separator}  and {more} more; --json has all");
     }
     text
--- a/crates/nodes/wingshore/src/failure.rs
+++ b/crates/nodes/wingshore/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit status that says so.
+//! Failures of a command and the exit status of each.
 
 use snafu::Snafu;
 use wingshore_client::CallError;
@@ -6,43 +6,43 @@
 use wingshore_storage::StorageError;
 use wingshore_types::GroupId;
 
-/// Exit status of a bad command line or bad settings.
+/// Exit status for an invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
-/// Exit status of a request that the control group refused; nothing was changed.
+/// Exit status for a request that the control group refused; nothing was changed.
 pub const EXIT_REFUSED: u8 = 3;
-/// Exit status of anything else.
+/// Exit status for every other failure.
 const EXIT_FAILED: u8 = 1;
 
-/// Why a command failed.
+/// Failure of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Failure {
     /// A file cannot be read.
     #[snafu(display("cannot read {path}: {source}"))]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The cause.
         source: std::io::Error,
     },
-    /// Settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// All that is wrong.
+        /// Every error in the settings.
         source: SettingsErrors,
     },
-    /// A flag or argument is wrong.
+    /// A flag or argument is invalid.
     #[snafu(display("{argument}: found {found}; allowed: {allowed}"))]
     Argument {
-        /// Which one.
+        /// Name of the flag or argument.
         argument: &'static str,
-        /// What was found.
+        /// The invalid value.
         found: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
-    /// Signals cannot be taken.
-    #[snafu(display("cannot take signals: {source}"))]
+    /// The signal handler cannot be installed.
+    #[snafu(display("cannot install the signal handler: {source}"))]
     Signals {
         /// The cause.
         source: std::io::Error,
@@ -56,54 +56,54 @@
     /// A role ended with an error.
     #[snafu(display("{role} stopped: {message}"))]
     Role {
-        /// Which role.
+        /// Name of the role.
         role: &'static str,
-        /// Why.
+        /// Error of the role.
         message: String,
     },
-    /// A group did not answer.
+    /// A call to a group or a replica failed.
     #[snafu(display("{source}{hint}"))]
     Call {
         /// The cause.
         source: CallError,
-        /// How to ask again safely, when that needs more than the same command.
+        /// What to check, and how to repeat the request without applying it twice.
         hint: String,
     },
-    /// A group refused; nothing was changed.
+    /// A group refused the request; nothing was changed.
     #[snafu(display("refused, nothing was changed: {message}"))]
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         message: String,
     },
-    /// A group refused to change its members; what was done before stays.
+    /// A group refused a change of its members; steps that completed earlier stay in effect.
     #[snafu(display(
         "group {group} refused: {message}\nnext: mend that and run the same command again; steps \
          that are done are left out"
     ))]
     MembersRefused {
-        /// Which group.
+        /// The group that refused.
         group: GroupId,
-        /// Why.
+        /// Reason of the refusal.
         message: String,
     },
-    /// A plan ended otherwise than done.
+    /// A plan ended in a state other than done.
     #[snafu(display("plan {plan} {message}"))]
     PlanEnded {
-        /// Which plan.
+        /// Number of the plan.
         plan: u64,
-        /// How.
+        /// State in which the plan ended.
         message: String,
     },
-    /// The answer was not one to the question.
+    /// The type of the answer does not match the request.
     #[snafu(display("unexpected answer: {answer}"))]
     UnexpectedAnswer {
-        /// The answer.
+        /// The answer in debug format.
         answer: String,
     },
 }
 
 impl Failure {
-    /// The exit status of the process.
+    /// Returns the exit status of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::ReadFile { .. } | Self::Settings { .. } | Self::Argument { .. } => EXIT_USAGE,
--- a/crates/nodes/wingshore/src/format.rs
+++ b/crates/nodes/wingshore/src/format.rs
@@ -1,4 +1,4 @@
-//! `wingshore format`.
+//! The `format` command: initializes the data folder of a founding member.
 
 use crate::arguments::FormatArguments;
 use crate::failure::{ArgumentSnafu, Failure, FormatSnafu, SettingsSnafu};
@@ -11,10 +11,11 @@
 use wingshore_types::ReplicaId;
 use wingshore_types::protocol::membership::{Member, Membership};
 
-/// Makes an empty data folder that of a founding member.
+/// Formats an empty data folder for a founding member.
 ///
 /// # Errors
-/// When the settings are wrong, the identity is not a founding one, or the folder is not empty.
+/// When the settings are invalid, the identity is not that of a founding member, or the folder
+/// cannot be formatted, for example because it is not empty.
 pub fn run(flags: &FormatArguments) -> Result<(), Failure> {
     let text = settings_file::read(&flags.settings)?;
     let overrides = Overrides {
@@ -35,7 +36,7 @@
     let file_system: Arc<dyn FileSystem> = Arc::new(RealFileSystem);
     DataFolder::format(&file_system, &settings.data, &settings.site, id, membership)
         .context(FormatSnafu)?;
-    output::line(&format!(
+    output::print_line(&format!(
         "{}: formatted as founding member {id} of site `{}`",
         settings.data.display(),
         settings.site
@@ -43,7 +44,7 @@
     Ok(())
 }
 
-/// The identities as an error shows them.
+/// Returns the allowed identities as the text of an error message.
 fn founding_ids(membership: &Membership) -> String {
     let ids = membership.voters.iter().map(|member| member.id.to_string());
     let ids: Vec<String> = ids.collect();
--- a/crates/nodes/wingshore/src/main.rs
+++ b/crates/nodes/wingshore/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the `wingshore` program: parses the command line and wires the roles.
+//! Entry point of the `wingshore` program: parses the command line and runs the command.
 
 mod arguments;
 mod check;
@@ -15,14 +15,14 @@
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     if arguments.version {
-        output::line(concat!("wingshore ", env!("CARGO_PKG_VERSION")));
+        output::print_line(concat!("wingshore ", env!("CARGO_PKG_VERSION")));
         return ExitCode::SUCCESS;
     }
     let Some(command) = arguments.command else {
         eprintln!("wingshore: no command; see `wingshore --help`");
         return ExitCode::from(failure::EXIT_USAGE);
     };
-    let done = match command {
+    let result = match command {
         Command::Replica(flags) => roles::replica(&flags),
         Command::Relay(flags) => roles::relay(&flags),
         Command::Node(flags) => roles::node(&flags),
@@ -30,7 +30,7 @@
         Command::Check(flags) => check::run(&flags),
         Command::Ctl(flags) => ctl::run(&flags),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("{failure}");
--- a/crates/nodes/wingshore/src/output.rs
+++ b/crates/nodes/wingshore/src/output.rs
@@ -1,10 +1,10 @@
-//! Standard output.
+//! Output on standard output.
 
 use std::io::{ErrorKind, Write, stdout};
 
-/// Prints a line. Whoever read the output may be gone, as in `wingshore ctl status | head -1`:
-/// the command was carried out all the same.
-pub fn line(text: &str) {
+/// Prints a line to standard output. A closed pipe, as in `wingshore ctl status | head -1`, is no
+/// error, because the command itself has completed.
+pub fn print_line(text: &str) {
     let mut stdout = stdout().lock();
     let written = writeln!(stdout, "{text}").and_then(|()| stdout.flush());
     if let Err(error) = written
--- a/crates/nodes/wingshore/src/roles.rs
+++ b/crates/nodes/wingshore/src/roles.rs
@@ -1,4 +1,5 @@
-//! Runs a role until a planned stop: settings, diagnostics, signals, then the role's driver.
+//! Runs a role until a planned stop: reads the settings, sets up diagnostics and signals, then
+//! starts the role.
 
 use crate::arguments::{NodeArguments, RelayArguments, ReplicaArguments};
 use crate::failure::{Failure, SettingsSnafu, SignalsSnafu};
@@ -13,35 +14,35 @@
 /// Runs a replica.
 ///
 /// # Errors
-/// When the settings are wrong or the role fails.
+/// When the settings are invalid or the role fails.
 pub fn replica(flags: &ReplicaArguments) -> Result<(), Failure> {
     let text = settings_file::read(&flags.settings)?;
     let overrides = Overrides::from(flags);
     let settings = replica_from_text(&flags.settings, &text, &overrides).context(SettingsSnafu)?;
     let logs = settings.data.join("logs");
     let (diagnostics, stop) = prepare(&settings.name, settings.log_lines, Some(&logs))?;
-    let done = wingshore_replica::run(settings, diagnostics.clone(), stop);
-    finish("replica", &diagnostics, done)
+    let result = wingshore_replica::run(settings, diagnostics.clone(), stop);
+    finish("replica", &diagnostics, result)
 }
 
 /// Runs a relay.
 ///
 /// # Errors
-/// When the settings are wrong or the role fails.
+/// When the settings are invalid or the role fails.
 pub fn relay(flags: &RelayArguments) -> Result<(), Failure> {
     let text = settings_file::read(&flags.settings)?;
     let overrides = Overrides::from(flags);
     let settings = relay_from_text(&flags.settings, &text, &overrides).context(SettingsSnafu)?;
     let folder = settings.dump_folder.as_deref();
     let (diagnostics, stop) = prepare(&settings.name, settings.log_lines, folder)?;
-    let done = wingshore_relay::run(settings, diagnostics.clone(), stop);
-    finish("relay", &diagnostics, done)
+    let result = wingshore_relay::run(settings, diagnostics.clone(), stop);
+    finish("relay", &diagnostics, result)
 }
 
 /// Runs a node.
 ///
 /// # Errors
-/// When the settings are wrong or the role fails.
+/// When the settings are invalid or the role fails.
 pub fn node(flags: &NodeArguments) -> Result<(), Failure> {
     let text = settings_file::read(&flags.settings)?;
     let overrides = Overrides::from(flags);
@@ -49,11 +50,11 @@
     let folder = settings.dump_folder.as_deref();
     let name = settings.node.as_str();
     let (diagnostics, stop) = prepare(name, settings.log_lines, folder)?;
-    let done = wingshore_node::run(settings, diagnostics.clone(), stop);
-    finish("node", &diagnostics, done)
+    let result = wingshore_node::run(settings, diagnostics.clone(), stop);
+    finish("node", &diagnostics, result)
 }
 
-/// Diagnostics, and a stop signal that SIGTERM and SIGINT give.
+/// Creates the diagnostics, and a stop signal that SIGTERM and SIGINT set.
 fn prepare(
     name: &str,
     log_lines: usize,
@@ -63,25 +64,25 @@
     diagnostics.dump_on_panic();
     let stop = StopSignal::new();
     let mut signals = Signals::new([SIGTERM, SIGINT]).context(SignalsSnafu)?;
-    let given = stop.clone();
+    let stop_on_signal = stop.clone();
     std::thread::Builder::new()
         .name("signals".to_owned())
         .spawn(move || {
             for _ in signals.forever() {
-                given.stop();
+                stop_on_signal.stop();
             }
         })
         .context(SignalsSnafu)?;
     Ok((diagnostics, stop))
 }
 
-/// A role that failed leaves its log ring.
+/// Converts the result of a role; after a failure, first writes the log ring to a file.
 fn finish<E: std::fmt::Display>(
     role: &'static str,
     diagnostics: &Diagnostics,
-    done: Result<(), E>,
+    result: Result<(), E>,
 ) -> Result<(), Failure> {
-    let Err(error) = done else { return Ok(()) };
+    let Err(error) = result else { return Ok(()) };
     let message = error.to_string();
     match diagnostics.dump(&message) {
         Ok(path) => eprintln!("log ring written to {path}"),
--- a/crates/nodes/wingshore/src/settings_file.rs
+++ b/crates/nodes/wingshore/src/settings_file.rs
@@ -1,12 +1,12 @@
-//! Reading files named on the command line.
+//! Reads the files that the command line names.
 
 use crate::failure::{Failure, ReadFileSnafu};
 use snafu::ResultExt;
 
-/// Reads a whole text file.
+/// Reads a text file completely.
 ///
 /// # Errors
-/// When it cannot be read.
+/// When the file cannot be read or is not UTF-8.
 pub fn read(path: &str) -> Result<String, Failure> {
     std::fs::read_to_string(path).context(ReadFileSnafu { path })
 }
