--- a/crates/nodes/wingshore/tests/command_line.rs
+++ b/crates/nodes/wingshore/tests/command_line.rs
@@ -8,9 +8,10 @@
 const REPLICA: &str = include_str!("../../../../examples/first-site/replica-1.toml");
 const SITE: &str = include_str!("../../../../examples/first-site/site.toml");
 
-/// The whole file, what is replaced in it by what, and what each error line must hold, in order.
+/// Broken settings: valid file, text to replace, replacement, and for each expected error line the
+/// parts that it must contain.
 #[rustfmt::skip]
-const BROKEN: &[(&str, &str, &str, &[&[&str]])] = &[
+const BROKEN_SETTINGS: &[(&str, &str, &str, &[&[&str]])] = &[
     (REPLICA, "zone =", "zoen =", &[&[":1:", "`zone`", "found nothing", "1 to 64 of a-z"], &[":5:", "`zoen`", "an unknown key", "allowed: role, site, name, zone"]]),
     (REPLICA, "\"data/first-site/replica-1\"", "7", &[&[":10:", "`data`", "found 7", "text"]]),
     (REPLICA, "[[founding]]", "configuration_lease = \"5\"\n[[founding]]", &[&[":13:", "`configuration_lease`", "found \"5\"", "a duration with unit from \"500ms\" to \"30s\""]]),
@@ -29,29 +30,29 @@
 ];
 
 #[gtest]
-fn check_names_every_error_of_a_broken_file() -> Result<()> {
+fn check_reports_every_error_of_a_broken_file() -> Result<()> {
     let folder = tempfile::tempdir()?;
     let path = path_text(&folder.path().join("broken.toml"));
-    for (whole, from, to, wanted) in BROKEN {
-        expect_that!(*whole, contains_substring(*from));
-        std::fs::write(&path, whole.replacen(from, to, 1))?;
+    for (valid_text, from, to, expected_errors) in BROKEN_SETTINGS {
+        expect_that!(*valid_text, contains_substring(*from));
+        std::fs::write(&path, valid_text.replacen(from, to, 1))?;
         let answer = wingshore(&["check", "--settings", &path]);
         expect_that!(answer.code, some(eq(2)), "{to}");
         let lines: Vec<&str> = answer.stderr.lines().collect();
-        for parts in *wanted {
-            let named = lines.iter().any(|line| {
+        for parts in *expected_errors {
+            let is_reported = lines.iter().any(|line| {
                 line.starts_with(&path) && parts.iter().all(|part| line.contains(part))
             });
-            expect_true!(named, "{to} gave {lines:?}");
+            expect_true!(is_reported, "{to} gave {lines:?}");
         }
-        // What is wrong is named once; nothing else is called wrong for it.
-        expect_that!(lines, len(eq(wanted.len())), "{to}");
+        // Each error is reported once, without errors that only follow from it.
+        expect_that!(lines, len(eq(expected_errors.len())), "{to}");
     }
     Ok(())
 }
 
 #[gtest]
-fn check_accepts_the_files_of_the_sites() -> Result<()> {
+fn check_accepts_the_settings_of_every_site() -> Result<()> {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../sites");
     let mut checked = 0;
     for site in ["farewind", "roster"].map(|site| root.join(site)) {
@@ -112,9 +113,9 @@
     );
 }
 
-/// Arguments, exit status, and what standard error must hold.
+/// Invalid command lines: arguments, exit status, and parts that standard error must contain.
 #[rustfmt::skip]
-const WRONG: &[(&[&str], i32, &[&str])] = &[
+const INVALID_COMMAND_LINES: &[(&[&str], i32, &[&str])] = &[
     (&[], 2, &["no command", "--help"]),
     (&["check", "--settings", "/nowhere/x.toml"], 2, &["cannot read /nowhere/x.toml"]),
     (&["ctl", "--replicas", "localhost:1", "status"], 2, &["--replicas", "\"localhost:1\"", "IP addresses and ports"]),
@@ -124,8 +125,8 @@
 ];
 
 #[gtest]
-fn wrong_arguments_say_what_is_allowed() {
-    for (arguments, code, parts) in WRONG {
+fn invalid_arguments_report_the_allowed_values() {
+    for (arguments, code, parts) in INVALID_COMMAND_LINES {
         let answer = wingshore(arguments);
         expect_that!(answer.code, some(eq(*code)), "{arguments:?}");
         let text = answer.stderr.to_lowercase();
@@ -140,7 +141,7 @@
 }
 
 #[gtest]
-fn a_reader_that_is_gone_is_no_failure() -> Result<()> {
+fn a_closed_pipe_on_standard_output_is_not_an_error() -> Result<()> {
     let (reader, writer) = std::io::pipe()?;
     drop(reader);
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_wingshore"))
