--- a/crates/nodes/wingshore/tests/metrics.rs
+++ b/crates/nodes/wingshore/tests/metrics.rs
@@ -1,5 +1,5 @@
-//! Every metric that a role serves stands on the operators' page, and no other; those of the
-//! control group follow what is done.
+//! Checks that the operators' page lists exactly the metrics that each role serves, and that the
+//! metrics of the control group follow commits and revisions in force.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const SITE: &str = "role = \"site\"\nzones = [\"hall\"]\n\
                     [[service]]\nid = \"shifts\"\nkind = \"live\"\n";
 
-/// The answer to `GET path`; nothing when nobody answers yet.
+/// Returns the answer to `GET path`, or nothing while the server does not answer.
 fn get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     write!(stream, "GET {path} HTTP/1.0\r\n\r\n").ok()?;
@@ -27,8 +27,8 @@
     get(address, "/metrics").filter(|answer| answer.contains("# EOF"))
 }
 
-/// Names and kinds in `# TYPE` lines.
-fn served(text: &str) -> BTreeSet<(String, String)> {
+/// Returns the names and kinds of the metrics in the `# TYPE` lines.
+fn served_metrics(text: &str) -> BTreeSet<(String, String)> {
     let lines = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     lines
         .filter_map(|line| line.split_once(' '))
@@ -36,8 +36,8 @@
         .collect()
 }
 
-/// Names and kinds in the table under `heading`.
-fn documented(heading: &str) -> BTreeSet<(String, String)> {
+/// Returns the names and kinds of the metrics in the table under `heading`.
+fn documented_metrics(heading: &str) -> BTreeSet<(String, String)> {
     let section = PAGE
         .split(&format!("\n### {heading}\n"))
         .nth(1)
@@ -52,7 +52,7 @@
         .collect()
 }
 
-fn value(text: &str, series: &str) -> Option<f64> {
+fn series_value(text: &str, series: &str) -> Option<f64> {
     let mut lines = text.lines();
     lines.find_map(|line| line.strip_prefix(series)?.trim().parse().ok())
 }
@@ -68,14 +68,14 @@
              listen = \"{listen}\"\n{more}\n"
         );
         let file = site.write(&format!("{role}.toml"), &text);
-        let errors = site.path(&format!("{role}.errors"));
-        Process::start(&[role, "--settings", &file], &errors)
+        let stderr_file = site.path(&format!("{role}.errors"));
+        Process::start(&[role, "--settings", &file], &stderr_file)
     };
     let _node = process("node", node, &format!("replicas = [\"{replica}\"]"));
     let upstream = format!("admin = \"{relay_admin}\"\nupstream = [\"{replica}\"]");
     let _relay = process("relay", relay, &upstream);
-    site.carry_out(&["apply", &site.write("site.toml", SITE)]);
-    // Some series are there only once a request was executed.
+    site.propose_and_confirm(&["apply", &site.write("site.toml", SITE)]);
+    // Some series exist only after a request was executed.
     wait_for("a request that was executed", || {
         get(node, "/shifts/today").filter(|answer| answer.contains("no_server"))
     });
@@ -85,29 +85,34 @@
         ("Relay", relay_admin),
     ] {
         let text = wait_for("metrics", || metrics(address));
-        expect_that!(documented(heading).len(), gt(5));
-        expect_that!(served(&text), eq(&documented(heading)), "{heading}");
+        expect_that!(documented_metrics(heading).len(), gt(5));
+        expect_that!(
+            served_metrics(&text),
+            eq(&documented_metrics(heading)),
+            "{heading}"
+        );
     }
 }
 
 #[gtest]
-fn a_leader_counts_commits_and_what_is_in_force() {
+fn the_leader_counts_commits_and_revisions_in_force() {
     let site = Site::start();
     let text =
         "role = \"site\"\nzones = [\"hall\"]\n[[service]]\nid = \"shifts\"\nkind = \"live\"\n";
     let file = site.write("site.toml", text);
-    // A first change shows who leads: only its leader measures the next one.
-    site.carry_out(&["apply", &file]);
+    // The first change establishes a leader; only that leader measures when the next change is in
+    // force.
+    site.propose_and_confirm(&["apply", &file]);
     let more = site.write("more.toml", &SITE.replace("shifts", "lists"));
-    site.carry_out(&["apply", &more]);
+    site.propose_and_confirm(&["apply", &more]);
     let leader = site.ctl_json(&["status"])["leader"].as_u64().unwrap_or(1) as usize;
     let (committed, commits) = wait_for("the second revision in force", || {
         let text = metrics(site.admin[leader - 1])?;
-        let in_force = value(&text, "wingshore_replica_configuration_in_force_revision ")?;
+        let in_force = series_value(&text, "wingshore_replica_configuration_in_force_revision ")?;
         let seconds = "wingshore_replica_configuration_in_force_seconds_count ";
-        let measured = value(&text, seconds)? >= 1.0;
-        let committed = value(&text, "wingshore_replica_configuration_committed_revision ")?;
-        let commits = value(
+        let measured = series_value(&text, seconds)? >= 1.0;
+        let committed = series_value(&text, "wingshore_replica_configuration_committed_revision ")?;
+        let commits = series_value(
             &text,
             "wingshore_replica_commit_seconds_count{group=\"control\"} ",
         )?;
@@ -117,11 +122,11 @@
     expect_that!(commits, ge(2.0));
     let text = metrics(site.admin[leader - 1]).unwrap_or_default();
     expect_that!(
-        value(&text, "wingshore_replica_leading{group=\"control\"} "),
+        series_value(&text, "wingshore_replica_leading{group=\"control\"} "),
         some(eq(1.0))
     );
     expect_that!(
-        value(&text, "wingshore_replica_nodes_behind "),
+        series_value(&text, "wingshore_replica_nodes_behind "),
         some(eq(0.0))
     );
 }
--- a/crates/nodes/wingshore/tests/operate.rs
+++ b/crates/nodes/wingshore/tests/operate.rs
@@ -1,4 +1,5 @@
-//! A three-replica site as its operators use it: plans, confirmations, races, drains, moves.
+//! Operates a site of three replicas: plans, confirmations, concurrent operators, drains and moves
+//! of pools.
 
 mod support;
 
@@ -42,30 +43,30 @@
     )
 }
 
-/// A site whose configuration is in force.
-struct Operated {
+/// A running site whose configuration is in force, with its back ends.
+struct ConfiguredSite {
     site: Site,
     site_file: String,
     back_ends: Vec<BackEnd>,
 }
 
-fn operated() -> Operated {
+fn start_configured_site() -> ConfiguredSite {
     let site = Site::start();
     let (engine, live) = (free_address(), free_address());
     let back_ends = vec![BackEnd::start(engine), BackEnd::start(live)];
     let site_file = site.write("site.toml", &site_text(engine, live, 2));
-    let done = site.carry_out(&["apply", &site_file]);
+    let done = site.propose_and_confirm(&["apply", &site_file]);
     assert_eq!(done["state"], "done", "{done}");
-    Operated {
+    ConfiguredSite {
         site,
         site_file,
         back_ends,
     }
 }
 
-impl Operated {
-    /// The site file with another staleness bound.
-    fn bound(&self, bound: u64) -> String {
+impl ConfiguredSite {
+    /// Writes the site file with another staleness bound and returns the path.
+    fn write_site_file(&self, bound: u64) -> String {
         let text = std::fs::read_to_string(&self.site_file).expect("the file is there");
         let text = text.replace("staleness_bound = 2", &format!("staleness_bound = {bound}"));
         self.site.write(&format!("site-{bound}.toml"), &text)
@@ -80,9 +81,9 @@
 
 #[gtest]
 fn a_plan_is_shown_confirmed_and_in_force() {
-    let operated = operated();
-    let site = &operated.site;
-    let file = operated.bound(3);
+    let configured = start_configured_site();
+    let site = &configured.site;
+    let file = configured.write_site_file(3);
 
     let proposed = site.ctl(&["plan", "apply", &file]);
     for part in [
@@ -113,9 +114,9 @@
 }
 
 #[gtest]
-fn status_and_listings_have_their_shapes() {
-    let operated = operated();
-    let site = &operated.site;
+fn status_and_listings_have_the_expected_fields() {
+    let configured = start_configured_site();
+    let site = &configured.site;
     let status = wait_for("the engine's report", || {
         let status = site.ctl_json(&["status"]);
         status["engines"][0]["version"].is_u64().then_some(status)
@@ -174,15 +175,15 @@
 
 #[gtest]
 fn a_resent_intent_gets_the_first_answer() {
-    let operated = operated();
-    let site = &operated.site;
+    let configured = start_configured_site();
+    let site = &configured.site;
     let drain = ["plan", "--intent", "c0ffee", "drain", "live-1"];
     let first = site.ctl(&drain);
     expect_that!(site.ctl(&drain).stdout, eq(&first.stdout));
     let confirm = ["--json", "confirm", "2", "--intent", "beef"];
     let confirmed = site.ctl(&confirm);
     site.ctl(&["confirm", "2", "--intent", "beef", "--wait"]);
-    // The answer is the first one; the plan was carried out once.
+    // The repeated confirmation gets the first answer; the plan was carried out once.
     expect_that!(site.ctl(&confirm).stdout, eq(&confirmed.stdout));
     expect_that!(
         site.ctl_json(&["plans"]).as_array().map(Vec::len),
@@ -199,10 +200,10 @@
 
 #[gtest]
 fn a_stale_plan_is_refused_and_says_what_changed() {
-    let operated = operated();
-    let site = &operated.site;
-    let late = site.propose(&["apply", &operated.bound(4)]);
-    site.carry_out(&["apply", &operated.bound(5)]);
+    let configured = start_configured_site();
+    let site = &configured.site;
+    let late = site.propose(&["apply", &configured.write_site_file(4)]);
+    site.propose_and_confirm(&["apply", &configured.write_site_file(5)]);
     let refused = site.try_ctl(&["confirm", &late]);
     expect_that!(refused.code, some(eq(3)));
     for part in ["pool `drafts`", "nothing was changed", "plan again"] {
@@ -222,11 +223,11 @@
 }
 
 #[gtest]
-fn of_two_racing_operators_one_wins() {
-    let operated = operated();
-    let site = &operated.site;
+fn only_one_of_several_concurrent_confirmations_succeeds() {
+    let configured = start_configured_site();
+    let site = &configured.site;
     let plans: Vec<String> = (10..14)
-        .map(|bound| site.propose(&["apply", &operated.bound(bound)]))
+        .map(|bound| site.propose(&["apply", &configured.write_site_file(bound)]))
         .collect();
     let codes: Vec<Option<i32>> = thread::scope(|scope| {
         let confirms: Vec<_> = plans
@@ -250,14 +251,14 @@
 
 #[gtest]
 fn a_server_is_drained_and_restored() {
-    let operated = operated();
-    let site = &operated.site;
-    let drained = site.carry_out(&["drain", "live-1"]);
+    let configured = start_configured_site();
+    let site = &configured.site;
+    let drained = site.propose_and_confirm(&["drain", "live-1"]);
     expect_that!(state_of(&drained), eq("done"));
     let text = site.ctl(&["configuration"]).stdout;
     expect_that!(text, contains_substring("live-1"));
     expect_that!(text, contains_substring("draining"));
-    site.carry_out(&["restore", "live-1"]);
+    site.propose_and_confirm(&["restore", "live-1"]);
     expect_that!(
         site.ctl(&["configuration"]).stdout,
         not(contains_substring("draining"))
@@ -271,11 +272,11 @@
 }
 
 #[gtest]
-fn a_drain_that_waits_is_cancelled() {
-    let mut operated = operated();
-    // Nobody says that the server is idle any more.
-    operated.back_ends.remove(1);
-    let site = &operated.site;
+fn a_waiting_drain_can_be_cancelled() {
+    let mut configured = start_configured_site();
+    // Without its back end, the server is no longer reported as idle.
+    configured.back_ends.remove(1);
+    let site = &configured.site;
     let plan = site.propose(&["drain", "live-1"]);
     site.ctl(&["confirm", &plan]);
     let running = site.ctl(&["show", &plan]).stdout;
@@ -298,8 +299,8 @@
 
 #[gtest]
 fn a_pool_is_moved_to_a_published_version_only() {
-    let operated = operated();
-    let site = &operated.site;
+    let configured = start_configured_site();
+    let site = &configured.site;
     let refused = site.try_ctl(&["plan", "move-pool", "drafts", "7"]);
     expect_that!(refused.code, some(eq(3)));
     expect_that!(
@@ -310,13 +311,13 @@
     expect_that!(unknown.stderr, contains_substring("there are: drafts"));
 
     publish(site, "drafts", 7);
-    let moved = site.carry_out(&["move-pool", "drafts", "7"]);
+    let moved = site.propose_and_confirm(&["move-pool", "drafts", "7"]);
     expect_that!(state_of(&moved), eq("done"));
     let status = site.ctl_json(&["status"]);
     expect_that!(status["engines"][0]["version"], eq(&json!(7)));
 }
 
-/// Publishes as a node does for its trainer.
+/// Publishes a weight version, as a node does for its trainer.
 fn publish(site: &Site, pool: &str, version: u64) {
     use wingshore_types::protocol::control::ControlRequest;
     use wingshore_types::protocol::wire::GroupRequest;
--- a/crates/nodes/wingshore/tests/pages.rs
+++ b/crates/nodes/wingshore/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The operator pages: every `sh` block is run as it stands, on ports of its own, and prints what
-//! the page says, numbers and identities aside.
+//! Runs every `sh` block of the operator pages unchanged except for the ports, and compares the
+//! output with the page; numbers and identities may differ.
 
 mod support;
 
@@ -11,16 +11,16 @@
 use support::back_end::BackEnd;
 use support::free_address;
 
-/// The page that the others go on from.
+/// Page whose commands set up the site for the other pages.
 const FIRST_SITE: &str = "first-site";
-/// Where the other pages leave the first one.
+/// Heading of the first page at which the setup for the other pages ends.
 const STOP_HEADING: &str = "\n## Stop the site";
-/// Stands before the output of each block.
-const MARK: &str = "@@@ block";
-/// Ports of the example that back ends listen at.
+/// Line printed before the output of each block.
+const BLOCK_SEPARATOR: &str = "@@@ block";
+/// Ports of the example on which back ends listen.
 const BACK_END_PORTS: [u16; 6] = [6301, 6302, 6401, 6402, 6501, 6502];
-/// What is told of members and nodes that are a moment behind, and what they come to.
-const PASSING_STATES: [(&str, &str); 4] = [
+/// Transient states of members and nodes that lag briefly, and the text of the final state.
+const TRANSIENT_STATES: [(&str, &str); 4] = [
     (", # entries behind", ", in step"),
     (", not heard of", ", in step"),
     (", waiting for node-#", ""),
@@ -55,21 +55,21 @@
     blocks
 }
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..")
 }
 
 fn read_page(name: &str) -> String {
-    let path = root().join(format!("docs/operations/{name}.md"));
+    let path = repository_root().join(format!("docs/operations/{name}.md"));
     std::fs::read_to_string(path).expect("the page is there")
 }
 
-/// The example's ports and those that stand in for them.
+/// Free addresses that replace the ports of the example.
 #[derive(Default)]
 struct Ports(BTreeMap<String, SocketAddr>);
 
 impl Ports {
-    /// `text` with other ports wherever it names one of the example's.
+    /// Returns `text` with every port of the example replaced.
     fn replace(&mut self, text: &str) -> String {
         const HOST: &str = "127.0.0.1:";
         let mut parts = text.split(HOST);
@@ -90,11 +90,11 @@
     }
 }
 
-/// Copies the example and the program into `folder`.
+/// Copies the example into `folder` and links the program there.
 fn prepare(folder: &Path, ports: &mut Ports) -> std::io::Result<()> {
     let example = folder.join("examples/first-site");
     std::fs::create_dir_all(&example)?;
-    for entry in std::fs::read_dir(root().join("examples/first-site"))? {
+    for entry in std::fs::read_dir(repository_root().join("examples/first-site"))? {
         let entry = entry?;
         if entry.path().is_file() {
             let text = std::fs::read_to_string(entry.path())?;
@@ -107,9 +107,9 @@
     std::os::unix::fs::symlink(program, programs.join("wingshore"))
 }
 
-/// One script of all commands, each block of `page` behind a mark.
+/// Returns one script of all commands; a separator line precedes each block of `page`.
 fn script(page: &str, prelude: &str) -> String {
-    // Whatever happens, no process outlives the script.
+    // The trap kills background processes however the script ends.
     let mut script =
         "set -euo pipefail\ntrap 'kill -KILL $(jobs -p) 2>/dev/null || true' EXIT\n".to_owned();
     let is_run = |block: &Block| block.language == "sh";
@@ -117,13 +117,13 @@
         script.push_str(&block.text);
     }
     for block in blocks(page).into_iter().filter(is_run) {
-        script.push_str(&format!("echo '{MARK}'\n{}", block.text));
+        script.push_str(&format!("echo '{BLOCK_SEPARATOR}'\n{}", block.text));
     }
     script
 }
 
-/// Numbers, identities, passing lags and what the shell says of killed jobs are left
-/// out of the comparison.
+/// Normalises output for the comparison: replaces numbers, identities and transient states, and
+/// removes the shell's notices about killed jobs.
 fn normalised(text: &str) -> Vec<String> {
     let is_job_notice = |line: &&str| line.starts_with("bash: line") && line.contains(" Killed ");
     let lines = text.lines().filter(|line| !is_job_notice(line));
@@ -144,12 +144,14 @@
         }
     }
     let normal = normal.replace("#.#", "#").replace("# ms", "# s");
-    PASSING_STATES
+    TRANSIENT_STATES
         .iter()
-        .fold(normal, |line, (passing, end)| line.replace(passing, end))
+        .fold(normal, |line, (transient, settled)| {
+            line.replace(transient, settled)
+        })
 }
 
-/// Runs a page; each `text` block must be what the `sh` block before it prints.
+/// Runs a page; each `text` block must equal the output of the `sh` block before it.
 fn run_page(name: &str) -> Result<()> {
     let folder = tempfile::tempdir()?;
     let mut ports = Ports::default();
@@ -172,7 +174,7 @@
     drop(back_ends);
     let printed = String::from_utf8_lossy(&output.stdout).into_owned();
     expect_that!(output.status.code(), some(eq(0)), "{printed}");
-    let mut outputs = printed.split(MARK).skip(1);
+    let mut outputs = printed.split(BLOCK_SEPARATOR).skip(1);
     let mut compared = 0;
     let mut printed = "";
     for block in blocks(&page) {
@@ -186,7 +188,7 @@
     verify_that!(compared, gt(0))
 }
 
-/// One test a page.
+/// Declares one test for each page.
 macro_rules! pages {
     ($($test:ident: $page:literal),* $(,)?) => {
         $(#[gtest]
@@ -194,7 +196,7 @@
             run_page($page)
         })*
 
-        /// No page is forgotten here.
+        /// Names of the pages that have a test; checked for completeness below.
         const PAGES: &[&str] = &[$($page),*];
     };
 }
@@ -212,7 +214,7 @@
 
 #[gtest]
 fn every_page_with_commands_is_run() -> Result<()> {
-    for entry in std::fs::read_dir(root().join("docs/operations"))? {
+    for entry in std::fs::read_dir(repository_root().join("docs/operations"))? {
         let path = entry?.path();
         let page = std::fs::read_to_string(&path)?;
         let name = path
--- a/crates/nodes/wingshore/tests/replicas.rs
+++ b/crates/nodes/wingshore/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas as processes: planned stop, a lost data folder, log dumps, and starting wrongly.
+//! Runs replicas as processes: planned stop, loss of a data folder, log dumps and invalid starts.
 
 mod support;
 
@@ -10,9 +10,9 @@
 fn sigterm_is_a_planned_stop() {
     let mut site = Site::start();
     let leader = site.ctl_json(&["status"])["leader"].as_u64().unwrap_or(1) as usize;
-    let (code, stderr) = site.take(leader).stop();
+    let (code, stderr) = site.take_replica(leader).stop();
     expect_that!(code, some(eq(0)), "{stderr}");
-    // The others go on, and the stopped one comes back.
+    // The remaining replicas elect a new leader, and the stopped replica rejoins.
     expect_that!(
         site.ctl_json(&["status"])["leader"].as_u64(),
         some(not(eq(leader as u64)))
@@ -20,7 +20,7 @@
     site.start_replica(leader);
     wait_for("all to be in step", || all_synced(&site).then_some(()));
     for number in 1..=3 {
-        let (code, stderr) = site.take(number).stop();
+        let (code, stderr) = site.take_replica(number).stop();
         expect_that!(code, some(eq(0)), "{stderr}");
     }
 }
@@ -30,12 +30,12 @@
     let mut site = Site::start();
     let leader = site.ctl_json(&["status"])["leader"].as_u64().unwrap_or(1) as usize;
     let lost = leader % 3 + 1;
-    site.take(lost).kill();
-    std::fs::remove_dir_all(site.data(lost)).expect("the folder is there");
+    site.take_replica(lost).kill();
+    std::fs::remove_dir_all(site.data_folder(lost)).expect("the folder is there");
     site.start_replica(lost);
     let address = site.listen[lost - 1].to_string();
     let new = wait_for("the new identity", || {
-        new_identity(&site.errors(lost), &address)
+        new_identity(&site.replica_stderr(lost), &address)
     });
 
     let lost_id = lost.to_string();
@@ -60,13 +60,13 @@
         expect_that!(voters, not(contains(eq(&lost_id))));
         expect_that!(voters.len(), eq(3));
     }
-    // Once it has ended the loss of any one further machine is harmless.
-    site.take(leader).kill();
+    // Once the replacement has completed, the loss of any one further machine is harmless.
+    site.take_replica(leader).kill();
     site.ctl(&["status"]);
 }
 
 #[gtest]
-fn a_log_is_written_out_when_asked_for() {
+fn dump_log_writes_the_log_of_every_replica() {
     let site = Site::start();
     let dumped = site.ctl_json(&["dump-log"]);
     expect_that!(dumped.as_array().map(Vec::len), some(eq(3)));
@@ -83,24 +83,30 @@
 }
 
 #[gtest]
-fn wrong_starts_are_refused_with_the_next_step() {
+fn invalid_starts_fail_and_name_the_cause() {
     let mut site = Site::start();
     let file = path_text(&site.path("replica-1.toml"));
     let again = wingshore(&["format", "--settings", &file, "--id", "1"]);
     expect_that!(again.code, some(eq(1)));
-    expect_that!(again.stderr, contains_substring(path_text(&site.data(1))));
-    let stranger = wingshore(&["format", "--settings", &file, "--id", "9"]);
-    expect_that!(stranger.code, some(eq(2)));
     expect_that!(
-        stranger.stderr,
+        again.stderr,
+        contains_substring(path_text(&site.data_folder(1)))
+    );
+    let unknown_member = wingshore(&["format", "--settings", &file, "--id", "9"]);
+    expect_that!(unknown_member.code, some(eq(2)));
+    expect_that!(
+        unknown_member.stderr,
         contains_substring(
             "--id: found 9; allowed: the `id` of one of the [[founding]] members: 1, 2, 3"
         )
     );
     let twice = wingshore(&["replica", "--settings", &file]);
     expect_that!(twice.code, some(eq(1)));
-    expect_that!(twice.stderr, contains_substring(path_text(&site.data(1))));
-    site.take(1).kill();
+    expect_that!(
+        twice.stderr,
+        contains_substring(path_text(&site.data_folder(1)))
+    );
+    site.take_replica(1).kill();
     let listen = site.listen[1].to_string();
     let taken = wingshore(&["replica", "--settings", &file, "--listen", &listen]);
     expect_that!(taken.code, some(eq(1)));
@@ -111,6 +117,7 @@
     );
 }
 
+/// Returns whether every member has synced all entries of its group to disk.
 fn all_synced(site: &Site) -> bool {
     let members = site.ctl_json(&["members", "show"]);
     let mut groups = members.as_array().into_iter().flatten();
@@ -129,7 +136,8 @@
         .collect()
 }
 
-/// The identity and the command that a replica on an empty folder prints at its start.
+/// Returns the identity in the command that a replica with an empty data folder prints at its
+/// start, or nothing when `text` does not contain that command for `address`.
 fn new_identity(text: &str, address: &str) -> Option<String> {
     let words: Vec<&str> = text.split_whitespace().collect();
     let command = words.iter().position(|word| *word == "replace")?;
--- a/crates/nodes/wingshore/tests/support/back_end.rs
+++ b/crates/nodes/wingshore/tests/support/back_end.rs
@@ -1,4 +1,5 @@
-//! A back end that answers what the control group asks: state, load, and orders at once.
+//! A back end that answers the control group's requests for state and load, and accepts orders
+//! immediately.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,10 +7,10 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Request, Response, Server};
 
-/// How long a swap takes.
+/// Duration of a swap.
 const SWAP_TIME: Duration = Duration::from_millis(30);
 
-/// An idle engine that takes each version it is ordered to.
+/// An idle engine that loads each version that it is ordered to load.
 pub struct BackEnd {
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
@@ -22,7 +23,7 @@
         let thread = thread::spawn(move || {
             let mut engine = Engine::default();
             for request in serving.incoming_requests() {
-                engine.answer(request);
+                engine.respond(request);
             }
         });
         Self {
@@ -45,18 +46,18 @@
 struct Engine {
     version: u64,
     last_order: serde_json::Value,
-    /// The version that is being fetched, and since when.
+    /// Version that is being loaded, and the start time of the load.
     loading: Option<(u64, Instant)>,
 }
 
 impl Engine {
-    fn answer(&mut self, mut request: Request) {
+    fn respond(&mut self, mut request: Request) {
         let mut sent = Vec::new();
         let _ = request.as_reader().read_to_end(&mut sent);
         let body = match request.url() {
             "/load" => serde_json::json!({ "in_flight": 0, "queue": 0, "age_ms": 0 }),
             "/state" => self.state(),
-            "/orders" => self.obey(&sent),
+            "/orders" => self.accept_order(&sent),
             _ => serde_json::json!({ "answered": true }),
         };
         let status = if request.url() == "/orders" { 202 } else { 200 };
@@ -79,7 +80,7 @@
         })
     }
 
-    fn obey(&mut self, sent: &[u8]) -> serde_json::Value {
+    fn accept_order(&mut self, sent: &[u8]) -> serde_json::Value {
         let order: serde_json::Value = serde_json::from_slice(sent).unwrap_or_default();
         if let Some(version) = order["order"]["load_weights"]["version"].as_u64() {
             self.loading = Some((version, Instant::now()));
--- a/crates/nodes/wingshore/tests/support/mod.rs
+++ b/crates/nodes/wingshore/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real program: commands, and a site of three replicas started by hand.
+//! Runs the real program: single commands, and a site of three replicas.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 pub mod back_end;
@@ -12,29 +12,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that any condition is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(50);
-/// Ports are looked for below those that the system gives to outgoing connections.
+/// Time limit for every awaited condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// First port to try. The range of ports lies below the ephemeral ports of the system.
 const FIRST_PORT: u16 = 14_000;
-const PORTS: u16 = 16_000;
+const PORT_COUNT: u16 = 16_000;
 
-/// What a command gave.
+/// Exit status and output of a command.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CommandOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-impl Answer {
-    /// Standard output as JSON; null when it is none.
+impl CommandOutput {
+    /// Parses standard output as JSON; returns null when it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.stdout).unwrap_or_default()
     }
 }
 
-impl From<Output> for Answer {
+impl From<Output> for CommandOutput {
     fn from(output: Output) -> Self {
         Self {
             code: output.status.code(),
@@ -44,8 +44,8 @@
     }
 }
 
-/// Runs the program to its end.
-pub fn wingshore(arguments: &[&str]) -> Answer {
+/// Runs the program until it exits.
+pub fn wingshore(arguments: &[&str]) -> CommandOutput {
     command(arguments)
         .output()
         .expect("the program runs")
@@ -58,12 +58,13 @@
     command
 }
 
-/// A port of the loopback that nobody listens at, and no other call gets.
+/// Returns an address of the loopback interface on which nobody listens and that no other call
+/// returns.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = (std::process::id() % 400) as u16 * 40;
     loop {
-        let offset = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS;
+        let offset = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT;
         let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + offset));
         if TcpListener::bind(address).is_ok() {
             return address;
@@ -71,44 +72,44 @@
     }
 }
 
-/// Waits until `condition` gives something.
+/// Waits until `condition` returns a value.
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < deadline, "waited in vain for {what}");
-        thread::sleep(PAUSE);
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A process that is killed when it is dropped.
+/// A process of the program, killed on drop.
 pub struct Process {
     child: Child,
-    errors: PathBuf,
+    stderr_file: PathBuf,
 }
 
 impl Process {
-    /// Starts the program; its standard error goes to the file `errors`.
-    pub fn start(arguments: &[&str], errors: &Path) -> Self {
-        let file = File::create(errors).expect("a file for errors");
+    /// Starts the program; its standard error goes to `stderr_file`.
+    pub fn start(arguments: &[&str], stderr_file: &Path) -> Self {
+        let file = File::create(stderr_file).expect("a file for standard error");
         let child = command(arguments)
             .stdout(Stdio::null())
             .stderr(file)
             .spawn();
         Self {
             child: child.expect("the program starts"),
-            errors: errors.to_owned(),
+            stderr_file: stderr_file.to_owned(),
         }
     }
 
-    /// Its standard error so far.
-    pub fn errors(&self) -> String {
-        std::fs::read_to_string(&self.errors).unwrap_or_default()
+    /// Returns what the process has written to standard error so far.
+    pub fn stderr(&self) -> String {
+        std::fs::read_to_string(&self.stderr_file).unwrap_or_default()
     }
 
-    /// SIGTERM, then its end: exit status and standard error.
+    /// Sends SIGTERM, waits for the exit, and returns the exit status and standard error.
     pub fn stop(mut self) -> (Option<i32>, String) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args(["-TERM", &pid]).status();
@@ -116,10 +117,10 @@
         let status = wait_for("the end of a process", || {
             self.child.try_wait().ok().flatten()
         });
-        (status.code(), self.errors())
+        (status.code(), self.stderr())
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL, by dropping it.
     pub fn kill(self) {}
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// Three replicas, formatted and started, in a folder of their own.
+/// A site of three replicas in a temporary folder.
 pub struct Site {
     folder: tempfile::TempDir,
     pub listen: Vec<SocketAddr>,
@@ -166,7 +167,7 @@
              listen = \"{}\"\nadmin = \"{}\"\ndata = \"{}\"\nconfiguration_lease = \"1s\"\n",
             self.listen[number - 1],
             self.admin[number - 1],
-            self.data(number).display(),
+            self.data_folder(number).display(),
         );
         for (position, address) in self.listen.iter().enumerate() {
             let id = position + 1;
@@ -177,7 +178,7 @@
         text
     }
 
-    pub fn data(&self, number: usize) -> PathBuf {
+    pub fn data_folder(&self, number: usize) -> PathBuf {
         self.path(&format!("data-{number}"))
     }
 
@@ -185,7 +186,7 @@
         self.folder.path().join(name)
     }
 
-    /// Writes a file; gives its path.
+    /// Writes a file into the site's folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.path(name);
         std::fs::write(&path, text).expect("a file is written");
@@ -194,20 +195,20 @@
 
     pub fn start_replica(&mut self, number: usize) {
         let file = path_text(&self.path(&format!("replica-{number}.toml")));
-        let errors = self.path(&format!("replica-{number}.errors"));
-        let process = Process::start(&["replica", "--settings", &file], &errors);
+        let stderr_file = self.path(&format!("replica-{number}.errors"));
+        let process = Process::start(&["replica", "--settings", &file], &stderr_file);
         self.replicas[number - 1] = Some(process);
     }
 
-    /// Takes a replica's process away from the site.
-    pub fn take(&mut self, number: usize) -> Process {
+    /// Removes a replica's process from the site and returns it.
+    pub fn take_replica(&mut self, number: usize) -> Process {
         self.replicas[number - 1].take().expect("it runs")
     }
 
-    /// What a running replica wrote to standard error.
-    pub fn errors(&self, number: usize) -> String {
+    /// Returns what a running replica has written to standard error.
+    pub fn replica_stderr(&self, number: usize) -> String {
         let process = self.replicas[number - 1].as_ref();
-        process.map(Process::errors).unwrap_or_default()
+        process.map(Process::stderr).unwrap_or_default()
     }
 
     fn replicas_flag(&self) -> String {
@@ -216,42 +217,42 @@
     }
 
     /// Runs `wingshore ctl` with its plain output.
-    pub fn try_ctl(&self, words: &[&str]) -> Answer {
+    pub fn try_ctl(&self, words: &[&str]) -> CommandOutput {
         let replicas = self.replicas_flag();
         let mut all = vec!["ctl", "--replicas", &replicas, "--timeout", "30"];
         all.extend(words);
         wingshore(&all)
     }
 
-    /// The same, where it must succeed.
-    pub fn ctl(&self, words: &[&str]) -> Answer {
+    /// Runs `wingshore ctl` with its plain output and asserts that it succeeds.
+    pub fn ctl(&self, words: &[&str]) -> CommandOutput {
         let answer = self.try_ctl(words);
         assert_eq!(answer.code, Some(0), "{words:?}: {answer:?}");
         answer
     }
 
-    /// Runs `wingshore ctl --json`, which must succeed.
+    /// Runs `wingshore ctl --json`, asserts that it succeeds, and returns the parsed output.
     pub fn ctl_json(&self, words: &[&str]) -> Value {
         let mut all = vec!["--json"];
         all.extend(words);
         self.ctl(&all).json()
     }
 
-    /// Proposes and gives the plan's number.
+    /// Proposes a plan and returns its number.
     pub fn propose(&self, words: &[&str]) -> String {
         let mut all = vec!["plan"];
         all.extend(words);
         self.ctl_json(&all)["id"].to_string()
     }
 
-    /// Proposes, confirms, and waits until it is done.
-    pub fn carry_out(&self, words: &[&str]) -> Value {
+    /// Proposes and confirms a plan, waits until it has ended, and returns it.
+    pub fn propose_and_confirm(&self, words: &[&str]) -> Value {
         let plan = self.propose(words);
         self.ctl_json(&["confirm", &plan, "--wait"])
     }
 }
 
-/// A path as text.
+/// Returns a path as text.
 pub fn path_text(path: &Path) -> String {
     path.to_string_lossy().into_owned()
 }
