--- a/crates/nodes/wingshore-node/src/http/body.rs
+++ b/crates/nodes/wingshore-node/src/http/body.rs
@@ -1,37 +1,38 @@
-//! Reading a request's body whole, or not at all.
+//! Reads request bodies: each body is read completely or rejected.
 
 use crate::http::framing::BodyLength;
 use snafu::Snafu;
 use std::io::{ErrorKind, Read};
 
-/// Bytes read at once.
+/// Size of the read buffer in bytes.
 const READ_SIZE: usize = 64 * 1024;
 
-/// Why a body was not read.
+/// Reason why a request body was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     #[snafu(display("the body is larger than {limit} bytes, the most that is allowed"))]
     TooLarge {
-        /// The limit in bytes.
+        /// Largest allowed body in bytes.
         limit: u64,
     },
-    /// It comes in chunks. The HTTP library takes a body that was cut within a chunk for a whole
-    /// one, so none can be relied on.
+    /// The body uses chunked encoding. The HTTP library reports a body that was truncated within a
+    /// chunk as complete, so no chunked body can be trusted.
     #[snafu(display("the body comes in chunks; a Content-Length is wanted"))]
     Chunked,
-    /// It ended before its declared end.
+    /// The body ended before its declared length.
     #[snafu(display("the body ended after {received} bytes, before its declared end"))]
     Short {
-        /// Bytes that came.
+        /// Number of bytes received.
         received: u64,
     },
 }
 
-/// Reads a body of the declared length, `limit` bytes at most.
+/// Reads a body of the declared length, at most `limit` bytes.
 ///
 /// # Errors
-/// When it is too large or does not come to its declared end; no part of it may be used then.
+/// Fails when the body is chunked, too large or shorter than declared. No part of it may be used
+/// then.
 pub fn read_body(
     reader: &mut dyn Read,
     length: BodyLength,
@@ -45,8 +46,8 @@
     }
 }
 
-/// Reads chunks away, `limit` bytes at most; answers whether their end was seen. What is left
-/// would be taken for the connection's next request.
+/// Reads and discards a chunked body, at most about `limit` bytes. Returns whether its end was
+/// reached; otherwise the remaining bytes would be parsed as the connection's next request.
 pub fn drain_chunks(reader: &mut dyn Read, limit: u64) -> bool {
     let mut buffer = vec![0; READ_SIZE];
     let mut drained = 0;
--- a/crates/nodes/wingshore-node/src/http/body_readers.rs
+++ b/crates/nodes/wingshore-node/src/http/body_readers.rs
@@ -1,16 +1,16 @@
-//! Reads bodies that may come slowly, on threads of their own, so that a slow caller never holds a
-//! worker. The HTTP library has no time limit for reading.
+//! Reads bodies that may arrive slowly on dedicated threads, so that a slow caller never blocks a
+//! worker. The HTTP library has no read timeout.
 
 use crate::http::work::{Counted, EdgeHandler, Queues, Task};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// Most bodies that are read at one time, each on a thread; beyond that they are refused as
-/// overload.
+/// Maximum number of bodies read at the same time, each on its own thread. Further requests are
+/// refused as overload.
 const MAX_READERS: usize = 256;
 
-/// Threads that read bodies; each lives as long as its body comes.
+/// Starts one thread per body; the thread ends when its request was answered or queued.
 pub(super) struct BodyReaders {
     limit: u64,
     handler: Arc<dyn EdgeHandler>,
@@ -18,7 +18,7 @@
 }
 
 impl BodyReaders {
-    /// Readers of bodies of `limit` bytes at most.
+    /// Creates readers for bodies of at most `limit` bytes.
     pub(super) fn new(limit: u64, handler: &Arc<dyn EdgeHandler>) -> Self {
         Self {
             limit,
@@ -27,8 +27,9 @@
         }
     }
 
-    /// Reads the body of a request, then hands it to its workers. What is wrong with a body is
-    /// answered by the reader itself: letting such a request go waits for the rest of its body.
+    /// Reads the body of a request, then queues the request for its workers. The reader thread
+    /// itself answers requests with an invalid body, because dropping such a request blocks until
+    /// the rest of its body has arrived.
     pub(super) fn read(&self, mut counted: Counted, queues: &Arc<Queues>) {
         let before = self.reading.fetch_add(1, Ordering::SeqCst);
         let (limit, handler) = (self.limit, Arc::clone(&self.handler));
@@ -44,8 +45,8 @@
             }
             reading.fetch_sub(1, Ordering::SeqCst);
         };
-        // Without a thread the request is let go unanswered, and its connection ends: its caller
-        // learns nothing of it, and nothing of it ran.
+        // If the thread cannot be started, the request is dropped unanswered and its connection
+        // closes. The caller gets no answer, and no part of the request ran.
         let _ = thread::Builder::new().name("body".to_owned()).spawn(reader);
     }
 }
--- a/crates/nodes/wingshore-node/src/http/framing.rs
+++ b/crates/nodes/wingshore-node/src/http/framing.rs
@@ -1,7 +1,8 @@
-//! How long a request's body is said to be.
+//! Validates the declared length of a request body.
 //!
-//! The HTTP library takes a length of `-1` for an empty body, the first of two differing lengths,
-//! and a length together with a transfer encoding. None of these may reach a back end.
+//! The HTTP library accepts a length of `-1` as an empty body, uses the first of two differing
+//! lengths, and accepts a length together with a transfer encoding. None of these may reach a
+//! backend.
 
 use crate::http::headers::HeaderList;
 use snafu::Snafu;
@@ -11,50 +12,51 @@
 pub enum BodyLength {
     /// No body.
     Empty,
-    /// This many bytes.
+    /// Exactly this many bytes.
     Exact(u64),
-    /// Chunks, with a declared end.
+    /// Chunked encoding, which marks the end of the body.
     Chunked,
 }
 
-/// Why a body's length cannot be relied on.
+/// Reason why the declared length of a body is not reliable.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum FramingError {
-    /// A length that is not a plain number.
+    /// The `Content-Length` is not a decimal number.
     #[snafu(display("Content-Length is `{found}`; allowed are decimal digits only"))]
     BadLength {
-        /// What it is.
+        /// The value of the header.
         found: String,
     },
-    /// Two lengths that differ.
+    /// Two `Content-Length` headers differ.
     #[snafu(display("two Content-Length headers differ: `{first}` and `{second}`"))]
     DifferingLengths {
-        /// One.
+        /// The first value.
         first: String,
-        /// The other.
+        /// The first value that differs from it.
         second: String,
     },
-    /// A length beside a transfer encoding.
+    /// Both `Content-Length` and `Transfer-Encoding` are present.
     #[snafu(display("Content-Length and Transfer-Encoding exclude each other"))]
     LengthWithEncoding,
-    /// A transfer encoding that is not plain chunks.
+    /// The transfer encoding is not exactly `chunked`.
     #[snafu(display("Transfer-Encoding is `{found}`; allowed is `chunked`, once"))]
     BadEncoding {
-        /// What it is.
+        /// The value of the header; several values are joined by commas.
         found: String,
     },
-    /// A request after one whose body had no reliable length.
+    /// An earlier request on the same connection had a body without a reliable length.
     #[snafu(display("an earlier request on this connection had no reliable length; open another"))]
     Distrusted,
-    /// A protocol switch.
+    /// The request asks for a protocol upgrade.
     #[snafu(display("protocol upgrades are not supported"))]
     Upgrade,
 }
 
-/// Reads off the declared length of a body.
+/// Returns the declared length of a body.
 ///
 /// # Errors
-/// Where two readers of the same headers could disagree about the length.
+/// Fails when two parsers of the same headers could disagree about the length, or when the request
+/// asks for a protocol upgrade.
 pub fn body_length(headers: &HeaderList) -> Result<BodyLength, FramingError> {
     let asks_upgrade = headers
         .all("connection")
--- a/crates/nodes/wingshore-node/src/http/headers.rs
+++ b/crates/nodes/wingshore-node/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of callers' requests, parsed once into typed values.
+//! Headers of callers' requests, parsed into typed values.
 
 use snafu::Snafu;
 use std::time::Duration;
@@ -6,12 +6,12 @@
     DEADLINE_HEADER, IDEMPOTENCY_HEADER, NO_REPEAT_HEADER, PRIORITY_HEADER,
 };
 
-/// Longest idempotency key, in bytes; part of the interface to callers.
+/// Longest idempotency key in bytes. Part of the public API.
 const MAX_KEY_LENGTH: usize = 255;
-/// Longest deadline a caller may state, in milliseconds: one day; part of the interface to callers.
+/// Longest deadline that a caller may set, in milliseconds: one day. Part of the public API.
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
-/// Headers that belong to one connection and are never forwarded.
+/// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "content-length",
@@ -27,14 +27,14 @@
     "upgrade",
 ];
 
-/// Headers in the order they came, names in lower case.
+/// Headers in order of arrival, with lower-case names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeaderList {
     entries: Vec<(String, String)>,
 }
 
 impl HeaderList {
-    /// Headers from pairs of name and value.
+    /// Creates a list from pairs of name and value.
     pub fn new<N: AsRef<str>, V: Into<String>>(pairs: impl IntoIterator<Item = (N, V)>) -> Self {
         let entries = pairs
             .into_iter()
@@ -43,7 +43,7 @@
         Self { entries }
     }
 
-    /// All values of a header, in order; `name` in lower case.
+    /// Returns all values of a header in order; `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.entries
             .iter()
@@ -51,19 +51,19 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The first value of a header; `name` in lower case.
+    /// Returns the first value of a header; `name` must be in lower case.
     pub fn first<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next()
     }
 
-    /// A copy in which a header has one value; `name` in lower case.
+    /// Returns a copy in which the header has only this value; `name` must be in lower case.
     #[must_use]
     pub fn with(&self, name: &str, value: &str) -> Self {
         let others = self.iter().filter(|(found, _)| *found != name);
         Self::new(others.chain([(name, value)]))
     }
 
-    /// Name and value pairs, in order.
+    /// Returns the pairs of name and value in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.entries
             .iter()
@@ -71,7 +71,7 @@
     }
 }
 
-/// The headers without those of one connection, and without those that `Connection` names.
+/// Returns the headers without hop-by-hop headers and without those listed in `Connection`.
 pub fn without_hop_by_hop(headers: &HeaderList) -> HeaderList {
     let named: Vec<String> = headers
         .all("connection")
@@ -84,20 +84,20 @@
     HeaderList::new(kept)
 }
 
-/// What a caller says about its request by wingshore's own headers.
+/// Wingshore's own request headers, and `Idempotency-Key`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// `x-wingshore-no-repeat`, where the caller states it.
+    /// `x-wingshore-no-repeat`; `None` where absent.
     pub no_repeat: Option<bool>,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key`; `None` where absent.
     pub idempotency_key: Option<String>,
-    /// `x-wingshore-deadline-ms`.
+    /// `x-wingshore-deadline-ms`; `None` where absent.
     pub deadline: Option<Duration>,
     /// `x-wingshore-priority`; 0 where absent.
     pub priority: i32,
 }
 
-/// A header whose value makes no sense.
+/// A header with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("header `{name}` is `{found}`; allowed is {allowed}"))]
 pub struct HeaderError {
@@ -110,7 +110,7 @@
     /// Parses wingshore's headers.
     ///
     /// # Errors
-    /// Names the header, what was found and what is allowed.
+    /// Names the header, its value and the allowed values.
     pub fn parse(headers: &HeaderList) -> Result<Self, HeaderError> {
         Ok(Self {
             no_repeat: parse_no_repeat(headers)?,
@@ -161,7 +161,7 @@
         .or_else(|_| reject(PRIORITY_HEADER, found, "a whole number of 32 bits"))
 }
 
-/// The value of a header that may stand once, or several times with the same value.
+/// Returns the value of a header that may occur once, or several times with the same value.
 fn single<'a>(headers: &'a HeaderList, name: &'static str) -> Result<Option<&'a str>, HeaderError> {
     let mut values = headers.all(name);
     let Some(first) = values.next() else {
--- a/crates/nodes/wingshore-node/src/http/route.rs
+++ b/crates/nodes/wingshore-node/src/http/route.rs
@@ -1,9 +1,9 @@
-//! Method and target of a request, parsed into what is asked.
+//! Parses the method and target of a request into a route.
 
 use snafu::Snafu;
 use wingshore_types::{PoolId, ServiceId, StepId};
 
-/// What a request asks of the node.
+/// The operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// `GET /healthz`.
@@ -22,44 +22,44 @@
     Acknowledge(PoolId, StepId),
     /// `POST /v1/pools/{pool}/versions`.
     Publish(PoolId),
-    /// `/{service}/…`: any method, forwarded.
+    /// `/{service}/…`: forwarded to a live service, with any method.
     Forward {
-        /// The service.
+        /// Id of the service.
         service: ServiceId,
-        /// Path and query on the server: what follows the service's name.
+        /// Path and query for the server: the part of the target after the service id.
         target: String,
     },
 }
 
-/// Why a request asks for nothing that exists.
+/// Reason why a request has no route.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RouteError {
-    /// No such path.
+    /// The path does not exist.
     #[snafu(display("there is nothing at `{path}`"))]
     NotFound {
-        /// The path.
+        /// The requested path.
         path: String,
     },
-    /// The path takes another method.
+    /// The path exists but supports another method.
     #[snafu(display("`{path}` takes {allowed} only"))]
     MethodNotAllowed {
-        /// The path.
+        /// The requested path.
         path: String,
-        /// The method it takes.
+        /// The supported method.
         allowed: &'static str,
     },
-    /// A step that is not a number.
+    /// The step is not a number.
     #[snafu(display("step `{found}` is not a number"))]
     BadStep {
-        /// What was found.
+        /// The text in place of the step.
         found: String,
     },
 }
 
-/// Parses method and target.
+/// Parses a method and a target.
 ///
 /// # Errors
-/// Where there is nothing at the target, or not for this method.
+/// Fails when the target does not exist or does not support the method.
 pub fn parse_route(method: &str, target: &str) -> Result<Route, RouteError> {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let Some(relative) = path.strip_prefix('/') else {
@@ -103,7 +103,8 @@
     }
 }
 
-/// What follows the service's name goes to the server as it is, the query included.
+/// Returns the route to a live service. The part after the service id is passed on unchanged, query
+/// included.
 fn forward(service: &str, target: &str) -> Route {
     let rest = target.get(1 + service.len()..).unwrap_or_default();
     let target = if rest.starts_with('/') {
