--- a/crates/nodes/wingshore-node/src/http/connections.rs
+++ b/crates/nodes/wingshore-node/src/http/connections.rs
@@ -1,9 +1,9 @@
-//! What is known of the connections of a node: whether they are to end, and which of them carry
-//! bytes that cannot be told apart into requests.
+//! State of a node's connections: whether they are closing, and which of them carry bytes that
+//! cannot be split into requests reliably.
 //!
-//! After a request whose body has no reliable length, the rest of that body would be taken for
-//! the next request of the same connection. The HTTP library cannot be told to close it, so what
-//! comes on it is refused.
+//! After a request whose body has no reliable length, the rest of that body would be parsed as the
+//! next request of the same connection. The HTTP library cannot be made to close the connection, so
+//! all later requests on it are refused.
 
 use crate::lock::lock;
 use std::collections::BTreeMap;
@@ -12,12 +12,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A connection from the same address and port this much later is another one.
+/// After this time, a connection from the same address and port is taken to be a new one.
 const DISTRUST_TIME: Duration = Duration::from_secs(60);
-/// Most connections that are remembered; further ones are not distrusted.
+/// Maximum number of distrusted connections that are tracked. Further ones are not distrusted.
 const MAX_DISTRUSTED: usize = 4096;
 
-/// The connections of a node.
+/// Connection state shared by all requests of a node.
 #[derive(Debug, Default)]
 pub struct Connections {
     are_closing: AtomicBool,
@@ -25,17 +25,17 @@
 }
 
 impl Connections {
-    /// From now on each answer tells its caller that the connection ends with it.
+    /// Makes every further answer announce that its connection closes.
     pub fn close_after_answers(&self) {
         self.are_closing.store(true, Ordering::SeqCst);
     }
 
-    /// Whether an answer ends its connection.
+    /// Returns whether answers close their connections.
     pub fn are_closing(&self) -> bool {
         self.are_closing.load(Ordering::SeqCst)
     }
 
-    /// From now on nothing on this connection is taken for a request.
+    /// Marks a connection as distrusted: later requests on it are refused.
     pub fn distrust(&self, peer: SocketAddr) {
         let mut since = lock(&self.distrusted_since);
         since.retain(|_, begun| begun.elapsed() < DISTRUST_TIME);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether what comes on this connection may be taken for a request.
+    /// Returns whether requests on this connection may be accepted.
     pub fn is_trusted(&self, peer: SocketAddr) -> bool {
         lock(&self.distrusted_since)
             .get(&peer)
--- a/crates/nodes/wingshore-node/src/http/listener.rs
+++ b/crates/nodes/wingshore-node/src/http/listener.rs
@@ -1,55 +1,56 @@
-//! Ends listening without cutting a caller.
+//! Stops listening without resetting connections that are already established.
 //!
-//! Closing a listening socket resets connections that the system has already made and nobody has
+//! Closing a listening socket resets connections that the kernel has established but nobody has
 //! accepted yet: their callers have sent a request and never learn whether it ran. So the socket
-//! first makes no new connection, then hands out those it has made, and only then is closed. A
-//! caller that comes later is refused, which says for certain that its request did not run.
+//! first stops taking new connections, then hands out the established ones, and is closed only
+//! after that. Later callers are refused, which tells them for certain that their request did not
+//! run.
 
 use socket2::{Domain, SockAddr, SockFilter, Socket, Type};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpListener};
 
-/// Offset of the source port in a TCP header.
+/// Offset of the source port in a TCP header, in bytes.
 const SOURCE_PORT: u32 = 0;
-/// Offset of the flags in a TCP header.
+/// Offset of the flags in a TCP header, in bytes.
 const FLAGS: u32 = 13;
-/// The flag of a packet that asks for a connection.
+/// The SYN flag, set in packets that open a connection.
 const SYNCHRONIZE: u32 = 0x02;
 
-/// Filter instruction of the system: load 16 bits.
+/// BPF instruction: load 16 bits.
 const LOAD_HALF: u16 = 0x28;
-/// Filter instruction: load 8 bits.
+/// BPF instruction: load 8 bits.
 const LOAD_BYTE: u16 = 0x30;
-/// Filter instruction: jump where equal.
+/// BPF instruction: jump if equal.
 const JUMP_EQUAL: u16 = 0x15;
-/// Filter instruction: jump where a bit is set.
+/// BPF instruction: jump if any of these bits is set.
 const JUMP_SET: u16 = 0x45;
-/// Filter instruction: give the length of the packet that is kept.
+/// BPF instruction: return the number of bytes of the packet to keep.
 const RETURN: u16 = 0x06;
-/// Keeps a packet whole.
+/// Return value that keeps the whole packet.
 const WHOLE: u32 = u32::MAX;
 
-/// A second handle on a listening socket, by which its listening is ended.
+/// A second handle to a listening socket, used to stop listening.
 #[derive(Debug)]
 pub struct ListenerHandle {
     listener: TcpListener,
 }
 
 impl ListenerHandle {
-    /// A handle on `listener`.
+    /// Creates a handle to `listener`.
     ///
     /// # Errors
-    /// When the system has no handle left.
+    /// Fails when the socket cannot be duplicated.
     pub fn of(listener: &TcpListener) -> io::Result<Self> {
         let listener = listener.try_clone()?;
         Ok(Self { listener })
     }
 
-    /// Ends listening. Who accepts from the socket gets all connections that were made, then the
-    /// error [`io::ErrorKind::WouldBlock`], and must drop the socket then.
+    /// Stops listening. `accept` on the socket returns all established connections, then the error
+    /// [`io::ErrorKind::WouldBlock`]; the caller of `accept` must then drop the socket.
     ///
     /// # Errors
-    /// When the system refuses a step; the socket may listen on.
+    /// Fails when a system call fails; the socket may then still be listening.
     pub fn close(self) -> io::Result<()> {
         let address = reachable(self.listener.local_addr()?);
         let last = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
@@ -57,12 +58,12 @@
         let last_port = last.local_addr()?.as_socket().map_or(0, |own| own.port());
         Socket::from(self.listener.try_clone()?).attach_filter(&only_from(last_port))?;
         self.listener.set_nonblocking(true)?;
-        // Wakes who waits in `accept`, behind all other connections.
+        // Wakes a thread that is blocked in `accept`, after all other connections were accepted.
         last.connect(&SockAddr::from(address))
     }
 }
 
-/// Packets that ask for a connection are dropped unless they come from `port`.
+/// Returns a packet filter that drops connection requests unless they come from `port`.
 fn only_from(port: u16) -> [SockFilter; 6] {
     [
         SockFilter::new(LOAD_BYTE, 0, 0, FLAGS),
@@ -74,7 +75,7 @@
     ]
 }
 
-/// Where a socket that listens at `address` is reached from this machine.
+/// Returns the address at which a socket bound to `address` is reachable from this machine.
 pub(super) fn reachable(address: SocketAddr) -> SocketAddr {
     let ip = match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => Ipv4Addr::LOCALHOST.into(),
--- a/crates/nodes/wingshore-node/src/http/mod.rs
+++ b/crates/nodes/wingshore-node/src/http/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP edge towards callers: framing checks, routes, bodies, answers and event streams.
 //!
-//! Owns the listening socket, the threads that read and answer requests, and what is known of the
-//! callers' connections. Relies on the HTTP library for heads and on an [`EdgeHandler`] for answers;
-//! knows nothing of the node's state.
+//! Owns the listening socket, the threads that read and answer requests, and the state of the
+//! callers' connections. Relies on the HTTP library to parse request heads and on an
+//! [`EdgeHandler`] for answers; does not depend on the node's state.
 
 mod body;
 mod body_readers;
--- a/crates/nodes/wingshore-node/src/http/open_connections.rs
+++ b/crates/nodes/wingshore-node/src/http/open_connections.rs
@@ -1,15 +1,15 @@
-//! How many callers still hold a connection, as the operating system tells: the HTTP library does
-//! not.
+//! Counts the connections that callers still hold open, from the kernel's tables: the HTTP library
+//! does not expose them.
 
 use std::fs;
 
-/// Tables of connections, over both versions of the protocol.
+/// The kernel's connection tables for IPv4 and IPv6.
 const TABLES: [&str; 2] = ["/proc/self/net/tcp", "/proc/self/net/tcp6"];
-/// State of a connection that neither side has closed.
+/// Kernel code of the state ESTABLISHED: neither side has closed the connection.
 const ESTABLISHED: &str = "01";
 
-/// Connections that were accepted at `port` and that neither side has closed; 0 where the system
-/// keeps no such tables.
+/// Returns the number of connections accepted at `port` that neither side has closed; 0 where the
+/// system has no such tables.
 pub fn open_connections(port: u16) -> usize {
     let tables = TABLES
         .iter()
@@ -17,7 +17,8 @@
     tables.map(|table| established_at(port, &table)).sum()
 }
 
-/// Rows of a table: number, local address, remote address, state, and more; after a heading.
+/// Counts the established connections at `port` in a table. After a heading, each row holds a
+/// number, the local address, the remote address, the state and further fields.
 fn established_at(port: u16, table: &str) -> usize {
     let rows = table.lines().skip(1);
     rows.filter(|row| {
--- a/crates/nodes/wingshore-node/src/http/server.rs
+++ b/crates/nodes/wingshore-node/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: one thread takes requests and hands them to the groups of workers.
+//! The HTTP server: one thread accepts requests and hands them to the worker groups.
 
 use crate::http::body_readers::BodyReaders;
 use crate::http::connections::Connections;
@@ -16,19 +16,19 @@
 use wingshore_http::{Nudger, NudgerThread};
 use wingshore_settings::HttpSettings;
 
-/// A connection without traffic is probed after this time for whether its caller still exists.
+/// Idle time of a connection before the first keepalive probe.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(15);
-/// Time between two such probes.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two checks of what is in flight, during a stop.
+/// Time between two checks of the requests in flight during shutdown.
 const STOP_POLL: Duration = Duration::from_millis(10);
-/// The server ends once there was neither a connection nor a request for this time.
+/// The server closes once it had neither a connection nor a request for this time.
 const CLOSE_QUIET: Duration = Duration::from_millis(50);
-/// How long callers have to use each connection that they keep once more, and so learn that it ends.
-/// A request on one that stayed unused that long may be cut.
+/// Time limit for callers to use each kept-alive connection once more, which tells them that it
+/// closes. A request on a connection that stayed unused for longer may be cut off.
 const CLOSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// A listening server. Ended by [`EdgeServer::drain`], then [`EdgeServer::close`].
+/// A running HTTP server. Stopped by [`EdgeServer::drain`], then [`EdgeServer::close`].
 pub struct EdgeServer {
     server: Arc<Server>,
     listener: ListenerHandle,
@@ -41,10 +41,10 @@
 }
 
 impl EdgeServer {
-    /// Binds `address` and serves with a group of threads for each kind of work.
+    /// Binds `address` and starts a worker group for each kind of work.
     ///
     /// # Errors
-    /// When the address cannot be bound or a thread cannot be started.
+    /// Fails when the address cannot be bound or a thread cannot be started.
     pub fn start(
         address: SocketAddr,
         settings: &HttpSettings,
@@ -85,13 +85,14 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until nothing is in flight, `grace` at most; answers how many requests still are. The
-    /// handler must refuse new requests meanwhile, and go on doing so until [`EdgeServer::close`].
+    /// Waits until no request is in flight, at most for `grace`, and returns how many still are.
+    /// The handler must refuse new requests from before this call until [`EdgeServer::close`]
+    /// returns.
     pub fn drain(&self, grace: Duration) -> usize {
         self.connections.close_after_answers();
         let give_up = Instant::now() + grace;
@@ -104,17 +105,17 @@
         }
     }
 
-    /// Ends listening, answers what still comes on connections that were made before, and ends.
+    /// Stops listening, answers requests that still arrive on open connections, and shuts down.
     ///
     /// # Errors
-    /// When listening could not be ended in order; it has ended all the same.
+    /// Fails when listening could not be stopped gracefully; the server has shut down nevertheless.
     pub fn close(mut self) -> io::Result<()> {
         self.connections.close_after_answers();
         let closed = self.listener.close();
         let is_idle = wait_until_quiet(self.address.port(), &self.in_flight);
         self.server.unblock();
         if let Some(acceptor) = self.acceptor.take() {
-            // The acceptor has no result, and a panic of it was reported when it happened.
+            // The acceptor returns nothing, and the panic hook has already reported a panic.
             let _ = acceptor.join();
         }
         if let Some(nudger) = self.nudger.take() {
@@ -129,25 +130,25 @@
     }
 }
 
-/// Sets what connections take over from the socket that accepts them.
+/// Sets the options that accepted connections inherit from the listening socket.
 fn set_connection_options(listener: &TcpListener, slow_caller_limit: Duration) -> io::Result<()> {
     let socket = SockRef::from(listener);
-    // Without it the first event of a stream waits for the caller to acknowledge the head, which
-    // it delays by up to 40 ms.
+    // With Nagle's algorithm the first event of a stream would wait for the caller's
+    // acknowledgement of the head, which callers delay by up to 40 ms.
     socket.set_tcp_nodelay(true)?;
-    // The system closes the connection of a caller that takes nothing of its answer for so long.
-    // A limit on writing would leave it open with a part of an answer sent, and the rest would be
-    // taken from the next one.
+    // The kernel closes the connection of a caller that accepts no part of its answer for this
+    // time. A write timeout would leave the connection open with a partial answer, and the
+    // remainder would be taken from the next answer.
     socket.set_tcp_user_timeout(Some(slow_caller_limit))?;
-    // Callers that vanished without closing are noticed.
+    // Detects callers that vanished without closing their connection.
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_TIME)
         .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Waits until callers have let go of their connections and nothing was in flight for a while,
-/// [`CLOSE_LIMIT`] at most; says whether nothing is in flight.
+/// Waits until callers have closed their connections and no request was in flight for
+/// [`CLOSE_QUIET`], at most for [`CLOSE_LIMIT`]. Returns whether no request is in flight.
 fn wait_until_quiet(port: u16, in_flight: &AtomicUsize) -> bool {
     let give_up = Instant::now() + CLOSE_LIMIT;
     let mut quiet_since = Instant::now();
@@ -163,7 +164,7 @@
     }
 }
 
-/// Takes requests and hands them to the workers.
+/// Accepts requests and hands them to the workers.
 struct Acceptor {
     server: Arc<Server>,
     connections: Arc<Connections>,
@@ -178,7 +179,7 @@
         loop {
             match self.server.recv() {
                 Ok(request) => self.take(request),
-                // Listening has ended; connections that were made before go on.
+                // Listening has stopped; open connections are still served.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 // `unblock` makes `recv` fail.
                 Err(_) => return,
--- a/crates/nodes/wingshore-node/src/http/work.rs
+++ b/crates/nodes/wingshore-node/src/http/work.rs
@@ -1,5 +1,5 @@
-//! Requests on their way to bounded groups of workers, one group for each kind of work, so that
-//! long work of one kind never holds up another.
+//! Queues requests for bounded worker groups, one group per kind of work, so that slow work of one
+//! kind never delays another.
 
 use crate::http::caller::Caller;
 use crate::http::connections::Connections;
@@ -12,19 +12,19 @@
 use std::thread::{self, JoinHandle};
 use tiny_http::Request;
 
-/// Threads for status pages and for refusals, each.
+/// Number of threads of the status group and of the refusal group, each.
 const SMALL_GROUP: usize = 4;
 
-/// Kinds of work, each with its own workers.
+/// Kind of work; each kind has its own workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum WorkKind {
-    /// Forwarded requests.
+    /// Requests forwarded to live services.
     Forward,
     /// Completions.
     Completion,
-    /// A trainer's requests, which may wait long.
+    /// Requests of trainers, which may wait for a long time.
     Trainer,
-    /// Status pages and requests for nothing that exists.
+    /// Status pages and requests without a route.
     Status,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is done with requests.
+/// Answers the requests that the server accepts.
 pub trait EdgeHandler: Send + Sync + 'static {
     /// Answers a request.
     fn handle(&self, caller: Caller);
@@ -49,7 +49,7 @@
     fn refuse_overload(&self, caller: Caller);
 }
 
-/// Counts a request from its arrival to the end of its answer.
+/// A request that is counted as in flight from its arrival until its answer is complete.
 pub(super) struct Counted {
     pub(super) caller: Caller,
     in_flight: Arc<AtomicUsize>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Has `task` answer it. A panic is reported by the process's hook; the thread goes on.
+    /// Answers the request with `task`. The panic hook reports a panic; the thread continues.
     pub(super) fn answer_by(self, handler: &dyn EdgeHandler, task: Task) {
         let Self { caller, in_flight } = self;
         let _ = catch_unwind(AssertUnwindSafe(|| task(handler, caller)));
@@ -79,7 +79,7 @@
 
 pub(super) type Task = fn(&dyn EdgeHandler, Caller);
 
-/// One queue for each group of workers; a queue holds no more than its group has threads.
+/// One queue per worker group; its capacity is the number of threads in the group.
 pub(super) struct Queues {
     forward: Sender<Counted>,
     completion: Sender<Counted>,
@@ -89,11 +89,11 @@
 }
 
 impl Queues {
-    /// Starts `workers` threads for each kind of callers' work, and a few for all else; appends
-    /// them to `threads`.
+    /// Starts `workers` threads for each kind of callers' work and a few for status pages and
+    /// refusals, and appends them to `threads`.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Fails when a thread cannot be started.
     pub(super) fn start(
         workers: usize,
         handler: &Arc<dyn EdgeHandler>,
@@ -111,11 +111,12 @@
         })
     }
 
-    /// Hands a request to its workers.
+    /// Queues a request for its worker group, or for refusal if that queue is full.
     pub(super) fn add(&self, counted: Counted) {
         let kind = WorkKind::of(&counted.caller);
         if let Err(TrySendError::Full(counted)) = self.of(kind).try_send(counted) {
-            // Waits: a flood is slowed down where it comes in.
+            // Blocks the calling thread while the refusal queue is full, which slows down an overload at
+            // its source.
             let _ = self.refusal.send(counted);
         }
     }
