--- a/crates/nodes/wingshore-node/src/http/caller.rs
+++ b/crates/nodes/wingshore-node/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request at the edge, from its head to its answer.
+//! A caller's request at the HTTP edge, from its head to its answer.
 
 use crate::http::body::{BodyError, drain_chunks, read_body};
 use crate::http::connections::Connections;
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use tiny_http::{HTTPVersion, Header, Request, Response, StatusCode};
 
-/// Largest declared rest of a body, in bytes, that the HTTP library may drain. It allocates the whole rest
-/// at once when a request is let go, and an absurd length would then end the process.
+/// Largest unread declared body in bytes that the HTTP library may drain. The library allocates the
+/// whole remainder at once when a request is dropped, so an absurd length would abort the process.
 const MAX_DRAINED_BODY: u64 = 1 << 30;
 
-/// The HTTP library reads bodies up to this length, in bytes, together with their heads.
+/// Largest body in bytes that the HTTP library reads together with the request head.
 const MAX_LIBRARY_BODY: u64 = 1024;
 
-/// A request whose head was read. Its head is parsed once, here.
+/// A request whose head was read and parsed.
 pub struct Caller {
     request: Request,
     headers: HeaderList,
@@ -56,33 +56,33 @@
         }
     }
 
-    /// Its method.
+    /// Returns the HTTP method.
     pub fn method(&self) -> &str {
         self.request.method().as_str()
     }
 
-    /// Its headers.
+    /// Returns the request headers.
     pub fn headers(&self) -> &HeaderList {
         &self.headers
     }
 
-    /// What it asks for.
+    /// Returns the requested route, or the reason why there is none.
     pub fn route(&self) -> &Result<Route, RouteError> {
         &self.route
     }
 
-    /// The declared length of its body.
+    /// Returns the declared length of the body.
     pub fn length(&self) -> &Result<BodyLength, FramingError> {
         &self.length
     }
 
-    /// Whether it understands chunks, which event streams need.
+    /// Returns whether the caller supports chunked encoding, which event streams need.
     pub fn takes_chunks(&self) -> bool {
         *self.request.http_version() >= HTTPVersion(1, 1)
     }
 
-    /// Whether reading its body, or letting it go, may wait for the caller. The HTTP library has
-    /// read small bodies together with their heads.
+    /// Returns whether reading the body or dropping the request may block on the caller. Small
+    /// bodies never block: the HTTP library has read them together with the request head.
     pub fn may_keep_waiting(&self) -> bool {
         let is_expected = self.headers.first("expect").is_some();
         match self.length {
@@ -93,17 +93,17 @@
         }
     }
 
-    /// Reads its body before it is asked for; [`Caller::read_body`] then does not wait.
+    /// Reads the body in advance, so that a later [`Caller::read_body`] does not block.
     pub fn read_ahead(&mut self, limit: u64) {
         if let Ok(length) = self.length {
             self.read_ahead = Some(self.read_body(length, limit));
         }
     }
 
-    /// Reads its body whole; to be called once.
+    /// Reads the complete body. Must be called only once.
     ///
     /// # Errors
-    /// As [`read_body`].
+    /// Returns the errors of [`read_body`].
     pub fn read_body(&mut self, length: BodyLength, limit: u64) -> Result<Vec<u8>, BodyError> {
         if let Some(read) = self.read_ahead.take() {
             return read;
@@ -123,30 +123,30 @@
         }
     }
 
-    /// Sends a whole answer. A caller that has gone is no error.
+    /// Sends a complete answer. A caller that has disconnected is not an error.
     pub fn respond(self, answer: EdgeAnswer) {
         let method_is_head = self.request.method().as_str() == "HEAD";
         if self.may_be_drained() && self.connections.are_closing() {
-            // As below: there is nothing to be done about a failed write.
+            // A failed write is ignored: the caller has disconnected.
             let _ = write_last_answer(self.request.into_writer(), &answer, method_is_head);
             return;
         }
         let response = response_of(answer, method_is_head);
         if self.may_be_drained() {
-            // What else could be done about a failed write?
+            // A failed write is ignored: the caller has disconnected.
             let _ = self.request.respond(response);
             return;
         }
-        // Letting the request go would allocate its declared rest. The connection is answered,
-        // then kept away from the library for good.
+        // Dropping the request would allocate the declared remainder of its body. The connection is
+        // answered and then leaked, so that the library never drains it.
         let stream = self.request.upgrade("close", response);
         std::mem::forget(stream);
     }
 
-    /// Opens an event stream; the body must have been read.
+    /// Starts an event stream. The body must have been read before.
     ///
     /// # Errors
-    /// When the caller has gone.
+    /// Fails when the caller has disconnected.
     pub fn into_event_stream(self, headers: &[(&str, &str)]) -> io::Result<EventStream> {
         EventStream::start(self.request.into_writer(), headers)
     }
@@ -156,7 +156,7 @@
             _ if self.body_read => true,
             Ok(BodyLength::Exact(length)) => length <= MAX_DRAINED_BODY,
             Ok(_) => true,
-            // The library goes by the first length it can parse.
+            // The library uses the first length that it can parse.
             Err(_) => self
                 .headers
                 .all("content-length")
@@ -166,7 +166,7 @@
     }
 }
 
-/// The length that an answer declares: of an answer without its body, the length it would have.
+/// Returns the `Content-Length` of an answer. For HEAD it is the length that the body would have.
 fn declared_length(answer: &EdgeAnswer, method_is_head: bool) -> usize {
     let declared = answer
         .headers
@@ -179,8 +179,8 @@
     }
 }
 
-/// Writes an answer after which the caller sends nothing more on its connection. The HTTP library
-/// does not let this be said.
+/// Writes an answer with `Connection: close`, after which the caller sends no further request on
+/// its connection. The HTTP library cannot set this header.
 fn write_last_answer(
     mut writer: Box<dyn Write + Send>,
     answer: &EdgeAnswer,
--- a/crates/nodes/wingshore-node/src/http/event_stream.rs
+++ b/crates/nodes/wingshore-node/src/http/event_stream.rs
@@ -1,11 +1,12 @@
-//! Server-sent events towards a caller.
+//! Server-sent events to a caller.
 //!
-//! The HTTP library buffers streamed answers, so head, chunks and end are written here and each
-//! event is flushed by itself.
+//! The HTTP library buffers streamed answers, so this module writes the head, the chunks and the
+//! end itself and flushes each event.
 
 use std::io::{self, Write};
 
-/// An open event stream; chunked, so that its end is declared.
+/// An open event stream. It uses chunked encoding, so that the caller can detect a truncated
+/// stream.
 pub struct EventStream {
     writer: Box<dyn Write + Send>,
 }
@@ -14,7 +15,7 @@
     /// Writes and flushes the head.
     ///
     /// # Errors
-    /// When the caller has gone.
+    /// Fails when the caller has disconnected.
     pub fn start(mut writer: Box<dyn Write + Send>, headers: &[(&str, &str)]) -> io::Result<Self> {
         let mut head = String::from(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -32,7 +33,7 @@
     /// Writes and flushes one event.
     ///
     /// # Errors
-    /// When the caller has gone.
+    /// Fails when the caller has disconnected.
     pub fn event(&mut self, data: &str) -> io::Result<()> {
         let event = format!("data: {data}\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -40,10 +41,10 @@
         self.writer.flush()
     }
 
-    /// Declares the end of the stream.
+    /// Writes the final chunk, which marks the end of the stream.
     ///
     /// # Errors
-    /// When the caller has gone.
+    /// Fails when the caller has disconnected.
     pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
--- a/crates/nodes/wingshore-node/src/http/respond.rs
+++ b/crates/nodes/wingshore-node/src/http/respond.rs
@@ -1,24 +1,23 @@
-//! Answers to callers.
+//! Answers and errors sent to callers.
 
 use std::time::Duration;
 use wingshore_types::{ErrorBody, ErrorDetail, Verdict};
 
-/// Milliseconds of a second.
 const MILLISECONDS: u64 = 1000;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EdgeAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers; those of one connection are left out when it is sent.
+    /// Headers; connection-specific ones are left out when the answer is sent.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl EdgeAnswer {
-    /// An answer with one content type.
+    /// Creates an answer with a content type.
     pub fn new(status: u16, content_type: &str, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -27,7 +26,7 @@
         }
     }
 
-    /// A text.
+    /// Creates a plain-text answer.
     pub fn text(status: u16, body: &str) -> Self {
         Self::new(
             status,
@@ -36,7 +35,7 @@
         )
     }
 
-    /// A JSON value.
+    /// Creates a JSON answer.
     pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self::new(status, "application/json", body),
@@ -52,23 +51,23 @@
     }
 }
 
-/// An error as a caller gets it.
+/// An error as sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EdgeError {
     /// HTTP status.
     pub status: u16,
-    /// Stable code.
+    /// Stable error code.
     pub code: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// What went wrong, where, and what is allowed.
     pub message: String,
-    /// When asking again makes sense; `None` where it never does.
+    /// When the caller may retry; `None` if retrying never helps.
     pub retry_after: Option<Duration>,
 }
 
 impl EdgeError {
-    /// A request that was refused and did not run.
+    /// Creates an error for a request that was refused and did not run.
     pub fn not_run(status: u16, code: &str, message: impl ToString) -> Self {
         Self {
             status,
@@ -79,14 +78,14 @@
         }
     }
 
-    /// Says when asking again makes sense.
+    /// Sets when the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self) -> ErrorBody {
         ErrorBody {
             error: ErrorDetail {
@@ -98,7 +97,7 @@
         }
     }
 
-    /// The whole answer, with `Retry-After` in whole seconds, rounded up.
+    /// Returns the complete answer; `Retry-After` is in seconds, rounded up.
     pub fn answer(&self) -> EdgeAnswer {
         let answer = EdgeAnswer::json(self.status, &self.body());
         match self.retry_after {
