--- a/crates/nodes/wingshore-node/src/serve/completion_request.rs
+++ b/crates/nodes/wingshore-node/src/serve/completion_request.rs
@@ -1,13 +1,13 @@
-//! `POST /v1/completions`: the body, parsed into a valid request.
+//! Parses and validates the body of `POST /v1/completions`.
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
 use wingshore_types::{PoolId, Token};
 
-/// Tokens generated when the caller does not say, as in the OpenAI interface.
+/// Number of tokens to generate if `max_tokens` is absent, as in the OpenAI API.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Whom a completion is for.
+/// The engines that a completion request addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CompletionTarget {
     /// Any engine that serves the base model.
@@ -19,47 +19,47 @@
 /// A valid completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletionRequest {
-    /// Whom it is for.
+    /// The engines that may serve the request.
     pub target: CompletionTarget,
-    /// An adapter on top of the base model.
+    /// Name of an adapter on top of the base model.
     pub adapter: Option<String>,
-    /// Prompt tokens; the bytes of a text prompt.
+    /// Prompt tokens; for a text prompt, its bytes.
     pub prompt: Vec<Token>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether to answer by server-sent events.
+    /// Whether to answer with server-sent events.
     pub stream: bool,
-    /// Seed of the generation, where the caller gives one.
+    /// Seed of the generation, if the caller sets one.
     pub seed: Option<u64>,
 }
 
-/// Why a completion request makes no sense.
+/// Reason why a completion request is invalid.
 #[derive(Debug, Snafu)]
 pub enum CompletionRequestError {
-    /// Not the JSON that is wanted.
+    /// The body is not the expected JSON.
     #[snafu(display("the body is not a completion request: {source}"))]
     Json {
-        /// The cause.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// Neither or both of `model` and `pool`.
+    /// Neither or both of `model` and `pool` are set.
     #[snafu(display("one of `model` and `pool` is wanted"))]
     Target,
-    /// No prompt tokens.
+    /// The prompt is empty.
     #[snafu(display("`prompt` is empty; at least one token or character is wanted"))]
     EmptyPrompt,
-    /// No tokens to generate.
+    /// `max_tokens` is 0.
     #[snafu(display("`max_tokens` is 0; at least 1 is wanted"))]
     NoTokens,
-    /// An option that engines do not have.
+    /// The request uses an option that engines do not support.
     #[snafu(display("`{option}` is not supported"))]
     Unsupported {
-        /// The option.
+        /// Name of the option.
         option: &'static str,
     },
 }
 
-/// The body as callers write it. Sampling options that are not named here are ignored.
+/// The request body as sent by callers. Sampling options without a field here are ignored.
 #[derive(Deserialize)]
 struct CompletionBody {
     model: Option<String>,
@@ -86,10 +86,10 @@
 }
 
 impl CompletionRequest {
-    /// Parses a body.
+    /// Parses and validates a request body.
     ///
     /// # Errors
-    /// What is wrong with it and what is allowed.
+    /// Fails when the body is invalid; the error names what is wrong and what is allowed.
     pub fn parse(body: &[u8]) -> Result<Self, CompletionRequestError> {
         let body: CompletionBody = serde_json::from_slice(body).context(JsonSnafu)?;
         refuse_unsupported(&body)?;
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -1,4 +1,4 @@
-//! Completions by model or pool, buffered or streamed.
+//! Serves completions by model or pool, buffered or streamed.
 
 use crate::http::{Caller, EdgeAnswer, EdgeError, EventStream};
 use crate::serve::completion_answer::{CompletionBody, CompletionHead};
@@ -21,11 +21,11 @@
 use wingshore_types::protocol::claims::StoredAnswer;
 use wingshore_types::{Generation, ServerId, Token, WeightVersion};
 
-/// Label of completions in metrics.
+/// Request kind of completions in metrics.
 const KIND: &str = "completion";
-/// Path that fingerprints of keyed completions name.
+/// Path used in the fingerprints of completions with an idempotency key.
 const PATH: &str = "/v1/completions";
-/// The last event of a whole stream.
+/// Last event of a complete stream.
 const DONE: &str = "[DONE]";
 
 /// Serves `POST /v1/completions`.
@@ -42,7 +42,7 @@
     node.metrics.on_answered(KIND, &code, started.elapsed());
 }
 
-/// A request that is ready to be executed.
+/// A validated request that is ready for execution.
 struct Prepared {
     request: CompletionRequest,
     model: String,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Executes and answers; says the code for the metrics.
+/// Executes and answers the request. Returns the code for the metrics.
 fn complete(node: &NodeState, caller: Caller, prepared: Prepared) -> String {
     let id = node.next_engine_request_id();
     let mut attempts = CompletionAttempts {
@@ -147,17 +147,18 @@
     }
 }
 
-/// Where the answer goes.
+/// Progress of the answer to the caller.
 enum Output {
-    /// Nothing was written yet.
+    /// Nothing has been written yet.
     Waiting(Box<Caller>),
-    /// The head of an event stream was written.
+    /// The head of an event stream has been written.
     Streaming(EventStream),
-    /// The caller has gone.
+    /// The caller has disconnected.
     Gone,
 }
 
-/// Attempts at engines; tokens of failed ones are resumed, not generated again.
+/// Runs attempts at engines. An attempt after a failed one resumes from the tokens received so far
+/// instead of generating them again.
 struct CompletionAttempts<'a> {
     node: &'a NodeState,
     head: CompletionHead,
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Writes an event, after the head if this is the first.
+    /// Writes an event; before the first event, also the head of the stream.
     fn write_event(&mut self, event: &str) -> std::io::Result<()> {
         if let Output::Waiting(_) = self.output {
             let server = self.server.as_ref().map_or("", ServerId::as_str);
@@ -276,7 +277,7 @@
         kept_answer(200, "application/json", &body)
     }
 
-    /// Gives the caller its final answer; says the code for the metrics.
+    /// Sends the final answer to the caller. Returns the code for the metrics.
     fn answer(mut self, answer: FinalAnswer) -> String {
         match answer {
             FinalAnswer::Forward { .. } => match (self.rejected.take(), self.finished) {
@@ -326,7 +327,8 @@
         }
     }
 
-    /// The engine finds fault with the request: its words, with wingshore's verdict.
+    /// Answers that the engine rejected the request, with the engine's message and the verdict that
+    /// the request ran.
     fn answer_rejection(self, rejected: &ServerAnswer) -> String {
         let text = String::from_utf8_lossy(&rejected.body).into_owned();
         let error = EdgeError {
@@ -339,14 +341,14 @@
         self.answer_error(&error)
     }
 
-    /// Before the stream has begun an error is an answer; afterwards it is the last event, and
-    /// `[DONE]` does not come.
+    /// Sends an error: as a plain answer if the stream has not started, otherwise as the last
+    /// event, without `[DONE]`.
     fn answer_error(self, error: &EdgeError) -> String {
         match self.output {
             Output::Waiting(caller) => caller.respond(error.answer()),
             Output::Streaming(mut stream) => {
                 let event = serde_json::to_string(&error.body()).unwrap_or_default();
-                // The caller may have gone; there is nobody to tell then.
+                // A failed write is ignored: the caller has disconnected.
                 let _ = stream.event(&event).and_then(|()| stream.finish());
             }
             Output::Gone => {}
