--- a/crates/nodes/wingshore-node/src/serve/edge.rs
+++ b/crates/nodes/wingshore-node/src/serve/edge.rs
@@ -1,4 +1,4 @@
-//! Sends each request to the code that serves it.
+//! Dispatches each request to the code that serves it.
 
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError, EdgeHandler, Route, RouteError};
@@ -10,17 +10,16 @@
 
 /// Retry-after of a node whose workers are all busy.
 const RETRY_AFTER_OVERLOAD: Duration = Duration::from_millis(100);
-/// Nanoseconds of a millisecond.
 const NANOSECONDS_OF_MILLISECOND: u128 = 1_000_000;
 
-/// Serves a node's callers.
+/// Serves the HTTP requests of a node's callers.
 pub struct NodeEdge {
     node: Arc<NodeState>,
     announcer: Arc<PoolAnnouncer>,
 }
 
 impl NodeEdge {
-    /// The edge of `node`.
+    /// Creates the request handler of `node`.
     pub fn new(node: Arc<NodeState>, announcer: Arc<PoolAnnouncer>) -> Self {
         Self { node, announcer }
     }
@@ -38,7 +37,7 @@
         let lease_left = self.node.view().lease_left(now);
         let ejected = self.node.router().ejected();
         self.node.metrics.servers_ejected.set(ejected as i64);
-        // Rounded up: zero is shown only once the lease has run out.
+        // Rounded up, so that 0 is shown only after the lease has expired.
         let milliseconds = lease_left.as_nanos().div_ceil(NANOSECONDS_OF_MILLISECOND);
         self.node
             .metrics
--- a/crates/nodes/wingshore-node/src/serve/execute.rs
+++ b/crates/nodes/wingshore-node/src/serve/execute.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`RequestExecution`] wants done, on the worker's own thread.
+//! Performs the outputs of a [`RequestExecution`] on the worker's own thread.
 
 use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
@@ -15,25 +15,25 @@
 
 use crate::metrics::KindLabel;
 
-/// Timeout of one call to a claims group; the request's deadline may be sooner.
+/// Timeout of one call to a claims group; an earlier deadline of the request takes precedence.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It ended.
+    /// The attempt ended, with or without an answer.
     Ended(AttemptEnd),
-    /// The caller has gone meanwhile; the attempt was stopped.
+    /// The caller disconnected during the attempt, which was stopped.
     CallerDisconnected,
 }
 
-/// Makes the attempts of one request.
+/// Runs the attempts of one request.
 pub trait Attempts {
-    /// Makes one attempt and waits for its end.
+    /// Runs one attempt to its end.
     fn attempt(&mut self, send: &SendAttempt) -> AttemptResult;
 }
 
-/// Executes a request. `None` when the caller has gone.
+/// Executes a request. Returns `None` if the caller has disconnected.
 pub fn execute(
     node: &NodeState,
     kind: &'static str,
@@ -62,7 +62,7 @@
                     let request = Box::new(request);
                     node.add_background_call(BackgroundCall::Settle { group, request });
                 }
-                // Attempts are waited for, and end before a cancel of them can be wanted.
+                // Attempts run synchronously, so each has ended before a cancel can be requested.
                 ExecutionOutput::Cancel { .. } => {}
                 ExecutionOutput::Answer(given) => answer = Some(given),
             }
@@ -93,8 +93,8 @@
     }
 }
 
-/// The lease is checked once more right before the first byte leaves: the process may have
-/// been frozen since the server was chosen.
+/// Runs one attempt. Checks the lease again immediately before sending, because the process may
+/// have been suspended since the server was chosen.
 fn make(node: &NodeState, send: &SendAttempt, attempts: &mut dyn Attempts) -> ExecutionInput {
     let attempt = send.attempt;
     if let Err(refusal) = node.holds_configuration(node.clock.now()) {
--- a/crates/nodes/wingshore-node/src/serve/forward.rs
+++ b/crates/nodes/wingshore-node/src/serve/forward.rs
@@ -1,4 +1,4 @@
-//! Requests to live services, forwarded as they are.
+//! Forwards requests to live services unchanged.
 
 use crate::http::{Caller, EdgeAnswer, EdgeError, HeaderList, without_hop_by_hop};
 use crate::serve::execute::{AttemptResult, Attempts, execute};
@@ -14,11 +14,11 @@
 use wingshore_types::protocol::claims::StoredAnswer;
 use wingshore_types::{ServerId, ServiceId};
 
-/// Content type of a kept answer whose server named none.
+/// Content type of a stored answer whose server sent none.
 const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
-/// Methods that change nothing on a server, and so may run twice.
+/// Methods that change nothing on a server, so that repeating them is safe.
 const SAFE_METHODS: &[&str] = &["GET", "HEAD", "OPTIONS"];
-/// Label of forwarded requests in metrics.
+/// Request kind of forwarded requests in metrics.
 const KIND: &str = "forward";
 
 /// Forwards a request to a server of `service`.
@@ -94,7 +94,7 @@
     }
 }
 
-/// Attempts at live servers.
+/// Runs attempts at live servers.
 struct ForwardAttempts<'a> {
     node: &'a NodeState,
     method: &'a str,
@@ -180,7 +180,7 @@
         .iter()
         .map(|(name, value)| (name.to_owned(), value.to_owned()))
         .collect();
-    // The answer to HEAD declares the length of a body that is not sent.
+    // An answer to HEAD declares the length of a body that is not sent.
     if let Some(length) = answer.headers.first("content-length") {
         headers.push(("content-length".to_owned(), length.to_owned()));
     }
--- a/crates/nodes/wingshore-node/src/serve/intake.rs
+++ b/crates/nodes/wingshore-node/src/serve/intake.rs
@@ -1,4 +1,4 @@
-//! What every caller's request goes through first: framing, headers, body, admission.
+//! Checks that every caller's request passes first: framing, headers, admission and body.
 
 use crate::http::{BodyError, Caller, CallerHeaders, EdgeError};
 use crate::state::NodeState;
@@ -9,7 +9,7 @@
 use wingshore_types::ServiceId;
 use wingshore_types::protocol::claims::ClaimKey;
 
-/// A request whose body is whole and whose headers make sense.
+/// A request with a complete body and valid headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intake {
     /// Wingshore's own headers.
@@ -18,10 +18,10 @@
     pub body: Vec<u8>,
 }
 
-/// Reads a request in.
+/// Validates and reads a request.
 ///
 /// # Errors
-/// What is wrong with it; nothing of it was forwarded.
+/// Names what is wrong with the request. Nothing of it was forwarded.
 pub fn take_in(node: &NodeState, caller: &mut Caller) -> Result<Intake, EdgeError> {
     let length = match caller.length() {
         Ok(length) => *length,
@@ -37,7 +37,7 @@
 }
 
 impl Intake {
-    /// The claim that the caller's idempotency key makes, if it gave one.
+    /// Returns the claim for the caller's idempotency key, or `None` if the request has no key.
     pub fn claim(
         &self,
         node: &NodeState,
@@ -57,7 +57,7 @@
         })
     }
 
-    /// How long the caller waits.
+    /// Returns the caller's deadline, or `default` if it set none.
     pub fn deadline(&self, default: Duration) -> Duration {
         self.headers.deadline.unwrap_or(default)
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// FNV-1a over method, target and body, which every node computes alike.
+/// Returns the FNV-1a hash of method, target and body. Every node computes the same value.
 fn fingerprint(method: &str, target: &str, body: &[u8]) -> u64 {
     let mut hasher = FnvHasher::default();
     for part in [method.as_bytes(), &[0], target.as_bytes(), &[0], body] {
--- a/crates/nodes/wingshore-node/src/serve/mod.rs
+++ b/crates/nodes/wingshore-node/src/serve/mod.rs
@@ -1,7 +1,7 @@
-//! What the node does with callers' requests.
+//! Serves callers' requests.
 //!
-//! Owns nothing that outlives a request. Relies on `wingshore-request` for what is decided, on
-//! `upstream` for attempts and on the group client for claims, ledgers and publications.
+//! Owns nothing that outlives a request. Relies on `wingshore-request` for decisions, on `upstream`
+//! for attempts and on the group client for claims, ledgers and publications.
 
 mod completion_answer;
 mod completion_request;
--- a/crates/nodes/wingshore-node/src/serve/whole_answer.rs
+++ b/crates/nodes/wingshore-node/src/serve/whole_answer.rs
@@ -1,5 +1,5 @@
-//! What requests that are answered in one piece have in common: counting them, the answers that are
-//! kept for repeats of an idempotency key, and the error for a fault of the node itself.
+//! Shared by requests that are answered in one piece: counting them, storing answers for repeats of
+//! an idempotency key, and the error for an internal fault.
 
 use crate::http::{Caller, EdgeAnswer, EdgeError};
 use crate::state::NodeState;
@@ -7,13 +7,13 @@
 use wingshore_types::Verdict;
 use wingshore_types::protocol::claims::StoredAnswer;
 
-/// Largest answer that is kept for repeats of an idempotency key, in bytes; part of the interface
-/// to callers.
+/// Largest answer in bytes that is stored for repeats of an idempotency key. Part of the public
+/// API.
 const MAX_KEPT_ANSWER: usize = 64 * 1024;
-/// Header that marks an answer kept from an earlier request with the same key.
+/// Header that marks the stored answer of an earlier request with the same key.
 const REPLAYED_HEADER: &str = "x-wingshore-replayed";
 
-/// Answers a request of `kind` with what `work` makes of it, and counts it.
+/// Runs `work`, sends its answer or error to the caller and counts the request under `kind`.
 pub fn serve_whole(
     node: &NodeState,
     kind: &'static str,
@@ -30,7 +30,7 @@
     node.metrics.on_answered(kind, &code, started.elapsed());
 }
 
-/// The answer as it is kept for repeats of its key; `None` where it is too large.
+/// Returns the answer in the form stored for repeats of its key, or `None` if it is too large.
 pub fn kept_answer(status: u16, content_type: &str, body: &[u8]) -> Option<StoredAnswer> {
     (body.len() <= MAX_KEPT_ANSWER).then(|| StoredAnswer {
         status,
@@ -39,12 +39,12 @@
     })
 }
 
-/// The answer of an earlier request with the same key.
+/// Returns the stored answer of an earlier request with the same key.
 pub fn replayed(kept: StoredAnswer) -> EdgeAnswer {
     EdgeAnswer::new(kept.status, &kept.content_type, kept.body).with_header(REPLAYED_HEADER, "true")
 }
 
-/// A fault of the node itself.
+/// Reports a fault of the node itself and returns the error for the caller.
 pub fn internal(node: &NodeState, what: &str) -> EdgeError {
     node.on_broken_promise(what);
     EdgeError {
