--- a/crates/nodes/wingshore-node/src/serve/trainer.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer.rs
@@ -1,7 +1,9 @@
-//! A trainer's requests: submit prompts, pull a step's batch, acknowledge it, publish a version.
+//! Serves the requests of trainers: submit prompts, pull a step's batch, acknowledge it, publish a
+//! version.
 //!
-//! All of them may be sent again after a lost answer: samples are known by number, a step's batch
-//! is handed over once, and a publication is known by pool and version.
+//! All of them are idempotent and may be repeated after a lost answer: samples are identified by
+//! number, a step's batch is handed over only once, and a publication is identified by pool and
+//! version.
 
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError};
@@ -23,33 +25,34 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, IntentId, PoolId, Revision, Sample, StepId, TrainerId, Verdict};
 
-/// Label of a trainer's requests in metrics.
+/// Request kind of trainers' requests in metrics.
 const KIND: &str = "trainer";
 /// Timeout of a request to a group when the caller states no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait a pull may ask for; part of the interface to trainers.
+/// Longest wait that a pull may request. Part of the public API.
 const MAX_PULL_WAIT: Duration = Duration::from_secs(600);
-/// Time for a pull beyond the wait it asks for.
+/// Time allowed for a pull in addition to its requested wait.
 const PULL_MARGIN: Duration = Duration::from_secs(5);
-/// Time for the further parts of a large batch, when the caller states no deadline.
+/// Time allowed for the remaining parts of a large batch when the caller sets no deadline.
 const PARTS_TIME: Duration = Duration::from_secs(30);
-/// What a trainer asks.
+
+/// A trainer's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrainerRequest {
-    /// Add prompts.
+    /// Adds prompts to a pool.
     Submit(PoolId),
-    /// Hand a step's batch over.
+    /// Hands over the batch of a step.
     Pull(PoolId, StepId),
-    /// The batch is safe with the trainer.
+    /// Confirms that the trainer has stored the batch of a step.
     Acknowledge(PoolId, StepId),
-    /// A version is in the weight store.
+    /// Announces that a weight version is in the weight store.
     Publish(PoolId),
 }
 
-/// Serves trainers' requests, with what they need of the node.
+/// Serves trainers' requests.
 #[derive(Clone, Copy)]
 pub struct TrainerHandler<'a> {
-    /// The node.
+    /// State of the node.
     pub node: &'a NodeState,
     /// Announces pools to their ledgers.
     pub announcer: &'a PoolAnnouncer,
@@ -58,11 +61,11 @@
 /// Answer to a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct PublishedBody {
-    /// The configuration revision that holds it.
+    /// Configuration revision that contains the published version.
     revision: Revision,
 }
 
-/// Serves one of a trainer's requests.
+/// Serves a trainer's request.
 pub fn serve(handler: TrainerHandler<'_>, caller: Caller, request: TrainerRequest) {
     serve_whole(handler.node, KIND, caller, |caller| {
         answer(handler, caller, request)
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Fetches what a large batch has beside its first part. Each part is read from what was
+    /// Fetches the remaining parts of a large batch. The ledger reads each part from what it
     /// recorded at the hand-over, so a pull that fails in between may be repeated.
     fn whole_batch(
         self,
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Asks the pool's ledger; announces the pool to it first where that is needed.
+    /// Calls the pool's ledger, after announcing the pool to it if necessary.
     fn ask_ledger(
         self,
         id: &PoolId,
@@ -242,7 +245,8 @@
         }
     }
 
-    /// What the ledger promises is checked once more before a trainer gets it.
+    /// Checks again that the samples are well-formed, which the ledger guarantees, before a trainer
+    /// receives them.
     fn check_batch(self, pool: &PoolId, batch: &Batch) -> Result<(), EdgeError> {
         let broken = batch
             .samples
--- a/crates/nodes/wingshore-node/src/serve/trainer_errors.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer_errors.rs
@@ -1,11 +1,11 @@
-//! What a trainer is answered when the group behind its request refuses, answers something else or
-//! does not answer.
+//! Errors for trainers' requests whose group refuses, replies with an unexpected kind or does not
+//! reply.
 //!
-//! Question: which status and code, has the request run, and when is asking again worth while?
-//! Inputs: the group's refusal, or the error of the call with its verdict.
-//! Rule: a refusal did not run; it has a retry-after where time alone can change it, in the
-//! milliseconds that the ledger names where it names any. A call without an answer keeps the
-//! verdict of the call, and has a retry-after since every request of a trainer takes effect once.
+//! Decides the status, the code, whether the request ran and when to retry, from the group's
+//! refusal or from the error of the call with its verdict.
+//! A refused request did not run. It has a retry-after only if time alone can resolve the refusal,
+//! with the ledger's own value in milliseconds where it gives one. A call without a reply keeps the
+//! verdict of the call and has a retry-after, because every trainer request takes effect only once.
 
 use crate::http::EdgeError;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use wingshore_types::protocol::control::ControlRefusal;
 use wingshore_types::protocol::ledger::LedgerRefusal;
 
-/// Retry-after where the group names none: it did not answer, or does not know the pool yet.
+/// Retry-after where the group gives none: it did not reply, or does not know the pool yet.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The error for a refusal of the pool's ledger.
+/// Returns the error for a refusal by the pool's ledger.
 pub fn ledger_refusal(refusal: &LedgerRefusal) -> EdgeError {
     match refusal {
         LedgerRefusal::UnknownPool => EdgeError::not_run(
@@ -51,7 +51,7 @@
     }
 }
 
-/// The error for a refusal of the control group.
+/// Returns the error for a refusal by the control group.
 pub fn control_refusal(refusal: &ControlRefusal) -> EdgeError {
     match refusal {
         ControlRefusal::Invalid { message } => EdgeError::not_run(400, "invalid_request", message),
@@ -60,8 +60,8 @@
     }
 }
 
-/// The error for a call to a group that was not answered. Requests to groups are safe to repeat,
-/// so the caller learns when.
+/// Returns the error for a call to a group that got no reply. Group requests are safe to repeat, so
+/// the error has a retry-after.
 pub fn call_error(error: &CallError) -> EdgeError {
     EdgeError {
         status: 503,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The error for an answer of a kind that the request cannot have.
+/// Returns the error for a reply of a kind that does not match the request.
 pub fn unexpected<T: std::fmt::Debug>(reply: &T) -> EdgeError {
     EdgeError {
         status: 502,
