--- a/crates/nodes/wingshore-node/src/http/body_readers.rs
+++ b/crates/nodes/wingshore-node/src/http/body_readers.rs
@@ -1,7 +1,7 @@
 //! Reads bodies that may arrive slowly on dedicated threads, so that a slow caller never blocks a
 //! worker. The HTTP library has no read timeout.
 
-use crate::http::work::{Counted, EdgeHandler, Queues, Task};
+use crate::http::work::{EdgeHandler, InFlightRequest, Queues, Task};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
@@ -30,7 +30,7 @@
     /// Reads the body of a request, then queues the request for its workers. The reader thread
     /// itself answers requests with an invalid body, because dropping such a request blocks until
     /// the rest of its body has arrived.
-    pub(super) fn read(&self, mut counted: Counted, queues: &Arc<Queues>) {
+    pub(super) fn read(&self, mut in_flight_request: InFlightRequest, queues: &Arc<Queues>) {
         let before = self.reading.fetch_add(1, Ordering::SeqCst);
         let (limit, handler) = (self.limit, Arc::clone(&self.handler));
         let (reading, queues) = (Arc::clone(&self.reading), Arc::clone(queues));
@@ -38,10 +38,10 @@
         let reader = move || {
             if is_refused {
                 let refuse: Task = |handler, caller| handler.refuse_overload(caller);
-                counted.answer_by(handler.as_ref(), refuse);
+                in_flight_request.answer_with(handler.as_ref(), refuse);
             } else {
-                counted.caller.read_ahead(limit);
-                answer_or_hand_on(counted, handler.as_ref(), &queues);
+                in_flight_request.caller.read_ahead(limit);
+                answer_or_enqueue(in_flight_request, handler.as_ref(), &queues);
             }
             reading.fetch_sub(1, Ordering::SeqCst);
         };
@@ -51,11 +51,15 @@
     }
 }
 
-fn answer_or_hand_on(counted: Counted, handler: &dyn EdgeHandler, queues: &Queues) {
-    if counted.caller.may_keep_waiting() {
+fn answer_or_enqueue(
+    in_flight_request: InFlightRequest,
+    handler: &dyn EdgeHandler,
+    queues: &Queues,
+) {
+    if in_flight_request.caller.may_block() {
         let handle: Task = |handler, caller| handler.handle(caller);
-        counted.answer_by(handler, handle);
+        in_flight_request.answer_with(handler, handle);
     } else {
-        queues.add(counted);
+        queues.add(in_flight_request);
     }
 }
--- a/crates/nodes/wingshore-node/src/http/caller.rs
+++ b/crates/nodes/wingshore-node/src/http/caller.rs
@@ -16,7 +16,7 @@
 const MAX_DRAINED_BODY: u64 = 1 << 30;
 
 /// Largest body in bytes that the HTTP library reads together with the request head.
-const MAX_LIBRARY_BODY: u64 = 1024;
+const MAX_PREREAD_BODY: u64 = 1024;
 
 /// A request whose head was read and parsed.
 pub struct Caller {
@@ -24,7 +24,7 @@
     headers: HeaderList,
     route: Result<Route, RouteError>,
     length: Result<BodyLength, FramingError>,
-    body_read: bool,
+    is_body_read: bool,
     read_ahead: Option<Result<Vec<u8>, BodyError>>,
     connections: Arc<Connections>,
 }
@@ -50,7 +50,7 @@
             headers,
             route,
             length,
-            body_read: false,
+            is_body_read: false,
             read_ahead: None,
             connections: Arc::clone(connections),
         }
@@ -77,18 +77,18 @@
     }
 
     /// Returns whether the caller supports chunked encoding, which event streams need.
-    pub fn takes_chunks(&self) -> bool {
+    pub fn supports_chunks(&self) -> bool {
         *self.request.http_version() >= HTTPVersion(1, 1)
     }
 
     /// Returns whether reading the body or dropping the request may block on the caller. Small
     /// bodies never block: the HTTP library has read them together with the request head.
-    pub fn may_keep_waiting(&self) -> bool {
+    pub fn may_block(&self) -> bool {
         let is_expected = self.headers.first("expect").is_some();
         match self.length {
-            _ if self.body_read => false,
+            _ if self.is_body_read => false,
             Ok(BodyLength::Empty) => false,
-            Ok(BodyLength::Exact(length)) => length > MAX_LIBRARY_BODY || is_expected,
+            Ok(BodyLength::Exact(length)) => length > MAX_PREREAD_BODY || is_expected,
             Ok(BodyLength::Chunked) | Err(_) => true,
         }
     }
@@ -112,7 +112,7 @@
             self.drain_chunks(limit);
         }
         let body = read_body(self.request.as_reader(), length, limit)?;
-        self.body_read = true;
+        self.is_body_read = true;
         Ok(body)
     }
 
@@ -153,7 +153,7 @@
 
     fn may_be_drained(&self) -> bool {
         match self.length {
-            _ if self.body_read => true,
+            _ if self.is_body_read => true,
             Ok(BodyLength::Exact(length)) => length <= MAX_DRAINED_BODY,
             Ok(_) => true,
             // The library uses the first length that it can parse.
--- a/crates/nodes/wingshore-node/src/http/headers.rs
+++ b/crates/nodes/wingshore-node/src/http/headers.rs
@@ -12,7 +12,7 @@
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
 /// Headers that apply to a single connection and are never forwarded.
-const HOP_BY_HOP: &[&str] = &[
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "expect",
@@ -78,9 +78,9 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let kept = headers
-        .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !named.iter().any(|other| other == name));
+    let kept = headers.iter().filter(|(name, _)| {
+        !HOP_BY_HOP_HEADERS.contains(name) && !named.iter().any(|other| other == name)
+    });
     HeaderList::new(kept)
 }
 
@@ -122,7 +122,7 @@
 }
 
 fn parse_no_repeat(headers: &HeaderList) -> Result<Option<bool>, HeaderError> {
-    match single(headers, NO_REPEAT_HEADER)? {
+    match single_value(headers, NO_REPEAT_HEADER)? {
         None => Ok(None),
         Some("false") => Ok(Some(false)),
         Some("true") => Ok(Some(true)),
@@ -132,7 +132,7 @@
 
 fn parse_key(headers: &HeaderList) -> Result<Option<String>, HeaderError> {
     const ALLOWED: &str = "1 to 255 printable ASCII characters, once";
-    let Some(key) = single(headers, IDEMPOTENCY_HEADER)? else {
+    let Some(key) = single_value(headers, IDEMPOTENCY_HEADER)? else {
         return Ok(None);
     };
     let printable = key.bytes().all(|byte| (0x20..0x7f).contains(&byte));
@@ -143,7 +143,7 @@
 }
 
 fn parse_deadline(headers: &HeaderList) -> Result<Option<Duration>, HeaderError> {
-    let Some(found) = single(headers, DEADLINE_HEADER)? else {
+    let Some(found) = single_value(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
     match found.parse::<u64>() {
@@ -153,7 +153,7 @@
 }
 
 fn parse_priority(headers: &HeaderList) -> Result<i32, HeaderError> {
-    let Some(found) = single(headers, PRIORITY_HEADER)? else {
+    let Some(found) = single_value(headers, PRIORITY_HEADER)? else {
         return Ok(0);
     };
     found
@@ -162,7 +162,10 @@
 }
 
 /// Returns the value of a header that may occur once, or several times with the same value.
-fn single<'a>(headers: &'a HeaderList, name: &'static str) -> Result<Option<&'a str>, HeaderError> {
+fn single_value<'a>(
+    headers: &'a HeaderList,
+    name: &'static str,
+) -> Result<Option<&'a str>, HeaderError> {
     let mut values = headers.all(name);
     let Some(first) = values.next() else {
         return Ok(None);
--- a/crates/nodes/wingshore-node/src/http/listener.rs
+++ b/crates/nodes/wingshore-node/src/http/listener.rs
@@ -11,11 +11,11 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpListener};
 
 /// Offset of the source port in a TCP header, in bytes.
-const SOURCE_PORT: u32 = 0;
+const SOURCE_PORT_OFFSET: u32 = 0;
 /// Offset of the flags in a TCP header, in bytes.
-const FLAGS: u32 = 13;
+const FLAGS_OFFSET: u32 = 13;
 /// The SYN flag, set in packets that open a connection.
-const SYNCHRONIZE: u32 = 0x02;
+const SYN_FLAG: u32 = 0x02;
 
 /// BPF instruction: load 16 bits.
 const LOAD_HALF: u16 = 0x28;
@@ -28,7 +28,7 @@
 /// BPF instruction: return the number of bytes of the packet to keep.
 const RETURN: u16 = 0x06;
 /// Return value that keeps the whole packet.
-const WHOLE: u32 = u32::MAX;
+const KEEP_WHOLE_PACKET: u32 = u32::MAX;
 
 /// A second handle to a listening socket, used to stop listening.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
     /// # Errors
     /// Fails when a system call fails; the socket may then still be listening.
     pub fn close(self) -> io::Result<()> {
-        let address = reachable(self.listener.local_addr()?);
+        let address = reachable_address(self.listener.local_addr()?);
         let last = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         last.bind(&SockAddr::from(SocketAddr::new(address.ip(), 0)))?;
         let last_port = last.local_addr()?.as_socket().map_or(0, |own| own.port());
-        Socket::from(self.listener.try_clone()?).attach_filter(&only_from(last_port))?;
+        Socket::from(self.listener.try_clone()?).attach_filter(&syn_filter(last_port))?;
         self.listener.set_nonblocking(true)?;
         // Wakes a thread that is blocked in `accept`, after all other connections were accepted.
         last.connect(&SockAddr::from(address))
@@ -64,19 +64,19 @@
 }
 
 /// Returns a packet filter that drops connection requests unless they come from `port`.
-fn only_from(port: u16) -> [SockFilter; 6] {
+fn syn_filter(port: u16) -> [SockFilter; 6] {
     [
-        SockFilter::new(LOAD_BYTE, 0, 0, FLAGS),
-        SockFilter::new(JUMP_SET, 0, 3, SYNCHRONIZE),
-        SockFilter::new(LOAD_HALF, 0, 0, SOURCE_PORT),
+        SockFilter::new(LOAD_BYTE, 0, 0, FLAGS_OFFSET),
+        SockFilter::new(JUMP_SET, 0, 3, SYN_FLAG),
+        SockFilter::new(LOAD_HALF, 0, 0, SOURCE_PORT_OFFSET),
         SockFilter::new(JUMP_EQUAL, 1, 0, u32::from(port)),
         SockFilter::new(RETURN, 0, 0, 0),
-        SockFilter::new(RETURN, 0, 0, WHOLE),
+        SockFilter::new(RETURN, 0, 0, KEEP_WHOLE_PACKET),
     ]
 }
 
 /// Returns the address at which a socket bound to `address` is reachable from this machine.
-pub(super) fn reachable(address: SocketAddr) -> SocketAddr {
+pub(super) fn reachable_address(address: SocketAddr) -> SocketAddr {
     let ip = match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => Ipv4Addr::LOCALHOST.into(),
         IpAddr::V6(ip) if ip.is_unspecified() => Ipv6Addr::LOCALHOST.into(),
--- a/crates/nodes/wingshore-node/src/http/open_connections.rs
+++ b/crates/nodes/wingshore-node/src/http/open_connections.rs
@@ -4,14 +4,14 @@
 use std::fs;
 
 /// The kernel's connection tables for IPv4 and IPv6.
-const TABLES: [&str; 2] = ["/proc/self/net/tcp", "/proc/self/net/tcp6"];
+const CONNECTION_TABLES: [&str; 2] = ["/proc/self/net/tcp", "/proc/self/net/tcp6"];
 /// Kernel code of the state ESTABLISHED: neither side has closed the connection.
 const ESTABLISHED: &str = "01";
 
 /// Returns the number of connections accepted at `port` that neither side has closed; 0 where the
 /// system has no such tables.
 pub fn open_connections(port: u16) -> usize {
-    let tables = TABLES
+    let tables = CONNECTION_TABLES
         .iter()
         .filter_map(|path| fs::read_to_string(path).ok());
     tables.map(|table| established_at(port, &table)).sum()
--- a/crates/nodes/wingshore-node/src/http/respond.rs
+++ b/crates/nodes/wingshore-node/src/http/respond.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use wingshore_types::{ErrorBody, ErrorDetail, Verdict};
 
-const MILLISECONDS: u64 = 1000;
+const MILLISECONDS_PER_SECOND: u64 = 1000;
 
 /// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -102,7 +102,7 @@
         let answer = EdgeAnswer::json(self.status, &self.body());
         match self.retry_after {
             Some(after) => {
-                let seconds = (after.as_millis() as u64).div_ceil(MILLISECONDS);
+                let seconds = (after.as_millis() as u64).div_ceil(MILLISECONDS_PER_SECOND);
                 answer.with_header("Retry-After", &seconds.to_string())
             }
             None => answer,
--- a/crates/nodes/wingshore-node/src/http/route.rs
+++ b/crates/nodes/wingshore-node/src/http/route.rs
@@ -70,9 +70,9 @@
         ["healthz"] => ("GET", Route::Health),
         ["readyz"] => ("GET", Route::Ready),
         ["metrics"] => ("GET", Route::Metrics),
-        ["v1", rest @ ..] => ("POST", parse_version_one(path, rest)?),
+        ["v1", rest @ ..] => ("POST", parse_v1_route(path, rest)?),
         ["" | "." | ".."] | ["" | "." | "..", ..] => return NotFoundSnafu { path }.fail(),
-        [service, ..] => return Ok(forward(service, target)),
+        [service, ..] => return Ok(forward_route(service, target)),
         [] => return NotFoundSnafu { path }.fail(),
     };
     if method != allowed {
@@ -81,7 +81,7 @@
     Ok(route)
 }
 
-fn parse_version_one(path: &str, elements: &[&str]) -> Result<Route, RouteError> {
+fn parse_v1_route(path: &str, elements: &[&str]) -> Result<Route, RouteError> {
     match elements {
         ["completions"] => Ok(Route::Completions),
         ["pools", pool, "samples"] => Ok(Route::Submit(PoolId::new(pool))),
@@ -105,7 +105,7 @@
 
 /// Returns the route to a live service. The part after the service id is passed on unchanged, query
 /// included.
-fn forward(service: &str, target: &str) -> Route {
+fn forward_route(service: &str, target: &str) -> Route {
     let rest = target.get(1 + service.len()..).unwrap_or_default();
     let target = if rest.starts_with('/') {
         rest.to_owned()
--- a/crates/nodes/wingshore-node/src/http/server.rs
+++ b/crates/nodes/wingshore-node/src/http/server.rs
@@ -2,9 +2,9 @@
 
 use crate::http::body_readers::BodyReaders;
 use crate::http::connections::Connections;
-use crate::http::listener::{ListenerHandle, reachable};
+use crate::http::listener::{ListenerHandle, reachable_address};
 use crate::http::open_connections::open_connections;
-use crate::http::work::{Counted, EdgeHandler, Queues};
+use crate::http::work::{EdgeHandler, InFlightRequest, Queues};
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -21,12 +21,12 @@
 /// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between two checks of the requests in flight during shutdown.
-const STOP_POLL: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The server closes once it had neither a connection nor a request for this time.
-const CLOSE_QUIET: Duration = Duration::from_millis(50);
+const CLOSE_IDLE_TIME: Duration = Duration::from_millis(50);
 /// Time limit for callers to use each kept-alive connection once more, which tells them that it
 /// closes. A request on a connection that stayed unused for longer may be cut off.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running HTTP server. Stopped by [`EdgeServer::drain`], then [`EdgeServer::close`].
 pub struct EdgeServer {
@@ -61,7 +61,7 @@
         let in_flight = Arc::new(AtomicUsize::new(0));
         let mut threads = Vec::new();
         let queues = Queues::start(settings.workers, &handler, &mut threads)?;
-        let (nudger, nudger_thread) = Nudger::start(reachable(address))?;
+        let (nudger, nudger_thread) = Nudger::start(reachable_address(address))?;
         let acceptor = Acceptor {
             server: Arc::clone(&server),
             connections: Arc::clone(&connections),
@@ -95,13 +95,13 @@
     /// returns.
     pub fn drain(&self, grace: Duration) -> usize {
         self.connections.close_after_answers();
-        let give_up = Instant::now() + grace;
+        let deadline = Instant::now() + grace;
         loop {
             let left = self.in_flight.load(Ordering::SeqCst);
-            if left == 0 || Instant::now() >= give_up {
+            if left == 0 || Instant::now() >= deadline {
                 return left;
             }
-            thread::sleep(STOP_POLL);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 
@@ -112,7 +112,7 @@
     pub fn close(mut self) -> io::Result<()> {
         self.connections.close_after_answers();
         let closed = self.listener.close();
-        let is_idle = wait_until_quiet(self.address.port(), &self.in_flight);
+        let is_idle = wait_until_idle(self.address.port(), &self.in_flight);
         self.server.unblock();
         if let Some(acceptor) = self.acceptor.take() {
             // The acceptor returns nothing, and the panic hook has already reported a panic.
@@ -148,19 +148,19 @@
 }
 
 /// Waits until callers have closed their connections and no request was in flight for
-/// [`CLOSE_QUIET`], at most for [`CLOSE_LIMIT`]. Returns whether no request is in flight.
-fn wait_until_quiet(port: u16, in_flight: &AtomicUsize) -> bool {
-    let give_up = Instant::now() + CLOSE_LIMIT;
-    let mut quiet_since = Instant::now();
+/// [`CLOSE_IDLE_TIME`], at most for [`CLOSE_TIMEOUT`]. Returns whether no request is in flight.
+fn wait_until_idle(port: u16, in_flight: &AtomicUsize) -> bool {
+    let deadline = Instant::now() + CLOSE_TIMEOUT;
+    let mut idle_since = Instant::now();
     loop {
         let is_idle = in_flight.load(Ordering::SeqCst) == 0;
         if !is_idle || open_connections(port) > 0 {
-            quiet_since = Instant::now();
+            idle_since = Instant::now();
         }
-        if quiet_since.elapsed() >= CLOSE_QUIET || Instant::now() >= give_up {
+        if idle_since.elapsed() >= CLOSE_IDLE_TIME || Instant::now() >= deadline {
             return is_idle;
         }
-        thread::sleep(STOP_POLL);
+        thread::sleep(STOP_POLL_INTERVAL);
     }
 }
 
@@ -178,7 +178,7 @@
     fn run(self) {
         loop {
             match self.server.recv() {
-                Ok(request) => self.take(request),
+                Ok(request) => self.dispatch(request),
                 // Listening has stopped; open connections are still served.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 // `unblock` makes `recv` fail.
@@ -187,13 +187,13 @@
         }
     }
 
-    fn take(&self, request: Request) {
+    fn dispatch(&self, request: Request) {
         self.nudger.on_request(request.remote_addr());
-        let counted = Counted::new(request, &self.connections, &self.in_flight);
-        if counted.caller.may_keep_waiting() {
-            self.body_readers.read(counted, &self.queues);
+        let in_flight_request = InFlightRequest::new(request, &self.connections, &self.in_flight);
+        if in_flight_request.caller.may_block() {
+            self.body_readers.read(in_flight_request, &self.queues);
         } else {
-            self.queues.add(counted);
+            self.queues.add(in_flight_request);
         }
     }
 }
--- a/crates/nodes/wingshore-node/src/http/work.rs
+++ b/crates/nodes/wingshore-node/src/http/work.rs
@@ -13,7 +13,7 @@
 use tiny_http::Request;
 
 /// Number of threads of the status group and of the refusal group, each.
-const SMALL_GROUP: usize = 4;
+const SMALL_GROUP_THREADS: usize = 4;
 
 /// Kind of work; each kind has its own workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,12 +50,12 @@
 }
 
 /// A request that is counted as in flight from its arrival until its answer is complete.
-pub(super) struct Counted {
+pub(super) struct InFlightRequest {
     pub(super) caller: Caller,
     in_flight: Arc<AtomicUsize>,
 }
 
-impl Counted {
+impl InFlightRequest {
     /// Counts `request` in `in_flight` and parses its head.
     pub(super) fn new(
         request: Request,
@@ -70,7 +70,7 @@
     }
 
     /// Answers the request with `task`. The panic hook reports a panic; the thread continues.
-    pub(super) fn answer_by(self, handler: &dyn EdgeHandler, task: Task) {
+    pub(super) fn answer_with(self, handler: &dyn EdgeHandler, task: Task) {
         let Self { caller, in_flight } = self;
         let _ = catch_unwind(AssertUnwindSafe(|| task(handler, caller)));
         in_flight.fetch_sub(1, Ordering::SeqCst);
@@ -81,11 +81,11 @@
 
 /// One queue per worker group; its capacity is the number of threads in the group.
 pub(super) struct Queues {
-    forward: Sender<Counted>,
-    completion: Sender<Counted>,
-    trainer: Sender<Counted>,
-    status: Sender<Counted>,
-    refusal: Sender<Counted>,
+    forward: Sender<InFlightRequest>,
+    completion: Sender<InFlightRequest>,
+    trainer: Sender<InFlightRequest>,
+    status: Sender<InFlightRequest>,
+    refusal: Sender<InFlightRequest>,
 }
 
 impl Queues {
@@ -106,22 +106,24 @@
             forward: group("forward", workers, handle)?,
             completion: group("completion", workers, handle)?,
             trainer: group("trainer", workers, handle)?,
-            status: group("status", SMALL_GROUP, handle)?,
-            refusal: group("refusal", SMALL_GROUP, refuse)?,
+            status: group("status", SMALL_GROUP_THREADS, handle)?,
+            refusal: group("refusal", SMALL_GROUP_THREADS, refuse)?,
         })
     }
 
     /// Queues a request for its worker group, or for refusal if that queue is full.
-    pub(super) fn add(&self, counted: Counted) {
-        let kind = WorkKind::of(&counted.caller);
-        if let Err(TrySendError::Full(counted)) = self.of(kind).try_send(counted) {
+    pub(super) fn add(&self, in_flight_request: InFlightRequest) {
+        let kind = WorkKind::of(&in_flight_request.caller);
+        if let Err(TrySendError::Full(in_flight_request)) =
+            self.sender_for(kind).try_send(in_flight_request)
+        {
             // Blocks the calling thread while the refusal queue is full, which slows down an overload at
             // its source.
-            let _ = self.refusal.send(counted);
+            let _ = self.refusal.send(in_flight_request);
         }
     }
 
-    fn of(&self, kind: WorkKind) -> &Sender<Counted> {
+    fn sender_for(&self, kind: WorkKind) -> &Sender<InFlightRequest> {
         match kind {
             WorkKind::Forward => &self.forward,
             WorkKind::Completion => &self.completion,
@@ -137,21 +139,21 @@
     task: Task,
     handler: &Arc<dyn EdgeHandler>,
     threads: &mut Vec<JoinHandle<()>>,
-) -> io::Result<Sender<Counted>> {
+) -> io::Result<Sender<InFlightRequest>> {
     let (sender, receiver) = bounded(size);
     for number in 0..size {
         let receiver = receiver.clone();
         let handler = Arc::clone(handler);
         let thread = thread::Builder::new()
             .name(format!("{name}-{number}"))
-            .spawn(move || work(&receiver, handler.as_ref(), task))?;
+            .spawn(move || run_worker(&receiver, handler.as_ref(), task))?;
         threads.push(thread);
     }
     Ok(sender)
 }
 
-fn work(receiver: &Receiver<Counted>, handler: &dyn EdgeHandler, task: Task) {
-    while let Ok(counted) = receiver.recv() {
-        counted.answer_by(handler, task);
+fn run_worker(receiver: &Receiver<InFlightRequest>, handler: &dyn EdgeHandler, task: Task) {
+    while let Ok(in_flight_request) = receiver.recv() {
+        in_flight_request.answer_with(handler, task);
     }
 }
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -54,7 +54,7 @@
     let intake = take_in(node, caller)?;
     let request = CompletionRequest::parse(&intake.body)
         .map_err(|error| EdgeError::not_run(400, "invalid_request", error))?;
-    if request.stream && !caller.takes_chunks() {
+    if request.stream && !caller.supports_chunks() {
         let message = "streams need HTTP/1.1";
         return Err(EdgeError::not_run(400, "invalid_request", message));
     }
