--- a/crates/nodes/wingshore-node/src/serve/completion_answer.rs
+++ b/crates/nodes/wingshore-node/src/serve/completion_answer.rs
@@ -7,7 +7,7 @@
 use wingshore_types::{Generation, Segment, Token, WeightVersion};
 
 /// Object type, as in the OpenAI API.
-const OBJECT: &str = "text_completion";
+const OBJECT_TYPE: &str = "text_completion";
 
 /// Fields that all answers to one request share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -26,7 +26,7 @@
             .map_or(0, |since| since.as_secs());
         Self {
             id,
-            object: OBJECT,
+            object: OBJECT_TYPE,
             created,
             model,
         }
--- a/crates/nodes/wingshore-node/src/serve/completions.rs
+++ b/crates/nodes/wingshore-node/src/serve/completions.rs
@@ -4,8 +4,8 @@
 use crate::serve::completion_answer::{CompletionBody, CompletionHead};
 use crate::serve::completion_request::{CompletionRequest, CompletionTarget};
 use crate::serve::execute::{AttemptResult, Attempts, execute};
-use crate::serve::intake::{Intake, take_in};
-use crate::serve::whole_answer::{internal, kept_answer, replayed};
+use crate::serve::intake::{ReceivedRequest, read_request};
+use crate::serve::whole_answer::{internal_error, replayed_answer, storable_answer};
 use crate::state::NodeState;
 use crate::upstream::{EngineAttempt, EngineEnd, InterruptibleClient, ServerAnswer};
 use std::ops::ControlFlow;
@@ -26,7 +26,7 @@
 /// Path used in the fingerprints of completions with an idempotency key.
 const PATH: &str = "/v1/completions";
 /// Last event of a complete stream.
-const DONE: &str = "[DONE]";
+const DONE_EVENT: &str = "[DONE]";
 
 /// Serves `POST /v1/completions`.
 pub fn serve(node: &NodeState, mut caller: Caller) {
@@ -43,16 +43,16 @@
 }
 
 /// A validated request that is ready for execution.
-struct Prepared {
+struct PreparedRequest {
     request: CompletionRequest,
     model: String,
     priority: i32,
     specification: RequestSpecification,
 }
 
-fn prepare(node: &NodeState, caller: &mut Caller) -> Result<Prepared, EdgeError> {
-    let intake = take_in(node, caller)?;
-    let request = CompletionRequest::parse(&intake.body)
+fn prepare(node: &NodeState, caller: &mut Caller) -> Result<PreparedRequest, EdgeError> {
+    let received = read_request(node, caller)?;
+    let request = CompletionRequest::parse(&received.body)
         .map_err(|error| EdgeError::not_run(400, "invalid_request", error))?;
     if request.stream && !caller.supports_chunks() {
         let message = "streams need HTTP/1.1";
@@ -60,10 +60,10 @@
     }
     let configuration = node.configuration();
     let (service, model) = find_service(&configuration, &request.target)?;
-    Ok(Prepared {
-        specification: specification(node, &intake, service, &request),
+    Ok(PreparedRequest {
+        specification: specification(node, &received, service, &request),
         model: model.to_owned(),
-        priority: intake.headers.priority,
+        priority: received.headers.priority,
         request,
     })
 }
@@ -102,7 +102,7 @@
 
 fn specification(
     node: &NodeState,
-    intake: &Intake,
+    received: &ReceivedRequest,
     service: &Service,
     request: &CompletionRequest,
 ) -> RequestSpecification {
@@ -112,19 +112,19 @@
         class: Class::Live,
         prefix_hash: Some(hash_tokens(&request.prompt)),
         tokens_estimate: request.prompt.len() as u32,
-        deadline: node.clock.now() + intake.deadline(default),
-        no_repeat: intake.headers.no_repeat.unwrap_or(false),
+        deadline: node.clock.now() + received.deadline(default),
+        no_repeat: received.headers.no_repeat.unwrap_or(false),
         excluded: Vec::new(),
         oldest_useful: None,
     };
     RequestSpecification {
         route,
-        claim: intake.claim(node, &service.id, "POST", PATH),
+        claim: received.claim(node, &service.id, "POST", PATH),
     }
 }
 
 /// Executes and answers the request. Returns the code for the metrics.
-fn complete(node: &NodeState, caller: Caller, prepared: Prepared) -> String {
+fn complete(node: &NodeState, caller: Caller, prepared: PreparedRequest) -> String {
     let id = node.next_engine_request_id();
     let mut attempts = CompletionAttempts {
         node,
@@ -133,8 +133,8 @@
         request: prepared.request,
         model: prepared.model,
         priority: prepared.priority,
-        keeps_answer: prepared.specification.claim.is_some(),
-        output: Output::Waiting(Box::new(caller)),
+        stores_answer: prepared.specification.claim.is_some(),
+        output: Output::NotStarted(Box::new(caller)),
         generation: Generation::default(),
         finished: None,
         rejected: None,
@@ -150,11 +150,11 @@
 /// Progress of the answer to the caller.
 enum Output {
     /// Nothing has been written yet.
-    Waiting(Box<Caller>),
+    NotStarted(Box<Caller>),
     /// The head of an event stream has been written.
     Streaming(EventStream),
     /// The caller has disconnected.
-    Gone,
+    Disconnected,
 }
 
 /// Runs attempts at engines. An attempt after a failed one resumes from the tokens received so far
@@ -166,7 +166,7 @@
     model: String,
     priority: i32,
     seed: u64,
-    keeps_answer: bool,
+    stores_answer: bool,
     output: Output,
     generation: Generation,
     finished: Option<(FinishReason, Usage)>,
@@ -196,7 +196,7 @@
                 AttemptResult::Ended(AttemptEnd::Answered {
                     status: 200,
                     body: AnswerBody::Complete,
-                    stored_answer: self.kept(reason, usage),
+                    stored_answer: self.answer_to_store(reason, usage),
                 })
             }
             EngineEnd::Rejected(answer) => {
@@ -247,7 +247,7 @@
         match serde_json::to_string(&event) {
             Ok(event) if self.write_event(&event).is_ok() => ControlFlow::Continue(()),
             _ => {
-                self.output = Output::Gone;
+                self.output = Output::Disconnected;
                 ControlFlow::Break(())
             }
         }
@@ -255,26 +255,30 @@
 
     /// Writes an event; before the first event, also the head of the stream.
     fn write_event(&mut self, event: &str) -> std::io::Result<()> {
-        if let Output::Waiting(_) = self.output {
+        if let Output::NotStarted(_) = self.output {
             let server = self.server.as_ref().map_or("", ServerId::as_str);
             let headers = [(SERVER_HEADER, server)];
-            if let Output::Waiting(caller) = std::mem::replace(&mut self.output, Output::Gone) {
+            if let Output::NotStarted(caller) =
+                std::mem::replace(&mut self.output, Output::Disconnected)
+            {
                 self.output = Output::Streaming(caller.into_event_stream(&headers)?);
             }
         }
         match &mut self.output {
             Output::Streaming(stream) => stream.event(event),
-            Output::Waiting(_) | Output::Gone => Err(std::io::ErrorKind::BrokenPipe.into()),
+            Output::NotStarted(_) | Output::Disconnected => {
+                Err(std::io::ErrorKind::BrokenPipe.into())
+            }
         }
     }
 
-    fn kept(&self, reason: FinishReason, usage: Usage) -> Option<StoredAnswer> {
-        if !self.keeps_answer || self.request.stream {
+    fn answer_to_store(&self, reason: FinishReason, usage: Usage) -> Option<StoredAnswer> {
+        if !self.stores_answer || self.request.stream {
             return None;
         }
         let body = CompletionBody::whole(&self.head, &self.generation, reason, usage);
         let body = serde_json::to_vec(&body).ok()?;
-        kept_answer(200, "application/json", &body)
+        storable_answer(200, "application/json", &body)
     }
 
     /// Sends the final answer to the caller. Returns the code for the metrics.
@@ -284,13 +288,14 @@
                 (Some(rejected), _) => self.answer_rejection(&rejected),
                 (None, Some((reason, usage))) => self.answer_success(reason, usage),
                 (None, None) => {
-                    let error = internal(self.node, "a completion ended without its final event");
+                    let error =
+                        internal_error(self.node, "a completion ended without its final event");
                     self.answer_error(&error)
                 }
             },
-            FinalAnswer::Replay(kept) => {
-                if let Output::Waiting(caller) = self.output {
-                    caller.respond(replayed(kept));
+            FinalAnswer::Replay(stored) => {
+                if let Output::NotStarted(caller) = self.output {
+                    caller.respond(replayed_answer(stored));
                 }
                 "ok".to_owned()
             }
@@ -310,7 +315,7 @@
         if let Some(server) = &self.server {
             answer = answer.with_header(SERVER_HEADER, server.as_str());
         }
-        if let Output::Waiting(caller) = self.output {
+        if let Output::NotStarted(caller) = self.output {
             caller.respond(answer);
         }
         "ok".to_owned()
@@ -320,10 +325,10 @@
         let end = CompletionBody::end(&self.head, reason, usage);
         let end = serde_json::to_string(&end).map_err(std::io::Error::other)?;
         self.write_event(&end)?;
-        self.write_event(DONE)?;
-        match std::mem::replace(&mut self.output, Output::Gone) {
+        self.write_event(DONE_EVENT)?;
+        match std::mem::replace(&mut self.output, Output::Disconnected) {
             Output::Streaming(stream) => stream.finish(),
-            Output::Waiting(_) | Output::Gone => Ok(()),
+            Output::NotStarted(_) | Output::Disconnected => Ok(()),
         }
     }
 
@@ -345,13 +350,13 @@
     /// event, without `[DONE]`.
     fn answer_error(self, error: &EdgeError) -> String {
         match self.output {
-            Output::Waiting(caller) => caller.respond(error.answer()),
+            Output::NotStarted(caller) => caller.respond(error.answer()),
             Output::Streaming(mut stream) => {
                 let event = serde_json::to_string(&error.body()).unwrap_or_default();
                 // A failed write is ignored: the caller has disconnected.
                 let _ = stream.event(&event).and_then(|()| stream.finish());
             }
-            Output::Gone => {}
+            Output::Disconnected => {}
         }
         error.code.clone()
     }
--- a/crates/nodes/wingshore-node/src/serve/edge.rs
+++ b/crates/nodes/wingshore-node/src/serve/edge.rs
@@ -10,7 +10,7 @@
 
 /// Retry-after of a node whose workers are all busy.
 const RETRY_AFTER_OVERLOAD: Duration = Duration::from_millis(100);
-const NANOSECONDS_OF_MILLISECOND: u128 = 1_000_000;
+const NANOSECONDS_PER_MILLISECOND: u128 = 1_000_000;
 
 /// Serves the HTTP requests of a node's callers.
 pub struct NodeEdge {
@@ -38,7 +38,7 @@
         let ejected = self.node.router().ejected();
         self.node.metrics.servers_ejected.set(ejected as i64);
         // Rounded up, so that 0 is shown only after the lease has expired.
-        let milliseconds = lease_left.as_nanos().div_ceil(NANOSECONDS_OF_MILLISECOND);
+        let milliseconds = lease_left.as_nanos().div_ceil(NANOSECONDS_PER_MILLISECOND);
         self.node
             .metrics
             .configuration_lease_ms
--- a/crates/nodes/wingshore-node/src/serve/execute.rs
+++ b/crates/nodes/wingshore-node/src/serve/execute.rs
@@ -53,7 +53,7 @@
                 ExecutionOutput::Claim { group, request } => {
                     inputs.push_back(claim(node, group, request, deadline));
                 }
-                ExecutionOutput::Send(send) => inputs.push_back(make(node, &send, attempts)),
+                ExecutionOutput::Send(send) => inputs.push_back(run_attempt(node, &send, attempts)),
                 ExecutionOutput::WaitUntil(instant) => {
                     std::thread::sleep(node.clock.time_left(instant));
                     inputs.push_back(ExecutionInput::Tick);
@@ -95,7 +95,11 @@
 
 /// Runs one attempt. Checks the lease again immediately before sending, because the process may
 /// have been suspended since the server was chosen.
-fn make(node: &NodeState, send: &SendAttempt, attempts: &mut dyn Attempts) -> ExecutionInput {
+fn run_attempt(
+    node: &NodeState,
+    send: &SendAttempt,
+    attempts: &mut dyn Attempts,
+) -> ExecutionInput {
     let attempt = send.attempt;
     if let Err(refusal) = node.holds_configuration(node.clock.now()) {
         let failure = AttemptFailure {
--- a/crates/nodes/wingshore-node/src/serve/forward.rs
+++ b/crates/nodes/wingshore-node/src/serve/forward.rs
@@ -2,8 +2,10 @@
 
 use crate::http::{Caller, EdgeAnswer, EdgeError, HeaderList, without_hop_by_hop};
 use crate::serve::execute::{AttemptResult, Attempts, execute};
-use crate::serve::intake::{Intake, take_in};
-use crate::serve::whole_answer::{internal, kept_answer, replayed, serve_whole};
+use crate::serve::intake::{ReceivedRequest, read_request};
+use crate::serve::whole_answer::{
+    internal_error, replayed_answer, serve_buffered, storable_answer,
+};
 use crate::state::NodeState;
 use crate::upstream::{Connections, ServerAnswer, ServerReply, UpstreamRequest, failure_of};
 use std::time::Duration;
@@ -23,7 +25,7 @@
 
 /// Forwards a request to a server of `service`.
 pub fn serve(node: &NodeState, caller: Caller, service: ServiceId, target: &str) {
-    serve_whole(node, KIND, caller, |caller| {
+    serve_buffered(node, KIND, caller, |caller| {
         forward(node, caller, service, target)
     });
 }
@@ -34,7 +36,7 @@
     id: ServiceId,
     target: &str,
 ) -> Result<EdgeAnswer, EdgeError> {
-    let intake = take_in(node, caller)?;
+    let received = read_request(node, caller)?;
     let configuration = node.configuration();
     let service = configuration
         .services
@@ -47,22 +49,22 @@
             format!("service `{id}` has engines; use /v1/completions"),
         ));
     }
-    let specification = specification(node, &intake, service, caller.method(), target);
+    let specification = specification(node, &received, service, caller.method(), target);
     let mut attempts = ForwardAttempts {
         node,
         method: caller.method(),
         target,
         headers: without_hop_by_hop(caller.headers()),
-        body: &intake.body,
-        keeps_answer: specification.claim.is_some(),
-        answered: None,
+        body: &received.body,
+        stores_answer: specification.claim.is_some(),
+        last_answer: None,
     };
     let answer = execute(node, KIND, specification, &mut attempts);
     match answer {
-        Some(FinalAnswer::Forward { .. }) => forwarded(node, attempts.answered),
-        Some(FinalAnswer::Replay(kept)) => Ok(replayed(kept)),
+        Some(FinalAnswer::Forward { .. }) => forwarded_answer(node, attempts.last_answer),
+        Some(FinalAnswer::Replay(stored)) => Ok(replayed_answer(stored)),
         Some(FinalAnswer::Error(error)) => Err(error.into()),
-        None => Err(internal(
+        None => Err(internal_error(
             node,
             "a forwarded request ended without an answer",
         )),
@@ -71,7 +73,7 @@
 
 fn specification(
     node: &NodeState,
-    intake: &Intake,
+    received: &ReceivedRequest,
     service: &Service,
     method: &str,
     target: &str,
@@ -83,14 +85,14 @@
         class: Class::Live,
         prefix_hash: None,
         tokens_estimate: 0,
-        deadline: node.clock.now() + intake.deadline(default),
-        no_repeat: intake.headers.no_repeat.unwrap_or(!is_safe),
+        deadline: node.clock.now() + received.deadline(default),
+        no_repeat: received.headers.no_repeat.unwrap_or(!is_safe),
         excluded: Vec::new(),
         oldest_useful: None,
     };
     RequestSpecification {
         route,
-        claim: intake.claim(node, &service.id, method, target),
+        claim: received.claim(node, &service.id, method, target),
     }
 }
 
@@ -101,8 +103,8 @@
     target: &'a str,
     headers: HeaderList,
     body: &'a [u8],
-    keeps_answer: bool,
-    answered: Option<(ServerId, ServerAnswer)>,
+    stores_answer: bool,
+    last_answer: Option<(ServerId, ServerAnswer)>,
 }
 
 impl Attempts for ForwardAttempts<'_> {
@@ -150,28 +152,28 @@
         let end = AttemptEnd::Answered {
             status: answer.status,
             body,
-            stored_answer: self.kept(&answer),
+            stored_answer: self.answer_to_store(&answer),
         };
-        self.answered = Some((send.server.clone(), answer));
+        self.last_answer = Some((send.server.clone(), answer));
         end
     }
 
-    fn kept(&self, answer: &ServerAnswer) -> Option<StoredAnswer> {
-        if !self.keeps_answer {
+    fn answer_to_store(&self, answer: &ServerAnswer) -> Option<StoredAnswer> {
+        if !self.stores_answer {
             return None;
         }
         let content_type = answer.headers.first("content-type");
         let content_type = content_type.unwrap_or(DEFAULT_CONTENT_TYPE);
-        kept_answer(answer.status, content_type, &answer.body)
+        storable_answer(answer.status, content_type, &answer.body)
     }
 }
 
-fn forwarded(
+fn forwarded_answer(
     node: &NodeState,
-    answered: Option<(ServerId, ServerAnswer)>,
+    last_answer: Option<(ServerId, ServerAnswer)>,
 ) -> Result<EdgeAnswer, EdgeError> {
-    let Some((server, answer)) = answered else {
-        return Err(internal(
+    let Some((server, answer)) = last_answer else {
+        return Err(internal_error(
             node,
             "an attempt was to be forwarded that has no answer",
         ));
--- a/crates/nodes/wingshore-node/src/serve/intake.rs
+++ b/crates/nodes/wingshore-node/src/serve/intake.rs
@@ -11,7 +11,7 @@
 
 /// A request with a complete body and valid headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Intake {
+pub struct ReceivedRequest {
     /// Wingshore's own headers.
     pub headers: CallerHeaders,
     /// Body.
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// Names what is wrong with the request. Nothing of it was forwarded.
-pub fn take_in(node: &NodeState, caller: &mut Caller) -> Result<Intake, EdgeError> {
+pub fn read_request(node: &NodeState, caller: &mut Caller) -> Result<ReceivedRequest, EdgeError> {
     let length = match caller.length() {
         Ok(length) => *length,
         Err(error) => return Err(EdgeError::not_run(400, "bad_length", error)),
@@ -33,10 +33,10 @@
     let body = caller
         .read_body(length, node.settings.http.max_request_body)
         .map_err(|error| body_error(&error))?;
-    Ok(Intake { headers, body })
+    Ok(ReceivedRequest { headers, body })
 }
 
-impl Intake {
+impl ReceivedRequest {
     /// Returns the claim for the caller's idempotency key, or `None` if the request has no key.
     pub fn claim(
         &self,
--- a/crates/nodes/wingshore-node/src/serve/trainer.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer.rs
@@ -7,9 +7,9 @@
 
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError};
-use crate::serve::intake::{Intake, take_in};
-use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected};
-use crate::serve::whole_answer::serve_whole;
+use crate::serve::intake::{ReceivedRequest, read_request};
+use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected_reply};
+use crate::serve::whole_answer::serve_buffered;
 use crate::state::NodeState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -34,7 +34,7 @@
 /// Time allowed for a pull in addition to its requested wait.
 const PULL_MARGIN: Duration = Duration::from_secs(5);
 /// Time allowed for the remaining parts of a large batch when the caller sets no deadline.
-const PARTS_TIME: Duration = Duration::from_secs(30);
+const BATCH_PARTS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A trainer's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 /// Serves a trainer's request.
 pub fn serve(handler: TrainerHandler<'_>, caller: Caller, request: TrainerRequest) {
-    serve_whole(handler.node, KIND, caller, |caller| {
+    serve_buffered(handler.node, KIND, caller, |caller| {
         answer(handler, caller, request)
     });
 }
@@ -77,32 +77,37 @@
     caller: &mut Caller,
     request: TrainerRequest,
 ) -> Result<EdgeAnswer, EdgeError> {
-    let intake = take_in(handler.node, caller)?;
+    let received = read_request(handler.node, caller)?;
     match request {
-        TrainerRequest::Submit(pool) => handler.submit(&intake, &pool),
-        TrainerRequest::Pull(pool, step) => handler.pull(&intake, &pool, step),
-        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&intake, &pool, step),
-        TrainerRequest::Publish(pool) => handler.publish(&intake, &pool),
+        TrainerRequest::Submit(pool) => handler.submit(&received, &pool),
+        TrainerRequest::Pull(pool, step) => handler.pull(&received, &pool, step),
+        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&received, &pool, step),
+        TrainerRequest::Publish(pool) => handler.publish(&received, &pool),
     }
 }
 
 impl TrainerHandler<'_> {
-    fn submit(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
-        let body: SubmitRequest = parse(&intake.body)?;
+    fn submit(self, received: &ReceivedRequest, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
+        let body: SubmitRequest = parse(&received.body)?;
         let request = LedgerRequest::Submit {
             pool: pool.clone(),
             prompts: body.prompts,
         };
-        match self.ask_ledger(pool, request, intake.deadline(DEFAULT_TIMEOUT))? {
+        match self.ask_ledger(pool, request, received.deadline(DEFAULT_TIMEOUT))? {
             LedgerReply::Submitted { added, known } => {
                 Ok(EdgeAnswer::json(200, &SubmitReply { added, known }))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    fn pull(self, intake: &Intake, pool: &PoolId, step: StepId) -> Result<EdgeAnswer, EdgeError> {
-        let body: PullBody = parse(&intake.body)?;
+    fn pull(
+        self,
+        received: &ReceivedRequest,
+        pool: &PoolId,
+        step: StepId,
+    ) -> Result<EdgeAnswer, EdgeError> {
+        let body: PullBody = parse(&received.body)?;
         let began = Instant::now();
         let wait = Duration::from_millis(body.wait_ms).min(MAX_PULL_WAIT);
         let trainer = body.trainer.clone();
@@ -116,26 +121,26 @@
                 wait_ms: wait.as_millis() as u64,
             },
         };
-        let give_up_at = began + intake.deadline(wait + PULL_MARGIN + PARTS_TIME);
-        match self.ask_ledger(pool, request, intake.deadline(wait + PULL_MARGIN))? {
+        let batch_deadline = began + received.deadline(wait + PULL_MARGIN + BATCH_PARTS_TIMEOUT);
+        match self.ask_ledger(pool, request, received.deadline(wait + PULL_MARGIN))? {
             LedgerReply::Batch(first) => {
-                let batch = self.whole_batch(pool, &trainer, *first, give_up_at)?;
+                let batch = self.complete_batch(pool, &trainer, *first, batch_deadline)?;
                 self.check_batch(pool, &batch)?;
                 self.node.metrics.on_delivered(&batch, began.elapsed());
                 Ok(EdgeAnswer::json(200, &batch_body(batch)))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
     /// Fetches the remaining parts of a large batch. The ledger reads each part from what it
     /// recorded at the hand-over, so a pull that fails in between may be repeated.
-    fn whole_batch(
+    fn complete_batch(
         self,
         pool: &PoolId,
         trainer: &TrainerId,
         first: Batch,
-        give_up_at: Instant,
+        batch_deadline: Instant,
     ) -> Result<Batch, EdgeError> {
         let mut batch = first;
         while batch.samples.len() < batch.total as usize {
@@ -145,12 +150,12 @@
                 step: batch.step,
                 from: batch.samples.len() as u32,
             };
-            let left = give_up_at.saturating_duration_since(Instant::now());
+            let left = batch_deadline.saturating_duration_since(Instant::now());
             match self.ask_ledger(pool, request, left)? {
                 LedgerReply::Batch(part) if !part.samples.is_empty() => {
                     batch.samples.extend(part.samples);
                 }
-                other => return Err(unexpected(&other)),
+                other => return Err(unexpected_reply(&other)),
             }
         }
         Ok(batch)
@@ -158,31 +163,31 @@
 
     fn acknowledge(
         self,
-        intake: &Intake,
+        received: &ReceivedRequest,
         pool: &PoolId,
         step: StepId,
     ) -> Result<EdgeAnswer, EdgeError> {
-        let body: AcknowledgeBody = parse(&intake.body)?;
+        let body: AcknowledgeBody = parse(&received.body)?;
         let request = LedgerRequest::Acknowledge {
             pool: pool.clone(),
             trainer: body.trainer,
             step,
         };
-        match self.ask_ledger(pool, request, intake.deadline(DEFAULT_TIMEOUT))? {
+        match self.ask_ledger(pool, request, received.deadline(DEFAULT_TIMEOUT))? {
             LedgerReply::Done => Ok(EdgeAnswer::json(200, &serde_json::json!({}))),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    fn publish(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
-        let body: PublishBody = parse(&intake.body)?;
+    fn publish(self, received: &ReceivedRequest, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
+        let body: PublishBody = parse(&received.body)?;
         self.find_pool(pool)?;
         let request = GroupRequest::Control(ControlRequest::Publish {
             intent_id: IntentId::of_publication(pool, body.version),
             pool: pool.clone(),
             version: body.version,
         });
-        let timeout = intake.deadline(DEFAULT_TIMEOUT);
+        let timeout = received.deadline(DEFAULT_TIMEOUT);
         let reply = self
             .node
             .groups
@@ -193,7 +198,7 @@
                 Ok(EdgeAnswer::json(200, &PublishedBody { revision }))
             }
             GroupReply::Control(ControlReply::Refused(refusal)) => Err(control_refusal(&refusal)),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -209,11 +214,11 @@
         let group = GroupId::Ledger(pool.ledger);
         let reply = self.call_ledger(group, request.clone(), timeout)?;
         if reply != LedgerReply::Refused(LedgerRefusal::UnknownPool) {
-            return accepted(reply);
+            return refusal_as_error(reply);
         }
         self.announcer.forget(id);
         self.announcer.announce(self.node, &pool, revision);
-        accepted(self.call_ledger(group, request, timeout)?)
+        refusal_as_error(self.call_ledger(group, request, timeout)?)
     }
 
     fn call_ledger(
@@ -229,7 +234,7 @@
             .map_err(|error| call_error(&error))?;
         match reply {
             GroupReply::Ledger(reply) => Ok(reply),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -292,7 +297,7 @@
     }
 }
 
-fn accepted(reply: LedgerReply) -> Result<LedgerReply, EdgeError> {
+fn refusal_as_error(reply: LedgerReply) -> Result<LedgerReply, EdgeError> {
     match reply {
         LedgerReply::Refused(refusal) => Err(ledger_refusal(&refusal)),
         reply => Ok(reply),
--- a/crates/nodes/wingshore-node/src/serve/trainer_errors.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer_errors.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns the error for a reply of a kind that does not match the request.
-pub fn unexpected<T: std::fmt::Debug>(reply: &T) -> EdgeError {
+pub fn unexpected_reply<T: std::fmt::Debug>(reply: &T) -> EdgeError {
     EdgeError {
         status: 502,
         code: "bad_answer".to_owned(),
--- a/crates/nodes/wingshore-node/src/serve/whole_answer.rs
+++ b/crates/nodes/wingshore-node/src/serve/whole_answer.rs
@@ -9,12 +9,12 @@
 
 /// Largest answer in bytes that is stored for repeats of an idempotency key. Part of the public
 /// API.
-const MAX_KEPT_ANSWER: usize = 64 * 1024;
+const MAX_STORED_ANSWER: usize = 64 * 1024;
 /// Header that marks the stored answer of an earlier request with the same key.
 const REPLAYED_HEADER: &str = "x-wingshore-replayed";
 
 /// Runs `work`, sends its answer or error to the caller and counts the request under `kind`.
-pub fn serve_whole(
+pub fn serve_buffered(
     node: &NodeState,
     kind: &'static str,
     mut caller: Caller,
@@ -31,8 +31,8 @@
 }
 
 /// Returns the answer in the form stored for repeats of its key, or `None` if it is too large.
-pub fn kept_answer(status: u16, content_type: &str, body: &[u8]) -> Option<StoredAnswer> {
-    (body.len() <= MAX_KEPT_ANSWER).then(|| StoredAnswer {
+pub fn storable_answer(status: u16, content_type: &str, body: &[u8]) -> Option<StoredAnswer> {
+    (body.len() <= MAX_STORED_ANSWER).then(|| StoredAnswer {
         status,
         content_type: content_type.to_owned(),
         body: body.to_vec(),
@@ -40,12 +40,13 @@
 }
 
 /// Returns the stored answer of an earlier request with the same key.
-pub fn replayed(kept: StoredAnswer) -> EdgeAnswer {
-    EdgeAnswer::new(kept.status, &kept.content_type, kept.body).with_header(REPLAYED_HEADER, "true")
+pub fn replayed_answer(stored: StoredAnswer) -> EdgeAnswer {
+    EdgeAnswer::new(stored.status, &stored.content_type, stored.body)
+        .with_header(REPLAYED_HEADER, "true")
 }
 
 /// Reports a fault of the node itself and returns the error for the caller.
-pub fn internal(node: &NodeState, what: &str) -> EdgeError {
+pub fn internal_error(node: &NodeState, what: &str) -> EdgeError {
     node.on_broken_promise(what);
     EdgeError {
         status: 500,
