--- a/crates/nodes/wingshore-node/src/http/server.rs
+++ b/crates/nodes/wingshore-node/src/http/server.rs
@@ -91,8 +91,7 @@
     }
 
     /// Waits until no request is in flight, at most for `grace`, and returns how many still are.
-    /// The handler must refuse new requests from before this call until [`EdgeServer::close`]
-    /// returns.
+    /// The handler must refuse new requests during this call and until [`EdgeServer::close`].
     pub fn drain(&self, grace: Duration) -> usize {
         self.connections.close_after_answers();
         let deadline = Instant::now() + grace;
--- a/crates/nodes/wingshore-node/src/http/work.rs
+++ b/crates/nodes/wingshore-node/src/http/work.rs
@@ -117,8 +117,8 @@
         if let Err(TrySendError::Full(in_flight_request)) =
             self.sender_for(kind).try_send(in_flight_request)
         {
-            // Blocks the calling thread while the refusal queue is full, which slows down an overload at
-            // its source.
+            // Blocks the calling thread while the refusal queue is full, which slows down an overload
+            // at its source.
             let _ = self.refusal.send(in_flight_request);
         }
     }
