--- a/crates/nodes/wingshore-node/src/http/headers.rs
+++ b/crates/nodes/wingshore-node/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of callers' requests, parsed once into typed values.
+//! Headers of callers' requests, parsed into typed values.
 
 use snafu::Snafu;
 use std::time::Duration;
@@ -6,13 +6,13 @@
     DEADLINE_HEADER, IDEMPOTENCY_HEADER, NO_REPEAT_HEADER, PRIORITY_HEADER,
 };
 
-/// Longest idempotency key, in bytes; part of the interface to callers.
+/// Longest idempotency key in bytes. Part of the public API.
 const MAX_KEY_LENGTH: usize = 255;
-/// Longest deadline a caller may state, in milliseconds: one day; part of the interface to callers.
+/// Longest deadline that a caller may set, in milliseconds: one day. Part of the public API.
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
-/// Headers that belong to one connection and are never forwarded.
-const HOP_BY_HOP: &[&str] = &[
+/// Headers that apply to a single connection and are never forwarded.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "expect",
@@ -27,14 +27,14 @@
     "upgrade",
 ];
 
-/// Headers in the order they came, names in lower case.
+/// Headers in order of arrival, with lower-case names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeaderList {
     entries: Vec<(String, String)>,
 }
 
 impl HeaderList {
-    /// Headers from pairs of name and value.
+    /// Creates a list from pairs of name and value.
     pub fn new<N: AsRef<str>, V: Into<String>>(pairs: impl IntoIterator<Item = (N, V)>) -> Self {
         let entries = pairs
             .into_iter()
@@ -43,7 +43,7 @@
         Self { entries }
     }
 
-    /// All values of a header, in order; `name` in lower case.
+    /// Returns all values of a header in order; `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.entries
             .iter()
@@ -51,19 +51,19 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The first value of a header; `name` in lower case.
+    /// Returns the first value of a header; `name` must be in lower case.
     pub fn first<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next()
     }
 
-    /// A copy in which a header has one value; `name` in lower case.
+    /// Returns a copy in which the header has only this value; `name` must be in lower case.
     #[must_use]
     pub fn with(&self, name: &str, value: &str) -> Self {
         let others = self.iter().filter(|(found, _)| *found != name);
         Self::new(others.chain([(name, value)]))
     }
 
-    /// Name and value pairs, in order.
+    /// Returns the pairs of name and value in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.entries
             .iter()
@@ -71,33 +71,33 @@
     }
 }
 
-/// The headers without those of one connection, and without those that `Connection` names.
+/// Returns the headers without hop-by-hop headers and without those listed in `Connection`.
 pub fn without_hop_by_hop(headers: &HeaderList) -> HeaderList {
     let named: Vec<String> = headers
         .all("connection")
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let kept = headers
-        .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !named.iter().any(|other| other == name));
+    let kept = headers.iter().filter(|(name, _)| {
+        !HOP_BY_HOP_HEADERS.contains(name) && !named.iter().any(|other| other == name)
+    });
     HeaderList::new(kept)
 }
 
-/// What a caller says about its request by wingshore's own headers.
+/// Wingshore's own request headers, and `Idempotency-Key`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// `x-wingshore-no-repeat`, where the caller states it.
+    /// `x-wingshore-no-repeat`; `None` where absent.
     pub no_repeat: Option<bool>,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key`; `None` where absent.
     pub idempotency_key: Option<String>,
-    /// `x-wingshore-deadline-ms`.
+    /// `x-wingshore-deadline-ms`; `None` where absent.
     pub deadline: Option<Duration>,
     /// `x-wingshore-priority`; 0 where absent.
     pub priority: i32,
 }
 
-/// A header whose value makes no sense.
+/// A header with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("header `{name}` is `{found}`; allowed is {allowed}"))]
 pub struct HeaderError {
@@ -110,7 +110,7 @@
     /// Parses wingshore's headers.
     ///
     /// # Errors
-    /// Names the header, what was found and what is allowed.
+    /// Names the header, its value and the allowed values.
     pub fn parse(headers: &HeaderList) -> Result<Self, HeaderError> {
         Ok(Self {
             no_repeat: parse_no_repeat(headers)?,
@@ -122,7 +122,7 @@
 }
 
 fn parse_no_repeat(headers: &HeaderList) -> Result<Option<bool>, HeaderError> {
-    match single(headers, NO_REPEAT_HEADER)? {
+    match single_value(headers, NO_REPEAT_HEADER)? {
         None => Ok(None),
         Some("false") => Ok(Some(false)),
         Some("true") => Ok(Some(true)),
@@ -132,7 +132,7 @@
 
 fn parse_key(headers: &HeaderList) -> Result<Option<String>, HeaderError> {
     const ALLOWED: &str = "1 to 255 printable ASCII characters, once";
-    let Some(key) = single(headers, IDEMPOTENCY_HEADER)? else {
+    let Some(key) = single_value(headers, IDEMPOTENCY_HEADER)? else {
         return Ok(None);
     };
     let printable = key.bytes().all(|byte| (0x20..0x7f).contains(&byte));
@@ -143,7 +143,7 @@
 }
 
 fn parse_deadline(headers: &HeaderList) -> Result<Option<Duration>, HeaderError> {
-    let Some(found) = single(headers, DEADLINE_HEADER)? else {
+    let Some(found) = single_value(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
     match found.parse::<u64>() {
@@ -153,7 +153,7 @@
 }
 
 fn parse_priority(headers: &HeaderList) -> Result<i32, HeaderError> {
-    let Some(found) = single(headers, PRIORITY_HEADER)? else {
+    let Some(found) = single_value(headers, PRIORITY_HEADER)? else {
         return Ok(0);
     };
     found
@@ -161,8 +161,11 @@
         .or_else(|_| reject(PRIORITY_HEADER, found, "a whole number of 32 bits"))
 }
 
-/// The value of a header that may stand once, or several times with the same value.
-fn single<'a>(headers: &'a HeaderList, name: &'static str) -> Result<Option<&'a str>, HeaderError> {
+/// Returns the value of a header that may occur once, or several times with the same value.
+fn single_value<'a>(
+    headers: &'a HeaderList,
+    name: &'static str,
+) -> Result<Option<&'a str>, HeaderError> {
     let mut values = headers.all(name);
     let Some(first) = values.next() else {
         return Ok(None);
