--- a/crates/nodes/wingshore-node/src/http/work.rs
+++ b/crates/nodes/wingshore-node/src/http/work.rs
@@ -1,5 +1,5 @@
-//! Requests on their way to bounded groups of workers, one group for each kind of work, so that
-//! long work of one kind never holds up another.
+//! Queues requests for bounded worker groups, one group per kind of work, so that slow work of one
+//! kind never delays another.
 
 use crate::http::caller::Caller;
 use crate::http::connections::Connections;
@@ -12,19 +12,19 @@
 use std::thread::{self, JoinHandle};
 use tiny_http::Request;
 
-/// Threads for status pages and for refusals, each.
-const SMALL_GROUP: usize = 4;
+/// Number of threads of the status group and of the refusal group, each.
+const SMALL_GROUP_THREADS: usize = 4;
 
-/// Kinds of work, each with its own workers.
+/// Kind of work; each kind has its own workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum WorkKind {
-    /// Forwarded requests.
+    /// Requests forwarded to live services.
     Forward,
     /// Completions.
     Completion,
-    /// A trainer's requests, which may wait long.
+    /// Requests of trainers, which may wait for a long time.
     Trainer,
-    /// Status pages and requests for nothing that exists.
+    /// Status pages and requests without a route.
     Status,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is done with requests.
+/// Answers the requests that the server accepts.
 pub trait EdgeHandler: Send + Sync + 'static {
     /// Answers a request.
     fn handle(&self, caller: Caller);
@@ -49,13 +49,13 @@
     fn refuse_overload(&self, caller: Caller);
 }
 
-/// Counts a request from its arrival to the end of its answer.
-pub(super) struct Counted {
+/// A request that is counted as in flight from its arrival until its answer is complete.
+pub(super) struct InFlightRequest {
     pub(super) caller: Caller,
     in_flight: Arc<AtomicUsize>,
 }
 
-impl Counted {
+impl InFlightRequest {
     /// Counts `request` in `in_flight` and parses its head.
     pub(super) fn new(
         request: Request,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Has `task` answer it. A panic is reported by the process's hook; the thread goes on.
-    pub(super) fn answer_by(self, handler: &dyn EdgeHandler, task: Task) {
+    /// Answers the request with `task`. The panic hook reports a panic; the thread continues.
+    pub(super) fn answer_with(self, handler: &dyn EdgeHandler, task: Task) {
         let Self { caller, in_flight } = self;
         let _ = catch_unwind(AssertUnwindSafe(|| task(handler, caller)));
         in_flight.fetch_sub(1, Ordering::SeqCst);
@@ -79,21 +79,21 @@
 
 pub(super) type Task = fn(&dyn EdgeHandler, Caller);
 
-/// One queue for each group of workers; a queue holds no more than its group has threads.
+/// One queue per worker group; its capacity is the number of threads in the group.
 pub(super) struct Queues {
-    forward: Sender<Counted>,
-    completion: Sender<Counted>,
-    trainer: Sender<Counted>,
-    status: Sender<Counted>,
-    refusal: Sender<Counted>,
+    forward: Sender<InFlightRequest>,
+    completion: Sender<InFlightRequest>,
+    trainer: Sender<InFlightRequest>,
+    status: Sender<InFlightRequest>,
+    refusal: Sender<InFlightRequest>,
 }
 
 impl Queues {
-    /// Starts `workers` threads for each kind of callers' work, and a few for all else; appends
-    /// them to `threads`.
+    /// Starts `workers` threads for each kind of callers' work and a few for status pages and
+    /// refusals, and appends them to `threads`.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Fails when a thread cannot be started.
     pub(super) fn start(
         workers: usize,
         handler: &Arc<dyn EdgeHandler>,
@@ -106,21 +106,24 @@
             forward: group("forward", workers, handle)?,
             completion: group("completion", workers, handle)?,
             trainer: group("trainer", workers, handle)?,
-            status: group("status", SMALL_GROUP, handle)?,
-            refusal: group("refusal", SMALL_GROUP, refuse)?,
+            status: group("status", SMALL_GROUP_THREADS, handle)?,
+            refusal: group("refusal", SMALL_GROUP_THREADS, refuse)?,
         })
     }
 
-    /// Hands a request to its workers.
-    pub(super) fn add(&self, counted: Counted) {
-        let kind = WorkKind::of(&counted.caller);
-        if let Err(TrySendError::Full(counted)) = self.of(kind).try_send(counted) {
-            // Waits: a flood is slowed down where it comes in.
-            let _ = self.refusal.send(counted);
+    /// Queues a request for its worker group, or for refusal if that queue is full.
+    pub(super) fn add(&self, in_flight_request: InFlightRequest) {
+        let kind = WorkKind::of(&in_flight_request.caller);
+        if let Err(TrySendError::Full(in_flight_request)) =
+            self.sender_for(kind).try_send(in_flight_request)
+        {
+            // Blocks the calling thread while the refusal queue is full, which slows down an overload
+            // at its source.
+            let _ = self.refusal.send(in_flight_request);
         }
     }
 
-    fn of(&self, kind: WorkKind) -> &Sender<Counted> {
+    fn sender_for(&self, kind: WorkKind) -> &Sender<InFlightRequest> {
         match kind {
             WorkKind::Forward => &self.forward,
             WorkKind::Completion => &self.completion,
@@ -136,21 +139,21 @@
     task: Task,
     handler: &Arc<dyn EdgeHandler>,
     threads: &mut Vec<JoinHandle<()>>,
-) -> io::Result<Sender<Counted>> {
+) -> io::Result<Sender<InFlightRequest>> {
     let (sender, receiver) = bounded(size);
     for number in 0..size {
         let receiver = receiver.clone();
         let handler = Arc::clone(handler);
         let thread = thread::Builder::new()
             .name(format!("{name}-{number}"))
-            .spawn(move || work(&receiver, handler.as_ref(), task))?;
+            .spawn(move || run_worker(&receiver, handler.as_ref(), task))?;
         threads.push(thread);
     }
     Ok(sender)
 }
 
-fn work(receiver: &Receiver<Counted>, handler: &dyn EdgeHandler, task: Task) {
-    while let Ok(counted) = receiver.recv() {
-        counted.answer_by(handler, task);
+fn run_worker(receiver: &Receiver<InFlightRequest>, handler: &dyn EdgeHandler, task: Task) {
+    while let Ok(in_flight_request) = receiver.recv() {
+        in_flight_request.answer_with(handler, task);
     }
 }
