--- a/crates/nodes/wingshore-replica/src/process.rs
+++ b/crates/nodes/wingshore-replica/src/process.rs
@@ -183,8 +183,8 @@
             return;
         }
         eprintln!(
-            "replica {} of site `{}` at {} is not a founding member: it waits until it is \
-             added as a member. To replace the lost member OLD with it:\n  \
+            "replica {} of site `{}` at {} was not founded with the site: it waits until it is a \
+             member. To have it take the place of lost member OLD:\n  \
              wingshore ctl --replicas … members replace OLD {} {}",
             self.id(),
             self.site,
