--- a/crates/gateways/wingshore-gateway/src/forward_log.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_log.rs
@@ -65,7 +65,7 @@
         .metrics
         .request_ended(&exchange.route.name, answer.name(), time);
     let server_count = site.view.servers_of(&exchange.service).count();
-    warn!(runtime.logger, "given up"; "service" => %exchange.service, "servers" => server_count,
+    warn!(runtime.logger, "request failed"; "service" => %exchange.service, "servers" => server_count,
         "epoch" => site.view.epoch().0, "request" => exchange.id_text(),
         "fingerprint" => fingerprint_text(site, exchange),
         "route" => &exchange.route.name, "answer" => answer.name(),
