--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -288,7 +288,7 @@
 /// Logs and counts a call that the group does not answer in time.
 fn log_given_up(runtime: &Runtime, site: &Site, request: &Request, answer: &BatchAnswer) {
     let kind = request.kind();
-    warn!(runtime.logger, "call given up"; "call" => kind, "subject" => request.subject(),
+    warn!(runtime.logger, "call failed"; "call" => kind, "subject" => request.subject(),
         "leader_known" => site.coordinators.leader().is_some(), "answer" => answer.name(),
         "epoch" => site.view.epoch().0);
     runtime.metrics.call_ended(kind, answer.name());
