--- a/crates/gateways/wingshore-coordinator/src/process/disk.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/disk.rs
@@ -64,7 +64,7 @@
     let snapshot = recovered.snapshot.as_ref();
     let records = recovered.records.iter();
     let log_bytes: usize = records.map(|record| record.data.len()).sum();
-    info!(logger, "read from disk";
+    info!(logger, "data folder read";
         "snapshot_index" => snapshot.map_or(0, |snapshot| snapshot.index.0),
         "snapshot_bytes" => snapshot.map_or(0, |snapshot| snapshot.data.length()),
         "log_entries" => recovered.records.len(), "log_bytes" => log_bytes);
