--- a/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/housekeeping.rs
@@ -58,7 +58,7 @@
                 info!(self.logger, "reloaded"; "seeds" => ?seeds);
                 self.settings.seeds = seeds;
             }
-            Err(reason) => warn!(self.logger, "not reloaded"; "reason" => reason),
+            Err(reason) => warn!(self.logger, "settings not reloaded"; "reason" => reason),
         }
     }
 
--- a/crates/gateways/wingshore-gateway/src/process/mod.rs
+++ b/crates/gateways/wingshore-gateway/src/process/mod.rs
@@ -223,7 +223,7 @@
                 info!(logger, "reloaded"; "seeds" => ?seeds);
                 self.settings.seeds = seeds;
             }
-            Err(reason) => warn!(logger, "not reloaded"; "reason" => reason),
+            Err(reason) => warn!(logger, "settings not reloaded"; "reason" => reason),
         }
     }
 
