--- a/crates/gateways/wingshore-coordinator/src/process/links.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/links.rs
@@ -103,7 +103,7 @@
     ) {
         match frame::encode(message) {
             Ok(bytes) => self.reactor.send(connection, &bytes),
-            Err(error) => warn!(self.logger, "frame not encoded"; "error" => %error),
+            Err(error) => warn!(self.logger, "cannot encode frame"; "error" => %error),
         }
     }
 
@@ -115,7 +115,7 @@
                     self.reactor.send(gateway.connection, &bytes);
                 }
             }
-            Err(error) => warn!(self.logger, "frame not encoded"; "error" => %error),
+            Err(error) => warn!(self.logger, "cannot encode frame"; "error" => %error),
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/coordinators.rs
+++ b/crates/gateways/wingshore-gateway/src/coordinators.rs
@@ -322,6 +322,6 @@
 fn send_frame<M: Serialize>(runtime: &mut Runtime, connection: ConnectionId, frame: &M) {
     match frame::encode(frame) {
         Ok(bytes) => runtime.reactor.send(connection, &bytes),
-        Err(error) => warn!(runtime.logger, "frame not encoded"; "error" => %error),
+        Err(error) => warn!(runtime.logger, "cannot encode frame"; "error" => %error),
     }
 }
