--- a/crates/gateways/wingshore-coordinator/src/process/views.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/views.rs
@@ -24,7 +24,7 @@
             applied: self.host.applied_index(),
         };
         if let Err(error) = self.view_feed.send_changes(source, &mut self.reactor) {
-            warn!(self.logger, "view not encoded"; "error" => %error);
+            warn!(self.logger, "cannot encode view"; "error" => %error);
         }
     }
 
@@ -35,7 +35,7 @@
             applied: self.host.applied_index(),
         };
         if let Err(error) = self.view_feed.send_revision(source, &mut self.reactor) {
-            warn!(self.logger, "view not encoded"; "error" => %error);
+            warn!(self.logger, "cannot encode view"; "error" => %error);
         }
     }
 }
