--- a/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
+++ b/crates/gateways/wingshore-coordination/src/leader/decisions/item_outcome.rs
@@ -38,7 +38,7 @@
 /// Reason for abandoning an item that engines ran and failed.
 const FAILED_TOO_OFTEN: &str = "it failed as often as its route allows";
 /// Reason for abandoning an item that can never succeed.
-const IMPOSSIBLE: &str = "the engine says that it can never be done";
+const IMPOSSIBLE: &str = "the engine reports that the item can never succeed";
 
 /// State of an item whose attempt has ended.
 #[derive(Clone, Copy, Debug)]
--- a/crates/gateways/wingshore-coordination/src/messages/items.rs
+++ b/crates/gateways/wingshore-coordination/src/messages/items.rs
@@ -132,7 +132,7 @@
                 "rejected: servers crashed while running the request"
             }
             Self::Failed => "the engine failed",
-            Self::Impossible => "the engine says that it can never be done",
+            Self::Impossible => "the engine reports that the item can never succeed",
         }
     }
 }
