--- a/crates/shared/wingshore-consensus/src/recovery.rs
+++ b/crates/shared/wingshore-consensus/src/recovery.rs
@@ -63,7 +63,8 @@
     /// A founding member with empty storage starts its log with the founding membership. A member
     /// with neither waits until it is added as a learner.
     ///
-    /// # Errors Returns an error if a setting is invalid, or the recovered data cannot be used.
+    /// # Errors
+    /// Returns an error if a setting is invalid, or the recovered data cannot be used.
     pub fn new(
         now: Instant,
         config: RaftConfig,
