--- a/crates/gateways/wingshore-gateway/src/item_policy.rs
+++ b/crates/gateways/wingshore-gateway/src/item_policy.rs
@@ -51,8 +51,8 @@
     Failed,
 }
 
-/// Classifies an answer by its status; `ends_at_event_boundary` if the answer has no incomplete event at its
-/// end.
+/// Classifies an answer by its status; `ends_at_event_boundary` states that the answer has no
+/// incomplete event at its end.
 pub fn classify_item_answer(
     status: u16,
     says_not_run: bool,
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Handles an engine's complete answer; `ends_at_event_boundary` if the answer has no incomplete event at
-    /// its end. Returns the scoring that follows.
+    /// Handles an engine's complete answer; `ends_at_event_boundary` states that the answer has no
+    /// incomplete event at its end. Returns the scoring that follows.
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
