--- a/crates/nodes/wingshore-ledger/src/samples/finishing.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/finishing.rs
@@ -1,6 +1,6 @@
 //! Finished generations: the first finished attempt of a sample is accepted.
 
-use super::numbers::Membership;
+use super::numbers::NumberLookup;
 use super::pool::{PoolLedger, check_generation, invalid};
 use super::stage::{Finished, OpenSample, QueueKey, Stage};
 use wingshore_types::protocol::ledger::{LedgerRefusal, LedgerReply};
@@ -61,7 +61,7 @@
         lease: LeaseId,
         generation: Generation,
     ) -> LedgerReply {
-        let is_forgotten = self.acknowledged.membership(number.0) == Membership::Forgotten;
+        let is_forgotten = self.acknowledged.lookup(number.0) == NumberLookup::Forgotten;
         if !self.is_known(number) && !is_forgotten {
             return LedgerReply::Refused(invalid(format!("sample {number} was not submitted")));
         }
--- a/crates/nodes/wingshore-ledger/src/samples/mod.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/mod.rs
@@ -30,6 +30,6 @@
 pub use command::{LedgerCommand, Operation, PoolSettings};
 pub use faults::Faults;
 pub use leader::LedgerLeader;
-pub use numbers::{Membership, NumberSet};
+pub use numbers::{NumberLookup, NumberSet};
 pub use pool::PoolLedger;
 pub use state::LedgerState;
--- a/crates/nodes/wingshore-ledger/src/samples/numbers.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/numbers.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Membership of a number in a [`NumberSet`].
+/// Result of looking up a number in a [`NumberSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum NumberLookup {
     /// The number was inserted.
     Present,
     /// The number was not inserted.
@@ -16,7 +16,7 @@
 
 /// Set of numbers, stored as ranges. When there are more than [`NumberSet::MAX_RANGES`] ranges, the
 /// lowest ones are dropped, and numbers up to the end of a dropped range are
-/// [`Membership::Forgotten`].
+/// [`NumberLookup::Forgotten`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberSet {
     floor: u64,
@@ -29,13 +29,13 @@
     pub const MAX_RANGES: usize = 16_384;
 
     /// Returns whether `number` was inserted, as far as it is known.
-    pub fn membership(&self, number: u64) -> Membership {
+    pub fn lookup(&self, number: u64) -> NumberLookup {
         if number < self.floor {
-            return Membership::Forgotten;
+            return NumberLookup::Forgotten;
         }
         match self.range_containing(number) {
-            Some(_) => Membership::Present,
-            None => Membership::Absent,
+            Some(_) => NumberLookup::Present,
+            None => NumberLookup::Absent,
         }
     }
 
@@ -51,7 +51,7 @@
 
     /// Adds a number.
     pub fn insert(&mut self, number: u64) {
-        if self.membership(number) != Membership::Absent {
+        if self.lookup(number) != NumberLookup::Absent {
             return;
         }
         let below = number
--- a/crates/nodes/wingshore-ledger/src/samples/pool.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/pool.rs
@@ -7,7 +7,7 @@
 use super::command::PoolSettings;
 use super::faults::Faults;
 use super::indexes::Indexes;
-use super::numbers::{Membership, NumberSet};
+use super::numbers::{NumberLookup, NumberSet};
 use super::stage::{OpenSample, QueueKey, Stage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -158,7 +158,7 @@
     pub(super) fn is_known(&self, number: SampleNumber) -> bool {
         self.open.contains_key(&number)
             || self.indexes.delivered.contains_key(&number)
-            || self.acknowledged.membership(number.0) == Membership::Present
+            || self.acknowledged.lookup(number.0) == NumberLookup::Present
     }
 
     pub(super) fn check_trainer(&self, trainer: &TrainerId) -> Result<(), LedgerRefusal> {
--- a/crates/nodes/wingshore-ledger/src/samples/submissions.rs
+++ b/crates/nodes/wingshore-ledger/src/samples/submissions.rs
@@ -10,7 +10,7 @@
 //! Why: the memory and the snapshots of a group hold all open samples with their tokens, about 4 kB
 //! each.
 
-use super::numbers::Membership;
+use super::numbers::NumberLookup;
 use super::pool::{FULL_RETRY_AFTER_MS, PoolLedger, invalid};
 use super::stage::QueueKey;
 use std::collections::BTreeSet;
@@ -87,7 +87,7 @@
                 "sample {number}: max_tokens is 0; it must be at least 1"
             )));
         }
-        let is_forgotten = self.acknowledged.membership(number.0) == Membership::Forgotten;
+        let is_forgotten = self.acknowledged.lookup(number.0) == NumberLookup::Forgotten;
         if is_forgotten && !self.open.contains_key(&number) {
             return Err(invalid(format!(
                 "sample {number}: numbers below {} are no longer told apart; number upwards",
--- a/crates/nodes/wingshore-ledger/tests/samples_leader.rs
+++ b/crates/nodes/wingshore-ledger/tests/samples_leader.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 use support::*;
-use wingshore_ledger::samples::{Faults, LedgerLeader, LedgerState, Membership};
+use wingshore_ledger::samples::{Faults, LedgerLeader, LedgerState, NumberLookup};
 use wingshore_types::machine::ReplicatedState;
 use wingshore_types::protocol::ledger::{
     Batch, LedgerCounts, LedgerRefusal, LedgerReply, LedgerRequest,
@@ -429,14 +429,14 @@
         numbers.insert(number);
     }
     expect_that!(numbers.ranges(), eq(2));
-    expect_that!(numbers.membership(999), eq(Membership::Present));
-    expect_that!(numbers.membership(1_000), eq(Membership::Absent));
+    expect_that!(numbers.lookup(999), eq(NumberLookup::Present));
+    expect_that!(numbers.lookup(1_000), eq(NumberLookup::Absent));
     let most = wingshore_ledger::samples::NumberSet::MAX_RANGES as u64;
     for number in 0..most {
         numbers.insert(2_000 + 2 * number);
     }
     expect_that!(numbers.ranges() as u64, eq(most));
-    expect_that!(numbers.membership(5), eq(Membership::Forgotten));
+    expect_that!(numbers.lookup(5), eq(NumberLookup::Forgotten));
 }
 
 /// More operations than may be queued and in flight together.
