--- a/crates/nodes/wingshore-control/tests/swaps.rs
+++ b/crates/nodes/wingshore-control/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! The swap policy: shares, sources, order, and the time that a whole fleet takes.
+//! Swap policy: shares, sources, order, and the duration of swaps of a whole fleet.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use wingshore_types::configuration::{ConfigurationChange, Permille, Pool, ServiceKind};
 use wingshore_types::ids::ServerId;
 
-/// One engine of a case: its version, where it fetches from, and whether it may swap.
+/// An engine of a test case: its version, its fetch source, and whether it may swap.
 #[derive(Clone, Copy)]
 struct Case {
     version: Option<u64>,
@@ -47,11 +47,11 @@
     }
 }
 
-/// Engines that begin, with their sources.
-type Begun = Vec<(u32, SocketAddr)>;
+/// Engines that start a swap, with their sources.
+type StartedSwaps = Vec<(u32, SocketAddr)>;
 
-/// What begins when version 2 is wanted.
-fn begin(cases: &[Case], limits: SwapLimits) -> Begun {
+/// Returns the swaps that start when version 2 is wanted.
+fn started_swaps(cases: &[Case], limits: SwapLimits) -> StartedSwaps {
     let names: Vec<ServerId> = (0..cases.len())
         .map(|n| ServerId::new(&engine_name(n as u32)))
         .collect();
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn limits_respect_the_live_share_and_let_at_least_one_go() {
+fn limits_respect_the_live_share_and_allow_at_least_one_swap() {
     let settings = LeaderSettings::default();
     let cases = [
         (8, 500, 2, 0),
@@ -113,8 +113,13 @@
         failed_before: true,
         ..at(1)
     };
-    let cases: Vec<(&str, Vec<Case>, SwapLimits, Begun)> = vec![
-        ("all are there", vec![at(2), at(2)], limits(2, 4, 0), vec![]),
+    let cases: Vec<(&str, Vec<Case>, SwapLimits, StartedSwaps)> = vec![
+        (
+            "all engines have the version",
+            vec![at(2), at(2)],
+            limits(2, 4, 0),
+            vec![],
+        ),
         (
             "share",
             vec![at(1), at(1), at(1)],
@@ -122,31 +127,31 @@
             vec![(0, store()), (1, store())],
         ),
         (
-            "one is away already",
+            "one engine is away already",
             vec![fetching(store()), at(1), at(1)],
             limits(2, 4, 0),
             vec![(1, store())],
         ),
         (
-            "unknown first",
+            "engines of unknown version go first",
             vec![at(1), unknown(), unknown()],
             limits(1, 4, 0),
             vec![(1, store()), (2, store())],
         ),
         (
-            "quarantined ones are away",
+            "quarantined engines count as away",
             vec![quarantined, at(1), at(1)],
             limits(1, 4, 0),
             vec![],
         ),
         (
-            "store is full",
+            "store is at its limit",
             vec![fetching(store()), at(1), at(1)],
             limits(9, 1, 0),
             vec![],
         ),
         (
-            "lower versions are moved to as well",
+            "engines of a higher version also swap",
             vec![at(3)],
             limits(1, 1, 0),
             vec![(0, store())],
@@ -158,25 +163,25 @@
             vec![(1, store()), (2, engine(0)), (3, engine(0))],
         ),
         (
-            "a source with one place left",
+            "a source with one free fetch slot",
             vec![at(2), fetching(engine(0)), at(1), at(1), at(1)],
             limits(9, 1, 2),
             vec![(2, store()), (3, engine(0))],
         ),
         (
-            "after a failure from the store only",
+            "fetch from the store only after a failure",
             vec![at(2), fetching(store()), failed],
             limits(9, 1, 2),
             vec![],
         ),
     ];
     for (case, engines, limits, expected) in cases {
-        expect_that!(begin(&engines, limits), eq(&expected), "{case}");
+        expect_that!(started_swaps(&engines, limits), eq(&expected), "{case}");
     }
 }
 
 #[gtest]
-fn no_more_are_ever_away_than_allowed_and_no_source_is_overrun() {
+fn limits_on_away_engines_and_fetches_always_hold() {
     let site = Site {
         engines: 100,
         ..Site::default()
@@ -188,11 +193,11 @@
     group.publish(POOL, 2);
     fleet.run_until(&mut group, 60_000, |fleet, _| fleet.count_at(2) > 90);
     expect_sources_within_limits(&fleet);
-    expect_that!(fleet.most_loading, all![le(25), ge(20)]);
+    expect_that!(fleet.max_loading, all![le(25), ge(20)]);
 }
 
 #[gtest]
-fn services_that_share_a_store_share_its_places_and_none_waits_for_the_last() {
+fn services_share_the_fetch_limit_of_a_store_and_all_start_early() {
     let settings = LeaderSettings::default();
     let services = 12;
     let of_each = 70;
@@ -229,7 +234,8 @@
         fleet.count_at(2) == engines as usize
     });
     expect_sources_within_limits(&fleet);
-    // All services have a first source after as many rounds of the store as it takes.
+    // Every service has a first source after as many rounds of fetches as the store needs for one
+    // fetch per service.
     let is_of = |number: u32, server: &ServerId| {
         let engines = number * of_each..(number + 1) * of_each;
         let mut names = engines.map(engine_name);
@@ -251,7 +257,7 @@
     }
 }
 
-/// No source served more at any moment than its limit.
+/// Checks that no source ever served more concurrent fetches than its limit.
 fn expect_sources_within_limits(fleet: &Fleet) {
     let settings = LeaderSettings::default();
     let load_ms = u128::from(fleet.load_ms);
@@ -287,12 +293,12 @@
     group.publish(POOL, 2);
     group.publish("transfers", 3);
     fleet.run_until(&mut group, 60_000, |fleet, _| fleet.count_at(3) == 8);
-    expect_that!(fleet.most_loading, le(2));
+    expect_that!(fleet.max_loading, le(2));
 }
 
-/// The figure is simulated time; loads take two seconds whatever the source.
+/// The limit is simulated time; a load takes two seconds from any source.
 #[gtest]
-fn ten_thousand_engines_take_a_version_within_the_limit() {
+fn ten_thousand_engines_swap_within_the_limit() {
     let site = Site {
         engines: 10_000,
         live_servers: 0,
@@ -310,7 +316,7 @@
         fleet.reads - reads
     );
     expect_that!(took, le(33_000));
-    expect_that!(fleet.most_loading, le(2_500));
-    // Engines are asked when their swaps should be over, not all the while.
+    expect_that!(fleet.max_loading, le(2_500));
+    // Engines are polled when their swaps should be over, not continuously.
     expect_that!(fleet.reads - reads, le(28_000));
 }
--- a/crates/nodes/wingshore-settings/tests/golden_keys.rs
+++ b/crates/nodes/wingshore-settings/tests/golden_keys.rs
@@ -1,7 +1,8 @@
-//! Names and forms of the keys of all settings files, as users have written them.
+//! Tests that the keys of all settings files, and the form of their values, stay compatible with
+//! existing files.
 //!
-//! A key that is no longer read is noticed twice: a file that has it is refused, and another value
-//! of it reads as the same settings.
+//! Two tests detect a key that is no longer read: a file that contains it is rejected, and a change
+//! of its value does not change the settings.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
@@ -9,16 +10,16 @@
 
 /// A key of a settings file.
 struct Key {
-    /// With its table; `[]` stands for the table of a list.
+    /// The key, qualified with its table; `[]` marks a list of tables.
     path: &'static str,
     /// A value that differs from the default.
     value: &'static str,
-    /// Another such value; none where the file allows a single one.
+    /// Another valid value; `None` if the rest of the file allows only `value`.
     other: Option<&'static str>,
-    /// What the file says where the key is left out; `None` where it must be there.
+    /// Default as the list of settings shows it; `None` if the key is required.
     default: Option<&'static str>,
-    /// A value of a wrong form or out of range.
-    refused: &'static str,
+    /// A value that has the wrong form or is out of range.
+    invalid: &'static str,
 }
 
 const fn key(
@@ -26,14 +27,14 @@
     value: &'static str,
     other: Option<&'static str>,
     default: Option<&'static str>,
-    refused: &'static str,
+    invalid: &'static str,
 ) -> Key {
     Key {
         path,
         value,
         other,
         default,
-        refused,
+        invalid,
     }
 }
 
@@ -142,8 +143,9 @@
     ("site", SITE),
 ];
 
-/// A file with all keys of a role, where one has another value, or is left out.
-fn file(keys: &[Key], path: &str, value: Option<&str>) -> String {
+/// Returns a file with all keys of a role, in which the key at `path` has `value`, or is omitted if
+/// `value` is `None`.
+fn file_with(keys: &[Key], path: &str, value: Option<&str>) -> String {
     let mut text = String::new();
     let mut open_table = "";
     for key in keys {
@@ -167,12 +169,16 @@
     text
 }
 
-fn read(keys: &[Key], path: &str, value: Option<&str>) -> Result<AnySettings, SettingsErrors> {
-    any_from_text("file.toml", &file(keys, path, value))
+fn parse_with(
+    keys: &[Key],
+    path: &str,
+    value: Option<&str>,
+) -> Result<AnySettings, SettingsErrors> {
+    any_from_text("file.toml", &file_with(keys, path, value))
 }
 
-/// Whether the error is one of this key.
-fn names(errors: &SettingsErrors, path: &str) -> bool {
+/// Returns whether one of the errors is about the key at `path`.
+fn has_error_for(errors: &SettingsErrors, path: &str) -> bool {
     let path = path.replace("[]", "[1]");
     errors
         .0
@@ -183,31 +189,31 @@
 #[gtest]
 fn files_with_every_key_are_read() {
     for (role, keys) in ROLES {
-        expect_that!(read(keys, "", None), ok(anything()), "{role}");
+        expect_that!(parse_with(keys, "", None), ok(anything()), "{role}");
     }
 }
 
 #[gtest]
-fn every_key_decides_what_is_read() {
+fn every_key_affects_the_settings() {
     for (role, keys) in ROLES {
-        let whole = read(keys, "", None).ok();
+        let unchanged = parse_with(keys, "", None).ok();
         for key in keys {
             let Some(other) = key.other else { continue };
-            let changed = read(keys, key.path, Some(other));
+            let changed = parse_with(keys, key.path, Some(other));
             expect_that!(changed, ok(anything()), "{role}: {} = {other}", key.path);
-            let differs = changed.ok() != whole;
+            let differs = changed.ok() != unchanged;
             expect_that!(differs, eq(true), "{role}: {} = {other}", key.path);
         }
     }
 }
 
 #[gtest]
-fn every_key_refuses_a_wrong_form() {
+fn every_key_rejects_an_invalid_value() {
     for (role, keys) in ROLES {
         for key in keys {
-            let refused = read(keys, key.path, Some(key.refused));
-            let named = refused.is_err_and(|errors| names(&errors, key.path));
-            expect_that!(named, eq(true), "{role}: {} = {}", key.path, key.refused);
+            let result = parse_with(keys, key.path, Some(key.invalid));
+            let named = result.is_err_and(|errors| has_error_for(&errors, key.path));
+            expect_that!(named, eq(true), "{role}: {} = {}", key.path, key.invalid);
         }
     }
 }
@@ -215,13 +221,17 @@
 #[gtest]
 fn only_keys_with_a_default_may_be_left_out() {
     for (role, keys) in ROLES {
-        // Without zones, the zone of the server is an unknown one.
+        // Without `zones`, the file is rejected because the server refers to an unknown zone.
         for key in keys.iter().filter(|key| key.path != "zones") {
-            match read(keys, key.path, None) {
+            match parse_with(keys, key.path, None) {
                 Ok(_) => expect_that!(key.default, some(anything()), "{role}: {}", key.path),
                 Err(errors) => {
                     expect_that!(key.default, none(), "{role}: {}: {errors}", key.path);
-                    expect_that!(names(&errors, key.path), eq(true), "{role}: {errors}");
+                    expect_that!(
+                        has_error_for(&errors, key.path),
+                        eq(true),
+                        "{role}: {errors}"
+                    );
                 }
             }
         }
