--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// Returns the gateway's answer to the client of a request that is given up.
-pub fn given_up_answer(
+/// Returns the gateway's answer to the client of a request that failed.
+pub fn failure_answer(
     history: AttemptHistory,
     is_rejected: bool,
     is_past_deadline: bool,
--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -90,7 +90,7 @@
         let stop_leaves = self.stop_at.map(|stop_at| stop_at.since(now));
         let Some(time_limit) = call_time_limit(&request, stop_leaves) else {
             let answer = BatchAnswer::Unavailable(RETRY_AFTER);
-            log_given_up(runtime, site, &request, &answer);
+            log_failed_call(runtime, site, &request, &answer);
             return Err(answer);
         };
         let id = CallId(self.next_id);
@@ -220,7 +220,7 @@
         }
         let call = self.waiting.remove(&id)?;
         let answer = call_policy::timeout_answer(&call.request, call.may_take_effect);
-        log_given_up(runtime, site, &call.request, &answer);
+        log_failed_call(runtime, site, &call.request, &answer);
         Some(CallEnd {
             client: call.client,
             answer,
@@ -286,7 +286,7 @@
 }
 
 /// Logs and counts a call that the group does not answer in time.
-fn log_given_up(runtime: &Runtime, site: &Site, request: &Request, answer: &BatchAnswer) {
+fn log_failed_call(runtime: &Runtime, site: &Site, request: &Request, answer: &BatchAnswer) {
     let kind = request.kind();
     warn!(runtime.logger, "call failed"; "call" => kind, "subject" => request.subject(),
         "leader_known" => site.coordinators.leader().is_some(), "answer" => answer.name(),
--- a/crates/gateways/wingshore-gateway/src/forward_ends.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_ends.rs
@@ -52,8 +52,8 @@
         }
         Origin::Client(client) => {
             let (history, is_rejected) = (exchange.history, exchange.is_rejected);
-            let answer = attempts::given_up_answer(history, is_rejected, is_past_deadline);
-            log::given_up(environment, exchange, answer);
+            let answer = attempts::failure_answer(history, is_rejected, is_past_deadline);
+            log::request_failed(environment, exchange, answer);
             ExchangeEnd::OwnAnswer { client, answer }
         }
         Origin::Scoring(scoring) => ExchangeEnd::Scoring {
--- a/crates/gateways/wingshore-gateway/src/forward_log.rs
+++ b/crates/gateways/wingshore-gateway/src/forward_log.rs
@@ -56,8 +56,8 @@
     runtime.metrics.attempt_ended(failure.reason);
 }
 
-/// Logs and counts a client's request that is given up.
-pub(crate) fn given_up(environment: &Environment, exchange: &Exchange, answer: OwnAnswer) {
+/// Logs and counts a client's request that failed.
+pub(crate) fn request_failed(environment: &Environment, exchange: &Exchange, answer: OwnAnswer) {
     let now = environment.runtime.now;
     let (runtime, site) = (&environment.runtime, &environment.site);
     let time = now.since(exchange.started_at);
--- a/crates/gateways/wingshore-gateway/src/lib.rs
+++ b/crates/gateways/wingshore-gateway/src/lib.rs
@@ -57,7 +57,7 @@
     StopProgress, answer_deadline, connect_deadline, is_stream_admitted, request_timeout,
 };
 pub use attempts::{
-    AttemptHistory, NextStep, RetryContext, RetryLimits, given_up_answer, next_step,
+    AttemptHistory, NextStep, RetryContext, RetryLimits, failure_answer, next_step,
 };
 pub use balance::Balancer;
 pub use call_policy::call_time_limit;
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use wingshore_gateway::{
     AnswerFacts, AnswerKind, AttemptHistory, NextStep, OwnAnswer, RetryContext, RetryLimits,
-    StopProgress, answer_deadline, classify_answer, connect_deadline, given_up_answer,
+    StopProgress, answer_deadline, classify_answer, connect_deadline, failure_answer,
     is_internal_error, is_stream_admitted, next_step, request_timeout,
 };
 use wingshore_types::Instant;
@@ -188,15 +188,15 @@
     let (not_run, may_have_run) = (history(&[Verdict::NotRun]), history(&[Verdict::Ran]));
     let retry_after = Duration::from_millis(150);
     for is_late in [false, true] {
-        let answer = given_up_answer(not_run, false, is_late);
+        let answer = failure_answer(not_run, false, is_late);
         expect_that!(answer, eq(OwnAnswer::NotRun(retry_after)));
-        let answer = given_up_answer(not_run, true, is_late);
+        let answer = failure_answer(not_run, true, is_late);
         expect_that!(answer, eq(OwnAnswer::Rejected(Duration::from_secs(600))));
     }
     for is_rejected in [false, true] {
-        let answer = given_up_answer(may_have_run, is_rejected, true);
+        let answer = failure_answer(may_have_run, is_rejected, true);
         expect_that!(answer, eq(OwnAnswer::OutOfTime));
-        let answer = given_up_answer(may_have_run, is_rejected, false);
+        let answer = failure_answer(may_have_run, is_rejected, false);
         expect_that!(answer, eq(OwnAnswer::Broken));
     }
 }
