--- a/crates/nodes/wingshore-rollout/tests/cache_moves.rs
+++ b/crates/nodes/wingshore-rollout/tests/cache_moves.rs
@@ -1,9 +1,9 @@
 //! Tests of moves with the KV cache: long attempts on a leaving engine move together with it.
 
-mod hand;
+mod harness;
 
 use googletest::prelude::*;
-use hand::{Harness, engine_state, sample_lease};
+use harness::{Harness, engine_state, sample_lease};
 use std::time::Duration;
 use wingshore_rollout::{AttemptId, CacheMoveCosts, RolloutInput, RolloutOutput};
 use wingshore_types::ServerId;
--- a/crates/nodes/wingshore-rollout/tests/runner.rs
+++ b/crates/nodes/wingshore-rollout/tests/runner.rs
@@ -1,9 +1,9 @@
 //! Tests of the runner with individual inputs.
 
-mod hand;
+mod harness;
 
 use googletest::prelude::*;
-use hand::{Harness, LEASE_MS, SLOTS, binding, is_finish, sample_lease};
+use harness::{Harness, LEASE_MS, SLOTS, binding, is_finish, sample_lease};
 use std::time::Duration;
 use wingshore_rollout::{RolloutInput, RolloutOutput, StreamEnd};
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest};
