--- a/crates/gateways/wingshore-coordinator/src/decision_log.rs
+++ b/crates/gateways/wingshore-coordinator/src/decision_log.rs
@@ -138,7 +138,7 @@
             ended_before,
             counted,
         } => {
-            warn!(logger, "server ended under request"; "fingerprint" => %request,
+            warn!(logger, "server crashed while running request"; "fingerprint" => %request,
                 "server" => %instance, "gateway" => gateway.0, "ended_before" => ended_before,
                 "ended_together" => ended_together, "under_request" => under_request,
                 "counted" => counted);
--- a/crates/gateways/wingshore-gateway/src/crash_reports.rs
+++ b/crates/gateways/wingshore-gateway/src/crash_reports.rs
@@ -112,7 +112,7 @@
         return;
     }
     for ObservedCrash { evidence, ago } in &seen {
-        warn!(environment.runtime.logger, "server ended under request";
+        warn!(environment.runtime.logger, "server crashed while running request";
             "fingerprint" => %evidence.fingerprint, "server" => %evidence.instance,
             "ago_ms" => ago.as_millis() as u64);
     }
