--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -55,7 +55,7 @@
                 coordinators,
                 needed,
             }) => {
-                warn!(self.logger, "too few coordinators for the losses to bear";
+                warn!(self.logger, "too few coordinators to tolerate the required losses";
                     "coordinators" => coordinators, "needed" => needed,
                     "losses_borne" => losses_borne_by(coordinators),
                     "losses_to_bear" => losses_to_bear);
