--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -61,7 +61,7 @@
                     "losses_to_bear" => losses_to_bear);
             }
             None => {
-                info!(self.logger, "enough coordinators for the losses to bear";
+                info!(self.logger, "enough coordinators to tolerate the required losses";
                     "losses_to_bear" => losses_to_bear);
             }
         }
