--- a/crates/gateways/wingshore-gateway/src/streams.rs
+++ b/crates/gateways/wingshore-gateway/src/streams.rs
@@ -120,7 +120,7 @@
     runtime
         .metrics
         .request_ended(&exchange.route.name, "stream_broken", time);
-    info!(runtime.logger, "stream broken off"; "request" => exchange.id_text(),
+    info!(runtime.logger, "stream interrupted"; "request" => exchange.id_text(),
         "route" => &exchange.route.name,
         "last_event" => exchange.stream.as_ref().and_then(|stream| stream.last_event));
 }
