--- a/crates/gateways/wingshore-gateway/src/calls.rs
+++ b/crates/gateways/wingshore-gateway/src/calls.rs
@@ -327,7 +327,7 @@
     match ReadPage::unpack(page) {
         Ok(page) => BatchAnswer::Page(page),
         Err(error) => {
-            warn!(logger, "results page not decoded"; "error" => %error);
+            warn!(logger, "cannot decode results page"; "error" => %error);
             BatchAnswer::Unavailable(call_policy::RETRY_AFTER)
         }
     }
