--- a/crates/gateways/wingshore-coordinator/src/process/duties.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/duties.rs
@@ -65,7 +65,7 @@
     /// Orders an engine to load weights, unless the lease has expired.
     pub(super) fn order_load(&mut self, now: Instant, order: &WeightOrder) -> Option<Event> {
         if !self.host.holds_lease(self.clock.now()) {
-            info!(self.logger, "order not given"; "engine" => %order.instance,
+            info!(self.logger, "order not sent"; "engine" => %order.instance,
                 "reason" => "the lease is over", "fence" => order.fence.0);
             let (instance, answer) = (order.instance.clone(), OrderAnswer::Refused);
             return Some(Event::WeightOrderAnswered { instance, answer });
