--- a/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
+++ b/crates/gateways/wingshore-coordination/tests/step_world/mod.rs
@@ -1,9 +1,9 @@
 //! Simulation of engines, a weight store and trainers around the real leader, without a network,
-//! for steps whose longest texts take about as long as a step may.
+//! for training steps whose longest texts take about as long as the time allowed for a step.
 //!
 //! The parameters are those of a deployment: 45 engines of eight slots, every third one 1.3 times
 //! slower, 48 ms between events, loads of 0.9 s that take longer while more than nine run, and
-//! three trainers whose next step but one waits for the training on the current one.
+//! three trainers, each of which submits step n + 2 only after its training on step n.
 
 mod work;
 
--- a/crates/gateways/wingshore-coordinator/src/sent_states.rs
+++ b/crates/gateways/wingshore-coordinator/src/sent_states.rs
@@ -1,40 +1,40 @@
 //! Progress reports of the snapshots that a leader sends to members whose log is too far behind. No
 //! I/O.
 //!
-//! Question: which sending has started, is in progress or has ended since the last update, and how
-//! many bytes were sent meanwhile? Input: the progress of each sending ([`SnapshotSending`]), at
-//! each update. Rule: the start and the end of each sending are reported, and its progress once per
-//! [`REPORT_INTERVAL`]. Why: a member that is still being sent the state does not help the group to
-//! tolerate losses, and only the leader knows how long that will last. Old or missing input: a
-//! sending that is no longer listed has ended; its last known progress is reported.
+//! Question: which transfer has started, is in progress or has ended since the last update, and how
+//! many bytes were sent meanwhile? Input: the progress of each transfer ([`SnapshotSending`]), at
+//! each update. Rule: the start and the end of each transfer are reported, and its progress once
+//! per [`REPORT_INTERVAL`]. Why: a member that is still being sent the state does not help the
+//! group to tolerate losses, and only the leader knows how long that will last. Old or missing
+//! input: a transfer that is no longer listed has ended; its last known progress is reported.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wingshore_group::SnapshotSending;
 use wingshore_types::{Instant, ReplicaId};
 
-/// Time between two reports of a sending in progress.
+/// Time between two reports of a transfer in progress.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Phase of a sending.
+/// Phase of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendingPhase {
-    /// The sending has started.
+    /// The transfer has started.
     Started,
-    /// The sending is in progress.
+    /// The transfer is in progress.
     InProgress,
-    /// The sending has ended: the member holds the snapshot, or the sending was cancelled.
+    /// The transfer has ended: the member holds the snapshot, or the transfer was cancelled.
     Ended,
 }
 
-/// Report of a sending.
+/// Report of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendingReport {
-    /// Phase of the sending.
+    /// Phase of the transfer.
     pub phase: SendingPhase,
     /// Last known progress.
     pub sending: SnapshotSending,
-    /// Time since the sending was first listed.
+    /// Time since the transfer was first listed.
     pub age: Duration,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl SentStates {
-    /// Takes the current progress of all sendings; returns the reports and byte counts since the
+    /// Takes the current progress of all transfers; returns the reports and byte counts since the
     /// last update.
     pub fn update(&mut self, now: Instant, sendings: &[SnapshotSending]) -> SendingUpdate {
         let mut update = SendingUpdate::default();
@@ -98,7 +98,7 @@
             .sum()
     }
 
-    /// Removes the sendings that are no longer listed, and reports their end.
+    /// Removes the transfers that are no longer listed, and reports their end.
     fn end_unlisted(
         &mut self,
         now: Instant,
@@ -118,7 +118,7 @@
         });
     }
 
-    /// Updates one sending, and reports its start or progress where that is due.
+    /// Updates one transfer, and reports its start or progress where that is due.
     fn update_one(&mut self, now: Instant, sending: SnapshotSending, update: &mut SendingUpdate) {
         let before = self.sendings.get(&sending.to).copied();
         let (sent, sent_again) = before.map_or((0, 0), |known| {
@@ -146,8 +146,8 @@
     }
 }
 
-/// Returns whether two progress values belong to one sending: the same member and snapshot, without
-/// a restart.
+/// Returns whether two progress values belong to one transfer: the same member and snapshot,
+/// without a restart.
 fn is_same(now: &SnapshotSending, before: &SnapshotSending) -> bool {
     (now.to, now.index) == (before.to, before.index) && now.sent >= before.sent
 }
--- a/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
+++ b/crates/gateways/wingshore-coordinator/tests/returning_coordinators.rs
@@ -4,8 +4,8 @@
 //! Guards against a fault seen while other processes wrote files: a coordinator was added 2.06 s
 //! after all had heard from it, and held the state 0.2 s later. Four changes came before its own,
 //! for another coordinator that had returned too, and each waited for the commit of the one before:
-//! an addition was one of the changes that wait for each other. These tests play the changes with a
-//! commit that takes long.
+//! an addition was one of the changes that wait for each other. These tests run the changes with
+//! slow commits.
 
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateways/wingshore-coordinator/tests/simulation/machine.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/machine.rs
@@ -19,7 +19,8 @@
 pub const MODEL: &str = "m";
 /// Time that an engine takes to load weights.
 pub const LOAD_TIME: Duration = Duration::from_millis(900);
-/// Handover time as in the settings of a coordinator: the users' bound plus a margin.
+/// Handover time as in the settings of a coordinator: the users' minimum of 3 s between the
+/// orders of two machines (`ORDER_GAP`), plus a margin.
 const ORDER_HANDOVER: Duration = Duration::from_millis(3300);
 
 /// Deliberate defect, to show that the checker detects it.
--- a/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
+++ b/crates/gateways/wingshore-coordinator/tests/simulation/mod.rs
@@ -379,8 +379,8 @@
         Ok(())
     }
 
-    /// Checks what an engine receives: fences never fall, and no two machines send orders within
-    /// the users' bound.
+    /// Checks what an engine receives: fences never decrease, and the orders of two machines are at
+    /// least [`ORDER_GAP`] apart.
     fn check(&mut self, in_flight: &OrderInFlight) -> Result<(), String> {
         let OrderInFlight {
             arrives,
--- a/crates/gateways/wingshore-gateway/src/admission.rs
+++ b/crates/gateways/wingshore-gateway/src/admission.rs
@@ -74,7 +74,7 @@
         answer: OwnAnswer::NotRun(RETRY_AFTER),
         reason: "the route has no service",
     };
-    /// The stream may outlast a planned stop and would then have to be broken off.
+    /// The stream may outlast a planned stop and would then have to be interrupted.
     pub(crate) const STOPPING: Self = Self {
         answer: OwnAnswer::NotRun(RETRY_AFTER),
         reason: "the stream may outlast the planned stop",
--- a/crates/gateways/wingshore-gateway/src/attempt_timeouts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempt_timeouts.rs
@@ -15,7 +15,7 @@
 //! **Why.** A machine that is partitioned or frozen does not answer at all: a repeatable request
 //! that waited for it would miss its target latency, while another server can still answer in time.
 //! A request that outlasts the process gets no answer at all. A stream that has started can only be
-//! broken off; one that has not started can be refused, and the client retries elsewhere.
+//! interrupted; one that has not started can be refused, and the client retries elsewhere.
 //!
 //! **Missing inputs.** If the caller gives no deadline, the route's timeout applies.
 
@@ -31,7 +31,7 @@
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 /// Streams that may outlast a planned stop are accepted for this long after it begins. Only
-/// requests sent within 3 s after the signal may be broken off when the process ends; the gateway
+/// requests sent within 3 s after the signal may be interrupted when the process ends; the gateway
 /// notices the signal within 0.2 s. Clients have moved to other gateways before then.
 const STREAM_ADMISSION_TIME: Duration = Duration::from_millis(2500);
 
@@ -63,7 +63,7 @@
     request_deadline.min(now + CONNECT_TIMEOUT)
 }
 
-/// Returns when a server that has the request is given up in favour of another one; `attempts` is
+/// Returns when an attempt is abandoned so that another server can get the request; `attempts` is
 /// the number of earlier attempts that may have run.
 pub fn answer_deadline(
     now: Instant,
--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -26,7 +26,7 @@
 use wingshore_coordination::{EVIDENCE_LIFETIME, Route, RouteKind};
 use wingshore_types::verdict::Verdict;
 
-/// A request is given up when it is refused more often than this, whatever attempts are left. This
+/// A request fails when servers refuse it more often than this, whatever attempts are left. This
 /// bounds the round trips to a service whose servers all refuse.
 const MAX_REFUSALS: u32 = 3;
 /// How long a client should wait before it retries a request that was not run.
--- a/crates/gateways/wingshore-gateway/src/balance.rs
+++ b/crates/gateways/wingshore-gateway/src/balance.rs
@@ -149,7 +149,7 @@
         server.latency_ms += (newest - server.latency_ms) * LATENCY_WEIGHT;
     }
 
-    /// Records a request that was given up after `latency`: its answer would have taken longer.
+    /// Records an attempt that was abandoned after `latency`: its answer would have taken longer.
     pub fn timed_out(&mut self, now: Instant, instance: &InstanceId, latency: Duration) {
         let server = self.entry(instance);
         server.measured_at = now;
--- a/crates/gateways/wingshore-gateway/src/crashes.rs
+++ b/crates/gateways/wingshore-gateway/src/crashes.rs
@@ -43,7 +43,8 @@
 struct LostConnections {
     address: SocketAddr,
     requests: Vec<RequestFingerprint>,
-    /// When the first connection was lost; if the server has ended, this counts as the time.
+    /// When the first connection was lost; if the server turns out to have crashed, this is taken
+    /// as the time of the crash.
     first_lost_at: Instant,
     /// Number of connections opened to probe the server.
     probes: u32,
--- a/crates/gateways/wingshore-gateway/src/exchange.rs
+++ b/crates/gateways/wingshore-gateway/src/exchange.rs
@@ -44,7 +44,7 @@
     pub(crate) sent_to: Vec<InstanceId>,
     /// The connection of the current attempt.
     pub(crate) upstream: Option<ConnectionId>,
-    /// When the current attempt is given up.
+    /// When the current attempt is abandoned.
     pub(crate) attempt_deadline: Instant,
     /// Whether the request is rejected because too many servers crashed while running it.
     pub(crate) is_rejected: bool,
@@ -98,7 +98,8 @@
         self.attempt_deadline = self.attempt_deadline.min(end);
     }
 
-    /// Returns when a server that gets the request now is given up in favour of another one.
+    /// Returns when an attempt that starts now is abandoned so that another server can get the
+    /// request.
     pub(crate) fn answer_deadline(&self, now: Instant) -> Instant {
         let (attempts, target) = (self.history.attempts, self.route.target_latency);
         attempt_timeouts::answer_deadline(now, self.deadline, self.limits(), attempts, target)
--- a/crates/gateways/wingshore-gateway/src/item_attempt.rs
+++ b/crates/gateways/wingshore-gateway/src/item_attempt.rs
@@ -30,8 +30,8 @@
     pub(crate) version: Option<u64>,
     pub(crate) begun: Instant,
     first_event: Option<Instant>,
-    /// Whether the attempt was reported as having run for so long that it is not what crashes
-    /// servers.
+    /// Whether the attempt was reported as cleared of suspicion: it has run for so long that it is
+    /// not the cause of server crashes.
     is_cleared: bool,
     /// When the engine last sent data.
     pub(crate) last_input_at: Instant,
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -288,7 +288,7 @@
     }
 
     /// Returns the fingerprint of an item whose connection was lost; `None` if the item ran for so
-    /// long that it is not what crashes engines.
+    /// long that it is not the cause of a crash.
     fn possible_cause(
         &self,
         environment: &Environment,
--- a/crates/gateways/wingshore-gateway/src/streams.rs
+++ b/crates/gateways/wingshore-gateway/src/streams.rs
@@ -1,6 +1,6 @@
 //! Forwarding of event streams to clients as the events arrive.
 //!
-//! Only complete events are forwarded. A stream that breaks off inside an event can then be resumed
+//! Only complete events are forwarded. A stream that is cut inside an event can then be resumed
 //! at another server after the last complete event, within the same answer to the client.
 
 use crate::answers::AnswerFacts;
--- a/crates/gateways/wingshore-gateway/tests/attempts.rs
+++ b/crates/gateways/wingshore-gateway/tests/attempts.rs
@@ -286,7 +286,7 @@
     expect_that!(connect_deadline(now, soon), eq(soon));
 }
 
-/// A stream that has started can only be broken off when a planned stop ends. The requirements
+/// A stream that has started can only be interrupted when a planned stop ends. The requirements
 /// allow this only for requests sent within 3 s after the SIGTERM.
 #[gtest]
 fn a_stream_that_may_outlast_a_stop_is_admitted_only_early_in_it() {
--- a/crates/shared/wingshore-consensus/src/entry.rs
+++ b/crates/shared/wingshore-consensus/src/entry.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns the kind that a byte on disk stands for.
+    /// Returns the kind that a byte on disk encodes; `None` if the byte is unknown.
     fn from_code(code: u8) -> Option<Self> {
         match code {
             0 => Some(Self::Empty),
--- a/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
+++ b/crates/shared/wingshore-consensus/tests/snapshot_sending.rs
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-/// The same for a duplicated chunk.
+/// Each duplicated chunk may cause at most one window to be resent, as for late chunks.
 #[gtest]
 fn duplicated_chunk_resends_one_window() -> Result<()> {
     for doubled in [&[10][..], &[100], &[10, 100, 300]] {
