--- a/crates/gateways/wingshore-coordinator/src/spool.rs
+++ b/crates/gateways/wingshore-coordinator/src/spool.rs
@@ -93,7 +93,7 @@
     /// Returns the result, and logs its error.
     fn logged<T>(&self, result: io::Result<T>) -> io::Result<T> {
         if let Err(error) = &result {
-            warn!(self.logger, "a received state cannot be gathered";
+            warn!(self.logger, "cannot store received snapshot";
                 "file" => %self.path.display(), "error" => %error);
         }
         result
