--- a/crates/gateways/wingshore-coordinator/src/spool.rs
+++ b/crates/gateways/wingshore-coordinator/src/spool.rs
@@ -103,7 +103,7 @@
 impl Drop for SpoolFile {
     fn drop(&mut self) {
         if let Err(error) = self.fs.remove(&self.path) {
-            warn!(self.logger, "a received state file cannot be removed"; "error" => %error);
+            warn!(self.logger, "cannot remove received snapshot file"; "error" => %error);
         }
     }
 }
