--- a/crates/gateways/wingshore-coordinator/src/texts.rs
+++ b/crates/gateways/wingshore-coordinator/src/texts.rs
@@ -259,7 +259,7 @@
     fn read(&self) -> io::Result<Vec<u8>> {
         let read = self.blob.read();
         if let Err(error) = &read {
-            warn!(self.shared.logger, "a text cannot be read"; "error" => %error);
+            warn!(self.shared.logger, "cannot read result text"; "error" => %error);
         }
         read
     }
