--- a/crates/nodes/wingshore-relay/src/state/copy.rs
+++ b/crates/nodes/wingshore-relay/src/state/copy.rs
@@ -1,28 +1,28 @@
-//! The relay's copy of the configuration, and its newest changes.
+//! The relay's copy of the configuration, with its most recent changes.
 
 use std::collections::VecDeque;
 use wingshore_types::Revision;
 use wingshore_types::configuration::{Configuration, ConfigurationChange};
 use wingshore_types::protocol::control::ConfigurationUpdate;
 
-/// A configuration whose revision never goes down, with the changes that led to it.
+/// A configuration whose revision never decreases, with the most recent changes.
 #[derive(Debug)]
 pub(super) struct ConfigurationCopy {
     configuration: Configuration,
-    /// The changes up to `configuration`, the last one being that of its revision.
+    /// The most recent changes; the last one led to the revision of `configuration`.
     changes: VecDeque<ConfigurationChange>,
-    kept_changes: usize,
-    wants_whole: bool,
+    retained_changes: usize,
+    needs_snapshot: bool,
     received: bool,
 }
 
 impl ConfigurationCopy {
-    pub(super) fn new(kept_changes: usize) -> Self {
+    pub(super) fn new(retained_changes: usize) -> Self {
         Self {
             configuration: Configuration::default(),
             changes: VecDeque::new(),
-            kept_changes,
-            wants_whole: false,
+            retained_changes,
+            needs_snapshot: false,
             received: false,
         }
     }
@@ -31,33 +31,36 @@
         self.configuration.revision
     }
 
-    /// Whether any answer has come from upstream.
-    pub(super) fn is_received(&self) -> bool {
+    /// Returns whether an update from upstream has been applied.
+    pub(super) fn has_received_update(&self) -> bool {
         self.received
     }
 
-    /// The revision to ask upstream from; zero asks for the whole.
-    pub(super) fn wanted_from(&self) -> Revision {
-        if self.wants_whole {
+    /// Returns the revision to send in the next upstream watch; zero requests a snapshot.
+    pub(super) fn request_revision(&self) -> Revision {
+        if self.needs_snapshot {
             Revision(0)
         } else {
             self.revision()
         }
     }
 
-    /// Takes an update in; returns whether it fits.
+    /// Applies an update. Returns whether it is consistent with the copy; if it is not, a snapshot
+    /// is requested next.
     pub(super) fn apply(&mut self, update: ConfigurationUpdate) -> bool {
-        let fits = match update {
-            ConfigurationUpdate::Unchanged => !self.wants_whole || self.revision() == Revision(0),
+        let is_consistent = match update {
+            ConfigurationUpdate::Unchanged => {
+                !self.needs_snapshot || self.revision() == Revision(0)
+            }
             ConfigurationUpdate::Delta { from, changes } => self.apply_delta(from, changes),
-            ConfigurationUpdate::Snapshot(whole) => self.replace(*whole),
+            ConfigurationUpdate::Snapshot(snapshot) => self.replace(*snapshot),
         };
-        self.wants_whole = !fits;
-        self.received |= fits;
-        fits
+        self.needs_snapshot = !is_consistent;
+        self.received |= is_consistent;
+        is_consistent
     }
 
-    /// What a watcher that holds `have` lacks.
+    /// Returns the update for a watcher that holds revision `have`.
     pub(super) fn update_since(&self, have: Revision) -> ConfigurationUpdate {
         let revision = self.revision();
         if have >= revision {
@@ -81,30 +84,30 @@
         if from != Revision(0) {
             return false;
         }
-        let mut whole = Configuration::default();
-        let fits = changes.iter().all(|change| whole.apply(change).is_ok());
-        fits && self.replace(whole)
+        let mut snapshot = Configuration::default();
+        let is_consistent = changes.iter().all(|change| snapshot.apply(change).is_ok());
+        is_consistent && self.replace(snapshot)
     }
 
-    /// One change after another, each complete, so that one that does not fit leaves a revision
-    /// that was really committed.
+    /// Applies one change completely or not at all, so that an inconsistent change leaves the copy
+    /// at a committed revision.
     fn apply_change(&mut self, change: ConfigurationChange) -> bool {
         if self.configuration.apply(&change).is_err() {
             return false;
         }
         self.changes.push_back(change);
-        if self.changes.len() > self.kept_changes {
+        if self.changes.len() > self.retained_changes {
             self.changes.pop_front();
         }
         true
     }
 
-    fn replace(&mut self, whole: Configuration) -> bool {
-        if whole.revision < self.revision() {
+    fn replace(&mut self, snapshot: Configuration) -> bool {
+        if snapshot.revision < self.revision() {
             return false;
         }
-        if whole.revision > self.revision() {
-            self.configuration = whole;
+        if snapshot.revision > self.revision() {
+            self.configuration = snapshot;
             self.changes.clear();
         }
         true
--- a/crates/nodes/wingshore-replica/src/effects/mod.rs
+++ b/crates/nodes/wingshore-replica/src/effects/mod.rs
@@ -1,8 +1,8 @@
-//! Orders to engines and readings of their states: carried by threads of their own.
+//! Orders to engines and reads of their state, executed on threads of their own.
 
 mod carrier;
 mod engine;
 mod lease;
 
 pub(crate) use carrier::{ControlEffects, EffectSettings};
-pub(crate) use lease::LeaseView;
+pub(crate) use lease::SharedLease;
--- a/crates/nodes/wingshore-replica/src/start.rs
+++ b/crates/nodes/wingshore-replica/src/start.rs
@@ -1,6 +1,6 @@
 //! Opens the groups of a replica.
 
-use crate::effects::{ControlEffects, EffectSettings, LeaseView};
+use crate::effects::{ControlEffects, EffectSettings, SharedLease};
 use crate::error::{ReplicaError, StorageSnafu};
 use crate::group::{self, EffectRunner, GroupPort, GroupSetup, HostedLeader, Inbox, NoEffects};
 use crate::metrics::{GroupMetrics, ReplicaMetrics};
@@ -19,25 +19,25 @@
 use wingshore_storage::{DataFolder, FileSystem, GroupStore};
 use wingshore_types::GroupId;
 
-/// Election timeouts differ by up to this part of the shortest one.
-const ELECTION_SPREAD_PART: u32 = 4;
+/// Divisor of the shortest election timeout; the quotient is the spread of election timeouts.
+const ELECTION_SPREAD_DIVISOR: u32 = 4;
 
-/// Longest watch of the configuration, in fifths of the lease: a node that loses one watch renews its
-/// lease by the next.
+/// Longest watch of the configuration, in fifths of the lease: a node that loses one watch can
+/// still renew its lease with the next one.
 const MAX_WATCH_FIFTHS: u32 = 2;
 
-/// A group whose thread runs.
+/// A group whose thread is running.
 pub(crate) struct RunningGroup {
     pub(crate) group: GroupId,
-    /// Gives how it ended.
+    /// Returns the group's result when joined.
     pub(crate) thread: JoinHandle<Result<(), ReplicaError>>,
 }
 
-/// Starts the threads of a group that is open.
+/// Starts the threads of an opened group.
 pub(crate) type PreparedGroup = Box<dyn FnOnce() -> Result<RunningGroup, ReplicaError>>;
 
-/// What the groups of a replica share.
-pub(crate) struct Shared<'a> {
+/// Resources and settings that all groups of a replica share.
+pub(crate) struct GroupContext<'a> {
     pub(crate) fs: Arc<dyn FileSystem>,
     pub(crate) folder: &'a DataFolder,
     pub(crate) settings: &'a ReplicaSettings,
@@ -46,7 +46,7 @@
     pub(crate) peers: Arc<Peers>,
 }
 
-/// Groups that are open; their threads are started only once connections can be taken.
+/// Opened groups; their threads are started only once the replica accepts connections.
 pub(crate) struct PreparedGroups {
     pub(crate) metrics: ReplicaMetrics,
     pub(crate) group_metrics: Vec<(GroupId, Arc<GroupMetrics>)>,
@@ -58,87 +58,87 @@
     /// Opens all groups of the settings.
     ///
     /// # Errors
-    /// When the storage of one cannot be opened.
-    pub(crate) fn open(shared: &Shared<'_>) -> Result<Self, ReplicaError> {
+    /// When the storage of a group cannot be opened.
+    pub(crate) fn open(context: &GroupContext<'_>) -> Result<Self, ReplicaError> {
         let mut prepared = Self {
             metrics: ReplicaMetrics::new(),
             group_metrics: Vec::new(),
             ports: BTreeMap::new(),
             groups: Vec::new(),
         };
-        let settings = shared.settings;
+        let settings = context.settings;
         for group in GroupId::all(settings.ledger_groups, settings.claims_groups) {
             match group {
-                GroupId::Control => prepared.open_control(shared)?,
+                GroupId::Control => prepared.open_control(context)?,
                 GroupId::Ledger(_) => {
-                    prepared.open_group(shared, group, |_: &Inbox<LedgerLeader>| Ok(NoEffects))?;
+                    prepared.open_group(context, group, |_: &Inbox<LedgerLeader>| Ok(NoEffects))?;
                 }
                 GroupId::Claims(_) => {
-                    prepared.open_group(shared, group, |_: &Inbox<ClaimsLeader>| Ok(NoEffects))?;
+                    prepared.open_group(context, group, |_: &Inbox<ClaimsLeader>| Ok(NoEffects))?;
                 }
             }
         }
         Ok(prepared)
     }
 
-    fn open_control(&mut self, shared: &Shared<'_>) -> Result<(), ReplicaError> {
+    fn open_control(&mut self, context: &GroupContext<'_>) -> Result<(), ReplicaError> {
         let settings = EffectSettings {
-            replica: shared.folder.identity().replica,
-            leader: leader_settings(shared.settings),
-            orders: shared.settings.orders,
+            replica: context.folder.identity().replica,
+            leader: leader_settings(context.settings),
+            orders: context.settings.orders,
         };
-        let clock = shared.clock;
+        let clock = context.clock;
         let effects = move |inbox: &Inbox<ControlLeader>| {
-            ControlEffects::start(settings, Arc::new(LeaseView::default()), clock, inbox)
+            ControlEffects::start(settings, Arc::new(SharedLease::default()), clock, inbox)
         };
-        self.open_group(shared, GroupId::Control, effects)
+        self.open_group(context, GroupId::Control, effects)
     }
 
     fn open_group<L: HostedLeader, E: EffectRunner<L> + 'static>(
         &mut self,
-        shared: &Shared<'_>,
+        context: &GroupContext<'_>,
         group: GroupId,
         effects: impl FnOnce(&Inbox<L>) -> Result<E, ReplicaError> + 'static,
     ) -> Result<(), ReplicaError> {
-        let directory = shared.folder.group_directory(group);
-        let (store, recovered) =
-            GroupStore::open(Arc::clone(&shared.fs), &directory).context(StorageSnafu { group })?;
+        let directory = context.folder.group_directory(group);
+        let (store, recovered) = GroupStore::open(Arc::clone(&context.fs), &directory)
+            .context(StorageSnafu { group })?;
         let metrics = self.metrics.group(group);
         self.group_metrics.push((group, Arc::clone(&metrics)));
         let setup = GroupSetup {
             group,
-            config: host_config(shared),
+            config: host_config(context),
             store,
             recovered,
-            clock: shared.clock,
-            peers: Arc::clone(&shared.peers),
+            clock: context.clock,
+            peers: Arc::clone(&context.peers),
             metrics,
-            logger: shared.diagnostics.logger().clone(),
+            logger: context.diagnostics.logger().clone(),
         };
-        let (inbox, outbox) = Inbox::<L>::new();
+        let (inbox, receiver) = Inbox::<L>::new();
         self.ports.insert(group, Box::new(inbox.clone()));
         self.groups.push(Box::new(move || {
             let effects = effects(&inbox)?;
-            let thread = group::start(setup, inbox, outbox, effects)?;
+            let thread = group::start(setup, inbox, receiver, effects)?;
             Ok(RunningGroup { group, thread })
         }));
         Ok(())
     }
 }
 
-fn host_config(shared: &Shared<'_>) -> HostConfig {
-    let identity = shared.folder.identity();
-    let timing = shared.settings.timing;
+fn host_config(context: &GroupContext<'_>) -> HostConfig {
+    let identity = context.folder.identity();
+    let timing = context.settings.timing;
     let founding = identity.founding.clone();
     HostConfig {
         timing: Timing {
             election_timeout: timing.election_timeout,
-            election_spread: timing.election_timeout / ELECTION_SPREAD_PART,
+            election_spread: timing.election_timeout / ELECTION_SPREAD_DIVISOR,
             heartbeat_interval: timing.heartbeat,
             lease: timing.lease,
             drift: timing.clock_drift,
         },
-        snapshot_every_bytes: shared.settings.snapshot_every,
+        snapshot_every_bytes: context.settings.snapshot_every,
         ..HostConfig::new(identity.replica, founding, rand::random())
     }
 }
--- a/crates/nodes/wingshore-replica/tests/site.rs
+++ b/crates/nodes/wingshore-replica/tests/site.rs
@@ -1,4 +1,4 @@
-//! Three replicas of one site in one process: forming groups, crashes, new members, faults.
+//! Three replicas of one site in one process: group formation, crashes, new members and faults.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::disk::FailingDisk;
-use support::{CLAIMS, PATIENCE, SITE, TestSite, claim_request, wait_for, wait_until};
+use support::{CLAIMS, SITE, TIMEOUT, TestSite, claim_request, wait_for, wait_until};
 use wingshore_replica::ReplicaError;
 use wingshore_storage::{RealFileSystem, StorageError};
 use wingshore_transport::{ConnectOptions, Connection, FrameHandler, encode};
@@ -43,36 +43,36 @@
     )
 }
 
-/// Each in turn, then all at once: what was granted stays granted.
+/// Crashes the replicas one by one, then all together: granted claims must remain granted.
 #[gtest]
-fn crashed_replicas_come_back_with_all_they_had() -> Result<()> {
+fn restarted_replicas_retain_all_granted_claims() -> Result<()> {
     let mut site = TestSite::start(3);
     let mut keys = Vec::new();
-    for place in 0..3 {
-        for moment in ["before", "away"] {
-            if moment == "away" {
-                site.crash(place);
+    for index in 0..3 {
+        for phase in ["before", "away"] {
+            if phase == "away" {
+                site.crash(index);
             }
-            let key = format!("{moment} {place}");
+            let key = format!("{phase} {index}");
             verify_that!(site.claim(&key, "one"), eq(&ClaimsReply::Granted))?;
             keys.push(key);
         }
-        site.start_replica(place);
+        site.start_replica(index);
     }
-    (0..3).for_each(|place| site.crash(place));
-    (0..3).for_each(|place| site.start_replica(place));
+    (0..3).for_each(|index| site.crash(index));
+    (0..3).for_each(|index| site.start_replica(index));
     for key in &keys {
         verify_that!(
             site.claim(key, "two"),
             matches_pattern!(ClaimsReply::Taken { .. })
         )?;
     }
-    let ids: Vec<_> = (0..3).map(|place| site.replica(place).id().0).collect();
+    let ids: Vec<_> = (0..3).map(|index| site.replica(index).id().0).collect();
     verify_that!(ids, elements_are![eq(&1), eq(&2), eq(&3)])
 }
 
 #[gtest]
-fn an_empty_folder_comes_back_as_a_new_member_and_only_by_replacement() -> Result<()> {
+fn replica_with_empty_folder_joins_only_by_replacement() -> Result<()> {
     let mut site = TestSite::start(3);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
     let lost = (site.leader() + 1) % 3;
@@ -83,7 +83,7 @@
     let new = site.replica(lost).id();
     verify_that!(new.0, gt(u64::from(u32::MAX)))?;
 
-    // It is no member by itself, and has no say.
+    // The new replica does not become a member by itself and does not count for the quorum.
     verify_that!(site.claim("meanwhile", "one"), eq(&ClaimsReply::Granted))?;
     let (membership, ..) = site.members();
     let voters: Vec<ReplicaId> = membership.voters.iter().map(|voter| voter.id).collect();
@@ -102,9 +102,9 @@
     site.start_replica(survivor);
 
     replace(&site, old, new, lost);
-    // Now it counts: the other follower may go.
+    // The new member counts for the quorum: the other follower may crash.
     let other = (0..3)
-        .find(|place| *place != lost && *place != site_leader(&site))
+        .find(|index| *index != lost && *index != claims_leader_index(&site))
         .expect("one of three");
     site.crash(other);
     for key in ["early", "meanwhile"] {
@@ -113,17 +113,17 @@
             matches_pattern!(ClaimsReply::Taken { .. })
         )?;
     }
-    // Its folder keeps the new identity.
+    // The data folder keeps the new identity.
     site.crash(lost);
     site.start_replica(lost);
     verify_that!(site.replica(lost).id(), eq(new))
 }
 
-/// As `ctl members replace` does where the address stays.
-fn replace(site: &TestSite, old: ReplicaId, new: ReplicaId, place: usize) {
+/// Replaces a member as `ctl members replace` does if the address stays the same.
+fn replace(site: &TestSite, old: ReplicaId, new: ReplicaId, index: usize) {
     let member = Member {
         id: new,
-        address: site.addresses[place],
+        address: site.addresses[index],
     };
     let steps = [
         MembershipRequest::Remove(old),
@@ -137,30 +137,30 @@
     }
 }
 
-/// Place of the leader, new members included.
-fn site_leader(site: &TestSite) -> usize {
+/// Returns the index of the leader of the claims group, which may be a new member.
+fn claims_leader_index(site: &TestSite) -> usize {
     let (_, leader, ..) = site.members();
     (0..3)
-        .find(|place| site.replica(*place).id() == leader)
+        .find(|index| site.replica(*index).id() == leader)
         .expect("one of the replicas")
 }
 
 #[gtest]
-fn folders_of_others_are_refused() -> Result<()> {
+fn foreign_data_folders_are_rejected() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
-    let start = |place: usize, change: &dyn Fn(&TestSite)| {
+    let start = |index: usize, change: &dyn Fn(&TestSite)| {
         change(&site);
-        site.try_start(place, Arc::new(RealFileSystem)).err()
+        site.try_start(index, Arc::new(RealFileSystem)).err()
     };
-    // In use by a replica that runs.
+    // A folder in use by a running replica.
     verify_that!(
         start(0, &|_| ()),
         some(matches_pattern!(ReplicaError::Folder {
             source: matches_pattern!(StorageError::Locked { .. })
         }))
     )?;
-    // Data without an identity.
+    // A folder with data but without an identity.
     let lose_identity = |site: &TestSite| {
         std::fs::remove_file(site.data(1).join("identity")).expect("removed");
         std::fs::create_dir_all(site.data(1).join("control")).expect("created");
@@ -171,7 +171,7 @@
             source: matches_pattern!(StorageError::NoIdentity { .. })
         }))
     )?;
-    // Another site's.
+    // A folder of another site.
     let mut settings = site.settings(2);
     settings.site = "elsewhere".to_owned();
     let diagnostics = wingshore_diagnostics::Diagnostics::new("replica", 64, None);
@@ -185,18 +185,20 @@
 }
 
 #[gtest]
-fn a_failed_sync_ends_the_replica_and_loses_nothing() -> Result<()> {
+fn failed_sync_ends_the_replica_without_data_loss() -> Result<()> {
     let mut site = TestSite::formatted(3);
     let disk = FailingDisk::default();
     site.start_replica_on(0, &(Arc::new(disk.clone()) as _));
     site.start_replica(1);
     site.start_replica(2);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
-    disk.fail();
-    // Followers write too, so the next commit reaches the broken disk.
+    disk.fail_syncs();
+    // Followers write every commit too, so the next commit reaches the failing disk.
     verify_that!(site.claim("late", "one"), eq(&ClaimsReply::Granted))?;
-    wait_until("the replica notices", || site.replica(0).has_ended());
-    let ended = site.replicas[0].take().expect("it ran").abort();
+    wait_until("the replica detects the failure", || {
+        site.replica(0).has_ended()
+    });
+    let ended = site.replicas[0].take().expect("running replica").abort();
     verify_that!(
         ended,
         err(matches_pattern!(ReplicaError::Storage {
@@ -222,10 +224,10 @@
 }
 
 #[gtest]
-fn the_admin_listener_tells_health_readiness_and_metrics() -> Result<()> {
+fn admin_listener_reports_health_readiness_and_metrics() -> Result<()> {
     let mut site = TestSite::formatted(3);
     site.start_replica(0);
-    // Alone it is healthy, and not ready.
+    // A single replica of three is healthy but not ready.
     verify_that!(site.admin(0, "/healthz").0, eq(200))?;
     let (status, body) = site.admin(0, "/readyz");
     verify_that!(status, eq(503))?;
@@ -235,11 +237,11 @@
     wait_until("two of three are ready", || {
         [0, 1]
             .iter()
-            .all(|&place| site.admin(place, "/readyz").0 == 200)
+            .all(|&index| site.admin(index, "/readyz").0 == 200)
     });
     verify_that!(site.claim("key", "one"), eq(&ClaimsReply::Granted))?;
     let leader = site.leader();
-    wait_until("the metrics tell of the commit", || {
+    wait_until("the metrics show the commit", || {
         let (status, text) = site.admin(leader, "/metrics");
         status == 200
             && text.contains("wingshore_replica_leading{group=\"claims-1\"} 1")
@@ -255,9 +257,9 @@
     fn on_frame(&self, _: &wingshore_transport::ConnectionHandle, _: Frame) {}
 }
 
-/// What a stranger sends after its connection stands: each is refused by closing.
+/// Invalid data sent by an unknown client after connecting: each connection must be closed.
 #[gtest]
-fn garbage_is_refused_without_harm() -> Result<()> {
+fn malformed_input_is_rejected_and_groups_continue() -> Result<()> {
     let site = TestSite::start(3);
     verify_that!(site.claim("early", "one"), eq(&ClaimsReply::Granted))?;
     let hello = |site: &str, replica| {
@@ -287,8 +289,8 @@
     for (case, bytes) in cases.iter().enumerate() {
         for address in &site.addresses {
             let mut stream = TcpStream::connect(address).expect("connected");
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
-            // The replica may close before all is written.
+            stream.set_read_timeout(Some(TIMEOUT)).expect("set");
+            // The replica may close the connection before everything is written.
             let _ = stream.write_all(bytes);
             let mut answer = Vec::new();
             let ended = stream.read_to_end(&mut answer);
@@ -297,10 +299,10 @@
             verify_that!((case, timed_out), eq((case, false)))?;
         }
     }
-    // Consensus messages that mean nothing, from one who claims to be a member.
+    // Malformed consensus messages from a client that claims to be a member.
     let options = ConnectOptions {
         replica: Some(ReplicaId(2)),
-        ..ConnectOptions::new(SITE, PATIENCE)
+        ..ConnectOptions::new(SITE, TIMEOUT)
     };
     let connection = wait_for("a connection", || {
         Connection::open(site.addresses[0], &options, Arc::new(NoFrames)).ok()
@@ -314,7 +316,7 @@
     }
     verify_that!(site.claim("late", "one"), eq(&ClaimsReply::Granted))?;
     let ended: Vec<bool> = (0..3)
-        .map(|place| site.replica(place).has_ended())
+        .map(|index| site.replica(index).has_ended())
         .collect();
     verify_that!(ended, each(eq(&false)))
 }
