--- a/crates/gateways/wingshore-coordinator/src/process/members.rs
+++ b/crates/gateways/wingshore-coordinator/src/process/members.rs
@@ -55,13 +55,13 @@
                 coordinators,
                 needed,
             }) => {
-                warn!(self.logger, "too few coordinators for the losses to bear";
+                warn!(self.logger, "too few coordinators to tolerate the required losses";
                     "coordinators" => coordinators, "needed" => needed,
                     "losses_borne" => losses_borne_by(coordinators),
                     "losses_to_bear" => losses_to_bear);
             }
             None => {
-                info!(self.logger, "enough coordinators for the losses to bear";
+                info!(self.logger, "enough coordinators to tolerate the required losses";
                     "losses_to_bear" => losses_to_bear);
             }
         }
--- a/crates/gateways/wingshore-coordinator/src/spool.rs
+++ b/crates/gateways/wingshore-coordinator/src/spool.rs
@@ -93,7 +93,7 @@
     /// Returns the result, and logs its error.
     fn logged<T>(&self, result: io::Result<T>) -> io::Result<T> {
         if let Err(error) = &result {
-            warn!(self.logger, "a received state cannot be gathered";
+            warn!(self.logger, "cannot store received snapshot";
                 "file" => %self.path.display(), "error" => %error);
         }
         result
@@ -103,7 +103,7 @@
 impl Drop for SpoolFile {
     fn drop(&mut self) {
         if let Err(error) = self.fs.remove(&self.path) {
-            warn!(self.logger, "a received state file cannot be removed"; "error" => %error);
+            warn!(self.logger, "cannot remove received snapshot file"; "error" => %error);
         }
     }
 }
--- a/crates/gateways/wingshore-gateway/src/attempts.rs
+++ b/crates/gateways/wingshore-gateway/src/attempts.rs
@@ -26,7 +26,7 @@
 use wingshore_coordination::{EVIDENCE_LIFETIME, Route, RouteKind};
 use wingshore_types::verdict::Verdict;
 
-/// A request is given up when it is refused more often than this, whatever attempts are left. This
+/// A request fails when servers refuse it more often than this, whatever attempts are left. This
 /// bounds the round trips to a service whose servers all refuse.
 const MAX_REFUSALS: u32 = 3;
 /// How long a client should wait before it retries a request that was not run.
@@ -133,8 +133,8 @@
     }
 }
 
-/// Returns the gateway's answer to the client of a request that is given up.
-pub fn given_up_answer(
+/// Returns the gateway's answer to the client of a request that failed.
+pub fn failure_answer(
     history: AttemptHistory,
     is_rejected: bool,
     is_past_deadline: bool,
--- a/crates/gateways/wingshore-gateway/src/items.rs
+++ b/crates/gateways/wingshore-gateway/src/items.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Handles an engine's complete answer; `ends_at_event_boundary` if the answer has no incomplete event at
-    /// its end. Returns the scoring that follows.
+    /// Handles an engine's complete answer; `ends_at_event_boundary` states that the answer has no
+    /// incomplete event at its end. Returns the scoring that follows.
     #[must_use]
     pub(crate) fn on_answer(
         &mut self,
@@ -288,7 +288,7 @@
     }
 
     /// Returns the fingerprint of an item whose connection was lost; `None` if the item ran for so
-    /// long that it is not what crashes engines.
+    /// long that it is not the cause of a crash.
     fn possible_cause(
         &self,
         environment: &Environment,
