--- a/crates/nodes/wingshore-node/src/admission.rs
+++ b/crates/nodes/wingshore-node/src/admission.rs
@@ -1,29 +1,30 @@
-//! Whether the node may take new work, and act on its copy of the configuration.
+//! Decides whether the node may admit new work and act on its copy of the configuration.
 //!
-//! Question: may a request be admitted, or its next attempt be sent, now?
-//! Inputs: whether a planned stop has begun, the copy of the configuration with its lease, and the
-//! present time.
-//! Rule: a node that stops admits nothing. A node that never received a configuration neither
-//! admits nor sends. A node whose lease has run out does so only if its settings say that it serves
-//! without one.
-//! Why: the control group acts on the end of a lease as on a node that no longer uses the servers
-//! of an older configuration; work sent later could reach a server that is leaving.
-//! Old or missing inputs: a copy is as good as its lease, however old; without one it is refused.
+//! The decision depends on whether a planned stop has begun, on the configuration with its lease
+//! and on the current time:
+//!
+//! * A stopping node admits nothing.
+//! * A node that never received a configuration neither admits requests nor sends attempts.
+//! * A node whose lease has expired does so only if its settings allow serving without a lease.
+//!
+//! Once a lease has expired, the control group assumes that the node no longer uses the servers of
+//! an older configuration; work sent later could reach a server that is leaving. The age of the
+//! configuration itself does not matter while its lease is valid.
 
 use crate::http::EdgeError;
 use std::time::Duration;
 use wingshore_request::{ConfigurationView, NotAdmitted};
 use wingshore_types::Instant;
 
-/// Retry-after of a node that has no configuration or no lease.
+/// Retry-after sent by a node that has no configuration or no lease.
 const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
-/// Retry-after of a node that stops: its successor needs a moment to start.
+/// Retry-after sent by a stopping node: its successor needs a moment to start.
 const RETRY_AFTER_STOP: Duration = Duration::from_secs(2);
 
-/// Whether new work may be taken at `now`.
+/// Checks whether new work may be admitted at `now`.
 ///
 /// # Errors
-/// The refusal for the caller.
+/// Returns the refusal to send to the caller.
 pub fn may_admit(
     is_stopping: bool,
     view: &ConfigurationView,
@@ -36,10 +37,10 @@
     may_act_on_configuration(view, now)
 }
 
-/// Whether the configuration may be acted on at `now`.
+/// Checks whether the node may act on its configuration at `now`.
 ///
 /// # Errors
-/// The refusal for the caller.
+/// Returns the refusal to send to the caller.
 pub fn may_act_on_configuration(view: &ConfigurationView, now: Instant) -> Result<(), EdgeError> {
     let refusal = match view.may_admit(now) {
         Ok(()) => return Ok(()),
--- a/crates/nodes/wingshore-node/src/background/call_runner.rs
+++ b/crates/nodes/wingshore-node/src/background/call_runner.rs
@@ -1,4 +1,4 @@
-//! The threads that run the work that nobody waits for.
+//! Threads that run the fire-and-forget calls of a node.
 
 use crate::background_calls::BackgroundCall;
 use crate::state::NodeState;
@@ -10,17 +10,17 @@
 use std::time::{Duration, Instant};
 use wingshore_types::protocol::wire::GroupRequest;
 
-/// Threads that run background calls.
+/// Number of threads that run background calls.
 const THREADS: usize = 4;
-/// A settlement is attempted for this long. A claim left unsettled stays taken, which is safe.
+/// Timeout of a settlement. A claim that is not settled stays taken, which is safe.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest time that a planned stop waits for background calls.
+/// Maximum time that a planned stop waits for background calls.
 const FINISH_LIMIT: Duration = Duration::from_secs(5);
-/// Time between two checks whether they are done.
+/// Time between two checks whether the background calls are done.
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// The threads that run background calls.
+/// Handle of the threads that run background calls.
 pub struct BackgroundCallRunner {
     threads: Vec<JoinHandle<()>>,
     end: Sender<()>,
@@ -30,7 +30,7 @@
     /// Starts the threads.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// Fails when a thread cannot be started.
     pub fn start(node: &Arc<NodeState>) -> std::io::Result<Self> {
         let (end, ended) = bounded::<()>(0);
         let mut threads = Vec::new();
@@ -45,18 +45,18 @@
         Ok(Self { threads, end })
     }
 
-    /// Runs what waits, for a while at most, then ends the threads and closes the node's client of
-    /// groups.
+    /// Runs the queued calls for a limited time, then ends the threads and closes the node's client
+    /// of groups.
     pub fn finish(self, node: &NodeState) {
         drop(self.end);
         let give_up = Instant::now() + FINISH_LIMIT;
         while !self.threads.iter().all(JoinHandle::is_finished) && Instant::now() < give_up {
             thread::sleep(FINISH_POLL);
         }
-        // Calls that still wait end at once.
+        // Closing the client ends pending calls at once.
         node.groups.close();
         for thread in self.threads {
-            // A panic was reported when it happened.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -92,7 +92,7 @@
             request_id,
         } => {
             if !EngineAttempt::cancel(&node.upstream, address, &request_id) {
-                debug!(node.diagnostics.logger(), "engine did not take a cancel";
+                debug!(node.diagnostics.logger(), "engine did not accept a cancellation";
                     "engine" => address.to_string(), "request" => request_id);
             }
         }
--- a/crates/nodes/wingshore-node/src/background/machines.rs
+++ b/crates/nodes/wingshore-node/src/background/machines.rs
@@ -1,16 +1,16 @@
-//! Reads the platform's machine list.
+//! Polls the platform's machine list.
 
 use crate::state::NodeState;
 use slog::warn;
 use std::time::Duration;
 use wingshore_types::platform::MachineList;
 
-/// Where the platform lists its machines.
+/// Path of the machine list on the platform.
 const MACHINES: &str = "/machines";
-/// Timeout of one reading.
+/// Timeout of one read of the machine list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the machine list again and again until the node stops.
+/// Polls the machine list until the node stops.
 pub fn read_machine_list(node: &NodeState) {
     let Some(address) = node.settings.machine_list else {
         return;
@@ -22,7 +22,7 @@
         {
             Ok(list) => node.router().on_machine_list(node.clock.now(), &list),
             Err(error) => {
-                warn!(node.diagnostics.logger(), "machine list not read";
+                warn!(node.diagnostics.logger(), "cannot read the machine list";
                     "error" => error.to_string());
             }
         }
--- a/crates/nodes/wingshore-node/src/background/mod.rs
+++ b/crates/nodes/wingshore-node/src/background/mod.rs
@@ -1,5 +1,5 @@
-//! Threads that run beside the callers' requests: probes, the configuration watch, the machine
-//! list, background calls. Each keeps a part of the node's state up to date or empties its queue.
+//! Background threads: probes, the configuration watch, the machine list and background calls.
+//! Each thread keeps a part of the node's state up to date or processes a queue of the node.
 
 mod call_runner;
 mod machines;
--- a/crates/nodes/wingshore-node/src/background/pools.rs
+++ b/crates/nodes/wingshore-node/src/background/pools.rs
@@ -1,4 +1,4 @@
-//! Announces to ledger groups what they need to know of pools.
+//! Announces the settings of pools to their ledger groups.
 
 use crate::lock::lock;
 use crate::state::NodeState;
@@ -14,15 +14,15 @@
 /// Timeout of one announcement.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Remembers which pools were announced as they are now.
+/// Announces pools to their ledgers and records what was announced.
 #[derive(Debug, Default)]
 pub struct PoolAnnouncer {
     announced: Mutex<BTreeMap<PoolId, Pool>>,
 }
 
 impl PoolAnnouncer {
-    /// Announces `pool` unless it was announced as it is. A failure is logged; the ledger then
-    /// refuses requests about the pool, and the next of them announces it again.
+    /// Announces `pool` unless its present settings were announced before. A failure is logged; the
+    /// ledger then refuses requests for the pool, and the next request announces the pool again.
     pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) {
         if lock(&self.announced)
             .get(&pool.id)
@@ -47,13 +47,13 @@
                 lock(&self.announced).insert(pool.id.clone(), pool.clone());
             }
             other => {
-                warn!(node.diagnostics.logger(), "pool not announced to its ledger";
+                warn!(node.diagnostics.logger(), "cannot announce the pool to its ledger";
                     "pool" => pool.id.to_string(), "answer" => format!("{other:?}"));
             }
         }
     }
 
-    /// Forgets a pool, so that it is announced again.
+    /// Removes the record of a pool, so that the pool is announced again.
     pub fn forget(&self, pool: &PoolId) {
         lock(&self.announced).remove(pool);
     }
--- a/crates/nodes/wingshore-node/src/background/probes.rs
+++ b/crates/nodes/wingshore-node/src/background/probes.rs
@@ -1,4 +1,4 @@
-//! Probes back ends: which and when is decided by the router, which also gets what they answer.
+//! Probes back ends. The router decides which servers to probe and when, and receives the answers.
 
 use crate::state::NodeState;
 use crate::upstream::JsonError;
@@ -10,14 +10,14 @@
 use wingshore_routing::{ProbeKind, ProbeTarget};
 use wingshore_types::platform::{CacheEvents, EngineState, LoadReport};
 
-/// Time between two checks which probes are due.
+/// Time between two checks for due probes.
 const POLL: Duration = Duration::from_millis(50);
-/// Threads that probe.
+/// Number of threads that probe.
 const THREADS: usize = 4;
-/// Most probes that wait for a thread; further ones are skipped.
+/// Maximum number of probes queued for a thread; further ones are skipped.
 const QUEUE: usize = 1024;
 
-/// The threads that probe back ends.
+/// Handle of the threads that probe back ends.
 pub struct Prober {
     threads: Vec<JoinHandle<()>>,
 }
@@ -26,7 +26,7 @@
     /// Starts the threads; they end when the node stops.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// Fails when a thread cannot be started.
     pub fn start(node: &Arc<NodeState>) -> std::io::Result<Self> {
         let (sender, receiver) = bounded(QUEUE);
         let mut threads = Vec::new();
@@ -49,7 +49,7 @@
     /// Waits for the threads after a stop.
     pub fn join(self) {
         for thread in self.threads {
-            // A panic was reported when it happened.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -59,7 +59,8 @@
     while !node.stop.wait_timeout(POLL) {
         let due = node.router().probe_targets(node.clock.now());
         for target in due {
-            // A full queue means that probes are slower than they fall due: skip, do not pile up.
+            // A full queue means that probes fall due faster than they complete: skip them, so that
+            // they do not accumulate.
             let _ = probes.try_send(target);
         }
     }
--- a/crates/nodes/wingshore-node/src/background/watch.rs
+++ b/crates/nodes/wingshore-node/src/background/watch.rs
@@ -1,7 +1,7 @@
 //! Keeps the copy of the configuration and its lease up to date.
 //!
-//! Relies on the watcher's thread, which calls it for each watch and each answer. A lease counts
-//! from the sending of the watch whose answer carried it.
+//! The watcher thread calls the handler for each watch and each answer. A lease starts at the time
+//! when the watch was sent whose answer carried the lease.
 
 use crate::state::NodeState;
 use slog::{info, warn};
@@ -12,20 +12,21 @@
 use wingshore_request::UpdateOutcome;
 use wingshore_types::protocol::control::{ConfigurationUpdate, NodeAcknowledgement, WatchRequest};
 
-/// Longest time a watch waits for news.
+/// Maximum time that a watch waits for a new configuration.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// A watch waits no longer than this part of the lease, so that waiting never costs it. Without
-/// this bound a node with a lease shorter than [`MAX_WATCH_WAIT`] had none between two watches.
+/// Divisor of the lease duration that bounds the wait of a watch, so that the lease does not expire
+/// during the wait. Without this bound a node whose lease is shorter than [`MAX_WATCH_WAIT`] would
+/// hold no lease between two watches.
 const LEASE_DIVISOR: u32 = 3;
 
-/// Applies what the watch of the configuration brings.
+/// Applies the updates of the configuration watch.
 pub struct NodeWatch {
     node: Arc<NodeState>,
     wait: Duration,
 }
 
 impl NodeWatch {
-    /// A handler for `node`.
+    /// Creates the handler for `node`.
     pub fn new(node: Arc<NodeState>) -> Self {
         Self {
             node,
@@ -35,7 +36,8 @@
 }
 
 impl WatchHandler for NodeWatch {
-    /// Without a lease the watch waits for nothing: its answer brings one, also without news.
+    /// Returns the next watch request. Without a lease the watch does not wait, because its answer
+    /// carries a lease even if the configuration is unchanged.
     fn next_watch(&mut self) -> WatchRequest {
         let view = self.node.view();
         let position = view.watch_position();
@@ -55,8 +57,8 @@
         }
     }
 
-    /// The router has the new configuration before it is acknowledged, and before the lease that
-    /// came with it counts: both happen under the lock of the view.
+    /// Applies an update. The lock of the view is held until the router has the new configuration,
+    /// so the router gets it before the node acknowledges it and before the new lease takes effect.
     fn on_update(&mut self, sent_at: BootTime, update: ConfigurationUpdate, lease_ms: u64) {
         let lease = Duration::from_millis(lease_ms);
         self.wait = MAX_WATCH_WAIT.min(lease / LEASE_DIVISOR);
@@ -79,7 +81,7 @@
             UpdateOutcome::Inapplicable => {
                 warn!(
                     logger,
-                    "configuration update does not fit; asking for the whole"
+                    "configuration update is not applicable; requesting the full configuration"
                 );
             }
         }
--- a/crates/nodes/wingshore-node/src/background_calls.rs
+++ b/crates/nodes/wingshore-node/src/background_calls.rs
@@ -1,33 +1,33 @@
-//! The queue of work that nobody waits for: settling claims, cancelling attempts at engines.
+//! Queue of fire-and-forget calls: settling claims and cancelling attempts at engines.
 
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use std::net::SocketAddr;
 use wingshore_types::GroupId;
 use wingshore_types::protocol::claims::ClaimsRequest;
 
-/// Most background calls that wait; further ones are dropped.
+/// Maximum number of queued background calls; further ones are dropped.
 const QUEUE: usize = 16 * 1024;
 
-/// A call to a group or an engine whose answer nobody waits for.
+/// A fire-and-forget call to a group or an engine.
 #[derive(Debug)]
 pub enum BackgroundCall {
-    /// Report to a claims group how a claim ended.
+    /// Reports to a claims group how a claim ended.
     Settle {
-        /// The group.
+        /// The claims group.
         group: GroupId,
-        /// The settlement.
+        /// The settlement request.
         request: Box<ClaimsRequest>,
     },
-    /// Cancel an attempt at its engine.
+    /// Cancels an attempt at its engine.
     CancelAtEngine {
-        /// The engine.
+        /// Address of the engine.
         address: SocketAddr,
-        /// The attempt.
+        /// Request ID of the attempt at the engine.
         request_id: String,
     },
 }
 
-/// The bounded queue of background calls.
+/// Bounded queue of background calls.
 #[derive(Clone, Debug)]
 pub struct BackgroundCallQueue {
     sender: Sender<BackgroundCall>,
@@ -42,10 +42,10 @@
 }
 
 impl BackgroundCallQueue {
-    /// Adds a call.
+    /// Enqueues a call.
     ///
     /// # Errors
-    /// Returns the call when too many wait.
+    /// Returns the call when the queue is full.
     pub fn add(&self, call: BackgroundCall) -> Result<(), BackgroundCall> {
         self.sender.try_send(call).map_err(|refused| match refused {
             TrySendError::Full(call) | TrySendError::Disconnected(call) => call,
--- a/crates/nodes/wingshore-node/src/lib.rs
+++ b/crates/nodes/wingshore-node/src/lib.rs
@@ -1,16 +1,17 @@
-//! The node role: beside each caller, serves it over HTTP, routes and retries, and runs leased
-//! samples of the rollout pools it is set up for.
+//! The node role: runs beside each caller, serves it over HTTP, routes and retries its requests,
+//! and runs leased samples of the rollout pools named in its settings.
 //!
-//! Drives the state machines that decide (`wingshore-request`, `wingshore-routing`,
-//! `wingshore-rollout`) with sockets, threads and a clock. All its state is a cache: it starts
-//! empty and learns configuration and lease from the control group.
+//! Drives the decision state machines (`wingshore-request`, `wingshore-routing`,
+//! `wingshore-rollout`) with sockets, threads and a clock. All state of a node is a cache: it
+//! starts empty and receives configuration and lease from the control group.
 //!
-//! * `http`: the callers' side, from the listening socket to parsed requests and whole answers.
-//! * `serve`: what is done with each kind of request.
+//! * `http`: the caller-facing side, from the listening socket to parsed requests and complete
+//!   answers.
+//! * `serve`: the handlers of each kind of request.
 //! * `upstream`: requests to engines, live servers, scorers and the machine list.
-//! * `rollout`: one thread a pool that drives its runner.
+//! * `rollout`: one thread per pool that drives the pool's runner.
 //! * `background`: threads for the configuration watch, probes, the machine list, background calls.
-//! * `admission`: whether new work may be taken now.
+//! * `admission`: decides whether new work may be admitted.
 
 mod admission;
 mod background;
--- a/crates/nodes/wingshore-node/src/metrics.rs
+++ b/crates/nodes/wingshore-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a node, as Prometheus text.
+//! Metrics of a node in the Prometheus text format.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -13,15 +13,15 @@
 
 /// Smallest bucket of the latency histogram, in seconds.
 const FIRST_BUCKET: f64 = 0.000_25;
-/// Each bucket's bound is this many times the one before.
+/// Ratio of a bucket's upper bound to the bound of the bucket before.
 const BUCKET_GROWTH: f64 = 2.0;
-/// Number of buckets; the last bound is about two minutes.
+/// Number of latency buckets; the last bound is about two minutes.
 const BUCKETS: u16 = 20;
 
-/// Bounds of the histogram of staleness, in versions.
+/// Bucket bounds of the staleness histogram, in weight versions.
 const STALENESS_BUCKETS: [f64; 9] = [0.0, 1.0, 2.0, 3.0, 4.0, 8.0, 16.0, 32.0, 64.0];
 
-/// Labels of requests.
+/// Labels of answered requests: their kind and outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// `forward`, `completion` or `trainer`.
@@ -30,7 +30,7 @@
     pub code: String,
 }
 
-/// A kind of requests alone.
+/// Label of metrics that are split by the kind of request only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
     /// `forward`, `completion` or `trainer`.
@@ -40,41 +40,41 @@
 /// All metrics of a node.
 pub struct Metrics {
     registry: Registry,
-    /// Requests answered.
+    /// Number of answered requests.
     pub requests: Family<RequestLabels, Counter>,
-    /// Time from the whole request to the end of its answer.
+    /// Time from the complete receipt of a request to the end of its answer, in seconds.
     pub latency: Family<KindLabel, Histogram>,
-    /// Attempts beyond the first.
+    /// Number of attempts beyond the first.
     pub retries: Family<KindLabel, Counter>,
-    /// Requests being worked on.
+    /// Number of requests in flight.
     pub in_flight: Family<KindLabel, Gauge>,
     /// Revision of the configuration in force.
     pub configuration_revision: Gauge,
-    /// Time left of the configuration lease, in milliseconds.
+    /// Remaining time of the configuration lease, in milliseconds.
     pub configuration_lease_ms: Gauge,
-    /// Rollout streams running.
+    /// Number of running rollout streams.
     pub rollout_streams: Gauge,
-    /// Rollout streams started.
+    /// Number of started rollout streams.
     pub rollout_streams_started: Counter,
-    /// Rollout streams that failed.
+    /// Number of failed rollout streams.
     pub rollout_streams_failed: Counter,
-    /// Tokens received from rollout streams.
+    /// Number of tokens received from rollout streams.
     pub rollout_tokens: Counter,
-    /// Samples whose whole generation was reported to the ledger.
+    /// Number of samples whose complete generation was reported to the ledger.
     pub rollout_samples_finished: Counter,
-    /// Samples scored.
+    /// Number of scored samples.
     pub rollout_samples_scored: Counter,
-    /// How long pulls that got a batch waited: what a trainer is idle for the rollouts' sake.
+    /// Waiting time of pulls that returned a batch: the time a trainer is idle because of rollouts.
     pub pull_wait: Histogram,
-    /// Staleness of delivered samples: the trainer's version less the oldest segment's.
+    /// Staleness of delivered samples: the trainer's version minus that of the oldest segment.
     pub delivered_staleness: Histogram,
-    /// Servers ejected as failing, as this node sees them.
+    /// Number of servers that this node has ejected as failing.
     pub servers_ejected: Gauge,
-    /// Promises found broken; anything but zero is a fault of wingshore.
+    /// Number of invariant violations found; any value but zero is a defect of wingshore.
     pub broken_promises: Counter,
 }
 
-/// A request that is being worked on.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlight(Gauge);
 
 impl Drop for InFlight {
@@ -84,7 +84,7 @@
 }
 
 impl Default for Metrics {
-    /// All at zero.
+    /// Creates the metrics with all values at zero.
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("wingshore"),
@@ -117,14 +117,14 @@
 }
 
 impl Metrics {
-    /// Counts a request as being worked on until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin(&self, kind: &'static str) -> InFlight {
         let gauge = self.in_flight.get_or_create_owned(&KindLabel { kind });
         gauge.inc();
         InFlight(gauge)
     }
 
-    /// Notes a batch that a trainer gets after it waited.
+    /// Records a batch that is delivered to a trainer, with the time that the trainer waited.
     pub fn on_delivered(&self, batch: &Batch, waited: Duration) {
         self.pull_wait.observe(waited.as_secs_f64());
         for sample in &batch.samples {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Counts an answered request.
+    /// Records an answered request.
     pub fn on_answered(&self, kind: &'static str, code: &str, latency: Duration) {
         let code = code.to_owned();
         self.requests
@@ -147,7 +147,7 @@
             .observe(latency.as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -1,8 +1,8 @@
-//! One thread for each pool drives the pool's [`RolloutRunner`].
+//! Drives the [`RolloutRunner`] of each pool on a thread of its own.
 //!
-//! Owns the runner and the workers that carry out what it wants. What is leased, generated, scored
-//! and retried is decided by the runner; only the share of each pool is decided here. Relies on the
-//! configuration to name the pool's ledger, and on the router for engines.
+//! Owns the runner and the workers that execute its outputs. The runner decides what is leased,
+//! generated, scored and retried; this module only decides the share of each pool. The
+//! configuration names the pool's ledger, and the router selects engines.
 
 use crate::rollout::streams::{RolloutStream, RunningStreams};
 use crate::rollout::workers::Workers;
@@ -26,28 +26,28 @@
 
 /// Time between two ticks of a runner.
 const TICK: Duration = Duration::from_millis(20);
-/// Timeout of one call to a ledger; the runner sends again what matters.
+/// Timeout of one call to a ledger; the runner repeats the calls that must succeed.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Threads for calls to ledgers, for each pool.
+/// Number of threads per pool for calls to ledgers.
 const LEDGER_CALLERS: usize = 8;
-/// Threads that have KV caches copied, for each pool.
+/// Number of threads per pool that request copies of KV caches.
 const CACHE_COPIERS: usize = 4;
-/// Where scorers take samples.
+/// Path on scorers that accepts samples.
 const SCORE: &str = "/score";
-/// A straggler runs at least this long before a second attempt starts on another engine.
+/// Minimum running time of a straggler before a second attempt starts on another engine.
 const OVER_ISSUE_AFTER: Duration = Duration::from_secs(2);
-/// One in so many streams may be a second attempt.
+/// Number of streams for each of which one second attempt may run.
 const OVER_ISSUE_SHARE: u32 = 8;
 
-/// The rollouts of one pool.
+/// Handle of the thread that runs the rollouts of one pool.
 pub struct RolloutDriver {
     thread: JoinHandle<()>,
 }
 
 impl RolloutDriver {
-    /// Waits for the planned stop's end: what runs has finished or was released.
+    /// Waits for the end of the planned stop, when all samples have finished or were released.
     pub fn join(self) {
-        // A panic was reported when it happened.
+        // The panic hook has already reported a panic of the thread.
         let _ = self.thread.join();
     }
 }
@@ -55,7 +55,7 @@
 /// Starts the rollouts of all pools that the settings name.
 ///
 /// # Errors
-/// When a thread cannot be started.
+/// Fails when a thread cannot be started.
 pub fn start_rollouts(node: &Arc<NodeState>) -> io::Result<Vec<RolloutDriver>> {
     let pools = &node.settings.rollout.pools;
     pools
@@ -90,7 +90,8 @@
     Ok(RolloutDriver { thread })
 }
 
-/// The node's streams and scorings are shared evenly among its pools.
+/// Returns the settings of one runner: the node's streams and scorings are divided evenly among
+/// its pools.
 fn runner_settings(node: &NodeState, pools: usize) -> RolloutSettings {
     let own = &node.settings.rollout;
     let streams = (own.max_streams / pools).max(1) as u32;
@@ -110,13 +111,13 @@
     }
 }
 
-/// What drives one runner.
+/// State of the thread that drives one runner.
 struct Drive {
     node: Arc<NodeState>,
     pool: PoolId,
     /// The pool's ledger, once the configuration has named it.
     ledger: Option<GroupId>,
-    /// The configuration that the runner knows.
+    /// Revision of the configuration last passed to the runner.
     known: Option<Revision>,
     streams: Arc<RunningStreams>,
     stream_workers: Workers,
@@ -154,7 +155,7 @@
         self.finish();
     }
 
-    /// A new configuration, and the planned stop.
+    /// Returns the inputs for a changed configuration and for a planned stop.
     fn news(&mut self) -> Vec<RolloutInput> {
         let mut inputs = Vec::new();
         let configuration = self.node.configuration();
@@ -171,7 +172,8 @@
         inputs
     }
 
-    /// Answers whether the planned stop is over.
+    /// Passes an input to the runner and executes its outputs. Returns whether the planned stop is
+    /// complete.
     fn step(&self, runner: &mut RolloutRunner, input: RolloutInput) -> bool {
         let mut outputs = Vec::new();
         runner.step(
@@ -227,7 +229,7 @@
         false
     }
 
-    /// Without a configuration lease nothing new is sent: the engine may be leaving by now.
+    /// Starts a stream; refuses it without a configuration lease, as the engine may be leaving.
     fn start_stream(&self, stream: RolloutStream) {
         if self
             .node
@@ -238,7 +240,7 @@
                 attempt: stream.attempt,
                 end: StreamEnd::Refused,
             };
-            // This thread itself listens.
+            // This thread itself is the receiver.
             let _ = self.inputs.send(refused);
             return;
         }
@@ -256,7 +258,7 @@
         let (node, inputs) = (Arc::clone(&self.node), self.inputs.clone());
         self.ledger_workers.add(move || {
             let result = call_ledger(&node, group, request);
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::Ledger { call, result });
         });
     }
@@ -265,7 +267,7 @@
         let (node, inputs) = (Arc::clone(&self.node), self.inputs.clone());
         self.cache_workers.add(move || {
             let is_copied = copy_cache(&node.upstream, request_id, from, to).is_ok();
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::CacheCopied { attempt, is_copied });
         });
     }
@@ -288,7 +290,7 @@
             let result = answer
                 .map(|reply| reply.score)
                 .map_err(|_| Verdict::MayHaveRun);
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::Scored { call, result });
         });
     }
@@ -312,7 +314,7 @@
     match node.groups.call(group, request, LEDGER_TIMEOUT) {
         Ok(GroupReply::Ledger(reply)) => Ok(reply),
         Ok(other) => {
-            warn!(node.diagnostics.logger(), "ledger answered something else";
+            warn!(node.diagnostics.logger(), "unexpected reply from ledger";
                 "group" => group.to_string(), "answer" => format!("{other:?}"));
             Err(Verdict::MayHaveRun)
         }
--- a/crates/nodes/wingshore-node/src/rollout/mod.rs
+++ b/crates/nodes/wingshore-node/src/rollout/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out what the rollout runners want done: streams from engines, calls to ledgers, scores.
+//! Executes the outputs of the rollout runners: streams from engines, calls to ledgers, scorings.
 //!
-//! Owns a thread and groups of workers for each pool, and the means to interrupt each stream.
-//! Relies on `wingshore-rollout` for every decision.
+//! Owns a thread and worker pools for each rollout pool, and the clients that can interrupt
+//! streams. All decisions are made by `wingshore-rollout`.
 
 mod driver;
 mod streams;
--- a/crates/nodes/wingshore-node/src/rollout/streams.rs
+++ b/crates/nodes/wingshore-node/src/rollout/streams.rs
@@ -1,4 +1,4 @@
-//! Rollout streams: each runs on a worker and can be ended from outside.
+//! Rollout streams: each runs on a worker thread and can be interrupted by another thread.
 
 use crate::lock::lock;
 use crate::state::NodeState;
@@ -15,32 +15,32 @@
 use wingshore_types::ServerId;
 use wingshore_types::platform::EngineCompletionRequest;
 
-/// Streams that run or wait for a worker, with the means to end each.
+/// Streams that run or wait for a worker, each with the client that can interrupt it.
 #[derive(Debug, Default)]
 pub struct RunningStreams {
     clients: Mutex<BTreeMap<AttemptId, InterruptibleClient>>,
 }
 
-/// One stream to be run.
+/// Parameters of one stream.
 #[derive(Debug)]
 pub struct RolloutStream {
-    /// Names it towards the runner.
+    /// Identity of the attempt at the runner.
     pub attempt: AttemptId,
-    /// The engine.
+    /// Identity of the engine.
     pub server: ServerId,
-    /// Where it listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What to generate.
+    /// The completion request.
     pub request: Box<EngineCompletionRequest>,
 }
 
 impl RunningStreams {
-    /// Notes a stream that is about to wait for a worker.
+    /// Registers a stream before it is queued for a worker.
     pub fn note(&self, attempt: AttemptId) {
         lock(&self.clients).insert(attempt, InterruptibleClient::default());
     }
 
-    /// Ends a stream; no more of it reaches the runner.
+    /// Interrupts a stream; the runner gets no further inputs from it.
     pub fn interrupt(&self, attempt: AttemptId) {
         let client = lock(&self.clients).remove(&attempt);
         if let Some(client) = client {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Runs a noted stream to its end, reporting to the runner what comes.
+    /// Runs a registered stream to its end and passes its chunks and its outcome to the runner.
     pub fn run(&self, node: &NodeState, stream: &RolloutStream, runner: &Sender<RolloutInput>) {
         let Some(client) = lock(&self.clients).get(&stream.attempt).cloned() else {
             return;
@@ -59,7 +59,7 @@
         node.metrics.rollout_streams.dec();
         let was_wanted = lock(&self.clients).remove(&stream.attempt).is_some();
         if was_wanted && let Some(input) = self.last_input(node, stream, end) {
-            // The runner listens until all streams have ended.
+            // The receiver exists until all streams have ended.
             let _ = runner.send(input);
         }
     }
@@ -115,7 +115,10 @@
             EngineEnd::Failed(failure) => failure,
             EngineEnd::Rejected(answer) => wingshore_request::AttemptFailure {
                 kind: FailureKind::BadAnswer,
-                message: format!("engine `{}` rejects: {}", stream.server, answer.status),
+                message: format!(
+                    "engine `{}` rejected the request: {}",
+                    stream.server, answer.status
+                ),
                 retry_after: None,
             },
         };
--- a/crates/nodes/wingshore-node/src/rollout/workers.rs
+++ b/crates/nodes/wingshore-node/src/rollout/workers.rs
@@ -1,4 +1,4 @@
-//! A bounded group of threads that run jobs from a queue.
+//! A fixed-size thread pool that runs jobs from a queue.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::io;
@@ -7,8 +7,8 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Threads that run jobs. The queue itself is not bounded: those who add jobs hold only so many
-/// open at once.
+/// Fixed-size thread pool. Its queue is unbounded, because the users of the pool limit the number
+/// of their open jobs.
 pub struct Workers {
     jobs: Option<Sender<Job>>,
     threads: Vec<JoinHandle<()>>,
@@ -18,7 +18,7 @@
     /// Starts `size` threads.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Fails when a thread cannot be started.
     pub fn start(name: &str, size: usize) -> io::Result<Self> {
         let (jobs, waiting) = unbounded();
         let mut threads = Vec::new();
@@ -35,19 +35,19 @@
         })
     }
 
-    /// Adds a job.
+    /// Enqueues a job.
     pub fn add(&self, job: impl FnOnce() + Send + 'static) {
         if let Some(jobs) = &self.jobs {
-            // The threads hold the other end for as long as this exists.
+            // The threads keep the receiver for the lifetime of the pool.
             let _ = jobs.send(Box::new(job));
         }
     }
 
-    /// Runs what waits, then ends the threads.
+    /// Runs the queued jobs, then ends the threads.
     pub fn finish(mut self) {
         drop(self.jobs.take());
         for thread in self.threads.drain(..) {
-            // A panic was reported when it happened.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -55,7 +55,7 @@
 
 fn run_jobs(waiting: &Receiver<Job>) {
     while let Ok(job) = waiting.recv() {
-        // A panic is reported by the process's hook; the worker goes on with the next job.
+        // The panic hook of the process reports a panic; the worker continues with the next job.
         let _ = catch_unwind(AssertUnwindSafe(job));
     }
 }
--- a/crates/nodes/wingshore-node/src/run.rs
+++ b/crates/nodes/wingshore-node/src/run.rs
@@ -17,10 +17,10 @@
 use wingshore_diagnostics::{Diagnostics, StopSignal};
 use wingshore_settings::NodeSettings;
 
-/// Why a node could not start.
+/// Errors of starting a node.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// The address callers use cannot be listened on.
+    /// The node cannot listen on the address for callers.
     #[snafu(display("cannot serve callers on {address}: {source}"))]
     Listen {
         /// The address.
@@ -31,7 +31,7 @@
     /// A thread cannot be started.
     #[snafu(display("cannot start the {name} thread: {source}"))]
     Thread {
-        /// What it is for.
+        /// Purpose of the thread.
         name: &'static str,
         /// The cause.
         source: io::Error,
@@ -41,7 +41,7 @@
 /// Runs a node until a planned stop.
 ///
 /// # Errors
-/// When it cannot start; the log ring is written out then.
+/// Fails when the node cannot start; the log ring is dumped in that case.
 pub fn run(
     settings: NodeSettings,
     diagnostics: Diagnostics,
@@ -50,7 +50,7 @@
     let running = match start(settings, diagnostics.clone(), stop.clone()) {
         Ok(running) => running,
         Err(error) => {
-            // The error itself goes to the caller; a failed dump has said so on standard error.
+            // The error itself is returned; a failed dump was reported on standard error.
             let _ = diagnostics.dump(&error.to_string());
             return Err(error);
         }
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// A node that serves. To be ended by giving its stop signal, then [`RunningNode::finish`].
+/// A running node. To stop it, trigger its stop signal, then call [`RunningNode::finish`].
 pub struct RunningNode {
     node: Arc<NodeState>,
     edge: EdgeServer,
@@ -71,10 +71,10 @@
     machine_list_reader: JoinHandle<()>,
 }
 
-/// Starts a node; answers once it listens.
+/// Starts a node; returns once the node listens.
 ///
 /// # Errors
-/// When it cannot listen or start its threads.
+/// Fails when the node cannot listen or start its threads.
 pub fn start(
     settings: NodeSettings,
     diagnostics: Diagnostics,
@@ -109,39 +109,40 @@
 }
 
 impl RunningNode {
-    /// Where callers reach it.
+    /// Returns the address on which the node listens for callers.
     pub fn address(&self) -> SocketAddr {
         self.edge.address()
     }
 
-    /// After the stop signal: lets what runs finish, within the grace of the settings, and ends
-    /// all threads. New requests are refused meanwhile.
+    /// Completes a stop after the stop signal: waits for requests in flight for at most the grace
+    /// period of the settings, then ends all threads. New requests are refused in the meantime.
     pub fn finish(self) {
         let logger = self.node.diagnostics.logger();
         let left = self.edge.drain(self.node.settings.stop_grace);
         if left > 0 {
             let what = format!("stopped with {left} requests in flight");
             warn!(logger, "{}", what);
-            // A failed dump has said so on standard error.
+            // A failed dump was reported on standard error.
             let _ = self.node.diagnostics.dump(&what);
         }
         for rollouts in self.rollouts {
             rollouts.join();
         }
-        // A panic was reported when it happened.
+        // The panic hook has already reported a panic of the thread.
         let _ = self.machine_list_reader.join();
         self.prober.join();
         self.background_calls.finish(&self.node);
         drop(self.watcher);
-        // Last: until then callers are told that their requests did not run.
+        // The listener closes last: until then callers get the answer that their requests did not
+        // run.
         if let Err(error) = self.edge.close() {
-            warn!(logger, "listening could not be ended in order"; "error" => %error);
+            warn!(logger, "cannot close the listener cleanly"; "error" => %error);
         }
         info!(logger, "node stopped");
     }
 }
 
-/// The watcher has its own client: ending it closes that client.
+/// Starts the configuration watcher with a client of its own, which closes with the watcher.
 fn start_watch(node: &Arc<NodeState>) -> Result<ConfigurationWatcher, NodeError> {
     let settings = &node.settings;
     let sources = if settings.relays.is_empty() {
--- a/crates/nodes/wingshore-node/src/state.rs
+++ b/crates/nodes/wingshore-node/src/state.rs
@@ -1,7 +1,7 @@
-//! What the threads of a node share.
+//! State shared by the threads of a node.
 //!
-//! Owns the router, the node's copy of the configuration and the numbers of attempts. Relies on the
-//! watch to keep the copy up to date and on the prober to keep the router informed.
+//! Owns the router, the node's copy of the configuration and the attempt numbers. The configuration
+//! watch keeps the copy up to date, and the prober updates the router.
 
 use crate::admission;
 use crate::background_calls::{BackgroundCall, BackgroundCallQueue};
@@ -23,25 +23,25 @@
 use wingshore_types::configuration::Configuration;
 use wingshore_types::protocol::claims::Claimant;
 
-/// Shared by all threads of a node.
+/// State shared by all threads of a node.
 pub struct NodeState {
-    /// Its settings.
+    /// Settings of the node.
     pub settings: NodeSettings,
-    /// Its clock.
+    /// Clock of the node.
     pub clock: Clock,
-    /// Drawn at this start of the process.
+    /// Random identity of this start of the process.
     pub boot_id: u64,
-    /// Calls to groups.
+    /// Client for calls to groups.
     pub groups: GroupClient,
-    /// Requests to back ends.
+    /// Client for requests to back ends.
     pub upstream: UpstreamClient,
-    /// Counters.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// Log ring.
+    /// Logger and log ring.
     pub diagnostics: Diagnostics,
-    /// Planned stop.
+    /// Signal of a planned stop.
     pub stop: StopSignal,
-    /// Work that nobody waits for.
+    /// Queue of fire-and-forget calls.
     pub background_calls: BackgroundCallQueue,
     router: Mutex<Router>,
     view: Mutex<ConfigurationView>,
@@ -49,7 +49,7 @@
 }
 
 impl NodeState {
-    /// The state of a node that has heard nothing yet.
+    /// Creates the state of a node that has not received a configuration yet.
     pub fn new(
         settings: NodeSettings,
         diagnostics: Diagnostics,
@@ -79,27 +79,27 @@
         }
     }
 
-    /// The router, locked.
+    /// Locks the router.
     pub fn router(&self) -> MutexGuard<'_, Router> {
         lock(&self.router)
     }
 
-    /// The copy of the configuration, locked.
+    /// Locks the node's copy of the configuration.
     pub fn view(&self) -> MutexGuard<'_, ConfigurationView> {
         lock(&self.view)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Arc<Configuration> {
         Arc::clone(self.view().configuration())
     }
 
-    /// A number that no other attempt of this boot has.
+    /// Returns an attempt number that is unique within this boot.
     pub fn next_attempt(&self) -> u64 {
         self.attempts.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A claimant that no other request of any node has.
+    /// Returns a claimant that is unique among the requests of all nodes.
     pub fn next_claimant(&self) -> Claimant {
         Claimant {
             node: self.settings.node.clone(),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A request identity for engines that no other attempt of any node has.
+    /// Returns a request ID for engines that is unique among the attempts of all nodes.
     pub fn next_engine_request_id(&self) -> String {
         format!(
             "{}-{:x}-{}",
@@ -118,27 +118,27 @@
         )
     }
 
-    /// Whether new work may be taken now.
+    /// Checks whether new work may be admitted now.
     ///
     /// # Errors
-    /// The refusal for the caller.
+    /// Returns the refusal to send to the caller.
     pub fn may_admit(&self) -> Result<(), EdgeError> {
         let now = self.clock.now();
         admission::may_admit(self.stop.is_stopping(), &self.view(), now)
     }
 
-    /// Whether the configuration may be acted on at `now`.
+    /// Checks whether the node may act on its configuration at `now`.
     ///
     /// # Errors
-    /// The refusal for the caller.
+    /// Returns the refusal to send to the caller.
     pub fn holds_configuration(&self, now: Instant) -> Result<(), EdgeError> {
         admission::may_act_on_configuration(&self.view(), now)
     }
 
-    /// Adds a call that nobody waits for; drops it, with a log line, when too many wait.
+    /// Enqueues a fire-and-forget call; logs and drops it when the queue is full.
     pub fn add_background_call(&self, call: BackgroundCall) {
         if let Err(call) = self.background_calls.add(call) {
-            warn!(self.diagnostics.logger(), "background call dropped, too many wait";
+            warn!(self.diagnostics.logger(), "background call dropped, the queue is full";
                 "errand" => format!("{call:?}"));
         }
     }
@@ -151,7 +151,7 @@
         });
     }
 
-    /// Reports a promise that this process found broken, and writes the log ring out.
+    /// Reports an invariant violation found by this process and dumps the log ring.
     pub fn on_broken_promise(&self, what: &str) {
         self.metrics.broken_promises.inc();
         error!(self.diagnostics.logger(), "broken promise"; "what" => what.to_owned());
--- a/crates/nodes/wingshore-node/src/upstream/agent.rs
+++ b/crates/nodes/wingshore-node/src/upstream/agent.rs
@@ -1,5 +1,5 @@
-//! The HTTP clients: with pooled connections for payload and for small questions, and with a
-//! connection for each request.
+//! HTTP clients for back ends: with pooled connections for payload and for small requests, and
+//! with a fresh connection per request.
 
 use crate::http::HeaderList;
 use crate::upstream::connector::MarkingConnector;
@@ -8,47 +8,50 @@
 use ureq::{Agent, Body, Error, http};
 use wingshore_http::{AgentPool, IpResolver};
 
-/// Most idle connections kept to one server.
+/// Maximum number of idle connections kept to one server.
 const IDLE_PER_SERVER: usize = 16;
-/// Most idle connections kept to the servers that share an agent.
+/// Maximum number of idle connections kept to the servers that share an agent.
 const IDLE_PER_AGENT: usize = 16;
-/// Buffers of a connection for payload, each way, in bytes; an answer's head fits into one.
+/// Size of each of the two buffers of a payload connection, in bytes. The head of an answer must
+/// fit into one buffer.
 const PAYLOAD_BUFFER: usize = 64 << 10;
-/// Buffers of a connection for small questions, each way, in bytes. A node probes many servers, each
-/// with a connection of its own.
+/// Size of each of the two buffers of a connection for small requests, in bytes. Small because a
+/// node probes many servers, each over a connection of its own.
 const SMALL_BUFFER: usize = 8 << 10;
 /// Idle connections are closed after this time.
 const MAX_IDLE: Duration = Duration::from_secs(5);
-/// Timeout of connecting.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether a request may use a connection that was used before.
+/// Kind of connection that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// It may: should the server close at that very moment, it is sent again or fails.
+    /// A reused connection. If the server closes it at the same moment, the request is sent again
+    /// or fails.
     Pooled,
-    /// It may, and question and answer are small: its buffers are, since a node asks many servers.
+    /// A reused connection with small buffers, for small requests and answers. A node sends these
+    /// to many servers.
     Small,
-    /// It may not.
+    /// A new connection for this request only.
     Fresh,
 }
 
 /// One request to a back end.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest<'a> {
-    /// The server.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Headers, without those of one connection.
+    /// Headers, without the hop-by-hop headers.
     pub headers: &'a HeaderList,
-    /// Body.
+    /// Body of the request.
     pub body: &'a [u8],
-    /// Everything must be over by then, the answer's body included.
+    /// Timeout of the whole exchange, including the answer's body.
     pub timeout: Duration,
-    /// Which connections may be used.
+    /// Kind of connection to use.
     pub connections: Connections,
 }
 
@@ -60,7 +63,7 @@
     fresh: Agent,
 }
 
-/// A client for one exchange, which another thread can end at any time.
+/// Client for one exchange that another thread can interrupt at any time.
 #[derive(Clone, Debug)]
 pub struct InterruptibleClient {
     agent: Agent,
@@ -75,22 +78,22 @@
 }
 
 impl InterruptibleClient {
-    /// Sends a request; answers once the answer's head has come.
+    /// Sends a request; returns once the head of the answer has arrived.
     ///
     /// # Errors
-    /// As the HTTP client reports them, also after an interruption.
+    /// Returns the error of the HTTP client, also after an interruption.
     pub fn send(&self, request: &UpstreamRequest<'_>) -> Result<http::Response<Body>, Error> {
         send_by(&self.agent, request)
     }
 
-    /// Closes the exchange's connection: its thread gets an error at once.
+    /// Closes the connection of the exchange; the thread that uses it gets an error at once.
     pub fn interrupt(self) {
         self.agent.shutdown();
     }
 }
 
 impl Default for UpstreamClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     fn default() -> Self {
         Self {
             pooled: AgentPool::new(|| agent(IDLE_PER_AGENT, PAYLOAD_BUFFER)),
@@ -101,10 +104,10 @@
 }
 
 impl UpstreamClient {
-    /// Sends a request; answers once the answer's head has come.
+    /// Sends a request; returns once the head of the answer has arrived.
     ///
     /// # Errors
-    /// As the HTTP client reports them; see [`crate::upstream::failure_of`].
+    /// Returns the error of the HTTP client; see [`crate::upstream::failure_of`].
     pub fn send(&self, request: &UpstreamRequest<'_>) -> Result<http::Response<Body>, Error> {
         let agent = match request.connections {
             Connections::Pooled => self.pooled.agent(request.address),
--- a/crates/nodes/wingshore-node/src/upstream/answer.rs
+++ b/crates/nodes/wingshore-node/src/upstream/answer.rs
@@ -1,4 +1,4 @@
-//! A back end's answer, read whole.
+//! Reads a complete answer of a back end.
 
 use crate::http::HeaderList;
 use crate::upstream::failure::failure_of_read;
@@ -7,35 +7,35 @@
 use wingshore_request::{AnswerBody, AttemptFailure, FailureKind};
 use wingshore_types::platform::NOT_RUN_HEADER;
 
-/// Statuses below this one have no body of their own.
+/// First status of a final answer; the informational statuses below it have no body.
 const FIRST_FINAL_STATUS: u16 = 200;
-/// No content.
+/// Status "204 No Content", which has no body.
 const NO_CONTENT: u16 = 204;
-/// Not modified.
+/// Status "304 Not Modified", which has no body.
 const NOT_MODIFIED: u16 = 304;
 
-/// A back end's answer.
+/// Answer of a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerAnswer {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderList,
-    /// As much of the body as came.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
 }
 
-/// What came of a request whose answer's head arrived.
+/// Outcome of a request after the head of its answer has arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerReply {
-    /// An answer, whole or cut.
+    /// An answer, complete or truncated.
     Answer(ServerAnswer, AnswerBody),
     /// No usable answer.
     Failed(AttemptFailure),
 }
 
 impl ServerReply {
-    /// Reads an answer to its declared end, `limit` bytes of body at most.
+    /// Reads an answer to its declared end, with at most `limit` bytes of body.
     pub fn read(method: &str, server: &str, response: http::Response<Body>, limit: u64) -> Self {
         let (parts, body) = response.into_parts();
         let status = parts.status.as_u16();
@@ -66,7 +66,7 @@
     }
 }
 
-/// A server's own word that it did not run the request.
+/// Returns the failure of an attempt that the server declared as not run.
 pub fn refusal(server: &str, status: u16, headers: &HeaderList) -> AttemptFailure {
     let seconds = headers
         .first("retry-after")
@@ -78,7 +78,7 @@
     }
 }
 
-/// Headers of an answer; values that are not text are left out.
+/// Returns the headers of an answer, without those whose values are not text.
 pub fn header_list(headers: &http::HeaderMap) -> HeaderList {
     HeaderList::new(headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
@@ -93,7 +93,8 @@
         || status == NOT_MODIFIED
 }
 
-/// A body that ends with its connection cannot be told from one that was cut.
+/// Returns whether the headers declare the end of the body. A body that is delimited by the end of
+/// the connection cannot be distinguished from a truncated one.
 fn has_declared_end(headers: &HeaderList) -> bool {
     headers.first("content-length").is_some()
         || headers
--- a/crates/nodes/wingshore-node/src/upstream/cache.rs
+++ b/crates/nodes/wingshore-node/src/upstream/cache.rs
@@ -1,4 +1,5 @@
-//! Copies KV cache from one engine to another; the engines exchange the cache itself.
+//! Requests the copy of a KV cache from one engine to another; the engines transfer the data
+//! directly.
 
 use crate::upstream::agent::UpstreamClient;
 use crate::upstream::json::JsonError;
@@ -6,17 +7,17 @@
 use std::time::Duration;
 use wingshore_types::platform::{KvExportRequest, KvHandle, KvImportRequest};
 
-/// Where engines export cache.
+/// Path on engines that exports a KV cache.
 const EXPORT: &str = "/kv/export";
-/// Where engines import cache.
+/// Path on engines that imports a KV cache.
 const IMPORT: &str = "/kv/import";
-/// Timeout of each of the two calls.
+/// Timeout of each of the export and import calls.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Has `to` take over the cache of an attempt that runs on `from`.
+/// Copies the KV cache of an attempt that runs on `from` to `to`.
 ///
 /// # Errors
-/// When one of the engines does not do its part in time.
+/// Fails when one of the engines does not answer its call successfully in time.
 pub fn copy_cache(
     client: &UpstreamClient,
     request_id: String,
--- a/crates/nodes/wingshore-node/src/upstream/connector.rs
+++ b/crates/nodes/wingshore-node/src/upstream/connector.rs
@@ -1,16 +1,16 @@
-//! Marks errors of connecting, so that they are never taken for errors after bytes have left.
+//! Marks connection errors, to distinguish them from errors after bytes of a request were sent.
 
 use snafu::Snafu;
 use ureq::unversioned::transport::{ConnectionDetails, Connector, TcpConnector, Transport};
 
-/// No connection was made: no byte of the request left.
+/// The connection was not established, so no byte of the request was sent.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot connect: {source}"))]
 pub struct ConnectError {
     source: ureq::Error,
 }
 
-/// Connects over TCP; its errors are [`ConnectError`]s.
+/// Connects over TCP and reports errors as [`ConnectError`].
 #[derive(Debug, Default)]
 pub struct MarkingConnector {
     inner: TcpConnector,
--- a/crates/nodes/wingshore-node/src/upstream/engine.rs
+++ b/crates/nodes/wingshore-node/src/upstream/engine.rs
@@ -1,5 +1,5 @@
-//! One attempt at generating on an engine. Engines are always asked to stream, so that tokens
-//! generated before a failure can be resumed elsewhere.
+//! Runs one generation attempt on an engine. Engines always stream, so that after a failure another
+//! engine can resume from the tokens generated so far.
 
 use crate::http::HeaderList;
 use crate::upstream::agent::{Connections, InterruptibleClient, UpstreamClient, UpstreamRequest};
@@ -16,51 +16,51 @@
 };
 use wingshore_types::{ServerId, Token, WeightVersion};
 
-/// Where engines take completions.
+/// Path on engines that accepts completions.
 const COMPLETIONS: &str = "/v1/completions";
-/// Where engines take cancels.
+/// Path on engines that accepts cancellations.
 const CANCEL: &str = "/v1/cancel";
-/// A cancel is given up after this time; the engine's own deadline then ends the work.
+/// Timeout of a cancellation; after it, the engine's own deadline ends the work.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest error body that is read from an engine, in bytes.
+/// Maximum size of an error body read from an engine, in bytes.
 const MAX_ERROR_BODY: u64 = 64 * 1024;
-/// First status that is an error of the request or the server.
+/// First HTTP status that denotes an error of the request or the server.
 const FIRST_ERROR: u16 = 400;
 
-/// One attempt.
+/// One generation attempt on an engine.
 #[derive(Clone, Debug)]
 pub struct EngineAttempt<'a> {
-    /// The engine.
+    /// Identity of the engine.
     pub server: &'a ServerId,
-    /// Where it listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What to generate.
+    /// The completion request.
     pub request: &'a EngineCompletionRequest,
-    /// Everything must be over by then.
+    /// Timeout of the whole attempt.
     pub timeout: Duration,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEnd {
-    /// The final event came: the generation is whole.
+    /// The final event arrived: the generation is complete.
     Finished {
-        /// Why it ended.
+        /// Why the generation ended.
         reason: FinishReason,
         /// Token counts.
         usage: Usage,
     },
-    /// The engine finds fault with the request itself.
+    /// The engine rejected the request as invalid.
     Rejected(ServerAnswer),
-    /// It failed; chunks that came before are good.
+    /// The attempt failed; the chunks received before are valid.
     Failed(AttemptFailure),
-    /// The consumer of the chunks wants no more.
+    /// The consumer of the chunks ended the attempt.
     Stopped,
 }
 
 impl EngineAttempt<'_> {
-    /// Generates, giving each chunk to `on_chunk` as it comes, until the end or until `on_chunk`
-    /// breaks.
+    /// Runs the attempt and passes each chunk to `on_chunk` as it arrives, until the generation
+    /// ends or `on_chunk` returns `Break`.
     pub fn run(
         &self,
         client: &InterruptibleClient,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Cancels the attempt at the engine. Best effort; answers whether the engine took it.
+    /// Cancels the attempt at the engine (best effort). Returns whether the engine accepted it.
     pub fn cancel(client: &UpstreamClient, address: SocketAddr, request_id: &str) -> bool {
         let cancel = CancelRequest {
             request_id: request_id.to_owned(),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// 4xx is the engine's word on the request; 5xx is its own failure.
+    /// Maps an error status: 4xx is a rejection of the request, 5xx a failure of the engine.
     fn on_error_status(&self, response: http::Response<Body>) -> EngineEnd {
         let reply = ServerReply::read("POST", self.server.as_str(), response, MAX_ERROR_BODY);
         match reply {
--- a/crates/nodes/wingshore-node/src/upstream/event_reader.rs
+++ b/crates/nodes/wingshore-node/src/upstream/event_reader.rs
@@ -1,52 +1,52 @@
-//! Reads an engine's server-sent events.
+//! Reads server-sent events of an engine.
 
 use snafu::{ResultExt, Snafu};
 use std::io::{self, BufRead, BufReader, Read};
 use wingshore_types::platform::EngineStreamEvent;
 
-/// Longest line of a stream, in bytes.
+/// Maximum length of a line of a stream, in bytes.
 const MAX_LINE: u64 = 16 * 1024 * 1024;
 
 /// Why a stream ended without its final event.
 #[derive(Debug, Snafu)]
 pub enum StreamError {
-    /// It cannot be read on.
-    #[snafu(display("the stream cannot be read on: {source}"))]
+    /// Reading from the stream failed.
+    #[snafu(display("cannot read the stream: {source}"))]
     Read {
         /// The cause.
         source: io::Error,
     },
-    /// It ended too early.
+    /// The stream ended before its final event.
     #[snafu(display("the stream ended before its final event"))]
     Cut,
-    /// An event makes no sense.
-    #[snafu(display("an event makes no sense: {source}"))]
+    /// An event cannot be decoded.
+    #[snafu(display("cannot decode an event: {source}"))]
     Decode {
         /// The cause.
         source: serde_json::Error,
     },
-    /// A line is too long.
+    /// A line exceeds the maximum length.
     #[snafu(display("a line has more than {MAX_LINE} bytes"))]
     LongLine,
 }
 
-/// Reads events one by one.
+/// Reads the events of a stream one by one.
 pub struct EventReader<R> {
     reader: BufReader<R>,
 }
 
 impl<R: Read> EventReader<R> {
-    /// Reads from an answer's body.
+    /// Creates a reader of the body of an answer.
     pub fn new(body: R) -> Self {
         Self {
             reader: BufReader::new(body),
         }
     }
 
-    /// The next event.
+    /// Reads the next event.
     ///
     /// # Errors
-    /// When the stream ends or breaks; the final event has not come then.
+    /// Fails when the stream ends or fails before its final event.
     pub fn next_event(&mut self) -> Result<EngineStreamEvent, StreamError> {
         let mut line = String::new();
         loop {
@@ -57,7 +57,7 @@
                 return CutSnafu.fail();
             }
             if !line.ends_with('\n') {
-                // Only a line that was cut off, or one that is too long, has no end.
+                // Only a truncated or an overlong line has no line terminator.
                 return if count as u64 == MAX_LINE {
                     LongLineSnafu.fail()
                 } else {
--- a/crates/nodes/wingshore-node/src/upstream/failure.rs
+++ b/crates/nodes/wingshore-node/src/upstream/failure.rs
@@ -1,20 +1,18 @@
-//! What an error of the HTTP client says about the execution of the request.
+//! Decides from an error of the HTTP client whether the request of a failed attempt may have run.
 //!
-//! Question: may the request of a failed attempt have run?
-//! Inputs: the HTTP client's error, before or after the answer's head.
-//! Rule: only an error of connecting says that it did not run. Any other error before the head,
-//! and any error while the body is read, says that it may have run.
-//! Why: once a byte has left, nobody but the server knows; a wrong "did not run" would make a
-//! request that must not be repeated run twice.
-//! An error of an unknown kind counts as a lost connection, which may have run.
+//! Only a connection error proves that the request did not run. After any other error before the
+//! head of the answer, and after any error while reading the body, the request may have run: once
+//! a byte was sent, only the server knows. A wrong "did not run" would run a request twice that
+//! must not be repeated. An error of an unknown kind counts as a lost connection, after which the
+//! request may have run.
 
 use crate::upstream::connector::ConnectError;
 use std::io;
 use ureq::Error;
 use wingshore_request::{AttemptFailure, FailureKind};
 
-/// The failure that an error before the answer's head means. Only errors of connecting say that
-/// the request did not run.
+/// Returns the failure for an error before the head of the answer. Only connection errors mean
+/// that the request did not run.
 pub fn failure_of(error: &Error, server: &str) -> AttemptFailure {
     let kind = match error {
         Error::Other(source) if source.is::<ConnectError>() => FailureKind::ConnectFailed,
@@ -29,7 +27,7 @@
     }
 }
 
-/// The failure that an error while reading an answer's body means.
+/// Returns the failure for an error while reading the body of an answer.
 pub fn failure_of_read(error: &io::Error, server: &str) -> AttemptFailure {
     let kind = match error.kind() {
         io::ErrorKind::TimedOut => FailureKind::TimedOut,
--- a/crates/nodes/wingshore-node/src/upstream/json.rs
+++ b/crates/nodes/wingshore-node/src/upstream/json.rs
@@ -1,4 +1,4 @@
-//! Small JSON questions to back ends: probes, scores, cancels, the machine list.
+//! Small JSON requests to back ends: probes, scores, cancellations, the machine list.
 
 use crate::http::HeaderList;
 use crate::upstream::agent::{Connections, UpstreamClient, UpstreamRequest};
@@ -8,49 +8,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER: u64 = 16 * 1024 * 1024;
 
-/// Why a question has no answer.
+/// Errors of a JSON request.
 #[derive(Debug, Snafu)]
 pub enum JsonError {
-    /// The question cannot be encoded.
-    #[snafu(display("cannot encode the question to {address}{target}: {source}"))]
+    /// The request cannot be encoded.
+    #[snafu(display("cannot encode the request to {address}{target}: {source}"))]
     Encode {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The path.
+        /// Path of the request.
         target: String,
         /// The cause.
         source: serde_json::Error,
     },
-    /// No answer came, or not all of it.
+    /// No complete answer arrived.
     #[snafu(display("{address}{target}: {source}"))]
     Exchange {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The path.
+        /// Path of the request.
         target: String,
         /// The cause.
         #[snafu(source(from(ureq::Error, Box::new)))]
         source: Box<ureq::Error>,
     },
-    /// Another status than 200.
+    /// The answer has a status other than 200.
     #[snafu(display("{address}{target} answered status {status}"))]
     Status {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The path.
+        /// Path of the request.
         target: String,
-        /// The status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer is not what was asked for.
+    /// The answer cannot be decoded.
     #[snafu(display("the answer of {address}{target} makes no sense: {source}"))]
     Decode {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The path.
+        /// Path of the request.
         target: String,
         /// The cause.
         source: serde_json::Error,
@@ -58,10 +58,10 @@
 }
 
 impl UpstreamClient {
-    /// `GET target`, answered with JSON.
+    /// Sends `GET target` and decodes the JSON answer.
     ///
     /// # Errors
-    /// When there is no such answer in time.
+    /// Fails when no decodable answer of status 200 arrives within the timeout.
     pub fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -72,10 +72,10 @@
         serde_json::from_slice(&body).context(DecodeSnafu { address, target })
     }
 
-    /// `POST target` with a JSON body, answered with JSON.
+    /// Sends `POST target` with a JSON body and decodes the JSON answer.
     ///
     /// # Errors
-    /// When there is no such answer in time.
+    /// Fails when no decodable answer of status 200 arrives within the timeout.
     pub fn post_json<Q: Serialize, T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -87,10 +87,10 @@
         serde_json::from_slice(&answer).context(DecodeSnafu { address, target })
     }
 
-    /// `POST target` with a JSON body; answers the body as it is.
+    /// Sends `POST target` with a JSON body and returns the undecoded body of the answer.
     ///
     /// # Errors
-    /// When there is no answer of status 200 in time.
+    /// Fails when no answer of status 200 arrives within the timeout.
     pub fn post<Q: Serialize>(
         &self,
         address: SocketAddr,
--- a/crates/nodes/wingshore-node/src/upstream/mod.rs
+++ b/crates/nodes/wingshore-node/src/upstream/mod.rs
@@ -1,6 +1,6 @@
 //! Requests to back ends: engines, live servers, scorers and the machine list.
 //!
-//! Owns the pools of connections. Each error is told apart by whether the request may have run.
+//! Owns the connection pools. Errors are classified by whether the request may have run.
 
 mod agent;
 mod answer;
