--- a/crates/nodes/wingshore-node/tests/cache_move.rs
+++ b/crates/nodes/wingshore-node/tests/cache_move.rs
@@ -1,4 +1,4 @@
-//! A long sample leaves a leaving engine with its KV cache.
+//! A long sample moves from a leaving engine to another one together with its KV cache.
 
 mod common;
 
@@ -16,12 +16,13 @@
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease};
 use wingshore_types::{Generation, LeaseId, Prompt, SampleNumber, WeightVersion};
 
-/// Tokens on the first engine, enough for copying to pay.
+/// Number of tokens generated on the first engine, enough for a copy of the cache to be
+/// worthwhile.
 const FIRST: usize = 2000;
 const ROLLOUTS: &str = "rollout = { pools = [\"disputes\"], over_issue = false }\n\
                         routing = { probe_interval = \"50ms\" }";
 
-/// Generates [`FIRST`] tokens and goes no further; resumed, generates one more and ends.
+/// Generates [`FIRST`] tokens and then stalls; a resumed request gets one more token and the end.
 fn engine(arrived: &Arrived, stream: &mut TcpStream) {
     match arrived.target.as_str() {
         "/v1/completions" => complete(arrived, stream),
@@ -43,7 +44,7 @@
     let event = json!({ "tokens": tokens, "weight_version": 1 });
     write_event(stream, &event.to_string());
     if resumed == 0 {
-        // An engine that is at work; the node closes the stream when it moves the sample.
+        // Simulates a busy engine; the node closes the stream when it moves the sample.
         while write_event(stream, r#"{"tokens":[],"weight_version":1}"#) {
             thread::sleep(Duration::from_millis(20));
         }
--- a/crates/nodes/wingshore-node/tests/common/back_end.rs
+++ b/crates/nodes/wingshore-node/tests/common/back_end.rs
@@ -1,11 +1,12 @@
-//! A scripted back end on a raw socket: it can answer, cut, stall or close without a word.
+//! A scripted back end on a raw socket: it can answer, truncate an answer, stall, or close the
+//! connection without an answer.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A request as it arrived.
+/// A request as received by the back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrived {
     pub method: String,
@@ -22,7 +23,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether it is one of the node's own questions.
+    /// Returns whether the request is a probe of the node.
     fn is_probe(&self) -> bool {
         let path = self.target.split('?').next().unwrap_or_default();
         matches!(path, "/load" | "/state" | "/cache_events")
@@ -31,20 +32,21 @@
 
 type Script = dyn Fn(&Arrived, &mut TcpStream) + Send + Sync;
 
-/// A scripted back end. Probes are answered as by an idle, healthy server with version 1; all
-/// else goes to the script, which writes raw bytes. Each connection serves one request.
+/// A scripted back end. It answers probes like an idle, healthy server with weight version 1 and
+/// passes all other requests to the script, which writes raw bytes. Each connection serves one
+/// request.
 pub struct BackEnd {
     address: SocketAddr,
     arrived: Arc<Mutex<Vec<Arrived>>>,
     word: Arc<Mutex<Word>>,
 }
 
-/// What a back end answers to probes.
+/// How a back end answers probes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Word {
     Staying,
     Draining,
-    /// It closes without a word.
+    /// Closes the connection without an answer.
     Nothing,
 }
 
@@ -73,12 +75,12 @@
         }
     }
 
-    /// From now on probes are answered by this word.
+    /// Sets how the following probes are answered.
     pub fn say(&self, word: Word) {
         *self.word.lock().unwrap() = word;
     }
 
-    /// Answers everything with 200 and `body`.
+    /// Starts a back end that answers every request with status 200 and `body`.
     pub fn answering(body: &'static str) -> Self {
         Self::start(move |_, stream| write_whole(stream, 200, "", body.as_bytes()))
     }
@@ -87,7 +89,7 @@
         self.address
     }
 
-    /// Requests that arrived, probes left out.
+    /// Returns the received requests without the probes.
     pub fn arrived(&self) -> Vec<Arrived> {
         self.arrived.lock().unwrap().clone()
     }
@@ -97,7 +99,7 @@
     }
 }
 
-/// Writes a whole answer with its length.
+/// Writes a complete answer with its content length.
 pub fn write_whole(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!(
         "HTTP/1.1 {status} Status\r\nContent-Length: {}\r\nConnection: close\r\n{headers}\r\n",
@@ -107,7 +109,7 @@
     write(stream, body);
 }
 
-/// Writes raw bytes; the other side may have gone.
+/// Writes raw bytes; returns false if the peer has closed the connection.
 pub fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
     stream
         .write_all(bytes)
--- a/crates/nodes/wingshore-node/tests/common/caller.rs
+++ b/crates/nodes/wingshore-node/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller on a raw socket, which can also send what no client library would.
+//! A caller on a raw socket, which can also send requests that no client library would send.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
@@ -30,7 +30,7 @@
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// Code and verdict of an error answer.
+    /// Returns the code and the verdict of an error answer.
     pub fn error(&self) -> (String, String) {
         let error = &self.json()["error"];
         let field = |name: &str| error[name].as_str().unwrap_or_default().to_owned();
@@ -53,7 +53,7 @@
     read_answer(&mut BufReader::new(&stream))
 }
 
-/// Sends raw bytes, says that no more will come, and reads one answer if there is any.
+/// Sends raw bytes, shuts down the sending side, and reads one answer if there is any.
 pub fn exchange_and_close(address: SocketAddr, bytes: &[u8]) -> Option<Answer> {
     let mut stream = connect(address);
     stream.write_all(bytes).expect("the node takes the request");
@@ -74,7 +74,8 @@
     )
 }
 
-/// A request with a body; `headers` is raw, each line with its end.
+/// Sends a `POST` request and reads its answer; `headers` is raw text, each line with its
+/// terminator.
 pub fn post(address: SocketAddr, target: &str, headers: &str, body: &str) -> Answer {
     exchange(address, &post_bytes(target, headers, body))
 }
@@ -87,7 +88,8 @@
     .into_bytes()
 }
 
-/// Reads an answer with a length or with chunks; a chunked one without its end is cut.
+/// Reads an answer with a content length or with chunks; a chunked answer without its final chunk
+/// counts as truncated.
 pub fn read_answer(reader: &mut impl BufRead) -> Answer {
     let (status, headers) = read_head(reader);
     let mut answer = Answer {
@@ -128,7 +130,7 @@
     }
 }
 
-/// The next chunk of a body; `None` at its declared end, or where it is cut.
+/// Reads the next chunk of a body; `None` at its declared end or where it is truncated.
 pub fn read_chunk(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
--- a/crates/nodes/wingshore-node/tests/common/groups.rs
+++ b/crates/nodes/wingshore-node/tests/common/groups.rs
@@ -1,4 +1,4 @@
-//! A scripted replica: it holds a configuration, claims and nothing else, and can fall silent.
+//! A scripted replica: it holds only a configuration and claims, and can stop answering.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{RequestId, Revision};
 
-/// Time between two looks for news.
+/// Time between two checks for a new configuration revision.
 const POLL: Duration = Duration::from_millis(5);
 
 type LedgerScript = Box<dyn Fn(LedgerRequest) -> LedgerReply + Send + Sync>;
@@ -28,7 +28,7 @@
     Ended(ClaimOutcome),
 }
 
-/// What the scripted replica holds.
+/// State of the scripted replica.
 pub struct State {
     changes: Mutex<Vec<ConfigurationChange>>,
     claims: Mutex<BTreeMap<ClaimKey, Claimed>>,
@@ -77,17 +77,17 @@
         self.server.local_address()
     }
 
-    /// Commits a change.
+    /// Commits a configuration change.
     pub fn commit(&self, change: ConfigurationChange) {
         self.state.changes.lock().unwrap().push(change);
     }
 
-    /// The highest revision a node has acknowledged.
+    /// Returns the highest revision that a node has acknowledged.
     pub fn acknowledged(&self) -> u64 {
         self.state.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// From now on nothing is answered.
+    /// Stops answering requests.
     pub fn fall_silent(&self) {
         self.state.is_silent.store(true, Ordering::SeqCst);
     }
@@ -97,13 +97,13 @@
         self.state.lease_ms.store(lease_ms, Ordering::SeqCst);
     }
 
-    /// From now on answers to watches are late by so much.
+    /// Delays the following answers to watches by `delay`.
     pub fn delay_watches(&self, delay: Duration) {
         let delay_ms = delay.as_millis() as u64;
         self.state.watch_delay_ms.store(delay_ms, Ordering::SeqCst);
     }
 
-    /// How long each watch so far asked to wait, in milliseconds.
+    /// Returns the wait that each watch so far requested, in milliseconds.
     pub fn watch_waits(&self) -> Vec<u64> {
         self.state.watch_waits.lock().unwrap().clone()
     }
@@ -158,7 +158,7 @@
             GroupRequest::Ledger(request) => GroupReply::Ledger(self.ask_ledger(request)),
             other => GroupReply::Rejected(format!("not in the script: {other:?}")),
         };
-        // The node may have gone meanwhile.
+        // The node may have disconnected in the meantime.
         let _ = connection.send(&Frame::Reply { id, body });
     }
 
--- a/crates/nodes/wingshore-node/tests/common/mod.rs
+++ b/crates/nodes/wingshore-node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the node share: a scripted control group, scripted back ends, a raw caller.
+//! Shared parts of the node tests: a scripted control group, scripted back ends, a raw caller.
 #![allow(dead_code)]
 
 pub mod back_end;
@@ -17,15 +17,15 @@
 };
 use wingshore_types::{PoolId, ServerId, ServiceId, TrainerId, WeightVersion, ZoneId};
 
-/// Longest wait for anything a test waits for.
+/// Timeout of every wait of a test.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-/// The live service of the tests.
+/// Name of the live service in the tests.
 pub const LIVE: &str = "fare-api";
-/// The engines' service of the tests.
+/// Name of the engine service in the tests.
 pub const ENGINES: &str = "fare-lm";
 /// The model that the engines serve.
 pub const MODEL: &str = "fare-explainer";
-/// The pool of the tests.
+/// Name of the rollout pool in the tests.
 pub const POOL: &str = "disputes";
 
 /// A node under test.
@@ -35,7 +35,7 @@
 }
 
 impl TestNode {
-    /// Starts a node of `groups` and waits until it is ready.
+    /// Starts a node that connects to `groups` and waits until the node is ready.
     pub fn start(groups: &ScriptedGroups, name: &str, more: &str) -> Self {
         let node = Self::start_unready(groups, name, more);
         wait_until("the node is ready", || {
@@ -44,7 +44,7 @@
         node
     }
 
-    /// Starts a node of `groups`.
+    /// Starts a node that connects to `groups`.
     pub fn start_unready(groups: &ScriptedGroups, name: &str, more: &str) -> Self {
         let stop = StopSignal::new();
         let settings = settings(groups.address(), name, more);
@@ -58,14 +58,14 @@
         self.running.address()
     }
 
-    /// A planned stop.
+    /// Performs a planned stop.
     pub fn finish(self) {
         self.stop.stop();
         self.running.finish();
     }
 }
 
-/// Settings of a node; `more` stands before the tables.
+/// Returns the settings of a node; `more` is inserted before the tables.
 pub fn settings(replica: SocketAddr, name: &str, more: &str) -> NodeSettings {
     let text = format!(
         r#"
@@ -88,7 +88,7 @@
     node_from_text("node.toml", &text, &Overrides::default()).expect("the settings are valid")
 }
 
-/// Waits for a condition; fails after [`PATIENCE`].
+/// Waits until a condition holds; panics after [`PATIENCE`].
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let give_up = Instant::now() + PATIENCE;
     while !condition() {
@@ -134,7 +134,7 @@
     })
 }
 
-/// A site with the live service on `servers`.
+/// Starts a site with the live service on `servers`.
 pub fn live_site(servers: &[&BackEnd]) -> ScriptedGroups {
     let mut changes = vec![put_service(LIVE, ServiceKind::Live)];
     changes.extend(
@@ -146,7 +146,7 @@
     ScriptedGroups::start(changes)
 }
 
-/// A site with the engines' service on `engines`, and the pool.
+/// Starts a site with the engine service on `engines` and the rollout pool.
 pub fn engine_site(engines: &[&BackEnd]) -> ScriptedGroups {
     let model = MODEL.to_owned();
     let mut changes = vec![put_service(ENGINES, ServiceKind::Engines { model })];
--- a/crates/nodes/wingshore-node/tests/completions.rs
+++ b/crates/nodes/wingshore-node/tests/completions.rs
@@ -1,4 +1,4 @@
-//! Completions through a node: whole or an error, flushed event by event, resumed, cancelled.
+//! Completions through a node: complete or an error, flushed per event, resumed, cancelled.
 
 mod common;
 
@@ -34,12 +34,12 @@
     arrived.target == PATH
 }
 
-/// Whatever an engine is asked besides completions.
+/// Answers all requests to an engine other than completions.
 fn answer_other(stream: &mut TcpStream) {
     write_whole(stream, 200, "", b"{}");
 }
 
-/// Generates four tokens in two chunks, by two versions.
+/// Generates four tokens in two chunks with two weight versions.
 fn whole_engine(arrived: &Arrived, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
@@ -51,7 +51,7 @@
     write_end(stream);
 }
 
-/// Generates two tokens, then dies; generates the rest when it is asked to resume.
+/// Generates two tokens, then closes the connection; generates the rest in a resumed request.
 fn dying_engine(arrived: &Arrived, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
@@ -67,7 +67,7 @@
     write_end(stream);
 }
 
-/// The data of all events of a streamed answer.
+/// Returns the data of all events of a streamed answer.
 fn events(answer: &Answer) -> Vec<String> {
     answer
         .text()
@@ -125,7 +125,7 @@
         write_stream_head(stream);
         for token in 10..14 {
             write_event(stream, &chunk(&[token], 1));
-            // The next token is made only after the caller has seen this one.
+            // Generates the next token only after the caller has received this one.
             wait.recv().expect("the caller goes on");
         }
         write_event(stream, FINISHED);
@@ -201,7 +201,7 @@
         }
         write_stream_head(stream);
         write_event(stream, &chunk(&[10, 11], 1));
-        // A chunk that is declared longer than what comes.
+        // A chunk whose declared length exceeds the bytes that are sent.
         write(stream, b"ff\r\ndata: {\"finish");
     };
     let engine = BackEnd::start(cutting);
@@ -241,7 +241,7 @@
             return answer_other(stream);
         }
         write_stream_head(stream);
-        // Generates until nobody reads any more.
+        // Generates until the node closes the connection.
         while write_event(stream, &chunk(&[10], 1)) {
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
--- a/crates/nodes/wingshore-node/tests/forward.rs
+++ b/crates/nodes/wingshore-node/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Live requests through a node: whole answers, at most once, and framing.
+//! Live requests through a node: complete answers, at-most-once execution and HTTP framing.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use std::net::TcpStream;
 use wingshore_types::protocol::claims::ClaimOutcome;
 
-/// Reads the request and closes without an answer: it has run.
+/// Reads the request and closes the connection without an answer: the request may have run.
 fn close_silently(_: &Arrived, _: &mut TcpStream) {}
 
-/// Declares more than it sends.
+/// Declares a longer body than it sends.
 fn cut_body(_: &Arrived, stream: &mut TcpStream) {
     write(
         stream,
@@ -95,12 +95,12 @@
         let answer = answer.expect("checked above");
         expect_that!(answer.status, eq(status), "for {rest:?}");
         let expected = (code.to_owned(), "not_run".to_owned());
-        // An upgrade answer of the HTTP library has no body.
+        // The upgrade answer of the HTTP library has no body.
         if !answer.body.is_empty() {
             expect_that!(answer.error(), eq(&expected), "for {rest:?}");
         }
     }
-    // Short bodies up to 1 KiB are dropped by the HTTP library with the connection.
+    // The HTTP library drops bodies of up to 1 KiB together with the connection.
     let bytes = format!("{head}Content-Length: 20\r\n\r\nonly this");
     expect_that!(exchange_and_close(node.address(), bytes.as_bytes()), none());
     expect_that!(server.count(), eq(0));
@@ -328,7 +328,8 @@
     let expected = ("claims_unavailable".to_owned(), "not_run".to_owned());
     expect_that!(answer.error(), eq(&expected));
     expect_that!(server.count(), eq(0));
-    // The errand that frees the key goes on trying; this test does not wait for it.
+    // The background call that settles the claim keeps retrying; this test does not wait for
+    // it.
     drop(node);
 }
 
--- a/crates/nodes/wingshore-node/tests/golden_http.rs
+++ b/crates/nodes/wingshore-node/tests/golden_http.rs
@@ -1,8 +1,9 @@
-//! What callers and back ends see of a node, byte for byte, and the names of its metrics.
+//! Compares the messages of a node to callers and back ends byte for byte, and the names of its
+//! metrics, with golden files.
 //!
 //! One node serves a fixed list of requests. Its answers, the requests that reach its back ends
-//! and the names, types and label names of its metrics are compared with the kept files. What
-//! differs from start to start (addresses, identities, times) is replaced by `#`.
+//! and the names, types and label names of its metrics must equal the golden files. Values that
+//! differ between runs (addresses, identities, times) are replaced by `#`.
 
 mod common;
 
@@ -23,9 +24,9 @@
     Generation, Sample, SampleNumber, Segment, StepId, TrainerId, WeightVersion,
 };
 
-/// Live service without a server.
+/// A live service without servers.
 const EMPTY: &str = "fare-empty";
-/// Values of these keys and headers differ from start to start.
+/// Keys and headers whose values differ between runs.
 const CHANGING: &[&str] = &[
     "\"id\":",
     "\"request_id\":",
@@ -35,7 +36,7 @@
     "host: ",
 ];
 
-/// Requests with a body: target, further headers, body.
+/// Requests with a body: target, additional headers, body.
 const POSTS: &[(&str, &str, &str)] = &[
     ("/healthz", "", ""),
     ("/v1/nothing", "", "{}"),
@@ -126,7 +127,7 @@
     ("/v1/pools/disputes/versions", "", r#"{"version":2}"#),
 ];
 
-/// Requests in raw bytes.
+/// Requests that are sent as raw bytes.
 const RAW: &[&str] = &[
     "GET /healthz HTTP/1.1\r\nHost: node\r\n\r\n",
     "GET /readyz HTTP/1.1\r\nHost: node\r\n\r\n",
@@ -218,7 +219,7 @@
     groups
 }
 
-/// One request on a connection of its own, and all that comes back.
+/// Sends one request on a connection of its own and returns everything that is received.
 fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = connect(address);
     stream.write_all(request).expect("the node takes it");
@@ -228,8 +229,8 @@
     String::from_utf8(answer).expect("text")
 }
 
-/// Replaces the values that differ from start to start, and lengths that go with them; lines with
-/// a date go.
+/// Replaces the values that differ between runs and the lengths that depend on them; removes lines
+/// with a date.
 fn settled(text: &str) -> String {
     let mut settled = String::new();
     let has_identity = text.contains("\"id\":");
@@ -249,7 +250,7 @@
     settled
 }
 
-/// `line` with the value behind `key`, up to a comma, a brace or the end, replaced.
+/// Replaces the value after `key` in `line`, up to a comma, a brace or the end of the line.
 fn without_value(line: &str, key: &str) -> String {
     let Some(index) = line.find(key) else {
         return line.to_owned();
@@ -265,7 +266,7 @@
         let mut headers = arrived.headers.clone();
         headers.sort();
         for (header, value) in headers {
-            // Its length goes with values that differ.
+            // The length depends on values that differ between runs.
             if header != "content-length" {
                 writeln!(request, "{header}: {value}").expect("a string");
             }
@@ -275,7 +276,8 @@
     }
 }
 
-/// Names, types and help texts of the metrics, and the samples' names with their label names.
+/// Returns the names, types and help texts of the metrics, and the sample names with their label
+/// names.
 fn metric_names(metrics: &str) -> String {
     let mut samples = BTreeSet::new();
     let mut text = String::new();
--- a/crates/nodes/wingshore-node/tests/golden_logs.rs
+++ b/crates/nodes/wingshore-node/tests/golden_logs.rs
@@ -1,13 +1,13 @@
-//! Keys of the structured logs, as they stand in the sources. Others may come.
+//! Keys of the structured log lines in the sources. Additional keys are allowed.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Macros that write a line.
+/// Macros that write a log line.
 const MACROS: &[&str] = &["trace", "debug", "info", "warn", "error", "crit"];
 
-/// The keys of each log line, in alphabetical order.
+/// Keys of each log line, in alphabetical order.
 const LINES: &[&str] = &[
     "address boot",
     "answer group",
@@ -25,7 +25,7 @@
     "what",
 ];
 
-/// The text of each source file below a folder.
+/// Collects the text of each source file below a directory.
 fn sources(folder: &Path, out: &mut Vec<String>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
@@ -37,7 +37,7 @@
     }
 }
 
-/// The keys in a statement: literals before an arrow.
+/// Returns the keys in a log statement: the literals before an arrow.
 fn keys(statement: &str) -> BTreeSet<&str> {
     statement
         .split("=>")
--- a/crates/nodes/wingshore-node/tests/lifecycle.rs
+++ b/crates/nodes/wingshore-node/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Configuration, lease and planned stop of a node.
+//! Configuration, configuration lease and planned stop of a node.
 
 mod common;
 
@@ -62,7 +62,8 @@
     }
 }
 
-/// As after a freeze: the answer that was waiting brings a lease that is over already.
+/// Guards against a node that stays without a lease after its process was frozen: the answer that
+/// was pending during the freeze carries a lease that has already expired.
 #[gtest]
 fn a_node_whose_lease_ran_out_asks_for_one_without_waiting() {
     let lease = Duration::from_millis(300);
@@ -97,7 +98,7 @@
         expect_that!(post(node.address(), &charges(), "", "x").text(), eq("one"));
     }
     expect_that!(servers[0].count(), eq(before));
-    // A request is counted after its answer was written, so the last one may be counted later.
+    // A request is counted after its answer was written, so the last count may be delayed.
     for line in [
         "wingshore_configuration_revision 4\n",
         "wingshore_requests_total{kind=\"forward\",code=\"ok\"} 21\n",
@@ -180,8 +181,8 @@
     Ok(())
 }
 
-/// Sends requests until nobody listens any more, on one connection as long as it may be kept or
-/// on a new one each; answers how many were cut.
+/// Sends requests until connections are refused, either on one connection for as long as it may be
+/// kept or on a new one each. Returns how many requests got no answer.
 fn call_until_refused(address: SocketAddr, keeps_connection: bool) -> usize {
     let mut cut = 0;
     while let Ok(mut stream) = TcpStream::connect(address) {
--- a/crates/nodes/wingshore-node/tests/outages.rs
+++ b/crates/nodes/wingshore-node/tests/outages.rs
@@ -1,4 +1,4 @@
-//! When back ends fail, all of them or one that leaves, and when an owner of a key falls silent.
+//! Failures of back ends (of all, or of one that is leaving) and of the node that owns a key.
 
 mod common;
 
@@ -17,12 +17,14 @@
 use wingshore_types::ServerId;
 use wingshore_types::configuration::{Admission, ConfigurationChange};
 
-/// Requests of the outage.
+/// Number of requests sent during the outage.
 const REQUESTS: usize = 500;
-/// What the router's budget allows besides its share: saved up, and per second.
+/// Retries that the router's budget allows in addition to its share of the requests: as a burst,
+/// and per second.
 const BURST: f64 = 20.0;
 const PER_SECOND: f64 = 5.0;
-/// Longer than a test waits for one answer: a request held back to it fails the test.
+/// Deadline beyond the time that a test waits for one answer, so that a request held until its
+/// deadline fails the test.
 const FAR_DEADLINE: &str = "X-Wingshore-Deadline-Ms: 600000\r\n";
 
 #[gtest]
@@ -61,7 +63,7 @@
     common::caller::exchange(node.address(), request.as_bytes())
 }
 
-/// Each attempt tells its server how long the caller still waits; retries do not begin anew.
+/// Each attempt sends its server the caller's remaining time; retries do not restart the deadline.
 #[gtest]
 fn the_time_that_is_left_goes_on_to_the_server_with_each_attempt() {
     let lingering = |_: &Arrived, _: &mut TcpStream| thread::sleep(Duration::from_millis(50));
@@ -97,7 +99,7 @@
     write_end(stream);
 }
 
-/// Who says that an engine leaves, or that it stays.
+/// Sources that report whether an engine is leaving.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Source {
     Configuration,
@@ -106,7 +108,8 @@
     HealthCheck,
 }
 
-/// Any one of the sources stops new work, and the others' word that it stays does not outweigh it.
+/// A report of leaving from any one source stops new work, even if the other sources report that
+/// the engine stays.
 #[gtest]
 fn an_engine_that_any_source_calls_leaving_gets_nothing_new() {
     use Source::{Configuration, HealthCheck, MachineList, OwnWord};
@@ -123,7 +126,7 @@
         let node = TestNode::start(&groups, "node-a", &more);
         let prompts = AtomicU32::new(1);
         let ask = || {
-            // Equal prompts would go to the engine that has them in its cache.
+            // Equal prompts would be routed to the engine that has them in its cache.
             let prompt = [prompts.fetch_add(1, Ordering::SeqCst)];
             let body = json!({ "model": MODEL, "prompt": prompt, "max_tokens": 1 }).to_string();
             post(node.address(), "/v1/completions", "", &body).status
@@ -153,7 +156,7 @@
     }
 }
 
-/// A machine list on which the machine of one engine may be leaving.
+/// Serves a machine list in which the machine of one engine may be leaving.
 fn machine_list(engines: [SocketAddr; 2], leaving: &Arc<Mutex<Option<usize>>>) -> BackEnd {
     let leaving = Arc::clone(leaving);
     BackEnd::start(move |_, stream| {
@@ -175,8 +178,8 @@
     })
 }
 
-/// The owner of a key falls silent with its request in flight: neither its restarted self nor
-/// another node sends the request again.
+/// The node that owns a key stops responding with its request in flight: neither the restarted node
+/// nor another node sends the request again.
 #[gtest]
 fn a_key_whose_owner_fell_silent_ends_in_may_have_run_everywhere() {
     let release = Arc::new(AtomicBool::new(false));
--- a/crates/nodes/wingshore-node/tests/shares.rs
+++ b/crates/nodes/wingshore-node/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Live requests and rollouts on the same engine: neither starves the other.
+//! Live requests and rollouts share an engine, and neither starves the other.
 
 mod common;
 
@@ -17,16 +17,16 @@
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease};
 use wingshore_types::{Generation, LeaseId, Prompt, SampleNumber, ServiceId, WeightVersion};
 
-/// Slots of the engine, half of them guaranteed to live requests.
+/// Number of slots of the engine, half of them guaranteed to live requests.
 const SLOTS: u32 = 4;
-/// How long the engine takes for each request.
+/// Time that the engine takes for each request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Live requests carry it, rollouts do not.
+/// Priority of live requests, by which the engine tells them from rollouts.
 const LIVE_PRIORITY: i64 = 5;
-/// What is counted of the busier side before the two are compared.
+/// Number of requests of the busier class before the two classes are compared.
 const ENOUGH: usize = 300;
 
-/// What the engine served, and how many requests it had at once.
+/// Numbers of requests that the engine served, and its open requests.
 #[derive(Default)]
 struct Served {
     live: AtomicUsize,
@@ -34,8 +34,8 @@
     open: OpenRequests,
 }
 
-/// Requests that the engine works on. One whose connection the node has closed is none any more:
-/// an engine drops it.
+/// Requests in progress at the engine. A request whose connection the node has closed no longer
+/// counts, because an engine drops it.
 #[derive(Default)]
 struct OpenRequests {
     streams: Mutex<Vec<(usize, TcpStream)>>,
@@ -64,7 +64,8 @@
     }
 }
 
-/// Whether the other side has not closed the connection. Nothing more is read from it otherwise.
+/// Returns whether the peer has not closed the connection. Nothing else
+/// reads from the connection at this point.
 fn is_open(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a socket has flags");
     let peeked = stream.peek(&mut [0]);
@@ -102,7 +103,7 @@
     })
 }
 
-/// A ledger that always has samples to lease while `is_open`.
+/// Scripts a ledger that always has samples to lease while `is_open`.
 fn endless_ledger(is_open: Arc<AtomicBool>) -> impl Fn(LedgerRequest) -> LedgerReply {
     let next = AtomicU64::new(1);
     move |request| match request {
@@ -161,7 +162,7 @@
         let body = json!({ "model": MODEL, "prompt": [1], "max_tokens": 1 }).to_string();
         post(address, "/v1/completions", &headers, &body)
     };
-    // One live caller finds its share free while rollouts take all they can get.
+    // One live caller gets its share while rollouts use all remaining capacity.
     let alone: Vec<u16> = (0..30).map(|_| ask().status).collect();
     expect_that!(alone, each(eq(&200)));
 
--- a/crates/nodes/wingshore-node/tests/slow_callers.rs
+++ b/crates/nodes/wingshore-node/tests/slow_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send or read slowly hold up nobody else.
+//! Callers that send or read slowly do not delay other callers.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::io::{BufReader, Write};
 use wingshore_types::api::DEADLINE_HEADER;
 
-/// Far more than the eight workers of a test's node and all its queues.
+/// Number of slow callers: far more than the eight workers of a test node and all its queues.
 const SLOW_CALLERS: usize = 60;
 
 #[gtest]
--- a/crates/nodes/wingshore-node/tests/trainer.rs
+++ b/crates/nodes/wingshore-node/tests/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer's requests through a node, and the rollouts that the node runs for it.
+//! Requests of a trainer through a node, and the rollouts that the node runs for the trainer.
 
 mod common;
 
@@ -191,7 +191,7 @@
     node.finish();
 }
 
-/// A part of a batch of three samples: those that begin with `from`, two at most.
+/// Returns a part of a batch of three samples: at most two samples, starting at `from`.
 fn part(from: u32) -> LedgerReply {
     let samples = (from..3).take(2).map(|number| Sample {
         number: SampleNumber(u64::from(number)),
@@ -226,7 +226,7 @@
     node.finish();
 }
 
-/// A ledger with one sample to generate and to score.
+/// A scripted ledger with one sample to generate and to score.
 #[derive(Default)]
 struct OneSampleLedger {
     leased: bool,
@@ -356,7 +356,7 @@
         }
         write_stream_head(stream);
         write_event(stream, r#"{"tokens":[10,11],"weight_version":1}"#);
-        // Stalls until the node closes the stream.
+        // Blocks until the node closes the stream.
         while write_event(stream, r#"{"tokens":[],"weight_version":1}"#) {
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
