--- a/crates/nodes/wingshore-node/src/background/call_runner.rs
+++ b/crates/nodes/wingshore-node/src/background/call_runner.rs
@@ -16,14 +16,14 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Maximum time that a planned stop waits for background calls.
-const FINISH_LIMIT: Duration = Duration::from_secs(5);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two checks whether the background calls are done.
-const FINISH_POLL: Duration = Duration::from_millis(5);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Handle of the threads that run background calls.
 pub struct BackgroundCallRunner {
     threads: Vec<JoinHandle<()>>,
-    end: Sender<()>,
+    stop_sender: Sender<()>,
 }
 
 impl BackgroundCallRunner {
@@ -32,26 +32,29 @@
     /// # Errors
     /// Fails when a thread cannot be started.
     pub fn start(node: &Arc<NodeState>) -> std::io::Result<Self> {
-        let (end, ended) = bounded::<()>(0);
+        let (stop_sender, stop_receiver) = bounded::<()>(0);
         let mut threads = Vec::new();
         for number in 0..THREADS {
             let node = Arc::clone(node);
-            let ended = ended.clone();
+            let stop_receiver = stop_receiver.clone();
             let thread = thread::Builder::new()
                 .name(format!("call-{number}"))
-                .spawn(move || run_calls(&node, &ended))?;
+                .spawn(move || run_calls(&node, &stop_receiver))?;
             threads.push(thread);
         }
-        Ok(Self { threads, end })
+        Ok(Self {
+            threads,
+            stop_sender,
+        })
     }
 
     /// Runs the queued calls for a limited time, then ends the threads and closes the node's client
     /// of groups.
     pub fn finish(self, node: &NodeState) {
-        drop(self.end);
-        let give_up = Instant::now() + FINISH_LIMIT;
+        drop(self.stop_sender);
+        let give_up = Instant::now() + FINISH_TIMEOUT;
         while !self.threads.iter().all(JoinHandle::is_finished) && Instant::now() < give_up {
-            thread::sleep(FINISH_POLL);
+            thread::sleep(FINISH_POLL_INTERVAL);
         }
         // Closing the client ends pending calls at once.
         node.groups.close();
@@ -62,7 +65,7 @@
     }
 }
 
-fn run_calls(node: &NodeState, ended: &Receiver<()>) {
+fn run_calls(node: &NodeState, stop_receiver: &Receiver<()>) {
     let waiting = &node.background_calls.receiver;
     loop {
         crossbeam_channel::select! {
@@ -70,7 +73,7 @@
                 Ok(call) => run_call(node, call),
                 Err(_) => return,
             },
-            recv(ended) -> _ => break,
+            recv(stop_receiver) -> _ => break,
         }
     }
     while let Ok(call) = waiting.try_recv() {
--- a/crates/nodes/wingshore-node/src/background/machines.rs
+++ b/crates/nodes/wingshore-node/src/background/machines.rs
@@ -6,7 +6,7 @@
 use wingshore_types::platform::MachineList;
 
 /// Path of the machine list on the platform.
-const MACHINES: &str = "/machines";
+const MACHINES_PATH: &str = "/machines";
 /// Timeout of one read of the machine list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -18,7 +18,7 @@
     loop {
         match node
             .upstream
-            .get_json::<MachineList>(address, MACHINES, TIMEOUT)
+            .get_json::<MachineList>(address, MACHINES_PATH, TIMEOUT)
         {
             Ok(list) => node.router().on_machine_list(node.clock.now(), &list),
             Err(error) => {
--- a/crates/nodes/wingshore-node/src/background/pools.rs
+++ b/crates/nodes/wingshore-node/src/background/pools.rs
@@ -26,7 +26,7 @@
     pub fn announce(&self, node: &NodeState, pool: &Pool, revision: Revision) {
         if lock(&self.announced)
             .get(&pool.id)
-            .is_some_and(|known| is_same_to_ledger(known, pool))
+            .is_some_and(|known| has_same_ledger_settings(known, pool))
         {
             return;
         }
@@ -59,7 +59,7 @@
     }
 }
 
-fn is_same_to_ledger(one: &Pool, other: &Pool) -> bool {
+fn has_same_ledger_settings(one: &Pool, other: &Pool) -> bool {
     one.ledger == other.ledger
         && one.staleness_bound == other.staleness_bound
         && one.max_open_samples == other.max_open_samples
--- a/crates/nodes/wingshore-node/src/background/probes.rs
+++ b/crates/nodes/wingshore-node/src/background/probes.rs
@@ -11,11 +11,11 @@
 use wingshore_types::platform::{CacheEvents, EngineState, LoadReport};
 
 /// Time between two checks for due probes.
-const POLL: Duration = Duration::from_millis(50);
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of threads that probe.
 const THREADS: usize = 4;
 /// Maximum number of probes queued for a thread; further ones are skipped.
-const QUEUE: usize = 1024;
+const MAX_QUEUED_PROBES: usize = 1024;
 
 /// Handle of the threads that probe back ends.
 pub struct Prober {
@@ -28,7 +28,7 @@
     /// # Errors
     /// Fails when a thread cannot be started.
     pub fn start(node: &Arc<NodeState>) -> std::io::Result<Self> {
-        let (sender, receiver) = bounded(QUEUE);
+        let (sender, receiver) = bounded(MAX_QUEUED_PROBES);
         let mut threads = Vec::new();
         let scheduling = Arc::clone(node);
         let scheduler = thread::Builder::new()
@@ -56,7 +56,7 @@
 }
 
 fn schedule(node: &NodeState, probes: &Sender<ProbeTarget>) {
-    while !node.stop.wait_timeout(POLL) {
+    while !node.stop.wait_timeout(SCHEDULE_INTERVAL) {
         let due = node.router().probe_targets(node.clock.now());
         for target in due {
             // A full queue means that probes fall due faster than they complete: skip them, so that
--- a/crates/nodes/wingshore-node/src/background/watch.rs
+++ b/crates/nodes/wingshore-node/src/background/watch.rs
@@ -22,7 +22,7 @@
 /// Applies the updates of the configuration watch.
 pub struct NodeWatch {
     node: Arc<NodeState>,
-    wait: Duration,
+    max_wait: Duration,
 }
 
 impl NodeWatch {
@@ -30,7 +30,7 @@
     pub fn new(node: Arc<NodeState>) -> Self {
         Self {
             node,
-            wait: Duration::ZERO,
+            max_wait: Duration::ZERO,
         }
     }
 }
@@ -41,8 +41,8 @@
     fn next_watch(&mut self) -> WatchRequest {
         let view = self.node.view();
         let position = view.watch_position();
-        let wait = match view.holds_lease(self.node.clock.now()) {
-            true => self.wait,
+        let max_wait = match view.holds_lease(self.node.clock.now()) {
+            true => self.max_wait,
             false => Duration::ZERO,
         };
         drop(view);
@@ -53,7 +53,7 @@
                 boot_id: self.node.boot_id,
                 in_force: position.in_force,
             }],
-            wait_ms: wait.as_millis() as u64,
+            wait_ms: max_wait.as_millis() as u64,
         }
     }
 
@@ -61,7 +61,7 @@
     /// so the router gets it before the node acknowledges it and before the new lease takes effect.
     fn on_update(&mut self, sent_at: BootTime, update: ConfigurationUpdate, lease_ms: u64) {
         let lease = Duration::from_millis(lease_ms);
-        self.wait = MAX_WATCH_WAIT.min(lease / LEASE_DIVISOR);
+        self.max_wait = MAX_WATCH_WAIT.min(lease / LEASE_DIVISOR);
         let node = &self.node;
         let sent_at = node.clock.at(sent_at);
         let mut view = node.view();
--- a/crates/nodes/wingshore-node/src/background_calls.rs
+++ b/crates/nodes/wingshore-node/src/background_calls.rs
@@ -6,7 +6,7 @@
 use wingshore_types::protocol::claims::ClaimsRequest;
 
 /// Maximum number of queued background calls; further ones are dropped.
-const QUEUE: usize = 16 * 1024;
+const MAX_QUEUED_CALLS: usize = 16 * 1024;
 
 /// A fire-and-forget call to a group or an engine.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 
 impl Default for BackgroundCallQueue {
     fn default() -> Self {
-        let (sender, receiver) = bounded(QUEUE);
+        let (sender, receiver) = bounded(MAX_QUEUED_CALLS);
         Self { sender, receiver }
     }
 }
--- a/crates/nodes/wingshore-node/src/metrics.rs
+++ b/crates/nodes/wingshore-node/src/metrics.rs
@@ -12,11 +12,11 @@
 use wingshore_types::protocol::ledger::Batch;
 
 /// Smallest bucket of the latency histogram, in seconds.
-const FIRST_BUCKET: f64 = 0.000_25;
+const FIRST_BUCKET_SECONDS: f64 = 0.000_25;
 /// Ratio of a bucket's upper bound to the bound of the bucket before.
 const BUCKET_GROWTH: f64 = 2.0;
 /// Number of latency buckets; the last bound is about two minutes.
-const BUCKETS: u16 = 20;
+const BUCKET_COUNT: u16 = 20;
 
 /// Bucket bounds of the staleness histogram, in weight versions.
 const STALENESS_BUCKETS: [f64; 9] = [0.0, 1.0, 2.0, 3.0, 4.0, 8.0, 16.0, 32.0, 64.0];
@@ -251,5 +251,9 @@
 }
 
 fn latency_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS))
+    Histogram::new(exponential_buckets(
+        FIRST_BUCKET_SECONDS,
+        BUCKET_GROWTH,
+        BUCKET_COUNT,
+    ))
 }
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -29,15 +29,15 @@
 /// Timeout of one call to a ledger; the runner repeats the calls that must succeed.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of threads per pool for calls to ledgers.
-const LEDGER_CALLERS: usize = 8;
+const LEDGER_THREADS: usize = 8;
 /// Number of threads per pool that request copies of KV caches.
-const CACHE_COPIERS: usize = 4;
+const CACHE_COPY_THREADS: usize = 4;
 /// Path on scorers that accepts samples.
-const SCORE: &str = "/score";
+const SCORE_PATH: &str = "/score";
 /// Minimum running time of a straggler before a second attempt starts on another engine.
-const OVER_ISSUE_AFTER: Duration = Duration::from_secs(2);
+const SECOND_ATTEMPT_MIN_RUNNING_TIME: Duration = Duration::from_secs(2);
 /// Number of streams for each of which one second attempt may run.
-const OVER_ISSUE_SHARE: u32 = 8;
+const STREAMS_PER_SECOND_ATTEMPT: u32 = 8;
 
 /// Handle of the thread that runs the rollouts of one pool.
 pub struct RolloutDriver {
@@ -71,16 +71,16 @@
         .map_or(0, |policy| policy.max_samples);
     let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
-    let drive = Drive {
+    let drive = DriverLoop {
         node: Arc::clone(node),
         pool: pool.clone(),
         ledger: None,
-        known: None,
+        known_revision: None,
         streams: Arc::new(RunningStreams::default()),
         stream_workers: Workers::start("stream", streams)?,
-        ledger_workers: Workers::start("ledger", LEDGER_CALLERS)?,
+        ledger_workers: Workers::start("ledger", LEDGER_THREADS)?,
         score_workers: Workers::start("score", settings.score_concurrency as usize)?,
-        cache_workers: Workers::start("cache", CACHE_COPIERS)?,
+        cache_workers: Workers::start("cache", CACHE_COPY_THREADS)?,
         inputs,
     };
     let runner = RolloutRunner::new(settings, pool.clone());
@@ -100,8 +100,8 @@
         max_leased_samples: streams,
         score_concurrency: scorings,
         second_attempts: own.over_issue.then(|| SecondAttemptPolicy {
-            min_running_time: OVER_ISSUE_AFTER,
-            max_samples: (streams / OVER_ISSUE_SHARE).max(1),
+            min_running_time: SECOND_ATTEMPT_MIN_RUNNING_TIME,
+            max_samples: (streams / STREAMS_PER_SECOND_ATTEMPT).max(1),
         }),
         stop_limit: node
             .settings
@@ -112,13 +112,13 @@
 }
 
 /// State of the thread that drives one runner.
-struct Drive {
+struct DriverLoop {
     node: Arc<NodeState>,
     pool: PoolId,
     /// The pool's ledger, once the configuration has named it.
     ledger: Option<GroupId>,
     /// Revision of the configuration last passed to the runner.
-    known: Option<Revision>,
+    known_revision: Option<Revision>,
     streams: Arc<RunningStreams>,
     stream_workers: Workers,
     ledger_workers: Workers,
@@ -127,13 +127,13 @@
     inputs: Sender<RolloutInput>,
 }
 
-impl Drive {
+impl DriverLoop {
     fn run(mut self, mut runner: RolloutRunner, received: &Receiver<RolloutInput>) {
         let mut next_tick = Instant::now() + TICK;
         let mut has_stopped = false;
         let mut finished = 0;
         while !has_stopped {
-            let mut inputs = self.news();
+            let mut inputs = self.pending_inputs();
             let wait = next_tick.saturating_duration_since(Instant::now());
             match received.recv_timeout(wait) {
                 Ok(input) => inputs.push(input),
@@ -156,11 +156,11 @@
     }
 
     /// Returns the inputs for a changed configuration and for a planned stop.
-    fn news(&mut self) -> Vec<RolloutInput> {
+    fn pending_inputs(&mut self) -> Vec<RolloutInput> {
         let mut inputs = Vec::new();
         let configuration = self.node.configuration();
-        if self.known != Some(configuration.revision) {
-            self.known = Some(configuration.revision);
+        if self.known_revision != Some(configuration.revision) {
+            self.known_revision = Some(configuration.revision);
             if let Some(binding) = PoolBinding::find(&configuration, &self.pool) {
                 self.ledger = Some(GroupId::Ledger(binding.pool.ledger));
                 inputs.push(RolloutInput::Pool(Box::new(binding)));
@@ -184,12 +184,12 @@
         );
         let mut has_stopped = false;
         for output in outputs {
-            has_stopped |= self.carry_out(output);
+            has_stopped |= self.execute_output(output);
         }
         has_stopped
     }
 
-    fn carry_out(&self, output: RolloutOutput) -> bool {
+    fn execute_output(&self, output: RolloutOutput) -> bool {
         match output {
             RolloutOutput::Ledger { call, request } => self.ask_ledger(call, request),
             RolloutOutput::StartStream {
@@ -244,7 +244,7 @@
             let _ = self.inputs.send(refused);
             return;
         }
-        self.streams.note(stream.attempt);
+        self.streams.register(stream.attempt);
         let (node, streams) = (Arc::clone(&self.node), Arc::clone(&self.streams));
         let inputs = self.inputs.clone();
         self.stream_workers
@@ -283,7 +283,7 @@
         self.score_workers.add(move || {
             let answer: Result<ScoreReply, _> =
                 node.upstream
-                    .post_json(address, SCORE, request.as_ref(), timeout);
+                    .post_json(address, SCORE_PATH, request.as_ref(), timeout);
             if answer.is_ok() {
                 node.metrics.rollout_samples_scored.inc();
             }
--- a/crates/nodes/wingshore-node/src/rollout/streams.rs
+++ b/crates/nodes/wingshore-node/src/rollout/streams.rs
@@ -36,7 +36,7 @@
 
 impl RunningStreams {
     /// Registers a stream before it is queued for a worker.
-    pub fn note(&self, attempt: AttemptId) {
+    pub fn register(&self, attempt: AttemptId) {
         lock(&self.clients).insert(attempt, InterruptibleClient::default());
     }
 
@@ -58,7 +58,7 @@
         let end = self.generate(node, stream, &client, runner);
         node.metrics.rollout_streams.dec();
         let was_wanted = lock(&self.clients).remove(&stream.attempt).is_some();
-        if was_wanted && let Some(input) = self.last_input(node, stream, end) {
+        if was_wanted && let Some(input) = self.final_input(node, stream, end) {
             // The receiver exists until all streams have ended.
             let _ = runner.send(input);
         }
@@ -96,7 +96,7 @@
         lock(&self.clients).contains_key(&attempt)
     }
 
-    fn last_input(
+    fn final_input(
         &self,
         node: &NodeState,
         stream: &RolloutStream,
--- a/crates/nodes/wingshore-node/src/upstream/agent.rs
+++ b/crates/nodes/wingshore-node/src/upstream/agent.rs
@@ -9,17 +9,17 @@
 use wingshore_http::{AgentPool, IpResolver};
 
 /// Maximum number of idle connections kept to one server.
-const IDLE_PER_SERVER: usize = 16;
+const MAX_IDLE_PER_SERVER: usize = 16;
 /// Maximum number of idle connections kept to the servers that share an agent.
-const IDLE_PER_AGENT: usize = 16;
+const MAX_IDLE_PER_AGENT: usize = 16;
 /// Size of each of the two buffers of a payload connection, in bytes. The head of an answer must
 /// fit into one buffer.
-const PAYLOAD_BUFFER: usize = 64 << 10;
+const PAYLOAD_BUFFER_BYTES: usize = 64 << 10;
 /// Size of each of the two buffers of a connection for small requests, in bytes. Small because a
 /// node probes many servers, each over a connection of its own.
-const SMALL_BUFFER: usize = 8 << 10;
+const SMALL_BUFFER_BYTES: usize = 8 << 10;
 /// Idle connections are closed after this time.
-const MAX_IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -72,7 +72,7 @@
 impl Default for InterruptibleClient {
     fn default() -> Self {
         Self {
-            agent: agent(0, PAYLOAD_BUFFER),
+            agent: agent(0, PAYLOAD_BUFFER_BYTES),
         }
     }
 }
@@ -96,9 +96,9 @@
     /// Creates a client without open connections.
     fn default() -> Self {
         Self {
-            pooled: AgentPool::new(|| agent(IDLE_PER_AGENT, PAYLOAD_BUFFER)),
-            small: AgentPool::new(|| agent(IDLE_PER_AGENT, SMALL_BUFFER)),
-            fresh: agent(0, PAYLOAD_BUFFER),
+            pooled: AgentPool::new(|| agent(MAX_IDLE_PER_AGENT, PAYLOAD_BUFFER_BYTES)),
+            small: AgentPool::new(|| agent(MAX_IDLE_PER_AGENT, SMALL_BUFFER_BYTES)),
+            fresh: agent(0, PAYLOAD_BUFFER_BYTES),
         }
     }
 }
@@ -153,8 +153,8 @@
         .accept("")
         .timeout_connect(Some(CONNECT_TIMEOUT))
         .max_idle_connections(idle)
-        .max_idle_connections_per_host(idle.min(IDLE_PER_SERVER))
-        .max_idle_age(MAX_IDLE)
+        .max_idle_connections_per_host(idle.min(MAX_IDLE_PER_SERVER))
+        .max_idle_age(IDLE_TIMEOUT)
         .input_buffer_size(buffer)
         .output_buffer_size(buffer)
         .build();
--- a/crates/nodes/wingshore-node/src/upstream/cache.rs
+++ b/crates/nodes/wingshore-node/src/upstream/cache.rs
@@ -8,11 +8,11 @@
 use wingshore_types::platform::{KvExportRequest, KvHandle, KvImportRequest};
 
 /// Path on engines that exports a KV cache.
-const EXPORT: &str = "/kv/export";
+const EXPORT_PATH: &str = "/kv/export";
 /// Path on engines that imports a KV cache.
-const IMPORT: &str = "/kv/import";
+const IMPORT_PATH: &str = "/kv/import";
 /// Timeout of each of the export and import calls.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Copies the KV cache of an attempt that runs on `from` to `to`.
 ///
@@ -25,7 +25,9 @@
     to: SocketAddr,
 ) -> Result<(), JsonError> {
     let export = KvExportRequest { request_id };
-    let KvHandle { handle } = client.post_json(from, EXPORT, &export, TIMEOUT)?;
+    let KvHandle { handle } = client.post_json(from, EXPORT_PATH, &export, CALL_TIMEOUT)?;
     let import = KvImportRequest { handle, from };
-    client.post(to, IMPORT, &import, TIMEOUT).map(|_| ())
+    client
+        .post(to, IMPORT_PATH, &import, CALL_TIMEOUT)
+        .map(|_| ())
 }
--- a/crates/nodes/wingshore-node/src/upstream/engine.rs
+++ b/crates/nodes/wingshore-node/src/upstream/engine.rs
@@ -17,15 +17,15 @@
 use wingshore_types::{ServerId, Token, WeightVersion};
 
 /// Path on engines that accepts completions.
-const COMPLETIONS: &str = "/v1/completions";
+const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Path on engines that accepts cancellations.
-const CANCEL: &str = "/v1/cancel";
+const CANCEL_PATH: &str = "/v1/cancel";
 /// Timeout of a cancellation; after it, the engine's own deadline ends the work.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum size of an error body read from an engine, in bytes.
-const MAX_ERROR_BODY: u64 = 64 * 1024;
+const MAX_ERROR_BODY_BYTES: u64 = 64 * 1024;
 /// First HTTP status that denotes an error of the request or the server.
-const FIRST_ERROR: u16 = 400;
+const FIRST_ERROR_STATUS: u16 = 400;
 
 /// One generation attempt on an engine.
 #[derive(Clone, Debug)]
@@ -77,14 +77,14 @@
         let request = UpstreamRequest {
             address: self.address,
             method: "POST",
-            target: COMPLETIONS,
+            target: COMPLETIONS_PATH,
             headers: &headers,
             body: &body,
             timeout: self.timeout,
             connections: Connections::Fresh,
         };
         match client.send(&request) {
-            Ok(response) => self.on_head(response, on_chunk),
+            Ok(response) => self.read_response(response, on_chunk),
             Err(error) => EngineEnd::Failed(failure_of(&error, self.server.as_str())),
         }
     }
@@ -95,11 +95,11 @@
             request_id: request_id.to_owned(),
         };
         client
-            .post(address, CANCEL, &cancel, CANCEL_TIMEOUT)
+            .post(address, CANCEL_PATH, &cancel, CANCEL_TIMEOUT)
             .is_ok()
     }
 
-    fn on_head(
+    fn read_response(
         &self,
         response: http::Response<Body>,
         on_chunk: &mut dyn FnMut(WeightVersion, &[Token]) -> ControlFlow<()>,
@@ -109,7 +109,7 @@
         if headers.first(NOT_RUN_HEADER) == Some("true") {
             return EngineEnd::Failed(refusal(self.server.as_str(), status, &headers));
         }
-        if status >= FIRST_ERROR {
+        if status >= FIRST_ERROR_STATUS {
             return self.on_error_status(response);
         }
         self.read_events(
@@ -145,7 +145,7 @@
                 Err(StreamError::Read { source }) => {
                     return EngineEnd::Failed(failure_of_read(&source, self.server.as_str()));
                 }
-                Err(StreamError::Cut) => {
+                Err(StreamError::Truncated) => {
                     return EngineEnd::Failed(self.failure(FailureKind::AnswerCut, "cut short"));
                 }
                 Err(other) => return EngineEnd::Failed(self.bad_answer(&other.to_string())),
@@ -155,7 +155,7 @@
 
     /// Maps an error status: 4xx is a rejection of the request, 5xx a failure of the engine.
     fn on_error_status(&self, response: http::Response<Body>) -> EngineEnd {
-        let reply = ServerReply::read("POST", self.server.as_str(), response, MAX_ERROR_BODY);
+        let reply = ServerReply::read("POST", self.server.as_str(), response, MAX_ERROR_BODY_BYTES);
         match reply {
             ServerReply::Answer(answer, AnswerBody::Complete) if answer.status < 500 => {
                 EngineEnd::Rejected(answer)
--- a/crates/nodes/wingshore-node/src/upstream/event_reader.rs
+++ b/crates/nodes/wingshore-node/src/upstream/event_reader.rs
@@ -5,7 +5,7 @@
 use wingshore_types::platform::EngineStreamEvent;
 
 /// Maximum length of a line of a stream, in bytes.
-const MAX_LINE: u64 = 16 * 1024 * 1024;
+const MAX_LINE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Why a stream ended without its final event.
 #[derive(Debug, Snafu)]
@@ -18,7 +18,7 @@
     },
     /// The stream ended before its final event.
     #[snafu(display("the stream ended before its final event"))]
-    Cut,
+    Truncated,
     /// An event cannot be decoded.
     #[snafu(display("cannot decode an event: {source}"))]
     Decode {
@@ -26,7 +26,7 @@
         source: serde_json::Error,
     },
     /// A line exceeds the maximum length.
-    #[snafu(display("a line has more than {MAX_LINE} bytes"))]
+    #[snafu(display("a line has more than {MAX_LINE_BYTES} bytes"))]
     LongLine,
 }
 
@@ -51,17 +51,17 @@
         let mut line = String::new();
         loop {
             line.clear();
-            let limited = &mut (&mut self.reader).take(MAX_LINE);
+            let limited = &mut (&mut self.reader).take(MAX_LINE_BYTES);
             let count = limited.read_line(&mut line).context(ReadSnafu)?;
             if count == 0 {
-                return CutSnafu.fail();
+                return TruncatedSnafu.fail();
             }
             if !line.ends_with('\n') {
                 // Only a truncated or an overlong line has no line terminator.
-                return if count as u64 == MAX_LINE {
+                return if count as u64 == MAX_LINE_BYTES {
                     LongLineSnafu.fail()
                 } else {
-                    CutSnafu.fail()
+                    TruncatedSnafu.fail()
                 };
             }
             if let Some(data) = line.strip_prefix("data:") {
--- a/crates/nodes/wingshore-node/src/upstream/json.rs
+++ b/crates/nodes/wingshore-node/src/upstream/json.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Maximum size of an answer, in bytes.
-const MAX_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Errors of a JSON request.
 #[derive(Debug, Snafu)]
@@ -80,10 +80,10 @@
         &self,
         address: SocketAddr,
         target: &str,
-        question: &Q,
+        payload: &Q,
         timeout: Duration,
     ) -> Result<T, JsonError> {
-        let answer = self.post(address, target, question, timeout)?;
+        let answer = self.post(address, target, payload, timeout)?;
         serde_json::from_slice(&answer).context(DecodeSnafu { address, target })
     }
 
@@ -95,10 +95,10 @@
         &self,
         address: SocketAddr,
         target: &str,
-        question: &Q,
+        payload: &Q,
         timeout: Duration,
     ) -> Result<Vec<u8>, JsonError> {
-        let body = serde_json::to_vec(question).context(EncodeSnafu { address, target })?;
+        let body = serde_json::to_vec(payload).context(EncodeSnafu { address, target })?;
         self.exchange(address, "POST", target, &body, timeout)
     }
 
@@ -127,7 +127,7 @@
         let body = response
             .into_body()
             .into_with_config()
-            .limit(MAX_ANSWER)
+            .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
             .context(ExchangeSnafu { address, target })?;
         if status != 200 {
