--- a/crates/nodes/wingshore-node/tests/cache_move.rs
+++ b/crates/nodes/wingshore-node/tests/cache_move.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::back_end::{
-    Arrived, BackEnd, Word, write_end, write_event, write_stream_head, write_whole,
+    BackEnd, ProbeReply, ReceivedRequest, write_end, write_event, write_response, write_stream_head,
 };
 use common::{TestNode, engine_site, wait_until};
 use googletest::prelude::*;
@@ -18,26 +18,27 @@
 
 /// Number of tokens generated on the first engine, enough for a copy of the cache to be
 /// worthwhile.
-const FIRST: usize = 2000;
+const FIRST_ENGINE_TOKENS: usize = 2000;
 const ROLLOUTS: &str = "rollout = { pools = [\"disputes\"], over_issue = false }\n\
                         routing = { probe_interval = \"50ms\" }";
 
-/// Generates [`FIRST`] tokens and then stalls; a resumed request gets one more token and the end.
-fn engine(arrived: &Arrived, stream: &mut TcpStream) {
+/// Generates [`FIRST_ENGINE_TOKENS`] tokens and then stalls; a resumed request gets one more token
+/// and the end.
+fn engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     match arrived.target.as_str() {
         "/v1/completions" => complete(arrived, stream),
-        "/kv/export" => write_whole(stream, 200, "", br#"{"handle":"kv-1"}"#),
-        "/score" => write_whole(stream, 200, "", br#"{"score":1.0}"#),
-        _ => write_whole(stream, 200, "", b"{}"),
+        "/kv/export" => write_response(stream, 200, "", br#"{"handle":"kv-1"}"#),
+        "/score" => write_response(stream, 200, "", br#"{"score":1.0}"#),
+        _ => write_response(stream, 200, "", b"{}"),
     }
 }
 
-fn complete(arrived: &Arrived, stream: &mut TcpStream) {
+fn complete(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     let body: Value = serde_json::from_slice(&arrived.body).expect("the node sends JSON");
     let resumed = body["resume"].as_array().map_or(0, Vec::len);
     write_stream_head(stream);
     let tokens = if resumed == 0 {
-        vec![7; FIRST]
+        vec![7; FIRST_ENGINE_TOKENS]
     } else {
         vec![8]
     };
@@ -62,7 +63,7 @@
         prompt: Prompt {
             number: SampleNumber(1),
             tokens: vec![1],
-            max_tokens: 2 * FIRST as u32,
+            max_tokens: 2 * FIRST_ENGINE_TOKENS as u32,
             seed: 1,
         },
         partial: Generation::default(),
@@ -96,9 +97,9 @@
         0 => (&engines[1], &engines[0]),
         _ => (&engines[0], &engines[1]),
     };
-    from.say(Word::Draining);
+    from.set_probe_reply(ProbeReply::Draining);
     wait_until("the sample is finished", || {
-        finished.load(Ordering::SeqCst) == FIRST + 1
+        finished.load(Ordering::SeqCst) == FIRST_ENGINE_TOKENS + 1
     });
     let targets = |engine: &BackEnd| -> Vec<String> {
         let arrived = engine.arrived().into_iter().map(|request| request.target);
--- a/crates/nodes/wingshore-node/tests/common/back_end.rs
+++ b/crates/nodes/wingshore-node/tests/common/back_end.rs
@@ -8,14 +8,14 @@
 
 /// A request as received by the back end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub method: String,
     pub target: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Arrived {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -30,28 +30,30 @@
     }
 }
 
-type Script = dyn Fn(&Arrived, &mut TcpStream) + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest, &mut TcpStream) + Send + Sync;
 
 /// A scripted back end. It answers probes like an idle, healthy server with weight version 1 and
 /// passes all other requests to the script, which writes raw bytes. Each connection serves one
 /// request.
 pub struct BackEnd {
     address: SocketAddr,
-    arrived: Arc<Mutex<Vec<Arrived>>>,
-    word: Arc<Mutex<Word>>,
+    arrived: Arc<Mutex<Vec<ReceivedRequest>>>,
+    probe_reply: Arc<Mutex<ProbeReply>>,
 }
 
 /// How a back end answers probes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum ProbeReply {
     Staying,
     Draining,
     /// Closes the connection without an answer.
-    Nothing,
+    Disconnect,
 }
 
 impl BackEnd {
-    pub fn start(script: impl Fn(&Arrived, &mut TcpStream) + Send + Sync + 'static) -> Self {
+    pub fn start(
+        script: impl Fn(&ReceivedRequest, &mut TcpStream) + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener
             .local_addr()
@@ -59,30 +61,30 @@
         let arrived = Arc::new(Mutex::new(Vec::new()));
         let script: Arc<Script> = Arc::new(script);
         let log = Arc::clone(&arrived);
-        let word = Arc::new(Mutex::new(Word::Staying));
-        let own_word = Arc::clone(&word);
+        let probe_reply = Arc::new(Mutex::new(ProbeReply::Staying));
+        let shared_probe_reply = Arc::clone(&probe_reply);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (script, log) = (Arc::clone(&script), Arc::clone(&log));
-                let word = *own_word.lock().unwrap();
-                thread::spawn(move || serve(stream, script.as_ref(), &log, word));
+                let probe_reply = *shared_probe_reply.lock().unwrap();
+                thread::spawn(move || serve(stream, script.as_ref(), &log, probe_reply));
             }
         });
         Self {
             address,
             arrived,
-            word,
+            probe_reply,
         }
     }
 
     /// Sets how the following probes are answered.
-    pub fn say(&self, word: Word) {
-        *self.word.lock().unwrap() = word;
+    pub fn set_probe_reply(&self, probe_reply: ProbeReply) {
+        *self.probe_reply.lock().unwrap() = probe_reply;
     }
 
     /// Starts a back end that answers every request with status 200 and `body`.
     pub fn answering(body: &'static str) -> Self {
-        Self::start(move |_, stream| write_whole(stream, 200, "", body.as_bytes()))
+        Self::start(move |_, stream| write_response(stream, 200, "", body.as_bytes()))
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -90,7 +92,7 @@
     }
 
     /// Returns the received requests without the probes.
-    pub fn arrived(&self) -> Vec<Arrived> {
+    pub fn arrived(&self) -> Vec<ReceivedRequest> {
         self.arrived.lock().unwrap().clone()
     }
 
@@ -100,7 +102,7 @@
 }
 
 /// Writes a complete answer with its content length.
-pub fn write_whole(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
+pub fn write_response(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!(
         "HTTP/1.1 {status} Status\r\nContent-Length: {}\r\nConnection: close\r\n{headers}\r\n",
         body.len()
@@ -136,14 +138,19 @@
     write(stream, b"0\r\n\r\n");
 }
 
-fn serve(mut stream: TcpStream, script: &Script, log: &Mutex<Vec<Arrived>>, word: Word) {
+fn serve(
+    mut stream: TcpStream,
+    script: &Script,
+    log: &Mutex<Vec<ReceivedRequest>>,
+    probe_reply: ProbeReply,
+) {
     let Some(arrived) = read_request(&stream) else {
         return;
     };
     if arrived.is_probe() {
-        if word != Word::Nothing {
-            let body = probe_answer(&arrived.target, word == Word::Draining);
-            write_whole(&mut stream, 200, "", body.as_bytes());
+        if probe_reply != ProbeReply::Disconnect {
+            let body = probe_answer(&arrived.target, probe_reply == ProbeReply::Draining);
+            write_response(&mut stream, 200, "", body.as_bytes());
         }
     } else {
         log.lock().unwrap().push(arrived.clone());
@@ -167,7 +174,7 @@
     r#"{"boot_id":1,"events":[]}"#.to_owned()
 }
 
-fn read_request(stream: &TcpStream) -> Option<Arrived> {
+fn read_request(stream: &TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
@@ -183,7 +190,7 @@
         };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut arrived = Arrived {
+    let mut arrived = ReceivedRequest {
         method,
         target,
         headers,
--- a/crates/nodes/wingshore-node/tests/common/caller.rs
+++ b/crates/nodes/wingshore-node/tests/common/caller.rs
@@ -4,7 +4,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 
 /// An answer, read to its declared end.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,7 +41,7 @@
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the node listens");
     stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(WAIT_TIMEOUT))
         .expect("a timeout can be set");
     stream
 }
--- a/crates/nodes/wingshore-node/tests/common/groups.rs
+++ b/crates/nodes/wingshore-node/tests/common/groups.rs
@@ -17,7 +17,7 @@
 use wingshore_types::{RequestId, Revision};
 
 /// Time between two checks for a new configuration revision.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 type LedgerScript = Box<dyn Fn(LedgerRequest) -> LedgerReply + Send + Sync>;
 
@@ -35,7 +35,7 @@
     acknowledged: AtomicU64,
     published: Mutex<Vec<ControlRequest>>,
     lease_ms: AtomicU64,
-    is_silent: AtomicBool,
+    is_unresponsive: AtomicBool,
     watch_waits: Mutex<Vec<u64>>,
     watch_delay_ms: AtomicU64,
     ledger: Mutex<Option<LedgerScript>>,
@@ -57,7 +57,7 @@
             acknowledged: AtomicU64::new(0),
             published: Mutex::default(),
             lease_ms: AtomicU64::new(60_000),
-            is_silent: AtomicBool::new(false),
+            is_unresponsive: AtomicBool::new(false),
             watch_waits: Mutex::default(),
             watch_delay_ms: AtomicU64::new(0),
             ledger: Mutex::new(None),
@@ -88,8 +88,8 @@
     }
 
     /// Stops answering requests.
-    pub fn fall_silent(&self) {
-        self.state.is_silent.store(true, Ordering::SeqCst);
+    pub fn stop_answering(&self) {
+        self.state.is_unresponsive.store(true, Ordering::SeqCst);
     }
 
     pub fn set_lease(&self, lease: Duration) {
@@ -142,7 +142,7 @@
 
 impl State {
     fn serve(&self, connection: &ConnectionHandle, id: RequestId, body: GroupRequest) {
-        if self.is_silent.load(Ordering::SeqCst) {
+        if self.is_unresponsive.load(Ordering::SeqCst) {
             return;
         }
         let body = match body {
@@ -174,9 +174,9 @@
         }
         let give_up = Instant::now() + Duration::from_millis(watch.wait_ms);
         while self.revision() <= watch.have.0 && Instant::now() < give_up {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
-        if self.is_silent.load(Ordering::SeqCst) {
+        if self.is_unresponsive.load(Ordering::SeqCst) {
             return None;
         }
         let delay_ms = self.watch_delay_ms.load(Ordering::SeqCst);
--- a/crates/nodes/wingshore-node/tests/common/mod.rs
+++ b/crates/nodes/wingshore-node/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use wingshore_types::{PoolId, ServerId, ServiceId, TrainerId, WeightVersion, ZoneId};
 
 /// Timeout of every wait of a test.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Name of the live service in the tests.
 pub const LIVE: &str = "fare-api";
 /// Name of the engine service in the tests.
@@ -88,9 +88,9 @@
     node_from_text("node.toml", &text, &Overrides::default()).expect("the settings are valid")
 }
 
-/// Waits until a condition holds; panics after [`PATIENCE`].
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let give_up = Instant::now() + PATIENCE;
+    let give_up = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < give_up, "waited in vain until {what}");
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/nodes/wingshore-node/tests/completions.rs
+++ b/crates/nodes/wingshore-node/tests/completions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::back_end::{
-    Arrived, BackEnd, write, write_end, write_event, write_stream_head, write_whole,
+    BackEnd, ReceivedRequest, write, write_end, write_event, write_response, write_stream_head,
 };
 use common::caller::{Answer, connect, get, post, post_bytes, read_chunk, read_head};
 use common::{ENGINES, MODEL, POOL, TestNode, engine_site, wait_until};
@@ -30,17 +30,17 @@
     body.to_string()
 }
 
-fn is_completion(arrived: &Arrived) -> bool {
+fn is_completion(arrived: &ReceivedRequest) -> bool {
     arrived.target == PATH
 }
 
 /// Answers all requests to an engine other than completions.
 fn answer_other(stream: &mut TcpStream) {
-    write_whole(stream, 200, "", b"{}");
+    write_response(stream, 200, "", b"{}");
 }
 
 /// Generates four tokens in two chunks with two weight versions.
-fn whole_engine(arrived: &Arrived, stream: &mut TcpStream) {
+fn complete_engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
     }
@@ -52,7 +52,7 @@
 }
 
 /// Generates two tokens, then closes the connection; generates the rest in a resumed request.
-fn dying_engine(arrived: &Arrived, stream: &mut TcpStream) {
+fn disconnecting_engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
     }
@@ -79,7 +79,7 @@
 
 #[gtest]
 fn a_buffered_completion_names_tokens_and_versions() {
-    let engine = BackEnd::start(whole_engine);
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     for target in [json!({}), json!({ "model": null, "pool": POOL })] {
@@ -103,7 +103,7 @@
 
 #[gtest]
 fn text_prompts_are_their_bytes() {
-    let engine = BackEnd::start(whole_engine);
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     let answer = post(node.address(), PATH, "", &ask(&json!({ "prompt": "hé" })));
@@ -158,9 +158,12 @@
 }
 
 #[gtest]
-fn a_dead_engine_s_tokens_are_resumed_on_another() {
+fn tokens_of_a_failed_engine_are_resumed_on_another() {
     for stream in [false, true] {
-        let engines = [BackEnd::start(dying_engine), BackEnd::start(dying_engine)];
+        let engines = [
+            BackEnd::start(disconnecting_engine),
+            BackEnd::start(disconnecting_engine),
+        ];
         let groups = engine_site(&[&engines[0], &engines[1]]);
         let node = TestNode::start(&groups, "node-a", "");
         let answer = post(node.address(), PATH, "", &ask(&json!({ "stream": stream })));
@@ -194,8 +197,8 @@
 }
 
 #[gtest]
-fn a_cut_stream_is_an_error_and_never_a_short_success() {
-    let cutting = |arrived: &Arrived, stream: &mut TcpStream| {
+fn a_truncated_stream_is_an_error_and_never_a_short_success() {
+    let cutting = |arrived: &ReceivedRequest, stream: &mut TcpStream| {
         if !is_completion(arrived) {
             return answer_other(stream);
         }
@@ -235,7 +238,7 @@
 }
 
 #[gtest]
-fn a_caller_that_goes_away_cancels_at_the_engine() {
+fn a_caller_that_disconnects_cancels_at_the_engine() {
     let engine = BackEnd::start(|arrived, stream| {
         if !is_completion(arrived) {
             return answer_other(stream);
@@ -302,8 +305,8 @@
 }
 
 #[gtest]
-fn requests_that_make_no_sense_are_refused_as_not_run() {
-    let engine = BackEnd::start(whole_engine);
+fn invalid_requests_are_refused_as_not_run() {
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     let cases = [
--- a/crates/nodes/wingshore-node/tests/forward.rs
+++ b/crates/nodes/wingshore-node/tests/forward.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::back_end::{Arrived, BackEnd, write, write_whole};
+use common::back_end::{BackEnd, ReceivedRequest, write, write_response};
 use common::caller::{exchange, exchange_and_close, get, post, post_bytes};
 use common::groups::Claimed;
 use common::{LIVE, TestNode, live_site, wait_until};
@@ -11,10 +11,10 @@
 use wingshore_types::protocol::claims::ClaimOutcome;
 
 /// Reads the request and closes the connection without an answer: the request may have run.
-fn close_silently(_: &Arrived, _: &mut TcpStream) {}
+fn close_without_answer(_: &ReceivedRequest, _: &mut TcpStream) {}
 
 /// Declares a longer body than it sends.
-fn cut_body(_: &Arrived, stream: &mut TcpStream) {
+fn truncated_body(_: &ReceivedRequest, stream: &mut TcpStream) {
     write(
         stream,
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this",
@@ -24,7 +24,7 @@
 #[gtest]
 fn a_request_is_forwarded_as_it_is() {
     let server = BackEnd::start(|_, stream| {
-        write_whole(stream, 201, "X-Charge: 17\r\nX-Charge: 18\r\n", b"charged");
+        write_response(stream, 201, "X-Charge: 17\r\nX-Charge: 18\r\n", b"charged");
     });
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn headers_that_make_no_sense_are_refused_as_not_run() {
+fn invalid_headers_are_refused_as_not_run() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -180,10 +180,10 @@
 
 #[gtest]
 fn a_request_that_may_have_run_is_not_sent_again() {
-    type Script = fn(&Arrived, &mut TcpStream);
+    type Script = fn(&ReceivedRequest, &mut TcpStream);
     let scripts: [(Script, &str); 2] = [
-        (close_silently, "connection_lost"),
-        (cut_body, "answer_cut"),
+        (close_without_answer, "connection_lost"),
+        (truncated_body, "answer_cut"),
     ];
     for (script, code) in scripts {
         let servers = [BackEnd::start(script), BackEnd::start(script)];
@@ -200,7 +200,10 @@
 
 #[gtest]
 fn a_safe_request_is_sent_again_until_a_whole_answer_comes() {
-    let servers = [BackEnd::start(cut_body), BackEnd::answering("balance")];
+    let servers = [
+        BackEnd::start(truncated_body),
+        BackEnd::answering("balance"),
+    ];
     let groups = live_site(&[&servers[0], &servers[1]]);
     let node = TestNode::start(&groups, "node-a", "");
     for _ in 0..8 {
@@ -212,8 +215,9 @@
 }
 
 #[gtest]
-fn what_a_server_says_it_did_not_run_goes_to_another() {
-    let refusing = BackEnd::start(|_, stream| write_whole(stream, 503, "X-Not-Run: true\r\n", b""));
+fn a_request_that_a_server_reports_as_not_run_goes_to_another() {
+    let refusing =
+        BackEnd::start(|_, stream| write_response(stream, 503, "X-Not-Run: true\r\n", b""));
     let serving = BackEnd::answering("charged");
     let groups = live_site(&[&refusing, &serving]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -243,7 +247,7 @@
 
 #[gtest]
 fn an_answer_beyond_the_limit_is_no_success() {
-    let server = BackEnd::start(|_, stream| write_whole(stream, 200, "", &vec![b'x'; 70_000]));
+    let server = BackEnd::start(|_, stream| write_response(stream, 200, "", &vec![b'x'; 70_000]));
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
     let answer = get(node.address(), &format!("/{LIVE}/all"));
@@ -290,7 +294,7 @@
 
 #[gtest]
 fn a_key_whose_request_may_have_run_stays_taken() {
-    let server = BackEnd::start(close_silently);
+    let server = BackEnd::start(close_without_answer);
     let groups = live_site(&[&server]);
     let nodes = ["node-a", "node-b"].map(|name| TestNode::start(&groups, name, ""));
     let target = format!("/{LIVE}/charges");
@@ -317,11 +321,11 @@
 }
 
 #[gtest]
-fn a_key_is_not_sent_while_the_claims_group_is_silent() {
+fn a_key_is_not_sent_while_the_claims_group_does_not_answer() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
-    groups.fall_silent();
+    groups.stop_answering();
     let headers = "Idempotency-Key: ride-3\r\nX-Wingshore-Deadline-Ms: 300\r\n";
     let answer = post(node.address(), &format!("/{LIVE}/charges"), headers, "x");
     expect_that!(answer.status, eq(503));
@@ -336,7 +340,7 @@
 #[gtest]
 fn requests_on_one_connection_get_their_own_answers_in_order() {
     let server = BackEnd::start(|arrived, stream| {
-        write_whole(stream, 200, "", arrived.target.as_bytes());
+        write_response(stream, 200, "", arrived.target.as_bytes());
     });
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
--- a/crates/nodes/wingshore-node/tests/golden_http.rs
+++ b/crates/nodes/wingshore-node/tests/golden_http.rs
@@ -7,7 +7,9 @@
 
 mod common;
 
-use common::back_end::{Arrived, BackEnd, write_end, write_event, write_stream_head, write_whole};
+use common::back_end::{
+    BackEnd, ReceivedRequest, write_end, write_event, write_response, write_stream_head,
+};
 use common::caller::{connect, post_bytes};
 use common::groups::{Claimed, ScriptedGroups};
 use common::{ENGINES, LIVE, MODEL, TestNode, put_pool, put_server, put_service, wait_until};
@@ -25,9 +27,9 @@
 };
 
 /// A live service without servers.
-const EMPTY: &str = "fare-empty";
+const EMPTY_SERVICE: &str = "fare-empty";
 /// Keys and headers whose values differ between runs.
-const CHANGING: &[&str] = &[
+const VARIABLE_KEYS: &[&str] = &[
     "\"id\":",
     "\"request_id\":",
     "\"created\":",
@@ -37,7 +39,7 @@
 ];
 
 /// Requests with a body: target, additional headers, body.
-const POSTS: &[(&str, &str, &str)] = &[
+const POST_REQUESTS: &[(&str, &str, &str)] = &[
     ("/healthz", "", ""),
     ("/v1/nothing", "", "{}"),
     ("/nothing/at/all", "", "{}"),
@@ -128,7 +130,7 @@
 ];
 
 /// Requests that are sent as raw bytes.
-const RAW: &[&str] = &[
+const RAW_REQUESTS: &[&str] = &[
     "GET /healthz HTTP/1.1\r\nHost: node\r\n\r\n",
     "GET /readyz HTTP/1.1\r\nHost: node\r\n\r\n",
     "GET /v1/completions HTTP/1.1\r\nHost: node\r\n\r\n",
@@ -139,22 +141,22 @@
     "POST /fare-api/c HTTP/1.1\r\nHost: node\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab",
 ];
 
-fn live_server(arrived: &Arrived, stream: &mut TcpStream) {
+fn live_server(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     match arrived.target.as_str() {
         "/silent" => {}
         "/stalled" => std::thread::sleep(std::time::Duration::from_secs(1)),
-        "/missing" => write_whole(stream, 404, "X-Charge: 17\r\n", b"none"),
-        _ => write_whole(stream, 200, "X-Charge: 17\r\n", b"charged"),
+        "/missing" => write_response(stream, 404, "X-Charge: 17\r\n", b"none"),
+        _ => write_response(stream, 200, "X-Charge: 17\r\n", b"charged"),
     }
 }
 
-fn engine(arrived: &Arrived, stream: &mut TcpStream) {
+fn engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if arrived.target != "/v1/completions" {
-        return write_whole(stream, 200, "", b"{}");
+        return write_response(stream, 200, "", b"{}");
     }
     let asked: Value = serde_json::from_slice(&arrived.body).expect("JSON");
     if asked["prompt"][0] == 400 {
-        return write_whole(stream, 400, "", b"{\"error\":\"no such token\"}");
+        return write_response(stream, 400, "", b"{\"error\":\"no such token\"}");
     }
     write_stream_head(stream);
     write_event(stream, r#"{"tokens":[10,11],"weight_version":1}"#);
@@ -210,7 +212,7 @@
     let groups = ScriptedGroups::start(vec![
         put_service(LIVE, ServiceKind::Live),
         put_server(LIVE, "api-0", live.address()),
-        put_service(EMPTY, ServiceKind::Live),
+        put_service(EMPTY_SERVICE, ServiceKind::Live),
         put_service(ENGINES, ServiceKind::Engines { model }),
         put_server(ENGINES, "lm-0", engine.address()),
         put_pool(engine.address()),
@@ -231,27 +233,27 @@
 
 /// Replaces the values that differ between runs and the lengths that depend on them; removes lines
 /// with a date.
-fn settled(text: &str) -> String {
-    let mut settled = String::new();
+fn normalized(text: &str) -> String {
+    let mut normalized = String::new();
     let has_identity = text.contains("\"id\":");
     for line in text.lines().filter(|line| !line.starts_with("Date: ")) {
         let mut line = line.to_owned();
         if has_identity {
-            line = without_value(&line, "Content-Length: ");
+            line = mask_value(&line, "Content-Length: ");
         }
         if has_identity && usize::from_str_radix(&line, 16).is_ok() {
             line = "#".to_owned();
         }
-        for key in CHANGING {
-            line = without_value(&line, key);
+        for key in VARIABLE_KEYS {
+            line = mask_value(&line, key);
         }
-        writeln!(settled, "{line}").expect("a string");
+        writeln!(normalized, "{line}").expect("a string");
     }
-    settled
+    normalized
 }
 
 /// Replaces the value after `key` in `line`, up to a comma, a brace or the end of the line.
-fn without_value(line: &str, key: &str) -> String {
+fn mask_value(line: &str, key: &str) -> String {
     let Some(index) = line.find(key) else {
         return line.to_owned();
     };
@@ -272,7 +274,7 @@
             }
         }
         request.push_str(&String::from_utf8_lossy(&arrived.body));
-        text.push_str(&settled(&request));
+        text.push_str(&normalized(&request));
     }
 }
 
@@ -300,7 +302,7 @@
     text
 }
 
-fn expect_kept(file: &str, found: &str) {
+fn expect_golden(file: &str, found: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
@@ -319,10 +321,10 @@
     let groups = site(&live, &engine);
     let node = TestNode::start(&groups, "node-a", "");
     let mut answers = String::new();
-    let posts = POSTS.iter().map(|(target, headers, body)| {
+    let posts = POST_REQUESTS.iter().map(|(target, headers, body)| {
         String::from_utf8(post_bytes(target, headers, body)).expect("text")
     });
-    let raw = RAW.iter().map(|request| (*request).to_owned());
+    let raw = RAW_REQUESTS.iter().map(|request| (*request).to_owned());
     for request in posts.chain(raw) {
         wait_until("claims are settled", || {
             let claims = groups.claimed();
@@ -332,7 +334,7 @@
         });
         let line = request.lines().next().unwrap_or_default();
         let answer = exchange(node.address(), request.as_bytes());
-        writeln!(answers, "=== {line}\n{}", settled(&answer)).expect("a string");
+        writeln!(answers, "=== {line}\n{}", normalized(&answer)).expect("a string");
     }
     let metrics = exchange(
         node.address(),
@@ -343,7 +345,7 @@
     let mut requests = String::new();
     requests_at("live server", &live, &mut requests);
     requests_at("engine", &engine, &mut requests);
-    expect_kept("answers.txt", &answers);
-    expect_kept("requests.txt", &requests);
-    expect_kept("metrics.txt", &metric_names(metrics));
+    expect_golden("answers.txt", &answers);
+    expect_golden("requests.txt", &requests);
+    expect_golden("metrics.txt", &metric_names(metrics));
 }
--- a/crates/nodes/wingshore-node/tests/golden_logs.rs
+++ b/crates/nodes/wingshore-node/tests/golden_logs.rs
@@ -8,7 +8,7 @@
 const MACROS: &[&str] = &["trace", "debug", "info", "warn", "error", "crit"];
 
 /// Keys of each log line, in alphabetical order.
-const LINES: &[&str] = &[
+const LOG_KEYS: &[&str] = &[
     "address boot",
     "answer group",
     "answer pool",
@@ -61,7 +61,7 @@
             }
         }
     }
-    for line in LINES {
+    for line in LOG_KEYS {
         let expected: BTreeSet<&str> = line.split(' ').collect();
         let stands = found.iter().any(|keys| keys.is_superset(&expected));
         expect_that!(stands, is_true(), "{line}");
--- a/crates/nodes/wingshore-node/tests/lifecycle.rs
+++ b/crates/nodes/wingshore-node/tests/lifecycle.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::back_end::{BackEnd, write_whole};
+use common::back_end::{BackEnd, write_response};
 use common::caller::{get, post, post_bytes, read_answer};
 use common::groups::ScriptedGroups;
-use common::{LIVE, PATIENCE, TestNode, live_site, put_server, wait_until};
+use common::{LIVE, TestNode, WAIT_TIMEOUT, live_site, put_server, wait_until};
 use googletest::prelude::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,7 +23,7 @@
 #[gtest]
 fn a_node_without_a_configuration_refuses() {
     let groups = ScriptedGroups::start(Vec::new());
-    groups.fall_silent();
+    groups.stop_answering();
     let node = TestNode::start_unready(&groups, "node-a", "");
     for answer in [
         get(node.address(), "/readyz"),
@@ -46,7 +46,7 @@
         let groups = live_site(&[&server]);
         groups.set_lease(Duration::from_millis(300));
         let node = TestNode::start(&groups, "node-a", &format!("without_lease = \"{setting}\""));
-        groups.fall_silent();
+        groups.stop_answering();
         wait_until("the lease has run out", || {
             let metrics = get(node.address(), "/metrics").text();
             metrics.contains("wingshore_configuration_lease_milliseconds 0\n")
@@ -120,7 +120,7 @@
         while !released.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
-        write_whole(stream, 200, "", b"charged in the end");
+        write_response(stream, 200, "", b"charged in the end");
     });
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "stop_grace = \"20s\"");
@@ -151,7 +151,7 @@
     let folder = tempfile::tempdir()?;
     let server = BackEnd::start(|_, stream| {
         thread::sleep(Duration::from_millis(500));
-        write_whole(stream, 200, "", b"charged too late");
+        write_response(stream, 200, "", b"charged too late");
     });
     let groups = live_site(&[&server]);
     let settings = format!(
@@ -186,7 +186,7 @@
 fn call_until_refused(address: SocketAddr, keeps_connection: bool) -> usize {
     let mut cut = 0;
     while let Ok(mut stream) = TcpStream::connect(address) {
-        let limited = stream.set_read_timeout(Some(PATIENCE));
+        let limited = stream.set_read_timeout(Some(WAIT_TIMEOUT));
         limited.expect("a timeout can be set");
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         loop {
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn through_a_whole_planned_stop_each_request_is_answered_or_finds_nobody() {
+fn during_a_planned_stop_each_request_is_answered_or_its_connection_refused() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -221,11 +221,11 @@
 }
 
 #[gtest]
-fn a_planned_stop_without_work_ends_although_the_groups_are_silent() {
+fn a_planned_stop_without_work_ends_although_the_groups_do_not_answer() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
-    groups.fall_silent();
+    groups.stop_answering();
     node.finish();
     expect_that!(server.count(), eq(0));
 }
--- a/crates/nodes/wingshore-node/tests/outages.rs
+++ b/crates/nodes/wingshore-node/tests/outages.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::back_end::{
-    Arrived, BackEnd, Word, write_end, write_event, write_stream_head, write_whole,
+    BackEnd, ProbeReply, ReceivedRequest, write_end, write_event, write_response, write_stream_head,
 };
 use common::caller::{get, post};
 use common::{LIVE, MODEL, TestNode, engine_site, live_site, wait_until};
@@ -21,40 +21,41 @@
 const REQUESTS: usize = 500;
 /// Retries that the router's budget allows in addition to its share of the requests: as a burst,
 /// and per second.
-const BURST: f64 = 20.0;
-const PER_SECOND: f64 = 5.0;
+const RETRY_BURST: f64 = 20.0;
+const RETRIES_PER_SECOND: f64 = 5.0;
 /// Deadline beyond the time that a test waits for one answer, so that a request held until its
 /// deadline fails the test.
-const FAR_DEADLINE: &str = "X-Wingshore-Deadline-Ms: 600000\r\n";
+const LONG_DEADLINE: &str = "X-Wingshore-Deadline-Ms: 600000\r\n";
 
 #[gtest]
-fn an_outage_is_not_multiplied_and_its_requests_are_answered_at_once() {
+fn retries_are_bounded_in_an_outage_and_requests_are_answered_at_once() {
     let is_down = Arc::new(AtomicBool::new(true));
     let servers = [0, 1, 2].map(|_| {
         let is_down = Arc::clone(&is_down);
         BackEnd::start(move |_, stream| {
             if !is_down.load(Ordering::SeqCst) {
-                write_whole(stream, 200, "", b"card");
+                write_response(stream, 200, "", b"card");
             }
         })
     });
     let groups = live_site(&[&servers[0], &servers[1], &servers[2]]);
     let node = TestNode::start(&groups, "node-a", "routing = { retry_budget = 100 }");
     let target = format!("/{LIVE}/cards/1");
-    let look_up = || get_with(&node, &target, FAR_DEADLINE);
+    let fetch = || get_with(&node, &target, LONG_DEADLINE);
     let begun = Instant::now();
     for _ in 0..REQUESTS {
-        let answer = look_up();
+        let answer = fetch();
         expect_that!(answer.error().1, any!(eq("not_run"), eq("may_have_run")));
         expect_that!(answer.header("retry-after"), some(anything()));
     }
     let attempts: usize = servers.iter().map(BackEnd::count).sum();
     let first = REQUESTS as f64;
-    let allowed = first * 1.1 + BURST + PER_SECOND * (begun.elapsed().as_secs_f64() + 1.0);
+    let allowed =
+        first * 1.1 + RETRY_BURST + RETRIES_PER_SECOND * (begun.elapsed().as_secs_f64() + 1.0);
     expect_that!(attempts as f64, le(allowed));
     expect_that!(attempts, gt(REQUESTS / 2), "the floor keeps servers in use");
     is_down.store(false, Ordering::SeqCst);
-    wait_until("requests are answered again", || look_up().status == 200);
+    wait_until("requests are answered again", || fetch().status == 200);
     node.finish();
 }
 
@@ -65,9 +66,10 @@
 
 /// Each attempt sends its server the caller's remaining time; retries do not restart the deadline.
 #[gtest]
-fn the_time_that_is_left_goes_on_to_the_server_with_each_attempt() {
-    let lingering = |_: &Arrived, _: &mut TcpStream| thread::sleep(Duration::from_millis(50));
-    let server = BackEnd::start(lingering);
+fn each_attempt_carries_the_remaining_time_to_the_server() {
+    let slow_disconnect =
+        |_: &ReceivedRequest, _: &mut TcpStream| thread::sleep(Duration::from_millis(50));
+    let server = BackEnd::start(slow_disconnect);
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
     let target = format!("/{LIVE}/cards/1");
@@ -86,9 +88,9 @@
     node.finish();
 }
 
-fn engine(arrived: &Arrived, stream: &mut TcpStream) {
+fn engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if arrived.target != "/v1/completions" {
-        return write_whole(stream, 200, "", b"{}");
+        return write_response(stream, 200, "", b"{}");
     }
     write_stream_head(stream);
     write_event(stream, r#"{"tokens":[7],"weight_version":1}"#);
@@ -104,16 +106,16 @@
 enum Source {
     Configuration,
     MachineList,
-    OwnWord,
+    ServerState,
     HealthCheck,
 }
 
 /// A report of leaving from any one source stops new work, even if the other sources report that
 /// the engine stays.
 #[gtest]
-fn an_engine_that_any_source_calls_leaving_gets_nothing_new() {
-    use Source::{Configuration, HealthCheck, MachineList, OwnWord};
-    for source in [Configuration, MachineList, OwnWord, HealthCheck] {
+fn an_engine_reported_as_leaving_by_any_source_gets_no_new_requests() {
+    use Source::{Configuration, HealthCheck, MachineList, ServerState};
+    for source in [Configuration, MachineList, ServerState, HealthCheck] {
         let engines = [BackEnd::start(engine), BackEnd::start(engine)];
         let groups = engine_site(&[&engines[0], &engines[1]]);
         let listed = Arc::new(Mutex::new(None));
@@ -140,8 +142,8 @@
                 admission: Admission::Draining,
             }),
             MachineList => *listed.lock().expect("not poisoned") = Some(number),
-            OwnWord => leaving.say(Word::Draining),
-            HealthCheck => leaving.say(Word::Nothing),
+            ServerState => leaving.set_probe_reply(ProbeReply::Draining),
+            HealthCheck => leaving.set_probe_reply(ProbeReply::Disconnect),
         }
         wait_until("the engine gets nothing new", || {
             let before = leaving.count();
@@ -174,26 +176,26 @@
         };
         let as_of = 1 + u64::from(leaving.is_some());
         let list = json!({ "as_of": as_of, "machines": [machine(0), machine(1)] });
-        write_whole(stream, 200, "", list.to_string().as_bytes());
+        write_response(stream, 200, "", list.to_string().as_bytes());
     })
 }
 
 /// The node that owns a key stops responding with its request in flight: neither the restarted node
 /// nor another node sends the request again.
 #[gtest]
-fn a_key_whose_owner_fell_silent_ends_in_may_have_run_everywhere() {
+fn a_key_of_an_unresponsive_owner_ends_in_may_have_run_on_every_node() {
     let release = Arc::new(AtomicBool::new(false));
     let held = Arc::clone(&release);
     let server = BackEnd::start(move |_, stream| {
         while !held.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
-        write_whole(stream, 200, "", b"charged once");
+        write_response(stream, 200, "", b"charged once");
     });
     let groups = live_site(&[&server]);
     let owner = TestNode::start(&groups, "node-a", "");
     let target = format!("/{LIVE}/charges");
-    let headers = format!("Idempotency-Key: ride-9\r\n{FAR_DEADLINE}");
+    let headers = format!("Idempotency-Key: ride-9\r\n{LONG_DEADLINE}");
     let silent = owner.address();
     let first = {
         let (target, headers) = (target.clone(), headers.clone());
--- a/crates/nodes/wingshore-node/tests/shares.rs
+++ b/crates/nodes/wingshore-node/tests/shares.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::back_end::{BackEnd, write_end, write_event, write_stream_head, write_whole};
+use common::back_end::{BackEnd, write_end, write_event, write_response, write_stream_head};
 use common::caller::post;
 use common::{ENGINES, MODEL, TestNode, engine_site, wait_until};
 use googletest::prelude::*;
@@ -24,7 +24,7 @@
 /// Priority of live requests, by which the engine tells them from rollouts.
 const LIVE_PRIORITY: i64 = 5;
 /// Number of requests of the busier class before the two classes are compared.
-const ENOUGH: usize = 300;
+const MIN_SERVED: usize = 300;
 
 /// Numbers of requests that the engine served, and its open requests.
 #[derive(Default)]
@@ -40,7 +40,7 @@
 struct OpenRequests {
     streams: Mutex<Vec<(usize, TcpStream)>>,
     next: AtomicUsize,
-    most: AtomicUsize,
+    max_open: AtomicUsize,
 }
 
 impl OpenRequests {
@@ -50,7 +50,7 @@
         let mut streams = self.streams.lock().unwrap();
         streams.retain(|(_, stream)| is_open(stream));
         streams.push((number, own));
-        self.most.fetch_max(streams.len(), Ordering::SeqCst);
+        self.max_open.fetch_max(streams.len(), Ordering::SeqCst);
         number
     }
 
@@ -59,8 +59,8 @@
         streams.retain(|(open, _)| *open != number);
     }
 
-    fn most(&self) -> usize {
-        self.most.load(Ordering::SeqCst)
+    fn max_open(&self) -> usize {
+        self.max_open.load(Ordering::SeqCst)
     }
 }
 
@@ -76,10 +76,10 @@
 fn engine(served: Arc<Served>) -> BackEnd {
     BackEnd::start(move |arrived, stream| {
         if arrived.target == "/score" {
-            return write_whole(stream, 200, "", br#"{"score":1.0}"#);
+            return write_response(stream, 200, "", br#"{"score":1.0}"#);
         }
         if arrived.target != "/v1/completions" {
-            return write_whole(stream, 200, "", b"{}");
+            return write_response(stream, 200, "", b"{}");
         }
         let number = served.open.begin(stream);
         thread::sleep(SERVICE_TIME);
@@ -182,7 +182,9 @@
         let live = served.live.load(Ordering::SeqCst) - before[0];
         (live, served.rollout.load(Ordering::SeqCst) - before[1])
     };
-    wait_until("enough was served", || since().0.max(since().1) >= ENOUGH);
+    wait_until("enough was served", || {
+        since().0.max(since().1) >= MIN_SERVED
+    });
     let (live, rollout) = since();
     is_flooding.store(false, Ordering::SeqCst);
     println!("under both floods: {live} live, {rollout} rollout requests served");
@@ -196,7 +198,7 @@
         ge((live + rollout) / 3),
         "rollouts have their half"
     );
-    expect_that!(served.open.most(), le(SLOTS as usize));
+    expect_that!(served.open.max_open(), le(SLOTS as usize));
     for caller in callers {
         caller.join().expect("a caller ends");
     }
--- a/crates/nodes/wingshore-node/tests/slow_callers.rs
+++ b/crates/nodes/wingshore-node/tests/slow_callers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::back_end::{BackEnd, write_event, write_stream_head, write_whole};
+use common::back_end::{BackEnd, write_event, write_response, write_stream_head};
 use common::caller::{connect, get, post, post_bytes, read_answer};
 use common::{LIVE, MODEL, TestNode, engine_site, live_site, wait_until};
 use googletest::prelude::*;
@@ -13,7 +13,7 @@
 const SLOW_CALLERS: usize = 60;
 
 #[gtest]
-fn callers_that_send_slowly_hold_up_nobody() {
+fn callers_that_send_slowly_do_not_delay_others() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -64,12 +64,12 @@
 }
 
 #[gtest]
-fn a_caller_that_does_not_read_its_stream_is_let_go_and_its_engine_is_told() {
+fn a_caller_that_does_not_read_its_stream_is_disconnected_and_its_engine_request_cancelled() {
     let tokens = vec![7; 4000];
     let event = serde_json::json!({ "tokens": tokens, "weight_version": 1 }).to_string();
     let engine = BackEnd::start(move |arrived, stream| {
         if arrived.target != "/v1/completions" {
-            return write_whole(stream, 200, "", b"{}");
+            return write_response(stream, 200, "", b"{}");
         }
         write_stream_head(stream);
         while write_event(stream, &event) {}
--- a/crates/nodes/wingshore-node/tests/trainer.rs
+++ b/crates/nodes/wingshore-node/tests/trainer.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::back_end::{Arrived, BackEnd, write_end, write_event, write_stream_head, write_whole};
+use common::back_end::{
+    BackEnd, ReceivedRequest, write_end, write_event, write_response, write_stream_head,
+};
 use common::caller::post;
 use common::{POOL, TestNode, engine_site, wait_until};
 use googletest::prelude::*;
@@ -21,8 +23,8 @@
     format!("/v1/pools/{POOL}/{rest}")
 }
 
-fn idle_engine(_: &Arrived, stream: &mut TcpStream) {
-    write_whole(stream, 200, "", b"{}");
+fn idle_engine(_: &ReceivedRequest, stream: &mut TcpStream) {
+    write_response(stream, 200, "", b"{}");
 }
 
 fn generation(segment_end: u32) -> Generation {
@@ -318,8 +320,8 @@
             );
             write_end(stream);
         }
-        "/score" => write_whole(stream, 200, "", br#"{"score":0.75}"#),
-        _ => write_whole(stream, 200, "", b"{}"),
+        "/score" => write_response(stream, 200, "", br#"{"score":0.75}"#),
+        _ => write_response(stream, 200, "", b"{}"),
     });
     let groups = engine_site(&[&engine]);
     let ledger = scripted_ledger(&groups);
@@ -352,7 +354,7 @@
 fn a_planned_stop_gives_partial_samples_back() {
     let engine = BackEnd::start(|arrived, stream| {
         if arrived.target != "/v1/completions" {
-            return write_whole(stream, 200, "", b"{}");
+            return write_response(stream, 200, "", b"{}");
         }
         write_stream_head(stream);
         write_event(stream, r#"{"tokens":[10,11],"weight_version":1}"#);
