--- a/crates/nodes/wingshore-node/src/upstream/json.rs
+++ b/crates/nodes/wingshore-node/src/upstream/json.rs
@@ -46,7 +46,7 @@
         status: u16,
     },
     /// The answer cannot be decoded.
-    #[snafu(display("the answer of {address}{target} makes no sense: {source}"))]
+    #[snafu(display("cannot decode the answer of {address}{target}: {source}"))]
     Decode {
         /// Address of the server.
         address: SocketAddr,
