--- a/crates/nodes/wingshore-node/src/serve/trainer.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer.rs
@@ -255,7 +255,7 @@
             "sample {} of pool `{pool}` has segments that do not cover its tokens",
             sample.number
         );
-        self.node.on_broken_promise(&what);
+        self.node.report_invariant_violation(&what);
         Err(EdgeError {
             status: 500,
             code: "internal".to_owned(),
--- a/crates/nodes/wingshore-node/src/serve/whole_answer.rs
+++ b/crates/nodes/wingshore-node/src/serve/whole_answer.rs
@@ -46,7 +46,7 @@
 
 /// A fault of the node itself.
 pub fn internal(node: &NodeState, what: &str) -> EdgeError {
-    node.on_broken_promise(what);
+    node.report_invariant_violation(what);
     EdgeError {
         status: 500,
         code: "internal".to_owned(),
--- a/crates/nodes/wingshore-node/src/state.rs
+++ b/crates/nodes/wingshore-node/src/state.rs
@@ -152,7 +152,7 @@
     }
 
     /// Reports an invariant violation found by this process and dumps the log ring.
-    pub fn on_broken_promise(&self, what: &str) {
+    pub fn report_invariant_violation(&self, what: &str) {
         self.metrics.broken_promises.inc();
         error!(self.diagnostics.logger(), "broken promise"; "what" => what.to_owned());
         if let Err(failed) = self.diagnostics.dump(what) {
