--- a/crates/nodes/wingshore-node/src/serve/trainer.rs
+++ b/crates/nodes/wingshore-node/src/serve/trainer.rs
@@ -1,13 +1,15 @@
-//! A trainer's requests: submit prompts, pull a step's batch, acknowledge it, publish a version.
+//! Serves the requests of trainers: submit prompts, pull a step's batch, acknowledge it, publish a
+//! version.
 //!
-//! All of them may be sent again after a lost answer: samples are known by number, a step's batch
-//! is handed over once, and a publication is known by pool and version.
+//! All of them are idempotent and may be repeated after a lost answer: samples are identified by
+//! number, a step's batch is handed over only once, and a publication is identified by pool and
+//! version.
 
 use crate::background::PoolAnnouncer;
 use crate::http::{Caller, EdgeAnswer, EdgeError};
-use crate::serve::intake::{Intake, take_in};
-use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected};
-use crate::serve::whole_answer::serve_whole;
+use crate::serve::intake::{ReceivedRequest, read_request};
+use crate::serve::trainer_errors::{call_error, control_refusal, ledger_refusal, unexpected_reply};
+use crate::serve::whole_answer::serve_buffered;
 use crate::state::NodeState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -23,33 +25,34 @@
 use wingshore_types::protocol::wire::{GroupReply, GroupRequest};
 use wingshore_types::{GroupId, IntentId, PoolId, Revision, Sample, StepId, TrainerId, Verdict};
 
-/// Label of a trainer's requests in metrics.
+/// Request kind of trainers' requests in metrics.
 const KIND: &str = "trainer";
 /// Timeout of a request to a group when the caller states no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait a pull may ask for; part of the interface to trainers.
+/// Longest wait that a pull may request. Part of the public API.
 const MAX_PULL_WAIT: Duration = Duration::from_secs(600);
-/// Time for a pull beyond the wait it asks for.
+/// Time allowed for a pull in addition to its requested wait.
 const PULL_MARGIN: Duration = Duration::from_secs(5);
-/// Time for the further parts of a large batch, when the caller states no deadline.
-const PARTS_TIME: Duration = Duration::from_secs(30);
-/// What a trainer asks.
+/// Time allowed for the remaining parts of a large batch when the caller sets no deadline.
+const BATCH_PARTS_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A trainer's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrainerRequest {
-    /// Add prompts.
+    /// Adds prompts to a pool.
     Submit(PoolId),
-    /// Hand a step's batch over.
+    /// Hands over the batch of a step.
     Pull(PoolId, StepId),
-    /// The batch is safe with the trainer.
+    /// Confirms that the trainer has stored the batch of a step.
     Acknowledge(PoolId, StepId),
-    /// A version is in the weight store.
+    /// Announces that a weight version is in the weight store.
     Publish(PoolId),
 }
 
-/// Serves trainers' requests, with what they need of the node.
+/// Serves trainers' requests.
 #[derive(Clone, Copy)]
 pub struct TrainerHandler<'a> {
-    /// The node.
+    /// State of the node.
     pub node: &'a NodeState,
     /// Announces pools to their ledgers.
     pub announcer: &'a PoolAnnouncer,
@@ -58,13 +61,13 @@
 /// Answer to a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct PublishedBody {
-    /// The configuration revision that holds it.
+    /// Configuration revision that contains the published version.
     revision: Revision,
 }
 
-/// Serves one of a trainer's requests.
+/// Serves a trainer's request.
 pub fn serve(handler: TrainerHandler<'_>, caller: Caller, request: TrainerRequest) {
-    serve_whole(handler.node, KIND, caller, |caller| {
+    serve_buffered(handler.node, KIND, caller, |caller| {
         answer(handler, caller, request)
     });
 }
@@ -74,32 +77,37 @@
     caller: &mut Caller,
     request: TrainerRequest,
 ) -> Result<EdgeAnswer, EdgeError> {
-    let intake = take_in(handler.node, caller)?;
+    let received = read_request(handler.node, caller)?;
     match request {
-        TrainerRequest::Submit(pool) => handler.submit(&intake, &pool),
-        TrainerRequest::Pull(pool, step) => handler.pull(&intake, &pool, step),
-        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&intake, &pool, step),
-        TrainerRequest::Publish(pool) => handler.publish(&intake, &pool),
+        TrainerRequest::Submit(pool) => handler.submit(&received, &pool),
+        TrainerRequest::Pull(pool, step) => handler.pull(&received, &pool, step),
+        TrainerRequest::Acknowledge(pool, step) => handler.acknowledge(&received, &pool, step),
+        TrainerRequest::Publish(pool) => handler.publish(&received, &pool),
     }
 }
 
 impl TrainerHandler<'_> {
-    fn submit(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
-        let body: SubmitRequest = parse(&intake.body)?;
+    fn submit(self, received: &ReceivedRequest, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
+        let body: SubmitRequest = parse(&received.body)?;
         let request = LedgerRequest::Submit {
             pool: pool.clone(),
             prompts: body.prompts,
         };
-        match self.ask_ledger(pool, request, intake.deadline(DEFAULT_TIMEOUT))? {
+        match self.ask_ledger(pool, request, received.deadline(DEFAULT_TIMEOUT))? {
             LedgerReply::Submitted { added, known } => {
                 Ok(EdgeAnswer::json(200, &SubmitReply { added, known }))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    fn pull(self, intake: &Intake, pool: &PoolId, step: StepId) -> Result<EdgeAnswer, EdgeError> {
-        let body: PullBody = parse(&intake.body)?;
+    fn pull(
+        self,
+        received: &ReceivedRequest,
+        pool: &PoolId,
+        step: StepId,
+    ) -> Result<EdgeAnswer, EdgeError> {
+        let body: PullBody = parse(&received.body)?;
         let began = Instant::now();
         let wait = Duration::from_millis(body.wait_ms).min(MAX_PULL_WAIT);
         let trainer = body.trainer.clone();
@@ -113,26 +121,26 @@
                 wait_ms: wait.as_millis() as u64,
             },
         };
-        let give_up_at = began + intake.deadline(wait + PULL_MARGIN + PARTS_TIME);
-        match self.ask_ledger(pool, request, intake.deadline(wait + PULL_MARGIN))? {
+        let batch_deadline = began + received.deadline(wait + PULL_MARGIN + BATCH_PARTS_TIMEOUT);
+        match self.ask_ledger(pool, request, received.deadline(wait + PULL_MARGIN))? {
             LedgerReply::Batch(first) => {
-                let batch = self.whole_batch(pool, &trainer, *first, give_up_at)?;
+                let batch = self.complete_batch(pool, &trainer, *first, batch_deadline)?;
                 self.check_batch(pool, &batch)?;
                 self.node.metrics.on_delivered(&batch, began.elapsed());
                 Ok(EdgeAnswer::json(200, &batch_body(batch)))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    /// Fetches what a large batch has beside its first part. Each part is read from what was
+    /// Fetches the remaining parts of a large batch. The ledger reads each part from what it
     /// recorded at the hand-over, so a pull that fails in between may be repeated.
-    fn whole_batch(
+    fn complete_batch(
         self,
         pool: &PoolId,
         trainer: &TrainerId,
         first: Batch,
-        give_up_at: Instant,
+        batch_deadline: Instant,
     ) -> Result<Batch, EdgeError> {
         let mut batch = first;
         while batch.samples.len() < batch.total as usize {
@@ -142,12 +150,12 @@
                 step: batch.step,
                 from: batch.samples.len() as u32,
             };
-            let left = give_up_at.saturating_duration_since(Instant::now());
+            let left = batch_deadline.saturating_duration_since(Instant::now());
             match self.ask_ledger(pool, request, left)? {
                 LedgerReply::Batch(part) if !part.samples.is_empty() => {
                     batch.samples.extend(part.samples);
                 }
-                other => return Err(unexpected(&other)),
+                other => return Err(unexpected_reply(&other)),
             }
         }
         Ok(batch)
@@ -155,31 +163,31 @@
 
     fn acknowledge(
         self,
-        intake: &Intake,
+        received: &ReceivedRequest,
         pool: &PoolId,
         step: StepId,
     ) -> Result<EdgeAnswer, EdgeError> {
-        let body: AcknowledgeBody = parse(&intake.body)?;
+        let body: AcknowledgeBody = parse(&received.body)?;
         let request = LedgerRequest::Acknowledge {
             pool: pool.clone(),
             trainer: body.trainer,
             step,
         };
-        match self.ask_ledger(pool, request, intake.deadline(DEFAULT_TIMEOUT))? {
+        match self.ask_ledger(pool, request, received.deadline(DEFAULT_TIMEOUT))? {
             LedgerReply::Done => Ok(EdgeAnswer::json(200, &serde_json::json!({}))),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    fn publish(self, intake: &Intake, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
-        let body: PublishBody = parse(&intake.body)?;
+    fn publish(self, received: &ReceivedRequest, pool: &PoolId) -> Result<EdgeAnswer, EdgeError> {
+        let body: PublishBody = parse(&received.body)?;
         self.find_pool(pool)?;
         let request = GroupRequest::Control(ControlRequest::Publish {
             intent_id: IntentId::of_publication(pool, body.version),
             pool: pool.clone(),
             version: body.version,
         });
-        let timeout = intake.deadline(DEFAULT_TIMEOUT);
+        let timeout = received.deadline(DEFAULT_TIMEOUT);
         let reply = self
             .node
             .groups
@@ -190,11 +198,11 @@
                 Ok(EdgeAnswer::json(200, &PublishedBody { revision }))
             }
             GroupReply::Control(ControlReply::Refused(refusal)) => Err(control_refusal(&refusal)),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    /// Asks the pool's ledger; announces the pool to it first where that is needed.
+    /// Calls the pool's ledger, after announcing the pool to it if necessary.
     fn ask_ledger(
         self,
         id: &PoolId,
@@ -206,11 +214,11 @@
         let group = GroupId::Ledger(pool.ledger);
         let reply = self.call_ledger(group, request.clone(), timeout)?;
         if reply != LedgerReply::Refused(LedgerRefusal::UnknownPool) {
-            return accepted(reply);
+            return refusal_as_error(reply);
         }
         self.announcer.forget(id);
         self.announcer.announce(self.node, &pool, revision);
-        accepted(self.call_ledger(group, request, timeout)?)
+        refusal_as_error(self.call_ledger(group, request, timeout)?)
     }
 
     fn call_ledger(
@@ -226,7 +234,7 @@
             .map_err(|error| call_error(&error))?;
         match reply {
             GroupReply::Ledger(reply) => Ok(reply),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -242,7 +250,8 @@
         }
     }
 
-    /// What the ledger promises is checked once more before a trainer gets it.
+    /// Checks again that the samples are well-formed, which the ledger guarantees, before a trainer
+    /// receives them.
     fn check_batch(self, pool: &PoolId, batch: &Batch) -> Result<(), EdgeError> {
         let broken = batch
             .samples
@@ -288,7 +297,7 @@
     }
 }
 
-fn accepted(reply: LedgerReply) -> Result<LedgerReply, EdgeError> {
+fn refusal_as_error(reply: LedgerReply) -> Result<LedgerReply, EdgeError> {
     match reply {
         LedgerReply::Refused(refusal) => Err(ledger_refusal(&refusal)),
         reply => Ok(reply),
