--- a/crates/nodes/wingshore-node/src/upstream/event_reader.rs
+++ b/crates/nodes/wingshore-node/src/upstream/event_reader.rs
@@ -20,7 +20,7 @@
     #[snafu(display("the stream ended before its final event"))]
     Truncated,
     /// An event cannot be decoded.
-    #[snafu(display("cannot decode an event: {source}"))]
+    #[snafu(display("an event makes no sense: {source}"))]
     Decode {
         /// The cause.
         source: serde_json::Error,
