--- a/crates/nodes/wingshore-node/src/background/machines.rs
+++ b/crates/nodes/wingshore-node/src/background/machines.rs
@@ -1,16 +1,16 @@
-//! Reads the platform's machine list.
+//! Polls the platform's machine list.
 
 use crate::state::NodeState;
 use slog::warn;
 use std::time::Duration;
 use wingshore_types::platform::MachineList;
 
-/// Where the platform lists its machines.
-const MACHINES: &str = "/machines";
-/// Timeout of one reading.
+/// Path of the machine list on the platform.
+const MACHINES_PATH: &str = "/machines";
+/// Timeout of one read of the machine list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the machine list again and again until the node stops.
+/// Polls the machine list until the node stops.
 pub fn read_machine_list(node: &NodeState) {
     let Some(address) = node.settings.machine_list else {
         return;
@@ -18,11 +18,11 @@
     loop {
         match node
             .upstream
-            .get_json::<MachineList>(address, MACHINES, TIMEOUT)
+            .get_json::<MachineList>(address, MACHINES_PATH, TIMEOUT)
         {
             Ok(list) => node.router().on_machine_list(node.clock.now(), &list),
             Err(error) => {
-                warn!(node.diagnostics.logger(), "machine list not read";
+                warn!(node.diagnostics.logger(), "cannot read the machine list";
                     "error" => error.to_string());
             }
         }
--- a/crates/nodes/wingshore-node/src/rollout/driver.rs
+++ b/crates/nodes/wingshore-node/src/rollout/driver.rs
@@ -1,8 +1,8 @@
-//! One thread for each pool drives the pool's [`RolloutRunner`].
+//! Drives the [`RolloutRunner`] of each pool on a thread of its own.
 //!
-//! Owns the runner and the workers that carry out what it wants. What is leased, generated, scored
-//! and retried is decided by the runner; only the share of each pool is decided here. Relies on the
-//! configuration to name the pool's ledger, and on the router for engines.
+//! Owns the runner and the workers that execute its outputs. The runner decides what is leased,
+//! generated, scored and retried; this module only decides the share of each pool. The
+//! configuration names the pool's ledger, and the router selects engines.
 
 use crate::rollout::streams::{RolloutStream, RunningStreams};
 use crate::rollout::workers::Workers;
@@ -26,28 +26,28 @@
 
 /// Time between two ticks of a runner.
 const TICK: Duration = Duration::from_millis(20);
-/// Timeout of one call to a ledger; the runner sends again what matters.
+/// Timeout of one call to a ledger; the runner repeats the calls that must succeed.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Threads for calls to ledgers, for each pool.
-const LEDGER_CALLERS: usize = 8;
-/// Threads that have KV caches copied, for each pool.
-const CACHE_COPIERS: usize = 4;
-/// Where scorers take samples.
-const SCORE: &str = "/score";
-/// A straggler runs at least this long before a second attempt starts on another engine.
-const OVER_ISSUE_AFTER: Duration = Duration::from_secs(2);
-/// One in so many streams may be a second attempt.
-const OVER_ISSUE_SHARE: u32 = 8;
+/// Number of threads per pool for calls to ledgers.
+const LEDGER_THREADS: usize = 8;
+/// Number of threads per pool that request copies of KV caches.
+const CACHE_COPY_THREADS: usize = 4;
+/// Path on scorers that accepts samples.
+const SCORE_PATH: &str = "/score";
+/// Minimum running time of a straggler before a second attempt starts on another engine.
+const SECOND_ATTEMPT_MIN_RUNNING_TIME: Duration = Duration::from_secs(2);
+/// Number of streams for each of which one second attempt may run.
+const STREAMS_PER_SECOND_ATTEMPT: u32 = 8;
 
-/// The rollouts of one pool.
+/// Handle of the thread that runs the rollouts of one pool.
 pub struct RolloutDriver {
     thread: JoinHandle<()>,
 }
 
 impl RolloutDriver {
-    /// Waits for the planned stop's end: what runs has finished or was released.
+    /// Waits for the end of the planned stop, when all samples have finished or were released.
     pub fn join(self) {
-        // A panic was reported when it happened.
+        // The panic hook has already reported a panic of the thread.
         let _ = self.thread.join();
     }
 }
@@ -55,7 +55,7 @@
 /// Starts the rollouts of all pools that the settings name.
 ///
 /// # Errors
-/// When a thread cannot be started.
+/// Fails when a thread cannot be started.
 pub fn start_rollouts(node: &Arc<NodeState>) -> io::Result<Vec<RolloutDriver>> {
     let pools = &node.settings.rollout.pools;
     pools
@@ -71,16 +71,16 @@
         .map_or(0, |policy| policy.max_samples);
     let streams = (settings.max_leased_samples + second_attempts) as usize;
     let (inputs, received) = unbounded();
-    let drive = Drive {
+    let drive = DriverLoop {
         node: Arc::clone(node),
         pool: pool.clone(),
         ledger: None,
-        known: None,
+        known_revision: None,
         streams: Arc::new(RunningStreams::default()),
         stream_workers: Workers::start("stream", streams)?,
-        ledger_workers: Workers::start("ledger", LEDGER_CALLERS)?,
+        ledger_workers: Workers::start("ledger", LEDGER_THREADS)?,
         score_workers: Workers::start("score", settings.score_concurrency as usize)?,
-        cache_workers: Workers::start("cache", CACHE_COPIERS)?,
+        cache_workers: Workers::start("cache", CACHE_COPY_THREADS)?,
         inputs,
     };
     let runner = RolloutRunner::new(settings, pool.clone());
@@ -90,7 +90,8 @@
     Ok(RolloutDriver { thread })
 }
 
-/// The node's streams and scorings are shared evenly among its pools.
+/// Returns the settings of one runner: the node's streams and scorings are divided evenly among
+/// its pools.
 fn runner_settings(node: &NodeState, pools: usize) -> RolloutSettings {
     let own = &node.settings.rollout;
     let streams = (own.max_streams / pools).max(1) as u32;
@@ -99,8 +100,8 @@
         max_leased_samples: streams,
         score_concurrency: scorings,
         second_attempts: own.over_issue.then(|| SecondAttemptPolicy {
-            min_running_time: OVER_ISSUE_AFTER,
-            max_samples: (streams / OVER_ISSUE_SHARE).max(1),
+            min_running_time: SECOND_ATTEMPT_MIN_RUNNING_TIME,
+            max_samples: (streams / STREAMS_PER_SECOND_ATTEMPT).max(1),
         }),
         stop_limit: node
             .settings
@@ -110,14 +111,14 @@
     }
 }
 
-/// What drives one runner.
-struct Drive {
+/// State of the thread that drives one runner.
+struct DriverLoop {
     node: Arc<NodeState>,
     pool: PoolId,
     /// The pool's ledger, once the configuration has named it.
     ledger: Option<GroupId>,
-    /// The configuration that the runner knows.
-    known: Option<Revision>,
+    /// Revision of the configuration last passed to the runner.
+    known_revision: Option<Revision>,
     streams: Arc<RunningStreams>,
     stream_workers: Workers,
     ledger_workers: Workers,
@@ -126,13 +127,13 @@
     inputs: Sender<RolloutInput>,
 }
 
-impl Drive {
+impl DriverLoop {
     fn run(mut self, mut runner: RolloutRunner, received: &Receiver<RolloutInput>) {
         let mut next_tick = Instant::now() + TICK;
         let mut has_stopped = false;
         let mut finished = 0;
         while !has_stopped {
-            let mut inputs = self.news();
+            let mut inputs = self.pending_inputs();
             let wait = next_tick.saturating_duration_since(Instant::now());
             match received.recv_timeout(wait) {
                 Ok(input) => inputs.push(input),
@@ -154,12 +155,12 @@
         self.finish();
     }
 
-    /// A new configuration, and the planned stop.
-    fn news(&mut self) -> Vec<RolloutInput> {
+    /// Returns the inputs for a changed configuration and for a planned stop.
+    fn pending_inputs(&mut self) -> Vec<RolloutInput> {
         let mut inputs = Vec::new();
         let configuration = self.node.configuration();
-        if self.known != Some(configuration.revision) {
-            self.known = Some(configuration.revision);
+        if self.known_revision != Some(configuration.revision) {
+            self.known_revision = Some(configuration.revision);
             if let Some(binding) = PoolBinding::find(&configuration, &self.pool) {
                 self.ledger = Some(GroupId::Ledger(binding.pool.ledger));
                 inputs.push(RolloutInput::Pool(Box::new(binding)));
@@ -171,7 +172,8 @@
         inputs
     }
 
-    /// Answers whether the planned stop is over.
+    /// Passes an input to the runner and executes its outputs. Returns whether the planned stop is
+    /// complete.
     fn step(&self, runner: &mut RolloutRunner, input: RolloutInput) -> bool {
         let mut outputs = Vec::new();
         runner.step(
@@ -182,12 +184,12 @@
         );
         let mut has_stopped = false;
         for output in outputs {
-            has_stopped |= self.carry_out(output);
+            has_stopped |= self.execute_output(output);
         }
         has_stopped
     }
 
-    fn carry_out(&self, output: RolloutOutput) -> bool {
+    fn execute_output(&self, output: RolloutOutput) -> bool {
         match output {
             RolloutOutput::Ledger { call, request } => self.ask_ledger(call, request),
             RolloutOutput::StartStream {
@@ -227,7 +229,7 @@
         false
     }
 
-    /// Without a configuration lease nothing new is sent: the engine may be leaving by now.
+    /// Starts a stream; refuses it without a configuration lease, as the engine may be leaving.
     fn start_stream(&self, stream: RolloutStream) {
         if self
             .node
@@ -238,11 +240,11 @@
                 attempt: stream.attempt,
                 end: StreamEnd::Refused,
             };
-            // This thread itself listens.
+            // This thread itself is the receiver.
             let _ = self.inputs.send(refused);
             return;
         }
-        self.streams.note(stream.attempt);
+        self.streams.register(stream.attempt);
         let (node, streams) = (Arc::clone(&self.node), Arc::clone(&self.streams));
         let inputs = self.inputs.clone();
         self.stream_workers
@@ -256,7 +258,7 @@
         let (node, inputs) = (Arc::clone(&self.node), self.inputs.clone());
         self.ledger_workers.add(move || {
             let result = call_ledger(&node, group, request);
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::Ledger { call, result });
         });
     }
@@ -265,7 +267,7 @@
         let (node, inputs) = (Arc::clone(&self.node), self.inputs.clone());
         self.cache_workers.add(move || {
             let is_copied = copy_cache(&node.upstream, request_id, from, to).is_ok();
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::CacheCopied { attempt, is_copied });
         });
     }
@@ -281,14 +283,14 @@
         self.score_workers.add(move || {
             let answer: Result<ScoreReply, _> =
                 node.upstream
-                    .post_json(address, SCORE, request.as_ref(), timeout);
+                    .post_json(address, SCORE_PATH, request.as_ref(), timeout);
             if answer.is_ok() {
                 node.metrics.rollout_samples_scored.inc();
             }
             let result = answer
                 .map(|reply| reply.score)
                 .map_err(|_| Verdict::MayHaveRun);
-            // The runner listens until its calls have ended.
+            // The receiver exists until the runner's calls have ended.
             let _ = inputs.send(RolloutInput::Scored { call, result });
         });
     }
@@ -312,7 +314,7 @@
     match node.groups.call(group, request, LEDGER_TIMEOUT) {
         Ok(GroupReply::Ledger(reply)) => Ok(reply),
         Ok(other) => {
-            warn!(node.diagnostics.logger(), "ledger answered something else";
+            warn!(node.diagnostics.logger(), "unexpected reply from ledger";
                 "group" => group.to_string(), "answer" => format!("{other:?}"));
             Err(Verdict::MayHaveRun)
         }
--- a/crates/nodes/wingshore-node/src/serve/whole_answer.rs
+++ b/crates/nodes/wingshore-node/src/serve/whole_answer.rs
@@ -47,7 +47,7 @@
 
 /// Reports a fault of the node itself and returns the error for the caller.
 pub fn internal_error(node: &NodeState, what: &str) -> EdgeError {
-    node.on_broken_promise(what);
+    node.report_invariant_violation(what);
     EdgeError {
         status: 500,
         code: "internal".to_owned(),
--- a/crates/nodes/wingshore-node/tests/common/back_end.rs
+++ b/crates/nodes/wingshore-node/tests/common/back_end.rs
@@ -1,20 +1,21 @@
-//! A scripted back end on a raw socket: it can answer, cut, stall or close without a word.
+//! A scripted back end on a raw socket: it can answer, truncate an answer, stall, or close the
+//! connection without an answer.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A request as it arrived.
+/// A request as received by the back end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub method: String,
     pub target: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Arrived {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -22,34 +23,37 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether it is one of the node's own questions.
+    /// Returns whether the request is a probe of the node.
     fn is_probe(&self) -> bool {
         let path = self.target.split('?').next().unwrap_or_default();
         matches!(path, "/load" | "/state" | "/cache_events")
     }
 }
 
-type Script = dyn Fn(&Arrived, &mut TcpStream) + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest, &mut TcpStream) + Send + Sync;
 
-/// A scripted back end. Probes are answered as by an idle, healthy server with version 1; all
-/// else goes to the script, which writes raw bytes. Each connection serves one request.
+/// A scripted back end. It answers probes like an idle, healthy server with weight version 1 and
+/// passes all other requests to the script, which writes raw bytes. Each connection serves one
+/// request.
 pub struct BackEnd {
     address: SocketAddr,
-    arrived: Arc<Mutex<Vec<Arrived>>>,
-    word: Arc<Mutex<Word>>,
+    arrived: Arc<Mutex<Vec<ReceivedRequest>>>,
+    probe_reply: Arc<Mutex<ProbeReply>>,
 }
 
-/// What a back end answers to probes.
+/// How a back end answers probes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum ProbeReply {
     Staying,
     Draining,
-    /// It closes without a word.
-    Nothing,
+    /// Closes the connection without an answer.
+    Disconnect,
 }
 
 impl BackEnd {
-    pub fn start(script: impl Fn(&Arrived, &mut TcpStream) + Send + Sync + 'static) -> Self {
+    pub fn start(
+        script: impl Fn(&ReceivedRequest, &mut TcpStream) + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener
             .local_addr()
@@ -57,38 +61,38 @@
         let arrived = Arc::new(Mutex::new(Vec::new()));
         let script: Arc<Script> = Arc::new(script);
         let log = Arc::clone(&arrived);
-        let word = Arc::new(Mutex::new(Word::Staying));
-        let own_word = Arc::clone(&word);
+        let probe_reply = Arc::new(Mutex::new(ProbeReply::Staying));
+        let shared_probe_reply = Arc::clone(&probe_reply);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (script, log) = (Arc::clone(&script), Arc::clone(&log));
-                let word = *own_word.lock().unwrap();
-                thread::spawn(move || serve(stream, script.as_ref(), &log, word));
+                let probe_reply = *shared_probe_reply.lock().unwrap();
+                thread::spawn(move || serve(stream, script.as_ref(), &log, probe_reply));
             }
         });
         Self {
             address,
             arrived,
-            word,
+            probe_reply,
         }
     }
 
-    /// From now on probes are answered by this word.
-    pub fn say(&self, word: Word) {
-        *self.word.lock().unwrap() = word;
+    /// Sets how the following probes are answered.
+    pub fn set_probe_reply(&self, probe_reply: ProbeReply) {
+        *self.probe_reply.lock().unwrap() = probe_reply;
     }
 
-    /// Answers everything with 200 and `body`.
+    /// Starts a back end that answers every request with status 200 and `body`.
     pub fn answering(body: &'static str) -> Self {
-        Self::start(move |_, stream| write_whole(stream, 200, "", body.as_bytes()))
+        Self::start(move |_, stream| write_response(stream, 200, "", body.as_bytes()))
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests that arrived, probes left out.
-    pub fn arrived(&self) -> Vec<Arrived> {
+    /// Returns the received requests without the probes.
+    pub fn arrived(&self) -> Vec<ReceivedRequest> {
         self.arrived.lock().unwrap().clone()
     }
 
@@ -97,8 +101,8 @@
     }
 }
 
-/// Writes a whole answer with its length.
-pub fn write_whole(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
+/// Writes a complete answer with its content length.
+pub fn write_response(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!(
         "HTTP/1.1 {status} Status\r\nContent-Length: {}\r\nConnection: close\r\n{headers}\r\n",
         body.len()
@@ -107,7 +111,7 @@
     write(stream, body);
 }
 
-/// Writes raw bytes; the other side may have gone.
+/// Writes raw bytes; returns false if the peer has closed the connection.
 pub fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
     stream
         .write_all(bytes)
@@ -134,14 +138,19 @@
     write(stream, b"0\r\n\r\n");
 }
 
-fn serve(mut stream: TcpStream, script: &Script, log: &Mutex<Vec<Arrived>>, word: Word) {
+fn serve(
+    mut stream: TcpStream,
+    script: &Script,
+    log: &Mutex<Vec<ReceivedRequest>>,
+    probe_reply: ProbeReply,
+) {
     let Some(arrived) = read_request(&stream) else {
         return;
     };
     if arrived.is_probe() {
-        if word != Word::Nothing {
-            let body = probe_answer(&arrived.target, word == Word::Draining);
-            write_whole(&mut stream, 200, "", body.as_bytes());
+        if probe_reply != ProbeReply::Disconnect {
+            let body = probe_answer(&arrived.target, probe_reply == ProbeReply::Draining);
+            write_response(&mut stream, 200, "", body.as_bytes());
         }
     } else {
         log.lock().unwrap().push(arrived.clone());
@@ -165,7 +174,7 @@
     r#"{"boot_id":1,"events":[]}"#.to_owned()
 }
 
-fn read_request(stream: &TcpStream) -> Option<Arrived> {
+fn read_request(stream: &TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
@@ -181,7 +190,7 @@
         };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut arrived = Arrived {
+    let mut arrived = ReceivedRequest {
         method,
         target,
         headers,
--- a/crates/nodes/wingshore-node/tests/common/groups.rs
+++ b/crates/nodes/wingshore-node/tests/common/groups.rs
@@ -1,4 +1,4 @@
-//! A scripted replica: it holds a configuration, claims and nothing else, and can fall silent.
+//! A scripted replica: it holds only a configuration and claims, and can stop answering.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use wingshore_types::protocol::wire::{Frame, GroupReply, GroupRequest};
 use wingshore_types::{RequestId, Revision};
 
-/// Time between two looks for news.
-const POLL: Duration = Duration::from_millis(5);
+/// Time between two checks for a new configuration revision.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 type LedgerScript = Box<dyn Fn(LedgerRequest) -> LedgerReply + Send + Sync>;
 
@@ -28,14 +28,14 @@
     Ended(ClaimOutcome),
 }
 
-/// What the scripted replica holds.
+/// State of the scripted replica.
 pub struct State {
     changes: Mutex<Vec<ConfigurationChange>>,
     claims: Mutex<BTreeMap<ClaimKey, Claimed>>,
     acknowledged: AtomicU64,
     published: Mutex<Vec<ControlRequest>>,
     lease_ms: AtomicU64,
-    is_silent: AtomicBool,
+    is_unresponsive: AtomicBool,
     watch_waits: Mutex<Vec<u64>>,
     watch_delay_ms: AtomicU64,
     ledger: Mutex<Option<LedgerScript>>,
@@ -57,7 +57,7 @@
             acknowledged: AtomicU64::new(0),
             published: Mutex::default(),
             lease_ms: AtomicU64::new(60_000),
-            is_silent: AtomicBool::new(false),
+            is_unresponsive: AtomicBool::new(false),
             watch_waits: Mutex::default(),
             watch_delay_ms: AtomicU64::new(0),
             ledger: Mutex::new(None),
@@ -77,19 +77,19 @@
         self.server.local_address()
     }
 
-    /// Commits a change.
+    /// Commits a configuration change.
     pub fn commit(&self, change: ConfigurationChange) {
         self.state.changes.lock().unwrap().push(change);
     }
 
-    /// The highest revision a node has acknowledged.
+    /// Returns the highest revision that a node has acknowledged.
     pub fn acknowledged(&self) -> u64 {
         self.state.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// From now on nothing is answered.
-    pub fn fall_silent(&self) {
-        self.state.is_silent.store(true, Ordering::SeqCst);
+    /// Stops answering requests.
+    pub fn stop_answering(&self) {
+        self.state.is_unresponsive.store(true, Ordering::SeqCst);
     }
 
     pub fn set_lease(&self, lease: Duration) {
@@ -97,13 +97,13 @@
         self.state.lease_ms.store(lease_ms, Ordering::SeqCst);
     }
 
-    /// From now on answers to watches are late by so much.
+    /// Delays the following answers to watches by `delay`.
     pub fn delay_watches(&self, delay: Duration) {
         let delay_ms = delay.as_millis() as u64;
         self.state.watch_delay_ms.store(delay_ms, Ordering::SeqCst);
     }
 
-    /// How long each watch so far asked to wait, in milliseconds.
+    /// Returns the wait that each watch so far requested, in milliseconds.
     pub fn watch_waits(&self) -> Vec<u64> {
         self.state.watch_waits.lock().unwrap().clone()
     }
@@ -142,7 +142,7 @@
 
 impl State {
     fn serve(&self, connection: &ConnectionHandle, id: RequestId, body: GroupRequest) {
-        if self.is_silent.load(Ordering::SeqCst) {
+        if self.is_unresponsive.load(Ordering::SeqCst) {
             return;
         }
         let body = match body {
@@ -158,7 +158,7 @@
             GroupRequest::Ledger(request) => GroupReply::Ledger(self.ask_ledger(request)),
             other => GroupReply::Rejected(format!("not in the script: {other:?}")),
         };
-        // The node may have gone meanwhile.
+        // The node may have disconnected in the meantime.
         let _ = connection.send(&Frame::Reply { id, body });
     }
 
@@ -174,9 +174,9 @@
         }
         let give_up = Instant::now() + Duration::from_millis(watch.wait_ms);
         while self.revision() <= watch.have.0 && Instant::now() < give_up {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
-        if self.is_silent.load(Ordering::SeqCst) {
+        if self.is_unresponsive.load(Ordering::SeqCst) {
             return None;
         }
         let delay_ms = self.watch_delay_ms.load(Ordering::SeqCst);
--- a/crates/nodes/wingshore-node/tests/completions.rs
+++ b/crates/nodes/wingshore-node/tests/completions.rs
@@ -1,9 +1,9 @@
-//! Completions through a node: whole or an error, flushed event by event, resumed, cancelled.
+//! Completions through a node: complete or an error, flushed per event, resumed, cancelled.
 
 mod common;
 
 use common::back_end::{
-    Arrived, BackEnd, write, write_end, write_event, write_stream_head, write_whole,
+    BackEnd, ReceivedRequest, write, write_end, write_event, write_response, write_stream_head,
 };
 use common::caller::{Answer, connect, get, post, post_bytes, read_chunk, read_head};
 use common::{ENGINES, MODEL, POOL, TestNode, engine_site, wait_until};
@@ -30,17 +30,17 @@
     body.to_string()
 }
 
-fn is_completion(arrived: &Arrived) -> bool {
+fn is_completion(arrived: &ReceivedRequest) -> bool {
     arrived.target == PATH
 }
 
-/// Whatever an engine is asked besides completions.
+/// Answers all requests to an engine other than completions.
 fn answer_other(stream: &mut TcpStream) {
-    write_whole(stream, 200, "", b"{}");
+    write_response(stream, 200, "", b"{}");
 }
 
-/// Generates four tokens in two chunks, by two versions.
-fn whole_engine(arrived: &Arrived, stream: &mut TcpStream) {
+/// Generates four tokens in two chunks with two weight versions.
+fn complete_engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
     }
@@ -51,8 +51,8 @@
     write_end(stream);
 }
 
-/// Generates two tokens, then dies; generates the rest when it is asked to resume.
-fn dying_engine(arrived: &Arrived, stream: &mut TcpStream) {
+/// Generates two tokens, then closes the connection; generates the rest in a resumed request.
+fn disconnecting_engine(arrived: &ReceivedRequest, stream: &mut TcpStream) {
     if !is_completion(arrived) {
         return answer_other(stream);
     }
@@ -67,7 +67,7 @@
     write_end(stream);
 }
 
-/// The data of all events of a streamed answer.
+/// Returns the data of all events of a streamed answer.
 fn events(answer: &Answer) -> Vec<String> {
     answer
         .text()
@@ -79,7 +79,7 @@
 
 #[gtest]
 fn a_buffered_completion_names_tokens_and_versions() {
-    let engine = BackEnd::start(whole_engine);
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     for target in [json!({}), json!({ "model": null, "pool": POOL })] {
@@ -103,7 +103,7 @@
 
 #[gtest]
 fn text_prompts_are_their_bytes() {
-    let engine = BackEnd::start(whole_engine);
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     let answer = post(node.address(), PATH, "", &ask(&json!({ "prompt": "hé" })));
@@ -125,7 +125,7 @@
         write_stream_head(stream);
         for token in 10..14 {
             write_event(stream, &chunk(&[token], 1));
-            // The next token is made only after the caller has seen this one.
+            // Generates the next token only after the caller has received this one.
             wait.recv().expect("the caller goes on");
         }
         write_event(stream, FINISHED);
@@ -158,9 +158,12 @@
 }
 
 #[gtest]
-fn a_dead_engine_s_tokens_are_resumed_on_another() {
+fn tokens_of_a_failed_engine_are_resumed_on_another() {
     for stream in [false, true] {
-        let engines = [BackEnd::start(dying_engine), BackEnd::start(dying_engine)];
+        let engines = [
+            BackEnd::start(disconnecting_engine),
+            BackEnd::start(disconnecting_engine),
+        ];
         let groups = engine_site(&[&engines[0], &engines[1]]);
         let node = TestNode::start(&groups, "node-a", "");
         let answer = post(node.address(), PATH, "", &ask(&json!({ "stream": stream })));
@@ -194,14 +197,14 @@
 }
 
 #[gtest]
-fn a_cut_stream_is_an_error_and_never_a_short_success() {
-    let cutting = |arrived: &Arrived, stream: &mut TcpStream| {
+fn a_truncated_stream_is_an_error_and_never_a_short_success() {
+    let cutting = |arrived: &ReceivedRequest, stream: &mut TcpStream| {
         if !is_completion(arrived) {
             return answer_other(stream);
         }
         write_stream_head(stream);
         write_event(stream, &chunk(&[10, 11], 1));
-        // A chunk that is declared longer than what comes.
+        // A chunk whose declared length exceeds the bytes that are sent.
         write(stream, b"ff\r\ndata: {\"finish");
     };
     let engine = BackEnd::start(cutting);
@@ -235,13 +238,13 @@
 }
 
 #[gtest]
-fn a_caller_that_goes_away_cancels_at_the_engine() {
+fn a_caller_that_disconnects_cancels_at_the_engine() {
     let engine = BackEnd::start(|arrived, stream| {
         if !is_completion(arrived) {
             return answer_other(stream);
         }
         write_stream_head(stream);
-        // Generates until nobody reads any more.
+        // Generates until the node closes the connection.
         while write_event(stream, &chunk(&[10], 1)) {
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
@@ -302,8 +305,8 @@
 }
 
 #[gtest]
-fn requests_that_make_no_sense_are_refused_as_not_run() {
-    let engine = BackEnd::start(whole_engine);
+fn invalid_requests_are_refused_as_not_run() {
+    let engine = BackEnd::start(complete_engine);
     let groups = engine_site(&[&engine]);
     let node = TestNode::start(&groups, "node-a", "");
     let cases = [
--- a/crates/nodes/wingshore-node/tests/lifecycle.rs
+++ b/crates/nodes/wingshore-node/tests/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Configuration, lease and planned stop of a node.
+//! Configuration, configuration lease and planned stop of a node.
 
 mod common;
 
-use common::back_end::{BackEnd, write_whole};
+use common::back_end::{BackEnd, write_response};
 use common::caller::{get, post, post_bytes, read_answer};
 use common::groups::ScriptedGroups;
-use common::{LIVE, PATIENCE, TestNode, live_site, put_server, wait_until};
+use common::{LIVE, TestNode, WAIT_TIMEOUT, live_site, put_server, wait_until};
 use googletest::prelude::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,7 +23,7 @@
 #[gtest]
 fn a_node_without_a_configuration_refuses() {
     let groups = ScriptedGroups::start(Vec::new());
-    groups.fall_silent();
+    groups.stop_answering();
     let node = TestNode::start_unready(&groups, "node-a", "");
     for answer in [
         get(node.address(), "/readyz"),
@@ -46,7 +46,7 @@
         let groups = live_site(&[&server]);
         groups.set_lease(Duration::from_millis(300));
         let node = TestNode::start(&groups, "node-a", &format!("without_lease = \"{setting}\""));
-        groups.fall_silent();
+        groups.stop_answering();
         wait_until("the lease has run out", || {
             let metrics = get(node.address(), "/metrics").text();
             metrics.contains("wingshore_configuration_lease_milliseconds 0\n")
@@ -62,7 +62,8 @@
     }
 }
 
-/// As after a freeze: the answer that was waiting brings a lease that is over already.
+/// Guards against a node that stays without a lease after its process was frozen: the answer that
+/// was pending during the freeze carries a lease that has already expired.
 #[gtest]
 fn a_node_whose_lease_ran_out_asks_for_one_without_waiting() {
     let lease = Duration::from_millis(300);
@@ -97,7 +98,7 @@
         expect_that!(post(node.address(), &charges(), "", "x").text(), eq("one"));
     }
     expect_that!(servers[0].count(), eq(before));
-    // A request is counted after its answer was written, so the last one may be counted later.
+    // A request is counted after its answer was written, so the last count may be delayed.
     for line in [
         "wingshore_configuration_revision 4\n",
         "wingshore_requests_total{kind=\"forward\",code=\"ok\"} 21\n",
@@ -119,7 +120,7 @@
         while !released.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
-        write_whole(stream, 200, "", b"charged in the end");
+        write_response(stream, 200, "", b"charged in the end");
     });
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "stop_grace = \"20s\"");
@@ -150,7 +151,7 @@
     let folder = tempfile::tempdir()?;
     let server = BackEnd::start(|_, stream| {
         thread::sleep(Duration::from_millis(500));
-        write_whole(stream, 200, "", b"charged too late");
+        write_response(stream, 200, "", b"charged too late");
     });
     let groups = live_site(&[&server]);
     let settings = format!(
@@ -180,12 +181,12 @@
     Ok(())
 }
 
-/// Sends requests until nobody listens any more, on one connection as long as it may be kept or
-/// on a new one each; answers how many were cut.
+/// Sends requests until connections are refused, either on one connection for as long as it may be
+/// kept or on a new one each. Returns how many requests got no answer.
 fn call_until_refused(address: SocketAddr, keeps_connection: bool) -> usize {
     let mut cut = 0;
     while let Ok(mut stream) = TcpStream::connect(address) {
-        let limited = stream.set_read_timeout(Some(PATIENCE));
+        let limited = stream.set_read_timeout(Some(WAIT_TIMEOUT));
         limited.expect("a timeout can be set");
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         loop {
@@ -206,7 +207,7 @@
 }
 
 #[gtest]
-fn through_a_whole_planned_stop_each_request_is_answered_or_finds_nobody() {
+fn during_a_planned_stop_each_request_is_answered_or_its_connection_refused() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
@@ -220,11 +221,11 @@
 }
 
 #[gtest]
-fn a_planned_stop_without_work_ends_although_the_groups_are_silent() {
+fn a_planned_stop_without_work_ends_although_the_groups_do_not_answer() {
     let server = BackEnd::answering("charged");
     let groups = live_site(&[&server]);
     let node = TestNode::start(&groups, "node-a", "");
-    groups.fall_silent();
+    groups.stop_answering();
     node.finish();
     expect_that!(server.count(), eq(0));
 }
--- a/crates/nodes/wingshore-node/tests/shares.rs
+++ b/crates/nodes/wingshore-node/tests/shares.rs
@@ -1,8 +1,8 @@
-//! Live requests and rollouts on the same engine: neither starves the other.
+//! Live requests and rollouts share an engine, and neither starves the other.
 
 mod common;
 
-use common::back_end::{BackEnd, write_end, write_event, write_stream_head, write_whole};
+use common::back_end::{BackEnd, write_end, write_event, write_response, write_stream_head};
 use common::caller::post;
 use common::{ENGINES, MODEL, TestNode, engine_site, wait_until};
 use googletest::prelude::*;
@@ -17,16 +17,16 @@
 use wingshore_types::protocol::ledger::{LedgerReply, LedgerRequest, SampleLease};
 use wingshore_types::{Generation, LeaseId, Prompt, SampleNumber, ServiceId, WeightVersion};
 
-/// Slots of the engine, half of them guaranteed to live requests.
+/// Number of slots of the engine, half of them guaranteed to live requests.
 const SLOTS: u32 = 4;
-/// How long the engine takes for each request.
+/// Time that the engine takes for each request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Live requests carry it, rollouts do not.
+/// Priority of live requests, by which the engine tells them from rollouts.
 const LIVE_PRIORITY: i64 = 5;
-/// What is counted of the busier side before the two are compared.
-const ENOUGH: usize = 300;
+/// Number of requests of the busier class before the two classes are compared.
+const MIN_SERVED: usize = 300;
 
-/// What the engine served, and how many requests it had at once.
+/// Numbers of requests that the engine served, and its open requests.
 #[derive(Default)]
 struct Served {
     live: AtomicUsize,
@@ -34,13 +34,13 @@
     open: OpenRequests,
 }
 
-/// Requests that the engine works on. One whose connection the node has closed is none any more:
-/// an engine drops it.
+/// Requests in progress at the engine. A request whose connection the node has closed no longer
+/// counts, because an engine drops it.
 #[derive(Default)]
 struct OpenRequests {
     streams: Mutex<Vec<(usize, TcpStream)>>,
     next: AtomicUsize,
-    most: AtomicUsize,
+    max_open: AtomicUsize,
 }
 
 impl OpenRequests {
@@ -50,7 +50,7 @@
         let mut streams = self.streams.lock().unwrap();
         streams.retain(|(_, stream)| is_open(stream));
         streams.push((number, own));
-        self.most.fetch_max(streams.len(), Ordering::SeqCst);
+        self.max_open.fetch_max(streams.len(), Ordering::SeqCst);
         number
     }
 
@@ -59,12 +59,13 @@
         streams.retain(|(open, _)| *open != number);
     }
 
-    fn most(&self) -> usize {
-        self.most.load(Ordering::SeqCst)
+    fn max_open(&self) -> usize {
+        self.max_open.load(Ordering::SeqCst)
     }
 }
 
-/// Whether the other side has not closed the connection. Nothing more is read from it otherwise.
+/// Returns whether the peer has not closed the connection. Nothing else
+/// reads from the connection at this point.
 fn is_open(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a socket has flags");
     let peeked = stream.peek(&mut [0]);
@@ -75,10 +76,10 @@
 fn engine(served: Arc<Served>) -> BackEnd {
     BackEnd::start(move |arrived, stream| {
         if arrived.target == "/score" {
-            return write_whole(stream, 200, "", br#"{"score":1.0}"#);
+            return write_response(stream, 200, "", br#"{"score":1.0}"#);
         }
         if arrived.target != "/v1/completions" {
-            return write_whole(stream, 200, "", b"{}");
+            return write_response(stream, 200, "", b"{}");
         }
         let number = served.open.begin(stream);
         thread::sleep(SERVICE_TIME);
@@ -102,7 +103,7 @@
     })
 }
 
-/// A ledger that always has samples to lease while `is_open`.
+/// Scripts a ledger that always has samples to lease while `is_open`.
 fn endless_ledger(is_open: Arc<AtomicBool>) -> impl Fn(LedgerRequest) -> LedgerReply {
     let next = AtomicU64::new(1);
     move |request| match request {
@@ -161,7 +162,7 @@
         let body = json!({ "model": MODEL, "prompt": [1], "max_tokens": 1 }).to_string();
         post(address, "/v1/completions", &headers, &body)
     };
-    // One live caller finds its share free while rollouts take all they can get.
+    // One live caller gets its share while rollouts use all remaining capacity.
     let alone: Vec<u16> = (0..30).map(|_| ask().status).collect();
     expect_that!(alone, each(eq(&200)));
 
@@ -181,7 +182,9 @@
         let live = served.live.load(Ordering::SeqCst) - before[0];
         (live, served.rollout.load(Ordering::SeqCst) - before[1])
     };
-    wait_until("enough was served", || since().0.max(since().1) >= ENOUGH);
+    wait_until("enough was served", || {
+        since().0.max(since().1) >= MIN_SERVED
+    });
     let (live, rollout) = since();
     is_flooding.store(false, Ordering::SeqCst);
     println!("under both floods: {live} live, {rollout} rollout requests served");
@@ -195,7 +198,7 @@
         ge((live + rollout) / 3),
         "rollouts have their half"
     );
-    expect_that!(served.open.most(), le(SLOTS as usize));
+    expect_that!(served.open.max_open(), le(SLOTS as usize));
     for caller in callers {
         caller.join().expect("a caller ends");
     }
--- a/crates/nodes/wingshore-node/tests/trainer.rs
+++ b/crates/nodes/wingshore-node/tests/trainer.rs
@@ -1,8 +1,10 @@
-//! A trainer's requests through a node, and the rollouts that the node runs for it.
+//! Requests of a trainer through a node, and the rollouts that the node runs for the trainer.
 
 mod common;
 
-use common::back_end::{Arrived, BackEnd, write_end, write_event, write_stream_head, write_whole};
+use common::back_end::{
+    BackEnd, ReceivedRequest, write_end, write_event, write_response, write_stream_head,
+};
 use common::caller::post;
 use common::{POOL, TestNode, engine_site, wait_until};
 use googletest::prelude::*;
@@ -21,8 +23,8 @@
     format!("/v1/pools/{POOL}/{rest}")
 }
 
-fn idle_engine(_: &Arrived, stream: &mut TcpStream) {
-    write_whole(stream, 200, "", b"{}");
+fn idle_engine(_: &ReceivedRequest, stream: &mut TcpStream) {
+    write_response(stream, 200, "", b"{}");
 }
 
 fn generation(segment_end: u32) -> Generation {
@@ -191,7 +193,7 @@
     node.finish();
 }
 
-/// A part of a batch of three samples: those that begin with `from`, two at most.
+/// Returns a part of a batch of three samples: at most two samples, starting at `from`.
 fn part(from: u32) -> LedgerReply {
     let samples = (from..3).take(2).map(|number| Sample {
         number: SampleNumber(u64::from(number)),
@@ -226,7 +228,7 @@
     node.finish();
 }
 
-/// A ledger with one sample to generate and to score.
+/// A scripted ledger with one sample to generate and to score.
 #[derive(Default)]
 struct OneSampleLedger {
     leased: bool,
@@ -318,8 +320,8 @@
             );
             write_end(stream);
         }
-        "/score" => write_whole(stream, 200, "", br#"{"score":0.75}"#),
-        _ => write_whole(stream, 200, "", b"{}"),
+        "/score" => write_response(stream, 200, "", br#"{"score":0.75}"#),
+        _ => write_response(stream, 200, "", b"{}"),
     });
     let groups = engine_site(&[&engine]);
     let ledger = scripted_ledger(&groups);
@@ -352,11 +354,11 @@
 fn a_planned_stop_gives_partial_samples_back() {
     let engine = BackEnd::start(|arrived, stream| {
         if arrived.target != "/v1/completions" {
-            return write_whole(stream, 200, "", b"{}");
+            return write_response(stream, 200, "", b"{}");
         }
         write_stream_head(stream);
         write_event(stream, r#"{"tokens":[10,11],"weight_version":1}"#);
-        // Stalls until the node closes the stream.
+        // Blocks until the node closes the stream.
         while write_event(stream, r#"{"tokens":[],"weight_version":1}"#) {
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
